--- /dev/null
+++ b/internal/transport/cutanswer_test.go
@@ -0,0 +1,122 @@
+package transport
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"syscall"
+	"testing"
+	"time"
+
+	"olivebridge/brain"
+)
+
+// announced is a connection that tells when a read of it begins: whatever came before has been taken by then.
+type announced struct {
+	Conn
+	reads chan struct{}
+}
+
+func (a announced) Read(b []byte) (int, error) {
+	a.reads <- struct{}{}
+	return a.Conn.Read(b)
+}
+
+// cutting tries by a carrier whose one connection goes to a peer that gives the bytes of an answer, and ends when the carrier
+// has taken them and waits for more: by a reset, or in order.
+func cutting(t *testing.T, given string, reset bool) (try func() brain.Result) {
+	t.Helper()
+	reads := make(chan struct{}, 100)
+	p := listenOn(t, func(conn net.Conn) {
+		if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
+			return
+		}
+		<-reads
+		if given != "" {
+			io.WriteString(conn, given)
+			<-reads
+		}
+		if reset {
+			conn.(*net.TCPConn).SetLinger(0)
+		}
+	})
+	k := NewCarrier(CarrierConfig{ConnectTimeout: time.Second, IdleClose: time.Minute, DrainGrace: time.Second, MaxConns: 1,
+		Log: make(lines, 100).log(), Dial: func(ctx context.Context, addr string) (net.Conn, error) {
+			conn, err := dialTCP(ctx, addr)
+			if err != nil {
+				return nil, err
+			}
+			c, err := connOf(conn)
+			return announced{c, reads}, err
+		}})
+	return func() brain.Result {
+		r := k.Try(t.Context(), tryOf(p, "GET", ""))
+		if r.Reply == nil || r.Reply.(*reply).rest == nil {
+			return r.Result
+		}
+		rest := r.Reply.(*reply).rest
+		_, err := io.Copy(io.Discard, rest)
+		rest.end("called-off")
+		if err != nil { // a client that is passed this can tell
+			return brain.Reset
+		}
+		return r.Result
+	}
+}
+
+// TestCutAnswers: an answer that its peer cuts is never taken for a whole one, wherever the cut falls, and its try may
+// have run. A reset is no end, also of an answer without length, which only an orderly end of the connection makes whole.
+func TestCutAnswers(t *testing.T) {
+	const open = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
+	const sized = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"
+	const chunks = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	for name, c := range map[string]struct {
+		given   string
+		inOrder brain.Result // what an orderly end makes of it
+	}{
+		"before it":                {"", brain.Reset},
+		"in its first line":        {"HTTP/1.1 20", brain.Reset},
+		"in its head":              {"HTTP/1.1 200 OK\r\nContent-Le", brain.Reset},
+		"behind its head":          {sized, brain.Reset},
+		"in its body":              {sized + "part", brain.Reset},
+		"in a rejection":           {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 4\r\n\r\nno", brain.Reset},
+		"behind a head ahead":      {"HTTP/1.1 103 X\r\n\r\n", brain.Reset},
+		"in a chunk":               {chunks + "9\r\npart", brain.Reset},
+		"between chunks":           {chunks + "4\r\npart\r\n", brain.Reset},
+		"behind the last chunk":    {chunks + "4\r\npart\r\n0\r\n", brain.Reset},
+		"without length, no body":  {open, brain.OK},
+		"without length, in body":  {open + "part", brain.OK},
+		"1.0, without length":      {"HTTP/1.0 200 OK\r\nConnection: close\r\n\r\npart", brain.OK},
+		"a rejection, no length":   {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nConnection: close\r\n\r\nno", brain.Rejected},
+		"a failure without length": {"HTTP/1.1 500 X\r\nConnection: close\r\n\r\nno", brain.Errored},
+	} {
+		for reset, want := range map[bool]brain.Result{true: brain.Reset, false: c.inOrder} {
+			if got := cutting(t, c.given, reset)(); got != want {
+				t.Errorf("%s, reset %v: result %d, want %d", name, reset, got, want)
+			}
+		}
+	}
+}
+
+// TestAResetStaysOne: the system tells a reset once; who reads on must not find an orderly end.
+func TestAResetStaysOne(t *testing.T) {
+	peer := listenOn(t, func(conn net.Conn) {
+		io.ReadFull(conn, make([]byte, 1))
+		conn.(*net.TCPConn).SetLinger(0)
+	})
+	k, _ := newCarrier(time.Second)
+	c, err := k.pool.get(t.Context(), peer, time.Now().Add(time.Minute))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.end("idle")
+	c.Write([]byte{0})
+	for range 3 {
+		if n, err := c.Read(make([]byte, 1)); n != 0 || !errors.Is(err, syscall.ECONNRESET) {
+			t.Errorf("read %d bytes, %v", n, err)
+		}
+	}
+}
--- a/internal/transport/peerconn.go
+++ b/internal/transport/peerconn.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"os"
 	"syscall"
 	"time"
 
@@ -19,8 +20,13 @@
 	up     *upload   // that it carries, or carried last; nil: none
 }
 
-// Read implements net.Conn.
+// Read implements net.Conn. An end stays as it was first told: the system tells
+// a reset once, and an orderly end from then on, which would make a cut answer
+// without length a whole one.
 func (c *peerConn) Read(b []byte) (int, error) {
+	if c.failed != nil && !errors.Is(c.failed, os.ErrDeadlineExceeded) {
+		return 0, c.failed
+	}
 	n, err := c.Conn.Read(b)
 	c.life.read(err, "peer-closed", "reset")
 	if err != nil {
