--- a/brain/api.go
+++ b/brain/api.go
@@ -171,6 +171,9 @@
 	Moot                        // never sent
 )
 
+// NeverRan reports whether the result proves that its attempt never ran.
+func (r Result) NeverRan() bool { return r == Rejected || r == ConnectFailed || r == Moot }
+
 // MaxLoad is the most values a load report holds.
 const MaxLoad = 4
 
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -344,7 +344,7 @@
 	}
 	a := &r.attempts[o.Attempt]
 	a.out, r.out = false, r.out-1
-	a.never = o.Result == Rejected || o.Result == ConnectFailed || o.Result == Moot
+	a.never = o.Result.NeverRan()
 	b.landed(a)
 	b.learn(r, a, o)
 	defer b.admit()
--- a/internal/routing/admit.go
+++ b/internal/routing/admit.go
@@ -16,8 +16,9 @@
 	answered bool        // it is given, or nobody waits for it
 	over     atomic.Bool // the same, for the carrier
 	deadline brain.Time
-	tries    []*attempt // by number
-	out      int        // those whose outcome is not in
+	effect   brain.Effect // its class's as it came, as the decisions have it
+	tries    []*attempt   // by number
+	out      int          // those whose outcome is not in
 	first    attempt
 	few      [2]*attempt // room for tries
 }
@@ -52,6 +53,9 @@
 	r.lastID++
 	e.id = r.lastID
 	e.tries = e.few[:0]
+	if e.Class >= 0 && e.Class < len(r.set.Classes) {
+		e.effect = r.set.Classes[e.Class].Effect
+	}
 	e.deadline = r.brainTime(e.Arrived.Add(e.patience() - answerMargin))
 	r.open[e.id] = e
 	r.brain.Request(now, brain.Request{
--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -59,6 +59,7 @@
 	Attempt int             // the call's tries count from 0
 	Peer    *Peer
 	Until   time.Time    // the carrier stops waiting then
+	BeginBy time.Time    // from then on its first byte must not leave, whenever its connection is there; zero: it may
 	Over    *atomic.Bool // its call has been answered: it must not begin any more; nil: never
 	Payload any
 	// Budget is a slow call's, and Written is to be called, once, when its last byte has left. Until then Until
@@ -67,6 +68,12 @@
 	Written func()
 }
 
+// MayBegin reports whether the first byte may still leave at now. The carrier asks once the connection is there, which
+// may be long after the decision.
+func (t *Try) MayBegin(now time.Time) bool {
+	return (t.Over == nil || !t.Over.Load()) && (t.BeginBy.IsZero() || now.Before(t.BeginBy))
+}
+
 // TryResult is how a try ended.
 type TryResult struct {
 	Result brain.Result
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -23,7 +23,7 @@
 		a = new(attempt)
 	}
 	a.Try = Try{Call: id, Attempt: len(e.tries), Peer: r.peers[to], Until: r.instant(until),
-		Over: &e.over, Payload: e.Payload}
+		BeginBy: r.beginBy(e), Over: &e.over, Payload: e.Payload}
 	a.router, a.begun = r, time.Now()
 	if r.gate != nil && a.Peer != nil {
 		a.cold = coldUnits(r.now(), a.Peer.born, r.set)
@@ -37,6 +37,21 @@
 	r.send(a)
 }
 
+// beginBy is when the window in which a call's repeats are dropped ends: counted from the first of its tries that may have
+// run, which left no sooner than it was sent off. The decisions asked as they chose the peer; the connection may be up later
+// than that by more than a short window. Zero: no window binds the next try.
+func (r *Router) beginBy(e *openCall) time.Time {
+	if e.effect != brain.Token {
+		return time.Time{}
+	}
+	for _, a := range e.tries {
+		if !a.in || !a.result.Result.NeverRan() {
+			return a.begun.Add(r.set.Classes[e.Class].Window)
+		}
+	}
+	return time.Time{}
+}
+
 // coldUnits is what a try to a peer that started at an instant costs: the share of its capacity that it has at its start, of
 // what it has by now. 0: it is warm.
 func coldUnits(now, born brain.Time, set brain.Settings) float64 {
--- a/internal/transport/carrier.go
+++ b/internal/transport/carrier.go
@@ -93,8 +93,8 @@
 
 // exchange sends one message to a peer, at most once, and waits for the answer.
 // A try whose call is over by the time that its connection is there never
-// leaves: a copy may find that the first has been answered. told: the peer is
-// told the time left.
+// leaves: a copy may find that the first has been answered, a further try that
+// its class's window has passed. told: the peer is told the time left.
 func (k *Carrier) exchange(ctx context.Context, t routing.Try, m *message, told bool) routing.TryResult {
 	c, err := k.pool.get(ctx, t.Peer, t.Until)
 	now := time.Now()
@@ -104,7 +104,7 @@
 		return routing.TryResult{Result: brain.Moot} // not the peer's doing
 	case err != nil:
 		return routing.TryResult{Result: brain.ConnectFailed}
-	case cause != nil || t.Over != nil && t.Over.Load() || m.left(t.Attempt, now):
+	case cause != nil || !t.MayBegin(now) || m.left(t.Attempt, now):
 		k.pool.put(c)
 		return routing.TryResult{Result: brain.Moot}
 	case !t.Peer.OpenFor(now, k.config.Load().DrainGrace):
