--- a/internal/lab/network/port.go
+++ b/internal/lab/network/port.go
@@ -185,6 +185,13 @@
 	return 0, syscall.EAGAIN
 }
 
+// HasEnded reports whether the other side has ended or broken the connection, though bytes may still wait.
+func (p *port) HasEnded() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.ended || p.reset
+}
+
 // Write implements net.Conn. It waits until all of b has room in the window, or,
 // of more than fits there, part after part.
 func (p *port) Write(b []byte) (n int, err error) {
--- a/internal/node/memory_test.go
+++ b/internal/node/memory_test.go
@@ -163,6 +163,12 @@
 	return e.state()
 }
 
+func (e *end) HasEnded() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.ended[1-e.side]
+}
+
 func (e *end) Read(b []byte) (int, error) {
 	return e.ReadGate(b, &sync.Mutex{}, func() error { return nil }, func(int) {})
 }
--- /dev/null
+++ b/internal/transport/clientleft_test.go
@@ -0,0 +1,108 @@
+package transport
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"olivebridge/brain"
+	"olivebridge/internal/routing"
+)
+
+// leftAfter is how soon after its client's going no try of a call begins any more.
+const leftAfter = 100 * time.Millisecond
+
+// TestClientLeft: whatever a call waits for, and however its client goes, no try begins 0.1 s later, also where the client
+// has sent something behind its request, which hides its going from whoever looks at the next byte alone.
+func TestClientLeft(t *testing.T) {
+	const whole = head + "Content-Length: 0\r\n\r\n"
+	upload := head + "Content-Length: 100000\r\n\r\n" + strings.Repeat("x", 100000)
+	const failed = "HTTP/1.1 500 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+	for name, c := range map[string]struct {
+		raw    string
+		before string // what the first try's peer answers; "": there is no first try, "-": nothing
+		late   bool   // it is the connection that is waited for, and else the decision
+	}{
+		"for room":                        {whole, "", false},
+		"for a connection":                {whole, "", true},
+		"between two tries":               {whole, failed, false},
+		"for a further try's connection":  {whole, failed, true},
+		"for an answer, as a copy is due": {whole, "-", false},
+		"for a copy's connection":         {whole, "-", true},
+		"for room, to bring a body":       {upload, "", false},
+		"for a connection, to bring one":  {upload, "", true},
+		"for room, to bring half of one":  {upload[:len(upload)/2], "", false},
+	} {
+		for _, behind := range []string{"", "x", whole} {
+			for _, reset := range []bool{false, true} {
+				t.Run(fmt.Sprintf("%s, %d bytes behind, reset %v", name, len(behind), reset), func(t *testing.T) {
+					t.Parallel()
+					taken, goOn, ended := make(chan bool), make(chan bool), make(chan brain.Result)
+					first := listenOn(t, func(conn net.Conn) {
+						in := bufio.NewReader(conn)
+						in.ReadByte()
+						if taken <- true; c.before != "-" {
+							io.WriteString(conn, c.before)
+						}
+						io.Copy(io.Discard, in)
+					})
+					last := listenOn(t, func(conn net.Conn) {
+						if n, _ := conn.Read(make([]byte, 1)); n > 0 {
+							t.Error("a try began")
+						}
+					})
+					k, _ := newCarrier(time.Minute)
+					k.pool.dial = func(ctx context.Context, addr string) (net.Conn, error) {
+						if c.late && addr == last.Addr {
+							if c.before != "-" && c.before != failed {
+								taken <- true
+							}
+							<-goOn
+							ctx = context.WithoutCancel(ctx) // a connection may be up just then
+						}
+						return dialTCP(ctx, addr)
+					}
+					addr, _, _ := newFront(t, 10, func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
+						try := routing.Try{Peer: first, Until: time.Now().Add(time.Minute), Payload: call.Payload,
+							Budget: time.Minute, Written: func() {}}
+						if c.before == "-" {
+							go k.Try(context.WithoutCancel(ctx), try)
+							try.Attempt++
+						} else if c.before != "" {
+							k.Try(ctx, try)
+							try.Attempt++
+						}
+						try.Peer = last
+						if !c.late {
+							if c.before == "" {
+								taken <- true
+							}
+							<-goOn
+						}
+						ended <- k.Try(ctx, try).Result
+						return routing.Answer{}, false
+					})
+					client := dial(t, addr)
+					io.WriteString(client, c.raw)
+					<-taken
+					io.WriteString(client, behind)
+					if reset {
+						client.Conn.(*net.TCPConn).SetLinger(0)
+					}
+					client.Close()
+					time.Sleep(leftAfter)
+					close(goOn)
+					if r := <-ended; r != brain.Moot {
+						t.Errorf("the try ended with %d", r)
+					}
+					k.Close()
+				})
+			}
+		}
+	}
+}
--- a/internal/transport/clientread.go
+++ b/internal/transport/clientread.go
@@ -90,10 +90,12 @@
 	}
 }
 
-// left reports whether the client has gone by now. If so, http.Server hears of it.
+// left reports whether the client has gone by now, also behind bytes that nobody reads yet: those of a long body whose
+// call still waits, or of a further request. If so, http.Server hears of it, unless it waits for no end: having read one
+// byte behind the request it does not read on.
 func (k *clientConn) left() bool {
 	n, err := k.Peek()
-	if n > 0 || errors.Is(err, syscall.EAGAIN) {
+	if errors.Is(err, syscall.EAGAIN) || n > 0 && !k.HasEnded() {
 		return false
 	}
 	k.deadlines.mu.Lock()
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -360,7 +360,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k.active, k.whole, k.next = k.next, false, false
+	k.active, k.behind, k.whole, k.next = k.next, k.next, false, false
 	if !k.active && c.open[k] {
 		k.moveTo(&c.idle)
 		if c.leaving {
@@ -387,6 +387,7 @@
 	active  bool      // a byte of an unanswered request has been read
 	whole   bool      // that request has been read whole
 	next    bool      // a byte of the one after it has been read
+	behind  bool      // that was so of the request, or all of it came with the one before
 	gone    bool      // its end is decided
 	given   bool      // so that another process goes on with it: it must be open until it is sent there
 	framing framing
@@ -438,10 +439,18 @@
 func (k *clientConn) requestBegins() bool {
 	k.all.mu.Lock()
 	defer k.all.mu.Unlock()
+	k.behind = k.behind || !k.active
 	k.begin()
 	return !k.gone
 }
 
+// pipelined reports whether the request that is read began to come while the one before was open.
+func (k *clientConn) pipelined() bool {
+	k.all.mu.Lock()
+	defer k.all.mu.Unlock()
+	return k.behind
+}
+
 // framed says whether the head of the request that is read leaves any doubt
 // about where it ends, and whether the connection must end with its answer.
 func (k *clientConn) framed() (torn, last bool) {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -21,6 +21,9 @@
 	// Peek says what there is to read and takes nothing: n > 0: bytes wait; 0 and nil: the other side has
 	// ended; syscall.EAGAIN: nothing is there; any other error: the connection is broken.
 	Peek() (n int, err error)
+	// HasEnded reports whether the other side has ended or broken the connection, though bytes that it sent before may
+	// still wait to be read. It is false where that cannot be told.
+	HasEnded() bool
 }
 
 // Dialer opens connections to addresses of the form host:port, until ctx ends.
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -287,7 +287,10 @@
 	if !call.Slow {
 		k.requestRead()
 	}
-	m.from, m.arrived, call.Payload = k, call.Arrived, m
+	m.from, call.Payload = k, m
+	if !k.pipelined() { // else its client may have left long ago
+		m.arrived = call.Arrived
+	}
 	return call, 0, nil
 }
 
--- a/internal/transport/message.go
+++ b/internal/transport/message.go
@@ -31,11 +31,11 @@
 	taken  atomic.Bool // room is, by a try that writes
 
 	from    interface{ left() bool } // the client connection; nil: none
-	arrived time.Time
-	up      *upload // the body, where it is too long to be kept; nil: it is all here
+	arrived time.Time                // zero: some time ago
+	up      *upload                  // the body, where it is too long to be kept; nil: it is all here
 }
 
-// atOnce is how long after its call a first try leaves without a look at the client.
+// atOnce is how long after its call has come a first try leaves without a look at the client.
 const atOnce = 250 * time.Microsecond
 
 // left reports whether the client is found to have gone before a try leaves. It
--- a/internal/transport/socket.go
+++ b/internal/transport/socket.go
@@ -31,6 +31,8 @@
 	one     [1]byte
 	ahead   int
 	failed  error // the kernel's
+
+	telling bool // the kernel tells the connection's state
 }
 
 func newSocket(c *net.TCPConn) (*socket, error) {
@@ -40,9 +42,38 @@
 	}
 	s := &socket{TCPConn: c, raw: raw}
 	s.take, s.peek = s.takeGated, s.peekAt
+	s.telling = s.state() == stateEstablished
 	return s, nil
 }
 
+// States of a connection, as TCP_INFO has them (include/net/tcp_states.h).
+const (
+	stateUnknown     = 0
+	stateEstablished = 1
+	stateClose       = 7 // reset, too
+	stateCloseWait   = 8
+)
+
+// state asks the kernel for the connection's state, which is the first byte of what TCP_INFO gives.
+func (s *socket) state() (state int) {
+	s.raw.Control(func(fd uintptr) {
+		if info, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO); err == nil {
+			state = info & 0xff
+		}
+	})
+	return state
+}
+
+// HasEnded implements Conn. What has never been told to be open is not believed to have ended: sockets may be another
+// network's, whose calls look like the kernel's.
+func (s *socket) HasEnded() bool {
+	state := stateUnknown
+	if s.telling {
+		state = s.state()
+	}
+	return state == stateCloseWait || state == stateClose
+}
+
 // dialTCP is the Dialer of nodes on sockets. Keep-alive probes are off: what
 // falls silent is noticed by its tries, and earlier.
 func dialTCP(ctx context.Context, addr string) (net.Conn, error) {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -324,6 +324,7 @@
 
 func (pipe) CloseWrite() error  { return nil }
 func (pipe) Peek() (int, error) { return 0, syscall.EAGAIN }
+func (pipe) HasEnded() bool     { return false }
 func (pipe) ReadGate([]byte, sync.Locker, func() error, func(int)) (int, error) {
 	panic("not a client's")
 }
