--- a/internal/lab/nodefile/nodefile.go
+++ b/internal/lab/nodefile/nodefile.go
@@ -25,7 +25,11 @@
 func Write(c *world.Config, n world.Node, s Start) ([]byte, error) {
 	var quotas []object
 	for _, t := range c.Tenants {
-		quotas = append(quotas, object{"name": t.Name, "share": t.Share, "quota_per_s": t.Quota})
+		quota := object{"name": t.Name, "share": t.Share}
+		if t.Quota > 0 { // to a node a quota of nothing is one too
+			quota["quota_per_s"] = t.Quota
+		}
+		quotas = append(quotas, quota)
 	}
 	var classes []object
 	for _, k := range c.Classes {
--- a/internal/lab/world/config.go
+++ b/internal/lab/world/config.go
@@ -70,7 +70,7 @@
 type Tenant struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"`
-	Quota float64 `toml:"quota"` // requests a second over all nodes
+	Quota float64 `toml:"quota"` // requests a second over all nodes; 0: it has none
 }
 
 // Node is one instance of the program under test.
--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -169,20 +169,28 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	c.ConnectTimeout, c.IdleClose = set.Limits.ConnectTimeout, set.Limits.IdleClose
-	if c.ConnectTimeout <= 0 || c.IdleClose <= 0 {
-		return errors.New("settings: limits.connect_timeout or limits.idle_close missing")
-	}
-	c.Names = Names{Classes: map[string]int{}, Callers: map[string]int{}, Zones: places(set.Zones), Kinds: places(set.Kinds)}
-	for i, class := range set.Classes {
-		c.Names.Classes[class.Name] = i
-		c.Names.Methods = append(c.Names.Methods, methodOf(c.Settings.Classes[i].Effect))
-		c.LongestDeadline = max(c.LongestDeadline, c.Settings.Classes[i].Deadline)
-	}
-	for i, tenant := range set.Tenants {
-		c.Names.Callers[tenant.Name] = i
+	if c.ConnectTimeout <= 0 {
+		return errors.New("settings: limits.connect_timeout: missing, or not above zero")
+	}
+	if c.IdleClose <= 0 {
+		return errors.New("settings: limits.idle_close: missing, or not above zero")
+	}
+	if len(set.Classes) != len(c.Settings.Classes) || len(set.Tenants) != len(c.Settings.Tenants) {
+		return errors.New("settings: classes or tenants stand twice")
+	}
+	for _, list := range []struct {
+		path  string
+		names []string
+		at    *map[string]int
+	}{{"classes", namesOf(set.Classes), &c.Names.Classes}, {"tenants", namesOf(set.Tenants), &c.Names.Callers},
+		{"zones", set.Zones, &c.Names.Zones}, {"kinds", set.Kinds, &c.Names.Kinds}} {
+		if *list.at, err = places(list.path, list.names); err != nil {
+			return err
+		}
 	}
-	if len(c.Names.Classes) != len(set.Classes) || len(c.Names.Callers) != len(set.Tenants) {
-		return errors.New("settings: a class's or tenant's name stands twice")
+	for _, class := range c.Settings.Classes {
+		c.Names.Methods = append(c.Names.Methods, methodOf(class.Effect))
+		c.LongestDeadline = max(c.LongestDeadline, class.Deadline)
 	}
 	if len(in.Known) > 0 {
 		if c.Known, c.KnownVersion, err = c.Names.ParseGroup(in.Known); err != nil {
@@ -192,10 +200,22 @@
 	return nil
 }
 
-func places(names []string) map[string]int {
+func namesOf(list []named) (names []string) {
+	for _, item := range list {
+		names = append(names, item.Name)
+	}
+	return names
+}
+
+// places are those of names in a list of the settings. One that is missing would fit whoever gives none, and one that
+// stands twice would hide its first place.
+func places(path string, names []string) (map[string]int, error) {
 	at := map[string]int{}
 	for i, name := range names {
+		if _, twice := at[name]; twice || name == "" {
+			return nil, fmt.Errorf("settings: %s.%d: its name is missing, or stands twice: %q", path, i, name)
+		}
 		at[name] = i
 	}
-	return at
+	return at, nil
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -181,6 +181,16 @@
 			t.Errorf("%s for %s: error %v", new, old, err)
 		}
 	}
+	for _, c := range []struct{ old, new, bad string }{ // calls are told by these names, and peers' zones
+		{`"name":"book",`, ``, "classes.1"}, {`"name":"status"`, `"name":""`, "classes.0"}, {`"name":"acme",`, ``, "tenants.0"},
+		{`"name":"book"`, `"name":"status"`, "classes.1"}, {`["a","b"]`, `["b","b"]`, "zones.1"}, {`["a","b"]`, `["a",""]`, "zones.1"},
+		{`["m1","m2"]`, `["m1","m1"]`, "kinds.1"}, {`"contract"`, `"Classes":[{"name":"a"},{"name":"b"},{"name":"c"}],"contract"`, "classes"},
+		{`"connect_timeout":75000000`, `"connect_timeout":-1`, "limits.connect_timeout"}, {`"idle_close":10000000000`, `"idle_close":0`, "limits.idle_close"},
+	} {
+		if _, err := load(env, strings.Replace(config, c.old, c.new, 1)); err == nil || !strings.Contains(err.Error(), "settings: "+c.bad) {
+			t.Errorf("%s for %s: error %v, want one about %s", c.new, c.old, err, c.bad)
+		}
+	}
 	for name := range env {
 		rest := map[string]string{}
 		for k, v := range env {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -55,6 +55,24 @@
 	return time.Duration(min(p.number(key), math.MaxInt64/4))
 }
 
+// atLeastOne reads a whole number above zero. One beyond maxItems is as good as that.
+func (p *parser) atLeastOne(key string) int {
+	v := p.number(key)
+	if v < 1 || v != math.Trunc(v) {
+		p.fail(key, "not a whole number above zero: %q", p.pairs[key])
+	}
+	return int(min(v, maxItems))
+}
+
+// place reads a place in a list that is as long as given.
+func (p *parser) place(key string, length int) uint8 {
+	v := p.optional(key, 0)
+	if v != math.Trunc(v) || v >= float64(min(length, math.MaxUint8)) {
+		p.fail(key, "not a place in a list of %d: %q", length, p.pairs[key])
+	}
+	return uint8(v)
+}
+
 func (p *parser) flag(key string) bool {
 	v, err := strconv.ParseBool(p.text(key))
 	if err != nil {
@@ -103,15 +121,14 @@
 }
 
 // Decode reads settings from their paths and values. Unknown keys are passed
-// over. Optional are tenants (none), classes[].aim_stretch (0),
-// contract.dropped_stay_open (false),
-// over_share_worth (1) and ask_every,
-// which is needed only where the list must be asked for. extra.warm_keys and
+// over. Optional are tenants (none), tenants[].quota_per_s (none), zones (one) and zone (the first), classes[].aim_stretch
+// and late_worth (0), classes[].stream and contract.dropped_stay_open (false), over_share_worth (1), prices (0), and
+// ask_every, which is needed only where the list must be asked for. extra.warm_keys and
 // extra.passes_deadline are not read: the module always keeps keys to their servers, and uses neither.
 func Decode(pairs map[string]string) (brain.Settings, error) {
 	p := &parser{pairs: pairs}
 	s := brain.Settings{
-		Nodes:          int(min(p.number("n_instances"), maxItems)),
+		Nodes:          p.atLeastOne("n_instances"),
 		WorthByWork:    choice(p, "worth_by", map[string]bool{"work": true, "request": false}),
 		OverShareWorth: p.optional("over_share_worth", 1),
 		LiveWeights:    p.text("weights") == "live",
@@ -122,9 +139,8 @@
 		Cold:           p.duration("contract.cold"),
 		Overload:       p.number("contract.overload_factor"),
 		Fall:           p.duration("contract.fall"),
-		TryLimit:       int(min(p.number("limits.try_limit"), maxItems)),
+		TryLimit:       p.atLeastOne("limits.try_limit"),
 		Probes:         p.flag("limits.probes"),
-		Zone:           uint8(p.optional("zone", 0)),
 		Zones:          1 + strings.Count(p.pairs["zones"], ","),
 		CrossPrice:     p.optional("prices.cross_zone", 0),
 		ProbePrice:     p.optional("prices.probe", 0),
@@ -133,6 +149,7 @@
 		RetryAfter:     p.flag("limits.retry_after"),
 		MaxRetryAfter:  p.duration("limits.max_retry_after"),
 	}
+	s.Zone = p.place("zone", s.Zones)
 	if s.Ask {
 		s.AskEvery = p.duration("contract.ask_every")
 	}
@@ -145,6 +162,9 @@
 			Effect: choice(p, k+"idempotency", map[string]brain.Effect{
 				"pure": brain.Pure, "token": brain.Token, "side_effect": brain.SideEffect}),
 		}
+		if c.Deadline == 0 {
+			p.fail(k+"deadline", "nothing can be answered within no time")
+		}
 		if p.optionalFlag(k + "serial_by_key") {
 			p.fail(k+"serial_by_key", "the order of a key's requests is not kept")
 		}
@@ -157,7 +177,11 @@
 	}
 	for i := range p.count("tenants.count", 0) {
 		k := "tenants." + strconv.Itoa(i) + "."
-		s.Tenants = append(s.Tenants, brain.Tenant{Share: p.number(k + "share"), Quota: p.optional(k+"quota_per_s", 0)})
+		t := brain.Tenant{Share: p.number(k + "share")}
+		if _, set := p.pairs[k+"quota_per_s"]; set { // a quota of nothing is one too: a tiny share's, in whole requests
+			t.Quota = max(p.number(k+"quota_per_s"), math.SmallestNonzeroFloat64)
+		}
+		s.Tenants = append(s.Tenants, t)
 	}
 	if p.err == nil && len(s.Classes) == 0 {
 		p.fail("classes.count", "no classes")
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"reflect"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -77,6 +78,36 @@
 	}
 }
 
+// TestOddFigures: what is absent, zero, negative or no figure at all gets the page's meaning or one clear error that
+// names its path, and never passes for something else.
+func TestOddFigures(t *testing.T) {
+	for change, want := range map[string]string{ // "": it is taken
+		"limits.try_limit=0": "limits.try_limit", "limits.try_limit=1.5": "limits.try_limit", "limits.try_limit=1e9": "",
+		"n_instances=0": "n_instances", "n_instances=0.5": "n_instances", "n_instances=-1": "n_instances",
+		"classes.0.deadline=0": "classes.0.deadline", "classes.1.deadline=-1": "classes.1.deadline",
+		"classes.0.aim=9e9": "", "classes.0.aim=0": "", "classes.0.window=?": "", "classes.1.window=NaN": "classes.1.window",
+		"classes.1.window=-1": "classes.1.window", "classes.1.window=0": "", "classes.1.key_scope=": "classes.1.key_scope",
+		"classes.count=3": "classes.2.", "classes.count=0": "classes.count", "classes.count=0.5": "classes.count",
+		"tenants.count=0": "", "tenants.count=2": "tenants.1.", "tenants.0.share=NaN": "tenants.0.share",
+		"contract.cold=0": "", "contract.cold_share=Inf": "contract.cold_share", "contract.drain_grace=0": "",
+		"contract.fall=-0.1": "contract.fall", "contract.ask_every=1e300": "",
+		"zone=0": "", "zone=2": "zone", "zone=256": "zone", "zone=0.5": "zone", "zones=a,b,c\nzone=2": "", "zones=": "",
+	} {
+		key, _, _ := strings.Cut(change, "=")
+		lines := slices.DeleteFunc(strings.Split(sample, "\n"), func(l string) bool { return strings.HasPrefix(l, key+"=") })
+		_, err := ParseText([]byte(change + "\n" + strings.Join(lines, "\n")))
+		if (err == nil) != (want == "") || err != nil && !strings.HasPrefix(err.Error(), "settings: "+want) {
+			t.Errorf("%s: got %v, want an error about %q", change, err, want)
+		}
+	}
+	for change, want := range map[string]bool{"": false, "tenants.0.quota_per_s=0.0\n": true, "tenants.0.quota_per_s=5\n": true} {
+		s, err := ParseText([]byte(strings.Replace(sample, "tenants.0.quota_per_s=153.0\n", change, 1)))
+		if err != nil || (s.Tenants[0].Quota > 0) != want {
+			t.Errorf("%q: a quota is set: %v, want %v; %v", change, !want, want, err)
+		}
+	}
+}
+
 // TestJSONIsTheText holds both forms of the settings to one meaning: nested
 // names, lists of objects, and lists of plain values.
 func TestJSONIsTheText(t *testing.T) {
