--- a/brain/brain.go
+++ b/brain/brain.go
@@ -484,7 +484,7 @@
 	}
 	aim := min(r.class.Aim+time.Duration(r.class.AimStretch*r.cost*float64(time.Second)), r.class.Deadline)
 	if o.Result == Rejected {
-		s.shut = b.now + Time(aim)
+		s.shut = b.now + Time(min(aim, probeDown))
 		b.cutLimit(s, 0.7, aim)
 		return
 	}
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -756,6 +756,20 @@
 	g.check()
 }
 
+// It rests for no longer than a server that is Down, however long the class's aim: one full queue met by each of a
+// few servers in turn would leave nothing for any class.
+func TestTurnedAwayIsTriedAgain(t *testing.T) {
+	set := base()
+	set.Classes[0].Aim, set.Classes[0].Deadline = time.Minute, 2*time.Minute
+	g := start(t, set, 1, fleet(1)...)
+	g.answer(g.ask(0, 7), 0, Rejected)
+	g.pass(probeDown, time.Millisecond, always)
+	if n := len(g.open[g.ask(1, 7)].shots); n != 1 {
+		t.Errorf("sent %d times, want 1", n)
+	}
+	g.check()
+}
+
 // However slow its answers, one of the largest servers keeps room for two, and any for one.
 func TestLeastLimit(t *testing.T) {
 	servers := fleet(2)
