--- a/internal/transport/carrier.go
+++ b/internal/transport/carrier.go
@@ -15,6 +15,10 @@
 	"olivebridge/internal/routing"
 )
 
+// fairConnect is the time after which a connection that is not up speaks against its peer, though it may take longer by the
+// settings: some round trips over the widest net.
+const fairConnect = 100 * time.Millisecond
+
 // CarrierConfig is what a Carrier is made from.
 type CarrierConfig struct {
 	ConnectTimeout time.Duration // a connection that comes later has not come
@@ -96,11 +100,12 @@
 // leaves: a copy may find that the first has been answered, a further try that
 // its class's window has passed. told: the peer is told the time left.
 func (k *Carrier) exchange(ctx context.Context, t routing.Try, m *message, told bool) routing.TryResult {
+	fair := time.Until(t.Until) >= fairConnect
 	c, err := k.pool.get(ctx, t.Peer, t.Until)
 	now := time.Now()
 	cause := causeOf(ctx, t.Until, now)
 	switch {
-	case err != nil && (cause != nil || k.pool.lacks(err, now)):
+	case err != nil && (ctx.Err() != nil || cause != nil && !fair || k.pool.lacks(err, now)):
 		return routing.TryResult{Result: brain.Moot} // not the peer's doing
 	case err != nil:
 		return routing.TryResult{Result: brain.ConnectFailed}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -293,6 +293,33 @@
 	}
 }
 
+// TestTimeUpBeforeTheConnection: where a connection may take longer to come up than a call has time, a peer that is out of
+// reach is told by the time that it did have, or a node that may not probe would send to it for ever. A call with little
+// time left, and one called off, say nothing of the peer.
+func TestTimeUpBeforeTheConnection(t *testing.T) {
+	for _, c := range []struct {
+		left   time.Duration
+		calls  bool
+		result brain.Result
+	}{{fairConnect + 20*time.Millisecond, false, brain.ConnectFailed}, {fairConnect / 2, false, brain.Moot},
+		{time.Minute, true, brain.Moot}} {
+		ctx, callOff := context.WithCancelCause(t.Context())
+		k := NewCarrier(CarrierConfig{ConnectTimeout: time.Hour, IdleClose: time.Minute, MaxConns: 10, Log: slog.New(slog.DiscardHandler),
+			Dial: func(ctx context.Context, _ string) (net.Conn, error) {
+				if c.calls {
+					callOff(routing.ErrCalledOff)
+				}
+				<-ctx.Done()
+				return nil, ctx.Err()
+			}})
+		try := tryOf(routing.NewPeer(1, "s-1", "a:1"), "POST", "book")
+		try.Until = time.Now().Add(c.left)
+		if r := k.Try(ctx, try); r.Result != c.result {
+			t.Errorf("%v left: result %d, want %d", c.left, r.Result, c.result)
+		}
+	}
+}
+
 // TestGivenUp: what was written whole and then given up may have run; what was
 // given up before never did. Each leaves its reason.
 func TestGivenUp(t *testing.T) {
