--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"maps"
+	"math"
 	"net"
 	"strconv"
 	"time"
@@ -42,6 +43,9 @@
 	fileName, fileListen, fileAdmin string // as the file has them
 }
 
+// longest bounds times of the settings: a few of one do not overflow.
+const longest = math.MaxInt64 / 16
+
 type named struct {
 	Name string `json:"name"`
 }
@@ -168,7 +172,7 @@
 	if err := json.Unmarshal(in.Settings, &set); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	c.ConnectTimeout, c.IdleClose = set.Limits.ConnectTimeout, set.Limits.IdleClose
+	c.ConnectTimeout, c.IdleClose = min(set.Limits.ConnectTimeout, longest), min(set.Limits.IdleClose, longest)
 	if c.ConnectTimeout <= 0 {
 		return errors.New("settings: limits.connect_timeout: missing, or not above zero")
 	}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -181,6 +181,11 @@
 			t.Errorf("%s for %s: error %v", new, old, err)
 		}
 	}
+	never := strings.NewReplacer(`"connect_timeout":75000000`, `"connect_timeout":9223372036854775807`,
+		`"idle_close":10000000000`, `"idle_close":9223372036854775807`).Replace(config)
+	if c, err := load(env, never); err != nil || 8*c.ConnectTimeout < c.ConnectTimeout || 8*c.IdleClose < c.IdleClose {
+		t.Errorf("times that mean never: %v, %v, %v, which multiples overflow", c.ConnectTimeout, c.IdleClose, err)
+	}
 	for _, c := range []struct{ old, new, bad string }{ // calls are told by these names, and peers' zones
 		{`"name":"book",`, ``, "classes.1"}, {`"name":"status"`, `"name":""`, "classes.0"}, {`"name":"acme",`, ``, "tenants.0"},
 		{`"name":"book"`, `"name":"status"`, "classes.1"}, {`["a","b"]`, `["b","b"]`, "zones.1"}, {`["a","b"]`, `["a",""]`, "zones.1"},
