--- a/brain/api.go
+++ b/brain/api.go
@@ -105,7 +105,7 @@
 	SecondCopies   bool
 	RetryAfter     bool
 	MaxRetryAfter  time.Duration
-	// Carried is what the node's process before this one had learnt that warm servers carry.
+	// Carried is what the node's process before this one had learnt that warm servers carry, see Carried.
 	Carried float64
 }
 
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -45,12 +45,13 @@
 		set: set.bounded(), host: host, now: now, started: now, rng: seed ^ 0x9e3779b97f4a7c15,
 		dirty: true,
 		byID:  map[ServerID]*server{}, open: map[RequestID]*request{},
-		carryAt: now, askAt: now, retries: 3, carried: set.Carried,
+		carryAt: now, askAt: now, retries: 3, carried: set.Carried, work: math.Inf(1),
 	}
 	anew := standing{rest: 1}
 	for _, c := range set.Classes {
-		k := class{Class: c, lat: c.Aim.Seconds() / 4, work: c.Aim.Seconds() / 4, base: 0.1, standing: anew}
-		b.classes, b.lat = append(b.classes, k), max(b.lat, k.lat)
+		k := class{Class: c, lat: c.Aim.Seconds() / 4, base: 0.1, standing: anew}
+		k.work = max(k.lat, 1e-3)
+		b.classes, b.lat, b.work = append(b.classes, k), max(b.lat, k.lat), min(b.work, k.work)
 	}
 	for _, t := range set.Tenants {
 		b.tenants = append(b.tenants, tenant{Tenant: t, tokens: 1, at: now, standing: anew})
@@ -98,7 +99,6 @@
 	if in.Work > 0 {
 		r.cost = in.Work.Seconds()
 	}
-	c.work += 0.02 * (r.cost - c.work)
 	if b.overShare(r.tenant) {
 		r.share = min(r.share, 1-reserve)
 	}
@@ -221,7 +221,7 @@
 	for i := range b.cold {
 		s := b.cold[(int(r.luck*float64(len(b.cold)))+i)%len(b.cold)]
 		near := s.Zone == b.set.Zone || b.keep == 0 || b.press > 0
-		if near && s.weight > 0 && b.warm(s) < 1 && s.spent == 0 && b.fits(r, s, 1) && s.owed < r.pay() {
+		if near && s.weight > 0 && b.warm(s) < 1 && s.spent == 0 && b.fits(r, s, 1) && s.owed < b.pay(r) {
 			return s
 		}
 	}
@@ -304,7 +304,7 @@
 	}
 	b.leave(r)
 	s.inflight++
-	s.spent += r.pay()
+	s.spent += b.pay(r)
 	s.sent++
 	b.sent++
 	r.attempts[r.n] = attempt{to: s, sent: b.now, out: true, mute: r.slow}
@@ -491,8 +491,8 @@
 	if good {
 		b.hush -= hushStep * b.hush
 		s.served, b.good, s.newest = b.now, b.now, max(s.newest, a.sent)
-		s.done += r.cost
 		c, x := r.class, o.Latency.Seconds()/max(aim.Seconds(), 1e-3)
+		s.done, c.work, b.work = s.done+1, c.work+0.02*(r.cost-c.work), b.work+0.02*(r.cost-b.work)
 		c.base = min(c.base+0.001, 0.5)
 		if x < c.base {
 			c.base -= 0.01
@@ -821,16 +821,16 @@
 	}
 	// Where nothing was learnt, the nodes together try one request a window, or none would ever start.
 	some := w * coldPart * b.set.Overload * b.carried * s.size * half.Seconds()
-	some = max(some, r.pay()/2/float64(b.set.Nodes))
+	some = max(some, b.pay(r)/2/float64(b.set.Nodes))
 	s.owed = some
-	return s.spent+s.luck*r.pay() <= some && float64(s.inflight) < max(s.limit*w, 1)
+	return s.spent+s.luck*b.pay(r) <= some && float64(s.inflight) < max(s.limit*w, 1)
 }
 
-// pay is what a cold server's allowance is charged. A small one lets only small hints through, and hints may
-// be wrong: none counts for less than its class's mean.
-func (r *request) pay() float64 { return max(r.cost, r.class.work) }
+// pay is what r costs a cold server's allowance, in requests of mean work: learnt work drifts, a rate does
+// not. A small one lets only small hints through, and hints may be wrong: none is under its class's mean.
+func (b *Balancer) pay(r *request) float64 { return max(r.cost, r.class.work) / b.work }
 
-// measure learns what warm servers carry from this node, per unit of size.
+// measure learns what warm servers carry from this node, in requests a second per unit of size.
 func (b *Balancer) measure() {
 	d := time.Duration(b.now - b.carryAt)
 	if d < max(b.set.Fall, tickEvery) {
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -659,14 +659,14 @@
 		sent := 0
 		for seed := range uint64(nodes) {
 			g := start(t, set, seed, fleet(3)...)
-			g.b.carried = 10.0 / float64(nodes) // ten seconds of work a second for each unit of size, over all
+			g.b.carried = 40.0 / float64(nodes) // forty requests of a quarter second's work a second, over all
 			s := g.b.byID[1007]
 			s.Born, s.limit = g.now, 1000
 			for range 100 {
 				g.b.now += 10 * ms
 				r := &request{class: &g.b.classes[0], cost: 0.25}
 				if g.b.coldRoom(s, r) {
-					s.spent += r.pay()
+					s.spent += g.b.pay(r)
 					sent++
 				}
 			}
--- /dev/null
+++ b/brain/coldstart_test.go
@@ -0,0 +1,152 @@
+package brain
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+// restart is a fleet whose servers, the first cold of them, start anew at one instant. Its nodes share nothing, so
+// that they are played one after the other, and what they send is summed by time.
+type restart struct {
+	name           string
+	cold           int
+	ran            time.Duration // how long the nodes have run by then; 0: they start with the servers
+	quick, slow    time.Duration // a server's answer; where slow is not 0, until the restart
+	nodes, servers int
+	rate           float64 // requests a second to each node
+	seed           uint64
+}
+
+const startTick = 50 * time.Millisecond
+
+func (r *restart) settings() Settings {
+	set := base()
+	set.Nodes, set.ColdShare, set.Cold, set.Overload, set.Fall = r.nodes, 0.14, 9*time.Second, 2.5, 3*time.Second
+	return set
+}
+
+// node says how the n-th differs from most: told late, nearly idle, or new.
+func (r *restart) node(n int) (rate float64, ran, told time.Duration) {
+	switch n % 10 {
+	case 3:
+		return r.rate, r.ran, time.Duration(1+n/10%4) * time.Second
+	case 6:
+		return 0.2, r.ran, 0
+	case 9:
+		return r.rate, 0, 0
+	}
+	return r.rate, r.ran, 0
+}
+
+// play adds what one node sends the cold servers, in ticks since their start.
+func (r *restart) play(t *testing.T, n int, sent [][]int) {
+	t.Helper()
+	set, servers := r.settings(), fleet(r.servers)
+	rate, ran, told := r.node(n)
+	born := Time(time.Hour + ran)
+	again := fleet(r.servers)
+	for i := range r.cold {
+		again[i].Born = born
+	}
+	if ran+told == 0 {
+		servers = again
+	}
+	g := start(t, set, r.seed<<32+uint64(n), servers...)
+	owed := float64(n) / float64(r.nodes)
+	for key := n * 131; g.now < born+Time(set.Cold); {
+		at, answer := time.Duration(g.now-born), r.quick
+		if at == told && ran+told > 0 {
+			g.view(Full, again...)
+		}
+		if r.slow > 0 && at < 0 {
+			answer = r.slow
+		}
+		for owed += rate * startTick.Seconds(); owed >= 1; owed-- {
+			key += 7
+			g.ask(0, uint64(1000+key%900))
+		}
+		g.pass(startTick, answer, always)
+	}
+	g.check()
+	for _, tk := range g.open {
+		for _, a := range tk.shots {
+			if i, at := int(a.to-1000)/7, a.at-born; i < r.cold && at >= 0 {
+				sent[i][int(at)/int(startTick)]++
+			}
+		}
+	}
+}
+
+// capacity is what a warm server holds, in requests a second: what the whole traffic comes to for each server that
+// is warm after the restart, or for each of all where none is. More would be easier to hold.
+func (r *restart) capacity() (c float64) {
+	for n := range r.nodes {
+		rate, _, _ := r.node(n)
+		c += rate
+	}
+	if r.cold < r.servers {
+		return c / float64(r.servers-r.cold)
+	}
+	return c / float64(r.servers)
+}
+
+// TestColdServersHoldUnderTheFleet sums what all nodes send each server that has just started, refused or not, and
+// holds every window of the length in which one falls against its budget: the multiple of what it can do then, and
+// twice the root of that and two for chance. A server warms evenly, the slowest that settings allow.
+func TestColdServersHoldUnderTheFleet(t *testing.T) {
+	for _, r := range []restart{
+		{name: "all servers with the nodes", cold: 12},
+		{name: "some servers with the nodes", cold: 4},
+		{name: "all servers soon after the nodes", cold: 12, ran: 8 * time.Second},
+		{name: "some servers soon after the nodes", cold: 4, ran: 5 * time.Second},
+		{name: "all servers of a fleet in its stride", cold: 12, ran: 20 * time.Second},
+		{name: "two servers of a fleet in its stride", cold: 2, ran: 20 * time.Second},
+		{name: "some servers of a fleet that was slow", cold: 4, ran: 12 * time.Second, slow: 300 * time.Millisecond},
+	} {
+		t.Run(r.name, func(t *testing.T) {
+			r.servers, r.quick = 12, 20*time.Millisecond
+			for _, size := range []struct {
+				nodes int
+				rate  float64
+			}{{20, 1}, {20, 20}, {30, 5}, {30, 50}} {
+				for r.seed = range uint64(2) {
+					r.nodes, r.rate = size.nodes, size.rate
+					r.hold(t)
+				}
+			}
+		})
+	}
+}
+
+func (r *restart) hold(t *testing.T) {
+	t.Helper()
+	set := r.settings()
+	ticks, window := int(set.Cold/startTick), int(set.Fall/startTick)
+	sent := make([][]int, r.cold)
+	for i := range sent {
+		sent[i] = make([]int, ticks+1)
+	}
+	for n := range r.nodes {
+		r.play(t, n, sent)
+	}
+	worst, all := 0.0, 0
+	for i := range sent {
+		for from := 0; from+window <= ticks; from++ {
+			sum := 0
+			for _, k := range sent[i][from : from+window] {
+				sum += k
+			}
+			warm := set.ColdShare + (1-set.ColdShare)*(float64(from)+float64(window)/2)/float64(ticks)
+			budget := set.Overload * warm * r.capacity() * set.Fall.Seconds()
+			worst = max(worst, float64(sum)/(budget+2*math.Sqrt(budget)+2))
+		}
+		for _, k := range sent[i] {
+			all += k
+		}
+	}
+	t.Logf("%d nodes, %g/s each, seed %d: at most %.2f of what a server holds, %d in all", r.nodes, r.rate, r.seed, worst, all)
+	if worst > 1 || all == 0 {
+		t.Errorf("%d nodes, %g/s each, seed %d: %.2f of what a cold server holds, %d in all", r.nodes, r.rate, r.seed, worst, all)
+	}
+}
--- a/brain/state.go
+++ b/brain/state.go
@@ -14,7 +14,7 @@
 	counter, inflight  int
 	weight, credit     int
 	sent, owed         float64
-	size, limit, done  float64 // done: work since the last measure
+	size, limit, done  float64 // done: requests since the last measure
 	ease, blame        float64 // mean wait as a share of the aim; failures of real work not yet counted
 	probeAt, probing   Time    // when the next probe is due; when the one out was sent, 0: none
 	heard, served      Time    // last answer, or when it became busy; last good answer to real work
@@ -97,7 +97,7 @@
 	lat, median, hush       float64    // mean latency; median wait as a share of the aim; share overtaken
 	retries, probes, copies float64    // further attempts, probes and second copies in hand
 	short                   int        // where the first server stands whose probe was due and not in hand
-	carried                 float64    // work a second that warm servers carry, per unit of size
+	carried, work           float64    // requests a second on warm servers, by size; their mean work
 	carryAt, askAt, logFrom Time       // logFrom: one line is free for each second since
 	good, pacedAt           Time
 	asking, watched         bool
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -41,8 +41,8 @@
 	Version int64                `json:"version,omitempty"` // of the list that they are of
 	Source  string               `json:"source,omitempty"`  // discovery's address, where versions are its own
 	Paused  bool                 `json:"paused,omitempty"`
-	Carried float64              `json:"carried,omitempty"` // see brain.Settings
-	Number  uint64               `json:"number,omitempty"`  // of a call
+	Carried float64              `json:"carried_rate,omitempty"` // see brain.Settings
+	Number  uint64               `json:"number,omitempty"`       // of a call
 	Word    string               `json:"word,omitempty"`
 	ID      string               `json:"id,omitempty"`
 	Fault   string               `json:"fault,omitempty"` // of Done: why the call does not hold
