--- a/brain/brain.go
+++ b/brain/brain.go
@@ -17,6 +17,7 @@
 	probeEvery, probeFast, probeDown = 2 * time.Second, 1 * time.Second, 4 * time.Second
 	maxInterval, probeTimeout        = 5 * time.Second, 1 * time.Second // of an idle node
 	forgetAfter, warmup              = time.Minute, 30 * time.Second
+	askPause                         = 2 * time.Second // after a failed call, see List
 	evenOver, easeOver, restNodes    = 10 * time.Second, 2 * time.Second, time.Second / 8
 
 	tickEvery, maxAttempts, spillRoom, reserve = 50 * time.Millisecond, 6, 0.5, 0.4
@@ -604,14 +605,13 @@
 // List takes what discovery says.
 func (b *Balancer) List(now Time, kind ListKind, entries []Server) {
 	b.now = now
-	if kind == Failed {
+	if kind == Failed { // what discovery tells from now on is due in 6 s, so pauses do not grow
 		b.asking, b.watched = false, false
-		b.fails++
-		b.askAt = now + Time(b.jitter(min(time.Second<<min(b.fails, 6), max(b.set.AskEvery/2, time.Second))))
+		b.askAt = now + Time(b.jitter(min(askPause, max(b.set.AskEvery/2, time.Second))))
 		return
 	}
 	if kind != Cached && b.asking {
-		b.asking, b.watched, b.fails = false, true, 0
+		b.asking, b.watched = false, true
 	}
 	for _, s := range b.servers {
 		s.known = s.known && kind == Delta
@@ -682,7 +682,7 @@
 
 // Moved takes the news that discovery is elsewhere now: it is asked there at once, whatever failed before.
 func (b *Balancer) Moved(now Time) {
-	b.now, b.askAt, b.asking, b.watched, b.fails = now, now, false, false, 0
+	b.now, b.askAt, b.asking, b.watched = now, now, false, false
 	b.watch()
 }
 
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -1197,6 +1197,28 @@
 	}
 }
 
+// TestAskedAgainSoon: however often calls fail and whatever the settings say, discovery is asked again soon enough
+// that what it tells then is taken in 6 s after it could be reached, with 3 s left for the call; and not at once.
+func TestAskedAgainSoon(t *testing.T) {
+	for _, every := range []time.Duration{0, time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second, time.Hour} {
+		set := base()
+		set.Ask, set.AskEvery = true, every
+		for seed := range uint64(5) {
+			g := start(t, set, seed, fleet(3)...)
+			for fails := range 30 {
+				g.view(Failed)
+				failed, calls := g.now, g.watches
+				for g.watches == calls && g.now < failed+Time(time.Minute) {
+					g.pass(tickEvery, 0, always)
+				}
+				if d := time.Duration(g.now - failed); d < 700*time.Millisecond || d > 3*time.Second-2*tickEvery {
+					t.Fatalf("ask_every %v: asked again %v after failure %d", every, d, fails+1)
+				}
+			}
+		}
+	}
+}
+
 func TestRestarts(t *testing.T) {
 	servers := fleet(4)
 	g := start(t, base(), 1, servers...) // a node with nothing but its last list serves at once
--- a/brain/state.go
+++ b/brain/state.go
@@ -101,7 +101,6 @@
 	carryAt, askAt, logFrom Time       // logFrom: one line is free for each second since
 	good, pacedAt           Time
 	asking, watched         bool
-	fails                   int
 	sent, weights, press    float64
 }
 
