--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -195,7 +195,7 @@
 }
 
 func (n *Node) newWatch(c *protocol.Config, version int64) routing.Watcher {
-	w := transport.NewWatch(c.Discovery, c.Names, version, n.parts.Dial, n.log).Among(c.Settings.Nodes)
+	w := transport.NewWatch(c.Discovery, c.Names, version, n.parts.Dial, n.log).Among(c.Settings.Nodes, c.Seed)
 	if n.parts.Follow == nil {
 		return w
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -1182,7 +1182,7 @@
 // TestWatchAmongNodes: however many nodes ask, discovery gets no more calls from all of them, up to a bound.
 func TestWatchAmongNodes(t *testing.T) {
 	for nodes, want := range map[int]time.Duration{0: watchEach, 1: watchEach, 2: watchWait, 4: 4 * watchEach, 300: watchMost} {
-		if w := new(Watch).Among(nodes); w.wait != want {
+		if w := new(Watch).Among(nodes, 1); w.wait != want {
 			t.Errorf("%d nodes: held for %v, want %v", nodes, w.wait, want)
 		}
 	}
--- a/internal/transport/watch.go
+++ b/internal/transport/watch.go
@@ -6,10 +6,12 @@
 	"fmt"
 	"io"
 	"log/slog"
+	"math/rand/v2"
 	"net"
 	"net/http"
 	"net/url"
 	"strconv"
+	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -28,17 +30,20 @@
 	// watchMost is the longest hold, however many nodes there are.
 	watchMost = 2400 * time.Millisecond
 	// watchLate is how much later an answer may come before another call goes out beside it,
-	// and after how long a refused one is made again.
+	// and after how long a refused one is made again, the first time.
 	watchLate = 200 * time.Millisecond
+	// watchPause is the longest pause after a call that was refused or broke: pauses double up to this. Many nodes
+	// would keep discovery crowded with shorter ones; five of these fit into the time in which a change is due.
+	watchPause = 800 * time.Millisecond
 	// watchBeside is how long a call that must not wait may take before yet another goes out.
 	watchBeside = 450 * time.Millisecond
-	// watchSlack is how much later than its wait an answer may come at all.
-	watchSlack = time.Second
+	// watchSlack is how much later than its wait the end of an answer may come. Others go out beside the call long
+	// before; it is for answers that trickle, and leaves more than half of the time in which a change is due.
+	watchSlack = 2400 * time.Millisecond
 	// watchAgain is how many calls may follow one that brings nothing before the watch ends.
 	watchAgain = 12
-	// watchSpread is the pause before a broken call is made once more, from the second in a row on; it
-	// doubles up to watchLate. Calls that all break in one moment of trouble would end the watch, and what
-	// discovery tells meanwhile counts as told.
+	// watchSpread is the pause before a broken call is made once more, from the second in a row on. Calls that all
+	// break in one moment of trouble would end the watch, and what discovery tells meanwhile counts as told.
 	watchSpread = 25 * time.Millisecond
 	// maxList bounds a list's bytes.
 	maxList = 8 << 20
@@ -58,7 +63,10 @@
 	late    time.Duration
 	beside  time.Duration
 	slack   time.Duration
-	again   int // calls that may follow one that brings nothing
+	again   int      // calls that may follow one that brings nothing
+	rng     rand.PCG // draws pauses, each node's its own
+
+	heard atomic.Int64 // when bytes of an answer last came, in Unix nanoseconds
 }
 
 // NewWatch makes a watch that goes on from a known version, or from none if
@@ -85,22 +93,30 @@
 		wait:  watchWait, late: watchLate, beside: watchBeside, slack: watchSlack, again: watchAgain}
 }
 
-// Among sets how long discovery may hold a call by how many nodes ask it, and returns the watch.
-func (w *Watch) Among(nodes int) *Watch {
+// Among sets how long discovery may hold a call by how many nodes ask it, and returns the watch. The seed, another
+// one at each of them, keeps their pauses apart.
+func (w *Watch) Among(nodes int, seed uint64) *Watch {
 	w.wait = min(time.Duration(max(nodes, 1))*watchEach, watchMost)
+	w.rng.Seed(seed, 0)
 	return w
 }
 
 // errRefused is an answer of discovery's that it made on purpose.
 var errRefused = errors.New("refused")
 
+// errOlder is a list that was asked for what is newer than it.
+var errOlder = errors.New("older than the one held")
+
+// errSilent ends a watch none of whose calls has brought anything yet.
+var errSilent = errors.New("upstream group: no answer")
+
 // Watch implements routing.Watcher: each answer is followed at once by the next
 // question. One that no call brought an answer to ends the watch, and its
 // connections with it.
 func (w *Watch) Watch(ctx context.Context, told func(routing.Group)) error {
-	defer w.client.CloseIdleConnections() // and what is still dialed, for a call that was given up
-	for {
-		g, version, err := w.ask(ctx)
+	defer w.client.CloseIdleConnections()                 // and what is still dialed, for a call that was given up
+	for hold := min(w.wait, watchWait); ; hold = w.wait { // news may be due by the first
+		g, version, err := w.ask(ctx, hold)
 		if err != nil {
 			return err
 		}
@@ -111,54 +127,93 @@
 
 // outcome is what one call to discovery brought: an answer's bytes, or an error.
 type outcome struct {
-	data []byte
-	err  error
+	since int64 // the version it asked from
+	data  []byte
+	err   error
 }
 
 // ask puts one question to discovery, in as many calls as it takes: what it
 // should have told counts as told. A call that broke is made again at once, on
 // a new connection; one that discovery refused, which may have too many in
 // hand, after a pause. One that is late gets others beside it, which need not
-// wait, since a connection fallen silent never tells. The first good answer counts.
-func (w *Watch) ask(ctx context.Context) (g routing.Group, version int64, err error) {
+// wait, since a connection fallen silent never tells. The first good answer counts,
+// but none of an older version: whether discovery has gone back, or that answer
+// alone is stale, its whole list tells. After trouble no call is held for long.
+func (w *Watch) ask(ctx context.Context, hold time.Duration) (g routing.Group, version int64, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	came := make(chan outcome, w.again+1)
 	next := time.NewTimer(0)
 	defer next.Stop()
-	begun, out, since, pause := 0, 0, w.version, time.Duration(0)
+	begun, out, since, refused, broke := 0, 0, w.version, w.late, time.Duration(0)
+	due := time.Now() // the next call
+	plan := func(in time.Duration) {
+		due = time.Now().Add(in)
+		next.Reset(in)
+	}
+	err = errSilent
 	for {
 		select {
+		case <-ctx.Done():
+			return g, version, ctx.Err()
 		case <-next.C:
-			if begun > w.again {
+			if begun > w.again && time.Since(time.Unix(0, w.heard.Load())) > w.beside {
+				return g, version, err // silence may last, and what is news by now is due soon
+			}
+			if begun > w.again { // an answer is coming
+				plan(w.beside)
 				continue
 			}
-			client, wait, late := w.client, w.wait, w.wait+w.late
+			client, wait, late := w.client, hold, hold+w.late
 			if out > 0 {
 				client, wait, late = w.other(), 0, w.beside
 			}
 			begun, out = begun+1, out+1
-			next.Reset(late)
+			plan(late)
 			go func() { came <- w.call(ctx, client, since, wait) }()
 		case o := <-came:
 			out--
-			if err = o.err; err == nil {
-				g, version, err = w.names.ParseGroup(o.data)
-				g.At, g.Version = time.Now(), version
+			g, version, err = w.list(o)
+			if errors.Is(err, errOlder) {
+				since = -1
 			}
-			switch {
-			case err == nil, ctx.Err() != nil, errors.Is(err, syscall.ECONNREFUSED), begun > w.again && out == 0:
+			hold = min(hold, watchWait)
+			if err == nil || errors.Is(err, syscall.ECONNREFUSED) || begun > w.again && out == 0 {
 				return g, version, err
+			}
+			pause, most := &broke, watchPause
+			switch {
 			case errors.Is(err, errRefused):
-				next.Reset(w.late)
-			default:
-				next.Reset(pause)
-				pause = min(max(2*pause, watchSpread), w.late)
+				pause = &refused
+			case o.err == nil: // discovery answers: that it cannot be read shows in the log the sooner
+				most = w.late
 			}
+			if in := w.jitter(*pause); begun <= w.again && (out == 0 || in < time.Until(due)) {
+				plan(in)
+			}
+			*pause = min(max(2**pause, watchSpread), most)
 		}
 	}
 }
 
+// list reads what a call brought.
+func (w *Watch) list(o outcome) (g routing.Group, version int64, err error) {
+	if o.err != nil {
+		return g, 0, o.err
+	}
+	g, version, err = w.names.ParseGroup(o.data)
+	g.At, g.Version = time.Now(), version
+	if err == nil && version < o.since {
+		err = fmt.Errorf("upstream group: %w: version %d after %d", errOlder, version, o.since)
+	}
+	return g, version, err
+}
+
+// jitter spreads d over three quarters to five quarters of itself.
+func (w *Watch) jitter(d time.Duration) time.Duration {
+	return d*3/4 + time.Duration(w.rng.Uint64()%uint64(d/2+1))
+}
+
 // call asks once: for what is newer than the version held, or for the whole list.
 func (w *Watch) call(ctx context.Context, client *http.Client, since int64, wait time.Duration) outcome {
 	if client != w.client {
@@ -168,7 +223,7 @@
 	if err != nil {
 		err = fmt.Errorf("upstream group: %w", err)
 	}
-	return outcome{data, err}
+	return outcome{since, data, err}
 }
 
 func (w *Watch) fetch(ctx context.Context, client *http.Client, since int64, wait time.Duration) ([]byte, error) {
@@ -187,12 +242,27 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
+	body := noting{resp.Body, &w.heard}
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("%w: status %d", errRefused, resp.StatusCode)
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxList+1))
+	data, err := io.ReadAll(io.LimitReader(body, maxList+1))
 	if err == nil && len(data) > maxList {
 		err = fmt.Errorf("a list longer than %d bytes", maxList)
 	}
 	return data, err
 }
+
+// noting notes when something is read.
+type noting struct {
+	io.Reader
+	at *atomic.Int64
+}
+
+func (n noting) Read(b []byte) (int, error) {
+	got, err := n.Reader.Read(b)
+	if got > 0 {
+		n.at.Store(time.Now().UnixNano())
+	}
+	return got, err
+}
