--- a/cmd/olivebridge/main_test.go
+++ b/cmd/olivebridge/main_test.go
@@ -12,6 +12,7 @@
 	"os/exec"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -436,3 +437,16 @@
 		}
 	}
 }
+
+// TestAddressOfTheDyingProcess: a process that starts while the one before it still accepts, as it is told to, takes its
+// place once that one has left the address.
+func TestAddressOfTheDyingProcess(t *testing.T) {
+	n := start(t, unchanged, func(http.ResponseWriter, *http.Request) {})
+	n.cmd.Process.Signal(syscall.SIGTERM)
+	n.until(t, "msg=draining")
+	next := &process{env: append(slices.Clone(n.env), "ROUTER_LISTEN="+n.addr), config: n.config}
+	next.launch(t)
+	if status, _ := next.ask(t, "GET", "/api", "status", ""); status != 200 || next.addr != n.addr {
+		t.Errorf("status %d at %s, want 200 at %s", status, next.addr, n.addr)
+	}
+}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -15,6 +15,7 @@
 	"runtime"
 	"runtime/debug"
 	"syscall"
+	"time"
 
 	"olivebridge/internal/cost"
 	"olivebridge/internal/node"
@@ -60,7 +61,9 @@
 	if c.Admin != "" && seat(c) == "" {
 		log.Warn("no hand-over to a successor", "reason", "TMPDIR is not set")
 	}
-	parts := node.Parts{Log: log, Listen: listener(c), Seat: seat(c), Limit: setLimits}
+	starting, started := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer started()
+	parts := node.Parts{Log: log, Listen: patient(starting, listener(c)), Seat: seat(c), Limit: setLimits}
 	if o.Fleet != nil {
 		if parts.Fleet, err = o.Fleet(c, log); err != nil {
 			return err
@@ -70,6 +73,7 @@
 	if err != nil {
 		return err
 	}
+	started()
 	counters := func(when string) {
 		if err := writeProfile(); err != nil {
 			log.Error("allocations not written", "reason", err.Error())
@@ -138,12 +142,39 @@
 	return filepath.Join(dir, "olivebridge-"+url.PathEscape(c.Name)+".sock")
 }
 
+const (
+	// addressWait is how long an address may be in use still when a process starts. One that is told to end accepts
+	// for 0.8 s more, since clients come for 0.4 s, and its machine may be busy; readiness is owed within 10 s.
+	addressWait = 3 * time.Second
+	// addressRetry is the pause between two tries to have it.
+	addressRetry = 50 * time.Millisecond
+)
+
+// patient listens as listen does, but waits a while for a process that is ending to leave the address.
+func patient(ctx context.Context, listen func(string) (net.Listener, error)) func(string) (net.Listener, error) {
+	return func(addr string) (net.Listener, error) {
+		ctx, stop := context.WithTimeout(ctx, addressWait)
+		defer stop()
+		for {
+			l, err := listen(addr)
+			if !errors.Is(err, syscall.EADDRINUSE) {
+				return l, err
+			}
+			select {
+			case <-ctx.Done():
+				return nil, err
+			case <-time.After(addressRetry):
+			}
+		}
+	}
+}
+
 // listener listens where clients connect, or operators. With a door a process
 // may start beside the one in service, and the address is shared, in case that
 // one does not hand its own over.
 func listener(c *protocol.Config) func(string) (net.Listener, error) {
 	if c.Admin == "" {
-		return nil
+		return func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 	}
 	shared := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var set error
