--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -13,8 +13,9 @@
 )
 
 // settle is how long a connection rests before it carries another try: what
-// follows right behind an answer is there by then, and shows.
-const settle = 2 * time.Millisecond
+// follows behind an answer is there by then, and shows. A second answer is known
+// to come some milliseconds late, and would be served to whoever is next.
+const settle = 10 * time.Millisecond
 
 // errNoRoom says that this node may open no further connection, for want of
 // descriptors or as it ends.
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -260,6 +260,40 @@
 	}
 }
 
+// TestLateSurplus: a second answer is known to come some milliseconds behind the first, so no request may reach a
+// connection sooner than that: the answer would be taken for its own.
+func TestLateSurplus(t *testing.T) {
+	const late = 10 * time.Millisecond
+	again := make(chan time.Duration, 1000)
+	p := listenOn(t, func(conn net.Conn) {
+		in := bufio.NewReader(conn)
+		for answered := (time.Time{}); ; {
+			if _, err := http.ReadRequest(in); err != nil {
+				return
+			}
+			if !answered.IsZero() {
+				again <- time.Since(answered)
+			}
+			answered = time.Now()
+			io.WriteString(conn, ok)
+		}
+	})
+	k, _ := newCarrier(time.Second)
+	k.pool.settle = settle
+	for len(again) < 10 {
+		if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != brain.OK {
+			t.Fatal(r.Result)
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+	k.Close()
+	for range len(again) {
+		if after := <-again; after < late {
+			t.Errorf("a request came %v after the answer before it", after)
+		}
+	}
+}
+
 // TestConnectionsBelongToPeers: one to a peer that has left must not carry a
 // try for its successor at the same address.
 func TestConnectionsBelongToPeers(t *testing.T) {
