--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -361,6 +361,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k.active, k.behind, k.whole, k.next = k.next, k.next, false, false
+	if k.active {
+		k.since = time.Now() // its turn has come: the call before it took none of its time
+	}
 	if !k.active && c.open[k] {
 		k.moveTo(&c.idle)
 		if c.leaving {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -785,6 +785,36 @@
 	}
 }
 
+// TestPipelinedInTime: a request that began to come behind a long call has as much time for its body as any other.
+func TestPipelinedInTime(t *testing.T) {
+	taken, release := make(chan *clientConn, 2), make(chan bool, 2)
+	addr, front, _ := newFront(t, 10, func(_ context.Context, c routing.Call) (routing.Answer, bool) {
+		taken <- c.Payload.(*message).from.(*clientConn)
+		<-release
+		return routing.Answer{Verdict: routing.Failed}, true
+	})
+	c := dial(t, addr)
+	io.WriteString(c, head+"Content-Length: 0\r\n\r\n")
+	k := <-taken
+	io.WriteString(c, head+"Content-Length: 10\r\n\r\nhalf ")
+	for begun := false; !begun; { // the call is as long as a body may take
+		front.clients.mu.Lock()
+		if begun = k.next; begun {
+			k.since = k.since.Add(-requestTimeout)
+		}
+		front.clients.mu.Unlock()
+	}
+	release <- true
+	if resp, err := http.ReadResponse(c.in, nil); err != nil || resp.StatusCode != 502 {
+		t.Fatal(resp, err)
+	}
+	io.WriteString(c, "of it")
+	release <- true
+	if resp, err := http.ReadResponse(c.in, nil); err != nil || resp.StatusCode != 502 {
+		t.Fatal(resp, err)
+	}
+}
+
 // TestSlowClients: whoever does not send a whole request in time is closed; one
 // whose call takes longer than that is not.
 func TestSlowClients(t *testing.T) {
