--- a/internal/transport/handover_test.go
+++ b/internal/transport/handover_test.go
@@ -110,3 +110,48 @@
 		t.Errorf("%d are open", n)
 	}
 }
+
+// Small writes are not held back on a connection, wherever it comes from: those that a kernel still held would go with
+// a reset.
+func TestNothingHeldBack(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	dialed, err := dialTCP(t.Context(), l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer dialed.Close()
+	accepted, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer accepted.Close()
+	f, err := accepted.(*net.TCPConn).File()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer f.Close()
+	if err := syscall.SetsockoptInt(int(f.Fd()), syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 0); err != nil {
+		t.Fatal(err) // as another program's may be
+	}
+	handed, err := net.FileConn(f)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer handed.Close()
+	for name, conn := range map[string]net.Conn{"dialed": dialed, "handed over": handed} {
+		raw, err := conn.(*net.TCPConn).SyscallConn()
+		if err != nil {
+			t.Fatal(err)
+		}
+		at := 0
+		if err2 := raw.Control(func(fd uintptr) {
+			at, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
+		}); err != nil || err2 != nil || at == 0 {
+			t.Errorf("%s: %d, %v, %v", name, at, err, err2)
+		}
+	}
+}
