--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -546,9 +546,9 @@
 	return n, err
 }
 
-// Close implements net.Conn, and lets the last answer arrive first: see linger. http.Server, whose read finds that the connection has gone, closes it at once. Where it is
-// being handed on that would be too early: the descriptor were closed under the sending, and the bytes that have just come
-// would be answered by a reset.
+// Close implements net.Conn, and lets the last answer arrive first: see linger. http.Server, whose read finds that the
+// connection has gone, closes it at once. Where it is being handed on that would be too early: the descriptor were closed
+// under the sending, and the bytes that have just come would be answered by a reset.
 func (k *clientConn) Close() error {
 	k.all.mu.Lock()
 	reason, given := "node-closed", k.given
