--- /dev/null
+++ b/cmd/olivebridge/descriptors_test.go
@@ -0,0 +1,182 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"regexp"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// TestDescriptorsFilledWhileDiscoveryIsDown: while discovery is down, clients that have asked once or say nothing fill
+// the node's side of clients, over and over, holders its door, and resting connections its side of peers. Then discovery
+// is back, and does not answer its first calls. The changed list comes through; a new client is served by a server that is
+// on this list alone, hence probed before; whoever was closed under a request had none of it passed on; and the process,
+// which may hold what the settings say and no more, never lacks a descriptor.
+func TestDescriptorsFilledWhileDiscoveryIsDown(t *testing.T) {
+	for _, sockets := range []int{64, 256} {
+		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
+			t.Parallel()
+			fill(t, sockets)
+		})
+	}
+}
+
+func fill(t *testing.T, sockets int) {
+	const hung = 4 // calls that discovery does not answer at first
+	s, peers := newShop(), []http.HandlerFunc(nil)
+	for i := range sockets / 2 {
+		peers = append(peers, s.peer(fmt.Sprint("s-", i), served))
+	}
+	small := strings.NewReplacer(`"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets), `"probes":false`, `"probes":true`)
+	n := prepare(t, small.Replace(config), unchanged, peers...)
+	text, err := os.ReadFile(n.config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	warm := regexp.MustCompile(`"started_ms":\d+`).ReplaceAll(text, []byte(`"started_ms":0`))
+	if err := os.WriteFile(n.config, warm, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	door := strings.Replace(freeAddr(t), "127.0.0.1", "127.0.3.1", 1) // an address where no client has its end
+	discovery := strings.Replace(freeAddr(t), "127.0.0.1", "127.0.3.2", 1)
+	n.env = append(n.env, "ROUTER_ADMIN="+door, "ROUTER_DISCOVERY="+discovery)
+	n.limits = fmt.Sprint("ulimit -n ", sockets)
+	n.launch(t)
+	lacks := make(chan string, 1)
+	go func() {
+		defer close(lacks)
+		for line := range n.lines {
+			if strings.Contains(line, "too many open files") && len(lacks) == 0 {
+				lacks <- line
+			}
+		}
+	}()
+
+	for range 40 {
+		hold(t, door)
+	}
+	var clients sync.WaitGroup
+	var over atomic.Bool
+	defer clients.Wait()
+	defer over.Store(true)
+	asked, silent := make(chan bool, sockets), make(chan bool, 2*sockets)
+	for range 8 { // clients that ask, rest a while, and ask again on the same connection as long as it is there
+		clients.Go(func() {
+			for !over.Load() {
+				s.rest(t, n.addr, &over, asked)
+			}
+		})
+	}
+	for range sockets { // clients that say nothing
+		clients.Go(func() {
+			for !over.Load() {
+				if c, err := net.Dial("tcp", n.addr); err == nil {
+					c.SetReadDeadline(time.Now().Add(2 * time.Second))
+					io.Copy(io.Discard, c) // until the node closes it
+					c.Close()
+					note(silent)
+				}
+			}
+		})
+	}
+	for range cap(asked) {
+		<-asked
+	}
+	for range cap(silent) {
+		<-silent
+	}
+
+	fresh := httptest.NewServer(s.peer("fresh", served))
+	t.Cleanup(fresh.Close)
+	calls, told := atomic.Int64{}, make(chan time.Time, 2)
+	l, err := net.Listen("tcp", discovery)
+	if err != nil {
+		t.Fatal(err)
+	}
+	list := httptest.Server{Listener: l, Config: &http.Server{Handler: http.HandlerFunc(
+		func(w http.ResponseWriter, r *http.Request) {
+			switch call := calls.Add(1); {
+			case call == hung+1:
+				fmt.Fprintf(w, `{"version":2,"full":true,"servers":[{"id":"fresh","addr":%q,"zone":"a","kind":"m1","state":"Ready","started_ms":0}]}`,
+					fresh.Listener.Addr())
+				return
+			case call == 1 || call == hung+2: // the first one, and the one after the list has come through
+				told <- time.Now()
+			}
+			<-r.Context().Done()
+		})}}
+	list.Start()
+	t.Cleanup(list.Close)
+	first := <-told
+	if took := (<-told).Sub(first); took > 6*time.Second {
+		t.Errorf("the list took %v from the first call", took)
+	}
+	for status, until := 0, time.Now().Add(5*time.Second); status != 200; {
+		if status, _ = s.call(t, n.addr, "status", nil); time.Now().After(until) {
+			t.Fatalf("a new client has %d", status)
+		}
+	}
+	s.mu.Lock()
+	if s.coming["fresh"] == 0 {
+		t.Error("nothing has come to the server on the changed list")
+	}
+	s.mu.Unlock()
+	over.Store(true)
+	n.cmd.Process.Kill()
+	if line, ok := <-lacks; ok {
+		t.Error(line)
+	}
+}
+
+// rest has one client ask on one connection, with rests between, until the node closes it.
+func (s *shop) rest(t *testing.T, addr string, over *atomic.Bool, asked chan bool) {
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		return
+	}
+	defer c.Close()
+	answers := bufio.NewReader(c)
+	for !over.Load() {
+		id := fmt.Sprint("rest-", ids.Add(1))
+		c.SetDeadline(time.Now().Add(7 * time.Second))
+		_, err := fmt.Fprintf(c, "GET /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: %s\r\nX-Call-Class: status\r\nX-Caller: acme\r\nX-Budget: 5\r\n\r\n", id)
+		if err == nil {
+			_, err = http.ReadResponse(answers, nil)
+		}
+		if err != nil && !over.Load() && !s.unread(id) {
+			t.Errorf("%s was passed on, and its connection closed: %v", id, err)
+		}
+		if err != nil {
+			return
+		}
+		note(asked)
+		time.Sleep(time.Duration(ids.Load()%30) * time.Millisecond) // a client's rest
+	}
+}
+
+// note tells c, unless it is full.
+func note(c chan bool) {
+	select {
+	case c <- true:
+	default:
+	}
+}
+
+// hold opens a connection that stays until the test's end.
+func hold(t *testing.T, addr string) {
+	t.Helper()
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+}
--- a/internal/admin/door.go
+++ b/internal/admin/door.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxCallers bounds the connections. A caller with a line sends it at once; those beyond are holders.
-	maxCallers = 32
+	// MaxCallers bounds the connections. A caller with a line sends it at once; those beyond are holders.
+	MaxCallers = 32
 	// lineTimeout is how long a caller may take for its line.
 	lineTimeout = 5 * time.Second
 	// answerTimeout is how long the answer may take to be written.
@@ -37,6 +37,7 @@
 	log  *slog.Logger
 
 	mu      sync.Mutex
+	most    int       // callers
 	callers list.List // of net.Conn, the oldest first, whose line is not in
 	closed  bool
 	running sync.WaitGroup
@@ -44,11 +45,19 @@
 
 // Open serves calls on l until Close.
 func Open(l net.Listener, desk Desk, log *slog.Logger) *Door {
-	d := &Door{l: l, desk: desk, log: log}
+	d := &Door{l: l, desk: desk, log: log, most: MaxCallers}
 	d.running.Go(d.serve)
 	return d
 }
 
+// Bound sets how many callers without a line there may be, MaxCallers at most.
+func (d *Door) Bound(most int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.most = min(max(most, 1), MaxCallers)
+	d.leaveOnly(d.most)
+}
+
 // Close ends the door, and returns once nothing of it is left.
 func (d *Door) Close() {
 	d.mu.Lock()
@@ -86,12 +95,17 @@
 		conn.Close()
 		return nil
 	}
-	if d.callers.Len() >= maxCallers {
+	d.leaveOnly(d.most - 1)
+	return d.callers.PushBack(conn)
+}
+
+// leaveOnly ends the oldest callers until no more than so many are left. The lock is held.
+func (d *Door) leaveOnly(most int) {
+	for d.callers.Len() > most {
 		oldest := d.callers.Front()
 		d.callers.Remove(oldest)
 		oldest.Value.(net.Conn).Close() // its reader ends with that
 	}
-	return d.callers.PushBack(conn)
 }
 
 // leave takes a caller from the list, and reports whether it still stood there.
--- a/internal/admin/door_test.go
+++ b/internal/admin/door_test.go
@@ -5,6 +5,7 @@
 	"io"
 	"log/slog"
 	"net"
+	"os"
 	"strings"
 	"testing"
 	"time"
@@ -25,15 +26,21 @@
 }
 
 func open(t *testing.T) (addr string, done desk) {
+	t.Helper()
+	_, addr, done = openDoor(t)
+	return addr, done
+}
+
+func openDoor(t *testing.T) (d *Door, addr string, done desk) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	done = make(desk, 100)
-	d := Open(l, done, slog.New(slog.DiscardHandler))
+	d = Open(l, done, slog.New(slog.DiscardHandler))
 	t.Cleanup(d.Close)
-	return l.Addr().String(), done
+	return d, l.Addr().String(), done
 }
 
 func dial(t *testing.T, addr string) *net.TCPConn {
@@ -99,24 +106,29 @@
 	}
 }
 
-// TestHolders: callers that say nothing keep nobody out, and the oldest go.
+// TestHolders: callers that say nothing keep nobody out, and the oldest go, also of those that are there when the bound
+// sinks.
 func TestHolders(t *testing.T) {
-	addr, _ := open(t)
-	var held []*net.TCPConn
-	for range 3 * maxCallers {
+	for _, most := range []int{MaxCallers, 4} {
+		d, addr, _ := openDoor(t)
+		var held []*net.TCPConn
+		for range 3 * MaxCallers {
+			c := dial(t, addr)
+			io.WriteString(c, "STAT")
+			held = append(held, c)
+		}
+		begun := time.Now()
 		c := dial(t, addr)
-		io.WriteString(c, "STAT")
-		held = append(held, c)
-	}
-	begun := time.Now()
-	c := dial(t, addr)
-	io.WriteString(c, "STATUS\n")
-	if got, err := io.ReadAll(c); err != nil || string(got) != "SUCCESS done\n" || time.Since(begun) > time.Second {
-		t.Errorf("%q, %v after %v", got, err, time.Since(begun))
-	}
-	for _, c := range held[:2*maxCallers] { // these are gone: only the bound is held
-		if _, err := c.Read(make([]byte, 1)); err == nil {
-			t.Fatal("an old caller is told something")
+		io.WriteString(c, "STATUS\n")
+		if got, err := io.ReadAll(c); err != nil || string(got) != "SUCCESS done\n" || time.Since(begun) > time.Second {
+			t.Errorf("%q, %v after %v", got, err, time.Since(begun))
+		}
+		d.Bound(most)
+		for _, c := range held[:len(held)-most] { // these are gone: only the bound is held
+			c.SetReadDeadline(time.Now().Add(2 * time.Second)) // under the time for a line
+			if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+				t.Fatalf("at most %d: an old caller has %v", most, err)
+			}
 		}
 	}
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -1,27 +1,49 @@
 package node
 
 import (
+	"olivebridge/internal/admin"
 	"olivebridge/internal/protocol"
 	"olivebridge/internal/transport"
 )
 
-// spareDescriptors are kept for discovery, the log and the runtime.
-const spareDescriptors = 64
+// ownDescriptors are held whatever comes: the three standard ones, the poller's two, the listeners of clients,
+// operators and a successor, two links to other processes of the node, a file that is read, and one accepted but
+// not yet counted on each listener. Some are left for those that are closed a moment after they are counted.
+const ownDescriptors = 16
 
-// descriptors is how many each side may hold, clients and peers, of this
-// process's part of the node.
-func descriptors(c *protocol.Config, part float64) int {
-	return max(int(float64(c.Sockets-spareDescriptors)*part/2), 8)
+// shares is how a process of the node divides the descriptors that it may hold. What has to come through when all
+// else is full, calls to discovery above all, has its part to itself: no client's and no peer's takes from it.
+type shares struct {
+	discovery int // calls side by side, each on a connection of its own
+	callers   int // at the operators' door
+	crowd     int // clients' beyond those that may stay, taken to be turned away
+	side      int // clients' that may stay; as many again to peers: tries and probes
 }
 
-// clientBounds keeps idle client connections well under the third of the
-// descriptors that clients may hold.
+// share divides this process's part of the node's descriptors. Callers and the crowd have less where there are few.
+func share(c *protocol.Config, part float64) shares {
+	all := int(float64(c.Sockets) * part)
+	few := max(all/16, 1)
+	s := shares{discovery: transport.WatchCalls, callers: min(admin.MaxCallers, few), crowd: min(transport.Crowd, few)}
+	s.side = max((all-ownDescriptors-s.discovery-s.callers-s.crowd)/2, 8)
+	return s
+}
+
+// clientBounds keeps idle client connections well under what clients may hold.
 func clientBounds(c *protocol.Config, part float64) transport.ClientBounds {
-	return transport.ClientBounds{Open: descriptors(c, part), Idle: int(float64(c.Sockets) * part / 4)}
+	s := share(c, part)
+	return transport.ClientBounds{Open: s.side, Idle: int(float64(c.Sockets) * part / 4), Crowd: s.crowd}
 }
 
 func (n *Node) carrierConfig(c *protocol.Config, part float64) transport.CarrierConfig {
 	return transport.CarrierConfig{ConnectTimeout: c.ConnectTimeout, IdleClose: c.IdleClose,
-		DrainGrace: c.Settings.DrainGrace, MaxConns: descriptors(c, part),
+		DrainGrace: c.Settings.DrainGrace, MaxConns: share(c, part).side,
 		Dial: n.parts.Dial, Log: n.log}
 }
+
+// boundDoor keeps the operators' door to its callers.
+func (n *Node) boundDoor(c *protocol.Config, part float64) {
+	if n.door != nil {
+		n.door.Bound(share(c, part).callers)
+	}
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -82,6 +82,7 @@
 	if p.Limit != nil {
 		p.Limit(c, part)
 	}
+	n.boundDoor(c, part)
 	c.Known.Version = c.KnownVersion
 	n.carrier = transport.NewCarrier(n.carrierConfig(c, part))
 	carrier := routing.Carrier(n.carrier)
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -1,6 +1,7 @@
 package transport
 
 import (
+	"cmp"
 	"container/list"
 	"context"
 	"errors"
@@ -27,8 +28,8 @@
 // mostLooks bounds how many connections are looked at for one that can end.
 const mostLooks = 16
 
-// overflow is how many client connections beyond the bound are taken to be turned away.
-const overflow = 32
+// Crowd is how many client connections beyond the bound are taken to be turned away, at most.
+const Crowd = 32
 
 // ClientBounds bound the client connections of a node.
 type ClientBounds struct {
@@ -37,6 +38,8 @@
 	// node, and whoever asks once and keeps his takes one from the others:
 	// beyond this the longest idle is closed.
 	Idle int
+	// Crowd is how many beyond Open are taken to be turned away; 0: as many as are ever.
+	Crowd int
 }
 
 // clients bounds the client connections and closes them at need. When they are
@@ -59,6 +62,7 @@
 	changed sync.Cond
 	max     int // open
 	maxIdle int
+	crowd   int // beyond max
 	open    map[*clientConn]bool
 	silent  list.List // nothing has ever been read; the oldest first
 	idle    list.List // the longest idle first
@@ -73,15 +77,16 @@
 }
 
 func newClients(l net.Listener, b ClientBounds, log *slog.Logger) *clients {
-	c := &clients{Listener: l, max: max(b.Open, 1), maxIdle: b.Idle, log: log, open: map[*clientConn]bool{}}
+	c := &clients{Listener: l, log: log, open: map[*clientConn]bool{}}
 	c.changed.L = &c.mu
+	c.bound(b)
 	return c
 }
 
 func (c *clients) bound(b ClientBounds) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.max, c.maxIdle = max(b.Open, 1), b.Idle
+	c.max, c.maxIdle, c.crowd = max(b.Open, 1), b.Idle, cmp.Or(b.Crowd, Crowd)
 	c.changed.Broadcast()
 }
 
@@ -161,7 +166,7 @@
 	for len(c.open) >= c.max && !c.closed {
 		if reason, k := c.spare(time.Now()); k != nil {
 			c.end(reason, k)
-		} else if len(c.open) < c.max+overflow {
+		} else if len(c.open) < c.max+c.crowd {
 			return
 		} else {
 			wake := time.AfterFunc(patience/2, c.changed.Broadcast) // a silent one may have become old enough
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -1166,7 +1166,7 @@
 	c.mu.Unlock()
 	coming.Close()
 	// a full house of silent ones must not stop Accept
-	for range 4 + overflow {
+	for range 4 + Crowd {
 		accept("")
 	}
 	accept("d")
--- a/internal/transport/watch.go
+++ b/internal/transport/watch.go
@@ -42,6 +42,8 @@
 	watchSlack = 2400 * time.Millisecond
 	// watchAgain is how many calls may follow one that brings nothing before the watch ends.
 	watchAgain = 12
+	// WatchCalls is how many calls a watch has in hand at most, each on a connection of its own.
+	WatchCalls = 1 + watchAgain
 	// watchSpread is the pause before a broken call is made once more, from the second in a row on. Calls that all
 	// break in one moment of trouble would end the watch, and what discovery tells meanwhile counts as told.
 	watchSpread = 25 * time.Millisecond
