--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -531,11 +531,14 @@
 	}
 }
 
-// requestRead notes that all bytes from now on are of the next request.
-func (k *clientConn) requestRead() {
+// requestRead notes that all bytes from now on are of the next request, and
+// reports whether this one may be passed on. Until now its connection may have
+// been ended for standing still, though its last bytes had come.
+func (k *clientConn) requestRead() bool {
 	k.all.mu.Lock()
 	defer k.all.mu.Unlock()
 	k.whole = true
+	return !k.gone
 }
 
 // Write implements net.Conn.
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -291,8 +291,9 @@
 		return call, http.StatusBadRequest, errors.New("body: none belongs to a GET")
 	}
 	call.Arrived, call.Slow = time.Now(), m.up != nil
-	if !call.Slow {
-		k.requestRead()
+	if !call.Slow && !k.requestRead() {
+		m.release()
+		panic(http.ErrAbortHandler) // its client sees the end of the connection, and sends it again
 	}
 	m.from, call.Payload = k, m
 	if !k.pipelined() { // else its client may have left long ago
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -11,6 +11,7 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
+	"net/url"
 	"os"
 	"regexp"
 	"runtime"
@@ -960,6 +961,54 @@
 	}
 }
 
+// ending is a body that has come whole, but is read only once its connection was ended for standing still.
+type ending struct {
+	io.Reader
+	k *clientConn
+}
+
+func (b ending) Read(p []byte) (int, error) {
+	b.k.all.mu.Lock()
+	defer b.k.all.mu.Unlock()
+	b.k.moved = time.Now().Add(-time.Hour)
+	if reason, k := b.k.all.spare(time.Now()); k == b.k {
+		b.k.all.end(reason, k)
+	}
+	return b.Reader.Read(p)
+}
+
+// TestSlowAgainstWhole: a request whose connection was ended as slow before the node had done reading it is not passed on:
+// its client sends it again.
+func TestSlowAgainstWhole(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	f := NewFront(l, protocol.Names{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}}, nil, ClientBounds{Open: 5, Idle: 5},
+		slog.New(slog.DiscardHandler))
+	defer f.clients.Close()
+	io.WriteString(dial(t, l.Addr().String()), "P")
+	conn, err := f.clients.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	k := conn.(*clientConn)
+	k.Read(make([]byte, 1))
+	if !k.requestBegins() {
+		t.Fatal("it has ended")
+	}
+	r := &http.Request{Method: "POST", ProtoMajor: 1, ProtoMinor: 1, ContentLength: 4, URL: &url.URL{}, Host: "a",
+		Header: http.Header{"X-Call-Id": {"1"}, "X-Call-Class": {"book"}, "X-Caller": {"acme"}, "X-Budget": {"1"}},
+		Body:   io.NopCloser(ending{strings.NewReader("paid"), k})}
+	defer func() {
+		if p := recover(); p != http.ErrAbortHandler {
+			t.Errorf("it goes on: %v", p)
+		}
+	}()
+	_, status, err := f.read(r, k, "/api")
+	t.Errorf("%d, %v", status, err)
+}
+
 // TestForeignConnection: a connection that cannot be read under a lock is no
 // client's: a close could cross its request.
 func TestForeignConnection(t *testing.T) {
