--- a/internal/transport/errorpaths_test.go
+++ b/internal/transport/errorpaths_test.go
@@ -8,6 +8,7 @@
 	"io"
 	"net"
 	"net/http"
+	"os"
 	"strings"
 	"syscall"
 	"testing"
@@ -98,6 +99,42 @@
 	}
 }
 
+// TestTricklingAnswers: a long answer that comes slower than any known ends once its peer was waited for as long as one
+// that stands still; a client that takes it slowly costs it none of that.
+func TestTricklingAnswers(t *testing.T) {
+	const all = 300000
+	for name, c := range map[string]struct {
+		part  int           // bytes that the peer gives at a time, with a pause behind
+		pause time.Duration // of the client between two reads
+		whole bool
+	}{"trickling": {1, 0, false}, "taken slowly": {all, 10 * time.Millisecond, true}} {
+		p := listenOn(t, func(conn net.Conn) {
+			http.ReadRequest(bufio.NewReader(conn))
+			io.WriteString(conn, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", all))
+			for range 3000 { // it ends by itself, as nothing else would end it
+				io.WriteString(conn, strings.Repeat("x", c.part))
+				time.Sleep(time.Millisecond)
+			}
+		})
+		k, _ := newCarrier(time.Second)
+		r := k.Try(t.Context(), tryOf(p, "GET", ""))
+		if r.Result != brain.OK {
+			t.Fatal(name, r.Result)
+		}
+		rest, got, err := r.Reply.(*reply).rest, 0, error(nil)
+		rest.waited = streamStall - 50*time.Millisecond // as after a long wait
+		for b, n := make([]byte, streamBuffer), 0; err == nil; time.Sleep(c.pause) {
+			n, err = rest.Read(b)
+			got += n
+		}
+		if (err == io.EOF) != c.whole || !c.whole && !errors.Is(err, os.ErrDeadlineExceeded) || c.whole && got != all {
+			t.Errorf("%s: %d bytes, then %v", name, got, err)
+		}
+		rest.end("reset")
+		k.Close()
+	}
+}
+
 // TestUploadsThatEnd: a long body that does not come to its end, on either side, ends in an answer and in a proof that
 // it never ran, unless its peer has answered.
 func TestUploadsThatEnd(t *testing.T) {
--- a/internal/transport/rest.go
+++ b/internal/transport/rest.go
@@ -23,6 +23,16 @@
 	length  int64 // of the whole body; -1: unknown
 	left    int64 // of a known length, or of what an answer may have
 	last    bool  // the connection ends with it
+
+	given  int64         // bytes of it that were read here
+	waited time.Duration // for them, its client's own slowness aside
+}
+
+// patience is how much longer the peer may be waited for: as long as its bytes
+// take at the slowest rate, beyond one standstill. It bounds answers that trickle.
+func (s *rest) patience() time.Duration {
+	allowed := streamStall + time.Duration(s.given)*time.Second/slowestRate
+	return min(allowed-s.waited, streamStall)
 }
 
 // Read reads on; io.EOF means that the answer is whole.
@@ -36,9 +46,11 @@
 	if int64(len(b)) > s.left {
 		b = b[:s.left]
 	}
-	s.c.SetReadDeadline(time.Now().Add(streamStall))
+	begun := time.Now()
+	s.c.SetReadDeadline(begun.Add(s.patience()))
 	n, err := s.body.Read(b)
-	s.left -= int64(n)
+	s.waited += time.Since(begun)
+	s.given, s.left = s.given+int64(n), s.left-int64(n)
 	if err == io.EOF && s.length >= 0 && s.left > 0 {
 		err = io.ErrUnexpectedEOF
 	}
