--- a/cmd/olivebridge/drill_test.go
+++ b/cmd/olivebridge/drill_test.go
@@ -391,9 +391,9 @@
 	s.check(t, "s-1")
 }
 
-// TestElderHangs: a process in service that does not answer keeps its successor from nothing: that starts beside it
+// TestPredecessorHangs: a process in service that does not answer keeps its successor from nothing: that starts beside it
 // by itself, says so, and serves.
-func TestElderHangs(t *testing.T) {
+func TestPredecessorHangs(t *testing.T) {
 	t.Setenv("ROUTER_ADMIN", freeAddr(t))
 	s := newShop()
 	n := start(t, unchanged, s.peer("s-0", served))
@@ -472,7 +472,7 @@
 	return errors.New("no listener among its descriptors")
 }
 
-// TestSuccessorDiesBeforeItIsReady: one that took the seat and died before it said that it was ready leaves its elder
+// TestSuccessorDiesBeforeItIsReady: one that took the seat and died before it said that it was ready leaves its predecessor
 // able to have another.
 func TestSuccessorDiesBeforeItIsReady(t *testing.T) {
 	t.Setenv("ROUTER_ADMIN", freeAddr(t))
--- a/cmd/olivebridge/handover_drill_test.go
+++ b/cmd/olivebridge/handover_drill_test.go
@@ -22,7 +22,7 @@
 			io.WriteString(w, text)
 		}
 	}
-	gone := make(chan bool) // closed: discovery lists nobody. A process that starts by then is not ready, and its elder goes on
+	gone := make(chan bool) // closed: discovery lists nobody. A process that starts by then is not ready, and its predecessor goes on
 	empties := func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-gone:
@@ -39,7 +39,7 @@
 		cold             bool
 		dead, lost       bool                                                       // nobody listens at the first peer's address; at discovery's
 		meanwhile        func(t *testing.T, s *shop, n, next *process, door string) // while both live
-		kill             bool                                                       // the elder, in place of its planned end
+		kill             bool                                                       // the predecessor, in place of its planned end
 		want             int                                                        // a status that clients get
 	}{
 		"a peer is silent":          {serve: silent, want: 200},
@@ -73,7 +73,7 @@
 			next.cmd.Process.Signal(syscall.SIGHUP)
 			next.until(t, "msg=reloaded")
 		}, want: 200},
-		"the elder is killed": {kill: true, want: 200},
+		"the predecessor is killed": {kill: true, want: 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -185,7 +185,7 @@
 	}
 }
 
-// TestHandedOver: what an elder's log shows of a hand-over, and what its door says as it ends.
+// TestHandedOver: what a predecessor's log shows of a hand-over, and what its door says as it ends.
 func TestHandedOver(t *testing.T) {
 	t.Setenv("ROUTER_ADMIN", freeAddr(t))
 	held, release := make(chan bool), make(chan bool)
--- a/cmd/olivebridge/upgrade_test.go
+++ b/cmd/olivebridge/upgrade_test.go
@@ -104,7 +104,7 @@
 	}
 	defer idle.Close()
 	for round := range 4 {
-		if round == 1 { // one that dies half way leaves the node to its elder
+		if round == 1 { // one that dies half way leaves the node to its predecessor
 			link, h, l, err := handover.Join(filepath.Join(n.env[4][len("TMPDIR="):], "olivebridge-n0.sock"))
 			if err != nil || len(h.Servers) != 2 {
 				t.Fatalf("%+v, %v", h, err)
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -45,9 +45,9 @@
 		return nil
 	}
 	n.company.mu.Lock()
-	elder := n.company.before != nil
+	predecessor := n.company.predecessor != nil
 	n.company.mu.Unlock()
-	if err := n.parts.Fleet.Take(elder); err != nil {
+	if err := n.parts.Fleet.Take(predecessor); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
 	return nil
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -23,14 +23,14 @@
 // company are the other processes of this node: the one before it, and its
 // successor, each for as long as it lives.
 type company struct {
-	mu        sync.Mutex
-	seat      *handover.Seat // where a successor finds this process; nil: it has one, or can have none
-	before    *handover.Link // nil: none
-	successor *handover.Link // nil: none
-	over      bool           // this process ends
-	took      bool           // the successor takes clients
-	calls     sync.Mutex     // one operator's call at a time, so that both processes see them in one order
-	running   sync.WaitGroup
+	mu          sync.Mutex
+	seat        *handover.Seat // where a successor finds this process; nil: it has one, or can have none
+	predecessor *handover.Link // nil: none
+	successor   *handover.Link // nil: none
+	over        bool           // this process ends
+	took        bool           // the successor takes clients
+	calls       sync.Mutex     // one operator's call at a time, so that both processes see them in one order
+	running     sync.WaitGroup
 }
 
 // processes counts this one, too.
@@ -38,7 +38,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 1
-	for _, l := range []*handover.Link{c.before, c.successor} {
+	for _, l := range []*handover.Link{c.predecessor, c.successor} {
 		if l != nil {
 			n++
 		}
@@ -64,7 +64,7 @@
 	if link == nil || err != nil {
 		return nil, false
 	}
-	n.company.before = link
+	n.company.predecessor = link
 	n.servers.Import(h.Servers)
 	known := routing.Group{}
 	for _, r := range h.Servers {
@@ -95,7 +95,7 @@
 		return
 	}
 	c := &n.company
-	if l := c.before; l != nil {
+	if l := c.predecessor; l != nil {
 		c.running.Go(func() { n.converse(l) })
 		if err := l.Ask(handover.Message{Kind: handover.Ready}); err != nil {
 			n.log.Warn("hand-over failed", "reason", err.Error())
@@ -231,8 +231,8 @@
 	switch l {
 	case c.successor:
 		c.successor, c.took = nil, false
-	case c.before:
-		c.before = nil
+	case c.predecessor:
+		c.predecessor = nil
 	}
 	c.mu.Unlock()
 	n.log.Info("the node's other process has ended")
@@ -260,7 +260,7 @@
 func (c *company) end() {
 	c.mu.Lock()
 	c.over = true
-	links := []*handover.Link{c.before, c.successor}
+	links := []*handover.Link{c.predecessor, c.successor}
 	c.mu.Unlock()
 	c.closeSeat()
 	for _, l := range links {
@@ -271,8 +271,8 @@
 	c.running.Wait()
 }
 
-// heir is the successor that takes clients; nil: there is none.
-func (c *company) heir() *handover.Link {
+// tookOver is the successor that takes clients; nil: there is none.
+func (c *company) tookOver() *handover.Link {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.took {
@@ -298,7 +298,7 @@
 	}
 	c := &n.company
 	c.mu.Lock()
-	links := []*handover.Link{c.before, c.successor}
+	links := []*handover.Link{c.predecessor, c.successor}
 	c.mu.Unlock()
 	for _, l := range links { // a process has both only while a third one starts
 		if l == nil || l == from {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -146,7 +146,7 @@
 	longest := n.config.LongestDeadline
 	n.mu.Unlock()
 	n.leaving()
-	if l := n.company.heir(); l != nil {
+	if l := n.company.tookOver(); l != nil {
 		n.log.Info("handing over")
 		n.front.HandOver(longest, give(l))
 	} else {
