--- a/cmd/olivebridge/descriptors_test.go
+++ b/cmd/olivebridge/descriptors_test.go
@@ -46,8 +46,8 @@
 	if err := os.WriteFile(n.config, warm, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	door := strings.Replace(freeAddr(t), "127.0.0.1", "127.0.3.1", 1) // an address where no client has its end
-	discovery := strings.Replace(freeAddr(t), "127.0.0.1", "127.0.3.2", 1)
+	door := freeAddr(t)
+	discovery := freeAddr(t)
 	n.env = append(n.env, "ROUTER_ADMIN="+door, "ROUTER_DISCOVERY="+discovery)
 	n.limits = fmt.Sprint("ulimit -n ", sockets)
 	n.launch(t)
--- a/cmd/olivebridge/operate_test.go
+++ b/cmd/olivebridge/operate_test.go
@@ -11,10 +11,11 @@
 	"time"
 )
 
-// freeAddr is an address that nobody listens on.
+// freeAddr is an address that nobody listens on. Clients over loopback have their ends at 127.0.0.1, on ports of the
+// same range: there one of theirs could take the port before a listener does.
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := net.Listen("tcp", "127.0.3.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
