--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -54,6 +54,16 @@
 		}
 		return c, nil
 	}
+	for {
+		c, err := p.connectTo(ctx, peer, until)
+		if err == nil || ctx.Err() != nil || !ownLack(err) || !p.evict() {
+			return c, err
+		}
+	}
+}
+
+// connectTo returns a new connection.
+func (p *pool) connectTo(ctx context.Context, peer *routing.Peer, until time.Time) (*peerConn, error) {
 	connect, ok := p.reserve()
 	if !ok {
 		return nil, errNoRoom
@@ -105,46 +115,65 @@
 }
 
 // reserve counts a connection to be opened and says how long that may take. At
-// the bound the one idle for the longest makes room: a handshake more beats a
-// try less.
+// the bound an idle one makes room.
 func (p *pool) reserve() (connect time.Duration, ok bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for p.open >= p.most {
-		var oldest *peerConn
-		for _, list := range p.idle {
-			if len(list) > 0 && (oldest == nil || list[0].freed.Before(oldest.freed)) {
-				oldest = list[0]
-			}
+	for {
+		p.mu.Lock()
+		full, closed := p.open >= p.most, p.closed
+		if !full && !closed {
+			p.open++
+		}
+		connect = p.connect
+		p.mu.Unlock()
+		if !full || closed {
+			return connect, !closed
 		}
-		if oldest == nil {
+		if !p.evict() {
 			return 0, false
 		}
+	}
+}
+
+// evict ends the connection that has been idle for the longest, to whichever
+// peer, and reports whether there was one: a handshake more beats a try less.
+func (p *pool) evict() bool {
+	p.mu.Lock()
+	var oldest *peerConn
+	for _, list := range p.idle {
+		if len(list) > 0 && (oldest == nil || list[0].freed.Before(oldest.freed)) {
+			oldest = list[0]
+		}
+	}
+	if oldest != nil {
 		p.idle[oldest.peer] = slices.Delete(p.idle[oldest.peer], 0, 1)
-		p.mu.Unlock()
-		oldest.end("idle")
-		p.mu.Lock()
 	}
-	if p.closed {
-		return 0, false
+	p.mu.Unlock()
+	if oldest == nil {
+		return false
 	}
-	p.open++
-	return p.connect, true
+	oldest.end("idle")
+	return true
 }
 
 // lackEach is how often at most the log tells that connections cannot be opened.
 const lackEach = time.Second
 
-// lacks reports whether this node is why there is no connection, and not the
-// peer: descriptors, ports or memory are short. It guards sound peers, all of
-// which would seem to fail together.
-func (p *pool) lacks(err error, now time.Time) bool {
-	short := errors.Is(err, errNoRoom)
+// ownLack reports whether this node is why there is no connection, and not the
+// peer: descriptors, ports or memory are short.
+func ownLack(err error) bool {
 	for _, no := range [...]syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL,
 		syscall.ENOBUFS, syscall.ENOMEM} {
-		short = short || errors.Is(err, no)
+		if errors.Is(err, no) {
+			return true
+		}
 	}
-	if !short {
+	return errors.Is(err, errNoRoom)
+}
+
+// lacks reports whether it is this node's own lack, and tells it. It guards
+// sound peers, all of which would seem to fail together.
+func (p *pool) lacks(err error, now time.Time) bool {
+	if !ownLack(err) {
 		return false
 	}
 	p.mu.Lock()
