--- a/internal/transport/watch.go
+++ b/internal/transport/watch.go
@@ -32,8 +32,8 @@
 	// watchLate is how much later an answer may come before another call goes out beside it,
 	// and after how long a refused one is made again, the first time.
 	watchLate = 200 * time.Millisecond
-	// watchPause is the longest pause after a call that was refused or broke: pauses double up to this. Many nodes
-	// would keep discovery crowded with shorter ones; five of these fit into the time in which a change is due.
+	// watchPause is the longest pause after a call that was refused: pauses double up to this. Many nodes would
+	// keep discovery crowded with shorter ones; five of these fit into the time in which a change is due.
 	watchPause = 800 * time.Millisecond
 	// watchBeside is how long a call that must not wait may take before yet another goes out.
 	watchBeside = 450 * time.Millisecond
@@ -44,8 +44,9 @@
 	watchAgain = 12
 	// WatchCalls is how many calls a watch has in hand at most, each on a connection of its own.
 	WatchCalls = 1 + watchAgain
-	// watchSpread is the pause before a broken call is made once more, from the second in a row on. Calls that all
-	// break in one moment of trouble would end the watch, and what discovery tells meanwhile counts as told.
+	// watchSpread is the pause before a broken call is made once more, from the second in a row on; it doubles up
+	// to watchLate. Calls that all break in one moment of trouble would end the watch, and what discovery tells
+	// meanwhile counts as told.
 	watchSpread = 25 * time.Millisecond
 	// maxList bounds a list's bytes.
 	maxList = 8 << 20
@@ -183,12 +184,9 @@
 			if err == nil || errors.Is(err, syscall.ECONNREFUSED) || begun > w.again && out == 0 {
 				return g, version, err
 			}
-			pause, most := &broke, watchPause
-			switch {
-			case errors.Is(err, errRefused):
-				pause = &refused
-			case o.err == nil: // discovery answers: that it cannot be read shows in the log the sooner
-				most = w.late
+			pause, most := &broke, w.late // a call may get through trouble that breaks most of them
+			if errors.Is(err, errRefused) {
+				pause, most = &refused, watchPause
 			}
 			if in := w.jitter(*pause); begun <= w.again && (out == 0 || in < time.Until(due)) {
 				plan(in)
