--- a/internal/lab/network/network_test.go
+++ b/internal/lab/network/network_test.go
@@ -11,6 +11,7 @@
 	"net/http"
 	"os"
 	"runtime"
+	"slices"
 	"strings"
 	"sync"
 	"syscall"
@@ -457,6 +458,35 @@
 	}
 }
 
+// Bytes that lie there are read one connection after the other, in one order, though their readers come at one instant.
+func TestTurnsToRead(t *testing.T) {
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(8))
+	for range 20 {
+		var mu sync.Mutex
+		var order []string
+		at := map[time.Duration]bool{}
+		play(t, world.Net{}, func(l *lab) {
+			l.listen("p1:90", &ear{data: func(c link.Conn) { c.Write([]byte("waits")) }, end: link.Conn.Close})
+			for range 8 {
+				l.ask("p1:90", func(p *port) {
+					p.Write([]byte("request"))
+					time.Sleep(50*ms - l.loop.Now()) // all at the same instant
+					for range rand.IntN(4) {
+						runtime.Gosched()
+					}
+					p.Read(make([]byte, 5))
+					mu.Lock()
+					defer mu.Unlock()
+					order, at[l.loop.Now()] = append(order, p.id), true
+				})
+			}
+		})
+		if !slices.IsSorted(order) || len(order) != 8 || len(at) != 8 {
+			t.Fatalf("read in the order %v, at %d instants", order, len(at))
+		}
+	}
+}
+
 // All of net/http, both sides on the network, in a bubble that ends.
 func TestHTTP(t *testing.T) {
 	c := world.Net{Jitter: 0.4, Pieces: 0.3}
--- a/internal/lab/network/port.go
+++ b/internal/lab/network/port.go
@@ -39,6 +39,8 @@
 	writing  bool // a Write waits for room
 	reads    uint64
 	writes   uint64
+	asked    uint64 // for turns to read
+	turn     uint64 // of these, the last one that has come
 	until    struct{ read, write deadline }
 }
 
@@ -65,6 +67,7 @@
 	opRead uint64 = iota
 	opWrite
 	opClose
+	opTurn
 )
 
 // post lets f run on the loop. Reads and writes are counted apart, since two
@@ -135,9 +138,15 @@
 	return !p.closed && !p.killed && !p.until.read.past() && (len(p.in) > 0 || p.ended || p.reset)
 }
 
-// await waits until a read has something to take. The lock is held.
+// await waits until a read has something to take. What comes while it waits has an instant of its own. What lay there
+// already is taken in turn: a node that gives several answers at one instant goes on to read from all these connections,
+// and which of the next requests its decisions hear of first would be luck. The lock is held.
 func (p *port) await() error {
-	for !p.ready() {
+	turn := uint64(0)
+	if p.ready() {
+		turn = p.askTurn()
+	}
+	for !p.ready() || p.turn < turn {
 		switch {
 		case p.closed || p.killed:
 			return p.fail("read", net.ErrClosed)
@@ -149,6 +158,21 @@
 	return nil
 }
 
+// askTurn asks the loop for an instant to read at. The lock is held.
+func (p *port) askTurn() uint64 {
+	p.asked++
+	turn := p.asked
+	p.post(opTurn, turn, func() {
+		p.n.loop.After(0, func() {
+			p.mu.Lock()
+			defer p.mu.Unlock()
+			p.turn = turn
+			p.readable.Broadcast()
+		})
+	})
+	return turn
+}
+
 // take takes what is there: bytes go before the end of the stream, and before
 // a reset too, as Linux has it. The lock is held.
 func (p *port) take(b []byte) (int, error) {
