--- a/internal/transport/watch.go
+++ b/internal/transport/watch.go
@@ -37,6 +37,10 @@
 	watchPause = 800 * time.Millisecond
 	// watchBeside is how long a call that must not wait may take before yet another goes out.
 	watchBeside = 450 * time.Millisecond
+	// watchTurn is how long a call may take once discovery has refused one before another goes out beside it. It has
+	// more calls than it can serve, and takes them in turn: it has been seen to let one wait for 2 s, and to refuse that
+	// one along with the next that its node sends meanwhile, so that no node that asks often is ever served.
+	watchTurn = 2200 * time.Millisecond
 	// watchSlack is how much later than its wait the end of an answer may come. Others go out beside the call long
 	// before; it is for answers that trickle, and leaves more than half of the time in which a change is due.
 	watchSlack = 2400 * time.Millisecond
@@ -65,6 +69,7 @@
 	wait    time.Duration
 	late    time.Duration
 	beside  time.Duration
+	turn    time.Duration
 	slack   time.Duration
 	again   int      // calls that may follow one that brings nothing
 	rng     rand.PCG // draws pauses, each node's its own
@@ -93,7 +98,7 @@
 	}
 	return &Watch{addr: addr, names: names, client: client(false), version: version,
 		other: func() *http.Client { return client(true) },
-		wait:  watchWait, late: watchLate, beside: watchBeside, slack: watchSlack, again: watchAgain}
+		wait:  watchWait, late: watchLate, beside: watchBeside, turn: watchTurn, slack: watchSlack, again: watchAgain}
 }
 
 // Among sets how long discovery may hold a call by how many nodes ask it, and returns the watch. The seed, another
@@ -148,8 +153,9 @@
 	came := make(chan outcome, w.again+1)
 	next := time.NewTimer(0)
 	defer next.Stop()
-	begun, out, since, refused, broke := 0, 0, w.version, w.late, time.Duration(0)
-	due := time.Now() // the next call
+	begun, out, since, crowded := 0, 0, w.version, false
+	refused, broke := w.late, time.Duration(0) // the next pause after such a call
+	due := time.Now()                          // the next call
 	plan := func(in time.Duration) {
 		due = time.Now().Add(in)
 		next.Reset(in)
@@ -172,6 +178,9 @@
 				client, wait, late = w.other(), 0, w.beside
 			}
 			begun, out = begun+1, out+1
+			if crowded && begun <= w.again { // a pause follows the last one
+				late = max(late, w.turn)
+			}
 			plan(late)
 			go func() { came <- w.call(ctx, client, since, wait) }()
 		case o := <-came:
@@ -186,9 +195,14 @@
 			}
 			pause, most := &broke, w.late // a call may get through trouble that breaks most of them
 			if errors.Is(err, errRefused) {
-				pause, most = &refused, watchPause
+				pause, most, crowded = &refused, watchPause, true
 			}
-			if in := w.jitter(*pause); begun <= w.again && (out == 0 || in < time.Until(due)) {
+			in := w.jitter(*pause)
+			switch {
+			case begun > w.again:
+			case pause == &refused && out > 0: // the one in hand may have its turn
+				plan(w.turn)
+			case out == 0 || in < time.Until(due):
 				plan(in)
 			}
 			*pause = min(max(2**pause, watchSpread), most)
