--- a/cmd/olivefleet/fleet.go
+++ b/cmd/olivefleet/fleet.go
@@ -63,7 +63,7 @@
 			return nil, err
 		}
 	}
-	if len(f.Operators.Keepers) > 0 {
+	if len(f.Operators.Voters) > 0 {
 		all.operators(c, &config)
 	}
 	if f.Choices.Witnesses > 0 {
@@ -78,7 +78,7 @@
 // operators makes the node's part in operators' work over the whole fleet.
 func (f *company) operators(c *protocol.Config, m *member.Config) {
 	o := f.file.Operators
-	f.rounds = rounds.New(rounds.Config{Name: c.Name, Keepers: agreed.Roster{Edition: o.Edition, Names: o.Keepers},
+	f.rounds = rounds.New(rounds.Config{Name: c.Name, Voters: agreed.Roster{Edition: o.Edition, Names: o.Voters},
 		Directory: m.Directory, Log: m.Log, Record: m.Record, View: func() *member.View { return f.Service.View() },
 		Others: func() []string { return f.Service.Others() },
 		DialAddr: func(addr string, channel byte, timeout time.Duration) (net.Conn, error) {
@@ -88,7 +88,7 @@
 			return f.Service.Dial(name, channel, timeout)
 		}})
 	f.around(m, func(l member.Life) { f.rounds.Up(l.String()) }, f.rounds.Down)
-	f.serve(m, rounds.KeepersChannel, f.rounds.ServeKeepers)
+	f.serve(m, rounds.VotersChannel, f.rounds.ServeVoters)
 	f.serve(m, rounds.RoundsChannel, f.rounds.ServeRounds)
 }
 
@@ -146,7 +146,7 @@
 
 // budget makes the node's part in the fleet's budgets.
 func (f *company) budget(c *protocol.Config, file *fleetfile.File, m *member.Config) error {
-	b := budget.Config{Name: c.Name, Directory: m.Directory, Log: m.Log, Record: m.Record, Keepers: agreed.Roster{Edition: file.Book.Edition, Names: file.Book.Keepers},
+	b := budget.Config{Name: c.Name, Directory: m.Directory, Log: m.Log, Record: m.Record, Voters: agreed.Roster{Edition: file.Book.Edition, Names: file.Book.Voters},
 		Terms: budget.Terms{Lease: file.Book.LeaseTime, Reserve: file.Book.Reserve, Seats: file.Book.Seats},
 		Dial: func(name string, channel byte, timeout time.Duration) (net.Conn, error) {
 			return f.Service.Dial(name, channel, timeout)
@@ -174,7 +174,7 @@
 	f.budgets = budget.New(b)
 	m.Up = func(l member.Life) { f.budgets.Up(l.Home, l.Number) }
 	m.Down = f.budgets.Down
-	f.serve(m, budget.KeepersChannel, f.budgets.ServeKeepers)
+	f.serve(m, budget.VotersChannel, f.budgets.ServeVoters)
 	f.serve(m, budget.BookChannel, f.budgets.ServeBook)
 	return nil
 }
@@ -206,15 +206,15 @@
 	}
 	f.file = next
 	if f.kept != nil {
-		f.kept.work.Keep(agreed.Roster{Edition: next.Work.Edition, Names: next.Work.Keepers})
+		f.kept.work.Keep(agreed.Roster{Edition: next.Work.Edition, Names: next.Work.Voters})
 	}
 	if f.rounds != nil {
-		f.rounds.Keep(agreed.Roster{Edition: next.Operators.Edition, Names: next.Operators.Keepers})
+		f.rounds.Keep(agreed.Roster{Edition: next.Operators.Edition, Names: next.Operators.Voters})
 	}
 	if f.budgets == nil {
 		return nil
 	}
-	f.budgets.Keep(agreed.Roster{Edition: next.Book.Edition, Names: next.Book.Keepers})
+	f.budgets.Keep(agreed.Roster{Edition: next.Book.Edition, Names: next.Book.Voters})
 	var wholes []budget.Whole
 	for _, one := range next.Budgets {
 		wholes = append(wholes, whole(one, c.LongestDeadline))
--- a/cmd/olivefleet/keep.go
+++ b/cmd/olivefleet/keep.go
@@ -35,14 +35,14 @@
 		k.again[class] = c.Settings.Classes[class].Effect == brain.Pure
 	}
 	w := file.Work
-	k.work = work.New(work.Config{Name: c.Name, Keepers: agreed.Roster{Edition: w.Edition, Names: w.Keepers}, Directory: m.Directory, Tries: w.Tries,
+	k.work = work.New(work.Config{Name: c.Name, Voters: agreed.Roster{Edition: w.Edition, Names: w.Voters}, Directory: m.Directory, Tries: w.Tries,
 		Limits: work.Limits{Window: w.WindowTime, Most: w.Most}, Log: m.Log, Record: m.Record,
 		Dial: func(name string, channel byte, timeout time.Duration) (net.Conn, error) {
 			return f.Service.Dial(name, channel, timeout)
 		},
 		Next: func(ctx context.Context, after uint64) (*member.View, error) { return f.Service.Next(ctx, after) }})
 	f.around(m, func(l member.Life) { k.work.Up(l.Home, l.Number) }, k.work.Down)
-	f.serve(m, work.KeepersChannel, k.work.ServeKeepers)
+	f.serve(m, work.VotersChannel, k.work.ServeVoters)
 	f.serve(m, work.WorkChannel, k.work.ServeWork)
 	return k, nil
 }
--- a/internal/fleet/agreed/agreed.go
+++ b/internal/fleet/agreed/agreed.go
@@ -1,4 +1,4 @@
-// Package agreed is a log that a few members, the keepers, agree on: what is in it outlives any of them but a majority. Who
+// Package agreed is a log that a few members, the voters, agree on: what is in it outlives any of them but a majority. Who
 // adds to it is whoever they have elected.
 package agreed
 
@@ -46,9 +46,9 @@
 	since time.Time
 }
 
-// Open takes part in keeping a log, as one of the keepers. What is agreed on goes to the user's state. A keeper that is new with
+// Open takes part in keeping a log, as one of the voters. What is agreed on goes to the user's state. A voter that is new with
 // an edition beyond the first waits until the others take it in.
-func Open(dir, name string, keepers Roster, l *Layer, user raft.FSM) (*Log, error) {
+func Open(dir, name string, voters Roster, l *Layer, user raft.FSM) (*Log, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("the book: %w", err)
 	}
@@ -58,8 +58,8 @@
 		return nil, fmt.Errorf("the book: %s: %w", filepath.Join(dir, "log.db"), err)
 	}
 	b := &Log{store: store, layer: l, over: make(chan struct{}), gone: make(chan struct{}), state: &state{FSM: user},
-		file: keepers, since: time.Now()}
-	if err := b.start(dir, name, keepers); err != nil {
+		file: voters, since: time.Now()}
+	if err := b.start(dir, name, voters); err != nil {
 		store.Close()
 		return nil, fmt.Errorf("the book: %w", err)
 	}
@@ -67,7 +67,7 @@
 	return b, nil
 }
 
-func (b *Log) start(dir, name string, keepers Roster) error {
+func (b *Log) start(dir, name string, voters Roster) error {
 	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, hclog.NewNullLogger())
 	if err != nil {
 		return err
@@ -84,9 +84,9 @@
 	if err != nil {
 		return err
 	}
-	if !known && keepers.Edition <= 1 {
+	if !known && voters.Edition <= 1 {
 		var all raft.Configuration
-		for _, k := range keepers.Names {
+		for _, k := range voters.Names {
 			all.Servers = append(all.Servers, raft.Server{ID: raft.ServerID(k), Address: raft.ServerAddress(k)})
 		}
 		if err := raft.BootstrapCluster(c, b.store, b.store, snaps, b.trans, all); err != nil {
@@ -128,7 +128,7 @@
 	return string(id)
 }
 
-// Agree lets the keepers agree on a command, and returns what came of it.
+// Agree lets the voters agree on a command, and returns what came of it.
 func (b *Log) Agree(command any) (any, error) {
 	data, err := json.Marshal(command)
 	if err != nil {
--- a/internal/fleet/agreed/agreed_test.go
+++ b/internal/fleet/agreed/agreed_test.go
@@ -32,7 +32,7 @@
 
 func (s *sum) Restore(r io.ReadCloser) error { return r.Close() }
 
-// alone is a log with one keeper, which leads.
+// alone is a log with one voter, which leads.
 func alone(t *testing.T, dir string, s *sum) *Log {
 	t.Helper()
 	l, err := Open(dir, "n1", Roster{1, []string{"n1"}}, NewLayer("n1", func(string, time.Duration) (net.Conn, error) { return nil, net.ErrClosed }), s)
--- a/internal/fleet/agreed/layer.go
+++ b/internal/fleet/agreed/layer.go
@@ -8,7 +8,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// Layer carries the keepers' messages over the members' streams.
+// Layer carries the voters' messages over the members' streams.
 type Layer struct {
 	name  string
 	dial  func(name string, timeout time.Duration) (net.Conn, error)
@@ -22,7 +22,7 @@
 	return &Layer{name: name, dial: dial, conns: make(chan net.Conn), over: make(chan struct{})}
 }
 
-// nameAddr is a keeper's address: members know each other by name.
+// nameAddr is a voter's address: members know each other by name.
 type nameAddr string
 
 func (a nameAddr) Network() string { return "fleet" }
--- a/internal/fleet/agreed/part.go
+++ b/internal/fleet/agreed/part.go
@@ -17,13 +17,13 @@
 	Directory string // of the log
 	What      string // what it is called in the process's log
 	Log       *slog.Logger
-	Dial      func(name string, timeout time.Duration) (net.Conn, error) // to another keeper
+	Dial      func(name string, timeout time.Duration) (net.Conn, error) // to another voter
 	New       func() raft.FSM                                            // an empty state
 	Opened    func(*Log, raft.FSM)                                       // this process keeps the log now
 	Closed    func()                                                     // and does not any more
 }
 
-// Part is a process's part in keeping a log: it keeps one for as long as it has its node's place, and is to be a keeper. Opened
+// Part is a process's part in keeping a log: it keeps one for as long as it has its node's place, and is to be a voter. Opened
 // and Closed are called in turns, with no lock held.
 type Part struct {
 	c PartConfig
@@ -31,7 +31,7 @@
 	mu     sync.Mutex
 	roster Roster
 	stop   chan struct{} // nil: the process has not the node's place
-	layer  *Layer        // nil: it is no keeper
+	layer  *Layer        // nil: it is no voter
 	log    *Log
 	tasks  sync.WaitGroup
 }
@@ -81,7 +81,7 @@
 	return p.roster
 }
 
-// Serve takes a stream from another keeper.
+// Serve takes a stream from another voter.
 func (p *Part) Serve(c net.Conn, _ string) {
 	p.mu.Lock()
 	l := p.layer
@@ -139,7 +139,7 @@
 	p.c.Closed()
 	p.mu.Lock()
 	p.log = nil
-	if p.layer == l { // it may be a keeper again
+	if p.layer == l { // it may be a voter again
 		p.layer = nil
 	}
 	p.mu.Unlock()
--- a/internal/fleet/agreed/roster.go
+++ b/internal/fleet/agreed/roster.go
@@ -15,7 +15,7 @@
 	"olivebridge/internal/fleet/plant"
 )
 
-// Roster says who keeps a log. One of a higher edition takes the place of one of a lower: the keepers agree on it in the log
+// Roster says who keeps a log. One of a higher edition takes the place of one of a lower: the voters agree on it in the log
 // itself, so that a process whose file is older changes nothing back.
 type Roster struct {
 	Edition int      `json:"edition"` // from 1
@@ -26,12 +26,12 @@
 const rosterMark = 1
 
 const (
-	// tendEach is how often whoever leads looks whether the keepers are those that were agreed on. A step takes one or two
-	// messages, so that a keeper is changed within some seconds.
+	// tendEach is how often whoever leads looks whether the voters are those that were agreed on. A step takes one or two
+	// messages, so that a voter is changed within some seconds.
 	tendEach = 500 * time.Millisecond
-	// reachWithin is how long a keeper may take to let itself be reached, before it is counted on.
+	// reachWithin is how long a voter may take to let itself be reached, before it is counted on.
 	reachWithin = 300 * time.Millisecond
-	// goneAfter is for how long one that is no keeper by its file goes on as one: the others may need it until they have
+	// goneAfter is for how long one that is no voter by its file goes on as one: the others may need it until they have
 	// changed.
 	goneAfter = 15 * time.Second
 )
@@ -125,10 +125,10 @@
 	}
 }
 
-// Gone is closed once this process is no keeper any more, by its file and by the others' word, or for long by its file alone.
+// Gone is closed once this process is no voter any more, by its file and by the others' word, or for long by its file alone.
 func (b *Log) Gone() <-chan struct{} { return b.gone }
 
-// tend brings the keepers to what was agreed on, one step at a time, for as long as this process leads.
+// tend brings the voters to what was agreed on, one step at a time, for as long as this process leads.
 func (b *Log) tend(name string) {
 	each := time.NewTicker(tendEach)
 	defer each.Stop()
@@ -150,7 +150,7 @@
 	}
 }
 
-// votes reports whether a keeper has a vote, as far as this process knows.
+// votes reports whether a voter has a vote, as far as this process knows.
 func (b *Log) votes(name string) bool {
 	for _, s := range b.servers() {
 		if string(s.ID) == name && s.Suffrage == raft.Voter {
@@ -168,15 +168,15 @@
 	return f.Configuration().Servers
 }
 
-// Step is one step from the keepers that there are to those that are wanted.
+// Step is one step from the voters that there are to those that are wanted.
 type Step struct {
-	Remove string // takes a keeper out
+	Remove string // takes a voter out
 	Add    string // takes one in, without a vote yet
 	Vote   string // gives it the vote
 	Yield  string // lets another lead, since this one is to go
 }
 
-// Next is the next step: nothing is left to do if it is empty. At no time does it count on more keepers that cannot be
+// Next is the next step: nothing is left to do if it is empty. At no time does it count on more voters that cannot be
 // reached than it must: those that go and are not reached go first, whoever comes has the vote only once it is reached, and
 // one that goes and is reached stays until the others have come.
 func Next(self string, voters, others, want []string, reached func(string) bool) Step {
@@ -253,7 +253,7 @@
 	}
 }
 
-// reaches reports whether a keeper's process lets itself be reached.
+// reaches reports whether a voter's process lets itself be reached.
 func (b *Log) reaches(name string) bool {
 	c, err := b.layer.Dial(raft.ServerAddress(name), reachWithin)
 	if err != nil {
--- a/internal/fleet/agreed/roster_test.go
+++ b/internal/fleet/agreed/roster_test.go
@@ -58,7 +58,7 @@
 	})
 }
 
-// pipes are the ways between keepers of one test.
+// pipes are the ways between voters of one test.
 type pipes struct {
 	mu     sync.Mutex
 	layers map[string]*Layer
@@ -97,7 +97,7 @@
 	return l
 }
 
-// leads waits until one of some keepers leads.
+// leads waits until one of some voters leads.
 func leads(t *testing.T, all ...*Log) *Log {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -120,9 +120,9 @@
 	}
 }
 
-// A keeper is lost for good, and another takes its place: from then on the log goes on without a second of the first ones. A file
+// A voter is lost for good, and another takes its place: from then on the log goes on without a second of the first ones. A file
 // of an earlier edition changes nothing back.
-func TestKeepersChange(t *testing.T) {
+func TestVotersChange(t *testing.T) {
 	p := &pipes{layers: map[string]*Layer{}}
 	first, second := Roster{1, []string{"a", "b", "c"}}, Roster{2, []string{"a", "c", "d"}}
 	logs, sums := map[string]*Log{}, map[string]*sum{}
@@ -139,7 +139,7 @@
 	logs["d"] = p.open(t, "d", second, sums["d"]) // which waits to be taken in
 	logs["a"].SetRoster(second)
 	logs["c"].SetRoster(second)
-	await(t, "the new keeper has no vote", func() bool {
+	await(t, "the new voter has no vote", func() bool {
 		for _, n := range []string{"a", "c"} {
 			l := logs[n]
 			if l.Leads() && l.votes("d") && !l.votes("b") && len(l.servers()) == 3 {
@@ -153,7 +153,7 @@
 	if got, err := old.Agree(1); err != nil || got != 8 {
 		t.Fatalf("%v, %v", got, err)
 	}
-	await(t, "the new keeper does not hear what was agreed on", func() bool {
+	await(t, "the new voter does not hear what was agreed on", func() bool {
 		sums["d"].mu.Lock()
 		defer sums["d"].mu.Unlock()
 		return sums["d"].Total == 8
@@ -175,7 +175,7 @@
 	}
 }
 
-// The leader that is no keeper any more lets another lead, and is told that it is gone.
+// The leader that is no voter any more lets another lead, and is told that it is gone.
 func TestLeaderGoes(t *testing.T) {
 	p := &pipes{layers: map[string]*Layer{}}
 	a := p.open(t, "a", Roster{1, []string{"a"}}, &sum{})
@@ -195,7 +195,7 @@
 	if got, err := leads(t, b).Agree(1); err != nil || got != 6 {
 		t.Errorf("%v, %v", got, err)
 	}
-	await(t, "it is a keeper still", func() bool { return len(b.servers()) == 1 && b.votes("b") })
+	await(t, "it is a voter still", func() bool { return len(b.servers()) == 1 && b.votes("b") })
 }
 
 // sink takes a snapshot in.
--- a/internal/fleet/budget/ask.go
+++ b/internal/fleet/budget/ask.go
@@ -9,11 +9,11 @@
 	"olivebridge/internal/fleet/record"
 )
 
-// asker asks the keeper, whoever that is, over one stream at a time.
+// asker asks the leader, whoever that is, over one stream at a time.
 type asker struct {
 	s    *Service
 	who  string // is asked next; "": not known
-	turn int    // of the keepers, where nobody knows
+	turn int    // of the voters, where nobody knows
 	conn net.Conn
 	to   string // whom the stream goes to
 	in   *json.Decoder
@@ -62,9 +62,9 @@
 		a.turn++
 	case r.Refuse != "":
 		s.count.refused.Add(1)
-		if r.Keeper != a.who {
-			a.who = r.Keeper
-		} else if r.Keeper == "" {
+		if r.Leader != a.who {
+			a.who = r.Leader
+		} else if r.Leader == "" {
 			a.turn++
 		}
 	}
@@ -104,11 +104,11 @@
 func (a *asker) exchange(q asked, last bool) (r answered, err error) {
 	who := a.who
 	if who == "" {
-		keepers := a.s.part.Roster().Names
-		if len(keepers) == 0 {
+		voters := a.s.part.Roster().Names
+		if len(voters) == 0 {
 			return r, errNobody
 		}
-		who = keepers[a.turn%len(keepers)]
+		who = voters[a.turn%len(voters)]
 	}
 	if who == a.s.c.Name {
 		return a.s.answer(q), nil
--- a/internal/fleet/budget/book.go
+++ b/internal/fleet/budget/book.go
@@ -13,8 +13,8 @@
 	"olivebridge/internal/fleet/agreed"
 )
 
-// The log that the keepers agree on (package agreed) holds what must last: which home has which seat of the reserve. Who keeps the book is
-// whoever they have elected. Leases are in the keeper's memory alone: see docs/BUDGET-DESIGN.md.
+// The log that the voters agree on (package agreed) holds what must last: which home has which seat of the reserve. Who keeps the book is
+// whoever they have elected. Leases are in the leader's memory alone: see docs/BUDGET-DESIGN.md.
 // ledger is the agreed state.
 type ledger struct {
 	mu   sync.Mutex
--- a/internal/fleet/budget/budget_test.go
+++ b/internal/fleet/budget/budget_test.go
@@ -87,14 +87,14 @@
 	})
 }
 
-// world plays keepers and holders on a clock of its own: asks and answers are late, lost and doubled, keepers change,
+// world plays leaders and holders on a clock of its own: asks and answers are late, lost and doubled, leaders change,
 // holders stand still, die and come back.
 type sim struct {
 	t       *rapid.T
 	terms   Terms
 	wholes  []Whole
 	now     time.Duration
-	keeper  *Keeper
+	leader  *Leader
 	term    uint64
 	holders []*Holder
 	lives   []int
@@ -215,7 +215,7 @@
 		}
 	case 2: // another takes office, who knows nothing
 		s.term++
-		s.keeper = NewKeeper(s.terms, s.wholes, s.term, s.now)
+		s.leader = NewLeader(s.terms, s.wholes, s.term, s.now)
 	case 3, 4, 5:
 		if h != nil {
 			for range rapid.IntRange(0, 30).Draw(t, "demand") {
@@ -233,7 +233,7 @@
 			to := int(a.Holder[1] - '0')
 			var life int
 			fmt.Sscan(a.Life, &life)
-			s.answers = append(s.answers, late{to, life, s.keeper.Ask(s.now, a)})
+			s.answers = append(s.answers, late{to, life, s.leader.Ask(s.now, a)})
 		}
 	case 9, 10: // any answer does
 		if len(s.answers) > 0 {
@@ -256,7 +256,7 @@
 			wholes: []Whole{{Name: "a", Kind: Rate, Amount: 100, Burst: 20}, {Name: "none", Kind: Rate, Burst: 5},
 				{Name: "slots", Kind: InUse, Amount: 3, Hold: second}, {Name: "cold", Kind: Rate, Amount: 20, Burst: 8}},
 			through: map[uint64][]passed{}}
-		s.keeper = NewKeeper(s.terms, s.wholes, 0, 0)
+		s.leader = NewLeader(s.terms, s.wholes, 0, 0)
 		for i := range s.holders {
 			s.begin(i)
 		}
@@ -282,7 +282,7 @@
 func TestCalm(t *testing.T) {
 	terms := Terms{Lease: 2 * second, Reserve: 0.04, Seats: 4}
 	wholes := []Whole{{Name: "a", Kind: Rate, Amount: 100, Burst: 20}}
-	k := NewKeeper(terms, wholes, 1, 0)
+	k := NewLeader(terms, wholes, 1, 0)
 	names := []string{"n1", "n2", "n3"}
 	holders := map[string]*Holder{}
 	for _, n := range names {
@@ -311,7 +311,7 @@
 	}
 	run(second)
 	if sum() != 0 {
-		t.Error("a new keeper lends")
+		t.Error("a new leader lends")
 	}
 	run(3 * second)
 	if got := sum(); math.Abs(got-96) > 1e-6 {
@@ -498,14 +498,14 @@
 }
 
 // While a whole changes, at some nodes earlier than at others, no more can be used than the larger of the two; and the new one
-// holds, in all, a lease after the keeper was told, though some node hears of it late: but for the old reserve of that one, where
+// holds, in all, a lease after the leader was told, though some node hears of it late: but for the old reserve of that one, where
 // it alone is more than the new whole.
 func TestChangeOfAWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		terms := Terms{Lease: 2 * second, Reserve: 0.1, Seats: 3}
 		old, next := []Whole{{Name: "a", Kind: Rate, Amount: 100, Burst: 20}},
 			[]Whole{{Name: "a", Kind: Rate, Amount: float64(rapid.IntRange(0, 300).Draw(t, "next")), Burst: 20}}
-		k := NewKeeper(terms, old, 1, 0)
+		k := NewLeader(terms, old, 1, 0)
 		l := newLedger()
 		var holders []*Holder
 		var told []time.Duration
@@ -515,12 +515,12 @@
 			holders = append(holders, h)
 			told = append(told, 5*second+time.Duration(rapid.IntRange(0, 9000).Draw(t, "told"))*time.Millisecond)
 		}
-		keeper := 5*second + time.Duration(rapid.IntRange(0, 3000).Draw(t, "keeper told"))*time.Millisecond
-		from := keeper + terms.counted()
+		leader := 5*second + time.Duration(rapid.IntRange(0, 3000).Draw(t, "leader told"))*time.Millisecond
+		from := leader + terms.counted()
 		for now := time.Duration(0); now < 15*second; now += 50 * time.Millisecond {
-			if now >= keeper && keeper > 0 {
+			if now >= leader && leader > 0 {
 				k.Change(now, next)
-				keeper = -1
+				leader = -1
 			}
 			sum, reserved := 0.0, 0.0
 			for i, h := range holders {
@@ -531,7 +531,7 @@
 				for range 5 {
 					h.Admit(now, time.Time{}, 0)
 				}
-				if same := (keeper < 0) == (told[i] < 0); same { // else the keeper refuses
+				if same := (leader < 0) == (told[i] < 0); same { // else the leader refuses
 					now0 := h.Reserves()
 					k.HoldBack(l.beyond(now0))
 					h.Take(now, k.Ask(now, h.Ask(now, time.Time{})))
@@ -543,7 +543,7 @@
 				reserved += one.Reserve
 			}
 			if sum > max(100, next[0].Amount)+1e-6 || now > from && sum > max(next[0].Amount, reserved)+1e-6 {
-				t.Fatalf("at %v, %v after the keeper was told, %g can be used of %g", now, now-from, sum, next[0].Amount)
+				t.Fatalf("at %v, %v after the leader was told, %g can be used of %g", now, now-from, sum, next[0].Amount)
 			}
 		}
 	})
--- a/internal/fleet/budget/divide.go
+++ b/internal/fleet/budget/divide.go
@@ -1,5 +1,5 @@
 // Package budget divides amounts that a whole fleet may use among its nodes, so that the parts never add up to more than
-// the whole. divide.go, bucket.go, keeper.go and holder.go decide, and are free of I/O, clock and goroutines: times are
+// the whole. divide.go, bucket.go, leader.go and holder.go decide, and are free of I/O, clock and goroutines: times are
 // lengths since an origin of the caller's, by a clock that never runs backwards. service.go carries them out.
 package budget
 
--- a/internal/fleet/budget/keeper.go
+++ b/internal/fleet/budget/leader.go
@@ -39,7 +39,7 @@
 // drift is by how much two clocks may run apart: far more than quartz does.
 const drift = 0.01
 
-// Ask is what a holder asks the keeper for.
+// Ask is what a holder asks the leader for.
 type Ask struct {
 	Counts map[string]CountAsk `json:"counts,omitempty"`
 	Holder string              `json:"holder"`
@@ -53,12 +53,12 @@
 	Periods map[string]int64 `json:"periods,omitempty"`
 }
 
-// Answer is what the keeper lends.
+// Answer is what the leader lends.
 type Answer struct {
 	Counts map[string]CountGrant `json:"counts,omitempty"`
 	Number uint64                `json:"number"` // of the Ask
 	Refuse string                `json:"refuse,omitempty"`
-	Keeper string                `json:"keeper,omitempty"` // who keeps the book, if another does
+	Leader string                `json:"keeper,omitempty"` // who keeps the book, if another does
 	Lease  time.Duration         `json:"lease,omitempty"`
 	Grants map[string]Grant      `json:"grants,omitempty"`
 }
@@ -69,9 +69,9 @@
 	Amount float64 `json:"amount"` // units a second
 }
 
-// Keeper keeps the book for one term of office. What earlier keepers lent it does not know, nor need to: it lends nothing
+// Leader keeps the book for one term of office. What earlier leaders lent it does not know, nor need to: it lends nothing
 // until all of that has ended.
-type Keeper struct {
+type Leader struct {
 	terms   Terms
 	wholes  []Whole
 	term    uint64
@@ -99,16 +99,16 @@
 	periods map[string]int64
 }
 
-// lent is a grant until it has ended, by the keeper's clock.
+// lent is a grant until it has ended, by the leader's clock.
 type lent struct {
 	number uint64
 	amount float64
 	until  time.Duration
 }
 
-// NewKeeper makes the book of a term that has begun by now.
-func NewKeeper(terms Terms, wholes []Whole, term uint64, now time.Duration) *Keeper {
-	k := &Keeper{terms: terms, wholes: wholes, term: term, opens: now + terms.counted(), holders: map[string]*holding{},
+// NewLeader makes the book of a term that has begun by now.
+func NewLeader(terms Terms, wholes []Whole, term uint64, now time.Duration) *Leader {
+	k := &Leader{terms: terms, wholes: wholes, term: term, opens: now + terms.counted(), holders: map[string]*holding{},
 		named: map[string]naming{}, planted: plant.Planted}
 	if plant.Planted("no-quarantine") {
 		k.opens = now
@@ -116,7 +116,7 @@
 	return k
 }
 
-// counted is for how long a keeper counts a grant from when it was made.
+// counted is for how long a leader counts a grant from when it was made.
 func (t Terms) counted() time.Duration {
 	return time.Duration(float64(t.Lease) * (1 + drift))
 }
@@ -128,7 +128,7 @@
 
 // Change lets other wholes hold from now on. Nothing is lent until all that was lent of the old ones has ended, so that old and
 // new are never counted together.
-func (k *Keeper) Change(now time.Duration, wholes []Whole) {
+func (k *Leader) Change(now time.Duration, wholes []Whole) {
 	k.wholes, k.opens = wholes, now+k.terms.counted()
 	if k.planted("old-and-new") {
 		k.opens, k.holders = now, map[string]*holding{}
@@ -137,13 +137,13 @@
 
 // HoldBack lets so much of each budget not be lent, beside the reserve: what seats have of a larger one, since their processes
 // have not told that they know of the present one.
-func (k *Keeper) HoldBack(units map[string]float64) { k.back = units }
+func (k *Leader) HoldBack(units map[string]float64) { k.back = units }
 
 // Term is the term of office.
-func (k *Keeper) Term() uint64 { return k.term }
+func (k *Leader) Term() uint64 { return k.term }
 
-// Ask answers a holder. The answer may be given only if the keeper was in office at some time after this call.
-func (k *Keeper) Ask(now time.Duration, a Ask) Answer {
+// Ask answers a holder. The answer may be given only if the leader was in office at some time after this call.
+func (k *Leader) Ask(now time.Duration, a Ask) Answer {
 	k.end(now)
 	k.named[a.Holder] = naming{now, a.Periods}
 	key := a.Holder + " " + a.Life
@@ -164,7 +164,7 @@
 	}
 	out := Answer{Number: a.Number, Lease: k.terms.Lease, Grants: map[string]Grant{}}
 	if now < k.opens {
-		out.Refuse = "the keeper is new: what was lent before it has not ended"
+		out.Refuse = "the leader is new: what was lent before it has not ended"
 		return out
 	}
 	for _, w := range k.wholes {
@@ -176,7 +176,7 @@
 }
 
 // given drops grants that a holder does not use any more.
-func (k *Keeper) given(all []lent, have uint64, over bool) []lent {
+func (k *Leader) given(all []lent, have uint64, over bool) []lent {
 	if over {
 		return nil
 	}
@@ -187,7 +187,7 @@
 }
 
 // end drops what has ended, and holders of which nothing is left.
-func (k *Keeper) end(now time.Duration) {
+func (k *Leader) end(now time.Duration) {
 	for key, h := range k.holders {
 		left := 0
 		for name, all := range h.lent {
@@ -201,7 +201,7 @@
 }
 
 // lend gives a holder its part of a budget, as far as it is free.
-func (k *Keeper) lend(now time.Duration, w Whole, h *holding) Grant {
+func (k *Leader) lend(now time.Duration, w Whole, h *holding) Grant {
 	amount := k.lendable(w)
 	free := amount
 	var asks []Demand
@@ -229,17 +229,17 @@
 	return g
 }
 
-// Period is the one that a count is in: the one that more than half of the keepers have named within a lease, by their wall
+// Period is the one that a count is in: the one that more than half of the voters have named within a lease, by their wall
 // clocks, of which any may be wrong, this process's too. There may be none.
-func (k *Keeper) Period(now time.Duration, name string, keepers []string) (int64, bool) {
+func (k *Leader) Period(now time.Duration, name string, voters []string) (int64, bool) {
 	votes := map[int64]int{}
-	for _, who := range keepers {
+	for _, who := range voters {
 		n, named := k.named[who]
 		period, counts := n.periods[name]
 		if !named || !counts || now-n.at > k.terms.Lease {
 			continue
 		}
-		if votes[period]++; 2*votes[period] > len(keepers) {
+		if votes[period]++; 2*votes[period] > len(voters) {
 			return period, true
 		}
 	}
@@ -247,7 +247,7 @@
 }
 
 // later reports whether a holder has begun a later life, which asks for itself.
-func (k *Keeper) later(h *holding) bool {
+func (k *Leader) later(h *holding) bool {
 	for _, o := range k.holders {
 		if o.name == h.name && o.life != h.life && o.heard > h.heard {
 			return true
@@ -257,7 +257,7 @@
 }
 
 // lendable is what of a whole is ever lent.
-func (k *Keeper) lendable(w Whole) float64 {
+func (k *Leader) lendable(w Whole) float64 {
 	if k.planted("reserve-lent") {
 		return w.Amount
 	}
@@ -270,7 +270,7 @@
 	switch w.Kind {
 	case InUse: // whole units
 		return math.Floor(part)
-	case Count: // nothing of it is lost without a keeper: what is held goes on
+	case Count: // nothing of it is lost without a leader: what is held goes on
 		return 0
 	}
 	return part
@@ -306,7 +306,7 @@
 }
 
 // Shares tell who has what of a budget.
-func (k *Keeper) Shares(now time.Duration, name string) (all []Share) {
+func (k *Leader) Shares(now time.Duration, name string) (all []Share) {
 	k.end(now)
 	for _, h := range k.holders {
 		all = append(all, Share{h.name, h.life, h.want[name], h.target[name], h.held(name)})
--- a/internal/fleet/budget/period_test.go
+++ b/internal/fleet/budget/period_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// The period of a count is the one that most keepers name: neither one that is wrong, nor who is no keeper, nor what was named
+// The period of a count is the one that most voters name: neither one that is wrong, nor who is no voter, nor what was named
 // long ago has a say.
-func TestPeriodOfMostKeepers(t *testing.T) {
-	keepers := []string{"a", "b", "c"}
+func TestPeriodOfMostVoters(t *testing.T) {
+	voters := []string{"a", "b", "c"}
 	terms := Terms{Lease: time.Second, Seats: 5}
 	type named struct {
 		who    string
@@ -24,18 +24,18 @@
 		{"one is wrong", []named{{"a", 0, 8}, {"b", 0, 7}, {"c", 0, 7}}, 7},
 		{"one alone", []named{{"a", 0, 8}}, 0},
 		{"one each", []named{{"a", 0, 8}, {"b", 0, 7}, {"c", 0, 6}}, 0},
-		{"those that are no keepers", []named{{"a", 0, 8}, {"d", 0, 8}, {"e", 0, 8}, {"b", 0, 7}}, 0},
+		{"those that are no voters", []named{{"a", 0, 8}, {"d", 0, 8}, {"e", 0, 8}, {"b", 0, 7}}, 0},
 		{"one was heard long ago", []named{{"a", 0, 7}, {"b", 2 * time.Second, 7}}, 0},
 		{"it names another by now", []named{{"a", 0, 7}, {"b", 0, 7}, {"b", 1, 8}}, 0},
 		{"the turn of the period", []named{{"a", 0, 7}, {"b", 0, 7}, {"c", 0, 7}, {"a", 1, 8}, {"c", 2, 8}}, 8},
 	} {
-		k := NewKeeper(terms, []Whole{{Name: "x", Kind: Count, Amount: 10, Period: time.Hour}}, 1, 0)
+		k := NewLeader(terms, []Whole{{Name: "x", Kind: Count, Amount: 10, Period: time.Hour}}, 1, 0)
 		var now time.Duration
 		for i, n := range c.named {
 			now = max(now, n.at)
 			k.Ask(n.at, Ask{Holder: n.who, Life: "1", Number: uint64(i + 1), Periods: map[string]int64{"x": n.period}})
 		}
-		if got, some := k.Period(now, "x", keepers); some != (c.want != 0) || got != c.want {
+		if got, some := k.Period(now, "x", voters); some != (c.want != 0) || got != c.want {
 			t.Errorf("%s: %d, %v", c.what, got, some)
 		}
 	}
--- a/internal/fleet/budget/service.go
+++ b/internal/fleet/budget/service.go
@@ -23,8 +23,8 @@
 
 // The channels of the members' streams that budgets use.
 const (
-	KeepersChannel = 1 // between keepers
-	BookChannel    = 2 // from holders to the keeper
+	VotersChannel = 1 // between voters
+	BookChannel   = 2 // from holders to the leader
 )
 
 // asksPerLease is how often a holder asks in a lease: two asks may be lost before a part runs out, and demand that moves
@@ -36,14 +36,14 @@
 	Name      string
 	Wholes    []Whole
 	Terms     Terms
-	Keepers   agreed.Roster // of the book
+	Voters    agreed.Roster // of the book
 	Directory string
 	Dial      func(name string, channel byte, timeout time.Duration) (net.Conn, error)
 	Log       *slog.Logger
 	Record    *record.Book
 }
 
-// Service is a process's part in the fleet's budgets: what it holds, and, in a keeper's process, the book.
+// Service is a process's part in the fleet's budgets: what it holds, and, in a voter's process, the book.
 type Service struct {
 	c     Config
 	part  *agreed.Part // in keeping the book
@@ -52,8 +52,8 @@
 
 	mu     sync.Mutex
 	holder *Holder // nil: this process has not the node's place in the fleet, and holds nothing
-	keeper *Keeper // of this term; nil: another keeps the book, or nobody
-	book   *book   // nil: this is no keeper, or not yet
+	leader *Leader // of this term; nil: another keeps the book, or nobody
+	book   *book   // nil: this is no voter, or not yet
 	home   string
 	seat   int
 	// orphans are units that an earlier holder of this process has let into use, by budget: they are released here, too.
@@ -73,10 +73,10 @@
 		c.Log = slog.New(slog.DiscardHandler)
 	}
 	s := &Service{c: c, start: time.Now(), orphans: make([]int, len(c.Wholes))}
-	s.part = agreed.NewPart(agreed.PartConfig{Name: c.Name, Roster: c.Keepers, Directory: filepath.Join(c.Directory, "book"),
+	s.part = agreed.NewPart(agreed.PartConfig{Name: c.Name, Roster: c.Voters, Directory: filepath.Join(c.Directory, "book"),
 		What: "fleet budget", Log: c.Log, Opened: s.opened, Closed: func() { s.opened(nil, nil) }, New: func() raft.FSM { return newLedger() },
 		Dial: func(name string, timeout time.Duration) (net.Conn, error) {
-			return c.Dial(name, KeepersChannel, timeout)
+			return c.Dial(name, VotersChannel, timeout)
 		}})
 	return s
 }
@@ -85,7 +85,7 @@
 func (s *Service) opened(log *agreed.Log, state raft.FSM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.book, s.keeper = nil, nil; log != nil {
+	if s.book, s.leader = nil, nil; log != nil {
 		s.book = &book{log, state.(*ledger)}
 	}
 }
@@ -93,8 +93,8 @@
 // Keep lets others keep the book from now on.
 func (s *Service) Keep(r agreed.Roster) { s.part.Keep(r) }
 
-// ServeKeepers takes a stream from another keeper.
-func (s *Service) ServeKeepers(c net.Conn, from string) { s.part.Serve(c, from) }
+// ServeVoters takes a stream from another voter.
+func (s *Service) ServeVoters(c net.Conn, from string) { s.part.Serve(c, from) }
 
 func (s *Service) now() time.Duration { return time.Since(s.start) }
 
@@ -142,8 +142,8 @@
 		return
 	}
 	s.c.Wholes = wholes
-	if s.keeper != nil {
-		s.keeper.Change(s.now(), wholes)
+	if s.leader != nil {
+		s.leader.Change(s.now(), wholes)
 	}
 	if s.holder != nil {
 		s.holder.Change(s.now(), wholes)
@@ -229,7 +229,7 @@
 // answer answers a holder, if this process keeps the book.
 func (s *Service) answer(a asked) answered {
 	no := func(why string) answered {
-		return answered{Answer: Answer{Number: a.Number, Refuse: why, Keeper: s.leader()}}
+		return answered{Answer: Answer{Number: a.Number, Refuse: why, Leader: s.leaderName()}}
 	}
 	s.mu.Lock()
 	b := s.book
@@ -238,22 +238,22 @@
 	case b == nil || !b.Leads() && !plant.Planted("no-majority"):
 		return no("another keeps the book, or nobody")
 	case a.Terms != s.describe():
-		return no("the budgets of this node's fleet file are not the keeper's")
+		return no("the budgets of this node's fleet file are not the leader's")
 	}
 	term := b.Term()
 	s.mu.Lock()
-	if s.keeper == nil || s.keeper.Term() != term {
-		s.keeper = NewKeeper(s.c.Terms, s.c.Wholes, term, s.now())
+	if s.leader == nil || s.leader.Term() != term {
+		s.leader = NewLeader(s.c.Terms, s.c.Wholes, term, s.now())
 		s.c.Log.Info("fleet budget", "reason", "keeps-the-book", "term", term)
 		s.c.Record.Write("keeps", term)
 	}
 	reserves := s.c.Terms.reserves(s.c.Wholes)
-	s.keeper.HoldBack(b.ledger.beyond(reserves))
-	out := answered{Answer: s.keeper.Ask(s.now(), a.Ask)}
+	s.leader.HoldBack(b.ledger.beyond(reserves))
+	out := answered{Answer: s.leader.Ask(s.now(), a.Ask)}
 	s.mu.Unlock()
-	// What was decided holds only if this process was in office after it: no later keeper has begun by then.
+	// What was decided holds only if this process was in office after it: no later leader has begun by then.
 	if err := b.Verify(); (err != nil || b.Term() != term) && !plant.Planted("no-majority") {
-		return no("the keeper was not in office any more")
+		return no("the leader was not in office any more")
 	}
 	s.count.granted.Add(int64(len(out.Grants)))
 	if out.Refuse == "" {
@@ -268,7 +268,7 @@
 	return out
 }
 
-// Lent is a grant in the record of the keeper.
+// Lent is a grant in the record of the leader.
 type Lent struct {
 	Holder string `json:"holder"`
 	Life   string `json:"life"`
@@ -288,7 +288,7 @@
 	}
 }
 
-// spend gives stocks of counts, of the period that most keepers are in.
+// spend gives stocks of counts, of the period that most voters are in.
 func (s *Service) spend(b *book, a Ask) map[string]CountGrant {
 	out := map[string]CountGrant{}
 	for _, w := range s.wholes() {
@@ -304,22 +304,22 @@
 	return out
 }
 
-// inPeriod reports whether a count's period is that of most keepers.
+// inPeriod reports whether a count's period is that of most voters.
 func (s *Service) inPeriod(w Whole, period int64) bool {
 	if plant.Planted("own-clock") {
 		return period == periodOf(plant.Wall(), w.Period)
 	}
-	keepers := s.part.Roster().Names
+	voters := s.part.Roster().Names
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.keeper == nil {
+	if s.leader == nil {
 		return false
 	}
-	now, most := s.keeper.Period(s.now(), w.Name, keepers)
+	now, most := s.leader.Period(s.now(), w.Name, voters)
 	return most && now == period
 }
 
-// describe is what must be the same at keeper and holder.
+// describe is what must be the same at leader and holder.
 func (s *Service) describe() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -335,8 +335,8 @@
 	return s.c.Wholes
 }
 
-// leader is who keeps the book, as far as this keeper knows.
-func (s *Service) leader() string {
+// leaderName is who keeps the book, as far as this voter knows.
+func (s *Service) leaderName() string {
 	s.mu.Lock()
 	b := s.book
 	s.mu.Unlock()
@@ -406,7 +406,7 @@
 
 // Status is for operators.
 func (s *Service) Status() string {
-	keeper := s.leader()
+	leader := s.leaderName()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.holder == nil {
@@ -419,12 +419,12 @@
 			h.Reserve, w.Amount, h.Want))
 	}
 	text := "budgets: " + strings.Join(parts, ", ")
-	if keeper != "" {
-		text += "; book kept by " + keeper
+	if leader != "" {
+		text += "; book kept by " + leader
 	}
-	if s.keeper != nil {
+	if s.leader != nil {
 		for _, w := range s.c.Wholes {
-			for _, h := range s.keeper.Shares(s.now(), w.Name) {
+			for _, h := range s.leader.Shares(s.now(), w.Name) {
 				text += fmt.Sprintf("; %s: %s has %.1f, is to have %.1f, asks for %.1f", w.Name, h.Holder, h.Held, h.Target, h.Want)
 			}
 		}
--- a/internal/fleet/fleetfile/fleetfile.go
+++ b/internal/fleet/fleetfile/fleetfile.go
@@ -33,8 +33,8 @@
 // Work says which calls are kept beyond the loss of a node. All nodes of a fleet say the same.
 type Work struct {
 	Classes []string `toml:"classes"` // names of classes of calls
-	Keepers []string `toml:"keepers"` // names of nodes; an odd number
-	Edition int      `toml:"edition"` // of keepers: higher by one with each change of them
+	Voters  []string `toml:"keepers"` // names of nodes; an odd number
+	Edition int      `toml:"edition"` // of voters: higher by one with each change of them
 	Window  string   `toml:"window"`  // for how long a call is kept after its last change
 	Most    int      `toml:"most"`    // calls that are kept at one time
 	Tries   int      `toml:"tries"`   // nodes that may let one call out, where none of the earlier has
@@ -44,8 +44,8 @@
 
 // Operators says who keeps operators' work over the whole fleet. All nodes of a fleet say the same.
 type Operators struct {
-	Keepers []string `toml:"keepers"` // names of nodes; an odd number; none: each node's door is for itself
-	Edition int      `toml:"edition"` // of keepers: higher by one with each change of them
+	Voters  []string `toml:"keepers"` // names of nodes; an odd number; none: each node's door is for itself
+	Edition int      `toml:"edition"` // of voters: higher by one with each change of them
 }
 
 // Choices says with how many peers of a large upstream group a node works. All nodes of a fleet say the same.
@@ -58,8 +58,8 @@
 
 // Book says who keeps the book of the budgets, and on what terms. All nodes of a fleet say the same.
 type Book struct {
-	Keepers []string `toml:"keepers"` // names of nodes; an odd number
-	Edition int      `toml:"edition"` // of keepers: higher by one with each change of them
+	Voters  []string `toml:"keepers"` // names of nodes; an odd number
+	Edition int      `toml:"edition"` // of voters: higher by one with each change of them
 	Lease   string   `toml:"lease"`   // how long a part may be used
 	Reserve float64  `toml:"reserve"` // part of every whole that is never lent
 	Seats   int      `toml:"seats"`   // in how many parts it is cut: the most nodes that there will be
@@ -144,13 +144,13 @@
 		return "member"
 	case f.Book.without() != next.Book.without():
 		return "book"
-	case older(f.Book.Keepers, f.Book.Edition, next.Book.Keepers, next.Book.Edition):
+	case older(f.Book.Voters, f.Book.Edition, next.Book.Voters, next.Book.Edition):
 		return "book.keepers, without a higher edition,"
-	case (len(f.Operators.Keepers) == 0) != (len(next.Operators.Keepers) == 0):
+	case (len(f.Operators.Voters) == 0) != (len(next.Operators.Voters) == 0):
 		return "operators"
-	case older(f.Operators.Keepers, f.Operators.Edition, next.Operators.Keepers, next.Operators.Edition):
+	case older(f.Operators.Voters, f.Operators.Edition, next.Operators.Voters, next.Operators.Edition):
 		return "operators.keepers, without a higher edition,"
-	case older(f.Work.Keepers, f.Work.Edition, next.Work.Keepers, next.Work.Edition):
+	case older(f.Work.Voters, f.Work.Edition, next.Work.Voters, next.Work.Edition):
 		return "work.keepers, without a higher edition,"
 	case f.Choices != next.Choices:
 		return "choices"
@@ -168,12 +168,12 @@
 	return ""
 }
 
-// older reports whether keepers differ, and the later ones do not say so by their edition.
+// older reports whether voters differ, and the later ones do not say so by their edition.
 func older(a []string, edition int, b []string, next int) bool {
 	return next < edition || next == edition && !slices.Equal(a, b)
 }
 
-// terms are a book without its keepers.
+// terms are a book without its voters.
 type terms struct {
 	lease   time.Duration
 	reserve float64
@@ -183,7 +183,7 @@
 func (b Book) without() terms { return terms{b.LeaseTime, b.Reserve, b.Seats} }
 
 func (w Work) without() Work {
-	w.Keepers, w.Edition = nil, 0
+	w.Voters, w.Edition = nil, 0
 	return w
 }
 
@@ -200,7 +200,7 @@
 	c.choices(&f.Choices)
 	c.work(&f.Work)
 	if _, said := c.lines["operators"]; said {
-		f.Operators.Edition = c.keepers("operators", f.Operators.Keepers, f.Operators.Edition)
+		f.Operators.Edition = c.voters("operators", f.Operators.Voters, f.Operators.Edition)
 	}
 	if c.err != nil {
 		return nil, c.err
@@ -294,9 +294,9 @@
 
 // The bounds of the book's terms.
 const (
-	leastLease  = 500 * time.Millisecond // with eight asks in it, and an election of the keeper within
+	leastLease  = 500 * time.Millisecond // with eight asks in it, and an election of the leader within
 	mostLease   = time.Minute
-	mostKeepers = 5
+	mostVoters  = 5
 	mostSeats   = 1024
 	mostBudgets = 64
 )
@@ -310,7 +310,7 @@
 		c.fail("budget", "%d budgets, %d at most", len(f.Budgets), mostBudgets)
 	}
 	b := &f.Book
-	b.Edition = c.keepers("book", b.Keepers, b.Edition)
+	b.Edition = c.voters("book", b.Voters, b.Edition)
 	var err error
 	if b.LeaseTime, err = time.ParseDuration(b.Lease); err != nil || b.LeaseTime < leastLease || b.LeaseTime > mostLease {
 		c.fail("book.lease", "not a time from %v to %v: %q", leastLease, mostLease, b.Lease)
@@ -343,8 +343,8 @@
 	}
 }
 
-// keepers checks the names of those that keep a log, and returns their edition.
-func (c *checker) keepers(table string, names []string, edition int) int {
+// voters checks the names of those that keep a log, and returns their edition.
+func (c *checker) voters(table string, names []string, edition int) int {
 	key := table + ".keepers"
 	if _, said := c.lines[table+".edition"]; !said {
 		edition = 1
@@ -352,7 +352,7 @@
 	if edition < 1 {
 		c.fail(table+".edition", "%d is not 1 or more", edition)
 	}
-	if n := len(names); n%2 == 0 || n > mostKeepers {
+	if n := len(names); n%2 == 0 || n > mostVoters {
 		c.fail(key, "%d names: 1, 3 or 5 are wanted", n)
 	}
 	for i, k := range names {
@@ -389,7 +389,7 @@
 			c.fail("work.classes", "%q stands twice", name)
 		}
 	}
-	w.Edition = c.keepers("work", w.Keepers, w.Edition)
+	w.Edition = c.voters("work", w.Voters, w.Edition)
 	w.Window, w.Most, w.Tries = cmp.Or(w.Window, defaultWindow), cmp.Or(w.Most, defaultWork), cmp.Or(w.Tries, defaultTries)
 	var err error
 	if w.WindowTime, err = time.ParseDuration(w.Window); err != nil || w.WindowTime < leastWindow || w.WindowTime > mostWindow {
--- a/internal/fleet/fleetfile/fleetfile_test.go
+++ b/internal/fleet/fleetfile/fleetfile_test.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// Keepers change with a higher edition, and not otherwise.
+// Voters change with a higher edition, and not otherwise.
 func TestEditions(t *testing.T) {
 	with := func(text string) *File {
 		t.Helper()
--- a/internal/fleet/rounds/ledger.go
+++ b/internal/fleet/rounds/ledger.go
@@ -1,6 +1,6 @@
 // Package rounds keeps operators' work over many nodes beyond the loss of any of them: servers that the whole fleet keeps out of
 // use, and rounds through many servers, out, empty, back, the next. ledger.go decides and is free of I/O, clock and
-// goroutines; service.go carries it out over a log that the keepers agree on.
+// goroutines; service.go carries it out over a log that the voters agree on.
 package rounds
 
 import (
@@ -321,7 +321,7 @@
 	Age     time.Duration
 }
 
-// Member is a node that may still act, as the keeper believes.
+// Member is a node that may still act, as the leader believes.
 type Member struct {
 	Name  string
 	Life  string
--- a/internal/fleet/rounds/rounds_test.go
+++ b/internal/fleet/rounds/rounds_test.go
@@ -33,7 +33,7 @@
 	return a
 }
 
-// Whatever operators say and keepers do, late and twice: one round runs at a time and has one server out at most, its present
+// Whatever operators say and voters do, late and twice: one round runs at a time and has one server out at most, its present
 // one; each server is out once in a round; what operators keep out themselves stays out; and a snapshot is the whole.
 func TestLedgerHolds(t *testing.T) {
 	servers := []string{"a", "b", "c", "d"}
@@ -221,7 +221,7 @@
 func TestService(t *testing.T) {
 	dir := t.TempDir()
 	view := &member.View{Self: "n1", Members: []member.Member{{Name: "n1", State: member.Alive, Life: member.Life{Home: "x", Number: 1}}}}
-	config := Config{Name: "n1", Keepers: agreed.Roster{Edition: 1, Names: []string{"n1"}}, Directory: dir, View: func() *member.View { return view }}
+	config := Config{Name: "n1", Voters: agreed.Roster{Edition: 1, Names: []string{"n1"}}, Directory: dir, View: func() *member.View { return view }}
 	s, d := New(config), &desk{map[string]bool{"c": true}}
 	if _, err := s.Do([]string{"STATUS"}); err == nil || err.Error() != "the node is starting" {
 		t.Error(err)
@@ -284,7 +284,7 @@
 
 // What does not hold in all processes of the node is not said to hold, and what could not be written is no hindrance.
 func TestSuspendFails(t *testing.T) {
-	s := New(Config{Name: "n1", Keepers: agreed.Roster{Edition: 1, Names: []string{"n1"}}, Directory: filepath.Join(t.TempDir(), "none")})
+	s := New(Config{Name: "n1", Voters: agreed.Roster{Edition: 1, Names: []string{"n1"}}, Directory: filepath.Join(t.TempDir(), "none")})
 	d := &halting{desk{map[string]bool{}}, 0}
 	s.Operate(d)
 	d.fails = 1
--- a/internal/fleet/rounds/service.go
+++ b/internal/fleet/rounds/service.go
@@ -26,8 +26,8 @@
 
 // The channels of the members' streams.
 const (
-	KeepersChannel = 5 // between keepers
-	RoundsChannel  = 6 // from nodes to whoever leads them
+	VotersChannel = 5 // between voters
+	RoundsChannel = 6 // from nodes to whoever leads them
 )
 
 const (
@@ -35,7 +35,7 @@
 	askEach = 250 * time.Millisecond
 	// askWithin is how long an answer may take; an operator's call has to have one within a second.
 	askWithin = 400 * time.Millisecond
-	// doWithin bounds an operator's call over all keepers.
+	// doWithin bounds an operator's call over all voters.
 	doWithin = 900 * time.Millisecond
 	// driveEach is how often whoever leads looks whether the round can go on.
 	driveEach = 100 * time.Millisecond
@@ -56,7 +56,7 @@
 // Config is what a process is told.
 type Config struct {
 	Name      string
-	Keepers   agreed.Roster
+	Voters    agreed.Roster
 	Directory string
 	Dial      func(name string, channel byte, timeout time.Duration) (net.Conn, error)
 	View      func() *member.View
@@ -103,10 +103,10 @@
 		c.Log = slog.New(slog.DiscardHandler)
 	}
 	s := &Service{c: c, reports: map[string]report{}, own: map[string]bool{}}
-	s.part = agreed.NewPart(agreed.PartConfig{Name: c.Name, Roster: c.Keepers, Directory: filepath.Join(c.Directory, "rounds"),
+	s.part = agreed.NewPart(agreed.PartConfig{Name: c.Name, Roster: c.Voters, Directory: filepath.Join(c.Directory, "rounds"),
 		What: "fleet rounds", Log: c.Log, Opened: s.opened, Closed: func() { s.opened(nil, nil) }, New: func() raft.FSM { return newLedger() },
 		Dial: func(name string, timeout time.Duration) (net.Conn, error) {
-			return c.Dial(name, KeepersChannel, timeout)
+			return c.Dial(name, VotersChannel, timeout)
 		}})
 	return s
 }
@@ -122,8 +122,8 @@
 // Keep lets others keep the log from now on.
 func (s *Service) Keep(r agreed.Roster) { s.part.Keep(r) }
 
-// ServeKeepers takes a stream from another keeper.
-func (s *Service) ServeKeepers(c net.Conn, from string) { s.part.Serve(c, from) }
+// ServeVoters takes a stream from another voter.
+func (s *Service) ServeVoters(c net.Conn, from string) { s.part.Serve(c, from) }
 
 // Operate gives it the node's desk, before there are clients: what is out is out here, too, by the word of whoever knows the
 // latest, or as it was when the node ended.
@@ -217,7 +217,7 @@
 
 type reply struct {
 	Refuse  string   `json:"refuse,omitempty"`
-	Keeper  string   `json:"keeper,omitempty"` // who leads, as far as is known
+	Leader  string   `json:"keeper,omitempty"` // who leads, as far as is known
 	Version uint64   `json:"version"`
 	Out     []string `json:"out,omitempty"`
 	Rounds  []Round  `json:"rounds,omitempty"`
@@ -251,7 +251,7 @@
 	if log == nil || !log.Leads() {
 		r := reply{Refuse: "another leads, or nobody"}
 		if log != nil {
-			r.Keeper = log.Leader()
+			r.Leader = log.Leader()
 		}
 		return r
 	}
@@ -260,7 +260,7 @@
 	case q.Do != nil:
 		got, err := log.Agree(q.Do)
 		if err != nil {
-			return reply{Refuse: err.Error(), Keeper: log.Leader()}
+			return reply{Refuse: err.Error(), Leader: log.Leader()}
 		}
 		r.Answer, _ = got.(Answer)
 	case log.Verify() != nil: // what it would say may be old
@@ -384,18 +384,18 @@
 	Out     []string `json:"out"`
 }
 
-var errNobody = errors.New("no majority of the keepers is there, or none can be reached")
+var errNobody = errors.New("no majority of the voters is there, or none can be reached")
 
 // ask asks whoever leads, over a stream of its own: some a second.
 func (s *Service) ask(q question) (r reply, err error) {
 	s.mu.Lock()
 	who := s.led
 	s.mu.Unlock()
-	keepers := s.part.Roster().Names
-	for range len(keepers) + 1 {
+	voters := s.part.Roster().Names
+	for range len(voters) + 1 {
 		if who == "" {
 			s.mu.Lock()
-			who = keepers[s.turn%len(keepers)]
+			who = voters[s.turn%len(voters)]
 			s.turn++
 			s.mu.Unlock()
 		}
@@ -406,7 +406,7 @@
 			s.mu.Unlock()
 			return r, nil
 		}
-		if who = r.Keeper; err != nil {
+		if who = r.Leader; err != nil {
 			who = ""
 		}
 	}
@@ -463,7 +463,7 @@
 	}
 }
 
-// advance takes a round one step further, if all nodes are as far. A keeper that sees less than half of the fleet waits.
+// advance takes a round one step further, if all nodes are as far. A leader that sees less than half of the fleet waits.
 func (s *Service) advance(log *agreed.Log, r Round) {
 	v := s.c.View()
 	var members []Member
--- a/internal/fleet/work/ledger.go
+++ b/internal/fleet/work/ledger.go
@@ -1,6 +1,6 @@
 // Package work keeps clients' work beyond the loss of the node that has it in hand: who has it, whether it may have run, and
 // what came of it. ledger.go decides and is free of I/O, clock and goroutines; service.go carries it out over a log that the
-// keepers agree on. docs/TAKEOVER-DESIGN.md says why nothing runs twice.
+// voters agree on. docs/TAKEOVER-DESIGN.md says why nothing runs twice.
 package work
 
 import (
@@ -86,7 +86,7 @@
 	Processes []process `json:"processes"`
 }
 
-// command is an entry of the log: one of the three. The limits go with it, since all keepers have to come to the same state from
+// command is an entry of the log: one of the three. The limits go with it, since all voters have to come to the same state from
 // the same log, also while their files differ for a while.
 type command struct {
 	Now    int64  `json:"now"`    // the ledger's clock, in milliseconds; it never runs backwards
@@ -113,7 +113,7 @@
 	Most   int           `json:"most"`   // pieces
 }
 
-// mostBytes bounds the bodies of all outcomes together, which every keeper has in memory. Beyond it outcomes are kept without.
+// mostBytes bounds the bodies of all outcomes together, which every voter has in memory. Beyond it outcomes are kept without.
 const mostBytes = 32 << 20
 
 // ledger is the agreed state.
--- a/internal/fleet/work/service.go
+++ b/internal/fleet/work/service.go
@@ -26,37 +26,37 @@
 
 // The channels of the members' streams that work uses.
 const (
-	KeepersChannel = 3 // between keepers
-	WorkChannel    = 4 // from whoever has work to the keeper
+	VotersChannel = 3 // between voters
+	WorkChannel   = 4 // from whoever has work to the leader
 )
 
 const (
-	// askWithin is how long one question to a keeper may take; beginWithin and endWithin how long work may wait to be begun,
+	// askWithin is how long one question to a voter may take; beginWithin and endWithin how long work may wait to be begun,
 	// and an outcome to be kept, over all questions. Nothing has run by the end of the first: the client is told to come back.
 	askWithin   = 250 * time.Millisecond
 	beginWithin = 400 * time.Millisecond
 	endWithin   = 600 * time.Millisecond
-	// dialPause is how long a keeper is left alone that was dialled, askPause how long a question waits for its next try.
+	// dialPause is how long a voter is left alone that was dialled, askPause how long a question waits for its next try.
 	dialPause = 200 * time.Millisecond
 	askPause  = 25 * time.Millisecond
 	// quietFor is how long nobody asks after nobody knew who keeps the work: an election takes ten times as long.
 	quietFor = 60 * time.Millisecond
 	// laterMost is the longest pause between two tries to tell the ledger what it has not heard.
 	laterMost = time.Second
-	// sweepEvery is how often the keeper looks for owners that are gone, beside each new view.
+	// sweepEvery is how often the leader looks for owners that are gone, beside each new view.
 	sweepEvery = time.Second
-	// knownAfter is for how long a keeper must have been in the fleet before it takes an owner for gone of whom it has never
+	// knownAfter is for how long a leader must have been in the fleet before it takes an owner for gone of whom it has never
 	// heard: by then the members have told each other of everybody.
 	knownAfter = 15 * time.Second
 )
 
-// ErrNoKeeper says that work cannot be kept just now. It has not been begun.
-var ErrNoKeeper = errors.New("nobody keeps the work")
+// ErrNoLeader says that work cannot be kept just now. It has not been begun.
+var ErrNoLeader = errors.New("nobody keeps the work")
 
 // Config is what a process is told of its fleet's work.
 type Config struct {
 	Name      string
-	Keepers   agreed.Roster
+	Voters    agreed.Roster
 	Directory string
 	Limits    Limits
 	Tries     int // owners that may let one piece out
@@ -80,13 +80,13 @@
 	elder  string // the life in which it had it last, of whose work it may still say for a while what became of it
 	down   time.Time
 	up     time.Time
-	log    *agreed.Log // nil: this is no keeper, or not yet
+	log    *agreed.Log // nil: this is no voter, or not yet
 	ledger *ledger
 	term   uint64
 	base   int64 // the ledger's clock at the beginning of the term
 	began  time.Time
 	view   *member.View
-	to     map[string]*stream // by keeper
+	to     map[string]*stream // by voter
 	last   string             // that answered last
 	quiet  time.Time          // until then nobody is asked: nobody knew who keeps the work
 	turn   int
@@ -94,7 +94,7 @@
 	tasks  sync.WaitGroup
 
 	dialing sync.Mutex
-	failed  map[string]time.Time // when a keeper was dialled last; of whoever holds dialing
+	failed  map[string]time.Time // when a voter was dialled last; of whoever holds dialing
 }
 
 type counts struct{ begun, kept, unknown, elsewhere, refused, lost atomic.Int64 }
@@ -105,10 +105,10 @@
 		c.Log = slog.New(slog.DiscardHandler)
 	}
 	s := &Service{c: c, to: map[string]*stream{}, failed: map[string]time.Time{}}
-	s.part = agreed.NewPart(agreed.PartConfig{Name: c.Name, Roster: c.Keepers, Directory: filepath.Join(c.Directory, "work"),
+	s.part = agreed.NewPart(agreed.PartConfig{Name: c.Name, Roster: c.Voters, Directory: filepath.Join(c.Directory, "work"),
 		What: "fleet work", Log: c.Log, Opened: s.opened, Closed: func() { s.opened(nil, nil) }, New: func() raft.FSM { return newLedger() },
 		Dial: func(name string, timeout time.Duration) (net.Conn, error) {
-			return c.Dial(name, KeepersChannel, timeout)
+			return c.Dial(name, VotersChannel, timeout)
 		}})
 	return s
 }
@@ -135,8 +135,8 @@
 // Keep lets others keep the log from now on.
 func (s *Service) Keep(r agreed.Roster) { s.part.Keep(r) }
 
-// ServeKeepers takes a stream from another keeper.
-func (s *Service) ServeKeepers(c net.Conn, from string) { s.part.Serve(c, from) }
+// ServeVoters takes a stream from another voter.
+func (s *Service) ServeVoters(c net.Conn, from string) { s.part.Serve(c, from) }
 
 // Down ends that.
 func (s *Service) Down() {
@@ -151,7 +151,7 @@
 	s.to, s.last = map[string]*stream{}, ""
 	s.mu.Unlock()
 	for _, one := range all {
-		one.close(ErrNoKeeper)
+		one.close(ErrNoLeader)
 	}
 	s.part.Down()
 	s.tasks.Wait()
@@ -239,7 +239,7 @@
 	log, state := s.log, s.ledger
 	if log == nil || !log.Leads() {
 		s.mu.Unlock()
-		return nil, ErrNoKeeper
+		return nil, ErrNoLeader
 	}
 	if term := log.Term(); term != s.term {
 		s.term, s.base, s.began = term, state.clock(), time.Now()
@@ -250,7 +250,7 @@
 	return log.Agree(c)
 }
 
-// question and reply go over the stream to the keeper.
+// question and reply go over the stream to the voter.
 type question struct {
 	Number uint64 `json:"number"`
 	Begin  *Begin `json:"begin,omitempty"`
@@ -260,7 +260,7 @@
 type reply struct {
 	Number  uint64  `json:"number"`
 	Refuse  string  `json:"refuse,omitempty"`
-	Keeper  string  `json:"keeper,omitempty"` // who keeps the work, as far as is known
+	Leader  string  `json:"keeper,omitempty"` // who keeps the work, as far as is known
 	Verdict Verdict `json:"verdict,omitzero"`
 	Taken   bool    `json:"taken,omitempty"`
 }
@@ -279,7 +279,7 @@
 		r.Refuse = err.Error()
 		s.mu.Lock()
 		if s.log != nil {
-			r.Keeper = s.log.Leader()
+			r.Leader = s.log.Leader()
 		}
 		s.mu.Unlock()
 	}
@@ -387,7 +387,7 @@
 			time.Sleep(pause)
 			s.mu.Lock()
 			late := s.elder == e.Owner.Life && time.Since(s.down) < elderFor
-			over := s.life != e.Owner.Life && !late // then the keeper finds that the process is gone
+			over := s.life != e.Owner.Life && !late // then the leader finds that the process is gone
 			s.mu.Unlock()
 			if over {
 				return
@@ -408,9 +408,9 @@
 	s.mu.Unlock()
 	for {
 		if who == "" { // nobody knows: one after the other
-			keepers := s.part.Roster().Names
+			voters := s.part.Roster().Names
 			s.mu.Lock()
-			who = keepers[s.turn%len(keepers)]
+			who = voters[s.turn%len(voters)]
 			s.turn++
 			s.mu.Unlock()
 		}
@@ -422,20 +422,20 @@
 			if s.heard(who, r, err) {
 				return r, nil
 			}
-			if who = r.Keeper; err != nil {
+			if who = r.Leader; err != nil {
 				who = ""
 			}
 		}
 		select {
 		case <-ctx.Done():
-			return r, fmt.Errorf("%w: %v %s", ErrNoKeeper, err, r.Refuse)
+			return r, fmt.Errorf("%w: %v %s", ErrNoLeader, err, r.Refuse)
 		case <-time.After(askPause):
 		}
 	}
 }
 
-// heard takes in how a question to a keeper went, and reports whether it was answered. Where nobody knows who keeps the work, all
-// questions wait a little: hundreds that each ask on would keep the keepers from finding out.
+// heard takes in how a question to a voter went, and reports whether it was answered. Where nobody knows who keeps the work, all
+// questions wait a little: hundreds that each ask on would keep the voters from finding out.
 func (s *Service) heard(who string, r reply, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -446,13 +446,13 @@
 	if s.last == who {
 		s.last = ""
 	}
-	if err != nil || r.Keeper == "" {
+	if err != nil || r.Leader == "" {
 		s.quiet = time.Now().Add(quietFor)
 	}
 	return false
 }
 
-// once asks one keeper.
+// once asks one voter.
 func (s *Service) once(ctx context.Context, q question, who string) (reply, error) {
 	s.mu.Lock()
 	here := s.life != ""
@@ -467,7 +467,7 @@
 	return to.ask(ctx, q)
 }
 
-// connect gives the stream to a keeper, which all questions share. One dials at a time, and not at once again where that failed:
+// connect gives the stream to a voter, which all questions share. One dials at a time, and not at once again where that failed:
 // all that wait would do so together.
 func (s *Service) connect(who string) (*stream, error) {
 	s.mu.Lock()
@@ -477,7 +477,7 @@
 		return to, nil
 	}
 	if life == "" {
-		return nil, ErrNoKeeper
+		return nil, ErrNoLeader
 	}
 	s.dialing.Lock()
 	defer s.dialing.Unlock()
@@ -488,7 +488,7 @@
 		return to, nil
 	}
 	if time.Since(s.failed[who]) < dialPause {
-		return nil, ErrNoKeeper
+		return nil, ErrNoLeader
 	}
 	s.failed[who] = time.Now() // a stream that ends at once is no better than none
 	c, err := s.c.Dial(who, WorkChannel, askWithin)
@@ -499,8 +499,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.life+s.elder == "" { // it has no place yet
-		one.close(ErrNoKeeper)
-		return nil, ErrNoKeeper
+		one.close(ErrNoLeader)
+		return nil, ErrNoLeader
 	}
 	s.to[who] = one
 	return one, nil
--- a/internal/fleet/work/stream.go
+++ b/internal/fleet/work/stream.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// stream carries questions to one keeper, many at a time.
+// stream carries questions to one voter, many at a time.
 type stream struct {
 	who  string
 	conn net.Conn
@@ -98,7 +98,7 @@
 	select {
 	case r, ok := <-wait:
 		if !ok {
-			return reply{}, ErrNoKeeper
+			return reply{}, ErrNoLeader
 		}
 		return r, nil
 	case <-late.C:
@@ -106,9 +106,9 @@
 		dumb := time.Since(s.heard) > 2*askWithin
 		s.mu.Unlock()
 		if dumb { // cut, or its other side stands still: the next question has a new one
-			s.close(ErrNoKeeper)
+			s.close(ErrNoLeader)
 		}
-		return reply{}, ErrNoKeeper
+		return reply{}, ErrNoLeader
 	case <-ctx.Done():
 		return reply{}, ctx.Err()
 	}
--- a/internal/fleet/work/work_test.go
+++ b/internal/fleet/work/work_test.go
@@ -203,7 +203,7 @@
 	}
 }
 
-// TestReplicas: keepers that apply the same log come to the same state, whether they were carried over by snapshots or not, and
+// TestReplicas: voters that apply the same log come to the same state, whether they were carried over by snapshots or not, and
 // whatever the limits were at each entry; what is forgotten leaves nothing behind.
 func TestReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/lab/fault/fleet.go
+++ b/internal/lab/fault/fleet.go
@@ -28,8 +28,8 @@
 	Amounts(share float64)
 	// Clock sets the wall clock of a node's next processes wrong.
 	Clock(node string, by time.Duration)
-	// Keepers lets all nodes' fleet files name other keepers, and has them read it again.
-	Keepers(names []string)
+	// Voters lets all nodes' fleet files name other voters, and has them read it again.
+	Voters(names []string)
 	// At has a node's process wait at its next such step, then calls at, which is given what lets it go on.
 	At(node, step string, at func(goOn func()))
 	// Spoil makes a node's directory unfit, before its next start.
@@ -92,8 +92,8 @@
 		{"fleet-torn", "the nodes die, and cannot start since what they kept was cut in half", []Take{nodes, away}, spoilt(Torn)},
 		{"fleet-amounts", "all fleet files say a share of each budget's amount, and are read again", []Take{while,
 			share("of the amounts")}, (*run).fleetAmounts},
-		{"fleet-keepers", "all fleet files name the nodes as keepers, in a higher edition, and are read again", []Take{nodes},
-			(*run).fleetKeepers},
+		{"fleet-keepers", "all fleet files name the nodes as voters, in a higher edition, and are read again", []Take{nodes},
+			(*run).fleetVoters},
 		{"fleet-emptied", "the nodes die and come back with empty directories", []Take{nodes, away}, spoilt(Emptied)},
 		{"fleet-clock", "the nodes die, and live with a wall clock that is an hour ahead until they die again", []Take{nodes, while},
 			(*run).fleetClock},
@@ -222,7 +222,7 @@
 	r.after(f.For.D(), func() { r.company().Amounts(1) })
 }
 
-func (r *run) fleetKeepers(f *Fault) { r.company().Keepers(f.Nodes) }
+func (r *run) fleetVoters(f *Fault) { r.company().Voters(f.Nodes) }
 
 func (r *run) fleetMove(f *Fault) {
 	for _, name := range f.Nodes {
--- a/internal/lab/fleet/budget.go
+++ b/internal/lab/fleet/budget.go
@@ -25,7 +25,7 @@
 
 // bookFile is what the fleet files of a run say of the book.
 func bookFile(s Says, reserve float64) string {
-	return fmt.Sprintf("\n[book]\n%slease = %q\nreserve = %.2f\nseats = %d\n\n", s.keepers(), budgetLease, reserve, s.Nodes)
+	return fmt.Sprintf("\n[book]\n%slease = %q\nreserve = %.2f\nseats = %d\n\n", s.voters(), budgetLease, reserve, s.Nodes)
 }
 
 // BudgetFile is what they say of the budget.
@@ -139,7 +139,7 @@
 	b.shares(a)
 	replaced := slices.ContainsFunc(a.Events, func(e Happened) bool { return e.What == "keepers" })
 	if replaced && b.UseAfter < leastReplaced {
-		breaks("book", a.End, "of the whole %.3f was used from 10 s after a change on, though lost keepers were replaced", b.UseAfter)
+		breaks("book", a.End, "of the whole %.3f was used from 10 s after a change on, though lost voters were replaced", b.UseAfter)
 	}
 	if len(first) == 0 {
 		breaks("use", a.End, "nothing came to any peer")
@@ -147,7 +147,7 @@
 	return b
 }
 
-// leastReplaced is the least part of the whole that has to be used where keepers that are lost are replaced: far beyond the
+// leastReplaced is the least part of the whole that has to be used where voters that are lost are replaced: far beyond the
 // reserve, which is all that is left without a majority of them.
 const leastReplaced = 0.5
 
@@ -237,7 +237,7 @@
 	return most, at, wide
 }
 
-// leases holds each part's end at its holder against its end at the keeper, by the one clock of the machine.
+// leases holds each part's end at its holder against its end at the leader, by the one clock of the machine.
 func leases(a *Account, breaks func(rule string, at time.Duration, format string, args ...any)) {
 	ends := map[string]time.Duration{}
 	for _, l := range a.Lines {
@@ -253,7 +253,7 @@
 		}
 		end, known := ends[fmt.Sprintf("%s %d", strings.TrimSuffix(l.Node, "~"), hs[0].Grant)]
 		if own := time.Duration(hs[0].Ends); known && hs[0].Left > 0 && own > end {
-			breaks("lease", time.Duration(l.At), "%s holds a part %.3fs longer than the keeper counts it", l.Node, (own - end).Seconds())
+			breaks("lease", time.Duration(l.At), "%s holds a part %.3fs longer than the leader counts it", l.Node, (own - end).Seconds())
 		}
 	}
 }
@@ -316,7 +316,7 @@
 	return most, when
 }
 
-// useOver is the window over which use is measured. It begins 8 s after the clients do: a keeper has to be elected by then,
+// useOver is the window over which use is measured. It begins 8 s after the clients do: a leader has to be elected by then,
 // and to have waited for a lease.
 const useOver = 2 * time.Second
 
@@ -456,7 +456,7 @@
 func (b *Budget) Text(*Account) string {
 	var t strings.Builder
 	fmt.Fprintf(&t, "%d processes share %.0f a second and a burst of %.0f, under %.1f times as much demand, for %.0f s; %d terms of "+
-		"keepers\n", b.Nodes, budgetRate, budgetBurst, demandTimes, b.Seconds, b.Handovers)
+		"leaders\n", b.Nodes, budgetRate, budgetBurst, demandTimes, b.Seconds, b.Handovers)
 	fmt.Fprintf(&t, "to peers came at most %.3f of what any window allows; parts usable at one time add up to %.4f at most\n", b.Over,
 		b.ShareSum)
 	fmt.Fprintf(&t, "used at least %.3f in calm, %.3f from 10 s after a change; with a fixed part for each name %.3f while one is "+
--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -111,7 +111,7 @@
 				c.add("fleet-stop", 6+3.6*float64(i), figure.Uniform(g, 0.9, 1.15)*budgetLease.Seconds(), c.names[g.IntN(3)])
 			}
 		}},
-		{"keepers", "one keeper after the other is killed, then all at once", 5, 80 * time.Second, func(c *caseMaker) {
+		{"keepers", "one voter after the other is killed, then all at once", 5, 80 * time.Second, func(c *caseMaker) {
 			for i := range 3 {
 				c.add("node-kill", 8+10*float64(i), 4, c.names[i])
 			}
@@ -131,7 +131,7 @@
 			c.add("fleet-mute", 26, 8, c.names[4])
 			c.add("fleet-deaf", 42, 8, c.names[4])
 		}},
-		{"clock", "a keeper, and one that is none, have wall clocks that are an hour ahead, while the other keepers die in turn", 5, 70 * time.Second,
+		{"clock", "a voter, and one that is none, have wall clocks that are an hour ahead, while the other voters die in turn", 5, 70 * time.Second,
 			func(c *caseMaker) {
 				c.add("fleet-clock", 6, 56, c.names[0])
 				c.add("fleet-clock", 8, 50, c.names[3])
@@ -139,7 +139,7 @@
 					c.add("node-kill", 20+4.5*float64(i), 1.5, c.names[1+i%2])
 				}
 			}},
-		keepersCase(),
+		votersCase(),
 		{"upgrades", "one after the other is upgraded, four times", 5, 60 * time.Second, func(c *caseMaker) {
 			for i := range 20 {
 				c.add("fleet-upgrade", 6+2*float64(i), 0, c.names[i%5])
@@ -148,9 +148,9 @@
 	}
 }
 
-// keepersCase replaces one keeper that is lost for good, and then loses another of the first three, and replaces that.
-func keepersCase() Case {
-	return Case{"new-keepers", "a keeper is lost for good and replaced, then the next, then one goes that is well", 6, 100 * time.Second,
+// votersCase replaces one voter that is lost for good, and then loses another of the first three, and replaces that.
+func votersCase() Case {
+	return Case{"new-keepers", "a voter is lost for good and replaced, then the next, then one goes that is well", 6, 100 * time.Second,
 		func(c *caseMaker) {
 			n := c.names
 			c.add("node-kill", 10, 88, n[1])
@@ -209,7 +209,7 @@
 
 // amountsCase changes the amounts of budgets, which only the judge of rates knows of.
 func amountsCase() Case {
-	return Case{"amounts", "the fleet files say less, more and less again, also as a keeper dies or one stands still", 5, 80 * time.Second,
+	return Case{"amounts", "the fleet files say less, more and less again, also as a voter dies or one stands still", 5, 80 * time.Second,
 		func(c *caseMaker) {
 			c.add("fleet-amounts", 10, 10).Share = 0.3
 			c.add("fleet-amounts", 26, 8).Share = 0.5
--- a/internal/lab/fleet/cold.go
+++ b/internal/lab/fleet/cold.go
@@ -24,7 +24,7 @@
 		coldRate*s.Share, coldBurst(s.Nodes))
 }
 
-// coldLead is when the first peer may die: a keeper has been elected by then, and processes have learnt what warm peers carry.
+// coldLead is when the first peer may die: a leader has been elected by then, and processes have learnt what warm peers carry.
 const coldLead = 10 * time.Second
 
 // coldAway is for how long a peer is gone.
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -48,14 +48,14 @@
 type Says struct {
 	Nodes   int
 	Share   float64  // of the amounts of budgets
-	Keepers []string // of every log
+	Voters  []string // of every log
 	Edition int      // of them
 }
 
-// keepers is the same as lines of a table of a fleet file.
-func (s Says) keepers() string {
+// voters is the same as lines of a table of a fleet file.
+func (s Says) voters() string {
 	var names []string
-	for _, k := range s.Keepers {
+	for _, k := range s.Voters {
 		names = append(names, fmt.Sprintf("%q", k))
 	}
 	return fmt.Sprintf("keepers = [%s]\nedition = %d\n", strings.Join(names, ", "), s.Edition)
@@ -240,7 +240,7 @@
 	case e.Node != "":
 		return e.Node + " " + e.What
 	case e.What == "keepers":
-		return "the keepers are to be " + strings.Join(e.To, " ")
+		return "the voters are to be " + strings.Join(e.To, " ")
 	case e.Share != 0:
 		return fmt.Sprintf("%s: %.2f of what they were", e.What, e.Share)
 	case e.Ails != nil && !e.Ended:
@@ -324,9 +324,9 @@
 	return g.rewrite(Happened{What: "amounts", Share: share})
 }
 
-// Keepers implements live.Fleet.
-func (g *rig) Keepers(names []string) (int, error) {
-	g.says.Keepers = names
+// Voters implements live.Fleet.
+func (g *rig) Voters(names []string) (int, error) {
+	g.says.Voters = names
 	g.says.Edition++
 	return g.rewrite(Happened{What: "keepers", To: names})
 }
--- a/internal/lab/fleet/rounds.go
+++ b/internal/lab/fleet/rounds.go
@@ -41,7 +41,7 @@
 	return s
 }
 
-// roundsDrama kills one process after the other, the keepers among them, while the round goes on.
+// roundsDrama kills one process after the other, the voters among them, while the round goes on.
 func roundsDrama(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	if nodes < 4 || length < 25*time.Second {
 		return nil, fmt.Errorf("%d nodes and %v: at least 4 and 25s are wanted", nodes, length)
@@ -57,8 +57,8 @@
 
 // RoundsSubject is operators' work over many nodes.
 func RoundsSubject() Subject {
-	return Subject{"rounds", roundsDrama, drawnIn(roundsWorld, Draw), roundsWorld, []Case{upgradesCase(), keepersCase()},
-		func(s Says) string { return "\n[operators]\n" + s.keepers() },
+	return Subject{"rounds", roundsDrama, drawnIn(roundsWorld, Draw), roundsWorld, []Case{upgradesCase(), votersCase()},
+		func(s Says) string { return "\n[operators]\n" + s.voters() },
 		func(s *fault.Script, a *Account) Outcome { return JudgeRounds(s, a) }, nil, operate}
 }
 
--- a/internal/lab/fleet/takeover.go
+++ b/internal/lab/fleet/takeover.go
@@ -88,9 +88,9 @@
 		if !keep {
 			return ""
 		}
-		return fmt.Sprintf("\n[work]\nclasses = [%q]\n%swindow = %q\n", workClass, s.keepers(), workWindow)
+		return fmt.Sprintf("\n[work]\nclasses = [%q]\n%swindow = %q\n", workClass, s.voters(), workWindow)
 	}
-	return Subject{"takeover", takeoverDrama, takeoverDraw, takeoverWorld, []Case{keepersCase(), upgradesCase(), stepsCase()}, more,
+	return Subject{"takeover", takeoverDrama, takeoverDraw, takeoverWorld, []Case{votersCase(), upgradesCase(), stepsCase()}, more,
 		func(_ *fault.Script, a *Account) Outcome { return JudgeTakeover(a, keep && again) },
 		func(ctx context.Context, nodes map[string]string, s *fault.Script) []Asked {
 			return (&crowd{nodes: nodes, again: again, script: s}).ask(ctx)
--- a/internal/lab/live/fleet.go
+++ b/internal/lab/live/fleet.go
@@ -22,8 +22,8 @@
 	// Amounts writes a share of the amounts into all fleet files, also those of processes to come, and returns how often
 	// that was done. It is 0 until it is done.
 	Amounts(share float64) (int, error)
-	// Keepers writes other keepers into them, likewise.
-	Keepers(names []string) (int, error)
+	// Voters writes other voters into them, likewise.
+	Voters(names []string) (int, error)
 	// Clock sets the wall clock of a node's next processes wrong.
 	Clock(node string, by time.Duration)
 	// Arm has a node's process wait at its next such step. Met reports whether it does, GoOn lets it.
@@ -87,8 +87,8 @@
 	c.rewritten(times, err)
 }
 
-func (c company) Keepers(names []string) {
-	times, err := c.r.options.Fleet.Keepers(names)
+func (c company) Voters(names []string) {
+	times, err := c.r.options.Fleet.Voters(names)
 	c.rewritten(times, err)
 }
 
