--- a/cmd/olivefleet/fleet.go
+++ b/cmd/olivefleet/fleet.go
@@ -87,7 +87,7 @@
 		Dial: func(name string, channel byte, timeout time.Duration) (net.Conn, error) {
 			return f.Service.Dial(name, channel, timeout)
 		}})
-	f.around(m, func(l member.Life) { f.rounds.Up(l.String()) }, f.rounds.Down)
+	f.around(m, func(i member.Incarnation) { f.rounds.Up(i.String()) }, f.rounds.Down)
 	f.serve(m, rounds.VotersChannel, f.rounds.ServeVoters)
 	f.serve(m, rounds.RoundsChannel, f.rounds.ServeRounds)
 }
@@ -124,17 +124,17 @@
 			return known && who.State.Here()
 		}})
 	m.Hear = func(word []byte) { f.signals.Hear(word) }
-	f.around(m, func(l member.Life) { f.signals.Up(l.String()) }, f.signals.Down)
+	f.around(m, func(i member.Incarnation) { f.signals.Up(i.String()) }, f.signals.Down)
 }
 
 // around has one more part of the node's begin and end with its place.
-func (f *company) around(m *member.Config, begin func(member.Life), end func()) {
+func (f *company) around(m *member.Config, begin func(member.Incarnation), end func()) {
 	up, down := m.Up, m.Down
-	m.Up = func(l member.Life) {
+	m.Up = func(i member.Incarnation) {
 		if up != nil {
-			up(l)
+			up(i)
 		}
-		begin(l)
+		begin(i)
 	}
 	m.Down = func() {
 		if down != nil {
@@ -172,7 +172,7 @@
 		f.places[tenant] = i
 	}
 	f.budgets = budget.New(b)
-	m.Up = func(l member.Life) { f.budgets.Up(l.Home, l.Number) }
+	m.Up = func(i member.Incarnation) { f.budgets.Up(i.Home, i.Number) }
 	m.Down = f.budgets.Down
 	f.serve(m, budget.VotersChannel, f.budgets.ServeVoters)
 	f.serve(m, budget.BookChannel, f.budgets.ServeBook)
--- a/cmd/olivefleet/keep.go
+++ b/cmd/olivefleet/keep.go
@@ -41,7 +41,7 @@
 			return f.Service.Dial(name, channel, timeout)
 		},
 		Next: func(ctx context.Context, after uint64) (*member.View, error) { return f.Service.Next(ctx, after) }})
-	f.around(m, func(l member.Life) { k.work.Up(l.Home, l.Number) }, k.work.Down)
+	f.around(m, func(i member.Incarnation) { k.work.Up(i.Home, i.Number) }, k.work.Down)
 	f.serve(m, work.VotersChannel, k.work.ServeVoters)
 	f.serve(m, work.WorkChannel, k.work.ServeWork)
 	return k, nil
--- a/internal/fleet/budget/budget_test.go
+++ b/internal/fleet/budget/budget_test.go
@@ -90,19 +90,19 @@
 // world plays leaders and holders on a clock of its own: asks and answers are late, lost and doubled, leaders change,
 // holders stand still, die and come back.
 type sim struct {
-	t       *rapid.T
-	terms   Terms
-	wholes  []Whole
-	now     time.Duration
-	leader  *Leader
-	term    uint64
-	holders []*Holder
-	lives   []int
-	asks    []Ask
-	answers []late
-	ghosts  []ghost
-	since   map[*Holder][]time.Duration
-	through map[uint64][]passed // of the budget that is for each of some things
+	t            *rapid.T
+	terms        Terms
+	wholes       []Whole
+	now          time.Duration
+	leader       *Leader
+	term         uint64
+	holders      []*Holder
+	incarnations []int
+	asks         []Ask
+	answers      []late
+	ghosts       []ghost
+	since        map[*Holder][]time.Duration
+	through      map[uint64][]passed // of the budget that is for each of some things
 }
 
 // each is the place of that budget.
@@ -129,9 +129,9 @@
 }
 
 type late struct {
-	to     int
-	life   int
-	answer Answer
+	to          int
+	incarnation int
+	answer      Answer
 }
 
 // slots is the place of the budget of the kind InUse.
@@ -175,8 +175,8 @@
 }
 
 func (s *sim) begin(i int) {
-	s.lives[i]++
-	s.holders[i] = NewHolder(s.terms, s.wholes, fmt.Sprint("n", i), fmt.Sprint(s.lives[i]), s.now)
+	s.incarnations[i]++
+	s.holders[i] = NewHolder(s.terms, s.wholes, fmt.Sprint("n", i), fmt.Sprint(s.incarnations[i]), s.now)
 	s.holders[i].Seat(s.holders[i].Reserves())
 }
 
@@ -231,15 +231,15 @@
 				s.asks = slices.Delete(s.asks, k, k+1)
 			}
 			to := int(a.Holder[1] - '0')
-			var life int
-			fmt.Sscan(a.Life, &life)
-			s.answers = append(s.answers, late{to, life, s.leader.Ask(s.now, a)})
+			var incarnation int
+			fmt.Sscan(a.Incarnation, &incarnation)
+			s.answers = append(s.answers, late{to, incarnation, s.leader.Ask(s.now, a)})
 		}
 	case 9, 10: // any answer does
 		if len(s.answers) > 0 {
 			k := rapid.IntRange(0, len(s.answers)-1).Draw(t, "answer")
 			l := s.answers[k]
-			if s.holders[l.to] != nil && s.lives[l.to] == l.life {
+			if s.holders[l.to] != nil && s.incarnations[l.to] == l.incarnation {
 				s.holders[l.to].Take(s.now, l.answer)
 			}
 			if rapid.Bool().Draw(t, "once") {
@@ -252,7 +252,7 @@
 // The parts that can be used at one time never add up to more than the whole.
 func TestSumHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &sim{t: t, terms: Terms{Lease: 2 * second, Reserve: 0.1, Seats: 4}, lives: make([]int, 4), holders: make([]*Holder, 4), since: map[*Holder][]time.Duration{},
+		s := &sim{t: t, terms: Terms{Lease: 2 * second, Reserve: 0.1, Seats: 4}, incarnations: make([]int, 4), holders: make([]*Holder, 4), since: map[*Holder][]time.Duration{},
 			wholes: []Whole{{Name: "a", Kind: Rate, Amount: 100, Burst: 20}, {Name: "none", Kind: Rate, Burst: 5},
 				{Name: "slots", Kind: InUse, Amount: 3, Hold: second}, {Name: "cold", Kind: Rate, Amount: 20, Burst: 8}},
 			through: map[uint64][]passed{}}
@@ -397,10 +397,10 @@
 		wholes := []Whole{{Name: "c", Kind: Count, Amount: whole, Period: period}}
 		wall := time.Unix(0, 0)
 		passed := map[int64]int{}
-		holders, lives := make([]*Holder, 3), 0
+		holders, incarnations := make([]*Holder, 3), 0
 		begin := func(i int) {
-			lives++
-			holders[i] = NewHolder(Terms{Lease: 2 * second}, wholes, fmt.Sprint("n", i), fmt.Sprint(lives), 0)
+			incarnations++
+			holders[i] = NewHolder(Terms{Lease: 2 * second}, wholes, fmt.Sprint("n", i), fmt.Sprint(incarnations), 0)
 		}
 		var asks []Ask
 		now := time.Duration(0)
@@ -430,10 +430,10 @@
 				a := asks[rapid.IntRange(0, len(asks)-1).Draw(t, "ask")]
 				out := map[string]CountGrant{}
 				if ask, ok := a.Counts["c"]; ok {
-					out["c"] = l.Counts.spend(countCommand{"c", whole, a.Holder + " " + a.Life, a.Number, ask})
+					out["c"] = l.Counts.spend(countCommand{"c", whole, a.Holder + " " + a.Incarnation, a.Number, ask})
 				}
 				for _, h := range holders {
-					if h.name == a.Holder && h.life == a.Life {
+					if h.name == a.Holder && h.incarnation == a.Incarnation {
 						h.Take(now, Answer{Number: a.Number, Counts: out})
 					}
 				}
--- a/internal/fleet/budget/count.go
+++ b/internal/fleet/budget/count.go
@@ -107,7 +107,7 @@
 type countCommand struct {
 	Budget string   `json:"budget"`
 	Whole  int64    `json:"whole"`
-	Holder string   `json:"holder"` // name and life
+	Holder string   `json:"holder"` // name and incarnation
 	Number uint64   `json:"number"` // of its ask
 	Ask    CountAsk `json:"ask"`
 }
--- a/internal/fleet/budget/holder.go
+++ b/internal/fleet/budget/holder.go
@@ -8,13 +8,13 @@
 
 // Holder is what one process holds of all budgets, and what it lets through.
 type Holder struct {
-	terms   Terms
-	name    string
-	life    string
-	number  uint64
-	asked   map[uint64]time.Duration // when each ask that is not answered was made
-	parts   []*part
-	planted func(string) bool
+	terms       Terms
+	name        string
+	incarnation string
+	number      uint64
+	asked       map[uint64]time.Duration // when each ask that is not answered was made
+	parts       []*part
+	planted     func(string) bool
 }
 
 // part is what it holds of one budget.
@@ -38,8 +38,8 @@
 }
 
 // NewHolder makes a process's holder, which holds nothing.
-func NewHolder(terms Terms, wholes []Whole, name, life string, now time.Duration) *Holder {
-	h := &Holder{terms: terms, name: name, life: life, asked: map[uint64]time.Duration{}, planted: plant.Planted}
+func NewHolder(terms Terms, wholes []Whole, name, incarnation string, now time.Duration) *Holder {
+	h := &Holder{terms: terms, name: name, incarnation: incarnation, asked: map[uint64]time.Duration{}, planted: plant.Planted}
 	for _, w := range wholes {
 		p := &part{whole: w, from: now}
 		p.bucket.Set(now, 0, 0)
@@ -158,7 +158,7 @@
 	}
 }
 
-// Seat gives the process its parts of the reserve, for its life: what the ledger has of it, and of what its wholes have by
+// Seat gives the process its parts of the reserve, for its incarnation: what the ledger has of it, and of what its wholes have by
 // now no more than that. It returns what the ledger should have.
 func (h *Holder) Seat(kept map[string]float64) map[string]float64 {
 	now := h.Reserves()
@@ -197,7 +197,7 @@
 			delete(h.asked, n)
 		}
 	}
-	a := Ask{Holder: h.name, Life: h.life, Number: h.number, Want: map[string]float64{}, Have: map[string]uint64{}}
+	a := Ask{Holder: h.name, Incarnation: h.incarnation, Number: h.number, Want: map[string]float64{}, Have: map[string]uint64{}}
 	for _, p := range h.parts {
 		p.count(now)
 		a.Want[p.whole.Name] = p.want * headroom
--- a/internal/fleet/budget/leader.go
+++ b/internal/fleet/budget/leader.go
@@ -41,14 +41,14 @@
 
 // Ask is what a holder asks the leader for.
 type Ask struct {
-	Counts map[string]CountAsk `json:"counts,omitempty"`
-	Holder string              `json:"holder"`
-	Life   string              `json:"life"` // of its process: parts of an earlier life are not its own
-	Number uint64              `json:"number"`
-	Want   map[string]float64  `json:"want,omitempty"`  // units a second, by budget
-	Have   map[string]uint64   `json:"have,omitempty"`  // the grant that it uses now, and no earlier one
-	Over   bool                `json:"over,omitempty"`  // it lets nothing through any more, and asks for nothing
-	Using  map[string]int      `json:"using,omitempty"` // with Over: what it let through and is in use still
+	Counts      map[string]CountAsk `json:"counts,omitempty"`
+	Holder      string              `json:"holder"`
+	Incarnation string              `json:"life"` // of its process: parts of an earlier incarnation are not its own
+	Number      uint64              `json:"number"`
+	Want        map[string]float64  `json:"want,omitempty"`  // units a second, by budget
+	Have        map[string]uint64   `json:"have,omitempty"`  // the grant that it uses now, and no earlier one
+	Over        bool                `json:"over,omitempty"`  // it lets nothing through any more, and asks for nothing
+	Using       map[string]int      `json:"using,omitempty"` // with Over: what it let through and is in use still
 	// Periods are those that counts are in, by the holder's wall clock.
 	Periods map[string]int64 `json:"periods,omitempty"`
 }
@@ -77,7 +77,7 @@
 	term    uint64
 	opens   time.Duration // when it begins to lend; what is held longer, by so much later
 	number  uint64
-	holders map[string]*holding // by name and life
+	holders map[string]*holding // by name and incarnation
 	back    map[string]float64  // see HoldBack
 	named   map[string]naming   // by name
 	planted func(string) bool
@@ -85,12 +85,12 @@
 
 // holding is what a holder has, by budget.
 type holding struct {
-	name, life string
-	heard      time.Duration
-	over       bool
-	want       map[string]float64
-	target     map[string]float64
-	lent       map[string][]lent
+	name, incarnation string
+	heard             time.Duration
+	over              bool
+	want              map[string]float64
+	target            map[string]float64
+	lent              map[string][]lent
 }
 
 // naming is which periods a holder named last.
@@ -146,13 +146,13 @@
 func (k *Leader) Ask(now time.Duration, a Ask) Answer {
 	k.end(now)
 	k.named[a.Holder] = naming{now, a.Periods}
-	key := a.Holder + " " + a.Life
+	key := a.Holder + " " + a.Incarnation
 	if k.planted("incarnation-forgotten") {
 		key = a.Holder
 	}
 	h := k.holders[key]
 	if h == nil {
-		h = &holding{name: a.Holder, life: a.Life, target: map[string]float64{}, lent: map[string][]lent{}}
+		h = &holding{name: a.Holder, incarnation: a.Incarnation, target: map[string]float64{}, lent: map[string][]lent{}}
 		k.holders[key] = h
 	}
 	h.heard, h.want = now, a.Want
@@ -212,10 +212,10 @@
 		if o.over || now-o.heard > k.terms.Lease || k.later(o) {
 			continue
 		}
-		asks = append(asks, Demand{Holder: o.name + " " + o.life, Want: o.want[w.Name], Holds: o.target[w.Name]})
+		asks = append(asks, Demand{Holder: o.name + " " + o.incarnation, Want: o.want[w.Name], Holds: o.target[w.Name]})
 	}
 	slices.SortFunc(asks, func(a, b Demand) int { return strings.Compare(a.Holder, b.Holder) })
-	target := Divide(amount, asks)[h.name+" "+h.life]
+	target := Divide(amount, asks)[h.name+" "+h.incarnation]
 	h.target[w.Name] = target
 	k.number++
 	g := Grant{k.term<<32 | k.number, min(target, max(free, 0))}
@@ -246,10 +246,10 @@
 	return 0, false
 }
 
-// later reports whether a holder has begun a later life, which asks for itself.
+// later reports whether a holder has begun a later incarnation, which asks for itself.
 func (k *Leader) later(h *holding) bool {
 	for _, o := range k.holders {
-		if o.name == h.name && o.life != h.life && o.heard > h.heard {
+		if o.name == h.name && o.incarnation != h.incarnation && o.heard > h.heard {
 			return true
 		}
 	}
@@ -298,19 +298,19 @@
 
 // Share is one holder's part, for people.
 type Share struct {
-	Holder string
-	Life   string
-	Want   float64
-	Target float64
-	Held   float64
+	Holder      string
+	Incarnation string
+	Want        float64
+	Target      float64
+	Held        float64
 }
 
 // Shares tell who has what of a budget.
 func (k *Leader) Shares(now time.Duration, name string) (all []Share) {
 	k.end(now)
 	for _, h := range k.holders {
-		all = append(all, Share{h.name, h.life, h.want[name], h.target[name], h.held(name)})
+		all = append(all, Share{h.name, h.incarnation, h.want[name], h.target[name], h.held(name)})
 	}
-	slices.SortFunc(all, func(a, b Share) int { return strings.Compare(a.Holder+a.Life, b.Holder+b.Life) })
+	slices.SortFunc(all, func(a, b Share) int { return strings.Compare(a.Holder+a.Incarnation, b.Holder+b.Incarnation) })
 	return all
 }
--- a/internal/fleet/budget/period_test.go
+++ b/internal/fleet/budget/period_test.go
@@ -33,7 +33,7 @@
 		var now time.Duration
 		for i, n := range c.named {
 			now = max(now, n.at)
-			k.Ask(n.at, Ask{Holder: n.who, Life: "1", Number: uint64(i + 1), Periods: map[string]int64{"x": n.period}})
+			k.Ask(n.at, Ask{Holder: n.who, Incarnation: "1", Number: uint64(i + 1), Periods: map[string]int64{"x": n.period}})
 		}
 		if got, some := k.Period(now, "x", voters); some != (c.want != 0) || got != c.want {
 			t.Errorf("%s: %d, %v", c.what, got, some)
--- a/internal/fleet/budget/service.go
+++ b/internal/fleet/budget/service.go
@@ -98,12 +98,12 @@
 
 func (s *Service) now() time.Duration { return time.Since(s.start) }
 
-// Up begins to hold, for a process that has got the node's place, in a life of its home's.
-func (s *Service) Up(home string, life uint64) {
+// Up begins to hold, for a process that has got the node's place, in an incarnation of its home's.
+func (s *Service) Up(home string, incarnation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.home = home
-	s.holder = NewHolder(s.c.Terms, s.c.Wholes, s.c.Name, fmt.Sprintf("%s/%d", home, life), s.now())
+	s.holder = NewHolder(s.c.Terms, s.c.Wholes, s.c.Name, fmt.Sprintf("%s/%d", home, incarnation), s.now())
 	kept := s.readSeat(home)
 	s.seat = kept.Seat
 	s.holder.Seat(kept.Kept)
@@ -270,10 +270,10 @@
 
 // Lent is a grant in the record of the leader.
 type Lent struct {
-	Holder string `json:"holder"`
-	Life   string `json:"life"`
-	Grant  uint64 `json:"grant"`
-	Until  int64  `json:"until"` // when it counts it as ended, as record.Line has it
+	Holder      string `json:"holder"`
+	Incarnation string `json:"life"`
+	Grant       uint64 `json:"grant"`
+	Until       int64  `json:"until"` // when it counts it as ended, as record.Line has it
 }
 
 // tellLent records what was lent.
@@ -283,7 +283,7 @@
 	}
 	for _, w := range s.wholes() {
 		if g, ok := out.Grants[w.Name]; ok {
-			s.c.Record.Write("lends", Lent{a.Holder, a.Life, g.Number, int64(record.Now() + s.c.Terms.counted() + w.Hold)})
+			s.c.Record.Write("lends", Lent{a.Holder, a.Incarnation, g.Number, int64(record.Now() + s.c.Terms.counted() + w.Hold)})
 		}
 	}
 }
@@ -296,7 +296,7 @@
 		if w.Kind != Count || !asks || !s.inPeriod(w, ask.Period) {
 			continue
 		}
-		g, err := b.count(countCommand{w.Name, int64(w.Amount), a.Holder + " " + a.Life, a.Number, ask})
+		g, err := b.count(countCommand{w.Name, int64(w.Amount), a.Holder + " " + a.Incarnation, a.Number, ask})
 		if err == nil {
 			out[w.Name] = g
 		}
--- a/internal/fleet/member/decide.go
+++ b/internal/fleet/member/decide.go
@@ -22,8 +22,9 @@
 	// library needs to confirm one in the largest fleet.
 	doubt = 15 * time.Second
 	// hold is for how long an end is doubted that does not fit what is known: of a member that was heard just now, or of
-	// which there was no suspicion. One that was cut off has given all others up, and tells them so when it is back. Who starts again meets news of its
-	// last life, which the library takes for news of this one until it is answered: within two of its gossip intervals.
+	// which there was no suspicion. One that was cut off has given all others up, and tells them so when it is back. Who
+	// starts again meets news of its last incarnation, which the library takes for news of this one until it is answered:
+	// within two of its gossip intervals.
 	hold = 1200 * time.Millisecond
 )
 
@@ -41,13 +42,13 @@
 
 // Event is one thing heard of a member.
 type Event struct {
-	Kind    Kind
-	Name    string
-	Zone    string
-	Addr    string
-	Life    Life // of what is not Heard it may be missing: then it is of whatever life is known
-	Leaving bool
-	Elder   bool
+	Kind        Kind
+	Name        string
+	Zone        string
+	Addr        string
+	Incarnation Incarnation // of what is not Heard it may be missing: then it is of whatever incarnation is known
+	Leaving     bool
+	Elder       bool
 	// Fresh says of an end that the member itself was heard just before, by this process.
 	Fresh bool
 }
@@ -65,7 +66,7 @@
 	number  uint64
 	members map[string]*Member
 	refused int // members that found the view full
-	older   int // events of lives that are over
+	older   int // events of incarnations that are over
 	doubts  map[string]doubted
 	view    *View
 	planted func(string) bool // see package plant
@@ -83,10 +84,10 @@
 // View is the newest one.
 func (b *Book) View() *View { return b.view }
 
-// Refused counts members for which the view had no room, Older what was heard of lives that are over.
+// Refused counts members for which the view had no room, Older what was heard of incarnations that are over.
 func (b *Book) Refused() int { return b.refused }
 
-// Older counts what was heard of lives that are over.
+// Older counts what was heard of incarnations that are over.
 func (b *Book) Older() int { return b.older }
 
 func (b *Book) publish() {
@@ -121,12 +122,12 @@
 	return true
 }
 
-// over reports whether an event is of a life of which a later one is known.
+// over reports whether an event is of an incarnation of which a later one is known.
 func over(m *Member, e Event) bool {
-	if e.Kind != Heard && e.Life.Home != "" { // what is said of one life says nothing of another
-		return e.Life != m.Life
+	if e.Kind != Heard && e.Incarnation.Home != "" { // what is said of one incarnation says nothing of another
+		return e.Incarnation != m.Incarnation
 	}
-	return e.Life.Home != "" && e.Life.Home == m.Life.Home && e.Life.Number < m.Life.Number
+	return e.Incarnation.Home != "" && e.Incarnation.Home == m.Incarnation.Home && e.Incarnation.Number < m.Incarnation.Number
 }
 
 // believe changes a member by what was heard of it.
@@ -139,10 +140,10 @@
 		if e.Leaving {
 			state = Leaving
 		}
-		again := m.Life != e.Life
+		again := m.Incarnation != e.Incarnation
 		m.Zone, m.Addr, m.Elder = e.Zone, e.Addr, e.Elder
-		if m.Life.Home == "" || !b.planted("old-incarnation") {
-			m.Life = e.Life
+		if m.Incarnation.Home == "" || !b.planted("old-incarnation") {
+			m.Incarnation = e.Incarnation
 		}
 		if again {
 			m.Since = now
@@ -157,7 +158,7 @@
 		}
 	case Died:
 		state = b.end(m, now, Dead, !e.Fresh && m.State != Alive)
-	case Departed: // one that has not said that it would may have said so in its last life
+	case Departed: // one that has not said that it would may have said so in its last incarnation
 		state = b.end(m, now, Left, m.State == Leaving || !e.Fresh)
 	}
 	if m.Name == b.self && (!state.Here() || state == Suspect) {
@@ -231,11 +232,11 @@
 
 // Claim is what one process says of its right to a name.
 type Claim struct {
-	Life
+	Incarnation
 	Settled bool // it has held the name for a while with others, and nobody objected
 }
 
-// Prevails reports whether claim a keeps a name that b claims, too. Of one home the later life does: the other is a
+// Prevails reports whether claim a keeps a name that b claims, too. Of one home the later incarnation does: the other is a
 // process that the node has left behind. Of strangers one that is settled does, so that a newcomer with a mistaken name
 // pushes nobody out; else the lesser home, so that both come to one answer without a word more.
 func Prevails(a, b Claim) bool {
--- a/internal/fleet/member/decide_test.go
+++ b/internal/fleet/member/decide_test.go
@@ -12,16 +12,16 @@
 
 const s = time.Second
 
-func life(n uint64) Life { return Life{"aa", n} }
+func incarnation(n uint64) Incarnation { return Incarnation{"aa", n} }
 
 func heard(name string, n uint64) Event {
-	return Event{Kind: Heard, Name: name, Zone: "east", Addr: name + ":1", Life: life(n)}
+	return Event{Kind: Heard, Name: name, Zone: "east", Addr: name + ":1", Incarnation: incarnation(n)}
 }
 
 // play lets a book take in events a second apart, and returns what it says of n2.
 func play(t *testing.T, events ...Event) Member {
 	t.Helper()
-	b := NewBook(Member{Name: "n1", Life: life(1)}, 0)
+	b := NewBook(Member{Name: "n1", Incarnation: incarnation(1)}, 0)
 	for i, e := range events {
 		b.Apply(time.Duration(i+1)*s, e)
 		b.Tick(time.Duration(i+1)*s + s/2)
@@ -53,16 +53,16 @@
 		{"a silent leaver is no suspect", []Event{heard("n2", 1), leaving, suspected}, Leaving, 1},
 		{"it begins anew", []Event{heard("n2", 1), heard("n2", 2)}, Alive, 2},
 		{"it is back from death", []Event{heard("n2", 1), died, heard("n2", 2)}, Alive, 2},
-		{"its last life is heard late", []Event{heard("n2", 2), heard("n2", 1)}, Alive, 2},
-		{"its last life's death comes while it talks", []Event{heard("n2", 2), fresh(died), heard("n2", 2)}, Alive, 2},
+		{"its last incarnation is heard late", []Event{heard("n2", 2), heard("n2", 1)}, Alive, 2},
+		{"its last incarnation's death comes while it talks", []Event{heard("n2", 2), fresh(died), heard("n2", 2)}, Alive, 2},
 		{"its death comes out of the blue, and it answers", []Event{heard("n2", 2), died, heard("n2", 2)}, Alive, 2},
 		{"its death is told while it talks, and not answered", []Event{heard("n2", 2), fresh(died)}, Dead, 2},
 		{"its leave is told, which it has not said itself", []Event{heard("n2", 2), fresh(departed)}, Left, 2},
 		{"nobody knows it", []Event{died}, "", 0},
 		{"the dead do not leave", []Event{heard("n2", 1), suspected, died, departed}, Dead, 1},
 	} {
-		if m := play(t, c.events...); m.State != c.state || m.Life.Number != c.number {
-			t.Errorf("%s: %s in life %d", c.name, m.State, m.Life.Number)
+		if m := play(t, c.events...); m.State != c.state || m.Incarnation.Number != c.number {
+			t.Errorf("%s: %s in incarnation %d", c.name, m.State, m.Incarnation.Number)
 		}
 	}
 }
@@ -122,18 +122,18 @@
 }
 
 // Whatever is heard, in whatever order: views are numbered without a gap and never change, each name stands once, a
-// later life never gives way to an earlier one, and this process is in its own view.
+// later incarnation never gives way to an earlier one, and this process is in its own view.
 func TestBookHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBook(Member{Name: "n1"}, 0)
 		now := time.Duration(0)
-		lives := map[string]uint64{}
+		incarnations := map[string]uint64{}
 		for range rapid.IntRange(1, 80).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 30000).Draw(t, "ms")) * time.Millisecond
 			before := b.View()
 			text := fmt.Sprint(before.Members)
 			name := rapid.SampledFrom([]string{"n1", "n2", "n3"}).Draw(t, "who")
-			e := heard(name, uint64(rapid.IntRange(1, 4).Draw(t, "life")))
+			e := heard(name, uint64(rapid.IntRange(1, 4).Draw(t, "incarnation")))
 			e.Kind = Kind(rapid.IntRange(int(Heard), int(Departed)).Draw(t, "kind"))
 			e.Leaving, e.Fresh = rapid.Bool().Draw(t, "leaving"), rapid.Bool().Draw(t, "fresh")
 			changed := b.Apply(now, e)
@@ -151,14 +151,14 @@
 				if i > 0 && v.Members[i-1].Name == m.Name {
 					t.Fatalf("%s stands twice", m.Name)
 				}
-				if m.Life.Number < lives[m.Name] && m.State.Here() {
-					t.Fatalf("%s goes back to life %d from %d", m.Name, m.Life.Number, lives[m.Name])
+				if m.Incarnation.Number < incarnations[m.Name] && m.State.Here() {
+					t.Fatalf("%s goes back to incarnation %d from %d", m.Name, m.Incarnation.Number, incarnations[m.Name])
 				}
-				lives[m.Name] = m.Life.Number
+				incarnations[m.Name] = m.Incarnation.Number
 			}
-			for name := range lives {
+			for name := range incarnations {
 				if _, known := v.Of(name); !known {
-					delete(lives, name) // forgotten
+					delete(incarnations, name) // forgotten
 				}
 			}
 			if self, known := v.Of("n1"); !known || !self.State.Here() || self.State == Suspect {
@@ -172,15 +172,15 @@
 func TestOneClaimPrevails(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		claim := func(who string) Claim {
-			return Claim{Life{rapid.SampledFrom([]string{"aa", "bb"}).Draw(t, who+" home"),
-				uint64(rapid.IntRange(1, 3).Draw(t, who+" life"))}, rapid.Bool().Draw(t, who+" settled")}
+			return Claim{Incarnation{rapid.SampledFrom([]string{"aa", "bb"}).Draw(t, who+" home"),
+				uint64(rapid.IntRange(1, 3).Draw(t, who+" incarnation"))}, rapid.Bool().Draw(t, who+" settled")}
 		}
 		a, b := claim("a"), claim("b")
-		if a.Life != b.Life && Prevails(a, b) == Prevails(b, a) {
+		if a.Incarnation != b.Incarnation && Prevails(a, b) == Prevails(b, a) {
 			t.Fatalf("%v and %v: %v, %v", a, b, Prevails(a, b), Prevails(b, a))
 		}
 	})
-	if Prevails(Claim{Life{"aa", 9}, false}, Claim{Life{"bb", 1}, true}) {
+	if Prevails(Claim{Incarnation{"aa", 9}, false}, Claim{Incarnation{"bb", 1}, true}) {
 		t.Error("a newcomer pushes a settled member out")
 	}
 }
--- a/internal/fleet/member/home.go
+++ b/internal/fleet/member/home.go
@@ -11,7 +11,7 @@
 	"path/filepath"
 )
 
-// homeFile holds a node's Life in its directory.
+// homeFile holds a node's Incarnation in its directory.
 const homeFile = "life.json"
 
 // homeForm is the version of that file.
@@ -24,11 +24,11 @@
 	Number uint64 `json:"number"`
 }
 
-// enter begins a life in a directory: it counts one more start there, on disk before anybody hears of it. An empty
-// directory becomes a new home. Another node's is refused: two would take each other's lives for their own.
-func enter(dir, name string) (Life, error) {
+// enter begins an incarnation in a directory: it counts one more start there, on disk before anybody hears of it. An empty
+// directory becomes a new home. Another node's is refused: two would take each other's incarnations for their own.
+func enter(dir, name string) (Incarnation, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return Life{}, fmt.Errorf("directory: %w", err)
+		return Incarnation{}, fmt.Errorf("directory: %w", err)
 	}
 	path := filepath.Join(dir, homeFile)
 	var h homeJSON
@@ -39,23 +39,23 @@
 		rand.Read(id) // which never fails
 		h = homeJSON{Form: homeForm, Name: name, Home: hex.EncodeToString(id)}
 	case err != nil:
-		return Life{}, fmt.Errorf("directory: %w", err)
+		return Incarnation{}, fmt.Errorf("directory: %w", err)
 	default:
 		if err := json.Unmarshal(data, &h); err != nil || h.Home == "" {
-			return Life{}, fmt.Errorf("directory: %s cannot be read as the life of a node; move it away to begin anew", path)
+			return Incarnation{}, fmt.Errorf("directory: %s cannot be read as the incarnation of a node; move it away to begin anew", path)
 		}
 		if h.Form != homeForm {
-			return Life{}, fmt.Errorf("directory: %s has form %d, this program knows %d", path, h.Form, homeForm)
+			return Incarnation{}, fmt.Errorf("directory: %s has form %d, this program knows %d", path, h.Form, homeForm)
 		}
 		if h.Name != name {
-			return Life{}, fmt.Errorf("directory: %s is of node %q, this one is %q", path, h.Name, name)
+			return Incarnation{}, fmt.Errorf("directory: %s is of node %q, this one is %q", path, h.Name, name)
 		}
 	}
 	h.Number++
 	if err := writeWhole(path, h); err != nil {
-		return Life{}, fmt.Errorf("directory: %w", err)
+		return Incarnation{}, fmt.Errorf("directory: %w", err)
 	}
-	return Life{h.Home, h.Number}, nil
+	return Incarnation{h.Home, h.Number}, nil
 }
 
 // writeWhole writes a file so that whoever reads it later finds all of the old or all of the new, after a loss of power
--- a/internal/fleet/member/inquire.go
+++ b/internal/fleet/member/inquire.go
@@ -117,10 +117,10 @@
 		q.lost[name] = now
 		q.mu.Unlock()
 		q.p.s.count.called.Add(1)
-		m, _ := before.Of(name) // in another life it is not the one that was called
-		q.p.s.apply(Event{Kind: Suspected, Name: name, Life: m.Life})
-		q.p.s.apply(Event{Kind: Died, Name: name, Life: m.Life})
-		q.p.giveUp(name, m.Life)
+		m, _ := before.Of(name) // in another incarnation it is not the one that was called
+		q.p.s.apply(Event{Kind: Suspected, Name: name, Incarnation: m.Incarnation})
+		q.p.s.apply(Event{Kind: Died, Name: name, Incarnation: m.Incarnation})
+		q.p.giveUp(name, m.Incarnation)
 	}
 }
 
--- a/internal/fleet/member/place.go
+++ b/internal/fleet/member/place.go
@@ -55,13 +55,13 @@
 
 // place is the node's place in the fleet for as long as one process holds it.
 type place struct {
-	s     *Service
-	life  Life
-	list  *memberlist.Memberlist
-	t     *transport
-	stop  chan struct{}
-	once  sync.Once
-	tasks sync.WaitGroup
+	s           *Service
+	incarnation Incarnation
+	list        *memberlist.Memberlist
+	t           *transport
+	stop        chan struct{}
+	once        sync.Once
+	tasks       sync.WaitGroup
 
 	mu       sync.Mutex
 	settled  bool
@@ -70,11 +70,11 @@
 	gone     bool // it has told others that it has left
 	objected time.Time
 	ends     map[string]bool   // of members that others say are gone: whether they said so themselves
-	suspects map[string]uint32 // the incarnation that is suspected, as the library counts
-	// incarnations are the latest that were overheard, as the library counts.
-	incarnations map[string]uint32
+	suspects map[string]uint32 // the library's incarnation number that is suspected
+	// overheard are the library's latest incarnation numbers, as others tell of them.
+	overheard map[string]uint32
 
-	known   []string // addresses of members that were here before this life
+	known   []string // addresses of members that were here before this incarnation
 	joining atomic.Bool
 	deaf    bool // nobody was heard for long; the loop's
 	inquiry *inquiry
@@ -82,8 +82,8 @@
 	asked   map[string]time.Time            // when each missed address was looked for; the loop's
 }
 
-func newPlace(s *Service, t *transport, life Life, elder bool) (*place, error) {
-	p := &place{s: s, life: life, elder: elder, t: t, stop: make(chan struct{}), ends: map[string]bool{}, suspects: map[string]uint32{}, incarnations: map[string]uint32{},
+func newPlace(s *Service, t *transport, incarnation Incarnation, elder bool) (*place, error) {
+	p := &place{s: s, incarnation: incarnation, elder: elder, t: t, stop: make(chan struct{}), ends: map[string]bool{}, suspects: map[string]uint32{}, overheard: map[string]uint32{},
 		asked: map[string]time.Time{}, known: readKnown(s.c.Directory)}
 	t.overhear = p.overhear
 	p.inquiry = newInquiry(p)
@@ -120,23 +120,23 @@
 	return p, nil
 }
 
-// perLife is how many incarnations of the library's a life has room for: it uses one for each answer to a suspicion, from
-// the first on, and one for each to a call in which nobody reached it, from the middle on. What is left of its 32 bits is
-// enough for half a million lives.
-const perLife = 1 << 13
+// perIncarnation is how many of the library's own incarnation numbers one incarnation of a node has room for: the library uses
+// one for each answer to a suspicion, from the first on, and one for each to a call in which nobody reached it, from the middle
+// on. What is left of its 32 bits is enough for half a million starts.
+const perIncarnation = 1 << 13
 
-// outlive lets the library begin above all that its past lives may have used, of which others still tell: it goes beyond
-// whatever it hears of itself, and is told something before it has met anybody.
+// outlive lets the library begin above all that the node's past incarnations may have used, of which others still tell: it goes
+// beyond whatever it hears of itself, and is told something before it has met anybody.
 func (p *place) outlive() error {
-	return p.tellLibrary(suspectMessage, uint32(p.life.Number)*perLife, p.s.c.Name)
+	return p.tellLibrary(suspectMessage, uint32(p.incarnation.Number)*perIncarnation, p.s.c.Name)
 }
 
 // giveUp lets the library give a member up that nobody reached in a call: it tells others, also those that start later,
 // and the member itself, which contradicts if it lives after all. Without it three of fifty still told newcomers of the
 // dead after 22 s.
-func (p *place) giveUp(name string, l Life) {
+func (p *place) giveUp(name string, of Incarnation) {
 	p.mu.Lock()
-	inc := max(uint32(l.Number)*perLife+perLife/2, p.incarnations[name]+1)
+	inc := max(uint32(of.Number)*perIncarnation+perIncarnation/2, p.overheard[name]+1)
 	p.mu.Unlock()
 	if err := p.tellLibrary(deadMessage, inc, name); err != nil {
 		p.s.count.rejected.Add(1)
@@ -232,8 +232,8 @@
 	p.elder = p.elder && !over
 	p.mu.Unlock()
 	if over {
-		m := p.s.self(p.life)
-		p.s.apply(Event{Kind: Heard, Name: m.Name, Zone: m.Zone, Addr: m.Addr, Life: m.Life})
+		m := p.s.self(p.incarnation)
+		p.s.apply(Event{Kind: Heard, Name: m.Name, Zone: m.Zone, Addr: m.Addr, Incarnation: m.Incarnation})
 		p.tellSelf()
 	}
 	p.mu.Lock()
@@ -304,8 +304,8 @@
 	p.mu.Lock()
 	p.leaves = true
 	p.mu.Unlock()
-	m := p.s.self(p.life)
-	p.s.apply(Event{Kind: Heard, Name: m.Name, Zone: m.Zone, Addr: m.Addr, Life: m.Life, Leaving: true})
+	m := p.s.self(p.incarnation)
+	p.s.apply(Event{Kind: Heard, Name: m.Name, Zone: m.Zone, Addr: m.Addr, Incarnation: m.Incarnation, Leaving: true})
 	p.tellSelf()
 }
 
@@ -335,10 +335,10 @@
 		}
 		p.mu.Lock()
 		inc, suspected := p.suspects[r.Node]
-		if len(p.incarnations) > 2*MaxMembers { // names that nobody has any more
-			clear(p.incarnations)
+		if len(p.overheard) > 2*MaxMembers { // names that nobody has any more
+			clear(p.overheard)
 		}
-		p.incarnations[r.Node] = max(p.incarnations[r.Node], r.Incarnation)
+		p.overheard[r.Node] = max(p.overheard[r.Node], r.Incarnation)
 		kind := Kind(-1)
 		switch r.kind {
 		case suspectMessage:
@@ -365,7 +365,7 @@
 func (p *place) NodeMeta(int) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m := meta{Zone: p.s.c.Zone, Home: p.life.Home, Number: p.life.Number, Settled: p.settled, Leaving: p.leaves, Elder: p.elder}
+	m := meta{Zone: p.s.c.Zone, Home: p.incarnation.Home, Number: p.incarnation.Number, Settled: p.settled, Leaving: p.leaves, Elder: p.elder}
 	b, _ := json.Marshal(m) // plain words and numbers
 	return b
 }
@@ -440,7 +440,7 @@
 	delete(p.ends, n.Name)
 	delete(p.suspects, n.Name)
 	p.mu.Unlock()
-	p.s.apply(Event{Kind: Heard, Name: n.Name, Zone: m.Zone, Addr: address(n), Life: Life{m.Home, m.Number}, Leaving: m.Leaving,
+	p.s.apply(Event{Kind: Heard, Name: n.Name, Zone: m.Zone, Addr: address(n), Incarnation: Incarnation{m.Home, m.Number}, Leaving: m.Leaving,
 		Elder: m.Elder})
 }
 
@@ -477,7 +477,7 @@
 		return
 	}
 	p.mu.Lock()
-	ours := Claim{p.life, p.settled}
+	ours := Claim{p.incarnation, p.settled}
 	first := time.Since(p.objected) > settledAfter
 	p.objected = time.Now()
 	p.mu.Unlock()
@@ -485,9 +485,9 @@
 		p.s.stepBack(p, m.claim(), address(other))
 		return
 	}
-	if first && m.Home != p.life.Home {
+	if first && m.Home != p.incarnation.Home {
 		p.s.c.Log.Error("fleet member", "reason", "stranger", "member", other.Name, "addr", address(other),
-			"life", m.claim().Life.String())
+			"life", m.claim().Incarnation.String())
 		p.s.c.Record.Write("stranger", address(other))
 	}
 }
--- a/internal/fleet/member/rollcall_test.go
+++ b/internal/fleet/member/rollcall_test.go
@@ -47,22 +47,22 @@
 	}
 }
 
-// What was found of one life says nothing of the next, whatever directory that has.
-func TestAnotherLife(t *testing.T) {
+// What was found of one incarnation says nothing of the next, whatever directory that has.
+func TestAnotherIncarnation(t *testing.T) {
 	b := NewBook(Member{Name: "n1"}, 0)
 	b.Apply(s, heard("n2", 2))
 	next := heard("n2", 1)
-	next.Life.Home = "another"
+	next.Incarnation.Home = "another"
 	for _, e := range []Event{heard("n2", 3), next} {
-		before := heard("n2", 2).Life
-		if m, _ := b.View().Of("n2"); m.Life != before {
-			before = m.Life
+		before := heard("n2", 2).Incarnation
+		if m, _ := b.View().Of("n2"); m.Incarnation != before {
+			before = m.Incarnation
 		}
 		b.Apply(2*s, e)
-		b.Apply(2*s, Event{Kind: Suspected, Name: "n2", Life: before})
-		b.Apply(2*s, Event{Kind: Died, Name: "n2", Life: before})
-		if m, _ := b.View().Of("n2"); m.State != Alive || m.Life != e.Life {
-			t.Errorf("%s in %v", m.State, m.Life)
+		b.Apply(2*s, Event{Kind: Suspected, Name: "n2", Incarnation: before})
+		b.Apply(2*s, Event{Kind: Died, Name: "n2", Incarnation: before})
+		if m, _ := b.View().Of("n2"); m.State != Alive || m.Incarnation != e.Incarnation {
+			t.Errorf("%s in %v", m.State, m.Incarnation)
 		}
 	}
 }
@@ -105,14 +105,14 @@
 	back := one(t, "n5", dir+"/5", lost[3].c.Listen, at)
 	take(t, back)
 	await(t, left[0], "one is back", has("n5", Alive))
-	before := back.holds().life
+	before := back.holds().incarnation
 	left[0].holds().giveUp("n5", before)
 	left[0].apply(Event{Kind: Suspected, Name: "n5"})
 	left[0].apply(Event{Kind: Died, Name: "n5"})
 	await(t, left[1], "it contradicts, and others hear of it", has("n5", Alive))
 	v = await(t, left[0], "it contradicts", has("n5", Alive))
-	if m, _ := v.Of("n5"); m.Life != before {
-		t.Errorf("life %v, not %v", m.Life, before)
+	if m, _ := v.Of("n5"); m.Incarnation != before {
+		t.Errorf("incarnation %v, not %v", m.Incarnation, before)
 	}
 }
 
--- a/internal/fleet/member/service.go
+++ b/internal/fleet/member/service.go
@@ -34,8 +34,8 @@
 	Channels map[byte]func(c net.Conn, from string)
 	// Hear is given what others have told with Tell; it may be nil, and must not wait. The bytes are its own.
 	Hear func(word []byte)
-	// Up is called when this process has got the place, in a new life, and Down before it gives it up; both may be nil.
-	Up   func(Life)
+	// Up is called when this process has got the place, in a new incarnation, and Down before it gives it up; both may be nil.
+	Up   func(Incarnation)
 	Down func()
 }
 
@@ -73,12 +73,12 @@
 		c.Log = slog.New(slog.DiscardHandler)
 	}
 	s := &Service{c: c, start: time.Now(), why: "not yet taken", changed: make(chan struct{})}
-	s.book = NewBook(s.self(Life{}), 0)
+	s.book = NewBook(s.self(Incarnation{}), 0)
 	return s
 }
 
-func (s *Service) self(l Life) Member {
-	return Member{Name: s.c.Name, Zone: s.c.Zone, Addr: s.c.Advertise.String(), Life: l}
+func (s *Service) self(i Incarnation) Member {
+	return Member{Name: s.c.Name, Zone: s.c.Zone, Addr: s.c.Advertise.String(), Incarnation: i}
 }
 
 func (s *Service) now() time.Duration { return time.Since(s.start) }
@@ -151,7 +151,7 @@
 	return true
 }
 
-// take is called with ops held. A life begins with it, whoever held the place before.
+// take is called with ops held. An incarnation begins with it, whoever held the place before.
 func (s *Service) take() error {
 	t, err := openTransport(s.c, &s.traffic)
 	if err != nil {
@@ -160,19 +160,19 @@
 		}
 		return err
 	}
-	life, err := enter(s.c.Directory, s.c.Name)
+	incarnation, err := enter(s.c.Directory, s.c.Name)
 	if err != nil {
 		t.Shutdown()
 		return err
 	}
-	s.c.Record.Write("took", life)
+	s.c.Record.Write("took", incarnation)
 	s.c.Record.Write("wall", plant.Wall().UnixNano())
-	m := s.self(life)
+	m := s.self(incarnation)
 	s.mu.Lock()
 	elder := s.heir
 	s.mu.Unlock()
-	s.apply(Event{Kind: Heard, Name: m.Name, Zone: m.Zone, Addr: m.Addr, Life: life, Elder: elder})
-	p, err := newPlace(s, t, life, elder)
+	s.apply(Event{Kind: Heard, Name: m.Name, Zone: m.Zone, Addr: m.Addr, Incarnation: incarnation, Elder: elder})
+	p, err := newPlace(s, t, incarnation, elder)
 	if err != nil {
 		t.Shutdown()
 		return err
@@ -180,9 +180,9 @@
 	s.mu.Lock()
 	s.place, s.why = p, ""
 	s.mu.Unlock()
-	s.c.Log.Info("fleet place", "reason", "taken", "life", life.String(), "listen", s.c.Listen.String())
+	s.c.Log.Info("fleet place", "reason", "taken", "life", incarnation.String(), "listen", s.c.Listen.String())
 	if s.c.Up != nil {
-		s.c.Up(life)
+		s.c.Up(incarnation)
 	}
 	return nil
 }
@@ -313,9 +313,9 @@
 	s.place = nil
 	s.why = fmt.Sprintf("%s is used by another process, at %s, with the better claim", s.c.Name, addr)
 	s.count.steppedBack.Add(1)
-	if other.Home != p.life.Home && !s.over {
+	if other.Home != p.incarnation.Home && !s.over {
 		s.again(stepBackFor)
-	} // else the node's own later life has the name, for good
+	} // else the node's own later incarnation has the name, for good
 	s.mu.Unlock()
 	s.c.Log.Error("fleet place", "reason", "stepped-back", "why", s.why)
 	s.c.Record.Write("stepped-back", addr)
@@ -347,7 +347,7 @@
 		s.count.deaths.Add(1)
 	}
 	s.c.Log.Info("fleet member", "reason", reason(before, after), "member", after.Name, "zone", after.Zone,
-		"addr", after.Addr, "life", after.Life.String(), "view", s.book.View().Number)
+		"addr", after.Addr, "life", after.Incarnation.String(), "view", s.book.View().Number)
 	s.tell()
 }
 
@@ -356,7 +356,7 @@
 	switch {
 	case before.Name == "":
 		return "joined"
-	case before.Life != after.Life:
+	case before.Incarnation != after.Incarnation:
 		return "began-anew"
 	case before.State == after.State && before.Addr != after.Addr:
 		return "moved"
@@ -452,7 +452,7 @@
 // maxMeta bounds that.
 const maxMeta = 200
 
-func (m meta) claim() Claim { return Claim{Life{m.Home, m.Number}, m.Settled} }
+func (m meta) claim() Claim { return Claim{Incarnation{m.Home, m.Number}, m.Settled} }
 
 func readMeta(b []byte) (m meta, err error) {
 	if len(b) > maxMeta {
--- a/internal/fleet/member/service_test.go
+++ b/internal/fleet/member/service_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// Three find each other; one leaves, one dies: the third tells the two apart, and takes the dead one's next life.
+// Three find each other; one leaves, one dies: the third tells the two apart, and takes the dead one's next incarnation.
 func TestThree(t *testing.T) {
 	a, b, c := free(t), free(t), free(t)
 	dir := t.TempDir()
@@ -94,9 +94,9 @@
 	await(t, n1, "it is dead", has("n3", Dead))
 	again := one(t, "n3", dir+"/3", c, a)
 	take(t, again)
-	v := await(t, n1, "its next life", has("n3", Alive))
-	if m, _ := v.Of("n3"); m.Life.Number != 2 {
-		t.Errorf("life %v", m.Life)
+	v := await(t, n1, "its next incarnation", has("n3", Alive))
+	if m, _ := v.Of("n3"); m.Incarnation.Number != 2 {
+		t.Errorf("incarnation %v", m.Incarnation)
 	}
 	if said := n1.Status(); !strings.Contains(said, "n2 left") || !strings.Contains(n1.Counters(), "deaths=1 ") {
 		t.Errorf("%s; %s", said, n1.Counters())
@@ -119,12 +119,12 @@
 		t.Fatal(err)
 	}
 	elder.Yield()
-	v := await(t, n1, "its next life", func(v *View) bool {
+	v := await(t, n1, "its next incarnation", func(v *View) bool {
 		m, _ := v.Of("n2")
 		if len(v.Members) != 2 || !m.State.Here() {
 			t.Errorf("meanwhile %s", v)
 		}
-		return m.Life.Number == 2
+		return m.Incarnation.Number == 2
 	})
 	if said := elder.Status(); !strings.HasPrefix(said, "no place") {
 		t.Error(said)
@@ -150,8 +150,8 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	if m, _ := n1.View().Of("n2"); m.Life != first.Life || !m.State.Here() {
-		t.Errorf("the settled one is %s in %v", m.State, m.Life)
+	if m, _ := n1.View().Of("n2"); m.Incarnation != first.Incarnation || !m.State.Here() {
+		t.Errorf("the settled one is %s in %v", m.State, m.Incarnation)
 	}
 }
 
@@ -230,7 +230,7 @@
 		t.Error(l, err)
 	}
 	if n1 := one(t, "n1", full, free(t)); n1.Take(false) == nil {
-		t.Error("it takes the place without a life")
+		t.Error("it takes the place without an incarnation")
 	}
 }
 
@@ -252,7 +252,7 @@
 }
 
 func heardOfMember(i int) Event {
-	return Event{Kind: Heard, Name: fmt.Sprintf("m%d", i), Addr: "x", Life: Life{"aa", 1}}
+	return Event{Kind: Heard, Name: fmt.Sprintf("m%d", i), Addr: "x", Incarnation: Incarnation{"aa", 1}}
 }
 
 func FuzzPackets(f *testing.F) {
--- a/internal/fleet/member/view.go
+++ b/internal/fleet/member/view.go
@@ -1,5 +1,5 @@
 // Package member knows who is in the fleet. The work of finding out is done by a library of the SWIM family; what this
-// package adds is a view that others can stand on: immutable, numbered, with the lives of a node told apart, a planned
+// package adds is a view that others can stand on: immutable, numbered, with the incarnations of a node told apart, a planned
 // leave told from a death, and the two processes of an upgrade counted as one.
 //
 // view.go and decide.go are free of I/O, clock and goroutines: what they decide is replayed exactly.
@@ -27,23 +27,25 @@
 // Here reports whether a member in this state may still act.
 func (s State) Here() bool { return s == Alive || s == Suspect || s == Leaving }
 
-// Life is one life of a node: the directory that makes a node itself, and how many times it has started there. Lives of
-// one home are in order; those of two homes under one name are strangers.
-type Life struct {
+// Incarnation is one run of a node's program: the directory that makes a node itself, and how many times it has started
+// there. Incarnations of one home are in order; those of two homes under one name are strangers. Files, logs and messages call
+// it life.
+type Incarnation struct {
 	Home   string `json:"home"` // 16 hexadecimal digits, drawn once for a directory
 	Number uint64 `json:"number"`
 }
 
-func (l Life) String() string { return fmt.Sprintf("%s/%d", l.Home, l.Number) }
+func (i Incarnation) String() string { return fmt.Sprintf("%s/%d", i.Home, i.Number) }
 
 // Member is one node, as it is believed to be.
 type Member struct {
-	Name  string `json:"name"`
-	Zone  string `json:"zone,omitempty"`
-	Addr  string `json:"addr"`
-	Life  Life   `json:"life"`
-	State State  `json:"state"`
-	// Elder says that the process of the life before this one may still be ending what it had in hand, as in an upgrade.
+	Name        string      `json:"name"`
+	Zone        string      `json:"zone,omitempty"`
+	Addr        string      `json:"addr"`
+	Incarnation Incarnation `json:"life"`
+	State       State       `json:"state"`
+	// Elder says that the process of the incarnation before this one may still be ending what it had in hand, as in an
+	// upgrade.
 	Elder bool          `json:"elder,omitempty"`
 	Since time.Duration `json:"since"` // when the state began, by this process's clock of Book.Apply
 }
--- a/internal/fleet/rounds/ledger.go
+++ b/internal/fleet/rounds/ledger.go
@@ -315,17 +315,17 @@
 
 // Report is what a node said last.
 type Report struct {
-	Life    string
-	Version uint64         // of the ledger, that it goes by
-	Busy    map[string]int // tries that it has open at servers that are out
-	Age     time.Duration
+	Incarnation string
+	Version     uint64         // of the ledger, that it goes by
+	Busy        map[string]int // tries that it has open at servers that are out
+	Age         time.Duration
 }
 
 // Member is a node that may still act, as the leader believes.
 type Member struct {
-	Name  string
-	Life  string
-	Elder bool // another process of it may have something in hand, of which it does not know
+	Name        string
+	Incarnation string
+	Elder       bool // another process of it may have something in hand, of which it does not know
 }
 
 // reportFor is for how long a report counts.
@@ -347,7 +347,7 @@
 	}
 	for _, m := range members {
 		said, known := reports[m.Name]
-		if !known || said.Life != m.Life || said.Age > reportFor || late(said, m.Elder) {
+		if !known || said.Incarnation != m.Incarnation || said.Age > reportFor || late(said, m.Elder) {
 			waits = append(waits, m.Name)
 		}
 	}
--- a/internal/fleet/rounds/rounds_test.go
+++ b/internal/fleet/rounds/rounds_test.go
@@ -171,8 +171,8 @@
 func TestReady(t *testing.T) {
 	members := []Member{{"n1", "x/1", false}, {"n2", "y/1", false}}
 	r := func(s Step) Round { return Round{Servers: []string{"a"}, Step: s, Version: 5, Hold: time.Second} }
-	said := func(version uint64, busy int, life string, age time.Duration) map[string]Report {
-		return map[string]Report{"n1": {Life: "x/1", Version: 5}, "n2": {life, version, map[string]int{"a": busy}, age}}
+	said := func(version uint64, busy int, incarnation string, age time.Duration) map[string]Report {
+		return map[string]Report{"n1": {Incarnation: "x/1", Version: 5}, "n2": {incarnation, version, map[string]int{"a": busy}, age}}
 	}
 	for _, c := range []struct {
 		what    string
@@ -187,7 +187,7 @@
 		{"one has tries there", r(Leaves), members, said(6, 2, "y/1", 0), 0, []string{"n2"}},
 		{"one has not heard", r(Leaves), members, said(4, 0, "y/1", 0), 0, []string{"n2"}},
 		{"one is silent", r(Leaves), members, said(5, 0, "y/1", reportFor+1), 0, []string{"n2"}},
-		{"one was in another life", r(Leaves), members, said(5, 0, "y/0", 0), 0, []string{"n2"}},
+		{"one was in another incarnation", r(Leaves), members, said(5, 0, "y/0", 0), 0, []string{"n2"}},
 		{"one has an elder", r(Leaves), []Member{{"n1", "x/1", true}}, said(5, 0, "y/1", 0), 0, []string{"n1"}},
 		{"nobody has said anything", r(Leaves), members, nil, 0, []string{"n1", "n2"}},
 		{"one is dead", r(Leaves), members[:1], said(0, 1, "", reportFor+1), 0, nil},
@@ -220,7 +220,7 @@
 // A fleet of one: operators' calls, what they are told, and that what was out is out again after the next start.
 func TestService(t *testing.T) {
 	dir := t.TempDir()
-	view := &member.View{Self: "n1", Members: []member.Member{{Name: "n1", State: member.Alive, Life: member.Life{Home: "x", Number: 1}}}}
+	view := &member.View{Self: "n1", Members: []member.Member{{Name: "n1", State: member.Alive, Incarnation: member.Incarnation{Home: "x", Number: 1}}}}
 	config := Config{Name: "n1", Voters: agreed.Roster{Edition: 1, Names: []string{"n1"}}, Directory: dir, View: func() *member.View { return view }}
 	s, d := New(config), &desk{map[string]bool{"c": true}}
 	if _, err := s.Do([]string{"STATUS"}); err == nil || err.Error() != "the node is starting" {
--- a/internal/fleet/rounds/service.go
+++ b/internal/fleet/rounds/service.go
@@ -73,23 +73,23 @@
 	part  *agreed.Part // in keeping the log
 	count struct{ asks, lost, steps, applied atomic.Int64 }
 
-	mu      sync.Mutex
-	desk    Desk
-	life    string // "": this process has not the node's place
-	log     *agreed.Log
-	ledger  *ledger
-	stop    chan struct{}
-	reports map[string]report // at whoever leads
-	version uint64            // of the ledger, that this node goes by
-	out     []string          // that it keeps out by that
-	own     map[string]bool   // of them, those that were suspended at its own door before
-	rounds  []Round           // as it heard last
-	led     string            // who answered last
-	turn    int
-	seen    Move // the step that is being waited for, since when, and for whom
-	since   time.Time
-	waits   []string
-	tasks   sync.WaitGroup
+	mu          sync.Mutex
+	desk        Desk
+	incarnation string // "": this process has not the node's place
+	log         *agreed.Log
+	ledger      *ledger
+	stop        chan struct{}
+	reports     map[string]report // at whoever leads
+	version     uint64            // of the ledger, that this node goes by
+	out         []string          // that it keeps out by that
+	own         map[string]bool   // of them, those that were suspended at its own door before
+	rounds      []Round           // as it heard last
+	led         string            // who answered last
+	turn        int
+	seen        Move // the step that is being waited for, since when, and for whom
+	since       time.Time
+	waits       []string
+	tasks       sync.WaitGroup
 }
 
 type report struct {
@@ -183,10 +183,10 @@
 func (s *Service) file() string { return filepath.Join(s.c.Directory, "out.json") }
 
 // Up begins, for a process that has got the node's place.
-func (s *Service) Up(life string) {
+func (s *Service) Up(incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.life, s.stop = life, make(chan struct{})
+	s.incarnation, s.stop = incarnation, make(chan struct{})
 	stop := s.stop
 	s.tasks.Go(func() { s.follow(stop) })
 	s.tasks.Go(func() { s.drive(stop) })
@@ -197,7 +197,7 @@
 func (s *Service) Down() {
 	s.mu.Lock()
 	stop := s.stop
-	s.life, s.stop = "", nil
+	s.incarnation, s.stop = "", nil
 	s.mu.Unlock()
 	if stop != nil {
 		close(stop)
@@ -208,11 +208,11 @@
 
 // question and reply go over the stream to whoever leads.
 type question struct {
-	Life    string         `json:"life,omitempty"`
-	Version uint64         `json:"version"`
-	Busy    map[string]int `json:"busy,omitempty"`
-	Do      *command       `json:"do,omitempty"`   // an operator's call
-	Peek    bool           `json:"peek,omitempty"` // by a node that starts: any may answer
+	Incarnation string         `json:"life,omitempty"`
+	Version     uint64         `json:"version"`
+	Busy        map[string]int `json:"busy,omitempty"`
+	Do          *command       `json:"do,omitempty"`   // an operator's call
+	Peek        bool           `json:"peek,omitempty"` // by a node that starts: any may answer
 }
 
 type reply struct {
@@ -275,7 +275,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if q.Do == nil {
-		s.reports[from] = report{Report{Life: q.Life, Version: q.Version, Busy: q.Busy}, time.Now()}
+		s.reports[from] = report{Report{Incarnation: q.Incarnation, Version: q.Version, Busy: q.Busy}, time.Now()}
 	}
 	r.Waits = s.waits
 	return r
@@ -285,7 +285,7 @@
 func (s *Service) follow(stop chan struct{}) {
 	for {
 		s.mu.Lock()
-		q := question{Life: s.life, Version: s.version, Busy: map[string]int{}}
+		q := question{Incarnation: s.incarnation, Version: s.version, Busy: map[string]int{}}
 		out, desk := s.out, s.desk
 		s.mu.Unlock()
 		for _, server := range out {
@@ -468,7 +468,7 @@
 	v := s.c.View()
 	var members []Member
 	for _, m := range v.Here() {
-		members = append(members, Member{m.Name, m.Life.String(), m.Elder})
+		members = append(members, Member{m.Name, m.Incarnation.String(), m.Elder})
 	}
 	at := Move{r.ID, r.At, r.Step}
 	now := time.Now()
--- a/internal/fleet/signals/service.go
+++ b/internal/fleet/signals/service.go
@@ -37,16 +37,16 @@
 	start time.Time
 	count struct{ said, heard, stale, broken, doubts atomic.Int64 }
 
-	mu      sync.Mutex
-	book    *Book
-	life    string // "": this process has not the node's place, and says nothing
-	group   []Peer
-	doubted []uint64
-	changed func() // is told when doubts change; nil: nobody
-	poke    chan struct{}
-	news    atomic.Bool // there is something to say at once
-	stop    chan struct{}
-	tasks   sync.WaitGroup
+	mu          sync.Mutex
+	book        *Book
+	incarnation string // "": this process has not the node's place, and says nothing
+	group       []Peer
+	doubted     []uint64
+	changed     func() // is told when doubts change; nil: nobody
+	poke        chan struct{}
+	news        atomic.Bool // there is something to say at once
+	stop        chan struct{}
+	tasks       sync.WaitGroup
 }
 
 // New makes a service, which says nothing until Up.
@@ -57,10 +57,10 @@
 func (s *Service) now() time.Duration { return time.Since(s.start) + 1 } // 0 is never
 
 // Up begins, for a process that has got the node's place.
-func (s *Service) Up(life string) {
+func (s *Service) Up(incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.life, s.stop = life, make(chan struct{})
+	s.incarnation, s.stop = incarnation, make(chan struct{})
 	stop := s.stop
 	s.tasks.Go(func() { s.run(stop) })
 }
@@ -69,7 +69,7 @@
 func (s *Service) Down() {
 	s.mu.Lock()
 	stop := s.stop
-	s.life, s.stop = "", nil
+	s.incarnation, s.stop = "", nil
 	s.mu.Unlock()
 	if stop != nil {
 		close(stop)
@@ -160,7 +160,7 @@
 func (s *Service) say(spoke bool) bool {
 	s.mu.Lock()
 	s.book.Forget(s.c.Here)
-	w := s.book.Say(s.now(), s.life)
+	w := s.book.Say(s.now(), s.incarnation)
 	if (plant.Planted("liar") || plant.Planted("one-witness")) && strings.HasSuffix(s.c.Name, "1") {
 		w.Seen = nil
 		for _, p := range s.group[:len(s.group)/3] { // fewer than would not be believed
@@ -218,10 +218,10 @@
 
 // wire is a word as it is told: positions, no names, so that MostSaid peers fit into one packet of 1,400 bytes.
 type wire struct {
-	From   string
-	Life   string
-	Number uint64
-	Seen   []wireSeen
+	From        string
+	Incarnation string
+	Number      uint64
+	Seen        []wireSeen
 }
 
 type wireSeen struct {
@@ -239,7 +239,7 @@
 }
 
 func encode(w Word) (b []byte, err error) {
-	out := wire{From: w.From, Life: w.Life, Number: w.Number}
+	out := wire{From: w.From, Incarnation: w.Incarnation, Number: w.Number}
 	for _, s := range w.Seen {
 		out.Seen = append(out.Seen, wireSeen{ID: s.ID, Born: s.Born, Mark: uint8(s.Mark), Age: uint32(s.Age.Milliseconds())})
 	}
@@ -252,10 +252,10 @@
 	if err := codec.NewDecoderBytes(b, handle()).Decode(&in); err != nil {
 		return Word{}, fmt.Errorf("a word of peers: %w", err)
 	}
-	if in.From == "" || len(in.From) > 64 || len(in.Life) > 64 || len(in.Seen) > MostSaid {
+	if in.From == "" || len(in.From) > 64 || len(in.Incarnation) > 64 || len(in.Seen) > MostSaid {
 		return Word{}, fmt.Errorf("a word of peers: %d bytes of name, %d peers", len(in.From), len(in.Seen))
 	}
-	w := Word{From: in.From, Life: in.Life, Number: in.Number}
+	w := Word{From: in.From, Incarnation: in.Incarnation, Number: in.Number}
 	for _, s := range in.Seen {
 		if s.Mark > uint8(Good) {
 			return Word{}, fmt.Errorf("a word of peers: mark %d", s.Mark)
--- a/internal/fleet/signals/signals.go
+++ b/internal/fleet/signals/signals.go
@@ -67,10 +67,10 @@
 
 // Word is what one node says.
 type Word struct {
-	From   string
-	Life   string // of its process
-	Number uint64 // rises with each
-	Seen   []Seen
+	From        string
+	Incarnation string // of its process
+	Number      uint64 // rises with each
+	Seen        []Seen
 }
 
 // sight is the same with the time.
@@ -92,9 +92,9 @@
 
 // said is a node's last word.
 type said struct {
-	life   string
-	number uint64
-	of     map[uint64]sight
+	incarnation string
+	number      uint64
+	of          map[uint64]sight
 }
 
 // Result is how a try or a probe of this node's went.
@@ -149,9 +149,9 @@
 }
 
 // Say is this node's next word; nothing of it is old.
-func (b *Book) Say(now time.Duration, life string) Word {
+func (b *Book) Say(now time.Duration, incarnation string) Word {
 	b.number++
-	w := Word{From: b.self, Life: life, Number: b.number}
+	w := Word{From: b.self, Incarnation: incarnation, Number: b.number}
 	for id, m := range b.own {
 		switch {
 		case m.at > 0 && now-m.at <= fresh:
@@ -174,12 +174,12 @@
 	switch {
 	case w.From == b.self || len(w.Seen) > MostSaid:
 		return false
-	case last != nil && last.life == w.Life && last.number >= w.Number:
+	case last != nil && last.incarnation == w.Incarnation && last.number >= w.Number:
 		return false
 	case last == nil && len(b.others) >= mostNodes:
 		return false
 	}
-	one := &said{w.Life, w.Number, map[uint64]sight{}}
+	one := &said{w.Incarnation, w.Number, map[uint64]sight{}}
 	for _, s := range w.Seen {
 		one.of[s.ID] = sight{s.Born, s.Mark, now - max(s.Age, 0)}
 	}
--- a/internal/fleet/signals/signals_test.go
+++ b/internal/fleet/signals/signals_test.go
@@ -19,7 +19,7 @@
 }
 
 func word(from string, number uint64, seen ...Seen) Word {
-	return Word{From: from, Life: "a", Number: number, Seen: seen}
+	return Word{From: from, Incarnation: "a", Number: number, Seen: seen}
 }
 
 func of(id uint64, m Mark) Seen { return Seen{Peer: Peer{id, 7}, Mark: m} }
@@ -70,7 +70,7 @@
 			b.Hear(second, word("x", 1, Seen{Peer{1, 7}, Failed, fresh}))
 			b.Hear(second, word("y", 1, of(1, Failed)))
 		}, nil},
-		{"it is of the peer's last life", func(b *Book) {
+		{"it is of the peer's last incarnation", func(b *Book) {
 			b.Hear(second, word("x", 1, Seen{Peer{1, 6}, Failed, 0}))
 			b.Hear(second, word("y", 1, Seen{Peer{1, 6}, Failed, 0}))
 		}, nil},
@@ -130,7 +130,7 @@
 	}
 	b.Saw(fresh+second, Peer{3, 8}, Answered)
 	if w := b.Say(fresh+second, "a"); len(w.Seen) != 0 {
-		t.Errorf("of its last life: %+v", w.Seen)
+		t.Errorf("of its last incarnation: %+v", w.Seen)
 	}
 }
 
@@ -147,7 +147,7 @@
 			if rapid.Bool().Draw(t, "own") {
 				b.Saw(now, p, rapid.SampledFrom([]Result{Answered, Lost}).Draw(t, "result"))
 			} else {
-				w := Word{From: fmt.Sprint("n", rapid.IntRange(1, 5).Draw(t, "from")), Life: "a", Number: uint64(i + 1)}
+				w := Word{From: fmt.Sprint("n", rapid.IntRange(1, 5).Draw(t, "from")), Incarnation: "a", Number: uint64(i + 1)}
 				for _, q := range rapid.SliceOfNDistinct(rapid.SampledFrom(all), 0, 4, func(p Peer) uint64 { return p.ID }).Draw(t, "of") {
 					w.Seen = append(w.Seen, Seen{q, rapid.SampledFrom([]Mark{Failed, Missed, Good}).Draw(t, "mark"),
 						time.Duration(rapid.IntRange(0, 9000).Draw(t, "age")) * time.Millisecond})
@@ -184,7 +184,7 @@
 
 // A full word fits into a packet, and garbage is told.
 func TestWire(t *testing.T) {
-	w := Word{From: "a-name-of-some-length", Life: "0123456789abcdef/1234", Number: 1 << 40}
+	w := Word{From: "a-name-of-some-length", Incarnation: "0123456789abcdef/1234", Number: 1 << 40}
 	for i := range MostSaid {
 		w.Seen = append(w.Seen, Seen{Peer{1<<63 + uint64(i), 1764000000000000000 + int64(i)}, Failed, fresh})
 	}
--- a/internal/fleet/work/ledger.go
+++ b/internal/fleet/work/ledger.go
@@ -37,17 +37,20 @@
 	Long   bool                `json:"long,omitempty"` // the body was too long to be kept
 }
 
-// Owner is who may let a piece of work out: a node's life, and which of the calls in it. No two calls have the same.
+// Owner is who may let a piece of work out: a node's incarnation, and which of the calls in it. No two calls have the same.
 type Owner struct {
-	Name string `json:"name"`
-	Life string `json:"life"`
-	Call uint64 `json:"call"`
+	Name        string `json:"name"`
+	Incarnation string `json:"life"`
+	Call        uint64 `json:"call"`
 }
 
-func (o Owner) process() process { return process{o.Name, o.Life} }
+func (o Owner) process() process { return process{o.Name, o.Incarnation} }
 
-// process is one life of a node.
-type process struct{ Name, Life string }
+// process is one incarnation of a node. Its names in the log are those that earlier programs wrote.
+type process struct {
+	Name        string `json:"Name"`
+	Incarnation string `json:"Life"`
+}
 
 // piece is what the ledger has of a piece of work.
 type piece struct {
--- a/internal/fleet/work/service.go
+++ b/internal/fleet/work/service.go
@@ -75,23 +75,23 @@
 	pending atomic.Int64
 	count   counts
 
-	mu     sync.Mutex
-	life   string // "": this process has not the node's place
-	elder  string // the life in which it had it last, of whose work it may still say for a while what became of it
-	down   time.Time
-	up     time.Time
-	log    *agreed.Log // nil: this is no voter, or not yet
-	ledger *ledger
-	term   uint64
-	base   int64 // the ledger's clock at the beginning of the term
-	began  time.Time
-	view   *member.View
-	to     map[string]*stream // by voter
-	last   string             // that answered last
-	quiet  time.Time          // until then nobody is asked: nobody knew who keeps the work
-	turn   int
-	stop   context.CancelFunc
-	tasks  sync.WaitGroup
+	mu          sync.Mutex
+	incarnation string // "": this process has not the node's place
+	elder       string // the incarnation in which it had it last, of whose work it may still say for a while what became of it
+	down        time.Time
+	up          time.Time
+	log         *agreed.Log // nil: this is no voter, or not yet
+	ledger      *ledger
+	term        uint64
+	base        int64 // the ledger's clock at the beginning of the term
+	began       time.Time
+	view        *member.View
+	to          map[string]*stream // by voter
+	last        string             // that answered last
+	quiet       time.Time          // until then nobody is asked: nobody knew who keeps the work
+	turn        int
+	stop        context.CancelFunc
+	tasks       sync.WaitGroup
 
 	dialing sync.Mutex
 	failed  map[string]time.Time // when a voter was dialled last; of whoever holds dialing
@@ -114,11 +114,11 @@
 }
 
 // Up begins, for a process that has got the node's place.
-func (s *Service) Up(home string, life uint64) {
+func (s *Service) Up(home string, incarnation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ctx, stop := context.WithCancel(context.Background())
-	s.life, s.up, s.stop, s.view = fmt.Sprintf("%s/%d", home, life), time.Now(), stop, nil
+	s.incarnation, s.up, s.stop, s.view = fmt.Sprintf("%s/%d", home, incarnation), time.Now(), stop, nil
 	s.tasks.Go(func() { s.follow(ctx) })
 	s.tasks.Go(func() { s.sweep(ctx) })
 	s.part.Up()
@@ -146,7 +146,7 @@
 		return
 	}
 	s.stop()
-	s.life, s.elder, s.down, s.stop = "", s.life, time.Now(), nil
+	s.incarnation, s.elder, s.down, s.stop = "", s.incarnation, time.Now(), nil
 	all := s.to
 	s.to, s.last = map[string]*stream{}, ""
 	s.mu.Unlock()
@@ -203,7 +203,9 @@
 	if len(all) == 0 {
 		return
 	}
-	slices.SortFunc(all, func(a, b process) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Life, b.Life)) })
+	slices.SortFunc(all, func(a, b process) int {
+		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
+	})
 	got, err := s.agree(command{Lost: &Lost{all}})
 	if n, ok := got.(int); err == nil && ok {
 		s.count.lost.Add(int64(n))
@@ -212,22 +214,22 @@
 	}
 }
 
-// gone reports whether a process is given up. A node that has begun a later life has ended the one before it: its directory
-// belongs to one process at a time. Of a life that the view has not heard of yet nobody can say.
+// gone reports whether a process is given up. A node that has begun a later incarnation has ended the one before it: its directory
+// belongs to one process at a time. Of an incarnation that the view has not heard of yet nobody can say.
 func gone(v *member.View, p process, known time.Duration) bool {
 	m, ok := v.Of(p.Name)
 	if !ok {
 		return known > knownAfter
 	}
-	switch life := m.Life.String(); {
-	case life == p.Life:
+	switch incarnation := m.Incarnation.String(); {
+	case incarnation == p.Incarnation:
 		return !m.State.Here()
-	case strings.HasPrefix(p.Life, m.Life.Home+"/"):
-		number, err := strconv.ParseUint(p.Life[len(m.Life.Home)+1:], 10, 64)
-		if err == nil && m.Elder && m.State.Here() && number+1 == m.Life.Number {
+	case strings.HasPrefix(p.Incarnation, m.Incarnation.Home+"/"):
+		number, err := strconv.ParseUint(p.Incarnation[len(m.Incarnation.Home)+1:], 10, 64)
+		if err == nil && m.Elder && m.State.Here() && number+1 == m.Incarnation.Number {
 			return false // in an upgrade, the elder ends what it has in hand
 		}
-		return err != nil || number < m.Life.Number
+		return err != nil || number < m.Incarnation.Number
 	}
 	return true // of another home, whose place this one has
 }
@@ -326,7 +328,7 @@
 func (s *Service) Owner() (Owner, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Owner{s.c.Name, s.life, s.calls.Add(1)}, s.life != ""
+	return Owner{s.c.Name, s.incarnation, s.calls.Add(1)}, s.incarnation != ""
 }
 
 // Begin asks for the permission to let a piece of work out.
@@ -386,8 +388,8 @@
 		for pause := 200 * time.Millisecond; ; pause = min(2*pause, laterMost) {
 			time.Sleep(pause)
 			s.mu.Lock()
-			late := s.elder == e.Owner.Life && time.Since(s.down) < elderFor
-			over := s.life != e.Owner.Life && !late // then the leader finds that the process is gone
+			late := s.elder == e.Owner.Incarnation && time.Since(s.down) < elderFor
+			over := s.incarnation != e.Owner.Incarnation && !late // then the leader finds that the process is gone
 			s.mu.Unlock()
 			if over {
 				return
@@ -455,7 +457,7 @@
 // once asks one voter.
 func (s *Service) once(ctx context.Context, q question, who string) (reply, error) {
 	s.mu.Lock()
-	here := s.life != ""
+	here := s.incarnation != ""
 	s.mu.Unlock()
 	if who == s.c.Name && here { // else the node's other process may keep it
 		return s.answer(q), nil
@@ -471,12 +473,12 @@
 // all that wait would do so together.
 func (s *Service) connect(who string) (*stream, error) {
 	s.mu.Lock()
-	to, life := s.to[who], s.life+s.elder
+	to, incarnation := s.to[who], s.incarnation+s.elder
 	s.mu.Unlock()
 	if to != nil && !to.over() {
 		return to, nil
 	}
-	if life == "" {
+	if incarnation == "" {
 		return nil, ErrNoLeader
 	}
 	s.dialing.Lock()
@@ -498,7 +500,7 @@
 	one := newStream(who, c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.life+s.elder == "" { // it has no place yet
+	if s.incarnation+s.elder == "" { // it has no place yet
 		one.close(ErrNoLeader)
 		return nil, ErrNoLeader
 	}
@@ -509,10 +511,10 @@
 // Status is for operators.
 func (s *Service) Status() string {
 	s.mu.Lock()
-	log, state, life := s.log, s.ledger, s.life
+	log, state, incarnation := s.log, s.ledger, s.incarnation
 	s.mu.Unlock()
 	switch {
-	case life == "":
+	case incarnation == "":
 		return "work: none is kept without a place in the fleet"
 	case log == nil:
 		return "work: kept by others"
--- a/internal/fleet/work/work_test.go
+++ b/internal/fleet/work/work_test.go
@@ -163,11 +163,11 @@
 // TestGone: who is given up.
 func TestGone(t *testing.T) {
 	v := &member.View{Members: []member.Member{
-		{Name: "alive", Life: member.Life{Home: "h", Number: 2}, State: member.Alive},
-		{Name: "silent", Life: member.Life{Home: "h", Number: 1}, State: member.Suspect},
-		{Name: "leaving", Life: member.Life{Home: "h", Number: 1}, State: member.Leaving},
-		{Name: "dead", Life: member.Life{Home: "h", Number: 1}, State: member.Dead},
-		{Name: "left", Life: member.Life{Home: "h", Number: 1}, State: member.Left},
+		{Name: "alive", Incarnation: member.Incarnation{Home: "h", Number: 2}, State: member.Alive},
+		{Name: "silent", Incarnation: member.Incarnation{Home: "h", Number: 1}, State: member.Suspect},
+		{Name: "leaving", Incarnation: member.Incarnation{Home: "h", Number: 1}, State: member.Leaving},
+		{Name: "dead", Incarnation: member.Incarnation{Home: "h", Number: 1}, State: member.Dead},
+		{Name: "left", Incarnation: member.Incarnation{Home: "h", Number: 1}, State: member.Left},
 	}}
 	for p, want := range map[process]bool{{"alive", "h/2"}: false, {"alive", "h/1"}: true, {"alive", "h/3"}: false, {"alive", "other/3"}: true, {"silent", "h/1"}: false,
 		{"leaving", "h/1"}: false, {"dead", "h/1"}: true, {"left", "h/1"}: true} {
@@ -203,6 +203,14 @@
 	}
 }
 
+// TestLostIsOneForm: earlier programs, which called an incarnation a life, have to read what is agreed on.
+func TestLostIsOneForm(t *testing.T) {
+	const form = `{"processes":[{"Name":"n1","Life":"h/1"}]}`
+	if said, err := json.Marshal(Lost{[]process{{"n1", "h/1"}}}); err != nil || string(said) != form {
+		t.Errorf("%s, not %s (%v)", said, form, err)
+	}
+}
+
 // TestReplicas: voters that apply the same log come to the same state, whether they were carried over by snapshots or not, and
 // whatever the limits were at each entry; what is forgotten leaves nothing behind.
 func TestReplicas(t *testing.T) {
--- a/internal/lab/fleet/members.go
+++ b/internal/lab/fleet/members.go
@@ -85,12 +85,12 @@
 
 // judge goes through a run in the order of time.
 type judge struct {
-	a     *Account
-	out   *Members
-	w     *walk
-	views map[string]*belief // by node: what its process that holds the place believes
-	lives map[string]member.Life
-	holds map[string]int // the process that holds a node's place
+	a            *Account
+	out          *Members
+	w            *walk
+	views        map[string]*belief // by node: what its process that holds the place believes
+	incarnations map[string]member.Incarnation
+	holds        map[string]int // the process that holds a node's place
 
 	changed     time.Duration            // the last thing that happened
 	calm        time.Duration            // since when nothing is cut, ails or stands still
@@ -138,7 +138,7 @@
 
 func newJudge(a *Account) *judge {
 	return &judge{a: a, out: &Members{Nodes: len(a.Names), Seconds: (a.End - a.Begin).Seconds(), Broken: []Broken{}},
-		w: &walk{truth: newTruth(a.Names), events: a.Events}, views: map[string]*belief{}, lives: map[string]member.Life{},
+		w: &walk{truth: newTruth(a.Names), events: a.Events}, views: map[string]*belief{}, incarnations: map[string]member.Incarnation{},
 		holds: map[string]int{}, pending: map[string]time.Duration{}, seen: map[string]map[string]bool{},
 		planned: map[string]bool{}, gone: map[string]time.Duration{}, settling: map[string]time.Duration{}, undisturbed: map[string]time.Duration{}, wentOn: map[string]time.Duration{}, strangers: map[string]time.Duration{}, brief: map[string]bool{},
 		touched: map[string]time.Duration{}, stops: map[string]time.Duration{}, hush: map[[2]string]time.Duration{}}
@@ -198,7 +198,7 @@
 			if j.seen[name][viewer] || !j.w.nodes[viewer].runs() || b == nil || at-from < goneWithin || j.w.heavy > 0 {
 				continue
 			}
-			if m, _ := b.view.Of(name); m.State.Here() && m.Life == j.lives[name] {
+			if m, _ := b.view.Of(name); m.State.Here() && m.Incarnation == j.incarnations[name] {
 				j.breaks("kept", at, "%s has %s as %s, which was killed %.1fs ago", viewer, name, m.State, (at - since).Seconds())
 				j.seen[name][viewer] = true
 			}
@@ -297,16 +297,16 @@
 	}
 	switch l.Kind {
 	case "took":
-		if json.Unmarshal(l.Data, new(member.Life)) == nil {
-			var life member.Life
-			json.Unmarshal(l.Data, &life)
-			if before, ok := j.lives[l.Node]; ok && before.Home == life.Home && life.Number <= before.Number {
-				j.breaks("life", at, "%s begins life %v after %v", l.Node, life, before)
+		if json.Unmarshal(l.Data, new(member.Incarnation)) == nil {
+			var incarnation member.Incarnation
+			json.Unmarshal(l.Data, &incarnation)
+			if before, ok := j.incarnations[l.Node]; ok && before.Home == incarnation.Home && incarnation.Number <= before.Number {
+				j.breaks("life", at, "%s begins incarnation %v after %v", l.Node, incarnation, before)
 			}
-			_, again := j.lives[l.Node]
-			j.lives[l.Node], j.holds[l.Node] = life, l.PID
+			_, again := j.incarnations[l.Node]
+			j.incarnations[l.Node], j.holds[l.Node] = incarnation, l.PID
 			delete(j.views, l.Node)
-			if again && j.changed > 0 { // in an upgrade, nothing but the life changes: that has to get around, too
+			if again && j.changed > 0 { // in an upgrade, nothing but the incarnation changes: that has to get around, too
 				j.changed, j.agreed, j.late, j.apart = at, false, false, true
 			}
 		}
@@ -390,8 +390,8 @@
 		j.breaks("twice", at, "%s has a member %q, which is no node", viewer, is.Name)
 		return
 	}
-	if was.Life.Home == is.Life.Home && was.Life.Number > is.Life.Number {
-		j.breaks("life", at, "%s takes life %v of %s for newer than %v", viewer, is.Life, is.Name, was.Life)
+	if was.Incarnation.Home == is.Incarnation.Home && was.Incarnation.Number > is.Incarnation.Number {
+		j.breaks("life", at, "%s takes incarnation %v of %s for newer than %v", viewer, is.Incarnation, is.Name, was.Incarnation)
 	}
 	if was.State == is.State || is.Name == viewer {
 		return
@@ -401,9 +401,9 @@
 		j.out.Detect.add(at - since)
 	}
 	// Only what a process believes of another while both have been well for a while is held against it.
-	well := n.up && !n.stopped && !n.leaving && !n.twin && is.Life == j.lives[is.Name] && at >= j.settling[is.Name] && at >= j.settling[viewer]
+	well := n.up && !n.stopped && !n.leaving && !n.twin && is.Incarnation == j.incarnations[is.Name] && at >= j.settling[is.Name] && at >= j.settling[viewer]
 	if is.State == member.Dead && j.brief[is.Name] && at-j.wentOn[is.Name] < calmFor && j.w.whole() && n.up && !n.leaving &&
-		is.Life == j.lives[is.Name] && j.undisturbed[viewer] <= j.wentOn[is.Name] {
+		is.Incarnation == j.incarnations[is.Name] && j.undisturbed[viewer] <= j.wentOn[is.Name] {
 		j.out.BriefDeaths++
 		j.breaks("false", at, "%s calls %s dead, which stood still for 1 s at most", viewer, is.Name)
 	}
@@ -424,7 +424,7 @@
 	}
 }
 
-// believed reports whether a node's process has been there for long enough that nobody may hear of its last life.
+// believed reports whether a node's process has been there for long enough that nobody may hear of its last incarnation.
 func (j *judge) believed(name string) bool {
 	b := j.views[name]
 	return b != nil && j.holds[name] == b.pid
@@ -475,8 +475,8 @@
 				return fmt.Sprintf("%s has %s as %s, which is not there", name, other, m.State)
 			case !here && should:
 				return fmt.Sprintf("%s has not got %s, which is there", name, other)
-			case here && m.Life != j.lives[other]:
-				return fmt.Sprintf("%s has life %v of %s, which is in %v", name, m.Life, other, j.lives[other])
+			case here && m.Incarnation != j.incarnations[other]:
+				return fmt.Sprintf("%s has incarnation %v of %s, which is in %v", name, m.Incarnation, other, j.incarnations[other])
 			}
 		}
 	}
--- a/internal/lab/fleet/members_test.go
+++ b/internal/lab/fleet/members_test.go
@@ -26,9 +26,9 @@
 	for _, n := range x.a.Names {
 		x.happens(1, n, "started")
 		x.happens(1.1, n, "serves")
-		x.line(1.1, n, "took", member.Life{Home: n, Number: 1})
+		x.line(1.1, n, "took", member.Incarnation{Home: n, Number: 1})
 		for _, m := range x.a.Names {
-			x.view[n] = append(x.view[n], member.Member{Name: m, Life: member.Life{Home: m, Number: 1}, State: member.Alive})
+			x.view[n] = append(x.view[n], member.Member{Name: m, Incarnation: member.Incarnation{Home: m, Number: 1}, State: member.Alive})
 		}
 		x.show(1.2, n)
 	}
@@ -166,13 +166,13 @@
 			x.happens(13.5, "n3", "twin killed")
 			x.cut(14, true)
 		}, ""},
-		{"an early life", func(x *tale) {
-			x.view["n1"][2].Life.Number = 2
+		{"an early incarnation", func(x *tale) {
+			x.view["n1"][2].Incarnation.Number = 2
 			x.show(30, "n1")
-			x.view["n1"][2].Life.Number = 1
+			x.view["n1"][2].Incarnation.Number = 1
 			x.show(31, "n1")
 		}, "life"},
-		{"a start that does not count", func(x *tale) { x.line(30, "n1", "took", member.Life{Home: "n1", Number: 1}) }, "life"},
+		{"a start that does not count", func(x *tale) { x.line(30, "n1", "took", member.Incarnation{Home: "n1", Number: 1}) }, "life"},
 		{"one too many", func(x *tale) {
 			x.view["n1"] = append(x.view["n1"], member.Member{Name: "n3.2", State: member.Alive})
 			x.show(30, "n1")
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -410,15 +410,15 @@
 
 // Spoil implements live.Fleet. A superuser may write anywhere, so what stands in the way is no mode of a file.
 func (g *rig) Spoil(node string, how fault.Spoilt) (func(), error) {
-	life := filepath.Join(g.state(node), "life.json")
-	next := life + ".new"
-	kept, err := os.ReadFile(life)
+	file := filepath.Join(g.state(node), "life.json")
+	next := file + ".new"
+	kept, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
 	restore := func() {
 		os.RemoveAll(next)
-		os.WriteFile(life, kept, 0o600)
+		os.WriteFile(file, kept, 0o600)
 	}
 	switch how {
 	case fault.Full:
@@ -426,9 +426,9 @@
 	case fault.Unwritable:
 		err = os.Mkdir(next, 0o700)
 	case fault.Foreign:
-		err = os.WriteFile(life, []byte(strings.Replace(string(kept), fmt.Sprintf("%q", node), `"somebody-else"`, 1)), 0o600)
+		err = os.WriteFile(file, []byte(strings.Replace(string(kept), fmt.Sprintf("%q", node), `"somebody-else"`, 1)), 0o600)
 	case fault.Torn:
-		err = os.WriteFile(life, kept[:len(kept)/2], 0o600)
+		err = os.WriteFile(file, kept[:len(kept)/2], 0o600)
 	case fault.Emptied:
 		return func() {}, os.RemoveAll(g.state(node))
 	default:
