--- a/internal/fleet/member/decide.go
+++ b/internal/fleet/member/decide.go
@@ -48,7 +48,7 @@
 	Addr        string
 	Incarnation Incarnation // of what is not Heard it may be missing: then it is of whatever incarnation is known
 	Leaving     bool
-	Elder       bool
+	Predecessor bool
 	// Fresh says of an end that the member itself was heard just before, by this process.
 	Fresh bool
 }
@@ -141,7 +141,7 @@
 			state = Leaving
 		}
 		again := m.Incarnation != e.Incarnation
-		m.Zone, m.Addr, m.Elder = e.Zone, e.Addr, e.Elder
+		m.Zone, m.Addr, m.Predecessor = e.Zone, e.Addr, e.Predecessor
 		if m.Incarnation.Home == "" || !b.planted("old-incarnation") {
 			m.Incarnation = e.Incarnation
 		}
@@ -263,8 +263,8 @@
 	return names
 }
 
-// Heir is who comes after a name on the ring; the name need not be in the view any more. Empty: nobody else is there.
-func (v *View) Heir(name string) string {
+// Successor is who comes after a name on the ring; the name need not be in the view any more. Empty: nobody else is there.
+func (v *View) Successor(name string) string {
 	ring := v.Ring()
 	place := xxhash.Sum64String(name)
 	for _, n := range ring {
--- a/internal/fleet/member/decide_test.go
+++ b/internal/fleet/member/decide_test.go
@@ -199,15 +199,15 @@
 		t.Fatalf("ring %v", ring)
 	}
 	for i, name := range ring {
-		if heir := v.Heir(name); heir != ring[(i+1)%len(ring)] {
-			t.Errorf("after %s comes %s", name, heir)
+		if successor := v.Successor(name); successor != ring[(i+1)%len(ring)] {
+			t.Errorf("after %s comes %s", name, successor)
 		}
 	}
-	if heir := v.Heir("n3"); !slices.Contains(ring, heir) {
-		t.Errorf("the heir of one that is gone: %q", heir)
+	if successor := v.Successor("n3"); !slices.Contains(ring, successor) {
+		t.Errorf("the successor of one that is gone: %q", successor)
 	}
-	if heir := view(Member{Name: "n1", State: Alive}).Heir("n1"); heir != "" {
-		t.Errorf("one that is alone has an heir %q", heir)
+	if successor := view(Member{Name: "n1", State: Alive}).Successor("n1"); successor != "" {
+		t.Errorf("one that is alone has a successor %q", successor)
 	}
 }
 
--- a/internal/fleet/member/place.go
+++ b/internal/fleet/member/place.go
@@ -63,14 +63,14 @@
 	once        sync.Once
 	tasks       sync.WaitGroup
 
-	mu       sync.Mutex
-	settled  bool
-	leaves   bool
-	elder    bool // for elderFor
-	gone     bool // it has told others that it has left
-	objected time.Time
-	ends     map[string]bool   // of members that others say are gone: whether they said so themselves
-	suspects map[string]uint32 // the library's incarnation number that is suspected
+	mu          sync.Mutex
+	settled     bool
+	leaves      bool
+	predecessor bool // for predecessorFor
+	gone        bool // it has told others that it has left
+	objected    time.Time
+	ends        map[string]bool   // of members that others say are gone: whether they said so themselves
+	suspects    map[string]uint32 // the library's incarnation number that is suspected
 	// overheard are the library's latest incarnation numbers, as others tell of them.
 	overheard map[string]uint32
 
@@ -82,8 +82,9 @@
 	asked   map[string]time.Time            // when each missed address was looked for; the loop's
 }
 
-func newPlace(s *Service, t *transport, incarnation Incarnation, elder bool) (*place, error) {
-	p := &place{s: s, incarnation: incarnation, elder: elder, t: t, stop: make(chan struct{}), ends: map[string]bool{}, suspects: map[string]uint32{}, overheard: map[string]uint32{},
+func newPlace(s *Service, t *transport, incarnation Incarnation, predecessor bool) (*place, error) {
+	p := &place{s: s, incarnation: incarnation, predecessor: predecessor, t: t, stop: make(chan struct{}),
+		ends: map[string]bool{}, suspects: map[string]uint32{}, overheard: map[string]uint32{},
 		asked: map[string]time.Time{}, known: readKnown(s.c.Directory)}
 	t.overhear = p.overhear
 	p.inquiry = newInquiry(p)
@@ -225,11 +226,11 @@
 	}
 }
 
-// settle makes the claim to the name a settled one, lets the time of the elder be over, and tells others.
+// settle makes the claim to the name a settled one, lets the time of the predecessor be over, and tells others.
 func (p *place) settle(now, began time.Time) {
 	p.mu.Lock()
-	over := p.elder && now.Sub(began) >= elderFor
-	p.elder = p.elder && !over
+	over := p.predecessor && now.Sub(began) >= predecessorFor
+	p.predecessor = p.predecessor && !over
 	p.mu.Unlock()
 	if over {
 		m := p.s.self(p.incarnation)
@@ -365,7 +366,8 @@
 func (p *place) NodeMeta(int) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m := meta{Zone: p.s.c.Zone, Home: p.incarnation.Home, Number: p.incarnation.Number, Settled: p.settled, Leaving: p.leaves, Elder: p.elder}
+	m := meta{Zone: p.s.c.Zone, Home: p.incarnation.Home, Number: p.incarnation.Number, Settled: p.settled,
+		Leaving: p.leaves, Predecessor: p.predecessor}
 	b, _ := json.Marshal(m) // plain words and numbers
 	return b
 }
@@ -441,7 +443,7 @@
 	delete(p.suspects, n.Name)
 	p.mu.Unlock()
 	p.s.apply(Event{Kind: Heard, Name: n.Name, Zone: m.Zone, Addr: address(n), Incarnation: Incarnation{m.Home, m.Number}, Leaving: m.Leaving,
-		Elder: m.Elder})
+		Predecessor: m.Predecessor})
 }
 
 // NotifyLeave implements memberlist.EventDelegate: a member has left, or was given up. Which of the two was overheard;
--- a/internal/fleet/member/service.go
+++ b/internal/fleet/member/service.go
@@ -50,16 +50,16 @@
 	// called with ops alone: mu is taken within its lock.
 	ops sync.Mutex
 
-	mu      sync.Mutex
-	place   *place // nil: this process does not hold it
-	why     string // why not
-	book    *Book
-	changed chan struct{}      // closed with the next view
-	waits   context.CancelFunc // ends the wait for the place; nil: none
-	waiting sync.WaitGroup
-	over    bool
-	yielded time.Time // when this process gave the place to the node's other one
-	heir    bool      // it gets the place from an elder that may still have work in hand
+	mu        sync.Mutex
+	place     *place // nil: this process does not hold it
+	why       string // why not
+	book      *Book
+	changed   chan struct{}      // closed with the next view
+	waits     context.CancelFunc // ends the wait for the place; nil: none
+	waiting   sync.WaitGroup
+	over      bool
+	yielded   time.Time // when this process gave the place to the node's other one
+	successor bool      // it gets the place from a predecessor that may still have work in hand
 }
 
 type counts struct {
@@ -91,7 +91,7 @@
 	s.ops.Lock()
 	defer s.ops.Unlock()
 	s.mu.Lock()
-	s.heir = patience
+	s.successor = patience
 	busy := s.over || s.place != nil || s.waits != nil
 	s.mu.Unlock()
 	if busy {
@@ -169,10 +169,10 @@
 	s.c.Record.Write("wall", plant.Wall().UnixNano())
 	m := s.self(incarnation)
 	s.mu.Lock()
-	elder := s.heir
+	predecessor := s.successor
 	s.mu.Unlock()
-	s.apply(Event{Kind: Heard, Name: m.Name, Zone: m.Zone, Addr: m.Addr, Incarnation: incarnation, Elder: elder})
-	p, err := newPlace(s, t, incarnation, elder)
+	s.apply(Event{Kind: Heard, Name: m.Name, Zone: m.Zone, Addr: m.Addr, Incarnation: incarnation, Predecessor: predecessor})
+	p, err := newPlace(s, t, incarnation, predecessor)
 	if err != nil {
 		t.Shutdown()
 		return err
@@ -187,9 +187,9 @@
 	return nil
 }
 
-// elderFor is for how long a process that has yielded the place may still say what became of what it had in hand: above the
-// deadlines of calls. Others are told for as long that it may.
-const elderFor = 10 * time.Second
+// predecessorFor is for how long a process that has yielded the place may still say what became of what it had in hand: above
+// the deadlines of calls. Others are told for as long that it may.
+const predecessorFor = 10 * time.Second
 
 // Dial opens a stream to a member's channel. A process that has yielded the place may do so for a while, by what it knew then.
 func (s *Service) Dial(name string, channel byte, timeout time.Duration) (net.Conn, error) {
@@ -198,7 +198,7 @@
 	s.mu.Unlock()
 	m, known := v.Of(name)
 	switch {
-	case p == nil && (yielded.IsZero() || time.Since(yielded) > elderFor):
+	case p == nil && (yielded.IsZero() || time.Since(yielded) > predecessorFor):
 		return nil, errors.New("this process has no place in the fleet")
 	case !known || !m.State.Here():
 		return nil, fmt.Errorf("%s is not in the fleet", name)
@@ -441,12 +441,12 @@
 
 // meta is what a member tells of itself with every message that says that it lives.
 type meta struct {
-	Zone    string `json:"z,omitempty"`
-	Home    string `json:"h"`
-	Number  uint64 `json:"n"`
-	Settled bool   `json:"s,omitempty"`
-	Leaving bool   `json:"l,omitempty"`
-	Elder   bool   `json:"e,omitempty"`
+	Zone        string `json:"z,omitempty"`
+	Home        string `json:"h"`
+	Number      uint64 `json:"n"`
+	Settled     bool   `json:"s,omitempty"`
+	Leaving     bool   `json:"l,omitempty"`
+	Predecessor bool   `json:"e,omitempty"`
 }
 
 // maxMeta bounds that.
--- a/internal/fleet/member/service_test.go
+++ b/internal/fleet/member/service_test.go
@@ -107,9 +107,9 @@
 func TestUpgrade(t *testing.T) {
 	a, b := free(t), free(t)
 	dir := t.TempDir()
-	n1, elder := one(t, "n1", dir+"/1", a), one(t, "n2", dir+"/2", b, a)
+	n1, predecessor := one(t, "n1", dir+"/1", a), one(t, "n2", dir+"/2", b, a)
 	take(t, n1)
-	take(t, elder)
+	take(t, predecessor)
 	await(t, n1, "two", has("n2", Alive))
 	next := one(t, "n2", dir+"/2", b, a)
 	if err := next.Take(false); err == nil || !strings.Contains(err.Error(), "is in use") {
@@ -118,7 +118,7 @@
 	if err := next.Take(true); err != nil {
 		t.Fatal(err)
 	}
-	elder.Yield()
+	predecessor.Yield()
 	v := await(t, n1, "its next incarnation", func(v *View) bool {
 		m, _ := v.Of("n2")
 		if len(v.Members) != 2 || !m.State.Here() {
@@ -126,7 +126,7 @@
 		}
 		return m.Incarnation.Number == 2
 	})
-	if said := elder.Status(); !strings.HasPrefix(said, "no place") {
+	if said := predecessor.Status(); !strings.HasPrefix(said, "no place") {
 		t.Error(said)
 	}
 	_ = v
--- a/internal/fleet/member/view.go
+++ b/internal/fleet/member/view.go
@@ -44,10 +44,10 @@
 	Addr        string      `json:"addr"`
 	Incarnation Incarnation `json:"life"`
 	State       State       `json:"state"`
-	// Elder says that the process of the incarnation before this one may still be ending what it had in hand, as in an
+	// Predecessor says that the process of the incarnation before this one may still be ending what it had in hand, as in an
 	// upgrade.
-	Elder bool          `json:"elder,omitempty"`
-	Since time.Duration `json:"since"` // when the state began, by this process's clock of Book.Apply
+	Predecessor bool          `json:"elder,omitempty"`
+	Since       time.Duration `json:"since"` // when the state began, by this process's clock of Book.Apply
 }
 
 // View is who is in the fleet, as one process believes at one time. Nobody changes it, and its members are sorted by name.
--- a/internal/fleet/rounds/ledger.go
+++ b/internal/fleet/rounds/ledger.go
@@ -325,7 +325,7 @@
 type Member struct {
 	Name        string
 	Incarnation string
-	Elder       bool // another process of it may have something in hand, of which it does not know
+	Predecessor bool // another process of it may have something in hand, of which it does not know
 }
 
 // reportFor is for how long a report counts.
@@ -341,13 +341,13 @@
 	if r.Step == Empty {
 		return held >= r.Hold, nil
 	}
-	late := func(said Report, elder bool) bool {
-		busy := r.Step == Leaves && (elder || said.Busy[r.Server()] > 0)
+	late := func(said Report, predecessor bool) bool {
+		busy := r.Step == Leaves && (predecessor || said.Busy[r.Server()] > 0)
 		return said.Version < r.Version || busy && !plant.Planted("busy-not-asked")
 	}
 	for _, m := range members {
 		said, known := reports[m.Name]
-		if !known || said.Incarnation != m.Incarnation || said.Age > reportFor || late(said, m.Elder) {
+		if !known || said.Incarnation != m.Incarnation || said.Age > reportFor || late(said, m.Predecessor) {
 			waits = append(waits, m.Name)
 		}
 	}
--- a/internal/fleet/rounds/rounds_test.go
+++ b/internal/fleet/rounds/rounds_test.go
@@ -188,7 +188,7 @@
 		{"one has not heard", r(Leaves), members, said(4, 0, "y/1", 0), 0, []string{"n2"}},
 		{"one is silent", r(Leaves), members, said(5, 0, "y/1", reportFor+1), 0, []string{"n2"}},
 		{"one was in another incarnation", r(Leaves), members, said(5, 0, "y/0", 0), 0, []string{"n2"}},
-		{"one has an elder", r(Leaves), []Member{{"n1", "x/1", true}}, said(5, 0, "y/1", 0), 0, []string{"n1"}},
+		{"one has a predecessor", r(Leaves), []Member{{"n1", "x/1", true}}, said(5, 0, "y/1", 0), 0, []string{"n1"}},
 		{"nobody has said anything", r(Leaves), members, nil, 0, []string{"n1", "n2"}},
 		{"one is dead", r(Leaves), members[:1], said(0, 1, "", reportFor+1), 0, nil},
 		{"one that is taken for dead says that it has tries there", r(Leaves), members[:1], said(5, 1, "y/2", 0), 0, []string{"n2"}},
--- a/internal/fleet/rounds/service.go
+++ b/internal/fleet/rounds/service.go
@@ -468,7 +468,7 @@
 	v := s.c.View()
 	var members []Member
 	for _, m := range v.Here() {
-		members = append(members, Member{m.Name, m.Incarnation.String(), m.Elder})
+		members = append(members, Member{m.Name, m.Incarnation.String(), m.Predecessor})
 	}
 	at := Move{r.ID, r.At, r.Step}
 	now := time.Now()
--- a/internal/fleet/work/service.go
+++ b/internal/fleet/work/service.go
@@ -77,7 +77,7 @@
 
 	mu          sync.Mutex
 	incarnation string // "": this process has not the node's place
-	elder       string // the incarnation in which it had it last, of whose work it may still say for a while what became of it
+	predecessor string // the incarnation in which it had it last, of whose work it may still say for a while what became of it
 	down        time.Time
 	up          time.Time
 	log         *agreed.Log // nil: this is no voter, or not yet
@@ -146,7 +146,7 @@
 		return
 	}
 	s.stop()
-	s.incarnation, s.elder, s.down, s.stop = "", s.incarnation, time.Now(), nil
+	s.incarnation, s.predecessor, s.down, s.stop = "", s.incarnation, time.Now(), nil
 	all := s.to
 	s.to, s.last = map[string]*stream{}, ""
 	s.mu.Unlock()
@@ -226,8 +226,8 @@
 		return !m.State.Here()
 	case strings.HasPrefix(p.Incarnation, m.Incarnation.Home+"/"):
 		number, err := strconv.ParseUint(p.Incarnation[len(m.Incarnation.Home)+1:], 10, 64)
-		if err == nil && m.Elder && m.State.Here() && number+1 == m.Incarnation.Number {
-			return false // in an upgrade, the elder ends what it has in hand
+		if err == nil && m.Predecessor && m.State.Here() && number+1 == m.Incarnation.Number {
+			return false // in an upgrade, the predecessor ends what it has in hand
 		}
 		return err != nil || number < m.Incarnation.Number
 	}
@@ -288,9 +288,9 @@
 	return r
 }
 
-// elderFor is for how long a process tells the ledger what became of work that it had when it gave the place away: as long as
-// members let it, and no longer.
-const elderFor = 10 * time.Second
+// predecessorFor is for how long a process tells the ledger what became of work that it had when it gave the place away: as
+// long as members let it, and no longer.
+const predecessorFor = 10 * time.Second
 
 // mostOpen bounds the questions of one stream that are being answered.
 const mostOpen = 512
@@ -388,7 +388,7 @@
 		for pause := 200 * time.Millisecond; ; pause = min(2*pause, laterMost) {
 			time.Sleep(pause)
 			s.mu.Lock()
-			late := s.elder == e.Owner.Incarnation && time.Since(s.down) < elderFor
+			late := s.predecessor == e.Owner.Incarnation && time.Since(s.down) < predecessorFor
 			over := s.incarnation != e.Owner.Incarnation && !late // then the leader finds that the process is gone
 			s.mu.Unlock()
 			if over {
@@ -473,7 +473,7 @@
 // all that wait would do so together.
 func (s *Service) connect(who string) (*stream, error) {
 	s.mu.Lock()
-	to, incarnation := s.to[who], s.incarnation+s.elder
+	to, incarnation := s.to[who], s.incarnation+s.predecessor
 	s.mu.Unlock()
 	if to != nil && !to.over() {
 		return to, nil
@@ -500,7 +500,7 @@
 	one := newStream(who, c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.incarnation+s.elder == "" { // it has no place yet
+	if s.incarnation+s.predecessor == "" { // it has no place yet
 		one.close(ErrNoLeader)
 		return nil, ErrNoLeader
 	}
--- a/internal/lab/live/fleet.go
+++ b/internal/lab/live/fleet.go
@@ -209,12 +209,12 @@
 	case c.refuses:
 		i.run.breaks("refusal", "node %s started in a directory in which it must not", i.c.Name)
 	case c == i.next:
-		elder := i.live
+		predecessor := i.live
 		i.live, i.next = c, nil
 		i.tell("upgraded", c)
-		if elder != nil {
-			elder.leaving = true
-			elder.signal(syscall.SIGTERM)
+		if predecessor != nil {
+			predecessor.leaving = true
+			predecessor.signal(syscall.SIGTERM)
 		}
 	case c == i.live:
 		i.tell("serves", c)
