--- a/cmd/olivefleet/keep.go
+++ b/cmd/olivefleet/keep.go
@@ -12,7 +12,7 @@
 	"olivebridge/internal/fleet/agreed"
 	"olivebridge/internal/fleet/fleetfile"
 	"olivebridge/internal/fleet/member"
-	"olivebridge/internal/fleet/plant"
+	"olivebridge/internal/fleet/mutant"
 	"olivebridge/internal/fleet/work"
 	"olivebridge/internal/protocol"
 	"olivebridge/internal/transport"
@@ -69,7 +69,7 @@
 	if !ok {
 		return transport.Kept{State: transport.KeptRefused}
 	}
-	plant.At("before-permission")
+	mutant.At("before-permission")
 	v, err := k.work.Begin(ctx, work.Begin{Key: w.Key, Print: w.Print, Owner: owner, Again: k.again[w.Class]})
 	switch {
 	case err != nil || v.Full || v.Over:
@@ -77,7 +77,7 @@
 	case v.Other:
 		return transport.Kept{State: transport.KeptOther}
 	case v.Yours:
-		plant.At("with-permission")
+		mutant.At("with-permission")
 		return transport.Kept{State: transport.KeptYours, End: func(s transport.KeptState, o *transport.Outcome) {
 			k.end(w.Key, owner, s, o)
 		}}
@@ -103,7 +103,7 @@
 	case s == transport.KeptAnswered && o != nil:
 		e.State, e.Outcome = work.Answered, &work.Outcome{Status: o.Status, Header: o.Header, Body: o.Body, Long: o.Long}
 	}
-	plant.At("answered")
+	mutant.At("answered")
 	k.work.End(e)
-	plant.At("recorded")
+	mutant.At("recorded")
 }
--- a/cmd/olivelab/fleet.go
+++ b/cmd/olivelab/fleet.go
@@ -35,7 +35,7 @@
 	keep        string
 	keepAll     bool
 	hard        string
-	plant       string
+	mutant      string
 	atOnce      int
 	peers       int // of choices
 	copies      int
@@ -118,7 +118,9 @@
 		c.Flags().BoolVar(&r.plain, "plain", false, "the processes keep nothing, for comparison")
 		c.Flags().BoolVar(&r.once, "once", false, "clients do not ask again, for comparison")
 	}
-	c.Flags().StringVar(&r.plant, "plant", "", "a fault to plant, of: "+strings.Join(fleet.Plants(), ", "))
+	c.Flags().StringVar(&r.mutant, "mutant", "", "the mutant that all processes, or the rig, are to be, of: "+strings.Join(fleet.Mutants(), ", "))
+	c.Flags().StringVar(&r.mutant, "plant", "", "the same, by its earlier name")
+	c.MarkFlagsMutuallyExclusive("mutant", "plant")
 }
 
 func (r *rig) check() error {
@@ -135,10 +137,10 @@
 		return errors.New("--case: not with --script")
 	case r.script != "" && r.seeds != "":
 		return errors.New("--seeds: not with --script")
-	case r.plant != "" && !fleet.IsPlant(r.plant):
-		return fmt.Errorf("--plant %q: there are %s", r.plant, strings.Join(fleet.Plants(), ", "))
-	case r.plant != "" && r.node != "":
-		return errors.New("--plant: not with --node, which may not know it")
+	case r.mutant != "" && !fleet.IsMutant(r.mutant):
+		return fmt.Errorf("--mutant %q: there are %s", r.mutant, strings.Join(fleet.Mutants(), ", "))
+	case r.mutant != "" && r.node != "":
+		return errors.New("--mutant: not with --node, which may not know it")
 	}
 	if r.seeds == "" {
 		return nil
@@ -203,7 +205,7 @@
 func (r *rig) program(ctx context.Context, scripts []*fault.Script, dir string, errs io.Writer) (string, error) {
 	if r.node == "" {
 		fmt.Fprintln(errs, "building the node")
-		return live.BuildFleet(ctx, dir, r.plant != "" || slices.ContainsFunc(scripts, fleet.ForPlants))
+		return live.BuildFleet(ctx, dir, r.mutant != "" || slices.ContainsFunc(scripts, fleet.ForMutants))
 	}
 	for _, path := range []string{r.node, filepath.Join(filepath.Dir(r.node), "olivefleet")} {
 		if err := live.Program(path); err != nil {
@@ -351,7 +353,7 @@
 	if r.seeds == "" {
 		o.Tell = func(line string) { fmt.Fprintln(errs, line) }
 	}
-	fleet.Plant(&o, r.plant)
+	fleet.Mutate(&o, r.mutant)
 	res, err := r.subject.Play(ctx, s, o)
 	if err != nil {
 		return nil, err
--- a/cmd/olivelab/fleet_test.go
+++ b/cmd/olivelab/fleet_test.go
@@ -8,20 +8,22 @@
 // What cannot be played is told in one line, and nothing is started.
 func TestFleetRefuses(t *testing.T) {
 	for args, want := range map[string]string{
-		"":                            "fleet of what? see --help",
-		"members --nodes 0":           "--nodes 0: not from 1 to 83",
-		"members --nodes 3":           "3 nodes: at least 4 are wanted",
-		"members --for 5s":            "5s: at least 25s are wanted",
-		"members --for 1h":            "--for 1h0m0s: not from 1s to 10m",
-		"members --seeds 5":           `--seeds "5": not a range such as 1..100`,
-		"members --seeds 5..2":        `--seeds "5..2": not a range`,
-		"members --at-once 0":         "--at-once 0: not from 1 to 64",
-		"members --case none":         `--case: no case "none"; there are [splits `,
-		"members --script a --case b": "--case: not with --script",
-		"members --script no/where":   "no/where: no such file or directory",
-		"members --plant none":        `--plant "none": there are dead-kept`,
-		"members --node no/where":     "--node: no/where: no such file or directory",
-		"budget --nodes 1":            "1 nodes and 30s: at least 2 and 20s are wanted",
+		"":                             "fleet of what? see --help",
+		"members --nodes 0":            "--nodes 0: not from 1 to 83",
+		"members --nodes 3":            "3 nodes: at least 4 are wanted",
+		"members --for 5s":             "5s: at least 25s are wanted",
+		"members --for 1h":             "--for 1h0m0s: not from 1s to 10m",
+		"members --seeds 5":            `--seeds "5": not a range such as 1..100`,
+		"members --seeds 5..2":         `--seeds "5..2": not a range`,
+		"members --at-once 0":          "--at-once 0: not from 1 to 64",
+		"members --case none":          `--case: no case "none"; there are [splits `,
+		"members --script a --case b":  "--case: not with --script",
+		"members --script no/where":    "no/where: no such file or directory",
+		"members --mutant none":        `--mutant "none": there are dead-kept`,
+		"members --plant none":         `--mutant "none": there are dead-kept`, // the earlier name
+		"members --plant a --mutant a": "if any flags in the group [mutant plant] are set none of the others can be",
+		"members --node no/where":      "--node: no/where: no such file or directory",
+		"budget --nodes 1":             "1 nodes and 30s: at least 2 and 20s are wanted",
 	} {
 		code, _, errs := call(t, append([]string{"fleet"}, strings.Fields(args)...)...)
 		if code != exitUsage || !strings.HasPrefix(errs, "olivelab: "+want) {
--- a/cmd/olivelab/main.go
+++ b/cmd/olivelab/main.go
@@ -20,7 +20,7 @@
 // How the program ends: scripts rely on it.
 const (
 	exitOK     = 0
-	exitFailed = 1 // a rule was broken, a plant not found, or a count has risen
+	exitFailed = 1 // a rule was broken, a mutant not found, or a count has risen
 	exitUsage  = 2 // the call, a file or the machine was at fault, and what was asked for was not done
 )
 
@@ -48,7 +48,7 @@
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errs)
-	root.AddCommand(seedsCommand(s), replayCommand(s), shrinkCommand(s), faultsCommand(s), plantsCommand(s), upCommand(),
+	root.AddCommand(seedsCommand(s), replayCommand(s), shrinkCommand(s), faultsCommand(s), mutantsCommand(s), upCommand(),
 		pathCommand(), pathProxyCommand(), runCommand(), compareCommand(), fleetCommand(), workerCommand(s))
 	err := root.ExecuteContext(ctx)
 	switch {
--- a/cmd/olivelab/main_test.go
+++ b/cmd/olivelab/main_test.go
@@ -95,7 +95,9 @@
 		{"replay --script bad.toml", 2, `^$`, `^olivelab: bad.toml:1: [^\n]+\n$`},
 		{"shrink 5 --rule lots", 2, `^$`, `^olivelab: --rule: there is none named "lots"\n$`},
 		{"faults --count 0", 2, `^$`, `^olivelab: --count: at least 1\n$`},
-		{"plants --only none", 2, `^$`, `^olivelab: `},
+		{"mutants --only none", 2, `^$`, `^olivelab: mutant two-lengths-taken: there is no rule named "bad"\n$`},
+		{"mutants --seeds 0", 2, `^$`, `^olivelab: --seeds: at least 1\n$`},
+		{"plants --only none", 2, `^$`, `^olivelab: mutant two-lengths-taken: there is no rule named "bad"\n$`}, // the earlier name
 		{"plants --seeds 0", 2, `^$`, `^olivelab: --seeds: at least 1\n$`},
 
 		{"path", 2, `^$`, `^olivelab: the node is built from its sources: run in the tree of olivebridge, with go\n$`},
--- a/cmd/olivelab/plants.go
+++ b/cmd/olivelab/mutants.go
@@ -13,27 +13,28 @@
 	"github.com/spf13/cobra"
 
 	"olivebridge/internal/lab/campaign"
-	"olivebridge/internal/lab/plant"
+	"olivebridge/internal/lab/mutant"
 )
 
 // tool is this program's package.
 const tool = "./cmd/olivelab"
 
-func plantsCommand(s campaign.Sources) *cobra.Command {
+func mutantsCommand(s campaign.Sources) *cobra.Command {
 	var with workers
 	var seeds uint64
 	var only, file string
 	c := &cobra.Command{
-		Use:   "plants",
-		Short: "looks for planted faults, to show that the lab can fail",
-		Long: "Builds the program with one planted fault after another, and plays seeds from 1 on until one breaks " +
+		Use:     "mutants",
+		Aliases: []string{"plants"}, // the earlier name
+		Short:   "looks for mutants, to show that the lab can fail",
+		Long: "Builds the program with one mutant after another, and plays seeds from 1 on until one breaks " +
 			"a rule that is to show it, and does not without it. Run in the source tree, with go. " +
 			"Exit 1 if one is not found.",
 		Args: cobra.NoArgs,
 	}
 	with.flags(c)
-	c.Flags().Uint64Var(&seeds, "seeds", 200, "how many seeds a plant is looked for in")
-	c.Flags().StringVar(&only, "only", "", "the `name` of the one plant to look for")
+	c.Flags().Uint64Var(&seeds, "seeds", 200, "how many seeds a mutant is looked for in")
+	c.Flags().StringVar(&only, "only", "", "the `name` of the one mutant to look for")
 	c.Flags().StringVar(&file, "json", "", "where the table goes as JSON")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if seeds == 0 {
@@ -64,7 +65,7 @@
 				found++
 			}
 		}
-		fmt.Fprintf(c.OutOrStdout(), "%d of %d planted faults found\n", found, len(finds))
+		fmt.Fprintf(c.OutOrStdout(), "%d of %d mutants found\n", found, len(finds))
 		if found < len(finds) {
 			return errFailed
 		}
@@ -73,36 +74,36 @@
 	return c
 }
 
-// chosen are the plants to look for. A rule that does not exist would never show one.
-func chosen(s campaign.Sources, only string) ([]plant.Plant, error) {
-	all, err := plant.All()
+// chosen are the mutants to look for. A rule that does not exist would never show one.
+func chosen(s campaign.Sources, only string) ([]mutant.Mutant, error) {
+	all, err := mutant.All()
 	if err != nil {
 		return nil, err
 	}
 	for _, p := range all {
 		for _, r := range p.Rules {
 			if len(s.Rules) > 0 && !slices.Contains(s.Rules, r) {
-				return nil, fmt.Errorf("plant %s: there is no rule named %q", p.Name, r)
+				return nil, fmt.Errorf("mutant %s: there is no rule named %q", p.Name, r)
 			}
 		}
 	}
 	if only == "" {
 		return all, nil
 	}
-	i := slices.IndexFunc(all, func(p plant.Plant) bool { return p.Name == only })
+	i := slices.IndexFunc(all, func(p mutant.Mutant) bool { return p.Name == only })
 	if i < 0 {
-		return nil, fmt.Errorf("--only: there is no plant named %q", only)
+		return nil, fmt.Errorf("--only: there is no mutant named %q", only)
 	}
 	return all[i : i+1], nil
 }
 
-// hunt looks for the plants one by one and writes a line of the table for each.
-func hunt(c *cobra.Command, with workers, seeds uint64, some []plant.Plant) ([]campaign.Find, error) {
-	root, err := plant.Root()
+// hunt looks for the mutants one by one and writes a line of the table for each.
+func hunt(c *cobra.Command, with workers, seeds uint64, some []mutant.Mutant) ([]campaign.Find, error) {
+	root, err := mutant.Root()
 	if err != nil {
 		return nil, err
 	}
-	dir, err := os.MkdirTemp("", "olivelab-plants")
+	dir, err := os.MkdirTemp("", "olivelab-mutants")
 	if err != nil {
 		return nil, fmt.Errorf("a place for what is built: %w", err)
 	}
@@ -113,7 +114,7 @@
 	}
 	sound := &campaign.Pool{Procs: 1}
 	var finds []campaign.Find
-	fmt.Fprintf(c.OutOrStdout(), line+"\n", "plant", "rule", "seeds", "seconds", "expected; others met")
+	fmt.Fprintf(c.OutOrStdout(), line+"\n", "mutant", "rule", "seeds", "seconds", "expected; others met")
 	for _, p := range some {
 		fmt.Fprintf(c.ErrOrStderr(), "building and playing: %s\n", p.Name)
 		f, err := hunter.Hunt(c.Context(), p, sound)
--- a/cmd/olivelab/path.go
+++ b/cmd/olivelab/path.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
+	"olivebridge/internal/lab/mutant"
 	"olivebridge/internal/lab/path"
-	"olivebridge/internal/lab/plant"
 )
 
 // proxyCommand is the hidden command that path starts as a child.
@@ -49,7 +49,7 @@
 			o.Pairs = 1
 		}
 		var err error
-		if o.Root, err = plant.Root(); err != nil && (o.Node == "" || (check || accept) && tolerances == "") {
+		if o.Root, err = mutant.Root(); err != nil && (o.Node == "" || (check || accept) && tolerances == "") {
 			return err
 		}
 		if tolerances == "" {
--- a/cmd/olivelab/path_test.go
+++ b/cmd/olivelab/path_test.go
@@ -8,23 +8,23 @@
 	"strings"
 	"testing"
 
+	"olivebridge/internal/lab/mutant"
 	"olivebridge/internal/lab/path"
-	"olivebridge/internal/lab/plant"
 )
 
 // TestPathCheckFails: the check of the path holds against what was accepted on this machine, and finds each
-// planted cost: it names the count, and the function that brought it.
+// mutant's cost: it names the count, and the function that brought it.
 func TestPathCheckFails(t *testing.T) {
-	root, err := plant.Root()
+	root, err := mutant.Root()
 	if err != nil {
 		t.Fatal(err)
 	}
-	const file = "testdata/path_plants.toml"
+	const file = "testdata/path_mutants.toml"
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	plants, err := plant.Parse(file, text)
+	mutants, err := mutant.Parse(file, text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 		"write":      `brought by transport\.\(\*clientConn\)\.Write by net\.\S+ \(\+1\.00\)`,
 		"copy":       `brought by transport\.\(\*clientConn\)\.Write \(\+\d+\.\d\d, new\)`,
 	}
-	for _, p := range plants {
+	for _, p := range mutants {
 		t.Run(p.Name, func(t *testing.T) {
 			t.Parallel() // they are counts, not times
 			if strings.Contains(sound, "not checked: get: "+p.Rules[0]) {
--- a/internal/fleet/agreed/roster.go
+++ b/internal/fleet/agreed/roster.go
@@ -12,7 +12,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"olivebridge/internal/fleet/plant"
+	"olivebridge/internal/fleet/mutant"
 )
 
 // Roster says who keeps a log. One of a higher edition takes the place of one of a lower: the voters agree on it in the log
@@ -141,7 +141,7 @@
 		b.mu.Lock()
 		file, since := b.file, b.since
 		b.mu.Unlock()
-		if b.Leads() && !plant.Planted("roster-ignored") {
+		if b.Leads() && !mutant.Active("roster-ignored") {
 			b.step(name, file)
 		}
 		if out := !slices.Contains(file.Names, name); out && (!b.votes(name) || time.Since(since) > goneAfter) {
--- a/internal/fleet/budget/ask.go
+++ b/internal/fleet/budget/ask.go
@@ -5,7 +5,7 @@
 	"net"
 	"time"
 
-	"olivebridge/internal/fleet/plant"
+	"olivebridge/internal/fleet/mutant"
 	"olivebridge/internal/fleet/record"
 )
 
@@ -46,7 +46,7 @@
 	terms := s.describe()
 	s.mu.Lock()
 	began := record.Now()
-	q := asked{Ask: h.Ask(s.now(), plant.Wall()), Home: s.home, Seat: s.seat, Terms: terms}
+	q := asked{Ask: h.Ask(s.now(), mutant.Wall()), Home: s.home, Seat: s.seat, Terms: terms}
 	if q.Over = over; over {
 		q.Have, q.Counts, q.Using = nil, h.back(), h.using()
 	}
--- a/internal/fleet/budget/holder.go
+++ b/internal/fleet/budget/holder.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"olivebridge/internal/fleet/plant"
+	"olivebridge/internal/fleet/mutant"
 )
 
 // Holder is what one process holds of all budgets, and what it lets through.
@@ -14,7 +14,7 @@
 	number      uint64
 	asked       map[uint64]time.Duration // when each ask that is not answered was made
 	parts       []*part
-	planted     func(string) bool
+	mutant      func(string) bool
 }
 
 // part is what it holds of one budget.
@@ -39,7 +39,7 @@
 
 // NewHolder makes a process's holder, which holds nothing.
 func NewHolder(terms Terms, wholes []Whole, name, incarnation string, now time.Duration) *Holder {
-	h := &Holder{terms: terms, name: name, incarnation: incarnation, asked: map[uint64]time.Duration{}, planted: plant.Planted}
+	h := &Holder{terms: terms, name: name, incarnation: incarnation, asked: map[uint64]time.Duration{}, mutant: mutant.Active}
 	for _, w := range wholes {
 		p := &part{whole: w, from: now}
 		p.bucket.Set(now, 0, 0)
@@ -147,7 +147,7 @@
 			continue
 		}
 		p.whole = wholes[i]
-		if h.planted("old-and-new") {
+		if h.mutant("old-and-new") {
 			continue
 		}
 		p.until, p.seat = 0, min(p.seat, p.whole.reserve(h.terms))
@@ -283,13 +283,13 @@
 			delete(h.asked, n)
 		}
 	}
-	if h.planted("lease-from-answer") {
+	if h.mutant("lease-from-answer") {
 		at = now
 	}
 	for _, p := range h.parts {
 		if c, ok := a.Counts[p.whole.Name]; ok {
 			p.stock.add(c)
-			if h.planted("grant-twice") {
+			if h.mutant("grant-twice") {
 				p.stock.add(c)
 			}
 		}
--- a/internal/fleet/budget/leader.go
+++ b/internal/fleet/budget/leader.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"olivebridge/internal/fleet/plant"
+	"olivebridge/internal/fleet/mutant"
 )
 
 // Kind is what is counted.
@@ -80,7 +80,7 @@
 	holders map[string]*holding // by name and incarnation
 	back    map[string]float64  // see HoldBack
 	named   map[string]naming   // by name
-	planted func(string) bool
+	mutant  func(string) bool
 }
 
 // holding is what a holder has, by budget.
@@ -109,8 +109,8 @@
 // NewLeader makes the book of a term that has begun by now.
 func NewLeader(terms Terms, wholes []Whole, term uint64, now time.Duration) *Leader {
 	k := &Leader{terms: terms, wholes: wholes, term: term, opens: now + terms.counted(), holders: map[string]*holding{},
-		named: map[string]naming{}, planted: plant.Planted}
-	if plant.Planted("no-quarantine") {
+		named: map[string]naming{}, mutant: mutant.Active}
+	if mutant.Active("no-quarantine") {
 		k.opens = now
 	}
 	return k
@@ -130,7 +130,7 @@
 // new are never counted together.
 func (k *Leader) Change(now time.Duration, wholes []Whole) {
 	k.wholes, k.opens = wholes, now+k.terms.counted()
-	if k.planted("old-and-new") {
+	if k.mutant("old-and-new") {
 		k.opens, k.holders = now, map[string]*holding{}
 	}
 }
@@ -147,7 +147,7 @@
 	k.end(now)
 	k.named[a.Holder] = naming{now, a.Periods}
 	key := a.Holder + " " + a.Incarnation
-	if k.planted("incarnation-forgotten") {
+	if k.mutant("incarnation-forgotten") {
 		key = a.Holder
 	}
 	h := k.holders[key]
@@ -222,7 +222,7 @@
 	if w.Kind == InUse { // whole units: where they are fewer than holders, those that ask first have them
 		g.Amount = min(math.Ceil(target-0.5*hysteresis), math.Floor(max(free, 0)+1e-9))
 	}
-	if k.planted("given-out-early") {
+	if k.mutant("given-out-early") {
 		g.Amount = target
 	}
 	h.lent[w.Name] = append(h.lent[w.Name], lent{g.Number, g.Amount, now + k.terms.counted() + w.Hold})
@@ -258,7 +258,7 @@
 
 // lendable is what of a whole is ever lent.
 func (k *Leader) lendable(w Whole) float64 {
-	if k.planted("reserve-lent") {
+	if k.mutant("reserve-lent") {
 		return w.Amount
 	}
 	return max(w.Amount-w.reserve(k.terms)*float64(max(k.terms.Seats, 1))-k.back[w.Name], 0)
--- a/internal/fleet/budget/service.go
+++ b/internal/fleet/budget/service.go
@@ -17,7 +17,7 @@
 	"github.com/hashicorp/raft"
 
 	"olivebridge/internal/fleet/agreed"
-	"olivebridge/internal/fleet/plant"
+	"olivebridge/internal/fleet/mutant"
 	"olivebridge/internal/fleet/record"
 )
 
@@ -123,7 +123,7 @@
 	for i, p := range s.holder.parts {
 		s.orphans[i] += p.inUse
 	}
-	if !plant.Planted("held-twice") {
+	if !mutant.Active("held-twice") {
 		s.holder = nil // from here on nothing is let through
 	}
 	s.record()
@@ -160,7 +160,7 @@
 		s.count.turned.Add(1)
 		return false, s.c.Terms.Lease / asksPerLease
 	}
-	if ok, wait = s.holder.Admit(s.now(), plant.Wall(), budget); ok {
+	if ok, wait = s.holder.Admit(s.now(), mutant.Wall(), budget); ok {
 		s.count.passed.Add(1)
 		return true, 0
 	}
@@ -235,7 +235,7 @@
 	b := s.book
 	s.mu.Unlock()
 	switch {
-	case b == nil || !b.Leads() && !plant.Planted("no-majority"):
+	case b == nil || !b.Leads() && !mutant.Active("no-majority"):
 		return no("another keeps the book, or nobody")
 	case a.Terms != s.describe():
 		return no("the budgets of this node's fleet file are not the leader's")
@@ -252,7 +252,7 @@
 	out := answered{Answer: s.leader.Ask(s.now(), a.Ask)}
 	s.mu.Unlock()
 	// What was decided holds only if this process was in office after it: no later leader has begun by then.
-	if err := b.Verify(); (err != nil || b.Term() != term) && !plant.Planted("no-majority") {
+	if err := b.Verify(); (err != nil || b.Term() != term) && !mutant.Active("no-majority") {
 		return no("the leader was not in office any more")
 	}
 	s.count.granted.Add(int64(len(out.Grants)))
@@ -306,8 +306,8 @@
 
 // inPeriod reports whether a count's period is that of most voters.
 func (s *Service) inPeriod(w Whole, period int64) bool {
-	if plant.Planted("own-clock") {
-		return period == periodOf(plant.Wall(), w.Period)
+	if mutant.Active("own-clock") {
+		return period == periodOf(mutant.Wall(), w.Period)
 	}
 	voters := s.part.Roster().Names
 	s.mu.Lock()
--- a/internal/fleet/member/decide.go
+++ b/internal/fleet/member/decide.go
@@ -8,7 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"olivebridge/internal/fleet/plant"
+	"olivebridge/internal/fleet/mutant"
 )
 
 const (
@@ -69,12 +69,12 @@
 	older   int // events of incarnations that are over
 	doubts  map[string]doubted
 	view    *View
-	planted func(string) bool // see package plant
+	mutant  func(string) bool // see package mutant
 }
 
 // NewBook makes the book of a node, which is in its view from the start.
 func NewBook(self Member, now time.Duration) *Book {
-	b := &Book{self: self.Name, members: map[string]*Member{}, doubts: map[string]doubted{}, planted: plant.Planted}
+	b := &Book{self: self.Name, members: map[string]*Member{}, doubts: map[string]doubted{}, mutant: mutant.Active}
 	self.State, self.Since = Alive, now
 	b.members[self.Name] = &self
 	b.publish()
@@ -142,7 +142,7 @@
 		}
 		again := m.Incarnation != e.Incarnation
 		m.Zone, m.Addr, m.Predecessor = e.Zone, e.Addr, e.Predecessor
-		if m.Incarnation.Home == "" || !b.planted("old-incarnation") {
+		if m.Incarnation.Home == "" || !b.mutant("old-incarnation") {
 			m.Incarnation = e.Incarnation
 		}
 		if again {
@@ -173,9 +173,9 @@
 // end is the state of a member of which an end was heard: it is believed at once where it fits what is known.
 func (b *Book) end(m *Member, now time.Duration, to State, fits bool) State {
 	switch {
-	case !m.State.Here(), to == Dead && b.planted("dead-kept"):
+	case !m.State.Here(), to == Dead && b.mutant("dead-kept"):
 		return m.State
-	case to == Left && b.planted("leave-told-as-death"):
+	case to == Left && b.mutant("leave-told-as-death"):
 		return Dead
 	case fits:
 		delete(b.doubts, m.Name)
--- a/internal/fleet/member/inquire.go
+++ b/internal/fleet/member/inquire.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"olivebridge/internal/fleet/plant"
+	"olivebridge/internal/fleet/mutant"
 )
 
 const (
@@ -104,7 +104,7 @@
 	if len(silent) > 0 {
 		lost = Lost(silent, q.words(silent, answered))
 	}
-	if plant.Planted("lost-unwitnessed") {
+	if mutant.Active("lost-unwitnessed") {
 		lost = silent
 	}
 	q.p.s.c.Record.Write("roll", map[string]any{"asked": len(names), "silent": silent, "lost": lost})
--- a/internal/fleet/member/service.go
+++ b/internal/fleet/member/service.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"olivebridge/internal/fleet/plant"
+	"olivebridge/internal/fleet/mutant"
 	"olivebridge/internal/fleet/record"
 )
 
@@ -97,7 +97,7 @@
 	if busy {
 		return nil
 	}
-	if plant.Planted("upgrade-twice") && patience {
+	if mutant.Active("upgrade-twice") && patience {
 		s.c.Name += ".2"
 		s.c.Listen = netip.AddrPortFrom(s.c.Listen.Addr(), s.c.Listen.Port()+1)
 		s.c.Advertise = s.c.Listen
@@ -166,7 +166,7 @@
 		return err
 	}
 	s.c.Record.Write("took", incarnation)
-	s.c.Record.Write("wall", plant.Wall().UnixNano())
+	s.c.Record.Write("wall", mutant.Wall().UnixNano())
 	m := s.self(incarnation)
 	s.mu.Lock()
 	predecessor := s.successor
@@ -234,7 +234,7 @@
 
 // Yield frees the place for the node's other process.
 func (s *Service) Yield() {
-	if !plant.Planted("upgrade-twice") {
+	if !mutant.Active("upgrade-twice") {
 		s.mu.Lock()
 		s.yielded = time.Now()
 		s.mu.Unlock()
--- a/internal/fleet/plant/on.go
+++ b/internal/fleet/mutant/on.go
@@ -1,7 +1,7 @@
-//go:build plant
+//go:build mutant || plant
 
-// Package plant tells which faults are planted in a process, so that the rig can prove that it finds them.
-package plant
+// Package mutant tells of which mutants a process is one, so that the rig can prove that it finds them.
+package mutant
 
 import (
 	"os"
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Planted reports whether a fault is planted in this process.
-func Planted(name string) bool {
+// Active reports whether this process is the mutant of a name.
+func Active(name string) bool {
 	return slices.Contains(strings.Split(os.Getenv("OLIVEFLEET_PLANT"), ","), name)
 }
 
--- a/internal/fleet/rounds/ledger.go
+++ b/internal/fleet/rounds/ledger.go
@@ -16,7 +16,7 @@
 	"github.com/hashicorp/raft"
 
 	"olivebridge/internal/fleet/agreed"
-	"olivebridge/internal/fleet/plant"
+	"olivebridge/internal/fleet/mutant"
 )
 
 // Step is how far a round is with its present server.
@@ -240,7 +240,7 @@
 // own word is passed over, and stays out.
 func (l *ledger) move(m Move) Answer {
 	r := l.running()
-	if r == nil || r.ID != m.ID || r.At != m.At && !plant.Planted("step-without-look") || r.Step != m.From && !plant.Planted("step-without-look") {
+	if r == nil || r.ID != m.ID || r.At != m.At && !mutant.Active("step-without-look") || r.Step != m.From && !mutant.Active("step-without-look") {
 		return Answer{No: "it is elsewhere by now"}
 	}
 	server := r.Server()
@@ -343,7 +343,7 @@
 	}
 	late := func(said Report, predecessor bool) bool {
 		busy := r.Step == Leaves && (predecessor || said.Busy[r.Server()] > 0)
-		return said.Version < r.Version || busy && !plant.Planted("busy-not-asked")
+		return said.Version < r.Version || busy && !mutant.Active("busy-not-asked")
 	}
 	for _, m := range members {
 		said, known := reports[m.Name]
--- a/internal/fleet/rounds/service.go
+++ b/internal/fleet/rounds/service.go
@@ -19,7 +19,7 @@
 
 	"olivebridge/internal/fleet/agreed"
 	"olivebridge/internal/fleet/member"
-	"olivebridge/internal/fleet/plant"
+	"olivebridge/internal/fleet/mutant"
 	"olivebridge/internal/fleet/record"
 	"olivebridge/internal/maintenance"
 )
@@ -488,7 +488,7 @@
 		return
 	}
 	got, err := log.Agree(command{Move: &at})
-	if plant.Planted("step-without-look") { // and comes again
+	if mutant.Active("step-without-look") { // and comes again
 		log.Agree(command{Move: &at})
 	}
 	if a, is := got.(Answer); err == nil && is && a.No == "" {
--- a/internal/fleet/signals/service.go
+++ b/internal/fleet/signals/service.go
@@ -10,7 +10,7 @@
 
 	"github.com/hashicorp/go-msgpack/v2/codec"
 
-	"olivebridge/internal/fleet/plant"
+	"olivebridge/internal/fleet/mutant"
 	"olivebridge/internal/fleet/record"
 )
 
@@ -161,7 +161,7 @@
 	s.mu.Lock()
 	s.book.Forget(s.c.Here)
 	w := s.book.Say(s.now(), s.incarnation)
-	if (plant.Planted("liar") || plant.Planted("one-witness")) && strings.HasSuffix(s.c.Name, "1") {
+	if (mutant.Active("liar") || mutant.Active("one-witness")) && strings.HasSuffix(s.c.Name, "1") {
 		w.Seen = nil
 		for _, p := range s.group[:len(s.group)/3] { // fewer than would not be believed
 			w.Seen = append(w.Seen, Seen{Peer: p})
--- a/internal/fleet/signals/signals.go
+++ b/internal/fleet/signals/signals.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"olivebridge/internal/fleet/plant"
+	"olivebridge/internal/fleet/mutant"
 )
 
 const (
@@ -111,17 +111,17 @@
 
 // Book is what a node knows of peers, by itself and from others.
 type Book struct {
-	self    string
-	need    int // witnesses
-	own     map[uint64]*met
-	others  map[string]*said
-	number  uint64
-	planted func(string) bool
+	self   string
+	need   int // witnesses
+	own    map[uint64]*met
+	others map[string]*said
+	number uint64
+	mutant func(string) bool
 }
 
 // NewBook makes the book of a node, which doubts a peer on the word of so many.
 func NewBook(self string, witnesses int) *Book {
-	return &Book{self: self, need: witnesses, own: map[uint64]*met{}, others: map[string]*said{}, planted: plant.Planted}
+	return &Book{self: self, need: witnesses, own: map[uint64]*met{}, others: map[string]*said{}, mutant: mutant.Active}
 }
 
 // Saw takes in how a try or a probe of this node's went, and reports whether others should hear of it at once.
@@ -210,7 +210,7 @@
 		if m := b.own[id]; m != nil && m.born == born[id] && m.out() && now-m.at <= fresh {
 			continue
 		}
-		if n >= float64(b.need)-1e-9 || b.planted("one-witness") {
+		if n >= float64(b.need)-1e-9 || b.mutant("one-witness") {
 			all = append(all, doubt{id, n})
 		}
 	}
--- a/internal/fleet/work/ledger.go
+++ b/internal/fleet/work/ledger.go
@@ -15,7 +15,7 @@
 	"github.com/hashicorp/raft"
 
 	"olivebridge/internal/fleet/agreed"
-	"olivebridge/internal/fleet/plant"
+	"olivebridge/internal/fleet/mutant"
 )
 
 // State is how a piece of work stands.
@@ -191,7 +191,7 @@
 		return Verdict{Other: true}
 	case p.Owner == c.Owner && p.State == Running: // the same question, since its answer was lost
 		return Verdict{Yours: true}
-	case p.State == Running && plant.Planted("claim-without-look"):
+	case p.State == Running && mutant.Active("claim-without-look"):
 	case p.State != Free || p.Owner == c.Owner: // or it comes late, and its owner has given it up
 		return Verdict{State: p.State, Owner: p.Owner, Outcome: p.Outcome}
 	case p.Tries >= max(c.Most, 1):
@@ -228,7 +228,7 @@
 	}
 	s.bytes += p.size()
 	s.set(p, p.Owner, c.State)
-	if plant.Planted("outcome-forgotten") {
+	if mutant.Active("outcome-forgotten") {
 		s.forget(Limits{Window: -time.Millisecond})
 	}
 	return true
@@ -248,7 +248,7 @@
 	for _, one := range c.Processes {
 		for p := range s.of[one] {
 			owner, state := p.Owner, Unknown
-			if p.Again || plant.Planted("unknown-sent-again") {
+			if p.Again || mutant.Active("unknown-sent-again") {
 				owner, state = Owner{}, Free
 			}
 			s.set(p, owner, state)
--- a/internal/fleet/work/service.go
+++ b/internal/fleet/work/service.go
@@ -20,7 +20,7 @@
 
 	"olivebridge/internal/fleet/agreed"
 	"olivebridge/internal/fleet/member"
-	"olivebridge/internal/fleet/plant"
+	"olivebridge/internal/fleet/mutant"
 	"olivebridge/internal/fleet/record"
 )
 
@@ -336,7 +336,7 @@
 	if b.Most == 0 {
 		b.Most = s.c.Tries
 	}
-	if plant.Planted("out-before-permission") {
+	if mutant.Active("out-before-permission") {
 		go s.ask(context.Background(), question{Begin: &b}, beginWithin)
 		return Verdict{Yours: true}, nil
 	}
--- a/internal/lab/campaign/hunt.go
+++ b/internal/lab/campaign/hunt.go
@@ -7,11 +7,11 @@
 	"slices"
 	"time"
 
-	"olivebridge/internal/lab/plant"
+	"olivebridge/internal/lab/mutant"
 )
 
-// Hunter looks for planted faults: it builds the tool with one in it, and plays seeds until
-// a rule that is to show it is broken.
+// Hunter looks for mutants: it builds the tool as one, and plays seeds until a rule
+// that is to show it is broken.
 type Hunter struct {
 	Root     string // of the module's source tree
 	Dir      string // for what is built
@@ -21,7 +21,7 @@
 	Pool     Pool // but for its command
 }
 
-// Find is what became of one plant.
+// Find is what became of one mutant.
 type Find struct {
 	Name     string        `json:"name"`
 	Expected []string      `json:"expected"`
@@ -32,9 +32,9 @@
 	Real     time.Duration `json:"real"`
 }
 
-// Hunt plays one plant. A seed at which the sound build, played by the pool sound, breaks the
+// Hunt plays one mutant. A seed at which the sound build, played by the pool sound, breaks the
 // same rule does not count.
-func (h *Hunter) Hunt(ctx context.Context, p plant.Plant, sound *Pool) (Find, error) {
+func (h *Hunter) Hunt(ctx context.Context, p mutant.Mutant, sound *Pool) (Find, error) {
 	f, start := Find{Name: p.Name, Expected: p.Rules}, time.Now()
 	program := filepath.Join(h.Dir, p.Name)
 	if err := p.Build(h.Root, h.Dir, h.Tool, program); err != nil {
@@ -70,7 +70,7 @@
 		err = failed
 	}
 	if err != nil {
-		return f, fmt.Errorf("plant %s: %w", p.Name, err)
+		return f, fmt.Errorf("mutant %s: %w", p.Name, err)
 	}
 	return f, nil
 }
--- a/internal/lab/campaign/hunt_test.go
+++ b/internal/lab/campaign/hunt_test.go
@@ -8,10 +8,10 @@
 	"testing"
 
 	"olivebridge/internal/lab/campaign"
-	"olivebridge/internal/lab/plant"
+	"olivebridge/internal/lab/mutant"
 )
 
-// toyTool is a worker whose plant breaks the rule effect from seed 3 on, and late at 2; it
+// toyTool is a worker whose mutant breaks the rule effect from seed 3 on, and late at 2; it
 // breaks the rule lost at seed 4 in any case.
 const toyTool = `package main
 
@@ -20,7 +20,7 @@
 	"os"
 )
 
-const planted = false
+const mutated = false
 
 func main() {
 	in, out := json.NewDecoder(os.Stdin), json.NewEncoder(os.NewFile(3, "replies"))
@@ -31,10 +31,10 @@
 		}
 		var broken []map[string]any
 		add := func(rule string) { broken = append(broken, map[string]any{"rule": rule, "what": "x"}) }
-		if planted && j.Seed == 2 {
+		if mutated && j.Seed == 2 {
 			add("late")
 		}
-		if planted && j.Seed >= 3 {
+		if mutated && j.Seed >= 3 {
 			add("effect")
 		}
 		if j.Seed == 4 {
@@ -45,7 +45,7 @@
 }
 `
 
-// A plant counts as found by a rule that is to show it, at a seed where the sound build does
+// A mutant counts as found by a rule that is to show it, at a seed where the sound build does
 // not break the same rule.
 func TestHunt(t *testing.T) {
 	root, dir := t.TempDir(), t.TempDir()
@@ -70,7 +70,7 @@
 		{[]string{"effect"}, "effect", 3, []string{"late"}},
 		{[]string{"lost"}, "", 0, []string{"late", "effect"}},
 	} {
-		p := plant.Plant{Name: "p", Rules: c.expected, File: "main.go", Old: "planted = false", New: "planted = true"}
+		p := mutant.Mutant{Name: "p", Rules: c.expected, File: "main.go", Old: "mutated = false", New: "mutated = true"}
 		f, err := h.Hunt(t.Context(), p, sound)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/lab/campaign/sources.go
+++ b/internal/lab/campaign/sources.go
@@ -1,5 +1,5 @@
 // Package campaign plays many seeds in many processes, and does what takes many runs: it
-// shrinks a script that fails, counts which faults met, and hunts for planted ones.
+// shrinks a script that fails, counts which faults met, and hunts for mutants.
 //
 // Runs happen in worker processes, since a bubble that deadlocks, or a panic in a goroutine
 // of a node, ends the process that it is in. A worker is the same program, started with one
--- a/internal/lab/fleet/clocks.go
+++ b/internal/lab/fleet/clocks.go
@@ -13,7 +13,7 @@
 // clockSlack is how far a process's wall clock may be from what it is to be: it is read a moment before it is recorded.
 const clockSlack = 5 * time.Second
 
-// wrongClocks finds wall clocks that are not as wrong as the rig made them: a program that was not built for plants has
+// wrongClocks finds wall clocks that are not as wrong as the rig made them: a program that was not built for mutants has
 // them right.
 func wrongClocks(a *Account, breaks func(rule string, at time.Duration, format string, args ...any)) {
 	for _, l := range a.Lines {
@@ -47,7 +47,7 @@
 	}
 }
 
-// ForPlants reports whether a script can be played with programs alone that were built for plants.
-func ForPlants(s *fault.Script) bool {
+// ForMutants reports whether a script can be played with programs alone that were built for mutants.
+func ForMutants(s *fault.Script) bool {
 	return slices.ContainsFunc(s.Faults, func(f fault.Fault) bool { return f.Kind == "fleet-clock" || strings.Contains(f.Kind, "-at-") })
 }
--- a/internal/lab/fleet/members_test.go
+++ b/internal/lab/fleet/members_test.go
@@ -234,7 +234,7 @@
 		}
 	}
 	for _, k := range fault.FleetTable() {
-		if !kinds[k.Name] && k.Name != "fleet-amounts" && k.Name != "fleet-clock" && k.Name != "fleet-keepers" && !strings.Contains(k.Name, "-at-") { // for one judge, and for planted programs
+		if !kinds[k.Name] && k.Name != "fleet-amounts" && k.Name != "fleet-clock" && k.Name != "fleet-keepers" && !strings.Contains(k.Name, "-at-") { // for one judge, and for programs built for mutants
 			t.Errorf("%s is never drawn", k.Name)
 		}
 	}
--- a/internal/lab/fleet/relay.go
+++ b/internal/lab/fleet/relay.go
@@ -35,7 +35,7 @@
 	ways  map[pair]*way
 	drawn *rand.Rand
 	drawm sync.Mutex
-	leaks bool // a planted fault: cuts are not made
+	leaks bool // the rig is a mutant: cuts are not made
 
 	all     []*relay
 	closed  atomic.Bool
--- a/internal/lab/fleet/result.go
+++ b/internal/lab/fleet/result.go
@@ -75,26 +75,26 @@
 	return &Result{script, a, s.Judge(script, a)}, nil
 }
 
-// leak is the planted fault of the rig itself.
+// leak is the mutant of the rig itself.
 const leak = "cut-not-made"
 
-// Plants are the faults that can be planted: in the processes, and in the rig.
-func Plants() []string {
+// Mutants are those that there are: of the processes, and of the rig.
+func Mutants() []string {
 	return []string{"dead-kept", "leave-told-as-death", "old-incarnation", "upgrade-twice", "lost-unwitnessed", leak,
 		"lease-from-answer", "given-out-early", "no-quarantine", "reserve-lent", "incarnation-forgotten", "held-twice",
 		"grant-twice", "own-clock", "roster-ignored", "step-without-look", "busy-not-asked", "one-witness", "liar", "no-majority", "old-and-new", "claim-without-look", "unknown-sent-again", "outcome-forgotten", "out-before-permission"}
 }
 
-// IsPlant reports whether there is one of that name.
-func IsPlant(name string) bool { return slices.Contains(Plants(), name) }
+// IsMutant reports whether there is one of that name.
+func IsMutant(name string) bool { return slices.Contains(Mutants(), name) }
 
-// Plant plants one; "" plants none.
-func Plant(o *Options, name string) {
+// Mutate makes the processes, or the rig, a mutant; "": none.
+func Mutate(o *Options, name string) {
 	if name == leak {
 		o.Leak = true
 		return
 	}
-	o.Plant = name
+	o.Mutant = name
 }
 
 // verdict is what the rules that did not hold come to, in a few words.
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -22,12 +22,12 @@
 
 // Options say how a script is played.
 type Options struct {
-	Node  string            // the node's program, with olivefleet beside it
-	Dir   string            // for everything that the processes write
-	Log   io.Writer         // what goes wrong with the run itself; may be nil
-	Tell  func(line string) // progress; may be nil
-	Plant string            // a fault planted in every process, which a program built for that knows
-	Leak  bool              // a fault planted in the rig: cuts are not made
+	Node   string            // the node's program, with olivefleet beside it
+	Dir    string            // for everything that the processes write
+	Log    io.Writer         // what goes wrong with the run itself; may be nil
+	Tell   func(line string) // progress; may be nil
+	Mutant string            // that every process is, which a program built for that knows
+	Leak   bool              // the rig is a mutant: cuts are not made
 	// More is what the fleet files say besides; nil: nothing.
 	More func(Says) string
 	// Crowd asks the nodes, which it knows by name and address, for work until the script is over; nil: there is none.
@@ -300,8 +300,8 @@
 		g.doors[node] = door
 		g.mu.Unlock()
 	}
-	if g.o.Plant != "" {
-		env = append(env, "OLIVEFLEET_PLANT="+g.o.Plant)
+	if g.o.Mutant != "" {
+		env = append(env, "OLIVEFLEET_PLANT="+g.o.Mutant)
 	}
 	if by := g.clocks[node]; by != 0 && !twin {
 		env = append(env, "OLIVEFLEET_WALL="+by.String())
@@ -354,14 +354,14 @@
 	g.note(Happened{Node: node, What: "moves"})
 }
 
-// Clock implements live.Fleet. Only programs that were built for plants can be told a wrong time: their records show it, so
+// Clock implements live.Fleet. Only programs that were built for mutants can be told a wrong time: their records show it, so
 // that the judge finds where it was not.
 func (g *rig) Clock(node string, by time.Duration) {
 	g.clocks[node] = by
 	g.note(Happened{Node: node, What: "clock wrong", Wrong: by})
 }
 
-// Arm implements live.Fleet. Only programs that were built for plants can be met.
+// Arm implements live.Fleet. Only programs that were built for mutants can be met.
 func (g *rig) Arm(node, step string) (met func() bool, goOn func(), err error) {
 	arm, at := filepath.Join(g.o.Dir, node, "arm-"+step), filepath.Join(g.o.Dir, node, "at-"+step)
 	met = func() bool {
--- a/internal/lab/live/build.go
+++ b/internal/lab/live/build.go
@@ -31,12 +31,12 @@
 	return "", fmt.Errorf("building the node: %w (run in the source tree, or name a program)", err)
 }
 
-// BuildFleet builds the node's program, and beside it the one that it becomes where it knows of a fleet. With plants they
-// know the faults that can be planted in them.
-func BuildFleet(ctx context.Context, dir string, plants bool) (string, error) {
+// BuildFleet builds the node's program, and beside it the one that it becomes where it knows of a fleet. With mutants they
+// can be told which mutant to be.
+func BuildFleet(ctx context.Context, dir string, mutants bool) (string, error) {
 	args := []string{"build", "-o", dir + string(filepath.Separator)}
-	if plants {
-		args = append(args, "-tags", "plant")
+	if mutants {
+		args = append(args, "-tags", "mutant")
 	}
 	args = append(args, "olivebridge/cmd/olivebridge", "olivebridge/cmd/olivefleet")
 	return built(ctx, filepath.Join(dir, "olivebridge"), args)
--- a/internal/lab/plant/plant.go
+++ b/internal/lab/mutant/mutant.go
@@ -1,7 +1,7 @@
-// Package plant holds planted faults: small wrong changes of the node's code, kept as data,
+// Package mutant holds mutants of the node: small wrong changes of its code, kept as data,
 // each of which the lab must find. They are never applied to the tree: a build reads a
 // changed copy of one file through the overlay of the go command.
-package plant
+package mutant
 
 import (
 	"bytes"
@@ -17,11 +17,11 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-//go:embed plants.toml
+//go:embed mutants.toml
 var list []byte
 
-// Plant is one small wrong change.
-type Plant struct {
+// Mutant is the program with one small wrong change.
+type Mutant struct {
 	Name   string   `toml:"name"`
 	Breaks string   `toml:"breaks"` // what goes wrong by it, in a sentence
 	Rules  []string `toml:"rules"`  // those that show it; one of them has to
@@ -30,32 +30,32 @@
 	New    string   `toml:"new"`
 }
 
-// All reads the planted faults.
-func All() ([]Plant, error) { return Parse("plants.toml", list) }
+// All reads the mutants.
+func All() ([]Mutant, error) { return Parse("mutants.toml", list) }
 
-// Parse reads a list of planted faults; name is that of its file.
-func Parse(name string, data []byte) ([]Plant, error) {
+// Parse reads a list of mutants; name is that of its file.
+func Parse(name string, data []byte) ([]Mutant, error) {
 	var in struct {
-		Plants []Plant `toml:"plant"`
+		Mutants []Mutant `toml:"mutant"`
 	}
 	d := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields()
 	if err := d.Decode(&in); err != nil {
 		return nil, fmt.Errorf("%s:%w", name, located(err))
 	}
 	seen := map[string]bool{}
-	for i, p := range in.Plants {
+	for i, m := range in.Mutants {
 		switch {
-		case p.Name == "" || strings.ContainsAny(p.Name, "/\\ "):
-			return nil, fmt.Errorf("%s: plant %d: name: missing, or with a slash or space: %q", name, i+1, p.Name)
-		case seen[p.Name]:
-			return nil, fmt.Errorf("%s: plant %s: the name stands twice", name, p.Name)
-		case p.Breaks == "" || len(p.Rules) == 0 || !filepath.IsLocal(p.File) || p.Old == "" || p.Old == p.New:
-			return nil, fmt.Errorf("%s: plant %s: breaks, rules, file, old or new: missing or without effect",
-				name, p.Name)
+		case m.Name == "" || strings.ContainsAny(m.Name, "/\\ "):
+			return nil, fmt.Errorf("%s: mutant %d: name: missing, or with a slash or space: %q", name, i+1, m.Name)
+		case seen[m.Name]:
+			return nil, fmt.Errorf("%s: mutant %s: the name stands twice", name, m.Name)
+		case m.Breaks == "" || len(m.Rules) == 0 || !filepath.IsLocal(m.File) || m.Old == "" || m.Old == m.New:
+			return nil, fmt.Errorf("%s: mutant %s: breaks, rules, file, old or new: missing or without effect",
+				name, m.Name)
 		}
-		seen[p.Name] = true
+		seen[m.Name] = true
 	}
-	return in.Plants, nil
+	return in.Mutants, nil
 }
 
 // located puts the line first, as a compiler does, where the reader of TOML knows it.
@@ -88,37 +88,37 @@
 
 // Overlay writes the changed file and the overlay that puts it in the place of the tree's
 // into dir, and returns the overlay's path.
-func (p *Plant) Overlay(root, dir string) (string, error) {
-	source := filepath.Join(root, filepath.FromSlash(p.File))
+func (m *Mutant) Overlay(root, dir string) (string, error) {
+	source := filepath.Join(root, filepath.FromSlash(m.File))
 	text, err := os.ReadFile(source)
 	if err != nil {
-		return "", fmt.Errorf("plant %s: %w", p.Name, err)
+		return "", fmt.Errorf("mutant %s: %w", m.Name, err)
 	}
-	if n := strings.Count(string(text), p.Old); n != 1 {
-		return "", fmt.Errorf("plant %s: old: stands %d times in %s, not once", p.Name, n, p.File)
+	if n := strings.Count(string(text), m.Old); n != 1 {
+		return "", fmt.Errorf("mutant %s: old: stands %d times in %s, not once", m.Name, n, m.File)
 	}
-	changed := filepath.Join(dir, p.Name+".go")
-	if err := os.WriteFile(changed, []byte(strings.Replace(string(text), p.Old, p.New, 1)), 0o600); err != nil {
-		return "", fmt.Errorf("plant %s: %w", p.Name, err)
+	changed := filepath.Join(dir, m.Name+".go")
+	if err := os.WriteFile(changed, []byte(strings.Replace(string(text), m.Old, m.New, 1)), 0o600); err != nil {
+		return "", fmt.Errorf("mutant %s: %w", m.Name, err)
 	}
 	overlay, err := json.Marshal(map[string]map[string]string{"Replace": {source: changed}})
 	if err != nil {
-		return "", fmt.Errorf("plant %s: %w", p.Name, err)
+		return "", fmt.Errorf("mutant %s: %w", m.Name, err)
 	}
-	path := filepath.Join(dir, p.Name+".json")
+	path := filepath.Join(dir, m.Name+".json")
 	if err := os.WriteFile(path, overlay, 0o600); err != nil {
-		return "", fmt.Errorf("plant %s: %w", p.Name, err)
+		return "", fmt.Errorf("mutant %s: %w", m.Name, err)
 	}
 	return path, nil
 }
 
-// Package is the package that the plant changes, as the go command takes it at the root.
-func (p *Plant) Package() string { return "./" + filepath.ToSlash(filepath.Dir(p.File)) }
+// Package is the package that the mutant changes, as the go command takes it at the root.
+func (m *Mutant) Package() string { return "./" + filepath.ToSlash(filepath.Dir(m.File)) }
 
-// Build builds a package of the tree with the plant in it; its program, if it is one, goes
+// Build builds a package of the tree as the mutant has it; its program, if it is one, goes
 // to out, unless that is empty. Work files go to dir.
-func (p *Plant) Build(root, dir, pkg, out string) error {
-	overlay, err := p.Overlay(root, dir)
+func (m *Mutant) Build(root, dir, pkg, out string) error {
+	overlay, err := m.Overlay(root, dir)
 	if err != nil {
 		return err
 	}
@@ -129,7 +129,7 @@
 	cmd := exec.Command("go", append(args, pkg)...)
 	cmd.Dir = root
 	if said, err := cmd.CombinedOutput(); err != nil {
-		return fmt.Errorf("plant %s: building %s: %w: %s", p.Name, pkg, err, oneLine(said))
+		return fmt.Errorf("mutant %s: building %s: %w: %s", m.Name, pkg, err, oneLine(said))
 	}
 	return nil
 }
--- a/internal/lab/plant/plant_test.go
+++ b/internal/lab/mutant/mutant_test.go
@@ -1,4 +1,4 @@
-package plant
+package mutant
 
 import (
 	"os"
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// Each plant must still apply to the sources as they are, and make a tree that compiles:
+// Each mutant must still apply to the sources as they are, and make a tree that compiles:
 // one that does neither finds nothing.
-func TestPlantsApply(t *testing.T) {
+func TestMutantsApply(t *testing.T) {
 	all, err := All()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(all) < 16 {
-		t.Errorf("%d plants", len(all))
+		t.Errorf("%d mutants", len(all))
 	}
 	root, err := Root()
 	if err != nil {
@@ -37,11 +37,11 @@
 		t.Fatal(err)
 	}
 	for old, want := range map[string]string{
-		"x = 1": "plant p: old: stands 2 times in a.go, not once",
-		"z":     "plant p: old: stands 0 times in a.go, not once",
+		"x = 1": "mutant p: old: stands 2 times in a.go, not once",
+		"z":     "mutant p: old: stands 0 times in a.go, not once",
 		"y = 2": "",
 	} {
-		p := Plant{Name: "p", File: "a.go", Old: old, New: "w"}
+		p := Mutant{Name: "p", File: "a.go", Old: old, New: "w"}
 		_, err := p.Overlay(root, t.TempDir())
 		if got := ""; err != nil {
 			if got = err.Error(); got != want {
@@ -54,14 +54,14 @@
 }
 
 func TestParse(t *testing.T) {
-	const whole = "[[plant]]\nname = 'a'\nbreaks = 'b'\nrules = ['lost']\nfile = 'f.go'\nold = 'x'\nnew = 'y'\n"
+	const whole = "[[mutant]]\nname = 'a'\nbreaks = 'b'\nrules = ['lost']\nfile = 'f.go'\nold = 'x'\nnew = 'y'\n"
 	for _, c := range []struct{ text, want string }{
 		{whole, ""},
-		{whole + whole, "f: plant a: the name stands twice"},
-		{strings.Replace(whole, "'a'", "'a b'", 1), "f: plant 1: name: missing"},
-		{strings.Replace(whole, "'y'", "'x'", 1), "f: plant a: breaks, rules, file, old or new"},
-		{strings.Replace(whole, "'f.go'", "'../f.go'", 1), "f: plant a: breaks, rules, file, old or new"},
-		{whole + "newer = 1\n", "f:8: plant.newer: unknown key"},
+		{whole + whole, "f: mutant a: the name stands twice"},
+		{strings.Replace(whole, "'a'", "'a b'", 1), "f: mutant 1: name: missing"},
+		{strings.Replace(whole, "'y'", "'x'", 1), "f: mutant a: breaks, rules, file, old or new"},
+		{strings.Replace(whole, "'f.go'", "'../f.go'", 1), "f: mutant a: breaks, rules, file, old or new"},
+		{whole + "newer = 1\n", "f:8: mutant.newer: unknown key"},
 		{whole + "[", "f:8: "},
 	} {
 		_, err := Parse("f", []byte(c.text))
--- a/internal/lab/path/meter.go
+++ b/internal/lab/path/meter.go
@@ -19,7 +19,7 @@
 type Options struct {
 	Root     string   // of the source tree; the node is built there
 	Node     string   // a node built already; "": one is built
-	Overlay  string   // of the go command, for a build with a planted fault
+	Overlay  string   // of the go command, for the build of a mutant
 	Proxy    []string // the command that calls ServeProxy; none: the node alone
 	Loads    []string // their names; none: all
 	ProxyGC  int      // the proxy's GOGC; 0: Go's own
--- a/internal/lab/stage/planted_test.go
+++ b/internal/lab/stage/mutants_test.go
@@ -5,20 +5,20 @@
 	"strings"
 	"testing"
 
-	"olivebridge/internal/lab/plant"
+	"olivebridge/internal/lab/mutant"
 )
 
-// TestTheTableFails: with a planted fault for each rule in the node, plays of the table, or a kept script where the
+// TestTheTableFails: with a mutant of the node for each rule, plays of the table, or a kept script where the
 // table's world is too roomy, break that rule. One play is enough for each; which one, is where the fault shows.
 func TestTheTableFails(t *testing.T) {
 	if racing || testing.Short() {
 		t.Skip("it builds itself five times")
 	}
-	plants, err := plant.All()
+	mutants, err := mutant.All()
 	if err != nil {
 		t.Fatal(err)
 	}
-	root, err := plant.Root()
+	root, err := mutant.Root()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,9 +30,9 @@
 		"drain-not-seen":      {"drain", table + "drained,_back_cold"},
 		"cold-counts-as-warm": {"cold", "^TestKept$/cold-in-turn"},
 	}
-	for _, p := range plants {
-		c, planted := rows[p.Name]
-		if !planted {
+	for _, p := range mutants {
+		c, listed := rows[p.Name]
+		if !listed {
 			continue
 		}
 		delete(rows, p.Name)
@@ -51,6 +51,6 @@
 		})
 	}
 	if len(rows) > 0 {
-		t.Errorf("no such plants: %v", rows)
+		t.Errorf("no such mutants: %v", rows)
 	}
 }
