--- a/internal/lab/fact/fact.go
+++ b/internal/lab/fact/fact.go
@@ -19,6 +19,10 @@
 	// Ready, Terminating or Gone; started is the peer's last start, since the
 	// run began, 0 for long ago.
 	Listed(version int64, peer, addr, state string, started time.Duration)
+	// Reach: calls of a node ("": of any) to discovery at an address are served from
+	// now on, or are not: it is down, has gone elsewhere or fails calls, or the way
+	// to it is cut. Until something else is told they are.
+	Reach(node, addr string, served bool)
 	// Bad: what the client sends on a connection from here on must not be served,
 	// for the reason; it is owed an error or a close within the time.
 	Bad(conn, why string, within time.Duration)
@@ -48,6 +52,9 @@
 // Listed implements Witness.
 func (Nobody) Listed(int64, string, string, string, time.Duration) {}
 
+// Reach implements Witness.
+func (Nobody) Reach(string, string, bool) {}
+
 // Bad implements Witness.
 func (Nobody) Bad(string, string, time.Duration) {}
 
--- a/internal/lab/network/faults.go
+++ b/internal/lab/network/faults.go
@@ -125,8 +125,11 @@
 }
 
 // parted reports whether a partition lies between the ends.
-func (n *Net) parted(c *conn) bool {
-	return slices.ContainsFunc(n.cuts, func(r *rule) bool { return r.between(c.from, c.host) })
+func (n *Net) parted(c *conn) bool { return n.Parted(c.from, c.host) }
+
+// Parted reports whether a partition lies between two machines.
+func (n *Net) Parted(a, b string) bool {
+	return slices.ContainsFunc(n.cuts, func(r *rule) bool { return r.between(a, b) })
 }
 
 // mend goes on after a partition.
--- a/internal/lab/rules/ask.go
+++ b/internal/lab/rules/ask.go
@@ -35,6 +35,7 @@
 	t := &c.node.told
 	if t.source == "" {
 		t.source = c.to
+		c.j.reach(c.node)
 	}
 	t.rested = c.j.now
 }
--- a/internal/lab/rules/doc.go
+++ b/internal/lab/rules/doc.go
@@ -63,7 +63,12 @@
 	// 4 s after SIGHUP with another discovery, of what is listed then. A call
 	// that ends in an error or in what cannot be read, or breaks before discovery
 	// had sent a whole answer, has failed and tells nothing: its node cannot know
-	// more than before. Only an answer on the wire tells of Ready.
+	// more than before. Whatever else holds, and before all of it: 6 s after discovery had
+	// a change and the node's calls to it were served. They are served unless
+	// discovery is down, has gone to its other address, or breaks, refuses, stalls or
+	// garbles any share of calls, or a partition lies between; such a time begins the
+	// 6 s anew, as the first call and SIGHUP with another discovery do. Only an answer
+	// on the wire tells of Ready.
 	Drain = "drain"
 	// Cold (4): over every window of Fall within a peer's cold time, the work
 	// that reaches it is at most Overload times its mean capacity then, and one
--- a/internal/lab/rules/fact.go
+++ b/internal/lab/rules/fact.go
@@ -29,6 +29,20 @@
 // Listed implements fact.Witness.
 func (j *Judge) Listed(version int64, peer, addr, state string, started time.Duration) {
 	j.book.put(listing{version: version, name: peer, addr: addr, state: state, started: started, at: j.clock()})
+	for _, name := range j.c.Nodes {
+		if n := j.nodes[name]; n.told.reaches {
+			j.owe(n)
+		}
+	}
+}
+
+// Reach implements fact.Witness.
+func (j *Judge) Reach(node, addr string, served bool) {
+	j.clock()
+	j.barred[way{node, addr}] = !served
+	for _, name := range j.c.Nodes {
+		j.reach(j.nodes[name])
+	}
 }
 
 // Bad implements fact.Witness.
--- a/internal/lab/rules/judge.go
+++ b/internal/lab/rules/judge.go
@@ -55,6 +55,7 @@
 	sent   map[string][]*try        // written whole, and not yet met by a fact, by call
 	bad    map[string]badMark       // of connections not met yet
 	book   book                     // what discovery knows
+	barred map[way]bool             // where calls to discovery are not served
 	used   map[string]time.Duration // when peers were last tried, by any node
 	tries  int                      // so far
 }
@@ -81,6 +82,7 @@
 		c: c, classes: map[string]*world.Class{}, nodes: map[string]*node{}, conns: map[string]*conn{},
 		at: map[string]string{}, starts: map[string]*start{}, sent: map[string][]*try{},
 		bad: map[string]badMark{}, book: newBook(), used: map[string]time.Duration{},
+		barred: map[way]bool{},
 	}
 	for addr, name := range c.Peers {
 		j.at[addr] = name
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -144,6 +144,13 @@
 	s.send("d", true, listed(3, false, "p1=Terminating"))
 }
 
+// fail lets the node's only call to discovery fail, and p1 be gone after it.
+func (s *scene) fail() {
+	s.call("d", "")
+	s.send("d", true, answer("503 "))
+	s.j.Listed(3, "p1", "p1:9", gone, 0)
+}
+
 // cold lets a cold start of p1 be listed, and told if knows, and n calls of 0.1 s of work reach it.
 func (s *scene) cold(knows bool, n int) {
 	s.pass(time.Second)
@@ -552,10 +559,63 @@
 		s.pass(12551 * ms)
 		s.serve("a", "quote")
 	}},
-	{"asked, and failed", "", nil, func(s *scene) {
-		s.call("d", "")
-		s.send("d", true, answer("503 "))
-		s.j.Listed(3, "p1", "p1:9", gone, 0)
+	{"asked, and failed", Drain, nil, func(s *scene) {
+		s.fail()
+		s.pass(8551 * ms)
+		s.serve("a", "quote")
+	}},
+	{"asked, and failed, in the grace", "", nil, func(s *scene) {
+		s.fail()
+		s.pass(8530 * ms)
+		s.serve("a", "quote")
+	}},
+	{"asked, and failed, and it is down", "", nil, func(s *scene) {
+		s.j.Reach("", "d:1", false)
+		s.fail()
+		s.pass(40 * time.Second)
+		s.serve("a", "quote")
+	}},
+	{"asked, and failed, and the way is cut", "", nil, func(s *scene) {
+		s.j.Reach("n1", "d:1", false)
+		s.fail()
+		s.pass(40 * time.Second)
+		s.serve("a", "quote")
+	}},
+	{"another node's way is cut", Drain, nil, func(s *scene) {
+		s.fail()
+		s.j.Reach("n2", "d:1", false)
+		s.pass(8551 * ms)
+		s.serve("a", "quote")
+	}},
+	{"it is back", Drain, nil, func(s *scene) {
+		s.j.Reach("", "d:1", false)
+		s.fail()
+		s.pass(10 * time.Second)
+		s.j.Reach("", "d:1", true)
+		s.pass(8551 * ms)
+		s.serve("a", "quote")
+	}},
+	{"it is back, in the grace", "", nil, func(s *scene) {
+		s.j.Reach("", "d:1", false)
+		s.fail()
+		s.pass(10 * time.Second)
+		s.j.Reach("", "d:1", true)
+		s.pass(8530 * ms)
+		s.serve("a", "quote")
+	}},
+	{"it is back, and down again before that counts", "", nil, func(s *scene) {
+		s.fail()
+		s.pass(5990 * ms)
+		s.j.Reach("", "d:1", false)
+		s.pass(time.Second)
+		s.j.Reach("", "d:1", true)
+		s.pass(8530 * ms)
+		s.serve("a", "quote")
+	}},
+	{"it is back elsewhere", "", nil, func(s *scene) {
+		s.j.Reach("", "d:1", false)
+		s.fail()
+		s.j.Reach("", "e:1", true)
 		s.pass(40 * time.Second)
 		s.serve("a", "quote")
 	}},
--- a/internal/lab/rules/told.go
+++ b/internal/lab/rules/told.go
@@ -7,6 +7,7 @@
 	afterWait = 2 * time.Second // since the end of a call's wait
 	afterCall = 6 * time.Second // since a call that may not wait
 	afterMove = 4 * time.Second // since SIGHUP with another discovery
+	afterAll  = 6 * time.Second // since discovery has it and can be reached, whatever fails
 	oftener   = 4               // times AskEvery after a failed call
 )
 
@@ -19,8 +20,14 @@
 	rested  time.Duration // since when there is none
 	failed  bool          // the last one did
 	idleFor int           // place in the book up to which idleness has told
+
+	reaches bool // its calls to the discovery that it follows are served
+	spell   int  // of the times in which they are: this one
 }
 
+// way is one to an address of discovery's, from a node; "": from any.
+type way struct{ node, addr string }
+
 // knowledge is what a node has been told of one peer.
 type knowledge struct {
 	addr    string
@@ -139,12 +146,38 @@
 	}
 }
 
+// reach follows whether a node's calls are served. From when they are, all that
+// discovery knows is owed to it.
+func (j *Judge) reach(n *node) {
+	t := &n.told
+	served := t.source != "" && !j.barred[way{"", t.source}] && !j.barred[way{n.name, t.source}]
+	if served == t.reaches {
+		return
+	}
+	if t.reaches = served; served {
+		t.spell++
+		j.owe(n)
+	}
+}
+
+// owe lets what discovery knows now count as told once a node could have asked for
+// so long, whatever became of its calls.
+func (j *Judge) owe(n *node) {
+	life, spell, place, at := n.life, n.told.spell, len(j.book.all), j.now+afterAll
+	j.once(at, func() {
+		if n.life == life && n.told.reaches && n.told.spell == spell {
+			j.reckon(n, place, at)
+		}
+	})
+}
+
 // moved follows a node to another discovery.
 func (j *Judge) moved(n *node, discovery string) {
 	if discovery == "" || discovery == n.told.source {
 		return
 	}
-	n.told.source = discovery
+	n.told.source, n.told.reaches = discovery, false
+	j.reach(n)
 	life, at := n.life, j.now+afterMove
 	j.once(at, func() {
 		if n.life == life && n.told.source == discovery {
--- a/internal/lab/stage/build.go
+++ b/internal/lab/stage/build.go
@@ -126,6 +126,11 @@
 	f.each(func(w fact.Witness) { w.Listed(version, peer, addr, state, started) })
 }
 
+// Reach implements fact.Witness.
+func (f facts) Reach(node, addr string, served bool) {
+	f.each(func(w fact.Witness) { w.Reach(node, addr, served) })
+}
+
 // Bad implements fact.Witness.
 func (f facts) Bad(conn, why string, within time.Duration) {
 	f.each(func(w fact.Witness) { w.Bad(conn, why, within) })
--- a/internal/lab/stage/faults_test.go
+++ b/internal/lab/stage/faults_test.go
@@ -149,3 +149,25 @@
 	}
 	return strings.Contains(log, sign)
 }
+
+// TestCutsAreTold: the judge hears which nodes a partition keeps from discovery, and until when.
+func TestCutsAreTold(t *testing.T) {
+	s, err := fault.Load("../testdata/operators-maintenance.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.Length = figure.Span(3 * time.Second)
+	s.Faults = []fault.Fault{{Kind: "cut", Zone: "derby", At: figure.Span(time.Second), For: figure.Span(time.Second)}}
+	var trace bytes.Buffer
+	play(t, s, Options{Trace: &trace})
+	var told []string
+	for line := range strings.Lines(trace.String()) {
+		if _, fact, ok := strings.Cut(line, " fact reach "); ok {
+			told = append(told, strings.TrimSpace(fact))
+		}
+	}
+	want := `"n1" to registry:8500: false "n1" to registry-spare:8500: false "n1" to registry:8500: true "n1" to registry-spare:8500: true`
+	if got := strings.Join(told, " "); got != want {
+		t.Errorf("told %s", got)
+	}
+}
--- a/internal/lab/stage/run.go
+++ b/internal/lab/stage/run.go
@@ -61,9 +61,10 @@
 	discovery string // where it is
 	front     *client.Front
 	peers     map[string]*peer.Peer
-	places    map[string]int    // of the peers, by name
-	hosts     map[string]string // their machines
-	zones     map[string]string // of machines but clients'
+	places    map[string]int     // of the peers, by name
+	hosts     map[string]string  // their machines
+	zones     map[string]string  // of machines but clients'
+	parted    map[[2]string]bool // nodes that are cut off from an address of discovery's
 	crowds    []*client.Crowd
 	rogues    []*client.Rogue
 	nodes     []*instance
@@ -78,6 +79,7 @@
 	r := &run{
 		script: s, options: o, loop: loop.New(synctest.Wait), over: make(chan struct{}), peers: map[string]*peer.Peer{},
 		places: map[string]int{}, hosts: map[string]string{}, zones: map[string]string{},
+		parted: map[[2]string]bool{},
 	}
 	r.trace = newTrace(r.loop, o.Trace)
 	res := Result{Seed: s.Seed, Kinds: s.Kinds(), Pairs: s.Pairs()}
--- a/internal/lab/stage/target.go
+++ b/internal/lab/stage/target.go
@@ -1,8 +1,11 @@
 package stage
 
 import (
+	"strings"
+
 	"olivebridge/internal/admin"
 	"olivebridge/internal/lab/fault"
+	"olivebridge/internal/lab/network"
 	"olivebridge/internal/lab/world"
 	"olivebridge/internal/lab/world/peer"
 	"olivebridge/internal/lab/world/registry"
@@ -37,7 +40,7 @@
 func (r *run) Discovery() fault.Discovery { return mover{r.registry, r} }
 
 // Network implements fault.Target.
-func (r *run) Network() fault.Network { return r.net }
+func (r *run) Network() fault.Network { return ways{r.net, r} }
 
 // Zone implements fault.Target.
 func (r *run) Zone(host string) string { return r.zones[host] }
@@ -76,6 +79,38 @@
 	return m.run.discovery
 }
 
+// ways is the network, whose partitions the judge hears of where they lie between
+// nodes and discovery.
+type ways struct {
+	*network.Net
+	run *run
+}
+
+// Cut implements fault.Network.
+func (w ways) Cut(a, b func(host string) bool) (heal func()) {
+	mend := w.Net.Cut(a, b)
+	w.run.reach()
+	return func() {
+		mend()
+		w.run.reach()
+	}
+}
+
+// reach tells which nodes are cut off from discovery, as far as that has changed.
+func (r *run) reach() {
+	d := r.script.World.Discovery
+	for _, n := range r.script.World.Nodes {
+		for _, addr := range []string{d.Addr, d.Spare} {
+			host, _, _ := strings.Cut(addr, ":")
+			way, cut := [2]string{n.Name, addr}, r.net.Parted(n.Name, host)
+			if cut != r.parted[way] {
+				r.parted[way] = cut
+				r.facts.Reach(n.Name, addr, !cut)
+			}
+		}
+	}
+}
+
 // Start implements fault.Node: a start with a list that is some changes old, as
 // a restarted process has it.
 func (i *instance) Start() { i.start(true) }
--- a/internal/lab/stage/trace.go
+++ b/internal/lab/stage/trace.go
@@ -72,6 +72,11 @@
 	t.note("fact listed %d %s %s %s since %v", version, peer, addr, state, started)
 }
 
+// Reach implements fact.Witness.
+func (t *trace) Reach(node, addr string, served bool) {
+	t.note("fact reach %q to %s: %v", node, addr, served)
+}
+
 // Bad implements fact.Witness.
 func (t *trace) Bad(conn, why string, within time.Duration) { t.note("fact bad %s %s", conn, why) }
 
--- a/internal/lab/stage/watch.go
+++ b/internal/lab/stage/watch.go
@@ -75,6 +75,9 @@
 	}
 }
 
+// Reach implements fact.Witness.
+func (w *watch) Reach(string, string, bool) {}
+
 // Bad implements fact.Witness.
 func (w *watch) Bad(string, string, time.Duration) {}
 
--- a/internal/lab/world/registry/faults.go
+++ b/internal/lab/world/registry/faults.go
@@ -1,6 +1,10 @@
 package registry
 
-import "time"
+import (
+	"time"
+
+	"olivebridge/internal/lab/figure"
+)
 
 // oldStays is how long the old address serves the connections that it has
 // after a move.
@@ -15,6 +19,7 @@
 		r.listener = nil
 		r.breakAll(func(*conn) bool { return true })
 	}
+	r.reach()
 	return once(func() {
 		if r.down--; r.down == 0 {
 			if err := r.listen(); err != nil {
@@ -22,24 +27,47 @@
 			}
 		}
 		hear()
+		r.reach()
 	})
 }
 
+// reach tells whether calls are served. They are not as long as any may fail: in
+// whose calls that shows is chance.
+func (r *Registry) reach() {
+	failing := r.down > 0
+	for _, some := range []*figure.Shares{&r.broken, &r.stalled, &r.refused, &r.garbled} {
+		failing = failing || some.Chance() > 0
+	}
+	if failing != r.failing {
+		r.failing = failing
+		r.env.Facts.Reach("", r.addr, !failing)
+	}
+}
+
+// strike tells of a fault of calls that has begun, and of its healing.
+func (r *Registry) strike(end func()) (heal func()) {
+	r.reach()
+	return func() {
+		end()
+		r.reach()
+	}
+}
+
 // Break breaks a share of the calls: before their answer, in the midst of it, or
 // by an end of the connection.
-func (r *Registry) Break(share float64) (heal func()) { return r.broken.Add(share) }
+func (r *Registry) Break(share float64) (heal func()) { return r.strike(r.broken.Add(share)) }
 
 // Stall leaves a share of the calls without any answer; their connections stay open.
-func (r *Registry) Stall(share float64) (heal func()) { return r.stalled.Add(share) }
+func (r *Registry) Stall(share float64) (heal func()) { return r.strike(r.stalled.Add(share)) }
 
 // Refuse answers a share of the calls with a 503.
-func (r *Registry) Refuse(share float64) (heal func()) { return r.refused.Add(share) }
+func (r *Registry) Refuse(share float64) (heal func()) { return r.strike(r.refused.Add(share)) }
 
 // Delay lets whatever happens meanwhile show so many times later.
 func (r *Registry) Delay(factor float64) (heal func()) { return r.slowness.Add(factor) }
 
 // Garble answers a share of the calls with what no reader of lists can make out.
-func (r *Registry) Garble(share float64) (heal func()) { return r.garbled.Add(share) }
+func (r *Registry) Garble(share float64) (heal func()) { return r.strike(r.garbled.Add(share)) }
 
 // Blind lets discovery hear nothing: its list stays as it is.
 func (r *Registry) Blind() (heal func()) { return r.unhear() }
@@ -51,6 +79,7 @@
 	if r.conf.Spare == "" || r.conf.Spare == r.conf.Addr {
 		return r.addr
 	}
+	r.env.Facts.Reach("", r.addr, false)
 	if r.addr == r.conf.Addr {
 		r.addr = r.conf.Spare
 	} else {
@@ -66,6 +95,7 @@
 			panic(err) // an address that is nobody else's
 		}
 	}
+	r.env.Facts.Reach("", r.addr, !r.failing)
 	if anew {
 		r.book.restart(down, off)
 		for _, e := range r.book.entries(len(r.book.changes)) { // the same list, under another version
--- a/internal/lab/world/registry/registry.go
+++ b/internal/lab/world/registry/registry.go
@@ -40,6 +40,7 @@
 	addr     string
 	listener link.Listener // nil while it is down
 	down     int
+	failing  bool    // it was told that calls are not served
 	conns    []*conn // the oldest first
 	turns    []*call // that wait for their turn
 	serving  bool    // a call has its turn
--- a/internal/lab/world/registry/registry_test.go
+++ b/internal/lab/world/registry/registry_test.go
@@ -27,6 +27,11 @@
 	loop  *loop.Loop
 	lines []string
 	at    []time.Duration
+	reach []string
+}
+
+func (w *told) Reach(node, addr string, served bool) {
+	w.reach = append(w.reach, fmt.Sprint(node, addr, " ", served))
 }
 
 func (w *told) Listed(version int64, peer, addr, state string, started time.Duration) {
@@ -308,6 +313,9 @@
 				}
 				heal()
 				heal()
+				if got := fmt.Sprint(l.facts.reach); got != "[reg:80 false reg:80 true]" {
+					t.Errorf("it tells that it can be reached: %s", got)
+				}
 				a := l.get("reg:80", "")
 				l.until(6 * time.Second)
 				if !strings.HasPrefix(a.says(), "full=true") {
@@ -373,6 +381,9 @@
 			if to := l.Move(); to != spare {
 				t.Fatalf("moved to %q", to)
 			}
+			if got := fmt.Sprint(l.facts.reach[2*i:]); got != fmt.Sprintf("[%s false %s true]", here, spare) {
+				t.Errorf("it tells that it can be reached: %s", got)
+			}
 			if l.Version() != version {
 				renumbered++
 				if off := l.Version() - version; off > -900 && off < 900 {
