--- a/internal/transport/errorpaths_test.go
+++ b/internal/transport/errorpaths_test.go
@@ -292,3 +292,63 @@
 	c.Close()
 	log.until("side=client", "reason=client-reset")
 }
+
+// slowReturn is a connection whose write of a body's last bytes returns only once an answer has been read and has had
+// time to end what is read of the body's client.
+type slowReturn struct {
+	Conn
+	last     string
+	answered chan bool
+	ended    <-chan struct{}
+}
+
+func (c *slowReturn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	if strings.HasSuffix(string(b), c.last) {
+		<-c.answered
+		select {
+		case <-c.ended:
+		case <-time.After(50 * time.Millisecond):
+		}
+	}
+	return n, err
+}
+
+func (c *slowReturn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	c.answered <- true
+	return n, err
+}
+
+// TestAnswerBeforeTheWriteReturns: a peer answers a long body as its last byte comes, before the write of that has
+// returned here. Its client has not gone, and gets the answer.
+func TestAnswerBeforeTheWriteReturns(t *testing.T) {
+	body := strings.Repeat("x", 100000) + "end"
+	for last, raw := range map[string]string{
+		"end":       fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body),
+		"0\r\n\r\n": fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body),
+	} {
+		p := listenOn(t, func(conn net.Conn) {
+			r, err := http.ReadRequest(bufio.NewReader(conn))
+			if err != nil {
+				return
+			}
+			io.Copy(io.Discard, r.Body)
+			io.WriteString(conn, ok)
+			io.Copy(io.Discard, conn)
+		})
+		addr, _, _ := newFront(t, 10, func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
+			k, _ := newCarrier(time.Minute)
+			k.pool.dial = func(dialing context.Context, addr string) (net.Conn, error) {
+				conn, err := Dialer(nil).dial(dialing, addr)
+				return &slowReturn{conn, last, make(chan bool, 9), ctx.Done()}, err
+			}
+			r := k.Try(ctx, routing.Try{Peer: p, Until: time.Now().Add(time.Minute), Payload: call.Payload,
+				Budget: time.Minute, Written: func() {}})
+			return routing.Answer{Reply: r.Reply}, ctx.Err() == nil
+		})
+		if resp, _ := dial(t, addr).ask(t, head+raw); resp.StatusCode != 200 {
+			t.Error(resp.Status)
+		}
+	}
+}
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -41,6 +41,7 @@
 	over    bool          // none may begin any more
 	done    chan struct{} // closed when that try has ended
 	refused error         // the client's fault: why the body is not whole; set before done is closed
+	read    atomic.Bool   // all of it, from the client
 	whole   atomic.Bool   // its last byte has left
 	halted  atomic.Bool   // the rest is not wanted: that it does not come is not the client's fault
 	until   atomic.Int64  // the peer's answer is waited for, in Unix nanoseconds; 0: not yet
@@ -70,14 +71,15 @@
 	return u.refused
 }
 
-// halt ends what is read of the body, unless all of it is, and waits for that.
+// halt ends what is read of the body, unless all of it is, and waits for that. Nothing is ended behind the body, where
+// net/http looks for the client's going already: a peer may answer before the write of the last byte returns here.
 func (u *upload) halt() {
-	if !u.whole.Load() {
+	if !u.read.Load() {
 		u.halted.Store(true)
 		u.k.SetReadDeadline(time.Unix(1, 0))
 	}
 	<-u.done
-	if u.whole.Load() {
+	if u.read.Load() {
 		u.k.SetReadDeadline(time.Time{}) // net/http looks for the client's going
 	}
 }
@@ -100,6 +102,7 @@
 			err = errTooLarge
 		}
 		c.SetWriteDeadline(time.Now().Add(streamStall)) // or a peer silent in the middle holds the call for ever
+		u.read.Store(err == io.EOF)
 		u.write(out, part, err == io.EOF)
 		if out.Flush() != nil || ctx.Err() != nil && err != io.EOF { // who reads the answer finds out
 			c.Interrupt()
