--- a/brain/api.go
+++ b/brain/api.go
@@ -21,9 +21,10 @@
 // Host carries out what a Balancer decides. Its methods must not call back
 // into the Balancer.
 type Host interface {
-	// Send starts the next attempt of a request; the host abandons it at cut,
-	// or at the client's deadline when cut is 0.
-	Send(id RequestID, to ServerID, cut Time)
+	// Send starts the next attempt of a request; the host abandons it at the
+	// client's deadline. Where holds is not 0 it asks Begin if the first byte
+	// would leave then or later; an attempt that may not begin ends as Moot.
+	Send(id RequestID, to ServerID, holds Time)
 	// Cancel stops waiting for the numbered attempt.
 	Cancel(id RequestID, attempt int)
 	// Refuse is a final answer: trying again is harmless, best after retryAfter (0: no advice).
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -260,7 +260,7 @@
 // fits holds the in-flight limits and whatever binds a request or a server.
 func (b *Balancer) fits(r *request, s *server, share float64) bool {
 	return s.outAt == 0 && b.now >= s.shut && float64(s.inflight) < max(s.limit*share, 1) && b.listed(s) &&
-		b.may(r, s) && b.coldRoom(s, r)
+		b.may(r, s, r.n) && b.coldRoom(s, r) && float64(s.inflight) < max(s.limit*b.warm(s), 1)
 }
 
 // listed reports whether the list lets new work go to s.
@@ -268,27 +268,13 @@
 	return s.State == Ready || s.State == Gone && b.set.DroppedStay && !s.bound
 }
 
-// may holds the second rule: no effect twice. Every attempt that is out or may have run binds the next.
-func (b *Balancer) may(r *request, s *server) bool {
-	for i := range r.n {
+// may holds the second rule: no effect twice. Every attempt that is out or may have run binds the n-th.
+func (b *Balancer) may(r *request, s *server, n int) bool {
+	for i := range n {
 		a := &r.attempts[i]
-		if a.to == s {
-			return false
-		}
-		if a.never {
-			continue
-		}
-		if a.out && !b.set.SecondCopies {
-			return false
-		}
-		switch r.effect {
-		case Pure:
-		case Token:
-			if b.now >= a.sent+Time(r.class.Window) || r.scope != ScopeAll && a.to.Zone != s.Zone ||
-				r.scope == ScopeCell && a.to.Cell != s.Cell {
-				return false
-			}
-		default:
+		far := r.scope != ScopeAll && a.to.Zone != s.Zone || r.scope == ScopeCell && a.to.Cell != s.Cell
+		twice := r.effect != Pure && (r.effect != Token || far || b.now >= a.sent+Time(r.class.Window))
+		if a.to == s || !a.never && (twice || a.out && !b.set.SecondCopies) {
 			return false
 		}
 	}
@@ -297,7 +283,7 @@
 
 // send is the one place from which attempts leave.
 func (b *Balancer) send(r *request, s *server) {
-	if r.done || b.now >= r.deadline || !b.listed(s) || !b.may(r, s) {
+	if r.done || b.now >= r.deadline || !b.listed(s) || !b.may(r, s, r.n) {
 		panic("brain: a send that breaks a rule") // the callers have asked
 	}
 	if s.inflight == 0 {
@@ -313,13 +299,33 @@
 		b.landed(&r.attempts[r.n])
 	}
 	r.n, r.out = r.n+1, r.out+1
-	b.host.Send(r.id, s.ID, 0)
+	holds := s.holds
+	if b.warm(s) >= 1 {
+		holds = 0 // whenever it begins
+	}
+	b.host.Send(r.id, s.ID, holds)
 	if half := r.class.Aim / 2; b.copies >= 1 && b.set.SecondCopies && b.again(r) {
 		spread := time.Duration(r.luck * float64(time.Millisecond)) // of those sent at one instant
 		b.host.SetTimer(max(half-time.Duration(b.now-r.arrived), half/2+spread), copyRef+uint64(r.id))
 	}
 }
 
+// Begin reports whether an attempt may begin whose first byte would leave after its half window. It asks as
+// send did, and this half's allowance: else all that waited for a connection would land in one window.
+func (b *Balancer) Begin(now Time, id RequestID, n int) bool {
+	b.now = now
+	r := b.open[id]
+	if r == nil || r.done || now >= r.deadline || n < 0 || n >= r.n || !r.attempts[n].out {
+		return false
+	}
+	s := r.attempts[n].to
+	if !b.listed(s) || !b.may(r, s, n) || !b.coldRoom(s, r) {
+		return false
+	}
+	s.spent += b.pay(r)
+	return true
+}
+
 // again reports whether a request that was sent once may be sent again, whatever became of it.
 func (b *Balancer) again(r *request) bool {
 	return r.n == 1 && r.effect == Pure && !r.class.Stream && b.set.TryLimit > 1
@@ -663,7 +669,7 @@
 		b.servers = slices.Insert(b.servers, i, s)
 	} else if e.Born != s.Born && e.Born != 0 { // it has restarted: nothing learnt of it holds
 		s.unknown, s.fresh, s.counter, s.blame, s.doubt, s.pause = true, false, 0, 0, 0, probeFast
-		s.probeAt, s.limit, s.ease, s.rampFor, s.half = b.now, 1, 0, 0, 0
+		s.probeAt, s.limit, s.ease, s.rampFor, s.holds = b.now, 1, 0, 0, 0
 	}
 	if w := float64(e.Weight); w > 0 && w < 1e9 && (!b.set.LiveWeights || w > s.size) {
 		s.size = w // a live weight sinks with load: its highest is the size
@@ -811,19 +817,17 @@
 // server is sent no more than its share of what warm ones carry from this node. Where that is less than one
 // request, chance, drawn once a half, lets one through: the sum over all nodes holds. It costs time to warm.
 func (b *Balancer) coldRoom(s *server, r *request) bool {
-	w := b.warm(s)
+	w, half := b.warm(s), max(b.set.Fall/2, time.Millisecond)
 	if w >= 1 {
 		return true
 	}
-	half := max(b.set.Fall/2, time.Millisecond)
-	if n := int64(b.now-b.started)/int64(half) + 1; n != s.half {
-		s.half, s.spent, s.luck = n, 0, b.chance()
+	if end := b.now + Time(half) - (b.now-b.started)%Time(half); end != s.holds {
+		s.holds, s.spent, s.luck = end, 0, b.chance()
 	}
 	// Where nothing was learnt, the nodes together try one request a window, or none would ever start.
 	some := w * coldPart * b.set.Overload * b.carried * s.size * half.Seconds()
-	some = max(some, b.pay(r)/2/float64(b.set.Nodes))
-	s.owed = some
-	return s.spent+s.luck*b.pay(r) <= some && float64(s.inflight) < max(s.limit*w, 1)
+	s.owed = max(some, b.pay(r)/2/float64(b.set.Nodes))
+	return s.spent+s.luck*b.pay(r) <= s.owed
 }
 
 // pay is what r costs a cold server's allowance, in requests of mean work: learnt work drifts, a rate does
@@ -847,9 +851,7 @@
 	}
 	if size > 0 {
 		v := done / size / d.Seconds()
-		if b.carried == 0 {
-			b.carried = v
-		}
+		b.carried = cmp.Or(b.carried, v)
 		v = min(v, b.carried+carryRise*(v-b.carried)) // a rush of warm keys is not believed at once
 		b.carried += 0.3 * (v - b.carried)
 	}
@@ -917,9 +919,8 @@
 			b.cold = append(b.cold, s)
 		}
 	}
-	b.weights, b.full = all, most > 0
+	b.weights, b.full, b.keep = all, most > 0, 0
 	b.fill(b.table, most, func(s *server) bool { return s.weight > 0 })
-	b.keep = 0
 	if b.set.Zones > 1 && n > 1 && n*b.set.CrossPrice >= zoneWorth {
 		b.keep = zoneRoom * min(own/all*float64(min(b.set.Zones, b.set.Nodes)), (n-1)/n)
 		b.fill(b.near, most, func(s *server) bool { return s.weight > 0 && s.Zone == b.set.Zone })
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -35,7 +35,10 @@
 type shot struct {
 	to    ServerID
 	at    Time
+	up    Time // its connection is: it begins
 	cut   Time
+	holds Time // as Send had it
+	begun bool
 	out   bool
 	never bool
 }
@@ -70,6 +73,7 @@
 	faults   []string
 	trace    []string
 	after    time.Duration
+	late     func(to ServerID) Time // when a connection opened now is up; nil: at once
 }
 
 func newReferee(set Settings) *referee {
@@ -81,8 +85,8 @@
 	f.faults = append(f.faults, fmt.Sprintf("at %d ms: ", f.now/ms)+fmt.Sprintf(format, args...))
 }
 
-func (f *referee) Send(id RequestID, to ServerID, cut Time) {
-	f.trace = append(f.trace, fmt.Sprint("send ", id, to, cut))
+func (f *referee) Send(id RequestID, to ServerID, holds Time) {
+	f.trace = append(f.trace, fmt.Sprint("send ", id, to, holds))
 	t, s := f.open[id], f.list[to]
 	switch {
 	case t == nil:
@@ -111,10 +115,11 @@
 			f.fault("request %d may run twice", id)
 		}
 	}
-	if cut == 0 || cut > t.deadline {
-		cut = t.deadline
+	up := f.now
+	if f.late != nil {
+		up = f.late(to)
 	}
-	t.shots = append(t.shots, shot{to: to, at: f.now, cut: cut, out: true})
+	t.shots = append(t.shots, shot{to: to, at: f.now, up: up, cut: t.deadline, holds: holds, begun: up == f.now, out: true})
 }
 
 func (f *referee) Cancel(id RequestID, n int) {
@@ -253,10 +258,15 @@
 			t := g.open[id]
 			out := 0
 			for n := 0; n < len(t.shots); n++ {
-				a := t.shots[n]
+				a := &t.shots[n]
+				if a.out && !a.begun && g.now >= a.up {
+					if a.begun = a.holds == 0 || g.now < a.holds || g.b.Begin(g.now, id, n); !a.begun {
+						g.answer(id, n, Moot)
+					}
+				}
 				switch {
 				case !a.out:
-				case g.now >= a.at+Time(lat) && alive(a.to):
+				case g.now >= a.up+Time(lat) && alive(a.to):
 					g.answer(id, n, OK)
 				case g.now >= a.cut:
 					g.answer(id, n, TimedOut)
--- a/brain/coldstart_test.go
+++ b/brain/coldstart_test.go
@@ -1,6 +1,7 @@
 package brain
 
 import (
+	"cmp"
 	"math"
 	"testing"
 	"time"
@@ -13,6 +14,8 @@
 	cold           int
 	ran            time.Duration // how long the nodes have run by then; 0: they start with the servers
 	quick, slow    time.Duration // a server's answer; where slow is not 0, until the restart
+	late           time.Duration // connections to the cold come up together, at the multiples of it; 0: at once
+	fall           time.Duration // the window; 0: 3 s
 	nodes, servers int
 	rate           float64 // requests a second to each node
 	seed           uint64
@@ -22,7 +25,8 @@
 
 func (r *restart) settings() Settings {
 	set := base()
-	set.Nodes, set.ColdShare, set.Cold, set.Overload, set.Fall = r.nodes, 0.14, 9*time.Second, 2.5, 3*time.Second
+	set.Nodes, set.ColdShare, set.Cold, set.Overload, set.Fall = r.nodes, 0.14, 9*time.Second, 2.5, r.fall
+	set.Classes[0].Deadline += 2 * r.late
 	return set
 }
 
@@ -53,6 +57,15 @@
 		servers = again
 	}
 	g := start(t, set, r.seed<<32+uint64(n), servers...)
+	if r.late > 0 {
+		g.late = func(to ServerID) Time {
+			since := time.Duration(g.now - born)
+			if i := int(to-1000) / 7; i >= r.cold || since < told {
+				return g.now // what is sent by who knows nothing can only go on
+			}
+			return born + Time((since+r.late-1)/r.late*r.late)
+		}
+	}
 	owed := float64(n) / float64(r.nodes)
 	for key := n * 131; g.now < born+Time(set.Cold); {
 		at, answer := time.Duration(g.now-born), r.quick
@@ -71,7 +84,7 @@
 	g.check()
 	for _, tk := range g.open {
 		for _, a := range tk.shots {
-			if i, at := int(a.to-1000)/7, a.at-born; i < r.cold && at >= 0 {
+			if i, at := int(a.to-1000)/7, a.up-born; i < r.cold && at >= 0 && a.begun {
 				sent[i][int(at)/int(startTick)]++
 			}
 		}
@@ -93,7 +106,8 @@
 
 // TestColdServersHoldUnderTheFleet sums what all nodes send each server that has just started, refused or not, and
 // holds every window of the length in which one falls against its budget: the multiple of what it can do then, and
-// twice the root of that and two for chance. A server warms evenly, the slowest that settings allow.
+// twice the root of that and two for chance. A server warms evenly, the slowest that settings allow. Connections that
+// come up together count where they do, which may be many windows after the decisions.
 func TestColdServersHoldUnderTheFleet(t *testing.T) {
 	for _, r := range []restart{
 		{name: "all servers with the nodes", cold: 12},
@@ -103,9 +117,12 @@
 		{name: "all servers of a fleet in its stride", cold: 12, ran: 20 * time.Second},
 		{name: "two servers of a fleet in its stride", cold: 2, ran: 20 * time.Second},
 		{name: "some servers of a fleet that was slow", cold: 4, ran: 12 * time.Second, slow: 300 * time.Millisecond},
+		{name: "all servers with the nodes, late connections", cold: 12, late: 1500 * time.Millisecond, fall: 200 * time.Millisecond},
+		{name: "all servers of a fleet in its stride, late connections", cold: 12, ran: 20 * time.Second,
+			late: 1500 * time.Millisecond, fall: 200 * time.Millisecond},
 	} {
 		t.Run(r.name, func(t *testing.T) {
-			r.servers, r.quick = 12, 20*time.Millisecond
+			r.servers, r.quick, r.fall = 12, 20*time.Millisecond, cmp.Or(r.fall, 3*time.Second)
 			for _, size := range []struct {
 				nodes int
 				rate  float64
@@ -150,3 +167,39 @@
 		t.Errorf("%d nodes, %g/s each, seed %d: %.2f of what a cold server holds, %d in all", r.nodes, r.rate, r.seed, worst, all)
 	}
 }
+
+// TestBegin: what a try's first byte is asked again once its connection is there, but for a cold server's allowance.
+func TestBegin(t *testing.T) {
+	for name, c := range map[string]struct {
+		class, n int
+		want     bool
+		then     func(*bout, RequestID)
+	}{
+		"nothing has changed":          {1, 0, true, func(*bout, RequestID) {}},
+		"its body is still coming":     {1, 0, true, func(g *bout, id RequestID) { g.b.open[id].slow = true }},
+		"its server drains":            {1, 0, false, func(g *bout, id RequestID) { g.b.byID[g.open[id].shots[0].to].State = Draining }},
+		"its client has left":          {0, 0, false, func(g *bout, id RequestID) { g.b.HangUp(g.now, id) }},
+		"its time is up":               {0, 0, false, func(g *bout, _ RequestID) { g.now += Time(time.Second) }},
+		"it was never made":            {0, 1, false, func(*bout, RequestID) {}},
+		"it has ended":                 {2, 0, false, func(g *bout, id RequestID) { g.answer(id, 0, Errored) }},
+		"a further one, in the window": {2, 1, true, func(g *bout, id RequestID) { g.answer(id, 0, Errored) }},
+		"a further one, behind it":     {2, 1, false, func(g *bout, id RequestID) { g.answer(id, 0, Errored); g.now += 300 * ms }},
+		"a copy":                       {0, 1, true, (*bout).copy},
+		"the first, with a copy out":   {0, 0, true, (*bout).copy},
+		"a copy of what is answered":   {0, 1, false, func(g *bout, id RequestID) { g.copy(id); g.answer(id, 0, OK) }},
+	} {
+		g := start(t, base(), 1, fleet(6)...)
+		id := g.ask(c.class, 7)
+		c.then(g, id)
+		if got := g.b.Begin(g.now, id, c.n); got != c.want || g.b.Begin(g.now, id, -1) {
+			t.Errorf("%s: it may begin: %v", name, got)
+		}
+		g.check()
+	}
+}
+
+// copy sends a second copy.
+func (g *bout) copy(id RequestID) {
+	g.b.copies = 1
+	g.b.second(g.b.open[id])
+}
--- a/brain/example_test.go
+++ b/brain/example_test.go
@@ -11,7 +11,7 @@
 // would send over its connections and keep real timers.
 type node struct{}
 
-func (node) Send(id brain.RequestID, to brain.ServerID, cut brain.Time) {
+func (node) Send(id brain.RequestID, to brain.ServerID, holds brain.Time) {
 	fmt.Printf("send request %d to server %d\n", id, to)
 }
 func (node) Cancel(id brain.RequestID, attempt int) { fmt.Println("cancel", id, attempt) }
--- a/brain/state.go
+++ b/brain/state.go
@@ -22,7 +22,7 @@
 	cutAt, outAt       Time    // when the limit was last cut; when it left the table, 0: it is in
 	doubt, rampFrom    Time    // passed probes prove nothing before; when the ramp began
 	pause, rampFor     time.Duration
-	half               int64   // the half fall window that the next two are of
+	holds              Time    // when the half fall window ends that the next two are of
 	spent, luck        float64 // work sent in it; in [0, 1), the fraction of a request that it needs
 	next               uint64
 }
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -160,9 +160,9 @@
 	return nil
 }
 
-// Send implements brain.Host.
-func (i *instance) Send(id brain.RequestID, to brain.ServerID, cut brain.Time) {
-	i.reply.Assign(i.who, id, to, cut)
+// Send implements brain.Host. The wire has no question about what holds: its attempts begin as they are assigned.
+func (i *instance) Send(id brain.RequestID, to brain.ServerID, _ brain.Time) {
+	i.reply.Assign(i.who, id, to, 0)
 }
 
 // Cancel implements brain.Host.
--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -57,6 +57,38 @@
 	a.router.post(writtenEvent{a, now})
 }
 
+// confirm asks the decisions whether the try may begin. It goes without an answer once the try is called off or its time is
+// up, and with the decisions' end.
+func (a *attempt) confirm() bool {
+	ctx, stop := context.WithDeadline(a, a.Until)
+	defer stop()
+	told := make(chan bool, 1)
+	select {
+	case a.router.events <- confirmEvent{a, told}:
+	case <-ctx.Done():
+		return false
+	case <-a.router.stopped:
+		return false
+	}
+	select {
+	case may := <-told:
+		return may
+	case <-ctx.Done():
+	case <-a.router.stopped:
+	}
+	return false
+}
+
+// confirmEvent asks the decisions.
+type confirmEvent struct {
+	a    *attempt
+	told chan<- bool // has room for the answer
+}
+
+func (c confirmEvent) call() brain.RequestID { return c.a.Call }
+
+func (c confirmEvent) handle(r *Router) { c.told <- r.brain.Begin(r.now(), c.a.Call, c.a.Attempt) }
+
 // writtenEvent tells the decisions.
 type writtenEvent struct {
 	a  *attempt
--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -62,6 +62,9 @@
 	BeginBy time.Time    // from then on its first byte must not leave, whenever its connection is there; zero: it may
 	Over    *atomic.Bool // its call has been answered: it must not begin any more; nil: never
 	Payload any
+	// Confirm asks the decisions whether the first byte may leave at Holds or later; nil: they need not be asked.
+	Holds   time.Time
+	Confirm func() bool
 	// Budget is a slow call's, and Written is to be called, once, when its last byte has left. Until then Until
 	// does not count. nil: all of the call is there.
 	Budget  time.Duration
@@ -74,6 +77,13 @@
 	return (t.Over == nil || !t.Over.Load()) && (t.BeginBy.IsZero() || now.Before(t.BeginBy))
 }
 
+// Stands reports whether the decision still stands at now, and asks the decisions if need be: what a cold peer was to be sent
+// by now must not come with what it is sent next. The carrier asks once the connection is there, and then whether the try may
+// begin: the answer is waited for.
+func (t *Try) Stands(now time.Time) bool {
+	return t.Confirm == nil || now.Before(t.Holds) || t.Confirm()
+}
+
 // TryResult is how a try ended.
 type TryResult struct {
 	Result brain.Result
--- a/internal/routing/errorpaths_test.go
+++ b/internal/routing/errorpaths_test.go
@@ -52,6 +52,25 @@
 	return r.Rest(ctx)
 }
 
+// TestConfirmGoesOn: a try that asks decisions which do not answer waits no longer than its time, nor for what nobody wants.
+func TestConfirmGoesOn(t *testing.T) {
+	for name, end := range map[string]func(*attempt){
+		"its time is up":      func(a *attempt) { a.Until = time.Now() },
+		"it is called off":    func(a *attempt) { time.AfterFunc(10*time.Millisecond, func() { a.end(ErrCalledOff) }) },
+		"the decisions ended": func(a *attempt) { close(a.router.stopped) },
+	} {
+		for _, waiting := range []int{0, queueLength} {
+			a := &attempt{router: newRouter(nil, listed()), Try: Try{Until: time.Now().Add(time.Hour)}}
+			for range waiting {
+				a.router.events <- &wakeEvent{}
+			}
+			if end(a); a.confirm() {
+				t.Errorf("%s, behind %d events: it may begin", name, waiting)
+			}
+		}
+	}
+}
+
 // TestEndOfAnAttempt: whoever asks for the end of a try that has ended finds it, with its first cause.
 func TestEndOfAnAttempt(t *testing.T) {
 	a := new(attempt)
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -9,25 +9,24 @@
 // Send implements brain.Host, the third stage: it finds the peer that the
 // Balancer chose and sends the try off. Its outcome comes back as an event even
 // if nothing can be sent, since a Host must not call back.
-func (r *Router) Send(id brain.RequestID, to brain.ServerID, cut brain.Time) {
+func (r *Router) Send(id brain.RequestID, to brain.ServerID, holds brain.Time) {
 	e := r.open[id]
 	if e == nil {
 		return
 	}
-	until := e.deadline
-	if cut != 0 {
-		until = min(until, cut)
-	}
 	a := &e.first // most calls have no other
 	if len(e.tries) > 0 {
 		a = new(attempt)
 	}
-	a.Try = Try{Call: id, Attempt: len(e.tries), Peer: r.peers[to], Until: r.instant(until),
+	a.Try = Try{Call: id, Attempt: len(e.tries), Peer: r.peers[to], Until: r.instant(e.deadline),
 		BeginBy: r.beginBy(e), Over: &e.over, Payload: e.Payload}
 	a.router, a.begun = r, time.Now()
 	if r.gate != nil && a.Peer != nil {
 		a.cold = coldUnits(r.now(), a.Peer.born, r.set)
 	}
+	if holds != 0 {
+		a.Holds, a.Confirm = r.instant(holds), a.confirm
+	}
 	if e.Slow {
 		a.Budget, a.Written = e.Budget-answerMargin, a.hasLeft
 	}
--- a/internal/transport/carrier.go
+++ b/internal/transport/carrier.go
@@ -102,14 +102,15 @@
 func (k *Carrier) exchange(ctx context.Context, t routing.Try, m *message, told bool) routing.TryResult {
 	fair := time.Until(t.Until) >= fairConnect
 	c, err := k.pool.get(ctx, t.Peer, t.Until)
-	now := time.Now()
+	stands := err != nil || t.Stands(time.Now())
+	now := time.Now() // the decisions may have been waited for
 	cause := causeOf(ctx, t.Until, now)
 	switch {
 	case err != nil && (ctx.Err() != nil || cause != nil && !fair || k.pool.lacks(err, now)):
 		return routing.TryResult{Result: brain.Moot} // not the peer's doing
 	case err != nil:
 		return routing.TryResult{Result: brain.ConnectFailed}
-	case cause != nil || !t.MayBegin(now) || m.left(t.Attempt, now):
+	case cause != nil || !stands || !t.MayBegin(now) || m.left(t.Attempt, now):
 		k.pool.put(c)
 		return routing.TryResult{Result: brain.Moot}
 	case !t.Peer.OpenFor(now, k.config.Load().DrainGrace):
--- a/internal/transport/lateconn_test.go
+++ b/internal/transport/lateconn_test.go
@@ -8,6 +8,7 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"strings"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -25,17 +26,20 @@
 	return ctx.Err()
 }
 
-// decided is a router that runs over two peers of one zone, each of which serves its connections so, and a carrier.
-func decided(t *testing.T, k *Carrier, class brain.Class, serve func(net.Conn)) *routing.Router {
+// decided is a router that runs over a carrier and peers of one zone that have just started, each of which serves its
+// connections so.
+func decided(t *testing.T, k *Carrier, set brain.Settings, peers int, serve func(net.Conn)) *routing.Router {
 	t.Helper()
+	class := &set.Classes[0]
 	class.Aim, class.Deadline, class.Worth = 10*time.Second, 20*time.Second, 1
+	set.Nodes, set.TryLimit, set.Cancel = 1, 3, true
 	known := routing.Group{Kind: brain.Full, At: time.Now()}
-	for id := range brain.ServerID(2) {
+	for id := range brain.ServerID(peers) {
 		known.Entries = append(known.Entries, routing.Entry{Addr: listenOn(t, serve).Addr,
-			Server: brain.Server{ID: id + 1, Weight: 1, State: brain.Ready}})
+			Server: brain.Server{ID: id + 1, Weight: 1, State: brain.Ready, Born: brain.Time(known.At.UnixNano())}})
 	}
 	r := routing.New(routing.Config{Seed: 1, Known: known, Carrier: k, Watcher: still{}, Log: slog.New(slog.DiscardHandler),
-		Settings: brain.Settings{Classes: []brain.Class{class}, Nodes: 1, TryLimit: 3, Cancel: true}})
+		Settings: set})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() { ended <- r.Run(ctx) }()
@@ -89,7 +93,7 @@
 				}
 				return dialTCP(ctx, addr)
 			}
-			r := decided(t, k, c.class, func(conn net.Conn) {
+			r := decided(t, k, brain.Settings{Classes: []brain.Class{c.class}}, 2, func(conn net.Conn) {
 				for in := bufio.NewReader(conn); ; {
 					if _, err := http.ReadRequest(in); err != nil {
 						return
@@ -110,3 +114,68 @@
 		})
 	}
 }
+
+// TestLateConnectionToAColdPeer: a call's connection is up after the half fall window that its peer's allowance was of.
+// Where that of the present one has been spent meanwhile, no byte of it leaves and it is turned away at once.
+func TestLateConnectionToAColdPeer(t *testing.T) {
+	const half = time.Second
+	whole, upload := head+"Content-Length: 0\r\n\r\n", head+"Content-Length: 100000\r\n\r\n"+strings.Repeat("x", 100000)
+	for name, c := range map[string]struct {
+		raw    string
+		spent  bool
+		status int
+	}{
+		"spent":              {whole, true, 503},
+		"spent, an upload":   {upload, true, 503},
+		"in hand":            {whole, false, 200},
+		"in hand, an upload": {upload, false, 200},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			var dials, reached atomic.Int64
+			opened, up := make(chan bool), make(chan bool)
+			k, _ := newCarrier(time.Minute)
+			k.pool.dial = func(ctx context.Context, addr string) (net.Conn, error) {
+				if dials.Add(1) == 1 {
+					close(opened)
+					<-up
+				}
+				return dialTCP(ctx, addr)
+			}
+			r := decided(t, k, brain.Settings{Classes: make([]brain.Class, 1), RetryAfter: true, MaxRetryAfter: time.Second,
+				ColdShare: 0.5, Cold: time.Hour, Overload: 2.5, Carried: 2, Fall: 2 * half, // one call in each half
+			}, 1, func(conn net.Conn) {
+				for in := bufio.NewReader(conn); ; {
+					req, err := http.ReadRequest(in)
+					if err != nil {
+						return
+					}
+					reached.Add(1)
+					io.Copy(io.Discard, req.Body)
+					io.WriteString(conn, ok)
+				}
+			})
+			patient := func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
+				call.Name, call.Tenant, call.Budget = "", -1, 20*time.Second
+				return r.Take(ctx, call)
+			}
+			go func() {
+				defer close(up)
+				if <-opened; !c.spent {
+					time.Sleep(half)
+					return
+				}
+				other := routing.Call{Arrived: time.Now(), Payload: tryOf(nil, "GET", "").Payload}
+				if a, _ := patient(t.Context(), other); a.Verdict != routing.Served { // it waits for the next half
+					t.Errorf("the call that spends it is %v", a.Verdict)
+				}
+			}()
+			addr, _, _ := newFront(t, 10, patient)
+			resp, _ := dial(t, addr).ask(t, c.raw)
+			if resp.StatusCode != c.status || (resp.Header.Get("Retry-After") != "") != (c.status == 503) || reached.Load() != 1 {
+				t.Errorf("%s, to come back after %q s, and %d requests reached the peer", resp.Status,
+					resp.Header.Get("Retry-After"), reached.Load())
+			}
+		})
+	}
+}
