--- a/internal/lab/network/network_test.go
+++ b/internal/lab/network/network_test.go
@@ -353,6 +353,10 @@
 					t.Error("told of nothing")
 				}
 			}
+			if n, err := p.ReadGate(nil, &mu, open, took); n != 0 || err != nil || asked != 1 {
+				t.Errorf("without room: read %d, %v; asked %d times", n, err, asked)
+			}
+			asked = 0
 			n, err := p.ReadGate(b, &mu, open, took)
 			if string(b[:n]) != "first" || err != nil || asked != 1 {
 				t.Errorf("read %q, %v; asked %d times", b[:n], err, asked)
@@ -372,8 +376,10 @@
 			gone = false
 			time.Sleep(20 * ms)
 			p.ReadGate(b, &mu, open, took)
-			if n, err := p.ReadGate(b, &mu, open, took); n != 0 || err != io.EOF || asked != 4 {
-				t.Errorf("end: read %d, %v; asked %d times", n, err, asked)
+			for i, room := range [][]byte{b, nil} {
+				if n, err := p.ReadGate(room, &mu, open, took); n != 0 || err != io.EOF || asked != 4+i {
+					t.Errorf("end: read %d, %v; asked %d times", n, err, asked)
+				}
 			}
 		})
 	})
--- a/internal/lab/network/port.go
+++ b/internal/lab/network/port.go
@@ -95,11 +95,9 @@
 
 // ReadGate reads like Read, but takes the bytes under a lock: each time bytes or
 // an end are there to be taken, it locks mu and asks open; if that agrees it
-// takes them, and tells took of bytes, before it unlocks mu.
+// takes them, and tells took of bytes, before it unlocks mu. With no room for bytes
+// it takes none, and nil says that some are there.
 func (p *port) ReadGate(b []byte, mu sync.Locker, open func() error, took func(n int)) (int, error) {
-	if len(b) == 0 {
-		return 0, nil
-	}
 	for {
 		p.mu.Lock()
 		err := p.await()
@@ -123,7 +121,7 @@
 		return 0, true, err
 	}
 	p.mu.Lock()
-	if ok = p.ready(); ok {
+	if ok = p.ready(); ok && (len(b) > 0 || len(p.in) == 0) {
 		n, err = p.take(b)
 	}
 	p.mu.Unlock()
--- a/internal/node/memory_test.go
+++ b/internal/node/memory_test.go
@@ -200,8 +200,9 @@
 	} else if n == 0 {
 		return 0, err
 	}
-	n = copy(b, e.waiting[e.side])
-	e.waiting[e.side] = e.waiting[e.side][n:]
-	took(n)
+	if n = copy(b, e.waiting[e.side]); n > 0 {
+		e.waiting[e.side] = e.waiting[e.side][n:]
+		took(n)
+	}
 	return n, nil
 }
--- a/internal/transport/clientleft_test.go
+++ b/internal/transport/clientleft_test.go
@@ -106,3 +106,47 @@
 		}
 	}
 }
+
+// TestGoneBehindBytes: a call ends by its client's going, whatever the client has sent behind it, and though nobody asks.
+func TestGoneBehindBytes(t *testing.T) {
+	const whole = head + "Content-Length: 0\r\n\r\n"
+	for name, c := range map[string]struct{ along, behind string }{
+		"read along": {whole, ""}, "unread": {"", whole}, "both": {whole[:50], whole[50:] + whole},
+	} {
+		for _, reset := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, reset %v", name, reset), func(t *testing.T) {
+				t.Parallel()
+				taken, ended := make(chan *clientConn, 3), make(chan bool, 3)
+				addr, _, _ := newFront(t, 10, func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
+					taken <- call.Payload.(*message).from.(*clientConn)
+					<-ctx.Done()
+					ended <- true
+					return routing.Answer{}, false
+				})
+				client := dial(t, addr)
+				io.WriteString(client, whole+c.along)
+				k := <-taken
+				io.WriteString(client, c.behind)
+				if c.behind != "" {
+					waitFor(t, k.sees)
+				}
+				if reset {
+					client.Conn.(*net.TCPConn).SetLinger(0)
+				}
+				client.Close()
+				select {
+				case <-ended:
+				case <-time.After(10 * time.Second):
+					t.Error("its going is not seen")
+				}
+			})
+		}
+	}
+}
+
+// sees reports whether bytes behind the request that is open have been seen.
+func (k *clientConn) sees() bool {
+	k.all.mu.Lock()
+	defer k.all.mu.Unlock()
+	return k.early
+}
--- a/internal/transport/clientread.go
+++ b/internal/transport/clientread.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"io"
 	"os"
 	"sync"
 	"syscall"
@@ -40,9 +41,36 @@
 // unread when the node closes is sent again by its client, which the kernel
 // tells by a reset.
 func (k *clientConn) Read(b []byte) (int, error) {
-	if len(b) == 1 && !k.rest() { // http.Server asks for one byte while a call is open, and else for more
-		return 0, os.ErrDeadlineExceeded
+	if len(b) == 1 { // http.Server asks for one byte while a call is open, and else hardly ever
+		if !k.rest() {
+			return 0, os.ErrDeadlineExceeded
+		}
+		if k.isWhole() {
+			return 0, k.watch()
+		}
+	}
+	return k.readGated(b[:k.most(len(b))])
+}
+
+// watch waits, while a call is open, until its client has gone. Bytes behind the call's request tell nothing of that.
+// They are left to be read in their turn, since what is read is owed an answer, however soon the connection is to end.
+func (k *clientConn) watch() error {
+	for {
+		if _, err := k.readGated(nil); err != nil {
+			return err
+		}
+		k.comesEarly()
+		if k.HasEnded() {
+			k.life.because("client-closed")
+			return io.EOF
+		}
+		if !k.rest() {
+			return os.ErrDeadlineExceeded
+		}
 	}
+}
+
+func (k *clientConn) readGated(b []byte) (int, error) {
 	if err := k.reads(true); err != nil {
 		return 0, err
 	}
@@ -91,8 +119,7 @@
 }
 
 // left reports whether the client has gone by now, also behind bytes that nobody reads yet: those of a long body whose
-// call still waits, or of a further request. If so, http.Server hears of it, unless it waits for no end: having read one
-// byte behind the request it does not read on.
+// call still waits, or of a further request. If so, http.Server hears of it at once, unless it still reads the body.
 func (k *clientConn) left() bool {
 	n, err := k.Peek()
 	if errors.Is(err, syscall.EAGAIN) || n > 0 && !k.HasEnded() {
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -403,9 +403,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.carried(k)
-	k.active, k.behind, k.whole, k.next = k.next, k.next, false, false
+	k.answers++
+	k.active, k.behind = k.next, k.next || k.early
+	k.whole, k.early, k.next = false, false, k.framing.begun > k.answers+1
 	if k.active {
 		k.since = time.Now() // its turn has come: the call before it took none of its time
+		k.moved = k.since
 	}
 	if !k.active && c.open[k] {
 		k.moveTo(&c.idle)
@@ -434,8 +437,10 @@
 	moved   time.Time // when bytes were last read
 	active  bool      // a byte of an unanswered request has been read
 	whole   bool      // that request has been read whole
-	next    bool      // a byte of the one after it has been read
-	behind  bool      // that was so of the request, or all of it came with the one before
+	next    bool      // a byte of the one after it has been read: it is owed an answer, too
+	early   bool      // bytes of the one after it wait to be read
+	behind  bool      // one of the two was so of the request
+	answers int       // requests that were answered
 	gone    bool      // its end is decided
 	given   bool      // so that another process goes on with it: it must be open until it is sent there
 	long    bool      // a long message is on it
@@ -482,19 +487,41 @@
 func (k *clientConn) hasRead(n int) {
 	k.begin()
 	k.moved = time.Now()
-	k.next = k.next || k.whole
 	k.framing.read(k.buf[:n])
+	k.next = k.next || k.whole || k.framing.begun > k.answers+1
 }
 
-// requestBegins notes that a request's head was read, and reports whether it
-// may be served. A pipelined one was read along with the request before it, so
-// that its connection counted as idle until now, and may have been ended.
-func (k *clientConn) requestBegins() bool {
+// owesMore reports whether a further request has been read, or a part of it, behind the one that is answered. While
+// that one is open no more is read: see watch.
+func (k *clientConn) owesMore() bool {
 	k.all.mu.Lock()
 	defer k.all.mu.Unlock()
-	k.behind = k.behind || !k.active
-	k.begin()
-	return !k.gone
+	return k.next
+}
+
+// most is how many bytes a read of so many may take. While the node closes connections, it takes none behind a request
+// that has begun: who always sends the next one ahead would be owed an answer for ever.
+func (k *clientConn) most(n int) int {
+	k.all.mu.Lock()
+	defer k.all.mu.Unlock()
+	if k.all.leaving && k.active {
+		return k.framing.needs(n)
+	}
+	return n
+}
+
+// isWhole reports whether the request that is read has come whole.
+func (k *clientConn) isWhole() bool {
+	k.all.mu.Lock()
+	defer k.all.mu.Unlock()
+	return k.whole || k.framing.whole(k.answers+1)
+}
+
+// comesEarly notes that bytes wait behind a request that is open.
+func (k *clientConn) comesEarly() {
+	k.all.mu.Lock()
+	defer k.all.mu.Unlock()
+	k.early = true
 }
 
 // pipelined reports whether the request that is read began to come while the one before was open.
@@ -509,7 +536,7 @@
 func (k *clientConn) framed() (torn, last bool) {
 	k.all.mu.Lock()
 	defer k.all.mu.Unlock()
-	return k.framing.torn || k.framing.bare, k.framing.over
+	return k.framing.doubts(k.answers + 1)
 }
 
 // begin notes that a request has begun. The lock is held.
--- a/internal/transport/framing.go
+++ b/internal/transport/framing.go
@@ -17,10 +17,37 @@
 	sized   bool  // the head has a Content-Length
 	coded   bool  // the head has a Transfer-Encoding
 	skip    int64 // bytes of a body still to come
-	over    bool  // nothing further is followed, nor served: the connection ends
-	torn    bool  // some head had both, or two lengths, or a folded line, which can hide one
+	begun   int   // requests of which a byte has come, the last of which is followed
+	inHead  bool  // its head has not ended yet
+	over    bool  // nothing further is followed, nor served: the connection ends with the last begun
+	torn    bool  // its head had both, or two lengths, or a folded line, which can hide one
 	cr      bool  // the last byte was a carriage return
-	bare    bool  // some line of a head ended without one: whoever minds reads another head
+	bare    int   // the first request of whose head a line ended without one: whoever minds reads another head; 0: none
+}
+
+// whole reports whether all of the nth request has come. Of one in chunks that is not known.
+func (f *framing) whole(n int) bool {
+	return f.begun > n || f.begun == n && !f.inHead && f.skip == 0 && !f.over
+}
+
+// doubts says whether the head of the nth request leaves any doubt about where it ends, and whether the connection
+// ends with it.
+func (f *framing) doubts(n int) (torn, last bool) {
+	last = f.over && f.begun <= n
+	return last && f.torn || f.bare > 0 && f.bare <= n, last
+}
+
+// needs is how many bytes, of so many at most, can be read for the request that has begun, and surely for no further one.
+func (f *framing) needs(most int) int {
+	switch {
+	case f.over:
+		return most
+	case f.skip > 0:
+		return int(min(f.skip, int64(most)))
+	case f.inHead:
+		return min(1, most)
+	}
+	return most
 }
 
 // maxDigits is above what net/http takes for a length.
@@ -51,7 +78,13 @@
 }
 
 func (f *framing) next(c byte) {
-	f.bare = f.bare || c == '\n' && !f.cr
+	if !f.inHead && c != '\r' && c != '\n' { // empty lines ahead of a request are none of it
+		f.inHead = true
+		f.begun++
+	}
+	if f.bare == 0 && c == '\n' && !f.cr {
+		f.bare = max(f.begun, 1)
+	}
 	f.cr = c == '\r'
 	switch {
 	case c == '\n':
@@ -97,5 +130,5 @@
 	if f.sized {
 		f.skip, _ = strconv.ParseInt(string(f.digits), 10, 64) // net/http turns away what is no number
 	}
-	f.over, f.sized = f.coded, false
+	f.over, f.sized, f.inHead = f.coded, false, false
 }
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -168,12 +168,12 @@
 		}
 	}()
 	target := originForm(r.RequestURI)
+	k := r.Context().Value(connKey{}).(*clientConn)
 	if path, _, _ := strings.Cut(target, "?"); path == protocol.PathReady {
-		f.ready(w, r)
+		f.ready(w, r, k)
 		return
 	}
-	k := r.Context().Value(connKey{}).(*clientConn)
-	if !k.requestBegins() {
+	if k.isGone() {
 		panic(http.ErrAbortHandler) // its client sees the end of the connection, and sends it again
 	}
 	call, status, err := f.read(r, k, target)
@@ -192,7 +192,7 @@
 	}
 	if f.clients.crowded() { // guards the descriptors: no try, and room for the next
 		f.shed.Add(1)
-		w.Header().Set("Connection", "close")
+		endWith(w, k)
 		f.answer(w, k, routing.Answer{Verdict: routing.Reject, RetryAfter: shedRetryAfter})
 		return
 	}
@@ -243,12 +243,12 @@
 }
 
 // ready says whether the node may be sent clients.
-func (f *Front) ready(w http.ResponseWriter, r *http.Request) {
+func (f *Front) ready(w http.ResponseWriter, r *http.Request, k *clientConn) {
 	switch {
 	case r.Method != http.MethodGet && r.Method != http.MethodHead: // guards a call's client: a 200 were its answer
 		f.refuse(w, http.StatusMethodNotAllowed, &protocol.MethodError{Method: r.Method, Allow: http.MethodGet})
 	case f.leaving.now() || !f.taker.Ready():
-		f.mayEnd(w)
+		f.mayEnd(w, k)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
@@ -311,8 +311,15 @@
 }
 
 // mayEnd ends the connection with the answer at hand while the node empties itself.
-func (f *Front) mayEnd(w http.ResponseWriter) {
+func (f *Front) mayEnd(w http.ResponseWriter, k *clientConn) {
 	if f.clients.leaves() {
+		endWith(w, k)
+	}
+}
+
+// endWith ends a connection with the answer at hand, or, since whatever was read is answered, with a later one.
+func endWith(w http.ResponseWriter, k *clientConn) {
+	if !k.owesMore() {
 		w.Header().Set("Connection", "close")
 	}
 }
@@ -323,7 +330,7 @@
 	if a.Verdict == routing.Served {
 		a.Reply.(*reply).putInto(h)
 	}
-	f.mayEnd(w)
+	f.mayEnd(w, k)
 	switch a.Verdict {
 	case routing.Served:
 		p := a.Reply.(*reply)
--- a/internal/transport/keep.go
+++ b/internal/transport/keep.go
@@ -112,7 +112,7 @@
 	kept := f.keeper.Begin(r.Context(), work)
 	if kept.State != KeptYours {
 		m.release()
-		f.answerKept(w, kept)
+		f.answerKept(w, k, kept)
 		return
 	}
 	m.from = nil // nobody's going ends it
@@ -145,9 +145,9 @@
 }
 
 // answerKept answers a call that was not let out here.
-func (f *Front) answerKept(w http.ResponseWriter, kept Kept) {
+func (f *Front) answerKept(w http.ResponseWriter, k *clientConn, kept Kept) {
 	h := w.Header()
-	f.mayEnd(w)
+	f.mayEnd(w, k)
 	switch kept.State {
 	case KeptAnswered:
 		if o := kept.Outcome; o != nil && !o.Long {
--- a/internal/transport/socket.go
+++ b/internal/transport/socket.go
@@ -93,10 +93,10 @@
 		return 0, failed
 	case s.err != nil:
 		return 0, &net.OpError{Op: "read", Net: "tcp", Source: s.LocalAddr(), Addr: s.RemoteAddr(), Err: s.err}
-	case s.n == 0 && len(b) > 0:
+	case s.n == 0:
 		return 0, io.EOF
 	}
-	return s.n, nil
+	return min(s.n, len(b)), nil
 }
 
 // takeGated takes what there is to read, and says whether the read is done.
@@ -106,6 +106,10 @@
 	if s.shut = s.open(); s.shut != nil {
 		return true
 	}
+	if len(s.b) == 0 {
+		s.n, s.err = s.lookAhead(fd)
+		return s.err != syscall.EAGAIN
+	}
 	for s.err = syscall.EINTR; s.err == syscall.EINTR; {
 		s.n, s.err = syscall.Read(int(fd), s.b)
 	}
@@ -125,6 +129,13 @@
 	return s.ahead, s.failed
 }
 
+func (s *socket) lookAhead(fd uintptr) (n int, err error) {
+	s.peeking.Lock()
+	defer s.peeking.Unlock()
+	s.peekAt(fd)
+	return s.ahead, s.failed
+}
+
 func (s *socket) peekAt(fd uintptr) {
 	s.ahead, _, s.failed = syscall.Recvfrom(int(fd), s.one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -786,8 +786,16 @@
 	}
 }
 
-// TestPipelinedInTime: a request that began to come behind a long call has as much time for its body as any other.
+// TestPipelinedInTime: a request that began to come behind a long call has as much time for its body as any other,
+// whether it was read along with that or waits to be read.
 func TestPipelinedInTime(t *testing.T) {
+	for name, along := range map[string]bool{"read along": true, "unread": false} {
+		t.Run(name, func(t *testing.T) { pipelinedInTime(t, along) })
+	}
+}
+
+func pipelinedInTime(t *testing.T, along bool) {
+	const half = head + "Content-Length: 10\r\n\r\nhalf "
 	taken, release := make(chan *clientConn, 2), make(chan bool, 2)
 	addr, front, _ := newFront(t, 10, func(_ context.Context, c routing.Call) (routing.Answer, bool) {
 		taken <- c.Payload.(*message).from.(*clientConn)
@@ -795,12 +803,18 @@
 		return routing.Answer{Verdict: routing.Failed}, true
 	})
 	c := dial(t, addr)
-	io.WriteString(c, head+"Content-Length: 0\r\n\r\n")
+	raw := head + "Content-Length: 0\r\n\r\n"
+	if along {
+		raw += half
+	}
+	io.WriteString(c, raw)
 	k := <-taken
-	io.WriteString(c, head+"Content-Length: 10\r\n\r\nhalf ")
+	if !along {
+		io.WriteString(c, half)
+	}
 	for begun := false; !begun; { // the call is as long as a body may take
 		front.clients.mu.Lock()
-		if begun = k.next; begun {
+		if begun = k.next == along && k.early != along; begun {
 			k.since = k.since.Add(-requestTimeout)
 		}
 		front.clients.mu.Unlock()
@@ -926,21 +940,19 @@
 	}
 	c := newClients(l, ClientBounds{Open: 5, Idle: 5}, slog.New(slog.DiscardHandler))
 	defer c.Close()
-	accept := func() *clientConn {
-		io.WriteString(dial(t, l.Addr().String()), "ab")
+	accept := func(raw string) *clientConn {
+		io.WriteString(dial(t, l.Addr().String()), raw)
 		conn, err := c.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		return conn.(*clientConn)
 	}
-	b := make([]byte, 1)
-	begun, decided, early := accept(), accept(), accept()
-	for _, k := range []*clientConn{begun, early} { // early: its next request comes before it counts as idle
-		k.Read(b)
-	}
+	b, one := make([]byte, 1), head+"Content-Length: 0\r\n\r\n"
+	begun, decided, early := accept("ab"), accept("ab"), accept(one+one)
+	begun.Read(b)
+	early.Read(make([]byte, 2*len(one))) // its next request is read along with the one before
 	early.requestRead()
-	early.Read(b)
 	for _, k := range []*clientConn{decided, early} {
 		c.state(k, http.StateIdle)
 	}
@@ -994,7 +1006,7 @@
 	}
 	k := conn.(*clientConn)
 	k.Read(make([]byte, 1))
-	if !k.requestBegins() {
+	if k.isGone() {
 		t.Fatal("it has ended")
 	}
 	r := &http.Request{Method: "POST", ProtoMajor: 1, ProtoMinor: 1, ContentLength: 4, URL: &url.URL{}, Host: "a",
