--- a/internal/transport/clientleft_test.go
+++ b/internal/transport/clientleft_test.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"io"
 	"net"
+	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -150,3 +151,61 @@
 	defer k.all.mu.Unlock()
 	return k.early
 }
+
+// TestGoneWhileAnAnswerStands: a client that goes in the middle of a long answer whose peer stands still, whatever it has
+// sent, costs its descriptors no longer; one that stays is waited for.
+func TestGoneWhileAnAnswerStands(t *testing.T) {
+	const whole = head + "Content-Length: 0\r\n\r\n"
+	half := strings.Repeat("x", 100<<10)
+	for name, c := range map[string]struct{ raw, behind, coding string }{
+		"a call":                {whole, "", "Content-Length: 204800\r\n\r\n" + half},
+		"in chunks":             {whole, "", "Transfer-Encoding: chunked\r\n\r\n32000\r\n" + half},
+		"with a request behind": {whole, whole, "Content-Length: 204800\r\n\r\n" + half},
+		"ahead of a body's end": {head + "Content-Length: 204800\r\n\r\n" + half, half[:100], "Content-Length: 204800\r\n\r\n" + half},
+	} {
+		for way, end := range map[string]func(*net.TCPConn){"closes": func(*net.TCPConn) {}, "resets": func(conn *net.TCPConn) { conn.SetLinger(0) }, "stays": nil} {
+			t.Run(name+", "+way, func(t *testing.T) {
+				t.Parallel()
+				stands, goOn, ended := make(chan bool), make(chan bool), make(chan error, 1)
+				p := listenOn(t, func(conn net.Conn) {
+					if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
+						return
+					}
+					io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+c.coding)
+					stands <- true
+					if end == nil {
+						<-goOn
+						io.WriteString(conn, half+"\r\n0\r\n\r\n")
+					}
+					_, err := io.Copy(io.Discard, conn)
+					ended <- err
+				})
+				addr, front, k, log, _ := through(t, p, 10)
+				client := dial(t, addr)
+				io.WriteString(client, c.raw)
+				<-stands
+				resp, err := http.ReadResponse(client.in, nil)
+				if err != nil {
+					t.Fatal(err)
+				}
+				if _, err := io.CopyN(io.Discard, resp.Body, int64(len(half))); err != nil {
+					t.Fatal(err)
+				}
+				io.WriteString(client, c.behind)
+				if end == nil {
+					time.Sleep(3 * stillLook)
+					close(goOn)
+					if n, err := io.Copy(io.Discard, resp.Body); n != int64(len(half)) || err != nil {
+						t.Errorf("%d bytes, %v", n, err)
+					}
+					return
+				}
+				end(client.Conn.(*net.TCPConn))
+				client.Close()
+				waitFor(t, func() bool { return k.Conns() == 0 && front.Conns() == 0 }) // well before the peer's stall is one
+				log.until("side=peer", "reason=called-off")
+				<-ended
+			})
+		}
+	}
+}
--- a/internal/transport/rest.go
+++ b/internal/transport/rest.go
@@ -6,9 +6,14 @@
 	"io"
 	"net/http"
 	"os"
+	"sync"
 	"time"
 )
 
+// stillLook is how long a peer may leave a long answer where it stands before a look whether its client is there, and the
+// time between two such looks. A write would tell, but there is nothing to write.
+const stillLook = 50 * time.Millisecond
+
 // holdBack is how long the first part of an answer of unknown length may wait
 // for the rest. Most come whole by then, and one that is spoilt can be tried again.
 const holdBack = 20 * time.Millisecond
@@ -26,6 +31,42 @@
 
 	given  int64         // bytes of it that were read here
 	waited time.Duration // for them, its client's own slowness aside
+
+	client interface{ left() bool } // whom it is passed to; nil: nobody who could go
+	mu     sync.Mutex
+	still  bool        // a read waits
+	look   *time.Timer // at the client, while it does
+}
+
+// stands notes that a read begins to wait, or has ended. It is looked meanwhile whether the client has gone.
+func (s *rest) stands(still bool) {
+	if s.client == nil {
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	switch s.still = still; {
+	case !still:
+		s.look.Stop()
+	case s.look == nil:
+		s.look = time.AfterFunc(stillLook, s.lookAtClient)
+	default:
+		s.look.Reset(stillLook)
+	}
+}
+
+// lookAtClient ends a read that waits for the answer of a client that has gone. The lock keeps it from any later use of
+// the connection.
+func (s *rest) lookAtClient() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	switch {
+	case !s.still:
+	case s.client.left():
+		s.c.Interrupt()
+	default:
+		s.look.Reset(stillLook)
+	}
 }
 
 // patience is how much longer the peer may be waited for: as long as its bytes
@@ -48,7 +89,9 @@
 	}
 	begun := time.Now()
 	s.c.SetReadDeadline(begun.Add(s.patience()))
+	s.stands(true)
 	n, err := s.body.Read(b)
+	s.stands(false)
 	s.waited += time.Since(begun)
 	s.given, s.left = s.given+int64(n), s.left-int64(n)
 	if err == io.EOF && s.length >= 0 && s.left > 0 {
@@ -154,6 +197,7 @@
 // connection, so that the client can tell.
 func (f *Front) stream(w http.ResponseWriter, k *clientConn, p *reply) {
 	k.goesOn()
+	p.rest.client = k
 	whole := false
 	reason := "called-off" // unless the peer ends it first
 	defer func() {
@@ -179,7 +223,7 @@
 		}
 		n, err := p.rest.Read(buf.b[:streamBuffer])
 		if err != nil {
-			if whole = err == io.EOF; !whole {
+			if whole = err == io.EOF; !whole && !k.left() {
 				if reason = "reset"; p.rest.c.failed == nil {
 					reason = "spoilt"
 				}
