--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -87,9 +87,24 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.max, c.maxIdle, c.crowd = max(b.Open, 1), b.Idle, cmp.Or(b.Crowd, Crowd)
+	if some := c.beyond(); len(some) > 0 {
+		c.end("evicted", some...)
+	}
 	c.changed.Broadcast()
 }
 
+// beyond are the connections idle for the longest that the bounds have no room for any more, but for those with
+// something to be read. Where bounds sink, the descriptors may be another process's by now. The lock is held.
+func (c *clients) beyond() (some []*clientConn) {
+	surplus := max(len(c.open)-c.max, c.idle.Len()-c.maxIdle)
+	for e := c.idle.Front(); e != nil && len(some) < surplus; e = e.Next() {
+		if k := e.Value.(*clientConn); !unread(k.Conn) {
+			some = append(some, k)
+		}
+	}
+	return some
+}
+
 // Accept implements net.Listener. It fails for good only with the listener: a
 // connection that cannot be taken up is passed over.
 func (c *clients) Accept() (net.Conn, error) {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -1234,6 +1234,48 @@
 	log.until("reason=silent", ends[2].LocalAddr().String())
 }
 
+// TestBoundSinks: where the bounds sink, the clients idle for the longest are closed at once, and none that has sent
+// something, whose answer comes as ever.
+func TestBoundSinks(t *testing.T) {
+	for name, b := range map[string]ClientBounds{"on all": {Open: 3, Idle: 9}, "on idle ones": {Open: 9, Idle: 2}} {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		log := make(lines, 100)
+		c := newClients(l, ClientBounds{Open: 9, Idle: 9}, log.log())
+		defer c.Close()
+		var clients []*client
+		var conns []*clientConn
+		for range 6 {
+			clients = append(clients, dial(t, l.Addr().String()))
+			conn, err := c.Accept()
+			if err != nil {
+				t.Fatal(err)
+			}
+			k := conn.(*clientConn)
+			io.WriteString(clients[len(conns)], "G")
+			k.Read(make([]byte, 9))
+			if conns = append(conns, k); len(conns) != 2 { // that one's request is open
+				c.state(k, http.StateIdle)
+			}
+		}
+		io.WriteString(clients[0], "G")
+		waitFor(t, func() bool { return unread(conns[0].Conn) })
+		c.bound(b)
+		for i, k := range conns {
+			c.mu.Lock()
+			open := c.open[k]
+			c.mu.Unlock()
+			if closed := i >= 2 && i < 5; open == closed {
+				t.Errorf("%s: connection %d is open: %v", name, i, open)
+			} else if closed {
+				log.until("addr="+clients[i].LocalAddr().String(), "reason=evicted")
+			}
+		}
+	}
+}
+
 // TestIdleBound: clients that ask once and keep their connection must not use up
 // what clients may hold to a node.
 func TestIdleBound(t *testing.T) {
