--- a/internal/lab/path/count_allocations.go
+++ b/internal/lab/path/count_allocations.go
@@ -12,10 +12,12 @@
 	"strings"
 )
 
-// profileTag is the build tag of a node that writes its allocations, and profileVariable names the file.
+// profileTag is the build tag of a node that writes its allocations, profileVariable names the file, and profileWriter is the
+// function that writes it.
 const (
 	profileTag      = "meter"
 	profileVariable = "OLIVEBRIDGE_ALLOCATIONS"
+	profileWriter   = module + "internal/program.writeProfile"
 )
 
 // errNoProfile says that a node does not write its allocations.
@@ -73,7 +75,7 @@
 			return nil, fmt.Errorf("allocations: not a line: %.80q", line)
 		}
 		stack := without("runtime", strings.Split(strings.Trim(words[2], ";"), ";"))
-		if len(stack) == 0 || stack[0] == "main.writeProfile" || slices.Contains(stack, "main.writeProfile") {
+		if len(stack) == 0 || slices.Contains(stack, profileWriter) {
 			continue // the runtime's own, or this profile's
 		}
 		f := blame(stack)
--- a/internal/lab/path/lane.go
+++ b/internal/lab/path/lane.go
@@ -12,8 +12,18 @@
 	name   string
 	child  *child
 	driver *driver
+	peers  *peers
 	asking cost.Used // what it costs to ask for the cost
 
+	slices []slice
+}
+
+// sliceTries is how often a slice is sent, at most, until none of its requests needs a new connection to a peer: of ten slices
+// half and more need none by the first time. One that always does has the connections among its costs.
+const sliceTries = 8
+
+// slice is what some requests took.
+type slice struct {
 	requests int
 	took     time.Duration
 	used     cost.Used
@@ -38,47 +48,73 @@
 	return nil
 }
 
-// slice sends some requests and adds up what they took.
+// slice sends some requests and keeps what they took. How many connections lie ready hangs on how fast the machine has been so
+// far, and a new one costs as many allocations as a request: a slice that opened one is sent again.
 func (a *lane) slice(ctx context.Context, count int) error {
+	for n := 1; ; n++ {
+		opened := a.peers.accepted.Load()
+		s, err := a.measure(ctx, count)
+		if err != nil {
+			return err
+		}
+		if a.peers.accepted.Load() == opened || n == sliceTries {
+			a.slices = append(a.slices, s)
+			return nil
+		}
+	}
+}
+
+func (a *lane) measure(ctx context.Context, count int) (slice, error) {
+	s := slice{requests: count}
 	used, err := a.child.cost()
 	if err != nil {
-		return err
+		return s, err
 	}
 	proc, err := readProc(a.child.pid())
 	if err != nil {
-		return err
+		return s, err
 	}
 	begun := time.Now()
 	if err := a.driver.serve(ctx, count); err != nil {
-		return err
+		return s, err
 	}
-	a.took += time.Since(begun)
+	s.took = time.Since(begun)
 	procNow, err := readProc(a.child.pid())
 	if err != nil {
-		return err
+		return s, err
 	}
 	usedNow, err := a.child.cost()
 	if err != nil {
-		return err
+		return s, err
 	}
-	a.requests += count
-	a.used = a.used.And(usedNow.Since(used).Since(a.asking))
-	a.proc = a.proc.and(procNow, proc)
-	return nil
+	s.used = usedNow.Since(used).Since(a.asking)
+	s.proc = s.proc.and(procNow, proc)
+	return s, nil
 }
 
-// process is what a request took.
+// process is what a request took. Of what is allocated it is the slices' median: more calls in hand at once than ever before, as
+// when the machine was busy elsewhere, fill pools for good, which is nothing that a request costs.
 func (a *lane) process() Process {
-	n, u := float64(a.requests), a.used
-	micros := float64(u.UserMicros + u.SystemMicros)
+	var n, micros float64
+	var took time.Duration
+	var used cost.Used
+	var proc procFigures
+	for _, s := range a.slices {
+		n += float64(s.requests)
+		took += s.took
+		used = used.And(s.used)
+		proc = proc.and(s.proc, procFigures{})
+	}
+	micros = float64(used.UserMicros + used.SystemMicros)
 	return Process{
-		Allocations: float64(u.Allocations) / n, AllocatedBytes: float64(u.AllocatedBytes) / n,
-		Collections: float64(u.Collections) / n * 1000,
-		Reads:       a.proc.Reads / n, Writes: a.proc.Writes / n,
-		ReadBytes: a.proc.ReadBytes / n, WrittenBytes: a.proc.WriteBytes / n,
-		Waited: a.proc.Waited / n, Preempted: a.proc.Preempted / n,
-		UserMicros: float64(u.UserMicros) / n, SystemMicros: float64(u.SystemMicros) / n, Micros: micros / n,
-		Busy: micros / float64(a.took.Microseconds()),
+		Allocations:    median(a.slices, func(s slice) float64 { return float64(s.used.Allocations) / float64(s.requests) }),
+		AllocatedBytes: median(a.slices, func(s slice) float64 { return float64(s.used.AllocatedBytes) / float64(s.requests) }),
+		Collections:    float64(used.Collections) / n * 1000,
+		Reads:          proc.Reads / n, Writes: proc.Writes / n,
+		ReadBytes: proc.ReadBytes / n, WrittenBytes: proc.WriteBytes / n,
+		Waited: proc.Waited / n, Preempted: proc.Preempted / n,
+		UserMicros: float64(used.UserMicros) / n, SystemMicros: float64(used.SystemMicros) / n, Micros: micros / n,
+		Busy: micros / float64(took.Microseconds()),
 	}
 }
 
--- a/internal/lab/path/meter.go
+++ b/internal/lab/path/meter.go
@@ -36,7 +36,7 @@
 
 func (o Options) sizes() sizes {
 	if o.Short {
-		return sizes{warm: 1500, timed: 3000, slices: 1, traced: 300, profiled: 1000}
+		return sizes{warm: 1500, timed: 3000, slices: 10, traced: 300, profiled: 1000}
 	}
 	return sizes{warm: 3000, timed: 20000, slices: 10, traced: 1000, profiled: 5000}
 }
@@ -176,7 +176,7 @@
 		if err != nil {
 			return nil, err
 		}
-		a := &lane{child: c, driver: newDriver(l, c.addr, &m.ids), name: []string{"node", "ReverseProxy"}[i]}
+		a := &lane{child: c, driver: newDriver(l, c.addr, &m.ids), peers: m.peers, name: []string{"node", "ReverseProxy"}[i]}
 		lanes = append(lanes, a)
 		if err := a.warm(ctx, s.warm); err != nil {
 			return nil, fmt.Errorf("%s: %w", a.name, err)
--- a/internal/lab/path/peers.go
+++ b/internal/lab/path/peers.go
@@ -8,6 +8,7 @@
 	"strconv"
 	"strings"
 	"sync"
+	"sync/atomic"
 )
 
 // peers are stand-ins for what a node passes requests to: each answers at once, and with the least work
@@ -15,6 +16,7 @@
 type peers struct {
 	listeners []net.Listener
 	serving   sync.WaitGroup
+	accepted  atomic.Int64 // connections, ever
 	mu        sync.Mutex
 	open      map[net.Conn]bool
 	closed    bool
@@ -71,6 +73,7 @@
 			return
 		}
 		p.open[conn] = true
+		p.accepted.Add(1)
 		p.mu.Unlock()
 		p.serving.Go(func() {
 			serve(conn)
