--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -546,12 +546,18 @@
 	return k.behind
 }
 
-// framed says whether the head of the request that is read leaves any doubt
-// about where it ends, and whether the connection must end with its answer.
-func (k *clientConn) framed() (torn, last bool) {
+// torn reports whether the head of the request that is read leaves any doubt about where it ends.
+func (k *clientConn) torn() bool {
 	k.all.mu.Lock()
 	defer k.all.mu.Unlock()
-	return k.framing.doubts(k.answers + 1)
+	return k.framing.tornAt(k.answers + 1)
+}
+
+// isLast reports whether the connection ends with the request that is answered, for how that one's body came.
+func (k *clientConn) isLast() bool {
+	k.all.mu.Lock()
+	defer k.all.mu.Unlock()
+	return k.framing.last(k.answers + 1)
 }
 
 // begin notes that a request has begun. The lock is held.
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -177,9 +177,6 @@
 		panic(http.ErrAbortHandler) // its client sees the end of the connection, and sends it again
 	}
 	call, status, err := f.read(r, k, target)
-	if _, last := k.framed(); last {
-		w.Header().Set("Connection", "close")
-	}
 	if err != nil {
 		f.refuse(w, status, err)
 		return
@@ -269,7 +266,7 @@
 	if !r.ProtoAtLeast(1, 1) { // net/http passes over a Transfer-Encoding there
 		return routing.Call{}, http.StatusHTTPVersionNotSupported, errors.New("version: below HTTP/1.1")
 	}
-	if torn, _ := k.framed(); torn { // guards the peers: the body may hide another request
+	if k.torn() { // guards the peers: the body may hide another request
 		return routing.Call{}, http.StatusBadRequest,
 			errors.New("framing: two lengths, a folded line, or one that ends without a carriage return")
 	}
@@ -310,9 +307,9 @@
 	k      *clientConn
 }
 
-// mayEnd ends the connection with the answer at hand while the node empties itself.
+// mayEnd ends the connection with the answer at hand while the node empties itself, or for how the request's body came.
 func (f *Front) mayEnd(w http.ResponseWriter, k *clientConn) {
-	if f.clients.leaves() {
+	if f.clients.leaves() || k.isLast() {
 		endWith(w, k)
 	}
 }
--- a/internal/transport/pipelined_test.go
+++ b/internal/transport/pipelined_test.go
@@ -46,11 +46,16 @@
 	return strings.Replace(head, "9b", fmt.Sprintf("%db", n), 1) + fmt.Sprintf("Content-Length: %d\r\n\r\n", body) + strings.Repeat("x", body)
 }
 
+// chunked is the nth request, with a body as it is in chunks.
+func chunked(n int, body string) string {
+	return strings.Replace(numbered(n, 0), "Content-Length: 0\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n"+body, 1)
+}
+
 // TestPipelinedAtTheEnd: whatever was read along with a request gets its answer, though the node begins to leave, or to
 // make room, while that one is at its peer; the last answer says that the connection ends, and it does.
 func TestPipelinedAtTheEnd(t *testing.T) {
-	const chunks = "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"
-	inChunks := strings.Replace(numbered(2, 0), "Content-Length: 0\r\n\r\n", chunks, 1)
+	inChunks := chunked(2, "1\r\nx\r\n00A\r\n0\r\n\r\n0\r\n\r\n\r\n0\r\n\r\n")
+	half := len(inChunks) - 9 // in the middle of a chunk
 	for name, c := range map[string]struct {
 		raw   string
 		later string // what comes once the node leaves
@@ -65,6 +70,9 @@
 		"half one, and on":     {numbered(1, 0) + numbered(2, 0)[:50], numbered(2, 0)[50:] + strings.Repeat(numbered(3, 0), 100), 2},
 		"half a body, and on":  {numbered(1, 0) + numbered(2, 9)[:len(numbered(2, 9))-4], "xxxx" + strings.Repeat(numbered(3, 0), 100), 2},
 		"one in chunks behind": {numbered(1, 0) + inChunks, "", 2},
+		"behind one in chunks": {numbered(1, 0) + inChunks + numbered(3, 3), "", 3},
+		"half one in chunks":   {numbered(1, 0) + inChunks[:half], inChunks[half:], 2},
+		"half of it, and on":   {numbered(1, 0) + inChunks[:half], inChunks[half:] + strings.Repeat(numbered(3, 0), 100), 2},
 	} {
 		for way, leave := range map[string]func(*Front){
 			"leaves":     func(f *Front) { f.clients.leave() },
@@ -74,7 +82,7 @@
 			if way != "leaves" && (c.later != "" || name == "behind a body") {
 				continue // to make room ends no connection that goes on, and to drain takes long
 			}
-			ends := way != "makes room" || strings.Contains(c.raw, "chunked")
+			ends := way != "makes room" || strings.HasSuffix(c.raw, inChunks)
 			t.Run(name+", "+way, func(t *testing.T) {
 				t.Parallel()
 				conn, front, _, release := pipelining(t, c.raw)
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -762,6 +762,45 @@
 	}
 }
 
+// TestFramingInChunks: a body in chunks is followed to where net/http finds its end, wherever the reads are cut, or the
+// request counts as the last one. What is read of no more than it needs never goes beyond that end.
+func TestFramingInChunks(t *testing.T) {
+	const first, second = "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n", "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
+	for body, plain := range map[string]bool{
+		"0\r\n\r\n": true, "00\r\n\r\n": true, "2\r\n\r\n\r\n0\r\n\r\n": true, "0A\r\n0\r\n\r\n\nxxxx\r\n1\r\nx\r\n0\r\n\r\n": true,
+		"1;a=b\r\nx\r\n0\r\n\r\n": false, "0\r\nA: b\r\n\r\n": false, "1 \r\nx\r\n0\r\n\r\n": false, // lawful, but not followed
+		"1\nx\r\n0\r\n\r\n": false, "1\r\nx\n0\r\n\r\n": false, "0\n\r\n": false, "0\r\n\n": false, "1\r\nxx\r\n0\r\n\r\n": false,
+		"\r\n\r\n": false, "-0\r\n\r\n": false, "+0\r\n\r\n": false, "0x0\r\n\r\n": false, "0\r\r\n\r\n": false,
+		"ffffffffffffffff\r\nx": false, "00000000000000000000\r\n\r\n": false,
+	} {
+		raw := first + body + second
+		if in := bufio.NewReader(strings.NewReader(raw)); plain {
+			r, _ := http.ReadRequest(in)
+			if _, err := io.Copy(io.Discard, r.Body); err != nil || in.Buffered() != len(second) {
+				t.Errorf("%q: net/http finds %d bytes behind it, %v", body, in.Buffered(), err)
+			}
+		}
+		for cut := range len(raw) {
+			var f framing
+			f.read([]byte(raw[:cut]))
+			if f.read([]byte(raw[cut:])); f.over == plain || f.last(1) == plain || f.whole(2) != plain {
+				t.Errorf("%q cut at %d: %+v", body, cut, f)
+			}
+		}
+		var f framing
+		f.read([]byte(raw[:1]))
+		read := 1
+		for !f.whole(1) && !f.over {
+			n := f.needs(len(raw) - read)
+			f.read([]byte(raw[read : read+n]))
+			read += n
+		}
+		if plain && read != len(first+body) {
+			t.Errorf("%q: %d bytes read of %d", body, read, len(first+body))
+		}
+	}
+}
+
 // TestPipelined: a request read along with the one before it is open, so that
 // its connection must not be closed as idle.
 func TestPipelined(t *testing.T) {
