--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -506,12 +506,12 @@
 	k.next = k.next || k.whole || k.framing.begun > k.answers+1
 }
 
-// owesMore reports whether a further request has been read, or a part of it, behind the one that is answered. While
-// that one is open no more is read: see watch.
+// owesMore reports whether a further request has been read, or a part of it, behind the one that is answered, whose end
+// is beyond doubt. While that one is open no more is read: see watch.
 func (k *clientConn) owesMore() bool {
 	k.all.mu.Lock()
 	defer k.all.mu.Unlock()
-	return k.next
+	return k.next && !k.framing.tornAt(k.answers+1)
 }
 
 // most is how many bytes a read of so many may take. While the node closes connections, it takes none behind a request
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"log/slog"
 	"net"
 	"net/http"
@@ -178,7 +179,7 @@
 	}
 	call, status, err := f.read(r, k, target)
 	if err != nil {
-		f.refuse(w, status, err)
+		f.refuse(w, r, status, err)
 		return
 	}
 	up := call.Payload.(*message).up
@@ -194,7 +195,7 @@
 		return
 	}
 	if work, kept, err := f.keptAs(r, call, target); err != nil {
-		f.refuse(w, http.StatusBadRequest, err)
+		f.refuse(w, r, http.StatusBadRequest, err)
 		return
 	} else if kept {
 		f.takeKept(w, r, k, call, work)
@@ -208,7 +209,7 @@
 		a = routing.Answer{Verdict: routing.Failed}
 	}
 	if up != nil {
-		f.answerUpload(w, call, a)
+		f.answerUpload(w, r, call, a)
 		return
 	}
 	call.Payload.(*message).release()
@@ -216,7 +217,7 @@
 }
 
 // answerUpload answers a call whose body may still be coming.
-func (f *Front) answerUpload(w http.ResponseWriter, call routing.Call, a routing.Answer) {
+func (f *Front) answerUpload(w http.ResponseWriter, r *http.Request, call routing.Call, a routing.Answer) {
 	m := call.Payload.(*message)
 	up := m.up
 	err := up.end()
@@ -227,13 +228,13 @@
 		if d, ok := a.Reply.(routing.Dropper); ok { // it came ahead of the body's end
 			d.Drop()
 		}
-		f.refuse(w, http.StatusRequestEntityTooLarge, errors.New("body: too large"))
+		f.refuse(w, r, http.StatusRequestEntityTooLarge, errors.New("body: too large"))
 		return
 	case err != nil && a.Verdict != routing.Served:
-		f.refuse(w, http.StatusBadRequest, fmt.Errorf("body: %w", err))
+		f.refuse(w, r, http.StatusBadRequest, fmt.Errorf("body: %w", err))
 		return
 	}
-	if !up.whole.Load() {
+	if !up.whole.Load() && !goesOn(r, up.k) {
 		w.Header().Set("Connection", "close")
 	}
 	f.answer(w, up.k, a)
@@ -243,17 +244,24 @@
 func (f *Front) ready(w http.ResponseWriter, r *http.Request, k *clientConn) {
 	switch {
 	case r.Method != http.MethodGet && r.Method != http.MethodHead: // guards a call's client: a 200 were its answer
-		f.refuse(w, http.StatusMethodNotAllowed, &protocol.MethodError{Method: r.Method, Allow: http.MethodGet})
+		f.refuse(w, r, http.StatusMethodNotAllowed, &protocol.MethodError{Method: r.Method, Allow: http.MethodGet})
 	case f.leaving.now() || !f.taker.Ready():
 		f.mayEnd(w, k)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// refuse answers a request that deserves no try.
-func (f *Front) refuse(w http.ResponseWriter, status int, err error) {
+// ambiguous is a fault in a request for which others may find its end elsewhere than the node does.
+type ambiguous struct{ error }
+
+// refuse answers a request that deserves no try. What was read along behind it is served, unless someone could find the
+// end of this one elsewhere; whatever else waits on the connection is not worth reading.
+func (f *Front) refuse(w http.ResponseWriter, r *http.Request, status int, err error) {
 	f.badly.Add(1)
-	w.Header().Set("Connection", "close") // whatever else waits on it is not worth reading
+	k := r.Context().Value(connKey{}).(*clientConn)
+	if _, doubt := errors.AsType[ambiguous](err); doubt || !goesOn(r, k) {
+		w.Header().Set("Connection", "close")
+	}
 	if m, ok := errors.AsType[*protocol.MethodError](err); ok {
 		status = http.StatusMethodNotAllowed
 		w.Header().Set("Allow", m.Allow)
@@ -261,17 +269,29 @@
 	http.Error(w, err.Error(), status)
 }
 
+// goesOn reports whether more was read behind a request, to be served though the request itself did not have to be read
+// whole: the rest of it is here, and is read. None of it may leave a doubt where it ends: others read no body behind a
+// GET, and a tunnel's bytes behind a method that the platform does not know.
+func goesOn(r *http.Request, k *clientConn) bool {
+	plain := r.Method == http.MethodPost || r.Method == http.MethodGet && r.ContentLength == 0
+	if !plain || !k.owesMore() {
+		return false
+	}
+	_, err := io.Copy(io.Discard, r.Body)
+	return err == nil
+}
+
 // read takes a call out of a request, or says which 4xx it deserves.
 func (f *Front) read(r *http.Request, k *clientConn, target string) (routing.Call, int, error) {
 	if !r.ProtoAtLeast(1, 1) { // net/http passes over a Transfer-Encoding there
-		return routing.Call{}, http.StatusHTTPVersionNotSupported, errors.New("version: below HTTP/1.1")
+		return routing.Call{}, http.StatusHTTPVersionNotSupported, ambiguous{errors.New("version: below HTTP/1.1")}
 	}
 	if k.torn() { // guards the peers: the body may hide another request
 		return routing.Call{}, http.StatusBadRequest,
-			errors.New("framing: two lengths, a folded line, or one that ends without a carriage return")
+			ambiguous{errors.New("framing: two lengths, a folded line, or one that ends without a carriage return")}
 	}
 	if err := checkHead(r, target); err != nil {
-		return routing.Call{}, http.StatusBadRequest, err
+		return routing.Call{}, http.StatusBadRequest, ambiguous{err}
 	}
 	header := func(name string) []string { return r.Header[name] }
 	call, err := f.names.Load().ParseCall(r.Method, header, r.URL.RawQuery)
--- a/internal/transport/pipelined_test.go
+++ b/internal/transport/pipelined_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"fmt"
 	"io"
 	"net"
@@ -9,6 +10,9 @@
 	"strings"
 	"testing"
 	"time"
+
+	"olivebridge/internal/protocol"
+	"olivebridge/internal/routing"
 )
 
 // pipelining is a client that has written several requests at once, the first of which is at a peer that answers it, and
@@ -117,3 +121,100 @@
 		}
 	}
 }
+
+// TestBehindARefusedOne: what was read along behind a refused request is served, unless someone could find another end to
+// that one than the node did: then its answer ends the connection, and nothing behind it is taken.
+func TestBehindARefusedOne(t *testing.T) {
+	two := func(old, new string) string { return strings.Replace(numbered(2, 0), old, new, 1) }
+	for name, c := range map[string]struct {
+		raw    string
+		status int
+		on     bool
+	}{
+		"an unknown class":          {two("book", "gift"), 400, true},
+		"a bad budget, and a body":  {strings.Replace(numbered(2, 9), "0.5", "soon", 1), 400, true},
+		"no id":                     {two("X-Call-Id", "X-Id"), 400, true},
+		"a POST that must be a GET": {two("book", "status"), 405, true},
+		"a GET that must be a POST": {"GET" + two("POST", "")[:len(two("POST", ""))-2] + "\r\n", 405, true},
+		"no question of readiness":  {two("/api?user=%41", protocol.PathReady), 405, true},
+		"in chunks":                 {strings.Replace(chunked(2, "1\r\nx\r\n0\r\n\r\n"), "book", "gift", 1), 400, true},
+		"a body that was not asked for": {strings.Replace(numbered(2, 9), "Host: h", "Host: h\r\nExpect: 100-continue\r\nX-Budget: 1", 1),
+			400, true},
+
+		"two lengths":        {two("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length"), 400, false},
+		"a folded line":      {two("Host: h", "Host: h\r\nA: b\r\n c"), 400, false},
+		"a bare line feed":   {two("Host: h\r", "Host: h"), 400, false},
+		"one at readiness":   {strings.Replace(two("/api", protocol.PathReady+"?"), "Host: h\r", "Host: h", 1), 405, false},
+		"another length":     {two("Host: h", "Host: h\r\nContent_Length: 5"), 400, false},
+		"an odd target":      {two("/api", "//api"), 400, false},
+		"an old version":     {two("1.1\r\n", "1.0\r\nConnection: keep-alive\r\n"), 505, false},
+		"a GET with a body":  {strings.NewReplacer("POST", "GET", "book", "status").Replace(numbered(2, 9)), 400, false},
+		"the same, no class": {strings.NewReplacer("POST", "GET", "book", "gift").Replace(numbered(2, 9)), 400, false},
+		"a tunnel":           {two("POST", "CONNECT"), 405, false},
+		"chunks that break":  {chunked(2, "1\r\nxx\r\n0\r\n\r\n"), 400, false},
+		"a bare chunk":       {strings.Replace(chunked(2, "1\nx\r\n0\r\n\r\n"), "book", "gift", 1), 400, false},
+		"a trailer":          {strings.Replace(chunked(2, "0\r\nA: b\r\n\r\n"), "book", "gift", 1), 400, false},
+	} {
+		for way, leave := range map[string]func(*Front){"": func(*Front) {}, ", leaving": func(f *Front) { f.clients.leave() }} {
+			t.Run(name+way, func(t *testing.T) {
+				t.Parallel()
+				conn, front, atPeer, release := pipelining(t, numbered(1, 0)+c.raw+numbered(3, 0))
+				leave(front)
+				close(release)
+				want := []int{200, c.status}
+				if c.on {
+					want = append(want, 200)
+				}
+				for n, status := range want {
+					method, _, _ := strings.Cut(c.raw, " ")
+					resp, err := http.ReadResponse(conn.in, &http.Request{Method: method})
+					if err == nil && resp.StatusCode == http.StatusContinue {
+						resp, err = http.ReadResponse(conn.in, nil)
+					}
+					if err != nil {
+						t.Fatalf("answer %d: %v", n+1, err)
+					}
+					io.Copy(io.Discard, resp.Body)
+					if last := n+1 == len(want); resp.StatusCode != status || resp.Close != (last && (way != "" || !c.on)) {
+						t.Errorf("answer %d: status %d, want %d; close: %v", n+1, resp.StatusCode, status, resp.Close)
+					}
+				}
+				if c.on {
+					if id := <-atPeer; id != "3b" {
+						t.Errorf("%s is next at the peer", id)
+					}
+				} else if b, err := io.ReadAll(conn.in); len(b) > 0 || err != nil || len(atPeer) > 0 {
+					t.Errorf("behind it: %q, %v; %d tries", b, err, len(atPeer))
+				}
+			})
+		}
+	}
+}
+
+// TestBehindALongBody: a call that is turned away before its long body was read to the end keeps nothing behind it from
+// its answer, where all of that has come.
+func TestBehindALongBody(t *testing.T) {
+	addr, front, _ := newFront(t, 10, func(_ context.Context, c routing.Call) (routing.Answer, bool) {
+		if c.Name == "2b" {
+			return routing.Answer{Verdict: routing.Served, Reply: &reply{}}, true
+		}
+		return routing.Answer{Verdict: routing.Reject}, true
+	})
+	c := dial(t, addr)
+	io.WriteString(c, chunked(1, fmt.Sprintf("%x\r\n%s", protocol.MaxBody, strings.Repeat("x", protocol.MaxBody))))
+	waitFor(t, func() bool { // all of that is read
+		front.clients.mu.Lock()
+		defer front.clients.mu.Unlock()
+		for k := range front.clients.open {
+			return k.framing.ending && k.framing.skip == 0
+		}
+		return false
+	})
+	io.WriteString(c, "\r\n1\r\nx\r\n0\r\n\r\n"+numbered(2, 0))
+	for n, want := range []int{503, 200} {
+		resp, err := http.ReadResponse(c.in, nil)
+		if err != nil || resp.StatusCode != want || resp.Close {
+			t.Fatalf("answer %d: %+v, %v", n+1, resp, err)
+		}
+	}
+}
