--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -20,7 +20,8 @@
 // How a planned end goes; see Front.Drain.
 const (
 	drainKeep   = 500 * time.Millisecond // new connections keep coming for up to 0.4 s
-	drainAccept = 800 * time.Millisecond // calls that come within 0.7 s are still owed an answer
+	drainOwed   = 700 * time.Millisecond // calls that come by then are still owed an answer
+	drainAccept = 800 * time.Millisecond // longer, so that the last of them is accepted
 	drainSpare  = 2 * time.Second        // beyond the longest deadline: no open call is ever cut off
 	drainLong   = time.Minute            // beyond that, for long messages that go on as they come
 )
@@ -123,6 +124,7 @@
 // stops accepting, and waits for what is open. Abort cuts it short.
 func (f *Front) Drain(longest time.Duration) {
 	f.leaving.end(false)
+	f.leaving.within(longest)
 	ctx, most, stop := f.times(longest)
 	defer stop()
 	pause(ctx, drainKeep)
@@ -188,7 +190,8 @@
 		// the client's going.
 		http.NewResponseController(w).SetReadDeadline(time.Time{})
 	}
-	if f.clients.crowded() { // guards the descriptors: no try, and room for the next
+	// guards the descriptors: no try, and room for the next; and a planned end, in which a call would be cut off
+	if f.clients.crowded() || !f.leaving.lets(call.Budget) {
 		f.shed.Add(1)
 		endWith(w, k)
 		f.answer(w, k, routing.Answer{Verdict: routing.Reject, RetryAfter: shedRetryAfter})
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -14,6 +14,7 @@
 // cannot be given is closed as at any planned end.
 func (f *Front) HandOver(longest time.Duration, give func(syscall.Conn) error) {
 	f.leaving.end(true)
+	f.leaving.within(longest)
 	ctx, most, stop := f.times(longest)
 	defer stop()
 	f.clients.Close()
--- a/internal/transport/leaving.go
+++ b/internal/transport/leaving.go
@@ -13,6 +13,9 @@
 	handed bool        // another process of the node takes its clients
 	paused bool        // operators empty the node
 	empty  *time.Timer // when a pause comes to the open connections; nil: none is due
+
+	longest time.Duration // that a call may take at the end
+	owed    time.Time     // until when it may still come, and take as long; zero: there is no such time
 }
 
 // now reports whether the node sends clients away. It does not where another
@@ -46,6 +49,22 @@
 	}
 }
 
+// within gives the end its time, whose first part is for what still comes: a call that begins later has so much less.
+func (l *leaving) within(longest time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.longest, l.owed = longest, time.Now().Add(drainOwed)
+}
+
+// lets reports whether a call may begin, which is to be answered within its budget. At the end one that was read along
+// with others may have its turn when there is no time left for it.
+func (l *leaving) lets(budget time.Duration) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	late := time.Since(l.owed)
+	return l.owed.IsZero() || late <= 0 || budget <= l.longest-late
+}
+
 // Pause empties the front: it is not ready from now on, and closes connections
 // that carry nothing, or with their next answer, once new ones have ceased.
 // What comes nevertheless is served. Said again it changes nothing.
--- a/internal/transport/pipelined_test.go
+++ b/internal/transport/pipelined_test.go
@@ -191,6 +191,32 @@
 	}
 }
 
+// TestNoTimeLeftForPipelined: a planned end has a time, and a chain of calls that were read along with the first has not
+// got it for itself: one that is not sure to be answered by then is turned away at its turn.
+func TestNoTimeLeftForPipelined(t *testing.T) {
+	conn, front, atPeer, release := pipelining(t, numbered(1, 0)+numbered(2, 0)+numbered(3, 0))
+	ended := make(chan bool)
+	go func() {
+		front.Drain(0)
+		close(ended)
+	}()
+	waitFor(t, func() bool { return !front.leaving.lets(time.Millisecond) })
+	release <- true // and no other
+	for n, want := range []int{200, 503, 503} {
+		resp, err := http.ReadResponse(conn.in, nil)
+		if err != nil {
+			t.Fatalf("answer %d: %v", n+1, err)
+		}
+		io.Copy(io.Discard, resp.Body)
+		if resp.StatusCode != want || (resp.Header.Get("Retry-After") != "") != (want == 503) || resp.Close != (n == 2) {
+			t.Errorf("answer %d: status %d, %v, close: %v", n+1, resp.StatusCode, resp.Header, resp.Close)
+		}
+	}
+	if <-ended; len(atPeer) > 0 || front.Conns() > 0 {
+		t.Errorf("%d more tries, %d connections left", len(atPeer), front.Conns())
+	}
+}
+
 // TestBehindALongBody: a call that is turned away before its long body was read to the end keeps nothing behind it from
 // its answer, where all of that has come.
 func TestBehindALongBody(t *testing.T) {
