--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -9,6 +9,7 @@
 
 import (
 	"context"
+	"errors"
 	"sync/atomic"
 	"time"
 
@@ -110,6 +111,10 @@
 	Probe(ctx context.Context, p *Peer) brain.Result
 }
 
+// ErrRefused is why a watch stopped where discovery was there and refused. It is begun again at once: the watcher itself pauses
+// before its next call, as after each that was refused. After any other end the decisions say when to ask again.
+var ErrRefused = errors.New("refused")
+
 // Watcher follows the upstream group until ctx ends or the watch breaks. It
 // hands every list that comes to told, and returns why it stopped.
 type Watcher interface {
--- a/internal/routing/group.go
+++ b/internal/routing/group.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"maps"
 	"sync/atomic"
@@ -70,6 +71,10 @@
 		r.endWatch()
 		r.count.WatchFailures.Add(1)
 		r.log.Warn("upstream group watch ended", "reason", e.err.Error())
+		if errors.Is(e.err, ErrRefused) { // who refuses is there, and the watcher pauses: a second pause would lose a crowd's turns
+			r.Watch()
+			return
+		}
 		r.brain.List(r.now(), brain.Failed, nil)
 	default:
 		r.count.Lists.Add(1)
--- a/internal/transport/watch.go
+++ b/internal/transport/watch.go
@@ -1,6 +1,7 @@
 package transport
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -32,9 +33,9 @@
 	// watchLate is how much later an answer may come before another call goes out beside it,
 	// and after how long a refused one is made again, the first time.
 	watchLate = 200 * time.Millisecond
-	// watchPause is the longest pause after a call that was refused: pauses double up to this. Many nodes would
-	// keep discovery crowded with shorter ones; five of these fit into the time in which a change is due.
-	watchPause = 800 * time.Millisecond
+	// watchPause is the longest pause once a call was refused: pauses double up to this, and go on in the next watch. Many
+	// nodes would keep discovery crowded with shorter ones; five of these fit into the time in which a change is due.
+	watchPause = 850 * time.Millisecond
 	// watchBeside is how long a call that must not wait may take before yet another goes out.
 	watchBeside = 450 * time.Millisecond
 	// watchTurn is how long a call may take once discovery has refused one before another goes out beside it. It has
@@ -44,7 +45,8 @@
 	// watchSlack is how much later than its wait the end of an answer may come. Others go out beside the call long
 	// before; it is for answers that trickle, and leaves more than half of the time in which a change is due.
 	watchSlack = 2400 * time.Millisecond
-	// watchAgain is how many calls may follow one that brings nothing before the watch ends.
+	// watchAgain is how many calls may follow one that brings nothing before the watch ends. One that discovery has refused
+	// a call of is begun again behind the pause that was due.
 	watchAgain = 12
 	// WatchCalls is how many calls a watch has in hand at most, each on a connection of its own.
 	WatchCalls = 1 + watchAgain
@@ -71,8 +73,9 @@
 	beside  time.Duration
 	turn    time.Duration
 	slack   time.Duration
-	again   int      // calls that may follow one that brings nothing
-	rng     rand.PCG // draws pauses, each node's its own
+	again   int           // calls that may follow one that brings nothing
+	pause   time.Duration // before the next call, where discovery has refused one since it last told a list; 0: it has not
+	rng     rand.PCG      // draws pauses, each node's its own
 
 	heard atomic.Int64 // when bytes of an answer last came, in Unix nanoseconds
 }
@@ -109,9 +112,6 @@
 	return w
 }
 
-// errRefused is an answer of discovery's that it made on purpose.
-var errRefused = errors.New("refused")
-
 // errOlder is a list that was asked for what is newer than it.
 var errOlder = errors.New("older than the one held")
 
@@ -125,6 +125,9 @@
 	defer w.client.CloseIdleConnections()                 // and what is still dialed, for a call that was given up
 	for hold := min(w.wait, watchWait); ; hold = w.wait { // news may be due by the first
 		g, version, err := w.ask(ctx, hold)
+		if !errors.Is(err, routing.ErrRefused) {
+			w.pause = 0 // a list has come, or the decisions pause
+		}
 		if err != nil {
 			return err
 		}
@@ -144,18 +147,20 @@
 // should have told counts as told. A call that broke is made again at once, on
 // a new connection; one that discovery refused, which may have too many in
 // hand, after a pause. One that is late gets others beside it, which need not
-// wait, since a connection fallen silent never tells. The first good answer counts,
+// wait, since a connection fallen silent never tells. Once discovery has refused one, its pauses are those
+// behind all that bring nothing, and the only ones. The first good answer counts,
 // but none of an older version: whether discovery has gone back, or that answer
 // alone is stale, its whole list tells. After trouble no call is held for long.
 func (w *Watch) ask(ctx context.Context, hold time.Duration) (g routing.Group, version int64, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	came := make(chan outcome, w.again+1)
-	next := time.NewTimer(0)
+	first := w.jitter(w.pause)
+	next := time.NewTimer(first)
 	defer next.Stop()
-	begun, out, since, crowded := 0, 0, w.version, false
-	refused, broke := w.late, time.Duration(0) // the next pause after such a call
-	due := time.Now()                          // the next call
+	begun, out, since, broke := 0, 0, w.version, time.Duration(0) // broke: the next pause after a call that broke
+	due := time.Now().Add(first)                                  // the next call
+	var refusal error
 	plan := func(in time.Duration) {
 		due = time.Now().Add(in)
 		next.Reset(in)
@@ -167,7 +172,7 @@
 			return g, version, ctx.Err()
 		case <-next.C:
 			if begun > w.again && time.Since(time.Unix(0, w.heard.Load())) > w.beside {
-				return g, version, err // silence may last, and what is news by now is due soon
+				return g, version, cmp.Or(refusal, err) // silence may last, and what is news by now is due soon
 			}
 			if begun > w.again { // an answer is coming
 				plan(w.beside)
@@ -178,7 +183,7 @@
 				client, wait, late = w.other(), 0, w.beside
 			}
 			begun, out = begun+1, out+1
-			if crowded && begun <= w.again { // a pause follows the last one
+			if w.pause > 0 && (begun <= w.again || refusal != nil) { // else the decisions' pause follows the last one
 				late = max(late, w.turn)
 			}
 			plan(late)
@@ -190,17 +195,24 @@
 				since = -1
 			}
 			hold = min(hold, watchWait)
-			if err == nil || errors.Is(err, syscall.ECONNREFUSED) || begun > w.again && out == 0 {
+			if err == nil || errors.Is(err, syscall.ECONNREFUSED) {
 				return g, version, err
 			}
+			refused := errors.Is(err, routing.ErrRefused)
+			if refused {
+				refusal, w.pause = err, max(w.pause, w.late)
+			}
+			if begun > w.again && out == 0 {
+				return g, version, cmp.Or(refusal, err)
+			}
 			pause, most := &broke, w.late // a call may get through trouble that breaks most of them
-			if errors.Is(err, errRefused) {
-				pause, most, crowded = &refused, watchPause, true
+			if w.pause > 0 {
+				pause, most = &w.pause, watchPause
 			}
 			in := w.jitter(*pause)
 			switch {
 			case begun > w.again:
-			case pause == &refused && out > 0: // the one in hand may have its turn
+			case refused && out > 0: // the one in hand may have its turn
 				plan(w.turn)
 			case out == 0 || in < time.Until(due):
 				plan(in)
@@ -258,7 +270,7 @@
 	defer resp.Body.Close()
 	body := noting{resp.Body, &w.heard}
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("%w: status %d", errRefused, resp.StatusCode)
+		return nil, fmt.Errorf("%w: status %d", routing.ErrRefused, resp.StatusCode)
 	}
 	data, err := io.ReadAll(io.LimitReader(body, maxList+1))
 	if err == nil && len(data) > maxList {
