--- a/brain/api.go
+++ b/brain/api.go
@@ -23,7 +23,8 @@
 type Host interface {
 	// Send starts the next attempt of a request; the host abandons it at the
 	// client's deadline. Where holds is not 0 it asks Begin if the first byte
-	// would leave then or later; an attempt that may not begin ends as Moot.
+	// would leave then or later, and always if the server has started anew
+	// since; an attempt that may not begin ends as Moot.
 	Send(id RequestID, to ServerID, holds Time)
 	// Cancel stops waiting for the numbered attempt.
 	Cancel(id RequestID, attempt int)
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -310,8 +310,8 @@
 	}
 }
 
-// Begin reports whether an attempt may begin whose first byte would leave after its half window. It asks as
-// send did, and this half's allowance: else all that waited for a connection would land in one window.
+// Begin reports whether an attempt may begin whose half window is over, or whose server has started anew.
+// It asks as send did, and this half's allowance: else all that waited for a connection would land at once.
 func (b *Balancer) Begin(now Time, id RequestID, n int) bool {
 	b.now = now
 	r := b.open[id]
--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -87,7 +87,18 @@
 
 func (c confirmEvent) call() brain.RequestID { return c.a.Call }
 
-func (c confirmEvent) handle(r *Router) { c.told <- r.brain.Begin(r.now(), c.a.Call, c.a.Attempt) }
+func (c confirmEvent) handle(r *Router) {
+	c.told <- r.brain.Begin(r.now(), c.a.Call, c.a.Attempt) && r.admitCold(c.a.Peer, r.coldUnits(c.a.Peer))
+}
+
+// admitCold asks the fleet's budget for a try to a peer that costs so much of it.
+func (r *Router) admitCold(p *Peer, units float64) bool {
+	if units == 0 || r.gate.AdmitCold(p.ID, units) {
+		return true
+	}
+	r.count.OverCold.Add(1)
+	return false
+}
 
 // writtenEvent tells the decisions.
 type writtenEvent struct {
@@ -116,8 +127,7 @@
 		a.result.Result = brain.Moot // the fleet's budget has nothing left for it
 		return
 	}
-	if a.cold > 0 && !a.router.gate.AdmitCold(a.Peer.ID, a.cold) {
-		a.router.count.OverCold.Add(1)
+	if !a.router.admitCold(a.Peer, a.cold) {
 		a.result.Result = brain.Rejected // as the peer would: it is not asked for a while, and others are
 		return
 	}
--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -63,9 +63,10 @@
 	BeginBy time.Time    // from then on its first byte must not leave, whenever its connection is there; zero: it may
 	Over    *atomic.Bool // its call has been answered: it must not begin any more; nil: never
 	Payload any
-	// Confirm asks the decisions whether the first byte may leave at Holds or later; nil: they need not be asked.
-	Holds   time.Time
-	Confirm func() bool
+	// What the decision rests on: it holds until Holds (zero: for as long as need be), and while its peer has not started anew.
+	Holds time.Time
+	born  brain.Time
+	asks  *attempt // as which the decisions know the try; nil: they need not be asked
 	// Budget is a slow call's, and Written is to be called, once, when its last byte has left. Until then Until
 	// does not count. nil: all of the call is there.
 	Budget  time.Duration
@@ -79,10 +80,13 @@
 }
 
 // Stands reports whether the decision still stands at now, and asks the decisions if need be: what a cold peer was to be sent
-// by now must not come with what it is sent next. The carrier asks once the connection is there, and then whether the try may
-// begin: the answer is waited for.
+// by now must not come with what it is sent next, nor what a warm one was to be sent with that once it has started anew. The
+// carrier asks once the connection is there, and then whether the try may begin: the answer is waited for.
 func (t *Try) Stands(now time.Time) bool {
-	return t.Confirm == nil || now.Before(t.Holds) || t.Confirm()
+	if t.asks == nil || t.born == t.Peer.bornAt() && (t.Holds.IsZero() || now.Before(t.Holds)) {
+		return true
+	}
+	return t.asks.confirm()
 }
 
 // TryResult is how a try ended.
--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -64,7 +64,7 @@
 // saw tells whoever chooses.
 func (c *chosen) saw(p *Peer, r brain.Result, probe bool) {
 	if c.by != nil && p != nil {
-		c.by.Saw(p.ID, p.born, r, probe)
+		c.by.Saw(p.ID, p.bornAt(), r, probe)
 	}
 }
 
--- a/internal/routing/group.go
+++ b/internal/routing/group.go
@@ -27,18 +27,18 @@
 }
 
 // Peer is a server that the upstream group has named. Its fields but the
-// leaving mark, and born, never change: a new address makes a new Peer.
+// leaving mark, and born, never change: a new address makes a new Peer, which shares both with the old one.
 type Peer struct {
 	ID         brain.ServerID
 	Name, Addr string
 	leaving    *atomic.Pointer[time.Time] // when it was told to leave; nil: it stays
 	ban        *maintenance.Ban           // operators keep it out of use; nil: they cannot
-	born       brain.Time                 // when it last started, as the list has it; the decisions'
+	born       *atomic.Int64              // when it last started, a brain.Time, as the decisions were shown it
 }
 
 // NewPeer makes a peer that stays.
 func NewPeer(id brain.ServerID, name, addr string) *Peer {
-	return &Peer{ID: id, Name: name, Addr: addr, leaving: new(atomic.Pointer[time.Time])}
+	return &Peer{ID: id, Name: name, Addr: addr, leaving: new(atomic.Pointer[time.Time]), born: new(atomic.Int64)}
 }
 
 // OpenFor reports whether the first byte of a new try may still leave at now.
@@ -94,9 +94,8 @@
 			p = NewPeer(e.ID, e.Name, e.Addr)
 			p.ban = r.servers.BanOf(e.Name)
 		case p.Addr != e.Addr && e.Addr != "":
-			p = &Peer{ID: e.ID, Name: e.Name, Addr: e.Addr, leaving: p.leaving, ban: p.ban}
+			p = &Peer{ID: e.ID, Name: e.Name, Addr: e.Addr, leaving: p.leaving, ban: p.ban, born: p.born}
 		}
-		p.born = e.Born
 		r.peers[e.ID] = p
 		p.Mark(e.State == brain.Ready || e.State == brain.Gone && r.set.DroppedStay, g.At)
 	}
@@ -107,13 +106,27 @@
 			}
 		}
 	}
-	r.brain.List(r.now(), g.Kind, servers)
+	r.show(g.Kind, servers)
 	maps.DeleteFunc(r.peers, func(id brain.ServerID, _ *Peer) bool { return !r.brain.Knows(id) })
 	if len(r.peers) > 0 {
 		r.ready.Store(true)
 	}
 }
 
+// show lets the decisions see servers, and notes their starts first: a try that finds another one than it was decided by asks
+// behind this.
+func (r *Router) show(kind brain.ListKind, servers []brain.Server) {
+	for _, s := range servers {
+		if p := r.peers[s.ID]; p != nil {
+			p.born.Store(int64(s.Born))
+		}
+	}
+	r.brain.List(r.now(), kind, servers)
+}
+
+// bornAt is when a peer last started.
+func (p *Peer) bornAt() brain.Time { return brain.Time(p.born.Load()) }
+
 // Mark notes from when on a peer leaves; the first telling counts.
 func (p *Peer) Mark(stays bool, at time.Time) {
 	if stays {
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -21,11 +21,11 @@
 	a.Try = Try{Call: id, Attempt: len(e.tries), Peer: r.peers[to], Until: r.instant(e.deadline),
 		BeginBy: r.beginBy(e), Over: &e.over, Payload: e.Payload}
 	a.router, a.begun = r, time.Now()
-	if r.gate != nil && a.Peer != nil {
-		a.cold = coldUnits(r.now(), a.Peer.born, r.set)
+	if a.Peer != nil {
+		a.asks, a.born, a.cold = a, a.Peer.bornAt(), r.coldUnits(a.Peer)
 	}
 	if holds != 0 {
-		a.Holds, a.Confirm = r.instant(holds), a.confirm
+		a.Holds = r.instant(holds)
 	}
 	if e.Slow {
 		a.Budget, a.Written = e.Budget-answerMargin, a.hasLeft
@@ -51,10 +51,11 @@
 	return time.Time{}
 }
 
-// coldUnits is what a try to a peer that started at an instant costs: the share of its capacity that it has at its start, of
-// what it has by now. 0: it is warm.
-func coldUnits(now, born brain.Time, set brain.Settings) float64 {
-	if born == 0 || set.Cold <= 0 || now-born >= brain.Time(set.Cold) {
+// coldUnits is what a try to a peer costs of the fleet's budget for cold ones: the share of its capacity that it has at its
+// start, of what it has by now. 0: it is warm, or there is no budget.
+func (r *Router) coldUnits(p *Peer) float64 {
+	now, born, set := r.now(), p.bornAt(), r.set
+	if r.gate == nil || born == 0 || set.Cold <= 0 || now-born >= brain.Time(set.Cold) {
 		return 0
 	}
 	least := max(set.ColdShare, 0.01)
