--- a/brain/brain.go
+++ b/brain/brain.go
@@ -902,7 +902,7 @@
 	if len(b.table) != size {
 		b.table, b.near = make([]*server, size), make([]*server, size)
 	}
-	most, all, own, n := 0, 0.0, 0.0, 0.0
+	all, own, n := 0.0, 0.0, 0.0
 	b.largest = 0
 	for _, s := range b.servers {
 		if b.listed(s) {
@@ -911,7 +911,6 @@
 	}
 	for _, s := range b.servers {
 		s.weight = b.weigh(s, b.largest)
-		most = max(most, s.weight)
 		if all += float64(s.weight); s.Zone == b.set.Zone && s.weight > 0 {
 			own, n = own+float64(s.weight), n+1
 		}
@@ -919,28 +918,28 @@
 			b.cold = append(b.cold, s)
 		}
 	}
-	b.weights, b.full, b.keep = all, most > 0, 0
-	b.fill(b.table, most, func(s *server) bool { return s.weight > 0 })
+	b.weights, b.full, b.keep = all, all > 0, 0
+	b.fill(b.table, func(s *server) bool { return s.weight > 0 })
 	if b.set.Zones > 1 && n > 1 && n*b.set.CrossPrice >= zoneWorth {
 		b.keep = zoneRoom * min(own/all*float64(min(b.set.Zones, b.set.Nodes)), (n-1)/n)
-		b.fill(b.near, most, func(s *server) bool { return s.weight > 0 && s.Zone == b.set.Zone })
+		b.fill(b.near, func(s *server) bool { return s.weight > 0 && s.Zone == b.set.Zone })
 	}
 }
 
 // fill gives out the entries of a table: by turns, and by weight, each server takes the next free one of its
 // own permutation. The order is by ID, the same at every node.
-func (b *Balancer) fill(table []*server, most int, in func(*server) bool) {
+func (b *Balancer) fill(table []*server, in func(*server) bool) {
 	size, taken := uint64(len(table)), make([]bool, len(table)) // a byte an entry: the table itself is too far away
+	some, most := make([]*server, 0, len(b.servers)), 0         // of a zone that is cold all have little weight
 	for _, s := range b.servers {
-		h := mix(uint64(s.ID))
-		s.credit, s.next, s.skip = 0, h%size, (h>>32)%(size-1)+1
+		if h := mix(uint64(s.ID)); in(s) {
+			s.credit, s.next, s.skip = 0, h%size, (h>>32)%(size-1)+1
+			some, most = append(some, s), max(most, s.weight)
+		}
 	}
 	for filled := 0; most > 0 && filled < len(table); {
-		for _, s := range b.servers {
-			if !in(s) || filled == len(table) {
-				continue
-			}
-			if s.credit += s.weight; s.credit < most {
+		for _, s := range some {
+			if s.credit += s.weight; s.credit < most || filled == len(table) {
 				continue
 			}
 			s.credit -= most
