--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -1344,23 +1344,40 @@
 	})
 }
 
-// TestWatchEndsItsDialing: http.Transport would go on dialing without it.
+// noticing is a transport whose calls notice their end a moment late, as a goroutine may on a busy machine.
+type noticing struct {
+	*http.Transport
+	late time.Duration
+}
+
+func (n noticing) RoundTrip(r *http.Request) (*http.Response, error) {
+	ctx, end := context.WithCancel(context.WithoutCancel(r.Context()))
+	context.AfterFunc(r.Context(), func() { time.AfterFunc(n.late, end) })
+	return n.Transport.RoundTrip(r.WithContext(ctx))
+}
+
+// TestWatchEndsItsDialing: http.Transport would go on dialing without it, also for a call that notices its end late.
 func TestWatchEndsItsDialing(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := context.WithCancel(t.Context())
-		dialed := make(chan time.Duration)
-		w := NewWatch("d:1", protocol.Names{}, 1, func(ctx context.Context, _ string) (net.Conn, error) {
-			stop()
-			began := time.Now()
-			<-ctx.Done()
-			dialed <- time.Since(began)
-			return nil, ctx.Err()
-		}, slog.New(slog.DiscardHandler))
-		go w.Watch(ctx, func(routing.Group) {})
-		if d := <-dialed; d > 0 {
-			t.Errorf("dialing went on for %v", d)
-		}
-	})
+	for _, late := range []time.Duration{0, 10 * time.Millisecond} {
+		synctest.Test(t, func(t *testing.T) {
+			ctx, stop := context.WithCancel(t.Context())
+			dialed := make(chan time.Duration)
+			w := NewWatch("d:1", protocol.Names{}, 1, func(ctx context.Context, _ string) (net.Conn, error) {
+				stop()
+				began := time.Now()
+				<-ctx.Done()
+				dialed <- time.Since(began)
+				return nil, ctx.Err()
+			}, slog.New(slog.DiscardHandler))
+			if late > 0 {
+				w.client.Transport = noticing{w.client.Transport.(*http.Transport), late}
+			}
+			go w.Watch(ctx, func(routing.Group) {})
+			if d := <-dialed; d > late {
+				t.Errorf("dialing went on for %v after an end that the call notices %v late", d, late)
+			}
+		})
+	}
 }
 
 // TestLateWatch: beside a call that has fallen silent another goes out, which does not wait, and its answer
--- a/internal/transport/watch.go
+++ b/internal/transport/watch.go
@@ -12,6 +12,7 @@
 	"net/http"
 	"net/url"
 	"strconv"
+	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
@@ -77,7 +78,8 @@
 	pause   time.Duration // before the next call, where discovery has refused one since it last told a list; 0: it has not
 	rng     rand.PCG      // draws pauses, each node's its own
 
-	heard atomic.Int64 // when bytes of an answer last came, in Unix nanoseconds
+	calls sync.WaitGroup // in hand
+	heard atomic.Int64   // when bytes of an answer last came, in Unix nanoseconds
 }
 
 // NewWatch makes a watch that goes on from a known version, or from none if
@@ -122,7 +124,10 @@
 // question. One that no call brought an answer to ends the watch, and its
 // connections with it.
 func (w *Watch) Watch(ctx context.Context, told func(routing.Group)) error {
-	defer w.client.CloseIdleConnections()                 // and what is still dialed, for a call that was given up
+	defer func() {
+		w.calls.Wait()                  // http.Transport goes on dialing for a call that has not noticed its end
+		w.client.CloseIdleConnections() // and what is still dialed, for a call that was given up
+	}()
 	for hold := min(w.wait, watchWait); ; hold = w.wait { // news may be due by the first
 		g, version, err := w.ask(ctx, hold)
 		if !errors.Is(err, routing.ErrRefused) {
@@ -187,7 +192,7 @@
 				late = max(late, w.turn)
 			}
 			plan(late)
-			go func() { came <- w.call(ctx, client, since, wait) }()
+			w.calls.Go(func() { came <- w.call(ctx, client, since, wait) })
 		case o := <-came:
 			out--
 			g, version, err = w.list(o)
