--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -307,8 +307,8 @@
 		return call, http.StatusRequestEntityTooLarge, errors.New("body: too large")
 	case err != nil:
 		return call, http.StatusBadRequest, fmt.Errorf("body: %w", err)
-	case len(m.body) > 0 && r.Method == http.MethodGet: // a peer that reads none would take it for a request
-		return call, http.StatusBadRequest, errors.New("body: none belongs to a GET")
+	case (len(m.body) > 0 || m.up != nil) && r.Method == http.MethodGet: // a peer that reads none would take it for a request
+		return call, http.StatusBadRequest, ambiguous{errors.New("body: none belongs to a GET")}
 	}
 	call.Arrived, call.Slow = time.Now(), m.up != nil
 	if !call.Slow && !k.requestRead() {
--- a/internal/transport/linger_test.go
+++ b/internal/transport/linger_test.go
@@ -24,6 +24,7 @@
 func TestAnswerAheadOfTheRest(t *testing.T) {
 	const mb = 1 << 20
 	sized := func(n int) string { return fmt.Sprintf("Content-Length: %d\r\n\r\n", n) }
+	get := strings.NewReplacer("POST", "GET", "book", "status").Replace(head)
 	chunks := strings.Repeat("100000\r\n"+strings.Repeat("x", mb)+"\r\n", 60)
 	for name, c := range map[string]struct {
 		head   string
@@ -34,6 +35,8 @@
 		"a body beyond all bounds": {head + sized(60*mb), 60 * mb, "", 413},
 		"the same in chunks":       {head + "Transfer-Encoding: chunked\r\n\r\n", 0, chunks, 413},
 		"an unknown class":         {strings.Replace(head, "book", "gift", 1) + sized(60*mb), 60 * mb, "", 400},
+		"a GET with a long body":   {get + sized(20*mb), 20 * mb, "", 400},
+		"the same, in chunks":      {get + "Transfer-Encoding: chunked\r\n\r\n", 0, chunks, 400},
 		"a method that is wrong":   {strings.Replace(head, "POST", "PUT", 1) + sized(20*mb), 20 * mb, "", 405},
 		"an old version":           {strings.Replace(head, "1.1", "1.0", 1) + sized(20*mb), 20 * mb, "", 505},
 		"a flood without a line":   {"", 20 * mb, "", 431},
--- a/internal/transport/pipelined_test.go
+++ b/internal/transport/pipelined_test.go
@@ -150,6 +150,7 @@
 		"an old version":     {two("1.1\r\n", "1.0\r\nConnection: keep-alive\r\n"), 505, false},
 		"a GET with a body":  {strings.NewReplacer("POST", "GET", "book", "status").Replace(numbered(2, 9)), 400, false},
 		"the same, no class": {strings.NewReplacer("POST", "GET", "book", "gift").Replace(numbered(2, 9)), 400, false},
+		"with a long body":   {strings.NewReplacer("POST", "GET", "book", "status").Replace(numbered(2, 70000)), 400, false},
 		"a tunnel":           {two("POST", "CONNECT"), 405, false},
 		"chunks that break":  {chunked(2, "1\r\nxx\r\n0\r\n\r\n"), 400, false},
 		"a bare chunk":       {strings.Replace(chunked(2, "1\nx\r\n0\r\n\r\n"), "book", "gift", 1), 400, false},
--- a/internal/transport/refuse_test.go
+++ b/internal/transport/refuse_test.go
@@ -72,6 +72,7 @@
 	class := func(method, class, rest string) string {
 		return method + " /api?user=7f HTTP/1.1\r\nHost: h\r\nX-Call-Id: 9b\r\nX-Call-Class: " + class + "\r\nX-Budget: 0.5\r\n" + rest
 	}
+	long := strings.Repeat("x", 70000) // it would go on as it comes
 	const empty, body, chunk = "\r\n", "Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"
 	for raw, want := range map[string]struct {
 		status int
@@ -88,16 +89,18 @@
 		class("TRACE", "book", empty): {405, "POST"}, class("PATCH", "book", body): {405, "POST"},
 		class("WORD", "book", body):  {405, "POST"},
 		class("GET", "status", body): {400, ""}, class("GET", "status", chunk): {400, ""},
-		"POST /health/ready HTTP/1.1\r\nHost: h\r\n" + body: {405, "GET"},
-		"GET /health/ready?a HTTP/1.1\r\nHost: h\r\n\r\n":   {200, ""},
-		"OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n":             {400, ""},
-		"GET /health/%72eady HTTP/1.1\r\nHost: h\r\n\r\n":   {400, ""},
-		class("CONNECT", "status", empty):                   {405, "GET"},
+		class("GET", "status", "Content-Length: 70000\r\n\r\n"+long):                               {400, ""},
+		class("GET", "status", "Transfer-Encoding: chunked\r\n\r\n11170\r\n"+long+"\r\n0\r\n\r\n"): {400, ""},
+		"POST /health/ready HTTP/1.1\r\nHost: h\r\n" + body:                                        {405, "GET"},
+		"GET /health/ready?a HTTP/1.1\r\nHost: h\r\n\r\n":                                          {200, ""},
+		"OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n":                                                    {400, ""},
+		"GET /health/%72eady HTTP/1.1\r\nHost: h\r\n\r\n":                                          {400, ""},
+		class("CONNECT", "status", empty):                                                          {405, "GET"},
 	} {
 		resp, peer := send(raw)
 		if resp.StatusCode != want.status || resp.Header.Get("Allow") != want.allow ||
 			(peer != "") != (want.status == 200 && !strings.Contains(raw, protocol.PathReady)) || resp.Close != (want.status != 200 || strings.Contains(raw, "chunked")) {
-			t.Errorf("%q: status %d, allow %q, want %v; to the peer: %q", raw, resp.StatusCode, resp.Header.Get("Allow"), want, peer)
+			t.Errorf("%.300q: status %d, allow %q, want %v; to the peer: %.300q", raw, resp.StatusCode, resp.Header.Get("Allow"), want, peer)
 		}
 	}
 }
