--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -10,6 +10,7 @@
 	"log/slog"
 	"net"
 	"sync"
+	"time"
 
 	"olivebridge/internal/admin"
 	"olivebridge/internal/handover"
@@ -47,8 +48,9 @@
 	running  sync.WaitGroup     // front and decisions
 	failed   chan error
 
-	mu     sync.Mutex
-	config *protocol.Config
+	mu      sync.Mutex
+	config  *protocol.Config
+	longest time.Duration // that a call may take by any settings so far: reloads leave those in hand their time
 }
 
 // Start listens and begins to serve. Connections that it is given must be
@@ -58,7 +60,7 @@
 	if listen == nil {
 		listen = func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 	}
-	n := &Node{parts: p, log: p.Log, config: c, failed: make(chan error, 2)}
+	n := &Node{parts: p, log: p.Log, config: c, longest: c.LongestDeadline, failed: make(chan error, 2)}
 	if n.log == nil {
 		n.log = slog.New(slog.DiscardHandler)
 	}
@@ -143,7 +145,7 @@
 // connection, goroutine or timer. Abort cuts it short.
 func (n *Node) Drain() {
 	n.mu.Lock()
-	longest := n.config.LongestDeadline
+	longest := n.longest
 	n.mu.Unlock()
 	n.leaving()
 	if l := n.company.tookOver(); l != nil {
@@ -183,7 +185,7 @@
 func (n *Node) Reload(c *protocol.Config) {
 	n.mu.Lock()
 	old := n.config
-	n.config = c
+	n.config, n.longest = c, max(n.longest, c.LongestDeadline)
 	n.mu.Unlock()
 	if c.Discovery != old.Discovery {
 		// versions of another discovery need not compare with those held: it is asked for the whole list
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -114,9 +114,12 @@
 }
 
 // ask sends one call; status 0: it got no answer.
-func (s *stage) ask(path string) (status int, body string) {
+func (s *stage) ask(path string) (status int, body string) { return s.askWithin(path, "1.5") }
+
+// askWithin gives the call so many seconds.
+func (s *stage) askWithin(path, budget string) (status int, body string) {
 	req, _ := http.NewRequest("POST", "http://node:1"+path, strings.NewReader("paid"))
-	for name, v := range map[string]string{"X-Call-Id": fmt.Sprint("9b", s.ids.Add(1)), "X-Call-Class": "book", "X-Budget": "1.5"} {
+	for name, v := range map[string]string{"X-Call-Id": fmt.Sprint("9b", s.ids.Add(1)), "X-Call-Class": "book", "X-Budget": budget} {
 		req.Header.Set(name, v)
 	}
 	resp, err := s.client.Do(req)
@@ -181,6 +184,31 @@
 	})
 }
 
+// TestDrainOutlastsAReload: calls that came with the times of settings before are waited for as long as those allow.
+func TestDrainOutlastsAReload(t *testing.T) {
+	play(t, func(t *testing.T, s *stage) {
+		reload := func(longest time.Duration) {
+			c := config()
+			c.LongestDeadline = longest
+			s.Reload(c)
+		}
+		reload(30 * time.Second)
+		status := make(chan int)
+		go func() {
+			got, _ := s.askWithin("/held", "30")
+			status <- got
+		}()
+		<-s.arrived
+		reload(time.Second)
+		reload(2 * time.Second)
+		time.AfterFunc(20*time.Second, func() { s.release <- true })
+		s.Drain()
+		if got := <-status; got != 200 {
+			t.Errorf("the open call: %d", got)
+		}
+	})
+}
+
 // TestAbort: a node that ends at once answers nothing, also in the middle of a
 // planned end, and all that it started ends too.
 func TestAbort(t *testing.T) {
