--- a/brain/brain.go
+++ b/brain/brain.go
@@ -589,10 +589,8 @@
 
 // judge moves a server in or out of the table.
 func (b *Balancer) judge(s *server) {
-	in := b.listed(s) && !s.unknown && s.counter >= rise // the design's judgement
-	if s.unknown {
-		in = b.listed(s) && s.fresh && b.now < b.started+Time(warmup)
-	}
+	in := b.listed(s) && (!s.unknown && s.counter >= rise || // the design's judgement
+		s.unknown && s.fresh && b.now < b.started+Time(warmup))
 	if in == (s.outAt == 0) {
 		return
 	}
@@ -650,6 +648,9 @@
 // Knows reports whether the server is remembered; a host needs to keep nothing of others.
 func (b *Balancer) Knows(id ServerID) bool { return b.byID[id] != nil }
 
+// Open reports whether new work may go to the server, by the list and the settings.
+func (b *Balancer) Open(id ServerID) bool { return b.Knows(id) && b.listed(b.byID[id]) }
+
 // enter takes one entry of a list.
 func (b *Balancer) enter(e Server, kind ListKind) {
 	s := b.byID[e.ID]
--- a/internal/routing/group.go
+++ b/internal/routing/group.go
@@ -82,12 +82,10 @@
 	}
 }
 
-// learn takes over addresses and leaving marks, then tells the Balancer.
+// learn takes over addresses, then tells the Balancer.
 func (r *Router) learn(g Group) {
 	servers := r.chosen.take(g.Kind, r.shown(g))
-	named := map[brain.ServerID]bool{}
 	for _, e := range g.Entries {
-		named[e.ID] = true
 		p := r.peers[e.ID]
 		switch {
 		case p == nil:
@@ -97,16 +95,8 @@
 			p = &Peer{ID: e.ID, Name: e.Name, Addr: e.Addr, leaving: p.leaving, ban: p.ban, born: p.born}
 		}
 		r.peers[e.ID] = p
-		p.Mark(e.State == brain.Ready || e.State == brain.Gone && r.set.DroppedStay, g.At)
 	}
-	if g.Kind != brain.Delta {
-		for id, p := range r.peers {
-			if !named[id] {
-				p.Mark(r.set.DroppedStay, g.At)
-			}
-		}
-	}
-	r.show(g.Kind, servers)
+	r.show(g.Kind, servers, g.At)
 	maps.DeleteFunc(r.peers, func(id brain.ServerID, _ *Peer) bool { return !r.brain.Knows(id) })
 	if len(r.peers) > 0 {
 		r.ready.Store(true)
@@ -115,13 +105,21 @@
 
 // show lets the decisions see servers, and notes their starts first: a try that finds another one than it was decided by asks
 // behind this.
-func (r *Router) show(kind brain.ListKind, servers []brain.Server) {
+func (r *Router) show(kind brain.ListKind, servers []brain.Server, at time.Time) {
 	for _, s := range servers {
 		if p := r.peers[s.ID]; p != nil {
 			p.born.Store(int64(s.Born))
 		}
 	}
 	r.brain.List(r.now(), kind, servers)
+	r.mark(at)
+}
+
+// mark has peers leave, or stay, as the decisions have it by now: what they say of a server hangs on more than its entry.
+func (r *Router) mark(at time.Time) {
+	for id, p := range r.peers {
+		p.Mark(r.brain.Open(id), at)
+	}
 }
 
 // bornAt is when a peer last started.
--- a/internal/routing/maintain.go
+++ b/internal/routing/maintain.go
@@ -29,7 +29,7 @@
 
 func (e maintainEvent) handle(r *Router) {
 	if s, ok := r.servers.Shown(e.name); ok {
-		r.show(brain.Delta, r.chosen.take(brain.Delta, []brain.Server{s}))
+		r.show(brain.Delta, r.chosen.take(brain.Delta, []brain.Server{s}), time.Now())
 	}
 }
 
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -216,6 +216,7 @@
 		return
 	}
 	r.set = e.set
+	r.mark(time.Now())
 	r.advice.Store(int64(e.set.MaxRetryAfter))
 }
 
