--- a/brain/brain.go
+++ b/brain/brain.go
@@ -92,8 +92,8 @@
 		return
 	}
 	c := &b.classes[in.Class]
-	r := &request{id: in.ID, class: c, key: in.Key, cost: c.lat, share: c.share, effect: c.Effect,
-		scope: c.Scope, luck: b.chance(), slow: in.Slow, arrived: now, deadline: now + Time(in.Budget)}
+	r := &request{id: in.ID, class: c, key: in.Key, cost: c.lat, share: c.share, as: c.Class,
+		luck: b.chance(), slow: in.Slow, arrived: now, deadline: now + Time(in.Budget)}
 	if in.Tenant >= 0 && in.Tenant < len(b.tenants) {
 		r.tenant = &b.tenants[in.Tenant]
 	}
@@ -272,8 +272,9 @@
 func (b *Balancer) may(r *request, s *server, n int) bool {
 	for i := range n {
 		a := &r.attempts[i]
-		far := r.scope != ScopeAll && a.to.Zone != s.Zone || r.scope == ScopeCell && a.to.Cell != s.Cell
-		twice := r.effect != Pure && (r.effect != Token || far || b.now >= a.sent+Time(r.class.Window))
+		far := r.as.Scope != ScopeAll && a.to.Zone != s.Zone || r.as.Scope == ScopeCell && a.to.Cell != s.Cell
+		late := b.now >= a.sent+Time(min(r.as.Window, r.class.Window)) // of the attempt before it
+		twice := r.as.Effect != Pure && (r.as.Effect != Token || far || late)
 		if a.to == s || !a.never && (twice || a.out && !b.set.SecondCopies) {
 			return false
 		}
@@ -328,7 +329,7 @@
 
 // again reports whether a request that was sent once may be sent again, whatever became of it.
 func (b *Balancer) again(r *request) bool {
-	return r.n == 1 && r.effect == Pure && !r.class.Stream && b.set.TryLimit > 1
+	return r.n == 1 && r.as.Effect == Pure && !r.class.Stream && b.set.TryLimit > 1
 }
 
 // second sends a copy of a request that half its aim has brought no answer, within its zone, while others'
@@ -419,7 +420,7 @@
 
 // giveUp answers a request at once: a refusal where the class lets the client try again, else a failure.
 func (b *Balancer) giveUp(r *request) {
-	harmless := r.effect == Pure || r.effect == Token && r.scope == ScopeAll ||
+	harmless := r.as.Effect == Pure || r.as.Effect == Token && r.as.Scope == ScopeAll ||
 		!slices.ContainsFunc(r.attempts[:r.n], func(a attempt) bool { return !a.never })
 	after := time.Duration(0)
 	if b.set.RetryAfter {
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -953,6 +953,33 @@
 	}
 }
 
+// A request in hand keeps its class's window, too: whoever got its first attempt may drop repeats for as long only. One
+// that settings have shortened meanwhile holds at once.
+func TestRequestsKeepTheirWindow(t *testing.T) {
+	const everywhere = 4
+	for _, c := range []struct {
+		was, is, wait Time
+		shots         int
+	}{
+		{300 * ms, 300 * ms, 200 * ms, 2}, {300 * ms, 300 * ms, 400 * ms, 1},
+		{300 * ms, 600 * ms, 200 * ms, 2}, {300 * ms, 600 * ms, 400 * ms, 1},
+		{600 * ms, 300 * ms, 200 * ms, 2}, {600 * ms, 300 * ms, 400 * ms, 1},
+	} {
+		before, after := base(), base()
+		before.Classes[everywhere].Window, after.Classes[everywhere].Window = time.Duration(c.was), time.Duration(c.is)
+		g := start(t, before, 1, fleet(2)...)
+		id := g.ask(everywhere, 7)
+		if err := g.b.Set(g.now, after); err != nil {
+			t.Fatal(err)
+		}
+		g.now += c.wait
+		g.answer(id, 0, Errored) // it may have run
+		if n := len(g.open[id].shots); n != c.shots {
+			t.Errorf("%d ms, then %d ms: %d attempts after %d ms, want %d", c.was/ms, c.is/ms, n, c.wait/ms, c.shots)
+		}
+	}
+}
+
 // A probe that never left its node says nothing of the server, and the next one is not held up by it.
 func TestMootProbes(t *testing.T) {
 	g := start(t, base(), 1, fleet(1)...)
--- a/brain/state.go
+++ b/brain/state.go
@@ -45,9 +45,8 @@
 	cost, share                float64 // share: part of a server's limit it may use
 	luck, blame                float64 // fraction of a window it needs; its class's or tenant's bad
 	n, out                     int
-	done, queued, slow, deadly bool   // deadly: its connection broke, it may have brought the server down
-	effect                     Effect // its class's as it came, whatever Set brings
-	scope                      Scope
+	done, queued, slow, deadly bool  // deadly: its connection broke, it may have brought the server down
+	as                         Class // its class as it came, whatever Set brings: what it allows
 	attempts                   [maxAttempts]attempt
 }
 
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -38,14 +38,14 @@
 
 // beginBy is when the window in which a call's repeats are dropped ends: counted from the first of its tries that may have
 // run, which left no sooner than it was sent off. The decisions asked as they chose the peer; the connection may be up later
-// than that by more than a short window. Zero: no window binds the next try.
+// than that by more than a short window. A reload meanwhile makes it no longer. Zero: no window binds the next try.
 func (r *Router) beginBy(e *openCall) time.Time {
-	if e.effect != brain.Token {
+	if e.as.Effect != brain.Token {
 		return time.Time{}
 	}
 	for _, a := range e.tries {
 		if !a.in || !a.result.Result.NeverRan() {
-			return a.begun.Add(r.set.Classes[e.Class].Window)
+			return a.begun.Add(min(e.as.Window, r.set.Classes[e.Class].Window))
 		}
 	}
 	return time.Time{}
--- /dev/null
+++ b/internal/routing/window_test.go
@@ -0,0 +1,54 @@
+package routing
+
+import (
+	"context"
+	"log/slog"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"olivebridge/brain"
+)
+
+// TestWindowOverAReload: a further try must begin within the window that its call's class had as it came, whatever a reload
+// while the first was out has made of it, and within a shorter one of the reload's.
+func TestWindowOverAReload(t *testing.T) {
+	for _, c := range []struct{ was, is, want time.Duration }{
+		{time.Second, time.Second, time.Second},
+		{time.Second, time.Minute, time.Second},
+		{time.Minute, time.Second, time.Second},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			settings := func(window time.Duration) brain.Settings {
+				set := testSettings()
+				set.Classes[safe].Effect, set.Classes[safe].Scope, set.Classes[safe].Window = brain.Token, brain.ScopeAll, window
+				return set
+			}
+			out, further := make(chan bool), make(chan time.Time, 1)
+			r := New(Config{Settings: settings(c.was), Seed: 1, Known: listed(7, 8), Watcher: still{},
+				Log: slog.New(slog.DiscardHandler),
+				Carrier: carrier(func(_ context.Context, try Try) TryResult {
+					if try.Attempt > 0 {
+						further <- try.BeginBy
+						return TryResult{Result: brain.OK}
+					}
+					out <- true
+					<-out
+					return TryResult{Result: brain.Errored}
+				})})
+			ctx, stop := context.WithCancel(t.Context())
+			go r.Run(ctx)
+			begun := time.Now()
+			go r.Take(ctx, call(safe, 10*time.Second))
+			<-out
+			r.Set(settings(c.is))
+			synctest.Wait()
+			out <- true
+			if by := <-further; by.Sub(begun) != c.want {
+				t.Errorf("%v, then %v: it must begin within %v, want %v", c.was, c.is, by.Sub(begun), c.want)
+			}
+			stop()
+			synctest.Wait()
+		})
+	}
+}
