--- a/brain/brain.go
+++ b/brain/brain.go
@@ -50,7 +50,7 @@
 	}
 	anew := standing{rest: 1}
 	for _, c := range set.Classes {
-		k := class{Class: c, lat: c.Aim.Seconds() / 4, base: 0.1, standing: anew}
+		k := class{Class: &c, lat: c.Aim.Seconds() / 4, base: 0.1, standing: anew}
 		k.work = max(k.lat, 1e-3)
 		b.classes, b.lat, b.work = append(b.classes, k), max(b.lat, k.lat), min(b.work, k.work)
 	}
@@ -75,7 +75,7 @@
 	}
 	b.now, b.set, b.dirty = now, set.bounded(), true
 	for i, c := range set.Classes {
-		b.classes[i].Class = c
+		b.classes[i].Class = &c // those in hand keep theirs
 	}
 	for i, t := range set.Tenants {
 		b.tenants[i].Tenant = t
--- a/brain/state.go
+++ b/brain/state.go
@@ -45,8 +45,8 @@
 	cost, share                float64 // share: part of a server's limit it may use
 	luck, blame                float64 // fraction of a window it needs; its class's or tenant's bad
 	n, out                     int
-	done, queued, slow, deadly bool  // deadly: its connection broke, it may have brought the server down
-	as                         Class // its class as it came, whatever Set brings: what it allows
+	done, queued, slow, deadly bool   // deadly: its connection broke, it may have brought the server down
+	as                         *Class // its class as it came, whatever Set brings: what it allows
 	attempts                   [maxAttempts]attempt
 }
 
@@ -62,10 +62,10 @@
 }
 
 type class struct {
-	Class
-	lat  float64 // mean latency in seconds
-	work float64 // mean hint, or latency where there are none, in seconds
-	base float64 // latency as a share of the aim that nine answers in ten exceed: little of it is waiting
+	*Class         // never written: Set brings another
+	lat    float64 // mean latency in seconds
+	work   float64 // mean hint, or latency where there are none, in seconds
+	base   float64 // latency as a share of the aim that nine answers in ten exceed: little of it is waiting
 	standing
 	share float64
 }
--- a/internal/routing/admit.go
+++ b/internal/routing/admit.go
@@ -16,9 +16,9 @@
 	answered bool        // it is given, or nobody waits for it
 	over     atomic.Bool // the same, for the carrier
 	deadline brain.Time
-	as       brain.Class // its class as it came, as the decisions have it
-	tries    []*attempt  // by number
-	out      int         // those whose outcome is not in
+	as       *brain.Class // its class as it came, as the decisions have it
+	tries    []*attempt   // by number
+	out      int          // those whose outcome is not in
 	first    attempt
 	few      [2]*attempt // room for tries
 }
@@ -54,7 +54,7 @@
 	e.id = r.lastID
 	e.tries = e.few[:0]
 	if e.Class >= 0 && e.Class < len(r.set.Classes) {
-		e.as = r.set.Classes[e.Class]
+		e.as = &r.set.Classes[e.Class] // a reload brings other settings
 	}
 	e.deadline = r.brainTime(e.Arrived.Add(e.patience() - answerMargin))
 	r.open[e.id] = e
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -40,7 +40,7 @@
 // run, which left no sooner than it was sent off. The decisions asked as they chose the peer; the connection may be up later
 // than that by more than a short window. A reload meanwhile makes it no longer. Zero: no window binds the next try.
 func (r *Router) beginBy(e *openCall) time.Time {
-	if e.as.Effect != brain.Token {
+	if e.as == nil || e.as.Effect != brain.Token {
 		return time.Time{}
 	}
 	for _, a := range e.tries {
