--- a/internal/transport/rest.go
+++ b/internal/transport/rest.go
@@ -29,8 +29,7 @@
 	left    int64 // of a known length, or of what an answer may have
 	last    bool  // the connection ends with it
 
-	given  int64         // bytes of it that were read here
-	waited time.Duration // for them, its client's own slowness aside
+	pace // of what was read here
 
 	client interface{ left() bool } // whom it is passed to; nil: nobody who could go
 	mu     sync.Mutex
@@ -69,13 +68,6 @@
 	}
 }
 
-// patience is how much longer the peer may be waited for: as long as its bytes
-// take at the slowest rate, beyond one standstill. It bounds answers that trickle.
-func (s *rest) patience() time.Duration {
-	allowed := streamStall + time.Duration(s.given)*time.Second/slowestRate
-	return min(allowed-s.waited, streamStall)
-}
-
 // Read reads on; io.EOF means that the answer is whole.
 func (s *rest) Read(b []byte) (int, error) {
 	if s.left == 0 {
@@ -88,12 +80,12 @@
 		b = b[:s.left]
 	}
 	begun := time.Now()
-	s.c.SetReadDeadline(begun.Add(s.patience()))
+	s.c.SetReadDeadline(begun.Add(s.patience(streamStall)))
 	s.stands(true)
 	n, err := s.body.Read(b)
 	s.stands(false)
-	s.waited += time.Since(begun)
-	s.given, s.left = s.given+int64(n), s.left-int64(n)
+	s.note(n, begun)
+	s.left -= int64(n)
 	if err == io.EOF && s.length >= 0 && s.left > 0 {
 		err = io.ErrUnexpectedEOF
 	}
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -35,6 +35,8 @@
 	body   io.Reader
 	first  []byte // what was read ahead
 	length int64  // of all of it; -1: unknown, it goes on in chunks
+	client pace   // of the bytes that have come
+	peer   pace   // of those that have left
 
 	mu      sync.Mutex
 	begun   bool          // a try reads the body
@@ -96,15 +98,13 @@
 	out := bufio.NewWriterSize(c, streamBuffer+64)
 	out.Write(head)
 	buf := make([]byte, streamBuffer)
-	total := int64(0)
 	for part, err := u.first, error(nil); ; {
-		if total += int64(len(part)); total > maxUpload {
+		if u.client.bytes > maxUpload {
 			err = errTooLarge
 		}
-		c.SetWriteDeadline(time.Now().Add(streamStall)) // or a peer silent in the middle holds the call for ever
 		u.read.Store(err == io.EOF)
-		u.write(out, part, err == io.EOF)
-		if out.Flush() != nil || ctx.Err() != nil && err != io.EOF { // who reads the answer finds out
+		broke := u.write(c, out, part, err == io.EOF)
+		if broke != nil || ctx.Err() != nil && err != io.EOF { // who reads the answer finds out
 			c.Interrupt()
 			return
 		}
@@ -129,41 +129,67 @@
 			c.Interrupt()
 			return
 		}
-		u.k.pace(total)
-		var n int
-		n, err = u.body.Read(buf)
-		part = buf[:n]
+		part, err = u.next(buf)
 	}
 }
 
-// write writes a part of the body, and its end.
-func (u *upload) write(out *bufio.Writer, part []byte, last bool) {
-	if u.length >= 0 {
+// next waits for the client's next bytes, as long as it keeps its pace.
+func (u *upload) next(buf []byte) ([]byte, error) {
+	begun := time.Now()
+	u.k.SetReadDeadline(begun.Add(u.client.patience(bodyAllowance)))
+	n, err := u.body.Read(buf)
+	u.client.note(n, begun)
+	return buf[:n], err
+}
+
+// write writes a part of the body, and its end, as long as the peer takes it at its pace: one silent in the middle would
+// hold the call for ever.
+func (u *upload) write(c *peerConn, out *bufio.Writer, part []byte, last bool) error {
+	begun := time.Now()
+	c.SetWriteDeadline(begun.Add(u.peer.patience(streamStall)))
+	switch {
+	case u.length >= 0:
 		out.Write(part)
-		return
-	}
-	if len(part) > 0 {
+	case len(part) > 0:
 		fmt.Fprintf(out, "%x\r\n", len(part))
 		out.Write(part)
 		out.WriteString("\r\n")
 	}
-	if last {
+	if last && u.length < 0 {
 		out.WriteString("0\r\n\r\n")
 	}
+	err := out.Flush()
+	u.peer.note(len(part), begun)
+	return err
 }
 
 // bodyAllowance is what a body may take beyond its bytes at the slowest rate, with the head's time.
 const bodyAllowance = 2700 * time.Millisecond
 
-// pace lets a request's next bytes come, of whose body n have, as long as they come
-// at the slowest rate. A client that stops is found out as early as it ever was,
-// whatever it has sent before.
+// pace is how one side of a long message keeps up. Only the time counts in which that side is waited for: a client cannot
+// send while the node waits for a peer, nor a peer give what no client takes.
+type pace struct {
+	bytes  int64
+	waited time.Duration // for them
+}
+
+// patience is how much longer that side may be waited for: as long as its bytes take at the slowest rate, beyond one
+// standstill, and for one at most, whatever has come before. So who trickles is found out.
+func (p *pace) patience(stall time.Duration) time.Duration {
+	return min(stall+time.Duration(p.bytes)*time.Second/slowestRate-p.waited, stall)
+}
+
+// note notes n bytes that were waited for since begun.
+func (p *pace) note(n int, begun time.Time) {
+	p.bytes += int64(n)
+	p.waited += time.Since(begun)
+}
+
+// pace lets a request's next bytes come, of whose body, which is read without a pause, n have.
 func (k *clientConn) pace(n int64) {
-	end := k.begun().Add(bodyAllowance + time.Duration(n)*time.Second/slowestRate)
-	if stall := time.Now().Add(bodyAllowance); stall.Before(end) {
-		end = stall
-	}
-	k.SetReadDeadline(end)
+	now := time.Now()
+	p := pace{n, now.Sub(k.begun())}
+	k.SetReadDeadline(now.Add(p.patience(bodyAllowance)))
 }
 
 // begun is when the request's first byte was read.
@@ -255,6 +281,7 @@
 
 func (f *Front) uploading(r requestBody, first []byte) *message {
 	m := newMessage(&f.buffers, r.Method, r.target, r.Host, r.Header, r.length)
-	m.up = &upload{k: r.k, body: r.Body, first: first, length: r.length, done: make(chan struct{})}
+	m.up = &upload{k: r.k, body: r.Body, first: first, length: r.length, done: make(chan struct{}),
+		client: pace{int64(len(first)), time.Since(r.k.begun())}}
 	return m
 }
