--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -137,6 +137,9 @@
 func (u *upload) next(buf []byte) ([]byte, error) {
 	begun := time.Now()
 	u.k.SetReadDeadline(begun.Add(u.client.patience(bodyAllowance)))
+	if u.halted.Load() { // the deadline must not undo that: what is not wanted is not waited for
+		u.k.SetReadDeadline(time.Unix(1, 0))
+	}
 	n, err := u.body.Read(buf)
 	u.client.note(n, begun)
 	return buf[:n], err
--- a/internal/transport/uploadpace_test.go
+++ b/internal/transport/uploadpace_test.go
@@ -83,6 +83,22 @@
 	}
 }
 
+// TestHaltBetweenTwoParts: an answer that comes ahead of the body's end, just as the next part is about to be waited for, does not
+// wait for a client that stands still.
+func TestHaltBetweenTwoParts(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		u, _, in, far := uploadInMemory(4 << 20)
+		defer far.Close()
+		defer in.Close()
+		close(u.done) // so that halt waits for nobody
+		u.halt()
+		begun := time.Now()
+		if n, err := u.next(make([]byte, 1)); len(n) > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(begun) > 0 {
+			t.Errorf("%d bytes, %v after %v", len(n), err, time.Since(begun))
+		}
+	})
+}
+
 // uploadInMemory is a body of so many bytes that is to be sent to out, with the far ends of its client's connection and
 // of its peer's.
 func uploadInMemory(length int64) (u *upload, out *peerConn, client, peer net.Conn) {
