--- a/brain/brain.go
+++ b/brain/brain.go
@@ -931,8 +931,8 @@
 // fill gives out the entries of a table: by turns, and by weight, each server takes the next free one of its
 // own permutation. The order is by ID, the same at every node.
 func (b *Balancer) fill(table []*server, in func(*server) bool) {
-	size, taken := uint64(len(table)), make([]bool, len(table)) // a byte an entry: the table itself is too far away
-	some, most := make([]*server, 0, len(b.servers)), 0         // of a zone that is cold all have little weight
+	size, taken := uint64(len(table)), make([]bool, len(table)) // a byte an entry stays near the processor
+	some, most := make([]*server, 0, len(b.servers)), 0         // in a cold zone all have little weight
 	for _, s := range b.servers {
 		if h := mix(uint64(s.ID)); in(s) {
 			s.credit, s.next, s.skip = 0, h%size, (h>>32)%(size-1)+1
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -78,14 +78,16 @@
 	return &peerConn{Conn: conn, peer: peer, life: newLife(p.log, "peer", peer.Addr, p.release)}, nil
 }
 
-// take takes the last used idle connection to a peer that has settled; nil if
-// there is none.
+// take takes the last used idle connection to a peer that has settled, and has
+// not lain idle for too long; nil if there is none. The sweep may be late for
+// that, or still go by the time before a reload.
 func (p *pool) take(peer *routing.Peer) *peerConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list, now := p.idle[peer], time.Now()
 	for i := len(list) - 1; i >= 0; i-- {
-		if c := list[i]; now.Sub(c.freed) >= p.settle {
+		if lain := now.Sub(list[i].freed); lain >= p.settle && lain < p.keep {
+			c := list[i]
 			p.idle[peer] = slices.Delete(list, i, i+1)
 			return c
 		}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -546,6 +546,25 @@
 	}
 }
 
+// TestIdleTimeShortened: a connection that has lain idle for longer than a reload allows carries no try, though the sweep that
+// would end it is still to come.
+func TestIdleTimeShortened(t *testing.T) {
+	p, _ := answering(t, ok)
+	k, _ := newCarrier(time.Second)
+	k.Try(t.Context(), tryOf(p, "GET", ""))
+	long := *k.config.Load()
+	short := long
+	short.IdleClose = 1
+	k.Configure(short)
+	if c := k.pool.take(p); c != nil {
+		t.Error("given out beyond its time")
+	}
+	k.Configure(long)
+	if c := k.pool.take(p); c == nil {
+		t.Error("not given out within its time")
+	}
+}
+
 // TestCarrierClose: a carrier that has ended keeps no connection and opens none.
 func TestCarrierClose(t *testing.T) {
 	p, _ := answering(t, ok, ok)
