--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"log/slog"
 	"runtime/debug"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -87,6 +88,7 @@
 		names: map[string]struct{}{}, timers: map[*wakeEvent]struct{}{},
 	}
 	r.advice.Store(int64(c.Settings.MaxRetryAfter))
+	r.ready.Store(slices.ContainsFunc(c.Known.Entries, func(s Entry) bool { return s.State != brain.Gone })) // calls wait for Run
 	return r
 }
 
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -52,6 +52,21 @@
 	return g
 }
 
+// TestReadyAtOnce: a node that starts with a list is ready from its first moment, also where the decisions get no processor yet:
+// they take the calls that wait for them.
+func TestReadyAtOnce(t *testing.T) {
+	gone := listed(7)
+	gone.Entries[0].State = brain.Gone
+	for name, c := range map[string]struct {
+		known Group
+		ready bool
+	}{"a list": {listed(7), true}, "nobody": {Group{}, false}, "nobody left": {gone, false}} {
+		if r := newRouter(nil, c.known); r.Ready() != c.ready {
+			t.Errorf("%s: ready %v", name, r.Ready())
+		}
+	}
+}
+
 func newRouter(c carrier, known Group) *Router {
 	return New(Config{Settings: testSettings(), Seed: 1, Known: known, Carrier: c, Watcher: still{},
 		Log: slog.New(slog.DiscardHandler)})
