--- a/internal/transport/framing.go
+++ b/internal/transport/framing.go
@@ -6,9 +6,10 @@
 	"strings"
 )
 
-// framing follows the requests on a client connection, in the raw bytes. Where Transfer-Encoding stands beside Content-Length, net/http takes
-// the latter out and goes by the former; whoever goes by the latter finds
-// another request in the body. A handler cannot see that: only the bytes tell.
+// framing follows the requests on a client connection, in the raw bytes. Where
+// Transfer-Encoding stands beside Content-Length, net/http takes the latter out
+// and goes by the former; whoever goes by the latter finds another request in
+// the body. A handler cannot see that: only the bytes tell.
 type framing struct {
 	line    [len("transfer-encoding:")]byte // how the current line begins, in lower case
 	n       int                             // bytes of it; at its length the rest does not matter
@@ -34,7 +35,7 @@
 	return f.begun > n || f.begun == n && !f.inHead && !f.inBody && f.skip == 0 && !f.over
 }
 
-// torn reports whether the head of the nth request leaves any doubt about where it ends.
+// tornAt reports whether the head of the nth request leaves any doubt about where it ends.
 func (f *framing) tornAt(n int) bool {
 	return f.torn && f.begun <= n || f.bare > 0 && f.bare <= n
 }
