--- a/brain/aside_test.go
+++ b/balancer/aside_test.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 import (
 	"testing"
@@ -11,7 +11,7 @@
 	aside := func(from, to int) []Server {
 		all := fleet(12)
 		for i := range all {
-			all[i].Aside = i >= from && i < to
+			all[i].Suspended = i >= from && i < to
 		}
 		return all
 	}
@@ -21,7 +21,7 @@
 		for range requests {
 			n := len(p.out)
 			p.last++
-			p.b.Request(p.now, Request{ID: p.last, Key: mix(uint64(p.last)), Tenant: -1, Budget: 2 * time.Second})
+			p.b.HandleRequest(p.now, Request{ID: p.last, AffinityKey: mix(uint64(p.last)), Tenant: -1, Timeout: 2 * time.Second})
 			for _, try := range p.out[n:] {
 				sent[try.to]++
 			}
@@ -31,7 +31,7 @@
 	}
 	play(2000)
 	for round, c := range [][2]int{{0, 6}, {6, 12}, {3, 3}} {
-		p.b.List(p.now, Delta, aside(c[0], c[1]))
+		p.b.HandleServers(p.now, UpdateDelta, aside(c[0], c[1]))
 		p.probed = map[ServerID]int{}
 		sent := play(6000)
 		for i, s := range servers {
@@ -44,14 +44,14 @@
 			}
 		}
 	}
-	late := Server{ID: 5, Weight: 1, State: Ready, Aside: true}
-	p.b.List(p.now, Delta, []Server{late})
+	late := Server{ID: 5, Weight: 1, State: Ready, Suspended: true}
+	p.b.HandleServers(p.now, UpdateDelta, []Server{late})
 	p.probed = map[ServerID]int{}
 	if sent := play(4000); sent[5] > 0 || p.probed[5] > 0 {
 		t.Errorf("a new one stands aside, and is sent %d and probed %d times", sent[5], p.probed[5])
 	}
-	late.Aside = false
-	p.b.List(p.now, Delta, []Server{late})
+	late.Suspended = false
+	p.b.HandleServers(p.now, UpdateDelta, []Server{late})
 	if sent := play(8000); sent[5] == 0 {
 		t.Error("a new one that stood aside is never sent anything")
 	}
--- a/brain/brain.go
+++ b/balancer/brain.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 // Every decision of a node; types and events are in api.go, what it remembers in state.go. It reads in the
 // order of a request's life, then what goes on beside: evidence, the list, probes, cold servers, the table.
@@ -46,11 +46,11 @@
 		set: set.bounded(), host: host, now: now, started: now, rng: seed ^ 0x9e3779b97f4a7c15,
 		dirty: true,
 		byID:  map[ServerID]*server{}, open: map[RequestID]*request{},
-		carryAt: now, askAt: now, retries: 3, carried: set.Carried, work: math.Inf(1),
+		carryAt: now, askAt: now, retries: 3, carried: set.WarmThroughput, work: math.Inf(1),
 	}
 	anew := standing{rest: 1}
 	for _, c := range set.Classes {
-		k := class{Class: &c, lat: c.Aim.Seconds() / 4, base: 0.1, standing: anew}
+		k := class{Class: &c, lat: c.LatencyObjective.Seconds() / 4, base: 0.1, standing: anew}
 		k.work = max(k.lat, 1e-3)
 		b.classes, b.lat, b.work = append(b.classes, k), max(b.lat, k.lat), min(b.work, k.work)
 	}
@@ -64,12 +64,12 @@
 }
 
 func (s Settings) bounded() Settings {
-	s.Nodes, s.TryLimit = max(s.Nodes, 1), min(max(s.TryLimit, 1), maxAttempts)
+	s.Nodes, s.MaxAttempts = max(s.Nodes, 1), min(max(s.MaxAttempts, 1), maxAttempts)
 	return s
 }
 
 // Set takes changed settings. Their classes and tenants stand where they stood: what was learnt stays theirs.
-func (b *Balancer) Set(now Time, set Settings) error {
+func (b *Balancer) UpdateSettings(now Time, set Settings) error {
 	if len(set.Classes) != len(b.classes) || len(set.Tenants) != len(b.tenants) {
 		return fmt.Errorf("brain: classes or tenants are more or fewer than before")
 	}
@@ -85,27 +85,27 @@
 }
 
 // Request takes a client's request: it is sent, or answered at once.
-func (b *Balancer) Request(now Time, in Request) {
+func (b *Balancer) HandleRequest(now Time, in Request) {
 	b.now = now
 	if in.Class < 0 || in.Class >= len(b.classes) || b.open[in.ID] != nil {
 		b.host.Fail(in.ID)
 		return
 	}
 	c := &b.classes[in.Class]
-	r := &request{id: in.ID, class: c, key: in.Key, cost: c.lat, share: c.share, as: c.Class,
-		luck: b.chance(), slow: in.Slow, arrived: now, deadline: now + Time(in.Budget)}
+	r := &request{id: in.ID, class: c, key: in.AffinityKey, cost: c.lat, share: c.share, as: c.Class,
+		luck: b.chance(), slow: in.StreamsBody, arrived: now, deadline: now + Time(in.Timeout)}
 	if in.Tenant >= 0 && in.Tenant < len(b.tenants) {
 		r.tenant = &b.tenants[in.Tenant]
 	}
-	if in.Work > 0 {
-		r.cost = in.Work.Seconds()
+	if in.ExpectedWork > 0 {
+		r.cost = in.ExpectedWork.Seconds()
 	}
 	if b.overShare(r.tenant) {
 		r.share = min(r.share, 1-reserve)
 	}
 	b.open[r.id] = r
 	b.retries, b.copies = min(b.retries+retryShare, 10), min(b.copies+copyShare*b.hush, 10)
-	b.probes = min(b.probes+min(probeShare, probeCost/max(b.set.ProbePrice, 1e-9)), probesHeld)
+	b.probes = min(b.probes+min(probeShare, probeCost/max(b.set.HealthCheckCost, 1e-9)), probesHeld)
 	// A long median wait sheds by chance, the least worth most, and sooner where a node sees little of each
 	// server. It guards against whatever slows most of them at once.
 	b.press = min(max(b.median/min(calm+shedLater*b.seen(), shedMost)-1, 0), 1)
@@ -134,7 +134,7 @@
 
 // forward sends the next attempt of a request, lets it wait, or gives it up.
 func (b *Balancer) forward(r *request) {
-	if b.now < r.deadline && r.n < b.set.TryLimit && (r.n == 0 || !r.slow) {
+	if b.now < r.deadline && r.n < b.set.MaxAttempts && (r.n == 0 || !r.slow) {
 		if s := b.pick(r); s != nil {
 			b.send(r, s)
 			return
@@ -151,7 +151,7 @@
 		return b.now < r.until
 	}
 	lat := Time(r.class.lat * float64(time.Second))
-	slack := (r.arrived + Time(r.class.Aim) - b.now - 2*lat) / 2
+	slack := (r.arrived + Time(r.class.LatencyObjective) - b.now - 2*lat) / 2
 	if r.until = min(b.now+slack, r.deadline-Time(2*tickEvery)); !b.full || r.n > 0 || r.until <= b.now {
 		return false
 	}
@@ -265,17 +265,17 @@
 
 // listed reports whether the list lets new work go to s.
 func (b *Balancer) listed(s *server) bool {
-	return s.State == Ready || s.State == Gone && b.set.DroppedStay && !s.bound
+	return s.State == Ready || s.State == Removed && b.set.ServeRemoved && !s.bound
 }
 
 // may holds the second rule: no effect twice. Every attempt that is out or may have run binds the n-th.
 func (b *Balancer) may(r *request, s *server, n int) bool {
 	for i := range n {
 		a := &r.attempts[i]
-		far := r.as.Scope != ScopeAll && a.to.Zone != s.Zone || r.as.Scope == ScopeCell && a.to.Cell != s.Cell
-		late := b.now >= a.sent+Time(min(r.as.Window, r.class.Window)) // of the attempt before it
-		twice := r.as.Effect != Pure && (r.as.Effect != Token || far || late)
-		if a.to == s || !a.never && (twice || a.out && !b.set.SecondCopies) {
+		far := r.as.DedupScope != DedupFleet && a.to.Zone != s.Zone || r.as.DedupScope == DedupCell && a.to.Cell != s.Cell
+		late := b.now >= a.sent+Time(min(r.as.DedupWindow, r.class.DedupWindow)) // of the attempt before it
+		twice := r.as.Idempotency != Idempotent && (r.as.Idempotency != IdempotencyKeyed || far || late)
+		if a.to == s || !a.never && (twice || a.out && !b.set.Hedging) {
 			return false
 		}
 	}
@@ -305,7 +305,7 @@
 		holds = 0 // whenever it begins
 	}
 	b.host.Send(r.id, s.ID, holds)
-	if half := r.class.Aim / 2; b.copies >= 1 && b.set.SecondCopies && b.again(r) {
+	if half := r.class.LatencyObjective / 2; b.copies >= 1 && b.set.Hedging && b.again(r) {
 		spread := time.Duration(r.luck * float64(time.Millisecond)) // of those sent at one instant
 		b.host.SetTimer(max(half-time.Duration(b.now-r.arrived), half/2+spread), copyRef+uint64(r.id))
 	}
@@ -313,7 +313,7 @@
 
 // Begin reports whether an attempt may begin whose half window is over, or whose server has started anew.
 // It asks as send did, and this half's allowance: else all that waited for a connection would land at once.
-func (b *Balancer) Begin(now Time, id RequestID, n int) bool {
+func (b *Balancer) MayBegin(now Time, id RequestID, n int) bool {
 	b.now = now
 	r := b.open[id]
 	if r == nil || r.done || now >= r.deadline || n < 0 || n >= r.n || !r.attempts[n].out {
@@ -329,7 +329,7 @@
 
 // again reports whether a request that was sent once may be sent again, whatever became of it.
 func (b *Balancer) again(r *request) bool {
-	return r.n == 1 && r.as.Effect == Pure && !r.class.Stream && b.set.TryLimit > 1
+	return r.n == 1 && r.as.Idempotency == Idempotent && !r.class.Streaming && b.set.MaxAttempts > 1
 }
 
 // second sends a copy of a request that half its aim has brought no answer, within its zone, while others'
@@ -344,7 +344,7 @@
 }
 
 // Outcome takes the end of an attempt and sends a further one, or ends the request.
-func (b *Balancer) Outcome(now Time, o Outcome) {
+func (b *Balancer) HandleOutcome(now Time, o Outcome) {
 	b.now = now
 	r := b.open[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= r.n || !r.attempts[o.Attempt].out {
@@ -356,14 +356,14 @@
 	b.landed(a)
 	b.learn(r, a, o)
 	defer b.admit()
-	if r.done || o.Closed {
+	if r.done || o.RequestDone {
 		r.done = r.done || o.Result == OK // a copy goes on, to tell whether it is overtaken
 		b.end(r)
 		return
 	}
 	// What broke its connection may have brought the server down: it is not spread further. It guards against
 	// requests that kill whatever runs them; those beside one, or on a machine that died, go unserved.
-	miss := a.never && r.n < 2 && o.Result != Moot // the first that proves nothing ran is free
+	miss := a.never && r.n < 2 && o.Result != NotSent // the first that proves nothing ran is free
 	switch r.deadly = o.Result == Reset; {
 	case r.out > 0 && !a.never: // a copy is under way
 	case !r.deadly && (miss || b.retries >= 1):
@@ -388,8 +388,8 @@
 // and tells nothing of its server's load: surely, if the server has answered well what was sent much later
 // (a is overtaken); likely, if a is late and lately others were overtaken.
 func (b *Balancer) silent(r *request, a *attempt) (likely, sure bool) {
-	sure = a.to.newest > a.sent+Time(r.class.Aim/2)
-	return sure || b.hush > hushed && b.now > a.sent+Time(r.class.Aim), sure
+	sure = a.to.newest > a.sent+Time(r.class.LatencyObjective/2)
+	return sure || b.hush > hushed && b.now > a.sent+Time(r.class.LatencyObjective), sure
 }
 
 // sweep takes silent attempts out of what is in flight, where they would fill limits with requests that no
@@ -406,7 +406,7 @@
 			if b.landed(a); sure {
 				a.mute, found = true, found+1
 			}
-			if sure && b.set.Cancel && (r.done || b.again(r)) {
+			if sure && b.set.CancelAttempts && (r.done || b.again(r)) {
 				off = append(off, Outcome{ID: r.id, Attempt: i})
 			}
 		}
@@ -420,7 +420,7 @@
 
 // giveUp answers a request at once: a refusal where the class lets the client try again, else a failure.
 func (b *Balancer) giveUp(r *request) {
-	harmless := r.as.Effect == Pure || r.as.Effect == Token && r.as.Scope == ScopeAll ||
+	harmless := r.as.Idempotency == Idempotent || r.as.Idempotency == IdempotencyKeyed && r.as.DedupScope == DedupFleet ||
 		!slices.ContainsFunc(r.attempts[:r.n], func(a attempt) bool { return !a.never })
 	after := time.Duration(0)
 	if b.set.RetryAfter {
@@ -430,7 +430,7 @@
 		}
 	}
 	if harmless {
-		b.host.Refuse(r.id, after)
+		b.host.Reject(r.id, after)
 	} else {
 		b.host.Fail(r.id)
 	}
@@ -438,7 +438,7 @@
 }
 
 // HangUp takes the news that the client has left.
-func (b *Balancer) HangUp(now Time, id RequestID) {
+func (b *Balancer) HandleDisconnect(now Time, id RequestID) {
 	b.now = now
 	if r := b.open[id]; r != nil {
 		b.end(r)
@@ -446,7 +446,7 @@
 }
 
 // FirstByte takes the start of a streamed answer: the server is heard from.
-func (b *Balancer) FirstByte(now Time, id RequestID, n int) {
+func (b *Balancer) HandleFirstByte(now Time, id RequestID, n int) {
 	b.now = now
 	if r := b.open[id]; r != nil && n >= 0 && n < r.n {
 		r.attempts[n].to.heard = now
@@ -454,7 +454,7 @@
 }
 
 // Written takes the news that a slow request's last byte has left: its time begins, and the server holds it.
-func (b *Balancer) Written(now Time, id RequestID, n int, budget time.Duration) {
+func (b *Balancer) HandleBodySent(now Time, id RequestID, n int, budget time.Duration) {
 	b.now = now
 	if r := b.open[id]; r != nil && n >= 0 && n < r.n && r.attempts[n].out && r.attempts[n].mute {
 		a := &r.attempts[n]
@@ -469,7 +469,7 @@
 		r.done = true
 		b.leave(r)
 		for i := range r.n {
-			if r.attempts[i].out && b.set.Cancel {
+			if r.attempts[i].out && b.set.CancelAttempts {
 				b.host.Cancel(r.id, i)
 			}
 		}
@@ -482,7 +482,7 @@
 // learn takes what an outcome tells: waiting moves the limits, good and bad outcomes the server's counter.
 func (b *Balancer) learn(r *request, a *attempt, o Outcome) {
 	s := a.to
-	if o.Result == Cancelled || o.Result == Moot {
+	if o.Result == Cancelled || o.Result == NotSent {
 		return
 	}
 	silent, _ := b.silent(r, a)
@@ -490,7 +490,7 @@
 	if good || o.Result == Errored || o.Result == Rejected {
 		s.heard = b.now
 	}
-	aim := min(r.class.Aim+time.Duration(r.class.AimStretch*r.cost*float64(time.Second)), r.class.Deadline)
+	aim := min(r.class.LatencyObjective+time.Duration(r.class.ObjectivePerWork*r.cost*float64(time.Second)), r.class.Deadline)
 	if o.Result == Rejected {
 		s.shut = b.now + Time(min(aim, probeDown))
 		b.cutLimit(s, 0.7, aim)
@@ -601,32 +601,32 @@
 		b.log("server %x out of the table", uint64(s.ID))
 		return
 	}
-	s.rampFrom, s.rampFor = b.now, min(time.Duration(b.now-s.outAt), b.set.Cold)
+	s.rampFrom, s.rampFor = b.now, min(time.Duration(b.now-s.outAt), b.set.SlowStart)
 	s.outAt = 0
 	s.heard = b.now
 	s.ease, s.limit = 0, max(s.limit/2, 1)
 }
 
 // List takes what discovery says.
-func (b *Balancer) List(now Time, kind ListKind, entries []Server) {
+func (b *Balancer) HandleServers(now Time, kind UpdateKind, entries []Server) {
 	b.now = now
-	if kind == Failed { // what discovery tells from now on is due in 6 s, so pauses do not grow
+	if kind == UpdateFailed { // what discovery tells from now on is due in 6 s, so pauses do not grow
 		b.asking, b.watched = false, false
-		b.askAt = now + Time(b.jitter(min(askPause, max(b.set.AskEvery/2, time.Second))))
+		b.askAt = now + Time(b.jitter(min(askPause, max(b.set.PollInterval/2, time.Second))))
 		return
 	}
-	if kind != Cached && b.asking {
+	if kind != UpdateCached && b.asking {
 		b.asking, b.watched = false, true
 	}
 	for _, s := range b.servers {
-		s.known = s.known && kind == Delta
+		s.known = s.known && kind == UpdateDelta
 	}
 	for _, e := range entries {
 		b.enter(e, kind)
 	}
 	for _, s := range b.servers {
-		if kind != Delta && !s.known {
-			s.State = Gone
+		if kind != UpdateDelta && !s.known {
+			s.State = Removed
 		}
 		b.judge(s)
 	}
@@ -637,7 +637,7 @@
 // forget drops servers gone for long that hold nothing: memory, where servers are replaced all day.
 func (b *Balancer) forget() {
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
-		old := s.State == Gone && !b.listed(s) && s.inflight == 0 &&
+		old := s.State == Removed && !b.listed(s) && s.inflight == 0 &&
 			s.outAt != 0 && b.now-s.outAt >= Time(forgetAfter)
 		if old {
 			delete(b.byID, s.ID)
@@ -650,17 +650,17 @@
 func (b *Balancer) Knows(id ServerID) bool { return b.byID[id] != nil }
 
 // Open reports whether new work may go to the server, by the list and the settings.
-func (b *Balancer) Open(id ServerID) bool { return b.Knows(id) && b.listed(b.byID[id]) }
+func (b *Balancer) Accepts(id ServerID) bool { return b.Knows(id) && b.listed(b.byID[id]) }
 
 // enter takes one entry of a list.
-func (b *Balancer) enter(e Server, kind ListKind) {
+func (b *Balancer) enter(e Server, kind UpdateKind) {
 	s := b.byID[e.ID]
-	if s == nil && e.State == Gone {
+	if s == nil && e.State == Removed {
 		return // there is nothing to remember of it
 	}
 	if s == nil {
 		s = &server{Server: e, unknown: true, limit: firstLimit, outAt: b.now, pause: probeFast}
-		s.fresh = kind == Cached || b.now < b.started+Time(probeEvery)
+		s.fresh = kind == UpdateCached || b.now < b.started+Time(probeEvery)
 		s.probeAt = b.now + Time(b.random()%uint64(probeFast/4))
 		if s.fresh {
 			s.outAt = 0
@@ -669,7 +669,7 @@
 		b.byID[e.ID] = s
 		i := slices.IndexFunc(append(b.servers, s), func(o *server) bool { return o.ID >= s.ID }) // by ID
 		b.servers = slices.Insert(b.servers, i, s)
-	} else if e.Born != s.Born && e.Born != 0 { // it has restarted: nothing learnt of it holds
+	} else if e.StartedAt != s.StartedAt && e.StartedAt != 0 { // it has restarted: nothing learnt of it holds
 		s.unknown, s.fresh, s.counter, s.blame, s.doubt, s.pause = true, false, 0, 0, 0, probeFast
 		s.probeAt, s.limit, s.ease, s.rampFor, s.holds = b.now, 1, 0, 0, 0
 	}
@@ -677,25 +677,25 @@
 		s.size = w // a live weight sinks with load: its highest is the size
 	}
 	s.Server, s.known = e, true
-	s.bound = e.State == Draining || s.bound && e.State == Gone
+	s.bound = e.State == Draining || s.bound && e.State == Removed
 }
 
 // watch asks discovery for its list where it does not come by itself.
 func (b *Balancer) watch() {
-	if b.set.Ask && !b.watched && !b.asking && b.now >= b.askAt {
+	if b.set.PollDiscovery && !b.watched && !b.asking && b.now >= b.askAt {
 		b.asking = true
 		b.host.Watch()
 	}
 }
 
 // Moved takes the news that discovery is elsewhere now: it is asked there at once, whatever failed before.
-func (b *Balancer) Moved(now Time) {
+func (b *Balancer) HandleDiscoveryMoved(now Time) {
 	b.now, b.askAt, b.asking, b.watched = now, now, false, false
 	b.watch()
 }
 
 // Wake takes a timer set earlier.
-func (b *Balancer) Wake(now Time, ref uint64) {
+func (b *Balancer) HandleTimer(now Time, ref uint64) {
 	b.now = now
 	if ref != tickRef {
 		b.second(b.open[RequestID(ref-copyRef)])
@@ -726,10 +726,10 @@
 			}
 			s.doubt = now + Time(b.jitter(s.pause))
 		}
-		if b.set.Probes && !s.Aside {
+		if b.set.HealthChecks && !s.Suspended {
 			b.probe(s, at)
 		}
-		overdue := !b.set.Probes || s.probing == 0 && now >= s.probeAt+Time(probeFast)
+		overdue := !b.set.HealthChecks || s.probing == 0 && now >= s.probeAt+Time(probeFast)
 		if overdue && s.State == Ready && (s.unknown || s.outAt != 0 && now >= s.doubt+Time(probeDown)) {
 			s.unknown, s.counter = false, rise // no probe to be had: the list's word, then real work
 		}
@@ -766,13 +766,13 @@
 	}
 	b.probes--
 	s.probing, s.probeAt = b.now, b.now+Time(b.jitter(every))
-	b.host.Probe(s.ID)
+	b.host.CheckHealth(s.ID)
 }
 
 // Probed takes a probe's result.
-func (b *Balancer) Probed(now Time, p ProbeResult) {
+func (b *Balancer) HandleHealthCheck(now Time, p HealthCheckResult) {
 	b.now = now
-	if s := b.byID[p.Server]; s != nil && s.probing != 0 && p.Result != Moot {
+	if s := b.byID[p.Server]; s != nil && s.probing != 0 && p.Result != NotSent {
 		b.result(s, p.Result == OK)
 	} else if s != nil {
 		s.probing = 0 // it never left this node, and says nothing of the server
@@ -806,20 +806,20 @@
 // warm is the share of its capacity that s has at least, by its start and by when it came back.
 func (b *Balancer) warm(s *server) float64 {
 	share := 1.0
-	if b.set.Cold > 0 && s.Born != 0 {
-		share = min(share, b.set.ColdShare+(1-b.set.ColdShare)*float64(b.now-s.Born)/float64(b.set.Cold))
+	if b.set.SlowStart > 0 && s.StartedAt != 0 {
+		share = min(share, b.set.InitialCapacity+(1-b.set.InitialCapacity)*float64(b.now-s.StartedAt)/float64(b.set.SlowStart))
 	}
 	if s.rampFor > 0 {
-		share = min(share, b.set.ColdShare+(1-b.set.ColdShare)*float64(b.now-s.rampFrom)/float64(s.rampFor))
+		share = min(share, b.set.InitialCapacity+(1-b.set.InitialCapacity)*float64(b.now-s.rampFrom)/float64(s.rampFor))
 	}
-	return min(max(share, b.set.ColdShare, 0.01), 1)
+	return min(max(share, b.set.InitialCapacity, 0.01), 1)
 }
 
 // coldRoom holds the fourth rule. For each half of a fall window, counted from the node's start, a cold
 // server is sent no more than its share of what warm ones carry from this node. Where that is less than one
 // request, chance, drawn once a half, lets one through: the sum over all nodes holds. It costs time to warm.
 func (b *Balancer) coldRoom(s *server, r *request) bool {
-	w, half := b.warm(s), max(b.set.Fall/2, time.Millisecond)
+	w, half := b.warm(s), max(b.set.OverloadWindow/2, time.Millisecond)
 	if w >= 1 {
 		return true
 	}
@@ -827,7 +827,7 @@
 		s.holds, s.spent, s.luck = end, 0, b.chance()
 	}
 	// Where nothing was learnt, the nodes together try one request a window, or none would ever start.
-	some := w * coldPart * b.set.Overload * b.carried * s.size * half.Seconds()
+	some := w * coldPart * b.set.OverloadFactor * b.carried * s.size * half.Seconds()
 	s.owed = max(some, b.pay(r)/2/float64(b.set.Nodes))
 	return s.spent+s.luck*b.pay(r) <= s.owed
 }
@@ -839,13 +839,13 @@
 // measure learns what warm servers carry from this node, in requests a second per unit of size.
 func (b *Balancer) measure() {
 	d := time.Duration(b.now - b.carryAt)
-	if d < max(b.set.Fall, tickEvery) {
+	if d < max(b.set.OverloadWindow, tickEvery) {
 		return
 	}
 	b.carryAt = b.now
 	var done, size float64
 	for _, s := range b.servers {
-		if s.outAt == 0 && !s.Aside && b.listed(s) && b.warm(s) >= 1 {
+		if s.outAt == 0 && !s.Suspended && b.listed(s) && b.warm(s) >= 1 {
 			done += s.done
 			size += s.size
 		}
@@ -865,8 +865,8 @@
 	top := 0.0
 	for i := range b.classes {
 		c := &b.classes[i]
-		c.share = c.Worth
-		if !b.set.WorthByWork {
+		c.share = c.PriorityWeight
+		if !b.set.WeightPerWork {
 			c.share /= max(c.lat, 1e-3)
 		}
 		top = max(top, c.share)
@@ -878,12 +878,12 @@
 
 // weigh gives the table weight of s in steps of the largest.
 func (b *Balancer) weigh(s *server, most float64) int {
-	if s.outAt != 0 || s.Aside || !b.listed(s) || most <= 0 {
+	if s.outAt != 0 || s.Suspended || !b.listed(s) || most <= 0 {
 		return 0
 	}
 	share := b.warm(s)
 	if share < 1 {
-		share = math.Floor(share*min(coldPart*b.set.Overload, 1)*16+1) / 16
+		share = math.Floor(share*min(coldPart*b.set.OverloadFactor, 1)*16+1) / 16
 	}
 	return max(int(s.size/most*share*weightSteps+0.5), 1)
 }
@@ -922,7 +922,7 @@
 	}
 	b.weights, b.full, b.keep = all, all > 0, 0
 	b.fill(b.table, func(s *server) bool { return s.weight > 0 })
-	if b.set.Zones > 1 && n > 1 && n*b.set.CrossPrice >= zoneWorth {
+	if b.set.Zones > 1 && n > 1 && n*b.set.CrossZoneCost >= zoneWorth {
 		b.keep = zoneRoom * min(own/all*float64(min(b.set.Zones, b.set.Nodes)), (n-1)/n)
 		b.fill(b.near, func(s *server) bool { return s.weight > 0 && s.Zone == b.set.Zone })
 	}
--- a/brain/brain_test.go
+++ b/balancer/brain_test.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 import (
 	"bytes"
@@ -19,14 +19,14 @@
 func base() Settings {
 	return Settings{
 		Classes: []Class{
-			{Aim: time.Second, Deadline: 2 * time.Second, Worth: 2, Effect: Pure},
-			{Aim: time.Second, Deadline: 2 * time.Second, Worth: 3, Effect: SideEffect},
-			{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Effect: Token, Scope: ScopeCell, Window: 300 * time.Millisecond},
-			{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Effect: Token, Scope: ScopeZone, Window: time.Second},
-			{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Effect: Token, Scope: ScopeAll, Window: time.Second},
+			{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 2, Idempotency: Idempotent},
+			{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 3, Idempotency: NonIdempotent},
+			{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: IdempotencyKeyed, DedupScope: DedupCell, DedupWindow: 300 * time.Millisecond},
+			{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: IdempotencyKeyed, DedupScope: DedupZone, DedupWindow: time.Second},
+			{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: IdempotencyKeyed, DedupScope: DedupFleet, DedupWindow: time.Second},
 		},
-		Nodes: 2, DrainGrace: 500 * time.Millisecond, ColdShare: 0.2, Cold: 10 * time.Second, Overload: 3,
-		Fall: time.Second, TryLimit: 4, Probes: true, Cancel: true, SecondCopies: true, RetryAfter: true,
+		Nodes: 2, DrainGrace: 500 * time.Millisecond, InitialCapacity: 0.2, SlowStart: 10 * time.Second, OverloadFactor: 3,
+		OverloadWindow: time.Second, MaxAttempts: 4, HealthChecks: true, CancelAttempts: true, Hedging: true, RetryAfter: true,
 		MaxRetryAfter: 2 * time.Second,
 	}
 }
@@ -96,9 +96,9 @@
 		f.fault("send of request %d after %s", id, t.ended)
 	case s.ID == 0:
 		f.fault("send to unlisted server %x", to)
-	case s.State != Ready && !(f.set.DroppedStay && s.State == Gone) && f.now > f.draining[to]+Time(f.set.DrainGrace):
+	case s.State != Ready && !(f.set.ServeRemoved && s.State == Removed) && f.now > f.draining[to]+Time(f.set.DrainGrace):
 		f.fault("send to server %x, state %d since %d ms", to, s.State, f.draining[to]/ms)
-	case len(t.shots) >= f.set.TryLimit:
+	case len(t.shots) >= f.set.MaxAttempts:
 		f.fault("request %d past its attempts", id)
 	}
 	c := f.set.Classes[t.class]
@@ -107,11 +107,11 @@
 			continue
 		}
 		from := f.list[a.to]
-		same := c.Scope == ScopeAll || from.Zone == s.Zone && (c.Scope == ScopeZone || from.Cell == s.Cell)
-		if a.out && !f.set.SecondCopies {
+		same := c.DedupScope == DedupFleet || from.Zone == s.Zone && (c.DedupScope == DedupZone || from.Cell == s.Cell)
+		if a.out && !f.set.Hedging {
 			f.fault("second copy of request %d", id)
 		}
-		if c.Effect == SideEffect || c.Effect == Token && (!same || f.now > a.at+Time(c.Window)) {
+		if c.Idempotency == NonIdempotent || c.Idempotency == IdempotencyKeyed && (!same || f.now > a.at+Time(c.DedupWindow)) {
 			f.fault("request %d may run twice", id)
 		}
 	}
@@ -140,7 +140,7 @@
 	return t
 }
 
-func (f *referee) Refuse(id RequestID, after time.Duration) {
+func (f *referee) Reject(id RequestID, after time.Duration) {
 	f.after = after
 	t := f.final(id, "refuse")
 	if t == nil {
@@ -148,14 +148,14 @@
 	}
 	c := f.set.Classes[t.class]
 	for _, a := range t.shots {
-		if !a.never && !(c.Effect == Pure || c.Effect == Token && c.Scope == ScopeAll) {
+		if !a.never && !(c.Idempotency == Idempotent || c.Idempotency == IdempotencyKeyed && c.DedupScope == DedupFleet) {
 			f.fault("refusal of request %d, which may have run", id)
 		}
 	}
 }
 
 func (f *referee) Fail(id RequestID) { f.final(id, "fail") }
-func (f *referee) Probe(to ServerID) {
+func (f *referee) CheckHealth(to ServerID) {
 	f.probes[to]++
 	f.probed++
 	f.trace = append(f.trace, fmt.Sprint("probe ", to))
@@ -184,24 +184,24 @@
 		t.Fatal(err)
 	}
 	g := &bout{t, f, b, 1}
-	g.view(Cached, servers...)
+	g.view(UpdateCached, servers...)
 	return g
 }
 
-func (g *bout) view(kind ListKind, servers ...Server) {
+func (g *bout) view(kind UpdateKind, servers ...Server) {
 	note := func(s Server) {
 		if s.State != Ready && g.list[s.ID].State == Ready {
 			g.draining[s.ID] = g.now
 		}
 		g.list[s.ID] = s
 	}
-	if kind == Full || kind == Cached {
+	if kind == UpdateFull || kind == UpdateCached {
 		seen := map[ServerID]bool{}
 		for _, s := range servers {
 			seen[s.ID] = true
 		}
 		for id, s := range g.list {
-			if s.State = Gone; !seen[id] {
+			if s.State = Removed; !seen[id] {
 				note(s)
 			}
 		}
@@ -209,7 +209,7 @@
 	for _, s := range servers {
 		note(s)
 	}
-	g.b.List(g.now, kind, servers)
+	g.b.HandleServers(g.now, kind, servers)
 }
 
 func (g *bout) ask(class int, key uint64) RequestID {
@@ -218,7 +218,7 @@
 	budget := g.set.Classes[class].Deadline / 2
 	g.open[id] = &ticket{class: class, key: key, deadline: g.now + Time(budget)}
 	g.order = append(g.order, id)
-	g.b.Request(g.now, Request{ID: id, Budget: budget, Key: key, Class: class})
+	g.b.HandleRequest(g.now, Request{ID: id, Timeout: budget, AffinityKey: key, Class: class})
 	return id
 }
 
@@ -230,12 +230,12 @@
 		return
 	}
 	a.out = false
-	a.never = res == Rejected || res == ConnectFailed || res == Moot
+	a.never = res == Rejected || res == ConnectFailed || res == NotSent
 	if res == OK && t.ended == "" {
 		t.ended = "served"
 	}
-	g.b.Outcome(g.now, Outcome{ID: id, Attempt: n, Server: a.to, Latency: time.Duration(g.now - a.at), Result: res,
-		Closed: t.ended != ""})
+	g.b.HandleOutcome(g.now, Outcome{ID: id, Attempt: n, Server: a.to, Latency: time.Duration(g.now - a.at), Result: res,
+		RequestDone: t.ended != ""})
 }
 
 // pass moves the clock on by d in steps of 5 ms: timers, time-outs and, by alive, answers after lat and probes.
@@ -245,12 +245,12 @@
 		for len(g.wakes) > 0 && g.wakes[0].at <= g.now {
 			w := g.wakes[0]
 			g.wakes = g.wakes[1:]
-			g.b.Wake(g.now, w.ref)
+			g.b.HandleTimer(g.now, w.ref)
 		}
 		for _, s := range g.b.servers {
 			if g.probes[s.ID] > 0 && alive(s.ID) {
 				g.probes[s.ID] = 0
-				g.b.Probed(g.now, ProbeResult{Server: s.ID, Latency: time.Millisecond, Result: OK})
+				g.b.HandleHealthCheck(g.now, HealthCheckResult{Server: s.ID, Latency: time.Millisecond, Result: OK})
 			}
 		}
 		for i := 0; i < len(g.order); i++ {
@@ -260,8 +260,8 @@
 			for n := 0; n < len(t.shots); n++ {
 				a := &t.shots[n]
 				if a.out && !a.begun && g.now >= a.up {
-					if a.begun = a.holds == 0 || g.now < a.holds || g.b.Begin(g.now, id, n); !a.begun {
-						g.answer(id, n, Moot)
+					if a.begun = a.holds == 0 || g.now < a.holds || g.b.MayBegin(g.now, id, n); !a.begun {
+						g.answer(id, n, NotSent)
 					}
 				}
 				switch {
@@ -307,30 +307,30 @@
 	for seed := range uint64(60) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		set := base()
-		set.SecondCopies = rnd.IntN(2) == 0
-		set.DroppedStay = rnd.IntN(3) == 0
-		set.Probes = rnd.IntN(4) > 0
-		set.Cancel = rnd.IntN(3) > 0
-		set.Ask = rnd.IntN(2) == 0
-		set.AskEvery = 10 * time.Second
+		set.Hedging = rnd.IntN(2) == 0
+		set.ServeRemoved = rnd.IntN(3) == 0
+		set.HealthChecks = rnd.IntN(4) > 0
+		set.CancelAttempts = rnd.IntN(3) > 0
+		set.PollDiscovery = rnd.IntN(2) == 0
+		set.PollInterval = 10 * time.Second
 		servers := fleet(1 + rnd.IntN(12))
 		g := start(t, set, seed, servers...)
-		results := []Result{OK, OK, OK, Errored, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, Moot}
+		results := []Result{OK, OK, OK, Errored, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotSent}
 		dead := map[ServerID]bool{}
 		for range 1500 {
 			switch rnd.IntN(12) {
 			case 0:
 				i := rnd.IntN(len(servers))
-				servers[i].State = State(rnd.IntN(3))
+				servers[i].State = ServerState(rnd.IntN(3))
 				if rnd.IntN(2) == 0 {
-					servers[i].Born = g.now - Time(rnd.IntN(int(time.Second)))
+					servers[i].StartedAt = g.now - Time(rnd.IntN(int(time.Second)))
 				}
-				g.view(Delta, servers[i])
+				g.view(UpdateDelta, servers[i])
 			case 1:
 				if rnd.IntN(5) == 0 {
-					g.view(Failed)
+					g.view(UpdateFailed)
 				} else {
-					g.view(Full, servers[:1+rnd.IntN(len(servers))]...)
+					g.view(UpdateFull, servers[:1+rnd.IntN(len(servers))]...)
 				}
 			case 2:
 				id := servers[rnd.IntN(len(servers))].ID
@@ -339,7 +339,7 @@
 				for _, id := range g.order {
 					if tk := g.open[id]; tk.ended == "" && rnd.IntN(4) == 0 {
 						tk.ended = "hangup"
-						g.b.HangUp(g.now, id)
+						g.b.HandleDisconnect(g.now, id)
 					}
 				}
 			case 4, 5:
@@ -351,10 +351,10 @@
 					}
 				}
 			case 6:
-				g.b.Outcome(g.now, Outcome{ID: g.next + 77, Attempt: rnd.IntN(9), Result: OK})
-				g.b.HangUp(g.now, g.next+78)
-				g.b.Probed(g.now, ProbeResult{Server: 1, Result: OK})
-				g.b.FirstByte(g.now, g.next+79, 0)
+				g.b.HandleOutcome(g.now, Outcome{ID: g.next + 77, Attempt: rnd.IntN(9), Result: OK})
+				g.b.HandleDisconnect(g.now, g.next+78)
+				g.b.HandleHealthCheck(g.now, HealthCheckResult{Server: 1, Result: OK})
+				g.b.HandleFirstByte(g.now, g.next+79, 0)
 			default:
 				for range rnd.IntN(20) {
 					g.ask(rnd.IntN(len(set.Classes)), uint64(rnd.IntN(40)))
@@ -378,13 +378,13 @@
 		"two answers":          func(g *bout, p, _ RequestID) { g.Fail(p); g.Fail(p) },
 		"send after the end":   func(g *bout, p, _ RequestID) { g.Fail(p); g.Send(p, 1007, 0) },
 		"unsafe twice":         func(g *bout, _, u RequestID) { g.Send(u, 1007, 0) },
-		"unsafe refused":       func(g *bout, _, u RequestID) { g.Refuse(u, 0) },
+		"unsafe refused":       func(g *bout, _, u RequestID) { g.Reject(u, 0) },
 		"unlisted server":      func(g *bout, p, _ RequestID) { g.Send(p, 5, 0) },
 		"cancel of no attempt": func(g *bout, p, _ RequestID) { g.Cancel(p, 4) },
 		"late drain": func(g *bout, p, _ RequestID) {
 			s := g.list[1007]
 			s.State = Draining
-			g.view(Delta, s)
+			g.view(UpdateDelta, s)
 			g.now += Time(time.Second)
 			g.Send(p, 1007, 0)
 		},
@@ -499,7 +499,7 @@
 		}
 		if g.probes[1007] > 0 { // its probes pass all the same
 			g.probes[1007] = 0
-			g.b.Probed(g.now, ProbeResult{Server: 1007, Result: OK})
+			g.b.HandleHealthCheck(g.now, HealthCheckResult{Server: 1007, Result: OK})
 		}
 	}
 	if late > 3 {
@@ -518,7 +518,7 @@
 			g.answer(id, 0, Errored)
 		}
 		for _, s := range g.b.servers {
-			g.b.Probed(g.now, ProbeResult{Server: s.ID, Result: OK})
+			g.b.HandleHealthCheck(g.now, HealthCheckResult{Server: s.ID, Result: OK})
 		}
 	}
 	in := 0
@@ -557,14 +557,14 @@
 		return n
 	}
 	servers[0].State = Draining
-	g.view(Delta, servers[0])
+	g.view(UpdateDelta, servers[0])
 	g.b.build()
 	if n := moved(); n > tableSize/5 {
 		t.Errorf("%d entries of the other servers moved when one left", n)
 	}
 	servers[0].State = Ready
 	servers[5].Weight = 1.25
-	g.view(Full, servers...)
+	g.view(UpdateFull, servers...)
 	g.b.build()
 	if n := moved(); n > tableSize/4 {
 		t.Errorf("%d entries moved when one weight changed by a quarter", n)
@@ -586,7 +586,7 @@
 		{"much traffic", 5 * time.Millisecond, 0, 400, 1300},
 	} {
 		set := base()
-		set.Nodes, set.ProbePrice = 500, c.price
+		set.Nodes, set.HealthCheckCost = 500, c.price
 		g := start(t, set, 1, fleet(60)...)
 		next := g.now + Time(c.every)
 		for end := g.now + Time(time.Minute); g.now < end; {
@@ -647,8 +647,8 @@
 				lat = 950 * time.Millisecond
 			}
 			id := RequestID(i + 1)
-			g.b.Request(g.now, Request{ID: id, Budget: time.Second, Key: uint64(i%29 + 1), Tenant: i % 3})
-			g.b.Outcome(g.now+Time(lat), Outcome{ID: id, Latency: lat, Result: OK, Closed: true})
+			g.b.HandleRequest(g.now, Request{ID: id, Timeout: time.Second, AffinityKey: uint64(i%29 + 1), Tenant: i % 3})
+			g.b.HandleOutcome(g.now+Time(lat), Outcome{ID: id, Latency: lat, Result: OK, RequestDone: true})
 		}
 		g.ask(0, 30)
 		return g.b.press > 0
@@ -671,7 +671,7 @@
 			g := start(t, set, seed, fleet(3)...)
 			g.b.carried = 40.0 / float64(nodes) // forty requests of a quarter second's work a second, over all
 			s := g.b.byID[1007]
-			s.Born, s.limit = g.now, 1000
+			s.StartedAt, s.limit = g.now, 1000
 			for range 100 {
 				g.b.now += 10 * ms
 				r := &request{class: &g.b.classes[0], cost: 0.25}
@@ -701,7 +701,7 @@
 	}{{"large zones", 30, 0.1, true, 299, 300}, {"no price", 30, 0, false, 50, 150}, {"cheap", 21, 0.005, false, 50, 150},
 		{"four a zone", 12, 0.1, true, 270, 298}, {"two a zone", 6, 0.1, true, 200, 260}, {"one a zone", 3, 0.1, false, 50, 150}} {
 		set := base()
-		set.Nodes, set.Zones, set.Zone, set.CrossPrice = 300, 3, 1, c.price
+		set.Nodes, set.Zones, set.Zone, set.CrossZoneCost = 300, 3, 1, c.price
 		servers := fleet(c.servers)
 		for i := range servers {
 			servers[i].Zone = uint8(i % 3)
@@ -731,7 +731,7 @@
 // A key whose entries of the zone are full finds an idle server elsewhere, and is not refused for want of looking.
 func TestSpillLeavesAFullZone(t *testing.T) {
 	set := base()
-	set.Zones, set.CrossPrice = 2, 0.1
+	set.Zones, set.CrossZoneCost = 2, 0.1
 	g := start(t, set, 1, fleet(12)...)
 	for _, s := range g.b.servers {
 		if s.Zone == set.Zone {
@@ -770,7 +770,7 @@
 // few servers in turn would leave nothing for any class.
 func TestTurnedAwayIsTriedAgain(t *testing.T) {
 	set := base()
-	set.Classes[0].Aim, set.Classes[0].Deadline = time.Minute, 2*time.Minute
+	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = time.Minute, 2*time.Minute
 	g := start(t, set, 1, fleet(1)...)
 	g.answer(g.ask(0, 7), 0, Rejected)
 	g.pass(probeDown, time.Millisecond, always)
@@ -816,7 +816,7 @@
 		if s.inflight != 1 {
 			t.Fatalf("class %d: %d in flight", class, s.inflight)
 		}
-		g.b.Wake(g.now, tickRef)
+		g.b.HandleTimer(g.now, tickRef)
 		if s.inflight != 0 {
 			t.Errorf("class %d: %d in flight of none", class, s.inflight)
 		}
@@ -850,7 +850,7 @@
 		"not allowed": {0, 1, false, 1},
 	} {
 		set := base()
-		set.SecondCopies = c.allow
+		set.Hedging = c.allow
 		g := start(t, set, 1, fleet(6)...)
 		g.b.copies = c.copies
 		id := g.ask(c.class, 7)
@@ -868,9 +868,9 @@
 		}
 		if gone := g.ask(0, 8); c.want == 2 {
 			g.b.copies = 1
-			g.b.Wake(g.now, copyRef+uint64(gone))
+			g.b.HandleTimer(g.now, copyRef+uint64(gone))
 			g.open[gone].ended = "hangup"
-			g.b.HangUp(g.now, gone)
+			g.b.HandleDisconnect(g.now, gone)
 			for n := range 2 {
 				if !slices.Contains(g.trace, fmt.Sprint("cancel ", gone, n)) {
 					t.Errorf("attempt %d goes on after its client has left", n)
@@ -885,7 +885,7 @@
 func TestLateWhereAnswersGetLost(t *testing.T) {
 	for _, hush := range []float64{0, 0.1} {
 		set := base()
-		set.Classes[1].Aim = 200 * time.Millisecond
+		set.Classes[1].LatencyObjective = 200 * time.Millisecond
 		g := start(t, set, 1, fleet(6)...)
 		g.b.hush = hush
 		id := g.ask(1, 7)
@@ -907,10 +907,10 @@
 	set := base()
 	g := start(t, set, 1, fleet(3)...)
 	lat := g.b.classes[0].lat
-	set.TryLimit, set.Nodes = 1, 0
+	set.MaxAttempts, set.Nodes = 1, 0
 	set.Classes = slices.Clone(set.Classes)
-	set.Classes[0].Worth = 99
-	if err := g.b.Set(g.now, set); err != nil || g.b.set.Nodes != 1 || g.b.classes[0].Worth != 99 || g.b.classes[0].lat != lat {
+	set.Classes[0].PriorityWeight = 99
+	if err := g.b.UpdateSettings(g.now, set); err != nil || g.b.set.Nodes != 1 || g.b.classes[0].PriorityWeight != 99 || g.b.classes[0].lat != lat {
 		t.Errorf("%v, %+v", err, g.b.classes[0])
 	}
 	id := g.ask(0, 7)
@@ -918,7 +918,7 @@
 		t.Errorf("%d attempts of one allowed", len(g.open[id].shots))
 	}
 	set.Classes = set.Classes[1:]
-	if err := g.b.Set(g.now, set); err == nil || len(g.b.set.Classes) != len(g.b.classes) {
+	if err := g.b.UpdateSettings(g.now, set); err == nil || len(g.b.set.Classes) != len(g.b.classes) {
 		t.Error("a class fewer was taken")
 	}
 }
@@ -939,14 +939,14 @@
 		id := g.ask(c.class, 7)
 		was, set := g.set.Classes[c.class], base()
 		set.Classes[c.class] = set.Classes[c.as]
-		if err := g.b.Set(g.now, set); err != nil {
+		if err := g.b.UpdateSettings(g.now, set); err != nil {
 			t.Fatal(err)
 		}
 		g.answer(id, 0, Errored) // it may have run
 		if n := len(g.open[id].shots); n != c.shots {
 			t.Errorf("%s: %d attempts, want %d", name, n, c.shots)
 		}
-		if may := was.Effect == Pure || was.Effect == Token && was.Scope == ScopeAll; c.shots == 1 && !may && g.open[id].ended != "fail" {
+		if may := was.Idempotency == Idempotent || was.Idempotency == IdempotencyKeyed && was.DedupScope == DedupFleet; c.shots == 1 && !may && g.open[id].ended != "fail" {
 			t.Errorf("%s: it ended by %q", name, g.open[id].ended)
 		}
 		g.check()
@@ -966,10 +966,10 @@
 		{600 * ms, 300 * ms, 200 * ms, 2}, {600 * ms, 300 * ms, 400 * ms, 1},
 	} {
 		before, after := base(), base()
-		before.Classes[everywhere].Window, after.Classes[everywhere].Window = time.Duration(c.was), time.Duration(c.is)
+		before.Classes[everywhere].DedupWindow, after.Classes[everywhere].DedupWindow = time.Duration(c.was), time.Duration(c.is)
 		g := start(t, before, 1, fleet(2)...)
 		id := g.ask(everywhere, 7)
-		if err := g.b.Set(g.now, after); err != nil {
+		if err := g.b.UpdateSettings(g.now, after); err != nil {
 			t.Fatal(err)
 		}
 		g.now += c.wait
@@ -986,11 +986,11 @@
 	for range 400 { // 20 s
 		g.now += 50 * ms
 		g.b.probes = probesHeld // as many as may be
-		g.b.Wake(g.now, tickRef)
+		g.b.HandleTimer(g.now, tickRef)
 		for id, n := range g.probes {
 			if n > 0 {
 				g.probes[id] = 0
-				g.b.Probed(g.now, ProbeResult{Server: id, Result: Moot})
+				g.b.HandleHealthCheck(g.now, HealthCheckResult{Server: id, Result: NotSent})
 			}
 		}
 	}
@@ -1007,7 +1007,7 @@
 		next := fleet(1)
 		next[0].ID += ServerID(i + 1)
 		g.now += Time(10 * time.Second)
-		g.b.List(g.now, Full, next)
+		g.b.HandleServers(g.now, UpdateFull, next)
 	}
 	if n := len(g.b.servers); n > 10 || n != len(g.b.byID) {
 		t.Errorf("%d servers are remembered, %d by id", n, len(g.b.byID))
@@ -1049,8 +1049,8 @@
 		}
 	}
 	load(5 * time.Second)
-	cold := Server{ID: 5000, Weight: 1, State: Ready, Born: g.now}
-	g.view(Delta, cold)
+	cold := Server{ID: 5000, Weight: 1, State: Ready, StartedAt: g.now}
+	g.view(UpdateDelta, cold)
 	load(8 * time.Second)
 	per := 200.0 / 5 // requests a second that a warm server carries
 	var sends []Time
@@ -1067,12 +1067,12 @@
 	for i := range sends {
 		n := 0
 		for _, s := range sends[i:] {
-			if s < sends[i]+Time(set.Fall) {
+			if s < sends[i]+Time(set.OverloadWindow) {
 				n++
 			}
 		}
-		age := float64(sends[i]-cold.Born) / float64(set.Cold)
-		if most := set.Overload * (set.ColdShare + (1-set.ColdShare)*age) * per * set.Fall.Seconds(); float64(n) > most {
+		age := float64(sends[i]-cold.StartedAt) / float64(set.SlowStart)
+		if most := set.OverloadFactor * (set.InitialCapacity + (1-set.InitialCapacity)*age) * per * set.OverloadWindow.Seconds(); float64(n) > most {
 			t.Fatalf("%d sends in a window from %.2f of the warm-up, %.0f allowed", n, age, most)
 		}
 	}
@@ -1082,7 +1082,7 @@
 // Guards against a burst of one key at a server that has just started.
 func TestColdBudgetHoldsAgainstAHotKey(t *testing.T) {
 	set := base()
-	set.Fall, set.Overload = time.Second, 3
+	set.OverloadWindow, set.OverloadFactor = time.Second, 3
 	g := start(t, set, 1, fleet(2)...)
 	for range 300 {
 		for range 2 {
@@ -1090,13 +1090,13 @@
 		}
 		g.pass(10*time.Millisecond, 20*time.Millisecond, always)
 	}
-	cold := Server{ID: 5000, Weight: 1, State: Ready, Born: g.now}
-	g.view(Delta, cold)
+	cold := Server{ID: 5000, Weight: 1, State: Ready, StartedAt: g.now}
+	g.view(UpdateDelta, cold)
 	g.pass(5*time.Second, 20*time.Millisecond, always)
 	s := g.b.byID[cold.ID]
 	s.limit = 1000 // so that only the budget can hold
-	cold.Born = g.now
-	s.Born = g.now
+	cold.StartedAt = g.now
+	s.StartedAt = g.now
 	g.b.build()
 	key := uint64(1)
 	for g.b.table[mix(key)%tableSize] != s {
@@ -1108,7 +1108,7 @@
 			sent++
 		}
 	}
-	if most := int(set.Overload * set.ColdShare * 100); sent == 0 || sent > most {
+	if most := int(set.OverloadFactor * set.InitialCapacity * 100); sent == 0 || sent > most {
 		t.Errorf("a burst of %d went to a cold server, at most %d allowed", sent, most)
 	}
 }
@@ -1116,7 +1116,7 @@
 // Guards against servers that stay silent where no attempt may be cut short.
 func TestSilenceShowsBeforeATimeOut(t *testing.T) {
 	set := base()
-	set.Probes = false
+	set.HealthChecks = false
 	set.Classes[1].Deadline = time.Minute
 	g := start(t, set, 1, fleet(6)...)
 	for range 150 {
@@ -1136,7 +1136,7 @@
 // what is worth most is not, and it ends once answers are fast again.
 func TestSlowFleetShedsTheLeastWorth(t *testing.T) {
 	set := base()
-	set.Classes[1].Worth = 20
+	set.Classes[1].PriorityWeight = 20
 	g := start(t, set, 1, fleet(30)...)
 	refused := func(class int, lat time.Duration) (n int) {
 		for range 200 {
@@ -1164,18 +1164,18 @@
 		g.next++
 		g.open[id] = &ticket{class: 0, deadline: g.now + Time(time.Second)}
 		g.order = append(g.order, id)
-		g.b.Request(g.now, Request{ID: id, Budget: time.Second, Key: key, Work: d})
+		g.b.HandleRequest(g.now, Request{ID: id, Timeout: time.Second, AffinityKey: key, ExpectedWork: d})
 		return id
 	}
 	for i := range 600 {
 		hint(100*time.Millisecond, uint64(i%50+1))
 		g.pass(10*time.Millisecond, 20*time.Millisecond, always)
 	}
-	cold := Server{ID: 5000, Weight: 1, State: Ready, Born: g.now}
-	g.view(Delta, cold)
+	cold := Server{ID: 5000, Weight: 1, State: Ready, StartedAt: g.now}
+	g.view(UpdateDelta, cold)
 	g.pass(2*time.Second, 20*time.Millisecond, always)
 	s := g.b.byID[cold.ID]
-	s.limit, s.Born = 1000, g.now
+	s.limit, s.StartedAt = 1000, g.now
 	g.b.build()
 	sent := 0
 	for key := uint64(1); key < 4000; key++ {
@@ -1185,7 +1185,7 @@
 			}
 		}
 	}
-	if most := int(g.set.Overload * g.set.ColdShare * 100 / 3); sent == 0 || sent > most {
+	if most := int(g.set.OverloadFactor * g.set.InitialCapacity * 100 / 3); sent == 0 || sent > most {
 		t.Errorf("%d requests with small hints went to a cold server at once, at most %d allowed", sent, most)
 	}
 }
@@ -1210,14 +1210,14 @@
 
 func TestListMustBeAskedFor(t *testing.T) {
 	set := base()
-	set.Ask, set.AskEvery = true, 8*time.Second
+	set.PollDiscovery, set.PollInterval = true, 8*time.Second
 	g := start(t, set, 1, fleet(3)...)
 	if g.watches != 1 {
 		t.Fatalf("%d calls at the start", g.watches)
 	}
 	calls := 1
 	for range 20 {
-		g.view(Failed)
+		g.view(UpdateFailed)
 		g.pass(8*time.Second, 0, always)
 		if g.watches == calls {
 			t.Fatal("no further call within ask_every")
@@ -1227,7 +1227,7 @@
 		}
 		calls = g.watches
 	}
-	g.view(Full, fleet(3)...)
+	g.view(UpdateFull, fleet(3)...)
 	g.pass(30*time.Second, 0, always)
 	if g.watches != calls {
 		t.Error("called while the watch holds")
@@ -1239,11 +1239,11 @@
 func TestAskedAgainSoon(t *testing.T) {
 	for _, every := range []time.Duration{0, time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second, time.Hour} {
 		set := base()
-		set.Ask, set.AskEvery = true, every
+		set.PollDiscovery, set.PollInterval = true, every
 		for seed := range uint64(5) {
 			g := start(t, set, seed, fleet(3)...)
 			for fails := range 30 {
-				g.view(Failed)
+				g.view(UpdateFailed)
 				failed, calls := g.now, g.watches
 				for g.watches == calls && g.now < failed+Time(time.Minute) {
 					g.pass(tickEvery, 0, always)
@@ -1264,13 +1264,13 @@
 	}
 	g.pass(5*time.Second, 5*time.Millisecond, always)
 	s := g.b.byID[servers[1].ID]
-	servers[1].Born = g.now
-	g.view(Full, servers...)
+	servers[1].StartedAt = g.now
+	g.view(UpdateFull, servers...)
 	if s.outAt == 0 {
 		t.Error("a restarted server is Up before its first probe")
 	}
 	g.pass(time.Second, 5*time.Millisecond, always)
-	if w := g.b.warm(s); !(s.outAt == 0) || w >= 0.5 || w < g.set.ColdShare {
+	if w := g.b.warm(s); !(s.outAt == 0) || w >= 0.5 || w < g.set.InitialCapacity {
 		t.Errorf("a restarted server after a good probe: up %v, warm %.2f", (s.outAt == 0), w)
 	}
 	g.pass(12*time.Second, 5*time.Millisecond, always)
@@ -1282,18 +1282,18 @@
 
 func TestDroppedStay(t *testing.T) {
 	for _, stay := range []bool{false, true} {
-		for _, first := range []State{Gone, Draining} {
+		for _, first := range []ServerState{Removed, Draining} {
 			set := base()
-			set.DroppedStay = stay
+			set.ServeRemoved = stay
 			g := start(t, set, 1, fleet(1)...)
 			s := fleet(1)[0]
 			s.State = first
-			g.view(Delta, s)
-			s.State = Gone
-			g.view(Delta, s)
+			g.view(UpdateDelta, s)
+			s.State = Removed
+			g.view(UpdateDelta, s)
 			g.now += 5 * ms
 			sent := len(g.open[g.ask(0, 1)].shots) > 0
-			if want := stay && first == Gone; sent != want {
+			if want := stay && first == Removed; sent != want {
 				t.Errorf("stay %v, listed %d first: sent %v", stay, first, sent)
 			}
 		}
@@ -1306,9 +1306,9 @@
 	g := start(t, base(), 1, Server{ID: 1, State: Ready, Weight: nan}, Server{ID: 2, State: Ready, Weight: -3},
 		Server{ID: 3, State: Ready})
 	g.ask(0, 0)
-	g.b.Request(g.now, Request{ID: 900, Class: 99})
+	g.b.HandleRequest(g.now, Request{ID: 900, Class: 99})
 	g.open[901] = &ticket{}
-	g.b.Request(g.now, Request{ID: 901, Budget: -time.Second})
+	g.b.HandleRequest(g.now, Request{ID: 901, Timeout: -time.Second})
 	if g.open[901].ended == "" && len(g.open[901].shots) == 0 {
 		t.Error("a request past its deadline is held")
 	}
@@ -1325,13 +1325,13 @@
 		t.Fatal(err)
 	}
 	now := Time(2000)
-	b.List(now, Cached, fleet(10))
+	b.HandleServers(now, UpdateCached, fleet(10))
 	id := RequestID(0)
 	step := func() {
 		id++
 		now += 5 * ms
-		b.Request(now, Request{ID: id, Budget: time.Second, Key: uint64(id % 100)})
-		b.Outcome(now+ms, Outcome{ID: id, Latency: 50 * time.Millisecond, Result: OK, Closed: true})
+		b.HandleRequest(now, Request{ID: id, Timeout: time.Second, AffinityKey: uint64(id % 100)})
+		b.HandleOutcome(now+ms, Outcome{ID: id, Latency: 50 * time.Millisecond, Result: OK, RequestDone: true})
 	}
 	for range 1000 {
 		step()
@@ -1346,9 +1346,9 @@
 
 func (idle) Send(RequestID, ServerID, Time)  {}
 func (idle) Cancel(RequestID, int)           {}
-func (idle) Refuse(RequestID, time.Duration) {}
+func (idle) Reject(RequestID, time.Duration) {}
 func (idle) Fail(RequestID)                  {}
-func (idle) Probe(ServerID)                  {}
+func (idle) CheckHealth(ServerID)            {}
 func (idle) Watch()                          {}
 func (idle) SetTimer(time.Duration, uint64)  {}
 func (idle) Log(string)                      {}
--- a/brain/coldstart_test.go
+++ b/balancer/coldstart_test.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 import (
 	"cmp"
@@ -25,7 +25,7 @@
 
 func (r *restart) settings() Settings {
 	set := base()
-	set.Nodes, set.ColdShare, set.Cold, set.Overload, set.Fall = r.nodes, 0.14, 9*time.Second, 2.5, r.fall
+	set.Nodes, set.InitialCapacity, set.SlowStart, set.OverloadFactor, set.OverloadWindow = r.nodes, 0.14, 9*time.Second, 2.5, r.fall
 	set.Classes[0].Deadline += 2 * r.late
 	return set
 }
@@ -51,7 +51,7 @@
 	born := Time(time.Hour + ran)
 	again := fleet(r.servers)
 	for i := range r.cold {
-		again[i].Born = born
+		again[i].StartedAt = born
 	}
 	if ran+told == 0 {
 		servers = again
@@ -67,10 +67,10 @@
 		}
 	}
 	owed := float64(n) / float64(r.nodes)
-	for key := n * 131; g.now < born+Time(set.Cold); {
+	for key := n * 131; g.now < born+Time(set.SlowStart); {
 		at, answer := time.Duration(g.now-born), r.quick
 		if at == told && ran+told > 0 {
-			g.view(Full, again...)
+			g.view(UpdateFull, again...)
 		}
 		if r.slow > 0 && at < 0 {
 			answer = r.slow
@@ -139,7 +139,7 @@
 func (r *restart) hold(t *testing.T) {
 	t.Helper()
 	set := r.settings()
-	ticks, window := int(set.Cold/startTick), int(set.Fall/startTick)
+	ticks, window := int(set.SlowStart/startTick), int(set.OverloadWindow/startTick)
 	sent := make([][]int, r.cold)
 	for i := range sent {
 		sent[i] = make([]int, ticks+1)
@@ -154,8 +154,8 @@
 			for _, k := range sent[i][from : from+window] {
 				sum += k
 			}
-			warm := set.ColdShare + (1-set.ColdShare)*(float64(from)+float64(window)/2)/float64(ticks)
-			budget := set.Overload * warm * r.capacity() * set.Fall.Seconds()
+			warm := set.InitialCapacity + (1-set.InitialCapacity)*(float64(from)+float64(window)/2)/float64(ticks)
+			budget := set.OverloadFactor * warm * r.capacity() * set.OverloadWindow.Seconds()
 			worst = max(worst, float64(sum)/(budget+2*math.Sqrt(budget)+2))
 		}
 		for _, k := range sent[i] {
@@ -178,7 +178,7 @@
 		"nothing has changed":          {1, 0, true, func(*bout, RequestID) {}},
 		"its body is still coming":     {1, 0, true, func(g *bout, id RequestID) { g.b.open[id].slow = true }},
 		"its server drains":            {1, 0, false, func(g *bout, id RequestID) { g.b.byID[g.open[id].shots[0].to].State = Draining }},
-		"its client has left":          {0, 0, false, func(g *bout, id RequestID) { g.b.HangUp(g.now, id) }},
+		"its client has left":          {0, 0, false, func(g *bout, id RequestID) { g.b.HandleDisconnect(g.now, id) }},
 		"its time is up":               {0, 0, false, func(g *bout, _ RequestID) { g.now += Time(time.Second) }},
 		"it was never made":            {0, 1, false, func(*bout, RequestID) {}},
 		"it has ended":                 {2, 0, false, func(g *bout, id RequestID) { g.answer(id, 0, Errored) }},
@@ -191,7 +191,7 @@
 		g := start(t, base(), 1, fleet(6)...)
 		id := g.ask(c.class, 7)
 		c.then(g, id)
-		if got := g.b.Begin(g.now, id, c.n); got != c.want || g.b.Begin(g.now, id, -1) {
+		if got := g.b.MayBegin(g.now, id, c.n); got != c.want || g.b.MayBegin(g.now, id, -1) {
 			t.Errorf("%s: it may begin: %v", name, got)
 		}
 		g.check()
--- a/brain/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 import (
 	"testing"
@@ -8,7 +8,7 @@
 // vast is a fleet of 60 servers, half in each zone, to which each of 80 nodes sends 20 requests a second.
 func vast() (Settings, []Server) {
 	set := base()
-	set.Nodes, set.Zones, set.CrossPrice = 80, 2, 0.17
+	set.Nodes, set.Zones, set.CrossZoneCost = 80, 2, 0.17
 	servers := fleet(60)
 	for i := range servers {
 		servers[i].Zone = uint8(i % 2)
@@ -120,7 +120,7 @@
 			for i := range 20 * secs {
 				id := g.ask(0, uint64(1000+(i*7+n*131)%900))
 				for _, a := range g.open[id].shots {
-					if cold && g.list[a.to].Born != 0 {
+					if cold && g.list[a.to].StartedAt != 0 {
 						sent[a.to]++
 					}
 				}
@@ -130,10 +130,10 @@
 		play(10, false)
 		for i := range servers {
 			if i%5 == 0 {
-				servers[i].Born = g.now
+				servers[i].StartedAt = g.now
 			}
 		}
-		g.view(Full, servers...)
+		g.view(UpdateFull, servers...)
 		g.pass(time.Second, 40*time.Millisecond, always)
 		play(secs, true)
 		g.check()
--- a/brain/large_test.go
+++ b/balancer/large_test.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 import (
 	"fmt"
@@ -31,9 +31,9 @@
 func (p *plain) Send(id RequestID, to ServerID, _ Time) {
 	p.out = append(p.out, plainTry{id, p.now, to})
 }
-func (p *plain) Probe(to ServerID)               { p.probes = append(p.probes, to) }
+func (p *plain) CheckHealth(to ServerID)         { p.probes = append(p.probes, to) }
 func (p *plain) Cancel(RequestID, int)           {}
-func (p *plain) Refuse(RequestID, time.Duration) {}
+func (p *plain) Reject(RequestID, time.Duration) {}
 func (p *plain) Fail(RequestID)                  {}
 func (p *plain) Watch()                          {}
 func (p *plain) Log(string)                      {}
@@ -50,7 +50,7 @@
 	if p.b, err = New(base(), 1, p.now, p); err != nil {
 		t.Fatal(err)
 	}
-	p.b.List(p.now, Cached, fleet(servers))
+	p.b.HandleServers(p.now, UpdateCached, fleet(servers))
 	return p
 }
 
@@ -60,18 +60,18 @@
 	for len(p.wakes) > 0 && p.wakes[0].at <= p.now {
 		w := p.wakes[0]
 		p.wakes = append(p.wakes[:0], p.wakes[1:]...)
-		p.b.Wake(p.now, w.ref)
+		p.b.HandleTimer(p.now, w.ref)
 	}
 	for _, to := range p.probes {
 		if p.probed != nil {
 			p.probed[to]++
 		}
-		p.b.Probed(p.now, ProbeResult{Server: to, Latency: time.Millisecond, Result: OK})
+		p.b.HandleHealthCheck(p.now, HealthCheckResult{Server: to, Latency: time.Millisecond, Result: OK})
 	}
 	p.probes = p.probes[:0]
 	n := 0
 	for n < len(p.out) && p.now >= p.out[n].at+Time(lat) {
-		p.b.Outcome(p.now, Outcome{ID: p.out[n].id, Result: OK, Closed: true, Latency: lat})
+		p.b.HandleOutcome(p.now, Outcome{ID: p.out[n].id, Result: OK, RequestDone: true, Latency: lat})
 		n++
 	}
 	p.out = append(p.out[:0], p.out[n:]...)
@@ -86,7 +86,7 @@
 		const requests = 40000
 		for i := range requests {
 			n := len(p.out)
-			p.b.Request(p.now, Request{ID: RequestID(i + 1), Key: mix(uint64(i + 1)), Tenant: -1, Budget: 2 * time.Second})
+			p.b.HandleRequest(p.now, Request{ID: RequestID(i + 1), AffinityKey: mix(uint64(i + 1)), Tenant: -1, Timeout: 2 * time.Second})
 			for _, try := range p.out[n:] {
 				sent[try.to]++
 			}
@@ -110,11 +110,11 @@
 		bench.Run(fmt.Sprint(servers), func(bench *testing.B) {
 			p := plainStart(bench, servers)
 			for i := range 4000 {
-				p.b.Request(p.now, Request{ID: RequestID(i + 1), Key: mix(uint64(i + 1)), Tenant: -1, Budget: 2 * time.Second})
+				p.b.HandleRequest(p.now, Request{ID: RequestID(i + 1), AffinityKey: mix(uint64(i + 1)), Tenant: -1, Timeout: 2 * time.Second})
 				p.pass(time.Millisecond/2, 20*time.Millisecond)
 			}
 			for i := 0; bench.Loop(); i++ {
-				p.b.Request(p.now, Request{ID: RequestID(i + 5000), Key: mix(uint64(i + 1)), Tenant: -1, Budget: 2 * time.Second})
+				p.b.HandleRequest(p.now, Request{ID: RequestID(i + 5000), AffinityKey: mix(uint64(i + 1)), Tenant: -1, Timeout: 2 * time.Second})
 				p.pass(time.Millisecond/2, 20*time.Millisecond)
 			}
 		})
--- a/brain/race_test.go
+++ b/balancer/race_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package brain
+package balancer
 
 const raceEnabled = true // its shadow memory makes looks dear
--- a/brain/slow_test.go
+++ b/balancer/slow_test.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 import (
 	"testing"
@@ -15,7 +15,7 @@
 		g.next++
 		g.open[id+1] = &ticket{class: 1, deadline: 1 << 62}
 		g.order = append(g.order, id+1)
-		g.b.Request(g.now, Request{ID: id + 1, Budget: time.Hour, Key: 7, Class: 1, Slow: true})
+		g.b.HandleRequest(g.now, Request{ID: id + 1, Timeout: time.Hour, AffinityKey: 7, Class: 1, StreamsBody: true})
 		g.answer(id, 0, OK)
 		return id + 1, g.b.open[id+1]
 	}
@@ -28,7 +28,7 @@
 	if g.b.hush != 0 || r.done {
 		t.Errorf("a body that takes long counts as silence: %v", g.b.hush)
 	}
-	g.b.Written(g.now, id, 0, time.Second)
+	g.b.HandleBodySent(g.now, id, 0, time.Second)
 	if s.inflight != 1 || r.deadline != g.now+Time(time.Second) || r.attempts[0].sent != g.now {
 		t.Errorf("written: %d in flight, deadline %d at %d", s.inflight, r.deadline, g.now)
 	}
--- a/brain/spill_test.go
+++ b/balancer/spill_test.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 import "testing"
 
@@ -7,7 +7,7 @@
 // of another zone has been emptied: after six steps a key got only what held nothing.
 func TestFullZoneCrosses(t *testing.T) {
 	set := base()
-	set.Zones, set.CrossPrice, set.Nodes = 2, 0.2, 2
+	set.Zones, set.CrossZoneCost, set.Nodes = 2, 0.2, 2
 	servers := fleet(12)
 	for i := range servers {
 		servers[i].Zone = uint8(i % 2)
--- a/brain/state.go
+++ b/balancer/state.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 import (
 	"fmt"
--- a/brain/table_test.go
+++ b/balancer/table_test.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 import (
 	"slices"
@@ -9,7 +9,7 @@
 // uneven is a node among so many servers of several weights and three zones; those of its own have a part of the others'.
 func uneven(servers int, part float64) *Balancer {
 	set := base()
-	set.Zones, set.CrossPrice, set.Nodes = 3, 0.3, 300
+	set.Zones, set.CrossZoneCost, set.Nodes = 3, 0.3, 300
 	b := &Balancer{set: set.bounded(), byID: map[ServerID]*server{}, now: 1}
 	for i := range servers {
 		s := &server{size: 1 + float64(i%5)/4}
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -10,7 +10,7 @@
 	"runtime/debug"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/settings"
 	"olivebridge/internal/wire"
 )
@@ -92,7 +92,7 @@
 	h.instances[who] = i
 	set, err := settings.ParseText(text)
 	if err == nil {
-		i.brain, err = brain.New(set, e.Ref(), h.frame.Clock, i)
+		i.balancer, err = balancer.New(set, e.Ref(), h.frame.Clock, i)
 	}
 	if err != nil {
 		h.reply.GiveIn(who, err.Error())
@@ -100,14 +100,14 @@
 	return nil
 }
 
-// instance is the brain.Host of one instance. One that has given in holds no brain and passes all over.
+// instance is the balancer.Host of one instance. One that has given in holds no brain and passes all over.
 type instance struct {
-	who   uint32
-	reply *wire.Reply
-	brain *brain.Balancer
+	who      uint32
+	reply    *wire.Reply
+	balancer *balancer.Balancer
 }
 
-func (i *instance) event(now brain.Time, number uint32, e wire.Event) error {
+func (i *instance) event(now balancer.Time, number uint32, e wire.Event) error {
 	switch code := e.Code(); code {
 	case wire.View:
 		kind, err := e.ListKind()
@@ -118,41 +118,41 @@
 		if err != nil {
 			return err
 		}
-		if i.brain != nil {
-			i.brain.List(now, kind, entries)
+		if i.balancer != nil {
+			i.balancer.HandleServers(now, kind, entries)
 		}
 	case wire.Returned:
 		o, err := e.Outcome()
 		if err != nil {
 			return err
 		}
-		if i.brain != nil {
-			i.brain.Outcome(now, o)
+		if i.balancer != nil {
+			i.balancer.HandleOutcome(now, o)
 		}
 	case wire.Sampled:
 		p, err := e.Probe()
 		if err != nil {
 			return err
 		}
-		if i.brain != nil {
-			i.brain.Probed(now, p)
+		if i.balancer != nil {
+			i.balancer.HandleHealthCheck(now, p)
 		}
 	case wire.Mail:
 		_, _, err := e.Mail()
 		return err
 	case wire.Request, wire.FirstByte, wire.Hangup, wire.Wakeup:
-		if i.brain == nil {
+		if i.balancer == nil {
 			return nil
 		}
 		switch code {
 		case wire.Request:
-			i.brain.Request(now, e.Request())
+			i.balancer.HandleRequest(now, e.Request())
 		case wire.FirstByte:
-			i.brain.FirstByte(now, e.ID(), e.Attempt())
+			i.balancer.HandleFirstByte(now, e.ID(), e.Attempt())
 		case wire.Hangup:
-			i.brain.HangUp(now, e.ID())
+			i.balancer.HandleDisconnect(now, e.ID())
 		default:
-			i.brain.Wake(now, e.Ref())
+			i.balancer.HandleTimer(now, e.Ref())
 		}
 	default:
 		return fmt.Errorf("batch %d: unknown event code %d for instance %d", number, code, i.who)
@@ -160,28 +160,30 @@
 	return nil
 }
 
-// Send implements brain.Host. The wire has no question about what holds: its attempts begin as they are assigned.
-func (i *instance) Send(id brain.RequestID, to brain.ServerID, _ brain.Time) {
+// Send implements balancer.Host. The wire has no question about what holds: its attempts begin as they are assigned.
+func (i *instance) Send(id balancer.RequestID, to balancer.ServerID, _ balancer.Time) {
 	i.reply.Assign(i.who, id, to, 0)
 }
 
-// Cancel implements brain.Host.
-func (i *instance) Cancel(id brain.RequestID, attempt int) { i.reply.Revoke(i.who, id, attempt) }
+// Cancel implements balancer.Host.
+func (i *instance) Cancel(id balancer.RequestID, attempt int) { i.reply.Revoke(i.who, id, attempt) }
 
-// Refuse implements brain.Host.
-func (i *instance) Refuse(id brain.RequestID, after time.Duration) { i.reply.Refuse(i.who, id, after) }
+// Refuse implements balancer.Host.
+func (i *instance) Reject(id balancer.RequestID, after time.Duration) {
+	i.reply.Refuse(i.who, id, after)
+}
 
-// Fail implements brain.Host.
-func (i *instance) Fail(id brain.RequestID) { i.reply.Fail(i.who, id) }
+// Fail implements balancer.Host.
+func (i *instance) Fail(id balancer.RequestID) { i.reply.Fail(i.who, id) }
 
-// Probe implements brain.Host.
-func (i *instance) Probe(to brain.ServerID) { i.reply.Inspect(i.who, to) }
+// Probe implements balancer.Host.
+func (i *instance) CheckHealth(to balancer.ServerID) { i.reply.Inspect(i.who, to) }
 
-// Watch implements brain.Host.
+// Watch implements balancer.Host.
 func (i *instance) Watch() { i.reply.Watch(i.who, true) }
 
-// SetTimer implements brain.Host.
+// SetTimer implements balancer.Host.
 func (i *instance) SetTimer(d time.Duration, ref uint64) { i.reply.Arm(i.who, d, ref) }
 
-// Log implements brain.Host.
+// Log implements balancer.Host.
 func (i *instance) Log(line string) { i.reply.Trace(i.who, line) }
--- a/cmd/olivefleet/fleet.go
+++ b/cmd/olivefleet/fleet.go
@@ -8,7 +8,7 @@
 	"os"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/admin"
 	"olivebridge/internal/fleet/agreed"
 	"olivebridge/internal/fleet/budget"
@@ -264,7 +264,7 @@
 }
 
 // AdmitCold implements routing.Gate.
-func (f *company) AdmitCold(peer brain.ServerID, units float64) bool {
+func (f *company) AdmitCold(peer balancer.ServerID, units float64) bool {
 	return f.cold < 0 || f.budgets.AdmitEach(f.cold, uint64(peer), units)
 }
 
--- a/cmd/olivefleet/keep.go
+++ b/cmd/olivefleet/keep.go
@@ -8,7 +8,7 @@
 	"os"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/fleet/agreed"
 	"olivebridge/internal/fleet/fleetfile"
 	"olivebridge/internal/fleet/member"
@@ -32,7 +32,7 @@
 		if !known {
 			return nil, fmt.Errorf("fleet file %s: work.classes: the configuration does not know %q", os.Getenv(protocol.EnvFleet), name)
 		}
-		k.again[class] = c.Settings.Classes[class].Effect == brain.Pure
+		k.again[class] = c.Settings.Classes[class].Idempotency == balancer.Idempotent
 	}
 	w := file.Work
 	k.work = work.New(work.Config{Name: c.Name, Voters: agreed.Roster{Edition: w.Edition, Names: w.Voters}, Directory: m.Directory, Tries: w.Tries,
--- a/internal/fleet/choices/choices.go
+++ b/internal/fleet/choices/choices.go
@@ -8,7 +8,7 @@
 	"log/slog"
 	"sync"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/fleet/member"
 	"olivebridge/internal/fleet/record"
 	"olivebridge/internal/fleet/signals"
@@ -75,7 +75,7 @@
 }
 
 // Listed implements routing.Chooser: these peers take new work. It does not wait.
-func (s *Service) Listed(peers []brain.Server) {
+func (s *Service) Listed(peers []balancer.Server) {
 	all := make([]subset.Peer, 0, len(peers))
 	for _, p := range peers {
 		all = append(all, subset.Peer{ID: uint64(p.ID), Zone: p.Zone, Kind: p.Kind, Weight: float64(p.Weight)})
@@ -86,7 +86,7 @@
 	if s.c.Signals != nil {
 		group := make([]signals.Peer, 0, len(peers))
 		for _, p := range peers {
-			group = append(group, signals.Peer{ID: uint64(p.ID), Born: int64(p.Born)})
+			group = append(group, signals.Peer{ID: uint64(p.ID), Born: int64(p.StartedAt)})
 		}
 		s.c.Signals.Listed(group)
 	}
@@ -94,12 +94,12 @@
 }
 
 // Saw implements routing.Chooser.
-func (s *Service) Saw(server brain.ServerID, born brain.Time, result brain.Result, probe bool) {
+func (s *Service) Saw(server balancer.ServerID, born balancer.Time, result balancer.Result, probe bool) {
 	var r signals.Result
 	switch result {
-	case brain.OK, brain.Errored: // it answers
+	case balancer.OK, balancer.Errored: // it answers
 		r = signals.Answered
-	case brain.ConnectFailed, brain.TimedOut, brain.Reset:
+	case balancer.ConnectFailed, balancer.TimedOut, balancer.Reset:
 		r = signals.Lost
 	default:
 		return
@@ -119,13 +119,13 @@
 }
 
 // doubted are the peers that stand aside on others' word.
-func (s *Service) doubted() map[brain.ServerID]bool {
+func (s *Service) doubted() map[balancer.ServerID]bool {
 	if s.c.Signals == nil {
 		return nil
 	}
-	all := map[brain.ServerID]bool{}
+	all := map[balancer.ServerID]bool{}
 	for _, id := range s.c.Signals.Doubted() {
-		all[brain.ServerID(id)] = true
+		all[balancer.ServerID(id)] = true
 	}
 	return all
 }
@@ -199,12 +199,12 @@
 		if len(peers) == 0 {
 			continue
 		}
-		var chosen map[brain.ServerID]bool // nil: all
+		var chosen map[balancer.ServerID]bool // nil: all
 		if len(nodes) > 0 && s.c.Plan.Copies > 0 {
 			if ids := s.c.Plan.Of(s.c.Name, nodes, peers); ids != nil {
-				chosen = make(map[brain.ServerID]bool, len(ids))
+				chosen = make(map[balancer.ServerID]bool, len(ids))
 				for _, id := range ids {
-					chosen[brain.ServerID(id)] = true
+					chosen[balancer.ServerID(id)] = true
 				}
 			}
 		}
@@ -223,7 +223,7 @@
 }
 
 // note tells operators where the number has changed, and the record always.
-func (s *Service) note(chosen map[brain.ServerID]bool, nodes, zones, peers int, view uint64) {
+func (s *Service) note(chosen map[balancer.ServerID]bool, nodes, zones, peers int, view uint64) {
 	n := -1
 	if chosen != nil {
 		n = len(chosen)
--- a/internal/fleet/choices/choices_test.go
+++ b/internal/fleet/choices/choices_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/fleet/member"
 	"olivebridge/internal/fleet/subset"
 	"olivebridge/internal/routing"
@@ -46,9 +46,9 @@
 		}
 	})
 	defer s.Close()
-	var peers []brain.Server
+	var peers []balancer.Server
 	for i := range 60 {
-		peers = append(peers, brain.Server{ID: brain.ServerID(1000 + 7919*i), Weight: 1, State: brain.Ready})
+		peers = append(peers, balancer.Server{ID: balancer.ServerID(1000 + 7919*i), Weight: 1, State: balancer.Ready})
 	}
 	wait := func(what string, least, most int) {
 		t.Helper()
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -41,7 +41,7 @@
 	Version int64                `json:"version,omitempty"` // of the list that they are of
 	Source  string               `json:"source,omitempty"`  // discovery's address, where versions are its own
 	Paused  bool                 `json:"paused,omitempty"`
-	Carried float64              `json:"carried_rate,omitempty"` // see brain.Settings
+	Carried float64              `json:"carried_rate,omitempty"` // see balancer.Settings
 	Number  uint64               `json:"number,omitempty"`       // of a call
 	Word    string               `json:"word,omitempty"`
 	ID      string               `json:"id,omitempty"`
--- a/internal/lab/stage/spread.go
+++ b/internal/lab/stage/spread.go
@@ -5,7 +5,7 @@
 	"net"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/routing"
 )
 
@@ -60,7 +60,7 @@
 }
 
 // Probe implements routing.Carrier.
-func (s spread) Probe(ctx context.Context, p *routing.Peer) brain.Result {
+func (s spread) Probe(ctx context.Context, p *routing.Peer) balancer.Result {
 	d := spreads + time.Duration(1+s.peers[p.Name])
 	time.Sleep(d)
 	defer time.Sleep(d)
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -11,7 +11,7 @@
 	"sync"
 	"sync/atomic"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 )
 
 // most bounds the servers remembered that are neither listed nor suspended. At
@@ -20,7 +20,7 @@
 
 // Named is a server with the id that operators call it by.
 type Named struct {
-	brain.Server
+	balancer.Server
 	Name, Addr string
 }
 
@@ -34,10 +34,10 @@
 
 type entry struct {
 	addr      string
-	said      brain.Server // as the upstream group has it; Gone if it lists it no more
+	said      balancer.Server // as the upstream group has it; Gone if it lists it no more
 	ban       *Ban
-	since     brain.Time // when it was suspended
-	notBefore brain.Time // it counts as started no earlier; 0: as listed
+	since     balancer.Time // when it was suspended
+	notBefore balancer.Time // it counts as started no earlier; 0: as listed
 	touched   uint64
 }
 
@@ -60,22 +60,22 @@
 
 // Learn takes a list in and gives what the decisions are to be shown in its
 // place. What a whole list does not name is gone.
-func (r *Register) Learn(kind brain.ListKind, version int64, list []Named) []brain.Server {
+func (r *Register) Learn(kind balancer.UpdateKind, version int64, list []Named) []balancer.Server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version = version
-	if kind != brain.Delta {
+	if kind != balancer.UpdateDelta {
 		named := make(map[string]bool, len(list))
 		for _, s := range list {
 			named[s.Name] = true
 		}
 		for name, e := range r.servers {
 			if !named[name] {
-				e.said.State = brain.Gone
+				e.said.State = balancer.Removed
 			}
 		}
 	}
-	shown := make([]brain.Server, 0, len(list))
+	shown := make([]balancer.Server, 0, len(list))
 	for _, s := range list {
 		e := r.of(s.Name)
 		if e.said = s.Server; s.Addr != "" {
@@ -105,23 +105,23 @@
 // shown is a server as the decisions are to see it. One that was suspended has
 // been restarted meanwhile: it counts as cold from when it was put back, unless
 // a list had told of the restart by then.
-func (e *entry) shown() brain.Server {
+func (e *entry) shown() balancer.Server {
 	s := e.said
 	if e.ban.Holds() {
-		s.State = brain.Draining // binds, also where gone alone does not
+		s.State = balancer.Draining // binds, also where gone alone does not
 		return s
 	}
-	s.Born = max(s.Born, e.notBefore)
+	s.StartedAt = max(s.StartedAt, e.notBefore)
 	return s
 }
 
 // Suspend keeps a server out of use from its return on. Said again it changes nothing.
-func (r *Register) Suspend(name string, now brain.Time) error { return r.set(name, true, now) }
+func (r *Register) Suspend(name string, now balancer.Time) error { return r.set(name, true, now) }
 
 // Restore puts a server back, however often it was suspended.
-func (r *Register) Restore(name string, now brain.Time) error { return r.set(name, false, now) }
+func (r *Register) Restore(name string, now balancer.Time) error { return r.set(name, false, now) }
 
-func (r *Register) set(name string, banned bool, now brain.Time) error {
+func (r *Register) set(name string, banned bool, now balancer.Time) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.servers[name]
@@ -132,7 +132,7 @@
 	switch was := e.ban.on.Swap(banned); {
 	case banned && !was:
 		e.since = now
-	case was && !banned && e.said.Born <= e.since:
+	case was && !banned && e.said.StartedAt <= e.since:
 		e.notBefore = now
 	}
 	return nil
@@ -146,7 +146,7 @@
 }
 
 // Shown is what the decisions are to be shown of a server that was once listed.
-func (r *Register) Shown(name string) (s brain.Server, ok bool) {
+func (r *Register) Shown(name string) (s balancer.Server, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.servers[name]
@@ -190,7 +190,7 @@
 	}
 	var idle []string
 	for name, e := range r.servers {
-		if e.said.State == brain.Gone && !e.ban.Holds() {
+		if e.said.State == balancer.Removed && !e.ban.Holds() {
 			idle = append(idle, name)
 		}
 	}
@@ -205,7 +205,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, e := range r.servers {
-		if e.said.State == brain.Ready {
+		if e.said.State == balancer.Ready {
 			names = append(names, name)
 		}
 	}
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -5,45 +5,45 @@
 	"slices"
 	"testing"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 )
 
-func server(name string, state brain.State, born brain.Time) Named {
-	return Named{brain.Server{ID: brain.ServerID(len(name)), State: state, Born: born, Weight: 1}, name, "a:1"}
+func server(name string, state balancer.ServerState, born balancer.Time) Named {
+	return Named{balancer.Server{ID: balancer.ServerID(len(name)), State: state, StartedAt: born, Weight: 1}, name, "a:1"}
 }
 
 // TestRegister plays calls and lists against a server a, and looks at how the decisions see it.
 func TestRegister(t *testing.T) {
-	list := func(kind brain.ListKind, s ...Named) func(*Register) error {
+	list := func(kind balancer.UpdateKind, s ...Named) func(*Register) error {
 		return func(r *Register) error { r.Learn(kind, 1, s); return nil }
 	}
-	suspend := func(at brain.Time) func(*Register) error {
+	suspend := func(at balancer.Time) func(*Register) error {
 		return func(r *Register) error { return r.Suspend("a", at) }
 	}
-	restore := func(at brain.Time) func(*Register) error {
+	restore := func(at balancer.Time) func(*Register) error {
 		return func(r *Register) error { return r.Restore("a", at) }
 	}
-	a := func(state brain.State, born brain.Time) Named { return server("a", state, born) }
-	first := list(brain.Cached, a(brain.Ready, 5))
+	a := func(state balancer.ServerState, born balancer.Time) Named { return server("a", state, born) }
+	first := list(balancer.UpdateCached, a(balancer.Ready, 5))
 	type steps []func(*Register) error
 	for name, c := range map[string]struct {
 		steps steps
-		state brain.State
-		born  brain.Time
+		state balancer.ServerState
+		born  balancer.Time
 		held  bool
 	}{
-		"listed":                    {steps{first}, brain.Ready, 5, false},
-		"suspended":                 {steps{first, suspend(10)}, brain.Draining, 5, true},
-		"a whole list says ready":   {steps{first, suspend(10), list(brain.Full, a(brain.Ready, 12))}, brain.Draining, 12, true},
-		"gone and back meanwhile":   {steps{first, suspend(10), list(brain.Full), list(brain.Delta, a(brain.Ready, 12))}, brain.Draining, 12, true},
-		"suspended while gone":      {steps{first, list(brain.Full), suspend(10)}, brain.Draining, 5, true},
-		"restored, restart unheard": {steps{first, suspend(10), restore(20)}, brain.Ready, 20, false},
-		"restored, restart heard":   {steps{first, suspend(10), list(brain.Delta, a(brain.Ready, 12)), restore(20)}, brain.Ready, 12, false},
-		"restart heard afterwards":  {steps{first, suspend(10), restore(20), list(brain.Delta, a(brain.Ready, 12))}, brain.Ready, 20, false},
-		"restarted once more":       {steps{first, suspend(10), restore(20), list(brain.Delta, a(brain.Ready, 30))}, brain.Ready, 30, false},
-		"twice out, once back":      {steps{first, suspend(10), suspend(15), restore(20)}, brain.Ready, 20, false},
-		"restored, never suspended": {steps{first, restore(20)}, brain.Ready, 5, false},
-		"restored while gone":       {steps{first, suspend(10), list(brain.Full), restore(20)}, brain.Gone, 20, false},
+		"listed":                    {steps{first}, balancer.Ready, 5, false},
+		"suspended":                 {steps{first, suspend(10)}, balancer.Draining, 5, true},
+		"a whole list says ready":   {steps{first, suspend(10), list(balancer.UpdateFull, a(balancer.Ready, 12))}, balancer.Draining, 12, true},
+		"gone and back meanwhile":   {steps{first, suspend(10), list(balancer.UpdateFull), list(balancer.UpdateDelta, a(balancer.Ready, 12))}, balancer.Draining, 12, true},
+		"suspended while gone":      {steps{first, list(balancer.UpdateFull), suspend(10)}, balancer.Draining, 5, true},
+		"restored, restart unheard": {steps{first, suspend(10), restore(20)}, balancer.Ready, 20, false},
+		"restored, restart heard":   {steps{first, suspend(10), list(balancer.UpdateDelta, a(balancer.Ready, 12)), restore(20)}, balancer.Ready, 12, false},
+		"restart heard afterwards":  {steps{first, suspend(10), restore(20), list(balancer.UpdateDelta, a(balancer.Ready, 12))}, balancer.Ready, 20, false},
+		"restarted once more":       {steps{first, suspend(10), restore(20), list(balancer.UpdateDelta, a(balancer.Ready, 30))}, balancer.Ready, 30, false},
+		"twice out, once back":      {steps{first, suspend(10), suspend(15), restore(20)}, balancer.Ready, 20, false},
+		"restored, never suspended": {steps{first, restore(20)}, balancer.Ready, 5, false},
+		"restored while gone":       {steps{first, suspend(10), list(balancer.UpdateFull), restore(20)}, balancer.Removed, 20, false},
 	} {
 		r := New()
 		for i, step := range c.steps {
@@ -52,8 +52,8 @@
 			}
 		}
 		s, ok := r.Shown("a")
-		if held := r.BanOf("a").Holds(); !ok || s.State != c.state || s.Born != c.born || held != c.held {
-			t.Errorf("%s: shown %v %d, held %v", name, s.State, s.Born, held)
+		if held := r.BanOf("a").Holds(); !ok || s.State != c.state || s.StartedAt != c.born || held != c.held {
+			t.Errorf("%s: shown %v %d, held %v", name, s.State, s.StartedAt, held)
 		}
 	}
 	r := New()
@@ -65,17 +65,17 @@
 // TestMemory: ever new servers leave no trace but for the bound, and no ban is forgotten.
 func TestMemory(t *testing.T) {
 	r := New()
-	r.Learn(brain.Full, 1, []Named{server("kept", brain.Ready, 0)})
+	r.Learn(balancer.UpdateFull, 1, []Named{server("kept", balancer.Ready, 0)})
 	if err := r.Suspend("kept", 1); err != nil {
 		t.Fatal(err)
 	}
 	for i := 0; i < 3*most; {
 		var list []Named
 		for range 100 {
-			list = append(list, server(fmt.Sprint("s-", i), brain.Ready, 0))
+			list = append(list, server(fmt.Sprint("s-", i), balancer.Ready, 0))
 			i++
 		}
-		r.Learn(brain.Full, 1, list)
+		r.Learn(balancer.UpdateFull, 1, list)
 	}
 	if len(r.servers) > most || !slices.Equal(r.Suspended(), []string{"kept"}) || r.Suspend("s-0", 1) == nil {
 		t.Errorf("%d remembered, suspended %v", len(r.servers), r.Suspended())
--- a/internal/maintenance/record.go
+++ b/internal/maintenance/record.go
@@ -4,17 +4,17 @@
 	"maps"
 	"slices"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 )
 
 // Record is what a Register knows of one server, as a successor takes it over.
 type Record struct {
-	Name      string       `json:"name"`
-	Addr      string       `json:"addr"`
-	Said      brain.Server `json:"said"`
-	Held      bool         `json:"held,omitempty"`
-	Since     brain.Time   `json:"since,omitempty"`
-	NotBefore brain.Time   `json:"not_before,omitempty"`
+	Name      string          `json:"name"`
+	Addr      string          `json:"addr"`
+	Said      balancer.Server `json:"said"`
+	Held      bool            `json:"held,omitempty"`
+	Since     balancer.Time   `json:"since,omitempty"`
+	NotBefore balancer.Time   `json:"not_before,omitempty"`
 }
 
 // Export gives all that is known, in the order of names, and the version of the
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/protocol"
 	"olivebridge/internal/routing"
 )
@@ -48,7 +48,7 @@
 	c := config()
 	c.Listen, c.Sockets, c.Known.Entries = "127.0.0.1:0", 1024, nil
 	class := c.Settings.Classes[0]
-	class.Effect = brain.Pure
+	class.Idempotency = balancer.Idempotent
 	c.Settings.Classes = append(c.Settings.Classes, class)
 	c.Names = protocol.Names{Classes: map[string]int{"book": 0, "look": 1}, Methods: []string{"POST", "GET"}}
 	whole := []byte("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Cache: hit\r\nContent-Length: " +
@@ -65,7 +65,7 @@
 			}
 		}()
 		c.Known.Entries = append(c.Known.Entries, routing.Entry{Name: fmt.Sprint("s-", i), Addr: l.Addr().String(),
-			Server: brain.Server{ID: brain.ServerID(i + 1), Weight: 1, State: brain.Ready}})
+			Server: balancer.Server{ID: balancer.ServerID(i + 1), Weight: 1, State: balancer.Ready}})
 	}
 	l := benchListener(b)
 	n, err := Start(c, Parts{Listen: func(string) (net.Listener, error) { return l, nil },
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -76,7 +76,7 @@
 			n.config.KnownVersion = h.Version
 		}
 	}
-	n.config.Settings.Carried = h.Carried
+	n.config.Settings.WarmThroughput = h.Carried
 	n.log.Info("taking over", "servers", len(h.Servers), "version", n.config.KnownVersion, "paused", h.Paused)
 	return listener, h.Paused
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -12,20 +12,20 @@
 	"testing/synctest"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/protocol"
 	"olivebridge/internal/routing"
 )
 
 func config() *protocol.Config {
-	class := brain.Class{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Effect: brain.SideEffect}
-	entry := routing.Entry{Server: brain.Server{ID: 7, Weight: 1, State: brain.Ready}, Name: "s-7", Addr: "peer:1"}
+	class := balancer.Class{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: balancer.NonIdempotent}
+	entry := routing.Entry{Server: balancer.Server{ID: 7, Weight: 1, State: balancer.Ready}, Name: "s-7", Addr: "peer:1"}
 	return &protocol.Config{
 		Name: "n1", Listen: "node:1", Discovery: "discovery:1", Cores: 1, MemoryMB: 64, Sockets: 256, Seed: 1,
-		Settings: brain.Settings{
-			Classes: []brain.Class{class}, Nodes: 1, Cold: time.Second, ColdShare: 0.2, Overload: 3, Fall: time.Second,
-			TryLimit: 3, RetryAfter: true, MaxRetryAfter: time.Second, Cancel: true, DrainGrace: time.Second, Ask: true,
-			AskEvery: time.Second, Probes: true,
+		Settings: balancer.Settings{
+			Classes: []balancer.Class{class}, Nodes: 1, SlowStart: time.Second, InitialCapacity: 0.2, OverloadFactor: 3, OverloadWindow: time.Second,
+			MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: time.Second, CancelAttempts: true, DrainGrace: time.Second, PollDiscovery: true,
+			PollInterval: time.Second, HealthChecks: true,
 		},
 		Names:          protocol.Names{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
 		ConnectTimeout: 75 * time.Millisecond, IdleClose: 10 * time.Second, LongestDeadline: 2 * time.Second,
--- a/internal/node/refused_test.go
+++ b/internal/node/refused_test.go
@@ -25,7 +25,7 @@
 		go server.Serve(l)
 		defer server.Close()
 		c := config()
-		c.Settings.Nodes, c.Settings.AskEvery, c.Settings.Probes = 300, 10*time.Second, false
+		c.Settings.Nodes, c.Settings.PollInterval, c.Settings.HealthChecks = 300, 10*time.Second, false
 		n, err := Start(c, Parts{Listen: m.listen, Dial: m.dial})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -155,7 +155,7 @@
 	go server.Serve(l)
 	defer server.Close()
 	c, versions := config(), make(chan int64, 1000)
-	c.Settings.Nodes, c.Settings.AskEvery, c.Settings.Probes = nodes, 10*time.Second, false
+	c.Settings.Nodes, c.Settings.PollInterval, c.Settings.HealthChecks = nodes, 10*time.Second, false
 	version, length := c.KnownVersion, 100*time.Millisecond
 	d.set(trouble, "", version)
 	n, err := Start(c, Parts{Listen: m.listen, Dial: d.dialTo(m),
--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/routing"
 )
 
@@ -23,8 +23,8 @@
 
 // methodOf is the one method of a class's calls. Repeats of a token are dropped
 // by whoever keeps it; its first run has an effect all the same.
-func methodOf(e brain.Effect) string {
-	if e == brain.Pure {
+func methodOf(e balancer.Idempotency) string {
+	if e == balancer.Idempotent {
 		return http.MethodGet
 	}
 	return http.MethodPost
--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/routing"
 	"olivebridge/internal/settings"
 )
@@ -32,7 +32,7 @@
 	Seed                    uint64
 	Cores                   float64
 	MemoryMB, Sockets       int
-	Settings                brain.Settings
+	Settings                balancer.Settings
 	Names                   Names
 	ConnectTimeout          time.Duration // of a new connection to a peer
 	IdleClose               time.Duration // peers close a connection idle for this long
@@ -167,7 +167,7 @@
 	if c.Settings, err = settings.DecodeJSON(in.Settings); err != nil {
 		return err
 	}
-	c.Settings.Ask = true // on sockets no list comes unasked, whatever the simulator's deployment does
+	c.Settings.PollDiscovery = true // on sockets no list comes unasked, whatever the simulator's deployment does
 	var set settingsJSON
 	if err := json.Unmarshal(in.Settings, &set); err != nil {
 		return fmt.Errorf("settings: %w", err)
@@ -193,7 +193,7 @@
 		}
 	}
 	for _, class := range c.Settings.Classes {
-		c.Names.Methods = append(c.Names.Methods, methodOf(class.Effect))
+		c.Names.Methods = append(c.Names.Methods, methodOf(class.Idempotency))
 		c.LongestDeadline = max(c.LongestDeadline, class.Deadline)
 	}
 	if len(in.Known) > 0 {
--- a/internal/protocol/group.go
+++ b/internal/protocol/group.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/routing"
 )
 
@@ -17,7 +17,7 @@
 // node's own.
 const unknownZone = math.MaxUint8
 
-var states = map[string]brain.State{"Ready": brain.Ready, "Terminating": brain.Draining, "Gone": brain.Gone}
+var states = map[string]balancer.ServerState{"Ready": balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Removed}
 
 type groupJSON struct {
 	Version *int64       `json:"version"`
@@ -47,9 +47,9 @@
 		return g, 0, errors.New("upstream group: version, full or servers missing")
 	}
 	if *in.Full {
-		g.Kind = brain.Full
+		g.Kind = balancer.UpdateFull
 	}
-	seen := map[brain.ServerID]string{}
+	seen := map[balancer.ServerID]string{}
 	for _, s := range *in.Servers {
 		e, err := n.entry(s)
 		if err != nil {
@@ -72,7 +72,7 @@
 	if s.ID == "" {
 		return routing.Entry{}, errors.New("no id")
 	}
-	if state != brain.Gone || s.Addr != "" {
+	if state != balancer.Removed || s.Addr != "" {
 		_, port, err := net.SplitHostPort(s.Addr)
 		if err != nil {
 			return routing.Entry{}, err
@@ -89,9 +89,9 @@
 		return routing.Entry{}, errors.New("weight or started_ms out of range")
 	}
 	return routing.Entry{
-		Server: brain.Server{
+		Server: balancer.Server{
 			ID: ServerID(s.ID), Cell: s.Cell, Zone: place(n.Zones, s.Zone), Kind: place(n.Kinds, s.Kind),
-			Born: brain.Time(s.Started) * brain.Time(time.Millisecond), Weight: weight, State: state,
+			StartedAt: balancer.Time(s.Started) * balancer.Time(time.Millisecond), Weight: weight, State: state,
 		},
 		Name: s.ID, Addr: s.Addr,
 	}, nil
@@ -105,4 +105,4 @@
 }
 
 // ServerID is how the decisions know a peer, the same at all nodes.
-func ServerID(name string) brain.ServerID { return brain.ServerID(hash(name)) }
+func ServerID(name string) balancer.ServerID { return balancer.ServerID(hash(name)) }
--- a/internal/protocol/outcome.go
+++ b/internal/protocol/outcome.go
@@ -1,16 +1,16 @@
 package protocol
 
-import "olivebridge/brain"
+import "olivebridge/balancer"
 
 // ResultOf says what a peer's whole answer means for a try. Only a turning
 // away that says so, and only so, proves that it never ran.
-func ResultOf(status int, rejected []string) brain.Result {
+func ResultOf(status int, rejected []string) balancer.Result {
 	switch {
 	case status == 200:
-		return brain.OK
+		return balancer.OK
 	case (status == 503 || status == 504) && len(rejected) == 1 && rejected[0] == "1":
-		return brain.Rejected
+		return balancer.Rejected
 	default:
-		return brain.Errored
+		return balancer.Errored
 	}
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 )
 
 var names = Names{
@@ -115,12 +115,12 @@
 		}
 	}
 	g, version, err := names.ParseGroup([]byte(`{"version":4,"full":true,"servers":[` + entry + `,` + change("s-1", "s-2") + `]}`))
-	if err != nil || version != 4 || g.Kind != brain.Full || len(g.Entries) != 2 {
+	if err != nil || version != 4 || g.Kind != balancer.UpdateFull || len(g.Entries) != 2 {
 		t.Fatalf("got %+v, %d, %v", g, version, err)
 	}
 	e := g.Entries[0]
-	if e.ID != brain.ServerID(hash("s-1")) || e.ID == g.Entries[1].ID || e.Zone != 1 || e.Kind != 1 || e.Cell != 3 ||
-		e.Weight != 1.5 || e.Born != brain.Time(7*time.Millisecond) || e.Addr != "127.0.0.1:9000" || e.State != brain.Ready {
+	if e.ID != balancer.ServerID(hash("s-1")) || e.ID == g.Entries[1].ID || e.Zone != 1 || e.Kind != 1 || e.Cell != 3 ||
+		e.Weight != 1.5 || e.StartedAt != balancer.Time(7*time.Millisecond) || e.Addr != "127.0.0.1:9000" || e.State != balancer.Ready {
 		t.Errorf("entry %+v", e)
 	}
 	other := `{"version":4,"full":true,"servers":[` + change("127.0.0.1", "127.0.0.2") + `]}`
@@ -133,11 +133,11 @@
 	for _, c := range []struct {
 		status   int
 		rejected []string
-		want     brain.Result
+		want     balancer.Result
 	}{
-		{200, nil, brain.OK}, {500, nil, brain.Errored}, {503, []string{"1"}, brain.Rejected}, {504, []string{"1"}, brain.Rejected},
-		{503, nil, brain.Errored}, {503, []string{"1", "0"}, brain.Errored}, {504, []string{"0"}, brain.Errored}, {500, []string{"1"}, brain.Errored}, {404, nil, brain.Errored},
-		{302, nil, brain.Errored}, {206, nil, brain.Errored},
+		{200, nil, balancer.OK}, {500, nil, balancer.Errored}, {503, []string{"1"}, balancer.Rejected}, {504, []string{"1"}, balancer.Rejected},
+		{503, nil, balancer.Errored}, {503, []string{"1", "0"}, balancer.Errored}, {504, []string{"0"}, balancer.Errored}, {500, []string{"1"}, balancer.Errored}, {404, nil, balancer.Errored},
+		{302, nil, balancer.Errored}, {206, nil, balancer.Errored},
 	} {
 		if got := ResultOf(c.status, c.rejected); got != c.want {
 			t.Errorf("%d, %q: got %d, want %d", c.status, c.rejected, got, c.want)
@@ -170,7 +170,7 @@
 	}
 	if c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.ConnectTimeout != 75*time.Millisecond || c.KnownVersion != 41 ||
 		c.IdleClose != 10*time.Second || c.LongestDeadline != 600*time.Millisecond || len(c.Known.Entries) != 1 ||
-		c.Known.Entries[0].Zone != 1 || c.Settings.Zone != 1 || c.Settings.Zones != 2 || c.Settings.TryLimit != 4 ||
+		c.Known.Entries[0].Zone != 1 || c.Settings.Zone != 1 || c.Settings.Zones != 2 || c.Settings.MaxAttempts != 4 ||
 		c.Settings.DrainGrace != 2500*time.Millisecond || c.Names.Classes["book"] != 1 || fmt.Sprint(c.Names.Methods) != "[GET POST]" || len(c.Settings.Tenants) != 1 {
 		t.Errorf("got %+v", c)
 	}
--- a/internal/routing/admit.go
+++ b/internal/routing/admit.go
@@ -4,21 +4,21 @@
 	"sync/atomic"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 )
 
 // openCall is a call in the table.
 type openCall struct {
 	Call
-	id       brain.RequestID
+	id       balancer.RequestID
 	answer   Answer // once given: before wait is told, and never again
 	wait     *wait
 	answered bool        // it is given, or nobody waits for it
 	over     atomic.Bool // the same, for the carrier
-	deadline brain.Time
-	as       *brain.Class // its class as it came, as the decisions have it
-	tries    []*attempt   // by number
-	out      int          // those whose outcome is not in
+	deadline balancer.Time
+	as       *balancer.Class // its class as it came, as the decisions have it
+	tries    []*attempt      // by number
+	out      int             // those whose outcome is not in
 	first    attempt
 	few      [2]*attempt // room for tries
 }
@@ -38,7 +38,7 @@
 // decides.
 type admitEvent struct{ e *openCall }
 
-func (a admitEvent) call() brain.RequestID { return a.e.id }
+func (a admitEvent) call() balancer.RequestID { return a.e.id }
 
 func (a admitEvent) handle(r *Router) {
 	e, now := a.e, r.now()
@@ -56,10 +56,10 @@
 	if e.Class >= 0 && e.Class < len(r.set.Classes) {
 		e.as = &r.set.Classes[e.Class] // a reload brings other settings
 	}
-	e.deadline = r.brainTime(e.Arrived.Add(e.patience() - answerMargin))
+	e.deadline = r.balancerTime(e.Arrived.Add(e.patience() - answerMargin))
 	r.open[e.id] = e
-	r.brain.Request(now, brain.Request{
-		ID: e.id, Budget: time.Duration(max(e.deadline-now, 0)), Key: e.Key,
-		Class: e.Class, Tenant: e.Tenant, Repeat: e.Repeat, Slow: e.Slow,
+	r.balancer.HandleRequest(now, balancer.Request{
+		ID: e.id, Timeout: time.Duration(max(e.deadline-now, 0)), AffinityKey: e.Key,
+		Class: e.Class, Tenant: e.Tenant, ClientRetry: e.Repeat, StreamsBody: e.Slow,
 	})
 }
--- a/internal/routing/anew_test.go
+++ b/internal/routing/anew_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 )
 
 // teller is an upstream group that tells what it is given.
@@ -28,10 +28,10 @@
 // purse is a fleet's budget for cold peers, and for nothing else.
 type purse struct{ most, asked atomic.Int64 }
 
-func (*purse) Admit(int) (bool, time.Duration)          { return true, 0 }
-func (*purse) AdmitRetry() bool                         { return true }
-func (*purse) Done(int)                                 {}
-func (p *purse) AdmitCold(brain.ServerID, float64) bool { return p.asked.Add(1) <= p.most.Load() }
+func (*purse) Admit(int) (bool, time.Duration)             { return true, 0 }
+func (*purse) AdmitRetry() bool                            { return true }
+func (*purse) Done(int)                                    {}
+func (p *purse) AdmitCold(balancer.ServerID, float64) bool { return p.asked.Add(1) <= p.most.Load() }
 
 // TestPeerThatStartsAnew: tries wait for their connections while their peer starts anew, or its half window ends. As many leave
 // by then as a cold one may be sent, by this node's part and by the fleet's budget; the others' calls are refused.
@@ -60,17 +60,17 @@
 				gate.most.Store(c.most)
 				start := time.Now()
 				known, news := listed(7), listed(7)
-				known.Entries[0].Born = brain.Time(start.Add(-c.was).UnixNano())
-				news.Kind, news.Entries[0].Addr = brain.Delta, c.addr
-				news.Entries[0].Born = brain.Time(start.Add(-c.is).UnixNano())
+				known.Entries[0].StartedAt = balancer.Time(start.Add(-c.was).UnixNano())
+				news.Kind, news.Entries[0].Addr = balancer.UpdateDelta, c.addr
+				news.Entries[0].StartedAt = balancer.Time(start.Add(-c.is).UnixNano())
 				set := testSettings()
-				set.Cold, set.ColdShare, set.Overload, set.Fall, set.Carried = time.Hour, 0.5, 2.5, 2*half, 2/half.Seconds()
+				set.SlowStart, set.InitialCapacity, set.OverloadFactor, set.OverloadWindow, set.WarmThroughput = time.Hour, 0.5, 2.5, 2*half, 2/half.Seconds()
 				r := New(Config{Settings: set, Seed: 1, Known: known, Watcher: list, Gate: gate, Log: slog.New(slog.DiscardHandler),
 					Carrier: carrier(func(_ context.Context, try Try) TryResult {
 						if <-up; !try.Stands(time.Now()) {
-							return TryResult{Result: brain.Moot}
+							return TryResult{Result: balancer.NotSent}
 						}
-						return TryResult{Result: brain.OK}
+						return TryResult{Result: balancer.OK}
 					})})
 				ctx, stop := context.WithCancel(t.Context())
 				go r.Run(ctx)
--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 )
 
 // Interrupter ends what a carrier waits for. Interrupt must not wait itself.
@@ -85,10 +85,10 @@
 	told chan<- bool // has room for the answer
 }
 
-func (c confirmEvent) call() brain.RequestID { return c.a.Call }
+func (c confirmEvent) call() balancer.RequestID { return c.a.Call }
 
 func (c confirmEvent) handle(r *Router) {
-	c.told <- r.brain.Begin(r.now(), c.a.Call, c.a.Attempt) && r.admitCold(c.a.Peer, r.coldUnits(c.a.Peer))
+	c.told <- r.balancer.MayBegin(r.now(), c.a.Call, c.a.Attempt) && r.admitCold(c.a.Peer, r.coldUnits(c.a.Peer))
 }
 
 // admitCold asks the fleet's budget for a try to a peer that costs so much of it.
@@ -106,12 +106,12 @@
 	at time.Time
 }
 
-func (w writtenEvent) call() brain.RequestID { return w.a.Call }
+func (w writtenEvent) call() balancer.RequestID { return w.a.Call }
 
 func (w writtenEvent) handle(r *Router) {
 	if e := r.open[w.a.Call]; e != nil && !w.a.in {
-		e.deadline = r.brainTime(w.at.Add(e.Budget - answerMargin))
-		r.brain.Written(r.now(), w.a.Call, w.a.Attempt, e.Budget-answerMargin)
+		e.deadline = r.balancerTime(w.at.Add(e.Budget - answerMargin))
+		r.balancer.HandleBodySent(r.now(), w.a.Call, w.a.Attempt, e.Budget-answerMargin)
 	}
 }
 
@@ -119,19 +119,19 @@
 func (a *attempt) carry() {
 	defer a.router.caught("task")
 	if a.Peer == nil {
-		a.result.Result = brain.Moot // the Balancer and the table disagree: nothing was sent
+		a.result.Result = balancer.NotSent // the Balancer and the table disagree: nothing was sent
 		return
 	}
 	if g := a.router.gate; g != nil && a.Attempt > 0 && !g.AdmitRetry() {
 		a.router.count.OverRetries.Add(1)
-		a.result.Result = brain.Moot // the fleet's budget has nothing left for it
+		a.result.Result = balancer.NotSent // the fleet's budget has nothing left for it
 		return
 	}
 	if !a.router.admitCold(a.Peer, a.cold) {
-		a.result.Result = brain.Rejected // as the peer would: it is not asked for a while, and others are
+		a.result.Result = balancer.Rejected // as the peer would: it is not asked for a while, and others are
 		return
 	}
-	a.result.Result = brain.Reset // after a panic it may have run
+	a.result.Result = balancer.Reset // after a panic it may have run
 	a.result = a.router.carrier.Try(a, a.Try)
 }
 
--- a/internal/routing/book.go
+++ b/internal/routing/book.go
@@ -5,7 +5,7 @@
 	"strings"
 	"sync/atomic"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 )
 
 // book is the last stage: a call that is answered and has no try out leaves
@@ -18,7 +18,7 @@
 }
 
 // abandon fails a call whose event panicked and calls its tries off.
-func (r *Router) abandon(id brain.RequestID) {
+func (r *Router) abandon(id balancer.RequestID) {
 	e := r.open[id]
 	if e == nil {
 		return
@@ -28,8 +28,8 @@
 		r.Cancel(id, i)
 	}
 	r.book(e)
-	defer r.caught("abandoned call") // the fault may lie in what the Balancer holds of it
-	r.brain.HangUp(r.now(), id)      // or it would send it from where it waits, and hear of no outcome
+	defer r.caught("abandoned call")         // the fault may lie in what the Balancer holds of it
+	r.balancer.HandleDisconnect(r.now(), id) // or it would send it from where it waits, and hear of no outcome
 }
 
 // Counters count what a node takes in, sends and answers. They are safe for
@@ -38,8 +38,8 @@
 	Taken, Served, Rejected, Failed, Overdue, Twice, HungUp atomic.Int64 // calls
 	QueueFull, GuardAnswers, Panics                         atomic.Int64 // what should not happen
 	Tries, CalledOff                                        atomic.Int64
-	OverBudget, OverRetries, OverCold                       atomic.Int64                 // calls, and tries, for which a Gate had nothing left
-	Results                                                 [brain.Moot + 1]atomic.Int64 // of tries
+	OverBudget, OverRetries, OverCold                       atomic.Int64                       // calls, and tries, for which a Gate had nothing left
+	Results                                                 [balancer.NotSent + 1]atomic.Int64 // of tries
 	Probes, ProbesFailed, Lists, WatchFailures              atomic.Int64
 }
 
@@ -47,7 +47,7 @@
 	[...]*atomic.Int64{&c.Served, &c.Rejected, &c.Failed, &c.Overdue, &c.Twice}[v].Add(1)
 }
 
-func (c *Counters) outcome(res brain.Result) {
+func (c *Counters) outcome(res balancer.Result) {
 	if int(res) < len(c.Results) {
 		c.Results[res].Add(1)
 	}
--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 )
 
 // Call is a client's request, reduced to what decisions need. The rest stays
@@ -56,8 +56,8 @@
 
 // Try is one attempt at a call, on its way to a peer.
 type Try struct {
-	Call    brain.RequestID // never the same for two calls of one node's life
-	Attempt int             // the call's tries count from 0
+	Call    balancer.RequestID // never the same for two calls of one node's life
+	Attempt int                // the call's tries count from 0
 	Peer    *Peer
 	Until   time.Time    // the carrier stops waiting then
 	BeginBy time.Time    // from then on its first byte must not leave, whenever its connection is there; zero: it may
@@ -65,7 +65,7 @@
 	Payload any
 	// What the decision rests on: it holds until Holds (zero: for as long as need be), and while its peer has not started anew.
 	Holds time.Time
-	born  brain.Time
+	born  balancer.Time
 	asks  *attempt // as which the decisions know the try; nil: they need not be asked
 	// Budget is a slow call's, and Written is to be called, once, when its last byte has left. Until then Until
 	// does not count. nil: all of the call is there.
@@ -91,8 +91,8 @@
 
 // TryResult is how a try ended.
 type TryResult struct {
-	Result brain.Result
-	Reply  any // with brain.OK; a Dropper is told if nobody takes it
+	Result balancer.Result
+	Reply  any // with balancer.OK; a Dropper is told if nobody takes it
 }
 
 // Dropper is a reply that holds more than memory.
@@ -112,7 +112,7 @@
 // costs less than to wait for its end does.
 type Carrier interface {
 	Try(ctx context.Context, t Try) TryResult
-	Probe(ctx context.Context, p *Peer) brain.Result
+	Probe(ctx context.Context, p *Peer) balancer.Result
 }
 
 // ErrRefused is why a watch stopped where discovery was there and refused. It is begun again at once: the watcher itself pauses
--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -1,23 +1,23 @@
 package routing
 
 import (
-	"olivebridge/brain"
+	"olivebridge/balancer"
 )
 
 // Chooser says with which of the listed servers the node works. It works beside the decisions, and must not wait.
 type Chooser interface {
 	// Listed hears of all servers that take new work, as the decisions are shown them.
-	Listed([]brain.Server)
+	Listed([]balancer.Server)
 	// Saw hears how a try or a probe went that came to an end of its own.
-	Saw(server brain.ServerID, born brain.Time, result brain.Result, probe bool)
+	Saw(server balancer.ServerID, born balancer.Time, result balancer.Result, probe bool)
 	// Tell has it tell from now on what is chosen.
 	Tell(func(Choice))
 }
 
 // Choice is what a Chooser says.
 type Choice struct {
-	Servers map[brain.ServerID]bool // what is not named stands aside; nil: nothing does
-	Doubted map[brain.ServerID]bool // and what is named here does
+	Servers map[balancer.ServerID]bool // what is not named stands aside; nil: nothing does
+	Doubted map[balancer.ServerID]bool // and what is named here does
 	// Zones is in how many zones nodes work. Where none does, servers get what other zones' nodes send across: nodes that go on
 	// as if each zone had its own would leave them idle. 0: not known, it is as the settings have it.
 	Zones int
@@ -26,29 +26,29 @@
 // chosen is what the router knows of choices. It belongs to the goroutine of Run.
 type chosen struct {
 	by    Chooser // nil: all are worked with
-	group map[brain.ServerID]brain.Server
+	group map[balancer.ServerID]balancer.Server
 	now   Choice
 }
 
 // take takes in what a list would show the decisions, and has what is not chosen stand aside.
-func (c *chosen) take(kind brain.ListKind, shown []brain.Server) []brain.Server {
+func (c *chosen) take(kind balancer.UpdateKind, shown []balancer.Server) []balancer.Server {
 	if c.by == nil {
 		return shown
 	}
-	if kind != brain.Delta || c.group == nil {
-		c.group = map[brain.ServerID]brain.Server{}
+	if kind != balancer.UpdateDelta || c.group == nil {
+		c.group = map[balancer.ServerID]balancer.Server{}
 	}
 	for i, s := range shown {
-		if s.State == brain.Gone {
+		if s.State == balancer.Removed {
 			delete(c.group, s.ID)
 			continue
 		}
 		c.group[s.ID] = s
 		shown[i] = c.aside(s)
 	}
-	var all []brain.Server
+	var all []balancer.Server
 	for _, s := range c.group {
-		if s.State == brain.Ready {
+		if s.State == balancer.Ready {
 			all = append(all, s)
 		}
 	}
@@ -56,20 +56,20 @@
 	return shown
 }
 
-func (c *chosen) aside(s brain.Server) brain.Server {
-	s.Aside = c.now.Servers != nil && !c.now.Servers[s.ID] || c.now.Doubted[s.ID]
+func (c *chosen) aside(s balancer.Server) balancer.Server {
+	s.Suspended = c.now.Servers != nil && !c.now.Servers[s.ID] || c.now.Doubted[s.ID]
 	return s
 }
 
 // saw tells whoever chooses.
-func (c *chosen) saw(p *Peer, r brain.Result, probe bool) {
+func (c *chosen) saw(p *Peer, r balancer.Result, probe bool) {
 	if c.by != nil && p != nil {
 		c.by.Saw(p.ID, p.bornAt(), r, probe)
 	}
 }
 
 // settings are those that the decisions get.
-func (c *chosen) settings(set brain.Settings) brain.Settings {
+func (c *chosen) settings(set balancer.Settings) balancer.Settings {
 	if c.now.Zones > 0 {
 		set.Zones = min(set.Zones, c.now.Zones)
 	}
@@ -86,13 +86,13 @@
 	if before.now.Zones != c.now.Zones {
 		setEvent{r.set}.handle(r)
 	}
-	var changed []brain.Server
+	var changed []balancer.Server
 	for _, s := range c.group {
 		if now := c.aside(s); now != before.aside(s) {
 			changed = append(changed, now)
 		}
 	}
 	if len(changed) > 0 {
-		r.brain.List(r.now(), brain.Delta, changed)
+		r.balancer.HandleServers(r.now(), balancer.UpdateDelta, changed)
 	}
 }
--- a/internal/routing/errorpaths_test.go
+++ b/internal/routing/errorpaths_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/maintenance"
 )
 
@@ -89,8 +89,8 @@
 // odd is a carrier and a watch with faults of the program in them.
 type odd struct{ panics bool }
 
-func (odd) Try(context.Context, Try) TryResult        { return TryResult{Result: brain.OK} }
-func (odd) Probe(context.Context, *Peer) brain.Result { panic("probe") }
+func (odd) Try(context.Context, Try) TryResult           { return TryResult{Result: balancer.OK} }
+func (odd) Probe(context.Context, *Peer) balancer.Result { panic("probe") }
 func (o odd) Watch(context.Context, func(Group)) (err error) {
 	if o.panics {
 		panic("watch")
@@ -103,7 +103,7 @@
 func TestPanicsBesideTheDecisions(t *testing.T) {
 	for _, panics := range []bool{true, false} {
 		set := testSettings()
-		set.Probes, set.AskEvery = true, time.Millisecond
+		set.HealthChecks, set.PollInterval = true, time.Millisecond
 		r := newRouter(nil, listed(7))
 		r.set, r.carrier, r.watcher = set, odd{}, odd{panics}
 		ctx, stop := context.WithCancel(t.Context())
@@ -138,10 +138,10 @@
 	if err := r.Suspend("elsewhere"); err != nil {
 		t.Error(err)
 	}
-	r.Set(brain.Settings{}) // which has no classes
+	r.Set(balancer.Settings{}) // which has no classes
 	kept := make(chan int)
 	r.post(look(func(r *Router) {
-		r.Probe(99) // which no list has named
+		r.CheckHealth(99) // which no list has named
 		r.abandon(99)
 		kept <- len(r.set.Classes)
 	}))
@@ -154,7 +154,7 @@
 		t.Error(said.String())
 	}
 	r = newRouter(nil, listed())
-	r.set = brain.Settings{}
+	r.set = balancer.Settings{}
 	if err := r.Run(t.Context()); err == nil {
 		t.Error("decisions without a class")
 	}
@@ -166,9 +166,9 @@
 // TestCountersTell: each end of a try counts under the name that the operators' page has, and so does what should not
 // happen.
 func TestCountersTell(t *testing.T) {
-	for result, name := range map[brain.Result]string{brain.OK: "ok", brain.Errored: "errored", brain.Rejected: "turned_away",
-		brain.TimedOut: "timed_out", brain.ConnectFailed: "connect_failed", brain.Reset: "reset", brain.Cancelled: "called_off",
-		brain.Moot: "moot"} {
+	for result, name := range map[balancer.Result]string{balancer.OK: "ok", balancer.Errored: "errored", balancer.Rejected: "turned_away",
+		balancer.TimedOut: "timed_out", balancer.ConnectFailed: "connect_failed", balancer.Reset: "reset", balancer.Cancelled: "called_off",
+		balancer.NotSent: "moot"} {
 		r := started(t, func(context.Context, Try) TryResult { return TryResult{Result: result} }, listed(7))
 		r.Take(t.Context(), call(unsafe, time.Second))
 		if want := fmt.Sprintf("try_%s=1", name); !strings.Contains(r.count.String(), want) {
@@ -179,7 +179,7 @@
 	r := started(t, func(ctx context.Context, _ Try) TryResult {
 		leave()
 		<-ctx.Done()
-		return TryResult{Result: brain.Cancelled}
+		return TryResult{Result: balancer.Cancelled}
 	}, listed(7))
 	r.Take(ctx, call(safe, time.Minute))
 	if said := r.count.String(); !strings.Contains(said, "hung_up=1") || !strings.Contains(said, "queue_full=0 guard_answers=0 panics=0") {
--- a/internal/routing/group.go
+++ b/internal/routing/group.go
@@ -8,19 +8,19 @@
 	"sync/atomic"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/maintenance"
 )
 
 // Entry is one peer as the upstream group lists it.
 type Entry struct {
-	brain.Server
+	balancer.Server
 	Name, Addr string
 }
 
 // Group is a list of the upstream group, or of its changes.
 type Group struct {
-	Kind    brain.ListKind
+	Kind    balancer.UpdateKind
 	Entries []Entry
 	At      time.Time // when it arrived
 	Version int64     // as discovery numbers it
@@ -29,15 +29,15 @@
 // Peer is a server that the upstream group has named. Its fields but the
 // leaving mark, and born, never change: a new address makes a new Peer, which shares both with the old one.
 type Peer struct {
-	ID         brain.ServerID
+	ID         balancer.ServerID
 	Name, Addr string
 	leaving    *atomic.Pointer[time.Time] // when it was told to leave; nil: it stays
 	ban        *maintenance.Ban           // operators keep it out of use; nil: they cannot
-	born       *atomic.Int64              // when it last started, a brain.Time, as the decisions were shown it
+	born       *atomic.Int64              // when it last started, a balancer.Time, as the decisions were shown it
 }
 
 // NewPeer makes a peer that stays.
-func NewPeer(id brain.ServerID, name, addr string) *Peer {
+func NewPeer(id balancer.ServerID, name, addr string) *Peer {
 	return &Peer{ID: id, Name: name, Addr: addr, leaving: new(atomic.Pointer[time.Time]), born: new(atomic.Int64)}
 }
 
@@ -75,7 +75,7 @@
 			r.Watch()
 			return
 		}
-		r.brain.List(r.now(), brain.Failed, nil)
+		r.balancer.HandleServers(r.now(), balancer.UpdateFailed, nil)
 	default:
 		r.count.Lists.Add(1)
 		r.learn(e.group)
@@ -97,7 +97,7 @@
 		r.peers[e.ID] = p
 	}
 	r.show(g.Kind, servers, g.At)
-	maps.DeleteFunc(r.peers, func(id brain.ServerID, _ *Peer) bool { return !r.brain.Knows(id) })
+	maps.DeleteFunc(r.peers, func(id balancer.ServerID, _ *Peer) bool { return !r.balancer.Knows(id) })
 	if len(r.peers) > 0 {
 		r.ready.Store(true)
 	}
@@ -105,25 +105,25 @@
 
 // show lets the decisions see servers, and notes their starts first: a try that finds another one than it was decided by asks
 // behind this.
-func (r *Router) show(kind brain.ListKind, servers []brain.Server, at time.Time) {
+func (r *Router) show(kind balancer.UpdateKind, servers []balancer.Server, at time.Time) {
 	for _, s := range servers {
 		if p := r.peers[s.ID]; p != nil {
-			p.born.Store(int64(s.Born))
+			p.born.Store(int64(s.StartedAt))
 		}
 	}
-	r.brain.List(r.now(), kind, servers)
+	r.balancer.HandleServers(r.now(), kind, servers)
 	r.mark(at)
 }
 
 // mark has peers leave, or stay, as the decisions have it by now: what they say of a server hangs on more than its entry.
 func (r *Router) mark(at time.Time) {
 	for id, p := range r.peers {
-		p.Mark(r.brain.Open(id), at)
+		p.Mark(r.balancer.Accepts(id), at)
 	}
 }
 
 // bornAt is when a peer last started.
-func (p *Peer) bornAt() brain.Time { return brain.Time(p.born.Load()) }
+func (p *Peer) bornAt() balancer.Time { return balancer.Time(p.born.Load()) }
 
 // Mark notes from when on a peer leaves; the first telling counts.
 func (p *Peer) Mark(stays bool, at time.Time) {
@@ -134,7 +134,7 @@
 	}
 }
 
-// Watch implements brain.Host: it starts the watch unless one runs.
+// Watch implements balancer.Host: it starts the watch unless one runs.
 func (r *Router) Watch() {
 	if r.watch != nil {
 		return
@@ -166,7 +166,7 @@
 func (e followEvent) handle(r *Router) {
 	r.endWatch()
 	r.watcher = e.watcher
-	r.brain.Moved(r.now())
+	r.balancer.HandleDiscoveryMoved(r.now())
 }
 
 // Follow leaves the watch that runs for a new one by w, begun at once. No list
@@ -174,26 +174,26 @@
 func (r *Router) Follow(w Watcher) { r.post(followEvent{w}) }
 
 // probeEvent brings a probe's result.
-type probeEvent struct{ result brain.ProbeResult }
+type probeEvent struct{ result balancer.HealthCheckResult }
 
 func (e probeEvent) handle(r *Router) {
-	if e.result.Result != brain.OK {
+	if e.result.Result != balancer.OK {
 		r.count.ProbesFailed.Add(1)
 	}
 	r.chosen.saw(r.peers[e.result.Server], e.result.Result, true)
-	r.brain.Probed(r.now(), e.result)
+	r.balancer.HandleHealthCheck(r.now(), e.result)
 }
 
-// Probe implements brain.Host.
-func (r *Router) Probe(to brain.ServerID) {
+// Probe implements balancer.Host.
+func (r *Router) CheckHealth(to balancer.ServerID) {
 	p := r.peers[to]
 	if p == nil {
 		return
 	}
 	r.count.Probes.Add(1)
 	start := time.Now()
-	done := func(res brain.Result) {
-		r.post(probeEvent{brain.ProbeResult{Server: to, Latency: time.Since(start), Result: res}})
+	done := func(res balancer.Result) {
+		r.post(probeEvent{balancer.HealthCheckResult{Server: to, Latency: time.Since(start), Result: res}})
 	}
-	r.spawn(func(ctx context.Context) { done(r.carrier.Probe(ctx, p)) }, func() { done(brain.Reset) })
+	r.spawn(func(ctx context.Context) { done(r.carrier.Probe(ctx, p)) }, func() { done(balancer.Reset) })
 }
--- a/internal/routing/leaving_test.go
+++ b/internal/routing/leaving_test.go
@@ -4,18 +4,18 @@
 	"testing"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 )
 
 // TestLeavingAsDecided: at the first byte a peer is open for as long as the decisions let new work go to it, where servers
 // that discovery drops stay, where they do not, and after a reload that changes which of it holds.
 func TestLeavingAsDecided(t *testing.T) {
-	entry := func(state brain.State) Group {
+	entry := func(state balancer.ServerState) Group {
 		g := listed(7)
-		g.Kind, g.Entries[0].State = brain.Delta, state
+		g.Kind, g.Entries[0].State = balancer.UpdateDelta, state
 		return g
 	}
-	drains, gone, missing, back := entry(brain.Draining), entry(brain.Gone), listed(8), listed(7)
+	drains, gone, missing, back := entry(balancer.Draining), entry(balancer.Removed), listed(8), listed(7)
 	for name, c := range map[string]struct {
 		stay, reload bool // DroppedStay, and by the reload behind the lists
 		lists        []Group
@@ -30,7 +30,7 @@
 		"dropped, and now they go":   {true, false, []Group{missing}, false},
 	} {
 		r := newRouter(nil, listed(7, 8))
-		r.set.DroppedStay = c.stay
+		r.set.ServeRemoved = c.stay
 		lists := make(scripted)
 		r.watcher = lists
 		go r.Run(t.Context())
@@ -41,9 +41,9 @@
 		for _, g := range c.lists {
 			lists <- g
 		}
-		lists <- Group{Kind: brain.Delta} // the last is taken once those before it are posted
+		lists <- Group{Kind: balancer.UpdateDelta} // the last is taken once those before it are posted
 		set := r.set
-		set.DroppedStay = c.reload
+		set.ServeRemoved = c.reload
 		r.Set(set)
 		r.post(find)
 		<-seen
--- a/internal/routing/maintain.go
+++ b/internal/routing/maintain.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/maintenance"
 )
 
 // shown is a list as the Balancer is to see it: operators may keep servers of it out of use.
-func (r *Router) shown(g Group) []brain.Server {
+func (r *Router) shown(g Group) []balancer.Server {
 	if r.servers == nil {
-		servers := make([]brain.Server, 0, len(g.Entries))
+		servers := make([]balancer.Server, 0, len(g.Entries))
 		for _, e := range g.Entries {
 			servers = append(servers, e.Server)
 		}
@@ -29,7 +29,7 @@
 
 func (e maintainEvent) handle(r *Router) {
 	if s, ok := r.servers.Shown(e.name); ok {
-		r.show(brain.Delta, r.chosen.take(brain.Delta, []brain.Server{s}), time.Now())
+		r.show(balancer.UpdateDelta, r.chosen.take(balancer.UpdateDelta, []balancer.Server{s}), time.Now())
 	}
 }
 
@@ -48,7 +48,7 @@
 	return r.maintain(name, r.servers.Restore)
 }
 
-func (r *Router) maintain(name string, change func(string, brain.Time) error) error {
+func (r *Router) maintain(name string, change func(string, balancer.Time) error) error {
 	if err := change(name, r.now()); err != nil {
 		return err
 	}
--- a/internal/routing/maintain_test.go
+++ b/internal/routing/maintain_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/maintenance"
 )
 
@@ -21,9 +21,9 @@
 		Log: slog.New(slog.DiscardHandler), Carrier: carrier(func(_ context.Context, try Try) TryResult {
 			waits <- try.Peer
 			if <-open; !try.Peer.OpenFor(time.Now(), time.Hour) {
-				return TryResult{Result: brain.Moot}
+				return TryResult{Result: balancer.NotSent}
 			}
-			return TryResult{Result: brain.OK}
+			return TryResult{Result: balancer.OK}
 		})})
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error)
--- a/internal/routing/relay.go
+++ b/internal/routing/relay.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 )
 
 // outcomeEvent is the fifth stage: a try is over. A served one is relayed
 // before the Balancer hears of it, so that it knows the call is closed.
 type outcomeEvent struct{ a *attempt }
 
-func (ev outcomeEvent) call() brain.RequestID { return ev.a.Call }
+func (ev outcomeEvent) call() balancer.RequestID { return ev.a.Call }
 
 func (ev outcomeEvent) handle(r *Router) {
 	a := ev.a
@@ -20,18 +20,18 @@
 	}
 	a.in = true
 	e.out--
-	o := brain.Outcome{ID: a.Call, Attempt: a.Attempt, Latency: a.latency, Result: a.result.Result}
+	o := balancer.Outcome{ID: a.Call, Attempt: a.Attempt, Latency: a.latency, Result: a.result.Result}
 	if a.Peer != nil {
 		o.Server = a.Peer.ID
 		r.chosen.saw(a.Peer, o.Result, false)
 	}
 	r.count.outcome(o.Result)
-	if o.Result == brain.OK {
+	if o.Result == balancer.OK {
 		r.relay(e, Answer{Verdict: Served, Reply: a.result.Reply})
 	}
-	o.Closed = e.answered
+	o.RequestDone = e.answered
 	defer r.book(e)
-	r.brain.Outcome(r.now(), o)
+	r.balancer.HandleOutcome(r.now(), o)
 }
 
 // relay gives a call its one answer. Outcome, hang-up and deadline may race:
@@ -52,16 +52,16 @@
 	e.wait.told <- struct{}{}
 }
 
-// Refuse implements brain.Host. The answer leaves at once.
-func (r *Router) Refuse(id brain.RequestID, after time.Duration) {
+// Refuse implements balancer.Host. The answer leaves at once.
+func (r *Router) Reject(id balancer.RequestID, after time.Duration) {
 	if e := r.open[id]; e != nil {
 		r.relay(e, Answer{Verdict: Reject, RetryAfter: after})
 		r.book(e)
 	}
 }
 
-// Fail implements brain.Host. The answer leaves at once.
-func (r *Router) Fail(id brain.RequestID) {
+// Fail implements balancer.Host. The answer leaves at once.
+func (r *Router) Fail(id balancer.RequestID) {
 	if e := r.open[id]; e != nil {
 		v := Failed
 		if r.now() >= e.deadline {
@@ -75,7 +75,7 @@
 // hangUpEvent tells that nobody waits for the call any more.
 type hangUpEvent struct{ e *openCall }
 
-func (h hangUpEvent) call() brain.RequestID { return h.e.id }
+func (h hangUpEvent) call() balancer.RequestID { return h.e.id }
 
 func (h hangUpEvent) handle(r *Router) {
 	if h.e.answered { // the answer was on its way
@@ -87,5 +87,5 @@
 	h.e.answered = true
 	h.e.over.Store(true)
 	defer r.book(h.e)
-	r.brain.HangUp(r.now(), h.e.id)
+	r.balancer.HandleDisconnect(r.now(), h.e.id)
 }
--- a/internal/routing/rest.go
+++ b/internal/routing/rest.go
@@ -26,7 +26,7 @@
 
 func (e restEvent) handle(r *Router) {
 	s := Rest{Calls: len(r.open), Names: len(r.names), Peers: len(r.peers), Timers: len(r.timers),
-		Watch: r.watch != nil, Carried: r.brain.Carried()}
+		Watch: r.watch != nil, Carried: r.balancer.WarmThroughput()}
 	for _, c := range r.open {
 		s.Tries += c.out
 	}
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 )
 
-// Send implements brain.Host, the third stage: it finds the peer that the
+// Send implements balancer.Host, the third stage: it finds the peer that the
 // Balancer chose and sends the try off. Its outcome comes back as an event even
 // if nothing can be sent, since a Host must not call back.
-func (r *Router) Send(id brain.RequestID, to brain.ServerID, holds brain.Time) {
+func (r *Router) Send(id balancer.RequestID, to balancer.ServerID, holds balancer.Time) {
 	e := r.open[id]
 	if e == nil {
 		return
@@ -40,12 +40,12 @@
 // run, which left no sooner than it was sent off. The decisions asked as they chose the peer; the connection may be up later
 // than that by more than a short window. A reload meanwhile makes it no longer. Zero: no window binds the next try.
 func (r *Router) beginBy(e *openCall) time.Time {
-	if e.as == nil || e.as.Effect != brain.Token {
+	if e.as == nil || e.as.Idempotency != balancer.IdempotencyKeyed {
 		return time.Time{}
 	}
 	for _, a := range e.tries {
 		if !a.in || !a.result.Result.NeverRan() {
-			return a.begun.Add(min(e.as.Window, r.set.Classes[e.Class].Window))
+			return a.begun.Add(min(e.as.DedupWindow, r.set.Classes[e.Class].DedupWindow))
 		}
 	}
 	return time.Time{}
@@ -55,10 +55,10 @@
 // start, of what it has by now. 0: it is warm, or there is no budget.
 func (r *Router) coldUnits(p *Peer) float64 {
 	now, born, set := r.now(), p.bornAt(), r.set
-	if r.gate == nil || born == 0 || set.Cold <= 0 || now-born >= brain.Time(set.Cold) {
+	if r.gate == nil || born == 0 || set.SlowStart <= 0 || now-born >= balancer.Time(set.SlowStart) {
 		return 0
 	}
-	least := max(set.ColdShare, 0.01)
-	age := max(float64(now-born), 0) / float64(set.Cold)
+	least := max(set.InitialCapacity, 0.01)
+	age := max(float64(now-born), 0) / float64(set.SlowStart)
 	return least / (least + (1-least)*age)
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/maintenance"
 )
 
@@ -20,7 +20,7 @@
 
 // Config is what a Router is made from.
 type Config struct {
-	Settings brain.Settings
+	Settings balancer.Settings
 	Seed     uint64
 	Known    Group // the list as this node had it last; maybe old
 	Carrier  Carrier
@@ -39,7 +39,7 @@
 	AdmitRetry() bool
 	// AdmitCold reports whether a try may leave for a peer that has just started. It costs one unit at first, and less as the
 	// peer warms.
-	AdmitCold(peer brain.ServerID, units float64) bool
+	AdmitCold(peer balancer.ServerID, units float64) bool
 	// Done hears that a call that was let through has its answer, or needs none any more.
 	Done(tenant int)
 }
@@ -65,17 +65,17 @@
 	stopped chan struct{}
 	waits   sync.Pool // of *wait
 
-	chosen chosen
-	set    brain.Settings
-	ctx    context.Context
-	brain  *brain.Balancer
-	peers  map[brain.ServerID]*Peer
-	open   map[brain.RequestID]*openCall
-	names  map[string]struct{} // of the open calls
-	lastID brain.RequestID
-	watch  *watch // nil: none runs
-	timers map[*wakeEvent]struct{}
-	tasks  sync.WaitGroup // what spawn and send started
+	chosen   chosen
+	set      balancer.Settings
+	ctx      context.Context
+	balancer *balancer.Balancer
+	peers    map[balancer.ServerID]*Peer
+	open     map[balancer.RequestID]*openCall
+	names    map[string]struct{} // of the open calls
+	lastID   balancer.RequestID
+	watch    *watch // nil: none runs
+	timers   map[*wakeEvent]struct{}
+	tasks    sync.WaitGroup // what spawn and send started
 }
 
 // New makes a Router; Run starts its decisions.
@@ -84,11 +84,11 @@
 		set: c.Settings, seed: c.Seed, known: c.Known, carrier: c.Carrier, watcher: c.Watcher, log: c.Log,
 		servers: c.Servers, gate: c.Gate, chosen: chosen{by: c.Chooser},
 		count: new(Counters), start: time.Now(), events: make(chan event, queueLength),
-		stopped: make(chan struct{}), peers: map[brain.ServerID]*Peer{}, open: map[brain.RequestID]*openCall{},
+		stopped: make(chan struct{}), peers: map[balancer.ServerID]*Peer{}, open: map[balancer.RequestID]*openCall{},
 		names: map[string]struct{}{}, timers: map[*wakeEvent]struct{}{},
 	}
 	r.advice.Store(int64(c.Settings.MaxRetryAfter))
-	r.ready.Store(slices.ContainsFunc(c.Known.Entries, func(s Entry) bool { return s.State != brain.Gone })) // calls wait for Run
+	r.ready.Store(slices.ContainsFunc(c.Known.Entries, func(s Entry) bool { return s.State != balancer.Removed })) // calls wait for Run
 	return r
 }
 
@@ -100,16 +100,16 @@
 
 // now is the Balancer's time: the wall clock at the start, run on by the
 // monotonic clock, so that it never goes back and peers' starts compare with it.
-func (r *Router) now() brain.Time { return r.brainTime(time.Now()) }
+func (r *Router) now() balancer.Time { return r.balancerTime(time.Now()) }
 
 // brainTime turns the clock's time into the Balancer's.
-func (r *Router) brainTime(t time.Time) brain.Time {
-	return brain.Time(r.start.UnixNano()) + brain.Time(t.Sub(r.start))
+func (r *Router) balancerTime(t time.Time) balancer.Time {
+	return balancer.Time(r.start.UnixNano()) + balancer.Time(t.Sub(r.start))
 }
 
 // instant turns it back.
-func (r *Router) instant(t brain.Time) time.Time {
-	return r.start.Add(time.Duration(t - brain.Time(r.start.UnixNano())))
+func (r *Router) instant(t balancer.Time) time.Time {
+	return r.start.Add(time.Duration(t - balancer.Time(r.start.UnixNano())))
 }
 
 // Run makes the decisions until ctx ends, and returns once all that it started
@@ -121,14 +121,14 @@
 	defer close(r.stopped)
 	r.ctx = ctx
 	var err error
-	if r.brain, err = brain.New(r.set, r.seed, r.now(), r); err != nil {
+	if r.balancer, err = balancer.New(r.set, r.seed, r.now(), r); err != nil {
 		return fmt.Errorf("routing: %w", err)
 	}
 	if r.chosen.by != nil {
 		r.chosen.by.Tell(func(now Choice) { r.post(chooseEvent{now}) })
 	}
 	r.known.At = time.Now()
-	r.known.Kind = brain.Cached
+	r.known.Kind = balancer.UpdateCached
 	r.learn(r.known)
 	for {
 		select {
@@ -156,7 +156,7 @@
 }
 
 // concerned is an event about one call, which fails if the event panics.
-type concerned interface{ call() brain.RequestID }
+type concerned interface{ call() balancer.RequestID }
 
 // post hands an event to the decision goroutine; it may wait, so that
 // goroutine itself never calls it. Once the decisions have ended it reports false.
@@ -206,14 +206,14 @@
 
 func (e *wakeEvent) handle(r *Router) {
 	delete(r.timers, e)
-	r.brain.Wake(r.now(), e.ref)
+	r.balancer.HandleTimer(r.now(), e.ref)
 }
 
 // setEvent brings changed settings.
-type setEvent struct{ set brain.Settings }
+type setEvent struct{ set balancer.Settings }
 
 func (e setEvent) handle(r *Router) {
-	if err := r.brain.Set(r.now(), r.chosen.settings(e.set)); err != nil {
+	if err := r.balancer.UpdateSettings(r.now(), r.chosen.settings(e.set)); err != nil {
 		r.log.Error("settings not taken", "reason", err.Error())
 		return
 	}
@@ -224,9 +224,9 @@
 
 // Set changes the settings of a running router. Their classes and tenants must
 // stand where they stood.
-func (r *Router) Set(set brain.Settings) { r.post(setEvent{set}) }
+func (r *Router) Set(set balancer.Settings) { r.post(setEvent{set}) }
 
-// SetTimer implements brain.Host.
+// SetTimer implements balancer.Host.
 func (r *Router) SetTimer(d time.Duration, ref uint64) {
 	e := &wakeEvent{ref: ref}
 	r.timers[e] = struct{}{}
@@ -239,5 +239,5 @@
 	}
 }
 
-// Log implements brain.Host.
+// Log implements balancer.Host.
 func (r *Router) Log(line string) { r.log.Info("decision", "line", line) }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 )
 
 // classes of the tests
@@ -19,22 +19,22 @@
 	unsafe
 )
 
-func testSettings() brain.Settings {
-	class := brain.Class{Aim: 10 * time.Second, Deadline: 20 * time.Second, Worth: 1, Effect: brain.Pure}
+func testSettings() balancer.Settings {
+	class := balancer.Class{LatencyObjective: 10 * time.Second, Deadline: 20 * time.Second, PriorityWeight: 1, Idempotency: balancer.Idempotent}
 	book := class
-	book.Effect = brain.SideEffect
-	return brain.Settings{
-		Classes: []brain.Class{class, book}, Nodes: 1, Cold: time.Second, ColdShare: 0.2, Overload: 3,
-		Fall: time.Second, TryLimit: 3, RetryAfter: true, MaxRetryAfter: time.Second, Cancel: true,
-		DrainGrace: time.Second, Ask: true, AskEvery: time.Second,
+	book.Idempotency = balancer.NonIdempotent
+	return balancer.Settings{
+		Classes: []balancer.Class{class, book}, Nodes: 1, SlowStart: time.Second, InitialCapacity: 0.2, OverloadFactor: 3,
+		OverloadWindow: time.Second, MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: time.Second, CancelAttempts: true,
+		DrainGrace: time.Second, PollDiscovery: true, PollInterval: time.Second,
 	}
 }
 
 // carrier answers each try by a function.
 type carrier func(ctx context.Context, t Try) TryResult
 
-func (c carrier) Try(ctx context.Context, t Try) TryResult        { return c(ctx, t) }
-func (c carrier) Probe(ctx context.Context, p *Peer) brain.Result { return brain.OK }
+func (c carrier) Try(ctx context.Context, t Try) TryResult           { return c(ctx, t) }
+func (c carrier) Probe(ctx context.Context, p *Peer) balancer.Result { return balancer.OK }
 
 // still is an upstream group that never changes.
 type still struct{}
@@ -44,10 +44,10 @@
 	return ctx.Err()
 }
 
-func listed(ids ...brain.ServerID) Group {
-	g := Group{Kind: brain.Full, At: time.Now()}
+func listed(ids ...balancer.ServerID) Group {
+	g := Group{Kind: balancer.UpdateFull, At: time.Now()}
 	for _, id := range ids {
-		g.Entries = append(g.Entries, Entry{Server: brain.Server{ID: id, Weight: 1, State: brain.Ready}, Addr: "a:1"})
+		g.Entries = append(g.Entries, Entry{Server: balancer.Server{ID: id, Weight: 1, State: balancer.Ready}, Addr: "a:1"})
 	}
 	return g
 }
@@ -56,7 +56,7 @@
 // they take the calls that wait for them.
 func TestReadyAtOnce(t *testing.T) {
 	gone := listed(7)
-	gone.Entries[0].State = brain.Gone
+	gone.Entries[0].State = balancer.Removed
 	for name, c := range map[string]struct {
 		known Group
 		ready bool
@@ -92,7 +92,7 @@
 }
 
 func TestAnswers(t *testing.T) {
-	ends := func(first, later brain.Result) carrier {
+	ends := func(first, later balancer.Result) carrier {
 		var mu sync.Mutex
 		n := 0
 		return func(ctx context.Context, try Try) TryResult {
@@ -107,20 +107,20 @@
 	for name, c := range map[string]struct {
 		class  int
 		answer carrier
-		peers  []brain.ServerID
+		peers  []balancer.ServerID
 		want   Verdict
 		tries  int64
 	}{
-		"served":                      {safe, ends(brain.OK, 0), []brain.ServerID{7, 8}, Served, 1},
+		"served":                      {safe, ends(balancer.OK, 0), []balancer.ServerID{7, 8}, Served, 1},
 		"no peer":                     {unsafe, nil, nil, Reject, 0},
-		"safe after an error":         {safe, ends(brain.Errored, brain.OK), []brain.ServerID{7, 8}, Served, 2},
-		"unsafe after an error":       {unsafe, ends(brain.Errored, brain.OK), []brain.ServerID{7, 8}, Failed, 1},
-		"unsafe after a reset":        {unsafe, ends(brain.Reset, brain.OK), []brain.ServerID{7, 8}, Failed, 1},
-		"unsafe turned away":          {unsafe, ends(brain.Rejected, brain.OK), []brain.ServerID{7, 8}, Served, 2},
-		"unsafe not connected":        {unsafe, ends(brain.ConnectFailed, brain.OK), []brain.ServerID{7, 8}, Served, 2},
-		"unsafe, connected nowhere":   {unsafe, ends(brain.ConnectFailed, brain.ConnectFailed), []brain.ServerID{7, 8}, Reject, 2},
-		"a carrier that panics":       {unsafe, func(context.Context, Try) TryResult { panic("carrier") }, []brain.ServerID{7}, Failed, 1},
-		"a class that does not exist": {9, nil, []brain.ServerID{7}, Failed, 0},
+		"safe after an error":         {safe, ends(balancer.Errored, balancer.OK), []balancer.ServerID{7, 8}, Served, 2},
+		"unsafe after an error":       {unsafe, ends(balancer.Errored, balancer.OK), []balancer.ServerID{7, 8}, Failed, 1},
+		"unsafe after a reset":        {unsafe, ends(balancer.Reset, balancer.OK), []balancer.ServerID{7, 8}, Failed, 1},
+		"unsafe turned away":          {unsafe, ends(balancer.Rejected, balancer.OK), []balancer.ServerID{7, 8}, Served, 2},
+		"unsafe not connected":        {unsafe, ends(balancer.ConnectFailed, balancer.OK), []balancer.ServerID{7, 8}, Served, 2},
+		"unsafe, connected nowhere":   {unsafe, ends(balancer.ConnectFailed, balancer.ConnectFailed), []balancer.ServerID{7, 8}, Reject, 2},
+		"a carrier that panics":       {unsafe, func(context.Context, Try) TryResult { panic("carrier") }, []balancer.ServerID{7}, Failed, 1},
+		"a class that does not exist": {9, nil, []balancer.ServerID{7}, Failed, 0},
 	} {
 		r := started(t, c.answer, listed(c.peers...))
 		a, ok := r.Take(t.Context(), call(c.class, time.Minute))
@@ -140,7 +140,7 @@
 		defer stop()
 		<-ctx.Done()
 		cause <- context.Cause(ctx)
-		return TryResult{Result: brain.TimedOut}
+		return TryResult{Result: balancer.TimedOut}
 	}, listed(7))
 	c := call(unsafe, 100*time.Millisecond)
 	if a, ok := r.Take(t.Context(), c); !ok || a.Verdict != Overdue || time.Since(c.Arrived) < 90*time.Millisecond {
@@ -159,7 +159,7 @@
 		hangUp()
 		<-ctx.Done()
 		cause <- context.Cause(ctx)
-		return TryResult{Result: brain.Cancelled}
+		return TryResult{Result: balancer.Cancelled}
 	}, listed(7))
 	if _, ok := r.Take(ctx, call(safe, time.Minute)); ok {
 		t.Error("a client that has gone was answered")
@@ -243,10 +243,10 @@
 }
 
 // faulty is an event that panics over a call, as a fault in a decision would.
-type faulty struct{ id brain.RequestID }
+type faulty struct{ id balancer.RequestID }
 
-func (f faulty) call() brain.RequestID { return f.id }
-func (f faulty) handle(*Router)        { panic("decision") }
+func (f faulty) call() balancer.RequestID { return f.id }
+func (f faulty) handle(*Router)           { panic("decision") }
 
 // TestPanicInDecision: the call concerned fails at once, the node goes on.
 func TestPanicInDecision(t *testing.T) {
@@ -255,9 +255,9 @@
 		if try.Payload == "first" {
 			out <- struct{}{}
 			<-ctx.Done()
-			return TryResult{Result: brain.Cancelled}
+			return TryResult{Result: balancer.Cancelled}
 		}
-		return TryResult{Result: brain.OK}
+		return TryResult{Result: balancer.OK}
 	}, listed(7))
 	first := call(safe, time.Minute)
 	first.Payload = "first"
@@ -284,7 +284,7 @@
 	r := started(t, func(context.Context, Try) TryResult {
 		out <- true
 		<-release
-		return TryResult{Result: brain.OK}
+		return TryResult{Result: balancer.OK}
 	}, listed(7))
 	answers := make(chan Answer, 100)
 	take := func() {
@@ -295,10 +295,10 @@
 		go take()
 	}
 	<-out
-	open := make(chan []brain.RequestID)
-	for waiting := []brain.RequestID(nil); ; {
+	open := make(chan []balancer.RequestID)
+	for waiting := []balancer.RequestID(nil); ; {
 		r.post(look(func(r *Router) {
-			var ids []brain.RequestID
+			var ids []balancer.RequestID
 			for id, e := range r.open {
 				if len(e.tries) == 0 {
 					ids = append(ids, id)
@@ -334,7 +334,7 @@
 func TestRaces(t *testing.T) {
 	r := started(t, func(ctx context.Context, try Try) TryResult {
 		try.Payload.(context.CancelFunc)()
-		return TryResult{Result: brain.OK}
+		return TryResult{Result: balancer.OK}
 	}, listed(7, 8, 9))
 	var all sync.WaitGroup
 	const n = 300
@@ -370,7 +370,7 @@
 	go r.Run(t.Context())
 	for _, g := range []Group{listed(), listed(7)} {
 		lists <- g
-		lists <- Group{Kind: brain.Delta}
+		lists <- Group{Kind: balancer.UpdateDelta}
 		seen := make(chan bool)
 		r.post(look(func(r *Router) { seen <- r.Ready() }))
 		if got := <-seen; got != (len(g.Entries) > 0) {
@@ -403,18 +403,18 @@
 	r := newRouter(nil, listed(7, 8))
 	r.watcher = lists
 	go r.Run(t.Context())
-	see := func(id brain.ServerID) (p Peer) {
+	see := func(id balancer.ServerID) (p Peer) {
 		seen := make(chan Peer)
 		r.post(look(func(r *Router) { seen <- *r.peers[id] }))
 		return <-seen
 	}
 	told := func(g Group) {
 		lists <- g
-		lists <- Group{Kind: brain.Delta} // the second is taken once the first is posted
+		lists <- Group{Kind: balancer.UpdateDelta} // the second is taken once the first is posted
 	}
 	draining := listed(7)
-	draining.Kind = brain.Delta
-	draining.Entries[0].State = brain.Draining
+	draining.Kind = balancer.UpdateDelta
+	draining.Entries[0].State = balancer.Draining
 	told(draining)
 	grace, at := time.Second, draining.At
 	if p := see(7); !p.OpenFor(at, grace) || p.OpenFor(at.Add(grace*3/4), grace) {
@@ -445,7 +445,7 @@
 	r := newRouter(nil, listed())
 	r.watcher = first
 	go r.Run(t.Context())
-	first <- Group{Kind: brain.Delta}
+	first <- Group{Kind: balancer.UpdateDelta}
 	old := make(chan *watch, 1)
 	r.post(look(func(r *Router) { old <- r.watch }))
 	left := <-old
@@ -456,7 +456,7 @@
 	second <- errors.New("broken")
 	third := make(scripted)
 	r.Follow(third)
-	third <- Group{Kind: brain.Delta} // without the pause that a failure brings: the test would hang
+	third <- Group{Kind: balancer.UpdateDelta} // without the pause that a failure brings: the test would hang
 	peers := make(chan int)
 	r.post(look(func(r *Router) {
 		if r.peers[7] == nil {
@@ -496,8 +496,8 @@
 	if a, _ := r.Take(t.Context(), named); a.Verdict != Twice {
 		t.Errorf("while the first's try is out: %+v", a)
 	}
-	release <- TryResult{Result: brain.Cancelled}
-	go func() { release <- TryResult{Result: brain.OK} }()
+	release <- TryResult{Result: balancer.Cancelled}
+	go func() { release <- TryResult{Result: balancer.OK} }()
 	for a := (Answer{Verdict: Twice}); a.Verdict != Served; { // until the outcome is in
 		if a, _ = r.Take(t.Context(), named); a.Verdict != Served && a.Verdict != Twice {
 			t.Fatalf("%+v", a)
@@ -522,8 +522,8 @@
 	if len(r.peers) != 2 {
 		t.Error("a peer that has just left is not known")
 	}
-	r.brain.List(r.now()+brain.Time(time.Hour), brain.Delta, nil)
-	r.learn(Group{Kind: brain.Delta})
+	r.balancer.HandleServers(r.now()+balancer.Time(time.Hour), balancer.UpdateDelta, nil)
+	r.learn(Group{Kind: balancer.UpdateDelta})
 	if len(r.peers) != 1 || r.peers[8] == nil {
 		t.Errorf("kept: %v", r.peers)
 	}
@@ -537,7 +537,7 @@
 			<-ctx.Done()
 			time.Sleep(time.Millisecond)
 			left.Store(true)
-			return TryResult{Result: brain.Cancelled}
+			return TryResult{Result: balancer.Cancelled}
 		}, listed(7))
 		ctx, stop := context.WithCancel(t.Context())
 		over := make(chan error)
--- a/internal/routing/send.go
+++ b/internal/routing/send.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 )
 
 // ErrCalledOff is the cause with which a try's context ends when the Balancer
@@ -22,8 +22,8 @@
 	go a.run()
 }
 
-// Cancel implements brain.Host.
-func (r *Router) Cancel(id brain.RequestID, attempt int) {
+// Cancel implements balancer.Host.
+func (r *Router) Cancel(id balancer.RequestID, attempt int) {
 	if e := r.open[id]; e != nil && attempt >= 0 && attempt < len(e.tries) && !e.tries[attempt].in {
 		r.count.CalledOff.Add(1)
 		e.tries[attempt].end(ErrCalledOff)
--- a/internal/routing/window_test.go
+++ b/internal/routing/window_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 )
 
 // TestWindowOverAReload: a further try must begin within the window that its call's class had as it came, whatever a reload
@@ -19,9 +19,9 @@
 		{time.Minute, time.Second, time.Second},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			settings := func(window time.Duration) brain.Settings {
+			settings := func(window time.Duration) balancer.Settings {
 				set := testSettings()
-				set.Classes[safe].Effect, set.Classes[safe].Scope, set.Classes[safe].Window = brain.Token, brain.ScopeAll, window
+				set.Classes[safe].Idempotency, set.Classes[safe].DedupScope, set.Classes[safe].DedupWindow = balancer.IdempotencyKeyed, balancer.DedupFleet, window
 				return set
 			}
 			out, further := make(chan bool), make(chan time.Time, 1)
@@ -30,11 +30,11 @@
 				Carrier: carrier(func(_ context.Context, try Try) TryResult {
 					if try.Attempt > 0 {
 						further <- try.BeginBy
-						return TryResult{Result: brain.OK}
+						return TryResult{Result: balancer.OK}
 					}
 					out <- true
 					<-out
-					return TryResult{Result: brain.Errored}
+					return TryResult{Result: balancer.Errored}
 				})})
 			ctx, stop := context.WithCancel(t.Context())
 			go r.Run(ctx)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 )
 
 // parser reads path=value pairs and keeps the first fault.
@@ -110,7 +110,7 @@
 }
 
 // ParseText reads settings written one path=value a line.
-func ParseText(text []byte) (brain.Settings, error) {
+func ParseText(text []byte) (balancer.Settings, error) {
 	pairs := map[string]string{}
 	for line := range strings.Lines(string(text)) {
 		if k, v, ok := strings.Cut(strings.TrimRight(line, "\r\n"), "="); ok {
@@ -125,42 +125,42 @@
 // and late_worth (0), classes[].stream and contract.dropped_stay_open (false), over_share_worth (1), prices (0), and
 // ask_every, which is needed only where the list must be asked for. extra.warm_keys and
 // extra.passes_deadline are not read: the module always keeps keys to their servers, and uses neither.
-func Decode(pairs map[string]string) (brain.Settings, error) {
+func Decode(pairs map[string]string) (balancer.Settings, error) {
 	p := &parser{pairs: pairs}
-	s := brain.Settings{
-		Nodes:          p.atLeastOne("n_instances"),
-		WorthByWork:    choice(p, "worth_by", map[string]bool{"work": true, "request": false}),
-		OverShareWorth: p.optional("over_share_worth", 1),
-		LiveWeights:    p.text("weights") == "live",
-		Ask:            choice(p, "discovery", map[string]bool{"subscribe": true, "automatic": false}),
-		DrainGrace:     p.duration("contract.drain_grace"),
-		DroppedStay:    p.optionalFlag("contract.dropped_stay_open"),
-		ColdShare:      p.number("contract.cold_share"),
-		Cold:           p.duration("contract.cold"),
-		Overload:       p.number("contract.overload_factor"),
-		Fall:           p.duration("contract.fall"),
-		TryLimit:       p.atLeastOne("limits.try_limit"),
-		Probes:         p.flag("limits.probes"),
-		Zones:          1 + strings.Count(p.pairs["zones"], ","),
-		CrossPrice:     p.optional("prices.cross_zone", 0),
-		ProbePrice:     p.optional("prices.probe", 0),
-		Cancel:         p.flag("limits.cancel"),
-		SecondCopies:   p.flag("limits.second_copies"),
-		RetryAfter:     p.flag("limits.retry_after"),
-		MaxRetryAfter:  p.duration("limits.max_retry_after"),
+	s := balancer.Settings{
+		Nodes:                p.atLeastOne("n_instances"),
+		WeightPerWork:        choice(p, "worth_by", map[string]bool{"work": true, "request": false}),
+		OverQuotaWeightShare: p.optional("over_share_worth", 1),
+		LiveWeights:          p.text("weights") == "live",
+		PollDiscovery:        choice(p, "discovery", map[string]bool{"subscribe": true, "automatic": false}),
+		DrainGrace:           p.duration("contract.drain_grace"),
+		ServeRemoved:         p.optionalFlag("contract.dropped_stay_open"),
+		InitialCapacity:      p.number("contract.cold_share"),
+		SlowStart:            p.duration("contract.cold"),
+		OverloadFactor:       p.number("contract.overload_factor"),
+		OverloadWindow:       p.duration("contract.fall"),
+		MaxAttempts:          p.atLeastOne("limits.try_limit"),
+		HealthChecks:         p.flag("limits.probes"),
+		Zones:                1 + strings.Count(p.pairs["zones"], ","),
+		CrossZoneCost:        p.optional("prices.cross_zone", 0),
+		HealthCheckCost:      p.optional("prices.probe", 0),
+		CancelAttempts:       p.flag("limits.cancel"),
+		Hedging:              p.flag("limits.second_copies"),
+		RetryAfter:           p.flag("limits.retry_after"),
+		MaxRetryAfter:        p.duration("limits.max_retry_after"),
 	}
 	s.Zone = p.place("zone", s.Zones)
-	if s.Ask {
-		s.AskEvery = p.duration("contract.ask_every")
+	if s.PollDiscovery {
+		s.PollInterval = p.duration("contract.ask_every")
 	}
 	p.text("classes.count")
 	for i := range p.count("classes.count", 0) {
 		k := "classes." + strconv.Itoa(i) + "."
-		c := brain.Class{
-			Aim: p.duration(k + "aim"), AimStretch: p.optional(k+"aim_stretch", 0), Deadline: p.duration(k + "deadline"),
-			Worth: p.number(k + "gain"), LateWorth: p.optional(k+"late_worth", 0), Stream: p.optionalFlag(k + "stream"),
-			Effect: choice(p, k+"idempotency", map[string]brain.Effect{
-				"pure": brain.Pure, "token": brain.Token, "side_effect": brain.SideEffect}),
+		c := balancer.Class{
+			LatencyObjective: p.duration(k + "aim"), ObjectivePerWork: p.optional(k+"aim_stretch", 0), Deadline: p.duration(k + "deadline"),
+			PriorityWeight: p.number(k + "gain"), LateWeightShare: p.optional(k+"late_worth", 0), Streaming: p.optionalFlag(k + "stream"),
+			Idempotency: choice(p, k+"idempotency", map[string]balancer.Idempotency{
+				"pure": balancer.Idempotent, "token": balancer.IdempotencyKeyed, "side_effect": balancer.NonIdempotent}),
 		}
 		if c.Deadline == 0 {
 			p.fail(k+"deadline", "nothing can be answered within no time")
@@ -168,16 +168,16 @@
 		if p.optionalFlag(k + "serial_by_key") {
 			p.fail(k+"serial_by_key", "the order of a key's requests is not kept")
 		}
-		if c.Effect == brain.Token {
-			c.Scope = choice(p, k+"key_scope", map[string]brain.Scope{
-				"all": brain.ScopeAll, "zone": brain.ScopeZone, "cell": brain.ScopeCell})
-			c.Window = p.duration(k + "window")
+		if c.Idempotency == balancer.IdempotencyKeyed {
+			c.DedupScope = choice(p, k+"key_scope", map[string]balancer.DedupScope{
+				"all": balancer.DedupFleet, "zone": balancer.DedupZone, "cell": balancer.DedupCell})
+			c.DedupWindow = p.duration(k + "window")
 		}
 		s.Classes = append(s.Classes, c)
 	}
 	for i := range p.count("tenants.count", 0) {
 		k := "tenants." + strconv.Itoa(i) + "."
-		t := brain.Tenant{Share: p.number(k + "share")}
+		t := balancer.Tenant{Share: p.number(k + "share")}
 		if _, set := p.pairs[k+"quota_per_s"]; set { // a quota of nothing is one too: a tiny share's, in whole requests
 			t.Quota = max(p.number(k+"quota_per_s"), math.SmallestNonzeroFloat64)
 		}
@@ -191,12 +191,12 @@
 
 // DecodeJSON reads settings written as one nested JSON object, with the names
 // and units of the text.
-func DecodeJSON(data []byte) (brain.Settings, error) {
+func DecodeJSON(data []byte) (balancer.Settings, error) {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.UseNumber() // a number keeps the form that the text has
 	var tree map[string]any
 	if err := d.Decode(&tree); err != nil {
-		return brain.Settings{}, fmt.Errorf("settings: %w", err)
+		return balancer.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	pairs := map[string]string{}
 	flatten(pairs, "", tree)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 )
 
 const sample = `classes.count=2
@@ -49,9 +49,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(s.Classes) != 2 || s.Classes[1].Scope != brain.ScopeZone || s.Classes[1].Window != 6*time.Second ||
-		s.Classes[1].AimStretch != 0 || len(s.Tenants) != 1 || s.Tenants[0].Quota != 153 || !s.LiveWeights || !s.Ask ||
-		s.AskEvery != 10*time.Second || s.Nodes != 5 || s.DroppedStay || s.OverShareWorth != 1 || !s.WorthByWork {
+	if len(s.Classes) != 2 || s.Classes[1].DedupScope != balancer.DedupZone || s.Classes[1].DedupWindow != 6*time.Second ||
+		s.Classes[1].ObjectivePerWork != 0 || len(s.Tenants) != 1 || s.Tenants[0].Quota != 153 || !s.LiveWeights || !s.PollDiscovery ||
+		s.PollInterval != 10*time.Second || s.Nodes != 5 || s.ServeRemoved || s.OverQuotaWeightShare != 1 || !s.WeightPerWork {
 		t.Errorf("got %+v", s)
 	}
 	for _, odd := range []string{"classes.1.serial_by_key=maybe", "classes.1.serial_by_key=true"} {
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/protocol"
 	"olivebridge/internal/routing"
 )
@@ -77,7 +77,7 @@
 	t := tryOf(routing.NewPeer(1, "s-1", l.Addr().String()), "GET", "")
 	b.ReportAllocs()
 	for b.Loop() {
-		if r := k.Try(context.Background(), t); r.Result != brain.OK {
+		if r := k.Try(context.Background(), t); r.Result != balancer.OK {
 			b.Fatal(r)
 		}
 	}
--- a/internal/transport/carrier.go
+++ b/internal/transport/carrier.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/protocol"
 	"olivebridge/internal/routing"
 )
@@ -69,14 +69,14 @@
 func (k *Carrier) Try(ctx context.Context, t routing.Try) routing.TryResult {
 	m, ok := t.Payload.(*message)
 	if !ok || !m.hold() { // its front has done with it: the call is over
-		return routing.TryResult{Result: brain.Moot}
+		return routing.TryResult{Result: balancer.NotSent}
 	}
 	defer m.release()
 	return k.exchange(ctx, t, m, true)
 }
 
 // Probe implements routing.Carrier.
-func (k *Carrier) Probe(ctx context.Context, p *routing.Peer) brain.Result {
+func (k *Carrier) Probe(ctx context.Context, p *routing.Peer) balancer.Result {
 	t := routing.Try{Peer: p, Until: time.Now().Add(4 * k.config.Load().ConnectTimeout)}
 	r := k.exchange(ctx, t, newMessage(&k.buffers, http.MethodGet, protocol.PathLive, p.Addr, nil, 0), false)
 	if d, ok := r.Reply.(routing.Dropper); ok {
@@ -107,15 +107,15 @@
 	cause := causeOf(ctx, t.Until, now)
 	switch {
 	case err != nil && (ctx.Err() != nil || cause != nil && !fair || k.pool.lacks(err, now)):
-		return routing.TryResult{Result: brain.Moot} // not the peer's doing
+		return routing.TryResult{Result: balancer.NotSent} // not the peer's doing
 	case err != nil:
-		return routing.TryResult{Result: brain.ConnectFailed}
+		return routing.TryResult{Result: balancer.ConnectFailed}
 	case cause != nil || !stands || !t.MayBegin(now) || m.left(t.Attempt, now):
 		k.pool.put(c)
-		return routing.TryResult{Result: brain.Moot}
+		return routing.TryResult{Result: balancer.NotSent}
 	case !t.Peer.OpenFor(now, k.config.Load().DrainGrace):
 		c.end("not-sent")
-		return routing.TryResult{Result: brain.Moot}
+		return routing.TryResult{Result: balancer.NotSent}
 	}
 	if m.up != nil {
 		return k.carryUpload(ctx, t, m, c)
@@ -134,9 +134,9 @@
 		cause := causeOf(ctx, t.Until, time.Now())
 		c.end(reasonOf(cause, "reset"))
 		if cause != nil {
-			return routing.TryResult{Result: brain.Moot}
+			return routing.TryResult{Result: balancer.NotSent}
 		}
-		return routing.TryResult{Result: brain.ConnectFailed}
+		return routing.TryResult{Result: balancer.ConnectFailed}
 	}
 	return k.receive(ctx, t, c, watch)
 }
@@ -148,9 +148,9 @@
 	a, err := readAnswer(c, in, &k.buffers, t.Until)
 	undisturbed := watch.end()
 	res := protocol.ResultOf(a.status, a.values(protocol.HeaderRejected))
-	if err == nil && a.rest != nil && res == brain.OK && undisturbed {
+	if err == nil && a.rest != nil && res == balancer.OK && undisturbed {
 		a.rest.carrier, a.rest.last = k, a.last
-		return routing.TryResult{Result: brain.OK, Reply: &reply{fields: a.endToEnd(), body: a.body, rest: a.rest}}
+		return routing.TryResult{Result: balancer.OK, Reply: &reply{fields: a.endToEnd(), body: a.body, rest: a.rest}}
 	}
 	surplus := in.Buffered() > 0
 	in.Reset(nil)
@@ -158,9 +158,9 @@
 	switch {
 	case err != nil:
 		return routing.TryResult{Result: c.ended(err, causeOf(ctx, c.deadline(t.Until), time.Now()))}
-	case a.rest != nil && res == brain.OK:
+	case a.rest != nil && res == balancer.OK:
 		c.end("called-off")
-		return routing.TryResult{Result: brain.Cancelled}
+		return routing.TryResult{Result: balancer.Cancelled}
 	case a.rest != nil: // no reader wants the rest of a failure
 		c.end("oversize")
 	case surplus: // guards the next call: it may be taken for its answer
@@ -173,11 +173,11 @@
 		k.keep(c)
 	}
 	p := &reply{fields: a.endToEnd(), body: a.body, buf: a.buf}
-	if res != brain.OK {
+	if res != balancer.OK {
 		p.free()
 		return routing.TryResult{Result: res}
 	}
-	return routing.TryResult{Result: brain.OK, Reply: p}
+	return routing.TryResult{Result: balancer.OK, Reply: p}
 }
 
 // causeOf says why a try is given up; nil: it is not.
@@ -193,23 +193,23 @@
 
 // ended closes a connection that brought no whole answer and says what that
 // means for its try, which was written whole and so may have run.
-func (c *peerConn) ended(err, cause error) brain.Result {
+func (c *peerConn) ended(err, cause error) balancer.Result {
 	switch {
 	case errors.Is(err, errOversize):
 		c.end("oversize")
-		return brain.Errored
+		return balancer.Errored
 	case c.failed == nil: // the bytes are there, and no answer
 		c.end("spoilt")
-		return brain.Errored
+		return balancer.Errored
 	}
 	c.end(reasonOf(cause, "reset"))
 	switch {
 	case cause == routing.ErrTimeUp:
-		return brain.TimedOut
+		return balancer.TimedOut
 	case cause != nil:
-		return brain.Cancelled
+		return balancer.Cancelled
 	default:
-		return brain.Reset
+		return balancer.Reset
 	}
 }
 
--- a/internal/transport/clientleft_test.go
+++ b/internal/transport/clientleft_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/routing"
 )
 
@@ -43,7 +43,7 @@
 			for _, reset := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s, %d bytes behind, reset %v", name, len(behind), reset), func(t *testing.T) {
 					t.Parallel()
-					taken, goOn, ended := make(chan bool), make(chan bool), make(chan brain.Result)
+					taken, goOn, ended := make(chan bool), make(chan bool), make(chan balancer.Result)
 					first := listenOn(t, func(conn net.Conn) {
 						in := bufio.NewReader(conn)
 						in.ReadByte()
@@ -98,7 +98,7 @@
 					client.Close()
 					time.Sleep(leftAfter)
 					close(goOn)
-					if r := <-ended; r != brain.Moot {
+					if r := <-ended; r != balancer.NotSent {
 						t.Errorf("the try ended with %d", r)
 					}
 					k.Close()
--- a/internal/transport/cutanswer_test.go
+++ b/internal/transport/cutanswer_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 )
 
 // announced is a connection that tells when a read of it begins: whatever came before has been taken by then.
@@ -27,7 +27,7 @@
 
 // cutting tries by a carrier whose one connection goes to a peer that gives the bytes of an answer, and ends when the carrier
 // has taken them and waits for more: by a reset, or in order.
-func cutting(t *testing.T, given string, reset bool) (try func() brain.Result) {
+func cutting(t *testing.T, given string, reset bool) (try func() balancer.Result) {
 	t.Helper()
 	reads := make(chan struct{}, 100)
 	p := listenOn(t, func(conn net.Conn) {
@@ -52,7 +52,7 @@
 			c, err := connOf(conn)
 			return announced{c, reads}, err
 		}})
-	return func() brain.Result {
+	return func() balancer.Result {
 		r := k.Try(t.Context(), tryOf(p, "GET", ""))
 		if r.Reply == nil || r.Reply.(*reply).rest == nil {
 			return r.Result
@@ -61,7 +61,7 @@
 		_, err := io.Copy(io.Discard, rest)
 		rest.end("called-off")
 		if err != nil { // a client that is passed this can tell
-			return brain.Reset
+			return balancer.Reset
 		}
 		return r.Result
 	}
@@ -75,25 +75,25 @@
 	const chunks = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for name, c := range map[string]struct {
 		given   string
-		inOrder brain.Result // what an orderly end makes of it
+		inOrder balancer.Result // what an orderly end makes of it
 	}{
-		"before it":                {"", brain.Reset},
-		"in its first line":        {"HTTP/1.1 20", brain.Reset},
-		"in its head":              {"HTTP/1.1 200 OK\r\nContent-Le", brain.Reset},
-		"behind its head":          {sized, brain.Reset},
-		"in its body":              {sized + "part", brain.Reset},
-		"in a rejection":           {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 4\r\n\r\nno", brain.Reset},
-		"behind a head ahead":      {"HTTP/1.1 103 X\r\n\r\n", brain.Reset},
-		"in a chunk":               {chunks + "9\r\npart", brain.Reset},
-		"between chunks":           {chunks + "4\r\npart\r\n", brain.Reset},
-		"behind the last chunk":    {chunks + "4\r\npart\r\n0\r\n", brain.Reset},
-		"without length, no body":  {open, brain.OK},
-		"without length, in body":  {open + "part", brain.OK},
-		"1.0, without length":      {"HTTP/1.0 200 OK\r\nConnection: close\r\n\r\npart", brain.OK},
-		"a rejection, no length":   {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nConnection: close\r\n\r\nno", brain.Rejected},
-		"a failure without length": {"HTTP/1.1 500 X\r\nConnection: close\r\n\r\nno", brain.Errored},
+		"before it":                {"", balancer.Reset},
+		"in its first line":        {"HTTP/1.1 20", balancer.Reset},
+		"in its head":              {"HTTP/1.1 200 OK\r\nContent-Le", balancer.Reset},
+		"behind its head":          {sized, balancer.Reset},
+		"in its body":              {sized + "part", balancer.Reset},
+		"in a rejection":           {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 4\r\n\r\nno", balancer.Reset},
+		"behind a head ahead":      {"HTTP/1.1 103 X\r\n\r\n", balancer.Reset},
+		"in a chunk":               {chunks + "9\r\npart", balancer.Reset},
+		"between chunks":           {chunks + "4\r\npart\r\n", balancer.Reset},
+		"behind the last chunk":    {chunks + "4\r\npart\r\n0\r\n", balancer.Reset},
+		"without length, no body":  {open, balancer.OK},
+		"without length, in body":  {open + "part", balancer.OK},
+		"1.0, without length":      {"HTTP/1.0 200 OK\r\nConnection: close\r\n\r\npart", balancer.OK},
+		"a rejection, no length":   {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nConnection: close\r\n\r\nno", balancer.Rejected},
+		"a failure without length": {"HTTP/1.1 500 X\r\nConnection: close\r\n\r\nno", balancer.Errored},
 	} {
-		for reset, want := range map[bool]brain.Result{true: brain.Reset, false: c.inOrder} {
+		for reset, want := range map[bool]balancer.Result{true: balancer.Reset, false: c.inOrder} {
 			if got := cutting(t, c.given, reset)(); got != want {
 				t.Errorf("%s, reset %v: result %d, want %d", name, reset, got, want)
 			}
--- a/internal/transport/errorpaths_test.go
+++ b/internal/transport/errorpaths_test.go
@@ -14,22 +14,22 @@
 	"testing"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/protocol"
 	"olivebridge/internal/routing"
 )
 
 // through is a front whose calls a carrier brings to one peer; what becomes of each try is told.
-func through(t *testing.T, p *routing.Peer, most int) (addr string, front *Front, k *Carrier, log lines, results chan brain.Result) {
+func through(t *testing.T, p *routing.Peer, most int) (addr string, front *Front, k *Carrier, log lines, results chan balancer.Result) {
 	t.Helper()
 	k, log = newCarrier(time.Second)
-	results = make(chan brain.Result, 10)
+	results = make(chan balancer.Result, 10)
 	addr, front, _ = newFront(t, most, func(_ context.Context, c routing.Call) (routing.Answer, bool) {
 		// as in a node, a try's end is not its client's: net/http ends that as soon as a body's reading is cut short
 		r := k.Try(t.Context(), routing.Try{Peer: p, Until: time.Now().Add(time.Minute), Payload: c.Payload,
 			Budget: time.Minute, Written: func() {}})
 		results <- r.Result
-		if r.Result != brain.OK {
+		if r.Result != balancer.OK {
 			return routing.Answer{Verdict: routing.Reject, RetryAfter: time.Second}, true
 		}
 		return routing.Answer{Verdict: routing.Served, Reply: r.Reply}, true
@@ -118,7 +118,7 @@
 		})
 		k, _ := newCarrier(time.Second)
 		r := k.Try(t.Context(), tryOf(p, "GET", ""))
-		if r.Result != brain.OK {
+		if r.Result != balancer.OK {
 			t.Fatal(name, r.Result)
 		}
 		rest, got, err := r.Reply.(*reply).rest, 0, error(nil)
@@ -160,20 +160,20 @@
 		raw    string
 		then   func(*client) // once the raw bytes are out; nil: nothing
 		status int
-		result brain.Result
+		result balancer.Result
 	}{
-		"the peer answers early": {reads(1000, early), sized + some, nil, 200, brain.OK},
-		"the peer turns it away": {reads(1000, turned), sized + some, nil, 503, brain.Rejected},
-		"the peer fails early":   {reads(1000, strings.Replace(turned, "X-Rejected", "X", 1)), sized + some, nil, 503, brain.ConnectFailed},
-		"the peer closes":        {reads(1000, ""), sized + some, nil, 503, brain.ConnectFailed},
-		"chunks that are none":   {reads(1<<20, early), "Transfer-Encoding: chunked\r\n\r\n19000\r\n" + some + "\r\nzz\r\n", nil, 400, brain.Moot},
+		"the peer answers early": {reads(1000, early), sized + some, nil, 200, balancer.OK},
+		"the peer turns it away": {reads(1000, turned), sized + some, nil, 503, balancer.Rejected},
+		"the peer fails early":   {reads(1000, strings.Replace(turned, "X-Rejected", "X", 1)), sized + some, nil, 503, balancer.ConnectFailed},
+		"the peer closes":        {reads(1000, ""), sized + some, nil, 503, balancer.ConnectFailed},
+		"chunks that are none":   {reads(1<<20, early), "Transfer-Encoding: chunked\r\n\r\n19000\r\n" + some + "\r\nzz\r\n", nil, 400, balancer.NotSent},
 		"beyond all bounds": {func(conn net.Conn) { io.Copy(io.Discard, conn) }, "Transfer-Encoding: chunked\r\n\r\n", func(k *client) {
 			for part := fmt.Sprintf("%x\r\n%s\r\n", len(some), some); ; {
 				if _, err := io.WriteString(k, part); err != nil {
 					return
 				}
 			}
-		}, 413, brain.Moot},
+		}, 413, balancer.NotSent},
 	} {
 		addr, _, k, _, results := through(t, listenOn(t, c.peer), 10)
 		conn := dial(t, addr)
@@ -207,12 +207,12 @@
 		ended, stop := context.WithCancelCause(ctx)
 		try := routing.Try{Peer: p, Until: time.Now().Add(time.Minute), Payload: c.Payload, Written: func() {}}
 		time.AfterFunc(20*time.Millisecond, func() { stop(routing.ErrCalledOff) })
-		for i, want := range []brain.Result{brain.Moot, brain.Moot} {
+		for i, want := range []balancer.Result{balancer.NotSent, balancer.NotSent} {
 			if r := k.Try(ended, try); r.Result != want {
 				t.Errorf("try %d: %d", i, r.Result)
 			}
 		}
-		if r := k.Try(ctx, try); r.Result != brain.Moot { // it has a connection, and no body
+		if r := k.Try(ctx, try); r.Result != balancer.NotSent { // it has a connection, and no body
 			t.Errorf("once more: %d", r.Result)
 		}
 		return routing.Answer{Verdict: routing.Failed}, true
--- a/internal/transport/lateconn_test.go
+++ b/internal/transport/lateconn_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/routing"
 )
 
@@ -28,15 +28,15 @@
 
 // decided is a router that runs over a carrier and peers of one zone that have just started, each of which serves its
 // connections so.
-func decided(t *testing.T, k *Carrier, set brain.Settings, peers int, serve func(net.Conn)) *routing.Router {
+func decided(t *testing.T, k *Carrier, set balancer.Settings, peers int, serve func(net.Conn)) *routing.Router {
 	t.Helper()
 	class := &set.Classes[0]
-	class.Aim, class.Deadline, class.Worth = 10*time.Second, 20*time.Second, 1
-	set.Nodes, set.TryLimit, set.Cancel = 1, 3, true
-	known := routing.Group{Kind: brain.Full, At: time.Now()}
-	for id := range brain.ServerID(peers) {
+	class.LatencyObjective, class.Deadline, class.PriorityWeight = 10*time.Second, 20*time.Second, 1
+	set.Nodes, set.MaxAttempts, set.CancelAttempts = 1, 3, true
+	known := routing.Group{Kind: balancer.UpdateFull, At: time.Now()}
+	for id := range balancer.ServerID(peers) {
 		known.Entries = append(known.Entries, routing.Entry{Addr: listenOn(t, serve).Addr,
-			Server: brain.Server{ID: id + 1, Weight: 1, State: brain.Ready, Born: brain.Time(known.At.UnixNano())}})
+			Server: balancer.Server{ID: id + 1, Weight: 1, State: balancer.Ready, StartedAt: balancer.Time(known.At.UnixNano())}})
 	}
 	r := routing.New(routing.Config{Seed: 1, Known: known, Carrier: k, Watcher: still{}, Log: slog.New(slog.DiscardHandler),
 		Settings: set})
@@ -57,12 +57,12 @@
 // bound where nothing can have run.
 func TestLateConnections(t *testing.T) {
 	const window = 300 * time.Millisecond
-	token := brain.Class{Effect: brain.Token, Scope: brain.ScopeZone, Window: window}
+	token := balancer.Class{Idempotency: balancer.IdempotencyKeyed, DedupScope: balancer.DedupZone, DedupWindow: window}
 	long, pure := token, token
-	long.Window, pure.Effect = time.Minute, brain.Pure
+	long.DedupWindow, pure.Idempotency = time.Minute, balancer.Idempotent
 	refused := errors.New("refused")
 	for name, c := range map[string]struct {
-		class brain.Class
+		class balancer.Class
 		late  int64 // the connection that comes up after the window
 		first error // of the first connection
 		want  routing.Verdict
@@ -93,7 +93,7 @@
 				}
 				return dialTCP(ctx, addr)
 			}
-			r := decided(t, k, brain.Settings{Classes: []brain.Class{c.class}}, 2, func(conn net.Conn) {
+			r := decided(t, k, balancer.Settings{Classes: []balancer.Class{c.class}}, 2, func(conn net.Conn) {
 				for in := bufio.NewReader(conn); ; {
 					if _, err := http.ReadRequest(in); err != nil {
 						return
@@ -142,8 +142,8 @@
 				}
 				return dialTCP(ctx, addr)
 			}
-			r := decided(t, k, brain.Settings{Classes: make([]brain.Class, 1), RetryAfter: true, MaxRetryAfter: time.Second,
-				ColdShare: 0.5, Cold: time.Hour, Overload: 2.5, Carried: 2, Fall: 2 * half, // one call in each half
+			r := decided(t, k, balancer.Settings{Classes: make([]balancer.Class, 1), RetryAfter: true, MaxRetryAfter: time.Second,
+				InitialCapacity: 0.5, SlowStart: time.Hour, OverloadFactor: 2.5, WarmThroughput: 2, OverloadWindow: 2 * half, // one call in each half
 			}, 1, func(conn net.Conn) {
 				for in := bufio.NewReader(conn); ; {
 					req, err := http.ReadRequest(in)
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -23,7 +23,7 @@
 	"testing/synctest"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/protocol"
 	"olivebridge/internal/routing"
 )
@@ -127,10 +127,10 @@
 	for _, c := range []struct{ method, body string }{{"GET", ""}, {"POST", "book"}, {"POST", ""}, {"PUT", ""}} {
 		p, got := answering(t, ok, "", ok)
 		k, _ := newCarrier(time.Second)
-		if r := k.Try(t.Context(), tryOf(p, c.method, c.body)); r.Result != brain.OK {
+		if r := k.Try(t.Context(), tryOf(p, c.method, c.body)); r.Result != balancer.OK {
 			t.Fatalf("%v: first try %d", c, r.Result)
 		}
-		if r := k.Try(t.Context(), tryOf(p, c.method, c.body)); r.Result != brain.Reset || len(got) != 2 {
+		if r := k.Try(t.Context(), tryOf(p, c.method, c.body)); r.Result != balancer.Reset || len(got) != 2 {
 			t.Errorf("%v: result %d after %d requests on the wire, want a reset after 2", c, r.Result, len(got))
 		}
 	}
@@ -144,7 +144,7 @@
 		p, got := answering(t, ok)
 		k, _ := newCarrier(time.Second)
 		r := k.Try(t.Context(), tryOf(p, c.method, c.body))
-		if r.Result != brain.OK || string(r.Reply.(*reply).body) != "hi" {
+		if r.Result != balancer.OK || string(r.Reply.(*reply).body) != "hi" {
 			t.Errorf("%v: %+v", c, r)
 		}
 		want := c.method + " /api?user=a%2Fb&x=%7e HTTP/1.1\r\nHost: api.internal\r\n" + c.framing +
@@ -164,47 +164,47 @@
 	endless := strings.Repeat("x", maxHead)
 	for name, c := range map[string]struct {
 		answer string
-		want   brain.Result
+		want   balancer.Result
 		reuse  bool
 	}{
-		"served":               {ok, brain.OK, true},
-		"in chunks":            {chunked + "Trailer: A\r\n\r\n2\r\nhi\r\n0\r\nA: b\r\n\r\n", brain.OK, true},
-		"1xx ahead":            {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: a\r\n\r\n" + ok, brain.OK, true},
-		"asks for the end":     {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", brain.OK, false},
-		"error":                {"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", brain.Errored, true},
-		"turned away":          {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", brain.Rejected, true},
-		"503 without proof":    {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", brain.Errored, true},
-		"redirect":             {"HTTP/1.1 302 X\r\nLocation: /other\r\nContent-Length: 0\r\n\r\n", brain.Errored, true},
-		"other protocol":       {"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", brain.Errored, false},
-		"break after sending":  {"", brain.Reset, false},
-		"body cut short":       {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", brain.Reset, false},
-		"turned away, cut":     {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 9\r\n\r\ncut", brain.Reset, false},
-		"noise":                {"\x06\xb2HTTP", brain.Errored, false},
-		"noise, no first line": {"HTTP/1.1 nonsense\r\n\r\n", brain.Errored, false},
-		"a line that is none":  {"HTTP/1.1 200 OK\r\nContent-Length 2\r\n\r\nhi", brain.Errored, false},
-		"a length and chunks":  {chunked + "Content-Length: 2\r\n\r\nhi", brain.Errored, false},
-		"two lengths":          {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nhi", brain.Errored, false},
-		"a negative length":    {"HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi", brain.Errored, false},
-		"no length":            {"HTTP/1.1 200 OK\r\n\r\nhi", brain.Errored, false},
-		"spoilt chunks":        {chunked + "\r\nzz\r\nhi\r\n", brain.Errored, false},
-		"1xx with a body":      {"HTTP/1.1 100 X\r\nContent-Length: 2\r\n\r\nhi" + ok, brain.Errored, false},
-		"turned away, spoilt":  {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nTransfer-Encoding: chunked\r\n\r\nno\r\n", brain.Errored, false},
-		"endless head":         {"HTTP/1.1 200 OK\r\nA: " + endless, brain.Errored, false},
-		"endless 1xx":          {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", maxHead/25+1), brain.Errored, false},
-		"a control character":  {"HTTP/1.1 200 OK\r\nA: \x01\r\nContent-Length: 2\r\n\r\nhi", brain.Errored, false},
-		"an unknown coding":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nhi", brain.Errored, false},
-		"a status of letters":  {"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nhi", brain.Errored, false},
-		"1.0 that stays":       {"HTTP/1.0 200 OK\r\nConnection: keep-alive\r\nContent-Length: 2\r\n\r\nhi", brain.OK, true},
-		"no content":           {"HTTP/1.1 204 X\r\n\r\n", brain.Errored, true},
-		"a long failure":       {"HTTP/1.1 500 X\r\nContent-Length: 100000\r\n\r\n", brain.Errored, false},
-		"endless body":         {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", brain.Errored, false},
-		"a copy behind":        {ok + ok, brain.OK, false},
-		"noise behind":         {ok + "\r\n", brain.OK, false},
+		"served":               {ok, balancer.OK, true},
+		"in chunks":            {chunked + "Trailer: A\r\n\r\n2\r\nhi\r\n0\r\nA: b\r\n\r\n", balancer.OK, true},
+		"1xx ahead":            {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: a\r\n\r\n" + ok, balancer.OK, true},
+		"asks for the end":     {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", balancer.OK, false},
+		"error":                {"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
+		"turned away":          {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected, true},
+		"503 without proof":    {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
+		"redirect":             {"HTTP/1.1 302 X\r\nLocation: /other\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
+		"other protocol":       {"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", balancer.Errored, false},
+		"break after sending":  {"", balancer.Reset, false},
+		"body cut short":       {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", balancer.Reset, false},
+		"turned away, cut":     {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 9\r\n\r\ncut", balancer.Reset, false},
+		"noise":                {"\x06\xb2HTTP", balancer.Errored, false},
+		"noise, no first line": {"HTTP/1.1 nonsense\r\n\r\n", balancer.Errored, false},
+		"a line that is none":  {"HTTP/1.1 200 OK\r\nContent-Length 2\r\n\r\nhi", balancer.Errored, false},
+		"a length and chunks":  {chunked + "Content-Length: 2\r\n\r\nhi", balancer.Errored, false},
+		"two lengths":          {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nhi", balancer.Errored, false},
+		"a negative length":    {"HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi", balancer.Errored, false},
+		"no length":            {"HTTP/1.1 200 OK\r\n\r\nhi", balancer.Errored, false},
+		"spoilt chunks":        {chunked + "\r\nzz\r\nhi\r\n", balancer.Errored, false},
+		"1xx with a body":      {"HTTP/1.1 100 X\r\nContent-Length: 2\r\n\r\nhi" + ok, balancer.Errored, false},
+		"turned away, spoilt":  {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nTransfer-Encoding: chunked\r\n\r\nno\r\n", balancer.Errored, false},
+		"endless head":         {"HTTP/1.1 200 OK\r\nA: " + endless, balancer.Errored, false},
+		"endless 1xx":          {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", maxHead/25+1), balancer.Errored, false},
+		"a control character":  {"HTTP/1.1 200 OK\r\nA: \x01\r\nContent-Length: 2\r\n\r\nhi", balancer.Errored, false},
+		"an unknown coding":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nhi", balancer.Errored, false},
+		"a status of letters":  {"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nhi", balancer.Errored, false},
+		"1.0 that stays":       {"HTTP/1.0 200 OK\r\nConnection: keep-alive\r\nContent-Length: 2\r\n\r\nhi", balancer.OK, true},
+		"no content":           {"HTTP/1.1 204 X\r\n\r\n", balancer.Errored, true},
+		"a long failure":       {"HTTP/1.1 500 X\r\nContent-Length: 100000\r\n\r\n", balancer.Errored, false},
+		"endless body":         {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", balancer.Errored, false},
+		"a copy behind":        {ok + ok, balancer.OK, false},
+		"noise behind":         {ok + "\r\n", balancer.OK, false},
 	} {
 		p, got := answering(t, c.answer, ok)
 		k, _ := newCarrier(time.Second)
 		r := k.Try(t.Context(), tryOf(p, "POST", "book"))
-		if r.Result != c.want || len(got) != 1 || (r.Result == brain.OK) != (r.Reply != nil) ||
+		if r.Result != c.want || len(got) != 1 || (r.Result == balancer.OK) != (r.Reply != nil) ||
 			r.Reply != nil && string(r.Reply.(*reply).body) != "hi" {
 			t.Errorf("%s: result %d, %+v after %d requests, want %d after 1", name, r.Result, r.Reply, len(got), c.want)
 		}
@@ -238,7 +238,7 @@
 		all.Go(func() {
 			for j := range 500 {
 				id := fmt.Sprintf("%d-%d", i, j)
-				if r := k.Try(t.Context(), tryNamed(p, "GET", id, "")); r.Result != brain.OK || string(r.Reply.(*reply).body) != id {
+				if r := k.Try(t.Context(), tryNamed(p, "GET", id, "")); r.Result != balancer.OK || string(r.Reply.(*reply).body) != id {
 					t.Errorf("%s: %+v", id, r)
 				}
 			}
@@ -282,7 +282,7 @@
 	k, _ := newCarrier(time.Second)
 	k.pool.settle = settle
 	for len(again) < 10 {
-		if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != brain.OK {
+		if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.OK {
 			t.Fatal(r.Result)
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -301,7 +301,7 @@
 	p, _ := answering(t, ok, ok)
 	k, _ := newCarrier(time.Second)
 	for _, peer := range []*routing.Peer{p, routing.NewPeer(2, "s-2", p.Addr)} {
-		if r := k.Try(t.Context(), tryOf(peer, "GET", "")); r.Result != brain.OK || len(k.pool.idle[peer]) != 1 {
+		if r := k.Try(t.Context(), tryOf(peer, "GET", "")); r.Result != balancer.OK || len(k.pool.idle[peer]) != 1 {
 			t.Errorf("%s: result %d, idle %v", peer.Name, r.Result, k.pool.idle)
 		}
 	}
@@ -319,8 +319,8 @@
 	for name, c := range map[string]struct {
 		peer    *routing.Peer
 		connect time.Duration
-		want    brain.Result
-	}{"refused": {refusing, time.Second, brain.ConnectFailed}, "late": {silent, 1, brain.ConnectFailed}} {
+		want    balancer.Result
+	}{"refused": {refusing, time.Second, balancer.ConnectFailed}, "late": {silent, 1, balancer.ConnectFailed}} {
 		k, _ := newCarrier(c.connect)
 		if r := k.Try(t.Context(), tryOf(c.peer, "POST", "book")); r.Result != c.want {
 			t.Errorf("%s: result %d, want %d", name, r.Result, c.want)
@@ -335,9 +335,9 @@
 	for _, c := range []struct {
 		left   time.Duration
 		calls  bool
-		result brain.Result
-	}{{fairConnect + 20*time.Millisecond, false, brain.ConnectFailed}, {fairConnect / 2, false, brain.Moot},
-		{time.Minute, true, brain.Moot}} {
+		result balancer.Result
+	}{{fairConnect + 20*time.Millisecond, false, balancer.ConnectFailed}, {fairConnect / 2, false, balancer.NotSent},
+		{time.Minute, true, balancer.NotSent}} {
 		ctx, callOff := context.WithCancelCause(t.Context())
 		k := NewCarrier(CarrierConfig{ConnectTimeout: time.Hour, IdleClose: time.Minute, MaxConns: 10, Log: slog.New(slog.DiscardHandler),
 			Dial: func(ctx context.Context, _ string) (net.Conn, error) {
@@ -360,9 +360,9 @@
 func TestGivenUp(t *testing.T) {
 	for _, c := range []struct {
 		cause  error
-		want   brain.Result
+		want   balancer.Result
 		reason string
-	}{{routing.ErrTimeUp, brain.TimedOut, "try-timeout"}, {routing.ErrCalledOff, brain.Cancelled, "called-off"}} {
+	}{{routing.ErrTimeUp, balancer.TimedOut, "try-timeout"}, {routing.ErrCalledOff, balancer.Cancelled, "called-off"}} {
 		ctx, giveUp := context.WithCancelCause(t.Context())
 		p := listenOn(t, func(conn net.Conn) {
 			if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
@@ -375,7 +375,7 @@
 			t.Errorf("%v: result %d, want %d", c.cause, r.Result, c.want)
 		}
 		log.until("side=peer", "reason="+c.reason)
-		if r := k.Try(ctx, tryOf(p, "GET", "")); r.Result != brain.Moot {
+		if r := k.Try(ctx, tryOf(p, "GET", "")); r.Result != balancer.NotSent {
 			t.Errorf("%v before it was sent: result %d", c.cause, r.Result)
 		}
 	}
@@ -394,7 +394,7 @@
 // TestLastByteNotWritten: a connection that breaks before the request's last
 // byte was written proves that it never ran; one that breaks after does not.
 func TestLastByteNotWritten(t *testing.T) {
-	for whole, want := range map[bool]brain.Result{false: brain.ConnectFailed, true: brain.Reset} {
+	for whole, want := range map[bool]balancer.Result{false: balancer.ConnectFailed, true: balancer.Reset} {
 		near, far := net.Pipe() // which takes a byte only as it is read
 		k, l := newCarrier(time.Second)
 		p := routing.NewPeer(1, "", "")
@@ -435,7 +435,7 @@
 		p, _ := answering(t, c.raw+map[bool]string{false: "cut"}[c.whole])
 		k, l := newCarrier(time.Second)
 		r := k.Try(t.Context(), tryOf(p, "GET", ""))
-		if r.Result != brain.OK || r.Reply.(*reply).rest == nil {
+		if r.Result != balancer.OK || r.Reply.(*reply).rest == nil {
 			t.Fatalf("%s: result %d", name, r.Result)
 		}
 		s := r.Reply.(*reply)
@@ -480,11 +480,11 @@
 	p, _ := answering(t, ok)
 	k, log := newCarrier(time.Second)
 	k.Configure(CarrierConfig{ConnectTimeout: 1, IdleClose: time.Minute, MaxConns: 1, Log: log.log()})
-	if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != brain.ConnectFailed {
+	if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.ConnectFailed {
 		t.Errorf("result %d with no time to connect", r.Result)
 	}
 	k.Configure(CarrierConfig{ConnectTimeout: time.Second, IdleClose: time.Minute, MaxConns: 0, Log: log.log()})
-	if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != brain.Moot {
+	if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.NotSent {
 		t.Errorf("result %d with no connection allowed", r.Result)
 	}
 }
@@ -500,7 +500,7 @@
 	try := tryOf(p, "GET", "")
 	try.Over = new(atomic.Bool)
 	try.Over.Store(true)
-	if r := k.Try(t.Context(), try); r.Result != brain.Moot {
+	if r := k.Try(t.Context(), try); r.Result != balancer.NotSent {
 		t.Errorf("result %d", r.Result)
 	}
 	k.Close()
@@ -516,7 +516,7 @@
 	})
 	p.Mark(false, time.Now().Add(-time.Hour))
 	k, log := newCarrier(time.Second)
-	if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != brain.Moot {
+	if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.NotSent {
 		t.Errorf("result %d", r.Result)
 	}
 	if n := <-read; n != 0 {
@@ -575,7 +575,7 @@
 	if k.pool.put(c); k.Conns() != 0 {
 		t.Errorf("%d connections are left", k.Conns())
 	}
-	if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != brain.Moot {
+	if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.NotSent {
 		t.Errorf("result %d", r.Result)
 	}
 }
@@ -586,13 +586,13 @@
 	p, _ := answering(t, ok, ok)
 	k, log := newCarrier(time.Second)
 	k.pool.open = 10
-	if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != brain.Moot || k.pool.open != 10 {
+	if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.NotSent || k.pool.open != 10 {
 		t.Errorf("result %d, %d connections", r.Result, k.pool.open)
 	}
 	k.pool.open = 9 // the next is the last, and makes room for another peer's once it is idle
 	other, _ := answering(t, ok)
 	for _, peer := range []*routing.Peer{p, other} {
-		if r := k.Try(t.Context(), tryOf(peer, "GET", "")); r.Result != brain.OK || k.pool.open != 10 {
+		if r := k.Try(t.Context(), tryOf(peer, "GET", "")); r.Result != balancer.OK || k.pool.open != 10 {
 			t.Errorf("result %d, %d connections", r.Result, k.pool.open)
 		}
 	}
@@ -638,7 +638,7 @@
 }
 
 func TestProbe(t *testing.T) {
-	for answer, want := range map[string]brain.Result{ok: brain.OK, "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n": brain.Errored} {
+	for answer, want := range map[string]balancer.Result{ok: balancer.OK, "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n": balancer.Errored} {
 		p, got := answering(t, answer)
 		k, _ := newCarrier(time.Second)
 		if r := k.Probe(t.Context(), p); r != want {
@@ -1143,10 +1143,10 @@
 			Dial: func(context.Context, string) (net.Conn, error) { return nil, os.NewSyscallError("socket", err) }})
 		p := routing.NewPeer(1, "s-1", "a:1")
 		for range 3 {
-			if r := k.Try(t.Context(), tryOf(p, "POST", "book")); r.Result != brain.Moot {
+			if r := k.Try(t.Context(), tryOf(p, "POST", "book")); r.Result != balancer.NotSent {
 				t.Errorf("%v: try: %d", err, r.Result)
 			}
-			if r := k.Probe(t.Context(), p); r != brain.Moot {
+			if r := k.Probe(t.Context(), p); r != balancer.NotSent {
 				t.Errorf("%v: probe: %d", err, r)
 			}
 		}
@@ -1168,7 +1168,7 @@
 	addr, _, _ := newFront(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
 		c.Payload.(*message).up.body = panicking{}
 		r := k.Try(ctx, routing.Try{Peer: p, Until: time.Now().Add(time.Minute), Payload: c.Payload, Written: func() {}})
-		if r.Result != brain.ConnectFailed {
+		if r.Result != balancer.ConnectFailed {
 			t.Errorf("result %d of what was never whole", r.Result)
 		}
 		return routing.Answer{Verdict: routing.Reject, RetryAfter: time.Second}, true
@@ -1474,13 +1474,13 @@
 	defer s.Close()
 	w := NewWatch(strings.TrimPrefix(s.URL, "http://"), protocol.Names{}, -1, nil, slog.New(slog.DiscardHandler))
 	w.again, w.late = 1, time.Millisecond
-	var kinds []brain.ListKind
+	var kinds []balancer.UpdateKind
 	for range 4 { // what is no JSON, a malformed list, or a 503, each time the second in a row
 		if err := w.Watch(t.Context(), func(g routing.Group) { kinds = append(kinds, g.Kind) }); err == nil {
 			t.Error("no error")
 		}
 	}
-	if fmt.Sprint(kinds) != fmt.Sprint([]brain.ListKind{brain.Full, brain.Delta, brain.Delta}) {
+	if fmt.Sprint(kinds) != fmt.Sprint([]balancer.UpdateKind{balancer.UpdateFull, balancer.UpdateDelta, balancer.UpdateDelta}) {
 		t.Errorf("told %v", kinds)
 	}
 	for _, version := range []string{"", "41", "43", "43", "43", "43", "43", "45", "45", "45", "45"} {
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/protocol"
 	"olivebridge/internal/routing"
 )
@@ -223,7 +223,7 @@
 	u := m.up
 	if !u.begin() {
 		k.keep(c)
-		return routing.TryResult{Result: brain.Moot}
+		return routing.TryResult{Result: balancer.NotSent}
 	}
 	c.up = u
 	c.SetDeadline(time.Time{})
@@ -235,11 +235,11 @@
 	}()
 	res := k.receive(ctx, t, c, watch)
 	u.halt()
-	if res.Reply == nil && !u.whole.Load() && res.Result != brain.Rejected { // the last byte never left: it never ran
+	if res.Reply == nil && !u.whole.Load() && res.Result != balancer.Rejected { // the last byte never left: it never ran
 		if u.refused != nil || ctx.Err() != nil {
-			return routing.TryResult{Result: brain.Moot}
+			return routing.TryResult{Result: balancer.NotSent}
 		}
-		return routing.TryResult{Result: brain.ConnectFailed}
+		return routing.TryResult{Result: balancer.ConnectFailed}
 	}
 	return res
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -9,7 +9,7 @@
 	"math"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 )
 
 // Sizes of the fixed parts of a frame.
@@ -61,11 +61,11 @@
 
 // Frame is one batch of events. Its buffers are reused by the next Read.
 type Frame struct {
-	Clock   brain.Time
+	Clock   balancer.Time
 	Number  uint32
 	Count   int
 	body    []byte
-	entries []brain.Server
+	entries []balancer.Server
 }
 
 // Read takes the next batch from r. It returns io.EOF only between frames.
@@ -78,7 +78,7 @@
 		return err
 	}
 	size, count := int(le.Uint32(head[0:])), int(le.Uint32(head[4:]))
-	f.Clock, f.Number, f.Count = brain.Time(le.Uint64(head[8:])), le.Uint32(head[16:]), count
+	f.Clock, f.Number, f.Count = balancer.Time(le.Uint64(head[8:])), le.Uint32(head[16:]), count
 	if count > size/eventSize {
 		return fmt.Errorf("batch %d: %d records do not fit in %d bytes", f.Number, count, size)
 	}
@@ -116,7 +116,7 @@
 func (e Event) Instance() uint32 { return le.Uint32(e.rec[1:]) }
 
 // ID is the request's id (all codes but begin, view, sampled and mail).
-func (e Event) ID() brain.RequestID { return brain.RequestID(le.Uint64(e.rec[5:])) }
+func (e Event) ID() balancer.RequestID { return balancer.RequestID(le.Uint64(e.rec[5:])) }
 
 // Ref is a wake-up's reference, or a begin's seed.
 func (e Event) Ref() uint64 { return le.Uint64(e.rec[5:]) }
@@ -125,11 +125,11 @@
 func (e Event) Attempt() int { return int(le.Uint16(e.rec[13:])) }
 
 // ListKind is a view's kind.
-func (e Event) ListKind() (brain.ListKind, error) {
-	if e.rec[5] > uint8(brain.Failed) {
+func (e Event) ListKind() (balancer.UpdateKind, error) {
+	if e.rec[5] > uint8(balancer.UpdateFailed) {
 		return 0, e.errorf("unknown kind of list %d", e.rec[5])
 	}
-	return brain.ListKind(e.rec[5]), nil
+	return balancer.UpdateKind(e.rec[5]), nil
 }
 
 func (e Event) errorf(format string, args ...any) error {
@@ -156,18 +156,18 @@
 }
 
 // Entries is a view's list; it is overwritten by the next call on the frame.
-func (e Event) Entries() ([]brain.Server, error) {
+func (e Event) Entries() ([]balancer.Server, error) {
 	b, err := e.tail(10, entrySize)
 	if err != nil {
 		return nil, err
 	}
 	out := e.frame.entries[:0]
 	for ; len(b) > 0; b = b[entrySize:] {
-		out = append(out, brain.Server{
-			Cell: le.Uint16(b), Born: brain.Time(le.Uint64(b[2:])), ID: server(b[10:]),
-			Weight: math.Float32frombits(le.Uint32(b[16:])), State: brain.State(b[20]), Kind: b[21], Zone: b[22],
+		out = append(out, balancer.Server{
+			Cell: le.Uint16(b), StartedAt: balancer.Time(le.Uint64(b[2:])), ID: server(b[10:]),
+			Weight: math.Float32frombits(le.Uint32(b[16:])), State: balancer.ServerState(b[20]), Kind: b[21], Zone: b[22],
 		})
-		if b[20] > uint8(brain.Draining) {
+		if b[20] > uint8(balancer.Draining) {
 			return nil, e.errorf("unknown availability %d", b[20])
 		}
 	}
@@ -176,57 +176,57 @@
 }
 
 // Request is an arriving request.
-func (e Event) Request() brain.Request {
+func (e Event) Request() balancer.Request {
 	b := e.rec
-	r := brain.Request{
-		ID: e.ID(), Budget: duration(b[13:]), Key: le.Uint64(b[29:]),
-		Class: int(le.Uint16(b[37:])), Tenant: int(le.Uint32(b[40:])), Repeat: b[39]&2 != 0,
+	r := balancer.Request{
+		ID: e.ID(), Timeout: duration(b[13:]), AffinityKey: le.Uint64(b[29:]),
+		Class: int(le.Uint16(b[37:])), Tenant: int(le.Uint32(b[40:])), ClientRetry: b[39]&2 != 0,
 	}
 	if b[39]&1 != 0 {
-		r.Work = duration(b[21:])
+		r.ExpectedWork = duration(b[21:])
 	}
 	return r
 }
 
 // Outcome is the end of an attempt.
-func (e Event) Outcome() (brain.Outcome, error) {
+func (e Event) Outcome() (balancer.Outcome, error) {
 	b := e.rec
 	res, err := e.result(le.Uint16(b[21:]))
-	return brain.Outcome{
-		ID: e.ID(), Latency: duration(b[13:]), Result: res, Closed: b[23] != 0,
+	return balancer.Outcome{
+		ID: e.ID(), Latency: duration(b[13:]), Result: res, RequestDone: b[23] != 0,
 		Attempt: int(le.Uint16(b[24:])), Server: server(b[26:]), Load: load(b[32:]),
 	}, err
 }
 
 // Probe is a probe's result.
-func (e Event) Probe() (brain.ProbeResult, error) {
+func (e Event) Probe() (balancer.HealthCheckResult, error) {
 	b := e.rec
 	res, err := e.result(le.Uint16(b[11:]))
-	return brain.ProbeResult{Server: server(b[5:]), Latency: duration(b[13:]), Result: res, Load: load(b[21:])}, err
+	return balancer.HealthCheckResult{Server: server(b[5:]), Latency: duration(b[13:]), Result: res, Load: load(b[21:])}, err
 }
 
-func (e Event) result(v uint16) (brain.Result, error) {
+func (e Event) result(v uint16) (balancer.Result, error) {
 	if v < 10 || v > 80 || v%10 != 0 {
 		return 0, e.errorf("unknown outcome %d", v)
 	}
-	return brain.Result(v/10 - 1), nil
+	return balancer.Result(v/10 - 1), nil
 }
 
 func duration(b []byte) time.Duration {
 	return time.Duration(min(le.Uint64(b), 1<<62))
 }
 
-func load(b []byte) (l brain.Load) {
-	l.N = min(int(b[0]), brain.MaxLoad)
+func load(b []byte) (l balancer.LoadReport) {
+	l.N = min(int(b[0]), balancer.MaxLoadValues)
 	for i := range l.N {
 		l.Values[i] = math.Float32frombits(le.Uint32(b[1+4*i:]))
 	}
 	return l
 }
 
-func server(b []byte) brain.ServerID {
-	return brain.ServerID(b[0])<<40 | brain.ServerID(b[1])<<32 | brain.ServerID(b[2])<<24 |
-		brain.ServerID(b[3])<<16 | brain.ServerID(le.Uint16(b[4:]))
+func server(b []byte) balancer.ServerID {
+	return balancer.ServerID(b[0])<<40 | balancer.ServerID(b[1])<<32 | balancer.ServerID(b[2])<<24 |
+		balancer.ServerID(b[3])<<16 | balancer.ServerID(le.Uint16(b[4:]))
 }
 
 // Reply gathers the actions of one batch. Its buffers are reused after WriteTo.
@@ -250,7 +250,7 @@
 	return rec
 }
 
-func (r *Reply) withID(code byte, who uint32, id brain.RequestID) []byte {
+func (r *Reply) withID(code byte, who uint32, id balancer.RequestID) []byte {
 	rec := r.add(code, who)
 	le.PutUint64(rec[5:], uint64(id))
 	return rec
@@ -264,36 +264,38 @@
 	return rec
 }
 
-func putServer(b []byte, s brain.ServerID) {
+func putServer(b []byte, s balancer.ServerID) {
 	b[0], b[1], b[2], b[3] = byte(s>>40), byte(s>>32), byte(s>>24), byte(s>>16)
 	le.PutUint16(b[4:], uint16(s))
 }
 
 // Assign sends an attempt.
-func (r *Reply) Assign(who uint32, id brain.RequestID, to brain.ServerID, cut brain.Time) {
+func (r *Reply) Assign(who uint32, id balancer.RequestID, to balancer.ServerID, cut balancer.Time) {
 	rec := r.withID(actAssign, who, id)
 	putServer(rec[13:], to)
 	le.PutUint64(rec[19:], uint64(cut))
 }
 
 // Revoke calls an attempt off.
-func (r *Reply) Revoke(who uint32, id brain.RequestID, attempt int) {
+func (r *Reply) Revoke(who uint32, id balancer.RequestID, attempt int) {
 	le.PutUint16(r.withID(actRevoke, who, id)[13:], uint16(attempt))
 }
 
 // Refuse rejects a request.
-func (r *Reply) Refuse(who uint32, id brain.RequestID, after time.Duration) {
+func (r *Reply) Refuse(who uint32, id balancer.RequestID, after time.Duration) {
 	le.PutUint64(r.withID(actRefuse, who, id)[13:], uint64(after))
 }
 
 // Fail fails a request.
-func (r *Reply) Fail(who uint32, id brain.RequestID) { r.withID(actFail, who, id) }
+func (r *Reply) Fail(who uint32, id balancer.RequestID) { r.withID(actFail, who, id) }
 
 // Inspect probes a server.
-func (r *Reply) Inspect(who uint32, s brain.ServerID) { putServer(r.add(actInspect, who)[5:], s) }
+func (r *Reply) Inspect(who uint32, s balancer.ServerID) { putServer(r.add(actInspect, who)[5:], s) }
 
 // CloseIdle closes the idle connections to a server.
-func (r *Reply) CloseIdle(who uint32, s brain.ServerID) { putServer(r.add(actCloseIdle, who)[5:], s) }
+func (r *Reply) CloseIdle(who uint32, s balancer.ServerID) {
+	putServer(r.add(actCloseIdle, who)[5:], s)
+}
 
 // Arm sets a timer.
 func (r *Reply) Arm(who uint32, after time.Duration, ref uint64) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"olivebridge/brain"
+	"olivebridge/balancer"
 	"olivebridge/internal/settings"
 )
 
@@ -87,8 +87,8 @@
 		return e
 	}
 	const id = 0x0f5c0e5d3a91c4
-	if r := ev(0, Request, 3).Request(); r != (brain.Request{ID: id, Budget: 240 * time.Millisecond,
-		Work: 12 * time.Millisecond, Key: 0x91f03b7c55d20a64}) {
+	if r := ev(0, Request, 3).Request(); r != (balancer.Request{ID: id, Timeout: 240 * time.Millisecond,
+		ExpectedWork: 12 * time.Millisecond, AffinityKey: 0x91f03b7c55d20a64}) {
 		t.Errorf("request %+v", r)
 	}
 	if ev(1, Wakeup, 3).Ref() != 77 || ev(2, Hangup, 5).ID() != 0x03d7950e6f2b19 {
@@ -97,18 +97,18 @@
 	v := ev(3, View, 3)
 	kind, err := v.ListKind()
 	list, err2 := v.Entries()
-	if err != nil || err2 != nil || kind != brain.Cached || len(list) != 2 {
+	if err != nil || err2 != nil || kind != balancer.UpdateCached || len(list) != 2 {
 		t.Fatalf("view %v %v %v %v", kind, list, err, err2)
 	}
-	if list[0] != (brain.Server{ID: wantServer, Weight: 1, State: brain.Ready}) ||
-		list[1] != (brain.Server{ID: 0x0a9011f21f6c, Weight: 1.5, State: brain.Ready, Zone: 1, Born: 0x16b969d00}) {
+	if list[0] != (balancer.Server{ID: wantServer, Weight: 1, State: balancer.Ready}) ||
+		list[1] != (balancer.Server{ID: 0x0a9011f21f6c, Weight: 1.5, State: balancer.Ready, Zone: 1, StartedAt: 0x16b969d00}) {
 		t.Errorf("entries %+v", list)
 	}
 	if e := ev(4, FirstByte, 3); e.ID() != id || e.Attempt() != 0 {
 		t.Error("first byte")
 	}
 	p, err := ev(5, Sampled, 3).Probe()
-	if err != nil || p.Server != 0x0a9011f21f6c || p.Result != brain.OK || p.Latency != 1400*time.Microsecond ||
+	if err != nil || p.Server != 0x0a9011f21f6c || p.Result != balancer.OK || p.Latency != 1400*time.Microsecond ||
 		p.Load.N != 1 || math.Abs(float64(p.Load.Values[0])-0.62) > 1e-6 {
 		t.Errorf("probe %+v %v", p, err)
 	}
@@ -116,7 +116,7 @@
 		t.Errorf("mail %d %q %v", from, data, err)
 	}
 	o, err := ev(7, Returned, 3).Outcome()
-	if err != nil || o.ID != id || !o.Closed || o.Server != wantServer || o.Latency != 18500*time.Microsecond {
+	if err != nil || o.ID != id || !o.RequestDone || o.Server != wantServer || o.Latency != 18500*time.Microsecond {
 		t.Errorf("outcome %+v %v", o, err)
 	}
 }
