--- a/cmd/olivefleet/keep.go
+++ b/cmd/olivefleet/keep.go
@@ -9,18 +9,18 @@
 	"time"
 
 	"olivebridge/balancer"
-	"olivebridge/internal/fleet/agreed"
+	"olivebridge/internal/fleet/callstore"
 	"olivebridge/internal/fleet/fleetfile"
 	"olivebridge/internal/fleet/member"
 	"olivebridge/internal/fleet/mutant"
-	"olivebridge/internal/fleet/work"
+	"olivebridge/internal/fleet/raftlog"
 	"olivebridge/internal/protocol"
 	"olivebridge/internal/transport"
 )
 
 // kept is the fleet's work as a front asks for it.
 type kept struct {
-	work  *work.Service
+	work  *callstore.Service
 	again map[int]bool // classes of calls that are kept: whether they may run more than once
 }
 
@@ -35,15 +35,15 @@
 		k.again[class] = c.Settings.Classes[class].Idempotency == balancer.Idempotent
 	}
 	w := file.Work
-	k.work = work.New(work.Config{Name: c.Name, Voters: agreed.Roster{Edition: w.Edition, Names: w.Voters}, Directory: m.Directory, Tries: w.Tries,
-		Limits: work.Limits{Window: w.WindowTime, Most: w.Most}, Log: m.Log, Record: m.Record,
+	k.work = callstore.New(callstore.Config{Name: c.Name, Voters: raftlog.VoterSet{Edition: w.Edition, Names: w.Voters}, Directory: m.Directory, MaxOwners: w.Tries,
+		Limits: callstore.Limits{Retention: w.WindowTime, MaxEntries: w.Most}, Log: m.Log, Record: m.Record,
 		Dial: func(name string, channel byte, timeout time.Duration) (net.Conn, error) {
 			return f.Service.Dial(name, channel, timeout)
 		},
-		Next: func(ctx context.Context, after uint64) (*member.View, error) { return f.Service.Next(ctx, after) }})
-	f.around(m, func(i member.Incarnation) { k.work.Up(i.Home, i.Number) }, k.work.Down)
-	f.serve(m, work.VotersChannel, k.work.ServeVoters)
-	f.serve(m, work.WorkChannel, k.work.ServeWork)
+		NextView: func(ctx context.Context, after uint64) (*member.View, error) { return f.Service.Next(ctx, after) }})
+	f.around(m, func(i member.Incarnation) { k.work.Start(i.Home, i.Number) }, k.work.Stop)
+	f.serve(m, callstore.VotersChannel, k.work.ServeVoters)
+	f.serve(m, callstore.CallsChannel, k.work.ServeCalls)
 	return k, nil
 }
 
@@ -65,43 +65,43 @@
 
 // Begin implements transport.Keeper.
 func (k *kept) Begin(ctx context.Context, w transport.Work) transport.Kept {
-	owner, ok := k.work.Owner()
+	owner, ok := k.work.NewOwner()
 	if !ok {
 		return transport.Kept{State: transport.KeptRefused}
 	}
 	mutant.At("before-permission")
-	v, err := k.work.Begin(ctx, work.Begin{Key: w.Key, Print: w.Print, Owner: owner, Again: k.again[w.Class]})
+	v, err := k.work.Begin(ctx, callstore.BeginRequest{Key: w.Key, Fingerprint: w.Print, Owner: owner, Idempotent: k.again[w.Class]})
 	switch {
-	case err != nil || v.Full || v.Over:
+	case err != nil || v.StoreFull || v.OwnersExhausted:
 		return transport.Kept{State: transport.KeptRefused}
-	case v.Other:
+	case v.KeyConflict:
 		return transport.Kept{State: transport.KeptOther}
-	case v.Yours:
+	case v.Granted:
 		mutant.At("with-permission")
 		return transport.Kept{State: transport.KeptYours, End: func(s transport.KeptState, o *transport.Outcome) {
 			k.end(w.Key, owner, s, o)
 		}}
-	case v.State == work.Answered:
+	case v.State == callstore.Answered:
 		kept := transport.Kept{State: transport.KeptAnswered}
 		if o := v.Outcome; o != nil {
-			kept.Outcome = &transport.Outcome{Status: o.Status, Header: http.Header(o.Header), Body: o.Body, Long: o.Long}
+			kept.Outcome = &transport.Outcome{Status: o.Status, Header: http.Header(o.Header), Body: o.Body, Long: o.BodyOmitted}
 		}
 		return kept
-	case v.State == work.Unknown:
+	case v.State == callstore.Unknown:
 		return transport.Kept{State: transport.KeptUnknown}
-	case v.State == work.Free: // this very call was given up before
+	case v.State == callstore.Free: // this very call was given up before
 		return transport.Kept{State: transport.KeptRefused}
 	}
 	return transport.Kept{State: transport.KeptRuns}
 }
 
-func (k *kept) end(key string, owner work.Owner, s transport.KeptState, o *transport.Outcome) {
-	e := work.End{Key: key, Owner: owner, State: work.Unknown}
+func (k *kept) end(key string, owner callstore.Owner, s transport.KeptState, o *transport.Outcome) {
+	e := callstore.EndRequest{Key: key, Owner: owner, State: callstore.Unknown}
 	switch {
 	case s == transport.KeptFree:
-		e.State = work.Free
+		e.State = callstore.Free
 	case s == transport.KeptAnswered && o != nil:
-		e.State, e.Outcome = work.Answered, &work.Outcome{Status: o.Status, Header: o.Header, Body: o.Body, Long: o.Long}
+		e.State, e.Outcome = callstore.Answered, &callstore.Outcome{Status: o.Status, Header: o.Header, Body: o.Body, BodyOmitted: o.Long}
 	}
 	mutant.At("answered")
 	k.work.End(e)
--- a/internal/fleet/work/ledger.go
+++ b/internal/fleet/callstore/ledger.go
@@ -1,7 +1,7 @@
 // Package work keeps clients' work beyond the loss of the node that has it in hand: who has it, whether it may have run, and
 // what came of it. ledger.go decides and is free of I/O, clock and goroutines; service.go carries it out over a log that the
 // voters agree on. docs/TAKEOVER-DESIGN.md says why nothing runs twice.
-package work
+package callstore
 
 import (
 	"container/heap"
@@ -14,8 +14,8 @@
 
 	"github.com/hashicorp/raft"
 
-	"olivebridge/internal/fleet/agreed"
 	"olivebridge/internal/fleet/mutant"
+	"olivebridge/internal/fleet/raftlog"
 )
 
 // State is how a piece of work stands.
@@ -31,10 +31,10 @@
 
 // Outcome is a final answer.
 type Outcome struct {
-	Status int                 `json:"status"`
-	Header map[string][]string `json:"header,omitempty"`
-	Body   []byte              `json:"body,omitempty"`
-	Long   bool                `json:"long,omitempty"` // the body was too long to be kept
+	Status      int                 `json:"status"`
+	Header      map[string][]string `json:"header,omitempty"`
+	Body        []byte              `json:"body,omitempty"`
+	BodyOmitted bool                `json:"long,omitempty"` // the body was too long to be kept
 }
 
 // Owner is who may let a piece of work out: a node's incarnation, and which of the calls in it. No two calls have the same.
@@ -67,53 +67,53 @@
 }
 
 // Begin asks for the permission to let a piece of work out.
-type Begin struct {
-	Key   string `json:"key"`
-	Print string `json:"print"`
-	Owner Owner  `json:"owner"`
-	Again bool   `json:"again,omitempty"`
-	Most  int    `json:"most"` // owners of whom it may have run, at most
+type BeginRequest struct {
+	Key         string `json:"key"`
+	Fingerprint string `json:"print"`
+	Owner       Owner  `json:"owner"`
+	Idempotent  bool   `json:"again,omitempty"`
+	MaxOwners   int    `json:"most"` // owners of whom it may have run, at most
 }
 
 // End says what became of it.
-type End struct {
-	Key     string   `json:"key"`
-	Owner   Owner    `json:"owner"`
-	State   State    `json:"state"`
-	Print   string   `json:"print,omitempty"` // with Free, of work that the ledger may not have heard of
-	Outcome *Outcome `json:"outcome,omitempty"`
+type EndRequest struct {
+	Key         string   `json:"key"`
+	Owner       Owner    `json:"owner"`
+	State       State    `json:"state"`
+	Fingerprint string   `json:"print,omitempty"` // with Free, of work that the ledger may not have heard of
+	Outcome     *Outcome `json:"outcome,omitempty"`
 }
 
 // Lost says that processes are gone for good: their work is nobody's.
-type Lost struct {
+type ReleaseRequest struct {
 	Processes []process `json:"processes"`
 }
 
 // command is an entry of the log: one of the three. The limits go with it, since all voters have to come to the same state from
 // the same log, also while their files differ for a while.
 type command struct {
-	Now    int64  `json:"now"`    // the ledger's clock, in milliseconds; it never runs backwards
-	Limits Limits `json:"limits"` // of whoever leads
-	Begin  *Begin `json:"begin,omitempty"`
-	End    *End   `json:"end,omitempty"`
-	Lost   *Lost  `json:"lost,omitempty"`
+	Now    int64           `json:"now"`    // the ledger's clock, in milliseconds; it never runs backwards
+	Limits Limits          `json:"limits"` // of whoever leads
+	Begin  *BeginRequest   `json:"begin,omitempty"`
+	End    *EndRequest     `json:"end,omitempty"`
+	Lost   *ReleaseRequest `json:"lost,omitempty"`
 }
 
 // Verdict is what came of a Begin.
-type Verdict struct {
-	Yours   bool     `json:"yours,omitempty"`   // the asker may let it out
-	State   State    `json:"state,omitempty"`   // else, how it stands
-	Owner   Owner    `json:"owner,omitzero"`    // of work that runs
-	Outcome *Outcome `json:"outcome,omitempty"` // of work that was answered
-	Other   bool     `json:"other,omitempty"`   // the key belongs to another request
-	Full    bool     `json:"full,omitempty"`    // there is no room: nothing is forgotten before its time
-	Over    bool     `json:"over,omitempty"`    // as many owners as may have had it
+type BeginResult struct {
+	Granted         bool     `json:"yours,omitempty"`   // the asker may let it out
+	State           State    `json:"state,omitempty"`   // else, how it stands
+	Owner           Owner    `json:"owner,omitzero"`    // of work that runs
+	Outcome         *Outcome `json:"outcome,omitempty"` // of work that was answered
+	KeyConflict     bool     `json:"other,omitempty"`   // the key belongs to another request
+	StoreFull       bool     `json:"full,omitempty"`    // there is no room: nothing is forgotten before its time
+	OwnersExhausted bool     `json:"over,omitempty"`    // as many owners as may have had it
 }
 
 // Limits bound the ledger.
 type Limits struct {
-	Window time.Duration `json:"window"` // for how long work is kept after its last change
-	Most   int           `json:"most"`   // pieces
+	Retention  time.Duration `json:"window"` // for how long work is kept after its last change
+	MaxEntries int           `json:"most"`   // pieces
 }
 
 // mostBytes bounds the bodies of all outcomes together, which every voter has in memory. Beyond it outcomes are kept without.
@@ -180,36 +180,36 @@
 }
 
 // begin gives a permission, once: to whoever asks first for work that is new or free.
-func (s *ledger) begin(c Begin, l Limits) Verdict {
+func (s *ledger) begin(c BeginRequest, l Limits) BeginResult {
 	p := s.Pieces[c.Key]
 	switch {
-	case p == nil && len(s.Pieces) >= l.Most:
-		return Verdict{Full: true}
+	case p == nil && len(s.Pieces) >= l.MaxEntries:
+		return BeginResult{StoreFull: true}
 	case p == nil:
-		p = &piece{Print: c.Print, Again: c.Again, key: c.Key}
-	case p.Print != c.Print:
-		return Verdict{Other: true}
+		p = &piece{Print: c.Fingerprint, Again: c.Idempotent, key: c.Key}
+	case p.Print != c.Fingerprint:
+		return BeginResult{KeyConflict: true}
 	case p.Owner == c.Owner && p.State == Running: // the same question, since its answer was lost
-		return Verdict{Yours: true}
+		return BeginResult{Granted: true}
 	case p.State == Running && mutant.Active("claim-without-look"):
 	case p.State != Free || p.Owner == c.Owner: // or it comes late, and its owner has given it up
-		return Verdict{State: p.State, Owner: p.Owner, Outcome: p.Outcome}
-	case p.Tries >= max(c.Most, 1):
-		return Verdict{Over: true}
+		return BeginResult{State: p.State, Owner: p.Owner, Outcome: p.Outcome}
+	case p.Tries >= max(c.MaxOwners, 1):
+		return BeginResult{OwnersExhausted: true}
 	}
 	p.Tries++
 	s.set(p, c.Owner, Running)
-	return Verdict{Yours: true}
+	return BeginResult{Granted: true}
 }
 
 // end takes what an owner says of its work, and reports whether it was its to say. What it says after it was given up is better
 // than not to know, as long as nobody else has had the work: an outcome, or that nothing has run. A Begin that was given up
 // before it came here finds that when it comes.
-func (s *ledger) end(c End, l Limits) bool {
+func (s *ledger) end(c EndRequest, l Limits) bool {
 	p := s.Pieces[c.Key]
-	if c.State == Free && (p != nil && p.State == Free || p == nil && c.Print != "" && len(s.Pieces) < l.Most) {
+	if c.State == Free && (p != nil && p.State == Free || p == nil && c.Fingerprint != "" && len(s.Pieces) < l.MaxEntries) {
 		if p == nil {
-			p = &piece{Print: c.Print, key: c.Key}
+			p = &piece{Print: c.Fingerprint, key: c.Key}
 		}
 		s.set(p, c.Owner, Free)
 		return true
@@ -224,12 +224,12 @@
 		p.Tries--
 	}
 	if p.Outcome = c.Outcome; p.Outcome != nil && s.bytes+len(p.Outcome.Body) > mostBytes {
-		p.Outcome = &Outcome{Status: p.Outcome.Status, Long: true}
+		p.Outcome = &Outcome{Status: p.Outcome.Status, BodyOmitted: true}
 	}
 	s.bytes += p.size()
 	s.set(p, p.Owner, c.State)
 	if mutant.Active("outcome-forgotten") {
-		s.forget(Limits{Window: -time.Millisecond})
+		s.forget(Limits{Retention: -time.Millisecond})
 	}
 	return true
 }
@@ -244,7 +244,7 @@
 
 // lost takes processes' work from them. What may have run, and must not run twice, stays unknown; of what may run again a former
 // owner that returns has nothing to say any more.
-func (s *ledger) lost(c Lost) (n int) {
+func (s *ledger) lost(c ReleaseRequest) (n int) {
 	for _, one := range c.Processes {
 		for p := range s.of[one] {
 			owner, state := p.Owner, Unknown
@@ -293,7 +293,7 @@
 
 // forget drops what is older than the window. Work that runs is never forgotten.
 func (s *ledger) forget(l Limits) {
-	for end := s.Clock - l.Window.Milliseconds(); len(s.aging) > 0 && s.aging[0].Changed < end; {
+	for end := s.Clock - l.Retention.Milliseconds(); len(s.aging) > 0 && s.aging[0].Changed < end; {
 		p := heap.Pop(&s.aging).(*piece)
 		s.bytes -= p.size()
 		delete(s.Pieces, p.key)
@@ -332,13 +332,13 @@
 func (s *ledger) Snapshot() (raft.FSMSnapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return agreed.Freeze(s)
+	return raftlog.EncodeSnapshot(s)
 }
 
 // Restore implements raft.FSM.
 func (s *ledger) Restore(r io.ReadCloser) error {
 	next := newLedger()
-	if err := agreed.Thaw(r, "work", next); err != nil {
+	if err := raftlog.DecodeSnapshot(r, "work", next); err != nil {
 		return err
 	}
 	for key, p := range next.Pieces {
--- a/internal/fleet/work/service.go
+++ b/internal/fleet/callstore/service.go
@@ -1,4 +1,4 @@
-package work
+package callstore
 
 import (
 	"cmp"
@@ -18,16 +18,16 @@
 
 	"github.com/hashicorp/raft"
 
-	"olivebridge/internal/fleet/agreed"
 	"olivebridge/internal/fleet/member"
 	"olivebridge/internal/fleet/mutant"
+	"olivebridge/internal/fleet/raftlog"
 	"olivebridge/internal/fleet/record"
 )
 
 // The channels of the members' streams that work uses.
 const (
 	VotersChannel = 3 // between voters
-	WorkChannel   = 4 // from whoever has work to the leader
+	CallsChannel  = 4 // from whoever has work to the leader
 )
 
 const (
@@ -56,20 +56,20 @@
 // Config is what a process is told of its fleet's work.
 type Config struct {
 	Name      string
-	Voters    agreed.Roster
+	Voters    raftlog.VoterSet
 	Directory string
 	Limits    Limits
-	Tries     int // owners that may let one piece out
+	MaxOwners int // owners that may let one piece out
 	Dial      func(name string, channel byte, timeout time.Duration) (net.Conn, error)
-	Next      func(ctx context.Context, after uint64) (*member.View, error)
+	NextView  func(ctx context.Context, after uint64) (*member.View, error)
 	Log       *slog.Logger
-	Record    *record.Book
+	Record    *record.Recorder
 }
 
 // Service is a process's part in keeping work.
 type Service struct {
 	c     Config
-	part  *agreed.Part // in keeping the log
+	part  *raftlog.Participant // in keeping the log
 	calls atomic.Uint64
 	// pending are those that the ledger is still to be told of.
 	pending atomic.Int64
@@ -80,7 +80,7 @@
 	predecessor string // the incarnation in which it had it last, of whose work it may still say for a while what became of it
 	down        time.Time
 	up          time.Time
-	log         *agreed.Log // nil: this is no voter, or not yet
+	log         *raftlog.Log // nil: this is no voter, or not yet
 	ledger      *ledger
 	term        uint64
 	base        int64 // the ledger's clock at the beginning of the term
@@ -105,8 +105,8 @@
 		c.Log = slog.New(slog.DiscardHandler)
 	}
 	s := &Service{c: c, to: map[string]*stream{}, failed: map[string]time.Time{}}
-	s.part = agreed.NewPart(agreed.PartConfig{Name: c.Name, Roster: c.Voters, Directory: filepath.Join(c.Directory, "work"),
-		What: "fleet work", Log: c.Log, Opened: s.opened, Closed: func() { s.opened(nil, nil) }, New: func() raft.FSM { return newLedger() },
+	s.part = raftlog.NewParticipant(raftlog.ParticipantConfig{Name: c.Name, Voters: c.Voters, Directory: filepath.Join(c.Directory, "work"),
+		LogMessage: "fleet work", Log: c.Log, OnOpen: s.opened, OnClose: func() { s.opened(nil, nil) }, NewState: func() raft.FSM { return newLedger() },
 		Dial: func(name string, timeout time.Duration) (net.Conn, error) {
 			return c.Dial(name, VotersChannel, timeout)
 		}})
@@ -114,18 +114,18 @@
 }
 
 // Up begins, for a process that has got the node's place.
-func (s *Service) Up(home string, incarnation uint64) {
+func (s *Service) Start(home string, incarnation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ctx, stop := context.WithCancel(context.Background())
 	s.incarnation, s.up, s.stop, s.view = fmt.Sprintf("%s/%d", home, incarnation), time.Now(), stop, nil
 	s.tasks.Go(func() { s.follow(ctx) })
 	s.tasks.Go(func() { s.sweep(ctx) })
-	s.part.Up()
+	s.part.Start()
 }
 
 // opened takes the log in that this process keeps, or that it keeps none.
-func (s *Service) opened(log *agreed.Log, state raft.FSM) {
+func (s *Service) opened(log *raftlog.Log, state raft.FSM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.log = log
@@ -133,13 +133,13 @@
 }
 
 // Keep lets others keep the log from now on.
-func (s *Service) Keep(r agreed.Roster) { s.part.Keep(r) }
+func (s *Service) SetVoters(r raftlog.VoterSet) { s.part.SetVoters(r) }
 
 // ServeVoters takes a stream from another voter.
-func (s *Service) ServeVoters(c net.Conn, from string) { s.part.Serve(c, from) }
+func (s *Service) ServeVoters(c net.Conn, from string) { s.part.ServeStream(c, from) }
 
 // Down ends that.
-func (s *Service) Down() {
+func (s *Service) Stop() {
 	s.mu.Lock()
 	if s.stop == nil {
 		s.mu.Unlock()
@@ -153,14 +153,14 @@
 	for _, one := range all {
 		one.close(ErrNoLeader)
 	}
-	s.part.Down()
+	s.part.Stop()
 	s.tasks.Wait()
 }
 
 // follow takes the views in.
 func (s *Service) follow(ctx context.Context) {
 	for after := uint64(0); ; {
-		v, err := s.c.Next(ctx, after)
+		v, err := s.c.NextView(ctx, after)
 		if err != nil {
 			return
 		}
@@ -191,7 +191,7 @@
 	s.mu.Lock()
 	log, state, v, up := s.log, s.ledger, s.view, s.up
 	s.mu.Unlock()
-	if log == nil || v == nil || !log.Leads() || ctx.Err() != nil {
+	if log == nil || v == nil || !log.IsLeader() || ctx.Err() != nil {
 		return
 	}
 	var all []process
@@ -206,7 +206,7 @@
 	slices.SortFunc(all, func(a, b process) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
-	got, err := s.agree(command{Lost: &Lost{all}})
+	got, err := s.agree(command{Lost: &ReleaseRequest{all}})
 	if n, ok := got.(int); err == nil && ok {
 		s.count.lost.Add(int64(n))
 		s.c.Log.Info("fleet work", "reason", "taken-over", "from", fmt.Sprint(all), "pieces", n)
@@ -239,7 +239,7 @@
 func (s *Service) agree(c command) (any, error) {
 	s.mu.Lock()
 	log, state := s.log, s.ledger
-	if log == nil || !log.Leads() {
+	if log == nil || !log.IsLeader() {
 		s.mu.Unlock()
 		return nil, ErrNoLeader
 	}
@@ -249,22 +249,22 @@
 	}
 	c.Now, c.Limits = s.base+time.Since(s.began).Milliseconds(), s.c.Limits
 	s.mu.Unlock()
-	return log.Agree(c)
+	return log.Propose(c)
 }
 
 // question and reply go over the stream to the voter.
 type question struct {
-	Number uint64 `json:"number"`
-	Begin  *Begin `json:"begin,omitempty"`
-	End    *End   `json:"end,omitempty"`
+	Number uint64        `json:"number"`
+	Begin  *BeginRequest `json:"begin,omitempty"`
+	End    *EndRequest   `json:"end,omitempty"`
 }
 
 type reply struct {
-	Number  uint64  `json:"number"`
-	Refuse  string  `json:"refuse,omitempty"`
-	Leader  string  `json:"keeper,omitempty"` // who keeps the work, as far as is known
-	Verdict Verdict `json:"verdict,omitzero"`
-	Taken   bool    `json:"taken,omitempty"`
+	Number  uint64      `json:"number"`
+	Refuse  string      `json:"refuse,omitempty"`
+	Leader  string      `json:"keeper,omitempty"` // who keeps the work, as far as is known
+	Verdict BeginResult `json:"verdict,omitzero"`
+	Taken   bool        `json:"taken,omitempty"`
 }
 
 // answer answers a question, if this process keeps the work.
@@ -272,7 +272,7 @@
 	r := reply{Number: q.Number}
 	got, err := s.agree(command{Begin: q.Begin, End: q.End})
 	switch v := got.(type) {
-	case Verdict:
+	case BeginResult:
 		r.Verdict = v
 	case bool:
 		r.Taken = v
@@ -296,7 +296,7 @@
 const mostOpen = 512
 
 // ServeWork answers questions until their stream ends.
-func (s *Service) ServeWork(c net.Conn, from string) {
+func (s *Service) ServeCalls(c net.Conn, from string) {
 	in, out := json.NewDecoder(c), json.NewEncoder(c)
 	var mu sync.Mutex
 	var open sync.WaitGroup
@@ -325,29 +325,29 @@
 }
 
 // Owner is a new owner for one call of this process; false: it has no place in the fleet.
-func (s *Service) Owner() (Owner, bool) {
+func (s *Service) NewOwner() (Owner, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Owner{s.c.Name, s.incarnation, s.calls.Add(1)}, s.incarnation != ""
 }
 
 // Begin asks for the permission to let a piece of work out.
-func (s *Service) Begin(ctx context.Context, b Begin) (Verdict, error) {
-	if b.Most == 0 {
-		b.Most = s.c.Tries
+func (s *Service) Begin(ctx context.Context, b BeginRequest) (BeginResult, error) {
+	if b.MaxOwners == 0 {
+		b.MaxOwners = s.c.MaxOwners
 	}
 	if mutant.Active("out-before-permission") {
 		go s.ask(context.Background(), question{Begin: &b}, beginWithin)
-		return Verdict{Yours: true}, nil
+		return BeginResult{Granted: true}, nil
 	}
 	r, err := s.ask(ctx, question{Begin: &b}, beginWithin)
 	switch {
 	case err != nil:
 		s.count.refused.Add(1)
 		// It may have been taken all the same. Nothing has left, so what is known is that it is free.
-		s.later(End{Key: b.Key, Print: b.Print, Owner: b.Owner, State: Free})
-		return Verdict{}, err
-	case r.Verdict.Yours:
+		s.later(EndRequest{Key: b.Key, Fingerprint: b.Fingerprint, Owner: b.Owner, State: Free})
+		return BeginResult{}, err
+	case r.Verdict.Granted:
 		s.count.begun.Add(1)
 		s.c.Record.Write("begun", b)
 	default:
@@ -358,7 +358,7 @@
 
 // End says what became of it, and waits a little until the ledger has it. What it has not by then it is told later, as long as
 // this process has the node's place: work whose owner lives and says nothing would be nobody's to go on with.
-func (s *Service) End(e End) bool {
+func (s *Service) End(e EndRequest) bool {
 	switch e.State {
 	case Answered:
 		s.count.kept.Add(1)
@@ -377,7 +377,7 @@
 const mostLater = 20000
 
 // later tells the ledger once it can be told.
-func (s *Service) later(e End) {
+func (s *Service) later(e EndRequest) {
 	if s.pending.Add(1) > mostLater {
 		s.pending.Add(-1)
 		s.c.Log.Error("fleet work", "reason", "not-told", "key", e.Key)
@@ -410,7 +410,7 @@
 	s.mu.Unlock()
 	for {
 		if who == "" { // nobody knows: one after the other
-			voters := s.part.Roster().Names
+			voters := s.part.Voters().Names
 			s.mu.Lock()
 			who = voters[s.turn%len(voters)]
 			s.turn++
@@ -493,7 +493,7 @@
 		return nil, ErrNoLeader
 	}
 	s.failed[who] = time.Now() // a stream that ends at once is no better than none
-	c, err := s.c.Dial(who, WorkChannel, askWithin)
+	c, err := s.c.Dial(who, CallsChannel, askWithin)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/work/stream.go
+++ b/internal/fleet/callstore/stream.go
@@ -1,4 +1,4 @@
-package work
+package callstore
 
 import (
 	"context"
--- a/internal/fleet/work/work_test.go
+++ b/internal/fleet/callstore/work_test.go
@@ -1,4 +1,4 @@
-package work
+package callstore
 
 import (
 	"bytes"
@@ -11,8 +11,8 @@
 	"github.com/hashicorp/raft"
 	"pgregory.net/rapid"
 
-	"olivebridge/internal/fleet/agreed"
 	"olivebridge/internal/fleet/member"
+	"olivebridge/internal/fleet/raftlog"
 )
 
 func apply(t interface{ Fatal(...any) }, l *ledger, c command) any {
@@ -27,7 +27,7 @@
 }
 
 // whole is a ledger that is large enough for whatever a test puts in.
-var whole = Limits{Window: time.Hour, Most: 1000}
+var whole = Limits{Retention: time.Hour, MaxEntries: 1000}
 
 // TestOnce plays owners, each of which asks for keys, lets out what it was allowed, says what came of it or dies, with questions
 // that come late, twice and out of order, processes given up though they live, and the ledger carried over by a snapshot. What
@@ -50,7 +50,7 @@
 			case 0, 1, 2, 3: // somebody asks
 				calls++
 				o := Owner{fmt.Sprint("n", rapid.IntRange(1, 3).Draw(t, "node")), "h/1", calls}
-				c = command{Now: now, Begin: &Begin{Key: key, Print: key, Owner: o, Again: again, Most: most}}
+				c = command{Now: now, Begin: &BeginRequest{Key: key, Fingerprint: key, Owner: o, Idempotent: again, MaxOwners: most}}
 			case 4, 5, 6: // an owner ends
 				var some []Owner
 				for o := range allowed {
@@ -66,7 +66,7 @@
 					}
 				}
 				state := rapid.SampledFrom([]State{Answered, Unknown, Free}).Draw(t, "state")
-				end := &End{Key: allowed[o], Owner: o, State: state}
+				end := &EndRequest{Key: allowed[o], Owner: o, State: state}
 				if state == Answered {
 					end.Outcome = &Outcome{Status: 200, Body: []byte(fmt.Sprint(o))}
 				}
@@ -77,7 +77,7 @@
 				delete(allowed, o)
 				c = command{Now: now, End: end}
 			case 7: // a node is given up, rightly or not
-				c = command{Now: now, Lost: &Lost{[]process{{fmt.Sprint("n", rapid.IntRange(1, 3).Draw(t, "lost")), "h/1"}}}}
+				c = command{Now: now, Lost: &ReleaseRequest{[]process{{fmt.Sprint("n", rapid.IntRange(1, 3).Draw(t, "lost")), "h/1"}}}}
 			case 8:
 				if len(sent) == 0 {
 					continue
@@ -96,15 +96,15 @@
 					t.Fatal(err)
 				}
 				l = newLedger()
-				if err := l.Restore(io.NopCloser(bytes.NewReader(snap.(agreed.Snapshot)))); err != nil {
+				if err := l.Restore(io.NopCloser(bytes.NewReader(snap.(raftlog.Snapshot)))); err != nil {
 					t.Fatal(err)
 				}
 				continue
 			}
 			sent = append(sent, c)
 			got := apply(t, l, c)
-			if v, ok := got.(Verdict); ok {
-				if v.Yours {
+			if v, ok := got.(BeginResult); ok {
+				if v.Granted {
 					if ran[key] == nil {
 						ran[key] = &out{}
 					}
@@ -130,29 +130,29 @@
 
 // TestBounds: nothing is forgotten before its time, also where there is no room; what runs never is.
 func TestBounds(t *testing.T) {
-	l, limits := newLedger(), Limits{Window: 10 * time.Second, Most: 3}
-	begin := func(now int64, key string, call uint64) Verdict {
-		return apply(t, l, command{Now: now, Limits: limits, Begin: &Begin{Key: key, Print: "p", Owner: Owner{"n1", "h/1", call}}}).(Verdict)
+	l, limits := newLedger(), Limits{Retention: 10 * time.Second, MaxEntries: 3}
+	begin := func(now int64, key string, call uint64) BeginResult {
+		return apply(t, l, command{Now: now, Limits: limits, Begin: &BeginRequest{Key: key, Fingerprint: "p", Owner: Owner{"n1", "h/1", call}}}).(BeginResult)
 	}
 	for i, key := range []string{"a", "b", "c"} {
-		if v := begin(0, key, uint64(i)); !v.Yours {
+		if v := begin(0, key, uint64(i)); !v.Granted {
 			t.Fatalf("%s: %+v", key, v)
 		}
 	}
-	apply(t, l, command{Now: 1000, Limits: limits, End: &End{Key: "a", Owner: Owner{"n1", "h/1", 0}, State: Answered, Outcome: &Outcome{Status: 200}}})
-	if v := begin(10900, "d", 9); !v.Full {
+	apply(t, l, command{Now: 1000, Limits: limits, End: &EndRequest{Key: "a", Owner: Owner{"n1", "h/1", 0}, State: Answered, Outcome: &Outcome{Status: 200}}})
+	if v := begin(10900, "d", 9); !v.StoreFull {
 		t.Errorf("a fourth, while all are kept: %+v", v)
 	}
 	if v := begin(10900, "a", 10); v.State != Answered || v.Outcome.Status != 200 {
 		t.Errorf("just before its time is over: %+v", v)
 	}
-	if v := begin(11100, "d", 11); !v.Yours {
+	if v := begin(11100, "d", 11); !v.Granted {
 		t.Errorf("once it is over: %+v", v)
 	}
-	if v := begin(99000, "b", 12); v.Yours || v.State != Running {
+	if v := begin(99000, "b", 12); v.Granted || v.State != Running {
 		t.Errorf("what runs was forgotten: %+v", v)
 	}
-	if v := apply(t, l, command{Begin: &Begin{Key: "b", Print: "other"}}).(Verdict); !v.Other {
+	if v := apply(t, l, command{Begin: &BeginRequest{Key: "b", Fingerprint: "other"}}).(BeginResult); !v.KeyConflict {
 		t.Errorf("another request under the same key: %+v", v)
 	}
 	if _, bad := l.Apply(&raft.Log{Data: []byte("{}")}).(error); !bad {
@@ -186,19 +186,19 @@
 	l := newLedger()
 	for call := range uint64(20) {
 		o := Owner{"n1", "h/1", call}
-		begin, end := command{Begin: &Begin{Key: "a", Print: "p", Owner: o, Most: 3}}, command{End: &End{Key: "a", Print: "p", Owner: o, State: Free}}
+		begin, end := command{Begin: &BeginRequest{Key: "a", Fingerprint: "p", Owner: o, MaxOwners: 3}}, command{End: &EndRequest{Key: "a", Fingerprint: "p", Owner: o, State: Free}}
 		late := call%2 == 0
 		if late {
 			apply(t, l, end)
 		}
-		if v := apply(t, l, begin).(Verdict); v.Yours == late {
+		if v := apply(t, l, begin).(BeginResult); v.Granted == late {
 			t.Fatalf("call %d, given up before: %v: %+v", call, late, v)
 		}
 		if !late {
 			apply(t, l, end)
 		}
 	}
-	if v := apply(t, l, command{Begin: &Begin{Key: "a", Print: "p", Owner: Owner{"n2", "h/1", 1}, Most: 3}}).(Verdict); !v.Yours {
+	if v := apply(t, l, command{Begin: &BeginRequest{Key: "a", Fingerprint: "p", Owner: Owner{"n2", "h/1", 1}, MaxOwners: 3}}).(BeginResult); !v.Granted {
 		t.Errorf("after all: %+v", v)
 	}
 }
@@ -206,7 +206,7 @@
 // TestLostIsOneForm: earlier programs, which called an incarnation a life, have to read what is agreed on.
 func TestLostIsOneForm(t *testing.T) {
 	const form = `{"processes":[{"Name":"n1","Life":"h/1"}]}`
-	if said, err := json.Marshal(Lost{[]process{{"n1", "h/1"}}}); err != nil || string(said) != form {
+	if said, err := json.Marshal(ReleaseRequest{[]process{{"n1", "h/1"}}}); err != nil || string(said) != form {
 		t.Errorf("%s, not %s (%v)", said, form, err)
 	}
 }
@@ -222,18 +222,18 @@
 			c := command{Now: now, Limits: Limits{time.Duration(rapid.IntRange(50, 500).Draw(t, "window")) * time.Millisecond, rapid.IntRange(2, 8).Draw(t, "most")}}
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
-				c.Begin = &Begin{Key: key, Print: key, Owner: owner, Again: key == "k0", Most: 2}
+				c.Begin = &BeginRequest{Key: key, Fingerprint: key, Owner: owner, Idempotent: key == "k0", MaxOwners: 2}
 			case 2, 3:
 				if p := one.Pieces[key]; p != nil {
 					owner = p.Owner
 				}
 				state := rapid.SampledFrom([]State{Answered, Unknown, Free}).Draw(t, "state")
-				c.End = &End{Key: key, Print: key, Owner: owner, State: state}
+				c.End = &EndRequest{Key: key, Fingerprint: key, Owner: owner, State: state}
 				if state == Answered {
 					c.End.Outcome = &Outcome{Status: 200, Body: make([]byte, 10)}
 				}
 			default:
-				c.Lost = &Lost{[]process{owner.process()}}
+				c.Lost = &ReleaseRequest{[]process{owner.process()}}
 			}
 			v, _ := json.Marshal(apply(t, one, c))
 			w, _ := json.Marshal(apply(t, other, c))
@@ -246,7 +246,7 @@
 					t.Fatal(err)
 				}
 				one = newLedger()
-				if err := one.Restore(io.NopCloser(bytes.NewReader(snap.(agreed.Snapshot)))); err != nil {
+				if err := one.Restore(io.NopCloser(bytes.NewReader(snap.(raftlog.Snapshot)))); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/fleet/member/service.go
+++ b/internal/fleet/member/service.go
@@ -28,7 +28,7 @@
 	Join      []string       // addresses of others
 	Directory string
 	Log       *slog.Logger
-	Record    *record.Book // nil: none
+	Record    *record.Recorder // nil: none
 	// Channels serve streams that other parts of the fleet open, each until its function returns; the name is the
 	// caller's. Channels 0 and 250 are this package's own.
 	Channels map[byte]func(c net.Conn, from string)
@@ -166,7 +166,7 @@
 		return err
 	}
 	s.c.Record.Write("took", incarnation)
-	s.c.Record.Write("wall", mutant.Wall().UnixNano())
+	s.c.Record.Write("wall", mutant.WallClock().UnixNano())
 	m := s.self(incarnation)
 	s.mu.Lock()
 	predecessor := s.successor
--- a/internal/fleet/mutant/off.go
+++ b/internal/fleet/mutant/off.go
@@ -12,5 +12,5 @@
 // At is a step of the program's at which the rig may want to be.
 func At(string) {}
 
-// Wall is the wall clock as this process has it.
-func Wall() time.Time { return time.Now() }
+// WallClock is the wall clock as this process has it.
+func WallClock() time.Time { return time.Now() }
--- a/internal/fleet/mutant/on.go
+++ b/internal/fleet/mutant/on.go
@@ -16,8 +16,8 @@
 	return slices.Contains(strings.Split(os.Getenv("OLIVEFLEET_PLANT"), ","), name)
 }
 
-// Wall is the wall clock as this process has it: wrong by what OLIVEFLEET_WALL says.
-func Wall() time.Time {
+// WallClock is the wall clock as this process has it: wrong by what OLIVEFLEET_WALL says.
+func WallClock() time.Time {
 	wrong, err := time.ParseDuration(os.Getenv("OLIVEFLEET_WALL"))
 	if err != nil {
 		return time.Now()
--- a/internal/fleet/rounds/ledger.go
+++ b/internal/fleet/operations/ledger.go
@@ -1,7 +1,7 @@
 // Package rounds keeps operators' work over many nodes beyond the loss of any of them: servers that the whole fleet keeps out of
 // use, and rounds through many servers, out, empty, back, the next. ledger.go decides and is free of I/O, clock and
 // goroutines; service.go carries it out over a log that the voters agree on.
-package rounds
+package operations
 
 import (
 	"encoding/json"
@@ -15,8 +15,8 @@
 
 	"github.com/hashicorp/raft"
 
-	"olivebridge/internal/fleet/agreed"
 	"olivebridge/internal/fleet/mutant"
+	"olivebridge/internal/fleet/raftlog"
 )
 
 // Step is how far a round is with its present server.
@@ -24,10 +24,10 @@
 
 // The steps, in their order.
 const (
-	Waits   Step = "waits"   // nothing was done yet
-	Leaves  Step = "leaves"  // it is kept out of use; nodes are told, and end what they have there
-	Empty   Step = "empty"   // no node has anything there; it is held out
-	Returns Step = "returns" // it is in use again; nodes are told
+	Pending   Step = "waits"   // nothing was done yet
+	Draining  Step = "leaves"  // it is kept out of use; nodes are told, and end what they have there
+	Drained   Step = "empty"   // no node has anything there; it is held out
+	Restoring Step = "returns" // it is in use again; nodes are told
 )
 
 // State is how a round stands.
@@ -35,13 +35,13 @@
 
 // The states.
 const (
-	Runs    State = "runs"
+	Running State = "runs"
 	Stopped State = "stopped" // by an operator; the server that was out is back in use
 	Done    State = "done"
 )
 
 // Out is a server that the whole fleet keeps out of use.
-type Out struct {
+type Suspension struct {
 	Version uint64 `json:"version"`         // of the ledger, from which on it is
 	Round   uint64 `json:"round,omitempty"` // which has it out; 0: an operator's own word
 	By      string `json:"by"`
@@ -49,22 +49,22 @@
 
 // Round is one through some servers, one after the other.
 type Round struct {
-	ID      uint64        `json:"id"`
-	Key     string        `json:"key"` // by which operators name it: said twice it is begun once
-	By      string        `json:"by"`
-	Servers []string      `json:"servers"`
-	Hold    time.Duration `json:"hold"` // for how long each is held out once it is empty
-	At      int           `json:"at"`   // the present server
-	Step    Step          `json:"step"`
-	State   State         `json:"state"`
-	Version uint64        `json:"version"` // of the ledger, at the last step
-	Why     string        `json:"why,omitempty"`
+	ID         uint64        `json:"id"`
+	Key        string        `json:"key"` // by which operators name it: said twice it is begun once
+	By         string        `json:"by"`
+	Servers    []string      `json:"servers"`
+	Hold       time.Duration `json:"hold"` // for how long each is held out once it is empty
+	Position   int           `json:"at"`   // the present server
+	Step       Step          `json:"step"`
+	State      State         `json:"state"`
+	Version    uint64        `json:"version"` // of the ledger, at the last step
+	StopReason string        `json:"why,omitempty"`
 }
 
 // Server is the present one; "": the round is over.
 func (r *Round) Server() string {
-	if r.At < len(r.Servers) {
-		return r.Servers[r.At]
+	if r.Position < len(r.Servers) {
+		return r.Servers[r.Position]
 	}
 	return ""
 }
@@ -77,21 +77,21 @@
 
 // command is an entry of the log: one of them.
 type command struct {
-	Suspend *Word  `json:"suspend,omitempty"`
-	Restore *Word  `json:"restore,omitempty"`
-	Begin   *Begin `json:"begin,omitempty"`
-	Stop    *Stop  `json:"stop,omitempty"`
-	Move    *Move  `json:"move,omitempty"`
+	Suspend *ServerRequest     `json:"suspend,omitempty"`
+	Restore *ServerRequest     `json:"restore,omitempty"`
+	Begin   *BeginRoundRequest `json:"begin,omitempty"`
+	Stop    *StopRoundRequest  `json:"stop,omitempty"`
+	Move    *AdvanceRequest    `json:"move,omitempty"`
 }
 
 // Word is an operator's word of one server.
-type Word struct {
+type ServerRequest struct {
 	Server string `json:"server"`
 	By     string `json:"by"` // the node at whose door it was said
 }
 
 // Begin begins a round.
-type Begin struct {
+type BeginRoundRequest struct {
 	Key     string        `json:"key"`
 	By      string        `json:"by"`
 	Servers []string      `json:"servers"`
@@ -99,33 +99,33 @@
 }
 
 // Stop ends one before its time.
-type Stop struct {
+type StopRoundRequest struct {
 	Key string `json:"key"`
 	Why string `json:"why"`
 }
 
 // Move takes a round one step further, if it is where the mover saw it.
-type Move struct {
-	ID   uint64 `json:"id"`
-	At   int    `json:"at"`
-	From Step   `json:"from"`
+type AdvanceRequest struct {
+	Round    uint64 `json:"id"`
+	Position int    `json:"at"`
+	From     Step   `json:"from"`
 }
 
 // ledger is the agreed state.
 type ledger struct {
 	mu      sync.Mutex
-	Version uint64         `json:"version"` // rises with each change of Out
-	Out     map[string]Out `json:"out"`
-	Rounds  []*Round       `json:"rounds"` // in the order of their beginning
-	Next    uint64         `json:"next"`
+	Version uint64                `json:"version"` // rises with each change of Out
+	Out     map[string]Suspension `json:"out"`
+	Rounds  []*Round              `json:"rounds"` // in the order of their beginning
+	Next    uint64                `json:"next"`
 }
 
-func newLedger() *ledger { return &ledger{Out: map[string]Out{}, Next: 1} }
+func newLedger() *ledger { return &ledger{Out: map[string]Suspension{}, Next: 1} }
 
 // Answer is what came of a command: a text for operators, or why it was not done.
-type Answer struct {
-	Text string
-	No   string
+type Result struct {
+	Text      string `json:"Text"`
+	Rejection string `json:"No"`
 }
 
 // Apply implements raft.FSM.
@@ -149,34 +149,34 @@
 	return fmt.Errorf("log entry %d: %w", e.Index, errors.Join(err, errors.New("not of this form")))
 }
 
-func (l *ledger) suspend(w Word) Answer {
+func (l *ledger) suspend(w ServerRequest) Result {
 	if o, out := l.Out[w.Server]; out {
-		return Answer{Text: fmt.Sprintf("%s is out already, %s", w.Server, o.why())}
+		return Result{Text: fmt.Sprintf("%s is out already, %s", w.Server, o.why())}
 	}
-	l.put(w.Server, Out{By: w.By})
-	return Answer{Text: fmt.Sprintf("%s is to be out at all nodes", w.Server)}
+	l.put(w.Server, Suspension{By: w.By})
+	return Result{Text: fmt.Sprintf("%s is to be out at all nodes", w.Server)}
 }
 
-func (o Out) why() string {
+func (o Suspension) why() string {
 	if o.Round != 0 {
 		return fmt.Sprintf("by round %d", o.Round)
 	}
 	return "by a word at " + o.By
 }
 
-func (l *ledger) restore(w Word) Answer {
+func (l *ledger) restore(w ServerRequest) Result {
 	o, out := l.Out[w.Server]
 	switch {
 	case !out:
-		return Answer{Text: w.Server + " is not out"}
+		return Result{Text: w.Server + " is not out"}
 	case o.Round != 0:
-		return Answer{No: fmt.Sprintf("%s is out by round %d: stop that first", w.Server, o.Round)}
+		return Result{Rejection: fmt.Sprintf("%s is out by round %d: stop that first", w.Server, o.Round)}
 	}
 	l.take(w.Server)
-	return Answer{Text: w.Server + " is to be in use again at all nodes"}
+	return Result{Text: w.Server + " is to be in use again at all nodes"}
 }
 
-func (l *ledger) put(server string, o Out) {
+func (l *ledger) put(server string, o Suspension) {
 	l.Version++
 	o.Version = l.Version
 	l.Out[server] = o
@@ -190,84 +190,84 @@
 // running is the round that runs; nil: none does.
 func (l *ledger) running() *Round {
 	for _, r := range l.Rounds {
-		if r.State == Runs {
+		if r.State == Running {
 			return r
 		}
 	}
 	return nil
 }
 
-func (l *ledger) begin(b Begin) Answer {
+func (l *ledger) begin(b BeginRoundRequest) Result {
 	for _, r := range l.Rounds {
 		if r.Key == b.Key {
-			return Answer{Text: "it was begun before: " + r.String()}
+			return Result{Text: "it was begun before: " + r.String()}
 		}
 	}
 	if r := l.running(); r != nil {
-		return Answer{No: "another runs: " + r.String()}
+		return Result{Rejection: "another runs: " + r.String()}
 	}
 	sorted := slices.Sorted(slices.Values(b.Servers))
 	switch {
 	case len(b.Servers) == 0 || len(b.Servers) > MostServers:
-		return Answer{No: fmt.Sprintf("%d servers, not from 1 to %d", len(b.Servers), MostServers)}
+		return Result{Rejection: fmt.Sprintf("%d servers, not from 1 to %d", len(b.Servers), MostServers)}
 	case len(slices.Compact(sorted)) != len(b.Servers):
-		return Answer{No: "a server stands twice"}
+		return Result{Rejection: "a server stands twice"}
 	}
-	r := &Round{ID: l.Next, Key: b.Key, By: b.By, Servers: b.Servers, Hold: b.Hold, Step: Waits, State: Runs, Version: l.Version}
+	r := &Round{ID: l.Next, Key: b.Key, By: b.By, Servers: b.Servers, Hold: b.Hold, Step: Pending, State: Running, Version: l.Version}
 	l.Next++
 	l.Rounds = append(l.Rounds, r)
 	l.Rounds = l.Rounds[max(len(l.Rounds)-keptRounds, 0):]
-	return Answer{Text: r.String()}
+	return Result{Text: r.String()}
 }
 
-func (l *ledger) stop(s Stop) Answer {
+func (l *ledger) stop(s StopRoundRequest) Result {
 	for _, r := range l.Rounds {
 		if r.Key != s.Key {
 			continue
 		}
-		if r.State == Runs {
-			r.State, r.Why = Stopped, s.Why
+		if r.State == Running {
+			r.State, r.StopReason = Stopped, s.Why
 			if o := l.Out[r.Server()]; o.Round == r.ID {
 				l.take(r.Server())
 			}
 		}
-		return Answer{Text: r.String()}
+		return Result{Text: r.String()}
 	}
-	return Answer{No: fmt.Sprintf("there is no round %q", s.Key)}
+	return Result{Rejection: fmt.Sprintf("there is no round %q", s.Key)}
 }
 
 // move takes a step, once: whoever comes second finds that the round is elsewhere by then. A server that is out by an operator's
 // own word is passed over, and stays out.
-func (l *ledger) move(m Move) Answer {
+func (l *ledger) move(m AdvanceRequest) Result {
 	r := l.running()
-	if r == nil || r.ID != m.ID || r.At != m.At && !mutant.Active("step-without-look") || r.Step != m.From && !mutant.Active("step-without-look") {
-		return Answer{No: "it is elsewhere by now"}
+	if r == nil || r.ID != m.Round || r.Position != m.Position && !mutant.Active("step-without-look") || r.Step != m.From && !mutant.Active("step-without-look") {
+		return Result{Rejection: "it is elsewhere by now"}
 	}
 	server := r.Server()
 	switch m.From {
-	case Waits:
+	case Pending:
 		if _, out := l.Out[server]; out {
 			l.next(r)
 			break
 		}
-		l.put(server, Out{Round: r.ID, By: r.By})
-		r.Step = Leaves
-	case Leaves:
-		r.Step = Empty
-	case Empty:
+		l.put(server, Suspension{Round: r.ID, By: r.By})
+		r.Step = Draining
+	case Draining:
+		r.Step = Drained
+	case Drained:
 		if l.Out[server].Round == r.ID {
 			l.take(server)
 		}
-		r.Step = Returns
-	case Returns:
+		r.Step = Restoring
+	case Restoring:
 		l.next(r)
 	}
 	r.Version = l.Version
-	return Answer{Text: r.String()}
+	return Result{Text: r.String()}
 }
 
 func (l *ledger) next(r *Round) {
-	if r.At, r.Step = r.At+1, Waits; r.At >= len(r.Servers) {
+	if r.Position, r.Step = r.Position+1, Pending; r.Position >= len(r.Servers) {
 		r.State = Done
 	}
 }
@@ -279,13 +279,13 @@
 	case Done:
 		return text + fmt.Sprintf("done, %d servers", len(r.Servers))
 	case Stopped:
-		return text + fmt.Sprintf("stopped after %d of %d servers: %s", r.At, len(r.Servers), r.Why)
+		return text + fmt.Sprintf("stopped after %d of %d servers: %s", r.Position, len(r.Servers), r.StopReason)
 	}
-	return text + fmt.Sprintf("server %d of %d, %s, %s", r.At+1, len(r.Servers), r.Server(), r.Step)
+	return text + fmt.Sprintf("server %d of %d, %s, %s", r.Position+1, len(r.Servers), r.Server(), r.Step)
 }
 
 // view is what nodes and operators are shown.
-func (l *ledger) view() (version uint64, out map[string]Out, rounds []Round) {
+func (l *ledger) view() (version uint64, out map[string]Suspension, rounds []Round) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range l.Rounds {
@@ -298,13 +298,13 @@
 func (l *ledger) Snapshot() (raft.FSMSnapshot, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return agreed.Freeze(l)
+	return raftlog.EncodeSnapshot(l)
 }
 
 // Restore implements raft.FSM.
 func (l *ledger) Restore(r io.ReadCloser) error {
 	next := newLedger()
-	if err := agreed.Thaw(r, "rounds", next); err != nil {
+	if err := raftlog.DecodeSnapshot(r, "rounds", next); err != nil {
 		return err
 	}
 	l.mu.Lock()
@@ -314,10 +314,10 @@
 }
 
 // Report is what a node said last.
-type Report struct {
+type NodeReport struct {
 	Incarnation string
 	Version     uint64         // of the ledger, that it goes by
-	Busy        map[string]int // tries that it has open at servers that are out
+	OpenCalls   map[string]int // tries that it has open at servers that are out
 	Age         time.Duration
 }
 
@@ -334,15 +334,15 @@
 // Ready reports whether a round may go on with its step, by what all nodes said; if not, which nodes it waits for. held is for
 // how long it has been seen in its step. Whoever reports counts, also one that is no member, or not yet: a node that is back at
 // another address serves clients for some seconds before the others have it.
-func Ready(r Round, members []Member, reports map[string]Report, held time.Duration) (ok bool, waits []string) {
-	if r.Step == Waits {
+func CanAdvance(r Round, members []Member, reports map[string]NodeReport, held time.Duration) (ok bool, waits []string) {
+	if r.Step == Pending {
 		return true, nil
 	}
-	if r.Step == Empty {
+	if r.Step == Drained {
 		return held >= r.Hold, nil
 	}
-	late := func(said Report, predecessor bool) bool {
-		busy := r.Step == Leaves && (predecessor || said.Busy[r.Server()] > 0)
+	late := func(said NodeReport, predecessor bool) bool {
+		busy := r.Step == Draining && (predecessor || said.OpenCalls[r.Server()] > 0)
 		return said.Version < r.Version || busy && !mutant.Active("busy-not-asked")
 	}
 	for _, m := range members {
--- a/internal/fleet/rounds/rounds_test.go
+++ b/internal/fleet/operations/rounds_test.go
@@ -1,4 +1,4 @@
-package rounds
+package operations
 
 import (
 	"bytes"
@@ -16,17 +16,17 @@
 	"github.com/hashicorp/raft"
 	"pgregory.net/rapid"
 
-	"olivebridge/internal/fleet/agreed"
 	"olivebridge/internal/fleet/member"
+	"olivebridge/internal/fleet/raftlog"
 )
 
 // do lets a ledger apply a command, as it comes out of the log.
-func do(t interface{ Fatal(...any) }, l *ledger, c command) Answer {
+func do(t interface{ Fatal(...any) }, l *ledger, c command) Result {
 	data, err := json.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, is := l.Apply(&raft.Log{Data: data}).(Answer)
+	a, is := l.Apply(&raft.Log{Data: data}).(Result)
 	if !is {
 		t.Fatal("no answer")
 	}
@@ -39,7 +39,7 @@
 	servers := []string{"a", "b", "c", "d"}
 	rapid.Check(t, func(t *rapid.T) {
 		l := newLedger()
-		var moves []Move
+		var moves []AdvanceRequest
 		left := map[string]int{}
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			version, out, _ := l.view()
@@ -47,14 +47,14 @@
 			server := rapid.SampledFrom(servers).Draw(t, "server")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				c.Suspend = &Word{server, "n1"}
+				c.Suspend = &ServerRequest{server, "n1"}
 			case 1:
-				c.Restore = &Word{server, "n1"}
+				c.Restore = &ServerRequest{server, "n1"}
 			case 2:
-				c.Begin = &Begin{fmt.Sprint("r", rapid.IntRange(1, 6).Draw(t, "key")), "n1",
+				c.Begin = &BeginRoundRequest{fmt.Sprint("r", rapid.IntRange(1, 6).Draw(t, "key")), "n1",
 					rapid.SliceOfNDistinct(rapid.SampledFrom(servers), 0, 4, rapid.ID[string]).Draw(t, "servers"), time.Second}
 			case 3:
-				c.Stop = &Stop{fmt.Sprint("r", rapid.IntRange(1, 6).Draw(t, "key")), "why"}
+				c.Stop = &StopRoundRequest{fmt.Sprint("r", rapid.IntRange(1, 6).Draw(t, "key")), "why"}
 			case 4: // one that was made before comes again
 				if len(moves) == 0 {
 					continue
@@ -66,16 +66,16 @@
 				if r == nil {
 					continue
 				}
-				c.Move = &Move{r.ID, r.At, r.Step}
+				c.Move = &AdvanceRequest{r.ID, r.Position, r.Step}
 				moves = append(moves, *c.Move)
 			}
 			before := l.running()
-			was := Move{}
+			was := AdvanceRequest{}
 			if before != nil {
-				was = Move{before.ID, before.At, before.Step}
+				was = AdvanceRequest{before.ID, before.Position, before.Step}
 			}
 			a := do(t, l, c)
-			if c.Move != nil && (a.No == "") != (before != nil && *c.Move == was) {
+			if c.Move != nil && (a.Rejection == "") != (before != nil && *c.Move == was) {
 				t.Fatalf("%+v is taken though the round is at %+v: %+v", c.Move, was, a)
 			}
 			now, outNow, rounds := l.view()
@@ -84,7 +84,7 @@
 			}
 			runs, by := 0, 0
 			for _, r := range rounds {
-				if r.State == Runs {
+				if r.State == Running {
 					runs++
 				}
 			}
@@ -113,7 +113,7 @@
 			t.Fatal(err)
 		}
 		again := newLedger()
-		if err := again.Restore(io.NopCloser(bytes.NewReader(snap.(agreed.Snapshot)))); err != nil || !same(l, again) {
+		if err := again.Restore(io.NopCloser(bytes.NewReader(snap.(raftlog.Snapshot)))); err != nil || !same(l, again) {
 			t.Fatalf("%v: %+v became %+v", err, l, again)
 		}
 	})
@@ -128,12 +128,12 @@
 // A round through three, of which one is out by a word.
 func TestRound(t *testing.T) {
 	l := newLedger()
-	do(t, l, command{Suspend: &Word{"b", "n2"}})
-	if a := do(t, l, command{Begin: &Begin{"r", "n1", []string{"a", "a"}, 0}}); a.No != "a server stands twice" {
+	do(t, l, command{Suspend: &ServerRequest{"b", "n2"}})
+	if a := do(t, l, command{Begin: &BeginRoundRequest{"r", "n1", []string{"a", "a"}, 0}}); a.Rejection != "a server stands twice" {
 		t.Error(a)
 	}
-	do(t, l, command{Begin: &Begin{"r", "n1", []string{"a", "b", "c"}, 0}})
-	if a := do(t, l, command{Begin: &Begin{"q", "n1", []string{"a"}, 0}}); !strings.HasPrefix(a.No, `another runs: round "r"`) {
+	do(t, l, command{Begin: &BeginRoundRequest{"r", "n1", []string{"a", "b", "c"}, 0}})
+	if a := do(t, l, command{Begin: &BeginRoundRequest{"q", "n1", []string{"a"}, 0}}); !strings.HasPrefix(a.Rejection, `another runs: round "r"`) {
 		t.Error(a)
 	}
 	var went []string
@@ -142,27 +142,27 @@
 		if r == nil {
 			break
 		}
-		if r.Step == Empty {
+		if r.Step == Drained {
 			went = append(went, r.Server())
-			if a := do(t, l, command{Restore: &Word{r.Server(), "n1"}}); !strings.Contains(a.No, "stop that first") {
+			if a := do(t, l, command{Restore: &ServerRequest{r.Server(), "n1"}}); !strings.Contains(a.Rejection, "stop that first") {
 				t.Error(a)
 			}
 		}
-		do(t, l, command{Move: &Move{r.ID, r.At, r.Step}})
+		do(t, l, command{Move: &AdvanceRequest{r.ID, r.Position, r.Step}})
 	}
 	_, out, rounds := l.view()
 	if !slices.Equal(went, []string{"a", "c"}) || len(out) != 1 || out["b"].By != "n2" || rounds[0].State != Done {
 		t.Errorf("out were %v, is %v; %v", went, out, rounds)
 	}
-	do(t, l, command{Begin: &Begin{"s", "n1", []string{"a", "c"}, 0}})
-	do(t, l, command{Move: &Move{2, 0, Waits}})
-	if a := do(t, l, command{Stop: &Stop{"s", "said at n3"}}); a.Text != `round "s", begun at n1: stopped after 0 of 2 servers: said at n3` {
+	do(t, l, command{Begin: &BeginRoundRequest{"s", "n1", []string{"a", "c"}, 0}})
+	do(t, l, command{Move: &AdvanceRequest{2, 0, Pending}})
+	if a := do(t, l, command{Stop: &StopRoundRequest{"s", "said at n3"}}); a.Text != `round "s", begun at n1: stopped after 0 of 2 servers: said at n3` {
 		t.Error(a)
 	}
 	if _, out, _ := l.view(); len(out) != 1 {
 		t.Errorf("after the stop %v are out", out)
 	}
-	if a := do(t, l, command{Stop: &Stop{"none", ""}}); a.No == "" {
+	if a := do(t, l, command{Stop: &StopRoundRequest{"none", ""}}); a.Rejection == "" {
 		t.Error(a)
 	}
 }
@@ -171,38 +171,38 @@
 func TestReady(t *testing.T) {
 	members := []Member{{"n1", "x/1", false}, {"n2", "y/1", false}}
 	r := func(s Step) Round { return Round{Servers: []string{"a"}, Step: s, Version: 5, Hold: time.Second} }
-	said := func(version uint64, busy int, incarnation string, age time.Duration) map[string]Report {
-		return map[string]Report{"n1": {Incarnation: "x/1", Version: 5}, "n2": {incarnation, version, map[string]int{"a": busy}, age}}
+	said := func(version uint64, busy int, incarnation string, age time.Duration) map[string]NodeReport {
+		return map[string]NodeReport{"n1": {Incarnation: "x/1", Version: 5}, "n2": {incarnation, version, map[string]int{"a": busy}, age}}
 	}
 	for _, c := range []struct {
 		what    string
 		r       Round
 		members []Member
-		reports map[string]Report
+		reports map[string]NodeReport
 		held    time.Duration
 		want    []string
 	}{
-		{"nothing was done yet", r(Waits), members, nil, 0, nil},
-		{"all have left", r(Leaves), members, said(5, 0, "y/1", 0), 0, nil},
-		{"one has tries there", r(Leaves), members, said(6, 2, "y/1", 0), 0, []string{"n2"}},
-		{"one has not heard", r(Leaves), members, said(4, 0, "y/1", 0), 0, []string{"n2"}},
-		{"one is silent", r(Leaves), members, said(5, 0, "y/1", reportFor+1), 0, []string{"n2"}},
-		{"one was in another incarnation", r(Leaves), members, said(5, 0, "y/0", 0), 0, []string{"n2"}},
-		{"one has a predecessor", r(Leaves), []Member{{"n1", "x/1", true}}, said(5, 0, "y/1", 0), 0, []string{"n1"}},
-		{"nobody has said anything", r(Leaves), members, nil, 0, []string{"n1", "n2"}},
-		{"one is dead", r(Leaves), members[:1], said(0, 1, "", reportFor+1), 0, nil},
-		{"one that is taken for dead says that it has tries there", r(Leaves), members[:1], said(5, 1, "y/2", 0), 0, []string{"n2"}},
-		{"one has tries there by now", r(Returns), members, said(5, 2, "y/1", 0), 0, nil},
+		{"nothing was done yet", r(Pending), members, nil, 0, nil},
+		{"all have left", r(Draining), members, said(5, 0, "y/1", 0), 0, nil},
+		{"one has tries there", r(Draining), members, said(6, 2, "y/1", 0), 0, []string{"n2"}},
+		{"one has not heard", r(Draining), members, said(4, 0, "y/1", 0), 0, []string{"n2"}},
+		{"one is silent", r(Draining), members, said(5, 0, "y/1", reportFor+1), 0, []string{"n2"}},
+		{"one was in another incarnation", r(Draining), members, said(5, 0, "y/0", 0), 0, []string{"n2"}},
+		{"one has a predecessor", r(Draining), []Member{{"n1", "x/1", true}}, said(5, 0, "y/1", 0), 0, []string{"n1"}},
+		{"nobody has said anything", r(Draining), members, nil, 0, []string{"n1", "n2"}},
+		{"one is dead", r(Draining), members[:1], said(0, 1, "", reportFor+1), 0, nil},
+		{"one that is taken for dead says that it has tries there", r(Draining), members[:1], said(5, 1, "y/2", 0), 0, []string{"n2"}},
+		{"one has tries there by now", r(Restoring), members, said(5, 2, "y/1", 0), 0, nil},
 	} {
-		ok, waits := Ready(c.r, c.members, c.reports, c.held)
+		ok, waits := CanAdvance(c.r, c.members, c.reports, c.held)
 		if ok != (len(c.want) == 0) || !slices.Equal(waits, c.want) {
 			t.Errorf("%s: %v, %v", c.what, ok, waits)
 		}
 	}
-	if ok, _ := Ready(r(Empty), members, nil, time.Second-1); ok {
+	if ok, _ := CanAdvance(r(Drained), members, nil, time.Second-1); ok {
 		t.Error("it is not held out for long enough")
 	}
-	if ok, _ := Ready(r(Empty), members, nil, time.Second); !ok {
+	if ok, _ := CanAdvance(r(Drained), members, nil, time.Second); !ok {
 		t.Error("it is held out for too long")
 	}
 }
@@ -221,17 +221,17 @@
 func TestService(t *testing.T) {
 	dir := t.TempDir()
 	view := &member.View{Self: "n1", Members: []member.Member{{Name: "n1", State: member.Alive, Incarnation: member.Incarnation{Home: "x", Number: 1}}}}
-	config := Config{Name: "n1", Voters: agreed.Roster{Edition: 1, Names: []string{"n1"}}, Directory: dir, View: func() *member.View { return view }}
+	config := Config{Name: "n1", Voters: raftlog.VoterSet{Edition: 1, Names: []string{"n1"}}, Directory: dir, View: func() *member.View { return view }}
 	s, d := New(config), &desk{map[string]bool{"c": true}}
-	if _, err := s.Do([]string{"STATUS"}); err == nil || err.Error() != "the node is starting" {
+	if _, err := s.Execute([]string{"STATUS"}); err == nil || err.Error() != "the node is starting" {
 		t.Error(err)
 	}
-	s.Operate(d)
-	s.Up("x/1")
+	s.Attach(d)
+	s.Start("x/1")
 	until := func(what string, is func(text string, err error) bool, words ...string) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-			text, err := s.Do(words)
+			text, err := s.Execute(words)
 			if is(text, err) {
 				return
 			}
@@ -253,20 +253,20 @@
 	}
 	for words, want := range map[string]string{"": "FLEET wants", "SUSPEND": "FLEET wants", "SUSPEND x": `named server "x"`,
 		"ROUND r 1s x": `named server "x"`, "ROUND r soon a": `hold: not a time`, "STOP none": "no round", "JUMP": "FLEET wants"} {
-		if _, err := s.Do(strings.Fields(words)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := s.Execute(strings.Fields(words)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", words, err)
 		}
 	}
-	s.Down()
+	s.Stop()
 	next := &desk{map[string]bool{}}
-	New(config).Operate(next)
+	New(config).Attach(next)
 	if !next.out["a"] {
 		t.Errorf("after a start it keeps out %v", next.out)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "out.json"), []byte(`["a`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	New(config).Operate(&desk{map[string]bool{}}) // what cannot be read is heard again
+	New(config).Attach(&desk{map[string]bool{}}) // what cannot be read is heard again
 }
 
 // halting is a desk whose node's other process does not hold a server at first.
@@ -284,9 +284,9 @@
 
 // What does not hold in all processes of the node is not said to hold, and what could not be written is no hindrance.
 func TestSuspendFails(t *testing.T) {
-	s := New(Config{Name: "n1", Voters: agreed.Roster{Edition: 1, Names: []string{"n1"}}, Directory: filepath.Join(t.TempDir(), "none")})
+	s := New(Config{Name: "n1", Voters: raftlog.VoterSet{Edition: 1, Names: []string{"n1"}}, Directory: filepath.Join(t.TempDir(), "none")})
 	d := &halting{desk{map[string]bool{}}, 0}
-	s.Operate(d)
+	s.Attach(d)
 	d.fails = 1
 	if s.apply(3, []string{"a", "b"}, false) || s.version != 0 {
 		t.Errorf("it goes by version %d", s.version)
--- a/internal/fleet/rounds/service.go
+++ b/internal/fleet/operations/service.go
@@ -1,4 +1,4 @@
-package rounds
+package operations
 
 import (
 	"cmp"
@@ -17,9 +17,9 @@
 
 	"github.com/hashicorp/raft"
 
-	"olivebridge/internal/fleet/agreed"
 	"olivebridge/internal/fleet/member"
 	"olivebridge/internal/fleet/mutant"
+	"olivebridge/internal/fleet/raftlog"
 	"olivebridge/internal/fleet/record"
 	"olivebridge/internal/maintenance"
 )
@@ -27,7 +27,7 @@
 // The channels of the members' streams.
 const (
 	VotersChannel = 5 // between voters
-	RoundsChannel = 6 // from nodes to whoever leads them
+	NodesChannel  = 6 // from nodes to whoever leads them
 )
 
 const (
@@ -42,7 +42,7 @@
 )
 
 // Desk is what a node does with a server, in all its processes.
-type Desk interface {
+type ServerControl interface {
 	Suspend(server string) error
 	Restore(server string) error
 	Suspended() []string
@@ -56,7 +56,7 @@
 // Config is what a process is told.
 type Config struct {
 	Name      string
-	Voters    agreed.Roster
+	Voters    raftlog.VoterSet
 	Directory string
 	Dial      func(name string, channel byte, timeout time.Duration) (net.Conn, error)
 	View      func() *member.View
@@ -64,19 +64,19 @@
 	Others   func() []string
 	DialAddr func(addr string, channel byte, timeout time.Duration) (net.Conn, error)
 	Log      *slog.Logger
-	Record   *record.Book
+	Record   *record.Recorder
 }
 
 // Service is a process's part in operators' work over the fleet.
 type Service struct {
 	c     Config
-	part  *agreed.Part // in keeping the log
+	part  *raftlog.Participant // in keeping the log
 	count struct{ asks, lost, steps, applied atomic.Int64 }
 
 	mu          sync.Mutex
-	desk        Desk
+	desk        ServerControl
 	incarnation string // "": this process has not the node's place
-	log         *agreed.Log
+	log         *raftlog.Log
 	ledger      *ledger
 	stop        chan struct{}
 	reports     map[string]report // at whoever leads
@@ -86,14 +86,14 @@
 	rounds      []Round           // as it heard last
 	led         string            // who answered last
 	turn        int
-	seen        Move // the step that is being waited for, since when, and for whom
+	seen        AdvanceRequest // the step that is being waited for, since when, and for whom
 	since       time.Time
 	waits       []string
 	tasks       sync.WaitGroup
 }
 
 type report struct {
-	Report
+	NodeReport
 	at time.Time
 }
 
@@ -103,8 +103,8 @@
 		c.Log = slog.New(slog.DiscardHandler)
 	}
 	s := &Service{c: c, reports: map[string]report{}, own: map[string]bool{}}
-	s.part = agreed.NewPart(agreed.PartConfig{Name: c.Name, Roster: c.Voters, Directory: filepath.Join(c.Directory, "rounds"),
-		What: "fleet rounds", Log: c.Log, Opened: s.opened, Closed: func() { s.opened(nil, nil) }, New: func() raft.FSM { return newLedger() },
+	s.part = raftlog.NewParticipant(raftlog.ParticipantConfig{Name: c.Name, Voters: c.Voters, Directory: filepath.Join(c.Directory, "rounds"),
+		LogMessage: "fleet rounds", Log: c.Log, OnOpen: s.opened, OnClose: func() { s.opened(nil, nil) }, NewState: func() raft.FSM { return newLedger() },
 		Dial: func(name string, timeout time.Duration) (net.Conn, error) {
 			return c.Dial(name, VotersChannel, timeout)
 		}})
@@ -112,7 +112,7 @@
 }
 
 // opened takes the log in that this process keeps, or that it keeps none.
-func (s *Service) opened(log *agreed.Log, state raft.FSM) {
+func (s *Service) opened(log *raftlog.Log, state raft.FSM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.log = log
@@ -120,14 +120,14 @@
 }
 
 // Keep lets others keep the log from now on.
-func (s *Service) Keep(r agreed.Roster) { s.part.Keep(r) }
+func (s *Service) SetVoters(r raftlog.VoterSet) { s.part.SetVoters(r) }
 
 // ServeVoters takes a stream from another voter.
-func (s *Service) ServeVoters(c net.Conn, from string) { s.part.Serve(c, from) }
+func (s *Service) ServeVoters(c net.Conn, from string) { s.part.ServeStream(c, from) }
 
 // Operate gives it the node's desk, before there are clients: what is out is out here, too, by the word of whoever knows the
 // latest, or as it was when the node ended.
-func (s *Service) Operate(d Desk) {
+func (s *Service) Attach(d ServerControl) {
 	s.mu.Lock()
 	s.desk = d
 	s.mu.Unlock()
@@ -159,7 +159,7 @@
 	said := make(chan reply, len(others))
 	for _, addr := range others {
 		go func() {
-			r, err := s.exchange(func() (net.Conn, error) { return s.c.DialAddr(addr, RoundsChannel, peekWithin) }, question{Peek: true})
+			r, err := s.exchange(func() (net.Conn, error) { return s.c.DialAddr(addr, NodesChannel, peekWithin) }, question{Peek: true})
 			if err != nil {
 				r = reply{}
 			}
@@ -183,25 +183,25 @@
 func (s *Service) file() string { return filepath.Join(s.c.Directory, "out.json") }
 
 // Up begins, for a process that has got the node's place.
-func (s *Service) Up(incarnation string) {
+func (s *Service) Start(incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.incarnation, s.stop = incarnation, make(chan struct{})
 	stop := s.stop
 	s.tasks.Go(func() { s.follow(stop) })
 	s.tasks.Go(func() { s.drive(stop) })
-	s.part.Up()
+	s.part.Start()
 }
 
 // Down ends that.
-func (s *Service) Down() {
+func (s *Service) Stop() {
 	s.mu.Lock()
 	stop := s.stop
 	s.incarnation, s.stop = "", nil
 	s.mu.Unlock()
 	if stop != nil {
 		close(stop)
-		s.part.Down()
+		s.part.Stop()
 		s.tasks.Wait()
 	}
 }
@@ -222,11 +222,11 @@
 	Out     []string `json:"out,omitempty"`
 	Rounds  []Round  `json:"rounds,omitempty"`
 	Waits   []string `json:"waits,omitempty"` // nodes that the round waits for
-	Answer  Answer   `json:"answer"`
+	Answer  Result   `json:"answer"`
 }
 
 // ServeRounds answers a node until its stream ends.
-func (s *Service) ServeRounds(c net.Conn, from string) {
+func (s *Service) ServeNodes(c net.Conn, from string) {
 	in, out := json.NewDecoder(c), json.NewEncoder(c)
 	for {
 		var q question
@@ -248,7 +248,7 @@
 	if q.Peek {
 		return by
 	}
-	if log == nil || !log.Leads() {
+	if log == nil || !log.IsLeader() {
 		r := reply{Refuse: "another leads, or nobody"}
 		if log != nil {
 			r.Leader = log.Leader()
@@ -258,15 +258,15 @@
 	var r reply
 	switch {
 	case q.Do != nil:
-		got, err := log.Agree(q.Do)
+		got, err := log.Propose(q.Do)
 		if err != nil {
 			return reply{Refuse: err.Error(), Leader: log.Leader()}
 		}
-		r.Answer, _ = got.(Answer)
-	case log.Verify() != nil: // what it would say may be old
+		r.Answer, _ = got.(Result)
+	case log.VerifyLeader() != nil: // what it would say may be old
 		return reply{Refuse: "it does not lead any more"}
 	}
-	var out map[string]Out
+	var out map[string]Suspension
 	r.Version, out, r.Rounds = state.view()
 	for server := range out {
 		r.Out = append(r.Out, server)
@@ -275,7 +275,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if q.Do == nil {
-		s.reports[from] = report{Report{Incarnation: q.Incarnation, Version: q.Version, Busy: q.Busy}, time.Now()}
+		s.reports[from] = report{NodeReport{Incarnation: q.Incarnation, Version: q.Version, OpenCalls: q.Busy}, time.Now()}
 	}
 	r.Waits = s.waits
 	return r
@@ -374,14 +374,14 @@
 	s.version, s.out = version, out
 	s.mu.Unlock()
 	s.count.applied.Add(1)
-	s.c.Record.Write("out", Held{version, out})
+	s.c.Record.Write("out", SuspensionsRecord{version, out})
 	return true
 }
 
 // Held is what a node keeps out by the fleet's word, in its record.
-type Held struct {
-	Version uint64   `json:"version"`
-	Out     []string `json:"out"`
+type SuspensionsRecord struct {
+	Version   uint64   `json:"version"`
+	Suspended []string `json:"out"`
 }
 
 var errNobody = errors.New("no majority of the voters is there, or none can be reached")
@@ -391,7 +391,7 @@
 	s.mu.Lock()
 	who := s.led
 	s.mu.Unlock()
-	voters := s.part.Roster().Names
+	voters := s.part.Voters().Names
 	for range len(voters) + 1 {
 		if who == "" {
 			s.mu.Lock()
@@ -420,7 +420,7 @@
 	if who == s.c.Name {
 		return s.answer(who, q), nil
 	}
-	return s.exchange(func() (net.Conn, error) { return s.c.Dial(who, RoundsChannel, askWithin) }, q)
+	return s.exchange(func() (net.Conn, error) { return s.c.Dial(who, NodesChannel, askWithin) }, q)
 }
 
 // exchange asks one question over a stream of its own.
@@ -451,12 +451,12 @@
 		s.mu.Lock()
 		log, state := s.log, s.ledger
 		s.mu.Unlock()
-		if log == nil || !log.Leads() {
+		if log == nil || !log.IsLeader() {
 			continue
 		}
 		_, _, rounds := state.view()
 		for _, r := range rounds {
-			if r.State == Runs {
+			if r.State == Running {
 				s.advance(log, r)
 			}
 		}
@@ -464,50 +464,50 @@
 }
 
 // advance takes a round one step further, if all nodes are as far. A leader that sees less than half of the fleet waits.
-func (s *Service) advance(log *agreed.Log, r Round) {
+func (s *Service) advance(log *raftlog.Log, r Round) {
 	v := s.c.View()
 	var members []Member
 	for _, m := range v.Here() {
 		members = append(members, Member{m.Name, m.Incarnation.String(), m.Predecessor})
 	}
-	at := Move{r.ID, r.At, r.Step}
+	at := AdvanceRequest{r.ID, r.Position, r.Step}
 	now := time.Now()
 	s.mu.Lock()
 	if s.seen != at {
 		s.seen, s.since = at, now
 	}
-	reports := map[string]Report{}
+	reports := map[string]NodeReport{}
 	for name, one := range s.reports {
 		one.Age = now.Sub(one.at)
-		reports[name] = one.Report
+		reports[name] = one.NodeReport
 	}
-	ok, waits := Ready(r, members, reports, now.Sub(s.since))
+	ok, waits := CanAdvance(r, members, reports, now.Sub(s.since))
 	s.waits = append([]string{}, waits...)
 	s.mu.Unlock()
 	if !ok || !v.Side().Most {
 		return
 	}
-	got, err := log.Agree(command{Move: &at})
+	got, err := log.Propose(command{Move: &at})
 	if mutant.Active("step-without-look") { // and comes again
-		log.Agree(command{Move: &at})
+		log.Propose(command{Move: &at})
 	}
-	if a, is := got.(Answer); err == nil && is && a.No == "" {
+	if a, is := got.(Result); err == nil && is && a.Rejection == "" {
 		s.count.steps.Add(1)
 		s.c.Log.Info("fleet rounds", "reason", "step", "round", r.Key, "server", r.Server(), "from", string(r.Step))
-		s.c.Record.Write("step", Stepped{r.ID, r.At, r.Server(), r.Step})
+		s.c.Record.Write("step", StepRecord{r.ID, r.Position, r.Server(), r.Step})
 	}
 }
 
 // Stepped is a step that was taken, in the record of whoever took it.
-type Stepped struct {
-	Round  uint64 `json:"round"`
-	At     int    `json:"at"`
-	Server string `json:"server"`
-	From   Step   `json:"from"`
+type StepRecord struct {
+	Round    uint64 `json:"round"`
+	Position int    `json:"at"`
+	Server   string `json:"server"`
+	From     Step   `json:"from"`
 }
 
 // Do carries an operator's call out that is for the whole fleet: what follows FLEET.
-func (s *Service) Do(words []string) (string, error) {
+func (s *Service) Execute(words []string) (string, error) {
 	s.mu.Lock()
 	desk := s.desk
 	s.mu.Unlock()
@@ -525,8 +525,8 @@
 	for end := time.Now().Add(doWithin); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		r, err := s.ask(question{Do: c})
 		switch {
-		case err == nil && r.Answer.No != "":
-			return "", errors.New(r.Answer.No)
+		case err == nil && r.Answer.Rejection != "":
+			return "", errors.New(r.Answer.Rejection)
 		case err == nil:
 			return r.Answer.Text, nil
 		}
@@ -536,7 +536,7 @@
 }
 
 // parse turns an operator's words into a command; nil: they ask how things stand.
-func (s *Service) parse(words []string, desk Desk) (*command, error) {
+func (s *Service) parse(words []string, desk ServerControl) (*command, error) {
 	usage := errors.New("FLEET wants STATUS, SUSPEND id, RESTORE id, ROUND name hold ALL, ROUND name hold id..., or STOP name")
 	if len(words) == 0 {
 		return nil, usage
@@ -548,11 +548,11 @@
 	case words[0] == "SUSPEND" && len(rest) == 1 && !desk.Known(rest[0]):
 		return nil, maintenance.UnknownError(rest[0])
 	case words[0] == "SUSPEND" && len(rest) == 1:
-		return &command{Suspend: &Word{rest[0], s.c.Name}}, nil
+		return &command{Suspend: &ServerRequest{rest[0], s.c.Name}}, nil
 	case words[0] == "RESTORE" && len(rest) == 1:
-		return &command{Restore: &Word{rest[0], s.c.Name}}, nil
+		return &command{Restore: &ServerRequest{rest[0], s.c.Name}}, nil
 	case words[0] == "STOP" && len(rest) == 1:
-		return &command{Stop: &Stop{rest[0], "said at " + s.c.Name}}, nil
+		return &command{Stop: &StopRoundRequest{rest[0], "said at " + s.c.Name}}, nil
 	case words[0] == "ROUND" && len(rest) >= 3:
 		hold, err := time.ParseDuration(rest[1])
 		if err != nil || hold < 0 || hold > time.Hour {
@@ -567,7 +567,7 @@
 				return nil, maintenance.UnknownError(one)
 			}
 		}
-		return &command{Begin: &Begin{rest[0], s.c.Name, servers, hold}}, nil
+		return &command{Begin: &BeginRoundRequest{rest[0], s.c.Name, servers, hold}}, nil
 	}
 	return nil, usage
 }
@@ -579,7 +579,7 @@
 	text := fmt.Sprintf("rounds: out by the fleet's word: %v", s.out)
 	for i := len(s.rounds) - 1; i >= 0; i-- { // the newest first
 		text += "; " + s.rounds[i].String()
-		if s.rounds[i].State == Runs && len(s.waits) > 0 {
+		if s.rounds[i].State == Running && len(s.waits) > 0 {
 			text += ", waits for " + strings.Join(s.waits, " ")
 		}
 	}
--- a/internal/fleet/agreed/agreed.go
+++ b/internal/fleet/raftlog/agreed.go
@@ -1,6 +1,6 @@
 // Package agreed is a log that a few members, the voters, agree on: what is in it outlives any of them but a majority. Who
 // adds to it is whoever they have elected.
-package agreed
+package raftlog
 
 import (
 	"encoding/json"
@@ -25,14 +25,14 @@
 	// transferWithin is how long a planned end may take to name a successor: the node's other process may wait for it.
 	transferWithin = 150 * time.Millisecond
 	// LockWithin is how long the log's file may be held by the node's other process.
-	LockWithin = 100 * time.Millisecond
+	FileLockTimeout = 100 * time.Millisecond
 )
 
 // Log is this process's part in keeping a log.
 type Log struct {
 	raft  *raft.Raft
 	store *raftboltdb.BoltStore
-	layer *Layer
+	layer *StreamLayer
 	trans *raft.NetworkTransport
 	over  chan struct{} // closed by Close
 	gone  chan struct{} // see Gone
@@ -42,18 +42,18 @@
 	ends  sync.Once
 
 	mu    sync.Mutex
-	file  Roster // that this process's file has
+	file  VoterSet // that this process's file has
 	since time.Time
 }
 
 // Open takes part in keeping a log, as one of the voters. What is agreed on goes to the user's state. A voter that is new with
 // an edition beyond the first waits until the others take it in.
-func Open(dir, name string, voters Roster, l *Layer, user raft.FSM) (*Log, error) {
+func Open(dir, name string, voters VoterSet, l *StreamLayer, user raft.FSM) (*Log, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("the book: %w", err)
 	}
 	store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(dir, "log.db"),
-		BoltOptions: &bbolt.Options{Timeout: LockWithin}})
+		BoltOptions: &bbolt.Options{Timeout: FileLockTimeout}})
 	if err != nil {
 		return nil, fmt.Errorf("the book: %s: %w", filepath.Join(dir, "log.db"), err)
 	}
@@ -67,7 +67,7 @@
 	return b, nil
 }
 
-func (b *Log) start(dir, name string, voters Roster) error {
+func (b *Log) start(dir, name string, voters VoterSet) error {
 	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, hclog.NewNullLogger())
 	if err != nil {
 		return err
@@ -98,16 +98,16 @@
 }
 
 // Leads reports whether this process was elected, as far as it knows.
-func (b *Log) Leads() bool { return b.raft.State() == raft.Leader }
+func (b *Log) IsLeader() bool { return b.raft.State() == raft.Leader }
 
 // Term is the term of office, as far as this process knows.
 func (b *Log) Term() uint64 { return b.raft.CurrentTerm() }
 
 // Verify finds that this process leads still, at some time after the call.
-func (b *Log) Verify() error { return b.await(b.raft.VerifyLeader()) }
+func (b *Log) VerifyLeader() error { return b.await(b.raft.VerifyLeader()) }
 
 // ErrOver says that this process's part in the log has ended. What was to be agreed on may have been.
-var ErrOver = errors.New("the log is closed")
+var ErrClosed = errors.New("the log is closed")
 
 // await waits for what the library promises, or for the end: what is in the library's queue just then it never answers, and
 // whoever waited for it would do so for good.
@@ -118,7 +118,7 @@
 	case err := <-done:
 		return err
 	case <-b.over:
-		return ErrOver
+		return ErrClosed
 	}
 }
 
@@ -129,7 +129,7 @@
 }
 
 // Agree lets the voters agree on a command, and returns what came of it.
-func (b *Log) Agree(command any) (any, error) {
+func (b *Log) Propose(command any) (any, error) {
 	data, err := json.Marshal(command)
 	if err != nil {
 		return nil, err
@@ -165,7 +165,7 @@
 }
 
 func (b *Log) end() {
-	if b.Leads() { // another need not find out that it is gone
+	if b.IsLeader() { // another need not find out that it is gone
 		moved := make(chan error, 1)
 		go func() { moved <- b.raft.LeadershipTransfer().Error() }()
 		select {
@@ -197,13 +197,13 @@
 func (Snapshot) Release() {}
 
 // Freeze makes a snapshot of a state, which nobody changes meanwhile.
-func Freeze(state any) (raft.FSMSnapshot, error) {
+func EncodeSnapshot(state any) (raft.FSMSnapshot, error) {
 	data, err := json.Marshal(state)
 	return Snapshot(data), err
 }
 
 // Thaw reads a snapshot into a new state; what says of what it is.
-func Thaw(r io.ReadCloser, what string, into any) error {
+func DecodeSnapshot(r io.ReadCloser, what string, into any) error {
 	defer r.Close()
 	if err := json.NewDecoder(r).Decode(into); err != nil {
 		return fmt.Errorf("snapshot of the %s: %w", what, err)
--- a/internal/fleet/agreed/agreed_test.go
+++ b/internal/fleet/raftlog/agreed_test.go
@@ -1,4 +1,4 @@
-package agreed
+package raftlog
 
 import (
 	"encoding/json"
@@ -35,11 +35,11 @@
 // alone is a log with one voter, which leads.
 func alone(t *testing.T, dir string, s *sum) *Log {
 	t.Helper()
-	l, err := Open(dir, "n1", Roster{1, []string{"n1"}}, NewLayer("n1", func(string, time.Duration) (net.Conn, error) { return nil, net.ErrClosed }), s)
+	l, err := Open(dir, "n1", VoterSet{1, []string{"n1"}}, NewStreamLayer("n1", func(string, time.Duration) (net.Conn, error) { return nil, net.ErrClosed }), s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(10 * time.Second); !l.Leads(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !l.IsLeader(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("nobody leads")
 		}
@@ -62,10 +62,10 @@
 					case begun <- true:
 					default:
 					}
-					if _, err := l.Agree(1); err != nil {
+					if _, err := l.Propose(1); err != nil {
 						return
 					}
-					if l.Verify() != nil {
+					if l.VerifyLeader() != nil {
 						return
 					}
 				}
@@ -84,7 +84,7 @@
 		}
 		again := &sum{}
 		l = alone(t, dir, again)
-		if got, err := l.Agree(0); err != nil || got.(int) < s.Total {
+		if got, err := l.Propose(0); err != nil || got.(int) < s.Total {
 			t.Errorf("after the next start: %v, %v; %d before", got, err, s.Total)
 		}
 		l.Close()
--- a/internal/fleet/agreed/layer.go
+++ b/internal/fleet/raftlog/layer.go
@@ -1,4 +1,4 @@
-package agreed
+package raftlog
 
 import (
 	"net"
@@ -9,7 +9,7 @@
 )
 
 // Layer carries the voters' messages over the members' streams.
-type Layer struct {
+type StreamLayer struct {
 	name  string
 	dial  func(name string, timeout time.Duration) (net.Conn, error)
 	conns chan net.Conn
@@ -18,8 +18,8 @@
 }
 
 // NewLayer makes one.
-func NewLayer(name string, dial func(string, time.Duration) (net.Conn, error)) *Layer {
-	return &Layer{name: name, dial: dial, conns: make(chan net.Conn), over: make(chan struct{})}
+func NewStreamLayer(name string, dial func(string, time.Duration) (net.Conn, error)) *StreamLayer {
+	return &StreamLayer{name: name, dial: dial, conns: make(chan net.Conn), over: make(chan struct{})}
 }
 
 // nameAddr is a voter's address: members know each other by name.
@@ -29,15 +29,15 @@
 func (a nameAddr) String() string  { return string(a) }
 
 // Addr implements raft.StreamLayer.
-func (l *Layer) Addr() net.Addr { return nameAddr(l.name) }
+func (l *StreamLayer) Addr() net.Addr { return nameAddr(l.name) }
 
 // Dial implements raft.StreamLayer.
-func (l *Layer) Dial(a raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+func (l *StreamLayer) Dial(a raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	return l.dial(string(a), timeout)
 }
 
 // Accept implements raft.StreamLayer.
-func (l *Layer) Accept() (net.Conn, error) {
+func (l *StreamLayer) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
 		return c, nil
@@ -47,13 +47,13 @@
 }
 
 // Close implements raft.StreamLayer.
-func (l *Layer) Close() error {
+func (l *StreamLayer) Close() error {
 	l.once.Do(func() { close(l.over) })
 	return nil
 }
 
 // Serve hands a stream to the library, and waits until that has closed it.
-func (l *Layer) Serve(c net.Conn) {
+func (l *StreamLayer) Serve(c net.Conn) {
 	w := &watched{Conn: c, closed: make(chan struct{})}
 	select {
 	case l.conns <- w:
--- a/internal/fleet/agreed/part.go
+++ b/internal/fleet/raftlog/part.go
@@ -1,4 +1,4 @@
-package agreed
+package raftlog
 
 import (
 	"log/slog"
@@ -11,41 +11,41 @@
 )
 
 // PartConfig says what a process keeps a log for.
-type PartConfig struct {
-	Name      string // of the node
-	Roster    Roster
-	Directory string // of the log
-	What      string // what it is called in the process's log
-	Log       *slog.Logger
-	Dial      func(name string, timeout time.Duration) (net.Conn, error) // to another voter
-	New       func() raft.FSM                                            // an empty state
-	Opened    func(*Log, raft.FSM)                                       // this process keeps the log now
-	Closed    func()                                                     // and does not any more
+type ParticipantConfig struct {
+	Name       string // of the node
+	Voters     VoterSet
+	Directory  string // of the log
+	LogMessage string // what it is called in the process's log
+	Log        *slog.Logger
+	Dial       func(name string, timeout time.Duration) (net.Conn, error) // to another voter
+	NewState   func() raft.FSM                                            // an empty state
+	OnOpen     func(*Log, raft.FSM)                                       // this process keeps the log now
+	OnClose    func()                                                     // and does not any more
 }
 
 // Part is a process's part in keeping a log: it keeps one for as long as it has its node's place, and is to be a voter. Opened
 // and Closed are called in turns, with no lock held.
-type Part struct {
-	c PartConfig
+type Participant struct {
+	c ParticipantConfig
 
 	mu     sync.Mutex
-	roster Roster
+	voters VoterSet
 	stop   chan struct{} // nil: the process has not the node's place
-	layer  *Layer        // nil: it is no voter
+	layer  *StreamLayer  // nil: it is no voter
 	log    *Log
 	tasks  sync.WaitGroup
 }
 
 // NewPart makes one, which does nothing until Up.
-func NewPart(c PartConfig) *Part {
+func NewParticipant(c ParticipantConfig) *Participant {
 	if c.Log == nil {
 		c.Log = slog.New(slog.DiscardHandler)
 	}
-	return &Part{c: c, roster: c.Roster}
+	return &Participant{c: c, voters: c.Voters}
 }
 
 // Up begins, for a process that has got the node's place.
-func (p *Part) Up() {
+func (p *Participant) Start() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stop = make(chan struct{})
@@ -53,7 +53,7 @@
 }
 
 // Down ends that, and returns once the log is closed.
-func (p *Part) Down() {
+func (p *Participant) Stop() {
 	p.mu.Lock()
 	stop := p.stop
 	p.stop, p.layer = nil, nil
@@ -65,24 +65,24 @@
 }
 
 // Keep lets others keep the log from now on.
-func (p *Part) Keep(r Roster) {
+func (p *Participant) SetVoters(r VoterSet) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.roster = r; p.log != nil {
-		p.log.SetRoster(r)
+	if p.voters = r; p.log != nil {
+		p.log.SetVoters(r)
 	}
 	p.join()
 }
 
 // Roster is who keeps the log, by this process's file.
-func (p *Part) Roster() Roster {
+func (p *Participant) Voters() VoterSet {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.roster
+	return p.voters
 }
 
 // Serve takes a stream from another voter.
-func (p *Part) Serve(c net.Conn, _ string) {
+func (p *Participant) ServeStream(c net.Conn, _ string) {
 	p.mu.Lock()
 	l := p.layer
 	p.mu.Unlock()
@@ -92,51 +92,51 @@
 }
 
 // join begins to keep the log if this process is to, and does not yet. It is called with the lock held.
-func (p *Part) join() {
-	if p.stop == nil || p.layer != nil || !slices.Contains(p.roster.Names, p.c.Name) {
+func (p *Participant) join() {
+	if p.stop == nil || p.layer != nil || !slices.Contains(p.voters.Names, p.c.Name) {
 		return
 	}
-	l, stop := NewLayer(p.c.Name, p.c.Dial), p.stop
+	l, stop := NewStreamLayer(p.c.Name, p.c.Dial), p.stop
 	p.layer = l
 	p.tasks.Go(func() { p.keep(l, stop) })
 }
 
 // open opens the log, as soon as it can be.
-func (p *Part) open(l *Layer, state raft.FSM, stop chan struct{}) *Log {
+func (p *Participant) open(l *StreamLayer, state raft.FSM, stop chan struct{}) *Log {
 	for told := false; ; {
-		log, err := Open(p.c.Directory, p.c.Name, p.Roster(), l, state)
+		log, err := Open(p.c.Directory, p.c.Name, p.Voters(), l, state)
 		if err == nil {
 			return log
 		}
 		if !told {
-			p.c.Log.Error(p.c.What, "reason", "no-log", "why", err.Error())
+			p.c.Log.Error(p.c.LogMessage, "reason", "no-log", "why", err.Error())
 			told = true
 		}
 		select {
 		case <-stop:
 			return nil
-		case <-time.After(LockWithin):
+		case <-time.After(FileLockTimeout):
 		}
 	}
 }
 
-func (p *Part) keep(l *Layer, stop chan struct{}) {
-	state := p.c.New()
+func (p *Participant) keep(l *StreamLayer, stop chan struct{}) {
+	state := p.c.NewState()
 	log := p.open(l, state, stop)
 	if log == nil {
 		return
 	}
 	p.mu.Lock()
 	p.log = log
-	log.SetRoster(p.roster) // which may have changed meanwhile
+	log.SetVoters(p.voters) // which may have changed meanwhile
 	p.mu.Unlock()
-	p.c.Opened(log, state)
+	p.c.OnOpen(log, state)
 	select {
 	case <-stop:
-	case <-log.Gone():
-		p.c.Log.Info(p.c.What, "reason", "no-keeper")
+	case <-log.Removed():
+		p.c.Log.Info(p.c.LogMessage, "reason", "no-keeper")
 	}
-	p.c.Closed()
+	p.c.OnClose()
 	p.mu.Lock()
 	p.log = nil
 	if p.layer == l { // it may be a voter again
@@ -144,7 +144,7 @@
 	}
 	p.mu.Unlock()
 	if !log.Close() {
-		p.c.Log.Error(p.c.What, "reason", "not-closed")
+		p.c.Log.Error(p.c.LogMessage, "reason", "not-closed")
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fleet/agreed/roster.go
+++ b/internal/fleet/raftlog/roster.go
@@ -1,4 +1,4 @@
-package agreed
+package raftlog
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 
 // Roster says who keeps a log. One of a higher edition takes the place of one of a lower: the voters agree on it in the log
 // itself, so that a process whose file is older changes nothing back.
-type Roster struct {
+type VoterSet struct {
 	Edition int      `json:"edition"` // from 1
 	Names   []string `json:"names"`
 }
@@ -40,7 +40,7 @@
 type state struct {
 	raft.FSM
 	mu     sync.Mutex
-	roster Roster
+	roster VoterSet
 }
 
 // Apply implements raft.FSM.
@@ -48,7 +48,7 @@
 	if len(l.Data) == 0 || l.Data[0] != rosterMark {
 		return s.FSM.Apply(l)
 	}
-	var r Roster
+	var r VoterSet
 	if err := json.Unmarshal(l.Data[1:], &r); err != nil {
 		return fmt.Errorf("log entry %d: roster: %w", l.Index, err)
 	}
@@ -72,7 +72,7 @@
 // rostered is a snapshot with the roster before it.
 type rostered struct {
 	raft.FSMSnapshot
-	roster Roster
+	roster VoterSet
 }
 
 // Persist implements raft.FSMSnapshot.
@@ -91,7 +91,7 @@
 // Restore implements raft.FSM. A snapshot without a roster is of a program that knew of none.
 func (s *state) Restore(c io.ReadCloser) error {
 	in := bufio.NewReader(c)
-	var r Roster
+	var r VoterSet
 	if first, err := in.Peek(1); err == nil && first[0] == rosterMark {
 		line, err := in.ReadBytes('\n')
 		if err == nil {
@@ -110,14 +110,14 @@
 	}{in, c})
 }
 
-func (s *state) agreed() Roster {
+func (s *state) agreed() VoterSet {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.roster
 }
 
 // SetRoster is what this process's file says from now on.
-func (b *Log) SetRoster(r Roster) {
+func (b *Log) SetVoters(r VoterSet) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.file.Edition < r.Edition {
@@ -126,7 +126,7 @@
 }
 
 // Gone is closed once this process is no voter any more, by its file and by the others' word, or for long by its file alone.
-func (b *Log) Gone() <-chan struct{} { return b.gone }
+func (b *Log) Removed() <-chan struct{} { return b.gone }
 
 // tend brings the voters to what was agreed on, one step at a time, for as long as this process leads.
 func (b *Log) tend(name string) {
@@ -141,7 +141,7 @@
 		b.mu.Lock()
 		file, since := b.file, b.since
 		b.mu.Unlock()
-		if b.Leads() && !mutant.Active("roster-ignored") {
+		if b.IsLeader() && !mutant.Active("roster-ignored") {
 			b.step(name, file)
 		}
 		if out := !slices.Contains(file.Names, name); out && (!b.votes(name) || time.Since(since) > goneAfter) {
@@ -215,7 +215,7 @@
 }
 
 // step agrees on this process's roster, if that is newer, and takes the next step to the one that was agreed on.
-func (b *Log) step(name string, file Roster) {
+func (b *Log) step(name string, file VoterSet) {
 	r := b.state.agreed()
 	if file.Edition > max(r.Edition, 1) {
 		line, err := json.Marshal(file)
--- a/internal/fleet/agreed/roster_test.go
+++ b/internal/fleet/raftlog/roster_test.go
@@ -1,4 +1,4 @@
-package agreed
+package raftlog
 
 import (
 	"bytes"
@@ -61,13 +61,13 @@
 // pipes are the ways between voters of one test.
 type pipes struct {
 	mu     sync.Mutex
-	layers map[string]*Layer
+	layers map[string]*StreamLayer
 }
 
-func (p *pipes) layer(name string) *Layer {
+func (p *pipes) layer(name string) *StreamLayer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.layers[name] = NewLayer(name, func(to string, _ time.Duration) (net.Conn, error) {
+	p.layers[name] = NewStreamLayer(name, func(to string, _ time.Duration) (net.Conn, error) {
 		p.mu.Lock()
 		l := p.layers[to]
 		p.mu.Unlock()
@@ -87,7 +87,7 @@
 	delete(p.layers, name)
 }
 
-func (p *pipes) open(t *testing.T, name string, r Roster, s *sum) *Log {
+func (p *pipes) open(t *testing.T, name string, r VoterSet, s *sum) *Log {
 	t.Helper()
 	l, err := Open(t.TempDir(), name, r, p.layer(name), s)
 	if err != nil {
@@ -102,7 +102,7 @@
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		for _, l := range all {
-			if l.Leads() && l.Verify() == nil {
+			if l.IsLeader() && l.VerifyLeader() == nil {
 				return l
 			}
 		}
@@ -123,34 +123,34 @@
 // A voter is lost for good, and another takes its place: from then on the log goes on without a second of the first ones. A file
 // of an earlier edition changes nothing back.
 func TestVotersChange(t *testing.T) {
-	p := &pipes{layers: map[string]*Layer{}}
-	first, second := Roster{1, []string{"a", "b", "c"}}, Roster{2, []string{"a", "c", "d"}}
+	p := &pipes{layers: map[string]*StreamLayer{}}
+	first, second := VoterSet{1, []string{"a", "b", "c"}}, VoterSet{2, []string{"a", "c", "d"}}
 	logs, sums := map[string]*Log{}, map[string]*sum{}
 	for _, n := range first.Names {
 		sums[n] = &sum{}
 		logs[n] = p.open(t, n, first, sums[n])
 	}
-	if _, err := leads(t, logs["a"], logs["b"], logs["c"]).Agree(7); err != nil {
+	if _, err := leads(t, logs["a"], logs["b"], logs["c"]).Propose(7); err != nil {
 		t.Fatal(err)
 	}
 	p.cut("b")
 	logs["b"].Close()
 	sums["d"] = &sum{}
 	logs["d"] = p.open(t, "d", second, sums["d"]) // which waits to be taken in
-	logs["a"].SetRoster(second)
-	logs["c"].SetRoster(second)
+	logs["a"].SetVoters(second)
+	logs["c"].SetVoters(second)
 	await(t, "the new voter has no vote", func() bool {
 		for _, n := range []string{"a", "c"} {
 			l := logs[n]
-			if l.Leads() && l.votes("d") && !l.votes("b") && len(l.servers()) == 3 {
+			if l.IsLeader() && l.votes("d") && !l.votes("b") && len(l.servers()) == 3 {
 				return true
 			}
 		}
 		return false
 	})
 	old := leads(t, logs["a"], logs["c"])
-	old.SetRoster(Roster{1, []string{"a", "b", "c"}}) // an earlier edition is nothing new
-	if got, err := old.Agree(1); err != nil || got != 8 {
+	old.SetVoters(VoterSet{1, []string{"a", "b", "c"}}) // an earlier edition is nothing new
+	if got, err := old.Propose(1); err != nil || got != 8 {
 		t.Fatalf("%v, %v", got, err)
 	}
 	await(t, "the new voter does not hear what was agreed on", func() bool {
@@ -170,29 +170,29 @@
 			rest = append(rest, logs[n])
 		}
 	}
-	if got, err := leads(t, rest...).Agree(1); err != nil || got != 9 {
+	if got, err := leads(t, rest...).Propose(1); err != nil || got != 9 {
 		t.Errorf("with two of the second three: %v, %v", got, err)
 	}
 }
 
 // The leader that is no voter any more lets another lead, and is told that it is gone.
 func TestLeaderGoes(t *testing.T) {
-	p := &pipes{layers: map[string]*Layer{}}
-	a := p.open(t, "a", Roster{1, []string{"a"}}, &sum{})
+	p := &pipes{layers: map[string]*StreamLayer{}}
+	a := p.open(t, "a", VoterSet{1, []string{"a"}}, &sum{})
 	leads(t, a)
-	second := Roster{2, []string{"b"}}
+	second := VoterSet{2, []string{"b"}}
 	s := &sum{}
 	b := p.open(t, "b", second, s)
-	if _, err := a.Agree(5); err != nil {
+	if _, err := a.Propose(5); err != nil {
 		t.Fatal(err)
 	}
-	a.SetRoster(second)
+	a.SetVoters(second)
 	select {
-	case <-a.Gone():
+	case <-a.Removed():
 	case <-time.After(30 * time.Second):
 		t.Fatal("it is not told that it is gone")
 	}
-	if got, err := leads(t, b).Agree(1); err != nil || got != 6 {
+	if got, err := leads(t, b).Propose(1); err != nil || got != 6 {
 		t.Errorf("%v, %v", got, err)
 	}
 	await(t, "it is a voter still", func() bool { return len(b.servers()) == 1 && b.votes("b") })
@@ -208,7 +208,7 @@
 // A roster goes with a snapshot; one of a program that knew of none is read, too.
 func TestRosterInSnapshot(t *testing.T) {
 	s := &state{FSM: &sum{}}
-	line, _ := json.Marshal(Roster{3, []string{"x"}})
+	line, _ := json.Marshal(VoterSet{3, []string{"x"}})
 	s.Apply(&raft.Log{Data: append([]byte{rosterMark}, line...)})
 	s.Apply(&raft.Log{Data: append([]byte{rosterMark}, `{"edition":2,"names":["y"]}`...)}) // an earlier one
 	snap, err := s.Snapshot()
@@ -219,7 +219,7 @@
 	if err := snap.Persist(&out); err != nil {
 		t.Fatal(err)
 	}
-	for text, want := range map[string]Roster{out.String(): {3, []string{"x"}}, `{}`: {}} {
+	for text, want := range map[string]VoterSet{out.String(): {3, []string{"x"}}, `{}`: {}} {
 		again := &state{FSM: &sum{}}
 		if err := again.Restore(io.NopCloser(bytes.NewBufferString(text))); err != nil || fmt.Sprint(again.agreed()) != fmt.Sprint(want) {
 			t.Errorf("%q: %v, %v", text, again.agreed(), err)
--- a/internal/fleet/record/record.go
+++ b/internal/fleet/record/record.go
@@ -33,7 +33,7 @@
 
 // Book is a process's record. A nil Book records nothing. Each line is written at once, by one write, so that what a
 // killed process had recorded is whole.
-type Book struct {
+type Recorder struct {
 	node string
 	mu   sync.Mutex
 	file *os.File
@@ -41,16 +41,16 @@
 }
 
 // Open opens the record of a node for appending.
-func Open(path, node string) (*Book, error) {
+func Open(path, node string) (*Recorder, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
-	return &Book{node: node, file: f}, nil
+	return &Recorder{node: node, file: f}, nil
 }
 
 // Write records an event that happens now.
-func (b *Book) Write(kind string, data any) {
+func (b *Recorder) Write(kind string, data any) {
 	if b == nil {
 		return
 	}
@@ -74,7 +74,7 @@
 }
 
 // Err is the first thing that kept it from recording.
-func (b *Book) Err() error {
+func (b *Recorder) Err() error {
 	if b == nil {
 		return nil
 	}
