--- a/internal/fleet/raftlog/stored_format_test.go
+++ b/internal/fleet/raftlog/stored_format_test.go
@@ -26,19 +26,19 @@
 	want := VoterSet{Edition: 3, Names: []string{"n1", "n2", "n4"}}
 	entry, snapshot := readStored(t, "entry.bin"), readStored(t, "snapshot.bin")
 
-	applied := &state{FSM: &sum{}}
+	applied := &stateMachine{FSM: &sum{}}
 	if got := applied.Apply(&raft.Log{Data: entry}); got != nil {
 		t.Fatalf("the entry is not applied: %v", got)
 	}
-	if got := applied.agreed(); !reflect.DeepEqual(got, want) {
+	if got := applied.voterSet(); !reflect.DeepEqual(got, want) {
 		t.Errorf("from the entry: %+v", got)
 	}
 
-	restored := &state{FSM: &sum{}}
+	restored := &stateMachine{FSM: &sum{}}
 	if err := restored.Restore(io.NopCloser(bytes.NewReader(snapshot))); err != nil {
 		t.Fatal(err)
 	}
-	if got := restored.agreed(); !reflect.DeepEqual(got, want) {
+	if got := restored.voterSet(); !reflect.DeepEqual(got, want) {
 		t.Errorf("from the snapshot: %+v", got)
 	}
 
