--- a/cmd/olivefleet/keep.go
+++ b/cmd/olivefleet/keep.go
@@ -69,7 +69,7 @@
 	if !ok {
 		return transport.Kept{State: transport.KeptRefused}
 	}
-	mutant.At("before-permission")
+	mutant.Breakpoint("before-permission")
 	v, err := k.work.Begin(ctx, callstore.BeginRequest{Key: w.Key, Fingerprint: w.Print, Owner: owner, Idempotent: k.again[w.Class]})
 	switch {
 	case err != nil || v.StoreFull || v.OwnersExhausted:
@@ -77,7 +77,7 @@
 	case v.KeyConflict:
 		return transport.Kept{State: transport.KeptOther}
 	case v.Granted:
-		mutant.At("with-permission")
+		mutant.Breakpoint("with-permission")
 		return transport.Kept{State: transport.KeptYours, End: func(s transport.KeptState, o *transport.Outcome) {
 			k.end(w.Key, owner, s, o)
 		}}
@@ -103,7 +103,7 @@
 	case s == transport.KeptAnswered && o != nil:
 		e.State, e.Outcome = callstore.Answered, &callstore.Outcome{Status: o.Status, Header: o.Header, Body: o.Body, BodyOmitted: o.Long}
 	}
-	mutant.At("answered")
+	mutant.Breakpoint("answered")
 	k.work.End(e)
-	mutant.At("recorded")
+	mutant.Breakpoint("recorded")
 }
--- a/internal/fleet/callstore/ledger.go
+++ b/internal/fleet/callstore/ledger.go
@@ -1,13 +1,7 @@
-// Package work keeps clients' work beyond the loss of the node that has it in hand: who has it, whether it may have run, and
-// what came of it. ledger.go decides and is free of I/O, clock and goroutines; service.go carries it out over a log that the
-// voters agree on. docs/TAKEOVER-DESIGN.md says why nothing runs twice.
 package callstore
 
 import (
-	"container/heap"
 	"encoding/json"
-	"errors"
-	"fmt"
 	"io"
 	"sync"
 	"time"
@@ -18,336 +12,232 @@
 	"olivebridge/internal/fleet/raftlog"
 )
 
-// State is how a piece of work stands.
-type State string
+// maxOutcomeBytes bounds the bodies of all outcomes together, which every voter has in memory. Beyond it outcomes are
+// stored without a body.
+const maxOutcomeBytes = 32 << 20
 
-// The states. Work that nobody has begun, or that was forgotten, is not in the ledger.
-const (
-	Free     State = "free"     // it was begun, and surely has not run: whoever asks next may run it
-	Running  State = "running"  // its owner may let it out: it may have run
-	Answered State = "answered" // it has run, and what came of it is kept
-	Unknown  State = "unknown"  // it may have run; nobody will ever run it again
-)
-
-// Outcome is a final answer.
-type Outcome struct {
-	Status      int                 `json:"status"`
-	Header      map[string][]string `json:"header,omitempty"`
-	Body        []byte              `json:"body,omitempty"`
-	BodyOmitted bool                `json:"long,omitempty"` // the body was too long to be kept
-}
-
-// Owner is who may let a piece of work out: a node's incarnation, and which of the calls in it. No two calls have the same.
-type Owner struct {
-	Name        string `json:"name"`
-	Incarnation string `json:"life"`
-	Call        uint64 `json:"call"`
-}
-
-func (o Owner) process() process { return process{o.Name, o.Incarnation} }
-
-// process is one incarnation of a node. Its names in the log are those that earlier programs wrote.
-type process struct {
-	Name        string `json:"Name"`
-	Incarnation string `json:"Life"`
-}
-
-// piece is what the ledger has of a piece of work.
-type piece struct {
-	Print   string   `json:"print"` // of the request: another one under the same key is refused
-	Owner   Owner    `json:"owner"`
-	State   State    `json:"state"`
-	Again   bool     `json:"again,omitempty"` // it may run more than once
-	Tries   int      `json:"tries"`           // owners of whom it may have run
-	Changed int64    `json:"changed"`         // by the ledger's clock
-	Outcome *Outcome `json:"outcome,omitempty"`
-
-	key   string
-	place int // in aging
-}
-
-// Begin asks for the permission to let a piece of work out.
-type BeginRequest struct {
-	Key         string `json:"key"`
-	Fingerprint string `json:"print"`
-	Owner       Owner  `json:"owner"`
-	Idempotent  bool   `json:"again,omitempty"`
-	MaxOwners   int    `json:"most"` // owners of whom it may have run, at most
-}
-
-// End says what became of it.
-type EndRequest struct {
-	Key         string   `json:"key"`
+// entry is what the ledger stores of a call.
+type entry struct {
+	Fingerprint string   `json:"print"`
 	Owner       Owner    `json:"owner"`
 	State       State    `json:"state"`
-	Fingerprint string   `json:"print,omitempty"` // with Free, of work that the ledger may not have heard of
+	Idempotent  bool     `json:"again,omitempty"`
+	Owners      int      `json:"tries"`   // that may have sent the call
+	ChangedAt   int64    `json:"changed"` // by the ledger's clock
 	Outcome     *Outcome `json:"outcome,omitempty"`
-}
-
-// Lost says that processes are gone for good: their work is nobody's.
-type ReleaseRequest struct {
-	Processes []process `json:"processes"`
-}
-
-// command is an entry of the log: one of the three. The limits go with it, since all voters have to come to the same state from
-// the same log, also while their files differ for a while.
-type command struct {
-	Now    int64           `json:"now"`    // the ledger's clock, in milliseconds; it never runs backwards
-	Limits Limits          `json:"limits"` // of whoever leads
-	Begin  *BeginRequest   `json:"begin,omitempty"`
-	End    *EndRequest     `json:"end,omitempty"`
-	Lost   *ReleaseRequest `json:"lost,omitempty"`
-}
 
-// Verdict is what came of a Begin.
-type BeginResult struct {
-	Granted         bool     `json:"yours,omitempty"`   // the asker may let it out
-	State           State    `json:"state,omitempty"`   // else, how it stands
-	Owner           Owner    `json:"owner,omitzero"`    // of work that runs
-	Outcome         *Outcome `json:"outcome,omitempty"` // of work that was answered
-	KeyConflict     bool     `json:"other,omitempty"`   // the key belongs to another request
-	StoreFull       bool     `json:"full,omitempty"`    // there is no room: nothing is forgotten before its time
-	OwnersExhausted bool     `json:"over,omitempty"`    // as many owners as may have had it
+	key       string
+	heapIndex int // in the expiry queue, unless it runs
 }
 
-// Limits bound the ledger.
-type Limits struct {
-	Retention  time.Duration `json:"window"` // for how long work is kept after its last change
-	MaxEntries int           `json:"most"`   // pieces
+// bodySize is the size of the outcome's body.
+func (e *entry) bodySize() int {
+	if e.Outcome == nil {
+		return 0
+	}
+	return len(e.Outcome.Body)
 }
 
-// mostBytes bounds the bodies of all outcomes together, which every voter has in memory. Beyond it outcomes are kept without.
-const mostBytes = 32 << 20
-
-// ledger is the agreed state.
+// ledger is the replicated state machine. It implements raft.FSM.
 type ledger struct {
-	mu     sync.Mutex
-	Clock  int64             `json:"clock"`
-	Pieces map[string]*piece `json:"pieces"`
+	mu      sync.Mutex
+	Clock   int64             `json:"clock"` // milliseconds; it never runs backwards
+	Entries map[string]*entry `json:"pieces"`
 
-	aging aging                       // what does not run, the longest unchanged first
-	of    map[process]map[*piece]bool // what runs
-	bytes int                         // of outcomes' bodies
+	index        entryIndex
+	outcomeBytes int // of all outcomes' bodies
 }
 
 func newLedger() *ledger {
-	return &ledger{Pieces: map[string]*piece{}, of: map[process]map[*piece]bool{}}
-}
-
-// aging is a heap of pieces by their last change.
-type aging []*piece
-
-func (a aging) Len() int           { return len(a) }
-func (a aging) Less(i, j int) bool { return a[i].Changed < a[j].Changed }
-func (a aging) Swap(i, j int) {
-	a[i], a[j] = a[j], a[i]
-	a[i].place, a[j].place = i, j
+	return &ledger{Entries: map[string]*entry{}, index: newEntryIndex()}
 }
 
-// Push implements heap.Interface.
-func (a *aging) Push(x any) {
-	p := x.(*piece)
-	p.place = len(*a)
-	*a = append(*a, p)
-}
-
-// Pop implements heap.Interface.
-func (a *aging) Pop() any {
-	n := len(*a) - 1
-	p := (*a)[n]
-	(*a)[n], *a = nil, (*a)[:n]
-	return p
-}
-
-// Apply implements raft.FSM.
-func (s *ledger) Apply(l *raft.Log) any {
+// Apply implements raft.FSM. It returns a BeginResult for a begin, whether it was accepted (bool) for an end, the
+// number of released calls (int) for a release, or an error.
+func (l *ledger) Apply(logged *raft.Log) any {
 	var c command
-	err := json.Unmarshal(l.Data, &c)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.Clock = max(s.Clock, c.Now); err == nil {
-		s.forget(c.Limits)
-	}
+	err := json.Unmarshal(logged.Data, &c)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.Clock = max(l.Clock, c.Now)
+	if err != nil {
+		return raftlog.MalformedEntry(logged, err)
+	}
+	l.expire(c.Limits)
 	switch {
-	case err == nil && c.Begin != nil && c.Begin.Key != "":
-		return s.begin(*c.Begin, c.Limits)
-	case err == nil && c.End != nil:
-		return s.end(*c.End, c.Limits)
-	case err == nil && c.Lost != nil:
-		return s.lost(*c.Lost)
+	case c.Begin != nil && c.Begin.Key != "":
+		return l.begin(*c.Begin, c.Limits)
+	case c.End != nil:
+		return l.end(*c.End, c.Limits)
+	case c.Release != nil:
+		return l.release(*c.Release)
 	}
-	return fmt.Errorf("log entry %d: %w", l.Index, errors.Join(err, errors.New("not of this form")))
+	return raftlog.MalformedEntry(logged, nil)
 }
 
-// begin gives a permission, once: to whoever asks first for work that is new or free.
-func (s *ledger) begin(c BeginRequest, l Limits) BeginResult {
-	p := s.Pieces[c.Key]
+// begin grants the permission to send a call once: to whoever asks first for a call that is new or free.
+func (l *ledger) begin(request BeginRequest, limits Limits) BeginResult {
+	e := l.Entries[request.Key]
 	switch {
-	case p == nil && len(s.Pieces) >= l.MaxEntries:
+	case e == nil && len(l.Entries) >= limits.MaxEntries:
 		return BeginResult{StoreFull: true}
-	case p == nil:
-		p = &piece{Print: c.Fingerprint, Again: c.Idempotent, key: c.Key}
-	case p.Print != c.Fingerprint:
+	case e == nil:
+		e = &entry{Fingerprint: request.Fingerprint, Idempotent: request.Idempotent, key: request.Key}
+	case e.Fingerprint != request.Fingerprint:
 		return BeginResult{KeyConflict: true}
-	case p.Owner == c.Owner && p.State == Running: // the same question, since its answer was lost
+	case e.Owner == request.Owner && e.State == Running: // repeated, since the response was lost
 		return BeginResult{Granted: true}
-	case p.State == Running && mutant.Active("claim-without-look"):
-	case p.State != Free || p.Owner == c.Owner: // or it comes late, and its owner has given it up
-		return BeginResult{State: p.State, Owner: p.Owner, Outcome: p.Outcome}
-	case p.Tries >= max(c.MaxOwners, 1):
+	case e.State == Running && mutant.Active("claim-without-look"):
+	case e.State != Free || e.Owner == request.Owner: // its owner gave it up before the request came here
+		return BeginResult{State: e.State, Owner: e.Owner, Outcome: e.Outcome}
+	case e.Owners >= max(request.MaxOwners, 1):
 		return BeginResult{OwnersExhausted: true}
 	}
-	p.Tries++
-	s.set(p, c.Owner, Running)
+	e.Owners++
+	l.update(e, request.Owner, Running)
 	return BeginResult{Granted: true}
 }
 
-// end takes what an owner says of its work, and reports whether it was its to say. What it says after it was given up is better
-// than not to know, as long as nobody else has had the work: an outcome, or that nothing has run. A Begin that was given up
-// before it came here finds that when it comes.
-func (s *ledger) end(c EndRequest, l Limits) bool {
-	p := s.Pieces[c.Key]
-	if c.State == Free && (p != nil && p.State == Free || p == nil && c.Fingerprint != "" && len(s.Pieces) < l.MaxEntries) {
-		if p == nil {
-			p = &piece{Print: c.Fingerprint, key: c.Key}
-		}
-		s.set(p, c.Owner, Free)
+// end takes what an owner says of its call, and reports whether it was accepted. A report that comes after the owner
+// was given up is accepted as long as nobody else has had the call: an outcome, or that it did not run. A BeginRequest
+// that was given up before it came here finds that when it comes.
+func (l *ledger) end(request EndRequest, limits Limits) bool {
+	e := l.Entries[request.Key]
+	if request.State == Free && l.endUnsent(e, request, limits) {
 		return true
 	}
-	if p == nil || p.Owner != c.Owner {
+	if e == nil || e.Owner != request.Owner {
 		return false
 	}
-	if p.State != Running && p.State != Unknown {
-		return p.State == c.State
-	}
-	if c.State == Free { // it has not run: that owner counts for nothing
-		p.Tries--
+	if e.State != Running && e.State != Unknown {
+		return e.State == request.State
 	}
-	if p.Outcome = c.Outcome; p.Outcome != nil && s.bytes+len(p.Outcome.Body) > mostBytes {
-		p.Outcome = &Outcome{Status: p.Outcome.Status, BodyOmitted: true}
+	if request.State == Free { // it did not run: that owner does not count
+		e.Owners--
 	}
-	s.bytes += p.size()
-	s.set(p, p.Owner, c.State)
+	l.storeOutcome(e, request.Outcome)
+	l.update(e, e.Owner, request.State)
 	if mutant.Active("outcome-forgotten") {
-		s.forget(Limits{Retention: -time.Millisecond})
+		l.expire(Limits{Retention: -time.Millisecond})
 	}
 	return true
 }
 
-// size is what a piece's outcome weighs.
-func (p *piece) size() int {
-	if p.Outcome == nil {
-		return 0
-	}
-	return len(p.Outcome.Body)
-}
-
-// lost takes processes' work from them. What may have run, and must not run twice, stays unknown; of what may run again a former
-// owner that returns has nothing to say any more.
-func (s *ledger) lost(c ReleaseRequest) (n int) {
-	for _, one := range c.Processes {
-		for p := range s.of[one] {
-			owner, state := p.Owner, Unknown
-			if p.Again || mutant.Active("unknown-sent-again") {
-				owner, state = Owner{}, Free
-			}
-			s.set(p, owner, state)
-			n++
-		}
+// endUnsent frees a call that is free already, or that the ledger does not know; false if it is neither.
+func (l *ledger) endUnsent(e *entry, request EndRequest, limits Limits) bool {
+	switch {
+	case e != nil && e.State == Free:
+	case e == nil && request.Fingerprint != "" && len(l.Entries) < limits.MaxEntries:
+		e = &entry{Fingerprint: request.Fingerprint, key: request.Key}
+	default:
+		return false
 	}
-	return n
+	l.update(e, request.Owner, Free)
+	return true
 }
 
-// set changes owner and state, and keeps the indexes.
-func (s *ledger) set(p *piece, owner Owner, state State) {
-	if s.Pieces[p.key] == p {
-		s.unlist(p)
+// storeOutcome stores an outcome, which may be nil, without its body if there is no room for that.
+func (l *ledger) storeOutcome(e *entry, outcome *Outcome) {
+	if outcome != nil && l.outcomeBytes+len(outcome.Body) > maxOutcomeBytes {
+		outcome = &Outcome{Status: outcome.Status, BodyOmitted: true}
 	}
-	p.Owner, p.State, p.Changed = owner, state, s.Clock
-	s.Pieces[p.key] = p
-	s.list(p)
+	e.Outcome = outcome
+	l.outcomeBytes += e.bodySize()
 }
 
-func (s *ledger) list(p *piece) {
-	if p.State != Running {
-		heap.Push(&s.aging, p)
-		return
-	}
-	one := p.Owner.process()
-	if s.of[one] == nil {
-		s.of[one] = map[*piece]bool{}
+// release takes their calls from failed processes, and returns how many. A call that may have run and is not idempotent
+// becomes unknown. An idempotent one loses its owner: if that returns, its report is not accepted any more.
+func (l *ledger) release(request ReleaseRequest) (released int) {
+	for _, failed := range request.Processes {
+		for e := range l.index.running[failed] {
+			owner, state := e.Owner, Unknown
+			if e.Idempotent || mutant.Active("unknown-sent-again") {
+				owner, state = Owner{}, Free
+			}
+			l.update(e, owner, state)
+			released++
+		}
 	}
-	s.of[one][p] = true
+	return released
 }
 
-func (s *ledger) unlist(p *piece) {
-	if p.State != Running {
-		heap.Remove(&s.aging, p.place)
-		return
-	}
-	all := s.of[p.Owner.process()]
-	if delete(all, p); len(all) == 0 {
-		delete(s.of, p.Owner.process())
+// update changes owner and state of an entry, which may be new, and keeps the index.
+func (l *ledger) update(e *entry, owner Owner, state State) {
+	if l.Entries[e.key] == e {
+		l.index.remove(e)
 	}
+	e.Owner = owner
+	e.State = state
+	e.ChangedAt = l.Clock
+	l.Entries[e.key] = e
+	l.index.add(e)
 }
 
-// forget drops what is older than the window. Work that runs is never forgotten.
-func (s *ledger) forget(l Limits) {
-	for end := s.Clock - l.Retention.Milliseconds(); len(s.aging) > 0 && s.aging[0].Changed < end; {
-		p := heap.Pop(&s.aging).(*piece)
-		s.bytes -= p.size()
-		delete(s.Pieces, p.key)
+// expire drops what did not change for the retention. A call that runs never expires.
+func (l *ledger) expire(limits Limits) {
+	oldest := l.Clock - limits.Retention.Milliseconds()
+	for {
+		e := l.index.popOlderThan(oldest)
+		if e == nil {
+			return
+		}
+		l.outcomeBytes -= e.bodySize()
+		delete(l.Entries, e.key)
 	}
 }
 
-// owners are those that have work in hand.
-func (s *ledger) owners() (all []process) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for one := range s.of {
-		all = append(all, one)
+// owners are the processes that have calls running.
+func (l *ledger) owners() []process {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var all []process
+	for owner := range l.index.running {
+		all = append(all, owner)
 	}
 	return all
 }
 
-// clock is the ledger's time.
-func (s *ledger) clock() int64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.Clock
+// now is the ledger's clock.
+func (l *ledger) now() int64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.Clock
 }
 
-// counts are how many pieces are in each state.
-func (s *ledger) counts() map[State]int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	all := map[State]int{}
-	for _, p := range s.Pieces {
-		all[p.State]++
+// countByState is how many calls are in each state.
+func (l *ledger) countByState() map[State]int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	counts := map[State]int{}
+	for _, e := range l.Entries {
+		counts[e.State]++
 	}
-	return all
+	return counts
 }
 
 // Snapshot implements raft.FSM.
-func (s *ledger) Snapshot() (raft.FSMSnapshot, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return raftlog.EncodeSnapshot(s)
+func (l *ledger) Snapshot() (raft.FSMSnapshot, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return raftlog.EncodeSnapshot(l)
 }
 
 // Restore implements raft.FSM.
-func (s *ledger) Restore(r io.ReadCloser) error {
+func (l *ledger) Restore(snapshot io.ReadCloser) error {
 	next := newLedger()
-	if err := raftlog.DecodeSnapshot(r, "work", next); err != nil {
+	if err := raftlog.DecodeSnapshot(snapshot, "work", next); err != nil {
 		return err
 	}
-	for key, p := range next.Pieces {
-		p.key = key
-		next.bytes += p.size()
-		next.list(p)
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.Clock, s.Pieces, s.aging, s.of, s.bytes = next.Clock, next.Pieces, next.aging, next.of, next.bytes
+	for key, e := range next.Entries {
+		e.key = key
+		next.outcomeBytes += e.bodySize()
+		next.index.add(e)
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.Clock = next.Clock
+	l.Entries = next.Entries
+	l.index = next.index
+	l.outcomeBytes = next.outcomeBytes
 	return nil
 }
--- a/internal/fleet/callstore/stored_format_test.go
+++ b/internal/fleet/callstore/stored_format_test.go
@@ -74,11 +74,11 @@
 // TestMessageFormat guards against a change of the bytes between nodes, of which some run another build for a while.
 func TestMessageFormat(t *testing.T) {
 	for _, line := range readLines(t, "messages.jsonl") {
-		isReply := bytes.Contains(line, []byte(`"verdict"`)) || bytes.Contains(line, []byte(`"taken"`)) ||
+		isResponse := bytes.Contains(line, []byte(`"verdict"`)) || bytes.Contains(line, []byte(`"taken"`)) ||
 			bytes.Contains(line, []byte(`"refuse"`))
-		var message any = &question{}
-		if isReply {
-			message = &reply{}
+		var message any = &request{}
+		if isResponse {
+			message = &response{}
 		}
 		if got := reencode(t, line, message); !bytes.Equal(got, line) {
 			t.Errorf("a message is written as %s, not %s", got, line)
--- a/internal/fleet/operations/service.go
+++ b/internal/fleet/operations/service.go
@@ -1,15 +1,10 @@
 package operations
 
 import (
-	"cmp"
-	"encoding/json"
-	"errors"
 	"fmt"
 	"log/slog"
 	"net"
-	"os"
 	"path/filepath"
-	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -18,577 +13,193 @@
 	"github.com/hashicorp/raft"
 
 	"olivebridge/internal/fleet/member"
-	"olivebridge/internal/fleet/mutant"
 	"olivebridge/internal/fleet/raftlog"
 	"olivebridge/internal/fleet/record"
-	"olivebridge/internal/maintenance"
 )
 
-// The channels of the members' streams.
+// The channels of the members' streams that a Service uses.
 const (
 	VotersChannel = 5 // between voters
-	NodesChannel  = 6 // from nodes to whoever leads them
+	NodesChannel  = 6 // from nodes to the leader
 )
 
-const (
-	// askEach is how often a node reports to whoever leads, and hears what is out; it asks again at once when that has changed.
-	askEach = 250 * time.Millisecond
-	// askWithin is how long an answer may take; an operator's call has to have one within a second.
-	askWithin = 400 * time.Millisecond
-	// doWithin bounds an operator's call over all voters.
-	doWithin = 900 * time.Millisecond
-	// driveEach is how often whoever leads looks whether the round can go on.
-	driveEach = 100 * time.Millisecond
-)
+// logMessage is the message of the service's log lines.
+const logMessage = "fleet rounds"
 
-// Desk is what a node does with a server, in all its processes.
+// ServerControl is what a node does with its servers, in all its processes. Its methods may be called from any
+// goroutine.
 type ServerControl interface {
+	// Suspend takes a server out of use. After an error it may still be in use in some process of the node.
 	Suspend(server string) error
+	// Restore puts it back in use. An error says that no list names it.
 	Restore(server string) error
+	// Suspended are the servers that are suspended, also by an operator's call to this node alone.
 	Suspended() []string
-	// Busy is how many tries this process has open at a server.
+	// Busy is how many calls this process has open at a server.
 	Busy(server string) int
-	// Listed are the servers that take new work, and Known reports whether one was ever listed.
+	// Listed are the servers that take new calls.
 	Listed() []string
+	// Known reports whether a server was ever listed.
 	Known(server string) bool
 }
 
-// Config is what a process is told.
+// Config is what a Service is made of.
 type Config struct {
-	Name      string
+	Name      string // of the node
 	Voters    raftlog.VoterSet
-	Directory string
-	Dial      func(name string, channel byte, timeout time.Duration) (net.Conn, error)
-	View      func() *member.View
-	// Others are addresses of nodes that may be asked before this one has its place, with DialAddr; both may be nil.
+	Directory string // of the node; the log is in a directory below it
+	// Dial opens a stream to another member.
+	Dial func(name string, channel byte, timeout time.Duration) (net.Conn, error)
+	// View is the present view of the fleet.
+	View func() *member.View
+	// Others are addresses of nodes that may be asked, with DialAddr, before this one has its place. Both may be nil.
 	Others   func() []string
 	DialAddr func(addr string, channel byte, timeout time.Duration) (net.Conn, error)
-	Log      *slog.Logger
-	Record   *record.Recorder
+	Log      *slog.Logger     // nil: nothing is logged
+	Record   *record.Recorder // nil: nothing is recorded
 }
 
-// Service is a process's part in operators' work over the fleet.
+// Service is a process's part in operations over the fleet. Its methods may be called from any goroutine.
 type Service struct {
-	c     Config
-	part  *raftlog.Participant // in keeping the log
-	count struct{ asks, lost, steps, applied atomic.Int64 }
+	config      Config
+	participant *raftlog.Participant
+	hint        raftlog.LeaderHint
+	suspensions *suspensions
+	counters    counters
 
 	mu          sync.Mutex
-	desk        ServerControl
-	incarnation string // "": this process has not the node's place
-	log         *raftlog.Log
-	ledger      *ledger
-	stop        chan struct{}
-	reports     map[string]report // at whoever leads
-	version     uint64            // of the ledger, that this node goes by
-	out         []string          // that it keeps out by that
-	own         map[string]bool   // of them, those that were suspended at its own door before
-	rounds      []Round           // as it heard last
-	led         string            // who answered last
-	turn        int
-	seen        AdvanceRequest // the step that is being waited for, since when, and for whom
-	since       time.Time
-	waits       []string
+	control     ServerControl // nil: the node is starting
+	incarnation string        // "": this process does not hold the node's place
+	stop        chan struct{} // nil: the same
+	log         *raftlog.Log  // nil: this process is no voter, or its log is not open
+	ledger      *ledger       // with log
+	rounds      []Round       // as the leader said last
+	waitingFor  []string      // nodes that the running round waits for
 	tasks       sync.WaitGroup
+
+	// What follows counts while this process leads.
+	reports map[string]receivedReport // by node
+	// pendingStep is the step that the running round waits to complete, and pendingSince when this process saw it first.
+	pendingStep  AdvanceRequest
+	pendingSince time.Time
 }
 
-type report struct {
-	NodeReport
-	at time.Time
+type counters struct {
+	requests       atomic.Int64 // reports to the leader
+	failedRequests atomic.Int64
+	steps          atomic.Int64
 }
 
-// New makes a service, which does nothing until Up.
-func New(c Config) *Service {
-	if c.Log == nil {
-		c.Log = slog.New(slog.DiscardHandler)
+// New returns a Service that does nothing until Attach and Start.
+func New(config Config) *Service {
+	if config.Log == nil {
+		config.Log = slog.New(slog.DiscardHandler)
+	}
+	s := &Service{
+		config:      config,
+		reports:     map[string]receivedReport{},
+		suspensions: newSuspensions(filepath.Join(config.Directory, suspensionsFile), config.Log, config.Record),
 	}
-	s := &Service{c: c, reports: map[string]report{}, own: map[string]bool{}}
-	s.part = raftlog.NewParticipant(raftlog.ParticipantConfig{Name: c.Name, Voters: c.Voters, Directory: filepath.Join(c.Directory, "rounds"),
-		LogMessage: "fleet rounds", Log: c.Log, OnOpen: s.opened, OnClose: func() { s.opened(nil, nil) }, NewState: func() raft.FSM { return newLedger() },
+	s.participant = raftlog.NewParticipant(raftlog.ParticipantConfig{
+		Name:       config.Name,
+		Voters:     config.Voters,
+		Directory:  filepath.Join(config.Directory, "rounds"),
+		LogMessage: logMessage,
+		Log:        config.Log,
 		Dial: func(name string, timeout time.Duration) (net.Conn, error) {
-			return c.Dial(name, VotersChannel, timeout)
-		}})
+			return config.Dial(name, VotersChannel, timeout)
+		},
+		NewState: func() raft.FSM { return newLedger() },
+		OnOpen:   s.setLog,
+		OnClose:  func() { s.setLog(nil, nil) },
+	})
 	return s
 }
 
-// opened takes the log in that this process keeps, or that it keeps none.
-func (s *Service) opened(log *raftlog.Log, state raft.FSM) {
+// setLog takes the log that this process keeps from now on; nil: none.
+func (s *Service) setLog(log *raftlog.Log, state raft.FSM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.log = log
 	s.ledger, _ = state.(*ledger)
 }
 
-// Keep lets others keep the log from now on.
-func (s *Service) SetVoters(r raftlog.VoterSet) { s.part.SetVoters(r) }
+// currentLog is the log that this process keeps; nil: none.
+func (s *Service) currentLog() (*raftlog.Log, *ledger) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.log, s.ledger
+}
+
+// SetVoters takes the voters of a fleet file that was read again.
+func (s *Service) SetVoters(voters raftlog.VoterSet) {
+	s.participant.SetVoters(voters)
+}
 
-// ServeVoters takes a stream from another voter.
-func (s *Service) ServeVoters(c net.Conn, from string) { s.part.ServeStream(c, from) }
+// ServeVoters takes a stream from another voter, and returns once that is closed.
+func (s *Service) ServeVoters(conn net.Conn, from string) {
+	s.participant.ServeStream(conn, from)
+}
 
-// Operate gives it the node's desk, before there are clients: what is out is out here, too, by the word of whoever knows the
-// latest, or as it was when the node ended.
-func (s *Service) Attach(d ServerControl) {
+// Attach gives it the node's servers, before there are clients, and suspends what the fleet has suspended: as the node
+// knows that has applied the latest version, or as it was when this node ended.
+func (s *Service) Attach(control ServerControl) {
 	s.mu.Lock()
-	s.desk = d
+	s.control = control
 	s.mu.Unlock()
-	if r, told := s.peek(); told {
-		s.apply(r.Version, r.Out, true)
+	if latest, found := s.askOthersAtStart(); found {
+		s.suspensions.apply(control, latest.Version, latest.Suspended, true)
 		return
 	}
-	var kept []string
-	if data, err := os.ReadFile(s.file()); err == nil && json.Unmarshal(data, &kept) == nil {
-		s.apply(0, kept, true)
-	}
-}
-
-const (
-	// peekWithin is how long a start waits for others' word of what is out.
-	peekWithin = 500 * time.Millisecond
-	// peekAt is how many are asked.
-	peekAt = 8
-)
-
-// peek asks others what is out, all at once, and returns the latest that any of them goes by. Nobody answers a node that starts
-// with the others.
-func (s *Service) peek() (latest reply, told bool) {
-	if s.c.Others == nil {
-		return latest, false
-	}
-	others := s.c.Others()
-	others = others[:min(len(others), peekAt)]
-	said := make(chan reply, len(others))
-	for _, addr := range others {
-		go func() {
-			r, err := s.exchange(func() (net.Conn, error) { return s.c.DialAddr(addr, NodesChannel, peekWithin) }, question{Peek: true})
-			if err != nil {
-				r = reply{}
-			}
-			said <- r
-		}()
-	}
-	late := time.After(peekWithin)
-	for range others {
-		select {
-		case r := <-said:
-			if r.Version > latest.Version {
-				latest, told = r, true
-			}
-		case <-late:
-			return latest, told
-		}
+	if stored, err := s.suspensions.load(); err == nil {
+		s.suspensions.apply(control, 0, stored, true)
 	}
-	return latest, told
 }
 
-func (s *Service) file() string { return filepath.Join(s.c.Directory, "out.json") }
-
-// Up begins, for a process that has got the node's place.
+// Start begins, for a process that has got the node's place. It may be called again after Stop.
 func (s *Service) Start(incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.incarnation, s.stop = incarnation, make(chan struct{})
-	stop := s.stop
-	s.tasks.Go(func() { s.follow(stop) })
-	s.tasks.Go(func() { s.drive(stop) })
-	s.part.Start()
+	stop := make(chan struct{})
+	s.incarnation = incarnation
+	s.stop = stop
+	s.tasks.Go(func() { s.reportLoop(stop) })
+	s.tasks.Go(func() { s.advanceLoop(stop) })
+	s.participant.Start()
 }
 
-// Down ends that.
+// Stop ends that, and returns once the log is closed.
 func (s *Service) Stop() {
 	s.mu.Lock()
 	stop := s.stop
-	s.incarnation, s.stop = "", nil
+	s.incarnation = ""
+	s.stop = nil
 	s.mu.Unlock()
 	if stop != nil {
 		close(stop)
-		s.part.Stop()
+		s.participant.Stop()
 		s.tasks.Wait()
 	}
 }
 
-// question and reply go over the stream to whoever leads.
-type question struct {
-	Incarnation string         `json:"life,omitempty"`
-	Version     uint64         `json:"version"`
-	Busy        map[string]int `json:"busy,omitempty"`
-	Do          *command       `json:"do,omitempty"`   // an operator's call
-	Peek        bool           `json:"peek,omitempty"` // by a node that starts: any may answer
-}
-
-type reply struct {
-	Refuse  string   `json:"refuse,omitempty"`
-	Leader  string   `json:"keeper,omitempty"` // who leads, as far as is known
-	Version uint64   `json:"version"`
-	Out     []string `json:"out,omitempty"`
-	Rounds  []Round  `json:"rounds,omitempty"`
-	Waits   []string `json:"waits,omitempty"` // nodes that the round waits for
-	Answer  Result   `json:"answer"`
-}
-
-// ServeRounds answers a node until its stream ends.
-func (s *Service) ServeNodes(c net.Conn, from string) {
-	in, out := json.NewDecoder(c), json.NewEncoder(c)
-	for {
-		var q question
-		if err := in.Decode(&q); err != nil {
-			return
-		}
-		c.SetWriteDeadline(time.Now().Add(askWithin))
-		if err := out.Encode(s.answer(from, q)); err != nil {
-			return
-		}
-	}
-}
-
-// answer answers a node, if this process leads.
-func (s *Service) answer(from string, q question) reply {
-	s.mu.Lock()
-	log, state, by := s.log, s.ledger, reply{Version: s.version, Out: s.out}
-	s.mu.Unlock()
-	if q.Peek {
-		return by
-	}
-	if log == nil || !log.IsLeader() {
-		r := reply{Refuse: "another leads, or nobody"}
-		if log != nil {
-			r.Leader = log.Leader()
-		}
-		return r
-	}
-	var r reply
-	switch {
-	case q.Do != nil:
-		got, err := log.Propose(q.Do)
-		if err != nil {
-			return reply{Refuse: err.Error(), Leader: log.Leader()}
-		}
-		r.Answer, _ = got.(Result)
-	case log.VerifyLeader() != nil: // what it would say may be old
-		return reply{Refuse: "it does not lead any more"}
-	}
-	var out map[string]Suspension
-	r.Version, out, r.Rounds = state.view()
-	for server := range out {
-		r.Out = append(r.Out, server)
-	}
-	slices.Sort(r.Out)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if q.Do == nil {
-		s.reports[from] = report{NodeReport{Incarnation: q.Incarnation, Version: q.Version, OpenCalls: q.Busy}, time.Now()}
-	}
-	r.Waits = s.waits
-	return r
-}
-
-// follow reports to whoever leads, and does what it is told.
-func (s *Service) follow(stop chan struct{}) {
-	for {
-		s.mu.Lock()
-		q := question{Incarnation: s.incarnation, Version: s.version, Busy: map[string]int{}}
-		out, desk := s.out, s.desk
-		s.mu.Unlock()
-		for _, server := range out {
-			if n := desk.Busy(server); n > 0 {
-				q.Busy[server] = n
-			}
-		}
-		s.count.asks.Add(1)
-		r, err := s.ask(q)
-		if err != nil {
-			s.count.lost.Add(1)
-		} else if s.heard(r) {
-			continue // what it goes by now is told at once
-		}
-		select {
-		case <-stop:
-			return
-		case <-time.After(askEach):
-		}
-	}
-}
-
-// heard takes an answer in, and reports whether this node goes by something else now.
-func (s *Service) heard(r reply) bool {
-	s.mu.Lock()
-	s.rounds, s.waits = r.Rounds, cmpWaits(r.Waits, s.waits)
-	changed := r.Version != s.version && s.desk != nil
-	s.mu.Unlock()
-	if changed {
-		return s.apply(r.Version, r.Out, false)
-	}
-	return false
-}
-
-func cmpWaits(heard, own []string) []string {
-	if heard != nil {
-		return heard
-	}
-	return own
-}
-
-// apply keeps out what is to be out, and puts back what is not any more; but for what was suspended at this node's own door
-// before the fleet's word came. At a start nothing was: what is suspended then the node's other process has handed on.
-func (s *Service) apply(version uint64, out []string, start bool) bool {
-	s.mu.Lock()
-	desk, before := s.desk, s.out
-	s.mu.Unlock()
-	already := desk.Suspended()
-	for _, server := range out {
-		if slices.Contains(before, server) {
-			continue
-		}
-		if slices.Contains(already, server) && !start {
-			s.own[server] = true
-		}
-		if err := desk.Suspend(server); err != nil { // in another process of the node: it is tried again, and the round waits
-			s.c.Log.Warn("fleet rounds", "reason", "not-suspended", "server", server, "why", err.Error())
-			delete(s.own, server)
-			s.mu.Lock()
-			s.out = before
-			s.mu.Unlock()
-			return false
-		}
-		before = append(slices.Clone(before), server)
-	}
-	for _, server := range before {
-		if slices.Contains(out, server) {
-			continue
-		}
-		if !s.own[server] {
-			desk.Restore(server) // one that no list names is not in use anyway
-		}
-		delete(s.own, server)
-	}
-	if version > 0 {
-		data, _ := json.Marshal(out) // plain words
-		err := os.WriteFile(s.file()+".new", data, 0o600)
-		if err == nil {
-			err = os.Rename(s.file()+".new", s.file())
-		}
-		if err != nil {
-			s.c.Log.Warn("fleet rounds", "reason", "not-kept", "why", err.Error())
-		}
-	}
-	s.mu.Lock()
-	s.version, s.out = version, out
-	s.mu.Unlock()
-	s.count.applied.Add(1)
-	s.c.Record.Write("out", SuspensionsRecord{version, out})
-	return true
-}
-
-// Held is what a node keeps out by the fleet's word, in its record.
-type SuspensionsRecord struct {
-	Version   uint64   `json:"version"`
-	Suspended []string `json:"out"`
-}
-
-var errNobody = errors.New("no majority of the voters is there, or none can be reached")
-
-// ask asks whoever leads, over a stream of its own: some a second.
-func (s *Service) ask(q question) (r reply, err error) {
-	s.mu.Lock()
-	who := s.led
-	s.mu.Unlock()
-	voters := s.part.Voters().Names
-	for range len(voters) + 1 {
-		if who == "" {
-			s.mu.Lock()
-			who = voters[s.turn%len(voters)]
-			s.turn++
-			s.mu.Unlock()
-		}
-		r, err = s.once(who, q)
-		if err == nil && r.Refuse == "" {
-			s.mu.Lock()
-			s.led = who
-			s.mu.Unlock()
-			return r, nil
-		}
-		if who = r.Leader; err != nil {
-			who = ""
-		}
-	}
-	s.mu.Lock()
-	s.led = ""
-	s.mu.Unlock()
-	return r, cmp.Or(err, errNobody)
-}
-
-func (s *Service) once(who string, q question) (r reply, err error) {
-	if who == s.c.Name {
-		return s.answer(who, q), nil
-	}
-	return s.exchange(func() (net.Conn, error) { return s.c.Dial(who, NodesChannel, askWithin) }, q)
-}
-
-// exchange asks one question over a stream of its own.
-func (s *Service) exchange(dial func() (net.Conn, error), q question) (r reply, err error) {
-	c, err := dial()
-	if err != nil {
-		return r, err
-	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(askWithin))
-	if err := json.NewEncoder(c).Encode(q); err != nil {
-		return r, err
-	}
-	err = json.NewDecoder(c).Decode(&r)
-	return r, err
-}
-
-// drive takes the round on, for as long as this process leads.
-func (s *Service) drive(stop chan struct{}) {
-	each := time.NewTicker(driveEach)
-	defer each.Stop()
-	for {
-		select {
-		case <-stop:
-			return
-		case <-each.C:
-		}
-		s.mu.Lock()
-		log, state := s.log, s.ledger
-		s.mu.Unlock()
-		if log == nil || !log.IsLeader() {
-			continue
-		}
-		_, _, rounds := state.view()
-		for _, r := range rounds {
-			if r.State == Running {
-				s.advance(log, r)
-			}
-		}
-	}
-}
-
-// advance takes a round one step further, if all nodes are as far. A leader that sees less than half of the fleet waits.
-func (s *Service) advance(log *raftlog.Log, r Round) {
-	v := s.c.View()
-	var members []Member
-	for _, m := range v.Here() {
-		members = append(members, Member{m.Name, m.Incarnation.String(), m.Predecessor})
-	}
-	at := AdvanceRequest{r.ID, r.Position, r.Step}
-	now := time.Now()
-	s.mu.Lock()
-	if s.seen != at {
-		s.seen, s.since = at, now
-	}
-	reports := map[string]NodeReport{}
-	for name, one := range s.reports {
-		one.Age = now.Sub(one.at)
-		reports[name] = one.NodeReport
-	}
-	ok, waits := CanAdvance(r, members, reports, now.Sub(s.since))
-	s.waits = append([]string{}, waits...)
-	s.mu.Unlock()
-	if !ok || !v.Side().Most {
-		return
-	}
-	got, err := log.Propose(command{Move: &at})
-	if mutant.Active("step-without-look") { // and comes again
-		log.Propose(command{Move: &at})
-	}
-	if a, is := got.(Result); err == nil && is && a.Rejection == "" {
-		s.count.steps.Add(1)
-		s.c.Log.Info("fleet rounds", "reason", "step", "round", r.Key, "server", r.Server(), "from", string(r.Step))
-		s.c.Record.Write("step", StepRecord{r.ID, r.Position, r.Server(), r.Step})
-	}
-}
-
-// Stepped is a step that was taken, in the record of whoever took it.
-type StepRecord struct {
-	Round    uint64 `json:"round"`
-	Position int    `json:"at"`
-	Server   string `json:"server"`
-	From     Step   `json:"from"`
-}
-
-// Do carries an operator's call out that is for the whole fleet: what follows FLEET.
-func (s *Service) Execute(words []string) (string, error) {
-	s.mu.Lock()
-	desk := s.desk
-	s.mu.Unlock()
-	if desk == nil {
-		return "", errors.New("the node is starting")
-	}
-	c, err := s.parse(words, desk)
-	if err != nil {
-		return "", err
-	}
-	if c == nil {
-		return s.Status(), nil
-	}
-	var last error
-	for end := time.Now().Add(doWithin); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		r, err := s.ask(question{Do: c})
-		switch {
-		case err == nil && r.Answer.Rejection != "":
-			return "", errors.New(r.Answer.Rejection)
-		case err == nil:
-			return r.Answer.Text, nil
-		}
-		last = err
-	}
-	return "", fmt.Errorf("it may hold or not, say it again: %w", last)
-}
-
-// parse turns an operator's words into a command; nil: they ask how things stand.
-func (s *Service) parse(words []string, desk ServerControl) (*command, error) {
-	usage := errors.New("FLEET wants STATUS, SUSPEND id, RESTORE id, ROUND name hold ALL, ROUND name hold id..., or STOP name")
-	if len(words) == 0 {
-		return nil, usage
-	}
-	rest := words[1:]
-	switch {
-	case words[0] == "STATUS" && len(rest) == 0:
-		return nil, nil
-	case words[0] == "SUSPEND" && len(rest) == 1 && !desk.Known(rest[0]):
-		return nil, maintenance.UnknownError(rest[0])
-	case words[0] == "SUSPEND" && len(rest) == 1:
-		return &command{Suspend: &ServerRequest{rest[0], s.c.Name}}, nil
-	case words[0] == "RESTORE" && len(rest) == 1:
-		return &command{Restore: &ServerRequest{rest[0], s.c.Name}}, nil
-	case words[0] == "STOP" && len(rest) == 1:
-		return &command{Stop: &StopRoundRequest{rest[0], "said at " + s.c.Name}}, nil
-	case words[0] == "ROUND" && len(rest) >= 3:
-		hold, err := time.ParseDuration(rest[1])
-		if err != nil || hold < 0 || hold > time.Hour {
-			return nil, fmt.Errorf("hold: not a time from 0s to 1h: %q", rest[1])
-		}
-		servers := rest[2:]
-		if len(servers) == 1 && servers[0] == "ALL" {
-			servers = desk.Listed()
-		}
-		for _, one := range servers {
-			if !desk.Known(one) {
-				return nil, maintenance.UnknownError(one)
-			}
-		}
-		return &command{Begin: &BeginRoundRequest{rest[0], s.c.Name, servers, hold}}, nil
-	}
-	return nil, usage
-}
-
-// Status is for operators: how things stand, as this node heard last.
+// Status is a line for operators, as the leader said last.
 func (s *Service) Status() string {
+	_, suspended := s.suspensions.current()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	text := fmt.Sprintf("rounds: out by the fleet's word: %v", s.out)
+	text := fmt.Sprintf("rounds: out by the fleet's word: %v", suspended)
 	for i := len(s.rounds) - 1; i >= 0; i-- { // the newest first
 		text += "; " + s.rounds[i].String()
-		if s.rounds[i].State == Running && len(s.waits) > 0 {
-			text += ", waits for " + strings.Join(s.waits, " ")
+		if s.rounds[i].State == Running && len(s.waitingFor) > 0 {
+			text += ", waits for " + strings.Join(s.waitingFor, " ")
 		}
 	}
 	return text
 }
 
-// Counters are for the log.
+// Counters are the counters, for the log.
 func (s *Service) Counters() string {
-	c := &s.count
-	return fmt.Sprintf("round_asks=%d round_lost=%d round_steps=%d round_applied=%d", c.asks.Load(), c.lost.Load(), c.steps.Load(),
-		c.applied.Load())
+	c := &s.counters
+	return fmt.Sprintf("round_asks=%d round_lost=%d round_steps=%d round_applied=%d",
+		c.requests.Load(), c.failedRequests.Load(), c.steps.Load(), s.suspensions.applied.Load())
 }
--- a/internal/fleet/operations/stored_format_test.go
+++ b/internal/fleet/operations/stored_format_test.go
@@ -74,9 +74,9 @@
 // TestMessageFormat guards against a change of the bytes between nodes, of which some run another build for a while.
 func TestMessageFormat(t *testing.T) {
 	for _, line := range readLines(t, "messages.jsonl") {
-		var message any = &question{}
+		var message any = &request{}
 		if bytes.Contains(line, []byte(`"answer"`)) {
-			message = &reply{}
+			message = &response{}
 		}
 		if got := reencode(t, line, message); !bytes.Equal(got, line) {
 			t.Errorf("a message is written as %s, not %s", got, line)
