--- /dev/null
+++ b/internal/lab/fleet/fleet_files.go
@@ -0,0 +1,163 @@
+package fleet
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+
+	"olivebridge/internal/protocol"
+)
+
+const (
+	// addressesToJoin is how many addresses a process is told to join.
+	addressesToJoin = 3
+	// firstAdminPort is the admin port of the first process; each later one has the next.
+	firstAdminPort = 10000
+	// strangerMark ends the name of the directory and of the record of a stranger that uses a node's name.
+	strangerMark = "~"
+
+	directoryMode = 0o700
+	fileMode      = 0o600
+)
+
+// The environment of programs that were built with faults; see package mutant.
+const (
+	envFaults     = "OLIVEFLEET_PLANT"
+	envClockError = "OLIVEFLEET_WALL"
+)
+
+// Says are the values of the fleet files that a script changes.
+type Says struct {
+	Nodes   int
+	Share   float64  // of the amounts of budgets
+	Voters  []string // of every log
+	Edition int      // of the voters
+}
+
+// voters are the voters as lines of a table of a fleet file.
+func (s Says) voters() string {
+	var names []string
+	for _, name := range s.Voters {
+		names = append(names, fmt.Sprintf("%q", name))
+	}
+	return fmt.Sprintf("keepers = [%s]\nedition = %d\n", strings.Join(names, ", "), s.Edition)
+}
+
+// maxVoters is the number of voters at first, if there are as many nodes.
+const maxVoters = 3
+
+// firstValues are the values at first: an odd number of voters.
+func firstValues(names []string) Says {
+	odd := len(names) - 1 + len(names)%2
+	return Says{
+		Nodes:   len(names),
+		Share:   1,
+		Voters:  slices.Clone(names[:min(maxVoters, odd)]),
+		Edition: 1,
+	}
+}
+
+// Env implements live.Fleet: it writes the fleet file of a node's next process.
+func (g *rig) Env(node string, twin bool) ([]string, error) {
+	g.starts++
+	slot, own := g.slot(node, twin)
+	home := filepath.Join(g.options.Dir, own)
+	if err := os.MkdirAll(g.stateDirectory(own), directoryMode); err != nil {
+		return nil, err
+	}
+	text := g.memberTable(node, slot, own)
+	path := filepath.Join(home, fmt.Sprintf("fleet-%d.toml", g.starts))
+	if err := g.writeFile(path, text); err != nil {
+		return nil, err
+	}
+	g.files[path] = text
+	ip, _, _ := strings.Cut(g.relays.ProcessAddress(slot), ":")
+	admin := fmt.Sprintf("%s:%d", ip, firstAdminPort+g.starts)
+	env := []string{protocol.EnvFleet + "=" + path, "TMPDIR=" + home, protocol.EnvAdmin + "=" + admin}
+	if !twin {
+		g.setAdminAddress(node, admin)
+	}
+	if g.options.Mutant != "" {
+		env = append(env, envFaults+"="+g.options.Mutant)
+	}
+	if by := g.clockErrors[node]; by != 0 && !twin {
+		env = append(env, envClockError+"="+by.String())
+	}
+	return env, nil
+}
+
+// slot is the relays' slot of a node's next process, and the name of its directory.
+func (g *rig) slot(node string, twin bool) (slot int, own string) {
+	index := slices.Index(g.names, node)
+	switch {
+	case twin:
+		return index + 2*len(g.names), node + strangerMark
+	case g.moved[node]:
+		return index + len(g.names), node
+	}
+	return index, node
+}
+
+// memberTable is the first table of a fleet file.
+func (g *rig) memberTable(node string, slot int, own string) string {
+	var join []string
+	for k := range min(addressesToJoin, len(g.names)) {
+		join = append(join, fmt.Sprintf("%q", g.relays.RelayAddress(k)))
+	}
+	var table strings.Builder
+	fmt.Fprintf(&table, "[member]\nfleet = \"rig\"\n")
+	fmt.Fprintf(&table, "listen = %q\n", g.relays.ProcessAddress(slot))
+	fmt.Fprintf(&table, "advertise = %q\n", g.relays.RelayAddress(slot))
+	fmt.Fprintf(&table, "join = [%s]\n", strings.Join(join, ", "))
+	fmt.Fprintf(&table, "zone = %q\n", g.zones[node])
+	fmt.Fprintf(&table, "directory = %q\n", g.stateDirectory(own))
+	fmt.Fprintf(&table, "record = %q\n", filepath.Join(g.options.Dir, own+recordSuffix))
+	return table.String()
+}
+
+func (g *rig) setAdminAddress(node, address string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.adminAddresses[node] = address
+}
+
+// writeFile writes a fleet file at once or not at all: a process may read it just now.
+func (g *rig) writeFile(path, text string) error {
+	next := path + ".new"
+	if err := os.WriteFile(next, []byte(text+g.options.More(g.values)), fileMode); err != nil {
+		return err
+	}
+	return os.Rename(next, path)
+}
+
+// Amounts implements live.Fleet.
+func (g *rig) Amounts(share float64) (int, error) {
+	g.values.Share = share
+	return g.rewriteFiles(Happened{What: "amounts", Share: share})
+}
+
+// Voters implements live.Fleet.
+func (g *rig) Voters(names []string) (int, error) {
+	g.values.Voters = names
+	g.values.Edition++
+	return g.rewriteFiles(Happened{What: "keepers", To: names})
+}
+
+// rewriteFiles writes all fleet files anew, and returns how often that was done.
+func (g *rig) rewriteFiles(e Happened) (int, error) {
+	g.rewrites++
+	for path, text := range g.files {
+		if err := g.writeFile(path, text); err != nil {
+			return g.rewrites, err
+		}
+	}
+	g.note(e)
+	return g.rewrites, nil
+}
+
+// stateDirectory is the directory of a node, as its fleet file names it.
+func (g *rig) stateDirectory(own string) string {
+	return filepath.Join(g.options.Dir, own, "state")
+}
--- /dev/null
+++ b/internal/lab/fleet/members_events.go
@@ -0,0 +1,143 @@
+package fleet
+
+import "time"
+
+// advance lets time go on to an instant: it applies the events until then, and finds views that should have followed.
+func (j *judge) advance(at time.Duration) {
+	for j.truth.next < len(j.truth.events) && j.truth.events[j.truth.next].At <= at {
+		e := j.truth.events[j.truth.next]
+		j.checkOverdue(e.At)
+		j.truth.next++
+		j.applyEvent(e)
+	}
+	j.checkOverdue(at)
+}
+
+// changesNothing reports whether views have nothing to follow in an event.
+func changesNothing(what string) bool {
+	switch what {
+	case "upgrade", "upgraded", "directory full", "directory unwritable", "directory foreign", "directory torn",
+		"directory emptied", "refused", "moves", "clock wrong":
+		return true
+	}
+	return false
+}
+
+func (j *judge) applyEvent(e Happened) {
+	before := j.truth.nodes[e.Node]
+	wasLeaving := before != nil && before.leaving
+	j.truth.apply(e)
+	if e.Ails != nil {
+		j.impairedAt = e.At
+	}
+	for _, name := range j.account.Names {
+		if e.Node == name || e.Node == "" {
+			j.node(name).touchedAt = e.At
+		}
+	}
+	if changesNothing(e.What) {
+		return
+	}
+	switch e.What {
+	case "cut":
+		j.noteCut(e)
+	case "cut healed":
+		j.noteHealed(e)
+	default:
+		j.node(e.Node).apply(e, wasLeaving)
+	}
+	j.noteChange(e)
+}
+
+// apply notes what happened to the node.
+func (n *nodeHistory) apply(e Happened, wasLeaving bool) {
+	switch e.What {
+	case "killed":
+		n.leftAsPlanned = false
+		n.endedAt = e.At
+		if wasLeaving { // it may have said that it had left
+			n.endedAt = 0
+		}
+		n.killed = true
+		n.killedAt = e.At
+		n.killSeenBy = map[string]bool{}
+		n.holder = 0
+		n.stopped = false
+		n.stoppedAt = 0
+	case "ended":
+		n.leftAsPlanned = true
+		n.endedAt = e.At
+		n.holder = 0
+	case "started":
+		n.killed = false
+		n.view = nil
+	case "twin killed":
+		n.strangerUntil = e.At + calmFor // the last that was heard of it is reported for a while
+	case "stopped":
+		n.stopped = true
+		n.stoppedAt = e.At
+	case "goes on":
+		n.wasStoppedBriefly = e.At-n.stoppedAt <= briefStop
+		n.stopped = false
+		n.stoppedAt = 0
+		n.resumedAt = e.At
+		n.settledAt = e.At + calmFor
+		n.undisturbedSince = e.At
+	}
+}
+
+func (j *judge) noteCut(e Happened) {
+	for _, from := range e.From {
+		for _, to := range e.To {
+			j.cutAt[nodePair{from, to}] = e.At
+		}
+	}
+}
+
+func (j *judge) noteHealed(e Happened) {
+	for _, from := range e.From {
+		for _, to := range e.To {
+			if j.truth.open(from, to) {
+				delete(j.cutAt, nodePair{from, to})
+			}
+		}
+	}
+}
+
+// noteChange notes that views have something to follow from now on.
+func (j *judge) noteChange(e Happened) {
+	if e.What != "serves" && e.What != "told SIGTERM" && j.changedAt > 0 {
+		j.result.Changes++
+		if !j.viewsAgree {
+			j.result.Unsettled++
+		}
+	}
+	j.restartAgreement(e.At, j.difference() != "")
+	if e.Node == "" { // what is cut apart finds out at times of its own
+		for _, name := range j.account.Names {
+			j.node(name).undisturbedSince = e.At
+		}
+	}
+	recovers := e.What == "cut healed" || e.What == "ail over" || e.What == "goes on"
+	if !j.truth.whole() || j.anyStopped() || recovers {
+		j.disturbedAt = e.At
+	}
+	j.checkAgreement(e.At)
+}
+
+// restartAgreement begins the time in which the views have to agree.
+func (j *judge) restartAgreement(at time.Duration, differ bool) {
+	j.changedAt = at
+	j.viewsAgree = false
+	j.reportedDifference = false
+	j.differedAtChange = differ
+}
+
+func (j *judge) anyStopped() bool {
+	for _, n := range j.nodes {
+		if n.stopped {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/lab/fleet/members_test.go
+++ b/internal/lab/fleet/members_test.go
@@ -183,7 +183,7 @@
 			x.show(31, "n1")
 			x.happens(31.5, "n1", "goes on")
 		}, "rig"},
-		{"chance takes nothing", func(x *tale) { x.a.Passed = Passed{Due: 200} }, "rig"},
+		{"chance takes nothing", func(x *tale) { x.a.Traffic = Traffic{ExpectedLost: 200} }, "rig"},
 		{"a crash", func(x *tale) { x.a.Broken = []string{"crash at 1s"} }, "world"},
 	} {
 		x := newTale(t)
--- a/internal/lab/fleet/page.go
+++ b/internal/lab/fleet/page.go
@@ -45,7 +45,7 @@
 		Wide: pageWide + labelWide, High: laneHigh*len(a.Names) + 30, Text: r.Outcome.Text(a)}
 	d := &drawing{p: &p, a: a, open: map[string]*segment{}}
 	j := newJudge(a)
-	j.each = func(at time.Duration) { d.look(j, at) }
+	j.observe = func(at time.Duration) { d.look(j, at) }
 	j.play()
 	d.look(j, a.End)
 	d.end()
@@ -84,14 +84,14 @@
 func (d *drawing) look(j *judge, at time.Duration) {
 	for i, name := range d.a.Names {
 		y := float64(laneHigh * i)
-		n := j.w.nodes[name]
+		n := j.truth.nodes[name]
 		class, title := "down", name+" does not run"
 		switch {
 		case n.up && n.stopped:
 			class, title = "still", name+" stands still"
 		case n.up && n.leaving:
 			class, title = "leaving", name+" is ending"
-		case n.up && len(j.w.part(name)) < running(j.w.truth):
+		case n.up && len(j.truth.part(name)) < running(j.truth.truth):
 			class, title = "cut", name+" is cut off from some"
 		case n.up && n.twin:
 			class, title = "twin", "a stranger lives under the name of "+name
@@ -114,16 +114,16 @@
 
 // believe draws what the others believe of a node: right, wrong, or some of them wrong.
 func (d *drawing) believe(j *judge, name string, at time.Duration, y float64) {
-	o := j.w.nodes[name]
+	o := j.truth.nodes[name]
 	var right, wrong []string
 	for _, viewer := range d.a.Names {
-		b := j.views[viewer]
-		if viewer == name || !j.w.nodes[viewer].runs() || b == nil {
+		b := j.node(viewer).view
+		if viewer == name || !j.truth.nodes[viewer].runs() || b == nil {
 			continue
 		}
 		m, known := b.view.Of(name)
 		here := known && m.State.Here()
-		should := o.up && !o.stopped && j.w.part(viewer)[name]
+		should := o.up && !o.stopped && j.truth.part(viewer)[name]
 		if here == should {
 			right = append(right, viewer)
 		} else {
--- a/internal/lab/fleet/result.go
+++ b/internal/lab/fleet/result.go
@@ -15,7 +15,7 @@
 )
 
 // MostNodes is the most processes of a run.
-const MostNodes = 250 / perNode
+const MostNodes = maxSlots / slotsPerNode
 
 // Result is a run with what the judge made of it.
 type Result struct {
@@ -121,7 +121,7 @@
 	j := final(a)
 	fmt.Fprintln(&b, "at the end:")
 	for _, name := range a.Names {
-		n := j.w.nodes[name]
+		n := j.truth.nodes[name]
 		is := "does not run"
 		switch {
 		case n.up && n.stopped:
@@ -132,7 +132,7 @@
 			is = "runs"
 		}
 		fmt.Fprintf(&b, "  %-6s %-13s", name, is)
-		if v := j.views[name]; v != nil && n.up {
+		if v := j.node(name).view; v != nil && n.up {
 			fmt.Fprintf(&b, " believes in %s", v.view.String())
 		}
 		fmt.Fprintln(&b)
