--- /dev/null
+++ b/balancer/admission.go
@@ -0,0 +1,66 @@
+package balancer
+
+// overQuotaLimitShare is the share of a server's concurrency limit that a
+// request beyond its tenant's quota may use at most.
+const overQuotaLimitShare = 1 - limitReserve
+
+// HandleRequest takes a client's request: it is sent to a server, waits for
+// capacity, or is answered at once. A request of an unknown class, or with the
+// ID of one that is open, fails.
+func (b *Balancer) HandleRequest(now Time, in Request) {
+	b.now = now
+	if in.Class < 0 || in.Class >= len(b.classes) || b.requests[in.ID] != nil {
+		b.host.Fail(in.ID)
+		return
+	}
+	r := b.newRequest(in)
+	b.requests[r.id] = r
+	b.refillBudgets()
+	b.sheddingPressure = b.currentSheddingPressure()
+	if s := b.owedServer(r); s != nil && b.now < r.deadline {
+		b.send(r, s)
+		return
+	}
+	if b.sheds(r) {
+		b.giveUp(r)
+		return
+	}
+	b.dispatch(r)
+}
+
+// newRequest makes the record of a request and counts it against its tenant's
+// quota.
+func (b *Balancer) newRequest(in Request) *request {
+	c := &b.classes[in.Class]
+	r := &request{
+		id:            in.ID,
+		class:         c,
+		admittedClass: c.Class,
+		affinityKey:   in.AffinityKey,
+		arrivedAt:     b.now,
+		deadline:      b.now + Time(in.Timeout),
+		work:          c.meanLatency,
+		limitShare:    c.limitShare,
+		draw:          b.random.float(),
+		streamsBody:   in.StreamsBody,
+	}
+	if in.Tenant >= 0 && in.Tenant < len(b.tenants) {
+		r.tenant = &b.tenants[in.Tenant]
+	}
+	if in.ExpectedWork > 0 {
+		r.work = in.ExpectedWork.Seconds()
+	}
+	if b.exceedsQuota(r.tenant) {
+		r.limitShare = min(r.limitShare, overQuotaLimitShare)
+	}
+	return r
+}
+
+// refillBudgets adds what one request brings to the budgets of retries, hedged
+// requests and health checks.
+func (b *Balancer) refillBudgets() {
+	b.retryTokens = min(b.retryTokens+retryTokensPerRequest, maxRetryTokens)
+	b.hedgeTokens = min(b.hedgeTokens+hedgesPerOvertaken*b.overtakenShare, maxHedgeTokens)
+	checks := min(checksPerRequest, checkCostPerRequest/max(b.settings.HealthCheckCost, minSum))
+	b.checkTokens = min(b.checkTokens+checks, maxCheckTokens)
+}
--- a/balancer/brain_test.go
+++ b/balancer/brain_test.go
@@ -1,13 +1,16 @@
 package balancer
 
 import (
-	"bytes"
 	"cmp"
 	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
 	"math/rand/v2"
 	"os"
-	"regexp"
+	"path/filepath"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -363,8 +366,8 @@
 			g.pass(time.Duration(rnd.IntN(120))*time.Millisecond, 60*time.Millisecond, func(s ServerID) bool { return !dead[s] })
 		}
 		g.pass(5*time.Second, time.Second, func(ServerID) bool { return false })
-		if g.check(); len(g.b.open) > 0 {
-			t.Errorf("seed %d: %d requests are still held", seed, len(g.b.open))
+		if g.check(); len(g.b.requests) > 0 {
+			t.Errorf("seed %d: %d requests are still held", seed, len(g.b.requests))
 		}
 		if t.Failed() {
 			return
@@ -389,7 +392,7 @@
 			g.Send(p, 1007, 0)
 		},
 		"no answer": func(g *bout, p, _ RequestID) {
-			g.b.open = map[RequestID]*request{}
+			g.b.requests = map[RequestID]*request{}
 			g.pass(3*time.Second, time.Hour, func(ServerID) bool { return false })
 		},
 	} {
@@ -439,11 +442,11 @@
 		g := start(t, base(), 1, fleet(3)...)
 		s := g.b.servers[0]
 		for _, r := range c.results {
-			s.probing = g.now
-			g.b.result(s, r == 'p')
+			s.health.checkSentAt = g.now
+			g.b.recordCheck(s, r == 'p')
 		}
-		if s.counter != c.counter || (s.outAt == 0) != c.up {
-			t.Errorf("%s: counter %d up %v, want %d %v", c.name, s.counter, (s.outAt == 0), c.counter, c.up)
+		if s.health.counter != c.counter || (s.health.ejectedAt == 0) != c.up {
+			t.Errorf("%s: counter %d up %v, want %d %v", c.name, s.health.counter, (s.health.ejectedAt == 0), c.counter, c.up)
 		}
 	}
 }
@@ -475,12 +478,12 @@
 			if i < 200 {
 				continue
 			}
-			s.probing = max(s.probing, g.now-500*ms) // a failure for each
-			g.b.result(s, false)
+			s.health.checkSentAt = max(s.health.checkSentAt, g.now-500*ms) // a failure for each
+			g.b.recordCheck(s, false)
 		}
 	}
 	for _, s := range g.b.servers {
-		if s.outAt != 0 {
+		if s.health.ejectedAt != 0 {
 			t.Errorf("server %d is out, though it answers", s.ID)
 		}
 	}
@@ -523,7 +526,7 @@
 	}
 	in := 0
 	for _, s := range g.b.servers {
-		if s.outAt == 0 {
+		if s.health.ejectedAt == 0 {
 			in++
 		}
 	}
@@ -536,21 +539,21 @@
 	servers := fleet(8)
 	servers[3].Weight = 2
 	g := start(t, base(), 1, servers...)
-	g.b.build()
-	before := g.b.table
+	g.b.buildTables()
+	before := g.b.tables.all
 	count := map[ServerID]int{}
 	for _, s := range before {
 		count[s.ID]++
 	}
 	for _, s := range servers {
-		want := tableSize / 9 * int(s.Weight)
+		want := smallTableSize / 9 * int(s.Weight)
 		if got := count[s.ID]; got < want*95/100 || got > want*105/100 {
 			t.Errorf("server %d has %d entries, want about %d", s.ID, got, want)
 		}
 	}
 	moved := func() (n int) {
-		for i, s := range g.b.table {
-			if s != before[i] && before[i].weight > 0 {
+		for i, s := range g.b.tables.all {
+			if s != before[i] && before[i].entry.weight > 0 {
 				n++
 			}
 		}
@@ -558,15 +561,15 @@
 	}
 	servers[0].State = Draining
 	g.view(UpdateDelta, servers[0])
-	g.b.build()
-	if n := moved(); n > tableSize/5 {
+	g.b.buildTables()
+	if n := moved(); n > smallTableSize/5 {
 		t.Errorf("%d entries of the other servers moved when one left", n)
 	}
 	servers[0].State = Ready
 	servers[5].Weight = 1.25
 	g.view(UpdateFull, servers...)
-	g.b.build()
-	if n := moved(); n > tableSize/4 {
+	g.b.buildTables()
+	if n := moved(); n > smallTableSize/4 {
 		t.Errorf("%d entries moved when one weight changed by a quarter", n)
 	}
 }
@@ -604,7 +607,7 @@
 		}
 		in := 0
 		for _, s := range g.b.servers {
-			if s.outAt == 0 {
+			if s.health.ejectedAt == 0 {
 				in++
 			}
 		}
@@ -651,7 +654,7 @@
 			g.b.HandleOutcome(g.now+Time(lat), Outcome{ID: id, Latency: lat, Result: OK, RequestDone: true})
 		}
 		g.ask(0, 30)
-		return g.b.press > 0
+		return g.b.sheddingPressure > 0
 	}
 	if narrowed(func(tenant int) bool { return tenant == 0 }) {
 		t.Error("one slow tenant of three makes the node shed")
@@ -669,14 +672,14 @@
 		sent := 0
 		for seed := range uint64(nodes) {
 			g := start(t, set, seed, fleet(3)...)
-			g.b.carried = 40.0 / float64(nodes) // forty requests of a quarter second's work a second, over all
-			s := g.b.byID[1007]
-			s.StartedAt, s.limit = g.now, 1000
+			g.b.warmThroughput = 40.0 / float64(nodes) // forty requests of a quarter second's work a second, over all
+			s := g.b.serversByID[1007]
+			s.StartedAt, s.load.limit = g.now, 1000
 			for range 100 {
 				g.b.now += 10 * ms
-				r := &request{class: &g.b.classes[0], cost: 0.25}
-				if g.b.coldRoom(s, r) {
-					s.spent += g.b.pay(r)
+				r := &request{class: &g.b.classes[0], work: 0.25}
+				if g.b.admitsSlowStart(s, r) {
+					s.slowStart.spent += g.b.slowStartCost(r)
 					sent++
 				}
 			}
@@ -710,7 +713,7 @@
 		near := 0
 		for key := uint64(1); key <= 300; key++ {
 			tk := g.open[g.ask(0, key)]
-			if g.b.byID[tk.shots[0].to].Zone == 1 {
+			if g.b.serversByID[tk.shots[0].to].Zone == 1 {
 				near++
 			}
 			g.pass(20*time.Millisecond, 10*time.Millisecond, always)
@@ -735,7 +738,7 @@
 	g := start(t, set, 1, fleet(12)...)
 	for _, s := range g.b.servers {
 		if s.Zone == set.Zone {
-			s.limit, s.inflight = 1, 1
+			s.load.limit, s.load.inFlight = 1, 1
 		}
 	}
 	sent := 0
@@ -773,7 +776,7 @@
 	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = time.Minute, 2*time.Minute
 	g := start(t, set, 1, fleet(1)...)
 	g.answer(g.ask(0, 7), 0, Rejected)
-	g.pass(probeDown, time.Millisecond, always)
+	g.pass(checkIntervalDown, time.Millisecond, always)
 	if n := len(g.open[g.ask(1, 7)].shots); n != 1 {
 		t.Errorf("sent %d times, want 1", n)
 	}
@@ -786,15 +789,15 @@
 	servers[0].Weight = 1.5
 	g := start(t, base(), 1, servers...)
 	g.ask(0, 7) // the table is built
-	for i, want := range []float64{leastLimit, 1} {
-		s := g.b.byID[servers[i].ID]
+	for i, want := range []float64{minLargestLimit, 1} {
+		s := g.b.serversByID[servers[i].ID]
 		for range 20 {
 			g.now += 300 * ms
 			g.b.now = g.now
-			g.b.cutLimit(s, 0.5, time.Second)
+			g.b.reduceLimit(s, 0.5, time.Second)
 		}
-		if s.limit != want {
-			t.Errorf("server of weight %v: limit %v, want %v", s.size, s.limit, want)
+		if s.load.limit != want {
+			t.Errorf("server of weight %v: limit %v, want %v", s.capacity, s.load.limit, want)
 		}
 	}
 }
@@ -804,32 +807,32 @@
 func TestOvertaken(t *testing.T) {
 	for class, want := range []int{2, 1} { // Pure, SideEffect
 		g := start(t, base(), 1, fleet(2)...)
-		g.b.retries = 9
+		g.b.retryTokens = 9
 		stuck := g.ask(class, 7)
-		s := g.b.byID[g.open[stuck].shots[0].to]
+		s := g.b.serversByID[g.open[stuck].shots[0].to]
 		for range 16 {
 			g.now += 50 * ms
 			id := g.ask(class, 7)
 			g.now += 5 * ms
 			g.answer(id, 0, OK)
 		}
-		if s.inflight != 1 {
-			t.Fatalf("class %d: %d in flight", class, s.inflight)
+		if s.load.inFlight != 1 {
+			t.Fatalf("class %d: %d in flight", class, s.load.inFlight)
 		}
-		g.b.HandleTimer(g.now, tickRef)
-		if s.inflight != 0 {
-			t.Errorf("class %d: %d in flight of none", class, s.inflight)
+		g.b.HandleTimer(g.now, tickTimer)
+		if s.load.inFlight != 0 {
+			t.Errorf("class %d: %d in flight of none", class, s.load.inFlight)
 		}
 		if slices.Contains(g.trace, fmt.Sprint("cancel ", stuck, 0)) != (want == 2) {
 			t.Errorf("class %d: not called off", class)
 		}
-		before, median := s.limit, g.b.median
+		before, median := s.load.limit, g.b.medianWait
 		g.answer(stuck, 0, map[int]Result{2: Cancelled, 1: TimedOut}[want])
-		if g.b.hush <= 0 {
+		if g.b.overtakenShare <= 0 {
 			t.Errorf("class %d: none counted as overtaken", class)
 		}
-		if n := len(g.open[stuck].shots); n != want || s.limit != before || g.b.median > median || s.inflight < 0 {
-			t.Errorf("class %d: %d attempts, want %d; limit %v -> %v", class, n, want, before, s.limit)
+		if n := len(g.open[stuck].shots); n != want || s.load.limit != before || g.b.medianWait > median || s.load.inFlight < 0 {
+			t.Errorf("class %d: %d attempts, want %d; limit %v -> %v", class, n, want, before, s.load.limit)
 		}
 		g.check()
 	}
@@ -852,7 +855,7 @@
 		set := base()
 		set.Hedging = c.allow
 		g := start(t, set, 1, fleet(6)...)
-		g.b.copies = c.copies
+		g.b.hedgeTokens = c.copies
 		id := g.ask(c.class, 7)
 		g.pass(490*time.Millisecond, time.Hour, always)
 		if len(g.open[id].shots) != 1 {
@@ -860,15 +863,15 @@
 		}
 		g.pass(20*time.Millisecond, time.Hour, always)
 		shots := g.open[id].shots
-		if len(shots) != c.want || len(shots) == 2 && shots[0].to == shots[1].to || g.b.copies >= 1 != (c.want == 1 && c.copies == 1) {
-			t.Errorf("%s: sent to %v, %v copies in hand", name, shots, g.b.copies)
+		if len(shots) != c.want || len(shots) == 2 && shots[0].to == shots[1].to || g.b.hedgeTokens >= 1 != (c.want == 1 && c.copies == 1) {
+			t.Errorf("%s: sent to %v, %v copies in hand", name, shots, g.b.hedgeTokens)
 		}
 		if g.answer(id, len(shots)-1, OK); slices.Contains(g.trace, fmt.Sprint("cancel ", id, 0)) {
 			t.Errorf("%s: called off at the answer", name)
 		}
 		if gone := g.ask(0, 8); c.want == 2 {
-			g.b.copies = 1
-			g.b.HandleTimer(g.now, copyRef+uint64(gone))
+			g.b.hedgeTokens = 1
+			g.b.HandleTimer(g.now, firstHedgeTimer+uint64(gone))
 			g.open[gone].ended = "hangup"
 			g.b.HandleDisconnect(g.now, gone)
 			for n := range 2 {
@@ -887,16 +890,16 @@
 		set := base()
 		set.Classes[1].LatencyObjective = 200 * time.Millisecond
 		g := start(t, set, 1, fleet(6)...)
-		g.b.hush = hush
+		g.b.overtakenShare = hush
 		id := g.ask(1, 7)
-		s := g.b.byID[g.open[id].shots[0].to]
+		s := g.b.serversByID[g.open[id].shots[0].to]
 		g.pass(300*time.Millisecond, time.Hour, always)
-		if held := s.inflight == 1; held != (hush == 0) {
-			t.Errorf("%v overtaken: %d in flight", hush, s.inflight)
+		if held := s.load.inFlight == 1; held != (hush == 0) {
+			t.Errorf("%v overtaken: %d in flight", hush, s.load.inFlight)
 		}
-		limit := s.limit
-		if g.answer(id, 0, TimedOut); (s.limit == limit) != (hush > 0) || s.inflight != 0 {
-			t.Errorf("%v overtaken: limit %v -> %v, %d in flight", hush, limit, s.limit, s.inflight)
+		limit := s.load.limit
+		if g.answer(id, 0, TimedOut); (s.load.limit == limit) != (hush > 0) || s.load.inFlight != 0 {
+			t.Errorf("%v overtaken: limit %v -> %v, %d in flight", hush, limit, s.load.limit, s.load.inFlight)
 		}
 		g.check()
 	}
@@ -906,11 +909,11 @@
 func TestSet(t *testing.T) {
 	set := base()
 	g := start(t, set, 1, fleet(3)...)
-	lat := g.b.classes[0].lat
+	lat := g.b.classes[0].meanLatency
 	set.MaxAttempts, set.Nodes = 1, 0
 	set.Classes = slices.Clone(set.Classes)
 	set.Classes[0].PriorityWeight = 99
-	if err := g.b.UpdateSettings(g.now, set); err != nil || g.b.set.Nodes != 1 || g.b.classes[0].PriorityWeight != 99 || g.b.classes[0].lat != lat {
+	if err := g.b.UpdateSettings(g.now, set); err != nil || g.b.settings.Nodes != 1 || g.b.classes[0].PriorityWeight != 99 || g.b.classes[0].meanLatency != lat {
 		t.Errorf("%v, %+v", err, g.b.classes[0])
 	}
 	id := g.ask(0, 7)
@@ -918,7 +921,7 @@
 		t.Errorf("%d attempts of one allowed", len(g.open[id].shots))
 	}
 	set.Classes = set.Classes[1:]
-	if err := g.b.UpdateSettings(g.now, set); err == nil || len(g.b.set.Classes) != len(g.b.classes) {
+	if err := g.b.UpdateSettings(g.now, set); err == nil || len(g.b.settings.Classes) != len(g.b.classes) {
 		t.Error("a class fewer was taken")
 	}
 }
@@ -985,8 +988,8 @@
 	g := start(t, base(), 1, fleet(1)...)
 	for range 400 { // 20 s
 		g.now += 50 * ms
-		g.b.probes = probesHeld // as many as may be
-		g.b.HandleTimer(g.now, tickRef)
+		g.b.checkTokens = maxCheckTokens // as many as may be
+		g.b.HandleTimer(g.now, tickTimer)
 		for id, n := range g.probes {
 			if n > 0 {
 				g.probes[id] = 0
@@ -994,7 +997,7 @@
 			}
 		}
 	}
-	if s := g.b.servers[0]; s.outAt != 0 || !s.unknown || g.probed < 8 {
+	if s := g.b.servers[0]; s.health.ejectedAt != 0 || !s.health.unknown || g.probed < 8 {
 		t.Errorf("%+v after %d moot probes", s.Server, g.probed)
 	}
 }
@@ -1009,8 +1012,8 @@
 		g.now += Time(10 * time.Second)
 		g.b.HandleServers(g.now, UpdateFull, next)
 	}
-	if n := len(g.b.servers); n > 10 || n != len(g.b.byID) {
-		t.Errorf("%d servers are remembered, %d by id", n, len(g.b.byID))
+	if n := len(g.b.servers); n > 10 || n != len(g.b.serversByID) {
+		t.Errorf("%d servers are remembered, %d by id", n, len(g.b.serversByID))
 	}
 	if first := g.open[busy].shots[0].to; !g.b.Knows(first) {
 		t.Error("a server with work out is forgotten")
@@ -1026,7 +1029,7 @@
 		over := 0
 		for range 100 {
 			g.b.now += Time(every)
-			if g.b.overShare(&g.b.tenants[0]) {
+			if g.b.exceedsQuota(&g.b.tenants[0]) {
 				over++
 			}
 		}
@@ -1093,13 +1096,13 @@
 	cold := Server{ID: 5000, Weight: 1, State: Ready, StartedAt: g.now}
 	g.view(UpdateDelta, cold)
 	g.pass(5*time.Second, 20*time.Millisecond, always)
-	s := g.b.byID[cold.ID]
-	s.limit = 1000 // so that only the budget can hold
+	s := g.b.serversByID[cold.ID]
+	s.load.limit = 1000 // so that only the budget can hold
 	cold.StartedAt = g.now
 	s.StartedAt = g.now
-	g.b.build()
+	g.b.buildTables()
 	key := uint64(1)
-	for g.b.table[mix(key)%tableSize] != s {
+	for g.b.tables.all[mix(key)%smallTableSize] != s {
 		key++
 	}
 	sent := 0
@@ -1127,7 +1130,7 @@
 		g.ask(1, uint64(g.next%60+1))
 		g.pass(10*time.Millisecond, 20*time.Millisecond, func(s ServerID) bool { return s != 1007 })
 	}
-	if g.b.byID[1007].outAt == 0 {
+	if g.b.serversByID[1007].health.ejectedAt == 0 {
 		t.Error("silent for 4 s, and still in the table")
 	}
 }
@@ -1174,12 +1177,12 @@
 	cold := Server{ID: 5000, Weight: 1, State: Ready, StartedAt: g.now}
 	g.view(UpdateDelta, cold)
 	g.pass(2*time.Second, 20*time.Millisecond, always)
-	s := g.b.byID[cold.ID]
-	s.limit, s.StartedAt = 1000, g.now
-	g.b.build()
+	s := g.b.serversByID[cold.ID]
+	s.load.limit, s.StartedAt = 1000, g.now
+	g.b.buildTables()
 	sent := 0
 	for key := uint64(1); key < 4000; key++ {
-		if g.b.table[mix(key)%tableSize] == s {
+		if g.b.tables.all[mix(key)%smallTableSize] == s {
 			if tk := g.open[hint(time.Millisecond, key)]; len(tk.shots) > 0 && tk.shots[0].to == cold.ID {
 				sent++
 			}
@@ -1246,9 +1249,9 @@
 				g.view(UpdateFailed)
 				failed, calls := g.now, g.watches
 				for g.watches == calls && g.now < failed+Time(time.Minute) {
-					g.pass(tickEvery, 0, always)
+					g.pass(tickInterval, 0, always)
 				}
-				if d := time.Duration(g.now - failed); d < 700*time.Millisecond || d > 3*time.Second-2*tickEvery {
+				if d := time.Duration(g.now - failed); d < 700*time.Millisecond || d > 3*time.Second-2*tickInterval {
 					t.Fatalf("ask_every %v: asked again %v after failure %d", every, d, fails+1)
 				}
 			}
@@ -1263,18 +1266,18 @@
 		t.Fatal("a restarted node does not serve from its cached list")
 	}
 	g.pass(5*time.Second, 5*time.Millisecond, always)
-	s := g.b.byID[servers[1].ID]
+	s := g.b.serversByID[servers[1].ID]
 	servers[1].StartedAt = g.now
 	g.view(UpdateFull, servers...)
-	if s.outAt == 0 {
+	if s.health.ejectedAt == 0 {
 		t.Error("a restarted server is Up before its first probe")
 	}
 	g.pass(time.Second, 5*time.Millisecond, always)
-	if w := g.b.warm(s); !(s.outAt == 0) || w >= 0.5 || w < g.set.InitialCapacity {
-		t.Errorf("a restarted server after a good probe: up %v, warm %.2f", (s.outAt == 0), w)
+	if w := g.b.warmth(s); !(s.health.ejectedAt == 0) || w >= 0.5 || w < g.set.InitialCapacity {
+		t.Errorf("a restarted server after a good probe: up %v, warm %.2f", (s.health.ejectedAt == 0), w)
 	}
 	g.pass(12*time.Second, 5*time.Millisecond, always)
-	if w := g.b.warm(s); w != 1 {
+	if w := g.b.warmth(s); w != 1 {
 		t.Errorf("warm %.2f after the whole warm-up", w)
 	}
 	g.check()
@@ -1353,42 +1356,91 @@
 func (idle) SetTimer(time.Duration, uint64)  {}
 func (idle) Log(string)                      {}
 
-func text(t *testing.T, path string) []byte {
+// sources parses the package's files but for its tests.
+func sources(t *testing.T) []*ast.File {
+	t.Helper()
+	names, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var files []*ast.File
+	for _, name := range names {
+		if strings.HasSuffix(name, "_test.go") {
+			continue
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), name, nil, 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		files = append(files, file)
+	}
+	return files
+}
+
+func readPage(t *testing.T, path string) string {
 	t.Helper()
 	data, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return data
+	return string(data)
 }
 
-// TestLogLinesAreOnThePage keeps the module's log lines and the on-call page in step.
+// TestLogLinesAreOnThePage keeps the package's log lines and the on-call page in step.
 func TestLogLinesAreOnThePage(t *testing.T) {
-	code, page := text(t, "brain.go"), text(t, "../docs/ONCALL.md")
-	lines := regexp.MustCompile(`b\.log\("([^"]+)"`).FindAllSubmatch(code, -1)
-	if len(lines) == 0 {
-		t.Fatal("no log line found")
+	page := readPage(t, "../docs/ONCALL.md")
+	found := 0
+	for _, file := range sources(t) {
+		ast.Inspect(file, func(n ast.Node) bool {
+			call, ok := n.(*ast.CallExpr)
+			if !ok || len(call.Args) == 0 {
+				return true
+			}
+			method, ok := call.Fun.(*ast.SelectorExpr)
+			if !ok || method.Sel.Name != "logf" {
+				return true
+			}
+			found++
+			line, ok := call.Args[0].(*ast.BasicLit)
+			if !ok {
+				t.Errorf("a log line that is not a literal, in %s", file.Name)
+				return true
+			}
+			if text, err := strconv.Unquote(line.Value); err != nil || !strings.Contains(page, text) {
+				t.Errorf("log line %s is not on the on-call page", line.Value)
+			}
+			return true
+		})
 	}
-	for _, m := range lines {
-		if !bytes.Contains(page, m[1]) {
-			t.Errorf("log line %q is not on the on-call page", m[1])
-		}
+	if found == 0 {
+		t.Fatal("no log line found")
 	}
 }
 
-// TestConstantsAreOnThePage keeps the module's figures and the design page in step.
+// TestConstantsAreOnThePage keeps the package's constants and the capacity page in step.
 func TestConstantsAreOnThePage(t *testing.T) {
-	code, page := text(t, "brain.go"), text(t, "../docs/DESIGN.md")
-	block := regexp.MustCompile(`(?s)\nconst \((.*?)\n\)`).FindSubmatch(code)
-	if block == nil {
-		t.Fatal("no block of constants found")
-	}
-	for _, line := range strings.Split(strings.TrimSpace(string(block[1])), "\n") {
-		names, _, _ := strings.Cut(strings.ReplaceAll(line, "uint64", ""), "=")
-		for _, name := range strings.FieldsFunc(names, func(c rune) bool { return c == ',' || c == ' ' || c == '\t' }) {
-			if !bytes.Contains(page, []byte("`"+name+"`")) {
-				t.Errorf("constant %s is not on the design page", name)
+	page := readPage(t, "../docs/CAPACITY.md")
+	found := 0
+	for _, file := range sources(t) {
+		for _, decl := range file.Decls {
+			group, ok := decl.(*ast.GenDecl)
+			if !ok || group.Tok != token.CONST {
+				continue
+			}
+			for _, spec := range group.Specs {
+				for _, name := range spec.(*ast.ValueSpec).Names {
+					if name.IsExported() {
+						continue // an enumeration, documented where it stands
+					}
+					found++
+					if !strings.Contains(page, "`"+name.Name+"`") {
+						t.Errorf("constant %s is not on the capacity page", name.Name)
+					}
+				}
 			}
 		}
 	}
+	if found == 0 {
+		t.Fatal("no constant found")
+	}
 }
--- a/balancer/coldstart_test.go
+++ b/balancer/coldstart_test.go
@@ -176,8 +176,8 @@
 		then     func(*bout, RequestID)
 	}{
 		"nothing has changed":          {1, 0, true, func(*bout, RequestID) {}},
-		"its body is still coming":     {1, 0, true, func(g *bout, id RequestID) { g.b.open[id].slow = true }},
-		"its server drains":            {1, 0, false, func(g *bout, id RequestID) { g.b.byID[g.open[id].shots[0].to].State = Draining }},
+		"its body is still coming":     {1, 0, true, func(g *bout, id RequestID) { g.b.requests[id].streamsBody = true }},
+		"its server drains":            {1, 0, false, func(g *bout, id RequestID) { g.b.serversByID[g.open[id].shots[0].to].State = Draining }},
 		"its client has left":          {0, 0, false, func(g *bout, id RequestID) { g.b.HandleDisconnect(g.now, id) }},
 		"its time is up":               {0, 0, false, func(g *bout, _ RequestID) { g.now += Time(time.Second) }},
 		"it was never made":            {0, 1, false, func(*bout, RequestID) {}},
@@ -200,6 +200,6 @@
 
 // copy sends a second copy.
 func (g *bout) copy(id RequestID) {
-	g.b.copies = 1
-	g.b.second(g.b.open[id])
+	g.b.hedgeTokens = 1
+	g.b.hedge(g.b.requests[id])
 }
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -67,12 +67,12 @@
 		if others {
 			g.answer(g.ask(0, 3), 0, OK)
 		}
-		g.b.retries = 0
+		g.b.retryTokens = 0
 		id := g.ask(1, 4)
-		s := g.b.byID[g.open[id].shots[0].to]
-		s.unknown, s.counter = false, rise+fall-1 // as probes have told
+		s := g.b.serversByID[g.open[id].shots[0].to]
+		s.health.unknown, s.health.counter = false, riseThreshold+fallThreshold-1 // as probes have told
 		g.answer(id, 0, Errored)
-		if out := s.outAt != 0; out != others {
+		if out := s.health.ejectedAt != 0; out != others {
 			t.Errorf("others answer: %v; out after one failure: %v", others, out)
 		}
 		g.check()
@@ -93,14 +93,14 @@
 			quick, late = id, held[to]
 			held[to] = id
 		}
-		s := g.b.byID[g.open[late].shots[0].to]
-		before := g.b.pull(s)
+		s := g.b.serversByID[g.open[late].shots[0].to]
+		before := g.b.attraction(s)
 		g.now += Time(950*time.Millisecond - gap)
 		g.open[quick].shots[0].at = g.now - Time(10*time.Millisecond)
 		g.answer(quick, 0, OK)
 		g.now += Time(gap)
 		g.answer(late, 0, OK)
-		if lost := 1 - g.b.pull(s)/before; seldom != (lost > 0.15) {
+		if lost := 1 - g.b.attraction(s)/before; seldom != (lost > 0.15) {
 			t.Errorf("a late answer %v after a quick one takes %.2f of the server's pull", gap, lost)
 		}
 	}
--- a/balancer/large_test.go
+++ b/balancer/large_test.go
@@ -38,7 +38,7 @@
 func (p *plain) Watch()                          {}
 func (p *plain) Log(string)                      {}
 func (p *plain) SetTimer(d time.Duration, ref uint64) {
-	if ref == tickRef { // copies of what is answered in time are never sent
+	if ref == tickTimer { // copies of what is answered in time are never sent
 		p.wakes = append(p.wakes, plainWake{p.now + Time(d), ref})
 	}
 }
--- a/balancer/slow_test.go
+++ b/balancer/slow_test.go
@@ -17,23 +17,23 @@
 		g.order = append(g.order, id+1)
 		g.b.HandleRequest(g.now, Request{ID: id + 1, Timeout: time.Hour, AffinityKey: 7, Class: 1, StreamsBody: true})
 		g.answer(id, 0, OK)
-		return id + 1, g.b.open[id+1]
+		return id + 1, g.b.requests[id+1]
 	}
 	id, r := slow()
-	s := r.attempts[0].to
-	if s.inflight != 0 || !r.attempts[0].mute {
-		t.Fatalf("%d in flight while the body is coming", s.inflight)
+	s := r.attempts[0].server
+	if s.load.inFlight != 0 || !r.attempts[0].silenceExplained {
+		t.Fatalf("%d in flight while the body is coming", s.load.inFlight)
 	}
 	g.pass(5*time.Second, 20*time.Millisecond, func(ServerID) bool { return false })
-	if g.b.hush != 0 || r.done {
-		t.Errorf("a body that takes long counts as silence: %v", g.b.hush)
+	if g.b.overtakenShare != 0 || r.finished {
+		t.Errorf("a body that takes long counts as silence: %v", g.b.overtakenShare)
 	}
 	g.b.HandleBodySent(g.now, id, 0, time.Second)
-	if s.inflight != 1 || r.deadline != g.now+Time(time.Second) || r.attempts[0].sent != g.now {
-		t.Errorf("written: %d in flight, deadline %d at %d", s.inflight, r.deadline, g.now)
+	if s.load.inFlight != 1 || r.deadline != g.now+Time(time.Second) || r.attempts[0].sentAt != g.now {
+		t.Errorf("written: %d in flight, deadline %d at %d", s.load.inFlight, r.deadline, g.now)
 	}
 	g.answer(id, 0, OK)
-	if s.inflight != 0 || g.b.open[id] != nil {
+	if s.load.inFlight != 0 || g.b.requests[id] != nil {
 		t.Error("its outcome leaves something behind")
 	}
 	id, _ = slow()
--- a/balancer/spill_test.go
+++ b/balancer/spill_test.go
@@ -15,15 +15,15 @@
 	g := start(t, set, 1, servers...)
 	g.ask(0, 1) // builds the tables
 	for _, s := range g.b.servers {
-		s.limit, s.inflight = 10, 1
+		s.load.limit, s.load.inFlight = 10, 1
 		if s.Zone == set.Zone {
-			s.inflight = 10
+			s.load.inFlight = 10
 		}
 	}
 	crossed := 0
 	for key := range uint64(200) {
-		r := &request{id: RequestID(1000 + key), class: &g.b.classes[0], key: key + 1, share: 1, deadline: g.now + 1000*ms}
-		if s := g.b.pick(r); s != nil && s.Zone != set.Zone {
+		r := &request{id: RequestID(1000 + key), class: &g.b.classes[0], affinityKey: key + 1, limitShare: 1, deadline: g.now + 1000*ms}
+		if s := g.b.selectServer(r); s != nil && s.Zone != set.Zone {
 			crossed++
 		}
 	}
--- a/balancer/table_test.go
+++ b/balancer/table_test.go
@@ -10,11 +10,11 @@
 func uneven(servers int, part float64) *Balancer {
 	set := base()
 	set.Zones, set.CrossZoneCost, set.Nodes = 3, 0.3, 300
-	b := &Balancer{set: set.bounded(), byID: map[ServerID]*server{}, now: 1}
+	b := &Balancer{settings: set.normalized(), serversByID: map[ServerID]*server{}, now: 1}
 	for i := range servers {
-		s := &server{size: 1 + float64(i%5)/4}
+		s := &server{capacity: 1 + float64(i%5)/4}
 		if s.ID, s.Zone, s.State = ServerID(mix(uint64(i+1))), uint8(i%3), Ready; s.Zone == set.Zone {
-			s.size *= part
+			s.capacity *= part
 		}
 		b.servers = append(b.servers, s)
 	}
@@ -28,7 +28,7 @@
 	credit, next := map[*server]int{}, map[*server]uint64{}
 	for _, s := range b.servers {
 		if in(s) {
-			most = max(most, s.weight)
+			most = max(most, s.entry.weight)
 		}
 	}
 	for filled, m := 0, uint64(size); filled < size; {
@@ -36,7 +36,7 @@
 			if !in(s) || filled == size {
 				continue
 			}
-			if credit[s] += s.weight; credit[s] < most {
+			if credit[s] += s.entry.weight; credit[s] < most {
 				continue
 			}
 			credit[s] -= most
@@ -54,16 +54,16 @@
 func TestTableByThePage(t *testing.T) {
 	for _, servers := range []int{2, 12, 127, 128, 162, 1024} {
 		b := uneven(servers, 1)
-		b.build()
-		b.build() // anew, over what was there
-		all := byThePage(b, len(b.table), func(s *server) bool { return s.weight > 0 })
-		if !slices.Equal(b.table, all) {
+		b.buildTables()
+		b.buildTables() // anew, over what was there
+		all := byThePage(b, len(b.tables.all), func(s *server) bool { return s.entry.weight > 0 })
+		if !slices.Equal(b.tables.all, all) {
 			t.Errorf("%d servers: the table is another", servers)
 		}
-		if b.keep == 0 {
+		if b.tables.zoneKeyShare == 0 {
 			continue
 		}
-		if own := byThePage(b, len(b.near), func(s *server) bool { return s.weight > 0 && s.Zone == 0 }); !slices.Equal(b.near, own) {
+		if own := byThePage(b, len(b.tables.zone), func(s *server) bool { return s.entry.weight > 0 && s.Zone == 0 }); !slices.Equal(b.tables.zone, own) {
 			t.Errorf("%d servers: the table of the zone is another", servers)
 		}
 	}
@@ -79,14 +79,14 @@
 	}
 	for _, part := range []float64{1, 1. / 16} {
 		b := uneven(162, part)
-		b.build()
+		b.buildTables()
 		own, page := time.Hour, time.Hour
 		for range 15 {
 			begun := time.Now()
-			b.build()
+			b.buildTables()
 			own = min(own, time.Since(begun))
 			begun = time.Now()
-			byThePage(b, len(b.table), func(s *server) bool { return s.weight > 0 })
+			byThePage(b, len(b.tables.all), func(s *server) bool { return s.entry.weight > 0 })
 			page = min(page, time.Since(begun))
 		}
 		if t.Logf("part %.2f: both tables %v, one by the page %v", part, own, page); own > page {
@@ -100,7 +100,7 @@
 		bench.Run(name, func(bench *testing.B) {
 			b := uneven(162, part)
 			for bench.Loop() {
-				b.build()
+				b.buildTables()
 			}
 		})
 	}
--- /dev/null
+++ b/balancer/tick.go
@@ -0,0 +1,49 @@
+package balancer
+
+import "time"
+
+// tickInterval is the period of the regular timer.
+const tickInterval = 50 * time.Millisecond
+
+// HandleTimer takes a timer that was set by Host.SetTimer.
+func (b *Balancer) HandleTimer(now Time, timer uint64) {
+	b.now = now
+	if timer != tickTimer {
+		b.hedge(b.requests[RequestID(timer-firstHedgeTimer)])
+		return
+	}
+	b.host.SetTimer(tickInterval, tickTimer)
+	b.pollDiscovery()
+	b.releaseOvertaken()
+	b.dispatchPending()
+	b.measureThroughput()
+	b.recentAttempts *= attemptDecay
+	b.checkTokens += tickInterval.Seconds() / idleCheckInterval.Seconds()
+	b.inspectServers()
+}
+
+// inspectServers looks at every server once, beginning with the one whose health
+// check was put off on the last tick.
+func (b *Balancer) inspectServers() {
+	toleratedSilence := Time(silenceLatencies * b.meanLatency * float64(time.Second))
+	first := b.checkFrom
+	b.checkFrom = 0
+	for i := range b.servers {
+		position := (first + i) % len(b.servers)
+		s := b.servers[position]
+		s.load.recentAttempts *= attemptDecay
+		if !b.mayUse(s) {
+			b.updateMembership(s)
+			continue
+		}
+		b.ejectSilent(s, toleratedSilence)
+		if b.settings.HealthChecks && !s.Suspended {
+			b.sendDueCheck(s, position)
+		}
+		b.presumeUp(s)
+		b.updateMembership(s)
+		if b.tableWeight(s) != s.entry.weight {
+			b.tables.stale = true
+		}
+	}
+}
