--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -85,6 +85,14 @@
 	}
 }
 
+// reduceLimitByTimeout cuts a server's limit after a time-out, unless all of its
+// wait is what the class or tenant shows anyway.
+func (b *Balancer) reduceLimitByTimeout(s *server, wait float64, objective time.Duration) {
+	if wait > acceptableWait {
+		b.reduceLimit(s, limitCutFactor, objective)
+	}
+}
+
 // reduceLimit cuts a server's limit by a factor, at most once in the time that
 // an answer should take.
 func (b *Balancer) reduceLimit(s *server, factor float64, objective time.Duration) {
--- /dev/null
+++ b/balancer/documentation_test.go
@@ -0,0 +1,112 @@
+package balancer
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// sources parses the package's files but for its tests.
+func sources(t *testing.T) []*ast.File {
+	t.Helper()
+	names, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var files []*ast.File
+	for _, name := range names {
+		if strings.HasSuffix(name, "_test.go") {
+			continue
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), name, nil, 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		files = append(files, file)
+	}
+	return files
+}
+
+func readPage(t *testing.T, path string) string {
+	t.Helper()
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(data)
+}
+
+// TestLogLinesAreOnThePage keeps the package's log lines and the on-call page in step.
+func TestLogLinesAreOnThePage(t *testing.T) {
+	page := readPage(t, "../docs/ONCALL.md")
+	found := 0
+	for _, file := range sources(t) {
+		ast.Inspect(file, func(n ast.Node) bool {
+			call, ok := n.(*ast.CallExpr)
+			if !ok || len(call.Args) == 0 {
+				return true
+			}
+			method, ok := call.Fun.(*ast.SelectorExpr)
+			if !ok || method.Sel.Name != "logf" {
+				return true
+			}
+			found++
+			line, ok := call.Args[0].(*ast.BasicLit)
+			if !ok {
+				t.Errorf("a log line that is not a literal, in %s", file.Name)
+				return true
+			}
+			if text, err := strconv.Unquote(line.Value); err != nil || !strings.Contains(page, text) {
+				t.Errorf("log line %s is not on the on-call page", line.Value)
+			}
+			return true
+		})
+	}
+	if found == 0 {
+		t.Fatal("no log line found")
+	}
+}
+
+// TestConstantsAreOnThePage keeps the package's constants and the capacity page in step.
+func TestConstantsAreOnThePage(t *testing.T) {
+	page := readPage(t, "../docs/CAPACITY.md")
+	found := 0
+	for _, file := range sources(t) {
+		for _, decl := range file.Decls {
+			group, ok := decl.(*ast.GenDecl)
+			if !ok || group.Tok != token.CONST {
+				continue
+			}
+			if isEnumeration(group) {
+				continue // documented where it stands
+			}
+			for _, spec := range group.Specs {
+				for _, name := range spec.(*ast.ValueSpec).Names {
+					if name.IsExported() {
+						continue
+					}
+					found++
+					if !strings.Contains(page, "`"+name.Name+"`") {
+						t.Errorf("constant %s is not on the capacity page", name.Name)
+					}
+				}
+			}
+		}
+	}
+	if found == 0 {
+		t.Fatal("no constant found")
+	}
+}
+
+// isEnumeration reports whether a group of constants enumerates the values of a
+// type of this package.
+func isEnumeration(group *ast.GenDecl) bool {
+	spec := group.Specs[0].(*ast.ValueSpec)
+	name, ok := spec.Type.(*ast.Ident)
+	return ok && name.Obj != nil && name.Obj.Kind == ast.Typ
+}
--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -10,11 +10,11 @@
 	}
 	s := a.server
 	silence := b.silenceOf(r, a) // before this outcome counts
+	objective := r.latencyObjective()
 	succeeded := o.Result == OK
 	if succeeded || o.Result == Errored || o.Result == Rejected {
 		s.activity.heardAt = b.now
 	}
-	objective := r.latencyObjective()
 	if o.Result == Rejected {
 		b.recordRejection(s, objective)
 		return
@@ -24,15 +24,13 @@
 		wait = b.recordSuccess(r, a, o.Latency, objective)
 	}
 	wait = b.excessOverStanding(r, wait)
-	timedOut := o.Result == TimedOut && silence == silenceMeansLoad
-	if succeeded || timedOut {
-		b.updateServerWait(s, wait)
-	}
 	switch {
 	case succeeded:
+		b.updateServerWait(s, wait)
 		b.adjustLimit(s, objective)
-	case timedOut && wait > acceptableWait:
-		b.reduceLimit(s, limitCutFactor, objective)
+	case o.Result == TimedOut && silence == silenceMeansLoad:
+		b.updateServerWait(s, wait)
+		b.reduceLimitByTimeout(s, wait, objective)
 	}
 	// A time-out says nothing of a server that has answered since.
 	if o.Result != TimedOut || s.activity.succeededAt < a.sentAt {
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -26,8 +26,10 @@
 
 func Example() {
 	set := balancer.Settings{
-		Classes: []balancer.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: balancer.Idempotent}},
-		Nodes:   1, SlowStart: 10 * time.Second, InitialCapacity: 0.2, OverloadFactor: 3, OverloadWindow: time.Second,
+		Classes: []balancer.Class{{
+			LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: balancer.Idempotent,
+		}},
+		Nodes: 1, SlowStart: 10 * time.Second, InitialCapacity: 0.2, OverloadFactor: 3, OverloadWindow: time.Second,
 		MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: time.Second,
 	}
 	now := balancer.Time(0) // the host's clock, in nanoseconds
@@ -39,7 +41,9 @@
 	b.HandleRequest(now, balancer.Request{ID: 1, Timeout: time.Second, AffinityKey: 99})
 
 	now += balancer.Time(30 * time.Millisecond)
-	b.HandleOutcome(now, balancer.Outcome{ID: 1, Server: 7, Latency: 30 * time.Millisecond, Result: balancer.OK, RequestDone: true})
+	b.HandleOutcome(now, balancer.Outcome{
+		ID: 1, Server: 7, Latency: 30 * time.Millisecond, Result: balancer.OK, RequestDone: true,
+	})
 
 	b.HandleServers(now, balancer.UpdateDelta, []balancer.Server{{ID: 7, State: balancer.Draining}})
 	now += balancer.Time(5 * time.Millisecond)
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -55,7 +55,7 @@
 			if b.withinEvenShare(r, s) {
 				return s
 			}
-			if fallback == nil || s.load.recentAttempts/b.attraction(s) < fallback.load.recentAttempts/b.attraction(fallback) {
+			if fallback == nil || b.relativeAttempts(s) < b.relativeAttempts(fallback) {
 				fallback = s
 			}
 		}
@@ -131,7 +131,13 @@
 	return b.recentAttempts / float64(max(len(b.servers), 1)) / attemptWindow.Seconds()
 }
 
+// relativeAttempts is what a server was sent lately, for its attraction.
+func (b *Balancer) relativeAttempts(s *server) float64 {
+	return s.load.recentAttempts / b.attraction(s)
+}
+
 // attraction is a server's weight, less where its answers wait.
 func (b *Balancer) attraction(s *server) float64 {
-	return float64(s.entry.weight) * (1 - min(max(waitRepulsion*(s.load.meanWait-acceptableWait), 0), maxRepulsion))
+	repulsion := waitRepulsion * (s.load.meanWait - acceptableWait)
+	return float64(s.entry.weight) * (1 - min(max(repulsion, 0), maxRepulsion))
 }
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -76,7 +76,8 @@
 		s.slowStart.spent = 0
 		s.slowStart.draw = b.random.float()
 	}
-	learnt := warmth * warmingOverloadShare * b.settings.OverloadFactor * b.warmThroughput * s.capacity * halfWindow.Seconds()
+	learnt := warmth * warmingOverloadShare * b.settings.OverloadFactor *
+		b.warmThroughput * s.capacity * halfWindow.Seconds()
 	// Where nothing is learnt the nodes together send one request a window, or no server would ever start.
 	least := b.slowStartCost(r) / 2 / float64(b.settings.Nodes)
 	s.slowStart.allowance = max(learnt, least)
