--- a/internal/maintenance/record.go
+++ b/internal/maintenance/record.go
@@ -7,14 +7,28 @@
 	"olivebridge/balancer"
 )
 
+// ListedServer is a balancer.Server in the form in which one process of a node hands it to the next. The JSON names
+// are those that earlier builds write and read, so they stay when a field is renamed. Its fields are those of
+// balancer.Server in name, type and order, which lets the two convert into each other.
+type ListedServer struct {
+	ID        balancer.ServerID    `json:"ID"`
+	Cell      uint16               `json:"Cell"`
+	Zone      uint8                `json:"Zone"`
+	Kind      uint8                `json:"Kind"`
+	StartedAt balancer.Time        `json:"Born"`
+	Weight    float32              `json:"Weight"`
+	State     balancer.ServerState `json:"State"`
+	Suspended bool                 `json:"Aside"`
+}
+
 // Record is what a Register knows of one server, as a successor takes it over.
 type Record struct {
-	Name      string          `json:"name"`
-	Addr      string          `json:"addr"`
-	Said      balancer.Server `json:"said"`
-	Held      bool            `json:"held,omitempty"`
-	Since     balancer.Time   `json:"since,omitempty"`
-	NotBefore balancer.Time   `json:"not_before,omitempty"`
+	Name      string        `json:"name"`
+	Addr      string        `json:"addr"`
+	Said      ListedServer  `json:"said"`
+	Held      bool          `json:"held,omitempty"`
+	Since     balancer.Time `json:"since,omitempty"`
+	NotBefore balancer.Time `json:"not_before,omitempty"`
 }
 
 // Export gives all that is known, in the order of names, and the version of the
@@ -24,7 +38,7 @@
 	defer r.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(r.servers)) {
 		e := r.servers[name]
-		all = append(all, Record{name, e.addr, e.said, e.ban.Holds(), e.since, e.notBefore})
+		all = append(all, Record{name, e.addr, ListedServer(e.said), e.ban.Holds(), e.since, e.notBefore})
 	}
 	return all, r.version
 }
@@ -35,7 +49,7 @@
 	defer r.mu.Unlock()
 	for _, in := range all {
 		e := r.of(in.Name)
-		e.addr, e.said, e.since, e.notBefore = in.Addr, in.Said, in.Since, in.NotBefore
+		e.addr, e.said, e.since, e.notBefore = in.Addr, balancer.Server(in.Said), in.Since, in.NotBefore
 		e.ban.on.Store(in.Held)
 		r.touch(e)
 	}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -12,6 +12,7 @@
 	"syscall"
 	"time"
 
+	"olivebridge/balancer"
 	"olivebridge/internal/admin"
 	"olivebridge/internal/handover"
 	"olivebridge/internal/routing"
@@ -68,7 +69,7 @@
 	n.servers.Import(h.Servers)
 	known := routing.Group{}
 	for _, r := range h.Servers {
-		known.Entries = append(known.Entries, routing.Entry{Server: r.Said, Name: r.Name, Addr: r.Addr})
+		known.Entries = append(known.Entries, routing.Entry{Server: balancer.Server(r.Said), Name: r.Name, Addr: r.Addr})
 	}
 	if len(known.Entries) > 0 {
 		n.config.Known, n.config.KnownVersion = known, -1
