--- a/cmd/olivefleet/fleet.go
+++ b/cmd/olivefleet/fleet.go
@@ -110,7 +110,7 @@
 // Do implements node.Fleet.
 func (f *company) Do(words []string) (string, error) {
 	if f.rounds == nil {
-		return "", admin.Unknown(admin.Fleet)
+		return "", admin.UnknownCommand(admin.Fleet)
 	}
 	return f.rounds.Do(words)
 }
@@ -224,7 +224,7 @@
 }
 
 // Chooser implements node.Fleet.
-func (f *company) Chooser() routing.Chooser { return f.choices }
+func (f *company) Chooser() routing.SubsetSelector { return f.choices }
 
 // Left implements node.Fleet.
 func (f *company) Left() {
@@ -239,14 +239,14 @@
 }
 
 // Gate implements node.Fleet.
-func (f *company) Gate() routing.Gate {
+func (f *company) Gate() routing.AdmissionControl {
 	if f.budgets == nil {
 		return nil
 	}
 	return f
 }
 
-// Admit implements routing.Gate.
+// Admit implements routing.AdmissionControl.
 func (f *company) Admit(tenant int) (bool, time.Duration) {
 	if tenant < 0 || f.places[tenant] < 0 { // a request without a tenant, or whose tenant has no budget
 		return true, 0
@@ -254,7 +254,7 @@
 	return f.budgets.Admit(f.places[tenant])
 }
 
-// AdmitRetry implements routing.Gate.
+// AdmitRetry implements routing.AdmissionControl.
 func (f *company) AdmitRetry() bool {
 	if f.retries < 0 {
 		return true
@@ -263,13 +263,13 @@
 	return ok
 }
 
-// AdmitCold implements routing.Gate.
-func (f *company) AdmitCold(peer balancer.ServerID, units float64) bool {
+// AdmitWarmUp implements routing.AdmissionControl.
+func (f *company) AdmitWarmUp(peer balancer.ServerID, units float64) bool {
 	return f.cold < 0 || f.budgets.AdmitEach(f.cold, uint64(peer), units)
 }
 
-// Done implements routing.Gate.
-func (f *company) Done(tenant int) {
+// Release implements routing.AdmissionControl.
+func (f *company) Release(tenant int) {
 	if tenant >= 0 && f.places[tenant] >= 0 {
 		f.budgets.Release(f.places[tenant])
 	}
--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -23,41 +23,41 @@
 const maxLine = 512
 
 // Call is one line of an operator's.
-type Call struct {
-	Word string
-	ID   string // of a server; "" where the call has none
-	Rest string // of FLEET
+type Command struct {
+	Name      string
+	ServerID  string // of a server; "" where the call has none
+	FleetArgs string // of FLEET
 }
 
 // Unknown says that there is no such call.
-func Unknown(word string) error {
+func UnknownCommand(word string) error {
 	return fmt.Errorf("unknown call %.40q; there are STATUS, SUSPEND, RESTORE, PAUSE and RESUME", word)
 }
 
 // Parse reads a line, without its end.
-func Parse(line string) (Call, error) {
+func Parse(line string) (Command, error) {
 	if strings.ContainsFunc(line, func(c rune) bool { return c < ' ' || c > '~' }) {
-		return Call{}, errors.New("a byte that no call has")
+		return Command{}, errors.New("a byte that no call has")
 	}
 	words := strings.Fields(line)
 	if len(words) == 0 {
-		return Call{}, errors.New("an empty line")
+		return Command{}, errors.New("an empty line")
 	}
-	c, rest := Call{Word: words[0]}, words[1:]
-	switch c.Word {
+	c, rest := Command{Name: words[0]}, words[1:]
+	switch c.Name {
 	case Suspend, Restore:
 		if len(rest) != 1 {
-			return c, fmt.Errorf("%s wants the id of one server, and got %d", c.Word, len(rest))
+			return c, fmt.Errorf("%s wants the id of one server, and got %d", c.Name, len(rest))
 		}
-		c.ID = rest[0]
+		c.ServerID = rest[0]
 	case Status, Pause, Resume:
 		if len(rest) != 0 {
-			return c, fmt.Errorf("%s stands alone", c.Word)
+			return c, fmt.Errorf("%s stands alone", c.Name)
 		}
 	case Fleet:
-		c.Rest = strings.Join(rest, " ")
+		c.FleetArgs = strings.Join(rest, " ")
 	default:
-		return c, Unknown(c.Word)
+		return c, UnknownCommand(c.Name)
 	}
 	return c, nil
 }
--- a/internal/admin/door.go
+++ b/internal/admin/door.go
@@ -16,7 +16,7 @@
 
 const (
 	// MaxCallers bounds the connections. A caller with a line sends it at once; those beyond are holders.
-	MaxCallers = 32
+	MaxConnections = 32
 	// lineTimeout is how long a caller may take for its line.
 	lineTimeout = 5 * time.Second
 	// answerTimeout is how long the answer may take to be written.
@@ -25,15 +25,15 @@
 
 // Desk carries calls out. What it returns is told to the caller: a text, or
 // why it was not done. It must not wait for traffic: an answer is owed in 1 s.
-type Desk interface {
-	Do(Call) (string, error)
+type Executor interface {
+	Do(Command) (string, error)
 }
 
 // Door takes calls on a listener. The oldest caller without a line goes when
 // there are too many, so that holders keep nobody out.
-type Door struct {
+type Server struct {
 	l    net.Listener
-	desk Desk
+	desk Executor
 	log  *slog.Logger
 
 	mu      sync.Mutex
@@ -44,22 +44,22 @@
 }
 
 // Open serves calls on l until Close.
-func Open(l net.Listener, desk Desk, log *slog.Logger) *Door {
-	d := &Door{l: l, desk: desk, log: log, most: MaxCallers}
+func Serve(l net.Listener, desk Executor, log *slog.Logger) *Server {
+	d := &Server{l: l, desk: desk, log: log, most: MaxConnections}
 	d.running.Go(d.serve)
 	return d
 }
 
 // Bound sets how many callers without a line there may be, MaxCallers at most.
-func (d *Door) Bound(most int) {
+func (d *Server) SetMaxConnections(most int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.most = min(max(most, 1), MaxCallers)
+	d.most = min(max(most, 1), MaxConnections)
 	d.leaveOnly(d.most)
 }
 
 // Close ends the door, and returns once nothing of it is left.
-func (d *Door) Close() {
+func (d *Server) Close() {
 	d.mu.Lock()
 	d.closed = true
 	for e := d.callers.Front(); e != nil; e = e.Next() {
@@ -70,7 +70,7 @@
 	d.running.Wait()
 }
 
-func (d *Door) serve() {
+func (d *Server) serve() {
 	for {
 		conn, err := d.l.Accept()
 		switch {
@@ -88,7 +88,7 @@
 }
 
 // enter makes room for a caller; nil: the door is closed.
-func (d *Door) enter(conn net.Conn) *list.Element {
+func (d *Server) enter(conn net.Conn) *list.Element {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
@@ -100,7 +100,7 @@
 }
 
 // leaveOnly ends the oldest callers until no more than so many are left. The lock is held.
-func (d *Door) leaveOnly(most int) {
+func (d *Server) leaveOnly(most int) {
 	for d.callers.Len() > most {
 		oldest := d.callers.Front()
 		d.callers.Remove(oldest)
@@ -109,7 +109,7 @@
 }
 
 // leave takes a caller from the list, and reports whether it still stood there.
-func (d *Door) leave(place *list.Element) bool {
+func (d *Server) leave(place *list.Element) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	before := d.callers.Len()
@@ -118,7 +118,7 @@
 }
 
 // hear takes one caller's line and answers it.
-func (d *Door) hear(conn net.Conn, place *list.Element) {
+func (d *Server) hear(conn net.Conn, place *list.Element) {
 	defer conn.Close()
 	conn.SetReadDeadline(time.Now().Add(lineTimeout))
 	line, err := readLine(conn)
@@ -136,14 +136,14 @@
 }
 
 // answer carries a call out and words what came of it.
-func (d *Door) answer(line string, err error) (said string) {
+func (d *Server) answer(line string, err error) (said string) {
 	defer func() { // guards the node: no one else would catch it here
 		if p := recover(); p != nil {
 			d.log.Error("panic", "in", "operators' door", "value", fmt.Sprint(p), "stack", string(debug.Stack()))
 			said = "FAILURE a fault in the program, see its log; it may hold"
 		}
 	}()
-	var call Call
+	var call Command
 	text := ""
 	if err == nil {
 		call, err = Parse(line)
@@ -155,8 +155,8 @@
 	if err != nil {
 		said = "FAILURE " + strings.ReplaceAll(err.Error(), "\n", " ")
 	}
-	if call.Word != Status || err != nil {
-		d.log.Info("operator call", "call", call.Word, "server", call.ID, "answer", said)
+	if call.Name != Status || err != nil {
+		d.log.Info("operator call", "call", call.Name, "server", call.ServerID, "answer", said)
 	}
 	return said
 }
--- a/internal/fleet/choices/choices.go
+++ b/internal/fleet/choices/choices.go
@@ -37,7 +37,7 @@
 	all  sync.WaitGroup
 
 	mu     sync.Mutex
-	told   func(routing.Choice) // nil: nobody is to be told yet
+	told   func(routing.Subset) // nil: nobody is to be told yet
 	nodes  []subset.Node
 	zones  int // in which nodes work; 0: not known
 	view   uint64
@@ -56,8 +56,8 @@
 	return s
 }
 
-// Tell implements routing.Chooser: from now on it is told what is chosen.
-func (s *Service) Tell(chosen func(routing.Choice)) {
+// Subscribe implements routing.SubsetSelector: from now on it is told what is chosen.
+func (s *Service) Subscribe(chosen func(routing.Subset)) {
 	s.mu.Lock()
 	s.told = chosen
 	s.mu.Unlock()
@@ -74,8 +74,8 @@
 	s.all.Wait()
 }
 
-// Listed implements routing.Chooser: these peers take new work. It does not wait.
-func (s *Service) Listed(peers []balancer.Server) {
+// EndpointsChanged implements routing.SubsetSelector: these peers take new work. It does not wait.
+func (s *Service) EndpointsChanged(peers []balancer.Server) {
 	all := make([]subset.Peer, 0, len(peers))
 	for _, p := range peers {
 		all = append(all, subset.Peer{ID: uint64(p.ID), Zone: p.Zone, Kind: p.Kind, Weight: float64(p.Weight)})
@@ -93,8 +93,8 @@
 	s.stir()
 }
 
-// Saw implements routing.Chooser.
-func (s *Service) Saw(server balancer.ServerID, born balancer.Time, result balancer.Result, probe bool) {
+// ObserveResult implements routing.SubsetSelector.
+func (s *Service) ObserveResult(server balancer.ServerID, born balancer.Time, result balancer.Result, probe bool) {
 	var r signals.Result
 	switch result {
 	case balancer.OK, balancer.Errored: // it answers
@@ -208,7 +208,7 @@
 				}
 			}
 		}
-		told(routing.Choice{Servers: chosen, Doubted: s.doubted(), Zones: zones})
+		told(routing.Subset{Included: chosen, Suspected: s.doubted(), ActiveZones: zones})
 		s.note(chosen, len(nodes), zones, len(peers), view)
 	}
 }
--- a/internal/fleet/choices/choices_test.go
+++ b/internal/fleet/choices/choices_test.go
@@ -38,8 +38,8 @@
 func TestService(t *testing.T) {
 	from := make(views)
 	s := New(Config{Name: "n1", Plan: subset.Plan{Copies: 2, Least: 1}, Next: from.next})
-	got := make(chan routing.Choice)
-	s.Tell(func(chosen routing.Choice) {
+	got := make(chan routing.Subset)
+	s.Subscribe(func(chosen routing.Subset) {
 		select {
 		case got <- chosen:
 		case <-time.After(10 * time.Second):
@@ -54,7 +54,7 @@
 		t.Helper()
 		select {
 		case choice := <-got:
-			chosen := choice.Servers
+			chosen := choice.Included
 			if n := len(chosen); chosen == nil && most > 0 || n < least || n > most {
 				t.Errorf("%s: %d are chosen, %d to %d are wanted", what, n, least, most)
 			}
@@ -62,7 +62,7 @@
 			t.Fatalf("%s: nothing is told", what)
 		}
 	}
-	s.Listed(peers)
+	s.EndpointsChanged(peers)
 	wait("nobody is known", 0, 0)
 	all := map[string]member.State{}
 	for _, n := range []string{"n1", "n2", "n3", "n4", "n5", "n6"} {
@@ -81,7 +81,7 @@
 	wait("two are left", 0, 0)
 	from <- view(5, map[string]member.State{"n2": member.Alive, "n3": member.Alive, "n4": member.Alive})
 	wait("it has no place", 0, 0)
-	s.Listed(peers[:1])
+	s.EndpointsChanged(peers[:1])
 	wait("one peer", 0, 0)
 }
 
--- a/internal/fleet/rounds/service.go
+++ b/internal/fleet/rounds/service.go
@@ -546,7 +546,7 @@
 	case words[0] == "STATUS" && len(rest) == 0:
 		return nil, nil
 	case words[0] == "SUSPEND" && len(rest) == 1 && !desk.Known(rest[0]):
-		return nil, maintenance.UnknownError(rest[0])
+		return nil, maintenance.UnknownServerError(rest[0])
 	case words[0] == "SUSPEND" && len(rest) == 1:
 		return &command{Suspend: &Word{rest[0], s.c.Name}}, nil
 	case words[0] == "RESTORE" && len(rest) == 1:
@@ -564,7 +564,7 @@
 		}
 		for _, one := range servers {
 			if !desk.Known(one) {
-				return nil, maintenance.UnknownError(one)
+				return nil, maintenance.UnknownServerError(one)
 			}
 		}
 		return &command{Begin: &Begin{rest[0], s.c.Name, servers, hold}}, nil
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -19,7 +19,7 @@
 	h := Heritage{Version: 41, Source: "d:1", Paused: true, Carried: 0.25}
 	for i := range servers {
 		h.Servers = append(h.Servers, maintenance.Record{Name: fmt.Sprint("s-", strings.Repeat("x", 100), i), Addr: "127.0.0.1:9000",
-			Said: maintenance.ListedServer{ID: balancer.ServerID(i) << 50, Weight: 1.5, State: balancer.Draining, StartedAt: 1e18}, Held: i%2 == 0, Since: 3, NotBefore: 4})
+			Listed: maintenance.ListedServer{ID: balancer.ServerID(i) << 50, Weight: 1.5, State: balancer.Draining, StartedAt: 1e18}, Suspended: i%2 == 0, SuspendedAt: 3, StartedNotBefore: 4})
 	}
 	return h
 }
--- a/internal/lab/stage/node.go
+++ b/internal/lab/stage/node.go
@@ -105,7 +105,7 @@
 			return pace{l}, err
 		},
 		Dial: dial, Log: log,
-		Wrap:   func(c routing.Carrier) routing.Carrier { return spread{c, i.run.places} },
+		Wrap:   func(c routing.Transport) routing.Transport { return spread{c, i.run.places} },
 		Follow: func(w routing.Watcher) routing.Watcher { return lag{w} },
 	})
 }
@@ -182,24 +182,24 @@
 }
 
 // operate makes an operator's call. A node that runs says yes to each.
-func (i *instance) operate(call admin.Call) {
+func (i *instance) operate(call admin.Command) {
 	l := i.live
 	if l == nil || l.node == nil || l.leaving {
 		return
 	}
-	back := call.Word == admin.Restore || call.Word == admin.Resume
+	back := call.Name == admin.Restore || call.Name == admin.Resume
 	if back { // it holds while it is being said
-		i.run.facts.NodeOperated(i.c.Name, call.Word, call.ID)
+		i.run.facts.NodeOperated(i.c.Name, call.Name, call.ServerID)
 	}
 	if _, err := l.node.Do(call); err != nil {
-		i.run.fail("operators", "node %s: %s %s: %v", i.c.Name, call.Word, call.ID, err)
+		i.run.fail("operators", "node %s: %s %s: %v", i.c.Name, call.Name, call.ServerID, err)
 		return
 	}
-	if call.Word == admin.Pause {
+	if call.Name == admin.Pause {
 		i.run.front.Leaving(i.c.Name) // which finds that it is not ready any more
 	}
 	if !back {
-		i.run.facts.NodeOperated(i.c.Name, call.Word, call.ID)
+		i.run.facts.NodeOperated(i.c.Name, call.Name, call.ServerID)
 	}
 }
 
--- a/internal/lab/stage/spread.go
+++ b/internal/lab/stage/spread.go
@@ -31,9 +31,9 @@
 const lagFor = 3*spreads + 7
 
 // Watch implements routing.Watcher.
-func (w lag) Watch(ctx context.Context, told func(routing.Group)) error {
+func (w lag) Watch(ctx context.Context, told func(routing.EndpointList)) error {
 	defer time.Sleep(lagFor)
-	return w.Watcher.Watch(ctx, func(g routing.Group) {
+	return w.Watcher.Watch(ctx, func(g routing.EndpointList) {
 		time.Sleep(lagFor)
 		told(g)
 	})
@@ -44,25 +44,25 @@
 // one idle connection is then no matter of luck. The nanoseconds are those of
 // the call's number, so that they differ within a node.
 type spread struct {
-	routing.Carrier
+	routing.Transport
 	peers map[string]int // places by name
 }
 
 // spreads is above the number of tries that one instant can set off, and prime.
 const spreads = 16381
 
-// Try implements routing.Carrier.
-func (s spread) Try(ctx context.Context, t routing.Try) routing.TryResult {
-	d := time.Duration(1 + (uint64(t.Call)*8+uint64(t.Attempt))%spreads)
+// RoundTrip implements routing.Transport.
+func (s spread) RoundTrip(ctx context.Context, t routing.Attempt) routing.AttemptResult {
+	d := time.Duration(1 + (uint64(t.RequestID)*8+uint64(t.Number))%spreads)
 	time.Sleep(d)
 	defer time.Sleep(d)
-	return s.Carrier.Try(ctx, t)
+	return s.Transport.RoundTrip(ctx, t)
 }
 
-// Probe implements routing.Carrier.
-func (s spread) Probe(ctx context.Context, p *routing.Peer) balancer.Result {
+// CheckHealth implements routing.Transport.
+func (s spread) CheckHealth(ctx context.Context, p *routing.Upstream) balancer.Result {
 	d := spreads + time.Duration(1+s.peers[p.Name])
 	time.Sleep(d)
 	defer time.Sleep(d)
-	return s.Carrier.Probe(ctx, p)
+	return s.Transport.CheckHealth(ctx, p)
 }
--- a/internal/lab/stage/target.go
+++ b/internal/lab/stage/target.go
@@ -125,7 +125,7 @@
 func (i *instance) Term() { i.term() }
 
 // Operate implements fault.Node.
-func (i *instance) Operate(call, peer string) { i.operate(admin.Call{Word: call, ID: peer}) }
+func (i *instance) Operate(call, peer string) { i.operate(admin.Command{Name: call, ServerID: peer}) }
 
 // Hup implements fault.Node.
 func (i *instance) Hup(discovery string) {
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -19,13 +19,13 @@
 const most = 4096
 
 // Named is a server with the id that operators call it by.
-type Named struct {
+type NamedServer struct {
 	balancer.Server
 	Name, Addr string
 }
 
 // Register knows every server that was ever listed. It is safe for concurrent use.
-type Register struct {
+type Registry struct {
 	mu      sync.Mutex
 	servers map[string]*entry
 	turn    uint64 // grows with each change of an entry
@@ -35,7 +35,7 @@
 type entry struct {
 	addr      string
 	said      balancer.Server // as the upstream group has it; Gone if it lists it no more
-	ban       *Ban
+	ban       *Suspension
 	since     balancer.Time // when it was suspended
 	notBefore balancer.Time // it counts as started no earlier; 0: as listed
 	touched   uint64
@@ -43,24 +43,24 @@
 
 // Ban is a server's mark. Whoever is about to send the first byte of something
 // new asks it, since the decisions may not have heard of a ban yet.
-type Ban struct{ on atomic.Bool }
+type Suspension struct{ on atomic.Bool }
 
 // Holds reports whether nothing new may go to the server.
-func (b *Ban) Holds() bool { return b != nil && b.on.Load() }
+func (b *Suspension) Active() bool { return b != nil && b.on.Load() }
 
 // New makes an empty Register.
-func New() *Register { return &Register{servers: map[string]*entry{}} }
+func New() *Registry { return &Registry{servers: map[string]*entry{}} }
 
 // UnknownError says that no list has ever named a server.
-type UnknownError string
+type UnknownServerError string
 
-func (e UnknownError) Error() string {
+func (e UnknownServerError) Error() string {
 	return fmt.Sprintf("no list has ever named server %q", string(e))
 }
 
 // Learn takes a list in and gives what the decisions are to be shown in its
 // place. What a whole list does not name is gone.
-func (r *Register) Learn(kind balancer.UpdateKind, version int64, list []Named) []balancer.Server {
+func (r *Registry) Update(kind balancer.UpdateKind, version int64, list []NamedServer) []balancer.Server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version = version
@@ -88,16 +88,16 @@
 	return shown
 }
 
-func (r *Register) of(name string) *entry {
+func (r *Registry) of(name string) *entry {
 	e := r.servers[name]
 	if e == nil {
-		e = &entry{ban: new(Ban)}
+		e = &entry{ban: new(Suspension)}
 		r.servers[name] = e
 	}
 	return e
 }
 
-func (r *Register) touch(e *entry) {
+func (r *Registry) touch(e *entry) {
 	r.turn++
 	e.touched = r.turn
 }
@@ -107,7 +107,7 @@
 // a list had told of the restart by then.
 func (e *entry) shown() balancer.Server {
 	s := e.said
-	if e.ban.Holds() {
+	if e.ban.Active() {
 		s.State = balancer.Draining // binds, also where gone alone does not
 		return s
 	}
@@ -116,17 +116,17 @@
 }
 
 // Suspend keeps a server out of use from its return on. Said again it changes nothing.
-func (r *Register) Suspend(name string, now balancer.Time) error { return r.set(name, true, now) }
+func (r *Registry) Suspend(name string, now balancer.Time) error { return r.set(name, true, now) }
 
 // Restore puts a server back, however often it was suspended.
-func (r *Register) Restore(name string, now balancer.Time) error { return r.set(name, false, now) }
+func (r *Registry) Restore(name string, now balancer.Time) error { return r.set(name, false, now) }
 
-func (r *Register) set(name string, banned bool, now balancer.Time) error {
+func (r *Registry) set(name string, banned bool, now balancer.Time) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.servers[name]
 	if e == nil {
-		return UnknownError(name)
+		return UnknownServerError(name)
 	}
 	r.touch(e)
 	switch was := e.ban.on.Swap(banned); {
@@ -139,14 +139,14 @@
 }
 
 // Know takes a server for listed, as another process of the node has seen it.
-func (r *Register) Know(name string) {
+func (r *Registry) Add(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.of(name)
 }
 
 // Shown is what the decisions are to be shown of a server that was once listed.
-func (r *Register) Shown(name string) (s balancer.Server, ok bool) {
+func (r *Registry) Effective(name string) (s balancer.Server, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.servers[name]
@@ -157,7 +157,7 @@
 }
 
 // BanOf is the mark of a server that was once listed; nil: it never was.
-func (r *Register) BanOf(name string) *Ban {
+func (r *Registry) SuspensionOf(name string) *Suspension {
 	if r == nil { // a node without a door
 		return nil
 	}
@@ -170,11 +170,11 @@
 }
 
 // Suspended are the servers that are kept out of use now, in order.
-func (r *Register) Suspended() (names []string) {
+func (r *Registry) SuspendedServers() (names []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, e := range r.servers {
-		if e.ban.Holds() {
+		if e.ban.Active() {
 			names = append(names, name)
 		}
 	}
@@ -184,13 +184,13 @@
 
 // forget bounds the memory: of what is gone and not suspended, the longest
 // unheard of goes first. The lock is held.
-func (r *Register) forget() {
+func (r *Registry) forget() {
 	if len(r.servers) <= most {
 		return
 	}
 	var idle []string
 	for name, e := range r.servers {
-		if e.said.State == balancer.Removed && !e.ban.Holds() {
+		if e.said.State == balancer.Removed && !e.ban.Active() {
 			idle = append(idle, name)
 		}
 	}
@@ -201,7 +201,7 @@
 }
 
 // Listed are the servers that take new work, those included that operators keep out of use.
-func (r *Register) Listed() (names []string) {
+func (r *Registry) ReadyServers() (names []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, e := range r.servers {
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -8,24 +8,24 @@
 	"olivebridge/balancer"
 )
 
-func server(name string, state balancer.ServerState, born balancer.Time) Named {
-	return Named{balancer.Server{ID: balancer.ServerID(len(name)), State: state, StartedAt: born, Weight: 1}, name, "a:1"}
+func server(name string, state balancer.ServerState, born balancer.Time) NamedServer {
+	return NamedServer{balancer.Server{ID: balancer.ServerID(len(name)), State: state, StartedAt: born, Weight: 1}, name, "a:1"}
 }
 
 // TestRegister plays calls and lists against a server a, and looks at how the decisions see it.
 func TestRegister(t *testing.T) {
-	list := func(kind balancer.UpdateKind, s ...Named) func(*Register) error {
-		return func(r *Register) error { r.Learn(kind, 1, s); return nil }
+	list := func(kind balancer.UpdateKind, s ...NamedServer) func(*Registry) error {
+		return func(r *Registry) error { r.Update(kind, 1, s); return nil }
 	}
-	suspend := func(at balancer.Time) func(*Register) error {
-		return func(r *Register) error { return r.Suspend("a", at) }
+	suspend := func(at balancer.Time) func(*Registry) error {
+		return func(r *Registry) error { return r.Suspend("a", at) }
 	}
-	restore := func(at balancer.Time) func(*Register) error {
-		return func(r *Register) error { return r.Restore("a", at) }
+	restore := func(at balancer.Time) func(*Registry) error {
+		return func(r *Registry) error { return r.Restore("a", at) }
 	}
-	a := func(state balancer.ServerState, born balancer.Time) Named { return server("a", state, born) }
+	a := func(state balancer.ServerState, born balancer.Time) NamedServer { return server("a", state, born) }
 	first := list(balancer.UpdateCached, a(balancer.Ready, 5))
-	type steps []func(*Register) error
+	type steps []func(*Registry) error
 	for name, c := range map[string]struct {
 		steps steps
 		state balancer.ServerState
@@ -51,13 +51,13 @@
 				t.Errorf("%s: step %d: %v", name, i, err)
 			}
 		}
-		s, ok := r.Shown("a")
-		if held := r.BanOf("a").Holds(); !ok || s.State != c.state || s.StartedAt != c.born || held != c.held {
+		s, ok := r.Effective("a")
+		if held := r.SuspensionOf("a").Active(); !ok || s.State != c.state || s.StartedAt != c.born || held != c.held {
 			t.Errorf("%s: shown %v %d, held %v", name, s.State, s.StartedAt, held)
 		}
 	}
 	r := New()
-	if r.Suspend("a", 1) == nil || r.Restore("a", 1) == nil || r.BanOf("a").Holds() {
+	if r.Suspend("a", 1) == nil || r.Restore("a", 1) == nil || r.SuspensionOf("a").Active() {
 		t.Error("a server that was never listed can be suspended")
 	}
 }
@@ -65,20 +65,20 @@
 // TestMemory: ever new servers leave no trace but for the bound, and no ban is forgotten.
 func TestMemory(t *testing.T) {
 	r := New()
-	r.Learn(balancer.UpdateFull, 1, []Named{server("kept", balancer.Ready, 0)})
+	r.Update(balancer.UpdateFull, 1, []NamedServer{server("kept", balancer.Ready, 0)})
 	if err := r.Suspend("kept", 1); err != nil {
 		t.Fatal(err)
 	}
 	for i := 0; i < 3*most; {
-		var list []Named
+		var list []NamedServer
 		for range 100 {
 			list = append(list, server(fmt.Sprint("s-", i), balancer.Ready, 0))
 			i++
 		}
-		r.Learn(balancer.UpdateFull, 1, list)
+		r.Update(balancer.UpdateFull, 1, list)
 	}
-	if len(r.servers) > most || !slices.Equal(r.Suspended(), []string{"kept"}) || r.Suspend("s-0", 1) == nil {
-		t.Errorf("%d remembered, suspended %v", len(r.servers), r.Suspended())
+	if len(r.servers) > most || !slices.Equal(r.SuspendedServers(), []string{"kept"}) || r.Suspend("s-0", 1) == nil {
+		t.Errorf("%d remembered, suspended %v", len(r.servers), r.SuspendedServers())
 	}
 	if err := r.Suspend(fmt.Sprint("s-", 3*most-9), 1); err != nil {
 		t.Error(err)
--- a/internal/maintenance/record.go
+++ b/internal/maintenance/record.go
@@ -23,34 +23,34 @@
 
 // Record is what a Register knows of one server, as a successor takes it over.
 type Record struct {
-	Name      string        `json:"name"`
-	Addr      string        `json:"addr"`
-	Said      ListedServer  `json:"said"`
-	Held      bool          `json:"held,omitempty"`
-	Since     balancer.Time `json:"since,omitempty"`
-	NotBefore balancer.Time `json:"not_before,omitempty"`
+	Name             string        `json:"name"`
+	Addr             string        `json:"addr"`
+	Listed           ListedServer  `json:"said"`
+	Suspended        bool          `json:"held,omitempty"`
+	SuspendedAt      balancer.Time `json:"since,omitempty"`
+	StartedNotBefore balancer.Time `json:"not_before,omitempty"`
 }
 
 // Export gives all that is known, in the order of names, and the version of the
 // list it comes from.
-func (r *Register) Export() (all []Record, version int64) {
+func (r *Registry) Export() (all []Record, version int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(r.servers)) {
 		e := r.servers[name]
-		all = append(all, Record{name, e.addr, ListedServer(e.said), e.ban.Holds(), e.since, e.notBefore})
+		all = append(all, Record{name, e.addr, ListedServer(e.said), e.ban.Active(), e.since, e.notBefore})
 	}
 	return all, r.version
 }
 
 // Import takes over what another Register knew.
-func (r *Register) Import(all []Record) {
+func (r *Registry) Import(all []Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, in := range all {
 		e := r.of(in.Name)
-		e.addr, e.said, e.since, e.notBefore = in.Addr, balancer.Server(in.Said), in.Since, in.NotBefore
-		e.ban.on.Store(in.Held)
+		e.addr, e.said, e.since, e.notBefore = in.Addr, balancer.Server(in.Listed), in.SuspendedAt, in.StartedNotBefore
+		e.ban.on.Store(in.Suspended)
 		r.touch(e)
 	}
 }
--- a/internal/maintenance/record_test.go
+++ b/internal/maintenance/record_test.go
@@ -15,12 +15,12 @@
 	want := Record{
 		Name: "s-1",
 		Addr: "127.0.0.1:9000",
-		Said: ListedServer{
+		Listed: ListedServer{
 			ID: 7, Cell: 3, Zone: 2, Kind: 1, StartedAt: 1e18, Weight: 1.5, State: balancer.Draining, Suspended: true,
 		},
-		Held:      true,
-		Since:     3,
-		NotBefore: 4,
+		Suspended:        true,
+		SuspendedAt:      3,
+		StartedNotBefore: 4,
 	}
 	var got Record
 	if err := json.Unmarshal([]byte(written), &got); err != nil || got != want {
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -46,7 +46,7 @@
 // benchNode starts a node that twelve peers stand behind, which answer so many bytes at once.
 func benchNode(b *testing.B, answer int) (addr string) {
 	c := config()
-	c.Listen, c.Sockets, c.Known.Entries = "127.0.0.1:0", 1024, nil
+	c.Listen, c.Sockets, c.Known.Endpoints = "127.0.0.1:0", 1024, nil
 	class := c.Settings.Classes[0]
 	class.Idempotency = balancer.Idempotent
 	c.Settings.Classes = append(c.Settings.Classes, class)
@@ -64,7 +64,7 @@
 				go benchPeer(conn, whole)
 			}
 		}()
-		c.Known.Entries = append(c.Known.Entries, routing.Entry{Name: fmt.Sprint("s-", i), Addr: l.Addr().String(),
+		c.Known.Endpoints = append(c.Known.Endpoints, routing.Endpoint{Name: fmt.Sprint("s-", i), Addr: l.Addr().String(),
 			Server: balancer.Server{ID: balancer.ServerID(i + 1), Weight: 1, State: balancer.Ready}})
 	}
 	l := benchListener(b)
@@ -80,7 +80,7 @@
 // unchanged is an upstream group without news.
 type unchanged struct{}
 
-func (unchanged) Watch(ctx context.Context, _ func(routing.Group)) error {
+func (unchanged) Watch(ctx context.Context, _ func(routing.EndpointList)) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -23,7 +23,7 @@
 	// Close gives the place up and tells nobody, as a death does.
 	Close()
 	// Gate is what the fleet's budgets let through; nil: there are none.
-	Gate() routing.Gate
+	Gate() routing.AdmissionControl
 	// Keeper keeps calls beyond the loss of this node; nil: none are kept.
 	Keeper() transport.Keeper
 	// Operate gives the fleet the node's desk, before there are clients; only where operators have a door. Do carries out an
@@ -31,7 +31,7 @@
 	Operate(FleetDesk)
 	Do(words []string) (string, error)
 	// Chooser says with which servers of a large group this node works; nil: with all.
-	Chooser() routing.Chooser
+	Chooser() routing.SubsetSelector
 	// Reload reads what may change in a running node. What cannot hold as a whole changes nothing.
 	Reload(c *protocol.Config) error
 	// Status and Counters are for people: what is believed, and what was counted.
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -67,11 +67,11 @@
 	}
 	n.company.predecessor = link
 	n.servers.Import(h.Servers)
-	known := routing.Group{}
+	known := routing.EndpointList{}
 	for _, r := range h.Servers {
-		known.Entries = append(known.Entries, routing.Entry{Server: balancer.Server(r.Said), Name: r.Name, Addr: r.Addr})
+		known.Endpoints = append(known.Endpoints, routing.Endpoint{Server: balancer.Server(r.Listed), Name: r.Name, Addr: r.Addr})
 	}
-	if len(known.Entries) > 0 {
+	if len(known.Endpoints) > 0 {
 		n.config.Known, n.config.KnownVersion = known, -1
 		if h.Source == n.config.Discovery {
 			n.config.KnownVersion = h.Version
@@ -147,8 +147,8 @@
 	h.Paused = n.front.Paused()
 	ctx, stop := context.WithTimeout(context.Background(), heritageTimeout)
 	defer stop()
-	if learnt, err := n.router.Rest(ctx); err == nil { // else the successor learns it anew
-		h.Carried = learnt.Carried
+	if learnt, err := n.router.Snapshot(ctx); err == nil { // else the successor learns it anew
+		h.Carried = learnt.WarmThroughput
 	}
 	n.mu.Lock()
 	h.Source = n.config.Discovery
@@ -202,9 +202,9 @@
 		l.Send(handover.Message{Kind: handover.Done, Number: m.Number}, nil)
 	case handover.Asked:
 		if m.ID != "" { // it was listed there, if not here
-			n.router.Know(m.ID)
+			n.router.AddKnownServer(m.ID)
 		}
-		_, err := n.apply(admin.Call{Word: m.Word, ID: m.ID}, l)
+		_, err := n.apply(admin.Command{Name: m.Word, ServerID: m.ID}, l)
 		done := handover.Message{Kind: handover.Done, Number: m.Number}
 		if err != nil {
 			done.Fault = err.Error()
@@ -283,7 +283,7 @@
 }
 
 // both does an operator's call here and in the node's other processes.
-func (n *Node) both(call admin.Call) (string, error) {
+func (n *Node) both(call admin.Command) (string, error) {
 	n.company.calls.Lock()
 	defer n.company.calls.Unlock()
 	return n.apply(call, nil)
@@ -292,7 +292,7 @@
 // apply does a call here, then in the processes but for the one it came from.
 // Where another does not say that it holds there, too, the caller is told to
 // make the call again: a yes would be false.
-func (n *Node) apply(call admin.Call, from *handover.Link) (string, error) {
+func (n *Node) apply(call admin.Command, from *handover.Link) (string, error) {
 	text, err := n.do(call)
 	if err != nil {
 		return "", err
@@ -305,7 +305,7 @@
 		if l == nil || l == from {
 			continue
 		}
-		err := l.Ask(handover.Message{Kind: handover.Asked, Word: call.Word, ID: call.ID})
+		err := l.Ask(handover.Message{Kind: handover.Asked, Word: call.Name, ID: call.ServerID})
 		if err != nil && !errors.Is(err, handover.ErrEnded) {
 			return "", fmt.Errorf("it holds in this process alone, call again: %w", err)
 		}
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -24,7 +24,7 @@
 func share(c *protocol.Config, part float64) shares {
 	all := int(float64(c.Sockets) * part)
 	few := max(all/16, 1)
-	s := shares{discovery: transport.WatchCalls, callers: min(admin.MaxCallers, few), crowd: min(transport.Crowd, few)}
+	s := shares{discovery: transport.WatchCalls, callers: min(admin.MaxConnections, few), crowd: min(transport.Crowd, few)}
 	s.side = max((all-ownDescriptors-s.discovery-s.callers-s.crowd)/2, 8)
 	return s
 }
@@ -44,6 +44,6 @@
 // boundDoor keeps the operators' door to its callers.
 func (n *Node) boundDoor(c *protocol.Config, part float64) {
 	if n.door != nil {
-		n.door.Bound(share(c, part).callers)
+		n.door.SetMaxConnections(share(c, part).callers)
 	}
 }
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -24,7 +24,7 @@
 			if all*processes > sockets || s.discovery != transport.WatchCalls || clients.Open < 8 || peers < 8 || s.callers < 1 || clients.Crowd < 1 {
 				t.Fatalf("%d processes with %d descriptors hold %d each: %+v, %+v, %d to peers", processes, sockets, all, s, clients, peers)
 			}
-			if sockets >= 512*processes && (s.callers != admin.MaxCallers || clients.Crowd != transport.Crowd) {
+			if sockets >= 512*processes && (s.callers != admin.MaxConnections || clients.Crowd != transport.Crowd) {
 				t.Fatalf("%d descriptors: %+v", sockets, s)
 			}
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,7 +25,7 @@
 type Parts struct {
 	Listen func(addr string) (net.Listener, error)                  // nil: TCP
 	Dial   func(ctx context.Context, addr string) (net.Conn, error) // nil: TCP
-	Wrap   func(routing.Carrier) routing.Carrier                    // around the node's own; nil: nothing
+	Wrap   func(routing.Transport) routing.Transport                // around the node's own; nil: nothing
 	Follow func(routing.Watcher) routing.Watcher                    // around each watch; nil: nothing
 	Log    *slog.Logger                                             // must not block; nil: none
 	Seat   string                                                   // path at which processes of this node find each other; "": they do not
@@ -40,8 +40,8 @@
 	carrier  *transport.Carrier
 	router   *routing.Router
 	front    *transport.Front
-	servers  *maintenance.Register // nil without a door
-	door     *admin.Door           // nil: none
+	servers  *maintenance.Registry // nil without a door
+	door     *admin.Server         // nil: none
 	listener net.Listener          // of clients
 	company  company
 	stop     context.CancelFunc // ends the decisions and all that they started
@@ -87,18 +87,18 @@
 	n.boundDoor(c, part)
 	c.Known.Version = c.KnownVersion
 	n.carrier = transport.NewCarrier(n.carrierConfig(c, part))
-	carrier := routing.Carrier(n.carrier)
+	carrier := routing.Transport(n.carrier)
 	if p.Wrap != nil {
 		carrier = p.Wrap(carrier)
 	}
-	var gate routing.Gate
-	var chooser routing.Chooser
+	var gate routing.AdmissionControl
+	var chooser routing.SubsetSelector
 	if p.Fleet != nil {
 		gate, chooser = p.Fleet.Gate(), p.Fleet.Chooser()
 	}
 	n.router = routing.New(routing.Config{
-		Gate: gate, Chooser: chooser, Settings: c.Settings, Seed: c.Seed, Known: c.Known, Carrier: carrier,
-		Watcher: n.newWatch(c, c.KnownVersion), Servers: n.servers,
+		Admission: gate, Subsets: chooser, Settings: c.Settings, Seed: c.Seed, InitialEndpoints: c.Known, Transport: carrier,
+		Watcher: n.newWatch(c, c.KnownVersion), Maintenance: n.servers,
 		Log: n.log,
 	})
 	n.front = transport.NewFront(listener, c.Names, n.router, clientBounds(c, part), n.log)
@@ -122,7 +122,7 @@
 		return nil, err
 	}
 	operators.node.Store(n)
-	n.log.Info("started", "name", c.Name, "listen", listener.Addr().String(), "peers", len(c.Known.Entries),
+	n.log.Info("started", "name", c.Name, "listen", listener.Addr().String(), "peers", len(c.Known.Endpoints),
 		"version", c.KnownVersion,
 		"cores", c.Cores, "memory_mb", c.MemoryMB, "sockets", c.Sockets, "admin", c.Admin)
 	return n, nil
@@ -189,9 +189,9 @@
 	n.mu.Unlock()
 	if c.Discovery != old.Discovery {
 		// versions of another discovery need not compare with those held: it is asked for the whole list
-		n.router.Follow(n.newWatch(c, -1))
+		n.router.ReplaceWatcher(n.newWatch(c, -1))
 	}
-	n.router.Set(c.Settings)
+	n.router.UpdateSettings(c.Settings)
 	n.front.Learn(c.Names) // a class whose effect has changed goes by another method
 	n.bound()
 	n.log.Info("reloaded", "discovery", c.Discovery)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -19,7 +19,7 @@
 
 func config() *protocol.Config {
 	class := balancer.Class{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: balancer.NonIdempotent}
-	entry := routing.Entry{Server: balancer.Server{ID: 7, Weight: 1, State: balancer.Ready}, Name: "s-7", Addr: "peer:1"}
+	entry := routing.Endpoint{Server: balancer.Server{ID: 7, Weight: 1, State: balancer.Ready}, Name: "s-7", Addr: "peer:1"}
 	return &protocol.Config{
 		Name: "n1", Listen: "node:1", Discovery: "discovery:1", Cores: 1, MemoryMB: 64, Sockets: 256, Seed: 1,
 		Settings: balancer.Settings{
@@ -29,19 +29,19 @@
 		},
 		Names:          protocol.Names{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
 		ConnectTimeout: 75 * time.Millisecond, IdleClose: 10 * time.Second, LongestDeadline: 2 * time.Second,
-		Known: routing.Group{Entries: []routing.Entry{entry}}, KnownVersion: 4,
+		Known: routing.EndpointList{Endpoints: []routing.Endpoint{entry}}, KnownVersion: 4,
 	}
 }
 
 // wrapped sees the tries on their way to the carrier.
 type wrapped struct {
-	routing.Carrier
-	tries chan routing.Try
+	routing.Transport
+	tries chan routing.Attempt
 }
 
-func (w wrapped) Try(ctx context.Context, t routing.Try) routing.TryResult {
+func (w wrapped) RoundTrip(ctx context.Context, t routing.Attempt) routing.AttemptResult {
 	w.tries <- t
-	return w.Carrier.Try(ctx, t)
+	return w.Transport.RoundTrip(ctx, t)
 }
 
 // stage is a node in a bubble, with all that it hangs on.
@@ -49,7 +49,7 @@
 	*Node
 	memory  *memory
 	client  *http.Client
-	tries   chan routing.Try
+	tries   chan routing.Attempt
 	asked   chan string // of discoveries
 	arrived chan bool   // at the peer, under /held
 	release chan bool   // of these
@@ -59,7 +59,7 @@
 // play runs f in a bubble, which panics at its end if any goroutine is left.
 func play(t *testing.T, f func(t *testing.T, s *stage)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &stage{memory: &memory{ports: map[string]chan net.Conn{}}, tries: make(chan routing.Try, 100),
+		s := &stage{memory: &memory{ports: map[string]chan net.Conn{}}, tries: make(chan routing.Attempt, 100),
 			asked: make(chan string, 1000), arrived: make(chan bool), release: make(chan bool)}
 		serve := func(addr string, h http.HandlerFunc) {
 			l, _ := s.memory.listen(addr)
@@ -97,7 +97,7 @@
 		}}}
 		var err error
 		s.Node, err = Start(config(), Parts{Listen: s.memory.listen, Dial: s.memory.dial,
-			Wrap: func(c routing.Carrier) routing.Carrier { return wrapped{c, s.tries} }})
+			Wrap: func(c routing.Transport) routing.Transport { return wrapped{c, s.tries} }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -137,8 +137,8 @@
 		if status, body := s.ask("/api"); status != 200 || body != "9b1" {
 			t.Errorf("%d %q", status, body)
 		}
-		if try := <-s.tries; try.Call != 1 || try.Attempt != 0 {
-			t.Errorf("call %d, attempt %d", try.Call, try.Attempt)
+		if try := <-s.tries; try.RequestID != 1 || try.Number != 0 {
+			t.Errorf("call %d, attempt %d", try.RequestID, try.Number)
 		}
 		if r, err := s.Rest(t.Context()); err != nil || r != (Rest{Peers: 1, Timers: 1, Watch: true, ClientConns: 1, PeerConns: 1}) {
 			t.Errorf("at rest: %+v, %v", r, err)
--- a/internal/node/operate.go
+++ b/internal/node/operate.go
@@ -14,8 +14,8 @@
 // there, so that it can say that it is not.
 type desk struct{ node atomic.Pointer[Node] }
 
-// Do implements admin.Desk.
-func (d *desk) Do(c admin.Call) (string, error) {
+// Do implements admin.Executor.
+func (d *desk) Do(c admin.Command) (string, error) {
 	n := d.node.Load()
 	if n == nil {
 		return "", errors.New("the node is starting")
@@ -24,30 +24,30 @@
 }
 
 // Do carries an operator's call out, in all processes of the node.
-func (n *Node) Do(c admin.Call) (string, error) {
+func (n *Node) Do(c admin.Command) (string, error) {
 	switch {
-	case c.Word == admin.Status:
+	case c.Name == admin.Status:
 		return n.status()
-	case c.Word == admin.Fleet && n.parts.Fleet == nil:
-		return "", admin.Unknown(c.Word)
-	case c.Word == admin.Fleet:
-		return n.parts.Fleet.Do(strings.Fields(c.Rest))
+	case c.Name == admin.Fleet && n.parts.Fleet == nil:
+		return "", admin.UnknownCommand(c.Name)
+	case c.Name == admin.Fleet:
+		return n.parts.Fleet.Do(strings.Fields(c.FleetArgs))
 	}
 	return n.both(c)
 }
 
-func (n *Node) do(c admin.Call) (string, error) {
-	switch c.Word {
+func (n *Node) do(c admin.Command) (string, error) {
+	switch c.Name {
 	case admin.Suspend:
-		if err := n.router.Suspend(c.ID); err != nil {
+		if err := n.router.Suspend(c.ServerID); err != nil {
 			return "", err
 		}
-		return fmt.Sprintf("nothing new goes to %s", c.ID), nil
+		return fmt.Sprintf("nothing new goes to %s", c.ServerID), nil
 	case admin.Restore:
-		if err := n.router.Restore(c.ID); err != nil {
+		if err := n.router.Restore(c.ServerID); err != nil {
 			return "", err
 		}
-		return fmt.Sprintf("%s is in use again as lists and its health let it", c.ID), nil
+		return fmt.Sprintf("%s is in use again as lists and its health let it", c.ServerID), nil
 	case admin.Pause:
 		n.front.Pause()
 		return "the node empties itself", nil
@@ -55,7 +55,7 @@
 		n.front.Resume()
 		return "the node is back to work", nil
 	}
-	return "", fmt.Errorf("unknown call %q", c.Word)
+	return "", fmt.Errorf("unknown call %q", c.Name)
 }
 
 // status waits for nothing. A paused node takes whoever still comes.
@@ -66,17 +66,17 @@
 	case !n.router.Ready():
 		return "", errors.New("the upstream group is not known yet")
 	case n.front.Paused():
-		return fmt.Sprintf("paused; suspended: %v", n.servers.Suspended()) + n.standing(), nil
+		return fmt.Sprintf("paused; suspended: %v", n.servers.SuspendedServers()) + n.standing(), nil
 	}
-	return fmt.Sprintf("serving; suspended: %v", n.servers.Suspended()) + n.standing(), nil
+	return fmt.Sprintf("serving; suspended: %v", n.servers.SuspendedServers()) + n.standing(), nil
 }
 
 // openDoor listens where operators call.
-func (n *Node) openDoor(addr string, listen func(string) (net.Listener, error), d admin.Desk) error {
+func (n *Node) openDoor(addr string, listen func(string) (net.Listener, error), d admin.Executor) error {
 	l, err := listen(addr)
 	if err != nil {
 		return fmt.Errorf("listening for operators: %w", err)
 	}
-	n.door = admin.Open(l, d, n.log)
+	n.door = admin.Serve(l, d, n.log)
 	return nil
 }
--- a/internal/node/rest.go
+++ b/internal/node/rest.go
@@ -17,12 +17,12 @@
 // Rest asks the decision goroutine what it holds, between two events. It fails
 // when ctx ends first, or the decisions have ended.
 func (n *Node) Rest(ctx context.Context) (Rest, error) {
-	r, err := n.router.Rest(ctx)
+	r, err := n.router.Snapshot(ctx)
 	if err != nil {
 		return Rest{}, err
 	}
 	return Rest{
-		Calls: r.Calls, Names: r.Names, Tries: r.Tries, Peers: r.Peers, Timers: r.Timers, Watch: r.Watch,
+		Calls: r.Calls, Names: r.ClientRequestIDs, Tries: r.AttemptsInFlight, Peers: r.Upstreams, Timers: r.Timers, Watch: r.WatchRunning,
 		ClientConns: n.front.Conns(), PeerConns: n.carrier.Conns(),
 	}, nil
 }
--- a/internal/node/rounds.go
+++ b/internal/node/rounds.go
@@ -9,29 +9,29 @@
 
 // Suspend keeps a server out of use, also one that no list has named yet.
 func (d FleetDesk) Suspend(server string) error {
-	d.n.router.Know(server)
-	_, err := d.n.both(admin.Call{Word: admin.Suspend, ID: server})
+	d.n.router.AddKnownServer(server)
+	_, err := d.n.both(admin.Command{Name: admin.Suspend, ServerID: server})
 	return err
 }
 
 // Restore puts it back.
 func (d FleetDesk) Restore(server string) error {
-	_, err := d.n.both(admin.Call{Word: admin.Restore, ID: server})
+	_, err := d.n.both(admin.Command{Name: admin.Restore, ServerID: server})
 	return err
 }
 
 // Suspended are those that are out at this node, for whatever reason.
-func (d FleetDesk) Suspended() []string { return d.n.servers.Suspended() }
+func (d FleetDesk) Suspended() []string { return d.n.servers.SuspendedServers() }
 
 // Busy is how many tries this process has open at a server.
-func (d FleetDesk) Busy(server string) int { return d.n.router.Busy(server) }
+func (d FleetDesk) Busy(server string) int { return d.n.router.AttemptsInFlight(server) }
 
 // Listed are the servers that take new work, and Known reports whether one was ever listed.
-func (d FleetDesk) Listed() []string { return d.n.servers.Listed() }
+func (d FleetDesk) Listed() []string { return d.n.servers.ReadyServers() }
 
 // Known reports whether a list has ever named a server.
 func (d FleetDesk) Known(server string) bool {
-	_, known := d.n.servers.Shown(server)
+	_, known := d.n.servers.Effective(server)
 	return known
 }
 
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -124,8 +124,8 @@
 	versions chan int64
 }
 
-func (h heard) Watch(ctx context.Context, told func(routing.Group)) error {
-	return h.Watcher.Watch(ctx, func(g routing.Group) {
+func (h heard) Watch(ctx context.Context, told func(routing.EndpointList)) error {
+	return h.Watcher.Watch(ctx, func(g routing.EndpointList) {
 		told(g)
 		h.versions <- g.Version
 	})
--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -81,7 +81,7 @@
 		return routing.Call{}, err
 	}
 	return routing.Call{
-		Name: id, Class: class, Tenant: tenant, Key: key, Repeat: again == "1", Budget: budget,
+		ClientRequestID: id, Class: class, Tenant: tenant, AffinityKey: key, ClientRetry: again == "1", Timeout: budget,
 	}, nil
 }
 
--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -37,7 +37,7 @@
 	ConnectTimeout          time.Duration // of a new connection to a peer
 	IdleClose               time.Duration // peers close a connection idle for this long
 	LongestDeadline         time.Duration
-	Known                   routing.Group
+	Known                   routing.EndpointList
 	KnownVersion            int64
 
 	fileName, fileListen, fileAdmin string // as the file has them
--- a/internal/protocol/group.go
+++ b/internal/protocol/group.go
@@ -38,7 +38,7 @@
 
 // ParseGroup reads a list of the upstream group. A list with any fault is an
 // error as a whole: half a list would drop sound peers.
-func (n Names) ParseGroup(data []byte) (g routing.Group, version int64, err error) {
+func (n Names) ParseGroup(data []byte) (g routing.EndpointList, version int64, err error) {
 	var in groupJSON
 	if err := json.Unmarshal(data, &in); err != nil {
 		return g, 0, fmt.Errorf("upstream group: %w", err)
@@ -59,26 +59,26 @@
 			return g, 0, fmt.Errorf("upstream group: entry %q: same as %q", s.ID, other)
 		}
 		seen[e.ID] = s.ID
-		g.Entries = append(g.Entries, e)
+		g.Endpoints = append(g.Endpoints, e)
 	}
 	return g, *in.Version, nil
 }
 
-func (n Names) entry(s entryJSON) (routing.Entry, error) {
+func (n Names) entry(s entryJSON) (routing.Endpoint, error) {
 	state, ok := states[s.State]
 	if !ok {
-		return routing.Entry{}, fmt.Errorf("unknown state %q", s.State)
+		return routing.Endpoint{}, fmt.Errorf("unknown state %q", s.State)
 	}
 	if s.ID == "" {
-		return routing.Entry{}, errors.New("no id")
+		return routing.Endpoint{}, errors.New("no id")
 	}
 	if state != balancer.Removed || s.Addr != "" {
 		_, port, err := net.SplitHostPort(s.Addr)
 		if err != nil {
-			return routing.Entry{}, err
+			return routing.Endpoint{}, err
 		}
 		if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-			return routing.Entry{}, fmt.Errorf("port: %w", err)
+			return routing.Endpoint{}, fmt.Errorf("port: %w", err)
 		}
 	}
 	weight := float32(1)
@@ -86,9 +86,9 @@
 		weight = *s.Weight
 	}
 	if weight < 0 || s.Started < 0 || s.Started > math.MaxInt64/int64(time.Millisecond) {
-		return routing.Entry{}, errors.New("weight or started_ms out of range")
+		return routing.Endpoint{}, errors.New("weight or started_ms out of range")
 	}
-	return routing.Entry{
+	return routing.Endpoint{
 		Server: balancer.Server{
 			ID: ServerID(s.ID), Cell: s.Cell, Zone: place(n.Zones, s.Zone), Kind: place(n.Kinds, s.Kind),
 			StartedAt: balancer.Time(s.Started) * balancer.Time(time.Millisecond), Weight: weight, State: state,
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -47,8 +47,8 @@
 			}
 			continue
 		}
-		if err != nil || got.Class != 1 || got.Tenant != 1 || got.Budget != 480*time.Millisecond ||
-			(got.Key != 0) != (c.query != "") || got.Repeat != (h[HeaderAgain] != nil) {
+		if err != nil || got.Class != 1 || got.Tenant != 1 || got.Timeout != 480*time.Millisecond ||
+			(got.AffinityKey != 0) != (c.query != "") || got.ClientRetry != (h[HeaderAgain] != nil) {
 			t.Errorf("%s: got %+v, %v", name, got, err)
 		}
 	}
@@ -115,16 +115,16 @@
 		}
 	}
 	g, version, err := names.ParseGroup([]byte(`{"version":4,"full":true,"servers":[` + entry + `,` + change("s-1", "s-2") + `]}`))
-	if err != nil || version != 4 || g.Kind != balancer.UpdateFull || len(g.Entries) != 2 {
+	if err != nil || version != 4 || g.Kind != balancer.UpdateFull || len(g.Endpoints) != 2 {
 		t.Fatalf("got %+v, %d, %v", g, version, err)
 	}
-	e := g.Entries[0]
-	if e.ID != balancer.ServerID(hash("s-1")) || e.ID == g.Entries[1].ID || e.Zone != 1 || e.Kind != 1 || e.Cell != 3 ||
+	e := g.Endpoints[0]
+	if e.ID != balancer.ServerID(hash("s-1")) || e.ID == g.Endpoints[1].ID || e.Zone != 1 || e.Kind != 1 || e.Cell != 3 ||
 		e.Weight != 1.5 || e.StartedAt != balancer.Time(7*time.Millisecond) || e.Addr != "127.0.0.1:9000" || e.State != balancer.Ready {
 		t.Errorf("entry %+v", e)
 	}
 	other := `{"version":4,"full":true,"servers":[` + change("127.0.0.1", "127.0.0.2") + `]}`
-	if g, _, err := names.ParseGroup([]byte(other)); err != nil || g.Entries[0].ID != e.ID {
+	if g, _, err := names.ParseGroup([]byte(other)); err != nil || g.Endpoints[0].ID != e.ID {
 		t.Error("a peer's identity must not depend on its address, which differs between nodes")
 	}
 }
@@ -169,8 +169,8 @@
 		t.Fatal(err)
 	}
 	if c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.ConnectTimeout != 75*time.Millisecond || c.KnownVersion != 41 ||
-		c.IdleClose != 10*time.Second || c.LongestDeadline != 600*time.Millisecond || len(c.Known.Entries) != 1 ||
-		c.Known.Entries[0].Zone != 1 || c.Settings.Zone != 1 || c.Settings.Zones != 2 || c.Settings.MaxAttempts != 4 ||
+		c.IdleClose != 10*time.Second || c.LongestDeadline != 600*time.Millisecond || len(c.Known.Endpoints) != 1 ||
+		c.Known.Endpoints[0].Zone != 1 || c.Settings.Zone != 1 || c.Settings.Zones != 2 || c.Settings.MaxAttempts != 4 ||
 		c.Settings.DrainGrace != 2500*time.Millisecond || c.Names.Classes["book"] != 1 || fmt.Sprint(c.Names.Methods) != "[GET POST]" || len(c.Settings.Tenants) != 1 {
 		t.Errorf("got %+v", c)
 	}
--- a/internal/routing/anew_test.go
+++ b/internal/routing/anew_test.go
@@ -12,9 +12,9 @@
 )
 
 // teller is an upstream group that tells what it is given.
-type teller chan Group
+type teller chan EndpointList
 
-func (l teller) Watch(ctx context.Context, told func(Group)) error {
+func (l teller) Watch(ctx context.Context, told func(EndpointList)) error {
 	for {
 		select {
 		case g := <-l:
@@ -28,10 +28,10 @@
 // purse is a fleet's budget for cold peers, and for nothing else.
 type purse struct{ most, asked atomic.Int64 }
 
-func (*purse) Admit(int) (bool, time.Duration)             { return true, 0 }
-func (*purse) AdmitRetry() bool                            { return true }
-func (*purse) Done(int)                                    {}
-func (p *purse) AdmitCold(balancer.ServerID, float64) bool { return p.asked.Add(1) <= p.most.Load() }
+func (*purse) Admit(int) (bool, time.Duration)               { return true, 0 }
+func (*purse) AdmitRetry() bool                              { return true }
+func (*purse) Release(int)                                   {}
+func (p *purse) AdmitWarmUp(balancer.ServerID, float64) bool { return p.asked.Add(1) <= p.most.Load() }
 
 // TestPeerThatStartsAnew: tries wait for their connections while their peer starts anew, or its half window ends. As many leave
 // by then as a cold one may be sent, by this node's part and by the fleet's budget; the others' calls are refused.
@@ -60,23 +60,23 @@
 				gate.most.Store(c.most)
 				start := time.Now()
 				known, news := listed(7), listed(7)
-				known.Entries[0].StartedAt = balancer.Time(start.Add(-c.was).UnixNano())
-				news.Kind, news.Entries[0].Addr = balancer.UpdateDelta, c.addr
-				news.Entries[0].StartedAt = balancer.Time(start.Add(-c.is).UnixNano())
+				known.Endpoints[0].StartedAt = balancer.Time(start.Add(-c.was).UnixNano())
+				news.Kind, news.Endpoints[0].Addr = balancer.UpdateDelta, c.addr
+				news.Endpoints[0].StartedAt = balancer.Time(start.Add(-c.is).UnixNano())
 				set := testSettings()
 				set.SlowStart, set.InitialCapacity, set.OverloadFactor, set.OverloadWindow, set.WarmThroughput = time.Hour, 0.5, 2.5, 2*half, 2/half.Seconds()
-				r := New(Config{Settings: set, Seed: 1, Known: known, Watcher: list, Gate: gate, Log: slog.New(slog.DiscardHandler),
-					Carrier: carrier(func(_ context.Context, try Try) TryResult {
-						if <-up; !try.Stands(time.Now()) {
-							return TryResult{Result: balancer.NotSent}
+				r := New(Config{Settings: set, Seed: 1, InitialEndpoints: known, Watcher: list, Admission: gate, Log: slog.New(slog.DiscardHandler),
+					Transport: carrier(func(_ context.Context, try Attempt) AttemptResult {
+						if <-up; !try.StillValid(time.Now()) {
+							return AttemptResult{Result: balancer.NotSent}
 						}
-						return TryResult{Result: balancer.OK}
+						return AttemptResult{Result: balancer.OK}
 					})})
 				ctx, stop := context.WithCancel(t.Context())
 				go r.Run(ctx)
 				for range c.calls {
 					go func() {
-						a, _ := r.Take(ctx, call(safe, 20*time.Second))
+						a, _ := r.Handle(ctx, call(safe, 20*time.Second))
 						verdicts <- a.Verdict
 					}()
 				}
@@ -89,7 +89,7 @@
 				for range c.calls {
 					got[<-verdicts]++
 				}
-				if got[Served] != c.served || got[Reject] != c.calls-c.served || gate.asked.Load() != c.asked {
+				if got[Served] != c.served || got[Rejected] != c.calls-c.served || gate.asked.Load() != c.asked {
 					t.Errorf("%v, and the fleet was asked %d times; want %d served, the others refused, and %d", got,
 						gate.asked.Load(), c.served, c.asked)
 				}
--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -17,15 +17,15 @@
 // attempt is a try from its sending until its outcome is in. It is its own
 // context, which ends when the try is called off or the node ends, and costs
 // nothing unless somebody asks for it. It has no timer: Until is the carrier's.
-type attempt struct {
-	Try
+type runningAttempt struct {
+	Attempt
 	router  *Router
 	begun   time.Time
 	cold    float64                   // units that it costs of the fleet's budget for cold peers; 0: the peer is warm, or there is none
 	written atomic.Pointer[time.Time] // when a slow call's last byte had left
 
 	// the outcome; of the try's goroutine until it is posted, then of the decisions
-	result  TryResult
+	result  AttemptResult
 	latency time.Duration
 	in      bool
 
@@ -36,7 +36,7 @@
 }
 
 // run is the try's goroutine: exactly one outcome comes back.
-func (a *attempt) run() {
+func (a *runningAttempt) run() {
 	r := a.router
 	defer r.tasks.Done()
 	a.carry()
@@ -51,7 +51,7 @@
 }
 
 // hasLeft notes that the last byte of a slow call has left: its time begins.
-func (a *attempt) hasLeft() {
+func (a *runningAttempt) hasLeft() {
 	now := time.Now()
 	a.written.Store(&now)
 	a.router.post(writtenEvent{a, now})
@@ -59,8 +59,8 @@
 
 // confirm asks the decisions whether the try may begin. It goes without an answer once the try is called off or its time is
 // up, and with the decisions' end.
-func (a *attempt) confirm() bool {
-	ctx, stop := context.WithDeadline(a, a.Until)
+func (a *runningAttempt) confirm() bool {
+	ctx, stop := context.WithDeadline(a, a.ExpiresAt)
 	defer stop()
 	told := make(chan bool, 1)
 	select {
@@ -81,58 +81,58 @@
 
 // confirmEvent asks the decisions.
 type confirmEvent struct {
-	a    *attempt
+	a    *runningAttempt
 	told chan<- bool // has room for the answer
 }
 
-func (c confirmEvent) call() balancer.RequestID { return c.a.Call }
+func (c confirmEvent) call() balancer.RequestID { return c.a.RequestID }
 
 func (c confirmEvent) handle(r *Router) {
-	c.told <- r.balancer.MayBegin(r.now(), c.a.Call, c.a.Attempt) && r.admitCold(c.a.Peer, r.coldUnits(c.a.Peer))
+	c.told <- r.balancer.MayBegin(r.now(), c.a.RequestID, c.a.Number) && r.admitCold(c.a.Upstream, r.coldUnits(c.a.Upstream))
 }
 
 // admitCold asks the fleet's budget for a try to a peer that costs so much of it.
-func (r *Router) admitCold(p *Peer, units float64) bool {
-	if units == 0 || r.gate.AdmitCold(p.ID, units) {
+func (r *Router) admitCold(p *Upstream, units float64) bool {
+	if units == 0 || r.gate.AdmitWarmUp(p.ID, units) {
 		return true
 	}
-	r.count.OverCold.Add(1)
+	r.count.WarmUpOverFleetBudget.Add(1)
 	return false
 }
 
 // writtenEvent tells the decisions.
 type writtenEvent struct {
-	a  *attempt
+	a  *runningAttempt
 	at time.Time
 }
 
-func (w writtenEvent) call() balancer.RequestID { return w.a.Call }
+func (w writtenEvent) call() balancer.RequestID { return w.a.RequestID }
 
 func (w writtenEvent) handle(r *Router) {
-	if e := r.open[w.a.Call]; e != nil && !w.a.in {
-		e.deadline = r.balancerTime(w.at.Add(e.Budget - answerMargin))
-		r.balancer.HandleBodySent(r.now(), w.a.Call, w.a.Attempt, e.Budget-answerMargin)
+	if e := r.open[w.a.RequestID]; e != nil && !w.a.in {
+		e.deadline = r.balancerTime(w.at.Add(e.Timeout - answerMargin))
+		r.balancer.HandleBodySent(r.now(), w.a.RequestID, w.a.Number, e.Timeout-answerMargin)
 	}
 }
 
 // carry lets the carrier bring the try to its peer.
-func (a *attempt) carry() {
+func (a *runningAttempt) carry() {
 	defer a.router.caught("task")
-	if a.Peer == nil {
+	if a.Upstream == nil {
 		a.result.Result = balancer.NotSent // the Balancer and the table disagree: nothing was sent
 		return
 	}
-	if g := a.router.gate; g != nil && a.Attempt > 0 && !g.AdmitRetry() {
-		a.router.count.OverRetries.Add(1)
+	if g := a.router.gate; g != nil && a.Number > 0 && !g.AdmitRetry() {
+		a.router.count.RetriesOverFleetBudget.Add(1)
 		a.result.Result = balancer.NotSent // the fleet's budget has nothing left for it
 		return
 	}
-	if !a.router.admitCold(a.Peer, a.cold) {
+	if !a.router.admitCold(a.Upstream, a.cold) {
 		a.result.Result = balancer.Rejected // as the peer would: it is not asked for a while, and others are
 		return
 	}
 	a.result.Result = balancer.Reset // after a panic it may have run
-	a.result = a.router.carrier.Try(a, a.Try)
+	a.result = a.router.carrier.RoundTrip(a, a.Attempt)
 }
 
 // caught keeps a panic from ending the node; it is to be deferred.
@@ -144,7 +144,7 @@
 }
 
 // end ends the context for a reason; the first counts.
-func (a *attempt) end(cause error) {
+func (a *runningAttempt) end(cause error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.cause != nil {
@@ -154,14 +154,14 @@
 	if a.done != nil {
 		close(a.done)
 	}
-	if a.told != nil { // under the lock: once OnEnd has taken it back, nothing is interrupted any more
+	if a.told != nil { // under the lock: once InterruptOnDone has taken it back, nothing is interrupted any more
 		a.told.Interrupt()
 	}
 }
 
-// OnEnd has i interrupted when the context ends, in place of whoever was to be
+// InterruptOnDone has i interrupted when the context ends, in place of whoever was to be
 // before; nil: nobody. It reports whether the context goes on.
-func (a *attempt) OnEnd(i Interrupter) bool {
+func (a *runningAttempt) InterruptOnDone(i Interrupter) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.told = i
@@ -169,10 +169,10 @@
 }
 
 // Deadline implements context.Context: it has none.
-func (a *attempt) Deadline() (time.Time, bool) { return time.Time{}, false }
+func (a *runningAttempt) Deadline() (time.Time, bool) { return time.Time{}, false }
 
 // Done implements context.Context.
-func (a *attempt) Done() <-chan struct{} {
+func (a *runningAttempt) Done() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.done == nil {
@@ -184,13 +184,13 @@
 }
 
 // Err implements context.Context. It tells the cause: context.Cause does too, then.
-func (a *attempt) Err() error {
+func (a *runningAttempt) Err() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.cause
 }
 
 // Value implements context.Context: it carries none.
-func (a *attempt) Value(any) any { return nil }
+func (a *runningAttempt) Value(any) any { return nil }
 
-var _ context.Context = (*attempt)(nil)
+var _ context.Context = (*runningAttempt)(nil)
--- a/internal/routing/book.go
+++ b/internal/routing/book.go
@@ -13,7 +13,7 @@
 func (r *Router) book(e *openCall) {
 	if e.answered && e.out == 0 && r.open[e.id] == e {
 		delete(r.open, e.id)
-		delete(r.names, e.Name)
+		delete(r.names, e.ClientRequestID)
 	}
 }
 
@@ -35,21 +35,21 @@
 // Counters count what a node takes in, sends and answers. They are safe for
 // concurrent use.
 type Counters struct {
-	Taken, Served, Rejected, Failed, Overdue, Twice, HungUp atomic.Int64 // calls
-	QueueFull, GuardAnswers, Panics                         atomic.Int64 // what should not happen
-	Tries, CalledOff                                        atomic.Int64
-	OverBudget, OverRetries, OverCold                       atomic.Int64                       // calls, and tries, for which a Gate had nothing left
-	Results                                                 [balancer.NotSent + 1]atomic.Int64 // of tries
-	Probes, ProbesFailed, Lists, WatchFailures              atomic.Int64
+	Received, Served, Rejected, Failed, DeadlineExceeded, Duplicates, Disconnected atomic.Int64 // calls
+	QueueFull, WatchdogAnswers, Panics                                             atomic.Int64 // what should not happen
+	Attempts, Cancelled                                                            atomic.Int64
+	RejectedByFleetQuota, RetriesOverFleetBudget, WarmUpOverFleetBudget            atomic.Int64                       // calls, and tries, for which a Gate had nothing left
+	AttemptResults                                                                 [balancer.NotSent + 1]atomic.Int64 // of tries
+	HealthChecks, HealthChecksFailed, EndpointLists, WatchFailures                 atomic.Int64
 }
 
 func (c *Counters) answered(v Verdict) {
-	[...]*atomic.Int64{&c.Served, &c.Rejected, &c.Failed, &c.Overdue, &c.Twice}[v].Add(1)
+	[...]*atomic.Int64{&c.Served, &c.Rejected, &c.Failed, &c.DeadlineExceeded, &c.Duplicates}[v].Add(1)
 }
 
 func (c *Counters) outcome(res balancer.Result) {
-	if int(res) < len(c.Results) {
-		c.Results[res].Add(1)
+	if int(res) < len(c.AttemptResults) {
+		c.AttemptResults[res].Add(1)
 	}
 }
 
@@ -57,30 +57,30 @@
 func (c *Counters) String() string {
 	var b strings.Builder
 	add := func(name string, v *atomic.Int64) { fmt.Fprintf(&b, " %s=%d", name, v.Load()) }
-	add("taken", &c.Taken)
+	add("taken", &c.Received)
 	add("served", &c.Served)
 	add("reject", &c.Rejected)
 	add("failed", &c.Failed)
-	add("overdue", &c.Overdue)
-	add("twice", &c.Twice)
-	add("hung_up", &c.HungUp)
+	add("overdue", &c.DeadlineExceeded)
+	add("twice", &c.Duplicates)
+	add("hung_up", &c.Disconnected)
 	add("queue_full", &c.QueueFull)
-	add("guard_answers", &c.GuardAnswers)
+	add("guard_answers", &c.WatchdogAnswers)
 	add("panics", &c.Panics)
-	add("tries", &c.Tries)
-	add("called_off", &c.CalledOff)
+	add("tries", &c.Attempts)
+	add("called_off", &c.Cancelled)
 	for i, name := range [...]string{"ok", "errored", "turned_away", "timed_out", "connect_failed", "reset",
 		"called_off", "moot"} {
-		add("try_"+name, &c.Results[i])
+		add("try_"+name, &c.AttemptResults[i])
 	}
-	if c.OverBudget.Load()+c.OverRetries.Load()+c.OverCold.Load() > 0 { // nodes without budgets have no word of them
-		add("over_budget", &c.OverBudget)
-		add("over_retries", &c.OverRetries)
-		add("over_cold", &c.OverCold)
+	if c.RejectedByFleetQuota.Load()+c.RetriesOverFleetBudget.Load()+c.WarmUpOverFleetBudget.Load() > 0 { // nodes without budgets have no word of them
+		add("over_budget", &c.RejectedByFleetQuota)
+		add("over_retries", &c.RetriesOverFleetBudget)
+		add("over_cold", &c.WarmUpOverFleetBudget)
 	}
-	add("probes", &c.Probes)
-	add("probes_failed", &c.ProbesFailed)
-	add("lists", &c.Lists)
+	add("probes", &c.HealthChecks)
+	add("probes_failed", &c.HealthChecksFailed)
+	add("lists", &c.EndpointLists)
 	add("watch_failures", &c.WatchFailures)
 	return strings.TrimSpace(b.String())
 }
--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -5,29 +5,29 @@
 )
 
 // Chooser says with which of the listed servers the node works. It works beside the decisions, and must not wait.
-type Chooser interface {
+type SubsetSelector interface {
 	// Listed hears of all servers that take new work, as the decisions are shown them.
-	Listed([]balancer.Server)
+	EndpointsChanged([]balancer.Server)
 	// Saw hears how a try or a probe went that came to an end of its own.
-	Saw(server balancer.ServerID, born balancer.Time, result balancer.Result, probe bool)
+	ObserveResult(server balancer.ServerID, born balancer.Time, result balancer.Result, probe bool)
 	// Tell has it tell from now on what is chosen.
-	Tell(func(Choice))
+	Subscribe(func(Subset))
 }
 
 // Choice is what a Chooser says.
-type Choice struct {
-	Servers map[balancer.ServerID]bool // what is not named stands aside; nil: nothing does
-	Doubted map[balancer.ServerID]bool // and what is named here does
+type Subset struct {
+	Included  map[balancer.ServerID]bool // what is not named stands aside; nil: nothing does
+	Suspected map[balancer.ServerID]bool // and what is named here does
 	// Zones is in how many zones nodes work. Where none does, servers get what other zones' nodes send across: nodes that go on
 	// as if each zone had its own would leave them idle. 0: not known, it is as the settings have it.
-	Zones int
+	ActiveZones int
 }
 
 // chosen is what the router knows of choices. It belongs to the goroutine of Run.
 type chosen struct {
-	by    Chooser // nil: all are worked with
+	by    SubsetSelector // nil: all are worked with
 	group map[balancer.ServerID]balancer.Server
-	now   Choice
+	now   Subset
 }
 
 // take takes in what a list would show the decisions, and has what is not chosen stand aside.
@@ -52,38 +52,38 @@
 			all = append(all, s)
 		}
 	}
-	c.by.Listed(all)
+	c.by.EndpointsChanged(all)
 	return shown
 }
 
 func (c *chosen) aside(s balancer.Server) balancer.Server {
-	s.Suspended = c.now.Servers != nil && !c.now.Servers[s.ID] || c.now.Doubted[s.ID]
+	s.Suspended = c.now.Included != nil && !c.now.Included[s.ID] || c.now.Suspected[s.ID]
 	return s
 }
 
 // saw tells whoever chooses.
-func (c *chosen) saw(p *Peer, r balancer.Result, probe bool) {
+func (c *chosen) saw(p *Upstream, r balancer.Result, probe bool) {
 	if c.by != nil && p != nil {
-		c.by.Saw(p.ID, p.bornAt(), r, probe)
+		c.by.ObserveResult(p.ID, p.startTime(), r, probe)
 	}
 }
 
 // settings are those that the decisions get.
 func (c *chosen) settings(set balancer.Settings) balancer.Settings {
-	if c.now.Zones > 0 {
-		set.Zones = min(set.Zones, c.now.Zones)
+	if c.now.ActiveZones > 0 {
+		set.Zones = min(set.Zones, c.now.ActiveZones)
 	}
 	return set
 }
 
 // chooseEvent brings what is chosen.
-type chooseEvent struct{ choice Choice }
+type chooseEvent struct{ choice Subset }
 
 func (e chooseEvent) handle(r *Router) {
 	c := &r.chosen
 	before := *c
 	c.now = e.choice
-	if before.now.Zones != c.now.Zones {
+	if before.now.ActiveZones != c.now.ActiveZones {
 		setEvent{r.set}.handle(r)
 	}
 	var changed []balancer.Server
--- a/internal/routing/choose_test.go
+++ b/internal/routing/choose_test.go
@@ -10,10 +10,10 @@
 // chooser is told of lists, and nothing else.
 type chooser struct{ listed [][]balancer.Server }
 
-func (c *chooser) Listed(all []balancer.Server) { c.listed = append(c.listed, all) }
-func (c *chooser) Tell(func(Choice))            {}
+func (c *chooser) EndpointsChanged(all []balancer.Server) { c.listed = append(c.listed, all) }
+func (c *chooser) Subscribe(func(Subset))                 {}
 
-func (c *chooser) Saw(balancer.ServerID, balancer.Time, balancer.Result, bool) {}
+func (c *chooser) ObserveResult(balancer.ServerID, balancer.Time, balancer.Result, bool) {}
 
 // TestChosen: what is not chosen is shown standing aside, as lists and choices come; the chooser hears of those alone that take
 // new work.
@@ -37,7 +37,7 @@
 	if got := c.take(balancer.UpdateCached, ready(1, 2, 3)); len(got) != 3 || len(aside(got)) != 0 {
 		t.Errorf("nothing is chosen yet: %+v", got)
 	}
-	c.now.Servers = map[balancer.ServerID]bool{1: true}
+	c.now.Included = map[balancer.ServerID]bool{1: true}
 	if got := aside(c.take(balancer.UpdateFull, ready(1, 2, 3))); !slices.Equal(got, []balancer.ServerID{2, 3}) {
 		t.Errorf("a whole list: %v stand aside", got)
 	}
@@ -57,7 +57,7 @@
 		t.Errorf("without a chooser: %+v", got)
 	}
 	for zones, want := range map[int]int{0: 2, 1: 1, 2: 2, 3: 2} {
-		c.now.Zones = zones
+		c.now.ActiveZones = zones
 		if got := c.settings(balancer.Settings{Zones: 2}).Zones; got != want {
 			t.Errorf("nodes work in %d zones of 2: the decisions are told of %d", zones, got)
 		}
--- a/internal/routing/errorpaths_test.go
+++ b/internal/routing/errorpaths_test.go
@@ -26,17 +26,17 @@
 	}
 	ctx, gone := context.WithCancel(t.Context())
 	time.AfterFunc(10*time.Millisecond, gone)
-	if a, ok := full().Take(ctx, call(safe, time.Minute)); ok {
+	if a, ok := full().Handle(ctx, call(safe, time.Minute)); ok {
 		t.Errorf("a client that has gone got %+v", a)
 	}
 	r := full()
 	time.AfterFunc(10*time.Millisecond, func() { close(r.stopped) })
-	if a, ok := r.Take(t.Context(), call(safe, time.Minute)); !ok || a.Verdict != Reject || a.RetryAfter <= 0 {
+	if a, ok := r.Handle(t.Context(), call(safe, time.Minute)); !ok || a.Verdict != Rejected || a.RetryAfter <= 0 {
 		t.Errorf("as the decisions end: %+v, %v", a, ok)
 	}
 	r = full()
 	time.AfterFunc(10*time.Millisecond, func() { <-r.events })
-	if a, ok := r.Take(t.Context(), call(safe, 200*time.Millisecond)); !ok || a.Verdict != Overdue {
+	if a, ok := r.Handle(t.Context(), call(safe, 200*time.Millisecond)); !ok || a.Verdict != DeadlineExceeded {
 		t.Errorf("in at last, and never decided: %+v, %v", a, ok)
 	}
 	ctx, gone = context.WithCancel(t.Context())
@@ -47,20 +47,20 @@
 }
 
 // restOf asks where nobody decides: the question goes in first.
-func (r *Router) restOf(ctx context.Context) (Rest, error) {
+func (r *Router) restOf(ctx context.Context) (Snapshot, error) {
 	<-r.events
-	return r.Rest(ctx)
+	return r.Snapshot(ctx)
 }
 
 // TestConfirmGoesOn: a try that asks decisions which do not answer waits no longer than its time, nor for what nobody wants.
 func TestConfirmGoesOn(t *testing.T) {
-	for name, end := range map[string]func(*attempt){
-		"its time is up":      func(a *attempt) { a.Until = time.Now() },
-		"it is called off":    func(a *attempt) { time.AfterFunc(10*time.Millisecond, func() { a.end(ErrCalledOff) }) },
-		"the decisions ended": func(a *attempt) { close(a.router.stopped) },
+	for name, end := range map[string]func(*runningAttempt){
+		"its time is up":      func(a *runningAttempt) { a.ExpiresAt = time.Now() },
+		"it is called off":    func(a *runningAttempt) { time.AfterFunc(10*time.Millisecond, func() { a.end(ErrCancelled) }) },
+		"the decisions ended": func(a *runningAttempt) { close(a.router.stopped) },
 	} {
 		for _, waiting := range []int{0, queueLength} {
-			a := &attempt{router: newRouter(nil, listed()), Try: Try{Until: time.Now().Add(time.Hour)}}
+			a := &runningAttempt{router: newRouter(nil, listed()), Attempt: Attempt{ExpiresAt: time.Now().Add(time.Hour)}}
 			for range waiting {
 				a.router.events <- &wakeEvent{}
 			}
@@ -73,15 +73,15 @@
 
 // TestEndOfAnAttempt: whoever asks for the end of a try that has ended finds it, with its first cause.
 func TestEndOfAnAttempt(t *testing.T) {
-	a := new(attempt)
-	a.end(ErrTimeUp)
-	a.end(ErrCalledOff)
+	a := new(runningAttempt)
+	a.end(ErrDeadlineExceeded)
+	a.end(ErrCancelled)
 	select {
 	case <-a.Done():
 	default:
 		t.Error("it does not seem to have ended")
 	}
-	if a.Err() != ErrTimeUp || a.Value(nil) != nil {
+	if a.Err() != ErrDeadlineExceeded || a.Value(nil) != nil {
 		t.Error(a.Err())
 	}
 }
@@ -89,9 +89,11 @@
 // odd is a carrier and a watch with faults of the program in them.
 type odd struct{ panics bool }
 
-func (odd) Try(context.Context, Try) TryResult           { return TryResult{Result: balancer.OK} }
-func (odd) Probe(context.Context, *Peer) balancer.Result { panic("probe") }
-func (o odd) Watch(context.Context, func(Group)) (err error) {
+func (odd) RoundTrip(context.Context, Attempt) AttemptResult {
+	return AttemptResult{Result: balancer.OK}
+}
+func (odd) CheckHealth(context.Context, *Upstream) balancer.Result { panic("probe") }
+func (o odd) Watch(context.Context, func(EndpointList)) (err error) {
 	if o.panics {
 		panic("watch")
 	}
@@ -109,10 +111,10 @@
 		ctx, stop := context.WithCancel(t.Context())
 		over := make(chan error)
 		go func() { over <- r.Run(ctx) }()
-		for r.count.ProbesFailed.Load() == 0 || r.count.WatchFailures.Load() < 1 {
+		for r.count.HealthChecksFailed.Load() == 0 || r.count.WatchFailures.Load() < 1 {
 			time.Sleep(time.Millisecond)
 		}
-		if a, ok := r.Take(t.Context(), call(safe, time.Second)); !ok || a.Verdict != Served && a.Verdict != Reject { // its one peer fails probes
+		if a, ok := r.Handle(t.Context(), call(safe, time.Second)); !ok || a.Verdict != Served && a.Verdict != Rejected { // its one peer fails probes
 			t.Errorf("%+v, %v", a, ok)
 		}
 		stop()
@@ -134,11 +136,11 @@
 	if err := r.Suspend("nobody"); err == nil || err.Error() != `no list has ever named server "nobody"` {
 		t.Error(err)
 	}
-	r.Know("elsewhere") // listed in the node's other process, not here
+	r.AddKnownServer("elsewhere") // listed in the node's other process, not here
 	if err := r.Suspend("elsewhere"); err != nil {
 		t.Error(err)
 	}
-	r.Set(balancer.Settings{}) // which has no classes
+	r.UpdateSettings(balancer.Settings{}) // which has no classes
 	kept := make(chan int)
 	r.post(look(func(r *Router) {
 		r.CheckHealth(99) // which no list has named
@@ -158,8 +160,8 @@
 	if err := r.Run(t.Context()); err == nil {
 		t.Error("decisions without a class")
 	}
-	if Overdue.String() != "overdue" {
-		t.Error(Overdue)
+	if DeadlineExceeded.String() != "overdue" {
+		t.Error(DeadlineExceeded)
 	}
 }
 
@@ -169,19 +171,19 @@
 	for result, name := range map[balancer.Result]string{balancer.OK: "ok", balancer.Errored: "errored", balancer.Rejected: "turned_away",
 		balancer.TimedOut: "timed_out", balancer.ConnectFailed: "connect_failed", balancer.Reset: "reset", balancer.Cancelled: "called_off",
 		balancer.NotSent: "moot"} {
-		r := started(t, func(context.Context, Try) TryResult { return TryResult{Result: result} }, listed(7))
-		r.Take(t.Context(), call(unsafe, time.Second))
+		r := started(t, func(context.Context, Attempt) AttemptResult { return AttemptResult{Result: result} }, listed(7))
+		r.Handle(t.Context(), call(unsafe, time.Second))
 		if want := fmt.Sprintf("try_%s=1", name); !strings.Contains(r.count.String(), want) {
 			t.Errorf("no %s in %s", want, r.count)
 		}
 	}
 	ctx, leave := context.WithCancel(t.Context())
-	r := started(t, func(ctx context.Context, _ Try) TryResult {
+	r := started(t, func(ctx context.Context, _ Attempt) AttemptResult {
 		leave()
 		<-ctx.Done()
-		return TryResult{Result: balancer.Cancelled}
+		return AttemptResult{Result: balancer.Cancelled}
 	}, listed(7))
-	r.Take(ctx, call(safe, time.Minute))
+	r.Handle(ctx, call(safe, time.Minute))
 	if said := r.count.String(); !strings.Contains(said, "hung_up=1") || !strings.Contains(said, "queue_full=0 guard_answers=0 panics=0") {
 		t.Error(said)
 	}
--- a/internal/routing/group.go
+++ b/internal/routing/group.go
@@ -13,43 +13,43 @@
 )
 
 // Entry is one peer as the upstream group lists it.
-type Entry struct {
+type Endpoint struct {
 	balancer.Server
 	Name, Addr string
 }
 
 // Group is a list of the upstream group, or of its changes.
-type Group struct {
-	Kind    balancer.UpdateKind
-	Entries []Entry
-	At      time.Time // when it arrived
-	Version int64     // as discovery numbers it
+type EndpointList struct {
+	Kind       balancer.UpdateKind
+	Endpoints  []Endpoint
+	ReceivedAt time.Time // when it arrived
+	Version    int64     // as discovery numbers it
 }
 
 // Peer is a server that the upstream group has named. Its fields but the
 // leaving mark, and born, never change: a new address makes a new Peer, which shares both with the old one.
-type Peer struct {
-	ID         balancer.ServerID
-	Name, Addr string
-	leaving    *atomic.Pointer[time.Time] // when it was told to leave; nil: it stays
-	ban        *maintenance.Ban           // operators keep it out of use; nil: they cannot
-	born       *atomic.Int64              // when it last started, a balancer.Time, as the decisions were shown it
+type Upstream struct {
+	ID            balancer.ServerID
+	Name, Addr    string
+	drainingSince *atomic.Pointer[time.Time] // when it was told to leave; nil: it stays
+	suspension    *maintenance.Suspension    // operators keep it out of use; nil: they cannot
+	startedAt     *atomic.Int64              // when it last started, a balancer.Time, as the decisions were shown it
 }
 
 // NewPeer makes a peer that stays.
-func NewPeer(id balancer.ServerID, name, addr string) *Peer {
-	return &Peer{ID: id, Name: name, Addr: addr, leaving: new(atomic.Pointer[time.Time]), born: new(atomic.Int64)}
+func NewUpstream(id balancer.ServerID, name, addr string) *Upstream {
+	return &Upstream{ID: id, Name: name, Addr: addr, drainingSince: new(atomic.Pointer[time.Time]), startedAt: new(atomic.Int64)}
 }
 
 // OpenFor reports whether the first byte of a new try may still leave at now.
 // It guards the drain rule against tries that waited for a connection while the
 // list changed; half of the grace is left as a margin for the way there. What
 // operators keep out of use has no grace.
-func (p *Peer) OpenFor(now time.Time, grace time.Duration) bool {
-	if p.ban.Holds() {
+func (p *Upstream) MaySend(now time.Time, grace time.Duration) bool {
+	if p.suspension.Active() {
 		return false
 	}
-	told := p.leaving.Load()
+	told := p.drainingSince.Load()
 	return told == nil || now.Sub(*told) <= grace/2
 }
 
@@ -60,7 +60,7 @@
 // listEvent brings a list, or the news that a watch broke.
 type listEvent struct {
 	from  *watch
-	group Group
+	group EndpointList
 	err   error
 }
 
@@ -71,33 +71,33 @@
 		r.endWatch()
 		r.count.WatchFailures.Add(1)
 		r.log.Warn("upstream group watch ended", "reason", e.err.Error())
-		if errors.Is(e.err, ErrRefused) { // who refuses is there, and the watcher pauses: a second pause would lose a crowd's turns
+		if errors.Is(e.err, ErrDiscoveryRejected) { // who refuses is there, and the watcher pauses: a second pause would lose a crowd's turns
 			r.Watch()
 			return
 		}
 		r.balancer.HandleServers(r.now(), balancer.UpdateFailed, nil)
 	default:
-		r.count.Lists.Add(1)
+		r.count.EndpointLists.Add(1)
 		r.learn(e.group)
 	}
 }
 
 // learn takes over addresses, then tells the Balancer.
-func (r *Router) learn(g Group) {
+func (r *Router) learn(g EndpointList) {
 	servers := r.chosen.take(g.Kind, r.shown(g))
-	for _, e := range g.Entries {
+	for _, e := range g.Endpoints {
 		p := r.peers[e.ID]
 		switch {
 		case p == nil:
-			p = NewPeer(e.ID, e.Name, e.Addr)
-			p.ban = r.servers.BanOf(e.Name)
+			p = NewUpstream(e.ID, e.Name, e.Addr)
+			p.suspension = r.servers.SuspensionOf(e.Name)
 		case p.Addr != e.Addr && e.Addr != "":
-			p = &Peer{ID: e.ID, Name: e.Name, Addr: e.Addr, leaving: p.leaving, ban: p.ban, born: p.born}
+			p = &Upstream{ID: e.ID, Name: e.Name, Addr: e.Addr, drainingSince: p.drainingSince, suspension: p.suspension, startedAt: p.startedAt}
 		}
 		r.peers[e.ID] = p
 	}
-	r.show(g.Kind, servers, g.At)
-	maps.DeleteFunc(r.peers, func(id balancer.ServerID, _ *Peer) bool { return !r.balancer.Knows(id) })
+	r.show(g.Kind, servers, g.ReceivedAt)
+	maps.DeleteFunc(r.peers, func(id balancer.ServerID, _ *Upstream) bool { return !r.balancer.Knows(id) })
 	if len(r.peers) > 0 {
 		r.ready.Store(true)
 	}
@@ -108,7 +108,7 @@
 func (r *Router) show(kind balancer.UpdateKind, servers []balancer.Server, at time.Time) {
 	for _, s := range servers {
 		if p := r.peers[s.ID]; p != nil {
-			p.born.Store(int64(s.StartedAt))
+			p.startedAt.Store(int64(s.StartedAt))
 		}
 	}
 	r.balancer.HandleServers(r.now(), kind, servers)
@@ -118,19 +118,19 @@
 // mark has peers leave, or stay, as the decisions have it by now: what they say of a server hangs on more than its entry.
 func (r *Router) mark(at time.Time) {
 	for id, p := range r.peers {
-		p.Mark(r.balancer.Accepts(id), at)
+		p.SetAccepting(r.balancer.Accepts(id), at)
 	}
 }
 
 // bornAt is when a peer last started.
-func (p *Peer) bornAt() balancer.Time { return balancer.Time(p.born.Load()) }
+func (p *Upstream) startTime() balancer.Time { return balancer.Time(p.startedAt.Load()) }
 
 // Mark notes from when on a peer leaves; the first telling counts.
-func (p *Peer) Mark(stays bool, at time.Time) {
+func (p *Upstream) SetAccepting(stays bool, at time.Time) {
 	if stays {
-		p.leaving.Store(nil)
+		p.drainingSince.Store(nil)
 	} else {
-		p.leaving.CompareAndSwap(nil, &at)
+		p.drainingSince.CompareAndSwap(nil, &at)
 	}
 }
 
@@ -143,7 +143,7 @@
 	w, watcher := &watch{stop}, r.watcher
 	r.watch = w
 	r.spawn(func(context.Context) {
-		err := watcher.Watch(ctx, func(g Group) { r.post(listEvent{from: w, group: g}) })
+		err := watcher.Watch(ctx, func(g EndpointList) { r.post(listEvent{from: w, group: g}) })
 		if err == nil {
 			err = fmt.Errorf("no reason given")
 		}
@@ -171,14 +171,14 @@
 
 // Follow leaves the watch that runs for a new one by w, begun at once. No list
 // of the old one counts any more, nor does its end.
-func (r *Router) Follow(w Watcher) { r.post(followEvent{w}) }
+func (r *Router) ReplaceWatcher(w Watcher) { r.post(followEvent{w}) }
 
 // probeEvent brings a probe's result.
 type probeEvent struct{ result balancer.HealthCheckResult }
 
 func (e probeEvent) handle(r *Router) {
 	if e.result.Result != balancer.OK {
-		r.count.ProbesFailed.Add(1)
+		r.count.HealthChecksFailed.Add(1)
 	}
 	r.chosen.saw(r.peers[e.result.Server], e.result.Result, true)
 	r.balancer.HandleHealthCheck(r.now(), e.result)
@@ -190,10 +190,10 @@
 	if p == nil {
 		return
 	}
-	r.count.Probes.Add(1)
+	r.count.HealthChecks.Add(1)
 	start := time.Now()
 	done := func(res balancer.Result) {
 		r.post(probeEvent{balancer.HealthCheckResult{Server: to, Latency: time.Since(start), Result: res}})
 	}
-	r.spawn(func(ctx context.Context) { done(r.carrier.Probe(ctx, p)) }, func() { done(balancer.Reset) })
+	r.spawn(func(ctx context.Context) { done(r.carrier.CheckHealth(ctx, p)) }, func() { done(balancer.Reset) })
 }
--- a/internal/routing/maintain.go
+++ b/internal/routing/maintain.go
@@ -8,19 +8,19 @@
 )
 
 // shown is a list as the Balancer is to see it: operators may keep servers of it out of use.
-func (r *Router) shown(g Group) []balancer.Server {
+func (r *Router) shown(g EndpointList) []balancer.Server {
 	if r.servers == nil {
-		servers := make([]balancer.Server, 0, len(g.Entries))
-		for _, e := range g.Entries {
+		servers := make([]balancer.Server, 0, len(g.Endpoints))
+		for _, e := range g.Endpoints {
 			servers = append(servers, e.Server)
 		}
 		return servers
 	}
-	named := make([]maintenance.Named, 0, len(g.Entries))
-	for _, e := range g.Entries {
-		named = append(named, maintenance.Named{Server: e.Server, Name: e.Name, Addr: e.Addr})
+	named := make([]maintenance.NamedServer, 0, len(g.Endpoints))
+	for _, e := range g.Endpoints {
+		named = append(named, maintenance.NamedServer{Server: e.Server, Name: e.Name, Addr: e.Addr})
 	}
-	return r.servers.Learn(g.Kind, g.Version, named)
+	return r.servers.Update(g.Kind, g.Version, named)
 }
 
 // maintainEvent tells the Balancer how a server stands now. Events that overtake
@@ -28,13 +28,13 @@
 type maintainEvent struct{ name string }
 
 func (e maintainEvent) handle(r *Router) {
-	if s, ok := r.servers.Shown(e.name); ok {
+	if s, ok := r.servers.Effective(e.name); ok {
 		r.show(balancer.UpdateDelta, r.chosen.take(balancer.UpdateDelta, []balancer.Server{s}), time.Now())
 	}
 }
 
 // Know takes a peer for one that was once listed, as another process of the node has it.
-func (r *Router) Know(name string) { r.servers.Know(name) }
+func (r *Router) AddKnownServer(name string) { r.servers.Add(name) }
 
 // Suspend keeps a server out of use. No first byte of anything new leaves for it
 // once this has returned; the Balancer hears of it a little later, so that no
@@ -69,7 +69,7 @@
 	n := 0
 	for _, call := range r.open {
 		for _, a := range call.tries {
-			if !a.in && a.Peer != nil && a.Peer.Name == e.name {
+			if !a.in && a.Upstream != nil && a.Upstream.Name == e.name {
 				n++
 			}
 		}
@@ -78,7 +78,7 @@
 }
 
 // Busy is how many tries are open at a peer. Where the decisions do not say in time it is 1: something may be.
-func (r *Router) Busy(name string) int {
+func (r *Router) AttemptsInFlight(name string) int {
 	e := busyEvent{name, make(chan int, 1)}
 	if !r.post(e) {
 		return 0 // the node has ended, and so have its tries
--- a/internal/routing/maintain_test.go
+++ b/internal/routing/maintain_test.go
@@ -14,23 +14,23 @@
 // suspended must not leave, though the decisions sent it off before. The drain
 // rule's grace does not count here.
 func TestSuspendedWhileWaiting(t *testing.T) {
-	waits, open := make(chan *Peer), make(chan bool)
+	waits, open := make(chan *Upstream), make(chan bool)
 	known := listed(7)
-	known.Entries[0].Name = "s-7"
-	r := New(Config{Settings: testSettings(), Seed: 1, Known: known, Watcher: still{}, Servers: maintenance.New(),
-		Log: slog.New(slog.DiscardHandler), Carrier: carrier(func(_ context.Context, try Try) TryResult {
-			waits <- try.Peer
-			if <-open; !try.Peer.OpenFor(time.Now(), time.Hour) {
-				return TryResult{Result: balancer.NotSent}
+	known.Endpoints[0].Name = "s-7"
+	r := New(Config{Settings: testSettings(), Seed: 1, InitialEndpoints: known, Watcher: still{}, Maintenance: maintenance.New(),
+		Log: slog.New(slog.DiscardHandler), Transport: carrier(func(_ context.Context, try Attempt) AttemptResult {
+			waits <- try.Upstream
+			if <-open; !try.Upstream.MaySend(time.Now(), time.Hour) {
+				return AttemptResult{Result: balancer.NotSent}
 			}
-			return TryResult{Result: balancer.OK}
+			return AttemptResult{Result: balancer.OK}
 		})})
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error)
 	go func() { ended <- r.Run(ctx) }()
 	answer := make(chan Answer)
 	go func() {
-		a, _ := r.Take(t.Context(), Call{Name: "9b", Class: unsafe, Arrived: time.Now(), Budget: 10 * time.Second})
+		a, _ := r.Handle(t.Context(), Call{ClientRequestID: "9b", Class: unsafe, ReceivedAt: time.Now(), Timeout: 10 * time.Second})
 		answer <- a
 	}()
 	<-waits
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	open <- true
-	if a := <-answer; a.Verdict != Reject {
+	if a := <-answer; a.Verdict != Rejected {
 		t.Errorf("%v: the try left for a suspended peer", a.Verdict)
 	}
 	stop()
--- a/internal/routing/relay.go
+++ b/internal/routing/relay.go
@@ -8,22 +8,22 @@
 
 // outcomeEvent is the fifth stage: a try is over. A served one is relayed
 // before the Balancer hears of it, so that it knows the call is closed.
-type outcomeEvent struct{ a *attempt }
+type outcomeEvent struct{ a *runningAttempt }
 
-func (ev outcomeEvent) call() balancer.RequestID { return ev.a.Call }
+func (ev outcomeEvent) call() balancer.RequestID { return ev.a.RequestID }
 
 func (ev outcomeEvent) handle(r *Router) {
 	a := ev.a
-	e := r.open[a.Call]
+	e := r.open[a.RequestID]
 	if e == nil || a.in {
 		return
 	}
 	a.in = true
 	e.out--
-	o := balancer.Outcome{ID: a.Call, Attempt: a.Attempt, Latency: a.latency, Result: a.result.Result}
-	if a.Peer != nil {
-		o.Server = a.Peer.ID
-		r.chosen.saw(a.Peer, o.Result, false)
+	o := balancer.Outcome{ID: a.RequestID, Attempt: a.Number, Latency: a.latency, Result: a.result.Result}
+	if a.Upstream != nil {
+		o.Server = a.Upstream.ID
+		r.chosen.saw(a.Upstream, o.Result, false)
 	}
 	r.count.outcome(o.Result)
 	if o.Result == balancer.OK {
@@ -55,7 +55,7 @@
 // Refuse implements balancer.Host. The answer leaves at once.
 func (r *Router) Reject(id balancer.RequestID, after time.Duration) {
 	if e := r.open[id]; e != nil {
-		r.relay(e, Answer{Verdict: Reject, RetryAfter: after})
+		r.relay(e, Answer{Verdict: Rejected, RetryAfter: after})
 		r.book(e)
 	}
 }
@@ -65,7 +65,7 @@
 	if e := r.open[id]; e != nil {
 		v := Failed
 		if r.now() >= e.deadline {
-			v = Overdue
+			v = DeadlineExceeded
 		}
 		r.relay(e, Answer{Verdict: v})
 		r.book(e)
--- a/internal/routing/rest.go
+++ b/internal/routing/rest.go
@@ -7,42 +7,42 @@
 
 // Rest is what a Router holds at one moment. A node that nothing is asked of
 // holds its peers, its watch and its one timer.
-type Rest struct {
-	Calls  int // in the table
-	Names  int // of the open calls
-	Tries  int // whose outcome is not in
-	Peers  int
-	Timers int
-	Watch  bool // one runs
+type Snapshot struct {
+	Calls            int // in the table
+	ClientRequestIDs int // of the open calls
+	AttemptsInFlight int // whose outcome is not in
+	Upstreams        int
+	Timers           int
+	WatchRunning     bool // one runs
 	// Carried is what the Balancer has learnt that warm peers carry; for a successor.
-	Carried float64
+	WarmThroughput float64
 }
 
 // errStopped says that the decisions have ended.
 var errStopped = errors.New("routing: the decisions have ended")
 
 // restEvent asks what the Router holds.
-type restEvent chan<- Rest
+type restEvent chan<- Snapshot
 
 func (e restEvent) handle(r *Router) {
-	s := Rest{Calls: len(r.open), Names: len(r.names), Peers: len(r.peers), Timers: len(r.timers),
-		Watch: r.watch != nil, Carried: r.balancer.WarmThroughput()}
+	s := Snapshot{Calls: len(r.open), ClientRequestIDs: len(r.names), Upstreams: len(r.peers), Timers: len(r.timers),
+		WatchRunning: r.watch != nil, WarmThroughput: r.balancer.WarmThroughput()}
 	for _, c := range r.open {
-		s.Tries += c.out
+		s.AttemptsInFlight += c.out
 	}
 	e <- s
 }
 
 // Rest asks the decision goroutine what it holds, between two events.
-func (r *Router) Rest(ctx context.Context) (Rest, error) {
-	rest := make(chan Rest, 1)
+func (r *Router) Snapshot(ctx context.Context) (Snapshot, error) {
+	rest := make(chan Snapshot, 1)
 	r.post(restEvent(rest))
 	select {
 	case s := <-rest:
 		return s, nil
 	case <-r.stopped:
-		return Rest{}, errStopped
+		return Snapshot{}, errStopped
 	case <-ctx.Done():
-		return Rest{}, ctx.Err()
+		return Snapshot{}, ctx.Err()
 	}
 }
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -16,23 +16,23 @@
 	}
 	a := &e.first // most calls have no other
 	if len(e.tries) > 0 {
-		a = new(attempt)
+		a = new(runningAttempt)
 	}
-	a.Try = Try{Call: id, Attempt: len(e.tries), Peer: r.peers[to], Until: r.instant(e.deadline),
-		BeginBy: r.beginBy(e), Over: &e.over, Payload: e.Payload}
+	a.Attempt = Attempt{RequestID: id, Number: len(e.tries), Upstream: r.peers[to], ExpiresAt: r.instant(e.deadline),
+		StartBefore: r.beginBy(e), CallDone: &e.over, Payload: e.Payload}
 	a.router, a.begun = r, time.Now()
-	if a.Peer != nil {
-		a.asks, a.born, a.cold = a, a.Peer.bornAt(), r.coldUnits(a.Peer)
+	if a.Upstream != nil {
+		a.confirmer, a.upstreamStart, a.cold = a, a.Upstream.startTime(), r.coldUnits(a.Upstream)
 	}
 	if holds != 0 {
-		a.Holds = r.instant(holds)
+		a.ValidUntil = r.instant(holds)
 	}
-	if e.Slow {
-		a.Budget, a.Written = e.Budget-answerMargin, a.hasLeft
+	if e.StreamsBody {
+		a.BodyTimeout, a.OnBodySent = e.Timeout-answerMargin, a.hasLeft
 	}
 	e.tries = append(e.tries, a)
 	e.out++
-	r.count.Tries.Add(1)
+	r.count.Attempts.Add(1)
 	r.send(a)
 }
 
@@ -53,8 +53,8 @@
 
 // coldUnits is what a try to a peer costs of the fleet's budget for cold ones: the share of its capacity that it has at its
 // start, of what it has by now. 0: it is warm, or there is no budget.
-func (r *Router) coldUnits(p *Peer) float64 {
-	now, born, set := r.now(), p.bornAt(), r.set
+func (r *Router) coldUnits(p *Upstream) float64 {
+	now, born, set := r.now(), p.startTime(), r.set
 	if r.gate == nil || born == 0 || set.SlowStart <= 0 || now-born >= balancer.Time(set.SlowStart) {
 		return 0
 	}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -20,28 +20,28 @@
 
 // Config is what a Router is made from.
 type Config struct {
-	Settings balancer.Settings
-	Seed     uint64
-	Known    Group // the list as this node had it last; maybe old
-	Carrier  Carrier
-	Watcher  Watcher
-	Servers  *maintenance.Register // what operators keep out of use; nil: nothing
-	Gate     Gate                  // what the fleet's budgets let through; nil: all
-	Chooser  Chooser               // with which servers the node works; nil: with all
-	Log      *slog.Logger          // must not block
+	Settings         balancer.Settings
+	Seed             uint64
+	InitialEndpoints EndpointList // the list as this node had it last; maybe old
+	Transport        Transport
+	Watcher          Watcher
+	Maintenance      *maintenance.Registry // what operators keep out of use; nil: nothing
+	Admission        AdmissionControl      // what the fleet's budgets let through; nil: all
+	Subsets          SubsetSelector        // with which servers the node works; nil: with all
+	Log              *slog.Logger          // must not block
 }
 
 // Gate lets calls through before anything is decided of them. It must not wait.
-type Gate interface {
+type AdmissionControl interface {
 	// Admit reports whether a tenant's call may go on. If not, wait is when to come back.
 	Admit(tenant int) (ok bool, wait time.Duration)
 	// AdmitRetry reports whether a try may leave that is not its call's first: a retry, or a second copy.
 	AdmitRetry() bool
 	// AdmitCold reports whether a try may leave for a peer that has just started. It costs one unit at first, and less as the
 	// peer warms.
-	AdmitCold(peer balancer.ServerID, units float64) bool
+	AdmitWarmUp(peer balancer.ServerID, units float64) bool
 	// Done hears that a call that was let through has its answer, or needs none any more.
-	Done(tenant int)
+	Release(tenant int)
 }
 
 // event is something the decision goroutine has to take in.
@@ -51,11 +51,11 @@
 // the goroutine of Run.
 type Router struct {
 	seed    uint64
-	known   Group
-	carrier Carrier
+	known   EndpointList
+	carrier Transport
 	watcher Watcher
-	servers *maintenance.Register
-	gate    Gate
+	servers *maintenance.Registry
+	gate    AdmissionControl
 	log     *slog.Logger
 	count   *Counters
 	start   time.Time
@@ -69,7 +69,7 @@
 	set      balancer.Settings
 	ctx      context.Context
 	balancer *balancer.Balancer
-	peers    map[balancer.ServerID]*Peer
+	peers    map[balancer.ServerID]*Upstream
 	open     map[balancer.RequestID]*openCall
 	names    map[string]struct{} // of the open calls
 	lastID   balancer.RequestID
@@ -81,14 +81,14 @@
 // New makes a Router; Run starts its decisions.
 func New(c Config) *Router {
 	r := &Router{
-		set: c.Settings, seed: c.Seed, known: c.Known, carrier: c.Carrier, watcher: c.Watcher, log: c.Log,
-		servers: c.Servers, gate: c.Gate, chosen: chosen{by: c.Chooser},
+		set: c.Settings, seed: c.Seed, known: c.InitialEndpoints, carrier: c.Transport, watcher: c.Watcher, log: c.Log,
+		servers: c.Maintenance, gate: c.Admission, chosen: chosen{by: c.Subsets},
 		count: new(Counters), start: time.Now(), events: make(chan event, queueLength),
-		stopped: make(chan struct{}), peers: map[balancer.ServerID]*Peer{}, open: map[balancer.RequestID]*openCall{},
+		stopped: make(chan struct{}), peers: map[balancer.ServerID]*Upstream{}, open: map[balancer.RequestID]*openCall{},
 		names: map[string]struct{}{}, timers: map[*wakeEvent]struct{}{},
 	}
 	r.advice.Store(int64(c.Settings.MaxRetryAfter))
-	r.ready.Store(slices.ContainsFunc(c.Known.Entries, func(s Entry) bool { return s.State != balancer.Removed })) // calls wait for Run
+	r.ready.Store(slices.ContainsFunc(c.InitialEndpoints.Endpoints, func(s Endpoint) bool { return s.State != balancer.Removed })) // calls wait for Run
 	return r
 }
 
@@ -125,9 +125,9 @@
 		return fmt.Errorf("routing: %w", err)
 	}
 	if r.chosen.by != nil {
-		r.chosen.by.Tell(func(now Choice) { r.post(chooseEvent{now}) })
+		r.chosen.by.Subscribe(func(now Subset) { r.post(chooseEvent{now}) })
 	}
-	r.known.At = time.Now()
+	r.known.ReceivedAt = time.Now()
 	r.known.Kind = balancer.UpdateCached
 	r.learn(r.known)
 	for {
@@ -224,7 +224,7 @@
 
 // Set changes the settings of a running router. Their classes and tenants must
 // stand where they stood.
-func (r *Router) Set(set balancer.Settings) { r.post(setEvent{set}) }
+func (r *Router) UpdateSettings(set balancer.Settings) { r.post(setEvent{set}) }
 
 // SetTimer implements balancer.Host.
 func (r *Router) SetTimer(d time.Duration, ref uint64) {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -31,23 +31,23 @@
 }
 
 // carrier answers each try by a function.
-type carrier func(ctx context.Context, t Try) TryResult
+type carrier func(ctx context.Context, t Attempt) AttemptResult
 
-func (c carrier) Try(ctx context.Context, t Try) TryResult           { return c(ctx, t) }
-func (c carrier) Probe(ctx context.Context, p *Peer) balancer.Result { return balancer.OK }
+func (c carrier) RoundTrip(ctx context.Context, t Attempt) AttemptResult       { return c(ctx, t) }
+func (c carrier) CheckHealth(ctx context.Context, p *Upstream) balancer.Result { return balancer.OK }
 
 // still is an upstream group that never changes.
 type still struct{}
 
-func (still) Watch(ctx context.Context, told func(Group)) error {
+func (still) Watch(ctx context.Context, told func(EndpointList)) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-func listed(ids ...balancer.ServerID) Group {
-	g := Group{Kind: balancer.UpdateFull, At: time.Now()}
+func listed(ids ...balancer.ServerID) EndpointList {
+	g := EndpointList{Kind: balancer.UpdateFull, ReceivedAt: time.Now()}
 	for _, id := range ids {
-		g.Entries = append(g.Entries, Entry{Server: balancer.Server{ID: id, Weight: 1, State: balancer.Ready}, Addr: "a:1"})
+		g.Endpoints = append(g.Endpoints, Endpoint{Server: balancer.Server{ID: id, Weight: 1, State: balancer.Ready}, Addr: "a:1"})
 	}
 	return g
 }
@@ -56,24 +56,24 @@
 // they take the calls that wait for them.
 func TestReadyAtOnce(t *testing.T) {
 	gone := listed(7)
-	gone.Entries[0].State = balancer.Removed
+	gone.Endpoints[0].State = balancer.Removed
 	for name, c := range map[string]struct {
-		known Group
+		known EndpointList
 		ready bool
-	}{"a list": {listed(7), true}, "nobody": {Group{}, false}, "nobody left": {gone, false}} {
+	}{"a list": {listed(7), true}, "nobody": {EndpointList{}, false}, "nobody left": {gone, false}} {
 		if r := newRouter(nil, c.known); r.Ready() != c.ready {
 			t.Errorf("%s: ready %v", name, r.Ready())
 		}
 	}
 }
 
-func newRouter(c carrier, known Group) *Router {
-	return New(Config{Settings: testSettings(), Seed: 1, Known: known, Carrier: c, Watcher: still{},
+func newRouter(c carrier, known EndpointList) *Router {
+	return New(Config{Settings: testSettings(), Seed: 1, InitialEndpoints: known, Transport: c, Watcher: still{},
 		Log: slog.New(slog.DiscardHandler)})
 }
 
 // started runs a router until the test ends.
-func started(t *testing.T, c carrier, known Group) *Router {
+func started(t *testing.T, c carrier, known EndpointList) *Router {
 	r := newRouter(c, known)
 	ctx, stop := context.WithCancel(t.Context())
 	over := make(chan error)
@@ -88,20 +88,20 @@
 }
 
 func call(class int, budget time.Duration) Call {
-	return Call{Class: class, Tenant: -1, Arrived: time.Now(), Budget: budget, Payload: "as it came"}
+	return Call{Class: class, Tenant: -1, ReceivedAt: time.Now(), Timeout: budget, Payload: "as it came"}
 }
 
 func TestAnswers(t *testing.T) {
 	ends := func(first, later balancer.Result) carrier {
 		var mu sync.Mutex
 		n := 0
-		return func(ctx context.Context, try Try) TryResult {
+		return func(ctx context.Context, try Attempt) AttemptResult {
 			mu.Lock()
 			defer mu.Unlock()
 			if n++; n == 1 {
-				return TryResult{Result: first, Reply: "reply"}
+				return AttemptResult{Result: first, Reply: "reply"}
 			}
-			return TryResult{Result: later, Reply: "reply"}
+			return AttemptResult{Result: later, Reply: "reply"}
 		}
 	}
 	for name, c := range map[string]struct {
@@ -112,21 +112,21 @@
 		tries  int64
 	}{
 		"served":                      {safe, ends(balancer.OK, 0), []balancer.ServerID{7, 8}, Served, 1},
-		"no peer":                     {unsafe, nil, nil, Reject, 0},
+		"no peer":                     {unsafe, nil, nil, Rejected, 0},
 		"safe after an error":         {safe, ends(balancer.Errored, balancer.OK), []balancer.ServerID{7, 8}, Served, 2},
 		"unsafe after an error":       {unsafe, ends(balancer.Errored, balancer.OK), []balancer.ServerID{7, 8}, Failed, 1},
 		"unsafe after a reset":        {unsafe, ends(balancer.Reset, balancer.OK), []balancer.ServerID{7, 8}, Failed, 1},
 		"unsafe turned away":          {unsafe, ends(balancer.Rejected, balancer.OK), []balancer.ServerID{7, 8}, Served, 2},
 		"unsafe not connected":        {unsafe, ends(balancer.ConnectFailed, balancer.OK), []balancer.ServerID{7, 8}, Served, 2},
-		"unsafe, connected nowhere":   {unsafe, ends(balancer.ConnectFailed, balancer.ConnectFailed), []balancer.ServerID{7, 8}, Reject, 2},
-		"a carrier that panics":       {unsafe, func(context.Context, Try) TryResult { panic("carrier") }, []balancer.ServerID{7}, Failed, 1},
+		"unsafe, connected nowhere":   {unsafe, ends(balancer.ConnectFailed, balancer.ConnectFailed), []balancer.ServerID{7, 8}, Rejected, 2},
+		"a carrier that panics":       {unsafe, func(context.Context, Attempt) AttemptResult { panic("carrier") }, []balancer.ServerID{7}, Failed, 1},
 		"a class that does not exist": {9, nil, []balancer.ServerID{7}, Failed, 0},
 	} {
 		r := started(t, c.answer, listed(c.peers...))
-		a, ok := r.Take(t.Context(), call(c.class, time.Minute))
-		if !ok || a.Verdict != c.want || r.count.Tries.Load() != c.tries || (a.Reply == "reply") != (c.want == Served) ||
-			(a.RetryAfter > 0) != (c.want == Reject) {
-			t.Errorf("%s: %+v, %v after %d tries, want %v after %d", name, a, ok, r.count.Tries.Load(), c.want, c.tries)
+		a, ok := r.Handle(t.Context(), call(c.class, time.Minute))
+		if !ok || a.Verdict != c.want || r.count.Attempts.Load() != c.tries || (a.Reply == "reply") != (c.want == Served) ||
+			(a.RetryAfter > 0) != (c.want == Rejected) {
+			t.Errorf("%s: %+v, %v after %d tries, want %v after %d", name, a, ok, r.count.Attempts.Load(), c.want, c.tries)
 		}
 	}
 }
@@ -135,18 +135,18 @@
 // and the try ends with the cause that tells the carrier why.
 func TestOverdueTry(t *testing.T) {
 	cause := make(chan error, 1)
-	r := started(t, func(ctx context.Context, try Try) TryResult {
-		ctx, stop := context.WithDeadlineCause(ctx, try.Until, ErrTimeUp)
+	r := started(t, func(ctx context.Context, try Attempt) AttemptResult {
+		ctx, stop := context.WithDeadlineCause(ctx, try.ExpiresAt, ErrDeadlineExceeded)
 		defer stop()
 		<-ctx.Done()
 		cause <- context.Cause(ctx)
-		return TryResult{Result: balancer.TimedOut}
+		return AttemptResult{Result: balancer.TimedOut}
 	}, listed(7))
 	c := call(unsafe, 100*time.Millisecond)
-	if a, ok := r.Take(t.Context(), c); !ok || a.Verdict != Overdue || time.Since(c.Arrived) < 90*time.Millisecond {
-		t.Errorf("%+v, %v after %v", a, ok, time.Since(c.Arrived))
+	if a, ok := r.Handle(t.Context(), c); !ok || a.Verdict != DeadlineExceeded || time.Since(c.ReceivedAt) < 90*time.Millisecond {
+		t.Errorf("%+v, %v after %v", a, ok, time.Since(c.ReceivedAt))
 	}
-	if err := <-cause; err != ErrTimeUp {
+	if err := <-cause; err != ErrDeadlineExceeded {
 		t.Error(err)
 	}
 }
@@ -155,16 +155,16 @@
 func TestHangUpCallsOff(t *testing.T) {
 	ctx, hangUp := context.WithCancel(t.Context())
 	cause := make(chan error, 1)
-	r := started(t, func(ctx context.Context, try Try) TryResult {
+	r := started(t, func(ctx context.Context, try Attempt) AttemptResult {
 		hangUp()
 		<-ctx.Done()
 		cause <- context.Cause(ctx)
-		return TryResult{Result: balancer.Cancelled}
+		return AttemptResult{Result: balancer.Cancelled}
 	}, listed(7))
-	if _, ok := r.Take(ctx, call(safe, time.Minute)); ok {
+	if _, ok := r.Handle(ctx, call(safe, time.Minute)); ok {
 		t.Error("a client that has gone was answered")
 	}
-	if err := <-cause; err != ErrCalledOff {
+	if err := <-cause; err != ErrCancelled {
 		t.Error(err)
 	}
 }
@@ -177,8 +177,8 @@
 		r.events <- &wakeEvent{}
 	}
 	c := call(unsafe, 200*time.Millisecond)
-	if a, ok := r.Take(t.Context(), c); !ok || a.Verdict != Reject || time.Since(c.Arrived) > c.Budget {
-		t.Errorf("%+v, %v after %v", a, ok, time.Since(c.Arrived))
+	if a, ok := r.Handle(t.Context(), c); !ok || a.Verdict != Rejected || time.Since(c.ReceivedAt) > c.Timeout {
+		t.Errorf("%+v, %v after %v", a, ok, time.Since(c.ReceivedAt))
 	}
 }
 
@@ -186,10 +186,10 @@
 // answer all the same, and it promises nothing.
 func TestLostCallIsAnswered(t *testing.T) {
 	r := newRouter(nil, listed())
-	if a, ok := r.Take(t.Context(), call(safe, 30*time.Millisecond)); !ok || a.Verdict != Overdue {
+	if a, ok := r.Handle(t.Context(), call(safe, 30*time.Millisecond)); !ok || a.Verdict != DeadlineExceeded {
 		t.Errorf("%+v, %v", a, ok)
 	}
-	if r.count.GuardAnswers.Load() != 1 {
+	if r.count.WatchdogAnswers.Load() != 1 {
 		t.Error("the guard did not count")
 	}
 }
@@ -201,7 +201,7 @@
 	c := call(unsafe, 100*time.Millisecond)
 	answers := make(chan Answer, 1)
 	go func() {
-		a, _ := r.Take(t.Context(), c)
+		a, _ := r.Handle(t.Context(), c)
 		answers <- a
 	}()
 	for len(r.events) == 0 { // until it is in
@@ -212,7 +212,7 @@
 	}
 	select {
 	case a := <-answers:
-		if d := time.Since(c.Arrived); a.Verdict != Overdue || d > c.Budget+50*time.Millisecond {
+		if d := time.Since(c.ReceivedAt); a.Verdict != DeadlineExceeded || d > c.Timeout+50*time.Millisecond {
 			t.Errorf("%+v after %v", a, d)
 		}
 	case <-time.After(5 * time.Second):
@@ -225,7 +225,7 @@
 func TestRefusedOnceStopped(t *testing.T) {
 	r := newRouter(nil, listed())
 	close(r.stopped)
-	if a, ok := r.Take(t.Context(), call(unsafe, time.Second)); !ok || a.Verdict != Reject || a.RetryAfter <= 0 {
+	if a, ok := r.Handle(t.Context(), call(unsafe, time.Second)); !ok || a.Verdict != Rejected || a.RetryAfter <= 0 {
 		t.Errorf("%+v, %v", a, ok)
 	}
 }
@@ -235,9 +235,9 @@
 func TestAnswerBeforeTheWait(t *testing.T) {
 	r := newRouter(nil, listed())
 	e := &openCall{Call: call(safe, time.Minute), wait: r.newWait()}
-	r.relay(e, Answer{Verdict: Reject})
+	r.relay(e, Answer{Verdict: Rejected})
 	r.relay(e, Answer{Verdict: Served}) // the second of a race counts for nothing
-	if a, ok := r.await(t.Context(), e); !ok || a.Verdict != Reject || len(e.wait.told) != 0 {
+	if a, ok := r.await(t.Context(), e); !ok || a.Verdict != Rejected || len(e.wait.told) != 0 {
 		t.Errorf("%+v, %v", a, ok)
 	}
 }
@@ -251,19 +251,19 @@
 // TestPanicInDecision: the call concerned fails at once, the node goes on.
 func TestPanicInDecision(t *testing.T) {
 	out := make(chan struct{}, 1)
-	r := started(t, func(ctx context.Context, try Try) TryResult {
+	r := started(t, func(ctx context.Context, try Attempt) AttemptResult {
 		if try.Payload == "first" {
 			out <- struct{}{}
 			<-ctx.Done()
-			return TryResult{Result: balancer.Cancelled}
+			return AttemptResult{Result: balancer.Cancelled}
 		}
-		return TryResult{Result: balancer.OK}
+		return AttemptResult{Result: balancer.OK}
 	}, listed(7))
 	first := call(safe, time.Minute)
 	first.Payload = "first"
 	got := make(chan Answer)
 	go func() {
-		a, _ := r.Take(t.Context(), first)
+		a, _ := r.Handle(t.Context(), first)
 		got <- a
 	}()
 	<-out
@@ -271,7 +271,7 @@
 	if a := <-got; a.Verdict != Failed {
 		t.Errorf("the call concerned: %+v", a)
 	}
-	if a, ok := r.Take(t.Context(), call(safe, time.Minute)); !ok || a.Verdict != Served || r.count.Panics.Load() != 1 {
+	if a, ok := r.Handle(t.Context(), call(safe, time.Minute)); !ok || a.Verdict != Served || r.count.Panics.Load() != 1 {
 		t.Errorf("the next call: %+v, %v", a, ok)
 	}
 }
@@ -281,14 +281,14 @@
 func TestAbandonedCallsLeaveTheWait(t *testing.T) {
 	const wait = 12
 	out, release := make(chan bool, 100), make(chan bool)
-	r := started(t, func(context.Context, Try) TryResult {
+	r := started(t, func(context.Context, Attempt) AttemptResult {
 		out <- true
 		<-release
-		return TryResult{Result: balancer.OK}
+		return AttemptResult{Result: balancer.OK}
 	}, listed(7))
 	answers := make(chan Answer, 100)
 	take := func() {
-		a, _ := r.Take(t.Context(), call(safe, time.Minute))
+		a, _ := r.Handle(t.Context(), call(safe, time.Minute))
 		answers <- a
 	}
 	for range wait {
@@ -332,9 +332,9 @@
 // TestRaces lets outcomes, hang-ups and deadlines race; every call ends once
 // and the table is empty afterwards.
 func TestRaces(t *testing.T) {
-	r := started(t, func(ctx context.Context, try Try) TryResult {
+	r := started(t, func(ctx context.Context, try Attempt) AttemptResult {
 		try.Payload.(context.CancelFunc)()
-		return TryResult{Result: balancer.OK}
+		return AttemptResult{Result: balancer.OK}
 	}, listed(7, 8, 9))
 	var all sync.WaitGroup
 	const n = 300
@@ -344,12 +344,12 @@
 			defer hangUp()
 			c := call(i%2, time.Duration(1+i%30)*time.Millisecond)
 			c.Payload = hangUp
-			r.Take(ctx, c)
+			r.Handle(ctx, c)
 		})
 	}
 	all.Wait()
 	k := r.count
-	if sum := k.Served.Load() + k.Rejected.Load() + k.Failed.Load() + k.Overdue.Load() + k.HungUp.Load(); sum != n {
+	if sum := k.Served.Load() + k.Rejected.Load() + k.Failed.Load() + k.DeadlineExceeded.Load() + k.Disconnected.Load(); sum != n {
 		t.Errorf("%d ends of %d calls: %v", sum, n, k)
 	}
 	open := make(chan int, 1)
@@ -368,13 +368,13 @@
 	r := newRouter(nil, listed())
 	r.watcher = lists
 	go r.Run(t.Context())
-	for _, g := range []Group{listed(), listed(7)} {
+	for _, g := range []EndpointList{listed(), listed(7)} {
 		lists <- g
-		lists <- Group{Kind: balancer.UpdateDelta}
+		lists <- EndpointList{Kind: balancer.UpdateDelta}
 		seen := make(chan bool)
 		r.post(look(func(r *Router) { seen <- r.Ready() }))
-		if got := <-seen; got != (len(g.Entries) > 0) {
-			t.Errorf("ready: %v with %d peers", got, len(g.Entries))
+		if got := <-seen; got != (len(g.Endpoints) > 0) {
+			t.Errorf("ready: %v with %d peers", got, len(g.Endpoints))
 		}
 	}
 }
@@ -382,14 +382,14 @@
 // scripted tells lists as the test sends them, and breaks on an error.
 type scripted chan any
 
-func (s scripted) Watch(ctx context.Context, told func(Group)) error {
+func (s scripted) Watch(ctx context.Context, told func(EndpointList)) error {
 	for {
 		select {
 		case x := <-s:
 			if err, ok := x.(error); ok {
 				return err
 			}
-			told(x.(Group))
+			told(x.(EndpointList))
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -403,34 +403,34 @@
 	r := newRouter(nil, listed(7, 8))
 	r.watcher = lists
 	go r.Run(t.Context())
-	see := func(id balancer.ServerID) (p Peer) {
-		seen := make(chan Peer)
+	see := func(id balancer.ServerID) (p Upstream) {
+		seen := make(chan Upstream)
 		r.post(look(func(r *Router) { seen <- *r.peers[id] }))
 		return <-seen
 	}
-	told := func(g Group) {
+	told := func(g EndpointList) {
 		lists <- g
-		lists <- Group{Kind: balancer.UpdateDelta} // the second is taken once the first is posted
+		lists <- EndpointList{Kind: balancer.UpdateDelta} // the second is taken once the first is posted
 	}
 	draining := listed(7)
 	draining.Kind = balancer.UpdateDelta
-	draining.Entries[0].State = balancer.Draining
+	draining.Endpoints[0].State = balancer.Draining
 	told(draining)
-	grace, at := time.Second, draining.At
-	if p := see(7); !p.OpenFor(at, grace) || p.OpenFor(at.Add(grace*3/4), grace) {
+	grace, at := time.Second, draining.ReceivedAt
+	if p := see(7); !p.MaySend(at, grace) || p.MaySend(at.Add(grace*3/4), grace) {
 		t.Error("a draining peer keeps the grace, no longer")
 	}
-	if p := see(8); !p.OpenFor(at.Add(time.Hour), grace) {
+	if p := see(8); !p.MaySend(at.Add(time.Hour), grace) {
 		t.Error("a change of one peer moved another")
 	}
 	lists <- errors.New("broken")
 	moved := listed(7)
-	moved.Entries[0].Addr = "b:2"
+	moved.Endpoints[0].Addr = "b:2"
 	told(moved) // after a back-off of the Balancer's, the watch has begun anew
-	if p := see(7); p.Addr != "b:2" || !p.OpenFor(at.Add(time.Hour), grace) {
+	if p := see(7); p.Addr != "b:2" || !p.MaySend(at.Add(time.Hour), grace) {
 		t.Errorf("moved: %+v", p)
 	}
-	if p := see(8); p.OpenFor(at.Add(time.Hour), grace) {
+	if p := see(8); p.MaySend(at.Add(time.Hour), grace) {
 		t.Error("a peer missing from the whole list stays")
 	}
 	if r.count.WatchFailures.Load() != 1 {
@@ -445,18 +445,18 @@
 	r := newRouter(nil, listed())
 	r.watcher = first
 	go r.Run(t.Context())
-	first <- Group{Kind: balancer.UpdateDelta}
+	first <- EndpointList{Kind: balancer.UpdateDelta}
 	old := make(chan *watch, 1)
 	r.post(look(func(r *Router) { old <- r.watch }))
 	left := <-old
-	r.Follow(second)
+	r.ReplaceWatcher(second)
 	second <- listed(7) // it runs
 	r.post(listEvent{from: left, group: listed(8)})
 	r.post(listEvent{from: left, err: errors.New("the old one's end")})
 	second <- errors.New("broken")
 	third := make(scripted)
-	r.Follow(third)
-	third <- Group{Kind: balancer.UpdateDelta} // without the pause that a failure brings: the test would hang
+	r.ReplaceWatcher(third)
+	third <- EndpointList{Kind: balancer.UpdateDelta} // without the pause that a failure brings: the test would hang
 	peers := make(chan int)
 	r.post(look(func(r *Router) {
 		if r.peers[7] == nil {
@@ -472,34 +472,34 @@
 // TestSameName: a call whose name is open gets an error and no try, and leaves
 // the first alone; the name is free once that has ended, its try included.
 func TestSameName(t *testing.T) {
-	out, release := make(chan bool, 1), make(chan TryResult)
-	r := started(t, func(ctx context.Context, try Try) TryResult {
+	out, release := make(chan bool, 1), make(chan AttemptResult)
+	r := started(t, func(ctx context.Context, try Attempt) AttemptResult {
 		out <- true
 		return <-release
 	}, listed(7))
 	named := call(unsafe, time.Minute)
-	named.Name = "9b"
+	named.ClientRequestID = "9b"
 	got := make(chan bool)
 	ctx, hangUp := context.WithCancel(t.Context())
 	go func() {
-		_, ok := r.Take(ctx, named)
+		_, ok := r.Handle(ctx, named)
 		got <- ok
 	}()
 	<-out
-	if a, ok := r.Take(t.Context(), named); !ok || a.Verdict != Twice || r.count.Tries.Load() != 1 {
-		t.Errorf("%+v, %v after %d tries", a, ok, r.count.Tries.Load())
+	if a, ok := r.Handle(t.Context(), named); !ok || a.Verdict != Duplicate || r.count.Attempts.Load() != 1 {
+		t.Errorf("%+v, %v after %d tries", a, ok, r.count.Attempts.Load())
 	}
 	hangUp() // its try is still out, and may run
 	if ok := <-got; ok {
 		t.Error("the first was answered")
 	}
-	if a, _ := r.Take(t.Context(), named); a.Verdict != Twice {
+	if a, _ := r.Handle(t.Context(), named); a.Verdict != Duplicate {
 		t.Errorf("while the first's try is out: %+v", a)
 	}
-	release <- TryResult{Result: balancer.Cancelled}
-	go func() { release <- TryResult{Result: balancer.OK} }()
-	for a := (Answer{Verdict: Twice}); a.Verdict != Served; { // until the outcome is in
-		if a, _ = r.Take(t.Context(), named); a.Verdict != Served && a.Verdict != Twice {
+	release <- AttemptResult{Result: balancer.Cancelled}
+	go func() { release <- AttemptResult{Result: balancer.OK} }()
+	for a := (Answer{Verdict: Duplicate}); a.Verdict != Served; { // until the outcome is in
+		if a, _ = r.Handle(t.Context(), named); a.Verdict != Served && a.Verdict != Duplicate {
 			t.Fatalf("%+v", a)
 		}
 	}
@@ -523,7 +523,7 @@
 		t.Error("a peer that has just left is not known")
 	}
 	r.balancer.HandleServers(r.now()+balancer.Time(time.Hour), balancer.UpdateDelta, nil)
-	r.learn(Group{Kind: balancer.UpdateDelta})
+	r.learn(EndpointList{Kind: balancer.UpdateDelta})
 	if len(r.peers) != 1 || r.peers[8] == nil {
 		t.Errorf("kept: %v", r.peers)
 	}
@@ -533,22 +533,22 @@
 func TestEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var left atomic.Bool
-		r := newRouter(func(ctx context.Context, try Try) TryResult {
+		r := newRouter(func(ctx context.Context, try Attempt) AttemptResult {
 			<-ctx.Done()
 			time.Sleep(time.Millisecond)
 			left.Store(true)
-			return TryResult{Result: balancer.Cancelled}
+			return AttemptResult{Result: balancer.Cancelled}
 		}, listed(7))
 		ctx, stop := context.WithCancel(t.Context())
 		over := make(chan error)
 		go func() { over <- r.Run(ctx) }()
 		waits := make(chan bool)
 		go func() {
-			_, ok := r.Take(t.Context(), call(safe, time.Minute))
+			_, ok := r.Handle(t.Context(), call(safe, time.Minute))
 			waits <- ok
 		}()
 		synctest.Wait()
-		if s, err := r.Rest(t.Context()); err != nil || s != (Rest{Calls: 1, Names: 1, Tries: 1, Peers: 1, Timers: 1, Watch: true}) {
+		if s, err := r.Snapshot(t.Context()); err != nil || s != (Snapshot{Calls: 1, ClientRequestIDs: 1, AttemptsInFlight: 1, Upstreams: 1, Timers: 1, WatchRunning: true}) {
 			t.Errorf("%+v, %v", s, err)
 		}
 		began := time.Now()
@@ -564,7 +564,7 @@
 				t.Error("a timer is left")
 			}
 		}
-		if _, err := r.Rest(t.Context()); err == nil {
+		if _, err := r.Snapshot(t.Context()); err == nil {
 			t.Error("decisions that have ended tell what they hold")
 		}
 	})
--- a/internal/routing/send.go
+++ b/internal/routing/send.go
@@ -10,14 +10,14 @@
 
 // ErrCalledOff is the cause with which a try's context ends when the Balancer
 // no longer wants it.
-var ErrCalledOff = errors.New("called off")
+var ErrCancelled = errors.New("called off")
 
 // ErrTimeUp is the cause when its time is up.
-var ErrTimeUp = errors.New("time up")
+var ErrDeadlineExceeded = errors.New("time up")
 
 // send is the fourth stage: the carrier takes the try to its peer on a
 // goroutine of its own, and exactly one outcome comes back.
-func (r *Router) send(a *attempt) {
+func (r *Router) send(a *runningAttempt) {
 	r.tasks.Add(1)
 	go a.run()
 }
@@ -25,8 +25,8 @@
 // Cancel implements balancer.Host.
 func (r *Router) Cancel(id balancer.RequestID, attempt int) {
 	if e := r.open[id]; e != nil && attempt >= 0 && attempt < len(e.tries) && !e.tries[attempt].in {
-		r.count.CalledOff.Add(1)
-		e.tries[attempt].end(ErrCalledOff)
+		r.count.Cancelled.Add(1)
+		e.tries[attempt].end(ErrCancelled)
 	}
 }
 
--- a/internal/routing/takein.go
+++ b/internal/routing/takein.go
@@ -19,21 +19,21 @@
 // one answer. It answers by itself, and so always in time, if the decisions
 // are too busy to take the call, which then has not run, or have not answered
 // when its time is up. When ctx ends the client has gone, and ok is false.
-func (r *Router) Take(ctx context.Context, c Call) (a Answer, ok bool) {
-	r.count.Taken.Add(1)
+func (r *Router) Handle(ctx context.Context, c Call) (a Answer, ok bool) {
+	r.count.Received.Add(1)
 	defer func() {
 		if ok {
 			r.count.answered(a.Verdict)
 		} else {
-			r.count.HungUp.Add(1)
+			r.count.Disconnected.Add(1)
 		}
 	}()
 	if r.gate != nil {
 		if in, wait := r.gate.Admit(c.Tenant); !in {
-			r.count.OverBudget.Add(1)
+			r.count.RejectedByFleetQuota.Add(1)
 			return r.overBudget(wait), true
 		}
-		defer r.gate.Done(c.Tenant)
+		defer r.gate.Release(c.Tenant)
 	}
 	e := &openCall{Call: c, wait: r.newWait()}
 	if a, ok, in := r.handIn(ctx, e); !in {
@@ -54,7 +54,7 @@
 		return Answer{}, false, true
 	default:
 	}
-	end := time.NewTimer(time.Until(e.Arrived.Add(e.Budget / queueShare)))
+	end := time.NewTimer(time.Until(e.ReceivedAt.Add(e.Timeout / queueShare)))
 	defer end.Stop()
 	select {
 	case r.events <- admitEvent{e}:
@@ -71,12 +71,12 @@
 
 // refusal answers a call that the decisions never saw.
 func (r *Router) refusal() Answer {
-	return Answer{Verdict: Reject, RetryAfter: time.Duration(r.advice.Load())}
+	return Answer{Verdict: Rejected, RetryAfter: time.Duration(r.advice.Load())}
 }
 
 // overBudget answers a call for which the fleet's budget has nothing left.
 func (r *Router) overBudget(wait time.Duration) Answer {
-	return Answer{Verdict: Reject, RetryAfter: min(wait, time.Duration(r.advice.Load()))}
+	return Answer{Verdict: Rejected, RetryAfter: min(wait, time.Duration(r.advice.Load()))}
 }
 
 // wait is what a front waits on for the answer to a call. It is used again
@@ -99,7 +99,7 @@
 // already: the decisions can be done with a call before its front waits for it.
 func (r *Router) await(ctx context.Context, e *openCall) (a Answer, ok bool) {
 	w := e.wait
-	w.guard.Reset(time.Until(e.Arrived.Add(e.patience() + guardDelay)))
+	w.guard.Reset(time.Until(e.ReceivedAt.Add(e.patience() + guardDelay)))
 	select {
 	case <-w.told:
 		a = e.answer
@@ -107,8 +107,8 @@
 		r.waits.Put(w)
 		return a, true
 	case <-w.guard.C: // guards against a call that the decisions have lost, in a panic say
-		r.count.GuardAnswers.Add(1)
-		a = Answer{Verdict: Overdue}
+		r.count.WatchdogAnswers.Add(1)
+		a = Answer{Verdict: DeadlineExceeded}
 		ok = true
 	case <-ctx.Done():
 	case <-r.stopped: // the node ends at once, and the client connection with it
--- a/internal/routing/window_test.go
+++ b/internal/routing/window_test.go
@@ -25,23 +25,23 @@
 				return set
 			}
 			out, further := make(chan bool), make(chan time.Time, 1)
-			r := New(Config{Settings: settings(c.was), Seed: 1, Known: listed(7, 8), Watcher: still{},
+			r := New(Config{Settings: settings(c.was), Seed: 1, InitialEndpoints: listed(7, 8), Watcher: still{},
 				Log: slog.New(slog.DiscardHandler),
-				Carrier: carrier(func(_ context.Context, try Try) TryResult {
-					if try.Attempt > 0 {
-						further <- try.BeginBy
-						return TryResult{Result: balancer.OK}
+				Transport: carrier(func(_ context.Context, try Attempt) AttemptResult {
+					if try.Number > 0 {
+						further <- try.StartBefore
+						return AttemptResult{Result: balancer.OK}
 					}
 					out <- true
 					<-out
-					return TryResult{Result: balancer.Errored}
+					return AttemptResult{Result: balancer.Errored}
 				})})
 			ctx, stop := context.WithCancel(t.Context())
 			go r.Run(ctx)
 			begun := time.Now()
-			go r.Take(ctx, call(safe, 10*time.Second))
+			go r.Handle(ctx, call(safe, 10*time.Second))
 			<-out
-			r.Set(settings(c.is))
+			r.UpdateSettings(settings(c.is))
 			synctest.Wait()
 			out <- true
 			if by := <-further; by.Sub(begun) != c.want {
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -74,10 +74,10 @@
 	k := NewCarrier(CarrierConfig{ConnectTimeout: time.Second, IdleClose: time.Minute, MaxConns: 10,
 		Log: slog.New(slog.DiscardHandler)})
 	k.pool.settle = 0
-	t := tryOf(routing.NewPeer(1, "s-1", l.Addr().String()), "GET", "")
+	t := tryOf(routing.NewUpstream(1, "s-1", l.Addr().String()), "GET", "")
 	b.ReportAllocs()
 	for b.Loop() {
-		if r := k.Try(context.Background(), t); r.Result != balancer.OK {
+		if r := k.RoundTrip(context.Background(), t); r.Result != balancer.OK {
 			b.Fatal(r)
 		}
 	}
--- a/internal/transport/carrier.go
+++ b/internal/transport/carrier.go
@@ -40,7 +40,7 @@
 // NewCarrier makes a Carrier.
 func NewCarrier(c CarrierConfig) *Carrier {
 	k := &Carrier{
-		pool:    &pool{settle: settle, log: c.Log, dial: c.Dial, idle: map[*routing.Peer][]*peerConn{}},
+		pool:    &pool{settle: settle, log: c.Log, dial: c.Dial, idle: map[*routing.Upstream][]*peerConn{}},
 		readers: sync.Pool{New: func() any { return bufio.NewReader(nil) }},
 	}
 	k.Configure(c)
@@ -65,22 +65,22 @@
 	return k.pool.open
 }
 
-// Try implements routing.Carrier.
-func (k *Carrier) Try(ctx context.Context, t routing.Try) routing.TryResult {
+// RoundTrip implements routing.Transport.
+func (k *Carrier) RoundTrip(ctx context.Context, t routing.Attempt) routing.AttemptResult {
 	m, ok := t.Payload.(*message)
 	if !ok || !m.hold() { // its front has done with it: the call is over
-		return routing.TryResult{Result: balancer.NotSent}
+		return routing.AttemptResult{Result: balancer.NotSent}
 	}
 	defer m.release()
 	return k.exchange(ctx, t, m, true)
 }
 
-// Probe implements routing.Carrier.
-func (k *Carrier) Probe(ctx context.Context, p *routing.Peer) balancer.Result {
-	t := routing.Try{Peer: p, Until: time.Now().Add(4 * k.config.Load().ConnectTimeout)}
+// CheckHealth implements routing.Transport.
+func (k *Carrier) CheckHealth(ctx context.Context, p *routing.Upstream) balancer.Result {
+	t := routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(4 * k.config.Load().ConnectTimeout)}
 	r := k.exchange(ctx, t, newMessage(&k.buffers, http.MethodGet, protocol.PathLive, p.Addr, nil, 0), false)
-	if d, ok := r.Reply.(routing.Dropper); ok {
-		d.Drop()
+	if d, ok := r.Reply.(routing.Releaser); ok {
+		d.Release()
 	}
 	return r.Result
 }
@@ -99,68 +99,68 @@
 // A try whose call is over by the time that its connection is there never
 // leaves: a copy may find that the first has been answered, a further try that
 // its class's window has passed. told: the peer is told the time left.
-func (k *Carrier) exchange(ctx context.Context, t routing.Try, m *message, told bool) routing.TryResult {
-	fair := time.Until(t.Until) >= fairConnect
-	c, err := k.pool.get(ctx, t.Peer, t.Until)
-	stands := err != nil || t.Stands(time.Now())
+func (k *Carrier) exchange(ctx context.Context, t routing.Attempt, m *message, told bool) routing.AttemptResult {
+	fair := time.Until(t.ExpiresAt) >= fairConnect
+	c, err := k.pool.get(ctx, t.Upstream, t.ExpiresAt)
+	stands := err != nil || t.StillValid(time.Now())
 	now := time.Now() // the decisions may have been waited for
-	cause := causeOf(ctx, t.Until, now)
+	cause := causeOf(ctx, t.ExpiresAt, now)
 	switch {
 	case err != nil && (ctx.Err() != nil || cause != nil && !fair || k.pool.lacks(err, now)):
-		return routing.TryResult{Result: balancer.NotSent} // not the peer's doing
+		return routing.AttemptResult{Result: balancer.NotSent} // not the peer's doing
 	case err != nil:
-		return routing.TryResult{Result: balancer.ConnectFailed}
-	case cause != nil || !stands || !t.MayBegin(now) || m.left(t.Attempt, now):
+		return routing.AttemptResult{Result: balancer.ConnectFailed}
+	case cause != nil || !stands || !t.MayStart(now) || m.left(t.Number, now):
 		k.pool.put(c)
-		return routing.TryResult{Result: balancer.NotSent}
-	case !t.Peer.OpenFor(now, k.config.Load().DrainGrace):
+		return routing.AttemptResult{Result: balancer.NotSent}
+	case !t.Upstream.MaySend(now, k.config.Load().DrainGrace):
 		c.end("not-sent")
-		return routing.TryResult{Result: balancer.NotSent}
+		return routing.AttemptResult{Result: balancer.NotSent}
 	}
 	if m.up != nil {
 		return k.carryUpload(ctx, t, m, c)
 	}
-	c.SetDeadline(t.Until)
+	c.SetDeadline(t.ExpiresAt)
 	watch := watchEnd(ctx, c)
 	var budget time.Duration
 	if told {
-		budget = max(t.Until.Sub(now), 1)
+		budget = max(t.ExpiresAt.Sub(now), 1)
 	}
 	request, own := m.compose(budget)
 	n, _ := c.Write(request)
 	if m.wrote(own); n < len(request) {
 		// Its last byte was never written, which proves that it never ran.
 		watch.end()
-		cause := causeOf(ctx, t.Until, time.Now())
+		cause := causeOf(ctx, t.ExpiresAt, time.Now())
 		c.end(reasonOf(cause, "reset"))
 		if cause != nil {
-			return routing.TryResult{Result: balancer.NotSent}
+			return routing.AttemptResult{Result: balancer.NotSent}
 		}
-		return routing.TryResult{Result: balancer.ConnectFailed}
+		return routing.AttemptResult{Result: balancer.ConnectFailed}
 	}
 	return k.receive(ctx, t, c, watch)
 }
 
 // receive reads the answer to a try, or the first part of a long one.
-func (k *Carrier) receive(ctx context.Context, t routing.Try, c *peerConn, watch endWatch) routing.TryResult {
+func (k *Carrier) receive(ctx context.Context, t routing.Attempt, c *peerConn, watch endWatch) routing.AttemptResult {
 	in := k.readers.Get().(*bufio.Reader)
 	in.Reset(c)
-	a, err := readAnswer(c, in, &k.buffers, t.Until)
+	a, err := readAnswer(c, in, &k.buffers, t.ExpiresAt)
 	undisturbed := watch.end()
 	res := protocol.ResultOf(a.status, a.values(protocol.HeaderRejected))
 	if err == nil && a.rest != nil && res == balancer.OK && undisturbed {
 		a.rest.carrier, a.rest.last = k, a.last
-		return routing.TryResult{Result: balancer.OK, Reply: &reply{fields: a.endToEnd(), body: a.body, rest: a.rest}}
+		return routing.AttemptResult{Result: balancer.OK, Reply: &reply{fields: a.endToEnd(), body: a.body, rest: a.rest}}
 	}
 	surplus := in.Buffered() > 0
 	in.Reset(nil)
 	k.readers.Put(in)
 	switch {
 	case err != nil:
-		return routing.TryResult{Result: c.ended(err, causeOf(ctx, c.deadline(t.Until), time.Now()))}
+		return routing.AttemptResult{Result: c.ended(err, causeOf(ctx, c.deadline(t.ExpiresAt), time.Now()))}
 	case a.rest != nil && res == balancer.OK:
 		c.end("called-off")
-		return routing.TryResult{Result: balancer.Cancelled}
+		return routing.AttemptResult{Result: balancer.Cancelled}
 	case a.rest != nil: // no reader wants the rest of a failure
 		c.end("oversize")
 	case surplus: // guards the next call: it may be taken for its answer
@@ -175,9 +175,9 @@
 	p := &reply{fields: a.endToEnd(), body: a.body, buf: a.buf}
 	if res != balancer.OK {
 		p.free()
-		return routing.TryResult{Result: res}
+		return routing.AttemptResult{Result: res}
 	}
-	return routing.TryResult{Result: balancer.OK, Reply: p}
+	return routing.AttemptResult{Result: balancer.OK, Reply: p}
 }
 
 // causeOf says why a try is given up; nil: it is not.
@@ -186,7 +186,7 @@
 	case ctx.Err() != nil:
 		return context.Cause(ctx)
 	case !until.IsZero() && !now.Before(until):
-		return routing.ErrTimeUp
+		return routing.ErrDeadlineExceeded
 	}
 	return nil
 }
@@ -204,7 +204,7 @@
 	}
 	c.end(reasonOf(cause, "reset"))
 	switch {
-	case cause == routing.ErrTimeUp:
+	case cause == routing.ErrDeadlineExceeded:
 		return balancer.TimedOut
 	case cause != nil:
 		return balancer.Cancelled
@@ -218,7 +218,7 @@
 	switch cause {
 	case nil:
 		return otherwise
-	case routing.ErrTimeUp:
+	case routing.ErrDeadlineExceeded:
 		return "try-timeout"
 	default:
 		return "called-off"
--- a/internal/transport/clientleft_test.go
+++ b/internal/transport/clientleft_test.go
@@ -69,23 +69,23 @@
 						return dialTCP(ctx, addr)
 					}
 					addr, _, _ := newFront(t, 10, func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
-						try := routing.Try{Peer: first, Until: time.Now().Add(time.Minute), Payload: call.Payload,
-							Budget: time.Minute, Written: func() {}}
+						try := routing.Attempt{Upstream: first, ExpiresAt: time.Now().Add(time.Minute), Payload: call.Payload,
+							BodyTimeout: time.Minute, OnBodySent: func() {}}
 						if c.before == "-" {
-							go k.Try(context.WithoutCancel(ctx), try)
-							try.Attempt++
+							go k.RoundTrip(context.WithoutCancel(ctx), try)
+							try.Number++
 						} else if c.before != "" {
-							k.Try(ctx, try)
-							try.Attempt++
+							k.RoundTrip(ctx, try)
+							try.Number++
 						}
-						try.Peer = last
+						try.Upstream = last
 						if !c.late {
 							if c.before == "" {
 								taken <- true
 							}
 							<-goOn
 						}
-						ended <- k.Try(ctx, try).Result
+						ended <- k.RoundTrip(ctx, try).Result
 						return routing.Answer{}, false
 					})
 					client := dial(t, addr)
--- a/internal/transport/cutanswer_test.go
+++ b/internal/transport/cutanswer_test.go
@@ -53,7 +53,7 @@
 			return announced{c, reads}, err
 		}})
 	return func() balancer.Result {
-		r := k.Try(t.Context(), tryOf(p, "GET", ""))
+		r := k.RoundTrip(t.Context(), tryOf(p, "GET", ""))
 		if r.Reply == nil || r.Reply.(*reply).rest == nil {
 			return r.Result
 		}
--- a/internal/transport/errorpaths_test.go
+++ b/internal/transport/errorpaths_test.go
@@ -20,17 +20,17 @@
 )
 
 // through is a front whose calls a carrier brings to one peer; what becomes of each try is told.
-func through(t *testing.T, p *routing.Peer, most int) (addr string, front *Front, k *Carrier, log lines, results chan balancer.Result) {
+func through(t *testing.T, p *routing.Upstream, most int) (addr string, front *Front, k *Carrier, log lines, results chan balancer.Result) {
 	t.Helper()
 	k, log = newCarrier(time.Second)
 	results = make(chan balancer.Result, 10)
 	addr, front, _ = newFront(t, most, func(_ context.Context, c routing.Call) (routing.Answer, bool) {
 		// as in a node, a try's end is not its client's: net/http ends that as soon as a body's reading is cut short
-		r := k.Try(t.Context(), routing.Try{Peer: p, Until: time.Now().Add(time.Minute), Payload: c.Payload,
-			Budget: time.Minute, Written: func() {}})
+		r := k.RoundTrip(t.Context(), routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(time.Minute), Payload: c.Payload,
+			BodyTimeout: time.Minute, OnBodySent: func() {}})
 		results <- r.Result
 		if r.Result != balancer.OK {
-			return routing.Answer{Verdict: routing.Reject, RetryAfter: time.Second}, true
+			return routing.Answer{Verdict: routing.Rejected, RetryAfter: time.Second}, true
 		}
 		return routing.Answer{Verdict: routing.Served, Reply: r.Reply}, true
 	})
@@ -117,7 +117,7 @@
 			}
 		})
 		k, _ := newCarrier(time.Second)
-		r := k.Try(t.Context(), tryOf(p, "GET", ""))
+		r := k.RoundTrip(t.Context(), tryOf(p, "GET", ""))
 		if r.Result != balancer.OK {
 			t.Fatal(name, r.Result)
 		}
@@ -205,14 +205,14 @@
 	k, _ := newCarrier(time.Second)
 	addr, _, _ := newFront(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
 		ended, stop := context.WithCancelCause(ctx)
-		try := routing.Try{Peer: p, Until: time.Now().Add(time.Minute), Payload: c.Payload, Written: func() {}}
-		time.AfterFunc(20*time.Millisecond, func() { stop(routing.ErrCalledOff) })
+		try := routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(time.Minute), Payload: c.Payload, OnBodySent: func() {}}
+		time.AfterFunc(20*time.Millisecond, func() { stop(routing.ErrCancelled) })
 		for i, want := range []balancer.Result{balancer.NotSent, balancer.NotSent} {
-			if r := k.Try(ended, try); r.Result != want {
+			if r := k.RoundTrip(ended, try); r.Result != want {
 				t.Errorf("try %d: %d", i, r.Result)
 			}
 		}
-		if r := k.Try(ctx, try); r.Result != balancer.NotSent { // it has a connection, and no body
+		if r := k.RoundTrip(ctx, try); r.Result != balancer.NotSent { // it has a connection, and no body
 			t.Errorf("once more: %d", r.Result)
 		}
 		return routing.Answer{Verdict: routing.Failed}, true
@@ -281,7 +281,7 @@
 func TestReasonsTold(t *testing.T) {
 	long, _ := answering(t, "HTTP/1.1 500 X\r\nContent-Length: 100000\r\n\r\n")
 	k, log := newCarrier(time.Second)
-	k.Try(t.Context(), tryOf(long, "POST", "book"))
+	k.RoundTrip(t.Context(), tryOf(long, "POST", "book"))
 	log.until("side=peer", "reason=oversize")
 	addr, _, log := newFront(t, 10, nil)
 	dial(t, addr).ask(t, strings.Replace(ready, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
@@ -343,8 +343,8 @@
 				conn, err := Dialer(nil).dial(dialing, addr)
 				return &slowReturn{conn, last, make(chan bool, 9), ctx.Done()}, err
 			}
-			r := k.Try(ctx, routing.Try{Peer: p, Until: time.Now().Add(time.Minute), Payload: call.Payload,
-				Budget: time.Minute, Written: func() {}})
+			r := k.RoundTrip(ctx, routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(time.Minute), Payload: call.Payload,
+				BodyTimeout: time.Minute, OnBodySent: func() {}})
 			return routing.Answer{Reply: r.Reply}, ctx.Err() == nil
 		})
 		if resp, _ := dial(t, addr).ask(t, head+raw); resp.StatusCode != 200 {
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -45,7 +45,7 @@
 
 // Taker takes calls, once it is ready: routing's first stage.
 type Taker interface {
-	Take(ctx context.Context, c routing.Call) (a routing.Answer, ok bool)
+	Handle(ctx context.Context, c routing.Call) (a routing.Answer, ok bool)
 	Ready() bool
 }
 
@@ -191,10 +191,10 @@
 		http.NewResponseController(w).SetReadDeadline(time.Time{})
 	}
 	// guards the descriptors: no try, and room for the next; and a planned end, in which a call would be cut off
-	if f.clients.crowded() || !f.leaving.lets(call.Budget) {
+	if f.clients.crowded() || !f.leaving.lets(call.Timeout) {
 		f.shed.Add(1)
 		endWith(w, k)
-		f.answer(w, k, routing.Answer{Verdict: routing.Reject, RetryAfter: shedRetryAfter})
+		f.answer(w, k, routing.Answer{Verdict: routing.Rejected, RetryAfter: shedRetryAfter})
 		return
 	}
 	if work, kept, err := f.keptAs(r, call, target); err != nil {
@@ -207,7 +207,7 @@
 	if up != nil {
 		k.goesOn()
 	}
-	a, ok := f.taker.Take(r.Context(), call)
+	a, ok := f.taker.Handle(r.Context(), call)
 	if !ok { // nobody should read it, but net/http must not make it an empty 200
 		a = routing.Answer{Verdict: routing.Failed}
 	}
@@ -228,8 +228,8 @@
 	up.k.SetWriteDeadline(time.Now().Add(writeTimeout)) // net/http counts from the request's head
 	switch {
 	case err == errTooLarge:
-		if d, ok := a.Reply.(routing.Dropper); ok { // it came ahead of the body's end
-			d.Drop()
+		if d, ok := a.Reply.(routing.Releaser); ok { // it came ahead of the body's end
+			d.Release()
 		}
 		f.refuse(w, r, http.StatusRequestEntityTooLarge, errors.New("body: too large"))
 		return
@@ -310,14 +310,14 @@
 	case (len(m.body) > 0 || m.up != nil) && r.Method == http.MethodGet: // a peer that reads none would take it for a request
 		return call, http.StatusBadRequest, ambiguous{errors.New("body: none belongs to a GET")}
 	}
-	call.Arrived, call.Slow = time.Now(), m.up != nil
-	if !call.Slow && !k.requestRead() {
+	call.ReceivedAt, call.StreamsBody = time.Now(), m.up != nil
+	if !call.StreamsBody && !k.requestRead() {
 		m.release()
 		panic(http.ErrAbortHandler) // its client sees the end of the connection, and sends it again
 	}
 	m.from, call.Payload = k, m
 	if !k.pipelined() { // else its client may have left long ago
-		m.arrived = call.Arrived
+		m.arrived = call.ReceivedAt
 	}
 	return call, 0, nil
 }
@@ -361,14 +361,14 @@
 		w.Write(p.body) // an error here is the client's going; its connection's line tells
 		p.free()
 		return
-	case routing.Reject:
+	case routing.Rejected:
 		if a.RetryAfter > 0 {
 			h.Set("Retry-After", protocol.FormatSeconds(a.RetryAfter))
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case routing.Twice:
+	case routing.Duplicate:
 		w.WriteHeader(http.StatusConflict)
-	case routing.Overdue:
+	case routing.DeadlineExceeded:
 		w.WriteHeader(http.StatusGatewayTimeout)
 	default:
 		w.WriteHeader(http.StatusBadGateway)
--- a/internal/transport/keep.go
+++ b/internal/transport/keep.go
@@ -116,7 +116,7 @@
 		return
 	}
 	m.from = nil // nobody's going ends it
-	a, ok := f.taker.Take(context.WithoutCancel(r.Context()), call)
+	a, ok := f.taker.Handle(context.WithoutCancel(r.Context()), call)
 	if !ok {
 		a = routing.Answer{Verdict: routing.Failed}
 	}
@@ -138,7 +138,7 @@
 			o.Body = append([]byte{}, p.body...)
 		}
 		return KeptAnswered, o
-	case routing.Reject, routing.Twice:
+	case routing.Rejected, routing.Duplicate:
 		return KeptFree, nil
 	}
 	return KeptUnknown, nil
--- a/internal/transport/keep_test.go
+++ b/internal/transport/keep_test.go
@@ -77,10 +77,10 @@
 		ended   string
 	}{
 		{`"k1"`, Kept{}, routing.Served, 200, "", "done", fmt.Sprint(KeptAnswered)},
-		{`k1`, Kept{}, routing.Reject, 503, "", "", fmt.Sprint(KeptFree)},
-		{`k1`, Kept{}, routing.Twice, 409, "", "", fmt.Sprint(KeptFree)},
+		{`k1`, Kept{}, routing.Rejected, 503, "", "", fmt.Sprint(KeptFree)},
+		{`k1`, Kept{}, routing.Duplicate, 409, "", "", fmt.Sprint(KeptFree)},
 		{`k1`, Kept{}, routing.Failed, 502, "", "", fmt.Sprint(KeptUnknown)},
-		{`k1`, Kept{}, routing.Overdue, 504, "", "", fmt.Sprint(KeptUnknown)},
+		{`k1`, Kept{}, routing.DeadlineExceeded, 504, "", "", fmt.Sprint(KeptUnknown)},
 		{`k1`, Kept{State: KeptRuns}, 0, 409, "running", "", ""},
 		{`k1`, Kept{State: KeptUnknown}, 0, 502, "unknown", "", ""},
 		{`k1`, Kept{State: KeptAnswered, Outcome: outcome}, 0, 200, "kept", "before", ""},
--- a/internal/transport/lateconn_test.go
+++ b/internal/transport/lateconn_test.go
@@ -21,7 +21,7 @@
 // still is an upstream group that never changes.
 type still struct{}
 
-func (still) Watch(ctx context.Context, told func(routing.Group)) error {
+func (still) Watch(ctx context.Context, told func(routing.EndpointList)) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
@@ -33,12 +33,12 @@
 	class := &set.Classes[0]
 	class.LatencyObjective, class.Deadline, class.PriorityWeight = 10*time.Second, 20*time.Second, 1
 	set.Nodes, set.MaxAttempts, set.CancelAttempts = 1, 3, true
-	known := routing.Group{Kind: balancer.UpdateFull, At: time.Now()}
+	known := routing.EndpointList{Kind: balancer.UpdateFull, ReceivedAt: time.Now()}
 	for id := range balancer.ServerID(peers) {
-		known.Entries = append(known.Entries, routing.Entry{Addr: listenOn(t, serve).Addr,
-			Server: balancer.Server{ID: id + 1, Weight: 1, State: balancer.Ready, StartedAt: balancer.Time(known.At.UnixNano())}})
+		known.Endpoints = append(known.Endpoints, routing.Endpoint{Addr: listenOn(t, serve).Addr,
+			Server: balancer.Server{ID: id + 1, Weight: 1, State: balancer.Ready, StartedAt: balancer.Time(known.ReceivedAt.UnixNano())}})
 	}
-	r := routing.New(routing.Config{Seed: 1, Known: known, Carrier: k, Watcher: still{}, Log: slog.New(slog.DiscardHandler),
+	r := routing.New(routing.Config{Seed: 1, InitialEndpoints: known, Transport: k, Watcher: still{}, Log: slog.New(slog.DiscardHandler),
 		Settings: set})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error)
@@ -106,7 +106,7 @@
 				}
 			})
 			try := tryOf(nil, "GET", "")
-			a, _ := r.Take(t.Context(), routing.Call{Name: "9b", Tenant: -1, Arrived: time.Now(), Budget: 20 * time.Second,
+			a, _ := r.Handle(t.Context(), routing.Call{ClientRequestID: "9b", Tenant: -1, ReceivedAt: time.Now(), Timeout: 20 * time.Second,
 				Payload: try.Payload})
 			if a.Verdict != c.want || reached.Load() != c.reach {
 				t.Errorf("%v, and %d requests reached a peer; want %v and %d", a.Verdict, reached.Load(), c.want, c.reach)
@@ -156,8 +156,8 @@
 				}
 			})
 			patient := func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
-				call.Name, call.Tenant, call.Budget = "", -1, 20*time.Second
-				return r.Take(ctx, call)
+				call.ClientRequestID, call.Tenant, call.Timeout = "", -1, 20*time.Second
+				return r.Handle(ctx, call)
 			}
 			go func() {
 				defer close(up)
@@ -165,7 +165,7 @@
 					time.Sleep(half)
 					return
 				}
-				other := routing.Call{Arrived: time.Now(), Payload: tryOf(nil, "GET", "").Payload}
+				other := routing.Call{ReceivedAt: time.Now(), Payload: tryOf(nil, "GET", "").Payload}
 				if a, _ := patient(t.Context(), other); a.Verdict != routing.Served { // it waits for the next half
 					t.Errorf("the call that spends it is %v", a.Verdict)
 				}
--- a/internal/transport/peerconn.go
+++ b/internal/transport/peerconn.go
@@ -14,7 +14,7 @@
 type peerConn struct {
 	Conn
 	life   *life
-	peer   *routing.Peer
+	peer   *routing.Upstream
 	freed  time.Time // when it fell idle
 	failed error     // of a read: what came before it is not whole
 	up     *upload   // that it carries, or carried last; nil: none
@@ -58,12 +58,12 @@
 
 // tryContext is a try's context, which needs no goroutine to tell its end.
 type tryContext interface {
-	OnEnd(routing.Interrupter) (goesOn bool)
+	InterruptOnDone(routing.Interrupter) (goesOn bool)
 }
 
 func watchEnd(ctx context.Context, c *peerConn) endWatch {
 	if try, ok := ctx.(tryContext); ok {
-		if !try.OnEnd(c) { // it ended just before
+		if !try.InterruptOnDone(c) { // it ended just before
 			c.Interrupt()
 		}
 		return endWatch{try: try}
@@ -75,7 +75,7 @@
 // interrupted any more then.
 func (w endWatch) end() (undisturbed bool) {
 	if w.try != nil {
-		return w.try.OnEnd(nil)
+		return w.try.InterruptOnDone(nil)
 	}
 	return w.stop()
 }
--- a/internal/transport/pipelined_test.go
+++ b/internal/transport/pipelined_test.go
@@ -222,10 +222,10 @@
 // its answer, where all of that has come.
 func TestBehindALongBody(t *testing.T) {
 	addr, front, _ := newFront(t, 10, func(_ context.Context, c routing.Call) (routing.Answer, bool) {
-		if c.Name == "2b" {
+		if c.ClientRequestID == "2b" {
 			return routing.Answer{Verdict: routing.Served, Reply: &reply{}}, true
 		}
-		return routing.Answer{Verdict: routing.Reject}, true
+		return routing.Answer{Verdict: routing.Rejected}, true
 	})
 	c := dial(t, addr)
 	io.WriteString(c, chunked(1, fmt.Sprintf("%x\r\n%s", protocol.MaxBody, strings.Repeat("x", protocol.MaxBody))))
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -39,14 +39,14 @@
 	keep    time.Duration // how long one may lie idle
 	most    int           // connections, open and being opened
 	open    int
-	idle    map[*routing.Peer][]*peerConn // the longest idle first; the sweep drops lists that are empty
-	sweeper *time.Timer                   // the sweep that is due; nil: none is
-	closed  bool                          // none is opened or kept any more
-	told    time.Time                     // when the last line of lacks was left
+	idle    map[*routing.Upstream][]*peerConn // the longest idle first; the sweep drops lists that are empty
+	sweeper *time.Timer                       // the sweep that is due; nil: none is
+	closed  bool                              // none is opened or kept any more
+	told    time.Time                         // when the last line of lacks was left
 }
 
 // get returns a connection that carries nothing, or a new one, which must be up by until.
-func (p *pool) get(ctx context.Context, peer *routing.Peer, until time.Time) (*peerConn, error) {
+func (p *pool) get(ctx context.Context, peer *routing.Upstream, until time.Time) (*peerConn, error) {
 	for c := p.take(peer); c != nil; c = p.take(peer) {
 		if why := c.stale(); why != "" {
 			c.end(why)
@@ -63,7 +63,7 @@
 }
 
 // connectTo returns a new connection.
-func (p *pool) connectTo(ctx context.Context, peer *routing.Peer, until time.Time) (*peerConn, error) {
+func (p *pool) connectTo(ctx context.Context, peer *routing.Upstream, until time.Time) (*peerConn, error) {
 	connect, ok := p.reserve()
 	if !ok {
 		return nil, errNoRoom
@@ -81,7 +81,7 @@
 // take takes the last used idle connection to a peer that has settled, and has
 // not lain idle for too long; nil if there is none. The sweep may be late for
 // that, or still go by the time before a reload.
-func (p *pool) take(peer *routing.Peer) *peerConn {
+func (p *pool) take(peer *routing.Upstream) *peerConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list, now := p.idle[peer], time.Now()
--- a/internal/transport/refuse_test.go
+++ b/internal/transport/refuse_test.go
@@ -17,7 +17,7 @@
 	got := make(chan string, 1)
 	addr, _, _ := newFront(t, 100, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
 		m := c.Payload.(*message)
-		b, own := m.compose(c.Budget)
+		b, own := m.compose(c.Timeout)
 		got <- string(b)
 		m.wrote(own)
 		return routing.Answer{Verdict: routing.Served, Reply: &reply{}}, true
--- a/internal/transport/rest.go
+++ b/internal/transport/rest.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// Drop implements routing.Dropper.
-func (p *reply) Drop() {
+// Release implements routing.Releaser.
+func (p *reply) Release() {
 	if p.rest != nil {
 		p.rest.end("called-off")
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -53,7 +53,7 @@
 }
 
 // listenOn serves each connection of a new listener by a function.
-func listenOn(t *testing.T, serve func(net.Conn)) *routing.Peer {
+func listenOn(t *testing.T, serve func(net.Conn)) *routing.Upstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -72,12 +72,12 @@
 			}()
 		}
 	}()
-	return routing.NewPeer(1, "s-1", l.Addr().String())
+	return routing.NewUpstream(1, "s-1", l.Addr().String())
 }
 
 // answering is a peer that reads whole requests, tells their bytes, and
 // writes the next of the answers; "" ends the connection.
-func answering(t *testing.T, answers ...string) (*routing.Peer, chan string) {
+func answering(t *testing.T, answers ...string) (*routing.Upstream, chan string) {
 	got, next := make(chan string, 100), make(chan string, len(answers))
 	for _, a := range answers {
 		next <- a
@@ -111,14 +111,14 @@
 	return k, l
 }
 
-func tryOf(p *routing.Peer, method, body string) routing.Try {
+func tryOf(p *routing.Upstream, method, body string) routing.Attempt {
 	return tryNamed(p, method, "9b", body)
 }
 
-func tryNamed(p *routing.Peer, method, id, body string) routing.Try {
+func tryNamed(p *routing.Upstream, method, id, body string) routing.Attempt {
 	m := newMessage(new(buffers), method, "/api?user=a%2Fb&x=%7e", "api.internal", http.Header{"X-Call-Id": {id}}, int64(len(body)))
 	copy(m.body, body)
-	return routing.Try{Peer: p, Until: time.Now().Add(time.Minute), Payload: m}
+	return routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(time.Minute), Payload: m}
 }
 
 // TestNoHiddenTry guards against a request that is sent again when a reused
@@ -127,10 +127,10 @@
 	for _, c := range []struct{ method, body string }{{"GET", ""}, {"POST", "book"}, {"POST", ""}, {"PUT", ""}} {
 		p, got := answering(t, ok, "", ok)
 		k, _ := newCarrier(time.Second)
-		if r := k.Try(t.Context(), tryOf(p, c.method, c.body)); r.Result != balancer.OK {
+		if r := k.RoundTrip(t.Context(), tryOf(p, c.method, c.body)); r.Result != balancer.OK {
 			t.Fatalf("%v: first try %d", c, r.Result)
 		}
-		if r := k.Try(t.Context(), tryOf(p, c.method, c.body)); r.Result != balancer.Reset || len(got) != 2 {
+		if r := k.RoundTrip(t.Context(), tryOf(p, c.method, c.body)); r.Result != balancer.Reset || len(got) != 2 {
 			t.Errorf("%v: result %d after %d requests on the wire, want a reset after 2", c, r.Result, len(got))
 		}
 	}
@@ -143,7 +143,7 @@
 		{"GET", "", ""}, {"POST", "\x00book\xff", "Content-Length: 6\r\n"}, {"POST", "", "Content-Length: 0\r\n"}} {
 		p, got := answering(t, ok)
 		k, _ := newCarrier(time.Second)
-		r := k.Try(t.Context(), tryOf(p, c.method, c.body))
+		r := k.RoundTrip(t.Context(), tryOf(p, c.method, c.body))
 		if r.Result != balancer.OK || string(r.Reply.(*reply).body) != "hi" {
 			t.Errorf("%v: %+v", c, r)
 		}
@@ -203,7 +203,7 @@
 	} {
 		p, got := answering(t, c.answer, ok)
 		k, _ := newCarrier(time.Second)
-		r := k.Try(t.Context(), tryOf(p, "POST", "book"))
+		r := k.RoundTrip(t.Context(), tryOf(p, "POST", "book"))
 		if r.Result != c.want || len(got) != 1 || (r.Result == balancer.OK) != (r.Reply != nil) ||
 			r.Reply != nil && string(r.Reply.(*reply).body) != "hi" {
 			t.Errorf("%s: result %d, %+v after %d requests, want %d after 1", name, r.Result, r.Reply, len(got), c.want)
@@ -238,7 +238,7 @@
 		all.Go(func() {
 			for j := range 500 {
 				id := fmt.Sprintf("%d-%d", i, j)
-				if r := k.Try(t.Context(), tryNamed(p, "GET", id, "")); r.Result != balancer.OK || string(r.Reply.(*reply).body) != id {
+				if r := k.RoundTrip(t.Context(), tryNamed(p, "GET", id, "")); r.Result != balancer.OK || string(r.Reply.(*reply).body) != id {
 					t.Errorf("%s: %+v", id, r)
 				}
 			}
@@ -282,7 +282,7 @@
 	k, _ := newCarrier(time.Second)
 	k.pool.settle = settle
 	for len(again) < 10 {
-		if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.OK {
+		if r := k.RoundTrip(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.OK {
 			t.Fatal(r.Result)
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -300,8 +300,8 @@
 func TestConnectionsBelongToPeers(t *testing.T) {
 	p, _ := answering(t, ok, ok)
 	k, _ := newCarrier(time.Second)
-	for _, peer := range []*routing.Peer{p, routing.NewPeer(2, "s-2", p.Addr)} {
-		if r := k.Try(t.Context(), tryOf(peer, "GET", "")); r.Result != balancer.OK || len(k.pool.idle[peer]) != 1 {
+	for _, peer := range []*routing.Upstream{p, routing.NewUpstream(2, "s-2", p.Addr)} {
+		if r := k.RoundTrip(t.Context(), tryOf(peer, "GET", "")); r.Result != balancer.OK || len(k.pool.idle[peer]) != 1 {
 			t.Errorf("%s: result %d, idle %v", peer.Name, r.Result, k.pool.idle)
 		}
 	}
@@ -314,15 +314,15 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	refusing := routing.NewPeer(1, "s-1", l.Addr().String())
+	refusing := routing.NewUpstream(1, "s-1", l.Addr().String())
 	silent := listenOn(t, func(net.Conn) { <-t.Context().Done() })
 	for name, c := range map[string]struct {
-		peer    *routing.Peer
+		peer    *routing.Upstream
 		connect time.Duration
 		want    balancer.Result
 	}{"refused": {refusing, time.Second, balancer.ConnectFailed}, "late": {silent, 1, balancer.ConnectFailed}} {
 		k, _ := newCarrier(c.connect)
-		if r := k.Try(t.Context(), tryOf(c.peer, "POST", "book")); r.Result != c.want {
+		if r := k.RoundTrip(t.Context(), tryOf(c.peer, "POST", "book")); r.Result != c.want {
 			t.Errorf("%s: result %d, want %d", name, r.Result, c.want)
 		}
 	}
@@ -342,14 +342,14 @@
 		k := NewCarrier(CarrierConfig{ConnectTimeout: time.Hour, IdleClose: time.Minute, MaxConns: 10, Log: slog.New(slog.DiscardHandler),
 			Dial: func(ctx context.Context, _ string) (net.Conn, error) {
 				if c.calls {
-					callOff(routing.ErrCalledOff)
+					callOff(routing.ErrCancelled)
 				}
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}})
-		try := tryOf(routing.NewPeer(1, "s-1", "a:1"), "POST", "book")
-		try.Until = time.Now().Add(c.left)
-		if r := k.Try(ctx, try); r.Result != c.result {
+		try := tryOf(routing.NewUpstream(1, "s-1", "a:1"), "POST", "book")
+		try.ExpiresAt = time.Now().Add(c.left)
+		if r := k.RoundTrip(ctx, try); r.Result != c.result {
 			t.Errorf("%v left: result %d, want %d", c.left, r.Result, c.result)
 		}
 	}
@@ -362,7 +362,7 @@
 		cause  error
 		want   balancer.Result
 		reason string
-	}{{routing.ErrTimeUp, balancer.TimedOut, "try-timeout"}, {routing.ErrCalledOff, balancer.Cancelled, "called-off"}} {
+	}{{routing.ErrDeadlineExceeded, balancer.TimedOut, "try-timeout"}, {routing.ErrCancelled, balancer.Cancelled, "called-off"}} {
 		ctx, giveUp := context.WithCancelCause(t.Context())
 		p := listenOn(t, func(conn net.Conn) {
 			if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
@@ -371,11 +371,11 @@
 			}
 		})
 		k, log := newCarrier(time.Second)
-		if r := k.Try(ctx, tryOf(p, "GET", "")); r.Result != c.want {
+		if r := k.RoundTrip(ctx, tryOf(p, "GET", "")); r.Result != c.want {
 			t.Errorf("%v: result %d, want %d", c.cause, r.Result, c.want)
 		}
 		log.until("side=peer", "reason="+c.reason)
-		if r := k.Try(ctx, tryOf(p, "GET", "")); r.Result != balancer.NotSent {
+		if r := k.RoundTrip(ctx, tryOf(p, "GET", "")); r.Result != balancer.NotSent {
 			t.Errorf("%v before it was sent: result %d", c.cause, r.Result)
 		}
 	}
@@ -397,7 +397,7 @@
 	for whole, want := range map[bool]balancer.Result{false: balancer.ConnectFailed, true: balancer.Reset} {
 		near, far := net.Pipe() // which takes a byte only as it is read
 		k, l := newCarrier(time.Second)
-		p := routing.NewPeer(1, "", "")
+		p := routing.NewUpstream(1, "", "")
 		k.pool.put(&peerConn{Conn: pipe{near}, peer: p, life: newLife(l.log(), "peer", "", k.pool.release)})
 		go func() {
 			if whole {
@@ -407,7 +407,7 @@
 			}
 			far.Close()
 		}()
-		if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != want {
+		if r := k.RoundTrip(t.Context(), tryOf(p, "GET", "")); r.Result != want {
 			t.Errorf("written whole: %v: result %d, want %d", whole, r.Result, want)
 		}
 	}
@@ -434,7 +434,7 @@
 	} {
 		p, _ := answering(t, c.raw+map[bool]string{false: "cut"}[c.whole])
 		k, l := newCarrier(time.Second)
-		r := k.Try(t.Context(), tryOf(p, "GET", ""))
+		r := k.RoundTrip(t.Context(), tryOf(p, "GET", ""))
 		if r.Result != balancer.OK || r.Reply.(*reply).rest == nil {
 			t.Fatalf("%s: result %d", name, r.Result)
 		}
@@ -461,14 +461,14 @@
 		<-halves
 	})
 	k, _ := newCarrier(time.Second)
-	r := k.Try(t.Context(), tryOf(slow, "GET", ""))
+	r := k.RoundTrip(t.Context(), tryOf(slow, "GET", ""))
 	if s := r.Reply.(*reply); len(s.body) != 1000 { // what a chunk in the making has so far is there for the client
 		t.Errorf("%d bytes of a chunk that is still coming", len(s.body))
 	}
 	close(halves)
 	p, _ := answering(t, sized+big)
 	k, l := newCarrier(time.Second)
-	k.Try(t.Context(), tryOf(p, "GET", "")).Reply.(routing.Dropper).Drop()
+	k.RoundTrip(t.Context(), tryOf(p, "GET", "")).Reply.(routing.Releaser).Release()
 	l.until("connection ended", "reason=called-off")
 	if k.Conns() != 0 {
 		t.Error("a dropped answer holds its connection")
@@ -480,11 +480,11 @@
 	p, _ := answering(t, ok)
 	k, log := newCarrier(time.Second)
 	k.Configure(CarrierConfig{ConnectTimeout: 1, IdleClose: time.Minute, MaxConns: 1, Log: log.log()})
-	if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.ConnectFailed {
+	if r := k.RoundTrip(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.ConnectFailed {
 		t.Errorf("result %d with no time to connect", r.Result)
 	}
 	k.Configure(CarrierConfig{ConnectTimeout: time.Second, IdleClose: time.Minute, MaxConns: 0, Log: log.log()})
-	if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.NotSent {
+	if r := k.RoundTrip(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.NotSent {
 		t.Errorf("result %d with no connection allowed", r.Result)
 	}
 }
@@ -498,9 +498,9 @@
 	})
 	k, _ := newCarrier(time.Second)
 	try := tryOf(p, "GET", "")
-	try.Over = new(atomic.Bool)
-	try.Over.Store(true)
-	if r := k.Try(t.Context(), try); r.Result != balancer.NotSent {
+	try.CallDone = new(atomic.Bool)
+	try.CallDone.Store(true)
+	if r := k.RoundTrip(t.Context(), try); r.Result != balancer.NotSent {
 		t.Errorf("result %d", r.Result)
 	}
 	k.Close()
@@ -514,9 +514,9 @@
 		n, _ := io.Copy(io.Discard, conn)
 		read <- n
 	})
-	p.Mark(false, time.Now().Add(-time.Hour))
+	p.SetAccepting(false, time.Now().Add(-time.Hour))
 	k, log := newCarrier(time.Second)
-	if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.NotSent {
+	if r := k.RoundTrip(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.NotSent {
 		t.Errorf("result %d", r.Result)
 	}
 	if n := <-read; n != 0 {
@@ -534,7 +534,7 @@
 	if k.pool.keep >= 40*time.Millisecond {
 		t.Errorf("idle for %v of 50 ms", k.pool.keep)
 	}
-	k.Try(t.Context(), tryOf(p, "GET", ""))
+	k.RoundTrip(t.Context(), tryOf(p, "GET", ""))
 	l.until("side=peer", "reason=idle")
 	for k.Conns() > 0 { // the line comes just before it counts
 		runtime.Gosched()
@@ -551,7 +551,7 @@
 func TestIdleTimeShortened(t *testing.T) {
 	p, _ := answering(t, ok)
 	k, _ := newCarrier(time.Second)
-	k.Try(t.Context(), tryOf(p, "GET", ""))
+	k.RoundTrip(t.Context(), tryOf(p, "GET", ""))
 	long := *k.config.Load()
 	short := long
 	short.IdleClose = 1
@@ -569,13 +569,13 @@
 func TestCarrierClose(t *testing.T) {
 	p, _ := answering(t, ok, ok)
 	k, _ := newCarrier(time.Second)
-	k.Try(t.Context(), tryOf(p, "GET", ""))
+	k.RoundTrip(t.Context(), tryOf(p, "GET", ""))
 	c := k.pool.take(p)
 	k.Close()
 	if k.pool.put(c); k.Conns() != 0 {
 		t.Errorf("%d connections are left", k.Conns())
 	}
-	if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.NotSent {
+	if r := k.RoundTrip(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.NotSent {
 		t.Errorf("result %d", r.Result)
 	}
 }
@@ -586,13 +586,13 @@
 	p, _ := answering(t, ok, ok)
 	k, log := newCarrier(time.Second)
 	k.pool.open = 10
-	if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.NotSent || k.pool.open != 10 {
+	if r := k.RoundTrip(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.NotSent || k.pool.open != 10 {
 		t.Errorf("result %d, %d connections", r.Result, k.pool.open)
 	}
 	k.pool.open = 9 // the next is the last, and makes room for another peer's once it is idle
 	other, _ := answering(t, ok)
-	for _, peer := range []*routing.Peer{p, other} {
-		if r := k.Try(t.Context(), tryOf(peer, "GET", "")); r.Result != balancer.OK || k.pool.open != 10 {
+	for _, peer := range []*routing.Upstream{p, other} {
+		if r := k.RoundTrip(t.Context(), tryOf(peer, "GET", "")); r.Result != balancer.OK || k.pool.open != 10 {
 			t.Errorf("result %d, %d connections", r.Result, k.pool.open)
 		}
 	}
@@ -622,7 +622,7 @@
 	for range 2 {
 		var tries sync.WaitGroup
 		for range load {
-			tries.Go(func() { k.Try(t.Context(), tryOf(p, "GET", "")) })
+			tries.Go(func() { k.RoundTrip(t.Context(), tryOf(p, "GET", "")) })
 		}
 		for range load {
 			<-arrived
@@ -641,7 +641,7 @@
 	for answer, want := range map[string]balancer.Result{ok: balancer.OK, "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n": balancer.Errored} {
 		p, got := answering(t, answer)
 		k, _ := newCarrier(time.Second)
-		if r := k.Probe(t.Context(), p); r != want {
+		if r := k.CheckHealth(t.Context(), p); r != want {
 			t.Errorf("result %d, want %d", r, want)
 		}
 		if wire := <-got; !strings.HasPrefix(wire, "GET /health/live HTTP/1.1\r\n") {
@@ -653,7 +653,7 @@
 // taker stands for the decisions.
 type taker func(ctx context.Context, c routing.Call) (routing.Answer, bool)
 
-func (f taker) Take(ctx context.Context, c routing.Call) (routing.Answer, bool) { return f(ctx, c) }
+func (f taker) Handle(ctx context.Context, c routing.Call) (routing.Answer, bool) { return f(ctx, c) }
 
 func (f taker) Ready() bool { return true }
 
@@ -937,9 +937,9 @@
 		after  string
 	}{
 		{routing.Answer{Verdict: routing.Served, Reply: &reply{fields: []field{{"X-Hit", [1]string{"1"}}}, body: []byte("\x00b")}}, 200, ""},
-		{routing.Answer{Verdict: routing.Reject, RetryAfter: 250 * time.Millisecond}, 503, "0.250"},
-		{routing.Answer{Verdict: routing.Reject}, 503, ""}, {routing.Answer{Verdict: routing.Failed}, 502, ""},
-		{routing.Answer{Verdict: routing.Overdue}, 504, ""}, {routing.Answer{Verdict: routing.Twice}, 409, ""},
+		{routing.Answer{Verdict: routing.Rejected, RetryAfter: 250 * time.Millisecond}, 503, "0.250"},
+		{routing.Answer{Verdict: routing.Rejected}, 503, ""}, {routing.Answer{Verdict: routing.Failed}, 502, ""},
+		{routing.Answer{Verdict: routing.DeadlineExceeded}, 504, ""}, {routing.Answer{Verdict: routing.Duplicate}, 409, ""},
 		{routing.Answer{Verdict: 9}, 500, ""}, // a panic must not end the connection: the call would be lost
 	} {
 		a = k.answer
@@ -1141,12 +1141,12 @@
 		log := make(lines, 10)
 		k := NewCarrier(CarrierConfig{ConnectTimeout: time.Second, IdleClose: time.Minute, MaxConns: 10, Log: log.log(),
 			Dial: func(context.Context, string) (net.Conn, error) { return nil, os.NewSyscallError("socket", err) }})
-		p := routing.NewPeer(1, "s-1", "a:1")
+		p := routing.NewUpstream(1, "s-1", "a:1")
 		for range 3 {
-			if r := k.Try(t.Context(), tryOf(p, "POST", "book")); r.Result != balancer.NotSent {
+			if r := k.RoundTrip(t.Context(), tryOf(p, "POST", "book")); r.Result != balancer.NotSent {
 				t.Errorf("%v: try: %d", err, r.Result)
 			}
-			if r := k.Probe(t.Context(), p); r != balancer.NotSent {
+			if r := k.CheckHealth(t.Context(), p); r != balancer.NotSent {
 				t.Errorf("%v: probe: %d", err, r)
 			}
 		}
@@ -1167,11 +1167,11 @@
 	k, log := newCarrier(time.Second)
 	addr, _, _ := newFront(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
 		c.Payload.(*message).up.body = panicking{}
-		r := k.Try(ctx, routing.Try{Peer: p, Until: time.Now().Add(time.Minute), Payload: c.Payload, Written: func() {}})
+		r := k.RoundTrip(ctx, routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(time.Minute), Payload: c.Payload, OnBodySent: func() {}})
 		if r.Result != balancer.ConnectFailed {
 			t.Errorf("result %d of what was never whole", r.Result)
 		}
-		return routing.Answer{Verdict: routing.Reject, RetryAfter: time.Second}, true
+		return routing.Answer{Verdict: routing.Rejected, RetryAfter: time.Second}, true
 	})
 	if resp, _ := dial(t, addr).ask(t, head+"Content-Length: 100000\r\n\r\n"); resp.StatusCode != 503 {
 		t.Errorf("status %d", resp.StatusCode)
@@ -1200,7 +1200,7 @@
 	w.late = time.Millisecond
 	lists := 0
 	const most = 1 + watchAgain + 1 // calls, and one that is sent again on the connection kept
-	if err := w.Watch(t.Context(), func(routing.Group) { lists++ }); err == nil || lists != 1 || asked.Load()-1 != most {
+	if err := w.Watch(t.Context(), func(routing.EndpointList) { lists++ }); err == nil || lists != 1 || asked.Load()-1 != most {
 		t.Errorf("%v: %d lists, then %d questions, and %d should be the most", err, lists, asked.Load()-1, most)
 	}
 }
@@ -1397,7 +1397,7 @@
 			if late > 0 {
 				w.client.Transport = noticing{w.client.Transport.(*http.Transport), late}
 			}
-			go w.Watch(ctx, func(routing.Group) {})
+			go w.Watch(ctx, func(routing.EndpointList) {})
 			if d := <-dialed; d > late {
 				t.Errorf("dialing went on for %v after an end that the call notices %v late", d, late)
 			}
@@ -1422,7 +1422,7 @@
 	w := NewWatch(strings.TrimPrefix(s.URL, "http://"), protocol.Names{}, 1, nil, slog.New(slog.DiscardHandler))
 	w.wait, w.late, w.slack = 20*time.Millisecond, time.Millisecond, time.Minute
 	lists := 0
-	if err := w.Watch(t.Context(), func(routing.Group) { lists++ }); err == nil || lists != 1 || w.version != 2 {
+	if err := w.Watch(t.Context(), func(routing.EndpointList) { lists++ }); err == nil || lists != 1 || w.version != 2 {
 		t.Errorf("%v, %d lists, version %d; want the one of the second call", err, lists, w.version)
 	}
 }
@@ -1476,7 +1476,7 @@
 	w.again, w.late = 1, time.Millisecond
 	var kinds []balancer.UpdateKind
 	for range 4 { // what is no JSON, a malformed list, or a 503, each time the second in a row
-		if err := w.Watch(t.Context(), func(g routing.Group) { kinds = append(kinds, g.Kind) }); err == nil {
+		if err := w.Watch(t.Context(), func(g routing.EndpointList) { kinds = append(kinds, g.Kind) }); err == nil {
 			t.Error("no error")
 		}
 	}
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -87,7 +87,7 @@
 }
 
 // send sends the head and the body to a peer, and notes the client's fault if it ends early.
-func (u *upload) send(ctx context.Context, c *peerConn, head []byte, t routing.Try) {
+func (u *upload) send(ctx context.Context, c *peerConn, head []byte, t routing.Attempt) {
 	defer close(u.done)
 	defer func() { // guards the node: no one else would catch it here
 		if p := recover(); p != nil {
@@ -112,13 +112,13 @@
 			u.k.SetReadDeadline(time.Time{})
 			u.k.requestRead()
 			u.whole.Store(true)
-			end := time.Now().Add(t.Budget)
+			end := time.Now().Add(t.BodyTimeout)
 			u.until.Store(end.UnixNano())
 			c.SetReadDeadline(end)
 			if ctx.Err() != nil { // the deadline must not undo an interruption
 				c.Interrupt()
 			}
-			t.Written()
+			t.OnBodySent()
 			return
 		}
 		if err != nil {
@@ -219,16 +219,16 @@
 }
 
 // carryUpload brings a call to a peer whose body is still coming.
-func (k *Carrier) carryUpload(ctx context.Context, t routing.Try, m *message, c *peerConn) routing.TryResult {
+func (k *Carrier) carryUpload(ctx context.Context, t routing.Attempt, m *message, c *peerConn) routing.AttemptResult {
 	u := m.up
 	if !u.begin() {
 		k.keep(c)
-		return routing.TryResult{Result: balancer.NotSent}
+		return routing.AttemptResult{Result: balancer.NotSent}
 	}
 	c.up = u
 	c.SetDeadline(time.Time{})
 	watch := watchEnd(ctx, c)
-	head, own := m.compose(t.Budget)
+	head, own := m.compose(t.BodyTimeout)
 	go func() {
 		u.send(ctx, c, head, t)
 		m.wrote(own)
@@ -237,9 +237,9 @@
 	u.halt()
 	if res.Reply == nil && !u.whole.Load() && res.Result != balancer.Rejected { // the last byte never left: it never ran
 		if u.refused != nil || ctx.Err() != nil {
-			return routing.TryResult{Result: balancer.NotSent}
+			return routing.AttemptResult{Result: balancer.NotSent}
 		}
-		return routing.TryResult{Result: balancer.ConnectFailed}
+		return routing.AttemptResult{Result: balancer.ConnectFailed}
 	}
 	return res
 }
--- a/internal/transport/uploadpace_test.go
+++ b/internal/transport/uploadpace_test.go
@@ -70,7 +70,7 @@
 					}
 				})
 				begun := time.Now()
-				u.send(t.Context(), out, []byte(head), routing.Try{Written: func() {}})
+				u.send(t.Context(), out, []byte(head), routing.Attempt{OnBodySent: func() {}})
 				late := errors.Is(u.refused, os.ErrDeadlineExceeded)
 				if u.whole.Load() != (c.fault == "") || late != (c.fault == client) || u.refused != nil && !late {
 					t.Errorf("whole: %v, refused: %v", u.whole.Load(), u.refused)
--- a/internal/transport/watch.go
+++ b/internal/transport/watch.go
@@ -123,14 +123,14 @@
 // Watch implements routing.Watcher: each answer is followed at once by the next
 // question. One that no call brought an answer to ends the watch, and its
 // connections with it.
-func (w *Watch) Watch(ctx context.Context, told func(routing.Group)) error {
+func (w *Watch) Watch(ctx context.Context, told func(routing.EndpointList)) error {
 	defer func() {
 		w.calls.Wait()                  // http.Transport goes on dialing for a call that has not noticed its end
 		w.client.CloseIdleConnections() // and what is still dialed, for a call that was given up
 	}()
 	for hold := min(w.wait, watchWait); ; hold = w.wait { // news may be due by the first
 		g, version, err := w.ask(ctx, hold)
-		if !errors.Is(err, routing.ErrRefused) {
+		if !errors.Is(err, routing.ErrDiscoveryRejected) {
 			w.pause = 0 // a list has come, or the decisions pause
 		}
 		if err != nil {
@@ -156,7 +156,7 @@
 // behind all that bring nothing, and the only ones. The first good answer counts,
 // but none of an older version: whether discovery has gone back, or that answer
 // alone is stale, its whole list tells. After trouble no call is held for long.
-func (w *Watch) ask(ctx context.Context, hold time.Duration) (g routing.Group, version int64, err error) {
+func (w *Watch) ask(ctx context.Context, hold time.Duration) (g routing.EndpointList, version int64, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	came := make(chan outcome, w.again+1)
@@ -203,7 +203,7 @@
 			if err == nil || errors.Is(err, syscall.ECONNREFUSED) {
 				return g, version, err
 			}
-			refused := errors.Is(err, routing.ErrRefused)
+			refused := errors.Is(err, routing.ErrDiscoveryRejected)
 			if refused {
 				refusal, w.pause = err, max(w.pause, w.late)
 			}
@@ -228,12 +228,12 @@
 }
 
 // list reads what a call brought.
-func (w *Watch) list(o outcome) (g routing.Group, version int64, err error) {
+func (w *Watch) list(o outcome) (g routing.EndpointList, version int64, err error) {
 	if o.err != nil {
 		return g, 0, o.err
 	}
 	g, version, err = w.names.ParseGroup(o.data)
-	g.At, g.Version = time.Now(), version
+	g.ReceivedAt, g.Version = time.Now(), version
 	if err == nil && version < o.since {
 		err = fmt.Errorf("upstream group: %w: version %d after %d", errOlder, version, o.since)
 	}
@@ -275,7 +275,7 @@
 	defer resp.Body.Close()
 	body := noting{resp.Body, &w.heard}
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("%w: status %d", routing.ErrRefused, resp.StatusCode)
+		return nil, fmt.Errorf("%w: status %d", routing.ErrDiscoveryRejected, resp.StatusCode)
 	}
 	data, err := io.ReadAll(io.LimitReader(body, maxList+1))
 	if err == nil && len(data) > maxList {
--- a/internal/transport/watchlist_test.go
+++ b/internal/transport/watchlist_test.go
@@ -62,7 +62,7 @@
 			defer stop()
 			w := NewWatch(s.Listener.Addr().String(), protocol.Names{}, 41, nil, slog.New(slog.DiscardHandler))
 			var told []string
-			w.Watch(ctx, func(g routing.Group) {
+			w.Watch(ctx, func(g routing.EndpointList) {
 				told = append(told, fmt.Sprintf("%d of kind %d", g.Version, g.Kind))
 				stop()
 			})
--- a/internal/transport/watchturn_test.go
+++ b/internal/transport/watchturn_test.go
@@ -41,7 +41,7 @@
 	defer stop()
 	told, l := 0, make(lines, 1000)
 	w := NewWatch(server.Listener.Addr().String(), protocol.Names{}, 1, nil, l.log()).Among(30, 1)
-	w.Watch(ctx, func(routing.Group) {
+	w.Watch(ctx, func(routing.EndpointList) {
 		told++
 		stop()
 	})
