--- /dev/null
+++ b/internal/handover/codec_test.go
@@ -0,0 +1,47 @@
+package handover
+
+import (
+	"bytes"
+	"os"
+	"reflect"
+	"testing"
+
+	"olivebridge/balancer"
+	"olivebridge/internal/maintenance"
+)
+
+// TestMessagesOfAnEarlierBuild reads messages that commit 78d81e3 wrote, and writes the same bytes. It guards upgrades:
+// the two processes of a hand-over are of different builds.
+func TestMessagesOfAnEarlierBuild(t *testing.T) {
+	stored, err := os.ReadFile("testdata/messages.jsonl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	draining := balancer.Server{ID: 0xfedcba9876543210, Cell: 3, Zone: 1, Kind: 2, StartedAt: 1764745200000000000,
+		Weight: 1.5, State: balancer.Draining, Suspended: true}
+	ready := balancer.Server{ID: 7, Weight: 1, State: balancer.Ready}
+	want := []Message{
+		{Kind: State, Servers: []maintenance.Record{
+			{Name: "s-5be2a07c", Addr: "10.1.0.18:9000", Said: draining, Held: true,
+				Since: 1764745300000000000, NotBefore: 1764745400000000000},
+			{Name: "s-2", Addr: "10.1.0.19:9000", Said: ready},
+		}},
+		{Kind: Serve, Version: 41, Source: "10.2.0.1:8500", Paused: true, Carried: 12.5},
+		{Kind: Ready, Number: 1},
+		{Kind: Asked, Number: 2, Word: "SUSPEND", ID: "s-2"},
+		{Kind: Done, Number: 2, Fault: `no list has ever named server "s-2"`},
+		{Kind: Conn},
+	}
+	lines := bytes.Split(bytes.TrimSuffix(stored, []byte("\n")), []byte("\n"))
+	if len(lines) != len(want) {
+		t.Fatalf("%d stored messages, want %d", len(lines), len(want))
+	}
+	for i, line := range lines {
+		if got, err := decode(line); err != nil || !reflect.DeepEqual(got, want[i]) {
+			t.Errorf("message %d: got %+v, %v, want %+v", i, got, err, want[i])
+		}
+		if got, err := encode(want[i]); err != nil || !bytes.Equal(got, line) {
+			t.Errorf("message %d: got %s, %v, want %s", i, got, err, line)
+		}
+	}
+}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -101,7 +101,7 @@
 		}
 		seat.Close()
 	}
-	if _, err := encode(Message{ID: strings.Repeat("x", maxMessage)}); err == nil {
+	if _, err := encode(Message{ID: strings.Repeat("x", maxMessageBytes)}); err == nil {
 		t.Error("a message of any size goes out")
 	}
 }
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -164,7 +164,7 @@
 
 // Receive waits for the next message, and the descriptor that came with it.
 func (l *Link) Receive() (m Message, file *os.File, err error) {
-	data, oob := make([]byte, maxMessage), make([]byte, syscall.CmsgSpace(4))
+	data, oob := make([]byte, maxMessageBytes), make([]byte, syscall.CmsgSpace(4))
 	n, oobn, _, _, err := l.conn.ReadMsgUnix(data, oob)
 	if errors.Is(err, syscall.ECONNRESET) { // it ended with something unread. Linux tells so once, ahead of what it sent before
 		n, oobn, _, _, err = l.conn.ReadMsgUnix(data, oob)
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -4,20 +4,12 @@
 package handover
 
 import (
-	"encoding/json"
 	"fmt"
 
 	"olivebridge/internal/maintenance"
 )
 
-// form is the version of the messages. A process of another form joins nothing:
-// it starts as if it were alone.
-const form = 1
-
-// maxMessage bounds a message's bytes.
-const maxMessage = 48 << 10
-
-// batch is how many servers go in one message; with ids of 200 bytes it stays under maxMessage.
+// batch is how many servers go in one message; with ids of 200 bytes it stays under maxMessageBytes.
 const batch = 60
 
 // Kind says what a message is about.
@@ -35,17 +27,16 @@
 
 // Message is what the processes tell each other.
 type Message struct {
-	Form    int                  `json:"form"`
-	Kind    Kind                 `json:"kind"`
-	Servers []maintenance.Record `json:"servers,omitempty"` // of State
-	Version int64                `json:"version,omitempty"` // of the list that they are of
-	Source  string               `json:"source,omitempty"`  // discovery's address, where versions are its own
-	Paused  bool                 `json:"paused,omitempty"`
-	Carried float64              `json:"carried_rate,omitempty"` // see balancer.Settings
-	Number  uint64               `json:"number,omitempty"`       // of a call
-	Word    string               `json:"word,omitempty"`
-	ID      string               `json:"id,omitempty"`
-	Fault   string               `json:"fault,omitempty"` // of Done: why the call does not hold
+	Kind    Kind
+	Servers []maintenance.Record // of State
+	Version int64                // of the list that they are of
+	Source  string               // discovery's address, where versions are its own
+	Paused  bool
+	Carried float64 // see balancer.Settings
+	Number  uint64  // of a call
+	Word    string
+	ID      string
+	Fault   string // of Done: why the call does not hold
 }
 
 // Heritage is what a successor takes over.
@@ -80,25 +71,6 @@
 	return false, fmt.Errorf("hand-over: %q where the heritage was to come", m.Kind)
 }
 
-func encode(m Message) ([]byte, error) {
-	m.Form = form
-	data, err := json.Marshal(m)
-	if err == nil && len(data) > maxMessage {
-		err = fmt.Errorf("hand-over: a message of %d bytes, %d at most", len(data), maxMessage)
-	}
-	return data, err
-}
-
-func decode(data []byte) (m Message, err error) {
-	if err := json.Unmarshal(data, &m); err != nil {
-		return m, fmt.Errorf("hand-over: %w", err)
-	}
-	if m.Form != form {
-		return m, fmt.Errorf("hand-over: form %d, this process knows %d", m.Form, form)
-	}
-	return m, nil
-}
-
 // Part is the part of the node's limits that one of its processes may hold:
 // both count together.
 func Part(processes int) float64 { return 1 / float64(max(processes, 1)) }
