--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -61,7 +61,7 @@
 func (h *hosts) guard(who uint32, f func() error) error {
 	defer func() {
 		if p := recover(); p != nil {
-			h.reply.GiveIn(who, fmt.Sprint("panic: ", p))
+			h.reply.ReportFault(who, fmt.Sprint("panic: ", p))
 			h.instances[who] = &instance{who: who, reply: &h.reply}
 		}
 	}()
@@ -69,14 +69,14 @@
 }
 
 func (h *hosts) route(who uint32, e wire.Event) error {
-	if e.Code() == wire.Begin {
+	if e.Code() == wire.EventStart {
 		return h.begin(e, who)
 	}
 	i := h.instances[who]
 	if i == nil {
 		return fmt.Errorf("batch %d: event %d for unknown instance %d", h.frame.Number, e.Code(), who)
 	}
-	if e.Code() == wire.Shutdown {
+	if e.Code() == wire.EventStop {
 		delete(h.instances, who)
 		return nil
 	}
@@ -90,12 +90,12 @@
 	}
 	i := &instance{who: who, reply: &h.reply}
 	h.instances[who] = i
-	set, err := settings.ParseText(text)
+	set, err := settings.DecodeText(text)
 	if err == nil {
 		i.balancer, err = balancer.New(set, e.Ref(), h.frame.Clock, i)
 	}
 	if err != nil {
-		h.reply.GiveIn(who, err.Error())
+		h.reply.ReportFault(who, err.Error())
 	}
 	return nil
 }
@@ -109,19 +109,19 @@
 
 func (i *instance) event(now balancer.Time, number uint32, e wire.Event) error {
 	switch code := e.Code(); code {
-	case wire.View:
-		kind, err := e.ListKind()
+	case wire.EventEndpoints:
+		kind, err := e.UpdateKind()
 		if err != nil {
 			return err
 		}
-		entries, err := e.Entries()
+		entries, err := e.Endpoints()
 		if err != nil {
 			return err
 		}
 		if i.balancer != nil {
 			i.balancer.HandleServers(now, kind, entries)
 		}
-	case wire.Returned:
+	case wire.EventOutcome:
 		o, err := e.Outcome()
 		if err != nil {
 			return err
@@ -129,27 +129,27 @@
 		if i.balancer != nil {
 			i.balancer.HandleOutcome(now, o)
 		}
-	case wire.Sampled:
-		p, err := e.Probe()
+	case wire.EventHealthCheck:
+		p, err := e.HealthCheck()
 		if err != nil {
 			return err
 		}
 		if i.balancer != nil {
 			i.balancer.HandleHealthCheck(now, p)
 		}
-	case wire.Mail:
-		_, _, err := e.Mail()
+	case wire.EventPeerMessage:
+		_, _, err := e.PeerMessage()
 		return err
-	case wire.Request, wire.FirstByte, wire.Hangup, wire.Wakeup:
+	case wire.EventRequest, wire.EventFirstByte, wire.EventDisconnect, wire.EventTimer:
 		if i.balancer == nil {
 			return nil
 		}
 		switch code {
-		case wire.Request:
+		case wire.EventRequest:
 			i.balancer.HandleRequest(now, e.Request())
-		case wire.FirstByte:
+		case wire.EventFirstByte:
 			i.balancer.HandleFirstByte(now, e.ID(), e.Attempt())
-		case wire.Hangup:
+		case wire.EventDisconnect:
 			i.balancer.HandleDisconnect(now, e.ID())
 		default:
 			i.balancer.HandleTimer(now, e.Ref())
@@ -162,28 +162,28 @@
 
 // Send implements balancer.Host. The wire has no question about what holds: its attempts begin as they are assigned.
 func (i *instance) Send(id balancer.RequestID, to balancer.ServerID, _ balancer.Time) {
-	i.reply.Assign(i.who, id, to, 0)
+	i.reply.Send(i.who, id, to, 0)
 }
 
 // Cancel implements balancer.Host.
-func (i *instance) Cancel(id balancer.RequestID, attempt int) { i.reply.Revoke(i.who, id, attempt) }
+func (i *instance) Cancel(id balancer.RequestID, attempt int) { i.reply.Cancel(i.who, id, attempt) }
 
 // Refuse implements balancer.Host.
 func (i *instance) Reject(id balancer.RequestID, after time.Duration) {
-	i.reply.Refuse(i.who, id, after)
+	i.reply.Reject(i.who, id, after)
 }
 
 // Fail implements balancer.Host.
 func (i *instance) Fail(id balancer.RequestID) { i.reply.Fail(i.who, id) }
 
 // Probe implements balancer.Host.
-func (i *instance) CheckHealth(to balancer.ServerID) { i.reply.Inspect(i.who, to) }
+func (i *instance) CheckHealth(to balancer.ServerID) { i.reply.CheckHealth(i.who, to) }
 
 // Watch implements balancer.Host.
 func (i *instance) Watch() { i.reply.Watch(i.who, true) }
 
 // SetTimer implements balancer.Host.
-func (i *instance) SetTimer(d time.Duration, ref uint64) { i.reply.Arm(i.who, d, ref) }
+func (i *instance) SetTimer(d time.Duration, ref uint64) { i.reply.SetTimer(i.who, d, ref) }
 
 // Log implements balancer.Host.
-func (i *instance) Log(line string) { i.reply.Trace(i.who, line) }
+func (i *instance) Log(line string) { i.reply.Log(i.who, line) }
--- a/cmd/olivebridge/drill_test.go
+++ b/cmd/olivebridge/drill_test.go
@@ -502,7 +502,7 @@
 			l.Close()
 		}
 	}
-	seat, err := handover.Take(path)
+	seat, err := handover.Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/olivefleet/fleet.go
+++ b/cmd/olivefleet/fleet.go
@@ -71,7 +71,7 @@
 	}
 	all.Service = member.New(config)
 	all.choices = choices.New(choices.Config{Name: c.Name, Signals: all.signals, Plan: subset.Plan{Copies: f.Choices.Copies, Least: f.Choices.Least},
-		Zones: c.Names.Zones, Next: all.Service.Next, Log: log, Record: config.Record})
+		Zones: c.NameIndex.Zones, Next: all.Service.Next, Log: log, Record: config.Record})
 	return all, nil
 }
 
@@ -101,7 +101,7 @@
 }
 
 // Operate implements node.Fleet.
-func (f *company) Operate(d node.FleetDesk) {
+func (f *company) Operate(d node.ServerControl) {
 	if f.rounds != nil {
 		f.rounds.Operate(d)
 	}
@@ -151,7 +151,7 @@
 		Dial: func(name string, channel byte, timeout time.Duration) (net.Conn, error) {
 			return f.Service.Dial(name, channel, timeout)
 		}}
-	for range c.Names.Callers {
+	for range c.NameIndex.Tenants {
 		f.places = append(f.places, -1)
 	}
 	for i, one := range file.Budgets {
@@ -164,7 +164,7 @@
 			f.cold = i
 			continue
 		}
-		tenant, known := c.Names.Callers[one.Tenant]
+		tenant, known := c.NameIndex.Tenants[one.Tenant]
 		if !known {
 			return fmt.Errorf("fleet file %s: budget %q is for tenant %q, which the configuration does not know",
 				os.Getenv(protocol.EnvFleet), one.Name, one.Tenant)
--- a/cmd/olivefleet/keep.go
+++ b/cmd/olivefleet/keep.go
@@ -28,7 +28,7 @@
 func (f *company) keep(c *protocol.Config, file *fleetfile.File, m *member.Config) (*kept, error) {
 	k := &kept{again: map[int]bool{}}
 	for _, name := range file.Work.Classes {
-		class, known := c.Names.Classes[name]
+		class, known := c.NameIndex.Classes[name]
 		if !known {
 			return nil, fmt.Errorf("fleet file %s: work.classes: the configuration does not know %q", os.Getenv(protocol.EnvFleet), name)
 		}
--- a/internal/cost/cost.go
+++ b/internal/cost/cost.go
@@ -9,7 +9,7 @@
 )
 
 // Used is what a process has used up.
-type Used struct {
+type Usage struct {
 	Allocations    uint64 // objects on the heap, the smallest included
 	AllocatedBytes uint64
 	Collections    uint32 // of garbage
@@ -21,10 +21,10 @@
 const form = "allocations=%d allocated_bytes=%d gc_cycles=%d user_us=%d system_us=%d"
 
 // Now asks for this process. It stops the world for some ten microseconds, so that the counts are exact.
-func Now() Used {
+func Read() Usage {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	u := Used{Allocations: m.Mallocs, AllocatedBytes: m.TotalAlloc, Collections: m.NumGC}
+	u := Usage{Allocations: m.Mallocs, AllocatedBytes: m.TotalAlloc, Collections: m.NumGC}
 	var r syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &r) == nil { // without it the times are 0
 		u.UserMicros, u.SystemMicros = r.Utime.Nano()/1e3, r.Stime.Nano()/1e3
@@ -32,28 +32,28 @@
 	return u
 }
 
-func (u Used) String() string {
+func (u Usage) String() string {
 	return fmt.Sprintf(form, u.Allocations, u.AllocatedBytes, u.Collections, u.UserMicros, u.SystemMicros)
 }
 
 // Parse reads what String wrote.
-func Parse(s string) (u Used, err error) {
+func Parse(s string) (u Usage, err error) {
 	_, err = fmt.Sscanf(s, form, &u.Allocations, &u.AllocatedBytes, &u.Collections, &u.UserMicros,
 		&u.SystemMicros)
 	if err != nil {
-		return Used{}, fmt.Errorf("cost %.80q: %w", s, err)
+		return Usage{}, fmt.Errorf("cost %.80q: %w", s, err)
 	}
 	return u, nil
 }
 
 // Since is what was used up after an earlier time.
-func (u Used) Since(old Used) Used {
-	return Used{u.Allocations - old.Allocations, u.AllocatedBytes - old.AllocatedBytes,
+func (u Usage) Sub(old Usage) Usage {
+	return Usage{u.Allocations - old.Allocations, u.AllocatedBytes - old.AllocatedBytes,
 		u.Collections - old.Collections, u.UserMicros - old.UserMicros, u.SystemMicros - old.SystemMicros}
 }
 
 // And adds what else was used up.
-func (u Used) And(more Used) Used {
-	return Used{u.Allocations + more.Allocations, u.AllocatedBytes + more.AllocatedBytes,
+func (u Usage) Add(more Usage) Usage {
+	return Usage{u.Allocations + more.Allocations, u.AllocatedBytes + more.AllocatedBytes,
 		u.Collections + more.Collections, u.UserMicros + more.UserMicros, u.SystemMicros + more.SystemMicros}
 }
--- a/internal/cost/cost_test.go
+++ b/internal/cost/cost_test.go
@@ -6,16 +6,16 @@
 
 // TestNow: what is allocated shows, the smallest objects as well, and the line brings it over whole.
 func TestNow(t *testing.T) {
-	before := Now()
+	before := Read()
 	const objects, size = 5000, 8
 	for range objects {
 		kept = append(kept, make([]byte, size))
 	}
-	after, err := Parse(Now().String())
+	after, err := Parse(Read().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := after.Since(before)
+	u := after.Sub(before)
 	if u.Allocations < objects || u.Allocations > objects+200 || u.AllocatedBytes < objects*size {
 		t.Errorf("%d objects of %d bytes: %+v", objects, size, u)
 	}
--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -57,14 +57,14 @@
 	encoded := messageJSON{
 		Format:         formatVersion,
 		Kind:           m.Kind,
-		ListVersion:    m.Version,
-		DiscoveryAddr:  m.Source,
+		ListVersion:    m.ListVersion,
+		DiscoveryAddr:  m.DiscoveryAddr,
 		Paused:         m.Paused,
-		WarmThroughput: m.Carried,
-		RequestNumber:  m.Number,
-		Command:        m.Word,
-		ServerID:       m.ID,
-		Error:          m.Fault,
+		WarmThroughput: m.WarmThroughput,
+		RequestNumber:  m.RequestNumber,
+		Command:        m.Command,
+		ServerID:       m.ServerID,
+		Error:          m.Error,
 	}
 	for _, record := range m.Servers {
 		encoded.Servers = append(encoded.Servers, encodeRecord(record))
@@ -85,15 +85,15 @@
 		return Message{}, fmt.Errorf("hand-over: form %d, this process knows %d", decoded.Format, formatVersion)
 	}
 	m := Message{
-		Kind:    decoded.Kind,
-		Version: decoded.ListVersion,
-		Source:  decoded.DiscoveryAddr,
-		Paused:  decoded.Paused,
-		Carried: decoded.WarmThroughput,
-		Number:  decoded.RequestNumber,
-		Word:    decoded.Command,
-		ID:      decoded.ServerID,
-		Fault:   decoded.Error,
+		Kind:           decoded.Kind,
+		ListVersion:    decoded.ListVersion,
+		DiscoveryAddr:  decoded.DiscoveryAddr,
+		Paused:         decoded.Paused,
+		WarmThroughput: decoded.WarmThroughput,
+		RequestNumber:  decoded.RequestNumber,
+		Command:        decoded.Command,
+		ServerID:       decoded.ServerID,
+		Error:          decoded.Error,
 	}
 	for _, record := range decoded.Servers {
 		m.Servers = append(m.Servers, decodeRecord(record))
--- a/internal/handover/codec_test.go
+++ b/internal/handover/codec_test.go
@@ -21,16 +21,16 @@
 		Weight: 1.5, State: balancer.Draining, Suspended: true}
 	ready := balancer.Server{ID: 7, Weight: 1, State: balancer.Ready}
 	want := []Message{
-		{Kind: State, Servers: []maintenance.Record{
+		{Kind: KindServers, Servers: []maintenance.Record{
 			{Name: "s-5be2a07c", Addr: "10.1.0.18:9000", Said: draining, Held: true,
 				Since: 1764745300000000000, NotBefore: 1764745400000000000},
 			{Name: "s-2", Addr: "10.1.0.19:9000", Said: ready},
 		}},
-		{Kind: Serve, Version: 41, Source: "10.2.0.1:8500", Paused: true, Carried: 12.5},
-		{Kind: Ready, Number: 1},
-		{Kind: Asked, Number: 2, Word: "SUSPEND", ID: "s-2"},
-		{Kind: Done, Number: 2, Fault: `no list has ever named server "s-2"`},
-		{Kind: Conn},
+		{Kind: KindListener, ListVersion: 41, DiscoveryAddr: "10.2.0.1:8500", Paused: true, WarmThroughput: 12.5},
+		{Kind: KindReady, RequestNumber: 1},
+		{Kind: KindCommand, RequestNumber: 2, Command: "SUSPEND", ServerID: "s-2"},
+		{Kind: KindResult, RequestNumber: 2, Error: `no list has ever named server "s-2"`},
+		{Kind: KindConnection},
 	}
 	lines := bytes.Split(bytes.TrimSuffix(stored, []byte("\n")), []byte("\n"))
 	if len(lines) != len(want) {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,8 +15,8 @@
 	"olivebridge/internal/maintenance"
 )
 
-func heritage(servers int) Heritage {
-	h := Heritage{Version: 41, Source: "d:1", Paused: true, Carried: 0.25}
+func heritage(servers int) NodeState {
+	h := NodeState{ListVersion: 41, DiscoveryAddr: "d:1", Paused: true, WarmThroughput: 0.25}
 	for i := range servers {
 		h.Servers = append(h.Servers, maintenance.Record{Name: fmt.Sprint("s-", strings.Repeat("x", 100), i), Addr: "127.0.0.1:9000",
 			Said: balancer.Server{ID: balancer.ServerID(i) << 50, Weight: 1.5, State: balancer.Draining, StartedAt: 1e18}, Held: i%2 == 0, Since: 3, NotBefore: 4})
@@ -33,22 +33,22 @@
 			t.Fatalf("%s: nobody there: %v, %v", name, l, err)
 		}
 		want, clients := heritage(1000), listen(t)
-		var seat *Seat
+		var seat *Listener
 		for range 2 { // what a dead process left stands in nobody's way
 			var err error
-			if seat, err = Take(path); err != nil {
+			if seat, err = Listen(path); err != nil {
 				t.Fatal(name, err)
 			}
 			seat.Close()
 		}
-		seat, _ = Take(path)
+		seat, _ = Listen(path)
 		go func() {
 			l, err := seat.Accept()
 			if err != nil {
 				return
 			}
 			for _, m := range want.Messages() {
-				if m.Kind == Serve {
+				if m.Kind == KindListener {
 					l.Send(m, clients.(*net.TCPListener))
 				} else {
 					l.Send(m, nil)
@@ -86,7 +86,7 @@
 		strings.Repeat("x", 60<<10): "invalid character",
 	} {
 		path := filepath.Join(t.TempDir(), "s")
-		seat, err := Take(path)
+		seat, err := Listen(path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -101,7 +101,7 @@
 		}
 		seat.Close()
 	}
-	if _, err := encode(Message{ID: strings.Repeat("x", maxMessageBytes)}); err == nil {
+	if _, err := encode(Message{ServerID: strings.Repeat("x", maxMessageBytes)}); err == nil {
 		t.Error("a message of any size goes out")
 	}
 }
@@ -110,7 +110,7 @@
 func linked(t *testing.T) (near, far *Link) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s")
-	seat, err := Take(path)
+	seat, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,9 +134,9 @@
 	answer := func(fault string) func(near, far *Link) {
 		return func(near, far *Link) {
 			m, _, _ := far.Receive()
-			far.Send(Message{Kind: Done, Number: m.Number, Fault: fault}, nil)
+			far.Send(Message{Kind: KindResult, RequestNumber: m.RequestNumber, Error: fault}, nil)
 			done, _, _ := near.Receive()
-			near.Answered(done)
+			near.Resolve(done)
 		}
 	}
 	for name, c := range map[string]struct {
@@ -151,7 +151,7 @@
 		"closed here":         {func(near, _ *Link) { near.Close() }, nil, "", true},
 		"ended in the middle": {nil, func(near, far *Link) { far.Receive(); near.Close() }, "", true},
 		"died with this unread": {func(near, far *Link) {
-			near.Send(Message{Kind: Conn}, nil)
+			near.Send(Message{Kind: KindConnection}, nil)
 			far.Close()
 		}, nil, "", true},
 	} {
@@ -162,8 +162,8 @@
 		if c.meanwhile != nil {
 			go c.meanwhile(near, far)
 		}
-		err := near.Ask(Message{Kind: Asked, Word: "PAUSE"})
-		if errors.Is(err, ErrEnded) != c.ended || !c.ended && (err == nil) != (c.want == "") ||
+		err := near.Request(Message{Kind: KindCommand, Command: "PAUSE"})
+		if errors.Is(err, ErrProcessEnded) != c.ended || !c.ended && (err == nil) != (c.want == "") ||
 			c.want != "" && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -177,7 +177,7 @@
 		t.Fatal(err)
 	}
 	foreign := filepath.Join(t.TempDir(), "s")
-	if seat, err := Take(foreign); err != nil {
+	if seat, err := Listen(foreign); err != nil {
 		t.Fatal(err)
 	} else {
 		seat.Close()
@@ -192,7 +192,7 @@
 		if path == foreign && chown != nil {
 			continue // nobody else's can be made here
 		}
-		if _, err := Take(path); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Listen(path); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: taking: %v", want, err)
 		}
 		if l, _, _, err := Join(path); l != nil || err == nil || !strings.Contains(err.Error(), want) {
@@ -205,16 +205,16 @@
 // first, and before the messages that wait.
 func TestLastWords(t *testing.T) {
 	near, far := linked(t)
-	near.Send(Message{Kind: Done}, nil)
+	near.Send(Message{Kind: KindResult}, nil)
 	for n := range uint64(3) {
-		if err := far.Send(Message{Kind: Conn, Number: n}, listen(t).(*net.TCPListener)); err != nil {
+		if err := far.Send(Message{Kind: KindConnection, RequestNumber: n}, listen(t).(*net.TCPListener)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	far.Close()
 	for n := range uint64(3) {
 		m, file, err := near.Receive()
-		if err != nil || file == nil || m.Number != n {
+		if err != nil || file == nil || m.RequestNumber != n {
 			t.Fatalf("message %d: %+v, %v", n, m, err)
 		}
 		file.Close()
@@ -229,13 +229,13 @@
 	near, far := linked(t)
 	ended := listen(t)
 	ended.Close()
-	if err := near.Send(Message{Kind: Conn, Number: 1}, ended.(*net.TCPListener)); !errors.Is(err, ErrGone) {
+	if err := near.Send(Message{Kind: KindConnection, RequestNumber: 1}, ended.(*net.TCPListener)); !errors.Is(err, ErrConnectionEnded) {
 		t.Errorf("closed: %v", err)
 	}
-	if err := near.Send(Message{Kind: Conn, Number: 2}, listen(t).(*net.TCPListener)); err != nil {
+	if err := near.Send(Message{Kind: KindConnection, RequestNumber: 2}, listen(t).(*net.TCPListener)); err != nil {
 		t.Error(err)
 	}
-	if m, file, err := far.Receive(); err != nil || m.Number != 2 || file == nil {
+	if m, file, err := far.Receive(); err != nil || m.RequestNumber != 2 || file == nil {
 		t.Errorf("received %+v, %v, %v", m, file, err)
 	} else {
 		file.Close()
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -37,10 +37,10 @@
 }
 
 // ErrEnded says that there is no other process any more.
-var ErrEnded = errors.New("hand-over: the node's other process has ended")
+var ErrProcessEnded = errors.New("hand-over: the node's other process has ended")
 
 // ErrGone says that a descriptor that was to be sent has none any more: its connection ended meanwhile. The link is whole.
-var ErrGone = errors.New("hand-over: the connection has ended")
+var ErrConnectionEnded = errors.New("hand-over: the connection has ended")
 
 func newLink(conn *net.UnixConn) *Link {
 	return &Link{conn: conn, calls: map[uint64]chan string{}, ended: make(chan struct{})}
@@ -62,32 +62,32 @@
 
 // Join asks the process in service for the node. A nil link without an error:
 // there is none.
-func Join(path string) (*Link, Heritage, net.Listener, error) {
+func Join(path string) (*Link, NodeState, net.Listener, error) {
 	addr, done, err := address(path)
 	if err != nil {
-		return nil, Heritage{}, nil, err
+		return nil, NodeState{}, nil, err
 	}
 	defer done()
 	if err := ours(path); err != nil {
-		return nil, Heritage{}, nil, err
+		return nil, NodeState{}, nil, err
 	}
 	conn, err := net.DialUnix("unixpacket", nil, addr)
 	switch {
 	case errors.Is(err, syscall.ENOENT), errors.Is(err, syscall.ECONNREFUSED): // what a dead process left
-		return nil, Heritage{}, nil, nil
+		return nil, NodeState{}, nil, nil
 	case err != nil:
-		return nil, Heritage{}, nil, fmt.Errorf("hand-over: %w", err)
+		return nil, NodeState{}, nil, fmt.Errorf("hand-over: %w", err)
 	}
 	l := newLink(conn)
 	h, listener, err := l.inherit()
 	if err != nil {
 		l.Close()
-		return nil, Heritage{}, nil, err
+		return nil, NodeState{}, nil, err
 	}
 	return l, h, listener, nil
 }
 
-func (l *Link) inherit() (h Heritage, listener net.Listener, err error) {
+func (l *Link) inherit() (h NodeState, listener net.Listener, err error) {
 	l.conn.SetReadDeadline(time.Now().Add(joinTimeout))
 	defer l.conn.SetReadDeadline(time.Time{})
 	for last := false; !last; {
@@ -152,12 +152,12 @@
 	}
 	raw, err := with.SyscallConn()
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrGone, err)
+		return fmt.Errorf("%w: %w", ErrConnectionEnded, err)
 	}
 	var sent error
 	// File would turn the descriptor blocking, for both processes; within Control it stays open.
 	if err = raw.Control(func(fd uintptr) { _, _, sent = l.conn.WriteMsgUnix(data, syscall.UnixRights(int(fd)), nil) }); err != nil {
-		return fmt.Errorf("%w: %w", ErrGone, err)
+		return fmt.Errorf("%w: %w", ErrConnectionEnded, err)
 	}
 	return sent
 }
@@ -199,7 +199,7 @@
 
 // Ask has the other process do what a message says, and waits until that holds
 // there; with ErrEnded nobody is left for whom it would have to.
-func (l *Link) Ask(m Message) error {
+func (l *Link) Request(m Message) error {
 	done := make(chan string, 1)
 	l.mu.Lock()
 	l.last++
@@ -211,11 +211,11 @@
 		defer l.mu.Unlock()
 		delete(l.calls, number)
 	}()
-	m.Number = number
+	m.RequestNumber = number
 	switch err := l.Send(m, nil); {
 	case errors.Is(err, syscall.EPIPE), errors.Is(err, net.ErrClosed),
 		errors.Is(err, syscall.ECONNRESET): // it died with something of this process's unread
-		return ErrEnded
+		return ErrProcessEnded
 	case err != nil:
 		return fmt.Errorf("hand-over: %w", err)
 	}
@@ -226,27 +226,27 @@
 		}
 		return nil
 	case <-l.ended:
-		return ErrEnded
+		return ErrProcessEnded
 	case <-time.After(callTimeout):
 		return errors.New("hand-over: the node's other process does not answer")
 	}
 }
 
 // Answered takes a Done message to whoever waits for it.
-func (l *Link) Answered(m Message) {
+func (l *Link) Resolve(m Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if done := l.calls[m.Number]; done != nil {
-		done <- m.Fault
-		delete(l.calls, m.Number)
+	if done := l.calls[m.RequestNumber]; done != nil {
+		done <- m.Error
+		delete(l.calls, m.RequestNumber)
 	}
 }
 
 // Seat is where a successor finds the process in service.
-type Seat struct{ l *net.UnixListener }
+type Listener struct{ l *net.UnixListener }
 
 // Take listens at a path, in place of whoever did before.
-func Take(path string) (*Seat, error) {
+func Listen(path string) (*Listener, error) {
 	addr, done, err := address(path)
 	if err != nil {
 		return nil, err
@@ -267,11 +267,11 @@
 		l.Close()
 		return nil, fmt.Errorf("hand-over: %w", err)
 	}
-	return &Seat{l}, nil
+	return &Listener{l}, nil
 }
 
 // Accept waits for a successor.
-func (s *Seat) Accept() (*Link, error) {
+func (s *Listener) Accept() (*Link, error) {
 	conn, err := s.l.AcceptUnix()
 	if err != nil {
 		return nil, err
@@ -280,4 +280,4 @@
 }
 
 // Close leaves the seat.
-func (s *Seat) Close() { s.l.Close() }
+func (s *Listener) Close() { s.l.Close() }
--- a/internal/lab/fleet/takeover.go
+++ b/internal/lab/fleet/takeover.go
@@ -176,8 +176,8 @@
 		return 0, "", "", 0, err
 	}
 	r.ContentLength = int64(len("pay " + key)) // a body that cannot be read again: net/http asks once
-	for name, v := range map[string]string{protocol.HeaderID: fmt.Sprintf("%s.%d", key, times), protocol.HeaderClass: workClass,
-		protocol.HeaderCaller: "acme", protocol.HeaderBudget: "1.5", "Idempotency-Key": key} {
+	for name, v := range map[string]string{protocol.HeaderCallID: fmt.Sprintf("%s.%d", key, times), protocol.HeaderClass: workClass,
+		protocol.HeaderTenant: "acme", protocol.HeaderTimeout: "1.5", "Idempotency-Key": key} {
 		r.Header.Set(name, v)
 	}
 	resp, err := client.Do(r)
--- a/internal/lab/path/child.go
+++ b/internal/lab/path/child.go
@@ -130,13 +130,13 @@
 var counted = regexp.MustCompile(`msg=counters when=asked process="([^"]*)"`)
 
 // cost asks the child what it has used up.
-func (c *child) cost() (cost.Used, error) {
+func (c *child) cost() (cost.Usage, error) {
 	if err := c.cmd.Process.Signal(syscall.SIGUSR1); err != nil {
-		return cost.Used{}, fmt.Errorf("asking %s for its counters: %w", filepath.Base(c.cmd.Path), err)
+		return cost.Usage{}, fmt.Errorf("asking %s for its counters: %w", filepath.Base(c.cmd.Path), err)
 	}
 	m, err := c.until(counted)
 	if err != nil {
-		return cost.Used{}, err
+		return cost.Usage{}, err
 	}
 	return cost.Parse(m[1])
 }
--- a/internal/lab/path/discovery.go
+++ b/internal/lab/path/discovery.go
@@ -38,7 +38,7 @@
 	life, stop := context.WithCancel(context.Background())
 	list := group(addresses)
 	mux := http.NewServeMux()
-	mux.HandleFunc(protocol.PathGroup, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc(protocol.PathEndpoints, func(w http.ResponseWriter, r *http.Request) {
 		if r.FormValue("after") == "" {
 			io.WriteString(w, list)
 			return
--- a/internal/lab/path/lane.go
+++ b/internal/lab/path/lane.go
@@ -13,7 +13,7 @@
 	child  *child
 	driver *driver
 	peers  *peers
-	asking cost.Used // what it costs to ask for the cost
+	asking cost.Usage // what it costs to ask for the cost
 
 	slices []slice
 }
@@ -26,7 +26,7 @@
 type slice struct {
 	requests int
 	took     time.Duration
-	used     cost.Used
+	used     cost.Usage
 	proc     procFigures
 }
 
@@ -43,8 +43,8 @@
 	if err != nil {
 		return err
 	}
-	asking := second.Since(first)
-	a.asking = cost.Used{Allocations: asking.Allocations, AllocatedBytes: asking.AllocatedBytes}
+	asking := second.Sub(first)
+	a.asking = cost.Usage{Allocations: asking.Allocations, AllocatedBytes: asking.AllocatedBytes}
 	return nil
 }
 
@@ -87,7 +87,7 @@
 	if err != nil {
 		return s, err
 	}
-	s.used = usedNow.Since(used).Since(a.asking)
+	s.used = usedNow.Sub(used).Sub(a.asking)
 	s.proc = s.proc.and(procNow, proc)
 	return s, nil
 }
@@ -97,12 +97,12 @@
 func (a *lane) process() Process {
 	var n, micros float64
 	var took time.Duration
-	var used cost.Used
+	var used cost.Usage
 	var proc procFigures
 	for _, s := range a.slices {
 		n += float64(s.requests)
 		took += s.took
-		used = used.And(s.used)
+		used = used.Add(s.used)
 		proc = proc.and(s.proc, procFigures{})
 	}
 	micros = float64(used.UserMicros + used.SystemMicros)
--- a/internal/lab/path/load.go
+++ b/internal/lab/path/load.go
@@ -50,10 +50,10 @@
 		target = targetLarge
 	}
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: api.internal\r\n%s: ", method, target, protocol.HeaderID)
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: api.internal\r\n%s: ", method, target, protocol.HeaderCallID)
 	id = b.Len()
 	fmt.Fprintf(&b, "%0*d\r\n%s: %s\r\n%s: acme\r\n%s: 8.000\r\n", idDigits, 0, protocol.HeaderClass, l.class,
-		protocol.HeaderCaller, protocol.HeaderBudget)
+		protocol.HeaderTenant, protocol.HeaderTimeout)
 	if l.body > 0 {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", l.body)
 	}
--- a/internal/lab/path/proxy.go
+++ b/internal/lab/path/proxy.go
@@ -45,7 +45,7 @@
 		for {
 			select {
 			case <-asked:
-				fmt.Fprintf(out, "msg=counters when=asked process=%q\n", cost.Now())
+				fmt.Fprintf(out, "msg=counters when=asked process=%q\n", cost.Read())
 			case <-ctx.Done():
 				server.Close()
 				return
--- a/internal/lab/stage/node.go
+++ b/internal/lab/stage/node.go
@@ -99,14 +99,14 @@
 		return nil, err
 	}
 	l.config = c
-	return node.Start(c, node.Parts{
+	return node.Start(c, node.Options{
 		Listen: func(addr string) (net.Listener, error) {
 			l, err := listen(addr)
 			return pace{l}, err
 		},
 		Dial: dial, Log: log,
-		Wrap:   func(c routing.Carrier) routing.Carrier { return spread{c, i.run.places} },
-		Follow: func(w routing.Watcher) routing.Watcher { return lag{w} },
+		WrapCarrier: func(c routing.Carrier) routing.Carrier { return spread{c, i.run.places} },
+		WrapWatcher: func(w routing.Watcher) routing.Watcher { return lag{w} },
 	})
 }
 
@@ -226,7 +226,7 @@
 func (i *instance) rest(listed int) (string, error) {
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
-	r, err := i.live.node.Rest(ctx)
+	r, err := i.live.node.Resources(ctx)
 	if err != nil {
 		return "", err
 	}
@@ -235,8 +235,8 @@
 		what      string
 		n, atMost int
 	}{
-		{"open calls", r.Calls, 0}, {"names of calls", r.Names, 0}, {"tries", r.Tries, 0},
-		{"client connections", r.ClientConns, 0}, {"connections to peers", r.PeerConns, listed}, {"peers", r.Peers, listed}, // one each stays busy with probes
+		{"open calls", r.OpenCalls, 0}, {"names of calls", r.CallIDs, 0}, {"tries", r.Attempts, 0},
+		{"client connections", r.ClientConns, 0}, {"connections to peers", r.ServerConns, listed}, {"peers", r.Servers, listed}, // one each stays busy with probes
 	} {
 		if h.n > h.atMost {
 			held = append(held, fmt.Errorf("%d %s", h.n, h.what))
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -46,11 +46,11 @@
 // benchNode starts a node that twelve peers stand behind, which answer so many bytes at once.
 func benchNode(b *testing.B, answer int) (addr string) {
 	c := config()
-	c.Listen, c.Sockets, c.Known.Entries = "127.0.0.1:0", 1024, nil
+	c.Listen, c.Sockets, c.KnownEndpoints.Entries = "127.0.0.1:0", 1024, nil
 	class := c.Settings.Classes[0]
 	class.Idempotency = balancer.Idempotent
 	c.Settings.Classes = append(c.Settings.Classes, class)
-	c.Names = protocol.Names{Classes: map[string]int{"book": 0, "look": 1}, Methods: []string{"POST", "GET"}}
+	c.NameIndex = protocol.NameIndex{Classes: map[string]int{"book": 0, "look": 1}, Methods: []string{"POST", "GET"}}
 	whole := []byte("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Cache: hit\r\nContent-Length: " +
 		strconv.Itoa(answer) + "\r\n\r\n" + strings.Repeat("x", answer))
 	for i := range 12 {
@@ -64,12 +64,12 @@
 				go benchPeer(conn, whole)
 			}
 		}()
-		c.Known.Entries = append(c.Known.Entries, routing.Entry{Name: fmt.Sprint("s-", i), Addr: l.Addr().String(),
+		c.KnownEndpoints.Entries = append(c.KnownEndpoints.Entries, routing.Entry{Name: fmt.Sprint("s-", i), Addr: l.Addr().String(),
 			Server: balancer.Server{ID: balancer.ServerID(i + 1), Weight: 1, State: balancer.Ready}})
 	}
 	l := benchListener(b)
-	n, err := Start(c, Parts{Listen: func(string) (net.Listener, error) { return l, nil },
-		Follow: func(routing.Watcher) routing.Watcher { return unchanged{} }})
+	n, err := Start(c, Options{Listen: func(string) (net.Listener, error) { return l, nil },
+		WrapWatcher: func(routing.Watcher) routing.Watcher { return unchanged{} }})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -28,7 +28,7 @@
 	Keeper() transport.Keeper
 	// Operate gives the fleet the node's desk, before there are clients; only where operators have a door. Do carries out an
 	// operator's call that is for the whole fleet.
-	Operate(FleetDesk)
+	Operate(ServerControl)
 	Do(words []string) (string, error)
 	// Chooser says with which servers of a large group this node works; nil: with all.
 	Chooser() routing.Chooser
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -24,12 +24,12 @@
 // successor, each for as long as it lives.
 type company struct {
 	mu          sync.Mutex
-	seat        *handover.Seat // where a successor finds this process; nil: it has one, or can have none
-	predecessor *handover.Link // nil: none
-	successor   *handover.Link // nil: none
-	over        bool           // this process ends
-	took        bool           // the successor takes clients
-	calls       sync.Mutex     // one operator's call at a time, so that both processes see them in one order
+	seat        *handover.Listener // where a successor finds this process; nil: it has one, or can have none
+	predecessor *handover.Link     // nil: none
+	successor   *handover.Link     // nil: none
+	over        bool               // this process ends
+	took        bool               // the successor takes clients
+	calls       sync.Mutex         // one operator's call at a time, so that both processes see them in one order
 	running     sync.WaitGroup
 }
 
@@ -49,10 +49,10 @@
 // inherit takes over from the process in service, if there is one. Whatever
 // fails there is logged, and the node starts as if it were alone.
 func (n *Node) inherit() (listener net.Listener, paused bool) {
-	if n.parts.Seat == "" || n.servers == nil {
+	if n.parts.HandoverPath == "" || n.servers == nil {
 		return nil, false
 	}
-	link, h, listener, err := handover.Join(n.parts.Seat)
+	link, h, listener, err := handover.Join(n.parts.HandoverPath)
 	if err == nil && link != nil && !serves(listener, n.config.Listen) {
 		err = fmt.Errorf("the process in service listens on %s, and this one is told %s", listener.Addr(), n.config.Listen)
 		listener.Close()
@@ -71,13 +71,13 @@
 		known.Entries = append(known.Entries, routing.Entry{Server: r.Said, Name: r.Name, Addr: r.Addr})
 	}
 	if len(known.Entries) > 0 {
-		n.config.Known, n.config.KnownVersion = known, -1
-		if h.Source == n.config.Discovery {
-			n.config.KnownVersion = h.Version
+		n.config.KnownEndpoints, n.config.KnownEndpointsVersion = known, -1
+		if h.DiscoveryAddr == n.config.Discovery {
+			n.config.KnownEndpointsVersion = h.ListVersion
 		}
 	}
-	n.config.Settings.WarmThroughput = h.Carried
-	n.log.Info("taking over", "servers", len(h.Servers), "version", n.config.KnownVersion, "paused", h.Paused)
+	n.config.Settings.WarmThroughput = h.WarmThroughput
+	n.log.Info("taking over", "servers", len(h.Servers), "version", n.config.KnownEndpointsVersion, "paused", h.Paused)
 	return listener, h.Paused
 }
 
@@ -91,13 +91,13 @@
 // settle tells the process before this one that clients are served here, and
 // makes this one the one that a successor asks.
 func (n *Node) settle() {
-	if n.parts.Seat == "" || n.servers == nil {
+	if n.parts.HandoverPath == "" || n.servers == nil {
 		return
 	}
 	c := &n.company
 	if l := c.predecessor; l != nil {
 		c.running.Go(func() { n.converse(l) })
-		if err := l.Ask(handover.Message{Kind: handover.Ready}); err != nil {
+		if err := l.Request(handover.Message{Kind: handover.KindReady}); err != nil {
 			n.log.Warn("hand-over failed", "reason", err.Error())
 		}
 	}
@@ -106,7 +106,7 @@
 
 // sit waits for a successor.
 func (n *Node) sit() {
-	seat, err := handover.Take(n.parts.Seat)
+	seat, err := handover.Listen(n.parts.HandoverPath)
 	if err != nil {
 		n.log.Warn("no hand-over to a successor", "reason", err.Error())
 		return
@@ -141,20 +141,20 @@
 	c := &n.company
 	c.calls.Lock()
 	defer c.calls.Unlock()
-	var h handover.Heritage
-	h.Servers, h.Version = n.servers.Export()
+	var h handover.NodeState
+	h.Servers, h.ListVersion = n.servers.Export()
 	h.Paused = n.front.Paused()
 	ctx, stop := context.WithTimeout(context.Background(), heritageTimeout)
 	defer stop()
 	if learnt, err := n.router.Rest(ctx); err == nil { // else the successor learns it anew
-		h.Carried = learnt.Carried
+		h.WarmThroughput = learnt.Carried
 	}
 	n.mu.Lock()
-	h.Source = n.config.Discovery
+	h.DiscoveryAddr = n.config.Discovery
 	n.mu.Unlock()
 	for _, m := range h.Messages() {
 		var with syscall.Conn
-		if m.Kind == handover.Serve {
+		if m.Kind == handover.KindListener {
 			with, _ = n.listener.(syscall.Conn)
 		}
 		if err := l.Send(m, with); err != nil {
@@ -192,26 +192,26 @@
 		}
 	}()
 	switch m.Kind {
-	case handover.Ready:
+	case handover.KindReady:
 		n.company.mu.Lock()
 		n.company.took = l == n.company.successor
 		n.company.mu.Unlock()
 		n.log.Info("successor takes clients")
 		n.yield()
-		l.Send(handover.Message{Kind: handover.Done, Number: m.Number}, nil)
-	case handover.Asked:
-		if m.ID != "" { // it was listed there, if not here
-			n.router.Know(m.ID)
+		l.Send(handover.Message{Kind: handover.KindResult, RequestNumber: m.RequestNumber}, nil)
+	case handover.KindCommand:
+		if m.ServerID != "" { // it was listed there, if not here
+			n.router.Know(m.ServerID)
 		}
-		_, err := n.apply(admin.Call{Word: m.Word, ID: m.ID}, l)
-		done := handover.Message{Kind: handover.Done, Number: m.Number}
+		_, err := n.apply(admin.Call{Word: m.Command, ID: m.ServerID}, l)
+		done := handover.Message{Kind: handover.KindResult, RequestNumber: m.RequestNumber}
 		if err != nil {
-			done.Fault = err.Error()
+			done.Error = err.Error()
 		}
 		l.Send(done, nil) // if it fails, so does the next Receive
-	case handover.Done:
-		l.Answered(m)
-	case handover.Conn:
+	case handover.KindResult:
+		l.Resolve(m)
+	case handover.KindConnection:
 		if file == nil {
 			return
 		}
@@ -304,8 +304,8 @@
 		if l == nil || l == from {
 			continue
 		}
-		err := l.Ask(handover.Message{Kind: handover.Asked, Word: call.Word, ID: call.ID})
-		if err != nil && !errors.Is(err, handover.ErrEnded) {
+		err := l.Request(handover.Message{Kind: handover.KindCommand, Command: call.Word, ServerID: call.ID})
+		if err != nil && !errors.Is(err, handover.ErrProcessEnded) {
 			return "", fmt.Errorf("it holds in this process alone, call again: %w", err)
 		}
 	}
@@ -316,12 +316,12 @@
 func (n *Node) bound() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	part := handover.Part(n.company.processes())
+	part := handover.ResourceShare(n.company.processes())
 	n.carrier.Configure(n.carrierConfig(n.config, part))
 	n.front.Bound(clientBounds(n.config, part))
 	n.boundDoor(n.config, part)
-	if n.parts.Limit != nil {
-		n.parts.Limit(n.config, part)
+	if n.parts.ApplyLimits != nil {
+		n.parts.ApplyLimits(n.config, part)
 	}
 }
 
@@ -334,8 +334,8 @@
 		if err := failed.Load(); err != nil {
 			return *err
 		}
-		err := l.Send(handover.Message{Kind: handover.Conn}, conn)
-		if err != nil && !errors.Is(err, handover.ErrGone) {
+		err := l.Send(handover.Message{Kind: handover.KindConnection}, conn)
+		if err != nil && !errors.Is(err, handover.ErrConnectionEnded) {
 			failed.Store(&err)
 		}
 		return err
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -13,7 +13,7 @@
 // one for each connection: the planned end has only a few seconds.
 func TestGiveUpOnAHangingSuccessor(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	seat, err := handover.Take(path)
+	seat, err := handover.Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -36,7 +36,7 @@
 }
 
 func (n *Node) carrierConfig(c *protocol.Config, part float64) transport.CarrierConfig {
-	return transport.CarrierConfig{ConnectTimeout: c.ConnectTimeout, IdleClose: c.IdleClose,
+	return transport.CarrierConfig{ConnectTimeout: c.ConnectTimeout, IdleClose: c.IdleTimeout,
 		DrainGrace: c.Settings.DrainGrace, MaxConns: share(c, part).side,
 		Dial: n.parts.Dial, Log: n.log}
 }
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -17,7 +17,7 @@
 			if sockets/processes < 56 {
 				continue // the least that one process can do with: docs/DESIGN.md
 			}
-			part := handover.Part(processes)
+			part := handover.ResourceShare(processes)
 			c := &protocol.Config{Sockets: sockets}
 			s, clients, peers := share(c, part), clientBounds(c, part), (&Node{}).carrierConfig(c, part).MaxConns
 			all := ownDescriptors + s.discovery + s.callers + clients.Crowd + clients.Open + peers
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -22,20 +22,20 @@
 
 // Parts are what an instance stands on. The zero value is a node on TCP that
 // logs nothing.
-type Parts struct {
-	Listen func(addr string) (net.Listener, error)                  // nil: TCP
-	Dial   func(ctx context.Context, addr string) (net.Conn, error) // nil: TCP
-	Wrap   func(routing.Carrier) routing.Carrier                    // around the node's own; nil: nothing
-	Follow func(routing.Watcher) routing.Watcher                    // around each watch; nil: nothing
-	Log    *slog.Logger                                             // must not block; nil: none
-	Seat   string                                                   // path at which processes of this node find each other; "": they do not
-	Limit  func(c *protocol.Config, part float64)                   // keeps the process to its part; nil: nothing to keep
-	Fleet  Fleet                                                    // the node's place among others; nil: it has none
+type Options struct {
+	Listen       func(addr string) (net.Listener, error)                  // nil: TCP
+	Dial         func(ctx context.Context, addr string) (net.Conn, error) // nil: TCP
+	WrapCarrier  func(routing.Carrier) routing.Carrier                    // around the node's own; nil: nothing
+	WrapWatcher  func(routing.Watcher) routing.Watcher                    // around each watch; nil: nothing
+	Log          *slog.Logger                                             // must not block; nil: none
+	HandoverPath string                                                   // path at which processes of this node find each other; "": they do not
+	ApplyLimits  func(c *protocol.Config, part float64)                   // keeps the process to its part; nil: nothing to keep
+	Fleet        Fleet                                                    // the node's place among others; nil: it has none
 }
 
 // Node is a running instance.
 type Node struct {
-	parts    Parts
+	parts    Options
 	log      *slog.Logger
 	carrier  *transport.Carrier
 	router   *routing.Router
@@ -55,7 +55,7 @@
 
 // Start listens and begins to serve. Connections that it is given must be
 // transport.Conns, or TCP's.
-func Start(c *protocol.Config, p Parts) (*Node, error) {
+func Start(c *protocol.Config, p Options) (*Node, error) {
 	listen := p.Listen
 	if listen == nil {
 		listen = func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
@@ -65,9 +65,9 @@
 		n.log = slog.New(slog.DiscardHandler)
 	}
 	operators := &desk{}
-	if c.Admin != "" {
+	if c.AdminListen != "" {
 		n.servers = maintenance.New()
-		if err := n.openDoor(c.Admin, listen, operators); err != nil {
+		if err := n.openDoor(c.AdminListen, listen, operators); err != nil {
 			return nil, err
 		}
 	}
@@ -80,16 +80,16 @@
 		}
 	}
 	n.listener = listener
-	part := handover.Part(n.company.processes())
-	if p.Limit != nil {
-		p.Limit(c, part)
+	part := handover.ResourceShare(n.company.processes())
+	if p.ApplyLimits != nil {
+		p.ApplyLimits(c, part)
 	}
 	n.boundDoor(c, part)
-	c.Known.Version = c.KnownVersion
+	c.KnownEndpoints.Version = c.KnownEndpointsVersion
 	n.carrier = transport.NewCarrier(n.carrierConfig(c, part))
 	carrier := routing.Carrier(n.carrier)
-	if p.Wrap != nil {
-		carrier = p.Wrap(carrier)
+	if p.WrapCarrier != nil {
+		carrier = p.WrapCarrier(carrier)
 	}
 	var gate routing.Gate
 	var chooser routing.Chooser
@@ -97,11 +97,11 @@
 		gate, chooser = p.Fleet.Gate(), p.Fleet.Chooser()
 	}
 	n.router = routing.New(routing.Config{
-		Gate: gate, Chooser: chooser, Settings: c.Settings, Seed: c.Seed, Known: c.Known, Carrier: carrier,
-		Watcher: n.newWatch(c, c.KnownVersion), Servers: n.servers,
+		Gate: gate, Chooser: chooser, Settings: c.Settings, Seed: c.Seed, Known: c.KnownEndpoints, Carrier: carrier,
+		Watcher: n.newWatch(c, c.KnownEndpointsVersion), Servers: n.servers,
 		Log: n.log,
 	})
-	n.front = transport.NewFront(listener, c.Names, n.router, clientBounds(c, part), n.log)
+	n.front = transport.NewFront(listener, c.NameIndex, n.router, clientBounds(c, part), n.log)
 	if p.Fleet != nil {
 		if keeper := p.Fleet.Keeper(); keeper != nil {
 			n.front.Keep(keeper)
@@ -122,9 +122,9 @@
 		return nil, err
 	}
 	operators.node.Store(n)
-	n.log.Info("started", "name", c.Name, "listen", listener.Addr().String(), "peers", len(c.Known.Entries),
-		"version", c.KnownVersion,
-		"cores", c.Cores, "memory_mb", c.MemoryMB, "sockets", c.Sockets, "admin", c.Admin)
+	n.log.Info("started", "name", c.Name, "listen", listener.Addr().String(), "peers", len(c.KnownEndpoints.Entries),
+		"version", c.KnownEndpointsVersion,
+		"cores", c.Cores, "memory_mb", c.MemoryMB, "sockets", c.Sockets, "admin", c.AdminListen)
 	return n, nil
 }
 
@@ -192,15 +192,15 @@
 		n.router.Follow(n.newWatch(c, -1))
 	}
 	n.router.Set(c.Settings)
-	n.front.Learn(c.Names) // a class whose effect has changed goes by another method
+	n.front.Learn(c.NameIndex) // a class whose effect has changed goes by another method
 	n.bound()
 	n.log.Info("reloaded", "discovery", c.Discovery)
 }
 
 func (n *Node) newWatch(c *protocol.Config, version int64) routing.Watcher {
-	w := transport.NewWatch(c.Discovery, c.Names, version, n.parts.Dial, n.log).Among(c.Settings.Nodes, c.Seed)
-	if n.parts.Follow == nil {
+	w := transport.NewWatch(c.Discovery, c.NameIndex, version, n.parts.Dial, n.log).Among(c.Settings.Nodes, c.Seed)
+	if n.parts.WrapWatcher == nil {
 		return w
 	}
-	return n.parts.Follow(w)
+	return n.parts.WrapWatcher(w)
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -27,9 +27,9 @@
 			MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: time.Second, CancelAttempts: true, DrainGrace: time.Second, PollDiscovery: true,
 			PollInterval: time.Second, HealthChecks: true,
 		},
-		Names:          protocol.Names{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
-		ConnectTimeout: 75 * time.Millisecond, IdleClose: 10 * time.Second, LongestDeadline: 2 * time.Second,
-		Known: routing.Group{Entries: []routing.Entry{entry}}, KnownVersion: 4,
+		NameIndex:      protocol.NameIndex{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
+		ConnectTimeout: 75 * time.Millisecond, IdleTimeout: 10 * time.Second, LongestDeadline: 2 * time.Second,
+		KnownEndpoints: routing.Group{Entries: []routing.Entry{entry}}, KnownEndpointsVersion: 4,
 	}
 }
 
@@ -90,14 +90,14 @@
 				case <-r.Context().Done():
 				}
 			}
-			io.WriteString(w, r.Header.Get(protocol.HeaderID))
+			io.WriteString(w, r.Header.Get(protocol.HeaderCallID))
 		})
 		s.client = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
 			return s.memory.dial(ctx, addr)
 		}}}
 		var err error
-		s.Node, err = Start(config(), Parts{Listen: s.memory.listen, Dial: s.memory.dial,
-			Wrap: func(c routing.Carrier) routing.Carrier { return wrapped{c, s.tries} }})
+		s.Node, err = Start(config(), Options{Listen: s.memory.listen, Dial: s.memory.dial,
+			WrapCarrier: func(c routing.Carrier) routing.Carrier { return wrapped{c, s.tries} }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -107,7 +107,7 @@
 		if n := s.memory.open(); n > 0 {
 			t.Errorf("%d ends of connections are left open", n)
 		}
-		if _, err := s.Rest(t.Context()); err == nil {
+		if _, err := s.Resources(t.Context()); err == nil {
 			t.Error("the decisions go on")
 		}
 	})
@@ -140,11 +140,11 @@
 		if try := <-s.tries; try.Call != 1 || try.Attempt != 0 {
 			t.Errorf("call %d, attempt %d", try.Call, try.Attempt)
 		}
-		if r, err := s.Rest(t.Context()); err != nil || r != (Rest{Peers: 1, Timers: 1, Watch: true, ClientConns: 1, PeerConns: 1}) {
+		if r, err := s.Resources(t.Context()); err != nil || r != (Resources{Servers: 1, Timers: 1, Watching: true, ClientConns: 1, ServerConns: 1}) {
 			t.Errorf("at rest: %+v, %v", r, err)
 		}
 		safe := config() // its only class, that is
-		safe.Names.Methods = []string{"GET"}
+		safe.NameIndex.Methods = []string{"GET"}
 		s.Reload(safe)
 		if status, _ := s.ask("/api"); status != 405 {
 			t.Errorf("a POST of a class that is safe by now: %d", status)
@@ -153,7 +153,7 @@
 		moved.Discovery = "discovery:2"
 		s.Reload(moved)
 		for uri := range s.asked {
-			if uri == "discovery:2"+protocol.PathGroup {
+			if uri == "discovery:2"+protocol.PathEndpoints {
 				break
 			}
 		}
@@ -163,7 +163,7 @@
 			status <- got
 		}()
 		<-s.arrived
-		if r, err := s.Rest(t.Context()); err != nil || r.Calls != 1 || r.Names != 1 || r.Tries != 1 {
+		if r, err := s.Resources(t.Context()); err != nil || r.OpenCalls != 1 || r.CallIDs != 1 || r.Attempts != 1 {
 			t.Errorf("with one call open: %+v, %v", r, err)
 		}
 		drained := make(chan bool)
--- a/internal/node/refused_test.go
+++ b/internal/node/refused_test.go
@@ -26,7 +26,7 @@
 		defer server.Close()
 		c := config()
 		c.Settings.Nodes, c.Settings.PollInterval, c.Settings.HealthChecks = 300, 10*time.Second, false
-		n, err := Start(c, Parts{Listen: m.listen, Dial: m.dial})
+		n, err := Start(c, Options{Listen: m.listen, Dial: m.dial})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/rest.go
+++ b/internal/node/rest.go
@@ -3,27 +3,27 @@
 import "context"
 
 // Rest is what a node holds at one moment.
-type Rest struct {
-	Calls       int  // in the table
-	Names       int  // of the open calls
-	Tries       int  // whose outcome is not in
-	Peers       int  // known
+type Resources struct {
+	OpenCalls   int  // in the table
+	CallIDs     int  // of the open calls
+	Attempts    int  // whose outcome is not in
+	Servers     int  // known
 	Timers      int  // of the decisions
-	Watch       bool // one runs
+	Watching    bool // one runs
 	ClientConns int
-	PeerConns   int // idle ones, and those being opened, included
+	ServerConns int // idle ones, and those being opened, included
 }
 
 // Rest asks the decision goroutine what it holds, between two events. It fails
 // when ctx ends first, or the decisions have ended.
-func (n *Node) Rest(ctx context.Context) (Rest, error) {
+func (n *Node) Resources(ctx context.Context) (Resources, error) {
 	r, err := n.router.Rest(ctx)
 	if err != nil {
-		return Rest{}, err
+		return Resources{}, err
 	}
-	return Rest{
-		Calls: r.Calls, Names: r.Names, Tries: r.Tries, Peers: r.Peers, Timers: r.Timers, Watch: r.Watch,
-		ClientConns: n.front.Conns(), PeerConns: n.carrier.Conns(),
+	return Resources{
+		OpenCalls: r.Calls, CallIDs: r.Names, Attempts: r.Tries, Servers: r.Peers, Timers: r.Timers, Watching: r.Watch,
+		ClientConns: n.front.Conns(), ServerConns: n.carrier.Conns(),
 	}, nil
 }
 
--- a/internal/node/rounds.go
+++ b/internal/node/rounds.go
@@ -5,32 +5,32 @@
 )
 
 // FleetDesk is what a fleet does with this node's servers on operators' word, in all processes of the node.
-type FleetDesk struct{ n *Node }
+type ServerControl struct{ n *Node }
 
 // Suspend keeps a server out of use, also one that no list has named yet.
-func (d FleetDesk) Suspend(server string) error {
+func (d ServerControl) Suspend(server string) error {
 	d.n.router.Know(server)
 	_, err := d.n.both(admin.Call{Word: admin.Suspend, ID: server})
 	return err
 }
 
 // Restore puts it back.
-func (d FleetDesk) Restore(server string) error {
+func (d ServerControl) Restore(server string) error {
 	_, err := d.n.both(admin.Call{Word: admin.Restore, ID: server})
 	return err
 }
 
 // Suspended are those that are out at this node, for whatever reason.
-func (d FleetDesk) Suspended() []string { return d.n.servers.Suspended() }
+func (d ServerControl) Suspended() []string { return d.n.servers.Suspended() }
 
 // Busy is how many tries this process has open at a server.
-func (d FleetDesk) Busy(server string) int { return d.n.router.Busy(server) }
+func (d ServerControl) Busy(server string) int { return d.n.router.Busy(server) }
 
 // Listed are the servers that take new work, and Known reports whether one was ever listed.
-func (d FleetDesk) Listed() []string { return d.n.servers.Listed() }
+func (d ServerControl) Listed() []string { return d.n.servers.Listed() }
 
 // Known reports whether a list has ever named a server.
-func (d FleetDesk) Known(server string) bool {
+func (d ServerControl) Known(server string) bool {
 	_, known := d.n.servers.Shown(server)
 	return known
 }
@@ -38,6 +38,6 @@
 // operate lets the fleet have its desk, where operators have a door: before there are clients.
 func (n *Node) operate() {
 	if n.parts.Fleet != nil && n.servers != nil {
-		n.parts.Fleet.Operate(FleetDesk{n})
+		n.parts.Fleet.Operate(ServerControl{n})
 	}
 }
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -156,10 +156,10 @@
 	defer server.Close()
 	c, versions := config(), make(chan int64, 1000)
 	c.Settings.Nodes, c.Settings.PollInterval, c.Settings.HealthChecks = nodes, 10*time.Second, false
-	version, length := c.KnownVersion, 100*time.Millisecond
+	version, length := c.KnownEndpointsVersion, 100*time.Millisecond
 	d.set(trouble, "", version)
-	n, err := Start(c, Parts{Listen: m.listen, Dial: d.dialTo(m),
-		Follow: func(w routing.Watcher) routing.Watcher { return heard{w, versions} }})
+	n, err := Start(c, Options{Listen: m.listen, Dial: d.dialTo(m),
+		WrapWatcher: func(w routing.Watcher) routing.Watcher { return heard{w, versions} }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -232,7 +232,7 @@
 	defer next.Close()
 	c := config()
 	c.Listen, c.Discovery = "127.0.0.1:0", old.Addr().String()
-	n, err := Start(c, Parts{})
+	n, err := Start(c, Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -58,12 +58,12 @@
 	out := NewLogWriter(os.Stderr)
 	defer out.Close()
 	log := slog.New(slog.NewTextHandler(out, nil))
-	if c.Admin != "" && seat(c) == "" {
+	if c.AdminListen != "" && seat(c) == "" {
 		log.Warn("no hand-over to a successor", "reason", "TMPDIR is not set")
 	}
 	starting, started := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer started()
-	parts := node.Parts{Log: log, Listen: patient(starting, listener(c)), Seat: seat(c), Limit: setLimits}
+	parts := node.Options{Log: log, Listen: patient(starting, listener(c)), HandoverPath: seat(c), ApplyLimits: setLimits}
 	if o.Fleet != nil {
 		if parts.Fleet, err = o.Fleet(c, log); err != nil {
 			return err
@@ -78,7 +78,7 @@
 		if err := writeProfile(); err != nil {
 			log.Error("allocations not written", "reason", err.Error())
 		}
-		log.Info("counters", append([]any{"when", when, "process", cost.Now().String()}, n.Counters()...)...)
+		log.Info("counters", append([]any{"when", when, "process", cost.Read().String()}, n.Counters()...)...)
 	}
 	var drained chan struct{} // closed once nothing is open; nil before the end
 	var failure error         // what has ended by itself; nil: nothing
@@ -136,7 +136,7 @@
 // directory is the node's own, and both have the same.
 func seat(c *protocol.Config) string {
 	dir := os.Getenv("TMPDIR") // not a directory that all users share
-	if c.Admin == "" || dir == "" {
+	if c.AdminListen == "" || dir == "" {
 		return ""
 	}
 	return filepath.Join(dir, "olivebridge-"+url.PathEscape(c.Name)+".sock")
@@ -173,7 +173,7 @@
 // may start beside the one in service, and the address is shared, in case that
 // one does not hand its own over.
 func listener(c *protocol.Config) func(string) (net.Listener, error) {
-	if c.Admin == "" {
+	if c.AdminListen == "" {
 		return func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 	}
 	shared := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -184,7 +184,7 @@
 		return errors.Join(err, set)
 	}}
 	return func(addr string) (net.Listener, error) {
-		if addr == c.Admin { // whose process it is must be clear
+		if addr == c.AdminListen { // whose process it is must be clear
 			return net.Listen("tcp", addr)
 		}
 		return shared.Listen(context.Background(), "tcp", addr)
--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -16,8 +16,8 @@
 const maxBudget = time.Hour
 
 // Names are the places of names in the settings' lists.
-type Names struct {
-	Classes, Callers, Zones, Kinds map[string]int
+type NameIndex struct {
+	Classes, Tenants, Zones, Kinds map[string]int
 	Methods                        []string // of the classes, by their places
 }
 
@@ -41,9 +41,9 @@
 // ParseCall reads from the head of a request what decisions need. header gives
 // a header's values, query is the raw query. Any error deserves a plain 4xx
 // answer and no try; a *MethodError says that it should be 405.
-func (n Names) ParseCall(method string, header func(name string) []string, query string) (routing.Call, error) {
+func (n NameIndex) ParseCall(method string, header func(name string) []string, query string) (routing.Call, error) {
 	var fields [5]string
-	for i, name := range [...]string{HeaderID, HeaderClass, HeaderCaller, HeaderBudget, HeaderAgain} {
+	for i, name := range [...]string{HeaderCallID, HeaderClass, HeaderTenant, HeaderTimeout, HeaderRetry} {
 		switch v := header(name); {
 		case len(v) > 1:
 			return routing.Call{}, fmt.Errorf("%s: given %d times", name, len(v))
@@ -53,7 +53,7 @@
 	}
 	id, className, caller, left, again := fields[0], fields[1], fields[2], fields[3], fields[4]
 	if !validID(id) { // an odd one must not reach a peer
-		return routing.Call{}, fmt.Errorf("%s: missing or malformed: %.80q", HeaderID, id)
+		return routing.Call{}, fmt.Errorf("%s: missing or malformed: %.80q", HeaderCallID, id)
 	}
 	class, ok := n.Classes[className]
 	if !ok {
@@ -67,12 +67,12 @@
 		return routing.Call{}, e
 	}
 	tenant := -1
-	if len(n.Callers) > 0 {
-		if tenant, ok = n.Callers[caller]; !ok {
-			return routing.Call{}, fmt.Errorf("%s: missing or unknown: %q", HeaderCaller, caller)
+	if len(n.Tenants) > 0 {
+		if tenant, ok = n.Tenants[caller]; !ok {
+			return routing.Call{}, fmt.Errorf("%s: missing or unknown: %q", HeaderTenant, caller)
 		}
 	}
-	budget, err := ParseBudget(left)
+	budget, err := ParseTimeout(left)
 	if err != nil {
 		return routing.Call{}, err
 	}
@@ -97,11 +97,11 @@
 
 // ParseBudget reads a time in seconds with decimals: digits and at most one
 // point, above zero.
-func ParseBudget(s string) (time.Duration, error) {
+func ParseTimeout(s string) (time.Duration, error) {
 	bad := strings.IndexFunc(s, func(c rune) bool { return (c < '0' || c > '9') && c != '.' })
 	v, err := strconv.ParseFloat(s, 64)
 	if bad >= 0 || err != nil || v <= 0 || v > maxBudget.Seconds() {
-		return 0, fmt.Errorf("%s: missing or malformed: %q", HeaderBudget, s)
+		return 0, fmt.Errorf("%s: missing or malformed: %q", HeaderTimeout, s)
 	}
 	return time.Duration(v * float64(time.Second)), nil
 }
@@ -127,15 +127,15 @@
 				return 0, fmt.Errorf("query: malformed: %.80q", pair)
 			}
 		}
-		if name != KeyParameter {
+		if name != AffinityKeyParameter {
 			continue
 		}
 		plain, err := url.QueryUnescape(value) // one key has one hash, however it is escaped
 		if err != nil {
-			return 0, fmt.Errorf("%s: malformed: %q", KeyParameter, value)
+			return 0, fmt.Errorf("%s: malformed: %q", AffinityKeyParameter, value)
 		}
 		if given {
-			return 0, fmt.Errorf("%s: given more than once", KeyParameter)
+			return 0, fmt.Errorf("%s: given more than once", AffinityKeyParameter)
 		}
 		if given = true; plain != "" {
 			key = hash(plain)
--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -28,17 +28,17 @@
 // Config is what one node is told at its start.
 type Config struct {
 	Name, Listen, Discovery string
-	Admin                   string // the operators' address; "": none
+	AdminListen             string // the operators' address; "": none
 	Seed                    uint64
 	Cores                   float64
 	MemoryMB, Sockets       int
 	Settings                balancer.Settings
-	Names                   Names
+	NameIndex               NameIndex
 	ConnectTimeout          time.Duration // of a new connection to a peer
-	IdleClose               time.Duration // peers close a connection idle for this long
+	IdleTimeout             time.Duration // peers close a connection idle for this long
 	LongestDeadline         time.Duration
-	Known                   routing.Group
-	KnownVersion            int64
+	KnownEndpoints          routing.Group
+	KnownEndpointsVersion   int64
 
 	fileName, fileListen, fileAdmin string // as the file has them
 }
@@ -105,12 +105,12 @@
 		return nil, fmt.Errorf("configuration: %w, in %s", err, path)
 	}
 	if a := getenv(EnvAdmin); a != "" {
-		c.Admin = a
+		c.AdminListen = a
 	}
-	if c.Admin == "" {
+	if c.AdminListen == "" {
 		return c, nil
 	}
-	if _, _, err := net.SplitHostPort(c.Admin); err != nil {
+	if _, _, err := net.SplitHostPort(c.AdminListen); err != nil {
 		return nil, fmt.Errorf("admin, or variable %s: %w", EnvAdmin, err)
 	}
 	return c, nil
@@ -129,10 +129,10 @@
 	}{
 		{"name", n.fileName == c.fileName}, {"listen", n.fileListen == c.fileListen}, {"admin", n.fileAdmin == c.fileAdmin},
 		// calls in hand carry places in these lists
-		{"a name in settings.classes", maps.Equal(n.Names.Classes, c.Names.Classes)},
-		{"a name in settings.tenants", maps.Equal(n.Names.Callers, c.Names.Callers)},
-		{"a name in settings.zones", maps.Equal(n.Names.Zones, c.Names.Zones)},
-		{"a name in settings.kinds", maps.Equal(n.Names.Kinds, c.Names.Kinds)},
+		{"a name in settings.classes", maps.Equal(n.NameIndex.Classes, c.NameIndex.Classes)},
+		{"a name in settings.tenants", maps.Equal(n.NameIndex.Tenants, c.NameIndex.Tenants)},
+		{"a name in settings.zones", maps.Equal(n.NameIndex.Zones, c.NameIndex.Zones)},
+		{"a name in settings.kinds", maps.Equal(n.NameIndex.Kinds, c.NameIndex.Kinds)},
 	} {
 		if !v.same {
 			return nil, fmt.Errorf("configuration: %s cannot change in a running node", v.name)
@@ -146,7 +146,7 @@
 	if err := json.Unmarshal(data, &in); err != nil {
 		return err
 	}
-	c.fileName, c.fileListen, c.fileAdmin, c.Admin = in.Name, in.Listen, in.Admin, in.Admin
+	c.fileName, c.fileListen, c.fileAdmin, c.AdminListen = in.Name, in.Listen, in.Admin, in.Admin
 	if in.Discovery != "" { // the file may be newer than the environment, which cannot change
 		c.Discovery = in.Discovery
 	}
@@ -172,11 +172,11 @@
 	if err := json.Unmarshal(in.Settings, &set); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	c.ConnectTimeout, c.IdleClose = min(set.Limits.ConnectTimeout, longest), min(set.Limits.IdleClose, longest)
+	c.ConnectTimeout, c.IdleTimeout = min(set.Limits.ConnectTimeout, longest), min(set.Limits.IdleClose, longest)
 	if c.ConnectTimeout <= 0 {
 		return errors.New("settings: limits.connect_timeout: missing, or not above zero")
 	}
-	if c.IdleClose <= 0 {
+	if c.IdleTimeout <= 0 {
 		return errors.New("settings: limits.idle_close: missing, or not above zero")
 	}
 	if len(set.Classes) != len(c.Settings.Classes) || len(set.Tenants) != len(c.Settings.Tenants) {
@@ -186,18 +186,18 @@
 		path  string
 		names []string
 		at    *map[string]int
-	}{{"classes", namesOf(set.Classes), &c.Names.Classes}, {"tenants", namesOf(set.Tenants), &c.Names.Callers},
-		{"zones", set.Zones, &c.Names.Zones}, {"kinds", set.Kinds, &c.Names.Kinds}} {
+	}{{"classes", namesOf(set.Classes), &c.NameIndex.Classes}, {"tenants", namesOf(set.Tenants), &c.NameIndex.Tenants},
+		{"zones", set.Zones, &c.NameIndex.Zones}, {"kinds", set.Kinds, &c.NameIndex.Kinds}} {
 		if *list.at, err = places(list.path, list.names); err != nil {
 			return err
 		}
 	}
 	for _, class := range c.Settings.Classes {
-		c.Names.Methods = append(c.Names.Methods, methodOf(class.Idempotency))
+		c.NameIndex.Methods = append(c.NameIndex.Methods, methodOf(class.Idempotency))
 		c.LongestDeadline = max(c.LongestDeadline, class.Deadline)
 	}
 	if len(in.Known) > 0 {
-		if c.Known, c.KnownVersion, err = c.Names.ParseGroup(in.Known); err != nil {
+		if c.KnownEndpoints, c.KnownEndpointsVersion, err = c.NameIndex.ParseEndpoints(in.Known); err != nil {
 			return fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/protocol/group.go
+++ b/internal/protocol/group.go
@@ -38,7 +38,7 @@
 
 // ParseGroup reads a list of the upstream group. A list with any fault is an
 // error as a whole: half a list would drop sound peers.
-func (n Names) ParseGroup(data []byte) (g routing.Group, version int64, err error) {
+func (n NameIndex) ParseEndpoints(data []byte) (g routing.Group, version int64, err error) {
 	var in groupJSON
 	if err := json.Unmarshal(data, &in); err != nil {
 		return g, 0, fmt.Errorf("upstream group: %w", err)
@@ -64,7 +64,7 @@
 	return g, *in.Version, nil
 }
 
-func (n Names) entry(s entryJSON) (routing.Entry, error) {
+func (n NameIndex) entry(s entryJSON) (routing.Entry, error) {
 	state, ok := states[s.State]
 	if !ok {
 		return routing.Entry{}, fmt.Errorf("unknown state %q", s.State)
--- a/internal/protocol/names.go
+++ b/internal/protocol/names.go
@@ -7,21 +7,21 @@
 
 // The platform's headers.
 const (
-	HeaderID       = "X-Call-Id"
-	HeaderClass    = "X-Call-Class"
-	HeaderCaller   = "X-Caller"
-	HeaderBudget   = "X-Budget"
-	HeaderAgain    = "X-Again"
-	HeaderInfo     = "X-Call-Info"
-	HeaderRejected = "X-Rejected"
-	KeyParameter   = "user"
+	HeaderCallID         = "X-Call-Id"
+	HeaderClass          = "X-Call-Class"
+	HeaderTenant         = "X-Caller"
+	HeaderTimeout        = "X-Budget"
+	HeaderRetry          = "X-Again"
+	HeaderCallInfo       = "X-Call-Info"
+	HeaderRejected       = "X-Rejected"
+	AffinityKeyParameter = "user"
 )
 
 // Owned reports whether a header, in canonical form, is one that calls carry
 // for the platform.
-func Owned(name string) bool {
+func IsPlatformHeader(name string) bool {
 	switch name {
-	case HeaderID, HeaderClass, HeaderCaller, HeaderBudget, HeaderAgain, HeaderInfo:
+	case HeaderCallID, HeaderClass, HeaderTenant, HeaderTimeout, HeaderRetry, HeaderCallInfo:
 		return true
 	}
 	return false
@@ -29,13 +29,13 @@
 
 // The platform's paths.
 const (
-	PathReady = "/health/ready" // at a node
-	PathLive  = "/health/live"  // at a peer
-	PathGroup = "/registry/instances"
+	PathReady       = "/health/ready" // at a node
+	PathHealthCheck = "/health/live"  // at a peer
+	PathEndpoints   = "/registry/instances"
 )
 
 // MaxBody is the most bytes a body holds, either way.
-const MaxBody = 64 << 10
+const MaxBodyBytes = 64 << 10
 
 // hash is the same at every node and in every release: keys and peers must
 // hash alike wherever they are met. It is never 0.
--- a/internal/protocol/outcome.go
+++ b/internal/protocol/outcome.go
@@ -4,7 +4,7 @@
 
 // ResultOf says what a peer's whole answer means for a try. Only a turning
 // away that says so, and only so, proves that it never ran.
-func ResultOf(status int, rejected []string) balancer.Result {
+func ClassifyResponse(status int, rejected []string) balancer.Result {
 	switch {
 	case status == 200:
 		return balancer.OK
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -10,8 +10,8 @@
 	"olivebridge/balancer"
 )
 
-var names = Names{
-	Classes: map[string]int{"status": 0, "book": 1}, Callers: map[string]int{"acme": 0, "zen": 1},
+var names = NameIndex{
+	Classes: map[string]int{"status": 0, "book": 1}, Tenants: map[string]int{"acme": 0, "zen": 1},
 	Zones: map[string]int{"a": 0, "b": 1}, Kinds: map[string]int{"m1": 0, "m2": 1}, Methods: []string{"GET", "POST"},
 }
 
@@ -23,18 +23,18 @@
 	}{
 		"whole":           {nil, "user=7f", ""},
 		"no key":          {nil, "", ""},
-		"retry":           {map[string]string{HeaderAgain: "1"}, "", ""},
-		"no id":           {map[string]string{HeaderID: ""}, "", HeaderID},
+		"retry":           {map[string]string{HeaderRetry: "1"}, "", ""},
+		"no id":           {map[string]string{HeaderCallID: ""}, "", HeaderCallID},
 		"no class":        {map[string]string{HeaderClass: ""}, "", HeaderClass},
 		"unknown class":   {map[string]string{HeaderClass: "gift"}, "", HeaderClass},
-		"no caller":       {map[string]string{HeaderCaller: ""}, "", HeaderCaller},
-		"unknown caller":  {map[string]string{HeaderCaller: "nobody"}, "", HeaderCaller},
-		"no budget":       {map[string]string{HeaderBudget: ""}, "", HeaderBudget},
-		"broken budget":   {map[string]string{HeaderBudget: "0.4s"}, "", HeaderBudget},
-		"broken escaping": {nil, "user=%zz", KeyParameter},
-		"two keys":        {nil, "user=a&x=1&user=b", KeyParameter},
+		"no caller":       {map[string]string{HeaderTenant: ""}, "", HeaderTenant},
+		"unknown caller":  {map[string]string{HeaderTenant: "nobody"}, "", HeaderTenant},
+		"no budget":       {map[string]string{HeaderTimeout: ""}, "", HeaderTimeout},
+		"broken budget":   {map[string]string{HeaderTimeout: "0.4s"}, "", HeaderTimeout},
+		"broken escaping": {nil, "user=%zz", AffinityKeyParameter},
+		"two keys":        {nil, "user=a&x=1&user=b", AffinityKeyParameter},
 	} {
-		h := map[string][]string{HeaderID: {"9b1f"}, HeaderClass: {"book"}, HeaderCaller: {"zen"}, HeaderBudget: {"0.480"}}
+		h := map[string][]string{HeaderCallID: {"9b1f"}, HeaderClass: {"book"}, HeaderTenant: {"zen"}, HeaderTimeout: {"0.480"}}
 		for k, v := range c.change {
 			if delete(h, k); v != "" {
 				h[k] = []string{v}
@@ -48,7 +48,7 @@
 			continue
 		}
 		if err != nil || got.Class != 1 || got.Tenant != 1 || got.Budget != 480*time.Millisecond ||
-			(got.Key != 0) != (c.query != "") || got.Repeat != (h[HeaderAgain] != nil) {
+			(got.Key != 0) != (c.query != "") || got.Repeat != (h[HeaderRetry] != nil) {
 			t.Errorf("%s: got %+v, %v", name, got, err)
 		}
 	}
@@ -63,7 +63,7 @@
 		"0.480": 480 * time.Millisecond, "1.5": 1500 * time.Millisecond, "2": 2 * time.Second, ".25": 250 * time.Millisecond,
 		"": 0, "0": 0, "-1": 0, "+1": 0, "1e3": 0, "NaN": 0, "Inf": 0, "0x1": 0, "1_0": 0, "1.2.3": 0, " 1": 0, "99999999": 0, ".": 0,
 	} {
-		if got, err := ParseBudget(in); got != want || (err == nil) != (want > 0) {
+		if got, err := ParseTimeout(in); got != want || (err == nil) != (want > 0) {
 			t.Errorf("%q: got %v, %v, want %v", in, got, err, want)
 		}
 	}
@@ -110,11 +110,11 @@
 		"one bad of two":   {`{"version":4,"full":true,"servers":[` + entry + "," + change("s-1", "") + `]}`, false},
 		"gone, no address": {`{"version":4,"full":false,"servers":[{"id":"s-1","state":"Gone"}]}`, true},
 	} {
-		if _, _, err := names.ParseGroup([]byte(c.list)); (err == nil) != c.ok {
+		if _, _, err := names.ParseEndpoints([]byte(c.list)); (err == nil) != c.ok {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
-	g, version, err := names.ParseGroup([]byte(`{"version":4,"full":true,"servers":[` + entry + `,` + change("s-1", "s-2") + `]}`))
+	g, version, err := names.ParseEndpoints([]byte(`{"version":4,"full":true,"servers":[` + entry + `,` + change("s-1", "s-2") + `]}`))
 	if err != nil || version != 4 || g.Kind != balancer.UpdateFull || len(g.Entries) != 2 {
 		t.Fatalf("got %+v, %d, %v", g, version, err)
 	}
@@ -124,7 +124,7 @@
 		t.Errorf("entry %+v", e)
 	}
 	other := `{"version":4,"full":true,"servers":[` + change("127.0.0.1", "127.0.0.2") + `]}`
-	if g, _, err := names.ParseGroup([]byte(other)); err != nil || g.Entries[0].ID != e.ID {
+	if g, _, err := names.ParseEndpoints([]byte(other)); err != nil || g.Entries[0].ID != e.ID {
 		t.Error("a peer's identity must not depend on its address, which differs between nodes")
 	}
 }
@@ -139,7 +139,7 @@
 		{503, nil, balancer.Errored}, {503, []string{"1", "0"}, balancer.Errored}, {504, []string{"0"}, balancer.Errored}, {500, []string{"1"}, balancer.Errored}, {404, nil, balancer.Errored},
 		{302, nil, balancer.Errored}, {206, nil, balancer.Errored},
 	} {
-		if got := ResultOf(c.status, c.rejected); got != c.want {
+		if got := ClassifyResponse(c.status, c.rejected); got != c.want {
 			t.Errorf("%d, %q: got %d, want %d", c.status, c.rejected, got, c.want)
 		}
 	}
@@ -168,10 +168,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.ConnectTimeout != 75*time.Millisecond || c.KnownVersion != 41 ||
-		c.IdleClose != 10*time.Second || c.LongestDeadline != 600*time.Millisecond || len(c.Known.Entries) != 1 ||
-		c.Known.Entries[0].Zone != 1 || c.Settings.Zone != 1 || c.Settings.Zones != 2 || c.Settings.MaxAttempts != 4 ||
-		c.Settings.DrainGrace != 2500*time.Millisecond || c.Names.Classes["book"] != 1 || fmt.Sprint(c.Names.Methods) != "[GET POST]" || len(c.Settings.Tenants) != 1 {
+	if c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.ConnectTimeout != 75*time.Millisecond || c.KnownEndpointsVersion != 41 ||
+		c.IdleTimeout != 10*time.Second || c.LongestDeadline != 600*time.Millisecond || len(c.KnownEndpoints.Entries) != 1 ||
+		c.KnownEndpoints.Entries[0].Zone != 1 || c.Settings.Zone != 1 || c.Settings.Zones != 2 || c.Settings.MaxAttempts != 4 ||
+		c.Settings.DrainGrace != 2500*time.Millisecond || c.NameIndex.Classes["book"] != 1 || fmt.Sprint(c.NameIndex.Methods) != "[GET POST]" || len(c.Settings.Tenants) != 1 {
 		t.Errorf("got %+v", c)
 	}
 	for old, new := range map[string]string{
@@ -183,8 +183,8 @@
 	}
 	never := strings.NewReplacer(`"connect_timeout":75000000`, `"connect_timeout":9223372036854775807`,
 		`"idle_close":10000000000`, `"idle_close":9223372036854775807`).Replace(config)
-	if c, err := load(env, never); err != nil || 8*c.ConnectTimeout < c.ConnectTimeout || 8*c.IdleClose < c.IdleClose {
-		t.Errorf("times that mean never: %v, %v, %v, which multiples overflow", c.ConnectTimeout, c.IdleClose, err)
+	if c, err := load(env, never); err != nil || 8*c.ConnectTimeout < c.ConnectTimeout || 8*c.IdleTimeout < c.IdleTimeout {
+		t.Errorf("times that mean never: %v, %v, %v, which multiples overflow", c.ConnectTimeout, c.IdleTimeout, err)
 	}
 	for _, c := range []struct{ old, new, bad string }{ // calls are told by these names, and peers' zones
 		{`"name":"book",`, ``, "classes.1"}, {`"name":"status"`, `"name":""`, "classes.0"}, {`"name":"acme",`, ``, "tenants.0"},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -110,14 +110,14 @@
 }
 
 // ParseText reads settings written one path=value a line.
-func ParseText(text []byte) (balancer.Settings, error) {
+func DecodeText(text []byte) (balancer.Settings, error) {
 	pairs := map[string]string{}
 	for line := range strings.Lines(string(text)) {
 		if k, v, ok := strings.Cut(strings.TrimRight(line, "\r\n"), "="); ok {
 			pairs[k] = v
 		}
 	}
-	return Decode(pairs)
+	return decodePairs(pairs)
 }
 
 // Decode reads settings from their paths and values. Unknown keys are passed
@@ -125,7 +125,7 @@
 // and late_worth (0), classes[].stream and contract.dropped_stay_open (false), over_share_worth (1), prices (0), and
 // ask_every, which is needed only where the list must be asked for. extra.warm_keys and
 // extra.passes_deadline are not read: the module always keeps keys to their servers, and uses neither.
-func Decode(pairs map[string]string) (balancer.Settings, error) {
+func decodePairs(pairs map[string]string) (balancer.Settings, error) {
 	p := &parser{pairs: pairs}
 	s := balancer.Settings{
 		Nodes:                p.atLeastOne("n_instances"),
@@ -200,7 +200,7 @@
 	}
 	pairs := map[string]string{}
 	flatten(pairs, "", tree)
-	return Decode(pairs)
+	return decodePairs(pairs)
 }
 
 // flatten writes a JSON value as the text has it: a list of objects by its
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -45,7 +45,7 @@
 `
 
 func TestSettings(t *testing.T) {
-	s, err := ParseText([]byte(sample))
+	s, err := DecodeText([]byte(sample))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 	}
 	for _, odd := range []string{"classes.1.serial_by_key=maybe", "classes.1.serial_by_key=true"} {
 		key, _, _ := strings.Cut(odd, "=")
-		if _, err := ParseText([]byte(sample + odd + "\n")); err == nil || !strings.Contains(err.Error(), key) {
+		if _, err := DecodeText([]byte(sample + odd + "\n")); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: %v", odd, err)
 		}
 	}
@@ -66,11 +66,11 @@
 			continue
 		}
 		broken := strings.Replace(sample, line, key+"=?", 1)
-		if _, err := ParseText([]byte(broken)); key != "weights" && (err == nil || !strings.Contains(err.Error(), key)) {
+		if _, err := DecodeText([]byte(broken)); key != "weights" && (err == nil || !strings.Contains(err.Error(), key)) {
 			t.Errorf("%s malformed: %v", key, err)
 		}
 		missing := strings.Replace(sample, line+"\n", "", 1)
-		_, err := ParseText([]byte(missing))
+		_, err := DecodeText([]byte(missing))
 		optional := strings.HasSuffix(key, "late_worth") || strings.HasSuffix(key, "quota_per_s")
 		if !optional && (err == nil || !strings.Contains(err.Error(), key)) {
 			t.Errorf("%s missing: %v", key, err)
@@ -95,13 +95,13 @@
 	} {
 		key, _, _ := strings.Cut(change, "=")
 		lines := slices.DeleteFunc(strings.Split(sample, "\n"), func(l string) bool { return strings.HasPrefix(l, key+"=") })
-		_, err := ParseText([]byte(change + "\n" + strings.Join(lines, "\n")))
+		_, err := DecodeText([]byte(change + "\n" + strings.Join(lines, "\n")))
 		if (err == nil) != (want == "") || err != nil && !strings.HasPrefix(err.Error(), "settings: "+want) {
 			t.Errorf("%s: got %v, want an error about %q", change, err, want)
 		}
 	}
 	for change, want := range map[string]bool{"": false, "tenants.0.quota_per_s=0.0\n": true, "tenants.0.quota_per_s=5\n": true} {
-		s, err := ParseText([]byte(strings.Replace(sample, "tenants.0.quota_per_s=153.0\n", change, 1)))
+		s, err := DecodeText([]byte(strings.Replace(sample, "tenants.0.quota_per_s=153.0\n", change, 1)))
 		if err != nil || (s.Tenants[0].Quota > 0) != want {
 			t.Errorf("%q: a quota is set: %v, want %v; %v", change, !want, want, err)
 		}
@@ -144,7 +144,7 @@
 	"overload_factor":2.5},"discovery":"subscribe","limits":{"cancel":true,"max_retry_after":1500000000,"probes":true,
 	"retry_after":true,"second_copies":false,"try_limit":4},"n_instances":2,"tenants":[{"quota_per_s":106.0,"share":0.37},
 	{"share":0.33}],"weights":"nominal","worth_by":"request","zone":1,"zones":["north west","south"],"new":null}`
-	want, err := ParseText([]byte(text))
+	want, err := DecodeText([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/transport/answer.go
+++ b/internal/transport/answer.go
@@ -109,7 +109,7 @@
 		err = a.begin(c, in, &trailed{chunks: httputil.NewChunkedReader(in), in: in}, until)
 	case a.length > maxStream:
 		err = errOversize
-	case a.length > protocol.MaxBody:
+	case a.length > protocol.MaxBodyBytes:
 		a.rest = &rest{c: c, in: in, body: in, length: a.length, left: a.length}
 	case a.length > 0:
 		a.buf = home.take(int(a.length))
@@ -127,7 +127,7 @@
 // begin reads the first part of a body whose length is not announced.
 func (a *answer) begin(c *peerConn, in *bufio.Reader, body io.Reader, until time.Time) (err error) {
 	var whole bool
-	if a.body, whole, err = gather(c, in, body, protocol.MaxBody, until); err == nil && !whole {
+	if a.body, whole, err = gather(c, in, body, protocol.MaxBodyBytes, until); err == nil && !whole {
 		a.rest = &rest{c: c, in: in, body: body, length: -1, left: maxStream}
 	}
 	return err
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -21,7 +21,7 @@
 		b.Fatal(err)
 	}
 	served := routing.Answer{Verdict: routing.Served, Reply: &reply{body: []byte("hi")}}
-	f := NewFront(l, protocol.Names{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
+	f := NewFront(l, protocol.NameIndex{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
 		taker(func(context.Context, routing.Call) (routing.Answer, bool) { return served, true }),
 		ClientBounds{Open: 10, Idle: 10}, slog.New(slog.DiscardHandler))
 	go f.Serve()
--- a/internal/transport/buffers_test.go
+++ b/internal/transport/buffers_test.go
@@ -34,7 +34,7 @@
 
 // TestTwoTriesCompose: tries that write at one time do not disturb each other, and each has its own budget.
 func TestTwoTriesCompose(t *testing.T) {
-	m := newMessage(new(buffers), "POST", "/", "h", http.Header{"X-Call-Id": {"9b"}, protocol.HeaderBudget: {"9"}}, 4)
+	m := newMessage(new(buffers), "POST", "/", "h", http.Header{"X-Call-Id": {"9b"}, protocol.HeaderTimeout: {"9"}}, 4)
 	copy(m.body, "book")
 	want := func(budget string) string {
 		return "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nX-Call-Id: 9b\r\n" + budget + "\r\nbook"
--- a/internal/transport/carrier.go
+++ b/internal/transport/carrier.go
@@ -78,7 +78,7 @@
 // Probe implements routing.Carrier.
 func (k *Carrier) Probe(ctx context.Context, p *routing.Peer) balancer.Result {
 	t := routing.Try{Peer: p, Until: time.Now().Add(4 * k.config.Load().ConnectTimeout)}
-	r := k.exchange(ctx, t, newMessage(&k.buffers, http.MethodGet, protocol.PathLive, p.Addr, nil, 0), false)
+	r := k.exchange(ctx, t, newMessage(&k.buffers, http.MethodGet, protocol.PathHealthCheck, p.Addr, nil, 0), false)
 	if d, ok := r.Reply.(routing.Dropper); ok {
 		d.Drop()
 	}
@@ -147,7 +147,7 @@
 	in.Reset(c)
 	a, err := readAnswer(c, in, &k.buffers, t.Until)
 	undisturbed := watch.end()
-	res := protocol.ResultOf(a.status, a.values(protocol.HeaderRejected))
+	res := protocol.ClassifyResponse(a.status, a.values(protocol.HeaderRejected))
 	if err == nil && a.rest != nil && res == balancer.OK && undisturbed {
 		a.rest.carrier, a.rest.last = k, a.last
 		return routing.TryResult{Result: balancer.OK, Reply: &reply{fields: a.endToEnd(), body: a.body, rest: a.rest}}
--- a/internal/transport/errorpaths_test.go
+++ b/internal/transport/errorpaths_test.go
@@ -270,7 +270,7 @@
 	}
 	defer l.Close()
 	log := make(lines, 10)
-	front := NewFront(faltering{l, one}, protocol.Names{}, nil, ClientBounds{Open: 1}, log.log())
+	front := NewFront(faltering{l, one}, protocol.NameIndex{}, nil, ClientBounds{Open: 1}, log.log())
 	one <- func() (net.Conn, error) { return nil, syscall.EINVAL }
 	if err := front.Serve(); !errors.Is(err, syscall.EINVAL) || !strings.HasPrefix(err.Error(), "front: ") {
 		t.Error(err)
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -51,7 +51,7 @@
 
 // Front is the HTTP server that client connections reach.
 type Front struct {
-	names   atomic.Pointer[protocol.Names]
+	names   atomic.Pointer[protocol.NameIndex]
 	taker   Taker
 	log     *slog.Logger
 	server  *http.Server
@@ -68,7 +68,7 @@
 }
 
 // NewFront makes a front on l.
-func NewFront(l net.Listener, names protocol.Names, taker Taker, b ClientBounds, log *slog.Logger) *Front {
+func NewFront(l net.Listener, names protocol.NameIndex, taker Taker, b ClientBounds, log *slog.Logger) *Front {
 	f := &Front{taker: taker, log: log, clients: newClients(l, b, log), served: make(chan struct{})}
 	f.adopted = &adopted{clients: f.clients, conns: make(chan net.Conn), closed: make(chan struct{})}
 	f.Learn(names)
@@ -102,7 +102,7 @@
 }
 
 // Learn changes the names that calls are read by.
-func (f *Front) Learn(names protocol.Names) { f.names.Store(&names) }
+func (f *Front) Learn(names protocol.NameIndex) { f.names.Store(&names) }
 
 // Bound changes how many client connections there may be.
 func (f *Front) Bound(b ClientBounds) { f.clients.bound(b) }
--- a/internal/transport/head.go
+++ b/internal/transport/head.go
@@ -98,7 +98,7 @@
 // carries reports whether a header says where a request goes, where it ends, or
 // what it is to the platform.
 func carries(name string) bool {
-	return protocol.Owned(name) || name == "Host" || name == "Content-Length" || name == "Transfer-Encoding"
+	return protocol.IsPlatformHeader(name) || name == "Host" || name == "Content-Length" || name == "Transfer-Encoding"
 }
 
 func canonical(name string) string { return textproto.CanonicalMIMEHeaderKey(name) }
--- a/internal/transport/keep.go
+++ b/internal/transport/keep.go
@@ -98,12 +98,12 @@
 		return w, false, errors.New(headerKey + ": the body is too long to be kept")
 	}
 	h := sha256.New()
-	for _, part := range []string{r.Method, target, r.Header.Get(protocol.HeaderClass), r.Header.Get(protocol.HeaderCaller)} {
+	for _, part := range []string{r.Method, target, r.Header.Get(protocol.HeaderClass), r.Header.Get(protocol.HeaderTenant)} {
 		h.Write([]byte(part))
 		h.Write([]byte{0})
 	}
 	h.Write(m.body)
-	return Work{Key: r.Header.Get(protocol.HeaderCaller) + " " + key, Print: fmt.Sprintf("%x", h.Sum(nil)[:16]), Class: call.Class}, true, nil
+	return Work{Key: r.Header.Get(protocol.HeaderTenant) + " " + key, Print: fmt.Sprintf("%x", h.Sum(nil)[:16]), Class: call.Class}, true, nil
 }
 
 // takeKept takes a call that is kept: it goes on also if its client goes, who may ask any node for what came of it.
--- a/internal/transport/message.go
+++ b/internal/transport/message.go
@@ -46,7 +46,7 @@
 }
 
 // budgetLine is room for the longest line with a budget, and the empty line.
-const budgetLine = len(protocol.HeaderBudget) + len(": 3600.000\r\n\r\n")
+const budgetLine = len(protocol.HeaderTimeout) + len(": 3600.000\r\n\r\n")
 
 // newMessage makes a message, held by its maker, of what concerns more than one
 // connection. The body, of so many bytes, is still to be read.
@@ -54,7 +54,7 @@
 // One that is longer than a message keeps, or of unknown length (-1), has no room.
 func newMessage(home *buffers, method, target, host string, header http.Header, announced int64) *message {
 	length := int(announced)
-	if announced < 0 || announced > protocol.MaxBody {
+	if announced < 0 || announced > protocol.MaxBodyBytes {
 		length = 0
 	}
 	var few [24]string
@@ -62,7 +62,7 @@
 	size := len(method) + len(target) + len(host) + 80
 	hops := hopsOf(header["Connection"])
 	for name, values := range header {
-		if name == protocol.HeaderBudget || hopByHop(name) || slices.Contains(hops, name) {
+		if name == protocol.HeaderTimeout || hopByHop(name) || slices.Contains(hops, name) {
 			continue
 		}
 		names = append(names, name)
@@ -123,7 +123,7 @@
 	var line [budgetLine]byte
 	tail := line[:0]
 	if budget > 0 {
-		tail = append(append(tail, protocol.HeaderBudget...), ": "...)
+		tail = append(append(tail, protocol.HeaderTimeout...), ": "...)
 		tail = append(protocol.AppendSeconds(tail, budget), "\r\n"...)
 	}
 	tail = append(tail, "\r\n"...)
--- a/internal/transport/pipelined_test.go
+++ b/internal/transport/pipelined_test.go
@@ -228,7 +228,7 @@
 		return routing.Answer{Verdict: routing.Reject}, true
 	})
 	c := dial(t, addr)
-	io.WriteString(c, chunked(1, fmt.Sprintf("%x\r\n%s", protocol.MaxBody, strings.Repeat("x", protocol.MaxBody))))
+	io.WriteString(c, chunked(1, fmt.Sprintf("%x\r\n%s", protocol.MaxBodyBytes, strings.Repeat("x", protocol.MaxBodyBytes))))
 	waitFor(t, func() bool { // all of that is read
 		front.clients.mu.Lock()
 		defer front.clients.mu.Unlock()
--- a/internal/transport/refuse_test.go
+++ b/internal/transport/refuse_test.go
@@ -59,7 +59,7 @@
 		if resp.StatusCode != want || (peer != "") != (want == 200) {
 			t.Errorf("%q: status %d, want %d; to the peer: %q", line, resp.StatusCode, want, peer)
 		}
-		if want == 200 && (!strings.Contains(peer, protocol.HeaderID) || strings.Contains(peer, "X-Hop") || strings.Contains(peer, "h2c")) {
+		if want == 200 && (!strings.Contains(peer, protocol.HeaderCallID) || strings.Contains(peer, "X-Hop") || strings.Contains(peer, "h2c")) {
 			t.Errorf("%q: to the peer: %q", line, peer)
 		}
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -670,7 +670,7 @@
 // frontOn is such a front at a listener.
 func frontOn(t *testing.T, l net.Listener, most int, f taker, change ...func(*Front)) (front *Front, log lines) {
 	log = make(lines, 1000)
-	front = NewFront(l, protocol.Names{Classes: map[string]int{"book": 0, "status": 1}, Methods: []string{"POST", "GET"}}, f, ClientBounds{Open: most, Idle: most}, log.log())
+	front = NewFront(l, protocol.NameIndex{Classes: map[string]int{"book": 0, "status": 1}, Methods: []string{"POST", "GET"}}, f, ClientBounds{Open: most, Idle: most}, log.log())
 	for _, c := range change {
 		c(front)
 	}
@@ -737,7 +737,7 @@
 		raw  string
 		want int
 	}{
-		{head + body(0), 200}, {head + body(protocol.MaxBody), 200}, {head + body(protocol.MaxBody+1), 200},
+		{head + body(0), 200}, {head + body(protocol.MaxBodyBytes), 200}, {head + body(protocol.MaxBodyBytes+1), 200},
 		{head + fmt.Sprintf("Content-Length: %d\r\n\r\n", maxUpload+1), 413},
 		{head + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", 200},
 		{head + "Transfer-Encoding: chunked\r\n\r\n10001\r\n" + strings.Repeat("x", 0x10001) + "\r\n0\r\n\r\n", 200},
@@ -1060,7 +1060,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := NewFront(l, protocol.Names{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}}, nil, ClientBounds{Open: 5, Idle: 5},
+	f := NewFront(l, protocol.NameIndex{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}}, nil, ClientBounds{Open: 5, Idle: 5},
 		slog.New(slog.DiscardHandler))
 	defer f.clients.Close()
 	io.WriteString(dial(t, l.Addr().String()), "P")
@@ -1196,7 +1196,7 @@
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 		}
 	})
-	w := NewWatch(p.Addr, protocol.Names{}, -1, nil, slog.New(slog.DiscardHandler))
+	w := NewWatch(p.Addr, protocol.NameIndex{}, -1, nil, slog.New(slog.DiscardHandler))
 	w.late = time.Millisecond
 	lists := 0
 	const most = 1 + watchAgain + 1 // calls, and one that is sent again on the connection kept
@@ -1356,7 +1356,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var dialed atomic.Int64
 		began := time.Now()
-		w := NewWatch("d:1", protocol.Names{}, 1, func(context.Context, string) (net.Conn, error) {
+		w := NewWatch("d:1", protocol.NameIndex{}, 1, func(context.Context, string) (net.Conn, error) {
 			dialed.Add(1)
 			near, far := net.Pipe()
 			go io.Copy(io.Discard, far)
@@ -1387,7 +1387,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
 			dialed := make(chan time.Duration)
-			w := NewWatch("d:1", protocol.Names{}, 1, func(ctx context.Context, _ string) (net.Conn, error) {
+			w := NewWatch("d:1", protocol.NameIndex{}, 1, func(ctx context.Context, _ string) (net.Conn, error) {
 				stop()
 				began := time.Now()
 				<-ctx.Done()
@@ -1419,7 +1419,7 @@
 		}
 	}))
 	defer s.Close()
-	w := NewWatch(strings.TrimPrefix(s.URL, "http://"), protocol.Names{}, 1, nil, slog.New(slog.DiscardHandler))
+	w := NewWatch(strings.TrimPrefix(s.URL, "http://"), protocol.NameIndex{}, 1, nil, slog.New(slog.DiscardHandler))
 	w.wait, w.late, w.slack = 20*time.Millisecond, time.Millisecond, time.Minute
 	lists := 0
 	if err := w.Watch(t.Context(), func(routing.Group) { lists++ }); err == nil || lists != 1 || w.version != 2 {
@@ -1472,7 +1472,7 @@
 		io.WriteString(w, a)
 	}))
 	defer s.Close()
-	w := NewWatch(strings.TrimPrefix(s.URL, "http://"), protocol.Names{}, -1, nil, slog.New(slog.DiscardHandler))
+	w := NewWatch(strings.TrimPrefix(s.URL, "http://"), protocol.NameIndex{}, -1, nil, slog.New(slog.DiscardHandler))
 	w.again, w.late = 1, time.Millisecond
 	var kinds []balancer.UpdateKind
 	for range 4 { // what is no JSON, a malformed list, or a 503, each time the second in a row
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -261,7 +261,7 @@
 	switch {
 	case r.length > maxUpload:
 		return nil, errTooLarge
-	case r.length > protocol.MaxBody:
+	case r.length > protocol.MaxBodyBytes:
 		return f.uploading(r, nil), nil
 	case r.length >= 0:
 		m := newMessage(&f.buffers, r.Method, r.target, r.Host, r.Header, r.length)
@@ -270,11 +270,11 @@
 		}
 		return m, nil
 	}
-	body, err := io.ReadAll(io.LimitReader(&paced{r: r.Body, k: r.k}, protocol.MaxBody+1))
+	body, err := io.ReadAll(io.LimitReader(&paced{r: r.Body, k: r.k}, protocol.MaxBodyBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > protocol.MaxBody {
+	if len(body) > protocol.MaxBodyBytes {
 		return f.uploading(r, body), nil
 	}
 	m := newMessage(&f.buffers, r.Method, r.target, r.Host, r.Header, int64(len(body)))
--- a/internal/transport/watch.go
+++ b/internal/transport/watch.go
@@ -65,7 +65,7 @@
 // Watch follows the upstream group at discovery. One Watch call runs at a time.
 type Watch struct {
 	addr    string
-	names   protocol.Names
+	names   protocol.NameIndex
 	client  *http.Client        // for one call at a time
 	other   func() *http.Client // for each one beside it, which has its connection to itself
 	version int64               // of the list held; -1: none
@@ -84,7 +84,7 @@
 
 // NewWatch makes a watch that goes on from a known version, or from none if
 // that is negative. A nil dialer dials TCP.
-func NewWatch(addr string, names protocol.Names, version int64, dial Dialer, log *slog.Logger) *Watch {
+func NewWatch(addr string, names protocol.NameIndex, version int64, dial Dialer, log *slog.Logger) *Watch {
 	connect := func(ctx context.Context, _, addr string) (net.Conn, error) {
 		ctx, stop := context.WithTimeout(ctx, watchConnect)
 		defer stop()
@@ -232,7 +232,7 @@
 	if o.err != nil {
 		return g, 0, o.err
 	}
-	g, version, err = w.names.ParseGroup(o.data)
+	g, version, err = w.names.ParseEndpoints(o.data)
 	g.At, g.Version = time.Now(), version
 	if err == nil && version < o.since {
 		err = fmt.Errorf("upstream group: %w: version %d after %d", errOlder, version, o.since)
@@ -260,7 +260,7 @@
 func (w *Watch) fetch(ctx context.Context, client *http.Client, since int64, wait time.Duration) ([]byte, error) {
 	ctx, stop := context.WithTimeout(ctx, wait+w.slack)
 	defer stop()
-	u := url.URL{Scheme: "http", Host: w.addr, Path: protocol.PathGroup}
+	u := url.URL{Scheme: "http", Host: w.addr, Path: protocol.PathEndpoints}
 	if since >= 0 {
 		u.RawQuery = "after=" + strconv.FormatInt(since, 10) + "&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -22,20 +22,20 @@
 )
 
 // Code names an event.
-type Code uint8
+type EventCode uint8
 
 // The events.
 const (
-	Begin     Code = 16
-	View      Code = 17
-	Request   Code = 18
-	FirstByte Code = 19
-	Returned  Code = 20
-	Hangup    Code = 21
-	Wakeup    Code = 22
-	Sampled   Code = 23
-	Mail      Code = 24
-	Shutdown  Code = 25
+	EventStart       EventCode = 16
+	EventEndpoints   EventCode = 17
+	EventRequest     EventCode = 18
+	EventFirstByte   EventCode = 19
+	EventOutcome     EventCode = 20
+	EventDisconnect  EventCode = 21
+	EventTimer       EventCode = 22
+	EventHealthCheck EventCode = 23
+	EventPeerMessage EventCode = 24
+	EventStop        EventCode = 25
 )
 
 // The actions.
@@ -55,7 +55,7 @@
 )
 
 // AllPeers addresses a message to every instance of the tier.
-const AllPeers = math.MaxUint32
+const AllInstances = math.MaxUint32
 
 var le = binary.LittleEndian
 
@@ -110,7 +110,7 @@
 }
 
 // Code is the event's code, perhaps an unknown one.
-func (e Event) Code() Code { return Code(e.rec[0]) }
+func (e Event) Code() EventCode { return EventCode(e.rec[0]) }
 
 // Instance is the instance concerned.
 func (e Event) Instance() uint32 { return le.Uint32(e.rec[1:]) }
@@ -125,7 +125,7 @@
 func (e Event) Attempt() int { return int(le.Uint16(e.rec[13:])) }
 
 // ListKind is a view's kind.
-func (e Event) ListKind() (balancer.UpdateKind, error) {
+func (e Event) UpdateKind() (balancer.UpdateKind, error) {
 	if e.rec[5] > uint8(balancer.UpdateFailed) {
 		return 0, e.errorf("unknown kind of list %d", e.rec[5])
 	}
@@ -150,13 +150,13 @@
 func (e Event) Settings() ([]byte, error) { return e.tail(13, 1) }
 
 // Mail is a message's sender and bytes.
-func (e Event) Mail() (int, []byte, error) {
+func (e Event) PeerMessage() (int, []byte, error) {
 	b, err := e.tail(7, 1)
 	return int(le.Uint16(e.rec[5:])), b, err
 }
 
 // Entries is a view's list; it is overwritten by the next call on the frame.
-func (e Event) Entries() ([]balancer.Server, error) {
+func (e Event) Endpoints() ([]balancer.Server, error) {
 	b, err := e.tail(10, entrySize)
 	if err != nil {
 		return nil, err
@@ -199,7 +199,7 @@
 }
 
 // Probe is a probe's result.
-func (e Event) Probe() (balancer.HealthCheckResult, error) {
+func (e Event) HealthCheck() (balancer.HealthCheckResult, error) {
 	b := e.rec
 	res, err := e.result(le.Uint16(b[11:]))
 	return balancer.HealthCheckResult{Server: server(b[5:]), Latency: duration(b[13:]), Result: res, Load: load(b[21:])}, err
@@ -270,19 +270,19 @@
 }
 
 // Assign sends an attempt.
-func (r *Reply) Assign(who uint32, id balancer.RequestID, to balancer.ServerID, cut balancer.Time) {
+func (r *Reply) Send(who uint32, id balancer.RequestID, to balancer.ServerID, cut balancer.Time) {
 	rec := r.withID(actAssign, who, id)
 	putServer(rec[13:], to)
 	le.PutUint64(rec[19:], uint64(cut))
 }
 
 // Revoke calls an attempt off.
-func (r *Reply) Revoke(who uint32, id balancer.RequestID, attempt int) {
+func (r *Reply) Cancel(who uint32, id balancer.RequestID, attempt int) {
 	le.PutUint16(r.withID(actRevoke, who, id)[13:], uint16(attempt))
 }
 
 // Refuse rejects a request.
-func (r *Reply) Refuse(who uint32, id balancer.RequestID, after time.Duration) {
+func (r *Reply) Reject(who uint32, id balancer.RequestID, after time.Duration) {
 	le.PutUint64(r.withID(actRefuse, who, id)[13:], uint64(after))
 }
 
@@ -290,7 +290,9 @@
 func (r *Reply) Fail(who uint32, id balancer.RequestID) { r.withID(actFail, who, id) }
 
 // Inspect probes a server.
-func (r *Reply) Inspect(who uint32, s balancer.ServerID) { putServer(r.add(actInspect, who)[5:], s) }
+func (r *Reply) CheckHealth(who uint32, s balancer.ServerID) {
+	putServer(r.add(actInspect, who)[5:], s)
+}
 
 // CloseIdle closes the idle connections to a server.
 func (r *Reply) CloseIdle(who uint32, s balancer.ServerID) {
@@ -298,7 +300,7 @@
 }
 
 // Arm sets a timer.
-func (r *Reply) Arm(who uint32, after time.Duration, ref uint64) {
+func (r *Reply) SetTimer(who uint32, after time.Duration, ref uint64) {
 	rec := r.add(actArm, who)
 	le.PutUint64(rec[5:], uint64(after))
 	le.PutUint64(rec[13:], ref)
@@ -312,18 +314,18 @@
 }
 
 // Resolve asks for the whole list once.
-func (r *Reply) Resolve(who uint32) { r.add(actResolve, who) }
+func (r *Reply) FetchEndpoints(who uint32) { r.add(actResolve, who) }
 
 // WritePeer sends a message to one instance, or to AllPeers.
-func (r *Reply) WritePeer(who, peer uint32, data string) {
+func (r *Reply) SendPeerMessage(who, peer uint32, data string) {
 	le.PutUint32(r.withText(actWritePeer, who, 9, data)[5:], peer)
 }
 
 // Trace adds a line to the report.
-func (r *Reply) Trace(who uint32, text string) { r.withText(actTrace, who, 5, text) }
+func (r *Reply) Log(who uint32, text string) { r.withText(actTrace, who, 5, text) }
 
 // GiveIn says that the decision code has failed.
-func (r *Reply) GiveIn(who uint32, text string) { r.withText(actGiveIn, who, 5, text) }
+func (r *Reply) ReportFault(who uint32, text string) { r.withText(actGiveIn, who, 5, text) }
 
 // Write sends the reply to the numbered batch and empties it.
 func (r *Reply) Write(w io.Writer, number uint32) error {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -79,7 +79,7 @@
 		0000 0000000000000000 0a124a07 431f 0000803f 01 00 00
 		0000 009d966b01000000 0a9011f2 6c1f 0000c03f 01 00 01
 		68692037`))
-	ev := func(i int, c Code, who uint32) Event {
+	ev := func(i int, c EventCode, who uint32) Event {
 		e := f.Event(i)
 		if e.Code() != c || e.Instance() != who {
 			t.Errorf("record %d: code %d of %d", i, e.Code(), e.Instance())
@@ -87,16 +87,16 @@
 		return e
 	}
 	const id = 0x0f5c0e5d3a91c4
-	if r := ev(0, Request, 3).Request(); r != (balancer.Request{ID: id, Timeout: 240 * time.Millisecond,
+	if r := ev(0, EventRequest, 3).Request(); r != (balancer.Request{ID: id, Timeout: 240 * time.Millisecond,
 		ExpectedWork: 12 * time.Millisecond, AffinityKey: 0x91f03b7c55d20a64}) {
 		t.Errorf("request %+v", r)
 	}
-	if ev(1, Wakeup, 3).Ref() != 77 || ev(2, Hangup, 5).ID() != 0x03d7950e6f2b19 {
+	if ev(1, EventTimer, 3).Ref() != 77 || ev(2, EventDisconnect, 5).ID() != 0x03d7950e6f2b19 {
 		t.Error("wakeup or hangup")
 	}
-	v := ev(3, View, 3)
-	kind, err := v.ListKind()
-	list, err2 := v.Entries()
+	v := ev(3, EventEndpoints, 3)
+	kind, err := v.UpdateKind()
+	list, err2 := v.Endpoints()
 	if err != nil || err2 != nil || kind != balancer.UpdateCached || len(list) != 2 {
 		t.Fatalf("view %v %v %v %v", kind, list, err, err2)
 	}
@@ -104,18 +104,18 @@
 		list[1] != (balancer.Server{ID: 0x0a9011f21f6c, Weight: 1.5, State: balancer.Ready, Zone: 1, StartedAt: 0x16b969d00}) {
 		t.Errorf("entries %+v", list)
 	}
-	if e := ev(4, FirstByte, 3); e.ID() != id || e.Attempt() != 0 {
+	if e := ev(4, EventFirstByte, 3); e.ID() != id || e.Attempt() != 0 {
 		t.Error("first byte")
 	}
-	p, err := ev(5, Sampled, 3).Probe()
+	p, err := ev(5, EventHealthCheck, 3).HealthCheck()
 	if err != nil || p.Server != 0x0a9011f21f6c || p.Result != balancer.OK || p.Latency != 1400*time.Microsecond ||
 		p.Load.N != 1 || math.Abs(float64(p.Load.Values[0])-0.62) > 1e-6 {
 		t.Errorf("probe %+v %v", p, err)
 	}
-	if from, data, err := ev(6, Mail, 3).Mail(); err != nil || from != 2 || string(data) != "hi 7" {
+	if from, data, err := ev(6, EventPeerMessage, 3).PeerMessage(); err != nil || from != 2 || string(data) != "hi 7" {
 		t.Errorf("mail %d %q %v", from, data, err)
 	}
-	o, err := ev(7, Returned, 3).Outcome()
+	o, err := ev(7, EventOutcome, 3).Outcome()
 	if err != nil || o.ID != id || !o.RequestDone || o.Server != wantServer || o.Latency != 18500*time.Microsecond {
 		t.Errorf("outcome %+v %v", o, err)
 	}
@@ -127,23 +127,23 @@
 		do   func(*Reply)
 		want string
 	}{
-		"assign": {func(r *Reply) { r.Assign(3, id, wantServer, 0x1fa2d7390) }, "15 03000000 c4913a5d0e5c0f00 0a124a07 431f 90732dfa01000000 +05"},
-		"revoke": {func(r *Reply) { r.Revoke(3, id, 0) }, "1b 03000000 c4913a5d0e5c0f00 0000 +17"},
+		"assign": {func(r *Reply) { r.Send(3, id, wantServer, 0x1fa2d7390) }, "15 03000000 c4913a5d0e5c0f00 0a124a07 431f 90732dfa01000000 +05"},
+		"revoke": {func(r *Reply) { r.Cancel(3, id, 0) }, "1b 03000000 c4913a5d0e5c0f00 0000 +17"},
 		"watch":  {func(r *Reply) { r.Watch(3, true) }, "19 03000000 01 +26"},
-		"give in": {func(r *Reply) { r.GiveIn(3, "index out of range") },
+		"give in": {func(r *Reply) { r.ReportFault(3, "index out of range") },
 			"17 03000000 00000000 12000000 +19 696e646578206f7574206f662072616e6765"},
 		"fail":    {func(r *Reply) { r.Fail(3, 0x03d7950e6f2b19) }, "13 03000000 192b6f0e95d70300 +19"},
 		"close":   {func(r *Reply) { r.CloseIdle(3, s2) }, "12 03000000 0a9011f2 6c1f +21"},
-		"peer":    {func(r *Reply) { r.WritePeer(3, AllPeers, "hi 7") }, "18 03000000 ffffffff 00000000 04000000 +15 68692037"},
-		"inspect": {func(r *Reply) { r.Inspect(3, s2) }, "10 03000000 0a9011f2 6c1f +21"},
-		"resolve": {func(r *Reply) { r.Resolve(3) }, "1a 03000000 +27"},
-		"arm":     {func(r *Reply) { r.Arm(3, 500*time.Millisecond, 77) }, "11 03000000 0065cd1d00000000 4d00000000000000 +11"},
-		"refuse":  {func(r *Reply) { r.Refuse(3, 0x03d7950e6f2b19, 250*time.Millisecond) }, "14 03000000 192b6f0e95d70300 80b2e60e00000000 +11"},
-		"trace":   {func(r *Reply) { r.Trace(5, "two servers known") }, "16 05000000 00000000 11000000 +19 74776f2073657276657273206b6e6f776e"},
+		"peer":    {func(r *Reply) { r.SendPeerMessage(3, AllInstances, "hi 7") }, "18 03000000 ffffffff 00000000 04000000 +15 68692037"},
+		"inspect": {func(r *Reply) { r.CheckHealth(3, s2) }, "10 03000000 0a9011f2 6c1f +21"},
+		"resolve": {func(r *Reply) { r.FetchEndpoints(3) }, "1a 03000000 +27"},
+		"arm":     {func(r *Reply) { r.SetTimer(3, 500*time.Millisecond, 77) }, "11 03000000 0065cd1d00000000 4d00000000000000 +11"},
+		"refuse":  {func(r *Reply) { r.Reject(3, 0x03d7950e6f2b19, 250*time.Millisecond) }, "14 03000000 192b6f0e95d70300 80b2e60e00000000 +11"},
+		"trace":   {func(r *Reply) { r.Log(5, "two servers known") }, "16 05000000 00000000 11000000 +19 74776f2073657276657273206b6e6f776e"},
 		"three with a tail": {func(r *Reply) {
-			r.Assign(3, id, wantServer, 0x1fa2d7390)
-			r.Arm(3, 500*time.Millisecond, 77)
-			r.Trace(5, "two servers known")
+			r.Send(3, id, wantServer, 0x1fa2d7390)
+			r.SetTimer(3, 500*time.Millisecond, 77)
+			r.Log(5, "two servers known")
 		}, `15 03000000 c4913a5d0e5c0f00 0a124a07 431f 90732dfa01000000 +05
 			11 03000000 0065cd1d00000000 4d00000000000000 +11
 			16 05000000 00000000 11000000 +19 74776f2073657276657273206b6e6f776e`},
@@ -178,7 +178,7 @@
 		t.Errorf("end of input: %v", err)
 	}
 	f := read(t, frame(t, 1, "11 03000000 00 29000000 f0ffffff ffffffff +38"))
-	if _, err := f.Event(0).Entries(); err == nil {
+	if _, err := f.Event(0).Endpoints(); err == nil {
 		t.Error("entries outside the tail were taken")
 	}
 }
@@ -195,12 +195,12 @@
 				e := fr.Event(i)
 				e.Request()
 				e.Outcome()
-				e.Probe()
-				e.Entries()
-				e.ListKind()
-				e.Mail()
+				e.HealthCheck()
+				e.Endpoints()
+				e.UpdateKind()
+				e.PeerMessage()
 				if s, err := e.Settings(); err == nil {
-					settings.ParseText(s)
+					settings.DecodeText(s)
 				}
 			}
 		}
