--- a/cmd/olivebridge/upgrade_test.go
+++ b/cmd/olivebridge/upgrade_test.go
@@ -134,16 +134,16 @@
 	})
 	for round := range 4 {
 		if round == 1 { // one that dies half way leaves the node to its predecessor
-			link, h, l, err := handover.Join(filepath.Join(n.env[4][len("TMPDIR="):], "olivebridge-n0.sock"))
-			if err != nil || len(h.Servers) != 2 {
-				t.Fatalf("%+v, %v", h, err)
+			takeover, err := handover.Connect(filepath.Join(n.env[4][len("TMPDIR="):], "olivebridge-n0.sock"))
+			if err != nil || takeover == nil || len(takeover.State.Servers) != 2 {
+				t.Fatalf("%+v, %v", takeover, err)
 			}
-			l.Close()
+			takeover.Listener.Close()
 			begun := time.Now() // it does not say that the ban holds there: a yes would be false
 			if got := call(t, door, "SUSPEND s-1"); !strings.HasPrefix(got, "FAILURE it holds in this process alone") || time.Since(begun) > time.Second {
 				t.Errorf("beside a process that hangs: %q after %v", got, time.Since(begun))
 			}
-			link.Close()
+			takeover.Link.Close()
 			n.until(t, "other process has ended")
 			must(t, door, "SUSPEND s-1")
 		}
--- a/internal/handover/codec_test.go
+++ b/internal/handover/codec_test.go
@@ -17,9 +17,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	draining := balancer.Server{ID: 0xfedcba9876543210, Cell: 3, Zone: 1, Kind: 2, StartedAt: 1764745200000000000,
+	draining := maintenance.ListedServer{ID: 0xfedcba9876543210, Cell: 3, Zone: 1, Kind: 2, StartedAt: 1764745200000000000,
 		Weight: 1.5, State: balancer.Draining, Suspended: true}
-	ready := balancer.Server{ID: 7, Weight: 1, State: balancer.Ready}
+	ready := maintenance.ListedServer{ID: 7, Weight: 1, State: balancer.Ready}
 	want := []Message{
 		{Kind: KindServers, Servers: []maintenance.Record{
 			{Name: "s-5be2a07c", Addr: "10.1.0.18:9000", Said: draining, Held: true,
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -1,76 +1,48 @@
-// Package handover joins the two processes that are one node during an upgrade:
-// the one in service, and its successor. This file has what they tell each other
-// and who may hold how much meanwhile; link.go has the socket between them.
 package handover
 
 import (
-	"fmt"
-
 	"olivebridge/internal/maintenance"
 )
 
-// batch is how many servers go in one message; with ids of 200 bytes it stays under maxMessageBytes.
-const batch = 60
-
 // Kind says what a message is about.
 type Kind string
 
-// The kinds.
+// The kinds of message, in the order in which an upgrade uses them.
 const (
-	KindServers    Kind = "state" // to the successor: servers, in as many messages as it takes
-	KindListener   Kind = "serve" // to the successor: that was all; the listener comes with it
-	KindReady      Kind = "ready" // from the successor: it takes clients
-	KindCommand    Kind = "call"  // an operator's call that the other process has taken
-	KindResult     Kind = "done"  // that call holds here, too
-	KindConnection Kind = "conn"  // a client connection that carries nothing comes with it
+	// KindServers brings the successor a part of the servers that are known.
+	KindServers Kind = "state"
+	// KindListener ends the state: it brings the listener of clients and all else that the successor takes over.
+	KindListener Kind = "serve"
+	// KindReady says that the successor takes clients. It is a request.
+	KindReady Kind = "ready"
+	// KindCommand asks the other process to carry out an operator's command, too. It is a request.
+	KindCommand Kind = "call"
+	// KindResult answers a request.
+	KindResult Kind = "done"
+	// KindConnection brings a client connection that is idle.
+	KindConnection Kind = "conn"
 )
 
-// Message is what the processes tell each other.
+// Message is what one process of a node sends to the other. A kind uses some of its fields. The JSON keys are a
+// contract with processes of other builds, and do not follow the names in the code.
 type Message struct {
-	Kind           Kind
-	Servers        []maintenance.Record // of State
-	ListVersion    int64                // of the list that they are of
-	DiscoveryAddr  string               // discovery's address, where versions are its own
-	Paused         bool
-	WarmThroughput float64 // see balancer.Settings
-	RequestNumber  uint64  // of a call
-	Command        string
-	ServerID       string
-	Error          string // of Done: why the call does not hold
+	Kind Kind `json:"kind"`
+	// Servers are those of KindServers.
+	Servers []maintenance.Record `json:"servers,omitempty"`
+	// ListVersion is the version of the endpoint list that the servers are from; see KindListener.
+	ListVersion int64 `json:"version,omitempty"`
+	// DiscoveryAddr is the address of the discovery that numbers the list's versions; see KindListener.
+	DiscoveryAddr string `json:"source,omitempty"`
+	// Paused reports that operators have paused the node; see KindListener.
+	Paused bool `json:"paused,omitempty"`
+	// WarmThroughput is balancer.Settings.WarmThroughput for the successor; see KindListener.
+	WarmThroughput float64 `json:"carried_rate,omitempty"`
+	// RequestNumber tells requests of one process apart; their result carries the same.
+	RequestNumber uint64 `json:"number,omitempty"`
+	// Command is the command's name; see KindCommand.
+	Command string `json:"word,omitempty"`
+	// ServerID is the server that the command is about; "" if it is about the node.
+	ServerID string `json:"id,omitempty"`
+	// Error says why a request failed; "" if it did not; see KindResult.
+	Error string `json:"fault,omitempty"`
 }
-
-// Heritage is what a successor takes over.
-type NodeState struct {
-	Servers        []maintenance.Record
-	ListVersion    int64
-	DiscoveryAddr  string
-	Paused         bool
-	WarmThroughput float64
-}
-
-// Messages are those that bring a heritage, the listener's last.
-func (h NodeState) Messages() (all []Message) {
-	for rest := h.Servers; len(rest) > 0; {
-		n := min(len(rest), batch)
-		all = append(all, Message{Kind: KindServers, Servers: rest[:n]})
-		rest = rest[n:]
-	}
-	return append(all, Message{Kind: KindListener, ListVersion: h.ListVersion, DiscoveryAddr: h.DiscoveryAddr, Paused: h.Paused, WarmThroughput: h.WarmThroughput})
-}
-
-// take adds a message to a heritage, and reports whether it was the last.
-func (h *NodeState) take(m Message) (last bool, err error) {
-	switch m.Kind {
-	case KindServers:
-		h.Servers = append(h.Servers, m.Servers...)
-		return false, nil
-	case KindListener:
-		h.ListVersion, h.DiscoveryAddr, h.Paused, h.WarmThroughput = m.ListVersion, m.DiscoveryAddr, m.Paused, m.WarmThroughput
-		return true, nil
-	}
-	return false, fmt.Errorf("hand-over: %q where the heritage was to come", m.Kind)
-}
-
-// Part is the part of the node's limits that one of its processes may hold:
-// both count together.
-func ResourceShare(processes int) float64 { return 1 / float64(max(processes, 1)) }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -12,6 +12,7 @@
 	"syscall"
 	"time"
 
+	"olivebridge/balancer"
 	"olivebridge/internal/admin"
 	"olivebridge/internal/handover"
 	"olivebridge/internal/routing"
@@ -52,33 +53,35 @@
 	if n.parts.HandoverPath == "" || n.servers == nil {
 		return nil, false
 	}
-	link, h, listener, err := handover.Join(n.parts.HandoverPath)
-	if err == nil && link != nil && !serves(listener, n.config.Listen) {
-		err = fmt.Errorf("the process in service listens on %s, and this one is told %s", listener.Addr(), n.config.Listen)
-		listener.Close()
-		link.Close()
+	takeover, err := handover.Connect(n.parts.HandoverPath)
+	if err == nil && takeover != nil && !serves(takeover.Listener, n.config.Listen) {
+		err = fmt.Errorf("the process in service listens on %s, and this one is told %s",
+			takeover.Listener.Addr(), n.config.Listen)
+		takeover.Listener.Close()
+		takeover.Link.Close()
 	}
 	if err != nil {
 		n.log.Warn("hand-over failed", "reason", err.Error())
 	}
-	if link == nil || err != nil {
+	if takeover == nil || err != nil {
 		return nil, false
 	}
-	n.company.predecessor = link
-	n.servers.Import(h.Servers)
+	state := takeover.State
+	n.company.predecessor = takeover.Link
+	n.servers.Import(state.Servers)
 	known := routing.Group{}
-	for _, r := range h.Servers {
-		known.Entries = append(known.Entries, routing.Entry{Server: r.Said, Name: r.Name, Addr: r.Addr})
+	for _, r := range state.Servers {
+		known.Entries = append(known.Entries, routing.Entry{Server: balancer.Server(r.Said), Name: r.Name, Addr: r.Addr})
 	}
 	if len(known.Entries) > 0 {
 		n.config.KnownEndpoints, n.config.KnownEndpointsVersion = known, -1
-		if h.DiscoveryAddr == n.config.Discovery {
-			n.config.KnownEndpointsVersion = h.ListVersion
+		if state.DiscoveryAddr == n.config.Discovery {
+			n.config.KnownEndpointsVersion = state.ListVersion
 		}
 	}
-	n.config.Settings.WarmThroughput = h.WarmThroughput
-	n.log.Info("taking over", "servers", len(h.Servers), "version", n.config.KnownEndpointsVersion, "paused", h.Paused)
-	return listener, h.Paused
+	n.config.Settings.WarmThroughput = state.WarmThroughput
+	n.log.Info("taking over", "servers", len(state.Servers), "version", n.config.KnownEndpointsVersion, "paused", state.Paused)
+	return takeover.Listener, state.Paused
 }
 
 // serves reports whether a listener is on an address, of which port 0 is any.
