--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -5,279 +5,165 @@
 	"fmt"
 	"net"
 	"os"
-	"path/filepath"
 	"sync"
 	"syscall"
 	"time"
 )
 
 const (
-	// joinTimeout is how long the process in service may take for its heritage. It answers from memory.
-	joinTimeout = 2 * time.Second
-	// sendTimeout is how long a message may wait for the other process to read.
+	// sendTimeout bounds the wait for the other process to read a message.
 	sendTimeout = 500 * time.Millisecond
-	// callTimeout is how long an operator's call waits for the other process: answers are owed in 1 s.
-	callTimeout = 600 * time.Millisecond
-	// maxPath is the longest path of a Unix socket.
-	maxPath = 107
+	// requestTimeout bounds the wait for a result. An operator's command is owed its answer in 1 s.
+	requestTimeout = 600 * time.Millisecond
 )
 
-// Link is the socket between the two processes. Messages keep their order.
+// ErrProcessEnded says that there is no other process any more.
+var ErrProcessEnded = errors.New("hand-over: the node's other process has ended")
+
+// ErrConnectionEnded says that the connection whose descriptor was to be sent has ended meanwhile. The link is whole.
+var ErrConnectionEnded = errors.New("hand-over: the connection has ended")
+
+// Link is the socket between the two processes. Messages keep their order. All methods but Receive are safe for
+// concurrent use; one goroutine receives.
 type Link struct {
 	conn *net.UnixConn
 
 	sending sync.Mutex
 
-	mu    sync.Mutex
-	calls map[uint64]chan string // that wait for Done
-	last  uint64
+	mu          sync.Mutex
+	pending     map[uint64]chan Message // requests that wait for their result, by number
+	lastRequest uint64                  // the number of the newest request
 
-	once  sync.Once
-	ended chan struct{} // closed with the link
+	closeOnce sync.Once
+	closed    chan struct{} // closed with the link
 }
 
-// ErrEnded says that there is no other process any more.
-var ErrEnded = errors.New("hand-over: the node's other process has ended")
-
-// ErrGone says that a descriptor that was to be sent has none any more: its connection ended meanwhile. The link is whole.
-var ErrGone = errors.New("hand-over: the connection has ended")
-
 func newLink(conn *net.UnixConn) *Link {
-	return &Link{conn: conn, calls: map[uint64]chan string{}, ended: make(chan struct{})}
-}
-
-// address makes a path fit into a socket's address; close what it returns after use.
-func address(path string) (*net.UnixAddr, func(), error) {
-	done := func() {}
-	if len(path) > maxPath {
-		dir, err := os.Open(filepath.Dir(path))
-		if err != nil {
-			return nil, done, fmt.Errorf("hand-over: %w", err)
-		}
-		done = func() { dir.Close() }
-		path = fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path))
-	}
-	return &net.UnixAddr{Net: "unixpacket", Name: path}, done, nil
-}
-
-// Join asks the process in service for the node. A nil link without an error:
-// there is none.
-func Join(path string) (*Link, Heritage, net.Listener, error) {
-	addr, done, err := address(path)
-	if err != nil {
-		return nil, Heritage{}, nil, err
-	}
-	defer done()
-	if err := ours(path); err != nil {
-		return nil, Heritage{}, nil, err
-	}
-	conn, err := net.DialUnix("unixpacket", nil, addr)
-	switch {
-	case errors.Is(err, syscall.ENOENT), errors.Is(err, syscall.ECONNREFUSED): // what a dead process left
-		return nil, Heritage{}, nil, nil
-	case err != nil:
-		return nil, Heritage{}, nil, fmt.Errorf("hand-over: %w", err)
-	}
-	l := newLink(conn)
-	h, listener, err := l.inherit()
-	if err != nil {
-		l.Close()
-		return nil, Heritage{}, nil, err
-	}
-	return l, h, listener, nil
-}
-
-func (l *Link) inherit() (h Heritage, listener net.Listener, err error) {
-	l.conn.SetReadDeadline(time.Now().Add(joinTimeout))
-	defer l.conn.SetReadDeadline(time.Time{})
-	for last := false; !last; {
-		m, file, err := l.Receive()
-		if err != nil {
-			return h, nil, err
-		}
-		if last, err = h.take(m); err != nil || last && file == nil {
-			if file != nil {
-				file.Close()
-			}
-			return h, nil, errors.Join(err, errors.New("hand-over: no listener came"))
-		}
-		if file != nil {
-			defer file.Close()
-			if listener, err = net.FileListener(file); err != nil {
-				return h, nil, fmt.Errorf("hand-over: %w", err)
-			}
-		}
-	}
-	return h, listener, nil
-}
-
-// ours refuses another user's socket: what it gives would be served as the node's own. What is no socket is
-// somebody's file, and stays.
-func ours(path string) error {
-	info, err := os.Lstat(path)
-	if errors.Is(err, os.ErrNotExist) {
-		return nil
-	}
-	if err != nil {
-		return fmt.Errorf("hand-over: %w", err)
-	}
-	if s, ok := info.Sys().(*syscall.Stat_t); !ok || int(s.Uid) != os.Getuid() {
-		return fmt.Errorf("hand-over: %s is another user's", path)
-	}
-	if info.Mode().Type() != os.ModeSocket {
-		return fmt.Errorf("hand-over: %s is no socket", path)
-	}
-	return nil
+	return &Link{conn: conn, pending: map[uint64]chan Message{}, closed: make(chan struct{})}
 }
 
 // Close ends the link; Receive ends with an error at both sides.
 func (l *Link) Close() {
-	l.once.Do(func() { close(l.ended) })
-	l.conn.Close()
+	l.closeOnce.Do(func() { close(l.closed) })
+	_ = l.conn.Close()
 }
 
 // Send sends a message, and with it a descriptor unless that is nil. The sender keeps its own. Where the descriptor is
-// closed by then nothing is sent, and the error is ErrGone.
-func (l *Link) Send(m Message, with syscall.Conn) error {
+// closed by then nothing is sent, and the error is ErrConnectionEnded.
+func (l *Link) Send(m Message, descriptor syscall.Conn) error {
 	data, err := encode(m)
 	if err != nil {
 		return err
 	}
 	l.sending.Lock()
 	defer l.sending.Unlock()
-	l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
-	if with == nil {
+	_ = l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
+	if descriptor == nil {
 		_, err = l.conn.Write(data)
 		return err
 	}
-	raw, err := with.SyscallConn()
+	raw, err := descriptor.SyscallConn()
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrGone, err)
+		return fmt.Errorf("%w: %w", ErrConnectionEnded, err)
 	}
-	var sent error
+	var sendErr error
 	// File would turn the descriptor blocking, for both processes; within Control it stays open.
-	if err = raw.Control(func(fd uintptr) { _, _, sent = l.conn.WriteMsgUnix(data, syscall.UnixRights(int(fd)), nil) }); err != nil {
-		return fmt.Errorf("%w: %w", ErrGone, err)
+	err = raw.Control(func(fd uintptr) {
+		_, _, sendErr = l.conn.WriteMsgUnix(data, syscall.UnixRights(int(fd)), nil)
+	})
+	if err != nil {
+		return fmt.Errorf("%w: %w", ErrConnectionEnded, err)
 	}
-	return sent
+	return sendErr
 }
 
-// Receive waits for the next message, and the descriptor that came with it.
-func (l *Link) Receive() (m Message, file *os.File, err error) {
-	data, oob := make([]byte, maxMessage), make([]byte, syscall.CmsgSpace(4))
-	n, oobn, _, _, err := l.conn.ReadMsgUnix(data, oob)
-	if errors.Is(err, syscall.ECONNRESET) { // it ended with something unread. Linux tells so once, ahead of what it sent before
-		n, oobn, _, _, err = l.conn.ReadMsgUnix(data, oob)
+// Receive waits for the next message, and the descriptor that came with it; nil: none. The caller closes the file.
+func (l *Link) Receive() (Message, *os.File, error) {
+	data := make([]byte, maxMessageBytes)
+	control := make([]byte, syscall.CmsgSpace(4)) // of one descriptor
+	size, controlSize, _, _, err := l.conn.ReadMsgUnix(data, control)
+	if errors.Is(err, syscall.ECONNRESET) {
+		// The other process ended with something unread. Linux reports that once, ahead of what was sent before.
+		size, controlSize, _, _, err = l.conn.ReadMsgUnix(data, control)
 	}
 	if err != nil {
-		return m, nil, err
+		return Message{}, nil, err
 	}
-	if file, err = descriptor(oob[:oobn]); err != nil {
-		return m, nil, err
+	file, err := parseDescriptor(control[:controlSize])
+	if err != nil {
+		return Message{}, nil, err
 	}
-	if m, err = decode(data[:n]); err != nil && file != nil {
-		file.Close()
-		file = nil
+	message, err := decode(data[:size])
+	if err != nil {
+		closeFile(file)
+		return Message{}, nil, err
 	}
-	return m, file, err
+	return message, file, nil
 }
 
-func descriptor(oob []byte) (*os.File, error) {
-	if len(oob) == 0 {
+// parseDescriptor reads the descriptor of a control message; nil: it has none.
+func parseDescriptor(control []byte) (*os.File, error) {
+	if len(control) == 0 {
 		return nil, nil
 	}
-	parts, err := syscall.ParseSocketControlMessage(oob)
-	if err != nil || len(parts) != 1 {
-		return nil, fmt.Errorf("hand-over: %d control messages: %w", len(parts), err)
+	messages, err := syscall.ParseSocketControlMessage(control)
+	if err != nil || len(messages) != 1 {
+		return nil, fmt.Errorf("hand-over: %d control messages: %w", len(messages), err)
 	}
-	fds, err := syscall.ParseUnixRights(&parts[0])
-	if err != nil || len(fds) != 1 {
-		return nil, fmt.Errorf("hand-over: %d descriptors: %w", len(fds), err)
+	descriptors, err := syscall.ParseUnixRights(&messages[0])
+	if err != nil || len(descriptors) != 1 {
+		return nil, fmt.Errorf("hand-over: %d descriptors: %w", len(descriptors), err)
 	}
-	return os.NewFile(uintptr(fds[0]), "handed over"), nil
+	return os.NewFile(uintptr(descriptors[0]), "handed over"), nil
 }
 
-// Ask has the other process do what a message says, and waits until that holds
-// there; with ErrEnded nobody is left for whom it would have to.
-func (l *Link) Ask(m Message) error {
-	done := make(chan string, 1)
-	l.mu.Lock()
-	l.last++
-	number := l.last
-	l.calls[number] = done
-	l.mu.Unlock()
-	defer func() {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		delete(l.calls, number)
-	}()
-	m.Number = number
+// Request has the other process do what a message says, and waits for its result, which the goroutine that receives
+// gives to Resolve. The error is ErrProcessEnded where no process is left that would have to do it.
+func (l *Link) Request(m Message) error {
+	number, result := l.register()
+	defer l.unregister(number)
+	m.RequestNumber = number
 	switch err := l.Send(m, nil); {
 	case errors.Is(err, syscall.EPIPE), errors.Is(err, net.ErrClosed),
 		errors.Is(err, syscall.ECONNRESET): // it died with something of this process's unread
-		return ErrEnded
+		return ErrProcessEnded
 	case err != nil:
 		return fmt.Errorf("hand-over: %w", err)
 	}
 	select {
-	case fault := <-done:
-		if fault != "" {
-			return fmt.Errorf("the node's other process: %s", fault)
+	case done := <-result:
+		if done.Error != "" {
+			return fmt.Errorf("the node's other process: %s", done.Error)
 		}
 		return nil
-	case <-l.ended:
-		return ErrEnded
-	case <-time.After(callTimeout):
+	case <-l.closed:
+		return ErrProcessEnded
+	case <-time.After(requestTimeout):
 		return errors.New("hand-over: the node's other process does not answer")
 	}
 }
 
-// Answered takes a Done message to whoever waits for it.
-func (l *Link) Answered(m Message) {
+func (l *Link) register() (number uint64, result <-chan Message) {
+	waiting := make(chan Message, 1)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if done := l.calls[m.Number]; done != nil {
-		done <- m.Fault
-		delete(l.calls, m.Number)
-	}
+	l.lastRequest++
+	l.pending[l.lastRequest] = waiting
+	return l.lastRequest, waiting
 }
 
-// Seat is where a successor finds the process in service.
-type Seat struct{ l *net.UnixListener }
-
-// Take listens at a path, in place of whoever did before.
-func Take(path string) (*Seat, error) {
-	addr, done, err := address(path)
-	if err != nil {
-		return nil, err
-	}
-	defer done()
-	if err := ours(path); err != nil {
-		return nil, err
-	}
-	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return nil, fmt.Errorf("hand-over: %w", err)
-	}
-	l, err := net.ListenUnix("unixpacket", addr)
-	if err != nil {
-		return nil, fmt.Errorf("hand-over: %w", err)
-	}
-	l.SetUnlinkOnClose(false) // by then the path may be the successor's
-	if err := os.Chmod(path, 0o600); err != nil {
-		l.Close()
-		return nil, fmt.Errorf("hand-over: %w", err)
-	}
-	return &Seat{l}, nil
+func (l *Link) unregister(number uint64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.pending, number)
 }
 
-// Accept waits for a successor.
-func (s *Seat) Accept() (*Link, error) {
-	conn, err := s.l.AcceptUnix()
-	if err != nil {
-		return nil, err
+// Resolve gives a received KindResult to the request that waits for it, if any does.
+func (l *Link) Resolve(m Message) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if waiting := l.pending[m.RequestNumber]; waiting != nil {
+		waiting <- m
+		delete(l.pending, m.RequestNumber)
 	}
-	return newLink(conn), nil
 }
-
-// Close leaves the seat.
-func (s *Seat) Close() { s.l.Close() }
--- /dev/null
+++ b/internal/handover/takeover_test.go
@@ -0,0 +1,140 @@
+package handover
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"olivebridge/balancer"
+	"olivebridge/internal/maintenance"
+)
+
+func stateOf(servers int) NodeState {
+	h := NodeState{ListVersion: 41, DiscoveryAddr: "d:1", Paused: true, WarmThroughput: 0.25}
+	for i := range servers {
+		listed := maintenance.ListedServer{
+			ID: balancer.ServerID(i) << 50, Weight: 1.5, State: balancer.Draining, StartedAt: 1e18}
+		h.Servers = append(h.Servers, maintenance.Record{
+			Name: fmt.Sprint("s-", strings.Repeat("x", 100), i), Addr: "127.0.0.1:9000", Listed: listed,
+			Suspended: i%2 == 0, SuspendedAt: 3, StartedNotBefore: 4})
+	}
+	return h
+}
+
+// TestConnect: a successor gets all that is known, and the listener, at a path of any length.
+func TestConnect(t *testing.T) {
+	for name, path := range map[string]string{"short": filepath.Join(t.TempDir(), "s"),
+		"long": filepath.Join(t.TempDir(), strings.Repeat("d", 120), "s")} {
+		os.MkdirAll(filepath.Dir(path), 0o700)
+		if takeover, err := Connect(path); takeover != nil || err != nil {
+			t.Fatalf("%s: nobody there: %v, %v", name, takeover, err)
+		}
+		want, clients := stateOf(1000), listen(t)
+		var listener *Listener
+		for range 2 { // what a dead process left stands in nobody's way
+			var err error
+			if listener, err = Listen(path); err != nil {
+				t.Fatal(name, err)
+			}
+			listener.Close()
+		}
+		listener, _ = Listen(path)
+		go func() {
+			l, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			for _, m := range want.Messages() {
+				if m.Kind == KindListener {
+					l.Send(m, clients.(*net.TCPListener))
+				} else {
+					l.Send(m, nil)
+				}
+			}
+		}()
+		got, err := Connect(path)
+		if err != nil || got == nil || !reflect.DeepEqual(got.State, want) ||
+			got.Listener.Addr().String() != clients.Addr().String() {
+			t.Fatalf("%s: %+v, %v", name, got, err)
+		}
+		got.Listener.Close()
+		got.Link.Close()
+		listener.Close()
+	}
+}
+
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	return l
+}
+
+// TestMalformedState: a state that is malformed or of another version is not taken over, and the error says why.
+func TestMalformedState(t *testing.T) {
+	for sent, want := range map[string]string{
+		"":                          "EOF",
+		"noise":                     "invalid character",
+		`{"form":2,"kind":"serve"}`: "form 2, this process knows 1",
+		`{"form":1,"kind":"serve"}`: "no listener",
+		`{"form":1,"kind":"ready"}`: `"ready" where the heritage was to come`,
+		strings.Repeat("x", 60<<10): "invalid character",
+	} {
+		path := filepath.Join(t.TempDir(), "s")
+		listener, err := Listen(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		go func() {
+			if l, err := listener.Accept(); err == nil {
+				l.conn.Write([]byte(sent))
+				l.Close()
+			}
+		}()
+		if takeover, err := Connect(path); takeover != nil || err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%.30q: %v", sent, err)
+		}
+		listener.Close()
+	}
+	if _, err := encode(Message{ServerID: strings.Repeat("x", maxMessageBytes)}); err == nil {
+		t.Error("a message of any size goes out")
+	}
+}
+
+// TestUnusableSocketPath: a path that cannot be a socket of this user's is an error that says why.
+func TestUnusableSocketPath(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "file")
+	if err := os.WriteFile(file, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	foreign := filepath.Join(t.TempDir(), "s")
+	if listener, err := Listen(foreign); err != nil {
+		t.Fatal(err)
+	} else {
+		listener.Close()
+	}
+	chown := os.Chown(foreign, os.Getuid()+1, -1)
+	for path, want := range map[string]string{
+		filepath.Join(file, "s"):                                  "not a directory",
+		filepath.Join(t.TempDir(), strings.Repeat("d", 120), "s"): "no such file",
+		file:    "is no socket",
+		foreign: "another user's",
+	} {
+		if path == foreign && chown != nil {
+			continue // nobody else's can be made here
+		}
+		if _, err := Listen(path); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: taking: %v", want, err)
+		}
+		if takeover, err := Connect(path); takeover != nil || err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: connecting: %v", want, err)
+		}
+	}
+}
--- a/internal/protocol/group.go
+++ b/internal/protocol/group.go
@@ -20,25 +20,25 @@
 var states = map[string]balancer.ServerState{"Ready": balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Removed}
 
 type groupJSON struct {
-	Version *int64       `json:"version"`
-	Full    *bool        `json:"full"`
+	Version *int64 `json:"version"`
+	Full *bool `json:"full"`
 	Servers *[]entryJSON `json:"servers"`
 }
 
 type entryJSON struct {
-	ID      string   `json:"id"`
-	Addr    string   `json:"addr"`
-	Zone    string   `json:"zone"`
-	Kind    string   `json:"kind"`
-	Cell    uint16   `json:"cell"`
-	State   string   `json:"state"`
-	Weight  *float32 `json:"weight"`
-	Started int64    `json:"started_ms"`
+	ID string `json:"id"`
+	Addr string `json:"addr"`
+	Zone string `json:"zone"`
+	Kind string `json:"kind"`
+	Cell uint16 `json:"cell"`
+	State string `json:"state"`
+	Weight *float32 `json:"weight"`
+	Started int64 `json:"started_ms"`
 }
 
 // ParseGroup reads a list of the upstream group. A list with any fault is an
 // error as a whole: half a list would drop sound peers.
-func (n Names) ParseGroup(data []byte) (g routing.EndpointList, version int64, err error) {
+func (n NameIndex) ParseEndpoints(data []byte) (g routing.EndpointList, version int64, err error) {
 	var in groupJSON
 	if err := json.Unmarshal(data, &in); err != nil {
 		return g, 0, fmt.Errorf("upstream group: %w", err)
@@ -64,7 +64,7 @@
 	return g, *in.Version, nil
 }
 
-func (n Names) entry(s entryJSON) (routing.Endpoint, error) {
+func (n NameIndex) entry(s entryJSON) (routing.Endpoint, error) {
 	state, ok := states[s.State]
 	if !ok {
 		return routing.Endpoint{}, fmt.Errorf("unknown state %q", s.State)
--- a/internal/transport/carrier.go
+++ b/internal/transport/carrier.go
@@ -22,25 +22,25 @@
 // CarrierConfig is what a Carrier is made from.
 type CarrierConfig struct {
 	ConnectTimeout time.Duration // a connection that comes later has not come
-	IdleClose      time.Duration // peers close a connection idle for this long
-	DrainGrace     time.Duration // first bytes to a leaving peer end within this time
-	MaxConns       int           // connections to all peers together
-	Log            *slog.Logger
-	Dial           Dialer // nil: TCP
+	IdleClose time.Duration // peers close a connection idle for this long
+	DrainGrace time.Duration // first bytes to a leaving peer end within this time
+	MaxConns int // connections to all peers together
+	Log *slog.Logger
+	Dial Dialer // nil: TCP
 }
 
 // Carrier brings tries and probes to peers over pooled connections.
 type Carrier struct {
-	config  atomic.Pointer[CarrierConfig]
-	pool    *pool
+	config atomic.Pointer[CarrierConfig]
+	pool *pool
 	readers sync.Pool // a connection needs its buffer only while it carries a try
-	buffers buffers   // of the answers' bodies
+	buffers buffers // of the answers' bodies
 }
 
 // NewCarrier makes a Carrier.
 func NewCarrier(c CarrierConfig) *Carrier {
 	k := &Carrier{
-		pool:    &pool{settle: settle, log: c.Log, dial: c.Dial, idle: map[*routing.Upstream][]*peerConn{}},
+		pool: &pool{settle: settle, log: c.Log, dial: c.Dial, idle: map[*routing.Upstream][]*peerConn{}},
 		readers: sync.Pool{New: func() any { return bufio.NewReader(nil) }},
 	}
 	k.Configure(c)
@@ -78,7 +78,7 @@
 // CheckHealth implements routing.Transport.
 func (k *Carrier) CheckHealth(ctx context.Context, p *routing.Upstream) balancer.Result {
 	t := routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(4 * k.config.Load().ConnectTimeout)}
-	r := k.exchange(ctx, t, newMessage(&k.buffers, http.MethodGet, protocol.PathLive, p.Addr, nil, 0), false)
+	r := k.exchange(ctx, t, newMessage(&k.buffers, http.MethodGet, protocol.PathHealthCheck, p.Addr, nil, 0), false)
 	if d, ok := r.Reply.(routing.Releaser); ok {
 		d.Release()
 	}
@@ -147,7 +147,7 @@
 	in.Reset(c)
 	a, err := readAnswer(c, in, &k.buffers, t.ExpiresAt)
 	undisturbed := watch.end()
-	res := protocol.ResultOf(a.status, a.values(protocol.HeaderRejected))
+	res := protocol.ClassifyResponse(a.status, a.values(protocol.HeaderRejected))
 	if err == nil && a.rest != nil && res == balancer.OK && undisturbed {
 		a.rest.carrier, a.rest.last = k, a.last
 		return routing.AttemptResult{Result: balancer.OK, Reply: &reply{fields: a.endToEnd(), body: a.body, rest: a.rest}}
