--- a/cmd/olivefleet/keep.go
+++ b/cmd/olivefleet/keep.go
@@ -48,60 +48,60 @@
 }
 
 // Keeper implements node.Fleet.
-func (f *company) Keeper() transport.Keeper {
+func (f *company) Keeper() transport.IdempotencyStore {
 	if f.kept == nil {
 		return nil
 	}
 	return f.kept
 }
 
-// Keeps implements transport.Keeper.
-func (k *kept) Keeps(class int) bool {
+// Covers implements transport.IdempotencyStore.
+func (k *kept) Covers(class int) bool {
 	_, kept := k.again[class]
 	return kept
 }
 
-var _ transport.Keeper = (*kept)(nil)
+var _ transport.IdempotencyStore = (*kept)(nil)
 
-// Begin implements transport.Keeper.
-func (k *kept) Begin(ctx context.Context, w transport.Work) transport.Kept {
+// Begin implements transport.IdempotencyStore.
+func (k *kept) Begin(ctx context.Context, w transport.KeyedCall) transport.CallClaim {
 	owner, ok := k.work.Owner()
 	if !ok {
-		return transport.Kept{State: transport.KeptRefused}
+		return transport.CallClaim{State: transport.CallStoreUnavailable}
 	}
 	mutant.At("before-permission")
-	v, err := k.work.Begin(ctx, work.Begin{Key: w.Key, Print: w.Print, Owner: owner, Again: k.again[w.Class]})
+	v, err := k.work.Begin(ctx, work.Begin{Key: w.Key, Print: w.Fingerprint, Owner: owner, Again: k.again[w.Class]})
 	switch {
 	case err != nil || v.Full || v.Over:
-		return transport.Kept{State: transport.KeptRefused}
+		return transport.CallClaim{State: transport.CallStoreUnavailable}
 	case v.Other:
-		return transport.Kept{State: transport.KeptOther}
+		return transport.CallClaim{State: transport.CallKeyConflict}
 	case v.Yours:
 		mutant.At("with-permission")
-		return transport.Kept{State: transport.KeptYours, End: func(s transport.KeptState, o *transport.Outcome) {
+		return transport.CallClaim{State: transport.CallGranted, Finish: func(s transport.CallState, o *transport.StoredResponse) {
 			k.end(w.Key, owner, s, o)
 		}}
 	case v.State == work.Answered:
-		kept := transport.Kept{State: transport.KeptAnswered}
+		kept := transport.CallClaim{State: transport.CallAnswered}
 		if o := v.Outcome; o != nil {
-			kept.Outcome = &transport.Outcome{Status: o.Status, Header: http.Header(o.Header), Body: o.Body, Long: o.Long}
+			kept.Response = &transport.StoredResponse{Status: o.Status, Header: http.Header(o.Header), Body: o.Body, Truncated: o.Long}
 		}
 		return kept
 	case v.State == work.Unknown:
-		return transport.Kept{State: transport.KeptUnknown}
+		return transport.CallClaim{State: transport.CallOutcomeUnknown}
 	case v.State == work.Free: // this very call was given up before
-		return transport.Kept{State: transport.KeptRefused}
+		return transport.CallClaim{State: transport.CallStoreUnavailable}
 	}
-	return transport.Kept{State: transport.KeptRuns}
+	return transport.CallClaim{State: transport.CallRunning}
 }
 
-func (k *kept) end(key string, owner work.Owner, s transport.KeptState, o *transport.Outcome) {
+func (k *kept) end(key string, owner work.Owner, s transport.CallState, o *transport.StoredResponse) {
 	e := work.End{Key: key, Owner: owner, State: work.Unknown}
 	switch {
-	case s == transport.KeptFree:
+	case s == transport.CallNotRun:
 		e.State = work.Free
-	case s == transport.KeptAnswered && o != nil:
-		e.State, e.Outcome = work.Answered, &work.Outcome{Status: o.Status, Header: o.Header, Body: o.Body, Long: o.Long}
+	case s == transport.CallAnswered && o != nil:
+		e.State, e.Outcome = work.Answered, &work.Outcome{Status: o.Status, Header: o.Header, Body: o.Body, Long: o.Truncated}
 	}
 	mutant.At("answered")
 	k.work.End(e)
--- a/cmd/olivelab/path_test.go
+++ b/cmd/olivelab/path_test.go
@@ -47,7 +47,7 @@
 		t.Errorf("the sound node: exit %d\n%s%s", code, sound, errs)
 	}
 	brought := map[string]string{
-		"allocation": `brought by transport\.\(\*Carrier\)\.Try \(\+1\.00(, new)?\)`,
+		"allocation": `brought by transport\.\(\*UpstreamTransport\)\.Try \(\+1\.00(, new)?\)`,
 		"write":      `brought by transport\.\(\*clientConn\)\.Write by net\.\S+ \(\+1\.00\)`,
 		"copy":       `brought by transport\.\(\*clientConn\)\.Write \(\+\d+\.\d\d, new\)`,
 	}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -25,7 +25,7 @@
 	// Gate is what the fleet's budgets let through; nil: there are none.
 	Gate() routing.Gate
 	// Keeper keeps calls beyond the loss of this node; nil: none are kept.
-	Keeper() transport.Keeper
+	Keeper() transport.IdempotencyStore
 	// Operate gives the fleet the node's desk, before there are clients; only where operators have a door. Do carries out an
 	// operator's call that is for the whole fleet.
 	Operate(FleetDesk)
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -318,7 +318,7 @@
 	defer n.mu.Unlock()
 	part := handover.Part(n.company.processes())
 	n.carrier.Configure(n.carrierConfig(n.config, part))
-	n.front.Bound(clientBounds(n.config, part))
+	n.front.SetClientLimits(clientBounds(n.config, part))
 	n.boundDoor(n.config, part)
 	if n.parts.Limit != nil {
 		n.parts.Limit(n.config, part)
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -24,19 +24,19 @@
 func share(c *protocol.Config, part float64) shares {
 	all := int(float64(c.Sockets) * part)
 	few := max(all/16, 1)
-	s := shares{discovery: transport.WatchCalls, callers: min(admin.MaxCallers, few), crowd: min(transport.Crowd, few)}
+	s := shares{discovery: transport.MaxWatchRequests, callers: min(admin.MaxCallers, few), crowd: min(transport.DefaultOverflow, few)}
 	s.side = max((all-ownDescriptors-s.discovery-s.callers-s.crowd)/2, 8)
 	return s
 }
 
 // clientBounds keeps idle client connections well under what clients may hold.
-func clientBounds(c *protocol.Config, part float64) transport.ClientBounds {
+func clientBounds(c *protocol.Config, part float64) transport.ClientLimits {
 	s := share(c, part)
-	return transport.ClientBounds{Open: s.side, Idle: int(float64(c.Sockets) * part / 4), Crowd: s.crowd}
+	return transport.ClientLimits{MaxOpen: s.side, MaxIdle: int(float64(c.Sockets) * part / 4), MaxOverflow: s.crowd}
 }
 
-func (n *Node) carrierConfig(c *protocol.Config, part float64) transport.CarrierConfig {
-	return transport.CarrierConfig{ConnectTimeout: c.ConnectTimeout, IdleClose: c.IdleClose,
+func (n *Node) carrierConfig(c *protocol.Config, part float64) transport.UpstreamConfig {
+	return transport.UpstreamConfig{ConnectTimeout: c.ConnectTimeout, ServerIdleTimeout: c.IdleClose,
 		DrainGrace: c.Settings.DrainGrace, MaxConns: share(c, part).side,
 		Dial: n.parts.Dial, Log: n.log}
 }
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -20,11 +20,11 @@
 			part := handover.Part(processes)
 			c := &protocol.Config{Sockets: sockets}
 			s, clients, peers := share(c, part), clientBounds(c, part), (&Node{}).carrierConfig(c, part).MaxConns
-			all := ownDescriptors + s.discovery + s.callers + clients.Crowd + clients.Open + peers
-			if all*processes > sockets || s.discovery != transport.WatchCalls || clients.Open < 8 || peers < 8 || s.callers < 1 || clients.Crowd < 1 {
+			all := ownDescriptors + s.discovery + s.callers + clients.MaxOverflow + clients.MaxOpen + peers
+			if all*processes > sockets || s.discovery != transport.MaxWatchRequests || clients.MaxOpen < 8 || peers < 8 || s.callers < 1 || clients.MaxOverflow < 1 {
 				t.Fatalf("%d processes with %d descriptors hold %d each: %+v, %+v, %d to peers", processes, sockets, all, s, clients, peers)
 			}
-			if sockets >= 512*processes && (s.callers != admin.MaxCallers || clients.Crowd != transport.Crowd) {
+			if sockets >= 512*processes && (s.callers != admin.MaxCallers || clients.MaxOverflow != transport.DefaultOverflow) {
 				t.Fatalf("%d descriptors: %+v", sockets, s)
 			}
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -37,9 +37,9 @@
 type Node struct {
 	parts    Parts
 	log      *slog.Logger
-	carrier  *transport.Carrier
+	carrier  *transport.UpstreamTransport
 	router   *routing.Router
-	front    *transport.Front
+	front    *transport.Frontend
 	servers  *maintenance.Register // nil without a door
 	door     *admin.Door           // nil: none
 	listener net.Listener          // of clients
@@ -86,7 +86,7 @@
 	}
 	n.boundDoor(c, part)
 	c.Known.Version = c.KnownVersion
-	n.carrier = transport.NewCarrier(n.carrierConfig(c, part))
+	n.carrier = transport.NewUpstreamTransport(n.carrierConfig(c, part))
 	carrier := routing.Carrier(n.carrier)
 	if p.Wrap != nil {
 		carrier = p.Wrap(carrier)
@@ -101,12 +101,17 @@
 		Watcher: n.newWatch(c, c.KnownVersion), Servers: n.servers,
 		Log: n.log,
 	})
-	n.front = transport.NewFront(listener, c.Names, n.router, clientBounds(c, part), n.log)
+	frontend := transport.FrontendConfig{
+		Listener:     listener,
+		Names:        c.Names,
+		Handler:      n.router,
+		ClientLimits: clientBounds(c, part),
+		Log:          n.log,
+	}
 	if p.Fleet != nil {
-		if keeper := p.Fleet.Keeper(); keeper != nil {
-			n.front.Keep(keeper)
-		}
+		frontend.IdempotencyStore = p.Fleet.Keeper()
 	}
+	n.front = transport.NewFrontend(frontend)
 	n.operate()
 	ctx, stop := context.WithCancel(context.Background())
 	n.stop = stop
@@ -192,13 +197,13 @@
 		n.router.Follow(n.newWatch(c, -1))
 	}
 	n.router.Set(c.Settings)
-	n.front.Learn(c.Names) // a class whose effect has changed goes by another method
+	n.front.SetNames(c.Names) // a class whose effect has changed goes by another method
 	n.bound()
 	n.log.Info("reloaded", "discovery", c.Discovery)
 }
 
 func (n *Node) newWatch(c *protocol.Config, version int64) routing.Watcher {
-	w := transport.NewWatch(c.Discovery, c.Names, version, n.parts.Dial, n.log).Among(c.Settings.Nodes, c.Seed)
+	w := transport.NewEndpointWatcher(c.Discovery, c.Names, version, n.parts.Dial, n.log).ForFleetSize(c.Settings.Nodes, c.Seed)
 	if n.parts.Follow == nil {
 		return w
 	}
--- a/internal/node/operate.go
+++ b/internal/node/operate.go
@@ -61,7 +61,7 @@
 // status waits for nothing. A paused node takes whoever still comes.
 func (n *Node) status() (string, error) {
 	switch {
-	case n.front.Leaving():
+	case n.front.Draining():
 		return "", errors.New("the node is ending")
 	case !n.router.Ready():
 		return "", errors.New("the upstream group is not known yet")
--- a/internal/node/rest.go
+++ b/internal/node/rest.go
@@ -23,13 +23,13 @@
 	}
 	return Rest{
 		Calls: r.Calls, Names: r.Names, Tries: r.Tries, Peers: r.Peers, Timers: r.Timers, Watch: r.Watch,
-		ClientConns: n.front.Conns(), PeerConns: n.carrier.Conns(),
+		ClientConns: n.front.ClientConns(), PeerConns: n.carrier.Conns(),
 	}, nil
 }
 
 // Counters are the arguments of the log's line of counters.
 func (n *Node) Counters() []any {
-	all := []any{"malformed", n.front.Malformed(), "shed", n.front.Shed(), "clients", n.front.Clients(),
+	all := []any{"malformed", n.front.Malformed(), "shed", n.front.Shed(), "clients", n.front.ClientStats(),
 		"calls", n.router.Counters().String()}
 	if n.parts.Fleet != nil {
 		all = append(all, "fleet", n.parts.Fleet.Counters())
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -21,9 +21,13 @@
 		b.Fatal(err)
 	}
 	served := routing.Answer{Verdict: routing.Served, Reply: &reply{body: []byte("hi")}}
-	f := NewFront(l, protocol.Names{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
-		taker(func(context.Context, routing.Call) (routing.Answer, bool) { return served, true }),
-		ClientBounds{Open: 10, Idle: 10}, slog.New(slog.DiscardHandler))
+	f := NewFrontend(FrontendConfig{
+		Listener:     l,
+		Names:        protocol.Names{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
+		Handler:      taker(func(context.Context, routing.Call) (routing.Answer, bool) { return served, true }),
+		ClientLimits: ClientLimits{MaxOpen: 10, MaxIdle: 10},
+		Log:          slog.New(slog.DiscardHandler),
+	})
 	go f.Serve()
 	defer f.server.Close()
 	conn, err := net.Dial("tcp", l.Addr().String())
@@ -71,7 +75,7 @@
 			io.WriteString(conn, ok)
 		}
 	}()
-	k := NewCarrier(CarrierConfig{ConnectTimeout: time.Second, IdleClose: time.Minute, MaxConns: 10,
+	k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, MaxConns: 10,
 		Log: slog.New(slog.DiscardHandler)})
 	k.pool.settle = 0
 	t := tryOf(routing.NewPeer(1, "s-1", l.Addr().String()), "GET", "")
--- a/internal/transport/carrier.go
+++ b/internal/transport/carrier.go
@@ -20,26 +20,26 @@
 const fairConnect = 100 * time.Millisecond
 
 // CarrierConfig is what a Carrier is made from.
-type CarrierConfig struct {
-	ConnectTimeout time.Duration // a connection that comes later has not come
-	IdleClose      time.Duration // peers close a connection idle for this long
-	DrainGrace     time.Duration // first bytes to a leaving peer end within this time
-	MaxConns       int           // connections to all peers together
-	Log            *slog.Logger
-	Dial           Dialer // nil: TCP
+type UpstreamConfig struct {
+	ConnectTimeout    time.Duration // a connection that comes later has not come
+	ServerIdleTimeout time.Duration // peers close a connection idle for this long
+	DrainGrace        time.Duration // first bytes to a leaving peer end within this time
+	MaxConns          int           // connections to all peers together
+	Log               *slog.Logger
+	Dial              Dialer // nil: TCP
 }
 
 // Carrier brings tries and probes to peers over pooled connections.
-type Carrier struct {
-	config  atomic.Pointer[CarrierConfig]
+type UpstreamTransport struct {
+	config  atomic.Pointer[UpstreamConfig]
 	pool    *pool
 	readers sync.Pool // a connection needs its buffer only while it carries a try
 	buffers buffers   // of the answers' bodies
 }
 
 // NewCarrier makes a Carrier.
-func NewCarrier(c CarrierConfig) *Carrier {
-	k := &Carrier{
+func NewUpstreamTransport(c UpstreamConfig) *UpstreamTransport {
+	k := &UpstreamTransport{
 		pool:    &pool{settle: settle, log: c.Log, dial: c.Dial, idle: map[*routing.Peer][]*peerConn{}},
 		readers: sync.Pool{New: func() any { return bufio.NewReader(nil) }},
 	}
@@ -48,25 +48,25 @@
 }
 
 // Configure changes a Carrier in use, but for its log and dialer.
-func (k *Carrier) Configure(c CarrierConfig) {
+func (k *UpstreamTransport) Configure(c UpstreamConfig) {
 	k.config.Store(&c)
 	// Connections are closed safely before the peer does: a request that crosses its closing is reset.
-	k.pool.configure(c.ConnectTimeout, c.IdleClose*7/10, c.MaxConns)
+	k.pool.configure(c.ConnectTimeout, c.ServerIdleTimeout*7/10, c.MaxConns)
 }
 
 // Close ends the Carrier. Connections that carry nothing are closed at once,
 // the others with their tries; those to come are moot.
-func (k *Carrier) Close() { k.pool.close() }
+func (k *UpstreamTransport) Close() { k.pool.close() }
 
 // Conns counts the connections to peers, those being opened included.
-func (k *Carrier) Conns() int {
+func (k *UpstreamTransport) Conns() int {
 	k.pool.mu.Lock()
 	defer k.pool.mu.Unlock()
 	return k.pool.open
 }
 
 // Try implements routing.Carrier.
-func (k *Carrier) Try(ctx context.Context, t routing.Try) routing.TryResult {
+func (k *UpstreamTransport) Try(ctx context.Context, t routing.Try) routing.TryResult {
 	m, ok := t.Payload.(*message)
 	if !ok || !m.hold() { // its front has done with it: the call is over
 		return routing.TryResult{Result: balancer.NotSent}
@@ -76,7 +76,7 @@
 }
 
 // Probe implements routing.Carrier.
-func (k *Carrier) Probe(ctx context.Context, p *routing.Peer) balancer.Result {
+func (k *UpstreamTransport) Probe(ctx context.Context, p *routing.Peer) balancer.Result {
 	t := routing.Try{Peer: p, Until: time.Now().Add(4 * k.config.Load().ConnectTimeout)}
 	r := k.exchange(ctx, t, newMessage(&k.buffers, http.MethodGet, protocol.PathLive, p.Addr, nil, 0), false)
 	if d, ok := r.Reply.(routing.Dropper); ok {
@@ -86,7 +86,7 @@
 }
 
 // keep puts a connection back that carries nothing, unless its request is still being sent.
-func (k *Carrier) keep(c *peerConn) {
+func (k *UpstreamTransport) keep(c *peerConn) {
 	if c.up != nil && !c.up.whole.Load() {
 		c.end("peer-asked") // by answering early
 		return
@@ -99,7 +99,7 @@
 // A try whose call is over by the time that its connection is there never
 // leaves: a copy may find that the first has been answered, a further try that
 // its class's window has passed. told: the peer is told the time left.
-func (k *Carrier) exchange(ctx context.Context, t routing.Try, m *message, told bool) routing.TryResult {
+func (k *UpstreamTransport) exchange(ctx context.Context, t routing.Try, m *message, told bool) routing.TryResult {
 	fair := time.Until(t.Until) >= fairConnect
 	c, err := k.pool.get(ctx, t.Peer, t.Until)
 	stands := err != nil || t.Stands(time.Now())
@@ -142,7 +142,7 @@
 }
 
 // receive reads the answer to a try, or the first part of a long one.
-func (k *Carrier) receive(ctx context.Context, t routing.Try, c *peerConn, watch endWatch) routing.TryResult {
+func (k *UpstreamTransport) receive(ctx context.Context, t routing.Try, c *peerConn, watch endWatch) routing.TryResult {
 	in := k.readers.Get().(*bufio.Reader)
 	in.Reset(c)
 	a, err := readAnswer(c, in, &k.buffers, t.Until)
--- a/internal/transport/clientleft_test.go
+++ b/internal/transport/clientleft_test.go
@@ -202,7 +202,7 @@
 				}
 				end(client.Conn.(*net.TCPConn))
 				client.Close()
-				waitFor(t, func() bool { return k.Conns() == 0 && front.Conns() == 0 }) // well before the peer's stall is one
+				waitFor(t, func() bool { return k.Conns() == 0 && front.ClientConns() == 0 }) // well before the peer's stall is one
 				log.until("side=peer", "reason=called-off")
 				<-ended
 			})
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -29,17 +29,17 @@
 const mostLooks = 16
 
 // Crowd is how many client connections beyond the bound are taken to be turned away, at most.
-const Crowd = 32
+const DefaultOverflow = 32
 
 // ClientBounds bound the client connections of a node.
-type ClientBounds struct {
-	Open int // all of them
+type ClientLimits struct {
+	MaxOpen int // all of them
 	// Idle bounds those between requests. Clients may hold only so many to a
 	// node, and whoever asks once and keeps his takes one from the others:
 	// beyond this the longest idle is closed.
-	Idle int
+	MaxIdle int
 	// Crowd is how many beyond Open are taken to be turned away; 0: as many as are ever.
-	Crowd int
+	MaxOverflow int
 }
 
 // clients bounds the client connections and closes them at need. When they are
@@ -76,17 +76,17 @@
 	aborted   atomic.Bool              // nothing is read or written any more; set under mu
 }
 
-func newClients(l net.Listener, b ClientBounds, log *slog.Logger) *clients {
+func newClients(l net.Listener, b ClientLimits, log *slog.Logger) *clients {
 	c := &clients{Listener: l, log: log, open: map[*clientConn]bool{}}
 	c.changed.L = &c.mu
 	c.bound(b)
 	return c
 }
 
-func (c *clients) bound(b ClientBounds) {
+func (c *clients) bound(b ClientLimits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.max, c.maxIdle, c.crowd = max(b.Open, 1), b.Idle, cmp.Or(b.Crowd, Crowd)
+	c.max, c.maxIdle, c.crowd = max(b.MaxOpen, 1), b.MaxIdle, cmp.Or(b.MaxOverflow, DefaultOverflow)
 	if some := c.beyond(); len(some) > 0 {
 		c.end("evicted", some...)
 	}
--- a/internal/transport/cutanswer_test.go
+++ b/internal/transport/cutanswer_test.go
@@ -43,7 +43,7 @@
 			conn.(*net.TCPConn).SetLinger(0)
 		}
 	})
-	k := NewCarrier(CarrierConfig{ConnectTimeout: time.Second, IdleClose: time.Minute, DrainGrace: time.Second, MaxConns: 1,
+	k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, DrainGrace: time.Second, MaxConns: 1,
 		Log: make(lines, 100).log(), Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 			conn, err := dialTCP(ctx, addr)
 			if err != nil {
--- a/internal/transport/errorpaths_test.go
+++ b/internal/transport/errorpaths_test.go
@@ -15,12 +15,11 @@
 	"time"
 
 	"olivebridge/balancer"
-	"olivebridge/internal/protocol"
 	"olivebridge/internal/routing"
 )
 
 // through is a front whose calls a carrier brings to one peer; what becomes of each try is told.
-func through(t *testing.T, p *routing.Peer, most int) (addr string, front *Front, k *Carrier, log lines, results chan balancer.Result) {
+func through(t *testing.T, p *routing.Peer, most int) (addr string, front *Frontend, k *UpstreamTransport, log lines, results chan balancer.Result) {
 	t.Helper()
 	k, log = newCarrier(time.Second)
 	results = make(chan balancer.Result, 10)
@@ -240,10 +239,10 @@
 	defer silent.Close()
 	io.WriteString(reading, "POST /api HTTP/1.1\r\n")
 	const want = "open=3 silent=1 idle=0 reading=1 calls=1 ending=0"
-	for until := time.Now().Add(5 * time.Second); front.Clients() != want && time.Now().Before(until); {
+	for until := time.Now().Add(5 * time.Second); front.ClientStats() != want && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
-	if got := front.Clients(); got != want {
+	if got := front.ClientStats(); got != want {
 		t.Errorf("%s, want %s", got, want)
 	}
 	log := make(lines, 100)
@@ -270,7 +269,11 @@
 	}
 	defer l.Close()
 	log := make(lines, 10)
-	front := NewFront(faltering{l, one}, protocol.Names{}, nil, ClientBounds{Open: 1}, log.log())
+	front := NewFrontend(FrontendConfig{
+		Listener:     faltering{l, one},
+		ClientLimits: ClientLimits{MaxOpen: 1},
+		Log:          log.log(),
+	})
 	one <- func() (net.Conn, error) { return nil, syscall.EINVAL }
 	if err := front.Serve(); !errors.Is(err, syscall.EINVAL) || !strings.HasPrefix(err.Error(), "front: ") {
 		t.Error(err)
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -44,15 +44,15 @@
 type connKey struct{}
 
 // Taker takes calls, once it is ready: routing's first stage.
-type Taker interface {
+type CallHandler interface {
 	Take(ctx context.Context, c routing.Call) (a routing.Answer, ok bool)
 	Ready() bool
 }
 
 // Front is the HTTP server that client connections reach.
-type Front struct {
+type Frontend struct {
 	names   atomic.Pointer[protocol.Names]
-	taker   Taker
+	taker   CallHandler
 	log     *slog.Logger
 	server  *http.Server
 	clients *clients
@@ -61,17 +61,39 @@
 	served  chan struct{}   // closed when nothing is accepted any more
 	life    context.Context // ends with Abort
 	end     context.CancelFunc
-	badly   atomic.Int64 // requests answered with a plain 4xx
-	shed    atomic.Int64 // requests turned away for want of descriptors
-	buffers buffers      // of the calls
-	keeper  Keeper       // nil: no call is kept beyond the loss of this node
+	badly   atomic.Int64     // requests answered with a plain 4xx
+	shed    atomic.Int64     // requests turned away for want of descriptors
+	buffers buffers          // of the calls
+	keeper  IdempotencyStore // nil: no call is kept beyond the loss of this node
 }
 
-// NewFront makes a front on l.
-func NewFront(l net.Listener, names protocol.Names, taker Taker, b ClientBounds, log *slog.Logger) *Front {
-	f := &Front{taker: taker, log: log, clients: newClients(l, b, log), served: make(chan struct{})}
+// FrontendConfig is what a Frontend is made from.
+type FrontendConfig struct {
+	// Listener accepts the client connections. The frontend closes it when it shuts down.
+	Listener net.Listener
+	// Names are the wire names and request classes that calls are parsed by. SetNames changes them later.
+	Names protocol.Names
+	// Handler decides on each call and forwards it.
+	Handler CallHandler
+	// ClientLimits bound the client connections. SetClientLimits changes them later.
+	ClientLimits ClientLimits
+	// IdempotencyStore records calls with an idempotency key; nil: none is recorded.
+	IdempotencyStore IdempotencyStore
+	// Log gets one line for each connection that ends, and each fault.
+	Log *slog.Logger
+}
+
+// NewFrontend makes a frontend, which serves nothing until Serve.
+func NewFrontend(c FrontendConfig) *Frontend {
+	f := &Frontend{
+		taker:   c.Handler,
+		log:     c.Log,
+		clients: newClients(c.Listener, c.ClientLimits, c.Log),
+		served:  make(chan struct{}),
+		keeper:  c.IdempotencyStore,
+	}
 	f.adopted = &adopted{clients: f.clients, conns: make(chan net.Conn), closed: make(chan struct{})}
-	f.Learn(names)
+	f.SetNames(c.Names)
 	f.life, f.end = context.WithCancel(context.Background())
 	f.server = &http.Server{
 		Handler:   f,
@@ -79,7 +101,7 @@
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, conn)
 		},
-		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelWarn),
+		ErrorLog:          slog.NewLogLogger(c.Log.Handler(), slog.LevelWarn),
 		ReadHeaderTimeout: headTimeout,
 		ReadTimeout:       requestTimeout,
 		WriteTimeout:      writeTimeout,
@@ -92,7 +114,7 @@
 }
 
 // Serve serves until Drain or Abort.
-func (f *Front) Serve() error {
+func (f *Frontend) Serve() error {
 	defer close(f.served)
 	err := f.server.Serve(f.clients)
 	if f.leaving.ending() || errors.Is(err, http.ErrServerClosed) {
@@ -102,27 +124,27 @@
 }
 
 // Learn changes the names that calls are read by.
-func (f *Front) Learn(names protocol.Names) { f.names.Store(&names) }
+func (f *Frontend) SetNames(names protocol.Names) { f.names.Store(&names) }
 
 // Bound changes how many client connections there may be.
-func (f *Front) Bound(b ClientBounds) { f.clients.bound(b) }
+func (f *Frontend) SetClientLimits(b ClientLimits) { f.clients.bound(b) }
 
 // Clients counts the client connections by what they do, as name=value.
-func (f *Front) Clients() string { return f.clients.String() }
+func (f *Frontend) ClientStats() string { return f.clients.String() }
 
 // Conns counts the client connections.
-func (f *Front) Conns() int { return f.clients.count() }
+func (f *Frontend) ClientConns() int { return f.clients.count() }
 
 // Shed counts the requests turned away for want of descriptors.
-func (f *Front) Shed() int64 { return f.shed.Load() }
+func (f *Frontend) Shed() int64 { return f.shed.Load() }
 
 // Malformed counts the requests answered with a plain 4xx.
-func (f *Front) Malformed() int64 { return f.badly.Load() }
+func (f *Frontend) Malformed() int64 { return f.badly.Load() }
 
 // Drain ends the front at a planned restart. Clients still arrive for a while,
 // so it goes on accepting; then it closes client connections as they fall idle,
 // stops accepting, and waits for what is open. Abort cuts it short.
-func (f *Front) Drain(longest time.Duration) {
+func (f *Frontend) Drain(longest time.Duration) {
 	f.leaving.end(false)
 	f.leaving.within(longest)
 	ctx, most, stop := f.times(longest)
@@ -138,7 +160,7 @@
 }
 
 // times are the ends of the times that an end as planned gives to calls, and to long messages.
-func (f *Front) times(longest time.Duration) (calls, most context.Context, stop func()) {
+func (f *Frontend) times(longest time.Duration) (calls, most context.Context, stop func()) {
 	most, stopMost := context.WithTimeout(f.life, longest+drainSpare+drainLong)
 	calls, stopCalls := context.WithTimeout(most, longest+drainSpare)
 	return calls, most, func() { stopCalls(); stopMost() }
@@ -153,7 +175,7 @@
 
 // Abort ends the front and all its client connections at once. Nothing further
 // is read, and what is open gets no answer.
-func (f *Front) Abort() {
+func (f *Frontend) Abort() {
 	f.leaving.end(false)
 	f.clients.abort()
 	f.server.Close()
@@ -161,7 +183,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *Frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer func() { // a panic that reached net/http would end the connection without an answer: a lost call
 		if p := recover(); p == http.ErrAbortHandler {
 			panic(p)
@@ -220,7 +242,7 @@
 }
 
 // answerUpload answers a call whose body may still be coming.
-func (f *Front) answerUpload(w http.ResponseWriter, r *http.Request, call routing.Call, a routing.Answer) {
+func (f *Frontend) answerUpload(w http.ResponseWriter, r *http.Request, call routing.Call, a routing.Answer) {
 	m := call.Payload.(*message)
 	up := m.up
 	err := up.end()
@@ -244,7 +266,7 @@
 }
 
 // ready says whether the node may be sent clients.
-func (f *Front) ready(w http.ResponseWriter, r *http.Request, k *clientConn) {
+func (f *Frontend) ready(w http.ResponseWriter, r *http.Request, k *clientConn) {
 	switch {
 	case r.Method != http.MethodGet && r.Method != http.MethodHead: // guards a call's client: a 200 were its answer
 		f.refuse(w, r, http.StatusMethodNotAllowed, &protocol.MethodError{Method: r.Method, Allow: http.MethodGet})
@@ -259,7 +281,7 @@
 
 // refuse answers a request that deserves no try. What was read along behind it is served, unless someone could find the
 // end of this one elsewhere; whatever else waits on the connection is not worth reading.
-func (f *Front) refuse(w http.ResponseWriter, r *http.Request, status int, err error) {
+func (f *Frontend) refuse(w http.ResponseWriter, r *http.Request, status int, err error) {
 	f.badly.Add(1)
 	k := r.Context().Value(connKey{}).(*clientConn)
 	if _, doubt := errors.AsType[ambiguous](err); doubt || !goesOn(r, k) {
@@ -285,7 +307,7 @@
 }
 
 // read takes a call out of a request, or says which 4xx it deserves.
-func (f *Front) read(r *http.Request, k *clientConn, target string) (routing.Call, int, error) {
+func (f *Frontend) read(r *http.Request, k *clientConn, target string) (routing.Call, int, error) {
 	if !r.ProtoAtLeast(1, 1) { // net/http passes over a Transfer-Encoding there
 		return routing.Call{}, http.StatusHTTPVersionNotSupported, ambiguous{errors.New("version: below HTTP/1.1")}
 	}
@@ -331,7 +353,7 @@
 }
 
 // mayEnd ends the connection with the answer at hand while the node empties itself, or for how the request's body came.
-func (f *Front) mayEnd(w http.ResponseWriter, k *clientConn) {
+func (f *Frontend) mayEnd(w http.ResponseWriter, k *clientConn) {
 	if f.clients.leaves() || k.isLast() {
 		endWith(w, k)
 	}
@@ -345,7 +367,7 @@
 }
 
 // answer writes the one final answer.
-func (f *Front) answer(w http.ResponseWriter, k *clientConn, a routing.Answer) {
+func (f *Frontend) answer(w http.ResponseWriter, k *clientConn, a routing.Answer) {
 	h := w.Header()
 	if a.Verdict == routing.Served {
 		a.Reply.(*reply).putInto(h)
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -12,7 +12,7 @@
 // which no byte of a request was read, and ends the others with their answer:
 // no client finds its connection refused, reset or unread. A connection that
 // cannot be given is closed as at any planned end.
-func (f *Front) HandOver(longest time.Duration, give func(syscall.Conn) error) {
+func (f *Frontend) HandOver(longest time.Duration, give func(syscall.Conn) error) {
 	f.leaving.end(true)
 	f.leaving.within(longest)
 	ctx, most, stop := f.times(longest)
@@ -48,7 +48,7 @@
 }
 
 // Adopt goes on with a client connection of another process.
-func (f *Front) Adopt(conn net.Conn) {
+func (f *Frontend) Adopt(conn net.Conn) {
 	select {
 	case f.adopted.conns <- conn:
 	case <-f.adopted.closed:
@@ -88,7 +88,7 @@
 func (a *adopted) Addr() net.Addr { return a.clients.Addr() }
 
 // ServeAdopted serves what Adopt brings until the front ends.
-func (f *Front) ServeAdopted() error {
+func (f *Frontend) ServeAdopted() error {
 	f.server.Serve(f.adopted)
 	return nil
 }
--- a/internal/transport/handover_test.go
+++ b/internal/transport/handover_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	all := newClients(l, ClientBounds{Open: 10, Idle: 10}, slog.New(slog.DiscardHandler))
+	all := newClients(l, ClientLimits{MaxOpen: 10, MaxIdle: 10}, slog.New(slog.DiscardHandler))
 	k, err := all.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -98,7 +98,7 @@
 	if reset.RemoteAddr() != nil {
 		t.Fatalf("the kernel still knows %v", reset.RemoteAddr())
 	}
-	all := newClients(l, ClientBounds{Open: 10, Idle: 10}, slog.New(slog.DiscardHandler))
+	all := newClients(l, ClientLimits{MaxOpen: 10, MaxIdle: 10}, slog.New(slog.DiscardHandler))
 	a := &adopted{clients: all, conns: make(chan net.Conn, 2), closed: make(chan struct{})}
 	a.conns <- reset
 	a.conns <- handed(false)
--- a/internal/transport/keep.go
+++ b/internal/transport/keep.go
@@ -30,56 +30,53 @@
 const comeBack = 100 * time.Millisecond
 
 // Keeper keeps calls beyond the loss of this node: each is let out at most once, whichever nodes it is asked of.
-type Keeper interface {
+type IdempotencyStore interface {
 	// Keeps reports whether calls of a class are kept, where their clients name them.
-	Keeps(class int) bool
+	Covers(class int) bool
 	// Begin asks whether this node may let a call out. It returns at once where nobody can say.
-	Begin(ctx context.Context, w Work) Kept
+	Begin(ctx context.Context, w KeyedCall) CallClaim
 }
 
 // Work is a call that its client has named.
-type Work struct {
-	Key   string // its client's, and whose it is
-	Print string // of the request; another one under the same key is refused
-	Class int
+type KeyedCall struct {
+	Key         string // its client's, and whose it is
+	Fingerprint string // of the request; another one under the same key is refused
+	Class       int
 }
 
 // KeptState says how a call stands.
-type KeptState uint8
+type CallState uint8
 
 // The states.
 const (
-	KeptYours    KeptState = iota // it may be let out here, and nowhere else
-	KeptRuns                      // another has it in hand
-	KeptAnswered                  // it has run; Outcome is what came of it
-	KeptUnknown                   // it may have run, and is never let out again
-	KeptOther                     // the key is another request's
-	KeptRefused                   // nobody can say: it was not let out
-	KeptFree                      // for End: it surely has not run
+	CallGranted          CallState = iota // it may be let out here, and nowhere else
+	CallRunning                           // another has it in hand
+	CallAnswered                          // it has run; Outcome is what came of it
+	CallOutcomeUnknown                    // it may have run, and is never let out again
+	CallKeyConflict                       // the key is another request's
+	CallStoreUnavailable                  // nobody can say: it was not let out
+	CallNotRun                            // for End: it surely has not run
 )
 
 // Outcome is a kept answer.
-type Outcome struct {
-	Status int
-	Header http.Header
-	Body   []byte
-	Long   bool // its body was too long to be kept
+type StoredResponse struct {
+	Status    int
+	Header    http.Header
+	Body      []byte
+	Truncated bool // its body was too long to be kept
 }
 
 // Kept is what a Keeper says.
-type Kept struct {
-	State   KeptState
-	Outcome *Outcome
+type CallClaim struct {
+	State    CallState
+	Response *StoredResponse
 	// End is to be called once with what became of a call that is this node's: before its client is told.
-	End func(s KeptState, o *Outcome)
+	Finish func(s CallState, o *StoredResponse)
 }
 
-// Keep has calls kept from now on. It is for before Serve.
-func (f *Front) Keep(k Keeper) { f.keeper = k }
-
 // keptAs is the work that a request is; false: it is not kept. An error deserves a 4xx.
-func (f *Front) keptAs(r *http.Request, call routing.Call, target string) (w Work, kept bool, err error) {
-	if f.keeper == nil || !f.keeper.Keeps(call.Class) {
+func (f *Frontend) keptAs(r *http.Request, call routing.Call, target string) (w KeyedCall, kept bool, err error) {
+	if f.keeper == nil || !f.keeper.Covers(call.Class) {
 		return w, false, nil
 	}
 	values := r.Header[headerKey]
@@ -103,14 +100,14 @@
 		h.Write([]byte{0})
 	}
 	h.Write(m.body)
-	return Work{Key: r.Header.Get(protocol.HeaderCaller) + " " + key, Print: fmt.Sprintf("%x", h.Sum(nil)[:16]), Class: call.Class}, true, nil
+	return KeyedCall{Key: r.Header.Get(protocol.HeaderCaller) + " " + key, Fingerprint: fmt.Sprintf("%x", h.Sum(nil)[:16]), Class: call.Class}, true, nil
 }
 
 // takeKept takes a call that is kept: it goes on also if its client goes, who may ask any node for what came of it.
-func (f *Front) takeKept(w http.ResponseWriter, r *http.Request, k *clientConn, call routing.Call, work Work) {
+func (f *Frontend) takeKept(w http.ResponseWriter, r *http.Request, k *clientConn, call routing.Call, work KeyedCall) {
 	m := call.Payload.(*message)
 	kept := f.keeper.Begin(r.Context(), work)
-	if kept.State != KeptYours {
+	if kept.State != CallGranted {
 		m.release()
 		f.answerKept(w, k, kept)
 		return
@@ -120,37 +117,37 @@
 	if !ok {
 		a = routing.Answer{Verdict: routing.Failed}
 	}
-	kept.End(ended(a))
+	kept.Finish(ended(a))
 	m.release()
 	f.answer(w, k, a)
 }
 
 // ended is what an answer says of its call.
-func ended(a routing.Answer) (KeptState, *Outcome) {
+func ended(a routing.Answer) (CallState, *StoredResponse) {
 	switch a.Verdict {
 	case routing.Served:
 		p := a.Reply.(*reply)
-		o := &Outcome{Status: http.StatusOK, Header: http.Header{}, Long: p.rest != nil || len(p.body) > mostKept}
+		o := &StoredResponse{Status: http.StatusOK, Header: http.Header{}, Truncated: p.rest != nil || len(p.body) > mostKept}
 		for _, one := range p.fields {
 			o.Header.Add(one.name, one.value[0])
 		}
-		if !o.Long {
+		if !o.Truncated {
 			o.Body = append([]byte{}, p.body...)
 		}
-		return KeptAnswered, o
+		return CallAnswered, o
 	case routing.Reject, routing.Twice:
-		return KeptFree, nil
+		return CallNotRun, nil
 	}
-	return KeptUnknown, nil
+	return CallOutcomeUnknown, nil
 }
 
 // answerKept answers a call that was not let out here.
-func (f *Front) answerKept(w http.ResponseWriter, k *clientConn, kept Kept) {
+func (f *Frontend) answerKept(w http.ResponseWriter, k *clientConn, kept CallClaim) {
 	h := w.Header()
 	f.mayEnd(w, k)
 	switch kept.State {
-	case KeptAnswered:
-		if o := kept.Outcome; o != nil && !o.Long {
+	case CallAnswered:
+		if o := kept.Response; o != nil && !o.Truncated {
 			for name, values := range o.Header {
 				h[name] = values
 			}
@@ -161,14 +158,14 @@
 		}
 		h.Set(headerWork, "answered")
 		w.WriteHeader(http.StatusBadGateway)
-	case KeptRuns:
+	case CallRunning:
 		h.Set(headerWork, "running")
 		h.Set("Retry-After", protocol.FormatSeconds(comeBack))
 		w.WriteHeader(http.StatusConflict)
-	case KeptUnknown:
+	case CallOutcomeUnknown:
 		h.Set(headerWork, "unknown")
 		w.WriteHeader(http.StatusBadGateway)
-	case KeptOther:
+	case CallKeyConflict:
 		http.Error(w, headerKey+": it is another request's", http.StatusUnprocessableEntity)
 	default:
 		h.Set("Retry-After", protocol.FormatSeconds(comeBack))
--- a/internal/transport/keep_test.go
+++ b/internal/transport/keep_test.go
@@ -15,20 +15,20 @@
 // keeping is a keeper that a test answers for.
 type keeping struct {
 	mu    sync.Mutex
-	says  Kept
-	work  []Work
-	ended []KeptState
-	last  *Outcome
+	says  CallClaim
+	work  []KeyedCall
+	ended []CallState
+	last  *StoredResponse
 }
 
-func (k *keeping) Keeps(class int) bool { return class == 0 }
+func (k *keeping) Covers(class int) bool { return class == 0 }
 
-func (k *keeping) Begin(_ context.Context, w Work) Kept {
+func (k *keeping) Begin(_ context.Context, w KeyedCall) CallClaim {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.work = append(k.work, w)
 	says := k.says
-	says.End = func(s KeptState, o *Outcome) {
+	says.Finish = func(s CallState, o *StoredResponse) {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		k.ended, k.last = append(k.ended, s), o
@@ -47,7 +47,7 @@
 			return routing.Answer{Verdict: verdict, Reply: &reply{body: []byte("done"), fields: []field{{"X-Ref", [1]string{"7"}}}}}, true
 		}
 		return routing.Answer{Verdict: verdict}, true
-	}, func(f *Front) { f.Keep(k) })
+	}, func(f *Frontend) { f.keeper = k })
 	ask := func(key, body string) (int, string, string) {
 		t.Helper()
 		r, err := http.NewRequest("POST", "http://"+addr+"/api", strings.NewReader(body))
@@ -66,30 +66,30 @@
 		data, _ := io.ReadAll(resp.Body)
 		return resp.StatusCode, resp.Header.Get("Work-State"), string(data)
 	}
-	outcome := &Outcome{Status: 200, Header: http.Header{"X-Ref": {"7"}}, Body: []byte("before")}
+	outcome := &StoredResponse{Status: 200, Header: http.Header{"X-Ref": {"7"}}, Body: []byte("before")}
 	for _, c := range []struct {
 		key     string
-		says    Kept
+		says    CallClaim
 		verdict routing.Verdict
 		status  int
 		state   string
 		body    string
 		ended   string
 	}{
-		{`"k1"`, Kept{}, routing.Served, 200, "", "done", fmt.Sprint(KeptAnswered)},
-		{`k1`, Kept{}, routing.Reject, 503, "", "", fmt.Sprint(KeptFree)},
-		{`k1`, Kept{}, routing.Twice, 409, "", "", fmt.Sprint(KeptFree)},
-		{`k1`, Kept{}, routing.Failed, 502, "", "", fmt.Sprint(KeptUnknown)},
-		{`k1`, Kept{}, routing.Overdue, 504, "", "", fmt.Sprint(KeptUnknown)},
-		{`k1`, Kept{State: KeptRuns}, 0, 409, "running", "", ""},
-		{`k1`, Kept{State: KeptUnknown}, 0, 502, "unknown", "", ""},
-		{`k1`, Kept{State: KeptAnswered, Outcome: outcome}, 0, 200, "kept", "before", ""},
-		{`k1`, Kept{State: KeptAnswered, Outcome: &Outcome{Status: 200, Long: true}}, 0, 502, "answered", "", ""},
-		{`k1`, Kept{State: KeptOther}, 0, 422, "", "Idempotency-Key: it is another request's\n", ""},
-		{`k1`, Kept{State: KeptRefused}, 0, 503, "", "", ""},
-		{`k1|k2`, Kept{}, 0, 400, "", "Idempotency-Key: given more than once\n", ""},
-		{`""`, Kept{}, 0, 400, "", "Idempotency-Key: not 1 to 255 printable characters\n", ""},
-		{strings.Repeat("k", 256), Kept{}, 0, 400, "", "Idempotency-Key: not 1 to 255 printable characters\n", ""},
+		{`"k1"`, CallClaim{}, routing.Served, 200, "", "done", fmt.Sprint(CallAnswered)},
+		{`k1`, CallClaim{}, routing.Reject, 503, "", "", fmt.Sprint(CallNotRun)},
+		{`k1`, CallClaim{}, routing.Twice, 409, "", "", fmt.Sprint(CallNotRun)},
+		{`k1`, CallClaim{}, routing.Failed, 502, "", "", fmt.Sprint(CallOutcomeUnknown)},
+		{`k1`, CallClaim{}, routing.Overdue, 504, "", "", fmt.Sprint(CallOutcomeUnknown)},
+		{`k1`, CallClaim{State: CallRunning}, 0, 409, "running", "", ""},
+		{`k1`, CallClaim{State: CallOutcomeUnknown}, 0, 502, "unknown", "", ""},
+		{`k1`, CallClaim{State: CallAnswered, Response: outcome}, 0, 200, "kept", "before", ""},
+		{`k1`, CallClaim{State: CallAnswered, Response: &StoredResponse{Status: 200, Truncated: true}}, 0, 502, "answered", "", ""},
+		{`k1`, CallClaim{State: CallKeyConflict}, 0, 422, "", "Idempotency-Key: it is another request's\n", ""},
+		{`k1`, CallClaim{State: CallStoreUnavailable}, 0, 503, "", "", ""},
+		{`k1|k2`, CallClaim{}, 0, 400, "", "Idempotency-Key: given more than once\n", ""},
+		{`""`, CallClaim{}, 0, 400, "", "Idempotency-Key: not 1 to 255 printable characters\n", ""},
+		{strings.Repeat("k", 256), CallClaim{}, 0, 400, "", "Idempotency-Key: not 1 to 255 printable characters\n", ""},
 	} {
 		k.says, k.ended, k.work, verdict = c.says, nil, nil, c.verdict
 		before := taken
@@ -103,11 +103,11 @@
 			t.Errorf("%.10s %+v, %v: status %d, state %q, body %q, ended %q, taken %v", c.key, c.says, c.verdict, status, state, body, ended, taken > before)
 		}
 	}
-	k.says, k.work, verdict = Kept{}, nil, routing.Served
+	k.says, k.work, verdict = CallClaim{}, nil, routing.Served
 	ask("k1", "pay")
 	ask("k1", "pay more")
 	ask(`"k1"`, "pay")
-	if w := k.work; len(w) != 3 || w[0] != w[2] || w[0].Print == w[1].Print || w[0].Key != "acme k1" {
+	if w := k.work; len(w) != 3 || w[0] != w[2] || w[0].Fingerprint == w[1].Fingerprint || w[0].Key != "acme k1" {
 		t.Errorf("the work is %+v", k.work)
 	}
 	if k.last == nil || string(k.last.Body) != "done" || k.last.Header.Get("X-Ref") != "7" {
--- a/internal/transport/lateconn_test.go
+++ b/internal/transport/lateconn_test.go
@@ -28,7 +28,7 @@
 
 // decided is a router that runs over a carrier and peers of one zone that have just started, each of which serves its
 // connections so.
-func decided(t *testing.T, k *Carrier, set balancer.Settings, peers int, serve func(net.Conn)) *routing.Router {
+func decided(t *testing.T, k *UpstreamTransport, set balancer.Settings, peers int, serve func(net.Conn)) *routing.Router {
 	t.Helper()
 	class := &set.Classes[0]
 	class.LatencyObjective, class.Deadline, class.PriorityWeight = 10*time.Second, 20*time.Second, 1
--- a/internal/transport/leaving.go
+++ b/internal/transport/leaving.go
@@ -68,7 +68,7 @@
 // Pause empties the front: it is not ready from now on, and closes connections
 // that carry nothing, or with their next answer, once new ones have ceased.
 // What comes nevertheless is served. Said again it changes nothing.
-func (f *Front) Pause() {
+func (f *Frontend) Pause() {
 	l := &f.leaving
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,7 +87,7 @@
 }
 
 // Resume ends a pause. A front that ends goes on with that.
-func (f *Front) Resume() {
+func (f *Frontend) Resume() {
 	l := &f.leaving
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,11 +99,11 @@
 }
 
 // Paused reports whether operators have the front emptied.
-func (f *Front) Paused() bool {
+func (f *Frontend) Paused() bool {
 	f.leaving.mu.Lock()
 	defer f.leaving.mu.Unlock()
 	return f.leaving.paused
 }
 
 // Leaving reports whether the front ends.
-func (f *Front) Leaving() bool { return f.leaving.ending() }
+func (f *Frontend) Draining() bool { return f.leaving.ending() }
--- a/internal/transport/linger_test.go
+++ b/internal/transport/linger_test.go
@@ -64,7 +64,7 @@
 					io.WriteString(dial(t, addr), head+sized(0))
 					<-taken
 				}
-				front.Bound(ClientBounds{Open: 1})
+				front.SetClientLimits(ClientLimits{MaxOpen: 1})
 			}
 			conn := dial(t, addr)
 			io.WriteString(conn, c.head)
@@ -93,7 +93,7 @@
 }
 
 // lingers reports whether any client connection does.
-func (f *Front) lingers() bool {
+func (f *Frontend) lingers() bool {
 	f.clients.mu.Lock()
 	defer f.clients.mu.Unlock()
 	return f.clients.lingering.Len() > 0
@@ -134,7 +134,7 @@
 	idle := front.idle(t, addr, 1)
 	ended := refused(t, dial(t, addr))
 	waitFor(t, front.lingers)
-	if n := front.Conns(); n != 2 {
+	if n := front.ClientConns(); n != 2 {
 		t.Errorf("%d are open", n)
 	}
 	begun := time.Now()
@@ -176,8 +176,8 @@
 				}
 				<-ended
 				most += 600 * time.Millisecond // net/http closes 0.5 s after such an answer
-				if took := time.Since(begun); took > most || front.Conns() > 0 {
-					t.Errorf("%d connections are open after %v, want none after %v", front.Conns(), took, most)
+				if took := time.Since(begun); took > most || front.ClientConns() > 0 {
+					t.Errorf("%d connections are open after %v, want none after %v", front.ClientConns(), took, most)
 				}
 			})
 		})
@@ -193,7 +193,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			all := newClients(l, ClientBounds{Open: 5, Idle: 5}, slog.New(slog.DiscardHandler))
+			all := newClients(l, ClientLimits{MaxOpen: 5, MaxIdle: 5}, slog.New(slog.DiscardHandler))
 			defer all.Close()
 			c := dial(t, l.Addr().String())
 			c.Conn.(*net.TCPConn).SetReadBuffer(64 << 10)
--- a/internal/transport/pipelined_test.go
+++ b/internal/transport/pipelined_test.go
@@ -17,7 +17,7 @@
 
 // pipelining is a client that has written several requests at once, the first of which is at a peer that answers it, and
 // then any other, once told to.
-func pipelining(t *testing.T, raw string) (c *client, front *Front, atPeer chan string, release chan bool) {
+func pipelining(t *testing.T, raw string) (c *client, front *Frontend, atPeer chan string, release chan bool) {
 	t.Helper()
 	atPeer, release = make(chan string, 1000), make(chan bool)
 	p := listenOn(t, func(conn net.Conn) {
@@ -78,10 +78,10 @@
 		"half one in chunks":   {numbered(1, 0) + inChunks[:half], inChunks[half:], 2},
 		"half of it, and on":   {numbered(1, 0) + inChunks[:half], inChunks[half:] + strings.Repeat(numbered(3, 0), 100), 2},
 	} {
-		for way, leave := range map[string]func(*Front){
-			"leaves":     func(f *Front) { f.clients.leave() },
-			"drains":     func(f *Front) { go f.Drain(time.Minute) },
-			"makes room": func(f *Front) { f.Bound(ClientBounds{Open: 1}) },
+		for way, leave := range map[string]func(*Frontend){
+			"leaves":     func(f *Frontend) { f.clients.leave() },
+			"drains":     func(f *Frontend) { go f.Drain(time.Minute) },
+			"makes room": func(f *Frontend) { f.SetClientLimits(ClientLimits{MaxOpen: 1}) },
 		} {
 			if way != "leaves" && (c.later != "" || name == "behind a body") {
 				continue // to make room ends no connection that goes on, and to drain takes long
@@ -116,7 +116,7 @@
 				if len(b) > 0 || err != nil && !strings.Contains(c.later, "3b") { // what is unread is reset
 					t.Errorf("behind the last: %q, %v", b, err)
 				}
-				waitFor(t, func() bool { return front.Conns() == 0 })
+				waitFor(t, func() bool { return front.ClientConns() == 0 })
 			})
 		}
 	}
@@ -156,7 +156,7 @@
 		"a bare chunk":       {strings.Replace(chunked(2, "1\nx\r\n0\r\n\r\n"), "book", "gift", 1), 400, false},
 		"a trailer":          {strings.Replace(chunked(2, "0\r\nA: b\r\n\r\n"), "book", "gift", 1), 400, false},
 	} {
-		for way, leave := range map[string]func(*Front){"": func(*Front) {}, ", leaving": func(f *Front) { f.clients.leave() }} {
+		for way, leave := range map[string]func(*Frontend){"": func(*Frontend) {}, ", leaving": func(f *Frontend) { f.clients.leave() }} {
 			t.Run(name+way, func(t *testing.T) {
 				t.Parallel()
 				conn, front, atPeer, release := pipelining(t, numbered(1, 0)+c.raw+numbered(3, 0))
@@ -213,8 +213,8 @@
 			t.Errorf("answer %d: status %d, %v, close: %v", n+1, resp.StatusCode, resp.Header, resp.Close)
 		}
 	}
-	if <-ended; len(atPeer) > 0 || front.Conns() > 0 {
-		t.Errorf("%d more tries, %d connections left", len(atPeer), front.Conns())
+	if <-ended; len(atPeer) > 0 || front.ClientConns() > 0 {
+		t.Errorf("%d more tries, %d connections left", len(atPeer), front.ClientConns())
 	}
 }
 
--- a/internal/transport/rest.go
+++ b/internal/transport/rest.go
@@ -21,7 +21,7 @@
 // rest is what a peer still gives of an answer of which the first part is there.
 // It holds the connection; whoever has it reads to the end, or drops it.
 type rest struct {
-	carrier *Carrier
+	carrier *UpstreamTransport
 	c       *peerConn
 	in      *bufio.Reader
 	body    io.Reader
@@ -187,7 +187,7 @@
 
 // stream passes a long answer on as it comes. One that breaks ends the client's
 // connection, so that the client can tell.
-func (f *Front) stream(w http.ResponseWriter, k *clientConn, p *reply) {
+func (f *Frontend) stream(w http.ResponseWriter, k *clientConn, p *reply) {
 	k.goesOn()
 	p.rest.client = k
 	whole := false
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -103,9 +103,9 @@
 
 const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
-func newCarrier(connect time.Duration) (*Carrier, lines) {
+func newCarrier(connect time.Duration) (*UpstreamTransport, lines) {
 	l := make(lines, 1000)
-	k := NewCarrier(CarrierConfig{ConnectTimeout: connect, IdleClose: time.Minute, DrainGrace: time.Second,
+	k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: connect, ServerIdleTimeout: time.Minute, DrainGrace: time.Second,
 		MaxConns: 10, Log: l.log()})
 	k.pool.settle = 0 // or the next try would find the connection unsettled
 	return k, l
@@ -339,7 +339,7 @@
 	}{{fairConnect + 20*time.Millisecond, false, balancer.ConnectFailed}, {fairConnect / 2, false, balancer.NotSent},
 		{time.Minute, true, balancer.NotSent}} {
 		ctx, callOff := context.WithCancelCause(t.Context())
-		k := NewCarrier(CarrierConfig{ConnectTimeout: time.Hour, IdleClose: time.Minute, MaxConns: 10, Log: slog.New(slog.DiscardHandler),
+		k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Hour, ServerIdleTimeout: time.Minute, MaxConns: 10, Log: slog.New(slog.DiscardHandler),
 			Dial: func(ctx context.Context, _ string) (net.Conn, error) {
 				if c.calls {
 					callOff(routing.ErrCalledOff)
@@ -479,11 +479,11 @@
 func TestConfigure(t *testing.T) {
 	p, _ := answering(t, ok)
 	k, log := newCarrier(time.Second)
-	k.Configure(CarrierConfig{ConnectTimeout: 1, IdleClose: time.Minute, MaxConns: 1, Log: log.log()})
+	k.Configure(UpstreamConfig{ConnectTimeout: 1, ServerIdleTimeout: time.Minute, MaxConns: 1, Log: log.log()})
 	if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.ConnectFailed {
 		t.Errorf("result %d with no time to connect", r.Result)
 	}
-	k.Configure(CarrierConfig{ConnectTimeout: time.Second, IdleClose: time.Minute, MaxConns: 0, Log: log.log()})
+	k.Configure(UpstreamConfig{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, MaxConns: 0, Log: log.log()})
 	if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.NotSent {
 		t.Errorf("result %d with no connection allowed", r.Result)
 	}
@@ -530,7 +530,7 @@
 func TestIdleConnections(t *testing.T) {
 	p, _ := answering(t, ok)
 	l := make(lines, 10)
-	k := NewCarrier(CarrierConfig{ConnectTimeout: time.Second, IdleClose: 50 * time.Millisecond, MaxConns: 4, Log: l.log()})
+	k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Second, ServerIdleTimeout: 50 * time.Millisecond, MaxConns: 4, Log: l.log()})
 	if k.pool.keep >= 40*time.Millisecond {
 		t.Errorf("idle for %v of 50 ms", k.pool.keep)
 	}
@@ -554,7 +554,7 @@
 	k.Try(t.Context(), tryOf(p, "GET", ""))
 	long := *k.config.Load()
 	short := long
-	short.IdleClose = 1
+	short.ServerIdleTimeout = 1
 	k.Configure(short)
 	if c := k.pool.take(p); c != nil {
 		t.Error("given out beyond its time")
@@ -617,7 +617,7 @@
 		}
 	})
 	l := make(lines, 100)
-	k := NewCarrier(CarrierConfig{ConnectTimeout: time.Second, IdleClose: time.Minute, MaxConns: most, Log: l.log()})
+	k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, MaxConns: most, Log: l.log()})
 	k.pool.settle = 0
 	for range 2 {
 		var tries sync.WaitGroup
@@ -657,7 +657,7 @@
 
 func (f taker) Ready() bool { return true }
 
-func newFront(t *testing.T, most int, f taker, change ...func(*Front)) (addr string, front *Front, log lines) {
+func newFront(t *testing.T, most int, f taker, change ...func(*Frontend)) (addr string, front *Frontend, log lines) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -668,9 +668,15 @@
 }
 
 // frontOn is such a front at a listener.
-func frontOn(t *testing.T, l net.Listener, most int, f taker, change ...func(*Front)) (front *Front, log lines) {
+func frontOn(t *testing.T, l net.Listener, most int, f taker, change ...func(*Frontend)) (front *Frontend, log lines) {
 	log = make(lines, 1000)
-	front = NewFront(l, protocol.Names{Classes: map[string]int{"book": 0, "status": 1}, Methods: []string{"POST", "GET"}}, f, ClientBounds{Open: most, Idle: most}, log.log())
+	front = NewFrontend(FrontendConfig{
+		Listener:     l,
+		Names:        protocol.Names{Classes: map[string]int{"book": 0, "status": 1}, Methods: []string{"POST", "GET"}},
+		Handler:      f,
+		ClientLimits: ClientLimits{MaxOpen: most, MaxIdle: most},
+		Log:          log.log(),
+	})
 	for _, c := range change {
 		c(front)
 	}
@@ -713,7 +719,7 @@
 const head = "POST /api?user=%41 HTTP/1.1\r\nHost: h\r\nX-Call-Id: 9b\r\nX-Call-Class: book\r\nX-Budget: 0.5\r\n"
 
 // withOpenCall is a front at which one call is open until release is closed.
-func withOpenCall(t *testing.T, most int) (addr string, front *Front, c *client, release chan bool) {
+func withOpenCall(t *testing.T, most int) (addr string, front *Frontend, c *client, release chan bool) {
 	t.Helper()
 	taken, release := make(chan bool), make(chan bool)
 	addr, front, _ = newFront(t, most, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
@@ -904,7 +910,7 @@
 		case <-ctx.Done():
 			return routing.Answer{}, false
 		}
-	}, func(f *Front) {
+	}, func(f *Frontend) {
 		if f.server.ReadHeaderTimeout >= 3*time.Second || f.server.ReadTimeout >= 3*time.Second {
 			t.Error("the timeouts are too long for what a bad client is owed")
 		}
@@ -1002,7 +1008,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newClients(l, ClientBounds{Open: 5, Idle: 5}, slog.New(slog.DiscardHandler))
+	c := newClients(l, ClientLimits{MaxOpen: 5, MaxIdle: 5}, slog.New(slog.DiscardHandler))
 	defer c.Close()
 	accept := func(raw string) *clientConn {
 		io.WriteString(dial(t, l.Addr().String()), raw)
@@ -1060,8 +1066,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := NewFront(l, protocol.Names{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}}, nil, ClientBounds{Open: 5, Idle: 5},
-		slog.New(slog.DiscardHandler))
+	f := NewFrontend(FrontendConfig{
+		Listener:     l,
+		Names:        protocol.Names{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
+		ClientLimits: ClientLimits{MaxOpen: 5, MaxIdle: 5},
+		Log:          slog.New(slog.DiscardHandler),
+	})
 	defer f.clients.Close()
 	io.WriteString(dial(t, l.Addr().String()), "P")
 	conn, err := f.clients.Accept()
@@ -1124,7 +1134,7 @@
 		}
 	}
 	first <- func() (net.Conn, error) { near, _ := net.Pipe(); return near, nil }
-	addr, _, log := newFront(t, 10, nil, func(f *Front) {
+	addr, _, log := newFront(t, 10, nil, func(f *Frontend) {
 		f.clients.Listener = faltering{f.clients.Listener, first}
 	})
 	if resp, _ := dial(t, addr).ask(t, ready); resp.StatusCode != 200 {
@@ -1139,7 +1149,7 @@
 func TestOwnLackIsNoPeersFault(t *testing.T) {
 	for _, err := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM} {
 		log := make(lines, 10)
-		k := NewCarrier(CarrierConfig{ConnectTimeout: time.Second, IdleClose: time.Minute, MaxConns: 10, Log: log.log(),
+		k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, MaxConns: 10, Log: log.log(),
 			Dial: func(context.Context, string) (net.Conn, error) { return nil, os.NewSyscallError("socket", err) }})
 		p := routing.NewPeer(1, "s-1", "a:1")
 		for range 3 {
@@ -1196,7 +1206,7 @@
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 		}
 	})
-	w := NewWatch(p.Addr, protocol.Names{}, -1, nil, slog.New(slog.DiscardHandler))
+	w := NewEndpointWatcher(p.Addr, protocol.Names{}, -1, nil, slog.New(slog.DiscardHandler))
 	w.late = time.Millisecond
 	lists := 0
 	const most = 1 + watchAgain + 1 // calls, and one that is sent again on the connection kept
@@ -1209,7 +1219,7 @@
 
 // idle asks on a new connection and waits until it counts as idle, which is
 // shortly after its answer; n do then.
-func (f *Front) idle(t *testing.T, addr string, n int) *client {
+func (f *Frontend) idle(t *testing.T, addr string, n int) *client {
 	t.Helper()
 	c := dial(t, addr)
 	c.ask(t, ready)
@@ -1245,7 +1255,7 @@
 		t.Fatal(err)
 	}
 	log := make(lines, 100)
-	c := newClients(l, ClientBounds{Open: 4, Idle: 4}, log.log())
+	c := newClients(l, ClientLimits{MaxOpen: 4, MaxIdle: 4}, log.log())
 	defer c.Close()
 	var ends []*client
 	accept := func(raw string) *clientConn {
@@ -1291,7 +1301,7 @@
 	c.mu.Unlock()
 	coming.Close()
 	// a full house of silent ones must not stop Accept
-	for range 4 + Crowd {
+	for range 4 + DefaultOverflow {
 		accept("")
 	}
 	accept("d")
@@ -1301,13 +1311,13 @@
 // TestBoundSinks: where the bounds sink, the clients idle for the longest are closed at once, and none that has sent
 // something, whose answer comes as ever.
 func TestBoundSinks(t *testing.T) {
-	for name, b := range map[string]ClientBounds{"on all": {Open: 3, Idle: 9}, "on idle ones": {Open: 9, Idle: 2}} {
+	for name, b := range map[string]ClientLimits{"on all": {MaxOpen: 3, MaxIdle: 9}, "on idle ones": {MaxOpen: 9, MaxIdle: 2}} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		log := make(lines, 100)
-		c := newClients(l, ClientBounds{Open: 9, Idle: 9}, log.log())
+		c := newClients(l, ClientLimits{MaxOpen: 9, MaxIdle: 9}, log.log())
 		defer c.Close()
 		var clients []*client
 		var conns []*clientConn
@@ -1344,7 +1354,7 @@
 // what clients may hold to a node.
 func TestIdleBound(t *testing.T) {
 	addr, front, log := newFront(t, 10, nil)
-	front.Bound(ClientBounds{Open: 10, Idle: 2})
+	front.SetClientLimits(ClientLimits{MaxOpen: 10, MaxIdle: 2})
 	first := front.idle(t, addr, 1)
 	front.idle(t, addr, 2)
 	front.idle(t, addr, 2)
@@ -1356,7 +1366,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var dialed atomic.Int64
 		began := time.Now()
-		w := NewWatch("d:1", protocol.Names{}, 1, func(context.Context, string) (net.Conn, error) {
+		w := NewEndpointWatcher("d:1", protocol.Names{}, 1, func(context.Context, string) (net.Conn, error) {
 			dialed.Add(1)
 			near, far := net.Pipe()
 			go io.Copy(io.Discard, far)
@@ -1387,7 +1397,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
 			dialed := make(chan time.Duration)
-			w := NewWatch("d:1", protocol.Names{}, 1, func(ctx context.Context, _ string) (net.Conn, error) {
+			w := NewEndpointWatcher("d:1", protocol.Names{}, 1, func(ctx context.Context, _ string) (net.Conn, error) {
 				stop()
 				began := time.Now()
 				<-ctx.Done()
@@ -1419,7 +1429,7 @@
 		}
 	}))
 	defer s.Close()
-	w := NewWatch(strings.TrimPrefix(s.URL, "http://"), protocol.Names{}, 1, nil, slog.New(slog.DiscardHandler))
+	w := NewEndpointWatcher(strings.TrimPrefix(s.URL, "http://"), protocol.Names{}, 1, nil, slog.New(slog.DiscardHandler))
 	w.wait, w.late, w.slack = 20*time.Millisecond, time.Millisecond, time.Minute
 	lists := 0
 	if err := w.Watch(t.Context(), func(routing.Group) { lists++ }); err == nil || lists != 1 || w.version != 2 {
@@ -1430,7 +1440,7 @@
 // TestWatchAmongNodes: however many nodes ask, discovery gets no more calls from all of them, up to a bound.
 func TestWatchAmongNodes(t *testing.T) {
 	for nodes, want := range map[int]time.Duration{0: watchEach, 1: watchEach, 2: watchWait, 4: 4 * watchEach, 300: watchMost} {
-		if w := new(Watch).Among(nodes, 1); w.wait != want {
+		if w := new(EndpointWatcher).ForFleetSize(nodes, 1); w.wait != want {
 			t.Errorf("%d nodes: held for %v, want %v", nodes, w.wait, want)
 		}
 	}
@@ -1472,7 +1482,7 @@
 		io.WriteString(w, a)
 	}))
 	defer s.Close()
-	w := NewWatch(strings.TrimPrefix(s.URL, "http://"), protocol.Names{}, -1, nil, slog.New(slog.DiscardHandler))
+	w := NewEndpointWatcher(strings.TrimPrefix(s.URL, "http://"), protocol.Names{}, -1, nil, slog.New(slog.DiscardHandler))
 	w.again, w.late = 1, time.Millisecond
 	var kinds []balancer.UpdateKind
 	for range 4 { // what is no JSON, a malformed list, or a 503, each time the second in a row
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -219,7 +219,7 @@
 }
 
 // carryUpload brings a call to a peer whose body is still coming.
-func (k *Carrier) carryUpload(ctx context.Context, t routing.Try, m *message, c *peerConn) routing.TryResult {
+func (k *UpstreamTransport) carryUpload(ctx context.Context, t routing.Try, m *message, c *peerConn) routing.TryResult {
 	u := m.up
 	if !u.begin() {
 		k.keep(c)
@@ -257,7 +257,7 @@
 }
 
 // takeBody reads a body, or the first part of one that goes on as it comes.
-func (f *Front) takeBody(r requestBody) (*message, error) {
+func (f *Frontend) takeBody(r requestBody) (*message, error) {
 	switch {
 	case r.length > maxUpload:
 		return nil, errTooLarge
@@ -282,7 +282,7 @@
 	return m, nil
 }
 
-func (f *Front) uploading(r requestBody, first []byte) *message {
+func (f *Frontend) uploading(r requestBody, first []byte) *message {
 	m := newMessage(&f.buffers, r.Method, r.target, r.Host, r.Header, r.length)
 	m.up = &upload{k: r.k, body: r.Body, first: first, length: r.length, done: make(chan struct{}),
 		client: pace{int64(len(first)), time.Since(r.k.begun())}}
--- a/internal/transport/uploadpace_test.go
+++ b/internal/transport/uploadpace_test.go
@@ -104,11 +104,11 @@
 func uploadInMemory(length int64) (u *upload, out *peerConn, client, peer net.Conn) {
 	log := slog.New(slog.DiscardHandler)
 	client, near := net.Pipe()
-	k := &clientConn{Conn: inMemory{pipe{near}}, all: newClients(nil, ClientBounds{}, log), since: time.Now(),
+	k := &clientConn{Conn: inMemory{pipe{near}}, all: newClients(nil, ClientLimits{}, log), since: time.Now(),
 		life: newLife(log, "client", "", func() {})}
 	k.deadlines.init()
 	r := &http.Request{Method: "POST", Body: io.NopCloser(io.LimitReader(k, length))}
-	u = new(Front).uploading(requestBody{Request: r, target: "/", length: length, k: k}, nil).up
+	u = new(Frontend).uploading(requestBody{Request: r, target: "/", length: length, k: k}, nil).up
 	to, peer := net.Pipe()
 	return u, &peerConn{Conn: pipe{to}, life: newLife(log, "peer", "", func() {})}, client, peer
 }
--- a/internal/transport/watch.go
+++ b/internal/transport/watch.go
@@ -50,7 +50,7 @@
 	// a call of is begun again behind the pause that was due.
 	watchAgain = 12
 	// WatchCalls is how many calls a watch has in hand at most, each on a connection of its own.
-	WatchCalls = 1 + watchAgain
+	MaxWatchRequests = 1 + watchAgain
 	// watchSpread is the pause before a broken call is made once more, from the second in a row on; it doubles up
 	// to watchLate. Calls that all break in one moment of trouble would end the watch, and what discovery tells
 	// meanwhile counts as told.
@@ -63,7 +63,7 @@
 const watchConnect = time.Second
 
 // Watch follows the upstream group at discovery. One Watch call runs at a time.
-type Watch struct {
+type EndpointWatcher struct {
 	addr    string
 	names   protocol.Names
 	client  *http.Client        // for one call at a time
@@ -84,7 +84,7 @@
 
 // NewWatch makes a watch that goes on from a known version, or from none if
 // that is negative. A nil dialer dials TCP.
-func NewWatch(addr string, names protocol.Names, version int64, dial Dialer, log *slog.Logger) *Watch {
+func NewEndpointWatcher(addr string, names protocol.Names, version int64, dial Dialer, log *slog.Logger) *EndpointWatcher {
 	connect := func(ctx context.Context, _, addr string) (net.Conn, error) {
 		ctx, stop := context.WithTimeout(ctx, watchConnect)
 		defer stop()
@@ -101,14 +101,14 @@
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		}
 	}
-	return &Watch{addr: addr, names: names, client: client(false), version: version,
+	return &EndpointWatcher{addr: addr, names: names, client: client(false), version: version,
 		other: func() *http.Client { return client(true) },
 		wait:  watchWait, late: watchLate, beside: watchBeside, turn: watchTurn, slack: watchSlack, again: watchAgain}
 }
 
 // Among sets how long discovery may hold a call by how many nodes ask it, and returns the watch. The seed, another
 // one at each of them, keeps their pauses apart.
-func (w *Watch) Among(nodes int, seed uint64) *Watch {
+func (w *EndpointWatcher) ForFleetSize(nodes int, seed uint64) *EndpointWatcher {
 	w.wait = min(time.Duration(max(nodes, 1))*watchEach, watchMost)
 	w.rng.Seed(seed, 0)
 	return w
@@ -123,7 +123,7 @@
 // Watch implements routing.Watcher: each answer is followed at once by the next
 // question. One that no call brought an answer to ends the watch, and its
 // connections with it.
-func (w *Watch) Watch(ctx context.Context, told func(routing.Group)) error {
+func (w *EndpointWatcher) Watch(ctx context.Context, told func(routing.Group)) error {
 	defer func() {
 		w.calls.Wait()                  // http.Transport goes on dialing for a call that has not noticed its end
 		w.client.CloseIdleConnections() // and what is still dialed, for a call that was given up
@@ -156,7 +156,7 @@
 // behind all that bring nothing, and the only ones. The first good answer counts,
 // but none of an older version: whether discovery has gone back, or that answer
 // alone is stale, its whole list tells. After trouble no call is held for long.
-func (w *Watch) ask(ctx context.Context, hold time.Duration) (g routing.Group, version int64, err error) {
+func (w *EndpointWatcher) ask(ctx context.Context, hold time.Duration) (g routing.Group, version int64, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	came := make(chan outcome, w.again+1)
@@ -228,7 +228,7 @@
 }
 
 // list reads what a call brought.
-func (w *Watch) list(o outcome) (g routing.Group, version int64, err error) {
+func (w *EndpointWatcher) list(o outcome) (g routing.Group, version int64, err error) {
 	if o.err != nil {
 		return g, 0, o.err
 	}
@@ -241,12 +241,12 @@
 }
 
 // jitter spreads d over three quarters to five quarters of itself.
-func (w *Watch) jitter(d time.Duration) time.Duration {
+func (w *EndpointWatcher) jitter(d time.Duration) time.Duration {
 	return d*3/4 + time.Duration(w.rng.Uint64()%uint64(d/2+1))
 }
 
 // call asks once: for what is newer than the version held, or for the whole list.
-func (w *Watch) call(ctx context.Context, client *http.Client, since int64, wait time.Duration) outcome {
+func (w *EndpointWatcher) call(ctx context.Context, client *http.Client, since int64, wait time.Duration) outcome {
 	if client != w.client {
 		defer client.CloseIdleConnections()
 	}
@@ -257,7 +257,7 @@
 	return outcome{since, data, err}
 }
 
-func (w *Watch) fetch(ctx context.Context, client *http.Client, since int64, wait time.Duration) ([]byte, error) {
+func (w *EndpointWatcher) fetch(ctx context.Context, client *http.Client, since int64, wait time.Duration) ([]byte, error) {
 	ctx, stop := context.WithTimeout(ctx, wait+w.slack)
 	defer stop()
 	u := url.URL{Scheme: "http", Host: w.addr, Path: protocol.PathGroup}
--- a/internal/transport/watchburst_test.go
+++ b/internal/transport/watchburst_test.go
@@ -32,7 +32,7 @@
 	defer stop()
 	told := 0
 	l := make(lines, 1000)
-	err := NewWatch(server.Listener.Addr().String(), protocol.Names{}, 1, nil, l.log()).Watch(ctx, func(routing.Group) {
+	err := NewEndpointWatcher(server.Listener.Addr().String(), protocol.Names{}, 1, nil, l.log()).Watch(ctx, func(routing.Group) {
 		told++
 		stop()
 	})
--- a/internal/transport/watchlist_test.go
+++ b/internal/transport/watchlist_test.go
@@ -60,7 +60,7 @@
 			defer s.Close()
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
-			w := NewWatch(s.Listener.Addr().String(), protocol.Names{}, 41, nil, slog.New(slog.DiscardHandler))
+			w := NewEndpointWatcher(s.Listener.Addr().String(), protocol.Names{}, 41, nil, slog.New(slog.DiscardHandler))
 			var told []string
 			w.Watch(ctx, func(g routing.Group) {
 				told = append(told, fmt.Sprintf("%d of kind %d", g.Version, g.Kind))
--- a/internal/transport/watchturn_test.go
+++ b/internal/transport/watchturn_test.go
@@ -40,7 +40,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	told, l := 0, make(lines, 1000)
-	w := NewWatch(server.Listener.Addr().String(), protocol.Names{}, 1, nil, l.log()).Among(30, 1)
+	w := NewEndpointWatcher(server.Listener.Addr().String(), protocol.Names{}, 1, nil, l.log()).ForFleetSize(30, 1)
 	w.Watch(ctx, func(routing.Group) {
 		told++
 		stop()
