--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -321,7 +321,7 @@
 	defer n.mu.Unlock()
 	part := handover.ResourceShare(n.company.processes())
 	n.carrier.Configure(n.carrierConfig(n.config, part))
-	n.front.Bound(clientBounds(n.config, part))
+	n.front.SetClientLimits(clientBounds(n.config, part))
 	n.boundDoor(n.config, part)
 	if n.parts.ApplyLimits != nil {
 		n.parts.ApplyLimits(n.config, part)
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -15,28 +15,28 @@
 // else is full, calls to discovery above all, has its part to itself: no client's and no peer's takes from it.
 type shares struct {
 	discovery int // calls side by side, each on a connection of its own
-	callers   int // at the operators' door
-	crowd     int // clients' beyond those that may stay, taken to be turned away
-	side      int // clients' that may stay; as many again to peers: tries and probes
+	callers int // at the operators' door
+	crowd int // clients' beyond those that may stay, taken to be turned away
+	side int // clients' that may stay; as many again to peers: tries and probes
 }
 
 // share divides this process's part of the node's descriptors. Callers and the crowd have less where there are few.
 func share(c *protocol.Config, part float64) shares {
 	all := int(float64(c.Sockets) * part)
 	few := max(all/16, 1)
-	s := shares{discovery: transport.WatchCalls, callers: min(admin.MaxConnections, few), crowd: min(transport.Crowd, few)}
+	s := shares{discovery: transport.MaxWatchRequests, callers: min(admin.MaxConnections, few), crowd: min(transport.DefaultOverflow, few)}
 	s.side = max((all-ownDescriptors-s.discovery-s.callers-s.crowd)/2, 8)
 	return s
 }
 
 // clientBounds keeps idle client connections well under what clients may hold.
-func clientBounds(c *protocol.Config, part float64) transport.ClientBounds {
+func clientBounds(c *protocol.Config, part float64) transport.ClientLimits {
 	s := share(c, part)
-	return transport.ClientBounds{Open: s.side, Idle: int(float64(c.Sockets) * part / 4), Crowd: s.crowd}
+	return transport.ClientLimits{MaxOpen: s.side, MaxIdle: int(float64(c.Sockets) * part / 4), MaxOverflow: s.crowd}
 }
 
-func (n *Node) carrierConfig(c *protocol.Config, part float64) transport.CarrierConfig {
-	return transport.CarrierConfig{ConnectTimeout: c.ConnectTimeout, IdleClose: c.IdleTimeout,
+func (n *Node) carrierConfig(c *protocol.Config, part float64) transport.UpstreamConfig {
+	return transport.UpstreamConfig{ConnectTimeout: c.ConnectTimeout, ServerIdleTimeout: c.IdleTimeout,
 		DrainGrace: c.Settings.DrainGrace, MaxConns: share(c, part).side,
 		Dial: n.parts.Dial, Log: n.log}
 }
--- a/internal/node/rest.go
+++ b/internal/node/rest.go
@@ -23,13 +23,13 @@
 	}
 	return Resources{
 		OpenCalls: r.Calls, CallIDs: r.ClientRequestIDs, Attempts: r.AttemptsInFlight, Servers: r.Upstreams, Timers: r.Timers, Watching: r.WatchRunning,
-		ClientConns: n.front.Conns(), ServerConns: n.carrier.Conns(),
+		ClientConns: n.front.ClientConns(), ServerConns: n.carrier.Conns(),
 	}, nil
 }
 
 // Counters are the arguments of the log's line of counters.
 func (n *Node) Counters() []any {
-	all := []any{"malformed", n.front.Malformed(), "shed", n.front.Shed(), "clients", n.front.Clients(),
+	all := []any{"malformed", n.front.Malformed(), "shed", n.front.Shed(), "clients", n.front.ClientStats(),
 		"calls", n.router.Counters().String()}
 	if n.parts.Fleet != nil {
 		all = append(all, "fleet", n.parts.Fleet.Counters())
