--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -19,7 +19,7 @@
 
 func config() *protocol.Config {
 	class := balancer.Class{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: balancer.NonIdempotent}
-	entry := routing.Entry{Server: balancer.Server{ID: 7, Weight: 1, State: balancer.Ready}, Name: "s-7", Addr: "peer:1"}
+	entry := routing.Endpoint{Server: balancer.Server{ID: 7, Weight: 1, State: balancer.Ready}, Name: "s-7", Addr: "peer:1"}
 	return &protocol.Config{
 		Name: "n1", Listen: "node:1", Discovery: "discovery:1", Cores: 1, MemoryMB: 64, Sockets: 256, Seed: 1,
 		Settings: balancer.Settings{
@@ -27,39 +27,39 @@
 			MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: time.Second, CancelAttempts: true, DrainGrace: time.Second, PollDiscovery: true,
 			PollInterval: time.Second, HealthChecks: true,
 		},
-		Names:          protocol.Names{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
-		ConnectTimeout: 75 * time.Millisecond, IdleClose: 10 * time.Second, LongestDeadline: 2 * time.Second,
-		Known: routing.Group{Entries: []routing.Entry{entry}}, KnownVersion: 4,
+		NameIndex: protocol.NameIndex{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
+		ConnectTimeout: 75 * time.Millisecond, IdleTimeout: 10 * time.Second, LongestDeadline: 2 * time.Second,
+		KnownEndpoints: routing.EndpointList{Endpoints: []routing.Endpoint{entry}}, KnownEndpointsVersion: 4,
 	}
 }
 
 // wrapped sees the tries on their way to the carrier.
 type wrapped struct {
-	routing.Carrier
-	tries chan routing.Try
+	routing.Transport
+	tries chan routing.Attempt
 }
 
-func (w wrapped) Try(ctx context.Context, t routing.Try) routing.TryResult {
+func (w wrapped) RoundTrip(ctx context.Context, t routing.Attempt) routing.AttemptResult {
 	w.tries <- t
-	return w.Carrier.Try(ctx, t)
+	return w.Transport.RoundTrip(ctx, t)
 }
 
 // stage is a node in a bubble, with all that it hangs on.
 type stage struct {
 	*Node
-	memory  *memory
-	client  *http.Client
-	tries   chan routing.Try
-	asked   chan string // of discoveries
-	arrived chan bool   // at the peer, under /held
-	release chan bool   // of these
-	ids     atomic.Int64
+	memory *memory
+	client *http.Client
+	tries chan routing.Attempt
+	asked chan string // of discoveries
+	arrived chan bool // at the peer, under /held
+	release chan bool // of these
+	ids atomic.Int64
 }
 
 // play runs f in a bubble, which panics at its end if any goroutine is left.
 func play(t *testing.T, f func(t *testing.T, s *stage)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &stage{memory: &memory{ports: map[string]chan net.Conn{}}, tries: make(chan routing.Try, 100),
+		s := &stage{memory: &memory{ports: map[string]chan net.Conn{}}, tries: make(chan routing.Attempt, 100),
 			asked: make(chan string, 1000), arrived: make(chan bool), release: make(chan bool)}
 		serve := func(addr string, h http.HandlerFunc) {
 			l, _ := s.memory.listen(addr)
@@ -90,14 +90,14 @@
 				case <-r.Context().Done():
 				}
 			}
-			io.WriteString(w, r.Header.Get(protocol.HeaderID))
+			io.WriteString(w, r.Header.Get(protocol.HeaderCallID))
 		})
 		s.client = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
 			return s.memory.dial(ctx, addr)
 		}}}
 		var err error
-		s.Node, err = Start(config(), Parts{Listen: s.memory.listen, Dial: s.memory.dial,
-			Wrap: func(c routing.Carrier) routing.Carrier { return wrapped{c, s.tries} }})
+		s.Node, err = Start(config(), Options{Listen: s.memory.listen, Dial: s.memory.dial,
+			WrapCarrier: func(c routing.Transport) routing.Transport { return wrapped{c, s.tries} }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -107,7 +107,7 @@
 		if n := s.memory.open(); n > 0 {
 			t.Errorf("%d ends of connections are left open", n)
 		}
-		if _, err := s.Rest(t.Context()); err == nil {
+		if _, err := s.Resources(t.Context()); err == nil {
 			t.Error("the decisions go on")
 		}
 	})
@@ -137,14 +137,14 @@
 		if status, body := s.ask("/api"); status != 200 || body != "9b1" {
 			t.Errorf("%d %q", status, body)
 		}
-		if try := <-s.tries; try.Call != 1 || try.Attempt != 0 {
-			t.Errorf("call %d, attempt %d", try.Call, try.Attempt)
+		if try := <-s.tries; try.RequestID != 1 || try.Number != 0 {
+			t.Errorf("call %d, attempt %d", try.RequestID, try.Number)
 		}
-		if r, err := s.Rest(t.Context()); err != nil || r != (Rest{Peers: 1, Timers: 1, Watch: true, ClientConns: 1, PeerConns: 1}) {
+		if r, err := s.Resources(t.Context()); err != nil || r != (Resources{Servers: 1, Timers: 1, Watching: true, ClientConns: 1, ServerConns: 1}) {
 			t.Errorf("at rest: %+v, %v", r, err)
 		}
 		safe := config() // its only class, that is
-		safe.Names.Methods = []string{"GET"}
+		safe.NameIndex.Methods = []string{"GET"}
 		s.Reload(safe)
 		if status, _ := s.ask("/api"); status != 405 {
 			t.Errorf("a POST of a class that is safe by now: %d", status)
@@ -153,7 +153,7 @@
 		moved.Discovery = "discovery:2"
 		s.Reload(moved)
 		for uri := range s.asked {
-			if uri == "discovery:2"+protocol.PathGroup {
+			if uri == "discovery:2"+protocol.PathEndpoints {
 				break
 			}
 		}
@@ -163,7 +163,7 @@
 			status <- got
 		}()
 		<-s.arrived
-		if r, err := s.Rest(t.Context()); err != nil || r.Calls != 1 || r.Names != 1 || r.Tries != 1 {
+		if r, err := s.Resources(t.Context()); err != nil || r.OpenCalls != 1 || r.CallIDs != 1 || r.Attempts != 1 {
 			t.Errorf("with one call open: %+v, %v", r, err)
 		}
 		drained := make(chan bool)
