--- a/internal/lab/stage/node.go
+++ b/internal/lab/stage/node.go
@@ -25,19 +25,19 @@
 
 // instance is one node of the run, through all its lives. Its fields belong to the loop.
 type instance struct {
-	run *run
-	c world.Node
-	lives int // that it has begun
-	live *life // nil: it does not run
+	run   *run
+	c     world.Node
+	lives int   // that it has begun
+	live  *life // nil: it does not run
 }
 
 // life is what a node is from a start to its end.
 type life struct {
-	number int
-	node *node.Node // nil until it listens
-	config *protocol.Config
-	file []byte // of its configuration; a reload reads it anew
-	leaving bool // it was told SIGTERM
+	number  int
+	node    *node.Node // nil until it listens
+	config  *protocol.Config
+	file    []byte // of its configuration; a reload reads it anew
+	leaving bool   // it was told SIGTERM
 }
 
 // What a life's goroutines bring to the loop, each once.
@@ -232,7 +232,7 @@
 	}
 	var held []error
 	for _, h := range []struct {
-		what string
+		what      string
 		n, atMost int
 	}{
 		{"open calls", r.OpenCalls, 0}, {"names of calls", r.CallIDs, 0}, {"tries", r.Attempts, 0},
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -24,14 +24,14 @@
 // company are the other processes of this node: the one before it, and its
 // successor, each for as long as it lives.
 type company struct {
-	mu sync.Mutex
-	seat *handover.Listener // where a successor finds this process; nil: it has one, or can have none
-	predecessor *handover.Link // nil: none
-	successor *handover.Link // nil: none
-	over bool // this process ends
-	took bool // the successor takes clients
-	calls sync.Mutex // one operator's call at a time, so that both processes see them in one order
-	running sync.WaitGroup
+	mu          sync.Mutex
+	seat        *handover.Listener // where a successor finds this process; nil: it has one, or can have none
+	predecessor *handover.Link     // nil: none
+	successor   *handover.Link     // nil: none
+	over        bool               // this process ends
+	took        bool               // the successor takes clients
+	calls       sync.Mutex         // one operator's call at a time, so that both processes see them in one order
+	running     sync.WaitGroup
 }
 
 // processes counts this one, too.
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -15,9 +15,9 @@
 // else is full, calls to discovery above all, has its part to itself: no client's and no peer's takes from it.
 type shares struct {
 	discovery int // calls side by side, each on a connection of its own
-	callers int // at the operators' door
-	crowd int // clients' beyond those that may stay, taken to be turned away
-	side int // clients' that may stay; as many again to peers: tries and probes
+	callers   int // at the operators' door
+	crowd     int // clients' beyond those that may stay, taken to be turned away
+	side      int // clients' that may stay; as many again to peers: tries and probes
 }
 
 // share divides this process's part of the node's descriptors. Callers and the crowd have less where there are few.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -23,33 +23,33 @@
 // Parts are what an instance stands on. The zero value is a node on TCP that
 // logs nothing.
 type Options struct {
-	Listen func(addr string) (net.Listener, error) // nil: TCP
-	Dial func(ctx context.Context, addr string) (net.Conn, error) // nil: TCP
-	WrapCarrier func(routing.Transport) routing.Transport // around the node's own; nil: nothing
-	WrapWatcher func(routing.Watcher) routing.Watcher // around each watch; nil: nothing
-	Log *slog.Logger // must not block; nil: none
-	HandoverPath string // path at which processes of this node find each other; "": they do not
-	ApplyLimits func(c *protocol.Config, part float64) // keeps the process to its part; nil: nothing to keep
-	Fleet Fleet // the node's place among others; nil: it has none
+	Listen       func(addr string) (net.Listener, error)                  // nil: TCP
+	Dial         func(ctx context.Context, addr string) (net.Conn, error) // nil: TCP
+	WrapCarrier  func(routing.Transport) routing.Transport                // around the node's own; nil: nothing
+	WrapWatcher  func(routing.Watcher) routing.Watcher                    // around each watch; nil: nothing
+	Log          *slog.Logger                                             // must not block; nil: none
+	HandoverPath string                                                   // path at which processes of this node find each other; "": they do not
+	ApplyLimits  func(c *protocol.Config, part float64)                   // keeps the process to its part; nil: nothing to keep
+	Fleet        Fleet                                                    // the node's place among others; nil: it has none
 }
 
 // Node is a running instance.
 type Node struct {
-	parts Options
-	log *slog.Logger
-	carrier *transport.UpstreamTransport
-	router *routing.Router
-	front *transport.Frontend
-	servers *maintenance.Registry // nil without a door
-	door *admin.Server // nil: none
-	listener net.Listener // of clients
-	company company
-	stop context.CancelFunc // ends the decisions and all that they started
-	running sync.WaitGroup // front and decisions
-	failed chan error
+	parts    Options
+	log      *slog.Logger
+	carrier  *transport.UpstreamTransport
+	router   *routing.Router
+	front    *transport.Frontend
+	servers  *maintenance.Registry // nil without a door
+	door     *admin.Server         // nil: none
+	listener net.Listener          // of clients
+	company  company
+	stop     context.CancelFunc // ends the decisions and all that they started
+	running  sync.WaitGroup     // front and decisions
+	failed   chan error
 
-	mu sync.Mutex
-	config *protocol.Config
+	mu      sync.Mutex
+	config  *protocol.Config
 	longest time.Duration // that a call may take by any settings so far: reloads leave those in hand their time
 }
 
@@ -102,11 +102,11 @@
 		Log: n.log,
 	})
 	frontend := transport.FrontendConfig{
-		Listener: listener,
-		Names: c.NameIndex,
-		Handler: n.router,
+		Listener:     listener,
+		Names:        c.NameIndex,
+		Handler:      n.router,
 		ClientLimits: clientBounds(c, part),
-		Log: n.log,
+		Log:          n.log,
 	}
 	if p.Fleet != nil {
 		frontend.IdempotencyStore = p.Fleet.Keeper()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -27,7 +27,7 @@
 			MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: time.Second, CancelAttempts: true, DrainGrace: time.Second, PollDiscovery: true,
 			PollInterval: time.Second, HealthChecks: true,
 		},
-		NameIndex: protocol.NameIndex{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
+		NameIndex:      protocol.NameIndex{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
 		ConnectTimeout: 75 * time.Millisecond, IdleTimeout: 10 * time.Second, LongestDeadline: 2 * time.Second,
 		KnownEndpoints: routing.EndpointList{Endpoints: []routing.Endpoint{entry}}, KnownEndpointsVersion: 4,
 	}
@@ -47,13 +47,13 @@
 // stage is a node in a bubble, with all that it hangs on.
 type stage struct {
 	*Node
-	memory *memory
-	client *http.Client
-	tries chan routing.Attempt
-	asked chan string // of discoveries
-	arrived chan bool // at the peer, under /held
-	release chan bool // of these
-	ids atomic.Int64
+	memory  *memory
+	client  *http.Client
+	tries   chan routing.Attempt
+	asked   chan string // of discoveries
+	arrived chan bool   // at the peer, under /held
+	release chan bool   // of these
+	ids     atomic.Int64
 }
 
 // play runs f in a bubble, which panics at its end if any goroutine is left.
--- a/internal/node/rest.go
+++ b/internal/node/rest.go
@@ -4,12 +4,12 @@
 
 // Rest is what a node holds at one moment.
 type Resources struct {
-	OpenCalls int // in the table
-	CallIDs int // of the open calls
-	Attempts int // whose outcome is not in
-	Servers int // known
-	Timers int // of the decisions
-	Watching bool // one runs
+	OpenCalls   int  // in the table
+	CallIDs     int  // of the open calls
+	Attempts    int  // whose outcome is not in
+	Servers     int  // known
+	Timers      int  // of the decisions
+	Watching    bool // one runs
 	ClientConns int
 	ServerConns int // idle ones, and those being opened, included
 }
--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -17,28 +17,28 @@
 
 // The variables that tell a node what it is.
 const (
-	EnvName = "ROUTER_NAME"
-	EnvListen = "ROUTER_LISTEN"
+	EnvName      = "ROUTER_NAME"
+	EnvListen    = "ROUTER_LISTEN"
 	EnvDiscovery = "ROUTER_DISCOVERY"
-	EnvConfig = "ROUTER_CONFIG"
-	EnvAdmin = "ROUTER_ADMIN" // may be missing: no operators' door
-	EnvFleet = "ROUTER_FLEET" // may be missing: the node knows of no fleet
+	EnvConfig    = "ROUTER_CONFIG"
+	EnvAdmin     = "ROUTER_ADMIN" // may be missing: no operators' door
+	EnvFleet     = "ROUTER_FLEET" // may be missing: the node knows of no fleet
 )
 
 // Config is what one node is told at its start.
 type Config struct {
 	Name, Listen, Discovery string
-	AdminListen string // the operators' address; "": none
-	Seed uint64
-	Cores float64
-	MemoryMB, Sockets int
-	Settings balancer.Settings
-	NameIndex NameIndex
-	ConnectTimeout time.Duration // of a new connection to a peer
-	IdleTimeout time.Duration // peers close a connection idle for this long
-	LongestDeadline time.Duration
-	KnownEndpoints routing.EndpointList
-	KnownEndpointsVersion int64
+	AdminListen             string // the operators' address; "": none
+	Seed                    uint64
+	Cores                   float64
+	MemoryMB, Sockets       int
+	Settings                balancer.Settings
+	NameIndex               NameIndex
+	ConnectTimeout          time.Duration // of a new connection to a peer
+	IdleTimeout             time.Duration // peers close a connection idle for this long
+	LongestDeadline         time.Duration
+	KnownEndpoints          routing.EndpointList
+	KnownEndpointsVersion   int64
 
 	fileName, fileListen, fileAdmin string // as the file has them
 }
@@ -51,28 +51,28 @@
 }
 
 type configJSON struct {
-	Name string `json:"name"`
-	Listen string `json:"listen"`
+	Name      string `json:"name"`
+	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
-	Admin string `json:"admin"`
-	Seed string `json:"seed"`
-	Limits struct {
-		Cores float64 `json:"cores"`
-		MemoryMB int `json:"memory_mb"`
-		Sockets int `json:"sockets"`
+	Admin     string `json:"admin"`
+	Seed      string `json:"seed"`
+	Limits    struct {
+		Cores    float64 `json:"cores"`
+		MemoryMB int     `json:"memory_mb"`
+		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Known json.RawMessage `json:"known"`
+	Known    json.RawMessage `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 }
 
 type settingsJSON struct {
-	Classes []named `json:"classes"`
-	Tenants []named `json:"tenants"`
-	Zones []string `json:"zones"`
-	Kinds []string `json:"kinds"`
-	Limits struct {
+	Classes []named  `json:"classes"`
+	Tenants []named  `json:"tenants"`
+	Zones   []string `json:"zones"`
+	Kinds   []string `json:"kinds"`
+	Limits  struct {
 		ConnectTimeout time.Duration `json:"connect_timeout"`
-		IdleClose time.Duration `json:"idle_close"`
+		IdleClose      time.Duration `json:"idle_close"`
 	} `json:"limits"`
 }
 
@@ -82,8 +82,8 @@
 	c := &Config{}
 	var path string
 	for _, v := range []struct {
-		name string
-		to *string
+		name    string
+		to      *string
 		address bool
 	}{{EnvName, &c.Name, false}, {EnvListen, &c.Listen, true}, {EnvDiscovery, &c.Discovery, true},
 		{EnvConfig, &path, false}} {
@@ -183,9 +183,9 @@
 		return errors.New("settings: classes or tenants stand twice")
 	}
 	for _, list := range []struct {
-		path string
+		path  string
 		names []string
-		at *map[string]int
+		at    *map[string]int
 	}{{"classes", namesOf(set.Classes), &c.NameIndex.Classes}, {"tenants", namesOf(set.Tenants), &c.NameIndex.Tenants},
 		{"zones", set.Zones, &c.NameIndex.Zones}, {"kinds", set.Kinds, &c.NameIndex.Kinds}} {
 		if *list.at, err = places(list.path, list.names); err != nil {
--- a/internal/protocol/group.go
+++ b/internal/protocol/group.go
@@ -20,20 +20,20 @@
 var states = map[string]balancer.ServerState{"Ready": balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Removed}
 
 type groupJSON struct {
-	Version *int64 `json:"version"`
-	Full *bool `json:"full"`
+	Version *int64       `json:"version"`
+	Full    *bool        `json:"full"`
 	Servers *[]entryJSON `json:"servers"`
 }
 
 type entryJSON struct {
-	ID string `json:"id"`
-	Addr string `json:"addr"`
-	Zone string `json:"zone"`
-	Kind string `json:"kind"`
-	Cell uint16 `json:"cell"`
-	State string `json:"state"`
-	Weight *float32 `json:"weight"`
-	Started int64 `json:"started_ms"`
+	ID      string   `json:"id"`
+	Addr    string   `json:"addr"`
+	Zone    string   `json:"zone"`
+	Kind    string   `json:"kind"`
+	Cell    uint16   `json:"cell"`
+	State   string   `json:"state"`
+	Weight  *float32 `json:"weight"`
+	Started int64    `json:"started_ms"`
 }
 
 // ParseGroup reads a list of the upstream group. A list with any fault is an
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -18,21 +18,21 @@
 func TestParseCall(t *testing.T) {
 	for name, c := range map[string]struct {
 		change map[string]string // "" takes the header away
-		query string
-		bad string // part of the error; "" for none
+		query  string
+		bad    string // part of the error; "" for none
 	}{
-		"whole": {nil, "user=7f", ""},
-		"no key": {nil, "", ""},
-		"retry": {map[string]string{HeaderRetry: "1"}, "", ""},
-		"no id": {map[string]string{HeaderCallID: ""}, "", HeaderCallID},
-		"no class": {map[string]string{HeaderClass: ""}, "", HeaderClass},
-		"unknown class": {map[string]string{HeaderClass: "gift"}, "", HeaderClass},
-		"no caller": {map[string]string{HeaderTenant: ""}, "", HeaderTenant},
-		"unknown caller": {map[string]string{HeaderTenant: "nobody"}, "", HeaderTenant},
-		"no budget": {map[string]string{HeaderTimeout: ""}, "", HeaderTimeout},
-		"broken budget": {map[string]string{HeaderTimeout: "0.4s"}, "", HeaderTimeout},
+		"whole":           {nil, "user=7f", ""},
+		"no key":          {nil, "", ""},
+		"retry":           {map[string]string{HeaderRetry: "1"}, "", ""},
+		"no id":           {map[string]string{HeaderCallID: ""}, "", HeaderCallID},
+		"no class":        {map[string]string{HeaderClass: ""}, "", HeaderClass},
+		"unknown class":   {map[string]string{HeaderClass: "gift"}, "", HeaderClass},
+		"no caller":       {map[string]string{HeaderTenant: ""}, "", HeaderTenant},
+		"unknown caller":  {map[string]string{HeaderTenant: "nobody"}, "", HeaderTenant},
+		"no budget":       {map[string]string{HeaderTimeout: ""}, "", HeaderTimeout},
+		"broken budget":   {map[string]string{HeaderTimeout: "0.4s"}, "", HeaderTimeout},
 		"broken escaping": {nil, "user=%zz", AffinityKeyParameter},
-		"two keys": {nil, "user=a&x=1&user=b", AffinityKeyParameter},
+		"two keys":        {nil, "user=a&x=1&user=b", AffinityKeyParameter},
 	} {
 		h := map[string][]string{HeaderCallID: {"9b1f"}, HeaderClass: {"book"}, HeaderTenant: {"zen"}, HeaderTimeout: {"0.480"}}
 		for k, v := range c.change {
@@ -93,21 +93,21 @@
 	change := func(old, new string) string { return strings.Replace(entry, old, new, 1) }
 	for name, c := range map[string]struct {
 		list string
-		ok bool
+		ok   bool
 	}{
-		"one": {`{"version":4,"full":true,"servers":[` + entry + `]}`, true},
-		"no change": {`{"version":4,"full":false,"servers":[]}`, true},
-		"cut short": {`{"version":4,"full":true,"servers":[` + entry, false},
-		"no version": {`{"full":true,"servers":[]}`, false},
-		"no full": {`{"version":4,"servers":[]}`, false},
-		"no servers": {`{"version":4,"full":true}`, false},
-		"not an object": {`[]`, false},
-		"unknown state": {`{"version":4,"full":true,"servers":[` + change("Ready", "Asleep") + `]}`, false},
-		"no id": {`{"version":4,"full":true,"servers":[` + change("s-1", "") + `]}`, false},
-		"no port": {`{"version":4,"full":true,"servers":[` + change(":9000", "") + `]}`, false},
-		"negative weight": {`{"version":4,"full":true,"servers":[` + change("1.5", "-1") + `]}`, false},
-		"twice": {`{"version":4,"full":true,"servers":[` + entry + "," + entry + `]}`, false},
-		"one bad of two": {`{"version":4,"full":true,"servers":[` + entry + "," + change("s-1", "") + `]}`, false},
+		"one":              {`{"version":4,"full":true,"servers":[` + entry + `]}`, true},
+		"no change":        {`{"version":4,"full":false,"servers":[]}`, true},
+		"cut short":        {`{"version":4,"full":true,"servers":[` + entry, false},
+		"no version":       {`{"full":true,"servers":[]}`, false},
+		"no full":          {`{"version":4,"servers":[]}`, false},
+		"no servers":       {`{"version":4,"full":true}`, false},
+		"not an object":    {`[]`, false},
+		"unknown state":    {`{"version":4,"full":true,"servers":[` + change("Ready", "Asleep") + `]}`, false},
+		"no id":            {`{"version":4,"full":true,"servers":[` + change("s-1", "") + `]}`, false},
+		"no port":          {`{"version":4,"full":true,"servers":[` + change(":9000", "") + `]}`, false},
+		"negative weight":  {`{"version":4,"full":true,"servers":[` + change("1.5", "-1") + `]}`, false},
+		"twice":            {`{"version":4,"full":true,"servers":[` + entry + "," + entry + `]}`, false},
+		"one bad of two":   {`{"version":4,"full":true,"servers":[` + entry + "," + change("s-1", "") + `]}`, false},
 		"gone, no address": {`{"version":4,"full":false,"servers":[{"id":"s-1","state":"Gone"}]}`, true},
 	} {
 		if _, _, err := names.ParseEndpoints([]byte(c.list)); (err == nil) != c.ok {
@@ -131,9 +131,9 @@
 
 func TestResultOf(t *testing.T) {
 	for _, c := range []struct {
-		status int
+		status   int
 		rejected []string
-		want balancer.Result
+		want     balancer.Result
 	}{
 		{200, nil, balancer.OK}, {500, nil, balancer.Errored}, {503, []string{"1"}, balancer.Rejected}, {504, []string{"1"}, balancer.Rejected},
 		{503, nil, balancer.Errored}, {503, []string{"1", "0"}, balancer.Errored}, {504, []string{"0"}, balancer.Errored}, {500, []string{"1"}, balancer.Errored}, {404, nil, balancer.Errored},
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -22,11 +22,11 @@
 	}
 	served := routing.Answer{Verdict: routing.Served, Reply: &reply{body: []byte("hi")}}
 	f := NewFrontend(FrontendConfig{
-		Listener: l,
-		Names: protocol.NameIndex{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
-		Handler: taker(func(context.Context, routing.Call) (routing.Answer, bool) { return served, true }),
+		Listener:     l,
+		Names:        protocol.NameIndex{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
+		Handler:      taker(func(context.Context, routing.Call) (routing.Answer, bool) { return served, true }),
 		ClientLimits: ClientLimits{MaxOpen: 10, MaxIdle: 10},
-		Log: slog.New(slog.DiscardHandler),
+		Log:          slog.New(slog.DiscardHandler),
 	})
 	go f.Serve()
 	defer f.server.Close()
--- a/internal/transport/carrier.go
+++ b/internal/transport/carrier.go
@@ -21,26 +21,26 @@
 
 // CarrierConfig is what a Carrier is made from.
 type UpstreamConfig struct {
-	ConnectTimeout time.Duration // a connection that comes later has not come
+	ConnectTimeout    time.Duration // a connection that comes later has not come
 	ServerIdleTimeout time.Duration // peers close a connection idle for this long
-	DrainGrace time.Duration // first bytes to a leaving peer end within this time
-	MaxConns int // connections to all peers together
-	Log *slog.Logger
-	Dial Dialer // nil: TCP
+	DrainGrace        time.Duration // first bytes to a leaving peer end within this time
+	MaxConns          int           // connections to all peers together
+	Log               *slog.Logger
+	Dial              Dialer // nil: TCP
 }
 
 // Carrier brings tries and probes to peers over pooled connections.
 type UpstreamTransport struct {
-	config atomic.Pointer[UpstreamConfig]
-	pool *pool
+	config  atomic.Pointer[UpstreamConfig]
+	pool    *pool
 	readers sync.Pool // a connection needs its buffer only while it carries a try
-	buffers buffers // of the answers' bodies
+	buffers buffers   // of the answers' bodies
 }
 
 // NewCarrier makes a Carrier.
 func NewUpstreamTransport(c UpstreamConfig) *UpstreamTransport {
 	k := &UpstreamTransport{
-		pool: &pool{settle: settle, log: c.Log, dial: c.Dial, idle: map[*routing.Upstream][]*peerConn{}},
+		pool:    &pool{settle: settle, log: c.Log, dial: c.Dial, idle: map[*routing.Upstream][]*peerConn{}},
 		readers: sync.Pool{New: func() any { return bufio.NewReader(nil) }},
 	}
 	k.Configure(c)
--- a/internal/transport/keep.go
+++ b/internal/transport/keep.go
@@ -16,13 +16,13 @@
 // Header fields of kept calls. The first is the one of the IETF's draft on idempotency keys; the second tells a client how its
 // work stands where there is no outcome to give.
 const (
-	headerKey = "Idempotency-Key"
+	headerKey  = "Idempotency-Key"
 	headerWork = "Work-State"
 )
 
 // mostKey bounds a client's key, mostKept the body of an outcome that is kept.
 const (
-	mostKey = 255
+	mostKey  = 255
 	mostKept = 16 << 10
 )
 
@@ -39,9 +39,9 @@
 
 // Work is a call that its client has named.
 type KeyedCall struct {
-	Key string // its client's, and whose it is
+	Key         string // its client's, and whose it is
 	Fingerprint string // of the request; another one under the same key is refused
-	Class int
+	Class       int
 }
 
 // KeptState says how a call stands.
@@ -49,26 +49,26 @@
 
 // The states.
 const (
-	CallGranted CallState = iota // it may be let out here, and nowhere else
-	CallRunning // another has it in hand
-	CallAnswered // it has run; Outcome is what came of it
-	CallOutcomeUnknown // it may have run, and is never let out again
-	CallKeyConflict // the key is another request's
-	CallStoreUnavailable // nobody can say: it was not let out
-	CallNotRun // for End: it surely has not run
+	CallGranted          CallState = iota // it may be let out here, and nowhere else
+	CallRunning                           // another has it in hand
+	CallAnswered                          // it has run; Outcome is what came of it
+	CallOutcomeUnknown                    // it may have run, and is never let out again
+	CallKeyConflict                       // the key is another request's
+	CallStoreUnavailable                  // nobody can say: it was not let out
+	CallNotRun                            // for End: it surely has not run
 )
 
 // Outcome is a kept answer.
 type StoredResponse struct {
-	Status int
-	Header http.Header
-	Body []byte
+	Status    int
+	Header    http.Header
+	Body      []byte
 	Truncated bool // its body was too long to be kept
 }
 
 // Kept is what a Keeper says.
 type CallClaim struct {
-	State CallState
+	State    CallState
 	Response *StoredResponse
 	// End is to be called once with what became of a call that is this node's: before its client is told.
 	Finish func(s CallState, o *StoredResponse)
--- a/internal/transport/keep_test.go
+++ b/internal/transport/keep_test.go
@@ -14,11 +14,11 @@
 
 // keeping is a keeper that a test answers for.
 type keeping struct {
-	mu sync.Mutex
-	says CallClaim
-	work []KeyedCall
+	mu    sync.Mutex
+	says  CallClaim
+	work  []KeyedCall
 	ended []CallState
-	last *StoredResponse
+	last  *StoredResponse
 }
 
 func (k *keeping) Covers(class int) bool { return class == 0 }
@@ -68,13 +68,13 @@
 	}
 	outcome := &StoredResponse{Status: 200, Header: http.Header{"X-Ref": {"7"}}, Body: []byte("before")}
 	for _, c := range []struct {
-		key string
-		says CallClaim
+		key     string
+		says    CallClaim
 		verdict routing.Verdict
-		status int
-		state string
-		body string
-		ended string
+		status  int
+		state   string
+		body    string
+		ended   string
 	}{
 		{`"k1"`, CallClaim{}, routing.Served, 200, "", "done", fmt.Sprint(CallAnswered)},
 		{`k1`, CallClaim{}, routing.Rejected, 503, "", "", fmt.Sprint(CallNotRun)},
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -164,42 +164,42 @@
 	endless := strings.Repeat("x", maxHead)
 	for name, c := range map[string]struct {
 		answer string
-		want balancer.Result
-		reuse bool
+		want   balancer.Result
+		reuse  bool
 	}{
-		"served": {ok, balancer.OK, true},
-		"in chunks": {chunked + "Trailer: A\r\n\r\n2\r\nhi\r\n0\r\nA: b\r\n\r\n", balancer.OK, true},
-		"1xx ahead": {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: a\r\n\r\n" + ok, balancer.OK, true},
-		"asks for the end": {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", balancer.OK, false},
-		"error": {"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
-		"turned away": {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected, true},
-		"503 without proof": {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
-		"redirect": {"HTTP/1.1 302 X\r\nLocation: /other\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
-		"other protocol": {"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", balancer.Errored, false},
-		"break after sending": {"", balancer.Reset, false},
-		"body cut short": {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", balancer.Reset, false},
-		"turned away, cut": {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 9\r\n\r\ncut", balancer.Reset, false},
-		"noise": {"\x06\xb2HTTP", balancer.Errored, false},
+		"served":               {ok, balancer.OK, true},
+		"in chunks":            {chunked + "Trailer: A\r\n\r\n2\r\nhi\r\n0\r\nA: b\r\n\r\n", balancer.OK, true},
+		"1xx ahead":            {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: a\r\n\r\n" + ok, balancer.OK, true},
+		"asks for the end":     {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", balancer.OK, false},
+		"error":                {"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
+		"turned away":          {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected, true},
+		"503 without proof":    {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
+		"redirect":             {"HTTP/1.1 302 X\r\nLocation: /other\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
+		"other protocol":       {"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", balancer.Errored, false},
+		"break after sending":  {"", balancer.Reset, false},
+		"body cut short":       {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", balancer.Reset, false},
+		"turned away, cut":     {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 9\r\n\r\ncut", balancer.Reset, false},
+		"noise":                {"\x06\xb2HTTP", balancer.Errored, false},
 		"noise, no first line": {"HTTP/1.1 nonsense\r\n\r\n", balancer.Errored, false},
-		"a line that is none": {"HTTP/1.1 200 OK\r\nContent-Length 2\r\n\r\nhi", balancer.Errored, false},
-		"a length and chunks": {chunked + "Content-Length: 2\r\n\r\nhi", balancer.Errored, false},
-		"two lengths": {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nhi", balancer.Errored, false},
-		"a negative length": {"HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi", balancer.Errored, false},
-		"no length": {"HTTP/1.1 200 OK\r\n\r\nhi", balancer.Errored, false},
-		"spoilt chunks": {chunked + "\r\nzz\r\nhi\r\n", balancer.Errored, false},
-		"1xx with a body": {"HTTP/1.1 100 X\r\nContent-Length: 2\r\n\r\nhi" + ok, balancer.Errored, false},
-		"turned away, spoilt": {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nTransfer-Encoding: chunked\r\n\r\nno\r\n", balancer.Errored, false},
-		"endless head": {"HTTP/1.1 200 OK\r\nA: " + endless, balancer.Errored, false},
-		"endless 1xx": {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", maxHead/25+1), balancer.Errored, false},
-		"a control character": {"HTTP/1.1 200 OK\r\nA: \x01\r\nContent-Length: 2\r\n\r\nhi", balancer.Errored, false},
-		"an unknown coding": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nhi", balancer.Errored, false},
-		"a status of letters": {"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nhi", balancer.Errored, false},
-		"1.0 that stays": {"HTTP/1.0 200 OK\r\nConnection: keep-alive\r\nContent-Length: 2\r\n\r\nhi", balancer.OK, true},
-		"no content": {"HTTP/1.1 204 X\r\n\r\n", balancer.Errored, true},
-		"a long failure": {"HTTP/1.1 500 X\r\nContent-Length: 100000\r\n\r\n", balancer.Errored, false},
-		"endless body": {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", balancer.Errored, false},
-		"a copy behind": {ok + ok, balancer.OK, false},
-		"noise behind": {ok + "\r\n", balancer.OK, false},
+		"a line that is none":  {"HTTP/1.1 200 OK\r\nContent-Length 2\r\n\r\nhi", balancer.Errored, false},
+		"a length and chunks":  {chunked + "Content-Length: 2\r\n\r\nhi", balancer.Errored, false},
+		"two lengths":          {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nhi", balancer.Errored, false},
+		"a negative length":    {"HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi", balancer.Errored, false},
+		"no length":            {"HTTP/1.1 200 OK\r\n\r\nhi", balancer.Errored, false},
+		"spoilt chunks":        {chunked + "\r\nzz\r\nhi\r\n", balancer.Errored, false},
+		"1xx with a body":      {"HTTP/1.1 100 X\r\nContent-Length: 2\r\n\r\nhi" + ok, balancer.Errored, false},
+		"turned away, spoilt":  {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nTransfer-Encoding: chunked\r\n\r\nno\r\n", balancer.Errored, false},
+		"endless head":         {"HTTP/1.1 200 OK\r\nA: " + endless, balancer.Errored, false},
+		"endless 1xx":          {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", maxHead/25+1), balancer.Errored, false},
+		"a control character":  {"HTTP/1.1 200 OK\r\nA: \x01\r\nContent-Length: 2\r\n\r\nhi", balancer.Errored, false},
+		"an unknown coding":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nhi", balancer.Errored, false},
+		"a status of letters":  {"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nhi", balancer.Errored, false},
+		"1.0 that stays":       {"HTTP/1.0 200 OK\r\nConnection: keep-alive\r\nContent-Length: 2\r\n\r\nhi", balancer.OK, true},
+		"no content":           {"HTTP/1.1 204 X\r\n\r\n", balancer.Errored, true},
+		"a long failure":       {"HTTP/1.1 500 X\r\nContent-Length: 100000\r\n\r\n", balancer.Errored, false},
+		"endless body":         {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", balancer.Errored, false},
+		"a copy behind":        {ok + ok, balancer.OK, false},
+		"noise behind":         {ok + "\r\n", balancer.OK, false},
 	} {
 		p, got := answering(t, c.answer, ok)
 		k, _ := newCarrier(time.Second)
@@ -317,9 +317,9 @@
 	refusing := routing.NewUpstream(1, "s-1", l.Addr().String())
 	silent := listenOn(t, func(net.Conn) { <-t.Context().Done() })
 	for name, c := range map[string]struct {
-		peer *routing.Upstream
+		peer    *routing.Upstream
 		connect time.Duration
-		want balancer.Result
+		want    balancer.Result
 	}{"refused": {refusing, time.Second, balancer.ConnectFailed}, "late": {silent, 1, balancer.ConnectFailed}} {
 		k, _ := newCarrier(c.connect)
 		if r := k.RoundTrip(t.Context(), tryOf(c.peer, "POST", "book")); r.Result != c.want {
@@ -333,8 +333,8 @@
 // time left, and one called off, say nothing of the peer.
 func TestTimeUpBeforeTheConnection(t *testing.T) {
 	for _, c := range []struct {
-		left time.Duration
-		calls bool
+		left   time.Duration
+		calls  bool
 		result balancer.Result
 	}{{fairConnect + 20*time.Millisecond, false, balancer.ConnectFailed}, {fairConnect / 2, false, balancer.NotSent},
 		{time.Minute, true, balancer.NotSent}} {
@@ -359,8 +359,8 @@
 // given up before never did. Each leaves its reason.
 func TestGivenUp(t *testing.T) {
 	for _, c := range []struct {
-		cause error
-		want balancer.Result
+		cause  error
+		want   balancer.Result
 		reason string
 	}{{routing.ErrDeadlineExceeded, balancer.TimedOut, "try-timeout"}, {routing.ErrCancelled, balancer.Cancelled, "called-off"}} {
 		ctx, giveUp := context.WithCancelCause(t.Context())
@@ -384,9 +384,9 @@
 // pipe is a Conn that nothing waits on unless it is read.
 type pipe struct{ net.Conn }
 
-func (pipe) CloseWrite() error { return nil }
+func (pipe) CloseWrite() error  { return nil }
 func (pipe) Peek() (int, error) { return 0, syscall.EAGAIN }
-func (pipe) HasEnded() bool { return false }
+func (pipe) HasEnded() bool     { return false }
 func (pipe) ReadGate([]byte, sync.Locker, func() error, func(int)) (int, error) {
 	panic("not a client's")
 }
@@ -420,16 +420,16 @@
 	sized := "HTTP/1.1 200 OK\r\nContent-Length: 204800\r\n\r\n"
 	chunks := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for name, c := range map[string]struct {
-		raw string
+		raw   string
 		whole bool
-		n int
-		ends string
+		n     int
+		ends  string
 	}{
-		"sized": {sized + big, true, len(big), ""},
-		"chunked": {chunks + "32000;x=y\r\n" + big + "\r\n0\r\nA: b\r\n\r\n", true, len(big), ""},
-		"with its end": {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + big + "cut", true, len(big) + 3, "peer-closed"},
-		"cut short": {sized + big[10:], false, 0, "peer-closed"},
-		"a bad chunk": {chunks + "32000\r\n" + big + "\r\nzz\r\n", false, 0, "reset"},
+		"sized":         {sized + big, true, len(big), ""},
+		"chunked":       {chunks + "32000;x=y\r\n" + big + "\r\n0\r\nA: b\r\n\r\n", true, len(big), ""},
+		"with its end":  {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + big + "cut", true, len(big) + 3, "peer-closed"},
+		"cut short":     {sized + big[10:], false, 0, "peer-closed"},
+		"a bad chunk":   {chunks + "32000\r\n" + big + "\r\nzz\r\n", false, 0, "reset"},
 		"no last chunk": {chunks + "32000\r\n" + big + "\r\ncut", false, 0, "peer-closed"},
 	} {
 		p, _ := answering(t, c.raw+map[bool]string{false: "cut"}[c.whole])
@@ -671,11 +671,11 @@
 func frontOn(t *testing.T, l net.Listener, most int, f taker, change ...func(*Frontend)) (front *Frontend, log lines) {
 	log = make(lines, 1000)
 	front = NewFrontend(FrontendConfig{
-		Listener: l,
-		Names: protocol.NameIndex{Classes: map[string]int{"book": 0, "status": 1}, Methods: []string{"POST", "GET"}},
-		Handler: f,
+		Listener:     l,
+		Names:        protocol.NameIndex{Classes: map[string]int{"book": 0, "status": 1}, Methods: []string{"POST", "GET"}},
+		Handler:      f,
 		ClientLimits: ClientLimits{MaxOpen: most, MaxIdle: most},
-		Log: log.log(),
+		Log:          log.log(),
 	})
 	for _, c := range change {
 		c(front)
@@ -740,7 +740,7 @@
 	})
 	body := func(n int) string { return fmt.Sprintf("Content-Length: %d\r\n\r\n", n) + strings.Repeat("x", n) }
 	cases := []struct {
-		raw string
+		raw  string
 		want int
 	}{
 		{head + body(0), 200}, {head + body(protocol.MaxBodyBytes), 200}, {head + body(protocol.MaxBodyBytes+1), 200},
@@ -779,9 +779,9 @@
 	for raw, torn := range map[string]bool{
 		"GET / HTTP/1.1\r\n\r\n": false, "POST / HTTP/1.1\r\n" + both: true, "GET / HTTP/1.1\n\nPOST / HTTP/1.1\n" + both: true,
 		fmt.Sprintf("POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n\n%sGET / HTTP/1.1\r\nA: b\r\n\r\n", len(both)+1, both): false,
-		"POST / HTTP/1.1\r\ncontent-length:\t1\r\n\r\nxPOST / HTTP/1.1\r\n" + both: true,
-		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n": false,
-		"GET / HTTP/1.1\r\nContent-Length:\r\n 5\r\n\r\n": true, "GET / HTTP/1.1\r\nX-Content-Length: 1\r\nTransfer-Encoding: a\r\n\r\n": false,
+		"POST / HTTP/1.1\r\ncontent-length:\t1\r\n\r\nxPOST / HTTP/1.1\r\n" + both:                                        true,
+		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n":                                       false,
+		"GET / HTTP/1.1\r\nContent-Length:\r\n 5\r\n\r\n":                                                                 true, "GET / HTTP/1.1\r\nX-Content-Length: 1\r\nTransfer-Encoding: a\r\n\r\n": false,
 	} {
 		for cut := range len(raw) {
 			var f framing
@@ -940,7 +940,7 @@
 	for _, k := range []struct {
 		answer routing.Answer
 		status int
-		after string
+		after  string
 	}{
 		{routing.Answer{Verdict: routing.Served, Reply: &reply{fields: []field{{"X-Hit", [1]string{"1"}}}, body: []byte("\x00b")}}, 200, ""},
 		{routing.Answer{Verdict: routing.Rejected, RetryAfter: 250 * time.Millisecond}, 503, "0.250"},
@@ -1067,10 +1067,10 @@
 		t.Fatal(err)
 	}
 	f := NewFrontend(FrontendConfig{
-		Listener: l,
-		Names: protocol.NameIndex{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
+		Listener:     l,
+		Names:        protocol.NameIndex{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
 		ClientLimits: ClientLimits{MaxOpen: 5, MaxIdle: 5},
-		Log: slog.New(slog.DiscardHandler),
+		Log:          slog.New(slog.DiscardHandler),
 	})
 	defer f.clients.Close()
 	io.WriteString(dial(t, l.Addr().String()), "P")
@@ -1085,7 +1085,7 @@
 	}
 	r := &http.Request{Method: "POST", ProtoMajor: 1, ProtoMinor: 1, ContentLength: 4, URL: &url.URL{}, Host: "a",
 		Header: http.Header{"X-Call-Id": {"1"}, "X-Call-Class": {"book"}, "X-Caller": {"acme"}, "X-Budget": {"1"}},
-		Body: io.NopCloser(ending{strings.NewReader("paid"), k})}
+		Body:   io.NopCloser(ending{strings.NewReader("paid"), k})}
 	defer func() {
 		if p := recover(); p != http.ErrAbortHandler {
 			t.Errorf("it goes on: %v", p)
@@ -1277,8 +1277,8 @@
 	fresh := time.Now()
 	for _, want := range []struct {
 		reason string
-		k *clientConn
-		at time.Time
+		k      *clientConn
+		at     time.Time
 	}{{"evicted", idle, fresh}, {"silent", silent, fresh.Add(time.Hour)}, {"evicted", idle, fresh.Add(time.Hour)},
 		{"slow", slow, fresh.Add(time.Hour)}, {"", nil, fresh.Add(time.Hour)}} {
 		c.mu.Lock()
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -31,22 +31,22 @@
 // upload is a body that is too long to be kept: it goes on as it comes, to one
 // peer, once. The try reads it; its front waits until that has ended.
 type upload struct {
-	k *clientConn
-	body io.Reader
-	first []byte // what was read ahead
-	length int64 // of all of it; -1: unknown, it goes on in chunks
-	client pace // of the bytes that have come
-	peer pace // of those that have left
+	k      *clientConn
+	body   io.Reader
+	first  []byte // what was read ahead
+	length int64  // of all of it; -1: unknown, it goes on in chunks
+	client pace   // of the bytes that have come
+	peer   pace   // of those that have left
 
-	mu sync.Mutex
-	begun bool // a try reads the body
-	over bool // none may begin any more
-	done chan struct{} // closed when that try has ended
-	refused error // the client's fault: why the body is not whole; set before done is closed
-	read atomic.Bool // all of it, from the client
-	whole atomic.Bool // its last byte has left
-	halted atomic.Bool // the rest is not wanted: that it does not come is not the client's fault
-	until atomic.Int64 // the peer's answer is waited for, in Unix nanoseconds; 0: not yet
+	mu      sync.Mutex
+	begun   bool          // a try reads the body
+	over    bool          // none may begin any more
+	done    chan struct{} // closed when that try has ended
+	refused error         // the client's fault: why the body is not whole; set before done is closed
+	read    atomic.Bool   // all of it, from the client
+	whole   atomic.Bool   // its last byte has left
+	halted  atomic.Bool   // the rest is not wanted: that it does not come is not the client's fault
+	until   atomic.Int64  // the peer's answer is waited for, in Unix nanoseconds; 0: not yet
 }
 
 // begin lets one try read the body.
@@ -172,7 +172,7 @@
 // pace is how one side of a long message keeps up. Only the time counts in which that side is waited for: a client cannot
 // send while the node waits for a peer, nor a peer give what no client takes.
 type pace struct {
-	bytes int64
+	bytes  int64
 	waited time.Duration // for them
 }
 
--- a/internal/transport/watch.go
+++ b/internal/transport/watch.go
@@ -64,22 +64,22 @@
 
 // Watch follows the upstream group at discovery. One Watch call runs at a time.
 type EndpointWatcher struct {
-	addr string
-	names protocol.NameIndex
-	client *http.Client // for one call at a time
-	other func() *http.Client // for each one beside it, which has its connection to itself
-	version int64 // of the list held; -1: none
-	wait time.Duration
-	late time.Duration
-	beside time.Duration
-	turn time.Duration
-	slack time.Duration
-	again int // calls that may follow one that brings nothing
-	pause time.Duration // before the next call, where discovery has refused one since it last told a list; 0: it has not
-	rng rand.PCG // draws pauses, each node's its own
+	addr    string
+	names   protocol.NameIndex
+	client  *http.Client        // for one call at a time
+	other   func() *http.Client // for each one beside it, which has its connection to itself
+	version int64               // of the list held; -1: none
+	wait    time.Duration
+	late    time.Duration
+	beside  time.Duration
+	turn    time.Duration
+	slack   time.Duration
+	again   int           // calls that may follow one that brings nothing
+	pause   time.Duration // before the next call, where discovery has refused one since it last told a list; 0: it has not
+	rng     rand.PCG      // draws pauses, each node's its own
 
 	calls sync.WaitGroup // in hand
-	heard atomic.Int64 // when bytes of an answer last came, in Unix nanoseconds
+	heard atomic.Int64   // when bytes of an answer last came, in Unix nanoseconds
 }
 
 // NewWatch makes a watch that goes on from a known version, or from none if
@@ -97,13 +97,13 @@
 	// http.Transport may give a connection that falls idle, or one that comes up, to a call that is being given up
 	client := func(once bool) *http.Client {
 		return &http.Client{
-			Transport: &http.Transport{DialContext: connect, DisableCompression: true, DisableKeepAlives: once},
+			Transport:     &http.Transport{DialContext: connect, DisableCompression: true, DisableKeepAlives: once},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		}
 	}
 	return &EndpointWatcher{addr: addr, names: names, client: client(false), version: version,
 		other: func() *http.Client { return client(true) },
-		wait: watchWait, late: watchLate, beside: watchBeside, turn: watchTurn, slack: watchSlack, again: watchAgain}
+		wait:  watchWait, late: watchLate, beside: watchBeside, turn: watchTurn, slack: watchSlack, again: watchAgain}
 }
 
 // Among sets how long discovery may hold a call by how many nodes ask it, and returns the watch. The seed, another
@@ -125,7 +125,7 @@
 // connections with it.
 func (w *EndpointWatcher) Watch(ctx context.Context, told func(routing.EndpointList)) error {
 	defer func() {
-		w.calls.Wait() // http.Transport goes on dialing for a call that has not noticed its end
+		w.calls.Wait()                  // http.Transport goes on dialing for a call that has not noticed its end
 		w.client.CloseIdleConnections() // and what is still dialed, for a call that was given up
 	}()
 	for hold := min(w.wait, watchWait); ; hold = w.wait { // news may be due by the first
@@ -144,8 +144,8 @@
 // outcome is what one call to discovery brought: an answer's bytes, or an error.
 type outcome struct {
 	since int64 // the version it asked from
-	data []byte
-	err error
+	data  []byte
+	err   error
 }
 
 // ask puts one question to discovery, in as many calls as it takes: what it
@@ -164,7 +164,7 @@
 	next := time.NewTimer(first)
 	defer next.Stop()
 	begun, out, since, broke := 0, 0, w.version, time.Duration(0) // broke: the next pause after a call that broke
-	due := time.Now().Add(first) // the next call
+	due := time.Now().Add(first)                                  // the next call
 	var refusal error
 	plan := func(in time.Duration) {
 		due = time.Now().Add(in)
--- a/internal/transport/watchlist_test.go
+++ b/internal/transport/watchlist_test.go
@@ -26,18 +26,18 @@
 	list := fmt.Sprintf(changes, 42)
 	for name, c := range map[string]struct {
 		answers []string
-		again string // the version asked from in the second call
-		told string
+		again   string // the version asked from in the second call
+		told    string
 	}{
-		"older changes": {[]string{fmt.Sprintf(changes, 40), fmt.Sprintf(whole, 42)}, "", "42 of kind 1"},
-		"older whole list, stale": {[]string{fmt.Sprintf(whole, 40), fmt.Sprintf(whole, 42)}, "", "42 of kind 1"},
-		"numbered anew": {[]string{fmt.Sprintf(whole, 3), fmt.Sprintf(whole, 3)}, "", "3 of kind 1"},
-		"the same": {[]string{fmt.Sprintf(changes, 41)}, "", "41 of kind 0"},
-		"a whole list": {[]string{fmt.Sprintf(whole, 42)}, "", "42 of kind 1"},
-		"indented": {[]string{"\n{\n\t\"version\" : 42,\n\t\"full\" : false,\n\t\"servers\" : [\n\t]\n}\n"}, "", "42 of kind 0"},
-		"half, with length": {[]string{cut("Content-Length: 40\r\n", list[:20]), list}, "41", "42 of kind 0"},
-		"half, without length": {[]string{cut("", list[:20]), list}, "41", "42 of kind 0"},
-		"all, without length, reset": {[]string{cut("", list), list}, "41", "42 of kind 0"},
+		"older changes":               {[]string{fmt.Sprintf(changes, 40), fmt.Sprintf(whole, 42)}, "", "42 of kind 1"},
+		"older whole list, stale":     {[]string{fmt.Sprintf(whole, 40), fmt.Sprintf(whole, 42)}, "", "42 of kind 1"},
+		"numbered anew":               {[]string{fmt.Sprintf(whole, 3), fmt.Sprintf(whole, 3)}, "", "3 of kind 1"},
+		"the same":                    {[]string{fmt.Sprintf(changes, 41)}, "", "41 of kind 0"},
+		"a whole list":                {[]string{fmt.Sprintf(whole, 42)}, "", "42 of kind 1"},
+		"indented":                    {[]string{"\n{\n\t\"version\" : 42,\n\t\"full\" : false,\n\t\"servers\" : [\n\t]\n}\n"}, "", "42 of kind 0"},
+		"half, with length":           {[]string{cut("Content-Length: 40\r\n", list[:20]), list}, "41", "42 of kind 0"},
+		"half, without length":        {[]string{cut("", list[:20]), list}, "41", "42 of kind 0"},
+		"all, without length, reset":  {[]string{cut("", list), list}, "41", "42 of kind 0"},
 		"reset before the head's end": {[]string{cut("", "")[:15], list}, "41", "42 of kind 0"},
 	} {
 		t.Run(name, func(t *testing.T) {
