--- a/cmd/olivefleet/fleet.go
+++ b/cmd/olivefleet/fleet.go
@@ -110,7 +110,7 @@
 // Do implements node.Fleet.
 func (f *company) Do(words []string) (string, error) {
 	if f.rounds == nil {
-		return "", admin.UnknownCommand(admin.Fleet)
+		return "", admin.UnknownCommandError(admin.Fleet)
 	}
 	return f.rounds.Do(words)
 }
--- a/internal/node/operate.go
+++ b/internal/node/operate.go
@@ -29,7 +29,7 @@
 	case c.Name == admin.Status:
 		return n.status()
 	case c.Name == admin.Fleet && n.parts.Fleet == nil:
-		return "", admin.UnknownCommand(c.Name)
+		return "", admin.UnknownCommandError(c.Name)
 	case c.Name == admin.Fleet:
 		return n.parts.Fleet.Do(strings.Fields(c.FleetArgs))
 	}
