--- a/internal/maintenance/record.go
+++ b/internal/maintenance/record.go
@@ -21,36 +21,52 @@
 	Suspended bool                 `json:"Aside"`
 }
 
-// Record is what a Register knows of one server, as a successor takes it over.
+// Record is what a Registry knows of one server, in the form in which a successor process takes it over.
 type Record struct {
 	Name             string        `json:"name"`
 	Addr             string        `json:"addr"`
 	Listed           ListedServer  `json:"said"`
 	Suspended        bool          `json:"held,omitempty"`
 	SuspendedAt      balancer.Time `json:"since,omitempty"`
-	StartedNotBefore balancer.Time `json:"not_before,omitempty"`
+	StartedNotBefore balancer.Time `json:"not_before,omitempty"` // it counts as started no earlier; 0: as listed
 }
 
-// Export gives all that is known, in the order of names, and the version of the
-// list it comes from.
-func (r *Registry) Export() (all []Record, version int64) {
+// Export returns all that is known, in the order of names, and the version of the last list.
+func (r *Registry) Export() (records []Record, listVersion int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, name := range slices.Sorted(maps.Keys(r.servers)) {
-		e := r.servers[name]
-		all = append(all, Record{name, e.addr, ListedServer(e.said), e.ban.Active(), e.since, e.notBefore})
+	for _, name := range slices.Sorted(maps.Keys(r.entries)) {
+		records = append(records, r.entries[name].record(name))
 	}
-	return all, r.version
+	return records, r.listVersion
 }
 
-// Import takes over what another Register knew.
-func (r *Registry) Import(all []Record) {
+// Import takes over what another Registry knew.
+func (r *Registry) Import(records []Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, in := range all {
-		e := r.of(in.Name)
-		e.addr, e.said, e.since, e.notBefore = in.Addr, balancer.Server(in.Listed), in.SuspendedAt, in.StartedNotBefore
-		e.ban.on.Store(in.Suspended)
-		r.touch(e)
+	for _, record := range records {
+		e := r.entry(record.Name)
+		e.restore(record)
+		r.markChanged(e)
 	}
 }
+
+func (e *entry) record(name string) Record {
+	return Record{
+		Name:             name,
+		Addr:             e.addr,
+		Listed:           ListedServer(e.listed),
+		Suspended:        e.suspension.Active(),
+		SuspendedAt:      e.suspendedAt,
+		StartedNotBefore: e.startedNotBefore,
+	}
+}
+
+func (e *entry) restore(record Record) {
+	e.addr = record.Addr
+	e.listed = balancer.Server(record.Listed)
+	e.suspendedAt = record.SuspendedAt
+	e.startedNotBefore = record.StartedNotBefore
+	e.suspension.active.Store(record.Suspended)
+}
