--- /dev/null
+++ b/internal/fleet/choices/stored_forms_test.go
@@ -0,0 +1,23 @@
+package choices
+
+import (
+	"encoding/json"
+	"os"
+	"testing"
+)
+
+// Records are judged by builds other than the one that wrote them.
+func TestRecordKeepsItsBytes(t *testing.T) {
+	for path, value := range map[string]any{
+		"testdata/chose.json":  Chose{View: 4, Nodes: 3, Zones: 2, Peers: 60, Chose: []uint64{1, 2}},
+		"testdata/failed.json": Failed{Peer: 7, Probe: true},
+	} {
+		text, err := json.Marshal(value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if want, err := os.ReadFile(path); err != nil || string(text) != string(want) {
+			t.Errorf("%s: wrote %q, want %q, %v", path, text, want, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleet/member/stored_forms_test.go
@@ -0,0 +1,120 @@
+package member
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/go-msgpack/v2/codec"
+)
+
+// readTestdata returns a file that an earlier build wrote.
+func readTestdata(t *testing.T, name string) []byte {
+	t.Helper()
+	data, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+// equalBytes fails unless a value is written as the earlier build wrote it.
+func equalBytes(t *testing.T, name string, got []byte) {
+	t.Helper()
+	if want := readTestdata(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s: wrote %q, want %q", name, got, want)
+	}
+}
+
+// A changed packet header would cut nodes of two builds off from each other.
+func TestPacketKeepsItsBytes(t *testing.T) {
+	equalBytes(t, "packet", seal("calder", "n1", 7, []byte("payload")))
+	sender, number, payload, err := unseal("calder", readTestdata(t, "packet"))
+	if err != nil || sender != "n1" || number != 7 || string(payload) != "payload" {
+		t.Errorf("%q, %d, %q, %v", sender, number, payload, err)
+	}
+}
+
+// Changed metadata would make other builds reject this node.
+func TestMetadataKeepsItsBytes(t *testing.T) {
+	want := meta{Zone: "derby", Home: "0123456789abcdef", Number: 3, Settled: true, Leaving: true, Predecessor: true}
+	text, err := json.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	equalBytes(t, "metadata.json", text)
+	if got, err := readMeta(readTestdata(t, "metadata.json")); err != nil || got != want {
+		t.Errorf("%+v, %v", got, err)
+	}
+}
+
+// Messages about a member are read and written as the memberlist library has them.
+func TestLibraryMessageKeepsItsBytes(t *testing.T) {
+	var text []byte
+	message := rumour{Incarnation: 8192, Node: "n2", From: "n1"}
+	if err := codec.NewEncoderBytes(&text, &codec.MsgpackHandle{}).Encode(&message); err != nil {
+		t.Fatal(err)
+	}
+	equalBytes(t, "suspect.msgpack", append([]byte{suspectMessage}, text...))
+	var got []rumour
+	rumours(readTestdata(t, "suspect.msgpack"), func(r rumour) { got = append(got, r) })
+	message.kind = suspectMessage
+	if !reflect.DeepEqual(got, []rumour{message}) {
+		t.Errorf("%+v", got)
+	}
+}
+
+// A node that could not read its directory after an upgrade would start as a stranger.
+func TestDirectoryKeepsItsBytes(t *testing.T) {
+	dir := t.TempDir()
+	path := filepath.Join(dir, homeFile)
+	if err := writeWhole(path, homeJSON{Form: homeForm, Name: "n1", Home: "0123456789abcdef", Number: 4}); err != nil {
+		t.Fatal(err)
+	}
+	written, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	equalBytes(t, homeFile, written)
+	if err := os.WriteFile(path, readTestdata(t, homeFile), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if got, err := enter(dir, "n1"); err != nil || got != (Incarnation{Home: "0123456789abcdef", Number: 5}) {
+		t.Errorf("%v, %v", got, err)
+	}
+	view := &View{Self: "n1", Members: []Member{{Name: "n1", Addr: "127.0.0.1:1", State: Alive},
+		{Name: "n2", Addr: "127.0.0.2:7946", State: Alive}, {Name: "n3", Addr: "[::1]:7946", State: Suspect}}}
+	if err := keepKnown(dir, view); err != nil {
+		t.Fatal(err)
+	}
+	if written, err = os.ReadFile(filepath.Join(dir, knownFile)); err != nil {
+		t.Fatal(err)
+	}
+	equalBytes(t, knownFile, written)
+	if got := readKnown("testdata"); !reflect.DeepEqual(got, []string{"127.0.0.2:7946", "[::1]:7946"}) {
+		t.Errorf("%v", got)
+	}
+}
+
+// Records are judged by builds other than the one that wrote them.
+func TestRecordKeepsItsBytes(t *testing.T) {
+	view := View{Number: 9, Self: "n1", Members: []Member{{Name: "n1", Zone: "derby", Addr: "127.0.0.1:7946",
+		Incarnation: Incarnation{Home: "0123456789abcdef", Number: 4}, State: Leaving, Predecessor: true, Since: time.Second}}}
+	text, err := json.Marshal(view)
+	if err != nil {
+		t.Fatal(err)
+	}
+	equalBytes(t, "view.json", text)
+	var got View
+	if err := json.Unmarshal(readTestdata(t, "view.json"), &got); err != nil || !reflect.DeepEqual(got, view) {
+		t.Errorf("%+v, %v", got, err)
+	}
+	if text, err = json.Marshal(map[string]Report{"n2": {At: 5, Got: 7, Missed: 1, Again: 2}}); err != nil {
+		t.Fatal(err)
+	}
+	equalBytes(t, "heard.json", text)
+}
