--- a/cmd/olivefleet/fleet.go
+++ b/cmd/olivefleet/fleet.go
@@ -80,7 +80,7 @@
 	o := f.file.Operators
 	f.rounds = rounds.New(rounds.Config{Name: c.Name, Voters: agreed.Roster{Edition: o.Edition, Names: o.Voters},
 		Directory: m.Directory, Log: m.Log, Record: m.Record, View: func() *member.View { return f.Service.View() },
-		Others: func() []string { return f.Service.Others() },
+		Others: func() []string { return f.Service.KnownAddrs() },
 		DialAddr: func(addr string, channel byte, timeout time.Duration) (net.Conn, error) {
 			return f.Service.DialAddr(addr, channel, timeout)
 		},
@@ -118,25 +118,25 @@
 // signal makes the node's part in telling of peers.
 func (f *company) signal(name string, m *member.Config) {
 	f.signals = signals.New(signals.Config{Name: name, Witnesses: f.file.Choices.Witnesses, Record: m.Record,
-		Tell: func(from string, word []byte) { f.Service.Tell(from, word) },
+		Tell: func(from string, word []byte) { f.Service.Broadcast(from, word) },
 		Here: func(name string) bool {
-			who, known := f.Service.View().Of(name)
-			return known && who.State.Here()
+			who, known := f.Service.View().Lookup(name)
+			return known && who.State.Present()
 		}})
-	m.Hear = func(word []byte) { f.signals.Hear(word) }
+	m.OnMessage = func(word []byte) { f.signals.Hear(word) }
 	f.around(m, func(i member.Incarnation) { f.signals.Up(i.String()) }, f.signals.Down)
 }
 
 // around has one more part of the node's begin and end with its place.
 func (f *company) around(m *member.Config, begin func(member.Incarnation), end func()) {
-	up, down := m.Up, m.Down
-	m.Up = func(i member.Incarnation) {
+	up, down := m.OnJoin, m.OnLeave
+	m.OnJoin = func(i member.Incarnation) {
 		if up != nil {
 			up(i)
 		}
 		begin(i)
 	}
-	m.Down = func() {
+	m.OnLeave = func() {
 		if down != nil {
 			down()
 		}
@@ -172,8 +172,8 @@
 		f.places[tenant] = i
 	}
 	f.budgets = budget.New(b)
-	m.Up = func(i member.Incarnation) { f.budgets.Up(i.Home, i.Number) }
-	m.Down = f.budgets.Down
+	m.OnJoin = func(i member.Incarnation) { f.budgets.Up(i.Home, i.Number) }
+	m.OnLeave = f.budgets.Down
 	f.serve(m, budget.VotersChannel, f.budgets.ServeVoters)
 	f.serve(m, budget.BookChannel, f.budgets.ServeBook)
 	return nil
--- a/internal/fleet/choices/choices.go
+++ b/internal/fleet/choices/choices.go
@@ -173,7 +173,7 @@
 // zonesOf is in how many zones nodes work. Whoever is cut off from most cannot say: those that it does not hear may work. Nor
 // can one that has members in zones which the group does not know.
 func (s *Service) zonesOf(v *member.View, nodes []subset.Node) int {
-	if len(nodes) == 0 || !v.Side().Most {
+	if len(nodes) == 0 || !v.Partition().Majority {
 		return 0
 	}
 	zones := map[string]bool{}
--- /dev/null
+++ b/internal/fleet/member/atomic_file.go
@@ -0,0 +1,41 @@
+package member
+
+import (
+	"encoding/json"
+	"errors"
+	"os"
+	"path/filepath"
+)
+
+// writeFileAtomically writes a value as JSON so that a reader finds all of the old file or all of the new one, after a
+// loss of power, too.
+func writeFileAtomically(path string, value any) error {
+	data, err := json.Marshal(value)
+	if err != nil {
+		return err
+	}
+	next := path + ".new"
+	if err := writeAndSync(next, append(data, '\n')); err != nil {
+		return err
+	}
+	if err := os.Rename(next, path); err != nil {
+		return err
+	}
+	dir, err := os.Open(filepath.Dir(path))
+	if err != nil {
+		return err
+	}
+	return errors.Join(dir.Sync(), dir.Close())
+}
+
+func writeAndSync(path string, data []byte) error {
+	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, privateFile)
+	if err != nil {
+		return err
+	}
+	_, err = f.Write(data)
+	if err == nil {
+		err = f.Sync()
+	}
+	return errors.Join(err, f.Close())
+}
--- /dev/null
+++ b/internal/fleet/member/dial.go
@@ -0,0 +1,59 @@
+package member
+
+import (
+	"errors"
+	"net"
+	"slices"
+	"time"
+)
+
+// ErrNoPlace is returned by Service.Dial where this process does not hold the node's place in the fleet.
+var ErrNoPlace = errors.New("this process has no place in the fleet")
+
+// NotMemberError is returned by Service.Dial for a node that is not present.
+type NotMemberError struct {
+	Name string // of the node
+}
+
+// Error implements error.
+func (e *NotMemberError) Error() string { return e.Name + " is not in the fleet" }
+
+// Dial opens a stream to a member's channel. A process that has yielded the place may do so for predecessorTime, to
+// whom it knew then.
+func (s *Service) Dial(name string, channel byte, timeout time.Duration) (net.Conn, error) {
+	s.mu.Lock()
+	a := s.agent
+	view := s.table.View()
+	yielded := s.yielded
+	s.mu.Unlock()
+	mayFinish := !yielded.IsZero() && time.Since(yielded) <= predecessorTime
+	if a == nil && !mayFinish {
+		return nil, ErrNoPlace
+	}
+	m, known := view.Lookup(name)
+	if !known || !m.State.Present() {
+		return nil, &NotMemberError{Name: name}
+	}
+	if a == nil {
+		return s.DialAddr(m.Addr, channel, timeout)
+	}
+	return a.transport.dial(m.Addr, channel, timeout)
+}
+
+// DialAddr opens a stream to a channel of the node at an address. The process need not hold the place.
+func (s *Service) DialAddr(addr string, channel byte, timeout time.Duration) (net.Conn, error) {
+	return dialOnlyTransport(s.config, &s.traffic).dial(addr, channel, timeout)
+}
+
+// KnownAddrs returns the addresses of other members that a process may ask before it holds the place: those to join,
+// and those known last.
+func (s *Service) KnownAddrs() []string {
+	own := []string{s.config.Advertise.String(), s.config.Listen.String()}
+	var addrs []string
+	for _, addr := range slices.Concat(s.config.Join, readKnownAddrs(s.config.Directory)) {
+		if !slices.Contains(own, addr) && !slices.Contains(addrs, addr) {
+			addrs = append(addrs, addr)
+		}
+	}
+	return addrs
+}
--- /dev/null
+++ b/internal/fleet/member/incarnation_file.go
@@ -0,0 +1,80 @@
+package member
+
+import (
+	"crypto/rand"
+	"encoding/hex"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+)
+
+const (
+	// incarnationFile is the file in a node's directory that holds its Incarnation.
+	incarnationFile = "life.json"
+	// incarnationFileForm is the version of that file.
+	incarnationFileForm = 1
+	// homeBytes is how many random bytes make a home.
+	homeBytes = 8
+	// privateDir and privateFile are the permissions of what a node stores.
+	privateDir  = 0o700
+	privateFile = 0o600
+)
+
+// incarnationRecord is the content of incarnationFile.
+type incarnationRecord struct {
+	Form   int    `json:"form"`
+	Name   string `json:"name"` // of the node whose directory this is
+	Home   string `json:"home"`
+	Number uint64 `json:"number"`
+}
+
+// beginIncarnation counts one more start in a directory, on disk before anybody learns of it. An empty directory
+// becomes a new home. The directory of another node is an error: two nodes would take each other's incarnations for
+// their own.
+func beginIncarnation(dir, name string) (Incarnation, error) {
+	if err := os.MkdirAll(dir, privateDir); err != nil {
+		return Incarnation{}, fmt.Errorf("directory: %w", err)
+	}
+	path := filepath.Join(dir, incarnationFile)
+	record, err := readIncarnation(path, name)
+	if err != nil {
+		return Incarnation{}, fmt.Errorf("directory: %w", err)
+	}
+	record.Number++
+	if err := writeFileAtomically(path, record); err != nil {
+		return Incarnation{}, fmt.Errorf("directory: %w", err)
+	}
+	return Incarnation{record.Home, record.Number}, nil
+}
+
+// readIncarnation reads the file of the last incarnation. If there is none, it draws a new home.
+func readIncarnation(path, name string) (incarnationRecord, error) {
+	data, err := os.ReadFile(path)
+	if errors.Is(err, os.ErrNotExist) {
+		return incarnationRecord{Form: incarnationFileForm, Name: name, Home: newHome()}, nil
+	}
+	if err != nil {
+		return incarnationRecord{}, err
+	}
+	var record incarnationRecord
+	if err := json.Unmarshal(data, &record); err != nil || record.Home == "" {
+		return incarnationRecord{},
+			fmt.Errorf("%s cannot be read as the incarnation of a node; move it away to begin anew", path)
+	}
+	if record.Form != incarnationFileForm {
+		return incarnationRecord{},
+			fmt.Errorf("%s has form %d, this program knows %d", path, record.Form, incarnationFileForm)
+	}
+	if record.Name != name {
+		return incarnationRecord{}, fmt.Errorf("%s is of node %q, this one is %q", path, record.Name, name)
+	}
+	return record, nil
+}
+
+func newHome() string {
+	id := make([]byte, homeBytes)
+	_, _ = rand.Read(id) // which never fails
+	return hex.EncodeToString(id)
+}
--- /dev/null
+++ b/internal/fleet/member/mass_failure_test.go
@@ -0,0 +1,151 @@
+package member
+
+import (
+	"fmt"
+	"net"
+	"net/netip"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// A member that anybody reached is never declared dead, and none at all without a witness report.
+func TestConfirmedFailures(t *testing.T) {
+	names := []string{"a", "b", "c", "d", "e", "f"}
+	rapid.Check(t, func(t *rapid.T) {
+		some := rapid.SliceOfDistinct(rapid.SampledFrom(names), rapid.ID[string])
+		silent := some.Draw(t, "silent")
+		reports := rapid.SliceOfN(some, 0, maxWitnesses).Draw(t, "reports")
+		failed := ConfirmedFailures(silent, reports)
+		for _, name := range names {
+			reached := !slices.Contains(silent, name) || len(reports) == 0
+			for _, report := range reports {
+				reached = reached || !slices.Contains(report, name)
+			}
+			if slices.Contains(failed, name) == reached {
+				t.Fatalf("%s reached: %v; failed %v of %v by %v", name, reached, failed, silent, reports)
+			}
+		}
+	})
+}
+
+func TestIsMassFailure(t *testing.T) {
+	for _, c := range []struct {
+		silent, of int
+		want       bool
+	}{{0, 0, false}, {1, 1, false}, {1, 8, false}, {2, 2, true}, {2, 8, true}, {2, 9, false}, {8, 8, true}} {
+		if got := IsMassFailure(c.silent, c.of); got != c.want {
+			t.Errorf("%d of %d: %v", c.silent, c.of, got)
+		}
+	}
+	v := viewOf(
+		Member{Name: "n1", State: Alive},
+		Member{Name: "n2", State: Dead, Since: second},
+		Member{Name: "n3", State: Left, Since: 9 * second},
+	)
+	if !v.HasRecentFailure(second+recentFailure) || v.HasRecentFailure(second+recentFailure+1) {
+		t.Error("a failure is recent for the wrong time, or a planned end is one")
+	}
+}
+
+// A probe of one incarnation says nothing of the next, whatever directory that has.
+func TestEventsOfAnotherIncarnationAreStale(t *testing.T) {
+	b := NewTable(Member{Name: "n1"}, 0)
+	b.Apply(second, aliveEvent("n2", 2))
+	next := aliveEvent("n2", 1)
+	next.Incarnation.Home = "another"
+	for _, e := range []Event{aliveEvent("n2", 3), next} {
+		before := aliveEvent("n2", 2).Incarnation
+		if m, _ := b.View().Lookup("n2"); m.Incarnation != before {
+			before = m.Incarnation
+		}
+		b.Apply(2*second, e)
+		b.Apply(2*second, Event{Kind: EventSuspect, Name: "n2", Incarnation: before})
+		b.Apply(2*second, Event{Kind: EventDead, Name: "n2", Incarnation: before})
+		if m, _ := b.View().Lookup("n2"); m.State != Alive || m.Incarnation != e.Incarnation {
+			t.Errorf("%s in %v", m.State, m.Incarnation)
+		}
+	}
+}
+
+// Where most members fail at one time, the rest probe all of them, and a node that joins later hears nothing of the
+// dead.
+func TestMassFailure(t *testing.T) {
+	dir := t.TempDir()
+	at := freeAddr(t)
+	var all []*Service
+	for i := range 12 {
+		own := at
+		if i > 0 {
+			own = freeAddr(t)
+		}
+		all = append(all, newService(t, fmt.Sprintf("n%d", i), fmt.Sprintf("%s/%d", dir, i), own, at))
+		takePlace(t, all[i])
+	}
+	for _, s := range all {
+		awaitView(t, s, "all", func(v *View) bool { return len(v.Present()) == len(all) })
+	}
+	rest, failed := all[:2], all[2:]
+	for _, s := range failed {
+		s.currentAgent().close() // without a message, all at one time
+	}
+	for _, s := range rest {
+		awaitView(t, s, "two", func(v *View) bool { return len(v.Present()) == 2 })
+	}
+	probes := rest[0].counters.massProbes.Load() + rest[1].counters.massProbes.Load()
+	deaths := rest[0].counters.massProbeDeaths.Load() + rest[1].counters.massProbeDeaths.Load()
+	if probes == 0 || deaths == 0 {
+		t.Errorf("%d probes of all members, %d deaths by them", probes, deaths)
+	}
+	late := newService(t, "late", dir+"/late", freeAddr(t), at)
+	takePlace(t, late)
+	v := awaitView(t, late, "the two", func(v *View) bool { return len(v.Present()) >= 3 })
+	if len(v.Present()) != 3 {
+		t.Errorf("the newcomer has dead members: %s", v)
+	}
+	// One that was declared dead and is alive after all refutes it.
+	back := newService(t, "n5", dir+"/5", failed[3].config.Listen, at)
+	takePlace(t, back)
+	awaitView(t, rest[0], "one is back", hasState("n5", Alive))
+	before := back.currentAgent().incarnation
+	rest[0].currentAgent().declareDead("n5", before)
+	rest[0].apply(Event{Kind: EventSuspect, Name: "n5"})
+	rest[0].apply(Event{Kind: EventDead, Name: "n5"})
+	awaitView(t, rest[1], "it refutes its death, and others learn of it", hasState("n5", Alive))
+	v = awaitView(t, rest[0], "it refutes its death", hasState("n5", Alive))
+	if m, _ := v.Lookup("n5"); m.Incarnation != before {
+		t.Errorf("incarnation %v, not %v", m.Incarnation, before)
+	}
+}
+
+// A malformed request for a witness report is counted, and a good one is answered.
+func TestWitnessReport(t *testing.T) {
+	a, b := freeAddr(t), freeAddr(t)
+	n1, n2 := newService(t, "n1", t.TempDir(), a), newService(t, "n2", t.TempDir(), b, a)
+	takePlace(t, n1)
+	takePlace(t, n2)
+	awaitView(t, n1, "two", hasState("n2", Alive))
+	awaitView(t, n2, "two", hasState("n1", Alive))
+	report, err := n2.currentAgent().massFailures.askWitness(a.String(), []string{"n1", "n2", "nobody"})
+	if err != nil || !slices.Equal(report, []string{"nobody"}) {
+		t.Errorf("%v, %v", report, err)
+	}
+	c, err := n2.currentAgent().transport.dial(a.String(), witnessChannel, time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprint(c, `{"not": "names"`+strings.Repeat(" ", 10))
+	c.(*stream).Conn.(countedConn).Conn.(*net.TCPConn).CloseWrite()
+	c.Read(make([]byte, 1)) // until it is closed
+	c.Close()
+	if n1.counters.rejected.Load() != 1 {
+		t.Error(n1.Counters())
+	}
+	nobody := netip.MustParseAddrPort("127.0.0.1:1").String()
+	if _, err := n2.currentAgent().massFailures.askWitness(nobody, nil); err == nil {
+		t.Error("nobody gave a report")
+	}
+}
--- a/internal/fleet/member/service_test.go
+++ b/internal/fleet/member/service_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// free is an address that nobody has.
-func free(t *testing.T) netip.AddrPort {
+// freeAddr returns an address on which nobody listens.
+func freeAddr(t *testing.T) netip.AddrPort {
 	t.Helper()
 	for {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,8 +31,8 @@
 	}
 }
 
-// one makes a service that joins others.
-func one(t *testing.T, name, dir string, at netip.AddrPort, join ...netip.AddrPort) *Service {
+// newService makes a service that joins others.
+func newService(t *testing.T, name, dir string, at netip.AddrPort, join ...netip.AddrPort) *Service {
 	t.Helper()
 	c := Config{Name: name, Zone: "east", Fleet: "test", Listen: at, Advertise: at, Directory: dir}
 	for _, a := range join {
@@ -43,15 +43,15 @@
 	return s
 }
 
-func take(t *testing.T, s *Service) {
+func takePlace(t *testing.T, s *Service) {
 	t.Helper()
 	if err := s.Take(false); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// await waits for a view that is as wanted.
-func await(t *testing.T, s *Service, what string, is func(v *View) bool) *View {
+// awaitView waits for a view that is as wanted.
+func awaitView(t *testing.T, s *Service, what string, is func(v *View) bool) *View {
 	t.Helper()
 	ctx, stop := context.WithTimeout(t.Context(), 30*time.Second)
 	defer stop()
@@ -67,35 +67,35 @@
 	}
 }
 
-func has(name string, state State) func(v *View) bool {
+func hasState(name string, state State) func(v *View) bool {
 	return func(v *View) bool {
-		m, _ := v.Of(name)
+		m, _ := v.Lookup(name)
 		return m.State == state
 	}
 }
 
-// Three find each other; one leaves, one dies: the third tells the two apart, and takes the dead one's next incarnation.
-func TestThree(t *testing.T) {
-	a, b, c := free(t), free(t), free(t)
+// A planned leave is told from a failure, and a failed node's next incarnation is taken.
+func TestLeaveFailureAndRestart(t *testing.T) {
+	a, b, c := freeAddr(t), freeAddr(t), freeAddr(t)
 	dir := t.TempDir()
-	n1 := one(t, "n1", dir+"/1", a)
-	n2, n3 := one(t, "n2", dir+"/2", b, a), one(t, "n3", dir+"/3", c, a)
+	n1 := newService(t, "n1", dir+"/1", a)
+	n2, n3 := newService(t, "n2", dir+"/2", b, a), newService(t, "n3", dir+"/3", c, a)
 	for _, s := range []*Service{n1, n2, n3} {
-		take(t, s)
+		takePlace(t, s)
 	}
 	for _, s := range []*Service{n1, n2, n3} {
-		await(t, s, "three", func(v *View) bool { return len(v.Here()) == 3 })
+		awaitView(t, s, "three", func(v *View) bool { return len(v.Present()) == 3 })
 	}
 	n2.Leaving()
-	await(t, n1, "it says that it leaves", has("n2", Leaving))
+	awaitView(t, n1, "it announces that it leaves", hasState("n2", Leaving))
 	n2.Left()
-	await(t, n1, "it has left", has("n2", Left))
+	awaitView(t, n1, "it has left", hasState("n2", Left))
 	n3.Close()
-	await(t, n1, "it is dead", has("n3", Dead))
-	again := one(t, "n3", dir+"/3", c, a)
-	take(t, again)
-	v := await(t, n1, "its next incarnation", has("n3", Alive))
-	if m, _ := v.Of("n3"); m.Incarnation.Number != 2 {
+	awaitView(t, n1, "it has failed", hasState("n3", Dead))
+	again := newService(t, "n3", dir+"/3", c, a)
+	takePlace(t, again)
+	v := awaitView(t, n1, "its next incarnation", hasState("n3", Alive))
+	if m, _ := v.Lookup("n3"); m.Incarnation.Number != 2 {
 		t.Errorf("incarnation %v", m.Incarnation)
 	}
 	if said := n1.Status(); !strings.Contains(said, "n2 left") || !strings.Contains(n1.Counters(), "deaths=1 ") {
@@ -103,25 +103,25 @@
 	}
 }
 
-// In an upgrade the place goes from one process to the other, and nobody sees the node gone.
-func TestUpgrade(t *testing.T) {
-	a, b := free(t), free(t)
+// In an upgrade the place goes from one process to the other, and no view has the node gone or twice.
+func TestUpgradeHandsPlaceOver(t *testing.T) {
+	a, b := freeAddr(t), freeAddr(t)
 	dir := t.TempDir()
-	n1, predecessor := one(t, "n1", dir+"/1", a), one(t, "n2", dir+"/2", b, a)
-	take(t, n1)
-	take(t, predecessor)
-	await(t, n1, "two", has("n2", Alive))
-	next := one(t, "n2", dir+"/2", b, a)
+	n1, predecessor := newService(t, "n1", dir+"/1", a), newService(t, "n2", dir+"/2", b, a)
+	takePlace(t, n1)
+	takePlace(t, predecessor)
+	awaitView(t, n1, "two", hasState("n2", Alive))
+	next := newService(t, "n2", dir+"/2", b, a)
 	if err := next.Take(false); err == nil || !strings.Contains(err.Error(), "is in use") {
-		t.Errorf("without patience: %v", err)
+		t.Errorf("without waiting: %v", err)
 	}
 	if err := next.Take(true); err != nil {
 		t.Fatal(err)
 	}
 	predecessor.Yield()
-	v := await(t, n1, "its next incarnation", func(v *View) bool {
-		m, _ := v.Of("n2")
-		if len(v.Members) != 2 || !m.State.Here() {
+	awaitView(t, n1, "its next incarnation", func(v *View) bool {
+		m, _ := v.Lookup("n2")
+		if len(v.Members) != 2 || !m.State.Present() {
 			t.Errorf("meanwhile %s", v)
 		}
 		return m.Incarnation.Number == 2
@@ -129,51 +129,51 @@
 	if said := predecessor.Status(); !strings.HasPrefix(said, "no place") {
 		t.Error(said)
 	}
-	_ = v
 }
 
-// Of two strangers under one name the settled one stays, and the other steps back and says why.
-func TestStrangers(t *testing.T) {
-	a, b, c := free(t), free(t), free(t)
+// Of two nodes under one name the settled one stays, and the other steps back and states why.
+func TestNameConflict(t *testing.T) {
+	a, b, c := freeAddr(t), freeAddr(t), freeAddr(t)
 	dir := t.TempDir()
-	n1, n2 := one(t, "n1", dir+"/1", a), one(t, "n2", dir+"/2", b, a)
-	take(t, n1)
-	take(t, n2)
-	v := await(t, n1, "two", has("n2", Alive))
-	first, _ := v.Of("n2")
-	time.Sleep(settledAfter + time.Second) // its claim settles by time alone
-	twin := one(t, "n2", dir+"/3", c, a)
-	take(t, twin)
+	n1, n2 := newService(t, "n1", dir+"/1", a), newService(t, "n2", dir+"/2", b, a)
+	takePlace(t, n1)
+	takePlace(t, n2)
+	v := awaitView(t, n1, "two", hasState("n2", Alive))
+	settled, _ := v.Lookup("n2")
+	time.Sleep(settleTime + time.Second) // its claim settles by time alone
+	twin := newService(t, "n2", dir+"/3", c, a)
+	takePlace(t, twin)
 	for deadline := time.Now().Add(20 * time.Second); !strings.Contains(twin.Status(), "is used by another process"); {
 		if time.Now().After(deadline) {
 			t.Fatalf("it does not step back: %s", twin.Status())
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	if m, _ := n1.View().Of("n2"); m.Incarnation != first.Incarnation || !m.State.Here() {
+	if m, _ := n1.View().Lookup("n2"); m.Incarnation != settled.Incarnation || !m.State.Present() {
 		t.Errorf("the settled one is %s in %v", m.State, m.Incarnation)
 	}
 }
 
-// What is not of the fleet changes nothing and is counted.
-func TestGarbage(t *testing.T) {
-	a := free(t)
-	n1 := one(t, "n1", t.TempDir(), a)
-	take(t, n1)
+// Packets and streams of another fleet, and corrupt ones, change nothing and are counted.
+func TestForeignPacketsAreDropped(t *testing.T) {
+	a := freeAddr(t)
+	n1 := newService(t, "n1", t.TempDir(), a)
+	takePlace(t, n1)
 	before := n1.View().Number
 	u, err := net.Dial("udp", a.String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer u.Close()
-	foreign := seal("another fleet", "x", 0, []byte{aliveMessage, 0x80})
-	torn := seal("test", "x", 0, []byte{aliveMessage, 0x80})
-	torn[len(torn)-1]++
-	mute := seal("test", "x", 0, nil)
-	for _, p := range [][]byte{{}, {1}, make([]byte, 1500), foreign, torn, mute, torn[:len(torn)-1]} {
+	foreign := encodePacket("another fleet", "x", 0, []byte{aliveMessage, 0x80})
+	corrupt := encodePacket("test", "x", 0, []byte{aliveMessage, 0x80})
+	corrupt[len(corrupt)-1]++
+	empty := encodePacket("test", "x", 0, nil)
+	for _, p := range [][]byte{{}, {1}, make([]byte, 1500), foreign, corrupt, empty, corrupt[:len(corrupt)-1]} {
 		u.Write(p)
 	}
-	for _, p := range [][]byte{{}, {0xff, 0xff, 0xff, 0xff}, {0, 0, 0, 40, 1}, append([]byte{0, 0, 0, byte(len(torn))}, torn...)} {
+	corruptFrame := append([]byte{0, 0, 0, byte(len(corrupt))}, corrupt...)
+	for _, p := range [][]byte{{}, {0xff, 0xff, 0xff, 0xff}, {0, 0, 0, 40, 1}, corruptFrame} {
 		c, err := net.Dial("tcp", a.String())
 		if err != nil {
 			t.Fatal(err)
@@ -183,62 +183,63 @@
 		c.Read(make([]byte, 1)) // until it is closed
 		c.Close()
 	}
-	for deadline := time.Now().Add(10 * time.Second); n1.traffic.Foreign.Load() < 10; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); n1.traffic.foreign.Load() < 10; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal(n1.Counters())
 		}
 	}
-	if n1.View().Number != before || n1.traffic.StreamsIn.Load() != 0 {
+	if n1.View().Number != before || n1.traffic.streamsIn.Load() != 0 {
 		t.Errorf("%s; %s", n1.Status(), n1.Counters())
 	}
 }
 
-// A directory that will not do is one clear error, and does no harm to what is in it.
-func TestDirectories(t *testing.T) {
-	whole := filepath.Join(t.TempDir(), "whole")
-	if l, err := enter(whole, "n1"); err != nil || l.Number != 1 {
+// A directory that cannot be used is one clear error, and its files stay as they are.
+func TestDirectoryErrors(t *testing.T) {
+	good := filepath.Join(t.TempDir(), "good")
+	if l, err := beginIncarnation(good, "n1"); err != nil || l.Number != 1 {
 		t.Fatal(l, err)
 	}
-	kept, err := os.ReadFile(filepath.Join(whole, homeFile))
+	stored, err := os.ReadFile(filepath.Join(good, incarnationFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	write := func(text string) string {
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, homeFile), []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, incarnationFile), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return dir
 	}
-	full := write(string(kept))
-	if err := os.Symlink("/dev/full", filepath.Join(full, homeFile+".new")); err != nil {
+	full := write(string(stored))
+	if err := os.Symlink("/dev/full", filepath.Join(full, incarnationFile+".new")); err != nil {
 		t.Fatal(err)
 	}
 	for dir, want := range map[string]string{
-		write(string(kept[:len(kept)/2])): "cannot be read",
-		write(""):                         "cannot be read",
-		write(strings.Replace(string(kept), `"form":1`, `"form":2`, 1)): "has form 2",
-		write(strings.Replace(string(kept), `"n1"`, `"n9"`, 1)):         `is of node "n9", this one is "n1"`,
+		write(string(stored[:len(stored)/2])): "cannot be read",
+		write(""):                             "cannot be read",
+		write(strings.Replace(string(stored), `"form":1`, `"form":2`, 1)): "has form 2",
+		write(strings.Replace(string(stored), `"n1"`, `"n9"`, 1)):         `is of node "n9", this one is "n1"`,
 		full: "no space left",
-		filepath.Join(write(string(kept)), homeFile): "not a directory",
+		filepath.Join(write(string(stored)), incarnationFile): "not a directory",
 	} {
-		if _, err := enter(dir, "n1"); err == nil || !strings.HasPrefix(err.Error(), "directory: ") || !strings.Contains(err.Error(), want) {
+		_, err := beginIncarnation(dir, "n1")
+		if err == nil || !strings.HasPrefix(err.Error(), "directory: ") || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
-	if l, err := enter(whole, "n1"); err != nil || l.Number != 2 {
+	if l, err := beginIncarnation(good, "n1"); err != nil || l.Number != 2 {
 		t.Error(l, err)
 	}
-	if n1 := one(t, "n1", full, free(t)); n1.Take(false) == nil {
+	if n1 := newService(t, "n1", full, freeAddr(t)); n1.Take(false) == nil {
 		t.Error("it takes the place without an incarnation")
 	}
 }
 
-// A slow reader gets the newest view, and one that waits for nothing ends with its context.
-func TestNext(t *testing.T) {
-	n1 := one(t, "n1", t.TempDir(), free(t))
+// A slow reader gets the newest view, and one that waits in vain ends with its context.
+func TestNextView(t *testing.T) {
+	n1 := newService(t, "n1", t.TempDir(), freeAddr(t))
 	for i := range 5 {
-		n1.apply(heardOfMember(i))
+		n1.apply(aliveEventOf(i))
 	}
 	v, err := n1.Next(t.Context(), 2)
 	if err != nil || v.Number != 6 || len(v.Members) != 6 {
@@ -251,51 +252,52 @@
 	}
 }
 
-func heardOfMember(i int) Event {
-	return Event{Kind: Heard, Name: fmt.Sprintf("m%d", i), Addr: "x", Incarnation: Incarnation{"aa", 1}}
+func aliveEventOf(i int) Event {
+	return Event{Kind: EventAlive, Name: fmt.Sprintf("m%d", i), Addr: "x", Incarnation: Incarnation{"aa", 1}}
 }
 
 func FuzzPackets(f *testing.F) {
-	f.Add(seal("test", "x", 7, []byte{compoundMessage, 2, 0, 1, 0, 2, 5, 5, 5}))
+	f.Add(encodePacket("test", "x", 7, []byte{compoundMessage, 2, 0, 1, 0, 2, 5, 5, 5}))
 	f.Add([]byte{crcMessage, 0, 0, 0, 0, suspectMessage, 0x81})
 	f.Fuzz(func(t *testing.T, p []byte) {
-		rumours(p, func(rumour) {})
-		if sender, _, payload, err := unseal("test", p); err == nil && len(sender)+len(payload)+headLength != len(p) {
+		forEachSWIMMessage(p, func(swimMessage) {})
+		if sender, _, payload, err := decodePacket("test", p); err == nil && len(sender)+len(payload)+packetHeader != len(p) {
 			t.Errorf("%q, %d bytes", sender, len(payload))
 		}
-		readMeta(p)
+		decodeMetadata(p)
 	})
 }
 
-// Two that start while all addresses to join are dead find each other by what they knew.
-func TestKnownAddresses(t *testing.T) {
-	a, b, c := free(t), free(t), free(t)
+// Two nodes that start while all addresses to join are down find each other by the addresses that they stored.
+func TestRestartByKnownAddresses(t *testing.T) {
+	a, b, c := freeAddr(t), freeAddr(t), freeAddr(t)
 	dir := t.TempDir()
-	n1 := one(t, "n1", dir+"/1", a)
-	n2, n3 := one(t, "n2", dir+"/2", b, a), one(t, "n3", dir+"/3", c, a)
+	n1 := newService(t, "n1", dir+"/1", a)
+	n2, n3 := newService(t, "n2", dir+"/2", b, a), newService(t, "n3", dir+"/3", c, a)
 	for _, s := range []*Service{n1, n2, n3} {
-		take(t, s)
+		takePlace(t, s)
 	}
 	for _, s := range []*Service{n2, n3} {
-		await(t, s, "three", func(v *View) bool { return len(v.Here()) == 3 })
+		awaitView(t, s, "three", func(v *View) bool { return len(v.Present()) == 3 })
 	}
-	for deadline := time.Now().Add(20 * time.Second); len(readKnown(dir+"/2")) < 2 || len(readKnown(dir+"/3")) < 2; {
+	stored := func(dir string) bool { return len(readKnownAddrs(dir)) >= 2 }
+	for deadline := time.Now().Add(20 * time.Second); !stored(dir+"/2") || !stored(dir+"/3"); {
 		if time.Now().After(deadline) {
-			t.Fatal("the addresses are not kept")
+			t.Fatal("the addresses are not stored")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	for _, s := range []*Service{n1, n2, n3} {
 		s.Close()
 	}
-	n2, n3 = one(t, "n2", dir+"/2", b, a), one(t, "n3", dir+"/3", c, a)
-	take(t, n2)
-	take(t, n3)
-	await(t, n2, "the other", has("n3", Alive))
-	if err := os.WriteFile(dir+"/2/"+knownFile, []byte(`["x", "127.0.0.1:1"`), 0o600); err != nil {
+	n2, n3 = newService(t, "n2", dir+"/2", b, a), newService(t, "n3", dir+"/3", c, a)
+	takePlace(t, n2)
+	takePlace(t, n3)
+	awaitView(t, n2, "the other", hasState("n3", Alive))
+	if err := os.WriteFile(dir+"/2/"+knownAddrsFile, []byte(`["x", "127.0.0.1:1"`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got := readKnown(dir + "/2"); len(got) != 0 {
+	if got := readKnownAddrs(dir + "/2"); len(got) != 0 {
 		t.Errorf("a file that was cut short gives %v", got)
 	}
 }
--- /dev/null
+++ b/internal/fleet/member/status.go
@@ -0,0 +1,56 @@
+package member
+
+import (
+	"fmt"
+	"sync/atomic"
+)
+
+// counters count events of a Service, since its start.
+type counters struct {
+	views           atomic.Int64
+	suspicions      atomic.Int64
+	deaths          atomic.Int64
+	rejoins         atomic.Int64
+	conflicts       atomic.Int64 // two addresses claimed one name
+	steppedBack     atomic.Int64 // conflicts that this process lost
+	pauses          atomic.Int64 // of this process
+	isolations      atomic.Int64 // nobody at all was heard
+	massProbes      atomic.Int64 // all members were probed
+	massProbeDeaths atomic.Int64 // members that were declared dead after that
+	rejected        atomic.Int64 // messages and members
+}
+
+// Status describes the view for operators.
+func (s *Service) Status() string {
+	s.mu.Lock()
+	view := s.table.View()
+	reason := s.absentReason
+	holds := s.agent != nil
+	s.mu.Unlock()
+	if !holds {
+		return "no place: " + reason
+	}
+	text := view.String()
+	partition := view.Partition()
+	switch {
+	case partition.Isolated:
+		text += "; nobody else is heard"
+	case !partition.Majority:
+		text += fmt.Sprintf("; only %d of %d known are here", partition.Present, partition.Known)
+	}
+	return text
+}
+
+// Counters returns the counters for the log.
+func (s *Service) Counters() string {
+	c := &s.counters
+	s.mu.Lock()
+	rejectedMembers := s.table.RejectedMembers()
+	staleEvents := s.table.StaleEvents()
+	s.mu.Unlock()
+	return fmt.Sprintf("views=%d suspicions=%d deaths=%d rejoins=%d strangers=%d stepped_back=%d pauses=%d cut_off=%d "+
+		"roll_calls=%d lost_by_call=%d rejected=%d no_room=%d older_lives=%d %s",
+		c.views.Load(), c.suspicions.Load(), c.deaths.Load(), c.rejoins.Load(), c.conflicts.Load(),
+		c.steppedBack.Load(), c.pauses.Load(), c.isolations.Load(), c.massProbes.Load(), c.massProbeDeaths.Load(),
+		c.rejected.Load(), rejectedMembers, staleEvents, &s.traffic)
+}
--- a/internal/fleet/member/stored_forms_test.go
+++ b/internal/fleet/member/stored_forms_test.go
@@ -32,8 +32,8 @@
 
 // A changed packet header would cut nodes of two builds off from each other.
 func TestPacketKeepsItsBytes(t *testing.T) {
-	equalBytes(t, "packet", seal("calder", "n1", 7, []byte("payload")))
-	sender, number, payload, err := unseal("calder", readTestdata(t, "packet"))
+	equalBytes(t, "packet", encodePacket("calder", "n1", 7, []byte("payload")))
+	sender, number, payload, err := decodePacket("calder", readTestdata(t, "packet"))
 	if err != nil || sender != "n1" || number != 7 || string(payload) != "payload" {
 		t.Errorf("%q, %d, %q, %v", sender, number, payload, err)
 	}
@@ -41,13 +41,13 @@
 
 // Changed metadata would make other builds reject this node.
 func TestMetadataKeepsItsBytes(t *testing.T) {
-	want := meta{Zone: "derby", Home: "0123456789abcdef", Number: 3, Settled: true, Leaving: true, Predecessor: true}
+	want := metadata{Zone: "derby", Home: "0123456789abcdef", Number: 3, Settled: true, Leaving: true, Predecessor: true}
 	text, err := json.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
 	}
 	equalBytes(t, "metadata.json", text)
-	if got, err := readMeta(readTestdata(t, "metadata.json")); err != nil || got != want {
+	if got, err := decodeMetadata(readTestdata(t, "metadata.json")); err != nil || got != want {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
@@ -55,15 +55,15 @@
 // Messages about a member are read and written as the memberlist library has them.
 func TestLibraryMessageKeepsItsBytes(t *testing.T) {
 	var text []byte
-	message := rumour{Incarnation: 8192, Node: "n2", From: "n1"}
+	message := swimMessage{Incarnation: 8192, Node: "n2", From: "n1"}
 	if err := codec.NewEncoderBytes(&text, &codec.MsgpackHandle{}).Encode(&message); err != nil {
 		t.Fatal(err)
 	}
 	equalBytes(t, "suspect.msgpack", append([]byte{suspectMessage}, text...))
-	var got []rumour
-	rumours(readTestdata(t, "suspect.msgpack"), func(r rumour) { got = append(got, r) })
+	var got []swimMessage
+	forEachSWIMMessage(readTestdata(t, "suspect.msgpack"), func(r swimMessage) { got = append(got, r) })
 	message.kind = suspectMessage
-	if !reflect.DeepEqual(got, []rumour{message}) {
+	if !reflect.DeepEqual(got, []swimMessage{message}) {
 		t.Errorf("%+v", got)
 	}
 }
@@ -71,39 +71,42 @@
 // A node that could not read its directory after an upgrade would start as a stranger.
 func TestDirectoryKeepsItsBytes(t *testing.T) {
 	dir := t.TempDir()
-	path := filepath.Join(dir, homeFile)
-	if err := writeWhole(path, homeJSON{Form: homeForm, Name: "n1", Home: "0123456789abcdef", Number: 4}); err != nil {
+	path := filepath.Join(dir, incarnationFile)
+	record := incarnationRecord{Form: incarnationFileForm, Name: "n1", Home: "0123456789abcdef", Number: 4}
+	if err := writeFileAtomically(path, record); err != nil {
 		t.Fatal(err)
 	}
 	written, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	equalBytes(t, homeFile, written)
-	if err := os.WriteFile(path, readTestdata(t, homeFile), 0o600); err != nil {
+	equalBytes(t, incarnationFile, written)
+	if err := os.WriteFile(path, readTestdata(t, incarnationFile), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := enter(dir, "n1"); err != nil || got != (Incarnation{Home: "0123456789abcdef", Number: 5}) {
+	if got, err := beginIncarnation(dir, "n1"); err != nil || got != (Incarnation{Home: "0123456789abcdef", Number: 5}) {
 		t.Errorf("%v, %v", got, err)
 	}
 	view := &View{Self: "n1", Members: []Member{{Name: "n1", Addr: "127.0.0.1:1", State: Alive},
 		{Name: "n2", Addr: "127.0.0.2:7946", State: Alive}, {Name: "n3", Addr: "[::1]:7946", State: Suspect}}}
-	if err := keepKnown(dir, view); err != nil {
+	if err := writeKnownAddrs(dir, view); err != nil {
 		t.Fatal(err)
 	}
-	if written, err = os.ReadFile(filepath.Join(dir, knownFile)); err != nil {
+	if written, err = os.ReadFile(filepath.Join(dir, knownAddrsFile)); err != nil {
 		t.Fatal(err)
 	}
-	equalBytes(t, knownFile, written)
-	if got := readKnown("testdata"); !reflect.DeepEqual(got, []string{"127.0.0.2:7946", "[::1]:7946"}) {
+	equalBytes(t, knownAddrsFile, written)
+	if got := readKnownAddrs("testdata"); !reflect.DeepEqual(got, []string{"127.0.0.2:7946", "[::1]:7946"}) {
 		t.Errorf("%v", got)
 	}
 }
 
 // Records are judged by builds other than the one that wrote them.
 func TestRecordKeepsItsBytes(t *testing.T) {
-	view := View{Number: 9, Self: "n1", Members: []Member{{Name: "n1", Zone: "derby", Addr: "127.0.0.1:7946",
-		Incarnation: Incarnation{Home: "0123456789abcdef", Number: 4}, State: Leaving, Predecessor: true, Since: time.Second}}}
+	view := View{Number: 9, Self: "n1", Members: []Member{{
+		Name: "n1", Zone: "derby", Addr: "127.0.0.1:7946", Incarnation: Incarnation{Home: "0123456789abcdef", Number: 4},
+		State: Leaving, Predecessor: true, Since: time.Second,
+	}}}
 	text, err := json.Marshal(view)
 	if err != nil {
 		t.Fatal(err)
@@ -113,8 +116,15 @@
 	if err := json.Unmarshal(readTestdata(t, "view.json"), &got); err != nil || !reflect.DeepEqual(got, view) {
 		t.Errorf("%+v, %v", got, err)
 	}
-	if text, err = json.Marshal(map[string]Report{"n2": {At: 5, Got: 7, Missed: 1, Again: 2}}); err != nil {
+	reports := map[string]ReceptionReport{"n2": {At: 5, Received: 7, Missing: 1, Duplicates: 2}}
+	if text, err = json.Marshal(reports); err != nil {
 		t.Fatal(err)
 	}
 	equalBytes(t, "heard.json", text)
+	if text, err = json.Marshal(massProbeRecord{Probed: 3, Silent: []string{"n2"}}); err != nil {
+		t.Fatal(err)
+	}
+	if string(text) != `{"asked":3,"lost":null,"silent":["n2"]}` {
+		t.Errorf("%s", text)
+	}
 }
--- /dev/null
+++ b/internal/fleet/member/table.go
@@ -0,0 +1,243 @@
+package member
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+	"time"
+
+	"olivebridge/internal/fleet/mutant"
+)
+
+const (
+	// MaxMembers bounds a view, tombstones included. Fleets have 300 nodes at most; a member costs about 300 bytes in
+	// a view and as much in memberlist.
+	MaxMembers = 1024
+	// tombstoneTime is how long a member that is gone stays in the view: longer than any lease, window or hand-over of
+	// the packages that rely on it.
+	tombstoneTime = 10 * time.Minute
+	// suspicionTimeout is after how long a suspicion that was neither confirmed nor refuted is dropped: above what
+	// memberlist needs to confirm one in the largest fleet.
+	suspicionTimeout = 15 * time.Second
+	// doubtedEndDelay is how long an end is held back that contradicts what is known: of a member that was heard just
+	// now, or that nobody suspected. A node that was cut off has declared all others dead and gossips that when it is
+	// back, and a node that restarts meets news of its last incarnation; both are refuted within two gossip intervals.
+	doubtedEndDelay = 1200 * time.Millisecond
+)
+
+// doubtedEnd is an end that is not believed yet.
+type doubtedEnd struct {
+	since time.Duration
+	state State // Dead or Left
+}
+
+// Table is the membership table: it turns events into views, and alone decides what is believed of a member. Its
+// methods take the time since any fixed origin, which must not run backwards. It is not safe for concurrent use.
+type Table struct {
+	self            string // name of this node
+	viewNumber      uint64 // of the newest view
+	members         map[string]*Member
+	rejectedMembers int
+	staleEvents     int
+	doubtedEnds     map[string]doubtedEnd // by member
+	view            *View
+	mutant          func(string) bool // see package mutant
+}
+
+// NewTable makes the table of a node, which is in its own view from the start.
+func NewTable(self Member, now time.Duration) *Table {
+	t := &Table{
+		self:        self.Name,
+		members:     map[string]*Member{},
+		doubtedEnds: map[string]doubtedEnd{},
+		mutant:      mutant.Active,
+	}
+	self.enter(Alive, now)
+	t.members[self.Name] = &self
+	t.publish()
+	return t
+}
+
+// View returns the newest view.
+func (t *Table) View() *View { return t.view }
+
+// RejectedMembers counts members for which the view had no room.
+func (t *Table) RejectedMembers() int { return t.rejectedMembers }
+
+// StaleEvents counts events of incarnations that are over.
+func (t *Table) StaleEvents() int { return t.staleEvents }
+
+func (t *Table) publish() {
+	t.viewNumber++
+	v := &View{Number: t.viewNumber, Self: t.self, Members: make([]Member, 0, len(t.members))}
+	for _, m := range t.members {
+		v.Members = append(v.Members, *m)
+	}
+	slices.SortFunc(v.Members, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
+	t.view = v
+}
+
+// Apply takes an event, and reports whether there is a new view.
+func (t *Table) Apply(now time.Duration, e Event) bool {
+	m := t.members[e.Name]
+	switch {
+	case m != nil && ofEarlierIncarnation(m, e):
+		t.staleEvents++
+		return false
+	case m == nil && (e.Kind != EventAlive || !t.makeRoom()):
+		return false
+	case m == nil:
+		m = &Member{Name: e.Name, Since: now}
+		t.members[e.Name] = m
+	}
+	before := *m
+	t.update(m, now, e)
+	if *m == before {
+		return false
+	}
+	t.publish()
+	return true
+}
+
+// ofEarlierIncarnation reports whether an event is of an incarnation of which a later one is known.
+func ofEarlierIncarnation(m *Member, e Event) bool {
+	if e.Incarnation.Home == "" {
+		return false
+	}
+	if e.Kind != EventAlive { // what is learned of one incarnation says nothing of another
+		return e.Incarnation != m.Incarnation
+	}
+	return e.Incarnation.Home == m.Incarnation.Home && e.Incarnation.Number < m.Incarnation.Number
+}
+
+// update changes a member by an event.
+func (t *Table) update(m *Member, now time.Duration, e Event) {
+	if e.Kind == EventAlive {
+		delete(t.doubtedEnds, m.Name)
+		t.describe(m, now, e)
+	}
+	state := t.nextState(m, now, e)
+	if m.Name == t.self && (!state.Present() || state == Suspect) {
+		delete(t.doubtedEnds, m.Name)
+		return // this process is alive, whatever others believe
+	}
+	if state != m.State {
+		m.enter(state, now)
+	}
+}
+
+// describe takes a member's description from an event.
+func (t *Table) describe(m *Member, now time.Duration, e Event) {
+	restarted := m.Incarnation != e.Incarnation
+	m.Zone = e.Zone
+	m.Addr = e.Addr
+	m.Predecessor = e.Predecessor
+	if m.Incarnation.Home == "" || !t.mutant("old-incarnation") {
+		m.Incarnation = e.Incarnation
+	}
+	if restarted {
+		m.Since = now
+	}
+}
+
+// nextState returns the state of a member after an event.
+func (t *Table) nextState(m *Member, now time.Duration, e Event) State {
+	switch e.Kind {
+	case EventAlive:
+		if e.Leaving {
+			return Leaving
+		}
+		return Alive
+	case EventSuspect:
+		if m.State == Alive { // a member that leaves is silent soon anyway
+			return Suspect
+		}
+	case EventRefuted:
+		_, doubted := t.doubtedEnds[m.Name]
+		if m.State == Suspect && !doubted {
+			return Alive
+		}
+	case EventDead:
+		expected := !e.HeardRecently && m.State != Alive
+		return t.stateAfterEnd(m, now, Dead, expected)
+	case EventLeft: // a member that has not announced it may have done so in its last incarnation
+		expected := m.State == Leaving || !e.HeardRecently
+		return t.stateAfterEnd(m, now, Left, expected)
+	}
+	return m.State
+}
+
+// stateAfterEnd returns the state of a member that was said to be gone. An end that was expected is believed at once,
+// any other only after doubtedEndDelay.
+func (t *Table) stateAfterEnd(m *Member, now time.Duration, end State, expected bool) State {
+	switch {
+	case !m.State.Present(), end == Dead && t.mutant("dead-kept"):
+		return m.State
+	case end == Left && t.mutant("leave-told-as-death"):
+		return Dead
+	case expected:
+		delete(t.doubtedEnds, m.Name)
+		return end
+	}
+	if _, doubted := t.doubtedEnds[m.Name]; !doubted {
+		t.doubtedEnds[m.Name] = doubtedEnd{since: now, state: end}
+	}
+	return Suspect
+}
+
+// makeRoom makes room for one more member by dropping the oldest tombstone. It reports false if there is none.
+func (t *Table) makeRoom() bool {
+	if len(t.members) < MaxMembers {
+		return true
+	}
+	var oldest *Member
+	for _, m := range t.members {
+		if !m.State.Present() && (oldest == nil || compareAge(m, oldest) < 0) {
+			oldest = m
+		}
+	}
+	if oldest == nil {
+		t.rejectedMembers++
+		return false
+	}
+	delete(t.members, oldest.Name)
+	return true
+}
+
+// compareAge orders members by the time of their last change, and then by name.
+func compareAge(a, b *Member) int {
+	return cmp.Or(cmp.Compare(a.Since, b.Since), cmp.Compare(a.Name, b.Name))
+}
+
+// Tick drops old tombstones, believes doubted ends whose time has come, and drops suspicions that came to nothing. It
+// reports whether there is a new view.
+func (t *Table) Tick(now time.Duration) bool {
+	changed := false
+	for name := range t.members {
+		if t.expire(name, now) {
+			changed = true
+		}
+	}
+	if changed {
+		t.publish()
+	}
+	return changed
+}
+
+// expire applies the passing of time to one member, and reports whether that changed it.
+func (t *Table) expire(name string, now time.Duration) bool {
+	m := t.members[name]
+	end, doubted := t.doubtedEnds[name]
+	switch {
+	case !m.State.Present() && now-m.Since > tombstoneTime:
+		delete(t.members, name)
+	case m.State.Present() && doubted && now-end.since > doubtedEndDelay:
+		m.enter(end.state, now)
+		delete(t.doubtedEnds, name)
+	case m.State == Suspect && !doubted && now-m.Since > suspicionTimeout:
+		m.enter(Alive, now)
+	default:
+		return false
+	}
+	return true
+}
--- /dev/null
+++ b/internal/fleet/member/traffic.go
@@ -0,0 +1,47 @@
+package member
+
+import (
+	"fmt"
+	"net"
+	"sync/atomic"
+)
+
+// traffic counts what a process sends and receives, since its start.
+type traffic struct {
+	packetsIn  atomic.Int64
+	packetsOut atomic.Int64
+	bytesIn    atomic.Int64
+	bytesOut   atomic.Int64
+	streamsIn  atomic.Int64
+	streamsOut atomic.Int64
+	foreign    atomic.Int64 // packets and streams of another fleet, or corrupt ones
+	flood      atomic.Int64 // beyond maxPacketsPerSecond, packetQueue or maxHandshakes
+}
+
+// String returns the counters for the log.
+func (t *traffic) String() string {
+	return fmt.Sprintf("packets_in=%d packets_out=%d bytes_in=%d bytes_out=%d streams_in=%d streams_out=%d "+
+		"foreign=%d flood=%d",
+		t.packetsIn.Load(), t.packetsOut.Load(), t.bytesIn.Load(), t.bytesOut.Load(),
+		t.streamsIn.Load(), t.streamsOut.Load(), t.foreign.Load(), t.flood.Load())
+}
+
+// countedConn counts a connection's bytes.
+type countedConn struct {
+	net.Conn
+	traffic *traffic
+}
+
+// Read implements net.Conn.
+func (c countedConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	c.traffic.bytesIn.Add(int64(n))
+	return n, err
+}
+
+// Write implements net.Conn.
+func (c countedConn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	c.traffic.bytesOut.Add(int64(n))
+	return n, err
+}
--- /dev/null
+++ b/internal/fleet/member/witness.go
@@ -0,0 +1,113 @@
+package member
+
+import (
+	"encoding/json"
+	"io"
+	"net"
+	"slices"
+	"sync"
+	"time"
+)
+
+// A witness report is asked for over a stream of witnessChannel: the request is a JSON list of names, the answer a
+// JSON list of those that the witness does not reach either. The stream ends with the answer.
+
+const (
+	// witnessChannel is the channel of the streams that witness reports take.
+	witnessChannel = 250
+	// witnessTimeout is how long a witness may take: a round of probes of its own, for as many as may have failed.
+	witnessTimeout = 6 * time.Second
+	// maxWitnessMessage bounds a request and a report, in bytes of JSON.
+	maxWitnessMessage = MaxMembers * 70
+)
+
+// askWitnesses asks some of the members that answered which of the silent ones they do not reach, either. A witness
+// that gives no report is left out.
+func (d *massFailureDetector) askWitnesses(silent, answered []string) (reports [][]string) {
+	service := d.agent.service
+	view := service.View()
+	var mu sync.Mutex
+	var requests sync.WaitGroup
+	asked := 0
+	for _, name := range rotateFrom(answered, service.config.Name) {
+		m, _ := view.Lookup(name)
+		if asked == maxWitnesses || !m.State.Present() {
+			continue
+		}
+		asked++
+		requests.Go(func() {
+			report, err := d.askWitness(m.Addr, silent)
+			if err != nil {
+				return
+			}
+			mu.Lock()
+			defer mu.Unlock()
+			reports = append(reports, report)
+		})
+	}
+	requests.Wait()
+	return reports
+}
+
+// rotateFrom returns sorted names from the first beyond one's own on, so that not all nodes ask the same witnesses.
+func rotateFrom(names []string, own string) []string {
+	i, _ := slices.BinarySearch(names, own)
+	return slices.Concat(names[i:], names[:i])
+}
+
+// askWitness asks the member at an address.
+func (d *massFailureDetector) askWitness(addr string, silent []string) (report []string, err error) {
+	conn, err := d.agent.transport.dial(addr, witnessChannel, streamTimeout)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = conn.Close() }()
+	_ = conn.SetDeadline(time.Now().Add(witnessTimeout))
+	if err := json.NewEncoder(conn).Encode(silent); err != nil {
+		return nil, err
+	}
+	err = json.NewDecoder(io.LimitReader(conn, maxWitnessMessage)).Decode(&report)
+	return report, err
+}
+
+// serveWitness gives this member's own report.
+func (d *massFailureDetector) serveWitness(conn net.Conn) {
+	if !d.ready.Load() {
+		return
+	}
+	_ = conn.SetDeadline(time.Now().Add(witnessTimeout))
+	var names []string
+	err := json.NewDecoder(io.LimitReader(conn, maxWitnessMessage)).Decode(&names)
+	if err != nil || len(names) > MaxMembers {
+		d.agent.service.counters.rejected.Add(1)
+		return
+	}
+	now := time.Now()
+	report, unknown := d.recentResults(names, now)
+	if len(unknown) > 0 {
+		silent := d.probe(unknown, now, probeAttempts)
+		d.rememberSilent(silent)
+		report = append(report, silent...)
+	}
+	_ = json.NewEncoder(conn).Encode(report) // whoever asked learns of a failure by the end of the stream
+}
+
+// recentResults splits names into those that were found silent just now and those of which nothing is known. The ones
+// that were heard just now are in neither.
+func (d *massFailureDetector) recentResults(names []string, now time.Time) (silent, unknown []string) {
+	silent = []string{}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, name := range names {
+		at, found := d.silentAt[name]
+		switch {
+		case name == d.agent.service.config.Name:
+		case d.agent.transport.heardAt(name).After(now.Add(-probeResultTTL)):
+		case found && now.Sub(at) < probeResultTTL:
+			silent = append(silent, name)
+		default:
+			unknown = append(unknown, name)
+		}
+	}
+	return silent, unknown
+}
--- a/internal/fleet/rounds/service.go
+++ b/internal/fleet/rounds/service.go
@@ -467,7 +467,7 @@
 func (s *Service) advance(log *agreed.Log, r Round) {
 	v := s.c.View()
 	var members []Member
-	for _, m := range v.Here() {
+	for _, m := range v.Present() {
 		members = append(members, Member{m.Name, m.Incarnation.String(), m.Predecessor})
 	}
 	at := Move{r.ID, r.At, r.Step}
@@ -484,7 +484,7 @@
 	ok, waits := Ready(r, members, reports, now.Sub(s.since))
 	s.waits = append([]string{}, waits...)
 	s.mu.Unlock()
-	if !ok || !v.Side().Most {
+	if !ok || !v.Partition().Majority {
 		return
 	}
 	got, err := log.Agree(command{Move: &at})
--- a/internal/fleet/work/service.go
+++ b/internal/fleet/work/service.go
@@ -217,16 +217,16 @@
 // gone reports whether a process is given up. A node that has begun a later incarnation has ended the one before it: its directory
 // belongs to one process at a time. Of an incarnation that the view has not heard of yet nobody can say.
 func gone(v *member.View, p process, known time.Duration) bool {
-	m, ok := v.Of(p.Name)
+	m, ok := v.Lookup(p.Name)
 	if !ok {
 		return known > knownAfter
 	}
 	switch incarnation := m.Incarnation.String(); {
 	case incarnation == p.Incarnation:
-		return !m.State.Here()
+		return !m.State.Present()
 	case strings.HasPrefix(p.Incarnation, m.Incarnation.Home+"/"):
 		number, err := strconv.ParseUint(p.Incarnation[len(m.Incarnation.Home)+1:], 10, 64)
-		if err == nil && m.Predecessor && m.State.Here() && number+1 == m.Incarnation.Number {
+		if err == nil && m.Predecessor && m.State.Present() && number+1 == m.Incarnation.Number {
 			return false // in an upgrade, the predecessor ends what it has in hand
 		}
 		return err != nil || number < m.Incarnation.Number
--- a/internal/lab/fleet/members.go
+++ b/internal/lab/fleet/members.go
@@ -198,7 +198,7 @@
 			if j.seen[name][viewer] || !j.w.nodes[viewer].runs() || b == nil || at-from < goneWithin || j.w.heavy > 0 {
 				continue
 			}
-			if m, _ := b.view.Of(name); m.State.Here() && m.Incarnation == j.incarnations[name] {
+			if m, _ := b.view.Lookup(name); m.State.Present() && m.Incarnation == j.incarnations[name] {
 				j.breaks("kept", at, "%s has %s as %s, which was killed %.1fs ago", viewer, name, m.State, (at - since).Seconds())
 				j.seen[name][viewer] = true
 			}
@@ -325,7 +325,7 @@
 			j.roll(at, l.Node, roll.Lost)
 		}
 	case "heard":
-		var reports map[string]member.Report
+		var reports map[string]member.ReceptionReport
 		if json.Unmarshal(l.Data, &reports) == nil {
 			j.heard(at, l.Node, reports)
 		}
@@ -348,7 +348,7 @@
 }
 
 // heard holds what a process had from others against the cuts: a rig that did not cut must say so.
-func (j *judge) heard(at time.Duration, node string, from map[string]member.Report) {
+func (j *judge) heard(at time.Duration, node string, from map[string]member.ReceptionReport) {
 	for sender, r := range from {
 		since, cut := j.hush[[2]string{sender, node}]
 		if j.w.nodes[sender] == nil || j.w.nodes[sender].twin || at < j.strangers[sender] {
@@ -396,7 +396,7 @@
 	if was.State == is.State || is.Name == viewer {
 		return
 	}
-	if since, waits := j.pending[is.Name]; waits && !is.State.Here() && !j.seen[is.Name][viewer] && since >= j.undisturbed[viewer] {
+	if since, waits := j.pending[is.Name]; waits && !is.State.Present() && !j.seen[is.Name][viewer] && since >= j.undisturbed[viewer] {
 		j.seen[is.Name][viewer] = true
 		j.out.Detect.add(at - since)
 	}
@@ -468,7 +468,7 @@
 				continue
 			}
 			m, known := b.of[other]
-			here := known && m.State.Here()
+			here := known && m.State.Present()
 			should := o.up && !o.stopped && part[other]
 			switch {
 			case here && !should:
--- a/internal/lab/fleet/members_test.go
+++ b/internal/lab/fleet/members_test.go
@@ -146,7 +146,7 @@
 		}, "agree"},
 		{"a cut that lets something through", func(x *tale) {
 			x.cut(10, false)
-			x.line(13, "n1", "heard", map[string]member.Report{"n3": {At: int64(at(12.5))}})
+			x.line(13, "n1", "heard", map[string]member.ReceptionReport{"n3": {At: int64(at(12.5))}})
 			x.cut(14, true)
 		}, "rig"},
 		{"a call gives up the dead", func(x *tale) {
@@ -162,7 +162,7 @@
 		{"a stranger who is not cut off", func(x *tale) {
 			x.happens(9, "n3", "twin")
 			x.cut(10, false)
-			x.line(13, "n1", "heard", map[string]member.Report{"n3": {At: int64(at(12.5))}})
+			x.line(13, "n1", "heard", map[string]member.ReceptionReport{"n3": {At: int64(at(12.5))}})
 			x.happens(13.5, "n3", "twin killed")
 			x.cut(14, true)
 		}, ""},
--- a/internal/lab/fleet/page.go
+++ b/internal/lab/fleet/page.go
@@ -121,8 +121,8 @@
 		if viewer == name || !j.w.nodes[viewer].runs() || b == nil {
 			continue
 		}
-		m, known := b.view.Of(name)
-		here := known && m.State.Here()
+		m, known := b.view.Lookup(name)
+		here := known && m.State.Present()
 		should := o.up && !o.stopped && j.w.part(viewer)[name]
 		if here == should {
 			right = append(right, viewer)
