--- a/cmd/olivefleet/fleet.go
+++ b/cmd/olivefleet/fleet.go
@@ -71,7 +71,7 @@
 	}
 	all.Service = member.New(config)
 	all.choices = choices.New(choices.Config{Name: c.Name, Signals: all.signals, Plan: subset.Plan{Copies: f.Choices.Copies, Least: f.Choices.Least},
-		Zones: c.Names.Zones, Next: all.Service.Next, Log: log, Record: config.Record})
+		Zones: c.NameIndex.Zones, Next: all.Service.Next, Log: log, Record: config.Record})
 	return all, nil
 }
 
@@ -80,7 +80,7 @@
 	o := f.file.Operators
 	f.rounds = operations.New(operations.Config{Name: c.Name, Voters: raftlog.VoterSet{Edition: o.Edition, Names: o.Voters},
 		Directory: m.Directory, Log: m.Log, Record: m.Record, View: func() *member.View { return f.Service.View() },
-		Others: func() []string { return f.Service.Others() },
+		Others: func() []string { return f.Service.KnownAddrs() },
 		DialAddr: func(addr string, channel byte, timeout time.Duration) (net.Conn, error) {
 			return f.Service.DialAddr(addr, channel, timeout)
 		},
@@ -101,7 +101,7 @@
 }
 
 // Operate implements node.Fleet.
-func (f *company) Operate(d node.FleetDesk) {
+func (f *company) Operate(d node.ServerControl) {
 	if f.rounds != nil {
 		f.rounds.Attach(d)
 	}
@@ -110,7 +110,7 @@
 // Do implements node.Fleet.
 func (f *company) Do(words []string) (string, error) {
 	if f.rounds == nil {
-		return "", admin.Unknown(admin.Fleet)
+		return "", admin.UnknownCommandError(admin.Fleet)
 	}
 	return f.rounds.Execute(words)
 }
@@ -118,25 +118,25 @@
 // signal makes the node's part in telling of peers.
 func (f *company) signal(name string, m *member.Config) {
 	f.signals = signals.New(signals.Config{Name: name, Witnesses: f.file.Choices.Witnesses, Record: m.Record,
-		Tell: func(from string, word []byte) { f.Service.Tell(from, word) },
+		Tell: func(from string, word []byte) { f.Service.Broadcast(from, word) },
 		Here: func(name string) bool {
-			who, known := f.Service.View().Of(name)
-			return known && who.State.Here()
+			who, known := f.Service.View().Lookup(name)
+			return known && who.State.Present()
 		}})
-	m.Hear = func(word []byte) { f.signals.Hear(word) }
+	m.OnMessage = func(word []byte) { f.signals.Hear(word) }
 	f.around(m, func(i member.Incarnation) { f.signals.Up(i.String()) }, f.signals.Down)
 }
 
 // around has one more part of the node's begin and end with its place.
 func (f *company) around(m *member.Config, begin func(member.Incarnation), end func()) {
-	up, down := m.Up, m.Down
-	m.Up = func(i member.Incarnation) {
+	up, down := m.OnJoin, m.OnLeave
+	m.OnJoin = func(i member.Incarnation) {
 		if up != nil {
 			up(i)
 		}
 		begin(i)
 	}
-	m.Down = func() {
+	m.OnLeave = func() {
 		if down != nil {
 			down()
 		}
@@ -151,7 +151,7 @@
 		Dial: func(name string, channel byte, timeout time.Duration) (net.Conn, error) {
 			return f.Service.Dial(name, channel, timeout)
 		}}
-	for range c.Names.Callers {
+	for range c.NameIndex.Tenants {
 		f.places = append(f.places, -1)
 	}
 	for i, one := range file.Budgets {
@@ -164,7 +164,7 @@
 			f.cold = i
 			continue
 		}
-		tenant, known := c.Names.Callers[one.Tenant]
+		tenant, known := c.NameIndex.Tenants[one.Tenant]
 		if !known {
 			return fmt.Errorf("fleet file %s: budget %q is for tenant %q, which the configuration does not know",
 				os.Getenv(protocol.EnvFleet), one.Name, one.Tenant)
@@ -172,8 +172,8 @@
 		f.places[tenant] = i
 	}
 	f.budgets = budget.New(b)
-	m.Up = func(i member.Incarnation) { f.budgets.Up(i.Home, i.Number) }
-	m.Down = f.budgets.Down
+	m.OnJoin = func(i member.Incarnation) { f.budgets.Up(i.Home, i.Number) }
+	m.OnLeave = f.budgets.Down
 	f.serve(m, budget.VotersChannel, f.budgets.ServeVoters)
 	f.serve(m, budget.BookChannel, f.budgets.ServeBook)
 	return nil
@@ -224,7 +224,7 @@
 }
 
 // Chooser implements node.Fleet.
-func (f *company) Chooser() routing.Chooser { return f.choices }
+func (f *company) Chooser() routing.SubsetSelector { return f.choices }
 
 // Left implements node.Fleet.
 func (f *company) Left() {
@@ -239,14 +239,14 @@
 }
 
 // Gate implements node.Fleet.
-func (f *company) Gate() routing.Gate {
+func (f *company) Gate() routing.AdmissionControl {
 	if f.budgets == nil {
 		return nil
 	}
 	return f
 }
 
-// Admit implements routing.Gate.
+// Admit implements routing.AdmissionControl.
 func (f *company) Admit(tenant int) (bool, time.Duration) {
 	if tenant < 0 || f.places[tenant] < 0 { // a request without a tenant, or whose tenant has no budget
 		return true, 0
@@ -254,7 +254,7 @@
 	return f.budgets.Admit(f.places[tenant])
 }
 
-// AdmitRetry implements routing.Gate.
+// AdmitRetry implements routing.AdmissionControl.
 func (f *company) AdmitRetry() bool {
 	if f.retries < 0 {
 		return true
@@ -263,13 +263,13 @@
 	return ok
 }
 
-// AdmitCold implements routing.Gate.
-func (f *company) AdmitCold(peer balancer.ServerID, units float64) bool {
+// AdmitWarmUp implements routing.AdmissionControl.
+func (f *company) AdmitWarmUp(peer balancer.ServerID, units float64) bool {
 	return f.cold < 0 || f.budgets.AdmitEach(f.cold, uint64(peer), units)
 }
 
-// Done implements routing.Gate.
-func (f *company) Done(tenant int) {
+// Release implements routing.AdmissionControl.
+func (f *company) Release(tenant int) {
 	if tenant >= 0 && f.places[tenant] >= 0 {
 		f.budgets.Release(f.places[tenant])
 	}
--- a/internal/fleet/callstore/leader.go
+++ b/internal/fleet/callstore/leader.go
@@ -113,12 +113,12 @@
 // that has begun a later incarnation has ended the one before it: its directory belongs to one process at a time. An
 // incarnation that the view has not heard of yet has not failed.
 func hasFailed(view *member.View, p process, known time.Duration) bool {
-	m, found := view.Of(p.Name)
+	m, found := view.Lookup(p.Name)
 	if !found {
 		return known > unknownMemberGrace
 	}
 	if m.Incarnation.String() == p.Incarnation {
-		return !m.State.Here()
+		return !m.State.Present()
 	}
 	digits, sameHome := strings.CutPrefix(p.Incarnation, m.Incarnation.Home+"/")
 	if !sameHome {
@@ -128,7 +128,7 @@
 	if err != nil {
 		return true
 	}
-	if m.Predecessor && m.State.Here() && number+1 == m.Incarnation.Number {
+	if m.Predecessor && m.State.Present() && number+1 == m.Incarnation.Number {
 		return false // in an upgrade, the predecessor completes its calls
 	}
 	return number < m.Incarnation.Number
--- a/internal/fleet/operations/leader.go
+++ b/internal/fleet/operations/leader.go
@@ -46,11 +46,11 @@
 func (s *Service) advance(log *raftlog.Log, r Round) {
 	view := s.config.View()
 	var members []Member
-	for _, m := range view.Here() {
+	for _, m := range view.Present() {
 		members = append(members, Member{Name: m.Name, Incarnation: m.Incarnation.String(), Predecessor: m.Predecessor})
 	}
 	step := AdvanceRequest{Round: r.ID, Position: r.Position, From: r.Step}
-	if !s.canAdvance(r, step, members) || !view.Side().Most {
+	if !s.canAdvance(r, step, members) || !view.Partition().Majority {
 		return
 	}
 	applied, err := log.Propose(command{Advance: &step})
--- a/internal/fleet/operations/operator.go
+++ b/internal/fleet/operations/operator.go
@@ -85,7 +85,7 @@
 	switch word {
 	case wordSuspend:
 		if !control.Known(name) {
-			return nil, maintenance.UnknownError(name)
+			return nil, maintenance.UnknownServerError(name)
 		}
 		return &command{Suspend: &ServerRequest{Server: name, By: s.config.Name}}, nil
 	case wordRestore:
@@ -106,7 +106,7 @@
 	}
 	for _, server := range servers {
 		if !control.Known(server) {
-			return nil, maintenance.UnknownError(server)
+			return nil, maintenance.UnknownServerError(server)
 		}
 	}
 	return &command{Begin: &BeginRoundRequest{Key: key, By: s.config.Name, Servers: servers, Hold: hold}}, nil
--- a/internal/lab/fleet/members_agreement.go
+++ b/internal/lab/fleet/members_agreement.go
@@ -38,7 +38,7 @@
 		j.truth.heavy > 0 {
 		return
 	}
-	if m, _ := v.view.view.Of(name); m.State.Here() && m.Incarnation == killed.incarnation {
+	if m, _ := v.view.view.Lookup(name); m.State.Present() && m.Incarnation == killed.incarnation {
 		j.report("kept", at, "%s has %s as %s, which was killed %.1fs ago",
 			viewer, name, m.State, (at - killed.killedAt).Seconds())
 		killed.killSeenBy[viewer] = true
@@ -99,7 +99,7 @@
 	if !actual.sure() || actual.up && !actual.serves {
 		return ""
 	}
-	here := known && m.State.Here()
+	here := known && m.State.Present()
 	should := actual.up && !actual.stopped && j.reaches(viewer, other)
 	switch {
 	case here && !should:
--- a/internal/lab/fleet/members_records.go
+++ b/internal/lab/fleet/members_records.go
@@ -34,7 +34,7 @@
 			j.checkMassFailure(at, line.Node, check.Lost)
 		}
 	case "heard":
-		var reports map[string]member.Report
+		var reports map[string]member.ReceptionReport
 		if json.Unmarshal(line.Data, &reports) == nil {
 			j.checkHeard(at, line.Node, reports)
 		}
@@ -77,7 +77,7 @@
 }
 
 // checkHeard holds what a process heard from others against the cuts: it finds cuts that the rig did not make.
-func (j *judge) checkHeard(at time.Duration, node string, reports map[string]member.Report) {
+func (j *judge) checkHeard(at time.Duration, node string, reports map[string]member.ReceptionReport) {
 	for sender, heard := range reports {
 		if j.truth.nodes[sender] == nil || j.truth.nodes[sender].twin || at < j.node(sender).strangerUntil {
 			continue // a stranger under its name, which is not cut off, is heard as it
@@ -137,7 +137,7 @@
 // measureDetection measures how long a viewer took to see that a node was killed.
 func (j *judge) measureDetection(at time.Duration, viewer string, is member.Member) {
 	n := j.node(is.Name)
-	if !n.killed || is.State.Here() || n.killSeenBy[viewer] || n.killedAt < j.node(viewer).undisturbedSince {
+	if !n.killed || is.State.Present() || n.killSeenBy[viewer] || n.killedAt < j.node(viewer).undisturbedSince {
 		return
 	}
 	n.killSeenBy[viewer] = true
--- a/internal/transport/uploadpace_test.go
+++ b/internal/transport/uploadpace_test.go
@@ -70,7 +70,7 @@
 					}
 				})
 				begun := time.Now()
-				u.send(t.Context(), out, []byte(head), routing.Try{Written: func() {}})
+				u.send(t.Context(), out, []byte(head), routing.Attempt{OnBodySent: func() {}})
 				late := errors.Is(u.refused, os.ErrDeadlineExceeded)
 				if u.whole.Load() != (c.fault == "") || late != (c.fault == client) || u.refused != nil && !late {
 					t.Errorf("whole: %v, refused: %v", u.whole.Load(), u.refused)
@@ -104,11 +104,11 @@
 func uploadInMemory(length int64) (u *upload, out *peerConn, client, peer net.Conn) {
 	log := slog.New(slog.DiscardHandler)
 	client, near := net.Pipe()
-	k := &clientConn{Conn: inMemory{pipe{near}}, all: newClients(nil, ClientBounds{}, log), since: time.Now(),
+	k := &clientConn{Conn: inMemory{pipe{near}}, all: newClients(nil, ClientLimits{}, log), since: time.Now(),
 		life: newLife(log, "client", "", func() {})}
 	k.deadlines.init()
 	r := &http.Request{Method: "POST", Body: io.NopCloser(io.LimitReader(k, length))}
-	u = new(Front).uploading(requestBody{Request: r, target: "/", length: length, k: k}, nil).up
+	u = new(Frontend).uploading(requestBody{Request: r, target: "/", length: length, k: k}, nil).up
 	to, peer := net.Pipe()
 	return u, &peerConn{Conn: pipe{to}, life: newLife(log, "peer", "", func() {})}, client, peer
 }
