--- a/cmd/olivelab/fleet.go
+++ b/cmd/olivelab/fleet.go
@@ -24,7 +24,7 @@
 
 // rig is a call of one of the commands that play a fleet of processes.
 type rig struct {
-	subject     fleet.Subject
+	subject     fleet.Scenario
 	nodes       int
 	seed        uint64
 	seeds       string
@@ -168,11 +168,11 @@
 	case r.hard != "":
 		return r.cases()
 	case r.seeds == "":
-		s, err := r.subject.Drama(r.seed, r.nodes, r.length)
+		s, err := r.subject.DemoScript(r.seed, r.nodes, r.length)
 		return []*fault.Script{s}, err
 	}
 	for seed := r.first; seed <= r.last; seed++ {
-		s, err := r.subject.Draw(seed, r.nodes, r.length)
+		s, err := r.subject.RandomScript(seed, r.nodes, r.length)
 		if err != nil {
 			return nil, err
 		}
@@ -192,7 +192,7 @@
 		first, last = r.first, r.last
 	}
 	for seed := first; seed <= last; seed++ {
-		s, err := hard.Script(seed, r.subject.World)
+		s, err := hard.Script(seed, r.subject.QuietScript)
 		if err != nil {
 			return nil, err
 		}
@@ -216,7 +216,7 @@
 }
 
 func subjectCommand(name, short, long string) *cobra.Command {
-	r := rig{subject: fleet.Subjects()[name]}
+	r := rig{subject: fleet.Scenarios()[name]}
 	c := &cobra.Command{Use: name, Short: short, Long: long, Args: cobra.NoArgs}
 	r.flags(c)
 	c.RunE = func(c *cobra.Command, _ []string) error {
@@ -275,7 +275,7 @@
 	if err != nil {
 		return err
 	}
-	var broken []fleet.Broken
+	var broken []fleet.Violation
 	for _, res := range results {
 		broken = append(broken, res.Outcome.Verdict()...)
 	}
@@ -351,7 +351,7 @@
 	defer os.RemoveAll(dir)
 	o := fleet.Options{Node: node, Dir: dir, Log: errs}
 	if r.seeds == "" {
-		o.Tell = func(line string) { fmt.Fprintln(errs, line) }
+		o.Progress = func(line string) { fmt.Fprintln(errs, line) }
 	}
 	fleet.Mutate(&o, r.mutant)
 	res, err := r.subject.Play(ctx, s, o)
--- a/internal/lab/fleet/account.go
+++ b/internal/lab/fleet/account.go
@@ -15,16 +15,16 @@
 	"olivebridge/internal/lab/live"
 )
 
-// Said is one call of an operator's, and what was answered; "": nobody did.
-type Said struct {
+// OperatorCall is one call of an operator's, and what was answered; "": nobody did.
+type OperatorCall struct {
 	At     time.Duration // when the answer was in, by the monotonic clock
 	Node   string
 	Line   string
 	Answer string
 }
 
-// Happened is one thing that was done to a process, or that it was seen to do, by the machine's monotonic clock.
-type Happened struct {
+// Event is one thing that was done to a process, or that it was seen to do, by the machine's monotonic clock.
+type Event struct {
 	At    time.Duration `json:"at"`
 	Node  string        `json:"node,omitempty"`
 	What  string        `json:"what"`
@@ -39,30 +39,30 @@
 
 // Account is all that is known of a run from outside, and what its processes recorded.
 type Account struct {
-	Names   []string
-	Begin   time.Duration // when clients were sent, by the monotonic clock
-	End     time.Duration
-	Events  []Happened
-	Lines   []record.Line // of all processes, in order
-	Came    []Came        // tries that came to peers, in order
-	Spared  []string      // tries that peers answered without having run them
-	Peers   []PeerEvent   // what happened to peers and others of the world, in order
-	Falls   int           // cold peers that were pushed over
-	Asked   []Asked       // work that a crowd of its own asked for
-	Said    []Said        // by operators
-	Probed  []Probed      // how many probes had come to all peers
-	Traffic Traffic
-	CPU     map[string]time.Duration
-	RSS     map[string]int64
-	Broken  []string // what the run itself found: crashes, refusals, rules of clients and peers
-	Machine error
-	Wall    time.Duration // the wall clock less the monotonic one
-	Tally   live.Tally
-	Periods int // of the wall clock, of countPeriod each, that the run was in
+	Names         []string
+	Begin         time.Duration // when clients were sent, by the monotonic clock
+	End           time.Duration
+	Events        []Event
+	Lines         []record.Line  // of all processes, in order
+	Arrivals      []Arrival      // tries that came to peers, in order
+	NotRun        []string       // tries that peers answered without having run them
+	Peers         []PeerEvent    // what happened to peers and others of the world, in order
+	Falls         int            // cold peers that were pushed over
+	ClientCalls   []ClientCall   // work that a crowd of its own asked for
+	OperatorCalls []OperatorCall // by operators
+	ProbeCounts   []ProbeCount   // how many probes had come to all peers
+	Traffic       Traffic
+	CPU           map[string]time.Duration
+	RSS           map[string]int64
+	Broken        []string // what the run itself found: crashes, refusals, rules of clients and peers
+	RunError      error
+	WallOffset    time.Duration // the wall clock less the monotonic one
+	Tally         live.Tally
+	Periods       int // of the wall clock, of countPeriod each, that the run was in
 }
 
 // Came is a try that came to a peer, or that one is done with.
-type Came struct {
+type Arrival struct {
 	At   time.Duration // by the monotonic clock
 	Peer string
 	Call string
@@ -76,14 +76,14 @@
 	What string
 }
 
-// Probed is how many probes had come to peers at some time.
-type Probed struct {
+// ProbeCount is how many probes had come to peers at some time.
+type ProbeCount struct {
 	At     time.Duration // by the monotonic clock
 	Probes int
 }
 
 // String is for people.
-func (e Happened) String() string {
+func (e Event) String() string {
 	switch {
 	case e.What == "clock wrong":
 		return fmt.Sprintf("%s has a wall clock that is wrong by %v", e.Node, e.Wrong)
--- a/internal/lab/fleet/amounts.go
+++ b/internal/lab/fleet/amounts.go
@@ -19,14 +19,14 @@
 )
 
 // inUseFile and countFile are what the fleet files say of such a budget.
-func inUseFile(s Says) string {
+func inUseFile(s FileValues) string {
 	return bookFile(s, 0) + fmt.Sprintf("[[budget]]\nname = %q\ntenant = \"acme\"\nkind = \"in-use\"\nmost = %d\n", budgetName,
-		int(inUseMost*s.Share))
+		int(inUseMost*s.AmountShare))
 }
 
-func countFile(s Says) string {
+func countFile(s FileValues) string {
 	return bookFile(s, 0.04) + fmt.Sprintf("[[budget]]\nname = %q\ntenant = \"acme\"\nkind = \"count\"\ncount = %d\nperiod = %q\n",
-		budgetName, int(countWhole*s.Share), countPeriod)
+		budgetName, int(countWhole*s.AmountShare), countPeriod)
 }
 
 // inUseWorld is budgetWorld with calls that take long enough for some to be in use at one time.
@@ -66,9 +66,9 @@
 	turnedAway   = 0.4
 )
 
-func retriesFile(s Says) string {
-	return bookFile(s, 0.04) + fmt.Sprintf("[[budget]]\nname = \"retries\"\nuse = \"retries\"\nrate = %.1f\nburst = %.1f\n", retriesRate*s.Share,
-		retriesBurst*s.Share)
+func retriesFile(s FileValues) string {
+	return bookFile(s, 0.04) + fmt.Sprintf("[[budget]]\nname = \"retries\"\nuse = \"retries\"\nrate = %.1f\nburst = %.1f\n", retriesRate*s.AmountShare,
+		retriesBurst*s.AmountShare)
 }
 
 // retriesWorld is one in which peers turn requests away nearly all of the time.
@@ -88,7 +88,7 @@
 	m := newAmount(a, "retries", int(retriesRate))
 	seen := map[string]bool{}
 	var more []time.Duration
-	for _, c := range a.Came {
+	for _, c := range a.Arrivals {
 		if c.Done || c.At > a.End {
 			continue
 		}
@@ -100,7 +100,7 @@
 	m.Most = len(more)
 	var at, wide time.Duration
 	if m.Over, at, wide = over(more, allowances(a).rate(retriesRate, retriesBurst)); m.Over > 1 {
-		m.Broken = append(m.Broken, Broken{"over", at - a.Begin, fmt.Sprintf("in %v, %.3f times the retries that are allowed came to peers",
+		m.Broken = append(m.Broken, Violation{"over", at - a.Begin, fmt.Sprintf("in %v, %.3f times the retries that are allowed came to peers",
 			wide, m.Over)})
 	}
 	from, to := a.Begin+8*time.Second, a.End-2*time.Second
@@ -111,28 +111,28 @@
 
 // Amount is what came of a budget of these kinds.
 type Amount struct {
-	Kind    string   `json:"kind"`
-	Nodes   int      `json:"nodes"`
-	Seconds float64  `json:"seconds"`
-	Whole   int      `json:"whole"`
-	Most    int      `json:"most"` // units that peers saw: at one time, or in all
-	Over    float64  `json:"over"` // that, of the whole
-	Use     float64  `json:"use"`  // of in-use the mean, once the book is kept; of a count what was used in the end
-	Asked   int      `json:"asked"`
-	Broken  []Broken `json:"broken"`
+	Kind    string      `json:"kind"`
+	Nodes   int         `json:"nodes"`
+	Seconds float64     `json:"seconds"`
+	Whole   int         `json:"whole"`
+	Most    int         `json:"most"` // units that peers saw: at one time, or in all
+	Over    float64     `json:"over"` // that, of the whole
+	Use     float64     `json:"use"`  // of in-use the mean, once the book is kept; of a count what was used in the end
+	Asked   int         `json:"asked"`
+	Broken  []Violation `json:"broken"`
 }
 
 func newAmount(a *Account, kind string, whole int) *Amount {
 	m := &Amount{Kind: kind, Nodes: len(a.Names), Seconds: (a.End - a.Begin).Seconds(), Whole: whole, Asked: a.Tally.Asked,
-		Broken: []Broken{}}
+		Broken: []Violation{}}
 	for _, w := range a.Broken {
-		m.Broken = append(m.Broken, Broken{"world", 0, w})
+		m.Broken = append(m.Broken, Violation{"world", 0, w})
 	}
-	if a.Machine != nil {
-		m.Broken = append(m.Broken, Broken{"rig", 0, a.Machine.Error()})
+	if a.RunError != nil {
+		m.Broken = append(m.Broken, Violation{"rig", 0, a.RunError.Error()})
 	}
 	wrongClocks(a, func(rule string, at time.Duration, format string, args ...any) {
-		m.Broken = append(m.Broken, Broken{rule, at - a.Begin, fmt.Sprintf(format, args...)})
+		m.Broken = append(m.Broken, Violation{rule, at - a.Begin, fmt.Sprintf(format, args...)})
 	})
 	return m
 }
@@ -145,10 +145,10 @@
 func JudgeInUse(a *Account) *Amount {
 	m := newAmount(a, "in-use", inUseMost)
 	held := map[string][]time.Duration{} // since when, of each try
-	var began []Came
+	var began []Arrival
 	now, area := 0, 0.0
 	last, from := a.Begin, a.Begin+8*time.Second
-	for _, c := range a.Came {
+	for _, c := range a.Arrivals {
 		if c.At > a.End {
 			break
 		}
@@ -173,7 +173,7 @@
 			now--
 		}
 		if m.Most = max(m.Most, now); now > inUseMost && len(m.Broken) < 20 {
-			m.Broken = append(m.Broken, Broken{"over", c.At - a.Begin, fmt.Sprintf("peers hold %d of %d", now, inUseMost)})
+			m.Broken = append(m.Broken, Violation{"over", c.At - a.Begin, fmt.Sprintf("peers hold %d of %d", now, inUseMost)})
 		}
 	}
 	m.Over = float64(m.Most) / inUseMost
@@ -192,11 +192,11 @@
 	m.Over = float64(m.Most) / countWhole
 	m.Use = min(m.Over, 1)
 	if m.Most > countWhole*a.Periods {
-		m.Broken = append(m.Broken, Broken{"over", came[countWhole*a.Periods] - a.Begin,
+		m.Broken = append(m.Broken, Violation{"over", came[countWhole*a.Periods] - a.Begin,
 			fmt.Sprintf("%d calls came to peers, of %d in each of %d periods", m.Most, countWhole, a.Periods)})
 	}
 	if countHistory(a) == porcupine.Illegal {
-		m.Broken = append(m.Broken, Broken{"history", a.End - a.Begin, "what the ledger gave fits no order of the asks"})
+		m.Broken = append(m.Broken, Violation{"history", a.End - a.Begin, "what the ledger gave fits no order of the asks"})
 	}
 	m.empty(a)
 	return m
@@ -204,12 +204,12 @@
 
 func (m *Amount) empty(a *Account) {
 	if m.Most == 0 {
-		m.Broken = append(m.Broken, Broken{"use", a.End - a.Begin, "nothing came to any peer"})
+		m.Broken = append(m.Broken, Violation{"use", a.End - a.Begin, "nothing came to any peer"})
 	}
 }
 
 // Verdict are the rules that did not hold.
-func (m *Amount) Verdict() []Broken { return m.Broken }
+func (m *Amount) Verdict() []Violation { return m.Broken }
 
 // Text is the result for people.
 func (m *Amount) Text(*Account) string {
--- a/internal/lab/fleet/budget.go
+++ b/internal/lab/fleet/budget.go
@@ -31,29 +31,29 @@
 	Newcomer float64 `json:"newcomer_s"`
 	Fixed    float64 `json:"fixed_use"` // use after the death, had each name a fixed part
 	// The same with today's way: each node takes the whole divided by the number of nodes that it was told at its start.
-	ToldUse   float64  `json:"told_use"`  // the least that the nodes that are there may use
-	ToldOver  float64  `json:"told_over"` // and the most
-	Arrivals  int      `json:"arrivals"`
-	Asked     int      `json:"asked"`
-	Handovers int      `json:"keepers"` // terms in which somebody kept the book
-	Each      []int    `json:"each_s"`  // what came to peers in each second
-	Lent      []int    `json:"lent_s"`  // what could be used at its end, in percent of the whole
-	Broken    []Broken `json:"broken"`
+	ToldUse   float64     `json:"told_use"`  // the least that the nodes that are there may use
+	ToldOver  float64     `json:"told_over"` // and the most
+	Arrivals  int         `json:"arrivals"`
+	Asked     int         `json:"asked"`
+	Handovers int         `json:"keepers"` // terms in which somebody kept the book
+	Each      []int       `json:"each_s"`  // what came to peers in each second
+	Lent      []int       `json:"lent_s"`  // what could be used at its end, in percent of the whole
+	Broken    []Violation `json:"broken"`
 }
 
 // JudgeBudget holds a run against the budget, by what peers received first.
 func JudgeBudget(a *Account) *Budget {
-	b := &Budget{Nodes: len(a.Names), Seconds: (a.End - a.Begin).Seconds(), Broken: []Broken{}}
+	b := &Budget{Nodes: len(a.Names), Seconds: (a.End - a.Begin).Seconds(), Broken: []Violation{}}
 	breaks := func(rule string, at time.Duration, format string, args ...any) {
 		if len(b.Broken) < 20 {
-			b.Broken = append(b.Broken, Broken{rule, at - a.Begin, fmt.Sprintf(format, args...)})
+			b.Broken = append(b.Broken, Violation{rule, at - a.Begin, fmt.Sprintf(format, args...)})
 		}
 	}
 	for _, w := range a.Broken {
 		breaks("world", a.Begin, "%s", w)
 	}
-	if a.Machine != nil {
-		breaks("rig", a.Begin, "%v", a.Machine)
+	if a.RunError != nil {
+		breaks("rig", a.Begin, "%v", a.RunError)
 	}
 	first := firsts(a)
 	b.Arrivals, b.Asked = len(first), a.Tally.Asked
@@ -73,7 +73,7 @@
 	}
 	b.uses(a, first)
 	b.shares(a)
-	replaced := slices.ContainsFunc(a.Events, func(e Happened) bool { return e.What == "keepers" })
+	replaced := slices.ContainsFunc(a.Events, func(e Event) bool { return e.What == "keepers" })
 	if replaced && b.UseAfter < leastReplaced {
 		breaks("book", a.End, "of the whole %.3f was used from 10 s after a change on, though lost voters were replaced", b.UseAfter)
 	}
@@ -88,7 +88,7 @@
 const leastReplaced = 0.5
 
 // Verdict are the rules that did not hold.
-func (b *Budget) Verdict() []Broken { return b.Broken }
+func (b *Budget) Verdict() []Violation { return b.Broken }
 
 // Text is the result for people.
 func (b *Budget) Text(*Account) string {
--- a/internal/lab/fleet/budget_allowance.go
+++ b/internal/lab/fleet/budget_allowance.go
@@ -12,7 +12,7 @@
 
 // Allowance is which share of a budget's amount is allowed when: of two that follow each other the greater, until the
 // old one is settled.
-type Allowance []Happened
+type Allowance []Event
 
 func allowances(a *Account) (all Allowance) {
 	for _, e := range a.Events {
--- a/internal/lab/fleet/budget_script.go
+++ b/internal/lab/fleet/budget_script.go
@@ -10,14 +10,14 @@
 )
 
 // bookFile is what the fleet files of a run say of the book.
-func bookFile(s Says, reserve float64) string {
-	return fmt.Sprintf("\n[book]\n%slease = %q\nreserve = %.2f\nseats = %d\n\n", s.voters(), budgetLease, reserve, s.Nodes)
+func bookFile(s FileValues, reserve float64) string {
+	return fmt.Sprintf("\n[book]\n%slease = %q\nreserve = %.2f\nseats = %d\n\n", s.votersTable(), budgetLease, reserve, s.Nodes)
 }
 
 // BudgetFile is what they say of the budget.
-func BudgetFile(s Says) string {
+func BudgetFile(s FileValues) string {
 	return bookFile(s, 0.04) + fmt.Sprintf("[[budget]]\nname = %q\ntenant = \"acme\"\nrate = %.1f\nburst = %.1f\n", budgetName,
-		budgetRate*s.Share, budgetBurst*s.Share)
+		budgetRate*s.AmountShare, budgetBurst*s.AmountShare)
 }
 
 // budgetWorld is a script without faults in which one tenant asks for more than the budget.
@@ -40,8 +40,8 @@
 	return s
 }
 
-// BudgetDrama is the script that shows a budget: one process is killed, and starts again; which, and when, is drawn.
-func BudgetDrama(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
+// BudgetDemoScript is the script that shows a budget: one process is killed, and starts again; which, and when, is drawn.
+func BudgetDemoScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	if nodes < 2 || length < 20*time.Second {
 		return nil, fmt.Errorf("%d nodes and %v: at least 2 and 20s are wanted", nodes, length)
 	}
@@ -53,9 +53,9 @@
 	return s, s.Check()
 }
 
-// BudgetDraw is the script of a seed: faults of all kinds while the budget is asked for.
-func BudgetDraw(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
-	drawn, err := Draw(seed, nodes, length)
+// BudgetRandomScript is the script of a seed: faults of all kinds while the budget is asked for.
+func BudgetRandomScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
+	drawn, err := RandomScript(seed, nodes, length)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/fleet/budget_test.go
+++ b/internal/lab/fleet/budget_test.go
@@ -15,11 +15,11 @@
 // arrivals are calls that come to peers, so many a second, one after the other.
 func arrivals(a *Account, from, to, rate float64) {
 	for s := from; s < to; s += 1 / rate {
-		a.Came = append(a.Came, Came{At: at(s), Call: time.Duration(len(a.Came)).String()})
+		a.Arrivals = append(a.Arrivals, Arrival{At: at(s), Call: time.Duration(len(a.Arrivals)).String()})
 	}
 }
 
-func holds(x *tale, s float64, node string, h budget.Holding) {
+func holds(x *runBuilder, s float64, node string, h budget.Holding) {
 	h.Ends = int64(at(s) + h.Left)
 	x.line(s, node, "holds", []budget.Holding{h})
 }
@@ -52,40 +52,40 @@
 func TestTheJudgeOfBudgets(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		tell   func(x *tale)
+		tell   func(x *runBuilder)
 		broken string
 	}{
-		{"the rate is kept", func(x *tale) { arrivals(x.a, 2, 59, budgetRate) }, ""},
-		{"a burst", func(x *tale) { arrivals(x.a, 2, 59, 100); arrivals(x.a, 30, 30.01, 5000) }, ""},
-		{"too large a burst", func(x *tale) { arrivals(x.a, 2, 59, 100); arrivals(x.a, 30, 30.1, 900) }, "over"},
-		{"the rate is too high", func(x *tale) { arrivals(x.a, 2, 59, budgetRate*1.3) }, "over"},
-		{"nothing comes", func(*tale) {}, "use"},
-		{"two parts that are more than the whole", func(x *tale) {
+		{"the rate is kept", func(x *runBuilder) { arrivals(x.a, 2, 59, budgetRate) }, ""},
+		{"a burst", func(x *runBuilder) { arrivals(x.a, 2, 59, 100); arrivals(x.a, 30, 30.01, 5000) }, ""},
+		{"too large a burst", func(x *runBuilder) { arrivals(x.a, 2, 59, 100); arrivals(x.a, 30, 30.1, 900) }, "over"},
+		{"the rate is too high", func(x *runBuilder) { arrivals(x.a, 2, 59, budgetRate*1.3) }, "over"},
+		{"nothing comes", func(*runBuilder) {}, "use"},
+		{"two parts that are more than the whole", func(x *runBuilder) {
 			arrivals(x.a, 2, 59, 100)
 			holds(x, 20, "n1", budget.Holding{Amount: 80, Left: 2 * time.Second})
 			holds(x, 21, "n2", budget.Holding{Amount: 80, Left: 2 * time.Second})
 		}, "share"},
-		{"one after the other", func(x *tale) {
+		{"one after the other", func(x *runBuilder) {
 			arrivals(x.a, 2, 59, 100)
 			holds(x, 20, "n1", budget.Holding{Amount: 80, Left: 2 * time.Second})
 			holds(x, 22.1, "n2", budget.Holding{Amount: 80, Left: 2 * time.Second})
 		}, ""},
-		{"one that is killed uses nothing", func(x *tale) {
+		{"one that is killed uses nothing", func(x *runBuilder) {
 			arrivals(x.a, 2, 59, 100)
 			holds(x, 20, "n1", budget.Holding{Amount: 80, Left: 2 * time.Second})
-			x.a.Events = append(x.a.Events, Happened{At: at(20.5), Node: "n1", What: "killed", PID: int("n1"[1])})
+			x.a.Events = append(x.a.Events, Event{At: at(20.5), Node: "n1", What: "killed", PID: int("n1"[1])})
 			holds(x, 21, "n2", budget.Holding{Amount: 80, Left: 2 * time.Second})
 		}, ""},
-		{"a part that is held longer than it is counted", func(x *tale) {
+		{"a part that is held longer than it is counted", func(x *runBuilder) {
 			arrivals(x.a, 2, 59, 100)
 			x.line(20, "n2", "lends", budget.Lent{Holder: "n1", Grant: 7, Until: int64(at(22))})
 			holds(x, 20.5, "n1", budget.Holding{Amount: 10, Left: 1600 * time.Millisecond, Grant: 7})
 		}, "lease"},
 	} {
-		x := newTale(t)
+		x := newRunBuilder(t)
 		c.tell(x)
 		slices.SortStableFunc(x.a.Lines, func(a, b record.Line) int { return int(a.At - b.At) })
-		slices.SortStableFunc(x.a.Came, func(a, b Came) int { return int(a.At - b.At) })
+		slices.SortStableFunc(x.a.Arrivals, func(a, b Arrival) int { return int(a.At - b.At) })
 		b := JudgeBudget(x.a)
 		if (len(b.Broken) == 0) != (c.broken == "") || c.broken != "" && b.Broken[0].Rule != c.broken {
 			t.Errorf("%s: %v", c.name, b.Broken)
@@ -94,20 +94,20 @@
 }
 
 func TestTheJudgeOfAmounts(t *testing.T) {
-	x := newTale(t)
+	x := newRunBuilder(t)
 	for i := range inUseMost + 1 {
-		x.a.Came = append(x.a.Came, Came{At: at(20 + float64(i)/100), Call: time.Duration(i).String()})
+		x.a.Arrivals = append(x.a.Arrivals, Arrival{At: at(20 + float64(i)/100), Call: time.Duration(i).String()})
 	}
 	if m := JudgeInUse(x.a); m.Most != inUseMost+1 || len(m.Broken) != 1 || m.Broken[0].Rule != "over" {
 		t.Errorf("%+v", m)
 	}
-	x.a.Came[inUseMost].At = at(20.03) // by then one is done with
-	x.a.Came = slices.Insert(x.a.Came, 3, Came{At: at(20.025), Call: x.a.Came[0].Call, Done: true})
-	slices.SortStableFunc(x.a.Came, func(a, b Came) int { return int(a.At - b.At) })
+	x.a.Arrivals[inUseMost].At = at(20.03) // by then one is done with
+	x.a.Arrivals = slices.Insert(x.a.Arrivals, 3, Arrival{At: at(20.025), Call: x.a.Arrivals[0].Call, Done: true})
+	slices.SortStableFunc(x.a.Arrivals, func(a, b Arrival) int { return int(a.At - b.At) })
 	if m := JudgeInUse(x.a); m.Most != inUseMost || len(m.Broken) != 0 {
 		t.Errorf("%+v", m)
 	}
-	x = newTale(t)
+	x = newRunBuilder(t)
 	x.a.Periods = 1
 	arrivals(x.a, 2, 50, 60)
 	if m := JudgeCount(x.a); len(m.Broken) != 1 || m.Broken[0].Rule != "over" {
@@ -134,7 +134,7 @@
 		{"a lost ask", []budget.Counted{{Ask: budget.CountAsk{Period: 1, Need: 100}},
 			{Ask: budget.CountAsk{Period: 1, Need: 50}, Got: got(50, countWhole-50), Known: true}}, porcupine.Ok},
 	} {
-		x := newTale(t)
+		x := newRunBuilder(t)
 		for i, one := range c.tell {
 			one.Began = int64(at(20 + float64(i)))
 			x.line(20.5+float64(i), "n1", "counted", one)
--- a/internal/lab/fleet/budget_use.go
+++ b/internal/lab/fleet/budget_use.go
@@ -12,7 +12,7 @@
 // firsts are the instants at which each call first came to a peer.
 func firsts(a *Account) (all []time.Duration) {
 	seen := map[string]bool{}
-	for _, c := range a.Came {
+	for _, c := range a.Arrivals {
 		if !c.Done && !seen[c.Call] && c.At <= a.End {
 			seen[c.Call] = true
 			all = append(all, c.At)
--- a/internal/lab/fleet/choices.go
+++ b/internal/lab/fleet/choices.go
@@ -58,7 +58,7 @@
 // choicesDrama is the script that shows choices: one process is killed, and starts again.
 func choicesDrama(peers int) func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
-		drama, err := BudgetDrama(seed, nodes, length)
+		drama, err := BudgetDemoScript(seed, nodes, length)
 		if err != nil {
 			return nil, err
 		}
@@ -89,13 +89,13 @@
 }
 
 // ChoicesSubject is how what all processes choose adds up on so many peers. With copies each works with some of them.
-func ChoicesSubject(peers, copies, least int) Subject {
+func ChoicesSubject(peers, copies, least int) Scenario {
 	more := ""
 	if copies > 0 {
 		more = fmt.Sprintf("\n[choices]\ncopies = %d\nleast = %d\n", copies, least)
 	}
-	return Subject{"choices", choicesDrama(peers), choicesDraw(peers), choicesWorld(peers), nil,
-		func(Says) string { return more }, func(s *fault.Script, a *Account) Outcome { return JudgeChoices(s, a) }, nil, nil}
+	return Scenario{"choices", choicesDrama(peers), choicesDraw(peers), choicesWorld(peers), nil,
+		func(FileValues) string { return more }, func(s *fault.Script, a *Account) Outcome { return JudgeChoices(s, a) }, nil, nil}
 }
 
 // Choices is how what all processes chose fell on the peers.
@@ -112,13 +112,13 @@
 	IdlestAny  float64 `json:"idlest_over_mean_any"`
 	// The same, had each try gone to any peer by chance alone: less than that no choice reaches that does not know of the
 	// others'.
-	Chance    Chance   `json:"chance"`
-	ChanceAny Chance   `json:"chance_any"`
-	Starved   []string `json:"starved"` // peers without a try for anyWindow while they were sound; at most 20 are told
-	Probes    float64  `json:"probes_s"`
-	CPU       float64  `json:"cpu_share"` // of a core, of a process
-	Each      []int    `json:"each_s"`    // tries in each second
-	Broken    []Broken `json:"broken"`
+	Chance    Chance      `json:"chance"`
+	ChanceAny Chance      `json:"chance_any"`
+	Starved   []string    `json:"starved"` // peers without a try for anyWindow while they were sound; at most 20 are told
+	Probes    float64     `json:"probes_s"`
+	CPU       float64     `json:"cpu_share"` // of a core, of a process
+	Each      []int       `json:"each_s"`    // tries in each second
+	Broken    []Violation `json:"broken"`
 }
 
 // Chance is what chance alone gives.
@@ -137,24 +137,24 @@
 
 // JudgeChoices looks at how a run's tries fell on the peers.
 func JudgeChoices(s *fault.Script, a *Account) *Choices {
-	c := &Choices{Nodes: len(a.Names), Peers: len(s.World.Peers), Seconds: (a.End - a.Begin).Seconds(), Broken: []Broken{}, Starved: []string{}}
+	c := &Choices{Nodes: len(a.Names), Peers: len(s.World.Peers), Seconds: (a.End - a.Begin).Seconds(), Broken: []Violation{}, Starved: []string{}}
 	breaks := func(rule string, at time.Duration, format string, args ...any) {
 		if len(c.Broken) < 20 {
-			c.Broken = append(c.Broken, Broken{rule, at - a.Begin, fmt.Sprintf(format, args...)})
+			c.Broken = append(c.Broken, Violation{rule, at - a.Begin, fmt.Sprintf(format, args...)})
 		}
 	}
 	for _, w := range a.Broken {
 		breaks("world", a.Begin, "%s", w)
 	}
-	if a.Machine != nil {
-		breaks("rig", a.Begin, "%v", a.Machine)
+	if a.RunError != nil {
+		breaks("rig", a.Begin, "%v", a.RunError)
 	}
 	u := &sums{a: a, s: s, place: map[string]int{}, came: make([][]time.Duration, len(s.World.Peers))}
 	for i, p := range s.World.Peers {
 		u.place[p.Name] = i
 	}
 	c.Each = make([]int, int(c.Seconds))
-	for _, came := range a.Came {
+	for _, came := range a.Arrivals {
 		if i, known := u.place[came.Peer]; known && !came.Done && came.At >= a.Begin && came.At < a.End {
 			u.came[i] = append(u.came[i], came.At)
 			c.Tries++
@@ -293,7 +293,7 @@
 
 // probes is how many came to all peers a second.
 func (u *sums) probes() float64 {
-	all := slices.DeleteFunc(slices.Clone(u.a.Probed), func(p Probed) bool { return p.At < u.a.Begin || p.At > u.a.End })
+	all := slices.DeleteFunc(slices.Clone(u.a.ProbeCounts), func(p ProbeCount) bool { return p.At < u.a.Begin || p.At > u.a.End })
 	if len(all) < 2 {
 		return 0
 	}
@@ -311,7 +311,7 @@
 }
 
 // Verdict are the rules that did not hold.
-func (c *Choices) Verdict() []Broken { return c.Broken }
+func (c *Choices) Verdict() []Violation { return c.Broken }
 
 // Text is the result for people.
 func (c *Choices) Text(*Account) string {
--- a/internal/lab/fleet/choices_test.go
+++ b/internal/lab/fleet/choices_test.go
@@ -32,7 +32,7 @@
 		for r := range rounds {
 			for p, peer := range s.World.Peers {
 				if !c.skips(p, r) {
-					a.Came = append(a.Came, Came{At: time.Hour + time.Duration(r)*length/rounds, Peer: peer.Name})
+					a.Arrivals = append(a.Arrivals, Arrival{At: time.Hour + time.Duration(r)*length/rounds, Peer: peer.Name})
 				}
 			}
 		}
@@ -46,7 +46,7 @@
 	}
 }
 
-func ruleOf(all []Broken) string {
+func ruleOf(all []Violation) string {
 	if len(all) == 0 {
 		return ""
 	}
--- a/internal/lab/fleet/clocks.go
+++ b/internal/lab/fleet/clocks.go
@@ -21,7 +21,7 @@
 		if l.Kind != "wall" || !slices.Contains(a.Names, l.Node) || json.Unmarshal(l.Data, &wall) != nil {
 			continue
 		}
-		wrong := time.Duration(wall-l.At) - a.Wall
+		wrong := time.Duration(wall-l.At) - a.WallOffset
 		if due := a.wrong(l); (wrong - due).Abs() > clockSlack {
 			breaks("rig", time.Duration(l.At), "the wall clock of %s was to be wrong by %v, and is by %v", l.Node, due, wrong.Round(time.Second))
 		}
--- a/internal/lab/fleet/cold.go
+++ b/internal/lab/fleet/cold.go
@@ -19,9 +19,9 @@
 
 func coldBurst(nodes int) float64 { return float64(nodes + coldSpare) }
 
-func coldFile(s Says) string {
+func coldFile(s FileValues) string {
 	return bookFile(s, 0.04) + fmt.Sprintf("[[budget]]\nname = \"cold\"\nuse = \"cold-peers\"\nrate = %.1f\nburst = %.1f\n",
-		coldRate*s.Share, coldBurst(s.Nodes))
+		coldRate*s.AmountShare, coldBurst(s.Nodes))
 }
 
 // coldLead is when the first peer may die: a leader has been elected by then, and processes have learnt what warm peers carry.
@@ -51,25 +51,25 @@
 }
 
 // ColdSubject is what all processes send to cold peers. Without the budget each guesses its part.
-func ColdSubject(shared bool) Subject {
+func ColdSubject(shared bool) Scenario {
 	more := coldFile
 	if !shared {
-		more = func(Says) string { return "" }
+		more = func(FileValues) string { return "" }
 	}
-	return Subject{"cold", coldWith(BudgetDrama), coldWith(BudgetDraw), budgetWorld, BudgetCases(), more,
+	return Scenario{"cold", coldWith(BudgetDemoScript), coldWith(BudgetRandomScript), budgetWorld, BudgetCases(), more,
 		func(s *fault.Script, a *Account) Outcome { return JudgeCold(s, a, shared) }, nil, nil}
 }
 
 // Cold is what came of it.
 type Cold struct {
-	Nodes   int      `json:"nodes"`
-	Seconds float64  `json:"seconds"`
-	Starts  int      `json:"starts"` // of peers, cold
-	Over    float64  `json:"over"`   // greatest part of what any window allows that came to a cold peer, its tries by what they cost
-	Use     float64  `json:"use"`    // of what was allowed, the mean from 2 to 8 s after starts
-	Tries   int      `json:"tries"`  // that came to cold peers
-	Falls   int      `json:"falls"`  // of them, pushed over
-	Broken  []Broken `json:"broken"`
+	Nodes   int         `json:"nodes"`
+	Seconds float64     `json:"seconds"`
+	Starts  int         `json:"starts"` // of peers, cold
+	Over    float64     `json:"over"`   // greatest part of what any window allows that came to a cold peer, its tries by what they cost
+	Use     float64     `json:"use"`    // of what was allowed, the mean from 2 to 8 s after starts
+	Tries   int         `json:"tries"`  // that came to cold peers
+	Falls   int         `json:"falls"`  // of them, pushed over
+	Broken  []Violation `json:"broken"`
 }
 
 // coldTime is one time for which a peer was cold, from when its start was listed.
@@ -123,7 +123,7 @@
 		c.Starts++
 		var at []time.Duration
 		var costs []float64
-		for _, came := range a.Came {
+		for _, came := range a.Arrivals {
 			if !came.Done && came.Peer == one.peer && came.At >= one.from && came.At < one.till && came.At <= a.End {
 				at, costs = append(at, came.At), append(costs, one.cost(s, came.At))
 			}
@@ -131,7 +131,7 @@
 		c.Tries += len(at)
 		if part, when, wide := costly(at, costs, coldBurst(len(a.Names))); part > c.Over {
 			if c.Over = part; shared && part > 1 {
-				c.Broken = append(c.Broken, Broken{"over", when - a.Begin,
+				c.Broken = append(c.Broken, Violation{"over", when - a.Begin,
 					fmt.Sprintf("in %v, %.3f times what is allowed came to the cold peer %s", wide, part, one.peer)})
 			}
 		}
@@ -148,7 +148,7 @@
 		c.Use = used / looked
 	}
 	if c.Tries == 0 {
-		c.Broken = append(c.Broken, Broken{"use", a.End - a.Begin, "nothing came to any cold peer"})
+		c.Broken = append(c.Broken, Violation{"use", a.End - a.Begin, "nothing came to any cold peer"})
 	}
 	return c
 }
@@ -172,7 +172,7 @@
 }
 
 // Verdict are the rules that did not hold.
-func (c *Cold) Verdict() []Broken { return c.Broken }
+func (c *Cold) Verdict() []Violation { return c.Broken }
 
 // Text is the result for people.
 func (c *Cold) Text(*Account) string {
--- a/internal/lab/fleet/fleet_files.go
+++ b/internal/lab/fleet/fleet_files.go
@@ -28,16 +28,16 @@
 	envClockError = "OLIVEFLEET_WALL"
 )
 
-// Says are the values of the fleet files that a script changes.
-type Says struct {
-	Nodes   int
-	Share   float64  // of the amounts of budgets
-	Voters  []string // of every log
-	Edition int      // of the voters
+// FileValues are the values of the fleet files that a script changes.
+type FileValues struct {
+	Nodes       int
+	AmountShare float64  // of the amounts of budgets
+	Voters      []string // of every log
+	Edition     int      // of the voters
 }
 
-// voters are the voters as lines of a table of a fleet file.
-func (s Says) voters() string {
+// votersTable are the voters as lines of a table of a fleet file.
+func (s FileValues) votersTable() string {
 	var names []string
 	for _, name := range s.Voters {
 		names = append(names, fmt.Sprintf("%q", name))
@@ -49,13 +49,13 @@
 const maxVoters = 3
 
 // firstValues are the values at first: an odd number of voters.
-func firstValues(names []string) Says {
+func firstValues(names []string) FileValues {
 	odd := len(names) - 1 + len(names)%2
-	return Says{
-		Nodes:   len(names),
-		Share:   1,
-		Voters:  slices.Clone(names[:min(maxVoters, odd)]),
-		Edition: 1,
+	return FileValues{
+		Nodes:       len(names),
+		AmountShare: 1,
+		Voters:      slices.Clone(names[:min(maxVoters, odd)]),
+		Edition:     1,
 	}
 }
 
@@ -126,7 +126,7 @@
 // writeFile writes a fleet file at once or not at all: a process may read it just now.
 func (g *rig) writeFile(path, text string) error {
 	next := path + ".new"
-	if err := os.WriteFile(next, []byte(text+g.options.More(g.values)), fileMode); err != nil {
+	if err := os.WriteFile(next, []byte(text+g.options.ExtraTables(g.values)), fileMode); err != nil {
 		return err
 	}
 	return os.Rename(next, path)
@@ -134,19 +134,19 @@
 
 // Amounts implements live.Fleet.
 func (g *rig) Amounts(share float64) (int, error) {
-	g.values.Share = share
-	return g.rewriteFiles(Happened{What: "amounts", Share: share})
+	g.values.AmountShare = share
+	return g.rewriteFiles(Event{What: "amounts", Share: share})
 }
 
 // Voters implements live.Fleet.
 func (g *rig) Voters(names []string) (int, error) {
 	g.values.Voters = names
 	g.values.Edition++
-	return g.rewriteFiles(Happened{What: "keepers", To: names})
+	return g.rewriteFiles(Event{What: "keepers", To: names})
 }
 
 // rewriteFiles writes all fleet files anew, and returns how often that was done.
-func (g *rig) rewriteFiles(e Happened) (int, error) {
+func (g *rig) rewriteFiles(e Event) (int, error) {
 	g.rewrites++
 	for path, text := range g.files {
 		if err := g.writeFile(path, text); err != nil {
--- a/internal/lab/fleet/members.go
+++ b/internal/lab/fleet/members.go
@@ -32,14 +32,14 @@
 	stopTakes = 100 * time.Millisecond
 )
 
-// Broken is a rule that did not hold.
-type Broken struct {
+// Violation is a rule that did not hold.
+type Violation struct {
 	Rule string        `json:"rule"`
 	At   time.Duration `json:"at"` // since the script's beginning
 	What string        `json:"what"`
 }
 
-func (b Broken) String() string {
+func (b Violation) String() string {
 	return fmt.Sprintf("%s at %.2fs: %s", b.Rule, b.At.Seconds(), b.What)
 }
 
@@ -50,20 +50,20 @@
 
 // Members is what came of a run.
 type Members struct {
-	Nodes       int      `json:"nodes"`
-	Seconds     float64  `json:"seconds"`
-	Agree       Times    `json:"agree_s"`  // from a change until all views agree
-	Detect      Times    `json:"detect_s"` // from a kill until a view has it
-	Changes     int      `json:"changes"`
-	Unsettled   int      `json:"unsettled"`    // changes that the next one came before
-	BriefDeaths int      `json:"brief_deaths"` // processes called dead that stood still for 1 s at most
-	FalseDeaths int      `json:"false_deaths"`
-	Flaps       int      `json:"flaps"` // suspicions of processes that were well
-	Bytes       float64  `json:"bytes_s"`
-	CPU         float64  `json:"cpu_share"`
-	RSS         float64  `json:"rss_mb"`
-	Dropped     int64    `json:"dropped"`
-	Broken      []Broken `json:"broken"`
+	Nodes       int         `json:"nodes"`
+	Seconds     float64     `json:"seconds"`
+	Agree       Times       `json:"agree_s"`  // from a change until all views agree
+	Detect      Times       `json:"detect_s"` // from a kill until a view has it
+	Changes     int         `json:"changes"`
+	Unsettled   int         `json:"unsettled"`    // changes that the next one came before
+	BriefDeaths int         `json:"brief_deaths"` // processes called dead that stood still for 1 s at most
+	FalseDeaths int         `json:"false_deaths"`
+	Flaps       int         `json:"flaps"` // suspicions of processes that were well
+	Bytes       float64     `json:"bytes_s"`
+	CPU         float64     `json:"cpu_share"`
+	RSS         float64     `json:"rss_mb"`
+	Dropped     int64       `json:"dropped"`
+	Broken      []Violation `json:"broken"`
 }
 
 // Times are some lengths of time, in seconds.
@@ -76,7 +76,7 @@
 
 func (t *Times) add(d time.Duration) { t.all = append(t.all, d) }
 
-func (t *Times) done() {
+func (t *Times) summarize() {
 	slices.Sort(t.all)
 	t.Count = len(t.all)
 	if t.Count > 0 {
@@ -89,7 +89,7 @@
 type judge struct {
 	account *Account
 	result  *Members
-	truth   *walk                      // how things are with the nodes
+	truth   *timeline                  // how things are with the nodes
 	nodes   map[string]*nodeHistory    // by name, also of strangers; see node
 	observe func(at time.Duration)     // called before each line of the records; nil: not
 	cutAt   map[nodePair]time.Duration // since when messages between two nodes are cut
@@ -157,9 +157,9 @@
 		result: &Members{
 			Nodes:   len(a.Names),
 			Seconds: (a.End - a.Begin).Seconds(),
-			Broken:  []Broken{},
+			Broken:  []Violation{},
 		},
-		truth: &walk{truth: newTruth(a.Names), events: a.Events},
+		truth: &timeline{truth: newTruth(a.Names), events: a.Events},
 		nodes: map[string]*nodeHistory{},
 		cutAt: map[nodePair]time.Duration{},
 	}
@@ -181,8 +181,8 @@
 	for _, broken := range a.Broken {
 		j.report("world", a.Begin, "%s", broken)
 	}
-	if a.Machine != nil {
-		j.report("rig", a.Begin, "%v", a.Machine)
+	if a.RunError != nil {
+		j.report("rig", a.Begin, "%v", a.RunError)
 	}
 	wrongClocks(a, j.report)
 	for _, line := range a.Lines {
@@ -205,7 +205,7 @@
 // report notes that a rule did not hold.
 func (j *judge) report(rule string, at time.Duration, format string, args ...any) {
 	if len(j.result.Broken) < maxBroken {
-		broken := Broken{Rule: rule, At: at - j.account.Begin, What: fmt.Sprintf(format, args...)}
+		broken := Violation{Rule: rule, At: at - j.account.Begin, What: fmt.Sprintf(format, args...)}
 		j.result.Broken = append(j.result.Broken, broken)
 	}
 }
@@ -219,8 +219,8 @@
 // finish measures what the events and records do not show.
 func (j *judge) finish() {
 	result := j.result
-	result.Agree.done()
-	result.Detect.done()
+	result.Agree.summarize()
+	result.Detect.summarize()
 	span := (j.account.End - j.account.Begin).Seconds()
 	nodes := float64(len(j.account.Names))
 	result.Dropped = j.account.Traffic.Dropped
--- a/internal/lab/fleet/members_agreement.go
+++ b/internal/lab/fleet/members_agreement.go
@@ -10,7 +10,7 @@
 // checkOverdue finds views that should have followed a change by now.
 func (j *judge) checkOverdue(at time.Duration) {
 	j.checkDeadRemoved(at)
-	if j.viewsAgree || j.reportedDifference || !j.truth.even() || j.changedAt == 0 || at-j.changedAt < agreeWithin {
+	if j.viewsAgree || j.reportedDifference || !j.truth.isSymmetric() || j.changedAt == 0 || at-j.changedAt < agreeWithin {
 		return
 	}
 	j.reportedDifference = true
@@ -34,8 +34,8 @@
 func (j *judge) checkDeadRemovedBy(at time.Duration, viewer, name string, killed *nodeHistory) {
 	v := j.node(viewer)
 	from := max(killed.killedAt, v.undisturbedSince, j.impairedAt)
-	if killed.killSeenBy[viewer] || !j.truth.nodes[viewer].runs() || v.view == nil || at-from < goneWithin ||
-		j.truth.heavy > 0 {
+	if killed.killSeenBy[viewer] || !j.truth.nodes[viewer].canBelieve() || v.view == nil || at-from < goneWithin ||
+		j.truth.heavyLosses > 0 {
 		return
 	}
 	if m, _ := v.view.view.Lookup(name); m.State.Present() && m.Incarnation == killed.incarnation {
@@ -47,13 +47,13 @@
 
 // reaches reports whether messages get from one node to another, over others if need be.
 func (j *judge) reaches(from, to string) bool {
-	return j.truth.part(from)[to]
+	return j.truth.reachableFrom(from)[to]
 }
 
 // checkAgreement notes when all views have come to agree, and finds that they agree no more though nothing has
 // happened.
 func (j *judge) checkAgreement(at time.Duration) {
-	if !j.truth.even() || j.changedAt == 0 {
+	if !j.truth.isSymmetric() || j.changedAt == 0 {
 		return
 	}
 	difference := j.difference()
@@ -73,7 +73,7 @@
 // difference is where a view is not as it should be; "": all are.
 func (j *judge) difference() string {
 	for _, viewer := range j.account.Names {
-		if !j.truth.nodes[viewer].runs() {
+		if !j.truth.nodes[viewer].canBelieve() {
 			continue
 		}
 		view := j.node(viewer).view
@@ -96,11 +96,11 @@
 // memberDifference is how a member of a view is not as it should be; "": it is, or one cannot say.
 func (j *judge) memberDifference(viewer, other string, m member.Member, known bool) string {
 	actual := j.truth.nodes[other]
-	if !actual.sure() || actual.up && !actual.serves {
+	if !actual.isCertain() || actual.running && !actual.serving {
 		return ""
 	}
 	here := known && m.State.Present()
-	should := actual.up && !actual.stopped && j.reaches(viewer, other)
+	should := actual.running && !actual.stopped && j.reaches(viewer, other)
 	switch {
 	case here && !should:
 		return fmt.Sprintf("%s has %s as %s, which is not there", viewer, other, m.State)
--- a/internal/lab/fleet/members_events.go
+++ b/internal/lab/fleet/members_events.go
@@ -23,7 +23,7 @@
 	return false
 }
 
-func (j *judge) applyEvent(e Happened) {
+func (j *judge) applyEvent(e Event) {
 	before := j.truth.nodes[e.Node]
 	wasLeaving := before != nil && before.leaving
 	j.truth.apply(e)
@@ -50,7 +50,7 @@
 }
 
 // apply notes what happened to the node.
-func (n *nodeHistory) apply(e Happened, wasLeaving bool) {
+func (n *nodeHistory) apply(e Event, wasLeaving bool) {
 	switch e.What {
 	case "killed":
 		n.leftAsPlanned = false
@@ -86,7 +86,7 @@
 	}
 }
 
-func (j *judge) noteCut(e Happened) {
+func (j *judge) noteCut(e Event) {
 	for _, from := range e.From {
 		for _, to := range e.To {
 			j.cutAt[nodePair{from, to}] = e.At
@@ -94,10 +94,10 @@
 	}
 }
 
-func (j *judge) noteHealed(e Happened) {
+func (j *judge) noteHealed(e Event) {
 	for _, from := range e.From {
 		for _, to := range e.To {
-			if j.truth.open(from, to) {
+			if j.truth.isOpen(from, to) {
 				delete(j.cutAt, nodePair{from, to})
 			}
 		}
@@ -105,7 +105,7 @@
 }
 
 // noteChange notes that views have something to follow from now on.
-func (j *judge) noteChange(e Happened) {
+func (j *judge) noteChange(e Event) {
 	if e.What != "serves" && e.What != "told SIGTERM" && j.changedAt > 0 {
 		j.result.Changes++
 		if !j.viewsAgree {
@@ -119,7 +119,7 @@
 		}
 	}
 	recovers := e.What == "cut healed" || e.What == "ail over" || e.What == "goes on"
-	if !j.truth.whole() || j.anyStopped() || recovers {
+	if !j.truth.isIntact() || j.anyStopped() || recovers {
 		j.disturbedAt = e.At
 	}
 	j.checkAgreement(e.At)
--- a/internal/lab/fleet/members_records.go
+++ b/internal/lab/fleet/members_records.go
@@ -63,13 +63,13 @@
 func (j *judge) checkMassFailure(at time.Duration, checker string, lost []string) {
 	for _, name := range lost {
 		n := j.truth.nodes[name]
-		if n == nil || j.truth.nodes[checker] == nil || j.truth.ails > 0 {
+		if n == nil || j.truth.nodes[checker] == nil || j.truth.impairments > 0 {
 			continue
 		}
 		if at-j.node(name).touchedAt < massCheckTakes || at-j.node(checker).touchedAt < massCheckTakes {
 			continue
 		}
-		if n.runs() && !n.twin && j.reaches(checker, name) {
+		if n.canBelieve() && !n.hasStranger && j.reaches(checker, name) {
 			j.result.FalseDeaths++
 			j.report("false", at, "%s calls the roll, and gives up %s, which others reach", checker, name)
 		}
@@ -79,11 +79,11 @@
 // checkHeard holds what a process heard from others against the cuts: it finds cuts that the rig did not make.
 func (j *judge) checkHeard(at time.Duration, node string, reports map[string]member.ReceptionReport) {
 	for sender, heard := range reports {
-		if j.truth.nodes[sender] == nil || j.truth.nodes[sender].twin || at < j.node(sender).strangerUntil {
+		if j.truth.nodes[sender] == nil || j.truth.nodes[sender].hasStranger || at < j.node(sender).strangerUntil {
 			continue // a stranger under its name, which is not cut off, is heard as it
 		}
 		cutAt, cut := j.cutAt[nodePair{sender, node}]
-		if !cut || j.truth.ails > 0 || j.node(node).resumedAt >= cutAt {
+		if !cut || j.truth.impairments > 0 || j.node(node).resumedAt >= cutAt {
 			continue
 		}
 		if last := time.Duration(heard.At); last > cutAt+inFlightTime && last <= at {
@@ -148,10 +148,10 @@
 func (j *judge) checkBriefStop(at time.Duration, viewer string, is member.Member) {
 	n := j.node(is.Name)
 	actual := j.truth.nodes[is.Name]
-	if is.State != member.Dead || !n.wasStoppedBriefly || at-n.resumedAt >= calmFor || !j.truth.whole() {
+	if is.State != member.Dead || !n.wasStoppedBriefly || at-n.resumedAt >= calmFor || !j.truth.isIntact() {
 		return
 	}
-	if actual.up && !actual.leaving && is.Incarnation == n.incarnation &&
+	if actual.running && !actual.leaving && is.Incarnation == n.incarnation &&
 		j.node(viewer).undisturbedSince <= n.resumedAt {
 		j.result.BriefDeaths++
 		j.report("false", at, "%s calls %s dead, which stood still for 1 s at most", viewer, is.Name)
@@ -178,7 +178,7 @@
 func (j *judge) isWell(at time.Duration, viewer string, is member.Member) bool {
 	n := j.node(is.Name)
 	actual := j.truth.nodes[is.Name]
-	runs := actual.up && !actual.stopped && !actual.leaving && !actual.twin
+	runs := actual.running && !actual.stopped && !actual.leaving && !actual.hasStranger
 	settled := at >= n.settledAt && at >= j.node(viewer).settledAt
 	return runs && settled && is.Incarnation == n.incarnation && j.reaches(viewer, is.Name)
 }
@@ -186,15 +186,15 @@
 func (j *judge) checkDead(at time.Duration, viewer string, is member.Member) {
 	n := j.node(is.Name)
 	actual := j.truth.nodes[is.Name]
-	if j.isWell(at, viewer, is) && actual.serves && n.holderHasView() {
+	if j.isWell(at, viewer, is) && actual.serving && n.holderHasView() {
 		j.result.FalseDeaths++
-		if at-j.disturbedAt > calmFor && j.truth.heavy == 0 {
+		if at-j.disturbedAt > calmFor && j.truth.heavyLosses == 0 {
 			j.report("false", at, "%s calls %s dead, which is well", viewer, is.Name)
 		}
 		return
 	}
 	heardOfLeave := n.endedAt-j.disturbedAt > quietFor && at >= j.node(viewer).settledAt
-	if n.leftAsPlanned && !actual.up && heardOfLeave {
+	if n.leftAsPlanned && !actual.running && heardOfLeave {
 		j.report("told", at, "%s calls %s dead, which left as planned", viewer, is.Name)
 	}
 }
@@ -205,7 +205,7 @@
 	switch {
 	case j.isWell(at, viewer, is) && at-j.disturbedAt > calmFor:
 		j.report("told", at, "%s says that %s has left, which is well", viewer, is.Name)
-	case !n.leftAsPlanned && !actual.up && n.endedAt > 0:
+	case !n.leftAsPlanned && !actual.running && n.endedAt > 0:
 		j.report("told", at, "%s says that %s left as planned, which was killed", viewer, is.Name)
 	}
 }
--- a/internal/lab/fleet/members_test.go
+++ b/internal/lab/fleet/members_test.go
@@ -12,16 +12,16 @@
 	"olivebridge/internal/lab/fault"
 )
 
-// tale is a run that is told by hand: three processes that found each other at once.
-type tale struct {
+// runBuilder is a run that is told by hand: three processes that found each other at once.
+type runBuilder struct {
 	t      *testing.T
 	a      *Account
 	number map[string]uint64
 	view   map[string][]member.Member
 }
 
-func newTale(t *testing.T) *tale {
-	x := &tale{t: t, a: &Account{Names: []string{"n1", "n2", "n3"}, Begin: time.Second, End: 60 * time.Second},
+func newRunBuilder(t *testing.T) *runBuilder {
+	x := &runBuilder{t: t, a: &Account{Names: []string{"n1", "n2", "n3"}, Begin: time.Second, End: 60 * time.Second},
 		number: map[string]uint64{}, view: map[string][]member.Member{}}
 	for _, n := range x.a.Names {
 		x.happens(1, n, "started")
@@ -37,11 +37,11 @@
 
 func at(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func (x *tale) happens(s float64, node, what string) {
-	x.a.Events = append(x.a.Events, Happened{At: at(s), Node: node, What: what})
+func (x *runBuilder) happens(s float64, node, what string) {
+	x.a.Events = append(x.a.Events, Event{At: at(s), Node: node, What: what})
 }
 
-func (x *tale) line(s float64, node, kind string, data any) {
+func (x *runBuilder) line(s float64, node, kind string, data any) {
 	b, err := json.Marshal(data)
 	if err != nil {
 		x.t.Fatal(err)
@@ -49,13 +49,13 @@
 	x.a.Lines = append(x.a.Lines, record.Line{At: int64(at(s)), Node: node, PID: int(node[1]), Kind: kind, Data: b})
 }
 
-func (x *tale) show(s float64, node string) {
+func (x *runBuilder) show(s float64, node string) {
 	x.number[node]++
 	x.line(s, node, "view", member.View{Number: x.number[node], Self: node, Members: slices.Clone(x.view[node])})
 }
 
 // believes lets a process change its mind about another.
-func (x *tale) believes(s float64, node, of string, state member.State) {
+func (x *runBuilder) believes(s float64, node, of string, state member.State) {
 	for i := range x.view[node] {
 		if x.view[node][i].Name == of {
 			x.view[node][i].State = state
@@ -65,30 +65,30 @@
 }
 
 // cut cuts n3 off, both ways.
-func (x *tale) cut(s float64, ended bool) {
+func (x *runBuilder) cut(s float64, ended bool) {
 	what := map[bool]string{false: "cut", true: "cut healed"}[ended]
-	for _, e := range []Happened{{From: []string{"n3"}, To: []string{"n1", "n2"}}, {From: []string{"n1", "n2"}, To: []string{"n3"}}} {
+	for _, e := range []Event{{From: []string{"n3"}, To: []string{"n1", "n2"}}, {From: []string{"n1", "n2"}, To: []string{"n3"}}} {
 		e.At, e.What, e.Ended = at(s), what, ended
 		x.a.Events = append(x.a.Events, e)
 	}
 }
 
 // apart cuts n1 and n3 apart, both ways; n2 reaches both.
-func (x *tale) apart(s float64, ended bool) {
+func (x *runBuilder) apart(s float64, ended bool) {
 	what := map[bool]string{false: "cut", true: "cut healed"}[ended]
 	both := []string{"n1", "n3"}
-	x.a.Events = append(x.a.Events, Happened{At: at(s), What: what, From: both, To: both, Ended: ended})
+	x.a.Events = append(x.a.Events, Event{At: at(s), What: what, From: both, To: both, Ended: ended})
 }
 
-func (x *tale) judged() *Members {
+func (x *runBuilder) judged() *Members {
 	slices.SortStableFunc(x.a.Lines, func(a, b record.Line) int { return int(a.At - b.At) })
-	slices.SortStableFunc(x.a.Events, func(a, b Happened) int { return int(a.At - b.At) })
+	slices.SortStableFunc(x.a.Events, func(a, b Event) int { return int(a.At - b.At) })
 	return JudgeMembers(x.a)
 }
 
 // Each rule is broken by what breaks it, and by nothing else.
-func TestTheJudge(t *testing.T) {
-	all := func(x *tale, s float64, of string, state member.State) {
+func TestMembersJudge(t *testing.T) {
+	all := func(x *runBuilder, s float64, of string, state member.State) {
 		for _, n := range x.a.Names {
 			if n != of {
 				x.believes(s, n, of, state)
@@ -97,37 +97,37 @@
 	}
 	for _, c := range []struct {
 		name   string
-		tell   func(x *tale)
+		tell   func(x *runBuilder)
 		broken string // the rule; empty: held
 	}{
-		{"nothing happens", func(*tale) {}, ""},
-		{"a death is seen", func(x *tale) { x.happens(10, "n3", "killed"); all(x, 13, "n3", member.Dead) }, ""},
-		{"a death is seen by one alone", func(x *tale) {
+		{"nothing happens", func(*runBuilder) {}, ""},
+		{"a death is seen", func(x *runBuilder) { x.happens(10, "n3", "killed"); all(x, 13, "n3", member.Dead) }, ""},
+		{"a death is seen by one alone", func(x *runBuilder) {
 			x.happens(10, "n3", "killed")
 			x.believes(13, "n1", "n3", member.Dead)
 		}, "agree"},
-		{"the dead are kept", func(x *tale) {
+		{"the dead are kept", func(x *runBuilder) {
 			x.happens(10, "n3", "killed")
 			x.happens(19, "n3", "started")
 		}, "kept"},
-		{"a death is told as a leave", func(x *tale) { x.happens(10, "n3", "killed"); all(x, 13, "n3", member.Left) }, "told"},
-		{"a leave is seen", func(x *tale) {
+		{"a death is told as a leave", func(x *runBuilder) { x.happens(10, "n3", "killed"); all(x, 13, "n3", member.Left) }, "told"},
+		{"a leave is seen", func(x *runBuilder) {
 			x.happens(30, "n3", "told SIGTERM")
 			all(x, 30.1, "n3", member.Leaving)
 			x.happens(31, "n3", "ended")
 			all(x, 31.1, "n3", member.Left)
 		}, ""},
-		{"a leave is told as a death", func(x *tale) {
+		{"a leave is told as a death", func(x *runBuilder) {
 			x.happens(30, "n3", "told SIGTERM")
 			x.happens(31, "n3", "ended")
 			all(x, 33, "n3", member.Dead)
 		}, "told"},
-		{"the well is called dead", func(x *tale) {
+		{"the well is called dead", func(x *runBuilder) {
 			x.believes(30, "n1", "n3", member.Dead)
 			x.believes(31, "n1", "n3", member.Alive)
 		}, "false"},
-		{"the well is called left", func(x *tale) { x.believes(30, "n1", "n3", member.Left) }, "told"},
-		{"a cut is seen and healed", func(x *tale) {
+		{"the well is called left", func(x *runBuilder) { x.believes(30, "n1", "n3", member.Left) }, "told"},
+		{"a cut is seen and healed", func(x *runBuilder) {
 			x.cut(10, false)
 			all(x, 13, "n3", member.Dead)
 			x.believes(13, "n3", "n1", member.Dead)
@@ -137,67 +137,67 @@
 			x.believes(33, "n3", "n1", member.Alive)
 			x.believes(33, "n3", "n2", member.Alive)
 		}, ""},
-		{"a cut is never got over", func(x *tale) {
+		{"a cut is never got over", func(x *runBuilder) {
 			x.cut(10, false)
 			all(x, 13, "n3", member.Dead)
 			x.believes(13, "n3", "n1", member.Dead)
 			x.believes(13, "n3", "n2", member.Dead)
 			x.cut(30, true)
 		}, "agree"},
-		{"a cut that lets something through", func(x *tale) {
+		{"a cut that lets something through", func(x *runBuilder) {
 			x.cut(10, false)
 			x.line(13, "n1", "heard", map[string]member.ReceptionReport{"n3": {At: int64(at(12.5))}})
 			x.cut(14, true)
 		}, "rig"},
-		{"a call gives up the dead", func(x *tale) {
+		{"a call gives up the dead", func(x *runBuilder) {
 			x.happens(10, "n3", "killed")
 			x.line(13, "n1", "roll", map[string]any{"lost": []string{"n3"}})
 			all(x, 13, "n3", member.Dead)
 		}, ""},
-		{"a call gives up one whom others reach", func(x *tale) {
+		{"a call gives up one whom others reach", func(x *runBuilder) {
 			x.apart(10, false)
 			x.line(16, "n1", "roll", map[string]any{"lost": []string{"n3"}})
 			x.apart(17, true)
 		}, "false"},
-		{"a stranger who is not cut off", func(x *tale) {
+		{"a stranger who is not cut off", func(x *runBuilder) {
 			x.happens(9, "n3", "twin")
 			x.cut(10, false)
 			x.line(13, "n1", "heard", map[string]member.ReceptionReport{"n3": {At: int64(at(12.5))}})
 			x.happens(13.5, "n3", "twin killed")
 			x.cut(14, true)
 		}, ""},
-		{"an early incarnation", func(x *tale) {
+		{"an early incarnation", func(x *runBuilder) {
 			x.view["n1"][2].Incarnation.Number = 2
 			x.show(30, "n1")
 			x.view["n1"][2].Incarnation.Number = 1
 			x.show(31, "n1")
 		}, "life"},
-		{"a start that does not count", func(x *tale) { x.line(30, "n1", "took", member.Incarnation{Home: "n1", Number: 1}) }, "life"},
-		{"one too many", func(x *tale) {
+		{"a start that does not count", func(x *runBuilder) { x.line(30, "n1", "took", member.Incarnation{Home: "n1", Number: 1}) }, "life"},
+		{"one too many", func(x *runBuilder) {
 			x.view["n1"] = append(x.view["n1"], member.Member{Name: "n3.2", State: member.Alive})
 			x.show(30, "n1")
 		}, "twice"},
-		{"views out of order", func(x *tale) { x.number["n1"] = 0; x.show(30, "n1") }, "order"},
-		{"a stopped process goes on", func(x *tale) {
+		{"views out of order", func(x *runBuilder) { x.number["n1"] = 0; x.show(30, "n1") }, "order"},
+		{"a stopped process goes on", func(x *runBuilder) {
 			x.happens(30, "n1", "stopped")
 			x.show(31, "n1")
 			x.happens(31.5, "n1", "goes on")
 		}, "rig"},
-		{"chance takes nothing", func(x *tale) { x.a.Traffic = Traffic{ExpectedLost: 200} }, "rig"},
-		{"a crash", func(x *tale) { x.a.Broken = []string{"crash at 1s"} }, "world"},
+		{"chance takes nothing", func(x *runBuilder) { x.a.Traffic = Traffic{ExpectedLost: 200} }, "rig"},
+		{"a crash", func(x *runBuilder) { x.a.Broken = []string{"crash at 1s"} }, "world"},
 	} {
-		x := newTale(t)
+		x := newRunBuilder(t)
 		c.tell(x)
 		m := x.judged()
 		if (len(m.Broken) == 0) != (c.broken == "") || c.broken != "" &&
-			!slices.ContainsFunc(m.Broken, func(b Broken) bool { return b.Rule == c.broken }) {
+			!slices.ContainsFunc(m.Broken, func(b Violation) bool { return b.Rule == c.broken }) {
 			t.Errorf("%s: %v", c.name, m.Broken)
 		}
 	}
 }
 
-func TestFigures(t *testing.T) {
-	x := newTale(t)
+func TestMembersFigures(t *testing.T) {
+	x := newRunBuilder(t)
 	x.happens(10, "n3", "killed")
 	x.believes(12, "n1", "n3", member.Dead)
 	x.believes(13, "n2", "n3", member.Dead)
@@ -216,10 +216,10 @@
 }
 
 // Every script that is drawn can be played, and leaves time to see that its faults are over.
-func TestScripts(t *testing.T) {
+func TestScriptsLeaveTimeToSettle(t *testing.T) {
 	kinds := map[string]bool{}
 	for seed := range uint64(300) {
-		s, err := Draw(seed, 5, 32*time.Second)
+		s, err := RandomScript(seed, 5, 32*time.Second)
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
@@ -229,7 +229,7 @@
 				t.Errorf("seed %d: %s lasts until %v", seed, f.Kind, f.Ends().D())
 			}
 		}
-		if _, err := Drama(seed, 5, 30*time.Second); err != nil {
+		if _, err := DemoScript(seed, 5, 30*time.Second); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
 	}
@@ -238,7 +238,7 @@
 			t.Errorf("%s is never drawn", k.Name)
 		}
 	}
-	if _, err := Drama(1, 3, 30*time.Second); err == nil {
+	if _, err := DemoScript(1, 3, 30*time.Second); err == nil {
 		t.Error("a drama of three")
 	}
 }
--- a/internal/lab/fleet/page.go
+++ b/internal/lab/fleet/page.go
@@ -87,15 +87,15 @@
 		n := j.truth.nodes[name]
 		class, title := "down", name+" does not run"
 		switch {
-		case n.up && n.stopped:
+		case n.running && n.stopped:
 			class, title = "still", name+" stands still"
-		case n.up && n.leaving:
+		case n.running && n.leaving:
 			class, title = "leaving", name+" is ending"
-		case n.up && len(j.truth.part(name)) < running(j.truth.truth):
+		case n.running && len(j.truth.reachableFrom(name)) < running(j.truth.truth):
 			class, title = "cut", name+" is cut off from some"
-		case n.up && n.twin:
+		case n.running && n.hasStranger:
 			class, title = "twin", "a stranger lives under the name of "+name
-		case n.up:
+		case n.running:
 			class, title = "up", name+" runs"
 		}
 		d.draw("life "+name, class, title, at, y+4, 14)
@@ -105,7 +105,7 @@
 
 func running(t *truth) (n int) {
 	for _, l := range t.nodes {
-		if l.up && !l.stopped {
+		if l.running && !l.stopped {
 			n++
 		}
 	}
@@ -118,12 +118,12 @@
 	var right, wrong []string
 	for _, viewer := range d.a.Names {
 		b := j.node(viewer).view
-		if viewer == name || !j.truth.nodes[viewer].runs() || b == nil {
+		if viewer == name || !j.truth.nodes[viewer].canBelieve() || b == nil {
 			continue
 		}
 		m, known := b.view.Lookup(name)
 		here := known && m.State.Present()
-		should := o.up && !o.stopped && j.truth.part(viewer)[name]
+		should := o.running && !o.stopped && j.truth.reachableFrom(viewer)[name]
 		if here == should {
 			right = append(right, viewer)
 		} else {
--- a/internal/lab/fleet/result.go
+++ b/internal/lab/fleet/result.go
@@ -26,35 +26,35 @@
 
 // Outcome is what a judge made of a run.
 type Outcome interface {
-	Verdict() []Broken
+	Verdict() []Violation
 	Text(a *Account) string      // for people
 	Line(s *fault.Script) string // the same in one line
 }
 
-// Subject is what a fleet is played for.
-type Subject struct {
-	Name  string
-	Drama func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) // that shows it
-	Draw  func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) // with faults of all kinds
-	World func(seed uint64, nodes int, length time.Duration) *fault.Script          // without faults
-	Cases []Case
-	More  func(Says) string // what the fleet files say besides
-	Judge func(s *fault.Script, a *Account) Outcome
-	Crowd func(ctx context.Context, nodes map[string]string, s *fault.Script) []Asked // see Options; may be nil
-
-	Operators func(ctx context.Context, doors func(node string) string, s *fault.Script) []Said // the same
+// Scenario is what a fleet is played for.
+type Scenario struct {
+	Name         string
+	DemoScript   func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) // that shows it
+	RandomScript func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) // with faults of all kinds
+	QuietScript  func(seed uint64, nodes int, length time.Duration) *fault.Script          // without faults
+	Cases        []Case
+	ExtraTables  func(FileValues) string // what the fleet files say besides
+	Judge        func(s *fault.Script, a *Account) Outcome
+	Clients      func(ctx context.Context, nodes map[string]string, s *fault.Script) []ClientCall // see Options; may be nil
+
+	Operators func(ctx context.Context, doors func(node string) string, s *fault.Script) []OperatorCall // the same
 }
 
-// Subjects are all there are.
-func Subjects() map[string]Subject {
-	return map[string]Subject{
-		"members": {"members", Drama, Draw, world, MemberCases(), func(Says) string { return "" }, func(_ *fault.Script, a *Account) Outcome { return JudgeMembers(a) }, nil, nil},
-		"budget":  {"budget", BudgetDrama, BudgetDraw, budgetWorld, append(BudgetCases(), amountsCase()), BudgetFile, func(_ *fault.Script, a *Account) Outcome { return JudgeBudget(a) }, nil, nil},
-		"in-use": {"in-use", drawnIn(inUseWorld, BudgetDrama), drawnIn(inUseWorld, Draw), inUseWorld, append(BudgetCases(), restartsCase()), inUseFile,
+// Scenarios are all there are.
+func Scenarios() map[string]Scenario {
+	return map[string]Scenario{
+		"members": {"members", DemoScript, RandomScript, quietScript, MemberCases(), func(FileValues) string { return "" }, func(_ *fault.Script, a *Account) Outcome { return JudgeMembers(a) }, nil, nil},
+		"budget":  {"budget", BudgetDemoScript, BudgetRandomScript, budgetWorld, append(BudgetCases(), amountsCase()), BudgetFile, func(_ *fault.Script, a *Account) Outcome { return JudgeBudget(a) }, nil, nil},
+		"in-use": {"in-use", drawnIn(inUseWorld, BudgetDemoScript), drawnIn(inUseWorld, RandomScript), inUseWorld, append(BudgetCases(), restartsCase()), inUseFile,
 			func(_ *fault.Script, a *Account) Outcome { return JudgeInUse(a) }, nil, nil},
-		"count": {"count", drawnIn(budgetWorld, BudgetDrama), drawnIn(budgetWorld, Draw), budgetWorld, BudgetCases(), countFile,
+		"count": {"count", drawnIn(budgetWorld, BudgetDemoScript), drawnIn(budgetWorld, RandomScript), budgetWorld, BudgetCases(), countFile,
 			func(_ *fault.Script, a *Account) Outcome { return JudgeCount(a) }, nil, nil},
-		"retries": {"retries", drawnIn(retriesWorld, BudgetDrama), drawnIn(retriesWorld, Draw), retriesWorld, BudgetCases(), retriesFile,
+		"retries": {"retries", drawnIn(retriesWorld, BudgetDemoScript), drawnIn(retriesWorld, RandomScript), retriesWorld, BudgetCases(), retriesFile,
 			func(_ *fault.Script, a *Account) Outcome { return JudgeRetries(a) }, nil, nil},
 		"cold":     ColdSubject(true),
 		"signals":  SignalsSubject(40, signalWitnesses),
@@ -65,9 +65,9 @@
 }
 
 // Play plays a script for the subject.
-func (s Subject) Play(ctx context.Context, script *fault.Script, o Options) (*Result, error) {
-	o.Crowd, o.Operators = s.Crowd, s.Operators
-	o.More = s.More
+func (s Scenario) Play(ctx context.Context, script *fault.Script, o Options) (*Result, error) {
+	o.Clients, o.Operators = s.Clients, s.Operators
+	o.ExtraTables = s.ExtraTables
 	a, err := Play(ctx, script, o)
 	if err != nil {
 		return nil, err
@@ -91,14 +91,14 @@
 // Mutate makes the processes, or the rig, a mutant; "": none.
 func Mutate(o *Options, name string) {
 	if name == leak {
-		o.Leak = true
+		o.IgnoreCuts = true
 		return
 	}
 	o.Mutant = name
 }
 
 // verdict is what the rules that did not hold come to, in a few words.
-func verdict(broken []Broken) string {
+func verdict(broken []Violation) string {
 	if len(broken) == 0 {
 		return "held"
 	}
@@ -106,7 +106,7 @@
 }
 
 // Verdict are the rules that did not hold.
-func (m *Members) Verdict() []Broken { return m.Broken }
+func (m *Members) Verdict() []Violation { return m.Broken }
 
 // Line is the result in one line.
 func (m *Members) Line(s *fault.Script) string {
@@ -124,15 +124,15 @@
 		n := j.truth.nodes[name]
 		is := "does not run"
 		switch {
-		case n.up && n.stopped:
+		case n.running && n.stopped:
 			is = "stands still"
-		case n.up && n.leaving:
+		case n.running && n.leaving:
 			is = "is ending"
-		case n.up:
+		case n.running:
 			is = "runs"
 		}
 		fmt.Fprintf(&b, "  %-6s %-13s", name, is)
-		if v := j.node(name).view; v != nil && n.up {
+		if v := j.node(name).view; v != nil && n.running {
 			fmt.Fprintf(&b, " believes in %s", v.view.String())
 		}
 		fmt.Fprintln(&b)
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -15,18 +15,18 @@
 
 // Options say how a script is played.
 type Options struct {
-	Node   string            // the node's program, with olivefleet beside it
-	Dir    string            // for everything that the processes write
-	Log    io.Writer         // what goes wrong with the run itself; may be nil
-	Tell   func(line string) // progress; may be nil
-	Mutant string            // that every process is, which a program built for that knows
-	Leak   bool              // the rig is a mutant: cuts are not made
+	Node       string            // the node's program, with olivefleet beside it
+	Dir        string            // for everything that the processes write
+	Log        io.Writer         // what goes wrong with the run itself; may be nil
+	Progress   func(line string) // progress; may be nil
+	Mutant     string            // that every process is, which a program built for that knows
+	IgnoreCuts bool              // the rig is a mutant: cuts are not made
 	// More is what the fleet files say besides; nil: nothing.
-	More func(Says) string
+	ExtraTables func(FileValues) string
 	// Crowd asks the nodes, which it knows by name and address, for work until the script is over; nil: there is none.
-	Crowd func(ctx context.Context, nodes map[string]string, s *fault.Script) []Asked
+	Clients func(ctx context.Context, nodes map[string]string, s *fault.Script) []ClientCall
 	// Operators call at the nodes' doors until the script is over; nil: nobody does.
-	Operators func(ctx context.Context, doors func(node string) string, s *fault.Script) []Said
+	Operators func(ctx context.Context, doors func(node string) string, s *fault.Script) []OperatorCall
 }
 
 // rig is what stands around the processes of one run. Its exported methods implement live.Fleet and sample.Sink.
@@ -41,19 +41,19 @@
 	clockErrors map[string]time.Duration // by how much a node's wall clock is wrong
 	starts      int                      // of processes
 	files       map[string]string        // fleet files, by path, without what Options.More says
-	values      Says                     // of all fleet files
+	values      FileValues               // of all fleet files
 	rewrites    int                      // of all fleet files
 
 	// Seen by the run's callbacks, which come one at a time.
-	came   []Came
+	came   []Arrival
 	spared []string
 
 	mu             sync.Mutex
 	adminAddresses map[string]string // of each node's newest process
-	events         []Happened
+	events         []Event
 	cpu            map[string]time.Duration
 	rss            map[string]int64
-	probed         []Probed
+	probed         []ProbeCount
 	peers          []PeerEvent
 	falls          map[string]int
 }
@@ -61,8 +61,8 @@
 var _ live.Fleet = (*rig)(nil)
 
 func newRig(s *fault.Script, options Options) (*rig, error) {
-	if options.More == nil {
-		options.More = func(Says) string { return "" }
+	if options.ExtraTables == nil {
+		options.ExtraTables = func(FileValues) string { return "" }
 	}
 	g := &rig{
 		options:        options,
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil, err
 	}
-	relays.cutsIgnored = options.Leak
+	relays.cutsIgnored = options.IgnoreCuts
 	g.relays = relays
 	return g, nil
 }
@@ -101,16 +101,16 @@
 		return nil, err
 	}
 	a := &Account{
-		Names: g.names,
-		Begin: record.Now(),
-		Wall:  time.Duration(time.Now().UnixNano()) - record.Now(),
+		Names:      g.names,
+		Begin:      record.Now(),
+		WallOffset: time.Duration(time.Now().UnixNano()) - record.Now(),
 	}
 	firstPeriod := countPeriodNow()
 	asked, said := g.startCallers(ctx, run, s)
 	g.progress(run, s.Length.D())
 	a.End = record.Now()
-	a.Asked = <-asked
-	a.Said = <-said
+	a.ClientCalls = <-asked
+	a.OperatorCalls = <-said
 	a.Periods = 1 + countPeriodNow() - firstPeriod
 	_ = run.Wait()
 	g.fillAccount(a, run)
@@ -134,10 +134,10 @@
 		Watch: g,
 		Fleet: g,
 		Came: func(peer, call string) {
-			g.came = append(g.came, Came{At: record.Now(), Peer: peer, Call: call})
+			g.came = append(g.came, Arrival{At: record.Now(), Peer: peer, Call: call})
 		},
 		Done: func(peer, call string) {
-			g.came = append(g.came, Came{At: record.Now(), Peer: peer, Call: call, Done: true})
+			g.came = append(g.came, Arrival{At: record.Now(), Peer: peer, Call: call, Done: true})
 		},
 		Spared: func(_, call string) { g.spared = append(g.spared, call) },
 	})
@@ -145,14 +145,14 @@
 
 // startCallers starts the crowd and the operators of the options. What they saw comes on the channels once they are
 // done; nothing for those that there are not.
-func (g *rig) startCallers(ctx context.Context, run *live.Run, s *fault.Script) (asked chan []Asked, said chan []Said) {
-	asked = make(chan []Asked, 1)
-	if g.options.Crowd == nil {
+func (g *rig) startCallers(ctx context.Context, run *live.Run, s *fault.Script) (asked chan []ClientCall, said chan []OperatorCall) {
+	asked = make(chan []ClientCall, 1)
+	if g.options.Clients == nil {
 		close(asked)
 	} else {
-		go func() { asked <- g.options.Crowd(ctx, run.Nodes(), s) }()
+		go func() { asked <- g.options.Clients(ctx, run.Nodes(), s) }()
 	}
-	said = make(chan []Said, 1)
+	said = make(chan []OperatorCall, 1)
 	if g.options.Operators == nil {
 		close(said)
 	} else {
@@ -164,15 +164,15 @@
 // fillAccount adds what the run and the rig saw, once all processes have ended.
 func (g *rig) fillAccount(a *Account, run *live.Run) {
 	a.Broken = run.Broken()
-	a.Machine = run.Machine()
+	a.RunError = run.Machine()
 	a.Tally = run.Table().Total
 	a.Events = g.events
 	a.CPU = g.cpu
 	a.RSS = g.rss
 	a.Traffic = g.relays.TotalTraffic()
-	a.Came = g.came
-	a.Probed = g.probed
-	a.Spared = g.spared
+	a.Arrivals = g.came
+	a.ProbeCounts = g.probed
+	a.NotRun = g.spared
 	a.Peers = g.peers
 	for _, falls := range g.falls {
 		a.Falls += falls
@@ -197,11 +197,11 @@
 		fresh := g.events[min(told, len(g.events)):]
 		told = len(g.events)
 		g.mu.Unlock()
-		if g.options.Tell == nil {
+		if g.options.Progress == nil {
 			continue
 		}
 		for _, e := range fresh {
-			g.options.Tell(fmt.Sprintf("%6.2fs  %s", time.Since(begin).Seconds(), e))
+			g.options.Progress(fmt.Sprintf("%6.2fs  %s", time.Since(begin).Seconds(), e))
 		}
 	}
 }
@@ -214,7 +214,7 @@
 }
 
 // note notes an event that happens now.
-func (g *rig) note(e Happened) {
+func (g *rig) note(e Event) {
 	e.At = record.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -222,7 +222,7 @@
 }
 
 // Tell implements live.Fleet.
-func (g *rig) Tell(node, what string, pid int) { g.note(Happened{Node: node, What: what, PID: pid}) }
+func (g *rig) Tell(node, what string, pid int) { g.note(Event{Node: node, What: what, PID: pid}) }
 
 // Request implements sample.Sink.
 func (g *rig) Request(sample.Request) {}
@@ -243,7 +243,7 @@
 		probes += p.Probes
 		g.falls[p.Name] = p.Falls
 	}
-	g.probed = append(g.probed, Probed{record.Now(), probes})
+	g.probed = append(g.probed, ProbeCount{record.Now(), probes})
 	for _, n := range r.Nodes {
 		g.cpu[n.Name] = n.CPU
 		g.rss[n.Name] = max(g.rss[n.Name], n.Resident)
--- a/internal/lab/fleet/rig_faults.go
+++ b/internal/lab/fleet/rig_faults.go
@@ -13,14 +13,14 @@
 // Move implements live.Fleet.
 func (g *rig) Move(node string) {
 	g.moved[node] = !g.moved[node]
-	g.note(Happened{Node: node, What: "moves"})
+	g.note(Event{Node: node, What: "moves"})
 }
 
 // Clock implements live.Fleet. Only programs that were built for mutants can be told a wrong time: their records show
 // it, so that the judge finds where it was not.
 func (g *rig) Clock(node string, by time.Duration) {
 	g.clockErrors[node] = by
-	g.note(Happened{Node: node, What: "clock wrong", Wrong: by})
+	g.note(Event{Node: node, What: "clock wrong", Wrong: by})
 }
 
 // Arm implements live.Fleet. Only programs that were built for mutants can be met.
@@ -51,7 +51,7 @@
 // Cut implements live.Fleet.
 func (g *rig) Cut(from, to func(string) bool) func() {
 	heal := g.relays.Cut(from, to)
-	e := Happened{What: "cut", From: g.namesOf(from), To: g.namesOf(to)}
+	e := Event{What: "cut", From: g.namesOf(from), To: g.namesOf(to)}
 	g.note(e)
 	return func() {
 		heal()
@@ -64,7 +64,7 @@
 // Ail implements live.Fleet.
 func (g *rig) Ail(from, to func(string) bool, a fault.Ails) func() {
 	heal := g.relays.Impair(from, to, a)
-	e := Happened{What: "ail", From: g.namesOf(from), To: g.namesOf(to), Ails: &a}
+	e := Event{What: "ail", From: g.namesOf(from), To: g.namesOf(to), Ails: &a}
 	g.note(e)
 	return func() {
 		heal()
--- a/internal/lab/fleet/rounds.go
+++ b/internal/lab/fleet/rounds.go
@@ -56,21 +56,21 @@
 }
 
 // RoundsSubject is operators' work over many nodes.
-func RoundsSubject() Subject {
-	return Subject{"rounds", roundsDrama, drawnIn(roundsWorld, Draw), roundsWorld, []Case{upgradesCase(), votersCase()},
-		func(s Says) string { return "\n[operators]\n" + s.voters() },
+func RoundsSubject() Scenario {
+	return Scenario{"rounds", roundsDrama, drawnIn(roundsWorld, RandomScript), roundsWorld, []Case{upgradesCase(), votersCase()},
+		func(s FileValues) string { return "\n[operators]\n" + s.votersTable() },
 		func(s *fault.Script, a *Account) Outcome { return JudgeRounds(s, a) }, nil, operate}
 }
 
 // operate keeps one server out by a word, begins a round through all, and asks any node how it stands.
-func operate(ctx context.Context, doors func(string) string, s *fault.Script) (all []Said) {
+func operate(ctx context.Context, doors func(string) string, s *fault.Script) (all []OperatorCall) {
 	g := figure.Stream(s.Seed, "operators")
 	begin := time.Now()
 	node := func() string { return s.World.Nodes[g.IntN(len(s.World.Nodes))].Name }
 	say := func(line string) bool {
 		n := node()
 		answer := call(ctx, doors(n), line)
-		all = append(all, Said{record.Now(), n, line, answer})
+		all = append(all, OperatorCall{record.Now(), n, line, answer})
 		return strings.HasPrefix(answer, "SUCCESS")
 	}
 	until := func(line string) { // said again until it is heard
@@ -88,7 +88,7 @@
 		time.Sleep(callEach)
 	}
 	for _, n := range s.World.Nodes {
-		all = append(all, Said{record.Now(), n.Name, "FLEET STATUS", call(ctx, doors(n.Name), "FLEET STATUS")})
+		all = append(all, OperatorCall{record.Now(), n.Name, "FLEET STATUS", call(ctx, doors(n.Name), "FLEET STATUS")})
 	}
 	return all
 }
@@ -109,19 +109,19 @@
 
 // Rounds is what came of operators' work.
 type Rounds struct {
-	Nodes   int      `json:"nodes"`
-	Seconds float64  `json:"seconds"`
-	Steps   int      `json:"steps"`
-	Drivers int      `json:"drivers"` // processes that took steps
-	Took    float64  `json:"took_s"`  // from the round's beginning to its last step; 0: it was not done
-	Quiet   int      `json:"quiet"`   // times that a server was out at all nodes, which was looked at
-	Skipped int      `json:"skipped"` // of them, those in which some process was cut off or stood still
-	Late    int      `json:"late"`    // tries that came to a server all the same
-	Held    int      `json:"held"`    // calls that it had in hand when it counted as empty
-	Calls   int      `json:"calls"`   // of operators
-	Silent  int      `json:"silent"`  // of them, those that nobody answered
-	Unsure  int      `json:"unsure"`  // and those that were to be said again
-	Broken  []Broken `json:"broken"`
+	Nodes   int         `json:"nodes"`
+	Seconds float64     `json:"seconds"`
+	Steps   int         `json:"steps"`
+	Drivers int         `json:"drivers"` // processes that took steps
+	Took    float64     `json:"took_s"`  // from the round's beginning to its last step; 0: it was not done
+	Quiet   int         `json:"quiet"`   // times that a server was out at all nodes, which was looked at
+	Skipped int         `json:"skipped"` // of them, those in which some process was cut off or stood still
+	Late    int         `json:"late"`    // tries that came to a server all the same
+	Held    int         `json:"held"`    // calls that it had in hand when it counted as empty
+	Calls   int         `json:"calls"`   // of operators
+	Silent  int         `json:"silent"`  // of them, those that nobody answered
+	Unsure  int         `json:"unsure"`  // and those that were to be said again
+	Broken  []Violation `json:"broken"`
 }
 
 // JudgeRounds holds a run against what operators may count on.
@@ -130,7 +130,7 @@
 	m := &Rounds{Nodes: base.Nodes, Seconds: base.Seconds, Broken: base.Broken}
 	breaks := func(rule string, at time.Duration, format string, args ...any) {
 		if len(m.Broken) < 20 {
-			m.Broken = append(m.Broken, Broken{rule, at - a.Begin, fmt.Sprintf(format, args...)})
+			m.Broken = append(m.Broken, Violation{rule, at - a.Begin, fmt.Sprintf(format, args...)})
 		}
 	}
 	m.steps(s, a, breaks)
@@ -197,7 +197,7 @@
 		m.Held += held
 		breaks("busy", from, "%s counts as empty, and has %d calls in hand", server, held)
 	}
-	for _, c := range a.Came {
+	for _, c := range a.Arrivals {
 		if c.Peer == server && !c.Done && c.At > from && c.At < to {
 			m.Late++
 			breaks("out", c.At, "a try comes to %s, which was out at all nodes for %.3fs", server, (c.At - from).Seconds())
@@ -212,7 +212,7 @@
 // not counted.
 func inHand(a *Account, server string, at time.Duration) (n int) {
 	open := map[string]time.Duration{}
-	for _, c := range a.Came {
+	for _, c := range a.Arrivals {
 		switch {
 		case c.Peer != server || c.At > at:
 		case c.Done:
@@ -222,7 +222,7 @@
 		}
 	}
 	for _, came := range open {
-		if !slices.ContainsFunc(a.Events, func(e Happened) bool {
+		if !slices.ContainsFunc(a.Events, func(e Event) bool {
 			return (e.What == "killed" || e.What == "ended") && e.At > came-onItsWay && e.At <= at
 		}) {
 			n++
@@ -234,24 +234,24 @@
 // disturbed reports whether some process was cut off or stood still just before the end of a time: it was given up, and may
 // live.
 func disturbed(a *Account, from, to time.Duration) bool {
-	w := &walk{truth: newTruth(a.Names), events: a.Events}
+	w := &timeline{truth: newTruth(a.Names), events: a.Events}
 	for _, e := range a.Events {
 		if e.At > to {
 			break
 		}
 		w.apply(e)
-		if e.At > from-calmFor && (!w.whole() || slices.ContainsFunc(a.Names, func(n string) bool { return w.nodes[n].stopped || w.nodes[n].twin })) {
+		if e.At > from-calmFor && (!w.isIntact() || slices.ContainsFunc(a.Names, func(n string) bool { return w.nodes[n].stopped || w.nodes[n].hasStranger })) {
 			return true
 		}
 	}
-	return !w.whole()
+	return !w.isIntact()
 }
 
 // said looks at what operators were told.
 func (m *Rounds) said(s *fault.Script, a *Account, breaks func(string, time.Duration, string, ...any)) {
 	done := fmt.Sprintf("round %q, begun at ", roundName)
 	begun, well := 0, 0
-	for _, c := range a.Said {
+	for _, c := range a.OperatorCalls {
 		m.Calls++
 		switch {
 		case c.Answer == "":
@@ -265,7 +265,7 @@
 	if begun > 1 {
 		breaks("once", a.End, "%d rounds were begun under one name", begun)
 	}
-	last := a.Said[max(len(a.Said)-len(s.World.Nodes), 0):]
+	last := a.OperatorCalls[max(len(a.OperatorCalls)-len(s.World.Nodes), 0):]
 	for _, c := range last {
 		if c.Answer == "" {
 			continue // a process that ends or is dead
@@ -284,7 +284,7 @@
 }
 
 // Verdict are the rules that did not hold.
-func (m *Rounds) Verdict() []Broken { return m.Broken }
+func (m *Rounds) Verdict() []Violation { return m.Broken }
 
 // Text is the result for people.
 func (m *Rounds) Text(*Account) string {
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -12,8 +12,8 @@
 // settle is how long a script goes on after its last fault, so that what it did can be seen to be over.
 const settle = 13 * time.Second
 
-// world is a script without faults, of some nodes that are asked a little.
-func world(seed uint64, nodes int, length time.Duration) *fault.Script {
+// quietScript is a script without faults, of some nodes that are asked a little.
+func quietScript(seed uint64, nodes int, length time.Duration) *fault.Script {
 	s := live.Sample(3, nodes, 10+2*float64(nodes))
 	s.Seed, s.Length = seed, figure.Span(length)
 	for i := range s.World.Clients {
@@ -22,10 +22,10 @@
 	return s
 }
 
-// Drama is the script that shows membership: of some nodes one is killed and comes back, one stands still, one is cut
+// DemoScript is the script that shows membership: of some nodes one is killed and comes back, one stands still, one is cut
 // off; which, and when, is drawn.
-func Drama(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
-	s := world(seed, nodes, length)
+func DemoScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
+	s := quietScript(seed, nodes, length)
 	if nodes < 4 {
 		return nil, fmt.Errorf("%d nodes: at least 4 are wanted, for one to be killed, one stopped, one cut off and one left", nodes)
 	}
@@ -73,9 +73,9 @@
 	}
 }
 
-// Draw is the script of a seed: faults of all kinds, several at one time.
-func Draw(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
-	s := world(seed, nodes, length)
+// RandomScript is the script of a seed: faults of all kinds, several at one time.
+func RandomScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
+	s := quietScript(seed, nodes, length)
 	tail := figure.Span(settle)
 	s.DrawFaults(ranges(), fault.FaultPlan{Count: fault.Counts{Lo: 2, Hi: 5}, Lead: fault.Between(2, 4),
 		Tail: fault.Spans{Lo: tail, Hi: tail}, Overlap: 0.4})
--- a/internal/lab/fleet/signals.go
+++ b/internal/lab/fleet/signals.go
@@ -64,10 +64,10 @@
 }
 
 // SignalsSubject is what processes tell each other of so many peers; 0 witnesses: they tell nothing.
-func SignalsSubject(peers, witnesses int) Subject {
-	more := func(Says) string { return "" }
+func SignalsSubject(peers, witnesses int) Scenario {
+	more := func(FileValues) string { return "" }
 	if witnesses > 0 {
-		more = func(Says) string { return fmt.Sprintf("\n[choices]\nwitnesses = %d\n", witnesses) }
+		more = func(FileValues) string { return fmt.Sprintf("\n[choices]\nwitnesses = %d\n", witnesses) }
 	}
 	draw := func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 		drawn, err := choicesDraw(peers)(seed, nodes, length)
@@ -78,25 +78,25 @@
 		s.Faults = drawn.Faults
 		return s, s.Check()
 	}
-	return Subject{"signals", signalsDrama(peers), draw, signalsWorld(peers), nil, more,
+	return Scenario{"signals", signalsDrama(peers), draw, signalsWorld(peers), nil, more,
 		func(s *fault.Script, a *Account) Outcome { return JudgeSignals(s, a) }, nil, nil}
 }
 
 // Signals is what came of it.
 type Signals struct {
-	Nodes    int      `json:"nodes"`
-	Peers    int      `json:"peers"`
-	Seconds  float64  `json:"seconds"`
-	Dead     Times    `json:"dead_used_s"`   // from a peer's death to the last try to it, over all processes
-	DeadEach float64  `json:"dead_tries"`    // tries to a dead peer, the mean
-	Silent   Times    `json:"silent_used_s"` // the same of peers that fell silent, until the last try had failed
-	Quiet    float64  `json:"silent_tries"`
-	Back     Times    `json:"back_s"`    // from a dead peer's start to its first try
-	WrongOut int      `json:"wrong_out"` // sound peers that a process left alone, with fewer others that had failed with them
-	ByChance int      `json:"by_chance"` // sound peers that it left alone since others had: a busy machine, or lost answers
-	Probes   float64  `json:"probes_s"`  // that came to all peers
-	Doubts   int      `json:"doubts"`    // times that a process changed whom it leaves alone
-	Broken   []Broken `json:"broken"`
+	Nodes    int         `json:"nodes"`
+	Peers    int         `json:"peers"`
+	Seconds  float64     `json:"seconds"`
+	Dead     Times       `json:"dead_used_s"`   // from a peer's death to the last try to it, over all processes
+	DeadEach float64     `json:"dead_tries"`    // tries to a dead peer, the mean
+	Silent   Times       `json:"silent_used_s"` // the same of peers that fell silent, until the last try had failed
+	Quiet    float64     `json:"silent_tries"`
+	Back     Times       `json:"back_s"`    // from a dead peer's start to its first try
+	WrongOut int         `json:"wrong_out"` // sound peers that a process left alone, with fewer others that had failed with them
+	ByChance int         `json:"by_chance"` // sound peers that it left alone since others had: a busy machine, or lost answers
+	Probes   float64     `json:"probes_s"`  // that came to all peers
+	Doubts   int         `json:"doubts"`    // times that a process changed whom it leaves alone
+	Broken   []Violation `json:"broken"`
 }
 
 // ailing reports whether a peer had something to suffer just before an instant.
@@ -165,7 +165,7 @@
 					wrong[who] = true
 					m.WrongOut++
 					if len(m.Broken) < 20 {
-						m.Broken = append(m.Broken, Broken{"wrong", at - a.Begin, fmt.Sprintf("%s leaves %q alone, which is sound", l.Node, name)})
+						m.Broken = append(m.Broken, Violation{"wrong", at - a.Begin, fmt.Sprintf("%s leaves %q alone, which is sound", l.Node, name)})
 					}
 				}
 			}
@@ -180,7 +180,7 @@
 func (m *Signals) used(s *fault.Script, a *Account, failed map[string][]time.Duration) {
 	dead, silent := 0, 0
 	came := map[string][]time.Duration{}
-	for _, c := range a.Came {
+	for _, c := range a.Arrivals {
 		if !c.Done {
 			came[c.Peer] = append(came[c.Peer], c.At)
 		}
@@ -203,9 +203,9 @@
 	}
 	m.DeadEach /= float64(max(dead, 1))
 	m.Quiet /= float64(max(silent, 1))
-	m.Dead.done()
-	m.Silent.done()
-	m.Back.done()
+	m.Dead.summarize()
+	m.Silent.summarize()
+	m.Back.summarize()
 }
 
 // between counts the instants within a time, and adds how long it took until the last.
@@ -221,7 +221,7 @@
 }
 
 // Verdict are the rules that did not hold.
-func (m *Signals) Verdict() []Broken { return m.Broken }
+func (m *Signals) Verdict() []Violation { return m.Broken }
 
 // Text is the result for people.
 func (m *Signals) Text(*Account) string {
--- a/internal/lab/fleet/takeover.go
+++ b/internal/lab/fleet/takeover.go
@@ -28,8 +28,8 @@
 	workWindow  = "10m"
 )
 
-// Asked is one piece of work, as its client saw it.
-type Asked struct {
+// ClientCall is one piece of work, as its client saw it.
+type ClientCall struct {
 	Key    string
 	Began  time.Duration // by the monotonic clock
 	Ended  time.Duration
@@ -43,7 +43,7 @@
 
 // takeoverWorld is a script without faults whose own clients ask for little.
 func takeoverWorld(seed uint64, nodes int, length time.Duration) *fault.Script {
-	s := world(seed, nodes, length)
+	s := quietScript(seed, nodes, length)
 	for i := range s.World.Tenants {
 		s.World.Tenants[i].Quota = 0
 	}
@@ -72,7 +72,7 @@
 
 // takeoverDraw is the script of a seed: faults of all kinds of processes and what lies between them.
 func takeoverDraw(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
-	drawn, err := Draw(seed, nodes, length)
+	drawn, err := RandomScript(seed, nodes, length)
 	if err != nil {
 		return nil, err
 	}
@@ -83,16 +83,16 @@
 
 // TakeoverSubject is whether work survives its node, and runs once. Without keep the nodes keep none; without again clients do
 // not ask again.
-func TakeoverSubject(keep, again bool) Subject {
-	more := func(s Says) string {
+func TakeoverSubject(keep, again bool) Scenario {
+	more := func(s FileValues) string {
 		if !keep {
 			return ""
 		}
-		return fmt.Sprintf("\n[work]\nclasses = [%q]\n%swindow = %q\n", workClass, s.voters(), workWindow)
+		return fmt.Sprintf("\n[work]\nclasses = [%q]\n%swindow = %q\n", workClass, s.votersTable(), workWindow)
 	}
-	return Subject{"takeover", takeoverDrama, takeoverDraw, takeoverWorld, []Case{votersCase(), upgradesCase(), stepsCase()}, more,
+	return Scenario{"takeover", takeoverDrama, takeoverDraw, takeoverWorld, []Case{votersCase(), upgradesCase(), stepsCase()}, more,
 		func(_ *fault.Script, a *Account) Outcome { return JudgeTakeover(a, keep && again) },
-		func(ctx context.Context, nodes map[string]string, s *fault.Script) []Asked {
+		func(ctx context.Context, nodes map[string]string, s *fault.Script) []ClientCall {
 			return (&crowd{nodes: nodes, again: again, script: s}).ask(ctx)
 		}, nil}
 }
@@ -104,11 +104,11 @@
 	script *fault.Script
 
 	mu  sync.Mutex
-	all []Asked
+	all []ClientCall
 }
 
 // ask begins work at a steady rate, as long as a client that begins still has its time, and returns when all have ended.
-func (c *crowd) ask(ctx context.Context) []Asked {
+func (c *crowd) ask(ctx context.Context) []ClientCall {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Second}, Timeout: workTimeout}
 	defer client.CloseIdleConnections()
 	var names []string
@@ -140,8 +140,8 @@
 }
 
 // work asks for one piece of work, of one node after the other, until its outcome is known or its time is up.
-func (c *crowd) work(ctx context.Context, client *http.Client, key string, names []string, order []int) Asked {
-	one := Asked{Key: key, Began: record.Now()}
+func (c *crowd) work(ctx context.Context, client *http.Client, key string, names []string, order []int) ClientCall {
+	one := ClientCall{Key: key, Began: record.Now()}
 	for one.Ended = one.Began; one.Ended-one.Began < workTime && ctx.Err() == nil; {
 		node := names[order[one.Times%len(order)]]
 		one.Times++
@@ -194,34 +194,34 @@
 
 // Takeover is what came of work.
 type Takeover struct {
-	Nodes    int      `json:"nodes"`
-	Seconds  float64  `json:"seconds"`
-	Taken    int      `json:"taken"` // pieces of work that clients asked for
-	Answered int      `json:"answered"`
-	Unknown  int      `json:"unknown"`
-	Lost     int      `json:"lost"`       // clients kept asking, and got nothing by their time
-	Twice    int      `json:"twice"`      // keys whose effect ran more than once
-	NotOut   int      `json:"not_out"`    // of Unknown, those of which nothing had come to any peer
-	Over     int      `json:"taken_over"` // answered only after the first node was lost, or had refused
-	Takeover Times    `json:"takeover_s"` // of those, from the beginning to the outcome
-	Added    Times    `json:"first_s"`    // how long a first question took that brought the outcome
-	Kills    int      `json:"kills"`
-	Broken   []Broken `json:"broken"`
+	Nodes    int         `json:"nodes"`
+	Seconds  float64     `json:"seconds"`
+	Taken    int         `json:"taken"` // pieces of work that clients asked for
+	Answered int         `json:"answered"`
+	Unknown  int         `json:"unknown"`
+	Lost     int         `json:"lost"`       // clients kept asking, and got nothing by their time
+	Twice    int         `json:"twice"`      // keys whose effect ran more than once
+	NotOut   int         `json:"not_out"`    // of Unknown, those of which nothing had come to any peer
+	Over     int         `json:"taken_over"` // answered only after the first node was lost, or had refused
+	Takeover Times       `json:"takeover_s"` // of those, from the beginning to the outcome
+	Added    Times       `json:"first_s"`    // how long a first question took that brought the outcome
+	Kills    int         `json:"kills"`
+	Broken   []Violation `json:"broken"`
 }
 
 // JudgeTakeover counts what ran, by what came to peers, and what clients got. Where nothing is kept nothing is held against it.
 func JudgeTakeover(a *Account, strict bool) *Takeover {
-	t := &Takeover{Nodes: len(a.Names), Seconds: (a.End - a.Begin).Seconds(), Taken: len(a.Asked), Broken: []Broken{}}
+	t := &Takeover{Nodes: len(a.Names), Seconds: (a.End - a.Begin).Seconds(), Taken: len(a.ClientCalls), Broken: []Violation{}}
 	breaks := func(rule string, at time.Duration, format string, args ...any) {
 		if strict && len(t.Broken) < 20 {
-			t.Broken = append(t.Broken, Broken{rule, at - a.Begin, fmt.Sprintf(format, args...)})
+			t.Broken = append(t.Broken, Violation{rule, at - a.Begin, fmt.Sprintf(format, args...)})
 		}
 	}
 	for _, w := range a.Broken {
-		t.Broken = append(t.Broken, Broken{"world", 0, w})
+		t.Broken = append(t.Broken, Violation{"world", 0, w})
 	}
-	if a.Machine != nil {
-		t.Broken = append(t.Broken, Broken{"rig", 0, a.Machine.Error()})
+	if a.RunError != nil {
+		t.Broken = append(t.Broken, Violation{"rig", 0, a.RunError.Error()})
 	}
 	for _, e := range a.Events {
 		if e.What == "killed" {
@@ -230,7 +230,7 @@
 	}
 	notMet(a, breaks)
 	ran, last := ranByKey(a)
-	for _, one := range a.Asked {
+	for _, one := range a.ClientCalls {
 		switch {
 		case one.Status == 200:
 			t.Answered++
@@ -262,10 +262,10 @@
 			breaks("twice", last[one.Key], "%s came to peers %d times that may all have run", one.Key, n)
 		}
 	}
-	t.Takeover.done()
-	t.Added.done()
+	t.Takeover.summarize()
+	t.Added.summarize()
 	if t.Taken == 0 {
-		t.Broken = append(t.Broken, Broken{"use", a.End - a.Begin, "nobody asked for work"})
+		t.Broken = append(t.Broken, Violation{"use", a.End - a.Begin, "nobody asked for work"})
 	}
 	return t
 }
@@ -277,20 +277,20 @@
 		key, _, _ := strings.Cut(call, ".")
 		return key
 	}
-	for _, c := range a.Came {
+	for _, c := range a.Arrivals {
 		if !c.Done {
 			ran[keyOf(c.Call)]++
 			last[keyOf(c.Call)] = c.At
 		}
 	}
-	for _, call := range a.Spared {
+	for _, call := range a.NotRun {
 		ran[keyOf(call)]--
 	}
 	return ran, last
 }
 
 // Verdict are the rules that did not hold.
-func (t *Takeover) Verdict() []Broken { return t.Broken }
+func (t *Takeover) Verdict() []Violation { return t.Broken }
 
 // Text is the result for people.
 func (t *Takeover) Text(*Account) string {
