--- a/cmd/olivelab/fleet.go
+++ b/cmd/olivelab/fleet.go
@@ -225,14 +225,14 @@
 		}
 		switch {
 		case r.subject.Name == "signals":
-			r.subject = fleet.SignalsSubject(r.peers, fleet.SignalWitnesses(!r.plain))
+			r.subject = fleet.SignalsScenario(r.peers, fleet.SignalWitnesses(!r.plain))
 		case r.plain && r.subject.Name == "cold":
-			r.subject = fleet.ColdSubject(false)
+			r.subject = fleet.ColdScenario(false)
 		case r.plain || r.once:
-			r.subject = fleet.TakeoverSubject(!r.plain, !r.once)
+			r.subject = fleet.TakeoverScenario(!r.plain, !r.once)
 		}
 		if r.subject.Name == "choices" {
-			r.subject = fleet.ChoicesSubject(r.peers, r.copies, r.least)
+			r.subject = fleet.ChoicesScenario(r.peers, r.copies, r.least)
 		}
 		if r.hard == "list" {
 			for _, one := range r.subject.Cases {
--- a/internal/lab/fleet/account.go
+++ b/internal/lab/fleet/account.go
@@ -23,16 +23,36 @@
 	Answer string
 }
 
+// What happens to a node's processes, and to the network between them. Others are for people alone.
+const (
+	eventStarted         = "started"
+	eventServes          = "serves"
+	eventTerminated      = "told SIGTERM"
+	eventEnded           = "ended"
+	eventKilled          = "killed"
+	eventStopped         = "stopped"
+	eventResumed         = "goes on"
+	eventStrangerStarted = "twin"
+	eventStrangerKilled  = "twin killed"
+	eventCut             = "cut"
+	eventCutHealed       = "cut healed"
+	eventImpaired        = "ail"
+	eventImpairmentOver  = "ail over"
+	eventAmounts         = "amounts"
+	eventVoters          = "keepers"
+	eventClockWrong      = "clock wrong"
+)
+
 // Event is one thing that was done to a process, or that it was seen to do, by the machine's monotonic clock.
 type Event struct {
 	At    time.Duration `json:"at"`
 	Node  string        `json:"node,omitempty"`
 	What  string        `json:"what"`
 	PID   int           `json:"pid,omitempty"`
-	From  []string      `json:"from,omitempty"` // of cuts and ails: from whom
-	To    []string      `json:"to,omitempty"`   // and to whom
+	From  []string      `json:"from,omitempty"` // of cuts and impairments
+	To    []string      `json:"to,omitempty"`   // likewise
 	Ails  *fault.Ails   `json:"ails,omitempty"`
-	Ended bool          `json:"ended,omitempty"` // the end of a cut or an ail
+	Ended bool          `json:"ended,omitempty"` // of a cut or an impairment: its end
 	Wrong time.Duration `json:"wrong,omitempty"` // by which a node's wall clock is wrong from its next start on
 	Share float64       `json:"share,omitempty"` // of the amounts of budgets that all fleet files say from now on
 }
@@ -44,11 +64,11 @@
 	End           time.Duration
 	Events        []Event
 	Lines         []record.Line  // of all processes, in order
-	Arrivals      []Arrival      // tries that came to peers, in order
-	NotRun        []string       // tries that peers answered without having run them
+	Arrivals      []Arrival      // attempts that came to peers, in order
+	NotRun        []string       // attempts that peers answered without having run them
 	Peers         []PeerEvent    // what happened to peers and others of the world, in order
 	Falls         int            // cold peers that were pushed over
-	ClientCalls   []ClientCall   // work that a crowd of its own asked for
+	ClientCalls   []ClientCall   // of the scenario's own clients
 	OperatorCalls []OperatorCall // by operators
 	ProbeCounts   []ProbeCount   // how many probes had come to all peers
 	Traffic       Traffic
@@ -61,7 +81,7 @@
 	Periods       int // of the wall clock, of countPeriod each, that the run was in
 }
 
-// Came is a try that came to a peer, or that one is done with.
+// Arrival is an attempt that came to a peer, or that one is done with.
 type Arrival struct {
 	At   time.Duration // by the monotonic clock
 	Peer string
@@ -85,11 +105,11 @@
 // String is for people.
 func (e Event) String() string {
 	switch {
-	case e.What == "clock wrong":
+	case e.What == eventClockWrong:
 		return fmt.Sprintf("%s has a wall clock that is wrong by %v", e.Node, e.Wrong)
 	case e.Node != "":
 		return e.Node + " " + e.What
-	case e.What == "keepers":
+	case e.What == eventVoters:
 		return "the voters are to be " + strings.Join(e.To, " ")
 	case e.Share != 0:
 		return fmt.Sprintf("%s: %.2f of what they were", e.What, e.Share)
--- a/internal/lab/fleet/amounts.go
+++ b/internal/lab/fleet/amounts.go
@@ -29,9 +29,9 @@
 		budgetName, int(countWhole*s.AmountShare), countPeriod)
 }
 
-// inUseWorld is budgetWorld with calls that take long enough for some to be in use at one time.
-func inUseWorld(seed uint64, nodes int, length time.Duration) *fault.Script {
-	s := budgetWorld(seed, nodes, length)
+// inUseQuietScript is budgetWorld with calls that take long enough for some to be in use at one time.
+func inUseQuietScript(seed uint64, nodes int, length time.Duration) *fault.Script {
+	s := budgetQuietScript(seed, nodes, length)
 	c := &s.World.Classes[0] // the one that is asked for
 	c.Work, c.Spread = 5*c.Work, 0.2
 	c.Aim, c.Deadline = 5*c.Aim, 5*c.Deadline
@@ -58,8 +58,8 @@
 	}
 }
 
-// The budget for retries that the rig's processes share, where peers turn so many requests away that they want several times
-// as many.
+// The budget for retries that the rig's processes share, where peers turn so many requests away that they want several
+// times as many.
 const (
 	retriesRate  = 20.0
 	retriesBurst = 12.0
@@ -71,9 +71,9 @@
 		retriesBurst*s.AmountShare)
 }
 
-// retriesWorld is one in which peers turn requests away nearly all of the time.
-func retriesWorld(seed uint64, nodes int, length time.Duration) *fault.Script {
-	s := budgetWorld(seed, nodes, length)
+// retriesQuietScript is one in which peers turn requests away nearly all of the time.
+func retriesQuietScript(seed uint64, nodes int, length time.Duration) *fault.Script {
+	s := budgetQuietScript(seed, nodes, length)
 	var peers []string
 	for _, p := range s.World.Peers {
 		peers = append(peers, p.Name)
@@ -137,8 +137,8 @@
 	return m
 }
 
-// peersWork is the longest that a peer works on a call here: beyond the deadline of the class that is asked for. Of one whose
-// node has died no end is seen.
+// peersWork is the longest that a peer works on a call here: beyond the deadline of the class that is asked for. Of one
+// whose node has died no end is seen.
 const peersWork = 2 * time.Second
 
 // JudgeInUse counts the calls that peers held at one time.
--- a/internal/lab/fleet/budget.go
+++ b/internal/lab/fleet/budget.go
@@ -44,47 +44,38 @@
 // JudgeBudget holds a run against the budget, by what peers received first.
 func JudgeBudget(a *Account) *Budget {
 	b := &Budget{Nodes: len(a.Names), Seconds: (a.End - a.Begin).Seconds(), Broken: []Violation{}}
-	breaks := func(rule string, at time.Duration, format string, args ...any) {
-		if len(b.Broken) < 20 {
-			b.Broken = append(b.Broken, Violation{rule, at - a.Begin, fmt.Sprintf(format, args...)})
-		}
-	}
-	for _, w := range a.Broken {
-		breaks("world", a.Begin, "%s", w)
-	}
-	if a.RunError != nil {
-		breaks("rig", a.Begin, "%v", a.RunError)
-	}
+	report := newReporter(&b.Broken, a.Begin)
+	reportRun(a, report)
 	first := firsts(a)
 	b.Arrivals, b.Asked = len(first), a.Tally.Asked
 	var at time.Duration
 	var wide time.Duration
 	allowed := allowances(a)
 	if b.Over, at, wide = over(first, allowed.rate(budgetRate, budgetBurst)); b.Over > 1 {
-		breaks("over", at, "in %v, %.3f times what is allowed came to peers", wide, b.Over)
+		report("over", at, "in %v, %.3f times what is allowed came to peers", wide, b.Over)
 	}
-	leases(a, breaks)
+	leases(a, report)
 	b.Lent = make([]int, int(b.Seconds))
 	if b.ShareSum, at = shareSum(a, allowed, b.Lent); b.ShareSum > 1+1e-9 {
-		breaks("share", at, "the parts that could be used add up to %.4f of the whole", b.ShareSum)
+		report("share", at, "the parts that could be used add up to %.4f of the whole", b.ShareSum)
 	}
 	for t := a.Begin; t+time.Second <= a.End; t += time.Second {
 		b.Each = append(b.Each, int(counted(first, t, t+time.Second)))
 	}
 	b.uses(a, first)
 	b.shares(a)
-	replaced := slices.ContainsFunc(a.Events, func(e Event) bool { return e.What == "keepers" })
+	replaced := slices.ContainsFunc(a.Events, func(e Event) bool { return e.What == eventVoters })
 	if replaced && b.UseAfter < leastReplaced {
-		breaks("book", a.End, "of the whole %.3f was used from 10 s after a change on, though lost voters were replaced", b.UseAfter)
+		report("book", a.End, "of the whole %.3f was used from 10 s after a change on, though lost voters were replaced", b.UseAfter)
 	}
 	if len(first) == 0 {
-		breaks("use", a.End, "nothing came to any peer")
+		report("use", a.End, "nothing came to any peer")
 	}
 	return b
 }
 
-// leastReplaced is the least part of the whole that has to be used where voters that are lost are replaced: far beyond the
-// reserve, which is all that is left without a majority of them.
+// leastReplaced is the least part of the whole that has to be used where voters that are lost are replaced: far beyond
+// the reserve, which is all that is left without a majority of them.
 const leastReplaced = 0.5
 
 // Verdict are the rules that did not hold.
--- a/internal/lab/fleet/budget_allowance.go
+++ b/internal/lab/fleet/budget_allowance.go
@@ -16,7 +16,7 @@
 
 func allowances(a *Account) (all Allowance) {
 	for _, e := range a.Events {
-		if e.What == "amounts" {
+		if e.What == eventAmounts {
 			all = append(all, e)
 		}
 	}
--- a/internal/lab/fleet/budget_script.go
+++ b/internal/lab/fleet/budget_script.go
@@ -20,8 +20,8 @@
 		budgetRate*s.AmountShare, budgetBurst*s.AmountShare)
 }
 
-// budgetWorld is a script without faults in which one tenant asks for more than the budget.
-func budgetWorld(seed uint64, nodes int, length time.Duration) *fault.Script {
+// budgetQuietScript is a script without faults in which one tenant asks for more than the budget.
+func budgetQuietScript(seed uint64, nodes int, length time.Duration) *fault.Script {
 	s := live.Sample(6, nodes, budgetRate*demandTimes)
 	s.Seed, s.Length = seed, figure.Span(length)
 	w := &s.World
@@ -40,12 +40,13 @@
 	return s
 }
 
-// BudgetDemoScript is the script that shows a budget: one process is killed, and starts again; which, and when, is drawn.
+// BudgetDemoScript is the script that shows a budget: one process is killed, and starts again; which, and when, is
+// drawn.
 func BudgetDemoScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	if nodes < 2 || length < 20*time.Second {
 		return nil, fmt.Errorf("%d nodes and %v: at least 2 and 20s are wanted", nodes, length)
 	}
-	s := budgetWorld(seed, nodes, length)
+	s := budgetQuietScript(seed, nodes, length)
 	g := figure.Stream(seed, "drama")
 	kill := figure.Span(float64(length) * figure.Uniform(g, 0.3, 0.36))
 	start := figure.Span(float64(length) * figure.Uniform(g, 0.6, 0.64))
@@ -59,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := budgetWorld(seed, nodes, length)
+	s := budgetQuietScript(seed, nodes, length)
 	s.Faults = drawn.Faults
 	return s, s.Check()
 }
--- a/internal/lab/fleet/budget_shares.go
+++ b/internal/lab/fleet/budget_shares.go
@@ -12,7 +12,7 @@
 )
 
 // leases holds each part's end at its holder against its end at the leader, by the one clock of the machine.
-func leases(a *Account, breaks func(rule string, at time.Duration, format string, args ...any)) {
+func leases(a *Account, report reporter) {
 	ends := map[string]time.Duration{}
 	for _, l := range a.Lines {
 		var lent budget.Lent
@@ -27,7 +27,7 @@
 		}
 		end, known := ends[fmt.Sprintf("%s %d", strings.TrimSuffix(l.Node, "~"), hs[0].Grant)]
 		if own := time.Duration(hs[0].Ends); known && hs[0].Left > 0 && own > end {
-			breaks("lease", time.Duration(l.At), "%s holds a part %.3fs longer than the leader counts it", l.Node, (own - end).Seconds())
+			report("lease", time.Duration(l.At), "%s holds a part %.3fs longer than the leader counts it", l.Node, (own - end).Seconds())
 		}
 	}
 }
@@ -60,9 +60,9 @@
 		all = append(all, change{time.Duration(l.At), who, u}, change{at: u.until, who: who})
 	}
 	for _, e := range a.Events {
-		if e.PID != 0 && (e.What == "killed" || e.What == "ended" || e.What == "twin killed") {
+		if e.PID != 0 && (e.What == eventKilled || e.What == eventEnded || e.What == eventStrangerKilled) {
 			name := e.Node
-			if e.What == "twin killed" {
+			if e.What == eventStrangerKilled {
 				name += "~"
 			}
 			all = append(all, change{e.At, fmt.Sprintf("%s %d", name, e.PID), &usable{}})
--- a/internal/lab/fleet/budget_use.go
+++ b/internal/lab/fleet/budget_use.go
@@ -71,7 +71,7 @@
 	}
 	down := 0
 	for i, e := range a.Events {
-		if e.What != "killed" {
+		if e.What != eventKilled {
 			continue
 		}
 		down++
--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -175,8 +175,8 @@
 		}}
 }
 
-// stepsCase meets processes at each step of a kept call, and kills them, has them stand still for longer than it takes to be given
-// up, and cuts them off.
+// stepsCase meets processes at each step of a kept call, and kills them, has them stand still for longer than it takes
+// to be given up, and cuts them off.
 func stepsCase() Case {
 	return Case{"steps", "one process after the other is killed, stopped or cut off just as a kept call is at a step", 5, 115 * time.Second,
 		func(c *caseMaker) {
@@ -190,7 +190,8 @@
 		}}
 }
 
-// restartsCase has processes die and be back at once, while peers are slow and go on with what the dead had asked of them.
+// restartsCase has processes die and be back at once, while peers are slow and go on with what the dead had asked of
+// them.
 func restartsCase() Case {
 	return Case{"restarts", "one after the other is killed and back at once, while slow peers go on with what it had asked", 5, 60 * time.Second,
 		func(c *caseMaker) {
--- a/internal/lab/fleet/choices.go
+++ b/internal/lab/fleet/choices.go
@@ -12,8 +12,8 @@
 	"olivebridge/internal/lab/live"
 )
 
-// What the fleet is asked for while its choices are looked at: much for each peer, since what falls on it by chance alone is
-// far from even where it is little.
+// What the fleet is asked for while its choices are looked at: much for each peer, since what falls on it by chance
+// alone is far from even where it is little.
 const (
 	choicesEach = 50.0   // requests a second for each peer
 	choicesMost = 2000.0 // in all, which is what the machine carries beside the processes
@@ -38,8 +38,8 @@
 	anyBusiest, anyIdlest   = 1.3, 0.7
 )
 
-// choicesWorld is a script without faults of so many peers, alike, that are asked evenly.
-func choicesWorld(peers int) func(seed uint64, nodes int, length time.Duration) *fault.Script {
+// choicesQuietScript is a script without faults of so many peers, alike, that are asked evenly.
+func choicesQuietScript(peers int) func(seed uint64, nodes int, length time.Duration) *fault.Script {
 	return func(seed uint64, nodes int, length time.Duration) *fault.Script {
 		s := live.Sample(peers, nodes, min(choicesEach*float64(peers), choicesMost))
 		s.Seed, s.Length = seed, figure.Span(length)
@@ -55,23 +55,24 @@
 	}
 }
 
-// choicesDrama is the script that shows choices: one process is killed, and starts again.
-func choicesDrama(peers int) func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
+// choicesDemoScript is the script that shows choices: one process is killed, and starts again.
+func choicesDemoScript(peers int) func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 		drama, err := BudgetDemoScript(seed, nodes, length)
 		if err != nil {
 			return nil, err
 		}
-		s := choicesWorld(peers)(seed, nodes, length)
+		s := choicesQuietScript(peers)(seed, nodes, length)
 		s.Faults = drama.Faults
 		return s, s.Check()
 	}
 }
 
-// choicesDraw is the script of a seed: nodes and peers die, stand still, are slow or cut off, several at one time.
-func choicesDraw(peers int) func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
+// choicesRandomScript is the script of a seed: nodes and peers die, stand still, are slow or cut off, several at one
+// time.
+func choicesRandomScript(peers int) func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
-		s := choicesWorld(peers)(seed, nodes, length)
+		s := choicesQuietScript(peers)(seed, nodes, length)
 		one := func(name string, weight, lo, hi float64) fault.KindRanges {
 			return fault.KindRanges{Name: name, Weight: weight, Part: fault.Range{Lo: 0.05, Hi: 0.3}, For: fault.Between(lo, hi)}
 		}
@@ -88,13 +89,13 @@
 	}
 }
 
-// ChoicesSubject is how what all processes choose adds up on so many peers. With copies each works with some of them.
-func ChoicesSubject(peers, copies, least int) Scenario {
+// ChoicesScenario is how what all processes choose adds up on so many peers. With copies each works with some of them.
+func ChoicesScenario(peers, copies, least int) Scenario {
 	more := ""
 	if copies > 0 {
 		more = fmt.Sprintf("\n[choices]\ncopies = %d\nleast = %d\n", copies, least)
 	}
-	return Scenario{"choices", choicesDrama(peers), choicesDraw(peers), choicesWorld(peers), nil,
+	return Scenario{"choices", choicesDemoScript(peers), choicesRandomScript(peers), choicesQuietScript(peers), nil,
 		func(FileValues) string { return more }, func(s *fault.Script, a *Account) Outcome { return JudgeChoices(s, a) }, nil, nil}
 }
 
@@ -271,7 +272,8 @@
 	return false
 }
 
-// chance plays as many windows as lie beside each other in what was looked at, each with as many tries, that fall by chance.
+// chance plays as many windows as lie beside each other in what was looked at, each with as many tries, that fall by
+// chance.
 func (u *sums) chance(l *looked) Chance {
 	l.chance = Chance{Idlest: 1}
 	if l.windows == 0 {
--- a/internal/lab/fleet/choices_test.go
+++ b/internal/lab/fleet/choices_test.go
@@ -8,8 +8,8 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// TestJudgeChoices: what falls evenly holds; a peer that gets more, less or nothing breaks the rule that it should, unless it had
-// something to suffer.
+// TestJudgeChoices: what falls evenly holds; a peer that gets more, less or nothing breaks the rule that it should,
+// unless it had something to suffer.
 func TestJudgeChoices(t *testing.T) {
 	const peers, rounds, length = 10, 3000, 30 * time.Second
 	for name, c := range map[string]struct {
@@ -23,7 +23,7 @@
 		"less":         {func(p, r int) bool { return p == 0 && r%2 == 0 }, false, "idlest"},
 		"more":         {func(p, r int) bool { return p != 0 && r%3 != 0 }, false, "busiest"},
 	} {
-		s := choicesWorld(peers)(1, 5, length)
+		s := choicesQuietScript(peers)(1, 5, length)
 		if c.ails {
 			s.Faults = []fault.Fault{{Kind: "death", At: figure.Span(10 * time.Second), For: figure.Span(5 * time.Second),
 				Peers: []string{s.World.Peers[0].Name}}}
--- a/internal/lab/fleet/clocks.go
+++ b/internal/lab/fleet/clocks.go
@@ -13,9 +13,9 @@
 // clockSlack is how far a process's wall clock may be from what it is to be: it is read a moment before it is recorded.
 const clockSlack = 5 * time.Second
 
-// wrongClocks finds wall clocks that are not as wrong as the rig made them: a program that was not built for mutants has
-// them right.
-func wrongClocks(a *Account, breaks func(rule string, at time.Duration, format string, args ...any)) {
+// wrongClocks finds wall clocks that are not as wrong as the rig made them: a program that was not built for mutants
+// has them right.
+func wrongClocks(a *Account, report reporter) {
 	for _, l := range a.Lines {
 		var wall int64
 		if l.Kind != "wall" || !slices.Contains(a.Names, l.Node) || json.Unmarshal(l.Data, &wall) != nil {
@@ -23,7 +23,7 @@
 		}
 		wrong := time.Duration(wall-l.At) - a.WallOffset
 		if due := a.wrong(l); (wrong - due).Abs() > clockSlack {
-			breaks("rig", time.Duration(l.At), "the wall clock of %s was to be wrong by %v, and is by %v", l.Node, due, wrong.Round(time.Second))
+			report("rig", time.Duration(l.At), "the wall clock of %s was to be wrong by %v, and is by %v", l.Node, due, wrong.Round(time.Second))
 		}
 	}
 }
@@ -31,7 +31,7 @@
 // wrong is by how much the wall clock of a line's process is to be wrong.
 func (a *Account) wrong(l record.Line) (by time.Duration) {
 	for _, e := range a.Events {
-		if e.What == "clock wrong" && e.Node == l.Node && e.At <= time.Duration(l.At) {
+		if e.What == eventClockWrong && e.Node == l.Node && e.At <= time.Duration(l.At) {
 			by = e.Wrong
 		}
 	}
@@ -39,10 +39,10 @@
 }
 
 // notMet finds steps at which a process was to be met, and was not.
-func notMet(a *Account, breaks func(rule string, at time.Duration, format string, args ...any)) {
+func notMet(a *Account, report reporter) {
 	for _, e := range a.Events {
 		if strings.HasPrefix(e.What, "not met ") {
-			breaks("rig", e.At, "%s was %s", e.Node, e.What)
+			report("rig", e.At, "%s was %s", e.Node, e.What)
 		}
 	}
 }
--- a/internal/lab/fleet/cold.go
+++ b/internal/lab/fleet/cold.go
@@ -10,8 +10,8 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// The budget for tries to each cold peer that the rig's processes share: as many a second to one at its start, and more as it
-// warms. What each guesses for itself comes to 8 a second here, of 40 that a warm peer gets.
+// The budget for tries to each cold peer that the rig's processes share: as many a second to one at its start, and more
+// as it warms. What each guesses for itself comes to 8 a second here, of 40 that a warm peer gets.
 const (
 	coldRate  = 5.0
 	coldSpare = 2 // units of burst beyond one for each process
@@ -24,7 +24,8 @@
 		coldRate*s.AmountShare, coldBurst(s.Nodes))
 }
 
-// coldLead is when the first peer may die: a leader has been elected by then, and processes have learnt what warm peers carry.
+// coldLead is when the first peer may die: a leader has been elected by then, and processes have learnt what warm peers
+// carry.
 const coldLead = 10 * time.Second
 
 // coldAway is for how long a peer is gone.
@@ -50,13 +51,13 @@
 	}
 }
 
-// ColdSubject is what all processes send to cold peers. Without the budget each guesses its part.
-func ColdSubject(shared bool) Scenario {
+// ColdScenario is what all processes send to cold peers. Without the budget each guesses its part.
+func ColdScenario(shared bool) Scenario {
 	more := coldFile
 	if !shared {
 		more = func(FileValues) string { return "" }
 	}
-	return Scenario{"cold", coldWith(BudgetDemoScript), coldWith(BudgetRandomScript), budgetWorld, BudgetCases(), more,
+	return Scenario{"cold", coldWith(BudgetDemoScript), coldWith(BudgetRandomScript), budgetQuietScript, BudgetCases(), more,
 		func(s *fault.Script, a *Account) Outcome { return JudgeCold(s, a, shared) }, nil, nil}
 }
 
@@ -78,7 +79,8 @@
 	born, from, till time.Duration
 }
 
-// listGrace is how long a list is on its way to the processes: what one that has not got it sends, it sends to a warm peer.
+// listGrace is how long a list is on its way to the processes: what one that has not got it sends, it sends to a warm
+// peer.
 const listGrace = 300 * time.Millisecond
 
 // coldTimes are all of a run. A start that is not listed before the peer ends again is none.
@@ -95,7 +97,7 @@
 		case e.What == "started cold":
 			shut(e.Who, e.At)
 			open[e.Who] = &coldTime{peer: e.Who, born: e.At}
-		case e.What == "ended":
+		case e.What == eventEnded:
 			shut(e.Who, e.At)
 		case e.What == "listed Ready" && c != nil && c.from == 0:
 			c.from = e.At + listGrace
--- a/internal/lab/fleet/fleet_files.go
+++ b/internal/lab/fleet/fleet_files.go
@@ -135,14 +135,14 @@
 // Amounts implements live.Fleet.
 func (g *rig) Amounts(share float64) (int, error) {
 	g.values.AmountShare = share
-	return g.rewriteFiles(Event{What: "amounts", Share: share})
+	return g.rewriteFiles(Event{What: eventAmounts, Share: share})
 }
 
 // Voters implements live.Fleet.
 func (g *rig) Voters(names []string) (int, error) {
 	g.values.Voters = names
 	g.values.Edition++
-	return g.rewriteFiles(Event{What: "keepers", To: names})
+	return g.rewriteFiles(Event{What: eventVoters, To: names})
 }
 
 // rewriteFiles writes all fleet files anew, and returns how often that was done.
--- a/internal/lab/fleet/members.go
+++ b/internal/lab/fleet/members.go
@@ -1,7 +1,6 @@
 package fleet
 
 import (
-	"fmt"
 	"math"
 	"slices"
 	"time"
@@ -32,17 +31,6 @@
 	stopTakes = 100 * time.Millisecond
 )
 
-// Violation is a rule that did not hold.
-type Violation struct {
-	Rule string        `json:"rule"`
-	At   time.Duration `json:"at"` // since the script's beginning
-	What string        `json:"what"`
-}
-
-func (b Violation) String() string {
-	return fmt.Sprintf("%s at %.2fs: %s", b.Rule, b.At.Seconds(), b.What)
-}
-
 // Rules are those that a run of members is held to.
 func Rules() []string {
 	return []string{"agree", "false", "told", "life", "twice", "order", "kept", "rig", "world"}
@@ -89,6 +77,7 @@
 type judge struct {
 	account *Account
 	result  *Members
+	report  reporter                   // to the result
 	truth   *timeline                  // how things are with the nodes
 	nodes   map[string]*nodeHistory    // by name, also of strangers; see node
 	observe func(at time.Duration)     // called before each line of the records; nil: not
@@ -102,9 +91,6 @@
 	differedAtChange   bool          // they did not agree when the change happened
 }
 
-// nodePair is an ordered pair of nodes.
-type nodePair struct{ from, to string }
-
 // nodeHistory is what the judge notes of one node.
 type nodeHistory struct {
 	view        *belief            // of the process that holds the node's place; nil: none
@@ -152,16 +138,18 @@
 }
 
 func newJudge(a *Account) *judge {
+	result := &Members{
+		Nodes:   len(a.Names),
+		Seconds: (a.End - a.Begin).Seconds(),
+		Broken:  []Violation{},
+	}
 	return &judge{
 		account: a,
-		result: &Members{
-			Nodes:   len(a.Names),
-			Seconds: (a.End - a.Begin).Seconds(),
-			Broken:  []Violation{},
-		},
-		truth: &timeline{truth: newTruth(a.Names), events: a.Events},
-		nodes: map[string]*nodeHistory{},
-		cutAt: map[nodePair]time.Duration{},
+		result:  result,
+		report:  newReporter(&result.Broken, a.Begin),
+		truth:   &timeline{truth: newTruth(a.Names), events: a.Events},
+		nodes:   map[string]*nodeHistory{},
+		cutAt:   map[nodePair]time.Duration{},
 	}
 }
 
@@ -178,12 +166,7 @@
 // play goes through the run.
 func (j *judge) play() {
 	a := j.account
-	for _, broken := range a.Broken {
-		j.report("world", a.Begin, "%s", broken)
-	}
-	if a.RunError != nil {
-		j.report("rig", a.Begin, "%v", a.RunError)
-	}
+	reportRun(a, j.report)
 	wrongClocks(a, j.report)
 	for _, line := range a.Lines {
 		at := time.Duration(line.At)
@@ -199,17 +182,6 @@
 	j.advance(a.End)
 }
 
-// maxBroken bounds the rules' violations that a result lists.
-const maxBroken = 20
-
-// report notes that a rule did not hold.
-func (j *judge) report(rule string, at time.Duration, format string, args ...any) {
-	if len(j.result.Broken) < maxBroken {
-		broken := Violation{Rule: rule, At: at - j.account.Begin, What: fmt.Sprintf(format, args...)}
-		j.result.Broken = append(j.result.Broken, broken)
-	}
-}
-
 // What is lost by chance may differ from its expected value by five standard deviations, and a few for small numbers.
 const (
 	lossDeviations = 5
--- a/internal/lab/fleet/members_events.go
+++ b/internal/lab/fleet/members_events.go
@@ -17,7 +17,7 @@
 func changesNothing(what string) bool {
 	switch what {
 	case "upgrade", "upgraded", "directory full", "directory unwritable", "directory foreign", "directory torn",
-		"directory emptied", "refused", "moves", "clock wrong":
+		"directory emptied", "refused", "moves", eventClockWrong:
 		return true
 	}
 	return false
@@ -39,9 +39,9 @@
 		return
 	}
 	switch e.What {
-	case "cut":
+	case eventCut:
 		j.noteCut(e)
-	case "cut healed":
+	case eventCutHealed:
 		j.noteHealed(e)
 	default:
 		j.node(e.Node).apply(e, wasLeaving)
@@ -52,7 +52,7 @@
 // apply notes what happened to the node.
 func (n *nodeHistory) apply(e Event, wasLeaving bool) {
 	switch e.What {
-	case "killed":
+	case eventKilled:
 		n.leftAsPlanned = false
 		n.endedAt = e.At
 		if wasLeaving { // it may have said that it had left
@@ -64,19 +64,19 @@
 		n.holder = 0
 		n.stopped = false
 		n.stoppedAt = 0
-	case "ended":
+	case eventEnded:
 		n.leftAsPlanned = true
 		n.endedAt = e.At
 		n.holder = 0
-	case "started":
+	case eventStarted:
 		n.killed = false
 		n.view = nil
-	case "twin killed":
+	case eventStrangerKilled:
 		n.strangerUntil = e.At + calmFor // the last that was heard of it is reported for a while
-	case "stopped":
+	case eventStopped:
 		n.stopped = true
 		n.stoppedAt = e.At
-	case "goes on":
+	case eventResumed:
 		n.wasStoppedBriefly = e.At-n.stoppedAt <= briefStop
 		n.stopped = false
 		n.stoppedAt = 0
@@ -106,7 +106,7 @@
 
 // noteChange notes that views have something to follow from now on.
 func (j *judge) noteChange(e Event) {
-	if e.What != "serves" && e.What != "told SIGTERM" && j.changedAt > 0 {
+	if e.What != eventServes && e.What != eventTerminated && j.changedAt > 0 {
 		j.result.Changes++
 		if !j.viewsAgree {
 			j.result.Unsettled++
@@ -118,7 +118,7 @@
 			j.node(name).undisturbedSince = e.At
 		}
 	}
-	recovers := e.What == "cut healed" || e.What == "ail over" || e.What == "goes on"
+	recovers := e.What == eventCutHealed || e.What == eventImpairmentOver || e.What == eventResumed
 	if !j.truth.isIntact() || j.anyStopped() || recovers {
 		j.disturbedAt = e.At
 	}
--- a/internal/lab/fleet/members_records.go
+++ b/internal/lab/fleet/members_records.go
@@ -173,8 +173,8 @@
 	}
 }
 
-// isWell reports whether a member runs, in the incarnation that a viewer believes, and reaches it, and both have not been
-// disturbed of late.
+// isWell reports whether a member runs, in the incarnation that a viewer believes, and reaches it, and both have not
+// been disturbed of late.
 func (j *judge) isWell(at time.Duration, viewer string, is member.Member) bool {
 	n := j.node(is.Name)
 	actual := j.truth.nodes[is.Name]
--- a/internal/lab/fleet/members_test.go
+++ b/internal/lab/fleet/members_test.go
@@ -12,7 +12,7 @@
 	"olivebridge/internal/lab/fault"
 )
 
-// runBuilder is a run that is told by hand: three processes that found each other at once.
+// runBuilder builds the account of a run by hand: three processes that found each other at once.
 type runBuilder struct {
 	t      *testing.T
 	a      *Account
@@ -28,7 +28,8 @@
 		x.happens(1.1, n, "serves")
 		x.line(1.1, n, "took", member.Incarnation{Home: n, Number: 1})
 		for _, m := range x.a.Names {
-			x.view[n] = append(x.view[n], member.Member{Name: m, Incarnation: member.Incarnation{Home: m, Number: 1}, State: member.Alive})
+			incarnation := member.Incarnation{Home: m, Number: 1}
+			x.view[n] = append(x.view[n], member.Member{Name: m, Incarnation: incarnation, State: member.Alive})
 		}
 		x.show(1.2, n)
 	}
@@ -67,7 +68,8 @@
 // cut cuts n3 off, both ways.
 func (x *runBuilder) cut(s float64, ended bool) {
 	what := map[bool]string{false: "cut", true: "cut healed"}[ended]
-	for _, e := range []Event{{From: []string{"n3"}, To: []string{"n1", "n2"}}, {From: []string{"n1", "n2"}, To: []string{"n3"}}} {
+	one, others := []string{"n3"}, []string{"n1", "n2"}
+	for _, e := range []Event{{From: one, To: others}, {From: others, To: one}} {
 		e.At, e.What, e.Ended = at(s), what, ended
 		x.a.Events = append(x.a.Events, e)
 	}
@@ -86,7 +88,7 @@
 	return JudgeMembers(x.a)
 }
 
-// Each rule is broken by what breaks it, and by nothing else.
+// TestMembersJudge: each rule is broken by what breaks it, and by nothing else.
 func TestMembersJudge(t *testing.T) {
 	all := func(x *runBuilder, s float64, of string, state member.State) {
 		for _, n := range x.a.Names {
@@ -110,7 +112,10 @@
 			x.happens(10, "n3", "killed")
 			x.happens(19, "n3", "started")
 		}, "kept"},
-		{"a death is told as a leave", func(x *runBuilder) { x.happens(10, "n3", "killed"); all(x, 13, "n3", member.Left) }, "told"},
+		{"a death is told as a leave", func(x *runBuilder) {
+			x.happens(10, "n3", "killed")
+			all(x, 13, "n3", member.Left)
+		}, "told"},
 		{"a leave is seen", func(x *runBuilder) {
 			x.happens(30, "n3", "told SIGTERM")
 			all(x, 30.1, "n3", member.Leaving)
@@ -172,7 +177,9 @@
 			x.view["n1"][2].Incarnation.Number = 1
 			x.show(31, "n1")
 		}, "life"},
-		{"a start that does not count", func(x *runBuilder) { x.line(30, "n1", "took", member.Incarnation{Home: "n1", Number: 1}) }, "life"},
+		{"a start that does not count", func(x *runBuilder) {
+			x.line(30, "n1", "took", member.Incarnation{Home: "n1", Number: 1})
+		}, "life"},
 		{"one too many", func(x *runBuilder) {
 			x.view["n1"] = append(x.view["n1"], member.Member{Name: "n3.2", State: member.Alive})
 			x.show(30, "n1")
@@ -215,7 +222,8 @@
 	}
 }
 
-// Every script that is drawn can be played, and leaves time to see that its faults are over.
+// TestScriptsLeaveTimeToSettle: every script that is drawn can be played, and leaves time to see that its faults are
+// over.
 func TestScriptsLeaveTimeToSettle(t *testing.T) {
 	kinds := map[string]bool{}
 	for seed := range uint64(300) {
@@ -234,7 +242,9 @@
 		}
 	}
 	for _, k := range fault.FleetTable() {
-		if !kinds[k.Name] && k.Name != "fleet-amounts" && k.Name != "fleet-clock" && k.Name != "fleet-keepers" && !strings.Contains(k.Name, "-at-") { // for one judge, and for programs built for mutants
+		// Some are for one judge alone, and some for programs built for mutants.
+		special := []string{"fleet-amounts", "fleet-clock", "fleet-keepers"}
+		if !kinds[k.Name] && !slices.Contains(special, k.Name) && !strings.Contains(k.Name, "-at-") {
 			t.Errorf("%s is never drawn", k.Name)
 		}
 	}
--- a/internal/lab/fleet/result.go
+++ b/internal/lab/fleet/result.go
@@ -2,14 +2,9 @@
 
 import (
 	"bytes"
-	"context"
-	"fmt"
 	"io"
 	"os"
 	"path/filepath"
-	"slices"
-	"strings"
-	"time"
 
 	"olivebridge/internal/lab/fault"
 )
@@ -31,134 +26,6 @@
 	Line(s *fault.Script) string // the same in one line
 }
 
-// Scenario is what a fleet is played for.
-type Scenario struct {
-	Name         string
-	DemoScript   func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) // that shows it
-	RandomScript func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) // with faults of all kinds
-	QuietScript  func(seed uint64, nodes int, length time.Duration) *fault.Script          // without faults
-	Cases        []Case
-	ExtraTables  func(FileValues) string // what the fleet files say besides
-	Judge        func(s *fault.Script, a *Account) Outcome
-	Clients      func(ctx context.Context, nodes map[string]string, s *fault.Script) []ClientCall // see Options; may be nil
-
-	Operators func(ctx context.Context, doors func(node string) string, s *fault.Script) []OperatorCall // the same
-}
-
-// Scenarios are all there are.
-func Scenarios() map[string]Scenario {
-	return map[string]Scenario{
-		"members": {"members", DemoScript, RandomScript, quietScript, MemberCases(), func(FileValues) string { return "" }, func(_ *fault.Script, a *Account) Outcome { return JudgeMembers(a) }, nil, nil},
-		"budget":  {"budget", BudgetDemoScript, BudgetRandomScript, budgetWorld, append(BudgetCases(), amountsCase()), BudgetFile, func(_ *fault.Script, a *Account) Outcome { return JudgeBudget(a) }, nil, nil},
-		"in-use": {"in-use", drawnIn(inUseWorld, BudgetDemoScript), drawnIn(inUseWorld, RandomScript), inUseWorld, append(BudgetCases(), restartsCase()), inUseFile,
-			func(_ *fault.Script, a *Account) Outcome { return JudgeInUse(a) }, nil, nil},
-		"count": {"count", drawnIn(budgetWorld, BudgetDemoScript), drawnIn(budgetWorld, RandomScript), budgetWorld, BudgetCases(), countFile,
-			func(_ *fault.Script, a *Account) Outcome { return JudgeCount(a) }, nil, nil},
-		"retries": {"retries", drawnIn(retriesWorld, BudgetDemoScript), drawnIn(retriesWorld, RandomScript), retriesWorld, BudgetCases(), retriesFile,
-			func(_ *fault.Script, a *Account) Outcome { return JudgeRetries(a) }, nil, nil},
-		"cold":     ColdSubject(true),
-		"signals":  SignalsSubject(40, signalWitnesses),
-		"choices":  ChoicesSubject(40, 0, 0),
-		"rounds":   RoundsSubject(),
-		"takeover": TakeoverSubject(true, true),
-	}
-}
-
-// Play plays a script for the subject.
-func (s Scenario) Play(ctx context.Context, script *fault.Script, o Options) (*Result, error) {
-	o.Clients, o.Operators = s.Clients, s.Operators
-	o.ExtraTables = s.ExtraTables
-	a, err := Play(ctx, script, o)
-	if err != nil {
-		return nil, err
-	}
-	return &Result{script, a, s.Judge(script, a)}, nil
-}
-
-// leak is the mutant of the rig itself.
-const leak = "cut-not-made"
-
-// Mutants are those that there are: of the processes, and of the rig.
-func Mutants() []string {
-	return []string{"dead-kept", "leave-told-as-death", "old-incarnation", "upgrade-twice", "lost-unwitnessed", leak,
-		"lease-from-answer", "given-out-early", "no-quarantine", "reserve-lent", "incarnation-forgotten", "held-twice",
-		"grant-twice", "own-clock", "roster-ignored", "step-without-look", "busy-not-asked", "one-witness", "liar", "no-majority", "old-and-new", "claim-without-look", "unknown-sent-again", "outcome-forgotten", "out-before-permission"}
-}
-
-// IsMutant reports whether there is one of that name.
-func IsMutant(name string) bool { return slices.Contains(Mutants(), name) }
-
-// Mutate makes the processes, or the rig, a mutant; "": none.
-func Mutate(o *Options, name string) {
-	if name == leak {
-		o.IgnoreCuts = true
-		return
-	}
-	o.Mutant = name
-}
-
-// verdict is what the rules that did not hold come to, in a few words.
-func verdict(broken []Violation) string {
-	if len(broken) == 0 {
-		return "held"
-	}
-	return "broken: " + broken[0].String()
-}
-
-// Verdict are the rules that did not hold.
-func (m *Members) Verdict() []Violation { return m.Broken }
-
-// Line is the result in one line.
-func (m *Members) Line(s *fault.Script) string {
-	return fmt.Sprintf("seed %d: %s; agree %.2f/%.2f s of %d, detect %.2f/%.2f s of %d, %d false deaths, %d flaps; %s",
-		s.Seed, strings.Join(s.Kinds(), " "), m.Agree.Median, m.Agree.Worst, m.Agree.Count, m.Detect.Median,
-		m.Detect.Worst, m.Detect.Count, m.FalseDeaths, m.Flaps, verdict(m.Broken))
-}
-
-// Text is the result for people: what was true at the end beside what each believed, and the figures.
-func (m *Members) Text(a *Account) string {
-	var b strings.Builder
-	j := final(a)
-	fmt.Fprintln(&b, "at the end:")
-	for _, name := range a.Names {
-		n := j.truth.nodes[name]
-		is := "does not run"
-		switch {
-		case n.running && n.stopped:
-			is = "stands still"
-		case n.running && n.leaving:
-			is = "is ending"
-		case n.running:
-			is = "runs"
-		}
-		fmt.Fprintf(&b, "  %-6s %-13s", name, is)
-		if v := j.node(name).view; v != nil && n.running {
-			fmt.Fprintf(&b, " believes in %s", v.view.String())
-		}
-		fmt.Fprintln(&b)
-	}
-	fmt.Fprintf(&b, "%d processes, %.0f s, %d changes, %d of which another came before all agreed\n", m.Nodes, m.Seconds, m.Changes,
-		m.Unsettled)
-	fmt.Fprintf(&b, "all views agree %.2f s after a change (median of %d), %.2f s at worst\n", m.Agree.Median, m.Agree.Count,
-		m.Agree.Worst)
-	fmt.Fprintf(&b, "a kill is seen by a process after %.2f s (median of %d), %.2f s at worst\n", m.Detect.Median, m.Detect.Count,
-		m.Detect.Worst)
-	fmt.Fprintf(&b, "false deaths %d, suspicions of the well %d\n", m.FalseDeaths, m.Flaps)
-	fmt.Fprintf(&b, "a process sends %.0f bytes a second, uses %.2f%% of a core and %.1f MB\n", m.Bytes, 100*m.CPU, m.RSS)
-	for _, one := range m.Broken {
-		fmt.Fprintf(&b, "  %s\n", one)
-	}
-	return b.String()
-}
-
-// final is the judge at the end of a run.
-func final(a *Account) *judge {
-	copied := *a
-	j := newJudge(&copied)
-	j.play()
-	return j
-}
-
 // Keep writes what a run left to a folder: script, records, logs and page.
 func (r *Result) Keep(to, from string) error {
 	if err := os.RemoveAll(to); err != nil {
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -18,15 +18,15 @@
 	Node       string            // the node's program, with olivefleet beside it
 	Dir        string            // for everything that the processes write
 	Log        io.Writer         // what goes wrong with the run itself; may be nil
-	Progress   func(line string) // progress; may be nil
-	Mutant     string            // that every process is, which a program built for that knows
-	IgnoreCuts bool              // the rig is a mutant: cuts are not made
-	// More is what the fleet files say besides; nil: nothing.
+	Progress   func(line string) // may be nil
+	Mutant     string            // of which all processes are, if they were built for mutants; "": none
+	IgnoreCuts bool              // the rig is a mutant: it makes no cuts
+	// ExtraTables are tables of the fleet files besides [member]; nil: none.
 	ExtraTables func(FileValues) string
-	// Crowd asks the nodes, which it knows by name and address, for work until the script is over; nil: there is none.
+	// Clients call the nodes, given their addresses by name, until the script is over; nil: there are none.
 	Clients func(ctx context.Context, nodes map[string]string, s *fault.Script) []ClientCall
-	// Operators call at the nodes' doors until the script is over; nil: nobody does.
-	Operators func(ctx context.Context, doors func(node string) string, s *fault.Script) []OperatorCall
+	// Operators call the nodes' admin listeners until the script is over; nil: there are none.
+	Operators func(ctx context.Context, addresses func(node string) string, s *fault.Script) []OperatorCall
 }
 
 // rig is what stands around the processes of one run. Its exported methods implement live.Fleet and sample.Sink.
@@ -106,11 +106,12 @@
 		WallOffset: time.Duration(time.Now().UnixNano()) - record.Now(),
 	}
 	firstPeriod := countPeriodNow()
-	asked, said := g.startCallers(ctx, run, s)
+	clientCalls := g.startClients(ctx, run, s)
+	operatorCalls := g.startOperators(ctx, s)
 	g.progress(run, s.Length.D())
 	a.End = record.Now()
-	a.ClientCalls = <-asked
-	a.OperatorCalls = <-said
+	a.ClientCalls = <-clientCalls
+	a.OperatorCalls = <-operatorCalls
 	a.Periods = 1 + countPeriodNow() - firstPeriod
 	_ = run.Wait()
 	g.fillAccount(a, run)
@@ -143,22 +144,27 @@
 	})
 }
 
-// startCallers starts the crowd and the operators of the options. What they saw comes on the channels once they are
-// done; nothing for those that there are not.
-func (g *rig) startCallers(ctx context.Context, run *live.Run, s *fault.Script) (asked chan []ClientCall, said chan []OperatorCall) {
-	asked = make(chan []ClientCall, 1)
+// startClients starts the clients of the options. What they saw comes on the channel once they are done; nothing if
+// there are none.
+func (g *rig) startClients(ctx context.Context, run *live.Run, s *fault.Script) chan []ClientCall {
+	calls := make(chan []ClientCall, 1)
 	if g.options.Clients == nil {
-		close(asked)
-	} else {
-		go func() { asked <- g.options.Clients(ctx, run.Nodes(), s) }()
+		close(calls)
+		return calls
 	}
-	said = make(chan []OperatorCall, 1)
+	go func() { calls <- g.options.Clients(ctx, run.Nodes(), s) }()
+	return calls
+}
+
+// startOperators starts the operators of the options, as startClients does clients.
+func (g *rig) startOperators(ctx context.Context, s *fault.Script) chan []OperatorCall {
+	calls := make(chan []OperatorCall, 1)
 	if g.options.Operators == nil {
-		close(said)
-	} else {
-		go func() { said <- g.options.Operators(ctx, g.adminAddress, s) }()
+		close(calls)
+		return calls
 	}
-	return asked, said
+	go func() { calls <- g.options.Operators(ctx, g.adminAddress, s) }()
+	return calls
 }
 
 // fillAccount adds what the run and the rig saw, once all processes have ended.
--- a/internal/lab/fleet/rig_faults.go
+++ b/internal/lab/fleet/rig_faults.go
@@ -20,7 +20,7 @@
 // it, so that the judge finds where it was not.
 func (g *rig) Clock(node string, by time.Duration) {
 	g.clockErrors[node] = by
-	g.note(Event{Node: node, What: "clock wrong", Wrong: by})
+	g.note(Event{Node: node, What: eventClockWrong, Wrong: by})
 }
 
 // Arm implements live.Fleet. Only programs that were built for mutants can be met.
@@ -51,12 +51,12 @@
 // Cut implements live.Fleet.
 func (g *rig) Cut(from, to func(string) bool) func() {
 	heal := g.relays.Cut(from, to)
-	e := Event{What: "cut", From: g.namesOf(from), To: g.namesOf(to)}
+	e := Event{What: eventCut, From: g.namesOf(from), To: g.namesOf(to)}
 	g.note(e)
 	return func() {
 		heal()
 		e.Ended = true
-		e.What = "cut healed"
+		e.What = eventCutHealed
 		g.note(e)
 	}
 }
@@ -64,12 +64,12 @@
 // Ail implements live.Fleet.
 func (g *rig) Ail(from, to func(string) bool, a fault.Ails) func() {
 	heal := g.relays.Impair(from, to, a)
-	e := Event{What: "ail", From: g.namesOf(from), To: g.namesOf(to), Ails: &a}
+	e := Event{What: eventImpaired, From: g.namesOf(from), To: g.namesOf(to), Ails: &a}
 	g.note(e)
 	return func() {
 		heal()
 		e.Ended = true
-		e.What = "ail over"
+		e.What = eventImpairmentOver
 		g.note(e)
 	}
 }
--- a/internal/lab/fleet/rounds.go
+++ b/internal/lab/fleet/rounds.go
@@ -1,285 +1,223 @@
 package fleet
 
 import (
-	"bufio"
-	"context"
 	"encoding/json"
 	"fmt"
-	"net"
 	"slices"
 	"strings"
 	"time"
 
 	"olivebridge/internal/fleet/operations"
-	"olivebridge/internal/fleet/record"
 	"olivebridge/internal/lab/fault"
-	"olivebridge/internal/lab/figure"
 )
 
 const (
-	// roundFrom is when the operators begin their round, roundHold for how long each server is held out.
-	roundFrom = 4 * time.Second
+	// roundStart is when the operators begin their round.
+	roundStart = 4 * time.Second
+	// roundHold is for how long each server is held out.
 	roundHold = 300 * time.Millisecond
-	// roundName is how they call it, roundOwn the server that they keep out by a word of their own before.
+	// roundName is the round's name.
 	roundName = "kernel"
-	roundOwn  = 5
-	// callEach is how often they ask how it stands, callWithin how long an answer may take: a second is owed.
-	callEach   = 500 * time.Millisecond
-	callWithin = 1500 * time.Millisecond
+	// suspendedPeer is the index of the peer that the operators suspend themselves before.
+	suspendedPeer = 5
+	// operatorInterval is how often operators ask how the round stands.
+	operatorInterval = 500 * time.Millisecond
+	// operatorTimeout is how long an answer may take: a second is owed.
+	operatorTimeout = 1500 * time.Millisecond
+	// inFlightMargin is how long after its node's death a call may still come to a peer that the rig plays.
+	inFlightMargin = 250 * time.Millisecond
 )
 
-// roundsWorld is a script without faults of six peers that are all asked, for calls that take longer than it takes all nodes to
-// hear of something.
-func roundsWorld(seed uint64, nodes int, length time.Duration) *fault.Script {
-	s := budgetWorld(seed, nodes, length)
-	for i := range s.World.Clients {
-		s.World.Clients[i].Rate /= 4
-	}
-	c := &s.World.Classes[0] // the one that is asked for
-	c.Work, c.Spread = 30*c.Work, 0.2
-	c.Aim, c.Deadline = 20*c.Aim, 20*c.Deadline
-	return s
-}
-
-// roundsDrama kills one process after the other, the voters among them, while the round goes on.
-func roundsDrama(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
-	if nodes < 4 || length < 25*time.Second {
-		return nil, fmt.Errorf("%d nodes and %v: at least 4 and 25s are wanted", nodes, length)
-	}
-	s := roundsWorld(seed, nodes, length)
-	g := figure.Stream(seed, "drama")
-	for at := 5 * time.Second; at+settle <= length; at += 4 * time.Second {
-		s.Faults = append(s.Faults, fault.Fault{Kind: "node-kill", At: figure.Span(at), For: figure.Span(figure.Seconds(figure.Uniform(g, 0.6, 2.5))),
-			Nodes: []string{s.World.Nodes[g.IntN(nodes)].Name}})
-	}
-	return s, s.Check()
-}
-
-// RoundsSubject is operators' work over many nodes.
-func RoundsSubject() Scenario {
-	return Scenario{"rounds", roundsDrama, drawnIn(roundsWorld, RandomScript), roundsWorld, []Case{upgradesCase(), votersCase()},
-		func(s FileValues) string { return "\n[operators]\n" + s.votersTable() },
-		func(s *fault.Script, a *Account) Outcome { return JudgeRounds(s, a) }, nil, operate}
-}
-
-// operate keeps one server out by a word, begins a round through all, and asks any node how it stands.
-func operate(ctx context.Context, doors func(string) string, s *fault.Script) (all []OperatorCall) {
-	g := figure.Stream(s.Seed, "operators")
-	begin := time.Now()
-	node := func() string { return s.World.Nodes[g.IntN(len(s.World.Nodes))].Name }
-	say := func(line string) bool {
-		n := node()
-		answer := call(ctx, doors(n), line)
-		all = append(all, OperatorCall{record.Now(), n, line, answer})
-		return strings.HasPrefix(answer, "SUCCESS")
-	}
-	until := func(line string) { // said again until it is heard
-		for !say(line) && ctx.Err() == nil && time.Since(begin) < s.Length.D() {
-			time.Sleep(callEach)
-		}
-	}
-	time.Sleep(roundFrom)
-	own := s.World.Peers[roundOwn].Name
-	until("FLEET SUSPEND " + own)
-	until(fmt.Sprintf("FLEET ROUND %s %s ALL", roundName, roundHold))
-	until(fmt.Sprintf("FLEET ROUND %s %s ALL", roundName, roundHold)) // which begins no second
-	for time.Since(begin) < s.Length.D()-2*callWithin && ctx.Err() == nil {
-		say("FLEET STATUS")
-		time.Sleep(callEach)
-	}
-	for _, n := range s.World.Nodes {
-		all = append(all, OperatorCall{record.Now(), n.Name, "FLEET STATUS", call(ctx, doors(n.Name), "FLEET STATUS")})
-	}
-	return all
-}
-
-// call says one line at a door; "": nobody answered.
-func call(ctx context.Context, door, line string) string {
-	d := net.Dialer{Timeout: callWithin}
-	c, err := d.DialContext(ctx, "tcp", door)
-	if err != nil {
-		return ""
-	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(callWithin))
-	fmt.Fprintln(c, line)
-	answer, _ := bufio.NewReader(c).ReadString('\n')
-	return strings.TrimSpace(answer)
-}
-
-// Rounds is what came of operators' work.
+// Rounds is what came of operators' calls.
 type Rounds struct {
-	Nodes   int         `json:"nodes"`
-	Seconds float64     `json:"seconds"`
-	Steps   int         `json:"steps"`
-	Drivers int         `json:"drivers"` // processes that took steps
-	Took    float64     `json:"took_s"`  // from the round's beginning to its last step; 0: it was not done
-	Quiet   int         `json:"quiet"`   // times that a server was out at all nodes, which was looked at
-	Skipped int         `json:"skipped"` // of them, those in which some process was cut off or stood still
-	Late    int         `json:"late"`    // tries that came to a server all the same
-	Held    int         `json:"held"`    // calls that it had in hand when it counted as empty
-	Calls   int         `json:"calls"`   // of operators
-	Silent  int         `json:"silent"`  // of them, those that nobody answered
-	Unsure  int         `json:"unsure"`  // and those that were to be said again
-	Broken  []Violation `json:"broken"`
+	Nodes      int         `json:"nodes"`
+	Seconds    float64     `json:"seconds"`
+	Steps      int         `json:"steps"`
+	Drivers    int         `json:"drivers"` // processes that took steps
+	Took       float64     `json:"took_s"`  // from the round's beginning to its last step; 0: it was not done
+	Checked    int         `json:"quiet"`   // times that a server was out at all nodes, which was looked at
+	Skipped    int         `json:"skipped"` // of them, those in which some process was cut off or stood still
+	LateCalls  int         `json:"late"`    // tries that came to a server all the same
+	OpenCalls  int         `json:"held"`    // calls that it had in hand when it counted as empty
+	Calls      int         `json:"calls"`   // of operators
+	Unanswered int         `json:"silent"`  // of them, those that nobody answered
+	Undecided  int         `json:"unsure"`  // and those that were to be said again
+	Broken     []Violation `json:"broken"`
 }
 
 // JudgeRounds holds a run against what operators may count on.
 func JudgeRounds(s *fault.Script, a *Account) *Rounds {
 	base := newAmount(a, "rounds", 0)
 	m := &Rounds{Nodes: base.Nodes, Seconds: base.Seconds, Broken: base.Broken}
-	breaks := func(rule string, at time.Duration, format string, args ...any) {
-		if len(m.Broken) < 20 {
-			m.Broken = append(m.Broken, Violation{rule, at - a.Begin, fmt.Sprintf(format, args...)})
-		}
-	}
-	m.steps(s, a, breaks)
-	m.said(s, a, breaks)
+	report := newReporter(&m.Broken, a.Begin)
+	m.checkSteps(s, a, report)
+	m.checkAnswers(s, a, report)
 	return m
 }
 
-// steps looks at the steps that were taken, and at what came to servers while they were out.
-func (m *Rounds) steps(s *fault.Script, a *Account, breaks func(string, time.Duration, string, ...any)) {
-	took, drivers := map[operations.StepRecord]time.Duration{}, map[string]bool{}
-	var began, last time.Duration
-	var out string
-	for _, l := range a.Lines {
+// checkSteps looks at the steps that were taken, and at what came to servers while they were out of use.
+func (m *Rounds) checkSteps(s *fault.Script, a *Account, report reporter) {
+	taken := map[operations.StepRecord]time.Duration{}
+	drivers := map[string]bool{}
+	var first, last time.Duration
+	suspended := ""
+	for _, line := range a.Lines {
 		var step operations.StepRecord
-		if l.Kind != "step" || json.Unmarshal(l.Data, &step) != nil {
+		if line.Kind != "step" || json.Unmarshal(line.Data, &step) != nil {
 			continue
 		}
-		at := time.Duration(l.At)
-		if _, twice := took[step]; twice {
-			breaks("once", at, "%s takes step %s of server %s a second time", l.Node, step.From, step.Server)
+		at := time.Duration(line.At)
+		if _, twice := taken[step]; twice {
+			report("once", at, "%s takes step %s of server %s a second time", line.Node, step.From, step.Server)
 		}
-		took[step] = at
-		drivers[fmt.Sprint(l.Node, l.PID)] = true
+		taken[step] = at
+		drivers[fmt.Sprint(line.Node, line.PID)] = true
 		m.Steps++
-		if began == 0 {
-			began = at
+		if first == 0 {
+			first = at
 		}
 		last = at
 		switch step.From {
 		case operations.Pending:
-			if out != "" && step.Server != s.World.Peers[roundOwn].Name {
-				breaks("one", at, "%s leaves while %s is out", step.Server, out)
+			if suspended != "" && step.Server != s.World.Peers[suspendedPeer].Name {
+				report("one", at, "%s leaves while %s is out", step.Server, suspended)
 			}
-			out = step.Server
+			suspended = step.Server
 		case operations.Drained:
-			out = ""
+			suspended = ""
 		}
 	}
 	m.Drivers = len(drivers)
-	for step, at := range took {
+	m.checkAllDrained(a, taken, report)
+	if m.Steps > 0 {
+		m.Took = (last - first).Seconds()
+	}
+}
+
+// checkAllDrained looks at each server from when it counted as drained until it was restored.
+func (m *Rounds) checkAllDrained(a *Account, taken map[operations.StepRecord]time.Duration, report reporter) {
+	for step, at := range taken {
 		if step.From != operations.Draining {
 			continue
 		}
 		step.From = operations.Drained
-		end, back := took[step]
-		if !back {
+		end, restored := taken[step]
+		if !restored {
 			end = min(at+roundHold, a.End)
 		}
-		m.quiet(a, step.Server, at, end, breaks)
-	}
-	if m.Steps > 0 {
-		m.Took = (last - began).Seconds()
+		m.checkDrained(a, step.Server, at, end, report)
 	}
 }
 
-// quiet finds tries that came to a server between two instants, in which all nodes had said that nothing of theirs was there.
-func (m *Rounds) quiet(a *Account, server string, from, to time.Duration, breaks func(string, time.Duration, string, ...any)) {
-	m.Quiet++
-	if disturbed(a, from, to) {
+// checkDrained finds calls that were open at a server, or came to it, between two instants in which all nodes had said
+// that they have none there.
+func (m *Rounds) checkDrained(a *Account, server string, from, to time.Duration, report reporter) {
+	m.Checked++
+	if wasDisturbed(a, from, to) {
 		m.Skipped++
 		return
 	}
-	if held := inHand(a, server, from); held > 0 {
-		m.Held += held
-		breaks("busy", from, "%s counts as empty, and has %d calls in hand", server, held)
+	if open := openCallsAt(a, server, from); open > 0 {
+		m.OpenCalls += open
+		report("busy", from, "%s counts as empty, and has %d calls in hand", server, open)
 	}
-	for _, c := range a.Arrivals {
-		if c.Peer == server && !c.Done && c.At > from && c.At < to {
-			m.Late++
-			breaks("out", c.At, "a try comes to %s, which was out at all nodes for %.3fs", server, (c.At - from).Seconds())
+	for _, arrival := range a.Arrivals {
+		if arrival.Peer == server && !arrival.Done && arrival.At > from && arrival.At < to {
+			m.LateCalls++
+			report("out", arrival.At, "a try comes to %s, which was out at all nodes for %.3fs",
+				server, (arrival.At - from).Seconds())
 		}
 	}
 }
 
-// onItsWay is how long after its node's death a call may still come to a peer that the rig plays.
-const onItsWay = 250 * time.Millisecond
-
-// inHand is how many calls a server had in hand at an instant. Of those whose node may have died meanwhile no end is seen: they are
-// not counted.
-func inHand(a *Account, server string, at time.Duration) (n int) {
+// openCallsAt is how many calls a server had open at an instant. Of those whose node may have died meanwhile no end is
+// seen: they are not counted.
+func openCallsAt(a *Account, server string, at time.Duration) (count int) {
 	open := map[string]time.Duration{}
-	for _, c := range a.Arrivals {
+	for _, arrival := range a.Arrivals {
 		switch {
-		case c.Peer != server || c.At > at:
-		case c.Done:
-			delete(open, c.Call)
+		case arrival.Peer != server || arrival.At > at:
+		case arrival.Done:
+			delete(open, arrival.Call)
 		default:
-			open[c.Call] = c.At
+			open[arrival.Call] = arrival.At
 		}
 	}
 	for _, came := range open {
-		if !slices.ContainsFunc(a.Events, func(e Event) bool {
-			return (e.What == "killed" || e.What == "ended") && e.At > came-onItsWay && e.At <= at
-		}) {
-			n++
+		nodeEnded := func(e Event) bool {
+			ended := e.What == eventKilled || e.What == eventEnded
+			return ended && e.At > came-inFlightMargin && e.At <= at
+		}
+		if !slices.ContainsFunc(a.Events, nodeEnded) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// disturbed reports whether some process was cut off or stood still just before the end of a time: it was given up, and may
-// live.
-func disturbed(a *Account, from, to time.Duration) bool {
-	w := &timeline{truth: newTruth(a.Names), events: a.Events}
+// wasDisturbed reports whether some process was cut off or stopped just before the end of a time: it was given up, and
+// may live.
+func wasDisturbed(a *Account, from, to time.Duration) bool {
+	now := newTruth(a.Names)
+	isAway := func(name string) bool { return now.nodes[name].stopped || now.nodes[name].hasStranger }
 	for _, e := range a.Events {
 		if e.At > to {
 			break
 		}
-		w.apply(e)
-		if e.At > from-calmFor && (!w.isIntact() || slices.ContainsFunc(a.Names, func(n string) bool { return w.nodes[n].stopped || w.nodes[n].hasStranger })) {
+		now.apply(e)
+		if e.At > from-calmFor && (!now.isIntact() || slices.ContainsFunc(a.Names, isAway)) {
 			return true
 		}
 	}
-	return !w.isIntact()
+	return !now.isIntact()
 }
 
-// said looks at what operators were told.
-func (m *Rounds) said(s *fault.Script, a *Account, breaks func(string, time.Duration, string, ...any)) {
-	done := fmt.Sprintf("round %q, begun at ", roundName)
-	begun, well := 0, 0
-	for _, c := range a.OperatorCalls {
+// checkAnswers looks at what operators were answered.
+func (m *Rounds) checkAnswers(s *fault.Script, a *Account, report reporter) {
+	begun := 0
+	for _, call := range a.OperatorCalls {
 		m.Calls++
 		switch {
-		case c.Answer == "":
-			m.Silent++
-		case strings.Contains(c.Answer, "say it again"):
-			m.Unsure++
-		case strings.HasPrefix(c.Line, "FLEET ROUND") && strings.HasPrefix(c.Answer, "SUCCESS") && !strings.Contains(c.Answer, "before"):
+		case call.Answer == "":
+			m.Unanswered++
+		case strings.Contains(call.Answer, "say it again"):
+			m.Undecided++
+		case call.beganRound():
 			begun++
 		}
 	}
 	if begun > 1 {
-		breaks("once", a.End, "%d rounds were begun under one name", begun)
+		report("once", a.End, "%d rounds were begun under one name", begun)
 	}
 	last := a.OperatorCalls[max(len(a.OperatorCalls)-len(s.World.Nodes), 0):]
-	for _, c := range last {
-		if c.Answer == "" {
+	m.checkLastAnswers(s, a, last, report)
+}
+
+// beganRound reports whether a call has begun a round that there was not.
+func (c OperatorCall) beganRound() bool {
+	return strings.HasPrefix(c.Line, "FLEET ROUND") && strings.HasPrefix(c.Answer, answerSuccess) &&
+		!strings.Contains(c.Answer, "before")
+}
+
+// checkLastAnswers holds how the round stood at the end, as each node said, against how it has to.
+func (m *Rounds) checkLastAnswers(s *fault.Script, a *Account, last []OperatorCall, report reporter) {
+	header := fmt.Sprintf("round %q, begun at ", roundName)
+	suspended := s.World.Peers[suspendedPeer].Name
+	answered := 0
+	for _, call := range last {
+		if call.Answer == "" {
 			continue // a process that ends or is dead
 		}
-		well++
-		if _, rest, is := strings.Cut(c.Answer, done); !is || !strings.Contains(rest, "done, ") {
-			breaks("done", c.At, "at the end %s says: %.200s", c.Node, c.Answer)
+		answered++
+		if _, rest, found := strings.Cut(call.Answer, header); !found || !strings.Contains(rest, "done, ") {
+			report("done", call.At, "at the end %s says: %.200s", call.Node, call.Answer)
 		}
-		if own := s.World.Peers[roundOwn].Name; !strings.Contains(c.Answer, "out by the fleet's word: ["+own+"]") {
-			breaks("word", c.At, "%s does not have %s out alone: %.200s", c.Node, own, c.Answer)
+		if !strings.Contains(call.Answer, "out by the fleet's word: ["+suspended+"]") {
+			report("word", call.At, "%s does not have %s out alone: %.200s", call.Node, suspended, call.Answer)
 		}
 	}
-	if well == 0 {
-		breaks("done", a.End, "nobody says how it stands")
+	if answered == 0 {
+		report("done", a.End, "nobody says how it stands")
 	}
 }
 
@@ -289,10 +227,12 @@
 // Text is the result for people.
 func (m *Rounds) Text(*Account) string {
 	var t strings.Builder
-	fmt.Fprintf(&t, "%d processes, %.0f s: a round of %d steps took %.2f s, taken by %d processes\n", m.Nodes, m.Seconds, m.Steps, m.Took, m.Drivers)
-	fmt.Fprintf(&t, "%d times a server was out at all nodes (%d not judged, since a process was cut off or stood still): it had %d calls in hand, and "+
-		"%d tries came to it\n", m.Quiet, m.Skipped, m.Held, m.Late)
-	fmt.Fprintf(&t, "operators called %d times, were not answered %d times, and told to call again %d times\n", m.Calls, m.Silent, m.Unsure)
+	fmt.Fprintf(&t, "%d processes, %.0f s: a round of %d steps took %.2f s, taken by %d processes\n",
+		m.Nodes, m.Seconds, m.Steps, m.Took, m.Drivers)
+	fmt.Fprintf(&t, "%d times a server was out at all nodes (%d not judged, since a process was cut off or stood still): "+
+		"it had %d calls in hand, and %d tries came to it\n", m.Checked, m.Skipped, m.OpenCalls, m.LateCalls)
+	fmt.Fprintf(&t, "operators called %d times, were not answered %d times, and told to call again %d times\n",
+		m.Calls, m.Unanswered, m.Undecided)
 	for _, one := range m.Broken {
 		fmt.Fprintf(&t, "  %s\n", one)
 	}
@@ -301,6 +241,7 @@
 
 // Line is the result in one line.
 func (m *Rounds) Line(s *fault.Script) string {
-	return fmt.Sprintf("seed %d: %s; %d steps by %d, %.1f s, out %d (%d not judged), late %d; %s", s.Seed, strings.Join(s.Kinds(), " "),
-		m.Steps, m.Drivers, m.Took, m.Quiet, m.Skipped, m.Late, verdict(m.Broken))
+	return fmt.Sprintf("seed %d: %s; %d steps by %d, %.1f s, out %d (%d not judged), late %d; %s",
+		s.Seed, strings.Join(s.Kinds(), " "), m.Steps, m.Drivers, m.Took, m.Checked, m.Skipped, m.LateCalls,
+		verdict(m.Broken))
 }
--- /dev/null
+++ b/internal/lab/fleet/scenario.go
@@ -0,0 +1,139 @@
+package fleet
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"olivebridge/internal/lab/fault"
+)
+
+// scriptMaker makes a script of a seed, for some nodes and some length.
+type scriptMaker func(seed uint64, nodes int, length time.Duration) (*fault.Script, error)
+
+// quietScriptMaker makes a script without faults.
+type quietScriptMaker func(seed uint64, nodes int, length time.Duration) *fault.Script
+
+// Scenario is what a fleet is played for: one ability of it, with the scripts that try it and the judge of a run.
+type Scenario struct {
+	Name         string
+	DemoScript   scriptMaker // shows the ability, with few faults
+	RandomScript scriptMaker // has faults of all kinds
+	QuietScript  quietScriptMaker
+	Cases        []Case
+	ExtraTables  func(FileValues) string // of the fleet files
+	Judge        func(s *fault.Script, a *Account) Outcome
+	// Clients and Operators are those of Options; nil: there are none.
+	Clients   func(ctx context.Context, nodes map[string]string, s *fault.Script) []ClientCall
+	Operators func(ctx context.Context, addresses func(node string) string, s *fault.Script) []OperatorCall
+}
+
+// Scenarios are all that there are, by name.
+func Scenarios() map[string]Scenario {
+	scenarios := map[string]Scenario{}
+	for _, s := range []Scenario{
+		membersScenario(), budgetScenario(), inUseScenario(), countScenario(), retriesScenario(), ColdScenario(true),
+		SignalsScenario(40, signalWitnesses), ChoicesScenario(40, 0, 0), RoundsScenario(), TakeoverScenario(true, true),
+	} {
+		scenarios[s.Name] = s
+	}
+	return scenarios
+}
+
+func membersScenario() Scenario {
+	return Scenario{
+		Name:         "members",
+		DemoScript:   DemoScript,
+		RandomScript: RandomScript,
+		QuietScript:  quietScript,
+		Cases:        MemberCases(),
+		ExtraTables:  func(FileValues) string { return "" },
+		Judge:        func(_ *fault.Script, a *Account) Outcome { return JudgeMembers(a) },
+	}
+}
+
+func budgetScenario() Scenario {
+	return Scenario{
+		Name:         "budget",
+		DemoScript:   BudgetDemoScript,
+		RandomScript: BudgetRandomScript,
+		QuietScript:  budgetQuietScript,
+		Cases:        append(BudgetCases(), amountsCase()),
+		ExtraTables:  BudgetFile,
+		Judge:        func(_ *fault.Script, a *Account) Outcome { return JudgeBudget(a) },
+	}
+}
+
+func inUseScenario() Scenario {
+	return Scenario{
+		Name:         "in-use",
+		DemoScript:   drawnIn(inUseQuietScript, BudgetDemoScript),
+		RandomScript: drawnIn(inUseQuietScript, RandomScript),
+		QuietScript:  inUseQuietScript,
+		Cases:        append(BudgetCases(), restartsCase()),
+		ExtraTables:  inUseFile,
+		Judge:        func(_ *fault.Script, a *Account) Outcome { return JudgeInUse(a) },
+	}
+}
+
+func countScenario() Scenario {
+	return Scenario{
+		Name:         "count",
+		DemoScript:   drawnIn(budgetQuietScript, BudgetDemoScript),
+		RandomScript: drawnIn(budgetQuietScript, RandomScript),
+		QuietScript:  budgetQuietScript,
+		Cases:        BudgetCases(),
+		ExtraTables:  countFile,
+		Judge:        func(_ *fault.Script, a *Account) Outcome { return JudgeCount(a) },
+	}
+}
+
+func retriesScenario() Scenario {
+	return Scenario{
+		Name:         "retries",
+		DemoScript:   drawnIn(retriesQuietScript, BudgetDemoScript),
+		RandomScript: drawnIn(retriesQuietScript, RandomScript),
+		QuietScript:  retriesQuietScript,
+		Cases:        BudgetCases(),
+		ExtraTables:  retriesFile,
+		Judge:        func(_ *fault.Script, a *Account) Outcome { return JudgeRetries(a) },
+	}
+}
+
+// Play plays a script for the scenario, and judges the run.
+func (s Scenario) Play(ctx context.Context, script *fault.Script, options Options) (*Result, error) {
+	options.Clients = s.Clients
+	options.Operators = s.Operators
+	options.ExtraTables = s.ExtraTables
+	a, err := Play(ctx, script, options)
+	if err != nil {
+		return nil, err
+	}
+	return &Result{Script: script, Account: a, Outcome: s.Judge(script, a)}, nil
+}
+
+// ignoredCuts is the mutant of the rig itself; all others are of the processes.
+const ignoredCuts = "cut-not-made"
+
+// Mutants are the names of all mutants.
+func Mutants() []string {
+	return []string{
+		"dead-kept", "leave-told-as-death", "old-incarnation", "upgrade-twice", "lost-unwitnessed", ignoredCuts,
+		"lease-from-answer", "given-out-early", "no-quarantine", "reserve-lent", "incarnation-forgotten", "held-twice",
+		"grant-twice", "own-clock", "roster-ignored", "step-without-look", "busy-not-asked", "one-witness", "liar",
+		"no-majority", "old-and-new", "claim-without-look", "unknown-sent-again", "outcome-forgotten",
+		"out-before-permission",
+	}
+}
+
+// IsMutant reports whether there is one of that name.
+func IsMutant(name string) bool { return slices.Contains(Mutants(), name) }
+
+// Mutate makes the processes, or the rig, a mutant; "": none.
+func Mutate(options *Options, name string) {
+	if name == ignoredCuts {
+		options.IgnoreCuts = true
+		return
+	}
+	options.Mutant = name
+}
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -22,8 +22,8 @@
 	return s
 }
 
-// DemoScript is the script that shows membership: of some nodes one is killed and comes back, one stands still, one is cut
-// off; which, and when, is drawn.
+// DemoScript is the script that shows membership: of some nodes one is killed and comes back, one stands still, one is
+// cut off; which, and when, is drawn.
 func DemoScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	s := quietScript(seed, nodes, length)
 	if nodes < 4 {
@@ -79,8 +79,8 @@
 	tail := figure.Span(settle)
 	s.DrawFaults(ranges(), fault.FaultPlan{Count: fault.Counts{Lo: 2, Hi: 5}, Lead: fault.Between(2, 4),
 		Tail: fault.Spans{Lo: tail, Hi: tail}, Overlap: 0.4})
-	// A fault that would last to the end leaves no time to see that it is over, so it is cut short; a restart, which takes its
-	// time, is left out.
+	// A fault that would last to the end leaves no time to see that it is over, so it is cut short; a restart, which takes
+	// its time, is left out.
 	last := s.Length - tail
 	kept := s.Faults[:0]
 	for _, f := range s.Faults {
--- a/internal/lab/fleet/signals.go
+++ b/internal/lab/fleet/signals.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// signalsEach is how often a peer is asked by all processes together: each process meets each peer once in two seconds where
-	// there are ten, so that what one learns alone comes late.
+	// signalsEach is how often a peer is asked by all processes together: each process meets each peer once in two seconds
+	// where there are ten, so that what one learns alone comes late.
 	signalsEach = 5.0
 	// signalWitnesses is on how many others' word a peer is left alone.
 	signalWitnesses = 2
@@ -33,10 +33,10 @@
 	return 0
 }
 
-// signalsWorld is choicesWorld, thinly asked.
-func signalsWorld(peers int) func(seed uint64, nodes int, length time.Duration) *fault.Script {
+// signalsQuietScript is choicesWorld, thinly asked.
+func signalsQuietScript(peers int) func(seed uint64, nodes int, length time.Duration) *fault.Script {
 	return func(seed uint64, nodes int, length time.Duration) *fault.Script {
-		s := choicesWorld(peers)(seed, nodes, length)
+		s := choicesQuietScript(peers)(seed, nodes, length)
 		for i := range s.World.Clients {
 			s.World.Clients[i].Rate *= signalsEach / choicesEach
 		}
@@ -44,13 +44,13 @@
 	}
 }
 
-// signalsDrama lets peers die and fall silent, one in ten at a time.
-func signalsDrama(peers int) func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
+// signalsDemoScript lets peers die and fall silent, one in ten at a time.
+func signalsDemoScript(peers int) func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 		if length < 25*time.Second {
 			return nil, fmt.Errorf("%v: at least 25s are wanted", length)
 		}
-		s := signalsWorld(peers)(seed, nodes, length)
+		s := signalsQuietScript(peers)(seed, nodes, length)
 		g := figure.Stream(seed, "drama")
 		for i, at := 0, signalsFrom; at+9*time.Second <= length; i, at = i+1, at+17*time.Second {
 			var some []string
@@ -63,22 +63,22 @@
 	}
 }
 
-// SignalsSubject is what processes tell each other of so many peers; 0 witnesses: they tell nothing.
-func SignalsSubject(peers, witnesses int) Scenario {
+// SignalsScenario is what processes tell each other of so many peers; 0 witnesses: they tell nothing.
+func SignalsScenario(peers, witnesses int) Scenario {
 	more := func(FileValues) string { return "" }
 	if witnesses > 0 {
 		more = func(FileValues) string { return fmt.Sprintf("\n[choices]\nwitnesses = %d\n", witnesses) }
 	}
 	draw := func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
-		drawn, err := choicesDraw(peers)(seed, nodes, length)
+		drawn, err := choicesRandomScript(peers)(seed, nodes, length)
 		if err != nil {
 			return nil, err
 		}
-		s := signalsWorld(peers)(seed, nodes, length)
+		s := signalsQuietScript(peers)(seed, nodes, length)
 		s.Faults = drawn.Faults
 		return s, s.Check()
 	}
-	return Scenario{"signals", signalsDrama(peers), draw, signalsWorld(peers), nil, more,
+	return Scenario{"signals", signalsDemoScript(peers), draw, signalsQuietScript(peers), nil, more,
 		func(s *fault.Script, a *Account) Outcome { return JudgeSignals(s, a) }, nil, nil}
 }
 
--- a/internal/lab/fleet/truth.go
+++ b/internal/lab/fleet/truth.go
@@ -1,105 +1,129 @@
 package fleet
 
-// truth is how things are with the processes at one time, as the rig knows from what it did.
+// statedLoss is the share of messages that may be lost without a false death. Beyond it false deaths are counted, and
+// the views have to agree again when it is over.
+const statedLoss = 0.1
+
+// truth is how things are with the nodes at one time, as the rig knows from what it did.
 type truth struct {
 	names       []string
 	nodes       map[string]*nodeState
-	cuts        map[[2]string]int          // ordered pairs
+	cuts        map[nodePair]int           // in force
 	impairments int                        // in force
-	heavyLosses int                        // of them, those that lose more than what is stated for false deaths
-	reachable   map[string]map[string]bool // whom each node can reach, as long as nothing happens
+	heavyLosses int                        // of them, those that lose more than statedLoss
+	reachable   map[string]map[string]bool // results of reachableFrom since the last event
 }
 
-// statedLoss is the share of messages that may be lost without a false death: beyond it they are counted, and the views have
-// to agree again when it is over.
-const statedLoss = 0.1
+// nodePair is an ordered pair of nodes.
+type nodePair struct{ from, to string }
 
-// nodeState is how it is with one node.
+// reversed is the way back.
+func (p nodePair) reversed() nodePair {
+	return nodePair{from: p.to, to: p.from}
+}
+
+// nodeState is how things are with one node.
 type nodeState struct {
 	running     bool // a process runs that may take part
 	serving     bool // and has said that it serves
 	leaving     bool // it was told to end
 	stopped     bool
-	hasStranger bool // a stranger lives under its name
+	hasStranger bool // a stranger uses its name
 }
 
 func newTruth(names []string) *truth {
-	t := &truth{names: names, nodes: map[string]*nodeState{}, cuts: map[[2]string]int{}}
-	for _, n := range names {
-		t.nodes[n] = &nodeState{}
+	t := &truth{names: names, nodes: map[string]*nodeState{}, cuts: map[nodePair]int{}}
+	for _, name := range names {
+		t.nodes[name] = &nodeState{}
 	}
 	return t
 }
 
-// apply takes in what happened.
+// apply applies an event.
 func (t *truth) apply(e Event) {
 	t.reachable = map[string]map[string]bool{}
-	if e.Node == "" {
-		by := 1
-		if e.Ended {
-			by = -1
-		}
-		if e.Ails != nil {
-			t.impairments += by
-			if e.Ails.Lose > statedLoss {
-				t.heavyLosses += by
-			}
-			return
-		}
-		for _, a := range e.From {
-			for _, b := range e.To {
-				if a != b {
-					t.cuts[[2]string{a, b}] += by
-				}
+	switch {
+	case e.Node != "":
+		t.nodes[e.Node].apply(e)
+	case e.Ails != nil:
+		t.applyImpairment(e)
+	default:
+		t.applyCut(e)
+	}
+}
+
+// change is by how much an event changes the number of cuts or impairments in force.
+func (e Event) change() int {
+	if e.Ended {
+		return -1
+	}
+	return 1
+}
+
+func (t *truth) applyImpairment(e Event) {
+	t.impairments += e.change()
+	if e.Ails.Lose > statedLoss {
+		t.heavyLosses += e.change()
+	}
+}
+
+func (t *truth) applyCut(e Event) {
+	for _, from := range e.From {
+		for _, to := range e.To {
+			if from != to {
+				t.cuts[nodePair{from, to}] += e.change()
 			}
 		}
-		return
 	}
-	n := t.nodes[e.Node]
+}
+
+func (n *nodeState) apply(e Event) {
 	switch e.What {
-	case "started":
+	case eventStarted:
 		*n = nodeState{running: true, hasStranger: n.hasStranger}
-	case "serves":
+	case eventServes:
 		n.serving = true
-	case "killed", "ended":
+	case eventKilled, eventEnded:
 		*n = nodeState{hasStranger: n.hasStranger}
-	case "told SIGTERM":
+	case eventTerminated:
 		n.leaving = true
-	case "stopped":
+	case eventStopped:
 		n.stopped = true
-	case "goes on":
+	case eventResumed:
 		n.stopped = false
-	case "twin":
+	case eventStrangerStarted:
 		n.hasStranger = true
-	case "twin killed":
+	case eventStrangerKilled:
 		n.hasStranger = false
 	}
 }
 
-// isOpen reports whether messages go from a to b.
-func (t *truth) isOpen(a, b string) bool { return t.cuts[[2]string{a, b}] == 0 }
+// isOpen reports whether messages go from one node to another.
+func (t *truth) isOpen(from, to string) bool {
+	return t.cuts[nodePair{from, to}] == 0
+}
 
-// isSymmetric reports whether what lies between the nodes is such that one can say what they ought to believe: nothing is lost
-// by chance, and nothing is cut one way only.
+// isSymmetric reports whether one can say what the nodes ought to believe: nothing is lost by chance, and nothing is
+// cut one way only.
 func (t *truth) isSymmetric() bool {
 	if t.impairments > 0 {
 		return false
 	}
-	for p, n := range t.cuts {
-		if (n > 0) != (t.cuts[[2]string{p[1], p[0]}] > 0) {
+	for pair, cuts := range t.cuts {
+		if (cuts > 0) != (t.cuts[pair.reversed()] > 0) {
 			return false
 		}
 	}
 	return true
 }
 
-// isIntact reports whether nothing at all is cut or ailing.
+// isIntact reports whether nothing at all is cut or impaired.
 func (t *truth) isIntact() bool {
 	if t.impairments > 0 {
 		return false
 	}
-	for _, n := range t.cuts {
-		if n > 0 {
+	for _, cuts := range t.cuts {
+		if cuts > 0 {
 			return false
 		}
 	}
@@ -108,33 +132,43 @@
 
 // reachableFrom is the nodes that a node can reach, over others if need be, itself included.
 func (t *truth) reachableFrom(name string) map[string]bool {
-	if part := t.reachable[name]; part != nil {
-		return part
+	if reached := t.reachable[name]; reached != nil {
+		return reached
 	}
-	part, queue := map[string]bool{name: true}, []string{name}
+	reached := map[string]bool{name: true}
+	queue := []string{name}
 	for len(queue) > 0 {
 		from := queue[0]
 		queue = queue[1:]
-		for _, n := range t.names {
-			if l := t.nodes[n]; !part[n] && l.running && !l.stopped && t.isOpen(from, n) && t.isOpen(n, from) {
-				part[n] = true
-				queue = append(queue, n)
+		for _, to := range t.names {
+			if !reached[to] && t.nodes[to].answers() && t.isOpen(from, to) && t.isOpen(to, from) {
+				reached[to] = true
+				queue = append(queue, to)
 			}
 		}
 	}
 	if t.reachable != nil {
-		t.reachable[name] = part
+		t.reachable[name] = reached
 	}
-	return part
+	return reached
+}
+
+// answers reports whether the node's process can answer messages now.
+func (n *nodeState) answers() bool {
+	return n.running && !n.stopped
 }
 
-// isCertain reports whether one can say whether a node is there: it is not just about to end.
-func (l *nodeState) isCertain() bool { return !l.leaving }
+// isCertain reports whether one can say whether the node is there: it is not just about to end.
+func (n *nodeState) isCertain() bool {
+	return !n.leaving
+}
 
-// canBelieve reports whether a node's process can believe anything now.
-func (l *nodeState) canBelieve() bool { return l.running && l.serving && !l.stopped && !l.leaving }
+// canBelieve reports whether the node's process can believe anything now.
+func (n *nodeState) canBelieve() bool {
+	return n.running && n.serving && !n.stopped && !n.leaving
+}
 
-// timeline goes through what happened, in the order of time.
+// timeline goes through the events of a run in the order of time.
 type timeline struct {
 	*truth
 	events []Event
