--- a/cmd/olivefleet/fleet.go
+++ b/cmd/olivefleet/fleet.go
@@ -10,13 +10,13 @@
 
 	"olivebridge/balancer"
 	"olivebridge/internal/admin"
-	"olivebridge/internal/fleet/agreed"
 	"olivebridge/internal/fleet/budget"
 	"olivebridge/internal/fleet/choices"
 	"olivebridge/internal/fleet/fleetfile"
 	"olivebridge/internal/fleet/member"
+	"olivebridge/internal/fleet/operations"
+	"olivebridge/internal/fleet/raftlog"
 	"olivebridge/internal/fleet/record"
-	"olivebridge/internal/fleet/rounds"
 	"olivebridge/internal/fleet/signals"
 	"olivebridge/internal/fleet/subset"
 	"olivebridge/internal/node"
@@ -33,9 +33,9 @@
 	retries int             // the place of the one for retries; -1: there is none
 	cold    int             // of the one for cold peers
 	choices *choices.Service
-	signals *signals.Service // nil: nodes tell each other nothing of peers
-	kept    *kept            // nil: no call is kept
-	rounds  *rounds.Service  // nil: operators' calls are for one node each
+	signals *signals.Service    // nil: nodes tell each other nothing of peers
+	kept    *kept               // nil: no call is kept
+	rounds  *operations.Service // nil: operators' calls are for one node each
 }
 
 // enter reads the fleet file and makes the node's part.
@@ -78,7 +78,7 @@
 // operators makes the node's part in operators' work over the whole fleet.
 func (f *company) operators(c *protocol.Config, m *member.Config) {
 	o := f.file.Operators
-	f.rounds = rounds.New(rounds.Config{Name: c.Name, Voters: agreed.Roster{Edition: o.Edition, Names: o.Voters},
+	f.rounds = operations.New(operations.Config{Name: c.Name, Voters: raftlog.VoterSet{Edition: o.Edition, Names: o.Voters},
 		Directory: m.Directory, Log: m.Log, Record: m.Record, View: func() *member.View { return f.Service.View() },
 		Others: func() []string { return f.Service.KnownAddrs() },
 		DialAddr: func(addr string, channel byte, timeout time.Duration) (net.Conn, error) {
@@ -87,9 +87,9 @@
 		Dial: func(name string, channel byte, timeout time.Duration) (net.Conn, error) {
 			return f.Service.Dial(name, channel, timeout)
 		}})
-	f.around(m, func(i member.Incarnation) { f.rounds.Up(i.String()) }, f.rounds.Down)
-	f.serve(m, rounds.VotersChannel, f.rounds.ServeVoters)
-	f.serve(m, rounds.RoundsChannel, f.rounds.ServeRounds)
+	f.around(m, func(i member.Incarnation) { f.rounds.Start(i.String()) }, f.rounds.Stop)
+	f.serve(m, operations.VotersChannel, f.rounds.ServeVoters)
+	f.serve(m, operations.NodesChannel, f.rounds.ServeNodes)
 }
 
 // serve has a channel of the members' streams served.
@@ -103,7 +103,7 @@
 // Operate implements node.Fleet.
 func (f *company) Operate(d node.ServerControl) {
 	if f.rounds != nil {
-		f.rounds.Operate(d)
+		f.rounds.Attach(d)
 	}
 }
 
@@ -112,7 +112,7 @@
 	if f.rounds == nil {
 		return "", admin.UnknownCommandError(admin.Fleet)
 	}
-	return f.rounds.Do(words)
+	return f.rounds.Execute(words)
 }
 
 // signal makes the node's part in telling of peers.
@@ -146,7 +146,7 @@
 
 // budget makes the node's part in the fleet's budgets.
 func (f *company) budget(c *protocol.Config, file *fleetfile.File, m *member.Config) error {
-	b := budget.Config{Name: c.Name, Directory: m.Directory, Log: m.Log, Record: m.Record, Voters: agreed.Roster{Edition: file.Book.Edition, Names: file.Book.Voters},
+	b := budget.Config{Name: c.Name, Directory: m.Directory, Log: m.Log, Record: m.Record, Voters: raftlog.VoterSet{Edition: file.Book.Edition, Names: file.Book.Voters},
 		Terms: budget.Terms{Lease: file.Book.LeaseTime, Reserve: file.Book.Reserve, Seats: file.Book.Seats},
 		Dial: func(name string, channel byte, timeout time.Duration) (net.Conn, error) {
 			return f.Service.Dial(name, channel, timeout)
@@ -206,15 +206,15 @@
 	}
 	f.file = next
 	if f.kept != nil {
-		f.kept.work.Keep(agreed.Roster{Edition: next.Work.Edition, Names: next.Work.Voters})
+		f.kept.work.SetVoters(raftlog.VoterSet{Edition: next.Work.Edition, Names: next.Work.Voters})
 	}
 	if f.rounds != nil {
-		f.rounds.Keep(agreed.Roster{Edition: next.Operators.Edition, Names: next.Operators.Voters})
+		f.rounds.SetVoters(raftlog.VoterSet{Edition: next.Operators.Edition, Names: next.Operators.Voters})
 	}
 	if f.budgets == nil {
 		return nil
 	}
-	f.budgets.Keep(agreed.Roster{Edition: next.Book.Edition, Names: next.Book.Voters})
+	f.budgets.Keep(raftlog.VoterSet{Edition: next.Book.Edition, Names: next.Book.Voters})
 	var wholes []budget.Whole
 	for _, one := range next.Budgets {
 		wholes = append(wholes, whole(one, c.LongestDeadline))
--- a/cmd/olivefleet/keep.go
+++ b/cmd/olivefleet/keep.go
@@ -9,18 +9,18 @@
 	"time"
 
 	"olivebridge/balancer"
-	"olivebridge/internal/fleet/agreed"
+	"olivebridge/internal/fleet/callstore"
 	"olivebridge/internal/fleet/fleetfile"
 	"olivebridge/internal/fleet/member"
 	"olivebridge/internal/fleet/mutant"
-	"olivebridge/internal/fleet/work"
+	"olivebridge/internal/fleet/raftlog"
 	"olivebridge/internal/protocol"
 	"olivebridge/internal/transport"
 )
 
 // kept is the fleet's work as a front asks for it.
 type kept struct {
-	work  *work.Service
+	work  *callstore.Service
 	again map[int]bool // classes of calls that are kept: whether they may run more than once
 }
 
@@ -35,15 +35,15 @@
 		k.again[class] = c.Settings.Classes[class].Idempotency == balancer.Idempotent
 	}
 	w := file.Work
-	k.work = work.New(work.Config{Name: c.Name, Voters: agreed.Roster{Edition: w.Edition, Names: w.Voters}, Directory: m.Directory, Tries: w.Tries,
-		Limits: work.Limits{Window: w.WindowTime, Most: w.Most}, Log: m.Log, Record: m.Record,
+	k.work = callstore.New(callstore.Config{Name: c.Name, Voters: raftlog.VoterSet{Edition: w.Edition, Names: w.Voters}, Directory: m.Directory, MaxOwners: w.Tries,
+		Limits: callstore.Limits{Retention: w.WindowTime, MaxEntries: w.Most}, Log: m.Log, Record: m.Record,
 		Dial: func(name string, channel byte, timeout time.Duration) (net.Conn, error) {
 			return f.Service.Dial(name, channel, timeout)
 		},
-		Next: func(ctx context.Context, after uint64) (*member.View, error) { return f.Service.Next(ctx, after) }})
-	f.around(m, func(i member.Incarnation) { k.work.Up(i.Home, i.Number) }, k.work.Down)
-	f.serve(m, work.VotersChannel, k.work.ServeVoters)
-	f.serve(m, work.WorkChannel, k.work.ServeWork)
+		NextView: func(ctx context.Context, after uint64) (*member.View, error) { return f.Service.Next(ctx, after) }})
+	f.around(m, func(i member.Incarnation) { k.work.Start(i.Home, i.Number) }, k.work.Stop)
+	f.serve(m, callstore.VotersChannel, k.work.ServeVoters)
+	f.serve(m, callstore.CallsChannel, k.work.ServeCalls)
 	return k, nil
 }
 
@@ -63,47 +63,47 @@
 
 var _ transport.IdempotencyStore = (*kept)(nil)
 
-// Begin implements transport.IdempotencyStore.
-func (k *kept) Begin(ctx context.Context, w transport.KeyedCall) transport.CallClaim {
-	owner, ok := k.work.Owner()
+// Begin implements transport.Keeper.
+func (k *kept) Begin(ctx context.Context, w transport.Work) transport.Kept {
+	owner, ok := k.work.NewOwner()
 	if !ok {
 		return transport.CallClaim{State: transport.CallStoreUnavailable}
 	}
-	mutant.At("before-permission")
-	v, err := k.work.Begin(ctx, work.Begin{Key: w.Key, Print: w.Fingerprint, Owner: owner, Again: k.again[w.Class]})
+	mutant.Breakpoint("before-permission")
+	v, err := k.work.Begin(ctx, callstore.BeginRequest{Key: w.Key, Fingerprint: w.Print, Owner: owner, Idempotent: k.again[w.Class]})
 	switch {
-	case err != nil || v.Full || v.Over:
-		return transport.CallClaim{State: transport.CallStoreUnavailable}
-	case v.Other:
-		return transport.CallClaim{State: transport.CallKeyConflict}
-	case v.Yours:
-		mutant.At("with-permission")
-		return transport.CallClaim{State: transport.CallGranted, Finish: func(s transport.CallState, o *transport.StoredResponse) {
+	case err != nil || v.StoreFull || v.OwnersExhausted:
+		return transport.Kept{State: transport.KeptRefused}
+	case v.KeyConflict:
+		return transport.Kept{State: transport.KeptOther}
+	case v.Granted:
+		mutant.Breakpoint("with-permission")
+		return transport.Kept{State: transport.KeptYours, End: func(s transport.KeptState, o *transport.Outcome) {
 			k.end(w.Key, owner, s, o)
 		}}
-	case v.State == work.Answered:
-		kept := transport.CallClaim{State: transport.CallAnswered}
+	case v.State == callstore.Answered:
+		kept := transport.Kept{State: transport.KeptAnswered}
 		if o := v.Outcome; o != nil {
-			kept.Response = &transport.StoredResponse{Status: o.Status, Header: http.Header(o.Header), Body: o.Body, Truncated: o.Long}
+			kept.Outcome = &transport.Outcome{Status: o.Status, Header: http.Header(o.Header), Body: o.Body, Long: o.BodyOmitted}
 		}
 		return kept
-	case v.State == work.Unknown:
-		return transport.CallClaim{State: transport.CallOutcomeUnknown}
-	case v.State == work.Free: // this very call was given up before
-		return transport.CallClaim{State: transport.CallStoreUnavailable}
+	case v.State == callstore.Unknown:
+		return transport.Kept{State: transport.KeptUnknown}
+	case v.State == callstore.Free: // this very call was given up before
+		return transport.Kept{State: transport.KeptRefused}
 	}
 	return transport.CallClaim{State: transport.CallRunning}
 }
 
-func (k *kept) end(key string, owner work.Owner, s transport.CallState, o *transport.StoredResponse) {
-	e := work.End{Key: key, Owner: owner, State: work.Unknown}
+func (k *kept) end(key string, owner callstore.Owner, s transport.KeptState, o *transport.Outcome) {
+	e := callstore.EndRequest{Key: key, Owner: owner, State: callstore.Unknown}
 	switch {
-	case s == transport.CallNotRun:
-		e.State = work.Free
-	case s == transport.CallAnswered && o != nil:
-		e.State, e.Outcome = work.Answered, &work.Outcome{Status: o.Status, Header: o.Header, Body: o.Body, Long: o.Truncated}
+	case s == transport.KeptFree:
+		e.State = callstore.Free
+	case s == transport.KeptAnswered && o != nil:
+		e.State, e.Outcome = callstore.Answered, &callstore.Outcome{Status: o.Status, Header: o.Header, Body: o.Body, BodyOmitted: o.Long}
 	}
-	mutant.At("answered")
+	mutant.Breakpoint("answered")
 	k.work.End(e)
-	mutant.At("recorded")
+	mutant.Breakpoint("recorded")
 }
--- a/internal/fleet/budget/ask.go
+++ b/internal/fleet/budget/ask.go
@@ -46,7 +46,7 @@
 	terms := s.describe()
 	s.mu.Lock()
 	began := record.Now()
-	q := asked{Ask: h.Ask(s.now(), mutant.Wall()), Home: s.home, Seat: s.seat, Terms: terms}
+	q := asked{Ask: h.Ask(s.now(), mutant.WallClock()), Home: s.home, Seat: s.seat, Terms: terms}
 	if q.Over = over; over {
 		q.Have, q.Counts, q.Using = nil, h.back(), h.using()
 	}
@@ -104,7 +104,7 @@
 func (a *asker) exchange(q asked, last bool) (r answered, err error) {
 	who := a.who
 	if who == "" {
-		voters := a.s.part.Roster().Names
+		voters := a.s.part.Voters().Names
 		if len(voters) == 0 {
 			return r, errNobody
 		}
--- a/internal/fleet/budget/book.go
+++ b/internal/fleet/budget/book.go
@@ -10,7 +10,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"olivebridge/internal/fleet/agreed"
+	"olivebridge/internal/fleet/raftlog"
 )
 
 // The log that the voters agree on (package agreed) holds what must last: which home has which seat of the reserve. Who keeps the book is
@@ -111,13 +111,13 @@
 func (s *ledger) Snapshot() (raft.FSMSnapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return agreed.Freeze(s)
+	return raftlog.EncodeSnapshot(s)
 }
 
 // Restore implements raft.FSM.
 func (s *ledger) Restore(r io.ReadCloser) error {
 	next := newLedger()
-	if err := agreed.Thaw(r, "ledger", next); err != nil {
+	if err := raftlog.DecodeSnapshot(r, "ledger", next); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -128,7 +128,7 @@
 
 // book is this process's part in keeping the book.
 type book struct {
-	*agreed.Log
+	*raftlog.Log
 	ledger *ledger
 }
 
@@ -137,14 +137,14 @@
 	if n := b.ledger.seat(c.Home, c.Kept); n != 0 {
 		return n, nil
 	}
-	got, err := b.Agree(command{Seat: &c})
+	got, err := b.Propose(command{Seat: &c})
 	n, _ := got.(int)
 	return n, err
 }
 
 // count spends of a count.
 func (b *book) count(c countCommand) (CountGrant, error) {
-	got, err := b.Agree(command{Count: &c})
+	got, err := b.Propose(command{Count: &c})
 	g, _ := got.(CountGrant)
 	return g, err
 }
--- a/internal/fleet/budget/budget_test.go
+++ b/internal/fleet/budget/budget_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"io"
 	"math"
-	"olivebridge/internal/fleet/agreed"
+	"olivebridge/internal/fleet/raftlog"
 	"slices"
 	"testing"
 	"time"
@@ -443,7 +443,7 @@
 					t.Fatal(err)
 				}
 				l = newLedger()
-				if err := l.Restore(io.NopCloser(bytes.NewReader(snap.(agreed.Snapshot)))); err != nil {
+				if err := l.Restore(io.NopCloser(bytes.NewReader(snap.(raftlog.Snapshot)))); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/fleet/budget/service.go
+++ b/internal/fleet/budget/service.go
@@ -16,8 +16,8 @@
 
 	"github.com/hashicorp/raft"
 
-	"olivebridge/internal/fleet/agreed"
 	"olivebridge/internal/fleet/mutant"
+	"olivebridge/internal/fleet/raftlog"
 	"olivebridge/internal/fleet/record"
 )
 
@@ -36,17 +36,17 @@
 	Name      string
 	Wholes    []Whole
 	Terms     Terms
-	Voters    agreed.Roster // of the book
+	Voters    raftlog.VoterSet // of the book
 	Directory string
 	Dial      func(name string, channel byte, timeout time.Duration) (net.Conn, error)
 	Log       *slog.Logger
-	Record    *record.Book
+	Record    *record.Recorder
 }
 
 // Service is a process's part in the fleet's budgets: what it holds, and, in a voter's process, the book.
 type Service struct {
 	c     Config
-	part  *agreed.Part // in keeping the book
+	part  *raftlog.Participant // in keeping the book
 	start time.Time
 	count counts
 
@@ -73,8 +73,8 @@
 		c.Log = slog.New(slog.DiscardHandler)
 	}
 	s := &Service{c: c, start: time.Now(), orphans: make([]int, len(c.Wholes))}
-	s.part = agreed.NewPart(agreed.PartConfig{Name: c.Name, Roster: c.Voters, Directory: filepath.Join(c.Directory, "book"),
-		What: "fleet budget", Log: c.Log, Opened: s.opened, Closed: func() { s.opened(nil, nil) }, New: func() raft.FSM { return newLedger() },
+	s.part = raftlog.NewParticipant(raftlog.ParticipantConfig{Name: c.Name, Voters: c.Voters, Directory: filepath.Join(c.Directory, "book"),
+		LogMessage: "fleet budget", Log: c.Log, OnOpen: s.opened, OnClose: func() { s.opened(nil, nil) }, NewState: func() raft.FSM { return newLedger() },
 		Dial: func(name string, timeout time.Duration) (net.Conn, error) {
 			return c.Dial(name, VotersChannel, timeout)
 		}})
@@ -82,7 +82,7 @@
 }
 
 // opened takes the log in that this process keeps, or that it keeps none.
-func (s *Service) opened(log *agreed.Log, state raft.FSM) {
+func (s *Service) opened(log *raftlog.Log, state raft.FSM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.book, s.leader = nil, nil; log != nil {
@@ -91,10 +91,10 @@
 }
 
 // Keep lets others keep the book from now on.
-func (s *Service) Keep(r agreed.Roster) { s.part.Keep(r) }
+func (s *Service) Keep(r raftlog.VoterSet) { s.part.SetVoters(r) }
 
 // ServeVoters takes a stream from another voter.
-func (s *Service) ServeVoters(c net.Conn, from string) { s.part.Serve(c, from) }
+func (s *Service) ServeVoters(c net.Conn, from string) { s.part.ServeStream(c, from) }
 
 func (s *Service) now() time.Duration { return time.Since(s.start) }
 
@@ -109,7 +109,7 @@
 	s.holder.Seat(kept.Kept)
 	s.stop = make(chan struct{})
 	stop := s.stop
-	s.part.Up()
+	s.part.Start()
 	s.tasks.Go(func() { s.ask(stop) })
 }
 
@@ -131,7 +131,7 @@
 	s.stop = nil
 	s.mu.Unlock()
 	s.tasks.Wait() // what is held is given back first: this process may keep the book
-	s.part.Down()
+	s.part.Stop()
 }
 
 // Change lets other wholes hold from now on: the same budgets, with other amounts.
@@ -160,7 +160,7 @@
 		s.count.turned.Add(1)
 		return false, s.c.Terms.Lease / asksPerLease
 	}
-	if ok, wait = s.holder.Admit(s.now(), mutant.Wall(), budget); ok {
+	if ok, wait = s.holder.Admit(s.now(), mutant.WallClock(), budget); ok {
 		s.count.passed.Add(1)
 		return true, 0
 	}
@@ -235,7 +235,7 @@
 	b := s.book
 	s.mu.Unlock()
 	switch {
-	case b == nil || !b.Leads() && !mutant.Active("no-majority"):
+	case b == nil || !b.IsLeader() && !mutant.Active("no-majority"):
 		return no("another keeps the book, or nobody")
 	case a.Terms != s.describe():
 		return no("the budgets of this node's fleet file are not the leader's")
@@ -252,7 +252,7 @@
 	out := answered{Answer: s.leader.Ask(s.now(), a.Ask)}
 	s.mu.Unlock()
 	// What was decided holds only if this process was in office after it: no later leader has begun by then.
-	if err := b.Verify(); (err != nil || b.Term() != term) && !mutant.Active("no-majority") {
+	if err := b.VerifyLeader(); (err != nil || b.Term() != term) && !mutant.Active("no-majority") {
 		return no("the leader was not in office any more")
 	}
 	s.count.granted.Add(int64(len(out.Grants)))
@@ -307,9 +307,9 @@
 // inPeriod reports whether a count's period is that of most voters.
 func (s *Service) inPeriod(w Whole, period int64) bool {
 	if mutant.Active("own-clock") {
-		return period == periodOf(mutant.Wall(), w.Period)
+		return period == periodOf(mutant.WallClock(), w.Period)
 	}
-	voters := s.part.Roster().Names
+	voters := s.part.Voters().Names
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leader == nil {
--- a/internal/fleet/budget/stored_forms_test.go
+++ b/internal/fleet/budget/stored_forms_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"olivebridge/internal/fleet/agreed"
+	"olivebridge/internal/fleet/raftlog"
 )
 
 // readTestdata returns a file that an earlier build wrote.
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	equalBytes(t, "snapshot.json", snapshot.(agreed.Snapshot))
+	equalBytes(t, "snapshot.json", snapshot.(raftlog.Snapshot))
 	restored := newLedger()
 	if err := restored.Restore(io.NopCloser(bytes.NewReader(readTestdata(t, "snapshot.json")))); err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	equalBytes(t, "snapshot.json", again.(agreed.Snapshot))
+	equalBytes(t, "snapshot.json", again.(raftlog.Snapshot))
 }
 
 // A node's part of the reserve is read after an upgrade.
--- /dev/null
+++ b/internal/fleet/callstore/leader_test.go
@@ -0,0 +1,36 @@
+package callstore
+
+import (
+	"testing"
+	"time"
+
+	"olivebridge/internal/fleet/member"
+)
+
+// TestHasFailed: which processes are given up.
+func TestHasFailed(t *testing.T) {
+	v := &member.View{Members: []member.Member{
+		{Name: "alive", Incarnation: member.Incarnation{Home: "h", Number: 2}, State: member.Alive},
+		{Name: "silent", Incarnation: member.Incarnation{Home: "h", Number: 1}, State: member.Suspect},
+		{Name: "leaving", Incarnation: member.Incarnation{Home: "h", Number: 1}, State: member.Leaving},
+		{Name: "dead", Incarnation: member.Incarnation{Home: "h", Number: 1}, State: member.Dead},
+		{Name: "left", Incarnation: member.Incarnation{Home: "h", Number: 1}, State: member.Left},
+	}}
+	for p, want := range map[process]bool{
+		{"alive", "h/2"}:     false,
+		{"alive", "h/1"}:     true,
+		{"alive", "h/3"}:     false,
+		{"alive", "other/3"}: true,
+		{"silent", "h/1"}:    false,
+		{"leaving", "h/1"}:   false,
+		{"dead", "h/1"}:      true,
+		{"left", "h/1"}:      true,
+	} {
+		if got := hasFailed(v, p, time.Second); got != want {
+			t.Errorf("%v: failed %v", p, got)
+		}
+	}
+	if stranger := (process{"x", "h/1"}); hasFailed(v, stranger, time.Second) || !hasFailed(v, stranger, time.Minute) {
+		t.Error("who was never heard of is given up once the members have told each other of everybody, and not before")
+	}
+}
--- a/internal/fleet/choices/choices.go
+++ b/internal/fleet/choices/choices.go
@@ -24,7 +24,7 @@
 	Zones   map[string]int                                                // that the group's peers may be in
 	Next    func(ctx context.Context, after uint64) (*member.View, error) // see member.Service
 	Log     *slog.Logger
-	Record  *record.Book
+	Record  *record.Recorder
 }
 
 // Service chooses anew when the fleet or the group has changed. It works beside the decisions: until it is done they go on
--- a/internal/fleet/member/config.go
+++ b/internal/fleet/member/config.go
@@ -27,7 +27,7 @@
 	// Log may be nil.
 	Log *slog.Logger
 	// Record is given what the process believes and does; nil: nothing.
-	Record *record.Book
+	Record *record.Recorder
 	// Channels serve the streams that other packages open, by channel, each until its function returns; from is the
 	// name of the node that opened the stream. Channels 0 and 250 are this package's own.
 	Channels map[byte]func(conn net.Conn, from string)
--- a/internal/fleet/member/place.go
+++ b/internal/fleet/member/place.go
@@ -103,7 +103,7 @@
 		return err
 	}
 	s.config.Record.Write("took", incarnation)
-	s.config.Record.Write("wall", mutant.Wall().UnixNano())
+	s.config.Record.Write("wall", mutant.WallClock().UnixNano())
 	a, err := s.startAgent(t, incarnation)
 	if err != nil {
 		_ = t.Shutdown()
--- /dev/null
+++ b/internal/fleet/operations/server.go
@@ -0,0 +1,89 @@
+package operations
+
+import (
+	"encoding/json"
+	"net"
+	"slices"
+	"time"
+
+	"olivebridge/internal/fleet/raftlog"
+)
+
+// receivedReport is a node's report, at the leader.
+type receivedReport struct {
+	NodeReport
+	receivedAt time.Time
+}
+
+// ServeNodes answers the requests of a stream from the node called from, until it ends.
+func (s *Service) ServeNodes(conn net.Conn, from string) {
+	decoder := json.NewDecoder(conn)
+	encoder := json.NewEncoder(conn)
+	for {
+		var r request
+		if err := decoder.Decode(&r); err != nil {
+			return
+		}
+		_ = conn.SetWriteDeadline(time.Now().Add(requestTimeout))
+		if err := encoder.Encode(s.answer(from, r)); err != nil {
+			return
+		}
+	}
+}
+
+// answer answers a node, if this process leads or the node starts; else it names the leader, if it knows it.
+func (s *Service) answer(from string, r request) response {
+	if r.AtStart {
+		version, suspended := s.suspensions.current()
+		return response{Version: version, Suspended: suspended}
+	}
+	log, ledger := s.currentLog()
+	switch {
+	case log == nil:
+		return response{Refusal: "another leads, or nobody"}
+	case !log.IsLeader():
+		return response{Refusal: "another leads, or nobody", Leader: log.Leader()}
+	case r.Command != nil:
+		return s.answerCommand(log, ledger, *r.Command)
+	}
+	return s.answerReport(log, ledger, from, r)
+}
+
+func (s *Service) answerCommand(log *raftlog.Log, ledger *ledger, c command) response {
+	applied, err := log.Propose(c)
+	if err != nil {
+		return response{Refusal: err.Error(), Leader: log.Leader()}
+	}
+	got := ledgerResponse(ledger)
+	got.Result, _ = applied.(Result)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	got.WaitingFor = s.waitingFor
+	return got
+}
+
+func (s *Service) answerReport(log *raftlog.Log, ledger *ledger, from string, r request) response {
+	if log.VerifyLeader() != nil { // the ledger may be behind that of another leader
+		return response{Refusal: "it does not lead any more"}
+	}
+	got := ledgerResponse(ledger)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.reports[from] = receivedReport{
+		NodeReport: NodeReport{Incarnation: r.Incarnation, Version: r.Version, OpenCalls: r.OpenCalls},
+		receivedAt: time.Now(),
+	}
+	got.WaitingFor = s.waitingFor
+	return got
+}
+
+// ledgerResponse is a response with what the ledger holds.
+func ledgerResponse(ledger *ledger) response {
+	version, suspensions, rounds := ledger.contents()
+	got := response{Version: version, Rounds: rounds}
+	for server := range suspensions {
+		got.Suspended = append(got.Suspended, server)
+	}
+	slices.Sort(got.Suspended)
+	return got
+}
--- /dev/null
+++ b/internal/fleet/operations/service_test.go
@@ -0,0 +1,95 @@
+package operations
+
+import (
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"olivebridge/internal/fleet/member"
+	"olivebridge/internal/fleet/raftlog"
+)
+
+// fakeControl is a node that knows three servers.
+type fakeControl struct{ suspended map[string]bool }
+
+func (c *fakeControl) Suspend(s string) error { c.suspended[s] = true; return nil }
+
+func (c *fakeControl) Restore(s string) error { delete(c.suspended, s); return nil }
+
+func (c *fakeControl) Suspended() []string { return slices.Sorted(maps.Keys(c.suspended)) }
+
+func (c *fakeControl) Busy(string) int { return 0 }
+
+func (c *fakeControl) Listed() []string { return []string{"a", "b", "c"} }
+
+func (c *fakeControl) Known(s string) bool { return slices.Contains(c.Listed(), s) }
+
+// TestOperatorCalls: in a fleet of one, operators' calls and their answers, and that what was suspended is so again
+// after the next start.
+func TestOperatorCalls(t *testing.T) {
+	dir := t.TempDir()
+	self := member.Member{Name: "n1", State: member.Alive, Incarnation: member.Incarnation{Home: "x", Number: 1}}
+	view := &member.View{Self: "n1", Members: []member.Member{self}}
+	config := Config{
+		Name:      "n1",
+		Voters:    raftlog.VoterSet{Edition: 1, Names: []string{"n1"}},
+		Directory: dir,
+		View:      func() *member.View { return view },
+	}
+	s, d := New(config), &fakeControl{map[string]bool{"c": true}}
+	if _, err := s.Execute([]string{"STATUS"}); err == nil || err.Error() != "the node is starting" {
+		t.Error(err)
+	}
+	s.Attach(d)
+	s.Start("x/1")
+	until := func(what string, is func(text string, err error) bool, words ...string) {
+		t.Helper()
+		for end := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+			text, err := s.Execute(words)
+			if is(text, err) {
+				return
+			}
+			if time.Now().After(end) {
+				t.Fatalf("%s: %q, %v", what, text, err)
+			}
+		}
+	}
+	well := func(_ string, err error) bool { return err == nil }
+	until("a word", well, "SUSPEND", "a")
+	until("a word about one that is out already", well, "SUSPEND", "c")
+	until("both are out", func(text string, _ error) bool { return strings.Contains(text, "word: [a c]") }, "STATUS")
+	until("a round", well, "ROUND", "r", "1ms", "ALL")
+	until("it is done", func(text string, _ error) bool { return strings.Contains(text, "done, 3 servers") }, "STATUS")
+	until("one is back", well, "RESTORE", "c")
+	until("one is out", func(text string, _ error) bool { return strings.Contains(text, "word: [a]") }, "STATUS")
+	if !slices.Equal(d.Suspended(), []string{"a", "c"}) { // c was out at the node's own door before
+		t.Errorf("the node keeps out %v", d.Suspended())
+	}
+	for words, want := range map[string]string{
+		"":               "FLEET wants",
+		"SUSPEND":        "FLEET wants",
+		"SUSPEND x":      `named server "x"`,
+		"ROUND r 1s x":   `named server "x"`,
+		"ROUND r soon a": `hold: not a time`,
+		"STOP none":      "no round",
+		"JUMP":           "FLEET wants",
+	} {
+		if _, err := s.Execute(strings.Fields(words)); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%q: %v", words, err)
+		}
+	}
+	s.Stop()
+	next := &fakeControl{map[string]bool{}}
+	New(config).Attach(next)
+	if !next.suspended["a"] {
+		t.Errorf("after a start it keeps out %v", next.suspended)
+	}
+	if err := os.WriteFile(filepath.Join(dir, "out.json"), []byte(`["a`), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	New(config).Attach(&fakeControl{map[string]bool{}}) // what cannot be read is heard again
+}
--- a/internal/fleet/agreed/agreed_test.go
+++ b/internal/fleet/raftlog/log_test.go
@@ -1,4 +1,4 @@
-package agreed
+package raftlog
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// sum is a state that adds up what is agreed on.
+// sum is a state machine that adds up committed numbers.
 type sum struct {
 	mu    sync.Mutex
 	Total int `json:"total"`
@@ -32,27 +32,28 @@
 
 func (s *sum) Restore(r io.ReadCloser) error { return r.Close() }
 
-// alone is a log with one voter, which leads.
-func alone(t *testing.T, dir string, s *sum) *Log {
+// openSingle opens a log with one voter, and waits until that leads.
+func openSingle(t *testing.T, dir string, s *sum) *Log {
 	t.Helper()
-	l, err := Open(dir, "n1", Roster{1, []string{"n1"}}, NewLayer("n1", func(string, time.Duration) (net.Conn, error) { return nil, net.ErrClosed }), s)
+	layer := NewStreamLayer("n1", func(string, time.Duration) (net.Conn, error) { return nil, net.ErrClosed })
+	l, err := Open(dir, "n1", VoterSet{1, []string{"n1"}}, layer, s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(10 * time.Second); !l.Leads(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !l.IsLeader(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("nobody leads")
+			t.Fatal("there is no leader")
 		}
 	}
 	return l
 }
 
-// TestCloseAnswersAll: whoever asks while the log is closed has an answer soon, or the process would wait for it for good; and what
-// was agreed on is there after the next start.
-func TestCloseAnswersAll(t *testing.T) {
+// TestCloseAnswersPendingProposals: whoever proposes or verifies while the log is closed has an answer soon, or the
+// process would wait for it for good; and what was committed is there after the next start.
+func TestCloseAnswersPendingProposals(t *testing.T) {
 	for range 5 {
 		dir, s := t.TempDir(), &sum{}
-		l := alone(t, dir, s)
+		l := openSingle(t, dir, s)
 		var all sync.WaitGroup
 		begun := make(chan bool, 1000)
 		for range 100 {
@@ -62,10 +63,10 @@
 					case begun <- true:
 					default:
 					}
-					if _, err := l.Agree(1); err != nil {
+					if _, err := l.Propose(1); err != nil {
 						return
 					}
-					if l.Verify() != nil {
+					if l.VerifyLeader() != nil {
 						return
 					}
 				}
@@ -83,8 +84,8 @@
 			t.Fatal("some wait still, 20 s after the end")
 		}
 		again := &sum{}
-		l = alone(t, dir, again)
-		if got, err := l.Agree(0); err != nil || got.(int) < s.Total {
+		l = openSingle(t, dir, again)
+		if got, err := l.Propose(0); err != nil || got.(int) < s.Total {
 			t.Errorf("after the next start: %v, %v; %d before", got, err, s.Total)
 		}
 		l.Close()
--- /dev/null
+++ b/internal/fleet/raftlog/membership_change_test.go
@@ -0,0 +1,62 @@
+package raftlog
+
+import (
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// TestNextChange: wherever enough servers are reachable, the changes end at the wanted voters: the leader never removes
+// itself, no vote goes to an unreachable server, and a wanted server is never removed.
+func TestNextChange(t *testing.T) {
+	names := []string{"a", "b", "c", "d", "e", "f"}
+	rapid.Check(t, func(t *rapid.T) {
+		some := rapid.SliceOfNDistinct(rapid.SampledFrom(names), 1, 5, rapid.ID[string])
+		voters, wanted := some.Draw(t, "voters"), some.Draw(t, "want")
+		dead := rapid.SliceOfDistinct(rapid.SampledFrom(names), rapid.ID[string]).Draw(t, "dead")
+		leader := rapid.SampledFrom(voters).Draw(t, "self")
+		reachable := func(name string) bool { return name == leader || !slices.Contains(dead, name) }
+		var nonvoters []string
+		remove := func(server string) {
+			voters = slices.DeleteFunc(voters, func(name string) bool { return name == server })
+			nonvoters = slices.DeleteFunc(nonvoters, func(name string) bool { return name == server })
+		}
+		for range 30 {
+			change := NextChange(Membership{Leader: leader, Voters: voters, Nonvoters: nonvoters}, wanted, reachable)
+			server := change.Server
+			switch change.Kind {
+			case NoChange:
+				if server != "" {
+					t.Fatalf("no change, and a server: %+v", change)
+				}
+				allReachable := !slices.ContainsFunc(wanted, func(w string) bool { return !reachable(w) })
+				for _, name := range names {
+					if slices.Contains(voters, name) != slices.Contains(wanted, name) && allReachable {
+						t.Fatalf("in the end %v, nonvoters %v, want %v, dead %v, led by %s", voters, nonvoters, wanted, dead, leader)
+					}
+				}
+				return
+			case RemoveServer:
+				if server == leader || slices.Contains(wanted, server) {
+					t.Fatalf("%s is removed; led by %s, want %v", server, leader, wanted)
+				}
+				remove(server)
+			case AddNonvoter:
+				nonvoters = append(nonvoters, server)
+			case PromoteToVoter:
+				if !reachable(server) {
+					t.Fatalf("%+v, voters %v, dead %v", change, voters, dead)
+				}
+				remove(server)
+				voters = append(voters, server)
+			case TransferLeadership:
+				if !reachable(server) || !slices.Contains(voters, server) {
+					t.Fatalf("%+v, voters %v, dead %v", change, voters, dead)
+				}
+				leader = server
+			}
+		}
+		t.Fatal("the changes never end")
+	})
+}
--- /dev/null
+++ b/internal/fleet/raftlog/membership_test.go
@@ -0,0 +1,149 @@
+package raftlog
+
+import (
+	"errors"
+	"net"
+	"sync"
+	"testing"
+	"time"
+)
+
+// pipeNetwork connects the voters of one test.
+type pipeNetwork struct {
+	mu     sync.Mutex
+	layers map[string]*StreamLayer
+}
+
+func (p *pipeNetwork) layer(name string) *StreamLayer {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.layers[name] = NewStreamLayer(name, func(to string, _ time.Duration) (net.Conn, error) {
+		p.mu.Lock()
+		l := p.layers[to]
+		p.mu.Unlock()
+		if l == nil {
+			return nil, errors.New("no such voter")
+		}
+		a, b := net.Pipe()
+		go l.Serve(b)
+		return a, nil
+	})
+	return p.layers[name]
+}
+
+func (p *pipeNetwork) disconnect(name string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.layers, name)
+}
+
+func (p *pipeNetwork) open(t *testing.T, name string, r VoterSet, s *sum) *Log {
+	t.Helper()
+	l, err := Open(t.TempDir(), name, r, p.layer(name), s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	return l
+}
+
+// awaitLeader waits until one of some voters leads.
+func awaitLeader(t *testing.T, all ...*Log) *Log {
+	t.Helper()
+	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		for _, l := range all {
+			if l.IsLeader() && l.VerifyLeader() == nil {
+				return l
+			}
+		}
+	}
+	t.Fatal("there is no leader")
+	return nil
+}
+
+func await(t *testing.T, what string, is func() bool) {
+	t.Helper()
+	for end := time.Now().Add(30 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal(what)
+		}
+	}
+}
+
+// TestReplaceLostVoter: a voter is lost for good, and another replaces it: from then on the log survives the loss of a
+// second of the first ones. A fleet file of an earlier edition changes nothing back.
+func TestReplaceLostVoter(t *testing.T) {
+	p := &pipeNetwork{layers: map[string]*StreamLayer{}}
+	first, second := VoterSet{1, []string{"a", "b", "c"}}, VoterSet{2, []string{"a", "c", "d"}}
+	logs, sums := map[string]*Log{}, map[string]*sum{}
+	for _, n := range first.Names {
+		sums[n] = &sum{}
+		logs[n] = p.open(t, n, first, sums[n])
+	}
+	if _, err := awaitLeader(t, logs["a"], logs["b"], logs["c"]).Propose(7); err != nil {
+		t.Fatal(err)
+	}
+	p.disconnect("b")
+	logs["b"].Close()
+	sums["d"] = &sum{}
+	logs["d"] = p.open(t, "d", second, sums["d"]) // which waits to be taken in
+	logs["a"].SetVoters(second)
+	logs["c"].SetVoters(second)
+	await(t, "the new voter has no vote", func() bool {
+		for _, n := range []string{"a", "c"} {
+			l := logs[n]
+			if l.IsLeader() && l.isVoter("d") && !l.isVoter("b") && len(l.servers()) == 3 {
+				return true
+			}
+		}
+		return false
+	})
+	old := awaitLeader(t, logs["a"], logs["c"])
+	old.SetVoters(VoterSet{1, []string{"a", "b", "c"}}) // an earlier edition is nothing new
+	if got, err := old.Propose(1); err != nil || got != 8 {
+		t.Fatalf("%v, %v", got, err)
+	}
+	await(t, "the new voter does not hear what was agreed on", func() bool {
+		sums["d"].mu.Lock()
+		defer sums["d"].mu.Unlock()
+		return sums["d"].Total == 8
+	})
+	name := "a" // the leader is lost, too
+	if old == logs["c"] {
+		name = "c"
+	}
+	p.disconnect(name)
+	old.Close()
+	rest := []*Log{logs["d"]}
+	for _, n := range []string{"a", "c"} {
+		if n != name {
+			rest = append(rest, logs[n])
+		}
+	}
+	if got, err := awaitLeader(t, rest...).Propose(1); err != nil || got != 9 {
+		t.Errorf("with two of the second three: %v, %v", got, err)
+	}
+}
+
+// TestRemoveLeader: a leader that is no voter any more transfers its leadership, and is told that it was removed.
+func TestRemoveLeader(t *testing.T) {
+	p := &pipeNetwork{layers: map[string]*StreamLayer{}}
+	a := p.open(t, "a", VoterSet{1, []string{"a"}}, &sum{})
+	awaitLeader(t, a)
+	second := VoterSet{2, []string{"b"}}
+	s := &sum{}
+	b := p.open(t, "b", second, s)
+	if _, err := a.Propose(5); err != nil {
+		t.Fatal(err)
+	}
+	a.SetVoters(second)
+	select {
+	case <-a.Removed():
+	case <-time.After(30 * time.Second):
+		t.Fatal("it is not told that it was removed")
+	}
+	if got, err := awaitLeader(t, b).Propose(1); err != nil || got != 6 {
+		t.Errorf("%v, %v", got, err)
+	}
+	await(t, "it is a voter still", func() bool { return len(b.servers()) == 1 && b.isVoter("b") })
+}
--- /dev/null
+++ b/internal/fleet/raftlog/snapshot.go
@@ -0,0 +1,39 @@
+package raftlog
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+
+	"github.com/hashicorp/raft"
+)
+
+// Snapshot is a state machine's state, encoded as JSON.
+type Snapshot []byte
+
+// Persist implements raft.FSMSnapshot.
+func (s Snapshot) Persist(sink raft.SnapshotSink) error {
+	if _, err := sink.Write(s); err != nil {
+		_ = sink.Cancel()
+		return err
+	}
+	return sink.Close()
+}
+
+// Release implements raft.FSMSnapshot.
+func (Snapshot) Release() {}
+
+// EncodeSnapshot encodes a state, which must not change during the call.
+func EncodeSnapshot(state any) (raft.FSMSnapshot, error) {
+	data, err := json.Marshal(state)
+	return Snapshot(data), err
+}
+
+// DecodeSnapshot decodes a snapshot into a new state, and closes it. The name of the state is for the error.
+func DecodeSnapshot(snapshot io.ReadCloser, name string, into any) error {
+	defer func() { _ = snapshot.Close() }()
+	if err := json.NewDecoder(snapshot).Decode(into); err != nil {
+		return fmt.Errorf("snapshot of the %s: %w", name, err)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/fleet/raftlog/state_machine_test.go
@@ -0,0 +1,44 @@
+package raftlog
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"testing"
+
+	"github.com/hashicorp/raft"
+)
+
+// sink is a raft.SnapshotSink in memory.
+type sink struct{ bytes.Buffer }
+
+func (*sink) Close() error  { return nil }
+func (*sink) Cancel() error { return nil }
+func (*sink) ID() string    { return "" }
+
+// TestVoterSetInSnapshot: a snapshot holds the voter set; one of a program that knew of none is read, too.
+func TestVoterSetInSnapshot(t *testing.T) {
+	s := &stateMachine{FSM: &sum{}}
+	line, _ := json.Marshal(VoterSet{3, []string{"x"}})
+	s.Apply(&raft.Log{Data: append([]byte{voterSetMarker}, line...)})
+	s.Apply(&raft.Log{Data: append([]byte{voterSetMarker}, `{"edition":2,"names":["y"]}`...)}) // an earlier one
+	snap, err := s.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out sink
+	if err := snap.Persist(&out); err != nil {
+		t.Fatal(err)
+	}
+	for text, want := range map[string]VoterSet{out.String(): {3, []string{"x"}}, `{}`: {}} {
+		again := &stateMachine{FSM: &sum{}}
+		err := again.Restore(io.NopCloser(bytes.NewBufferString(text)))
+		if err != nil || fmt.Sprint(again.voterSet()) != fmt.Sprint(want) {
+			t.Errorf("%q: %v, %v", text, again.voterSet(), err)
+		}
+	}
+	if err := (&stateMachine{FSM: &sum{}}).Restore(io.NopCloser(bytes.NewBufferString("\x01{"))); err == nil {
+		t.Error("a snapshot that was cut short is taken")
+	}
+}
--- /dev/null
+++ b/internal/fleet/raftlog/stream_layer.go
@@ -0,0 +1,93 @@
+package raftlog
+
+import (
+	"net"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/raft"
+)
+
+// Dialer opens a stream to another voter.
+type Dialer func(name string, timeout time.Duration) (net.Conn, error)
+
+// StreamLayer carries raft's messages over streams between members. It implements raft.StreamLayer.
+type StreamLayer struct {
+	name      string // of this voter
+	dial      Dialer
+	accepted  chan net.Conn
+	closed    chan struct{}
+	closeOnce sync.Once
+}
+
+// NewStreamLayer returns the layer of the voter called name.
+func NewStreamLayer(name string, dial Dialer) *StreamLayer {
+	return &StreamLayer{
+		name:     name,
+		dial:     dial,
+		accepted: make(chan net.Conn),
+		closed:   make(chan struct{}),
+	}
+}
+
+// memberAddress is a voter's address: members know each other by name.
+type memberAddress string
+
+// Network implements net.Addr.
+func (memberAddress) Network() string { return "fleet" }
+
+// String implements net.Addr.
+func (a memberAddress) String() string { return string(a) }
+
+// Addr implements raft.StreamLayer.
+func (l *StreamLayer) Addr() net.Addr {
+	return memberAddress(l.name)
+}
+
+// Dial implements raft.StreamLayer.
+func (l *StreamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	return l.dial(string(address), timeout)
+}
+
+// Accept implements raft.StreamLayer.
+func (l *StreamLayer) Accept() (net.Conn, error) {
+	select {
+	case conn := <-l.accepted:
+		return conn, nil
+	case <-l.closed:
+		return nil, net.ErrClosed
+	}
+}
+
+// Close implements raft.StreamLayer.
+func (l *StreamLayer) Close() error {
+	l.closeOnce.Do(func() { close(l.closed) })
+	return nil
+}
+
+// Serve hands an incoming stream to raft, and returns once raft or the layer has closed it.
+func (l *StreamLayer) Serve(conn net.Conn) {
+	observed := &closeNotifier{Conn: conn, closed: make(chan struct{})}
+	select {
+	case l.accepted <- observed:
+	case <-l.closed:
+		return
+	}
+	select {
+	case <-observed.closed:
+	case <-l.closed:
+	}
+}
+
+// closeNotifier is a connection that tells when it is closed.
+type closeNotifier struct {
+	net.Conn
+	once   sync.Once
+	closed chan struct{}
+}
+
+// Close implements net.Conn.
+func (c *closeNotifier) Close() error {
+	c.once.Do(func() { close(c.closed) })
+	return c.Conn.Close()
+}
--- a/internal/fleet/record/record.go
+++ b/internal/fleet/record/record.go
@@ -1,6 +1,6 @@
-// Package record writes what a process of a fleet believed and did, a line of JSON for each event, with the time of the
-// machine's monotonic clock, which all processes of one machine share: whoever judges a fleet lays the records of its
-// processes beside what it saw from outside.
+// Package record writes what a process of a fleet believed and did: a line of JSON for each event, with the time of the
+// machine's monotonic clock. All processes of a machine share that clock, so that whoever judges a fleet can compare
+// the records of its processes with what was seen from outside.
 package record
 
 import (
@@ -13,7 +13,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Line is one event. What goes with it is in Data, in a form that its kind names.
+const fileMode = 0o600
+
+// Line is one event. Its kind names the form of the data.
 type Line struct {
 	At   int64           `json:"at"` // nanoseconds of CLOCK_MONOTONIC
 	Node string          `json:"node"`
@@ -31,54 +33,49 @@
 	return time.Duration(t.Nano())
 }
 
-// Book is a process's record. A nil Book records nothing. Each line is written at once, by one write, so that what a
-// killed process had recorded is whole.
-type Book struct {
+// Recorder writes a process's record. A nil Recorder records nothing. Each line is one write, so that the lines of a
+// process that was killed are complete. Its methods may be called from any goroutine.
+type Recorder struct {
 	node string
+
 	mu   sync.Mutex
 	file *os.File
-	err  error
 }
 
 // Open opens the record of a node for appending.
-func Open(path, node string) (*Book, error) {
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+func Open(path, node string) (*Recorder, error) {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
 	if err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
-	return &Book{node: node, file: f}, nil
+	return &Recorder{node: node, file: file}, nil
 }
 
-// Write records an event that happens now.
-func (b *Book) Write(kind string, data any) {
-	if b == nil {
+// Write records an event that happens now; data may be nil. A process goes on if its record cannot be written: then
+// lines are missing.
+func (r *Recorder) Write(kind string, data any) {
+	if r == nil {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	l := Line{At: int64(Now()), Node: b.node, PID: os.Getpid(), Kind: kind}
-	var err error
-	if data != nil {
-		l.Data, err = json.Marshal(data)
-	}
-	var text []byte
-	if err == nil {
-		text, err = json.Marshal(l)
-	}
-	if err == nil {
-		_, err = b.file.Write(append(text, '\n'))
-	}
-	if b.err == nil {
-		b.err = err
-	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	_ = r.writeLocked(kind, data)
 }
 
-// Err is the first thing that kept it from recording.
-func (b *Book) Err() error {
-	if b == nil {
-		return nil
+// writeLocked takes the time with the lock held, so that the lines of a file are in order.
+func (r *Recorder) writeLocked(kind string, data any) error {
+	line := Line{At: int64(Now()), Node: r.node, PID: os.Getpid(), Kind: kind}
+	if data != nil {
+		encoded, err := json.Marshal(data)
+		if err != nil {
+			return err
+		}
+		line.Data = encoded
+	}
+	text, err := json.Marshal(line)
+	if err != nil {
+		return err
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.err
+	_, err = r.file.Write(append(text, '\n'))
+	return err
 }
--- a/internal/fleet/signals/service.go
+++ b/internal/fleet/signals/service.go
@@ -28,7 +28,7 @@
 	// Tell hands a word to the others, in place of this one's last; see member.Service.
 	Tell   func(from string, word []byte)
 	Here   func(name string) bool // whether a node is in the fleet
-	Record *record.Book
+	Record *record.Recorder
 }
 
 // Service is a process's part in telling of peers. Its methods are safe for concurrent use.
--- a/internal/lab/fleet/rounds.go
+++ b/internal/lab/fleet/rounds.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
+	"olivebridge/internal/fleet/operations"
 	"olivebridge/internal/fleet/record"
-	"olivebridge/internal/fleet/rounds"
 	"olivebridge/internal/lab/fault"
 	"olivebridge/internal/lab/figure"
 )
@@ -140,11 +140,11 @@
 
 // steps looks at the steps that were taken, and at what came to servers while they were out.
 func (m *Rounds) steps(s *fault.Script, a *Account, breaks func(string, time.Duration, string, ...any)) {
-	took, drivers := map[rounds.Stepped]time.Duration{}, map[string]bool{}
+	took, drivers := map[operations.StepRecord]time.Duration{}, map[string]bool{}
 	var began, last time.Duration
 	var out string
 	for _, l := range a.Lines {
-		var step rounds.Stepped
+		var step operations.StepRecord
 		if l.Kind != "step" || json.Unmarshal(l.Data, &step) != nil {
 			continue
 		}
@@ -160,21 +160,21 @@
 		}
 		last = at
 		switch step.From {
-		case rounds.Waits:
+		case operations.Pending:
 			if out != "" && step.Server != s.World.Peers[roundOwn].Name {
 				breaks("one", at, "%s leaves while %s is out", step.Server, out)
 			}
 			out = step.Server
-		case rounds.Empty:
+		case operations.Drained:
 			out = ""
 		}
 	}
 	m.Drivers = len(drivers)
 	for step, at := range took {
-		if step.From != rounds.Leaves {
+		if step.From != operations.Draining {
 			continue
 		}
-		step.From = rounds.Empty
+		step.From = operations.Drained
 		end, back := took[step]
 		if !back {
 			end = min(at+roundHold, a.End)
