--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	served := routing.Answer{Verdict: routing.Served, Reply: &reply{body: []byte("hi")}}
+	served := routing.Answer{Verdict: routing.Served, Reply: &response{body: []byte("hi")}}
 	f := NewFrontend(FrontendConfig{
 		Listener:     l,
 		Names:        protocol.Names{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
@@ -77,7 +77,7 @@
 	}()
 	k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, MaxConns: 10,
 		Log: slog.New(slog.DiscardHandler)})
-	k.pool.settle = 0
+	k.pool.settleTime = 0
 	t := tryOf(routing.NewPeer(1, "s-1", l.Addr().String()), "GET", "")
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/transport/buffers_test.go
+++ b/internal/transport/buffers_test.go
@@ -16,13 +16,13 @@
 
 // TestMessageHeld: the buffer comes back only once nobody holds the message, and nobody holds it after that.
 func TestMessageHeld(t *testing.T) {
-	var home buffers
+	var home bufferPool
 	m := newMessage(&home, "POST", "/", "h", http.Header{}, 3)
 	if !m.hold() {
 		t.Fatal("a message in use cannot be held")
 	}
 	m.release() // the front's
-	if m.users.Load() != 1 || !m.hold() {
+	if m.holders.Load() != 1 || !m.hold() {
 		t.Error("a try is left without its message")
 	}
 	m.release()
@@ -34,7 +34,7 @@
 
 // TestTwoTriesCompose: tries that write at one time do not disturb each other, and each has its own budget.
 func TestTwoTriesCompose(t *testing.T) {
-	m := newMessage(new(buffers), "POST", "/", "h", http.Header{"X-Call-Id": {"9b"}, protocol.HeaderBudget: {"9"}}, 4)
+	m := newMessage(new(bufferPool), "POST", "/", "h", http.Header{"X-Call-Id": {"9b"}, protocol.HeaderBudget: {"9"}}, 4)
 	copy(m.body, "book")
 	want := func(budget string) string {
 		return "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nX-Call-Id: 9b\r\n" + budget + "\r\nbook"
@@ -44,8 +44,8 @@
 	if string(first) != want("X-Budget: 90.000\r\n") || string(second) != want("X-Budget: 1.000\r\n") || !own || copied {
 		t.Errorf("%q, %q, %v, %v", first, second, own, copied)
 	}
-	m.wrote(copied)
-	m.wrote(own)
+	m.releaseRoom(copied)
+	m.releaseRoom(own)
 	if third, own := m.compose(0); string(third) != want("") || !own {
 		t.Errorf("%q, %v", third, own)
 	}
@@ -53,19 +53,19 @@
 
 // TestBuffersHaveOneOwner: whatever is written into one that is taken stays until it is given back.
 func TestBuffersHaveOneOwner(t *testing.T) {
-	var home buffers
+	var home bufferPool
 	var all sync.WaitGroup
 	for i := range 8 {
 		all.Go(func() {
 			mark := bytes.Repeat([]byte{byte('a' + i)}, 200<<10)
 			for n := range 300 {
 				size := 1 + n*n%len(mark)
-				b := home.take(size)
-				copy(b.b, mark[:size])
-				if len(b.b) < size || strings.Trim(string(b.b[:size]), string(mark[:1])) != "" {
-					t.Errorf("%d bytes of %d are another's", len(b.b), size)
+				b := home.get(size)
+				copy(b.bytes, mark[:size])
+				if len(b.bytes) < size || strings.Trim(string(b.bytes[:size]), string(mark[:1])) != "" {
+					t.Errorf("%d bytes of %d are another's", len(b.bytes), size)
 				}
-				home.give(b)
+				home.put(b)
 			}
 		})
 	}
@@ -78,12 +78,12 @@
 	var c *client
 	found := make(chan [2]bool)
 	addr, _, _ := newFront(t, 10, func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
-		m := call.Payload.(*message)
-		stays := !m.left(1, time.Now())
+		m := call.Payload.(*requestMessage)
+		stays := !m.clientLeft(1, time.Now())
 		c.Close()
-		for !m.left(1, time.Now()) {
+		for !m.clientLeft(1, time.Now()) {
 		}
-		found <- [2]bool{stays, !m.left(0, m.arrived)}
+		found <- [2]bool{stays, !m.clientLeft(0, m.arrived)}
 		<-ctx.Done()
 		close(found)
 		return routing.Answer{}, false
--- a/internal/transport/clients.go
+++ b/internal/transport/client_conns.go
@@ -18,15 +18,15 @@
 
 // patience is how long a new connection may say nothing, once room is needed.
 // One that sends at once is read by then, or has bytes waiting to be.
-const patience = 100 * time.Millisecond
+const silentGrace = 100 * time.Millisecond
 
 // slowness is how long a request may stand still on its way, once room is
 // needed. The one that has stood still for the longest goes, so that one that
 // comes on in pieces is the last of a crowd that has stopped half way.
-const slowness = 300 * time.Millisecond
+const stalledGrace = 300 * time.Millisecond
 
 // mostLooks bounds how many connections are looked at for one that can end.
-const mostLooks = 16
+const maxPeeks = 16
 
 // Crowd is how many client connections beyond the bound are taken to be turned away, at most.
 const DefaultOverflow = 32
@@ -54,51 +54,51 @@
 // serve, and the client sends that request again. Here a connection is idle
 // only while no byte of a request has been read, and once its end is decided
 // no byte is read any more.
-type clients struct {
+type clientConns struct {
 	net.Listener
 	log *slog.Logger
 
-	mu      sync.Mutex
-	changed sync.Cond
-	max     int // open
-	maxIdle int
-	crowd   int // beyond max
-	open    map[*clientConn]bool
-	silent  list.List // nothing has ever been read; the oldest first
-	idle    list.List // the longest idle first
+	mu          sync.Mutex
+	changed     sync.Cond
+	maxOpen     int // open
+	maxIdle     int
+	maxOverflow int // beyond max
+	open        map[*clientConn]bool
+	silent      list.List // nothing has ever been read; the oldest first
+	idle        list.List // the longest idle first
 	// lingering are those that wait for their last answer to arrive, the longest first
-	lingering list.List
-	closed    bool                     // the listener
-	leaving   bool                     // the node closes what is idle
-	over      bool                     // the planned end is: nothing lingers any more
-	long      int                      // connections with a long message, which goes on as it comes, whatever time that takes
-	give      func(syscall.Conn) error // to another process of the node, instead; nil: there is none
-	aborted   atomic.Bool              // nothing is read or written any more; set under mu
+	lingering  list.List
+	closed     bool                     // the listener
+	draining   bool                     // the node closes what is idle
+	drainEnded bool                     // the planned end is: nothing lingers any more
+	streaming  int                      // connections with a long message, which goes on as it comes, whatever time that takes
+	handOff    func(syscall.Conn) error // to another process of the node, instead; nil: there is none
+	aborted    atomic.Bool              // nothing is read or written any more; set under mu
 }
 
-func newClients(l net.Listener, b ClientLimits, log *slog.Logger) *clients {
-	c := &clients{Listener: l, log: log, open: map[*clientConn]bool{}}
+func newClientConns(l net.Listener, b ClientLimits, log *slog.Logger) *clientConns {
+	c := &clientConns{Listener: l, log: log, open: map[*clientConn]bool{}}
 	c.changed.L = &c.mu
-	c.bound(b)
+	c.setLimits(b)
 	return c
 }
 
-func (c *clients) bound(b ClientLimits) {
+func (c *clientConns) setLimits(b ClientLimits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.max, c.maxIdle, c.crowd = max(b.MaxOpen, 1), b.MaxIdle, cmp.Or(b.MaxOverflow, DefaultOverflow)
-	if some := c.beyond(); len(some) > 0 {
-		c.end("evicted", some...)
+	c.maxOpen, c.maxIdle, c.maxOverflow = max(b.MaxOpen, 1), b.MaxIdle, cmp.Or(b.MaxOverflow, DefaultOverflow)
+	if some := c.surplusIdle(); len(some) > 0 {
+		c.closeConns("evicted", some...)
 	}
 	c.changed.Broadcast()
 }
 
 // beyond are the connections idle for the longest that the bounds have no room for any more, but for those with
 // something to be read. Where bounds sink, the descriptors may be another process's by now. The lock is held.
-func (c *clients) beyond() (some []*clientConn) {
-	surplus := max(len(c.open)-c.max, c.idle.Len()-c.maxIdle)
+func (c *clientConns) surplusIdle() (some []*clientConn) {
+	surplus := max(len(c.open)-c.maxOpen, c.idle.Len()-c.maxIdle)
 	for e := c.idle.Front(); e != nil && len(some) < surplus; e = e.Next() {
-		if k := e.Value.(*clientConn); !unread(k.Conn) {
+		if k := e.Value.(*clientConn); !hasUnread(k.Conn) {
 			some = append(some, k)
 		}
 	}
@@ -107,13 +107,13 @@
 
 // Accept implements net.Listener. It fails for good only with the listener: a
 // connection that cannot be taken up is passed over.
-func (c *clients) Accept() (net.Conn, error) {
+func (c *clientConns) Accept() (net.Conn, error) {
 	for {
 		conn, err := c.Listener.Accept()
 		if err != nil {
-			return nil, ofAccept(err)
+			return nil, classifyAcceptError(err)
 		}
-		if k, err := c.enter(conn); err == nil {
+		if k, err := c.add(conn); err == nil {
 			return k, nil
 		}
 	}
@@ -122,48 +122,48 @@
 // ofAccept lets http.Server try again, after a pause, where an error of
 // accept(2) is one of the connection that it was to give, or of a moment's
 // want: its page says which. http.Server knows of descriptors alone.
-func ofAccept(err error) error {
+func classifyAcceptError(err error) error {
 	var no syscall.Errno
 	if errors.As(err, &no) {
 		switch no {
 		case syscall.ENETDOWN, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
 			syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.EPERM,
 			syscall.ENOBUFS, syscall.ENOMEM:
-			return passing{err}
+			return temporaryError{err}
 		}
 	}
 	return err
 }
 
 // passing is an error that passes.
-type passing struct{ error }
+type temporaryError struct{ error }
 
 // Timeout implements net.Error.
-func (passing) Timeout() bool { return false }
+func (temporaryError) Timeout() bool { return false }
 
 // Temporary implements net.Error.
-func (passing) Temporary() bool { return true }
+func (temporaryError) Temporary() bool { return true }
 
 // errGone says that a connection has no other side any more.
-var errGone = errors.New("client: it has gone")
+var errClientGone = errors.New("client: it has gone")
 
 // enter takes a connection up.
-func (c *clients) enter(conn net.Conn) (*clientConn, error) {
+func (c *clientConns) add(conn net.Conn) (*clientConn, error) {
 	from := conn.RemoteAddr()
 	if from == nil { // handed over by another process, after its client had reset it: the kernel knows of nobody
 		conn.Close()
-		return nil, errGone
+		return nil, errClientGone
 	}
 	c.makeRoom()
-	gated, err := connOf(conn)
+	gated, err := wrapConn(conn)
 	if err != nil {
 		conn.Close()
 		return nil, fmt.Errorf("client: %w", err)
 	}
-	k := &clientConn{Conn: gated, all: c, since: time.Now()}
+	k := &clientConn{Conn: gated, conns: c, requestStart: time.Now()}
 	k.deadlines.init()
-	k.open, k.took = k.mayRead, k.hasRead
-	k.life = newLife(c.log, "client", from.String(), func() { c.forget(k) })
+	k.beforeRead, k.afterRead = k.mayRead, k.hasRead
+	k.log = newConnLog(c.log, "client", from.String(), func() { c.remove(k) })
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.aborted.Load() {
@@ -175,16 +175,16 @@
 	return k, nil
 }
 
-func (c *clients) makeRoom() {
+func (c *clientConns) makeRoom() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.open) >= c.max && !c.closed {
-		if reason, k := c.spare(time.Now()); k != nil {
-			c.end(reason, k)
-		} else if len(c.open) < c.max+c.crowd {
+	for len(c.open) >= c.maxOpen && !c.closed {
+		if reason, k := c.evictionCandidate(time.Now()); k != nil {
+			c.closeConns(reason, k)
+		} else if len(c.open) < c.maxOpen+c.maxOverflow {
 			return
 		} else {
-			wake := time.AfterFunc(patience/2, c.changed.Broadcast) // a silent one may have become old enough
+			wake := time.AfterFunc(silentGrace/2, c.changed.Broadcast) // a silent one may have become old enough
 			c.changed.Wait()
 			wake.Stop()
 		}
@@ -193,16 +193,16 @@
 
 // spare finds the connection whose end costs least. One with bytes to be read
 // is none: they may be a whole request. The lock is held.
-func (c *clients) spare(now time.Time) (reason string, k *clientConn) {
+func (c *clientConns) evictionCandidate(now time.Time) (reason string, k *clientConn) {
 	if e := c.lingering.Front(); e != nil {
 		return "evicted", e.Value.(*clientConn)
 	}
 	looks := 0 // at the kernel: the lock holds every read up
-	for e := c.silent.Front(); e != nil && looks < mostLooks; e = e.Next() {
+	for e := c.silent.Front(); e != nil && looks < maxPeeks; e = e.Next() {
 		looks++
-		if k = e.Value.(*clientConn); now.Sub(k.since) < patience {
+		if k = e.Value.(*clientConn); now.Sub(k.requestStart) < silentGrace {
 			break
-		} else if !unread(k.Conn) {
+		} else if !hasUnread(k.Conn) {
 			return "silent", k
 		}
 	}
@@ -210,8 +210,8 @@
 		return "evicted", k
 	}
 	for o := range c.open { // the longest, so that which one it is does not hang on chance
-		if o.active && !o.whole && !o.gone && now.Sub(o.moved) >= slowness &&
-			(k == nil || o.moved.Before(k.moved)) && !unread(o.Conn) {
+		if o.active && !o.whole && !o.gone && now.Sub(o.lastRead) >= stalledGrace &&
+			(k == nil || o.lastRead.Before(k.lastRead)) && !hasUnread(o.Conn) {
 			k = o
 		}
 	}
@@ -223,11 +223,11 @@
 
 // longestIdle is the connection idle for the longest that has nothing to be
 // read; nil if there is none. The lock is held.
-func (c *clients) longestIdle() *clientConn {
+func (c *clientConns) longestIdle() *clientConn {
 	looks := 0
-	for e := c.idle.Front(); e != nil && looks < mostLooks; e = e.Next() {
+	for e := c.idle.Front(); e != nil && looks < maxPeeks; e = e.Next() {
 		looks++
-		if k := e.Value.(*clientConn); !unread(k.Conn) {
+		if k := e.Value.(*clientConn); !hasUnread(k.Conn) {
 			return k
 		}
 	}
@@ -236,29 +236,29 @@
 
 // end closes connections on which no byte of a request was read. The lock is
 // held, but for the closing itself.
-func (c *clients) end(reason string, some ...*clientConn) {
-	give := c.give
+func (c *clientConns) closeConns(reason string, some ...*clientConn) {
+	give := c.handOff
 	for _, k := range some {
-		k.gone, k.given = true, give != nil
+		k.gone, k.handedOff = true, give != nil
 		k.moveTo(nil)
 	}
 	c.mu.Unlock()
 	defer c.mu.Lock()
 	for _, k := range some {
 		if give != nil {
-			k.handOn(give)
+			k.handOffTo(give)
 		}
-		k.life.because(reason)
+		k.log.setReason(reason)
 		k.close(reason)
 	}
 }
 
 // crowded reports whether calls must be turned away to keep the bound. Those
 // that have stopped half way make no crowd: a whole request among them is served.
-func (c *clients) crowded() bool {
+func (c *clientConns) overloaded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.open) <= c.max {
+	if len(c.open) <= c.maxOpen {
 		return false
 	}
 	calls := 0
@@ -267,36 +267,36 @@
 			calls++
 		}
 	}
-	return calls > c.max
+	return calls > c.maxOpen
 }
 
 // leaves reports whether the node closes client connections by now.
-func (c *clients) leaves() bool {
+func (c *clientConns) isDraining() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.leaving
+	return c.draining
 }
 
 // leave closes every connection that carries nothing. Later ones end with
 // their answer, until stay.
-func (c *clients) leave() {
+func (c *clientConns) startDraining() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaving = true
-	c.hurryLingering()
-	c.endIdle()
+	c.draining = true
+	c.shortenLingering()
+	c.closeIdle()
 }
 
 // stay lets connections be kept again.
-func (c *clients) stay() {
+func (c *clientConns) stopDraining() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaving = false
+	c.draining = false
 }
 
 // drain goes on with that until none is open or ctx ends, and returns how many are. While a long message goes on
 // as it comes it waits for that too, until most ends.
-func (c *clients) drain(ctx, most context.Context) int {
+func (c *clientConns) waitDrained(ctx, most context.Context) int {
 	wake := func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -306,36 +306,36 @@
 	defer context.AfterFunc(most, wake)()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.open) > 0 && (ctx.Err() == nil || c.long > 0 && most.Err() == nil) {
-		if !c.endIdle() {
+	for len(c.open) > 0 && (ctx.Err() == nil || c.streaming > 0 && most.Err() == nil) {
+		if !c.closeIdle() {
 			c.changed.Wait()
 		}
 	}
-	c.over = true
+	c.drainEnded = true
 	return len(c.open)
 }
 
 // goesOn notes a long message on a connection, until that has carried its answer.
-func (k *clientConn) goesOn() {
-	k.all.mu.Lock()
-	defer k.all.mu.Unlock()
-	if !k.long && k.all.open[k] {
-		k.long = true
-		k.all.long++
+func (k *clientConn) startStreaming() {
+	k.conns.mu.Lock()
+	defer k.conns.mu.Unlock()
+	if !k.streaming && k.conns.open[k] {
+		k.streaming = true
+		k.conns.streaming++
 	}
 }
 
 // carried notes that no long message is on a connection any more. The lock is held.
-func (c *clients) carried(k *clientConn) {
-	if k.long {
-		k.long = false
-		c.long--
+func (c *clientConns) endStreaming(k *clientConn) {
+	if k.streaming {
+		k.streaming = false
+		c.streaming--
 	}
 }
 
 // abort lets no byte be read or written any more, on connections still to come
 // either. Closing them is left to http.Server.
-func (c *clients) abort() {
+func (c *clientConns) abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.aborted.Store(true)
@@ -346,34 +346,34 @@
 }
 
 // count says how many are open.
-func (c *clients) count() int {
+func (c *clientConns) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open)
 }
 
 // endIdle ends what carries nothing and reports whether there was any. The lock is held.
-func (c *clients) endIdle() bool {
+func (c *clientConns) closeIdle() bool {
 	var some []*clientConn
 	for k := range c.open {
-		if !k.active && !k.gone && !c.comesOn(k) {
+		if !k.active && !k.gone && !c.hasNextRequest(k) {
 			some = append(some, k)
 		}
 	}
 	if len(some) > 0 {
-		c.end("drain", some...)
+		c.closeConns("drain", some...)
 	}
 	return len(some) > 0
 }
 
 // comesOn reports whether the next request is there behind an answer. It is served, and ends its connection: a
 // close over it would be a reset, and might take the answer with it. The lock is held.
-func (c *clients) comesOn(k *clientConn) bool {
-	return c.give == nil && k.answered.Load() && unread(k.Conn)
+func (c *clientConns) hasNextRequest(k *clientConn) bool {
+	return c.handOff == nil && k.responseWritten.Load() && hasUnread(k.Conn)
 }
 
 // String counts the client connections by what they do, one line.
-func (c *clients) String() string {
+func (c *clientConns) String() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	reading, calls, ending := 0, 0, 0
@@ -392,7 +392,7 @@
 }
 
 // Close implements net.Listener.
-func (c *clients) Close() error {
+func (c *clientConns) Close() error {
 	c.mu.Lock()
 	c.closed = true
 	c.changed.Broadcast()
@@ -400,40 +400,40 @@
 	return c.Listener.Close()
 }
 
-func (c *clients) forget(k *clientConn) {
+func (c *clientConns) remove(k *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k.moveTo(nil)
-	c.carried(k)
+	c.endStreaming(k)
 	delete(c.open, k)
 	c.changed.Broadcast()
 }
 
 // state hears from http.Server when a connection has carried its answer.
-func (c *clients) state(conn net.Conn, s http.ConnState) {
+func (c *clientConns) connState(conn net.Conn, s http.ConnState) {
 	k, ok := conn.(*clientConn)
 	if !ok || s != http.StateIdle {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.carried(k)
-	k.answers++
-	k.active, k.behind = k.next, k.next || k.early
-	k.whole, k.early, k.next = false, false, k.framing.begun > k.answers+1
+	c.endStreaming(k)
+	k.responses++
+	k.active, k.pipelinedRequest = k.next, k.next || k.unreadPipelined
+	k.whole, k.unreadPipelined, k.next = false, false, k.framing.started > k.responses+1
 	if k.active {
-		k.since = time.Now() // its turn has come: the call before it took none of its time
-		k.moved = k.since
+		k.requestStart = time.Now() // its turn has come: the call before it took none of its time
+		k.lastRead = k.requestStart
 	}
 	if !k.active && c.open[k] {
 		k.moveTo(&c.idle)
-		if c.leaving {
-			if !c.comesOn(k) {
-				c.end("drain", k)
+		if c.draining {
+			if !c.hasNextRequest(k) {
+				c.closeConns("drain", k)
 			}
 		} else if c.idle.Len() > c.maxIdle {
 			if first := c.longestIdle(); first != nil {
-				c.end("evicted", first)
+				c.closeConns("evicted", first)
 			}
 		}
 	}
@@ -443,40 +443,40 @@
 // clientConn is a client connection. Its marks belong to the lock of all.
 type clientConn struct {
 	Conn
-	life *life
-	all  *clients
-
-	list    *list.List // the one of all's that it stands in; nil: none
-	place   *list.Element
-	since   time.Time // when it was accepted, or its request's first byte was read
-	moved   time.Time // when bytes were last read
-	active  bool      // a byte of an unanswered request has been read
-	whole   bool      // that request has been read whole
-	next    bool      // a byte of the one after it has been read: it is owed an answer, too
-	early   bool      // bytes of the one after it wait to be read
-	behind  bool      // one of the two was so of the request
-	answers int       // requests that were answered
-	gone    bool      // its end is decided
-	given   bool      // so that another process goes on with it: it must be open until it is sent there
-	long    bool      // a long message is on it
-	framing framing
+	log   *connLog
+	conns *clientConns
+
+	list             *list.List // the one of all's that it stands in; nil: none
+	element          *list.Element
+	requestStart     time.Time // when it was accepted, or its request's first byte was read
+	lastRead         time.Time // when bytes were last read
+	active           bool      // a byte of an unanswered request has been read
+	whole            bool      // that request has been read whole
+	next             bool      // a byte of the one after it has been read: it is owed an answer, too
+	unreadPipelined  bool      // bytes of the one after it wait to be read
+	pipelinedRequest bool      // one of the two was so of the request
+	responses        int       // requests that were answered
+	gone             bool      // its end is decided
+	handedOff        bool      // so that another process goes on with it: it must be open until it is sent there
+	streaming        bool      // a long message is on it
+	framing          requestFraming
 
 	// for Read, of which one runs at a time
-	buf  []byte
-	open func() error // mayRead
-	took func(n int)  // hasRead
+	buf        []byte
+	beforeRead func() error // mayRead
+	afterRead  func(n int)  // hasRead
 
-	answered  atomic.Bool // bytes were written since its request began, or to the one before
-	lingering bool
-	ends      time.Time // until when it lingers
+	responseWritten atomic.Bool // bytes were written since its request began, or to the one before
+	lingering       bool
+	lingerUntil     time.Time // until when it lingers
 
-	deadlines deadlines
+	deadlines connDeadlines
 }
 
 // mayRead says whether a read may go on. The lock is held.
 func (k *clientConn) mayRead() error {
 	switch {
-	case k.gone && k.all.give != nil:
+	case k.gone && k.conns.handOff != nil:
 		return io.EOF // http.Server would answer any other error, to a client that is another process's by now
 	case k.gone:
 		return net.ErrClosed
@@ -486,85 +486,85 @@
 
 // CloseWrite ends the sending, unless another process goes on with it.
 func (k *clientConn) CloseWrite() error {
-	if k.isGone() {
+	if k.isClosing() {
 		return net.ErrClosed
 	}
 	return k.Conn.CloseWrite()
 }
 
-func (k *clientConn) isGone() bool {
-	k.all.mu.Lock()
-	defer k.all.mu.Unlock()
+func (k *clientConn) isClosing() bool {
+	k.conns.mu.Lock()
+	defer k.conns.mu.Unlock()
 	return k.gone
 }
 
 // hasRead notes that n bytes were read. The lock is held.
 func (k *clientConn) hasRead(n int) {
-	k.begin()
-	k.moved = time.Now()
-	k.framing.read(k.buf[:n])
-	k.next = k.next || k.whole || k.framing.begun > k.answers+1
+	k.beginRequest()
+	k.lastRead = time.Now()
+	k.framing.feed(k.buf[:n])
+	k.next = k.next || k.whole || k.framing.started > k.responses+1
 }
 
 // owesMore reports whether a further request has been read, or a part of it, behind the one that is answered, whose end
 // is beyond doubt. While that one is open no more is read: see watch.
-func (k *clientConn) owesMore() bool {
-	k.all.mu.Lock()
-	defer k.all.mu.Unlock()
-	return k.next && !k.framing.tornAt(k.answers+1)
+func (k *clientConn) hasPipelinedRequest() bool {
+	k.conns.mu.Lock()
+	defer k.conns.mu.Unlock()
+	return k.next && !k.framing.ambiguousAt(k.responses+1)
 }
 
 // most is how many bytes a read of so many may take. While the node closes connections, it takes none behind a request
 // that has begun: who always sends the next one ahead would be owed an answer for ever.
-func (k *clientConn) most(n int) int {
-	k.all.mu.Lock()
-	defer k.all.mu.Unlock()
-	if k.all.leaving && k.active {
-		return k.framing.needs(n)
+func (k *clientConn) readLimit(n int) int {
+	k.conns.mu.Lock()
+	defer k.conns.mu.Unlock()
+	if k.conns.draining && k.active {
+		return k.framing.bytesNeeded(n)
 	}
 	return n
 }
 
 // isWhole reports whether the request that is read has come whole.
-func (k *clientConn) isWhole() bool {
-	k.all.mu.Lock()
-	defer k.all.mu.Unlock()
-	return k.whole || k.framing.whole(k.answers+1)
+func (k *clientConn) requestArrived() bool {
+	k.conns.mu.Lock()
+	defer k.conns.mu.Unlock()
+	return k.whole || k.framing.complete(k.responses+1)
 }
 
 // comesEarly notes that bytes wait behind a request that is open.
-func (k *clientConn) comesEarly() {
-	k.all.mu.Lock()
-	defer k.all.mu.Unlock()
-	k.early = true
+func (k *clientConn) noteUnreadPipelined() {
+	k.conns.mu.Lock()
+	defer k.conns.mu.Unlock()
+	k.unreadPipelined = true
 }
 
 // pipelined reports whether the request that is read began to come while the one before was open.
-func (k *clientConn) pipelined() bool {
-	k.all.mu.Lock()
-	defer k.all.mu.Unlock()
-	return k.behind
+func (k *clientConn) wasPipelined() bool {
+	k.conns.mu.Lock()
+	defer k.conns.mu.Unlock()
+	return k.pipelinedRequest
 }
 
 // torn reports whether the head of the request that is read leaves any doubt about where it ends.
-func (k *clientConn) torn() bool {
-	k.all.mu.Lock()
-	defer k.all.mu.Unlock()
-	return k.framing.tornAt(k.answers + 1)
+func (k *clientConn) framingAmbiguous() bool {
+	k.conns.mu.Lock()
+	defer k.conns.mu.Unlock()
+	return k.framing.ambiguousAt(k.responses + 1)
 }
 
 // isLast reports whether the connection ends with the request that is answered, for how that one's body came.
-func (k *clientConn) isLast() bool {
-	k.all.mu.Lock()
-	defer k.all.mu.Unlock()
-	return k.framing.last(k.answers + 1)
+func (k *clientConn) mustCloseAfterRequest() bool {
+	k.conns.mu.Lock()
+	defer k.conns.mu.Unlock()
+	return k.framing.isLast(k.responses + 1)
 }
 
 // begin notes that a request has begun. The lock is held.
-func (k *clientConn) begin() {
+func (k *clientConn) beginRequest() {
 	if !k.active {
-		k.active, k.since = true, time.Now()
-		k.answered.Store(false)
+		k.active, k.requestStart = true, time.Now()
+		k.responseWritten.Store(false)
 	}
 	k.moveTo(nil)
 }
@@ -572,32 +572,32 @@
 // moveTo moves the connection to the end of a list, or, by nil, out of any. The lock is held.
 func (k *clientConn) moveTo(l *list.List) {
 	if k.list != nil {
-		k.list.Remove(k.place)
+		k.list.Remove(k.element)
 	}
 	if k.list = l; l != nil {
-		k.place = l.PushBack(k)
+		k.element = l.PushBack(k)
 	}
 }
 
 // requestRead notes that all bytes from now on are of the next request, and
 // reports whether this one may be passed on. Until now its connection may have
 // been ended for standing still, though its last bytes had come.
-func (k *clientConn) requestRead() bool {
-	k.all.mu.Lock()
-	defer k.all.mu.Unlock()
+func (k *clientConn) completeRequest() bool {
+	k.conns.mu.Lock()
+	defer k.conns.mu.Unlock()
 	k.whole = true
 	return !k.gone
 }
 
 // Write implements net.Conn.
 func (k *clientConn) Write(b []byte) (int, error) {
-	if k.all.aborted.Load() {
+	if k.conns.aborted.Load() {
 		return 0, net.ErrClosed
 	}
-	k.answered.Store(true)
+	k.responseWritten.Store(true)
 	n, err := k.Conn.Write(b)
 	if err != nil {
-		k.life.because("client-gone")
+		k.log.setReason("client-gone")
 	}
 	return n, err
 }
@@ -606,21 +606,21 @@
 // connection has gone, closes it at once. Where it is being handed on that would be too early: the descriptor were closed
 // under the sending, and the bytes that have just come would be answered by a reset.
 func (k *clientConn) Close() error {
-	k.all.mu.Lock()
-	reason, given := "node-closed", k.given
-	if k.all.leaving {
+	k.conns.mu.Lock()
+	reason, given := "node-closed", k.handedOff
+	if k.conns.draining {
 		reason = "drain"
 	}
-	k.all.mu.Unlock()
+	k.conns.mu.Unlock()
 	if given {
 		return nil // by whoever hands it on
 	}
-	k.life.because(reason)
+	k.log.setReason(reason)
 	k.linger()
 	return k.close(reason)
 }
 
 func (k *clientConn) close(reason string) error {
-	k.life.end(reason)
+	k.log.logEnd(reason)
 	return k.Conn.Close()
 }
--- a/internal/transport/clientread.go
+++ b/internal/transport/client_read.go
@@ -12,27 +12,27 @@
 // hangUpLook is how long a call may be open before its client connection is
 // watched for the client's going. Most calls are answered by then. Until then
 // a try that does not leave at once looks first, by left.
-const hangUpLook = 10 * time.Millisecond
+const watchDelay = 10 * time.Millisecond
 
 // deadlines are what http.Server wants of a client connection. It sets nine for
 // one request, and waits for few of them: the connection, where each costs a
 // timer, hears of one only when a read is to wait.
-type deadlines struct {
+type connDeadlines struct {
 	mu      sync.Mutex
 	read    time.Time // as http.Server has set it
 	applied time.Time // the same, as the connection has it
 	reading bool      // a read is with the connection
 	write   time.Time // as the connection has it
 
-	resting bool // a read waits until it is time to look for the client's going
-	due     *time.Timer
-	wake    chan struct{} // tells that read that something has changed; holds one
-	now     bool          // it is time to look
+	resting   bool // a read waits until it is time to look for the client's going
+	lookTimer *time.Timer
+	wake      chan struct{} // tells that read that something has changed; holds one
+	lookNow   bool          // it is time to look
 }
 
-func (d *deadlines) init() {
-	d.due, d.wake = time.NewTimer(time.Hour), make(chan struct{}, 1)
-	d.due.Stop()
+func (d *connDeadlines) init() {
+	d.lookTimer, d.wake = time.NewTimer(time.Hour), make(chan struct{}, 1)
+	d.lookTimer.Stop()
 }
 
 // Read implements net.Conn. Bytes are taken under the lock, so that whether the
@@ -42,74 +42,74 @@
 // tells by a reset.
 func (k *clientConn) Read(b []byte) (int, error) {
 	if len(b) == 1 { // http.Server asks for one byte while a call is open, and else hardly ever
-		if !k.rest() {
+		if !k.waitForLook() {
 			return 0, os.ErrDeadlineExceeded
 		}
-		if k.isWhole() {
-			return 0, k.watch()
+		if k.requestArrived() {
+			return 0, k.watchForClose()
 		}
 	}
-	return k.readGated(b[:k.most(len(b))])
+	return k.readGated(b[:k.readLimit(len(b))])
 }
 
 // watch waits, while a call is open, until its client has gone. Bytes behind the call's request tell nothing of that.
 // They are left to be read in their turn, since what is read is owed an answer, however soon the connection is to end.
-func (k *clientConn) watch() error {
+func (k *clientConn) watchForClose() error {
 	for {
 		if _, err := k.readGated(nil); err != nil {
 			return err
 		}
-		k.comesEarly()
+		k.noteUnreadPipelined()
 		if k.HasEnded() {
-			k.life.because("client-closed")
+			k.log.setReason("client-closed")
 			return io.EOF
 		}
-		if !k.rest() {
+		if !k.waitForLook() {
 			return os.ErrDeadlineExceeded
 		}
 	}
 }
 
 func (k *clientConn) readGated(b []byte) (int, error) {
-	if err := k.reads(true); err != nil {
+	if err := k.setReading(true); err != nil {
 		return 0, err
 	}
 	k.buf = b
-	n, err := k.ReadGate(b, &k.all.mu, k.open, k.took)
-	k.reads(false)
-	if err != nil && !k.isGone() { // else the client has no part in it
-		k.life.read(err, "client-closed", "client-reset")
+	n, err := k.ReadGate(b, &k.conns.mu, k.beforeRead, k.afterRead)
+	k.setReading(false)
+	if err != nil && !k.isClosing() { // else the client has no part in it
+		k.log.noteReadError(err, "client-closed", "client-reset")
 	}
 	return n, err
 }
 
 // rest waits until it is time to look for the client's going, and reports
 // whether it still is to be looked for.
-func (k *clientConn) rest() bool {
+func (k *clientConn) waitForLook() bool {
 	d := &k.deadlines
-	d.due.Reset(hangUpLook)
-	defer d.due.Stop()
+	d.lookTimer.Reset(watchDelay)
+	defer d.lookTimer.Stop()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for d.now, d.resting = false, true; !past(d.read) && !d.now; {
+	for d.lookNow, d.resting = false, true; !expired(d.read) && !d.lookNow; {
 		d.mu.Unlock()
 		timeUp := false
 		select {
-		case <-d.due.C:
+		case <-d.lookTimer.C:
 			timeUp = true
 		case <-d.wake:
 		}
 		d.mu.Lock()
-		d.now = d.now || timeUp
+		d.lookNow = d.lookNow || timeUp
 	}
 	d.resting = false
-	return !past(d.read)
+	return !expired(d.read)
 }
 
-func past(t time.Time) bool { return !t.IsZero() && !time.Now().Before(t) }
+func expired(t time.Time) bool { return !t.IsZero() && !time.Now().Before(t) }
 
 // stir lets a resting read look what has changed. The lock of deadlines is held.
-func (d *deadlines) stir() {
+func (d *connDeadlines) wakeReader() {
 	if d.resting {
 		select {
 		case d.wake <- struct{}{}:
@@ -120,28 +120,28 @@
 
 // left reports whether the client has gone by now, also behind bytes that nobody reads yet: those of a long body whose
 // call still waits, or of a further request. If so, http.Server hears of it at once, unless it still reads the body.
-func (k *clientConn) left() bool {
+func (k *clientConn) hasLeft() bool {
 	n, err := k.Peek()
 	if errors.Is(err, syscall.EAGAIN) || n > 0 && !k.HasEnded() {
 		return false
 	}
 	k.deadlines.mu.Lock()
 	defer k.deadlines.mu.Unlock()
-	k.deadlines.now = true
-	k.deadlines.stir()
+	k.deadlines.lookNow = true
+	k.deadlines.wakeReader()
 	return true
 }
 
 // reads notes that a read begins, or has ended.
-func (k *clientConn) reads(begins bool) error {
+func (k *clientConn) setReading(begins bool) error {
 	k.deadlines.mu.Lock()
 	defer k.deadlines.mu.Unlock()
 	k.deadlines.reading = begins
-	return k.applyRead()
+	return k.applyReadDeadline()
 }
 
 // applyRead lets a read that runs end in time. The lock of deadlines is held.
-func (k *clientConn) applyRead() error {
+func (k *clientConn) applyReadDeadline() error {
 	d := &k.deadlines
 	if !d.reading || d.read.Equal(d.applied) {
 		return nil
@@ -155,8 +155,8 @@
 	k.deadlines.mu.Lock()
 	defer k.deadlines.mu.Unlock()
 	k.deadlines.read = t
-	k.deadlines.stir()
-	return k.applyRead()
+	k.deadlines.wakeReader()
+	return k.applyReadDeadline()
 }
 
 // SetWriteDeadline implements net.Conn. One that is hardly later than the last is left.
--- a/internal/transport/clientleft_test.go
+++ b/internal/transport/clientleft_test.go
@@ -119,7 +119,7 @@
 				t.Parallel()
 				taken, ended := make(chan *clientConn, 3), make(chan bool, 3)
 				addr, _, _ := newFront(t, 10, func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
-					taken <- call.Payload.(*message).from.(*clientConn)
+					taken <- call.Payload.(*requestMessage).client.(*clientConn)
 					<-ctx.Done()
 					ended <- true
 					return routing.Answer{}, false
@@ -147,9 +147,9 @@
 
 // sees reports whether bytes behind the request that is open have been seen.
 func (k *clientConn) sees() bool {
-	k.all.mu.Lock()
-	defer k.all.mu.Unlock()
-	return k.early
+	k.conns.mu.Lock()
+	defer k.conns.mu.Unlock()
+	return k.unreadPipelined
 }
 
 // TestGoneWhileAnAnswerStands: a client that goes in the middle of a long answer whose peer stands still, whatever it has
@@ -193,7 +193,7 @@
 				}
 				io.WriteString(client, c.behind)
 				if end == nil {
-					time.Sleep(3 * stillLook)
+					time.Sleep(3 * clientCheckInterval)
 					close(goOn)
 					if n, err := io.Copy(io.Discard, resp.Body); n != int64(len(half)) || err != nil {
 						t.Errorf("%d bytes, %v", n, err)
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c, err := connOf(conn)
+	c, err := wrapConn(conn)
 	if err != nil {
 		conn.Close()
 	}
@@ -47,18 +47,23 @@
 }
 
 // connOf gives a connection what Conn asks.
-func connOf(conn net.Conn) (Conn, error) {
+func wrapConn(conn net.Conn) (Conn, error) {
 	switch c := conn.(type) {
 	case Conn:
 		return c, nil
 	case *net.TCPConn:
-		return newSocket(c)
+		return newTCPConn(c)
 	}
 	return nil, fmt.Errorf("connection: %T can neither be peeked at nor read under a lock", conn)
 }
 
 // unread reports whether bytes wait to be read from a connection.
-func unread(c Conn) bool {
+func hasUnread(c Conn) bool {
 	n, _ := c.Peek()
 	return n > 0
 }
+
+// presence tells whether the client that a message or response belongs to is still there.
+type presence interface {
+	hasLeft() bool
+}
--- a/internal/transport/life.go
+++ b/internal/transport/conn_log.go
@@ -12,23 +12,23 @@
 
 // life leaves the one log line of a connection when it ends. The first reason
 // noted is the one told.
-type life struct {
-	log    *slog.Logger
-	side   string
-	addr   string
-	born   time.Time
-	mu     sync.Mutex
-	reason string
-	once   sync.Once
-	ended  func()
+type connLog struct {
+	log      *slog.Logger
+	side     string
+	addr     string
+	openedAt time.Time
+	mu       sync.Mutex
+	reason   string
+	once     sync.Once
+	onEnd    func()
 }
 
-func newLife(log *slog.Logger, side, addr string, ended func()) *life {
-	return &life{log: log, side: side, addr: addr, born: time.Now(), ended: ended}
+func newConnLog(log *slog.Logger, side, addr string, ended func()) *connLog {
+	return &connLog{log: log, side: side, addr: addr, openedAt: time.Now(), onEnd: ended}
 }
 
 // because notes why the connection is about to end.
-func (l *life) because(reason string) {
+func (l *connLog) setReason(reason string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.reason == "" {
@@ -38,22 +38,22 @@
 
 // read notes what a failed read tells: the other side's end, or a break. A
 // deadline set to stop a read tells nothing, nor does this side's own end.
-func (l *life) read(err error, closed, broke string) {
+func (l *connLog) noteReadError(err error, closed, broke string) {
 	switch {
 	case err == nil || errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed):
 	case errors.Is(err, io.EOF):
-		l.because(closed)
+		l.setReason(closed)
 	default:
-		l.because(broke)
+		l.setReason(broke)
 	}
 }
 
 // end leaves the line, once.
-func (l *life) end(otherwise string) {
-	l.because(otherwise)
+func (l *connLog) logEnd(otherwise string) {
+	l.setReason(otherwise)
 	l.once.Do(func() {
 		l.log.Info("connection ended", "side", l.side, "addr", l.addr, "reason", l.reason,
-			"lasted", time.Since(l.born).Round(time.Millisecond))
-		l.ended()
+			"lasted", time.Since(l.openedAt).Round(time.Millisecond))
+		l.onEnd()
 	})
 }
--- a/internal/transport/cutanswer_test.go
+++ b/internal/transport/cutanswer_test.go
@@ -49,17 +49,17 @@
 			if err != nil {
 				return nil, err
 			}
-			c, err := connOf(conn)
+			c, err := wrapConn(conn)
 			return announced{c, reads}, err
 		}})
 	return func() balancer.Result {
 		r := k.Try(t.Context(), tryOf(p, "GET", ""))
-		if r.Reply == nil || r.Reply.(*reply).rest == nil {
+		if r.Reply == nil || r.Reply.(*response).stream == nil {
 			return r.Result
 		}
-		rest := r.Reply.(*reply).rest
+		rest := r.Reply.(*response).stream
 		_, err := io.Copy(io.Discard, rest)
-		rest.end("called-off")
+		rest.finish("called-off")
 		if err != nil { // a client that is passed this can tell
 			return balancer.Reset
 		}
@@ -112,7 +112,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.end("idle")
+	defer c.closeFor("idle")
 	c.Write([]byte{0})
 	for range 3 {
 		if n, err := c.Read(make([]byte, 1)); n != 0 || !errors.Is(err, syscall.ECONNRESET) {
--- a/internal/transport/watch.go
+++ b/internal/transport/endpoint_watcher.go
@@ -25,74 +25,74 @@
 	// watchWait is how long discovery may hold a call. A call that has fallen
 	// silent tells nothing until then, and what it should have told counts as
 	// told 2 s after that, so it stays short.
-	watchWait = 800 * time.Millisecond
+	defaultPollWait = 800 * time.Millisecond
 	// watchEach is how often all nodes together may call: discovery serves them in turn, and has
 	// been seen to need 0.35 s for each call and to refuse what is more.
-	watchEach = 400 * time.Millisecond
+	pollWaitPerNode = 400 * time.Millisecond
 	// watchMost is the longest hold, however many nodes there are.
-	watchMost = 2400 * time.Millisecond
+	maxPollWait = 2400 * time.Millisecond
 	// watchLate is how much later an answer may come before another call goes out beside it,
 	// and after how long a refused one is made again, the first time.
-	watchLate = 200 * time.Millisecond
+	pollLateAfter = 200 * time.Millisecond
 	// watchPause is the longest pause once a call was refused: pauses double up to this, and go on in the next watch. Many
 	// nodes would keep discovery crowded with shorter ones; five of these fit into the time in which a change is due.
-	watchPause = 850 * time.Millisecond
+	maxPollBackoff = 850 * time.Millisecond
 	// watchBeside is how long a call that must not wait may take before yet another goes out.
-	watchBeside = 450 * time.Millisecond
+	parallelPollAfter = 450 * time.Millisecond
 	// watchTurn is how long a call may take once discovery has refused one before another goes out beside it. It has
 	// more calls than it can serve, and takes them in turn: it has been seen to let one wait for 2 s, and to refuse that
 	// one along with the next that its node sends meanwhile, so that no node that asks often is ever served.
-	watchTurn = 2200 * time.Millisecond
+	refusedPollAfter = 2200 * time.Millisecond
 	// watchSlack is how much later than its wait the end of an answer may come. Others go out beside the call long
 	// before; it is for answers that trickle, and leaves more than half of the time in which a change is due.
-	watchSlack = 2400 * time.Millisecond
+	pollReadTimeout = 2400 * time.Millisecond
 	// watchAgain is how many calls may follow one that brings nothing before the watch ends. One that discovery has refused
 	// a call of is begun again behind the pause that was due.
-	watchAgain = 12
+	maxExtraPolls = 12
 	// WatchCalls is how many calls a watch has in hand at most, each on a connection of its own.
-	MaxWatchRequests = 1 + watchAgain
+	MaxWatchRequests = 1 + maxExtraPolls
 	// watchSpread is the pause before a broken call is made once more, from the second in a row on; it doubles up
 	// to watchLate. Calls that all break in one moment of trouble would end the watch, and what discovery tells
 	// meanwhile counts as told.
-	watchSpread = 25 * time.Millisecond
+	minPollRetryPause = 25 * time.Millisecond
 	// maxList bounds a list's bytes.
-	maxList = 8 << 20
+	maxListBytes = 8 << 20
 )
 
 // watchConnect is how long a connection to discovery may take to come up.
-const watchConnect = time.Second
+const watchConnectTimeout = time.Second
 
 // Watch follows the upstream group at discovery. One Watch call runs at a time.
 type EndpointWatcher struct {
-	addr    string
-	names   protocol.Names
-	client  *http.Client        // for one call at a time
-	other   func() *http.Client // for each one beside it, which has its connection to itself
-	version int64               // of the list held; -1: none
-	wait    time.Duration
-	late    time.Duration
-	beside  time.Duration
-	turn    time.Duration
-	slack   time.Duration
-	again   int           // calls that may follow one that brings nothing
-	pause   time.Duration // before the next call, where discovery has refused one since it last told a list; 0: it has not
-	rng     rand.PCG      // draws pauses, each node's its own
+	addr              string
+	names             protocol.Names
+	client            *http.Client        // for one call at a time
+	newParallelClient func() *http.Client // for each one beside it, which has its connection to itself
+	version           int64               // of the list held; -1: none
+	wait              time.Duration
+	lateAfter         time.Duration
+	parallelAfter     time.Duration
+	refusedAfter      time.Duration
+	readTimeout       time.Duration
+	maxExtra          int           // calls that may follow one that brings nothing
+	backoff           time.Duration // before the next call, where discovery has refused one since it last told a list; 0: it has not
+	rng               rand.PCG      // draws pauses, each node's its own
 
-	calls sync.WaitGroup // in hand
-	heard atomic.Int64   // when bytes of an answer last came, in Unix nanoseconds
+	calls     sync.WaitGroup // in hand
+	lastBytes atomic.Int64   // when bytes of an answer last came, in Unix nanoseconds
 }
 
 // NewWatch makes a watch that goes on from a known version, or from none if
 // that is negative. A nil dialer dials TCP.
 func NewEndpointWatcher(addr string, names protocol.Names, version int64, dial Dialer, log *slog.Logger) *EndpointWatcher {
 	connect := func(ctx context.Context, _, addr string) (net.Conn, error) {
-		ctx, stop := context.WithTimeout(ctx, watchConnect)
+		ctx, stop := context.WithTimeout(ctx, watchConnectTimeout)
 		defer stop()
 		conn, err := dial.dial(ctx, addr)
 		if err != nil {
 			return nil, err
 		}
-		return &peerConn{Conn: conn, life: newLife(log, "discovery", addr, func() {})}, nil
+		return &upstreamConn{Conn: conn, log: newConnLog(log, "discovery", addr, func() {})}, nil
 	}
 	// http.Transport may give a connection that falls idle, or one that comes up, to a call that is being given up
 	client := func(once bool) *http.Client {
@@ -102,23 +102,23 @@
 		}
 	}
 	return &EndpointWatcher{addr: addr, names: names, client: client(false), version: version,
-		other: func() *http.Client { return client(true) },
-		wait:  watchWait, late: watchLate, beside: watchBeside, turn: watchTurn, slack: watchSlack, again: watchAgain}
+		newParallelClient: func() *http.Client { return client(true) },
+		wait:              defaultPollWait, lateAfter: pollLateAfter, parallelAfter: parallelPollAfter, refusedAfter: refusedPollAfter, readTimeout: pollReadTimeout, maxExtra: maxExtraPolls}
 }
 
 // Among sets how long discovery may hold a call by how many nodes ask it, and returns the watch. The seed, another
 // one at each of them, keeps their pauses apart.
 func (w *EndpointWatcher) ForFleetSize(nodes int, seed uint64) *EndpointWatcher {
-	w.wait = min(time.Duration(max(nodes, 1))*watchEach, watchMost)
+	w.wait = min(time.Duration(max(nodes, 1))*pollWaitPerNode, maxPollWait)
 	w.rng.Seed(seed, 0)
 	return w
 }
 
 // errOlder is a list that was asked for what is newer than it.
-var errOlder = errors.New("older than the one held")
+var errOlderVersion = errors.New("older than the one held")
 
 // errSilent ends a watch none of whose calls has brought anything yet.
-var errSilent = errors.New("upstream group: no answer")
+var errNoAnswer = errors.New("upstream group: no answer")
 
 // Watch implements routing.Watcher: each answer is followed at once by the next
 // question. One that no call brought an answer to ends the watch, and its
@@ -128,10 +128,10 @@
 		w.calls.Wait()                  // http.Transport goes on dialing for a call that has not noticed its end
 		w.client.CloseIdleConnections() // and what is still dialed, for a call that was given up
 	}()
-	for hold := min(w.wait, watchWait); ; hold = w.wait { // news may be due by the first
-		g, version, err := w.ask(ctx, hold)
+	for hold := min(w.wait, defaultPollWait); ; hold = w.wait { // news may be due by the first
+		g, version, err := w.poll(ctx, hold)
 		if !errors.Is(err, routing.ErrRefused) {
-			w.pause = 0 // a list has come, or the decisions pause
+			w.backoff = 0 // a list has come, or the decisions pause
 		}
 		if err != nil {
 			return err
@@ -142,7 +142,7 @@
 }
 
 // outcome is what one call to discovery brought: an answer's bytes, or an error.
-type outcome struct {
+type pollResult struct {
 	since int64 // the version it asked from
 	data  []byte
 	err   error
@@ -156,11 +156,11 @@
 // behind all that bring nothing, and the only ones. The first good answer counts,
 // but none of an older version: whether discovery has gone back, or that answer
 // alone is stale, its whole list tells. After trouble no call is held for long.
-func (w *EndpointWatcher) ask(ctx context.Context, hold time.Duration) (g routing.Group, version int64, err error) {
+func (w *EndpointWatcher) poll(ctx context.Context, hold time.Duration) (g routing.Group, version int64, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	came := make(chan outcome, w.again+1)
-	first := w.jitter(w.pause)
+	came := make(chan pollResult, w.maxExtra+1)
+	first := w.jitter(w.backoff)
 	next := time.NewTimer(first)
 	defer next.Stop()
 	begun, out, since, broke := 0, 0, w.version, time.Duration(0) // broke: the next pause after a call that broke
@@ -170,72 +170,72 @@
 		due = time.Now().Add(in)
 		next.Reset(in)
 	}
-	err = errSilent
+	err = errNoAnswer
 	for {
 		select {
 		case <-ctx.Done():
 			return g, version, ctx.Err()
 		case <-next.C:
-			if begun > w.again && time.Since(time.Unix(0, w.heard.Load())) > w.beside {
+			if begun > w.maxExtra && time.Since(time.Unix(0, w.lastBytes.Load())) > w.parallelAfter {
 				return g, version, cmp.Or(refusal, err) // silence may last, and what is news by now is due soon
 			}
-			if begun > w.again { // an answer is coming
-				plan(w.beside)
+			if begun > w.maxExtra { // an answer is coming
+				plan(w.parallelAfter)
 				continue
 			}
-			client, wait, late := w.client, hold, hold+w.late
+			client, wait, late := w.client, hold, hold+w.lateAfter
 			if out > 0 {
-				client, wait, late = w.other(), 0, w.beside
+				client, wait, late = w.newParallelClient(), 0, w.parallelAfter
 			}
 			begun, out = begun+1, out+1
-			if w.pause > 0 && (begun <= w.again || refusal != nil) { // else the decisions' pause follows the last one
-				late = max(late, w.turn)
+			if w.backoff > 0 && (begun <= w.maxExtra || refusal != nil) { // else the decisions' pause follows the last one
+				late = max(late, w.refusedAfter)
 			}
 			plan(late)
-			w.calls.Go(func() { came <- w.call(ctx, client, since, wait) })
+			w.calls.Go(func() { came <- w.pollOnce(ctx, client, since, wait) })
 		case o := <-came:
 			out--
-			g, version, err = w.list(o)
-			if errors.Is(err, errOlder) {
+			g, version, err = w.parseList(o)
+			if errors.Is(err, errOlderVersion) {
 				since = -1
 			}
-			hold = min(hold, watchWait)
+			hold = min(hold, defaultPollWait)
 			if err == nil || errors.Is(err, syscall.ECONNREFUSED) {
 				return g, version, err
 			}
 			refused := errors.Is(err, routing.ErrRefused)
 			if refused {
-				refusal, w.pause = err, max(w.pause, w.late)
+				refusal, w.backoff = err, max(w.backoff, w.lateAfter)
 			}
-			if begun > w.again && out == 0 {
+			if begun > w.maxExtra && out == 0 {
 				return g, version, cmp.Or(refusal, err)
 			}
-			pause, most := &broke, w.late // a call may get through trouble that breaks most of them
-			if w.pause > 0 {
-				pause, most = &w.pause, watchPause
+			pause, most := &broke, w.lateAfter // a call may get through trouble that breaks most of them
+			if w.backoff > 0 {
+				pause, most = &w.backoff, maxPollBackoff
 			}
 			in := w.jitter(*pause)
 			switch {
-			case begun > w.again:
+			case begun > w.maxExtra:
 			case refused && out > 0: // the one in hand may have its turn
-				plan(w.turn)
+				plan(w.refusedAfter)
 			case out == 0 || in < time.Until(due):
 				plan(in)
 			}
-			*pause = min(max(2**pause, watchSpread), most)
+			*pause = min(max(2**pause, minPollRetryPause), most)
 		}
 	}
 }
 
 // list reads what a call brought.
-func (w *EndpointWatcher) list(o outcome) (g routing.Group, version int64, err error) {
+func (w *EndpointWatcher) parseList(o pollResult) (g routing.Group, version int64, err error) {
 	if o.err != nil {
 		return g, 0, o.err
 	}
 	g, version, err = w.names.ParseGroup(o.data)
 	g.At, g.Version = time.Now(), version
 	if err == nil && version < o.since {
-		err = fmt.Errorf("upstream group: %w: version %d after %d", errOlder, version, o.since)
+		err = fmt.Errorf("upstream group: %w: version %d after %d", errOlderVersion, version, o.since)
 	}
 	return g, version, err
 }
@@ -246,7 +246,7 @@
 }
 
 // call asks once: for what is newer than the version held, or for the whole list.
-func (w *EndpointWatcher) call(ctx context.Context, client *http.Client, since int64, wait time.Duration) outcome {
+func (w *EndpointWatcher) pollOnce(ctx context.Context, client *http.Client, since int64, wait time.Duration) pollResult {
 	if client != w.client {
 		defer client.CloseIdleConnections()
 	}
@@ -254,11 +254,11 @@
 	if err != nil {
 		err = fmt.Errorf("upstream group: %w", err)
 	}
-	return outcome{since, data, err}
+	return pollResult{since, data, err}
 }
 
 func (w *EndpointWatcher) fetch(ctx context.Context, client *http.Client, since int64, wait time.Duration) ([]byte, error) {
-	ctx, stop := context.WithTimeout(ctx, wait+w.slack)
+	ctx, stop := context.WithTimeout(ctx, wait+w.readTimeout)
 	defer stop()
 	u := url.URL{Scheme: "http", Host: w.addr, Path: protocol.PathGroup}
 	if since >= 0 {
@@ -273,24 +273,24 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	body := noting{resp.Body, &w.heard}
+	body := timestampReader{resp.Body, &w.lastBytes}
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("%w: status %d", routing.ErrRefused, resp.StatusCode)
 	}
-	data, err := io.ReadAll(io.LimitReader(body, maxList+1))
-	if err == nil && len(data) > maxList {
-		err = fmt.Errorf("a list longer than %d bytes", maxList)
+	data, err := io.ReadAll(io.LimitReader(body, maxListBytes+1))
+	if err == nil && len(data) > maxListBytes {
+		err = fmt.Errorf("a list longer than %d bytes", maxListBytes)
 	}
 	return data, err
 }
 
 // noting notes when something is read.
-type noting struct {
+type timestampReader struct {
 	io.Reader
 	at *atomic.Int64
 }
 
-func (n noting) Read(b []byte) (int, error) {
+func (n timestampReader) Read(b []byte) (int, error) {
 	got, err := n.Reader.Read(b)
 	if got > 0 {
 		n.at.Store(time.Now().UnixNano())
--- a/internal/transport/errorpaths_test.go
+++ b/internal/transport/errorpaths_test.go
@@ -48,7 +48,7 @@
 		"cut short":               {sized + big, "peer-closed", false},
 		"no last chunk":           {chunks + "32000\r\n" + big + "\r\n", "peer-closed", false},
 		"a chunk that is none":    {chunks + "32000\r\n" + big + "\r\nzz\r\n", "spoilt", false},
-		"an endless trailer":      {chunks + "32000\r\n" + big + "\r\n0\r\n" + strings.Repeat("a: b\r\n", maxHead), "spoilt", false},
+		"an endless trailer":      {chunks + "32000\r\n" + big + "\r\n0\r\n" + strings.Repeat("a: b\r\n", maxResponseHead), "spoilt", false},
 		"a trailer cut short":     {chunks + "32000\r\n" + big + "\r\n0\r\na: b\r\n", "peer-closed", false},
 		"in two fields of a name": {strings.Replace(chunks, "\r\n\r\n", "\r\nA: b\r\nA: c\r\nConnection: close\r\n\r\n", 1) + "32000\r\n" + big + "\r\n0\r\n\r\n", "peer-asked", true},
 	} {
@@ -120,8 +120,8 @@
 		if r.Result != balancer.OK {
 			t.Fatal(name, r.Result)
 		}
-		rest, got, err := r.Reply.(*reply).rest, 0, error(nil)
-		rest.waited = streamStall - 50*time.Millisecond // as after a long wait
+		rest, got, err := r.Reply.(*response).stream, 0, error(nil)
+		rest.waited = streamStallTimeout - 50*time.Millisecond // as after a long wait
 		for b, n := make([]byte, streamBuffer), 0; err == nil; time.Sleep(c.pause) {
 			n, err = rest.Read(b)
 			got += n
@@ -129,7 +129,7 @@
 		if (err == io.EOF) != c.whole || !c.whole && !errors.Is(err, os.ErrDeadlineExceeded) || c.whole && got != all {
 			t.Errorf("%s: %d bytes, then %v", name, got, err)
 		}
-		rest.end("reset")
+		rest.finish("reset")
 		k.Close()
 	}
 }
@@ -247,7 +247,7 @@
 	}
 	log := make(lines, 100)
 	front.log = log.log()
-	go front.Drain(100*time.Millisecond - drainSpare)
+	go front.Drain(100*time.Millisecond - drainMargin)
 	log.until("client connections were open at the end", "left=")
 	if _, err := http.ReadResponse(c.in, nil); err == nil {
 		t.Error("a call that was cut got an answer")
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -13,38 +13,38 @@
 // no client finds its connection refused, reset or unread. A connection that
 // cannot be given is closed as at any planned end.
 func (f *Frontend) HandOver(longest time.Duration, give func(syscall.Conn) error) {
-	f.leaving.end(true)
-	f.leaving.within(longest)
-	ctx, most, stop := f.times(longest)
+	f.drain.beginShutdown(true)
+	f.drain.setCallTime(longest)
+	ctx, most, stop := f.shutdownContexts(longest)
 	defer stop()
 	f.clients.Close()
 	select {
-	case <-f.served: // what was accepted last counts as open by now
+	case <-f.serveEnded: // what was accepted last counts as open by now
 	case <-ctx.Done():
 	}
-	f.clients.giveAway(give)
-	if left := f.clients.drain(ctx, most); left > 0 && f.life.Err() == nil {
+	f.clients.startHandOff(give)
+	if left := f.clients.waitDrained(ctx, most); left > 0 && f.aborted.Err() == nil {
 		f.log.Warn("client connections were open at the end", "left", left)
 	}
 	f.server.Close()
 }
 
 // giveAway has what carries nothing given to another process from now on.
-func (c *clients) giveAway(give func(syscall.Conn) error) {
+func (c *clientConns) startHandOff(give func(syscall.Conn) error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaving, c.give = true, give
-	c.hurryLingering()
-	c.endIdle()
+	c.draining, c.handOff = true, give
+	c.shortenLingering()
+	c.closeIdle()
 }
 
 // handOn gives a connection whose end is decided to another process.
-func (k *clientConn) handOn(give func(syscall.Conn) error) {
-	s, ok := k.Conn.(*socket)
+func (k *clientConn) handOffTo(give func(syscall.Conn) error) {
+	s, ok := k.Conn.(*tcpConn)
 	if !ok || give(s.TCPConn) != nil {
 		return
 	}
-	k.life.because("handed-over")
+	k.log.setReason("handed-over")
 }
 
 // Adopt goes on with a client connection of another process.
@@ -57,19 +57,19 @@
 }
 
 // adopted is a listener of connections that were accepted elsewhere.
-type adopted struct {
-	clients *clients
+type adoptedListener struct {
+	clients *clientConns
 	conns   chan net.Conn
 	closed  chan struct{}
 	once    sync.Once
 }
 
 // Accept implements net.Listener.
-func (a *adopted) Accept() (net.Conn, error) {
+func (a *adoptedListener) Accept() (net.Conn, error) {
 	for {
 		select {
 		case conn := <-a.conns:
-			if k, err := a.clients.enter(conn); err == nil {
+			if k, err := a.clients.add(conn); err == nil {
 				return k, nil
 			}
 		case <-a.closed:
@@ -79,13 +79,13 @@
 }
 
 // Close implements net.Listener.
-func (a *adopted) Close() error {
+func (a *adoptedListener) Close() error {
 	a.once.Do(func() { close(a.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (a *adopted) Addr() net.Addr { return a.clients.Addr() }
+func (a *adoptedListener) Addr() net.Addr { return a.clients.Addr() }
 
 // ServeAdopted serves what Adopt brings until the front ends.
 func (f *Frontend) ServeAdopted() error {
--- a/internal/transport/handover_test.go
+++ b/internal/transport/handover_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	all := newClients(l, ClientLimits{MaxOpen: 10, MaxIdle: 10}, slog.New(slog.DiscardHandler))
+	all := newClientConns(l, ClientLimits{MaxOpen: 10, MaxIdle: 10}, slog.New(slog.DiscardHandler))
 	k, err := all.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 		closed <- k.Close()
 	}()
 	given := 0
-	all.giveAway(func(conn syscall.Conn) error {
+	all.startHandOff(func(conn syscall.Conn) error {
 		if _, err := client.Write([]byte("GET")); err != nil {
 			t.Error(err)
 		}
@@ -98,8 +98,8 @@
 	if reset.RemoteAddr() != nil {
 		t.Fatalf("the kernel still knows %v", reset.RemoteAddr())
 	}
-	all := newClients(l, ClientLimits{MaxOpen: 10, MaxIdle: 10}, slog.New(slog.DiscardHandler))
-	a := &adopted{clients: all, conns: make(chan net.Conn, 2), closed: make(chan struct{})}
+	all := newClientConns(l, ClientLimits{MaxOpen: 10, MaxIdle: 10}, slog.New(slog.DiscardHandler))
+	a := &adoptedListener{clients: all, conns: make(chan net.Conn, 2), closed: make(chan struct{})}
 	a.conns <- reset
 	a.conns <- handed(false)
 	conn, err := a.Accept()
--- a/internal/transport/keep.go
+++ b/internal/transport/idempotency.go
@@ -16,18 +16,18 @@
 // Header fields of kept calls. The first is the one of the IETF's draft on idempotency keys; the second tells a client how its
 // work stands where there is no outcome to give.
 const (
-	headerKey  = "Idempotency-Key"
-	headerWork = "Work-State"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerWorkState      = "Work-State"
 )
 
 // mostKey bounds a client's key, mostKept the body of an outcome that is kept.
 const (
-	mostKey  = 255
-	mostKept = 16 << 10
+	maxKeyLen     = 255
+	maxStoredBody = 16 << 10
 )
 
 // comeBack is when to ask again for work that runs elsewhere.
-const comeBack = 100 * time.Millisecond
+const storeRetryAfter = 100 * time.Millisecond
 
 // Keeper keeps calls beyond the loss of this node: each is let out at most once, whichever nodes it is asked of.
 type IdempotencyStore interface {
@@ -75,24 +75,24 @@
 }
 
 // keptAs is the work that a request is; false: it is not kept. An error deserves a 4xx.
-func (f *Frontend) keptAs(r *http.Request, call routing.Call, target string) (w KeyedCall, kept bool, err error) {
-	if f.keeper == nil || !f.keeper.Covers(call.Class) {
+func (f *Frontend) keyedCall(r *http.Request, call routing.Call, target string) (w KeyedCall, kept bool, err error) {
+	if f.idempotency == nil || !f.idempotency.Covers(call.Class) {
 		return w, false, nil
 	}
-	values := r.Header[headerKey]
+	values := r.Header[headerIdempotencyKey]
 	if len(values) == 0 {
 		return w, false, nil
 	}
 	key := strings.Trim(values[0], `"`) // a string of the draft's; a bare word is taken, too
 	switch {
 	case len(values) > 1:
-		return w, false, errors.New(headerKey + ": given more than once")
-	case key == "" || len(key) > mostKey || strings.ContainsFunc(key, func(c rune) bool { return c < ' ' || c > '~' }):
-		return w, false, errors.New(headerKey + ": not 1 to 255 printable characters")
+		return w, false, errors.New(headerIdempotencyKey + ": given more than once")
+	case key == "" || len(key) > maxKeyLen || strings.ContainsFunc(key, func(c rune) bool { return c < ' ' || c > '~' }):
+		return w, false, errors.New(headerIdempotencyKey + ": not 1 to 255 printable characters")
 	}
-	m := call.Payload.(*message)
-	if m.up != nil {
-		return w, false, errors.New(headerKey + ": the body is too long to be kept")
+	m := call.Payload.(*requestMessage)
+	if m.upload != nil {
+		return w, false, errors.New(headerIdempotencyKey + ": the body is too long to be kept")
 	}
 	h := sha256.New()
 	for _, part := range []string{r.Method, target, r.Header.Get(protocol.HeaderClass), r.Header.Get(protocol.HeaderCaller)} {
@@ -104,30 +104,30 @@
 }
 
 // takeKept takes a call that is kept: it goes on also if its client goes, who may ask any node for what came of it.
-func (f *Frontend) takeKept(w http.ResponseWriter, r *http.Request, k *clientConn, call routing.Call, work KeyedCall) {
-	m := call.Payload.(*message)
-	kept := f.keeper.Begin(r.Context(), work)
+func (f *Frontend) handleKeyed(w http.ResponseWriter, r *http.Request, k *clientConn, call routing.Call, work KeyedCall) {
+	m := call.Payload.(*requestMessage)
+	kept := f.idempotency.Begin(r.Context(), work)
 	if kept.State != CallGranted {
 		m.release()
-		f.answerKept(w, k, kept)
+		f.writeStoredAnswer(w, k, kept)
 		return
 	}
-	m.from = nil // nobody's going ends it
-	a, ok := f.taker.Take(context.WithoutCancel(r.Context()), call)
+	m.client = nil // nobody's going ends it
+	a, ok := f.handler.Take(context.WithoutCancel(r.Context()), call)
 	if !ok {
 		a = routing.Answer{Verdict: routing.Failed}
 	}
-	kept.Finish(ended(a))
+	kept.Finish(callOutcome(a))
 	m.release()
-	f.answer(w, k, a)
+	f.writeAnswer(w, k, a)
 }
 
 // ended is what an answer says of its call.
-func ended(a routing.Answer) (CallState, *StoredResponse) {
+func callOutcome(a routing.Answer) (CallState, *StoredResponse) {
 	switch a.Verdict {
 	case routing.Served:
-		p := a.Reply.(*reply)
-		o := &StoredResponse{Status: http.StatusOK, Header: http.Header{}, Truncated: p.rest != nil || len(p.body) > mostKept}
+		p := a.Reply.(*response)
+		o := &StoredResponse{Status: http.StatusOK, Header: http.Header{}, Truncated: p.stream != nil || len(p.body) > maxStoredBody}
 		for _, one := range p.fields {
 			o.Header.Add(one.name, one.value[0])
 		}
@@ -142,33 +142,33 @@
 }
 
 // answerKept answers a call that was not let out here.
-func (f *Frontend) answerKept(w http.ResponseWriter, k *clientConn, kept CallClaim) {
+func (f *Frontend) writeStoredAnswer(w http.ResponseWriter, k *clientConn, kept CallClaim) {
 	h := w.Header()
-	f.mayEnd(w, k)
+	f.closeIfDraining(w, k)
 	switch kept.State {
 	case CallAnswered:
 		if o := kept.Response; o != nil && !o.Truncated {
 			for name, values := range o.Header {
 				h[name] = values
 			}
-			h.Set(headerWork, "kept")
+			h.Set(headerWorkState, "kept")
 			w.WriteHeader(o.Status)
 			w.Write(o.Body) // an error here is the client's going; its connection's line tells
 			return
 		}
-		h.Set(headerWork, "answered")
+		h.Set(headerWorkState, "answered")
 		w.WriteHeader(http.StatusBadGateway)
 	case CallRunning:
-		h.Set(headerWork, "running")
-		h.Set("Retry-After", protocol.FormatSeconds(comeBack))
+		h.Set(headerWorkState, "running")
+		h.Set("Retry-After", protocol.FormatSeconds(storeRetryAfter))
 		w.WriteHeader(http.StatusConflict)
 	case CallOutcomeUnknown:
-		h.Set(headerWork, "unknown")
+		h.Set(headerWorkState, "unknown")
 		w.WriteHeader(http.StatusBadGateway)
 	case CallKeyConflict:
-		http.Error(w, headerKey+": it is another request's", http.StatusUnprocessableEntity)
+		http.Error(w, headerIdempotencyKey+": it is another request's", http.StatusUnprocessableEntity)
 	default:
-		h.Set("Retry-After", protocol.FormatSeconds(comeBack))
+		h.Set("Retry-After", protocol.FormatSeconds(storeRetryAfter))
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
--- a/internal/transport/keep_test.go
+++ b/internal/transport/keep_test.go
@@ -44,10 +44,10 @@
 	addr, _, _ := newFront(t, 10, func(context.Context, routing.Call) (routing.Answer, bool) {
 		taken++
 		if verdict == routing.Served {
-			return routing.Answer{Verdict: verdict, Reply: &reply{body: []byte("done"), fields: []field{{"X-Ref", [1]string{"7"}}}}}, true
+			return routing.Answer{Verdict: verdict, Reply: &response{body: []byte("done"), fields: []headerField{{"X-Ref", [1]string{"7"}}}}}, true
 		}
 		return routing.Answer{Verdict: verdict}, true
-	}, func(f *Frontend) { f.keeper = k })
+	}, func(f *Frontend) { f.idempotency = k })
 	ask := func(key, body string) (int, string, string) {
 		t.Helper()
 		r, err := http.NewRequest("POST", "http://"+addr+"/api", strings.NewReader(body))
--- a/internal/transport/linger.go
+++ b/internal/transport/linger.go
@@ -9,12 +9,12 @@
 // How long a connection may linger, once its end is decided. A client on a slow way still gets to write the
 // longest body that is known, 60 MB, and then reads why it was refused.
 const (
-	lingerMost    = 5 * time.Second        // in all
-	lingerStall   = time.Second            // without a byte: whoever holds it open has had its answer
-	lingerLeaving = 300 * time.Millisecond // in all, while the node closes connections: it has to end in time
-	lingerAnswer  = 250 * time.Millisecond // for an answer to arrive, where a request behind it stays unread
-	lingerLook    = 10 * time.Millisecond  // between two looks meanwhile
-	lingerBytes   = 64 << 20               // that are read and dropped
+	lingerTimeout       = 5 * time.Second        // in all
+	lingerStallTimeout  = time.Second            // without a byte: whoever holds it open has had its answer
+	lingerDrainTimeout  = 300 * time.Millisecond // in all, while the node closes connections: it has to end in time
+	lingerUnreadTimeout = 250 * time.Millisecond // for an answer to arrive, where a request behind it stays unread
+	lingerPollInterval  = 10 * time.Millisecond  // between two looks meanwhile
+	maxLingerBytes      = 64 << 20               // that are read and dropped
 )
 
 // linger keeps a connection whose end is decided for as long as its last answer needs to arrive. A close over
@@ -24,25 +24,25 @@
 // client ends too. Bytes of a request behind a whole one are not read: their reset proves to its client that it
 // may send that request again; it only waits a moment.
 func (k *clientConn) linger() {
-	rest, until := k.lingers()
+	rest, until := k.startLingering()
 	switch {
 	case until.IsZero():
 	case rest:
-		k.drop()
+		k.discardUntilClosed()
 	default:
-		for unread(k.Conn) && time.Now().Before(until) {
-			time.Sleep(lingerLook)
+		for hasUnread(k.Conn) && time.Now().Before(until) {
+			time.Sleep(lingerPollInterval)
 		}
 	}
 }
 
 // lingers says until when the connection may linger, and whether for the rest of a request. Zero: not at all.
 // Nothing is owed where no answer was written, or the end is at hand; a second close ends the lingering.
-func (k *clientConn) lingers() (rest bool, until time.Time) {
-	c := k.all
+func (k *clientConn) startLingering() (rest bool, until time.Time) {
+	c := k.conns
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !k.answered.Load() || k.lingering || c.aborted.Load() || c.over || !c.open[k] {
+	if !k.responseWritten.Load() || k.lingering || c.aborted.Load() || c.drainEnded || !c.open[k] {
 		return false, time.Time{}
 	}
 	rest = k.active && !k.whole
@@ -52,40 +52,40 @@
 	}
 	k.gone, k.lingering = true, true
 	k.moveTo(&c.lingering)
-	most := lingerAnswer
+	most := lingerUnreadTimeout
 	if rest {
-		most = c.lingerTime()
+		most = c.lingerTimeout()
 	}
-	k.ends = time.Now().Add(most)
-	return rest, k.ends
+	k.lingerUntil = time.Now().Add(most)
+	return rest, k.lingerUntil
 }
 
 // lingerTime is how long the rest of a request is read at most. The lock is held.
-func (c *clients) lingerTime() time.Duration {
-	if c.leaving {
-		return lingerLeaving
+func (c *clientConns) lingerTimeout() time.Duration {
+	if c.draining {
+		return lingerDrainTimeout
 	}
-	return lingerMost
+	return lingerTimeout
 }
 
 // hurryLingering lets what lingers end as it must while the node closes connections. The lock is held.
-func (c *clients) hurryLingering() {
+func (c *clientConns) shortenLingering() {
 	for e := c.lingering.Front(); e != nil; e = e.Next() {
 		k := e.Value.(*clientConn)
-		if soon := time.Now().Add(lingerLeaving); soon.Before(k.ends) {
-			k.ends = soon
+		if soon := time.Now().Add(lingerDrainTimeout); soon.Before(k.lingerUntil) {
+			k.lingerUntil = soon
 			k.Conn.SetReadDeadline(soon)
 		}
 	}
 }
 
 // drop ends the sending, and reads and drops what comes.
-func (k *clientConn) drop() {
+func (k *clientConn) discardUntilClosed() {
 	if k.Conn.CloseWrite() != nil {
 		return
 	}
 	buf := make([]byte, 16<<10)
-	for left := lingerBytes; left > 0 && k.waits(); {
+	for left := maxLingerBytes; left > 0 && k.extendDiscardDeadline(); {
 		n, err := k.Conn.Read(buf[:min(left, len(buf))])
 		if left -= n; err != nil {
 			return
@@ -94,13 +94,13 @@
 }
 
 // waits lets the next read of drop's wait, and reports whether there is time for one.
-func (k *clientConn) waits() bool {
-	k.all.mu.Lock()
-	defer k.all.mu.Unlock()
+func (k *clientConn) extendDiscardDeadline() bool {
+	k.conns.mu.Lock()
+	defer k.conns.mu.Unlock()
 	now := time.Now()
-	end := now.Add(lingerStall)
-	if k.ends.Before(end) {
-		end = k.ends
+	end := now.Add(lingerStallTimeout)
+	if k.lingerUntil.Before(end) {
+		end = k.lingerUntil
 	}
 	return now.Before(end) && k.Conn.SetReadDeadline(end) == nil
 }
--- a/internal/transport/linger_test.go
+++ b/internal/transport/linger_test.go
@@ -143,7 +143,7 @@
 			t.Errorf("status %d", resp.StatusCode)
 		}
 	}
-	if <-ended; time.Since(begun) > lingerMost-time.Second {
+	if <-ended; time.Since(begun) > lingerTimeout-time.Second {
 		t.Error("it lingered to its end")
 	}
 }
@@ -169,10 +169,10 @@
 				}
 				ended := refused(t, &client{conn, bufio.NewReader(conn)})
 				waitFor(t, front.lingers)
-				most := lingerMost
+				most := lingerTimeout
 				if drain {
 					front.Drain(time.Second)
-					most = drainAccept + lingerLeaving
+					most = drainStopAccept + lingerDrainTimeout
 				}
 				<-ended
 				most += 600 * time.Millisecond // net/http closes 0.5 s after such an answer
@@ -193,7 +193,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			all := newClients(l, ClientLimits{MaxOpen: 5, MaxIdle: 5}, slog.New(slog.DiscardHandler))
+			all := newClientConns(l, ClientLimits{MaxOpen: 5, MaxIdle: 5}, slog.New(slog.DiscardHandler))
 			defer all.Close()
 			c := dial(t, l.Addr().String())
 			c.Conn.(*net.TCPConn).SetReadBuffer(64 << 10)
@@ -204,26 +204,26 @@
 			}
 			k := conn.(*clientConn)
 			io.ReadFull(k, make([]byte, 3))
-			k.requestRead()
+			k.completeRequest()
 			answer := 1 << 20 // more than the client's side holds
-			k.Conn.(*socket).SetWriteBuffer(2 * answer)
+			k.Conn.(*tcpConn).SetWriteBuffer(2 * answer)
 			if n, err := k.Write(make([]byte, answer)); n != answer || err != nil {
 				t.Fatal(n, err)
 			}
 			io.WriteString(c, "two")
-			waitFor(t, func() bool { return unread(k.Conn) })
+			waitFor(t, func() bool { return hasUnread(k.Conn) })
 			closed := make(chan error)
 			if leave {
-				all.state(k, http.StateIdle)
-				all.leave()
-				if k.isGone() {
+				all.connState(k, http.StateIdle)
+				all.startDraining()
+				if k.isClosing() {
 					t.Error("its end is decided over a request that is there")
 				}
 				next := make([]byte, 3)
 				if _, err := io.ReadFull(k, next); string(next) != "two" {
 					t.Errorf("%q, %v", next, err)
 				}
-				k.requestRead()
+				k.completeRequest()
 				k.Write([]byte("x"))
 				answer++
 			}
@@ -253,11 +253,11 @@
 	waitFor(t, func() bool {
 		front.clients.mu.Lock()
 		defer front.clients.mu.Unlock()
-		return front.clients.long > 0
+		return front.clients.streaming > 0
 	})
 	drained, calls := make(chan bool), 50*time.Millisecond
 	go func() {
-		front.Drain(calls - drainSpare)
+		front.Drain(calls - drainMargin)
 		close(drained)
 	}()
 	select {
--- a/internal/transport/pipelined_test.go
+++ b/internal/transport/pipelined_test.go
@@ -79,7 +79,7 @@
 		"half of it, and on":   {numbered(1, 0) + inChunks[:half], inChunks[half:] + strings.Repeat(numbered(3, 0), 100), 2},
 	} {
 		for way, leave := range map[string]func(*Frontend){
-			"leaves":     func(f *Frontend) { f.clients.leave() },
+			"leaves":     func(f *Frontend) { f.clients.startDraining() },
 			"drains":     func(f *Frontend) { go f.Drain(time.Minute) },
 			"makes room": func(f *Frontend) { f.SetClientLimits(ClientLimits{MaxOpen: 1}) },
 		} {
@@ -92,7 +92,7 @@
 				conn, front, _, release := pipelining(t, c.raw)
 				leave(front)
 				if way == "drains" {
-					waitFor(t, front.clients.leaves)
+					waitFor(t, front.clients.isDraining)
 				}
 				io.WriteString(conn, c.later)
 				close(release)
@@ -156,7 +156,7 @@
 		"a bare chunk":       {strings.Replace(chunked(2, "1\nx\r\n0\r\n\r\n"), "book", "gift", 1), 400, false},
 		"a trailer":          {strings.Replace(chunked(2, "0\r\nA: b\r\n\r\n"), "book", "gift", 1), 400, false},
 	} {
-		for way, leave := range map[string]func(*Frontend){"": func(*Frontend) {}, ", leaving": func(f *Frontend) { f.clients.leave() }} {
+		for way, leave := range map[string]func(*Frontend){"": func(*Frontend) {}, ", leaving": func(f *Frontend) { f.clients.startDraining() }} {
 			t.Run(name+way, func(t *testing.T) {
 				t.Parallel()
 				conn, front, atPeer, release := pipelining(t, numbered(1, 0)+c.raw+numbered(3, 0))
@@ -201,7 +201,7 @@
 		front.Drain(0)
 		close(ended)
 	}()
-	waitFor(t, func() bool { return !front.leaving.lets(time.Millisecond) })
+	waitFor(t, func() bool { return !front.drain.admits(time.Millisecond) })
 	release <- true // and no other
 	for n, want := range []int{200, 503, 503} {
 		resp, err := http.ReadResponse(conn.in, nil)
@@ -223,7 +223,7 @@
 func TestBehindALongBody(t *testing.T) {
 	addr, front, _ := newFront(t, 10, func(_ context.Context, c routing.Call) (routing.Answer, bool) {
 		if c.Name == "2b" {
-			return routing.Answer{Verdict: routing.Served, Reply: &reply{}}, true
+			return routing.Answer{Verdict: routing.Served, Reply: &response{}}, true
 		}
 		return routing.Answer{Verdict: routing.Reject}, true
 	})
@@ -233,7 +233,7 @@
 		front.clients.mu.Lock()
 		defer front.clients.mu.Unlock()
 		for k := range front.clients.open {
-			return k.framing.ending && k.framing.skip == 0
+			return k.framing.chunkEndDue && k.framing.bodyLeft == 0
 		}
 		return false
 	})
--- a/internal/transport/refuse_test.go
+++ b/internal/transport/refuse_test.go
@@ -16,11 +16,11 @@
 func served(t *testing.T) func(raw string) (resp *http.Response, peer string) {
 	got := make(chan string, 1)
 	addr, _, _ := newFront(t, 100, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
-		m := c.Payload.(*message)
+		m := c.Payload.(*requestMessage)
 		b, own := m.compose(c.Budget)
 		got <- string(b)
-		m.wrote(own)
-		return routing.Answer{Verdict: routing.Served, Reply: &reply{}}, true
+		m.releaseRoom(own)
+		return routing.Answer{Verdict: routing.Served, Reply: &response{}}, true
 	})
 	return func(raw string) (*http.Response, string) {
 		c := dial(t, addr)
--- a/internal/transport/head.go
+++ b/internal/transport/request_head.go
@@ -12,15 +12,15 @@
 // checkHead says what is wrong with the head of a request that net/http has
 // taken. It guards the peers against heads that the node and they would read
 // in different ways.
-func checkHead(r *http.Request, target string) error {
+func checkRequestHead(r *http.Request, target string) error {
 	if err := checkTarget(target); err != nil {
 		return err
 	}
-	odd := func(c rune) bool { return !unreserved(c) && !strings.ContainsRune("[:]", c) }
+	odd := func(c rune) bool { return !isUnreserved(c) && !strings.ContainsRune("[:]", c) }
 	if r.Host == "" || strings.ContainsFunc(r.Host, odd) {
 		return fmt.Errorf("host: missing or malformed: %.80q", r.Host)
 	}
-	if err := checkOptions(r.Header["Connection"]); err != nil {
+	if err := checkConnectionOptions(r.Header["Connection"]); err != nil {
 		return err
 	}
 	for name := range r.Header {
@@ -28,7 +28,7 @@
 			continue
 		}
 		// many servers read "_" as "-", and would find a second value
-		if plain := canonical(strings.ReplaceAll(name, "_", "-")); plain != name && carries(plain) {
+		if plain := canonicalHeader(strings.ReplaceAll(name, "_", "-")); plain != name && isProtectedHeader(plain) {
 			return fmt.Errorf("%s: stands for %s", name, plain)
 		}
 	}
@@ -64,30 +64,30 @@
 		query = query || c == '?'
 		switch {
 		case query && strings.ContainsRune("[]{}|^", c):
-		case c == '%' && (len(target) < i+3 || !hex(target[i+1]) || !hex(target[i+2])):
+		case c == '%' && (len(target) < i+3 || !isHex(target[i+1]) || !isHex(target[i+2])):
 			return fmt.Errorf("target: malformed escape: %.80q", target)
-		case !unreserved(c) && !strings.ContainsRune("%/?:@!$&'()*+,;=", c):
+		case !isUnreserved(c) && !strings.ContainsRune("%/?:@!$&'()*+,;=", c):
 			return fmt.Errorf("target: %q stands unescaped: %.80q", c, target)
 		}
 	}
 	return nil
 }
 
-func unreserved(c rune) bool {
+func isUnreserved(c rune) bool {
 	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' ||
 		c == '-' || c == '.' || c == '_' || c == '~'
 }
 
-func hex(c byte) bool {
+func isHex(c byte) bool {
 	return '0' <= c && c <= '9' || 'a' <= c && c <= 'f' || 'A' <= c && c <= 'F'
 }
 
 // checkOptions finds connection options that would take from a request what its
 // peer needs: whatever Connection names goes no further than to this node.
-func checkOptions(lists []string) error {
+func checkConnectionOptions(lists []string) error {
 	for _, list := range lists {
 		for option := range strings.SplitSeq(list, ",") {
-			if name := canonical(strings.TrimSpace(option)); carries(name) {
+			if name := canonicalHeader(strings.TrimSpace(option)); isProtectedHeader(name) {
 				return fmt.Errorf("connection options: %s is among them", name)
 			}
 		}
@@ -97,8 +97,8 @@
 
 // carries reports whether a header says where a request goes, where it ends, or
 // what it is to the platform.
-func carries(name string) bool {
+func isProtectedHeader(name string) bool {
 	return protocol.Owned(name) || name == "Host" || name == "Content-Length" || name == "Transfer-Encoding"
 }
 
-func canonical(name string) string { return textproto.CanonicalMIMEHeaderKey(name) }
+func canonicalHeader(name string) string { return textproto.CanonicalMIMEHeaderKey(name) }
--- a/internal/transport/socket.go
+++ b/internal/transport/tcp_conn.go
@@ -10,39 +10,39 @@
 )
 
 // socket is a Conn over TCP. What net.TCPConn does not offer is asked of the kernel, here alone.
-type socket struct {
+type tcpConn struct {
 	*net.TCPConn
 	raw syscall.RawConn
 
 	// of the one ReadGate that runs; kept here, since it is called for every
 	// request and would allocate each of them
-	b    []byte
-	mu   sync.Locker
-	open func() error
-	took func(n int)
-	take func(fd uintptr) bool // takeGated
-	n    int
-	shut error // open's
-	err  error // the kernel's
+	b          []byte
+	mu         sync.Locker
+	beforeTake func() error
+	afterTake  func(n int)
+	takeFunc   func(fd uintptr) bool // takeGated
+	n          int
+	gateErr    error // open's
+	readErr    error // the kernel's
 
 	// of Peek, which is called as often
-	peeking sync.Mutex
-	peek    func(fd uintptr) // peekAt
-	one     [1]byte
-	ahead   int
-	failed  error // the kernel's
+	peekMu   sync.Mutex
+	peekFunc func(fd uintptr) // peekAt
+	peekBuf  [1]byte
+	peeked   int
+	peekErr  error // the kernel's
 
-	telling bool // the kernel tells the connection's state
+	stateKnown bool // the kernel tells the connection's state
 }
 
-func newSocket(c *net.TCPConn) (*socket, error) {
+func newTCPConn(c *net.TCPConn) (*tcpConn, error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return nil, fmt.Errorf("connection: %w", err)
 	}
-	s := &socket{TCPConn: c, raw: raw}
-	s.take, s.peek = s.takeGated, s.peekAt
-	s.telling = s.state() == stateEstablished
+	s := &tcpConn{TCPConn: c, raw: raw}
+	s.takeFunc, s.peekFunc = s.takeGated, s.peekAt
+	s.stateKnown = s.state() == stateEstablished
 	return s, nil
 }
 
@@ -55,7 +55,7 @@
 )
 
 // state asks the kernel for the connection's state, which is the first byte of what TCP_INFO gives.
-func (s *socket) state() (state int) {
+func (s *tcpConn) state() (state int) {
 	s.raw.Control(func(fd uintptr) {
 		if info, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO); err == nil {
 			state = info & 0xff
@@ -66,9 +66,9 @@
 
 // HasEnded implements Conn. What has never been told to be open is not believed to have ended: sockets may be another
 // network's, whose calls look like the kernel's.
-func (s *socket) HasEnded() bool {
+func (s *tcpConn) HasEnded() bool {
 	state := stateUnknown
-	if s.telling {
+	if s.stateKnown {
 		state = s.state()
 	}
 	return state == stateCloseWait || state == stateClose
@@ -82,17 +82,17 @@
 }
 
 // ReadGate implements Conn.
-func (s *socket) ReadGate(b []byte, mu sync.Locker, open func() error, took func(n int)) (int, error) {
-	s.b, s.mu, s.open, s.took, s.n, s.shut, s.err = b, mu, open, took, 0, nil, nil
-	failed := s.raw.Read(s.take)
+func (s *tcpConn) ReadGate(b []byte, mu sync.Locker, open func() error, took func(n int)) (int, error) {
+	s.b, s.mu, s.beforeTake, s.afterTake, s.n, s.gateErr, s.readErr = b, mu, open, took, 0, nil, nil
+	failed := s.raw.Read(s.takeFunc)
 	s.b = nil
 	switch {
-	case s.shut != nil:
-		return 0, s.shut
+	case s.gateErr != nil:
+		return 0, s.gateErr
 	case failed != nil:
 		return 0, failed
-	case s.err != nil:
-		return 0, &net.OpError{Op: "read", Net: "tcp", Source: s.LocalAddr(), Addr: s.RemoteAddr(), Err: s.err}
+	case s.readErr != nil:
+		return 0, &net.OpError{Op: "read", Net: "tcp", Source: s.LocalAddr(), Addr: s.RemoteAddr(), Err: s.readErr}
 	case s.n == 0:
 		return 0, io.EOF
 	}
@@ -100,42 +100,42 @@
 }
 
 // takeGated takes what there is to read, and says whether the read is done.
-func (s *socket) takeGated(fd uintptr) (done bool) {
+func (s *tcpConn) takeGated(fd uintptr) (done bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.shut = s.open(); s.shut != nil {
+	if s.gateErr = s.beforeTake(); s.gateErr != nil {
 		return true
 	}
 	if len(s.b) == 0 {
-		s.n, s.err = s.lookAhead(fd)
-		return s.err != syscall.EAGAIN
+		s.n, s.readErr = s.lookAhead(fd)
+		return s.readErr != syscall.EAGAIN
 	}
-	for s.err = syscall.EINTR; s.err == syscall.EINTR; {
-		s.n, s.err = syscall.Read(int(fd), s.b)
+	for s.readErr = syscall.EINTR; s.readErr == syscall.EINTR; {
+		s.n, s.readErr = syscall.Read(int(fd), s.b)
 	}
 	if s.n > 0 {
-		s.took(s.n)
+		s.afterTake(s.n)
 	}
-	return s.err != syscall.EAGAIN
+	return s.readErr != syscall.EAGAIN
 }
 
 // Peek implements Conn.
-func (s *socket) Peek() (n int, err error) {
-	s.peeking.Lock()
-	defer s.peeking.Unlock()
-	if err := s.raw.Control(s.peek); err != nil {
+func (s *tcpConn) Peek() (n int, err error) {
+	s.peekMu.Lock()
+	defer s.peekMu.Unlock()
+	if err := s.raw.Control(s.peekFunc); err != nil {
 		return 0, err
 	}
-	return s.ahead, s.failed
+	return s.peeked, s.peekErr
 }
 
-func (s *socket) lookAhead(fd uintptr) (n int, err error) {
-	s.peeking.Lock()
-	defer s.peeking.Unlock()
+func (s *tcpConn) lookAhead(fd uintptr) (n int, err error) {
+	s.peekMu.Lock()
+	defer s.peekMu.Unlock()
 	s.peekAt(fd)
-	return s.ahead, s.failed
+	return s.peeked, s.peekErr
 }
 
-func (s *socket) peekAt(fd uintptr) {
-	s.ahead, _, s.failed = syscall.Recvfrom(int(fd), s.one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+func (s *tcpConn) peekAt(fd uintptr) {
+	s.peeked, _, s.peekErr = syscall.Recvfrom(int(fd), s.peekBuf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -107,7 +107,7 @@
 	l := make(lines, 1000)
 	k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: connect, ServerIdleTimeout: time.Minute, DrainGrace: time.Second,
 		MaxConns: 10, Log: l.log()})
-	k.pool.settle = 0 // or the next try would find the connection unsettled
+	k.pool.settleTime = 0 // or the next try would find the connection unsettled
 	return k, l
 }
 
@@ -116,7 +116,7 @@
 }
 
 func tryNamed(p *routing.Peer, method, id, body string) routing.Try {
-	m := newMessage(new(buffers), method, "/api?user=a%2Fb&x=%7e", "api.internal", http.Header{"X-Call-Id": {id}}, int64(len(body)))
+	m := newMessage(new(bufferPool), method, "/api?user=a%2Fb&x=%7e", "api.internal", http.Header{"X-Call-Id": {id}}, int64(len(body)))
 	copy(m.body, body)
 	return routing.Try{Peer: p, Until: time.Now().Add(time.Minute), Payload: m}
 }
@@ -144,7 +144,7 @@
 		p, got := answering(t, ok)
 		k, _ := newCarrier(time.Second)
 		r := k.Try(t.Context(), tryOf(p, c.method, c.body))
-		if r.Result != balancer.OK || string(r.Reply.(*reply).body) != "hi" {
+		if r.Result != balancer.OK || string(r.Reply.(*response).body) != "hi" {
 			t.Errorf("%v: %+v", c, r)
 		}
 		want := c.method + " /api?user=a%2Fb&x=%7e HTTP/1.1\r\nHost: api.internal\r\n" + c.framing +
@@ -161,7 +161,7 @@
 // its end. What is spoilt may have run, whatever it says.
 func TestTryResults(t *testing.T) {
 	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
-	endless := strings.Repeat("x", maxHead)
+	endless := strings.Repeat("x", maxResponseHead)
 	for name, c := range map[string]struct {
 		answer string
 		want   balancer.Result
@@ -190,7 +190,7 @@
 		"1xx with a body":      {"HTTP/1.1 100 X\r\nContent-Length: 2\r\n\r\nhi" + ok, balancer.Errored, false},
 		"turned away, spoilt":  {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nTransfer-Encoding: chunked\r\n\r\nno\r\n", balancer.Errored, false},
 		"endless head":         {"HTTP/1.1 200 OK\r\nA: " + endless, balancer.Errored, false},
-		"endless 1xx":          {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", maxHead/25+1), balancer.Errored, false},
+		"endless 1xx":          {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", maxResponseHead/25+1), balancer.Errored, false},
 		"a control character":  {"HTTP/1.1 200 OK\r\nA: \x01\r\nContent-Length: 2\r\n\r\nhi", balancer.Errored, false},
 		"an unknown coding":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nhi", balancer.Errored, false},
 		"a status of letters":  {"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nhi", balancer.Errored, false},
@@ -205,7 +205,7 @@
 		k, _ := newCarrier(time.Second)
 		r := k.Try(t.Context(), tryOf(p, "POST", "book"))
 		if r.Result != c.want || len(got) != 1 || (r.Result == balancer.OK) != (r.Reply != nil) ||
-			r.Reply != nil && string(r.Reply.(*reply).body) != "hi" {
+			r.Reply != nil && string(r.Reply.(*response).body) != "hi" {
 			t.Errorf("%s: result %d, %+v after %d requests, want %d after 1", name, r.Result, r.Reply, len(got), c.want)
 		}
 		if reused := len(k.pool.idle[p]) > 0; reused != c.reuse {
@@ -228,7 +228,7 @@
 		}
 	})
 	k, l := newCarrier(time.Second)
-	k.pool.settle = settle
+	k.pool.settleTime = settleTime
 	go func() {
 		for range l {
 		}
@@ -238,7 +238,7 @@
 		all.Go(func() {
 			for j := range 500 {
 				id := fmt.Sprintf("%d-%d", i, j)
-				if r := k.Try(t.Context(), tryNamed(p, "GET", id, "")); r.Result != balancer.OK || string(r.Reply.(*reply).body) != id {
+				if r := k.Try(t.Context(), tryNamed(p, "GET", id, "")); r.Result != balancer.OK || string(r.Reply.(*response).body) != id {
 					t.Errorf("%s: %+v", id, r)
 				}
 			}
@@ -252,9 +252,9 @@
 		t.Fatal(err)
 	}
 	c.Read(make([]byte, 1)) // all of it is there
-	c.freed = time.Now().Add(-settle)
+	c.idleSince = time.Now().Add(-settleTime)
 	k.pool.mu.Lock()
-	k.pool.idle[late] = []*peerConn{c}
+	k.pool.idle[late] = []*upstreamConn{c}
 	k.pool.mu.Unlock()
 	if again, err := k.pool.get(t.Context(), late, time.Now().Add(time.Minute)); err != nil || again == c {
 		t.Errorf("%v: the same connection: %v", err, again == c)
@@ -280,7 +280,7 @@
 		}
 	})
 	k, _ := newCarrier(time.Second)
-	k.pool.settle = settle
+	k.pool.settleTime = settleTime
 	for len(again) < 10 {
 		if r := k.Try(t.Context(), tryOf(p, "GET", "")); r.Result != balancer.OK {
 			t.Fatal(r.Result)
@@ -336,7 +336,7 @@
 		left   time.Duration
 		calls  bool
 		result balancer.Result
-	}{{fairConnect + 20*time.Millisecond, false, balancer.ConnectFailed}, {fairConnect / 2, false, balancer.NotSent},
+	}{{fairConnectTime + 20*time.Millisecond, false, balancer.ConnectFailed}, {fairConnectTime / 2, false, balancer.NotSent},
 		{time.Minute, true, balancer.NotSent}} {
 		ctx, callOff := context.WithCancelCause(t.Context())
 		k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Hour, ServerIdleTimeout: time.Minute, MaxConns: 10, Log: slog.New(slog.DiscardHandler),
@@ -398,7 +398,7 @@
 		near, far := net.Pipe() // which takes a byte only as it is read
 		k, l := newCarrier(time.Second)
 		p := routing.NewPeer(1, "", "")
-		k.pool.put(&peerConn{Conn: pipe{near}, peer: p, life: newLife(l.log(), "peer", "", k.pool.release)})
+		k.pool.put(&upstreamConn{Conn: pipe{near}, peer: p, log: newConnLog(l.log(), "peer", "", k.pool.releaseConn)})
 		go func() {
 			if whole {
 				http.ReadRequest(bufio.NewReader(far))
@@ -435,18 +435,18 @@
 		p, _ := answering(t, c.raw+map[bool]string{false: "cut"}[c.whole])
 		k, l := newCarrier(time.Second)
 		r := k.Try(t.Context(), tryOf(p, "GET", ""))
-		if r.Result != balancer.OK || r.Reply.(*reply).rest == nil {
+		if r.Result != balancer.OK || r.Reply.(*response).stream == nil {
 			t.Fatalf("%s: result %d", name, r.Result)
 		}
-		s := r.Reply.(*reply)
-		data, err := io.ReadAll(s.rest)
+		s := r.Reply.(*response)
+		data, err := io.ReadAll(s.stream)
 		if whole := err == nil; whole != c.whole || whole && len(s.body)+len(data) != c.n {
 			t.Errorf("%s: %d bytes, %v", name, len(s.body)+len(data), err)
 		}
 		if err != nil {
-			s.rest.end("reset")
+			s.stream.finish("reset")
 		} else {
-			s.rest.end("")
+			s.stream.finish("")
 		}
 		if c.ends != "" {
 			l.until("connection ended", "reason="+c.ends)
@@ -462,7 +462,7 @@
 	})
 	k, _ := newCarrier(time.Second)
 	r := k.Try(t.Context(), tryOf(slow, "GET", ""))
-	if s := r.Reply.(*reply); len(s.body) != 1000 { // what a chunk in the making has so far is there for the client
+	if s := r.Reply.(*response); len(s.body) != 1000 { // what a chunk in the making has so far is there for the client
 		t.Errorf("%d bytes of a chunk that is still coming", len(s.body))
 	}
 	close(halves)
@@ -531,8 +531,8 @@
 	p, _ := answering(t, ok)
 	l := make(lines, 10)
 	k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Second, ServerIdleTimeout: 50 * time.Millisecond, MaxConns: 4, Log: l.log()})
-	if k.pool.keep >= 40*time.Millisecond {
-		t.Errorf("idle for %v of 50 ms", k.pool.keep)
+	if k.pool.idleTimeout >= 40*time.Millisecond {
+		t.Errorf("idle for %v of 50 ms", k.pool.idleTimeout)
 	}
 	k.Try(t.Context(), tryOf(p, "GET", ""))
 	l.until("side=peer", "reason=idle")
@@ -618,7 +618,7 @@
 	})
 	l := make(lines, 100)
 	k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, MaxConns: most, Log: l.log()})
-	k.pool.settle = 0
+	k.pool.settleTime = 0
 	for range 2 {
 		var tries sync.WaitGroup
 		for range load {
@@ -736,7 +736,7 @@
 // TestMalformedRequests get a plain 4xx and no try.
 func TestMalformedRequests(t *testing.T) {
 	addr, front, _ := newFront(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
-		return routing.Answer{Verdict: routing.Served, Reply: &reply{body: bytes.Clone(c.Payload.(*message).body)}}, true
+		return routing.Answer{Verdict: routing.Served, Reply: &response{body: bytes.Clone(c.Payload.(*requestMessage).body)}}, true
 	})
 	body := func(n int) string { return fmt.Sprintf("Content-Length: %d\r\n\r\n", n) + strings.Repeat("x", n) }
 	cases := []struct {
@@ -744,7 +744,7 @@
 		want int
 	}{
 		{head + body(0), 200}, {head + body(protocol.MaxBody), 200}, {head + body(protocol.MaxBody+1), 200},
-		{head + fmt.Sprintf("Content-Length: %d\r\n\r\n", maxUpload+1), 413},
+		{head + fmt.Sprintf("Content-Length: %d\r\n\r\n", maxRequestBody+1), 413},
 		{head + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", 200},
 		{head + "Transfer-Encoding: chunked\r\n\r\n10001\r\n" + strings.Repeat("x", 0x10001) + "\r\n0\r\n\r\n", 200},
 		{strings.Replace(head, "book", "gift", 1) + body(0), 400}, {strings.Replace(head, "0.5", "soon", 1) + body(0), 400},
@@ -784,10 +784,10 @@
 		"GET / HTTP/1.1\r\nContent-Length:\r\n 5\r\n\r\n":                                                                 true, "GET / HTTP/1.1\r\nX-Content-Length: 1\r\nTransfer-Encoding: a\r\n\r\n": false,
 	} {
 		for cut := range len(raw) {
-			var f framing
-			f.read([]byte(raw[:cut]))
-			if f.read([]byte(raw[cut:])); f.torn != torn {
-				t.Errorf("%q cut at %d: torn: %v", raw, cut, f.torn)
+			var f requestFraming
+			f.feed([]byte(raw[:cut]))
+			if f.feed([]byte(raw[cut:])); f.ambiguous != torn {
+				t.Errorf("%q cut at %d: torn: %v", raw, cut, f.ambiguous)
 			}
 		}
 	}
@@ -812,18 +812,18 @@
 			}
 		}
 		for cut := range len(raw) {
-			var f framing
-			f.read([]byte(raw[:cut]))
-			if f.read([]byte(raw[cut:])); f.over == plain || f.last(1) == plain || f.whole(2) != plain {
+			var f requestFraming
+			f.feed([]byte(raw[:cut]))
+			if f.feed([]byte(raw[cut:])); f.stopped == plain || f.isLast(1) == plain || f.complete(2) != plain {
 				t.Errorf("%q cut at %d: %+v", body, cut, f)
 			}
 		}
-		var f framing
-		f.read([]byte(raw[:1]))
+		var f requestFraming
+		f.feed([]byte(raw[:1]))
 		read := 1
-		for !f.whole(1) && !f.over {
-			n := f.needs(len(raw) - read)
-			f.read([]byte(raw[read : read+n]))
+		for !f.complete(1) && !f.stopped {
+			n := f.bytesNeeded(len(raw) - read)
+			f.feed([]byte(raw[read : read+n]))
 			read += n
 		}
 		if plain && read != len(first+body) {
@@ -847,7 +847,7 @@
 	<-taken
 	release <- true
 	<-taken
-	front.clients.leave()
+	front.clients.startDraining()
 	release <- true
 	for range 2 {
 		if resp, err := http.ReadResponse(c.in, nil); err != nil || resp.StatusCode != 502 {
@@ -868,7 +868,7 @@
 	const half = head + "Content-Length: 10\r\n\r\nhalf "
 	taken, release := make(chan *clientConn, 2), make(chan bool, 2)
 	addr, front, _ := newFront(t, 10, func(_ context.Context, c routing.Call) (routing.Answer, bool) {
-		taken <- c.Payload.(*message).from.(*clientConn)
+		taken <- c.Payload.(*requestMessage).client.(*clientConn)
 		<-release
 		return routing.Answer{Verdict: routing.Failed}, true
 	})
@@ -884,8 +884,8 @@
 	}
 	for begun := false; !begun; { // the call is as long as a body may take
 		front.clients.mu.Lock()
-		if begun = k.next == along && k.early != along; begun {
-			k.since = k.since.Add(-requestTimeout)
+		if begun = k.next == along && k.unreadPipelined != along; begun {
+			k.requestStart = k.requestStart.Add(-requestTimeout)
 		}
 		front.clients.mu.Unlock()
 	}
@@ -942,7 +942,7 @@
 		status int
 		after  string
 	}{
-		{routing.Answer{Verdict: routing.Served, Reply: &reply{fields: []field{{"X-Hit", [1]string{"1"}}}, body: []byte("\x00b")}}, 200, ""},
+		{routing.Answer{Verdict: routing.Served, Reply: &response{fields: []headerField{{"X-Hit", [1]string{"1"}}}, body: []byte("\x00b")}}, 200, ""},
 		{routing.Answer{Verdict: routing.Reject, RetryAfter: 250 * time.Millisecond}, 503, "0.250"},
 		{routing.Answer{Verdict: routing.Reject}, 503, ""}, {routing.Answer{Verdict: routing.Failed}, 502, ""},
 		{routing.Answer{Verdict: routing.Overdue}, 504, ""}, {routing.Answer{Verdict: routing.Twice}, 409, ""},
@@ -1008,7 +1008,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newClients(l, ClientLimits{MaxOpen: 5, MaxIdle: 5}, slog.New(slog.DiscardHandler))
+	c := newClientConns(l, ClientLimits{MaxOpen: 5, MaxIdle: 5}, slog.New(slog.DiscardHandler))
 	defer c.Close()
 	accept := func(raw string) *clientConn {
 		io.WriteString(dial(t, l.Addr().String()), raw)
@@ -1022,23 +1022,23 @@
 	begun, decided, early := accept("ab"), accept("ab"), accept(one+one)
 	begun.Read(b)
 	early.Read(make([]byte, 2*len(one))) // its next request is read along with the one before
-	early.requestRead()
+	early.completeRequest()
 	for _, k := range []*clientConn{decided, early} {
-		c.state(k, http.StateIdle)
+		c.connState(k, http.StateIdle)
 	}
 	decided.gone = true // as leave does, just before it closes
-	if n, err := decided.Read(b); n != 0 || !errors.Is(err, net.ErrClosed) || !unread(decided.Conn) {
+	if n, err := decided.Read(b); n != 0 || !errors.Is(err, net.ErrClosed) || !hasUnread(decided.Conn) {
 		t.Errorf("%d bytes, %v after the end was decided; or they were taken, and their client is told so", n, err)
 	}
 	decided.gone = false
-	c.leave()
+	c.startDraining()
 	if c.open[decided] || !c.open[begun] || !c.open[early] {
 		t.Errorf("open: %v", c.open)
 	}
-	c.state(begun, http.StateIdle)
-	early.requestRead()
-	c.state(early, http.StateIdle)
-	if left := c.drain(t.Context(), t.Context()); left != 0 {
+	c.connState(begun, http.StateIdle)
+	early.completeRequest()
+	c.connState(early, http.StateIdle)
+	if left := c.waitDrained(t.Context(), t.Context()); left != 0 {
 		t.Errorf("%d left", left)
 	}
 }
@@ -1050,11 +1050,11 @@
 }
 
 func (b ending) Read(p []byte) (int, error) {
-	b.k.all.mu.Lock()
-	defer b.k.all.mu.Unlock()
-	b.k.moved = time.Now().Add(-time.Hour)
-	if reason, k := b.k.all.spare(time.Now()); k == b.k {
-		b.k.all.end(reason, k)
+	b.k.conns.mu.Lock()
+	defer b.k.conns.mu.Unlock()
+	b.k.lastRead = time.Now().Add(-time.Hour)
+	if reason, k := b.k.conns.evictionCandidate(time.Now()); k == b.k {
+		b.k.conns.closeConns(reason, k)
 	}
 	return b.Reader.Read(p)
 }
@@ -1080,7 +1080,7 @@
 	}
 	k := conn.(*clientConn)
 	k.Read(make([]byte, 1))
-	if k.isGone() {
+	if k.isClosing() {
 		t.Fatal("it has ended")
 	}
 	r := &http.Request{Method: "POST", ProtoMajor: 1, ProtoMinor: 1, ContentLength: 4, URL: &url.URL{}, Host: "a",
@@ -1091,7 +1091,7 @@
 			t.Errorf("it goes on: %v", p)
 		}
 	}()
-	_, status, err := f.read(r, k, "/api")
+	_, status, err := f.parseRequest(r, k, "/api")
 	t.Errorf("%d, %v", status, err)
 }
 
@@ -1176,7 +1176,7 @@
 	p := listenOn(t, func(conn net.Conn) { io.Copy(io.Discard, conn) })
 	k, log := newCarrier(time.Second)
 	addr, _, _ := newFront(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
-		c.Payload.(*message).up.body = panicking{}
+		c.Payload.(*requestMessage).upload.body = panicking{}
 		r := k.Try(ctx, routing.Try{Peer: p, Until: time.Now().Add(time.Minute), Payload: c.Payload, Written: func() {}})
 		if r.Result != balancer.ConnectFailed {
 			t.Errorf("result %d of what was never whole", r.Result)
@@ -1207,9 +1207,9 @@
 		}
 	})
 	w := NewEndpointWatcher(p.Addr, protocol.Names{}, -1, nil, slog.New(slog.DiscardHandler))
-	w.late = time.Millisecond
+	w.lateAfter = time.Millisecond
 	lists := 0
-	const most = 1 + watchAgain + 1 // calls, and one that is sent again on the connection kept
+	const most = 1 + maxExtraPolls + 1 // calls, and one that is sent again on the connection kept
 	if err := w.Watch(t.Context(), func(routing.Group) { lists++ }); err == nil || lists != 1 || asked.Load()-1 != most {
 		t.Errorf("%v: %d lists, then %d questions, and %d should be the most", err, lists, asked.Load()-1, most)
 	}
@@ -1255,7 +1255,7 @@
 		t.Fatal(err)
 	}
 	log := make(lines, 100)
-	c := newClients(l, ClientLimits{MaxOpen: 4, MaxIdle: 4}, log.log())
+	c := newClientConns(l, ClientLimits{MaxOpen: 4, MaxIdle: 4}, log.log())
 	defer c.Close()
 	var ends []*client
 	accept := func(raw string) *clientConn {
@@ -1270,9 +1270,9 @@
 	}
 	idle, waiting, silent, slow := accept("a"), accept("b"), accept(""), accept("c")
 	idle.Read(make([]byte, 1))
-	c.state(idle, http.StateIdle)
+	c.connState(idle, http.StateIdle)
 	slow.Read(make([]byte, 1))
-	for !unread(waiting.Conn) {
+	for !hasUnread(waiting.Conn) {
 	}
 	fresh := time.Now()
 	for _, want := range []struct {
@@ -1282,20 +1282,20 @@
 	}{{"evicted", idle, fresh}, {"silent", silent, fresh.Add(time.Hour)}, {"evicted", idle, fresh.Add(time.Hour)},
 		{"slow", slow, fresh.Add(time.Hour)}, {"", nil, fresh.Add(time.Hour)}} {
 		c.mu.Lock()
-		reason, k := c.spare(want.at)
+		reason, k := c.evictionCandidate(want.at)
 		if reason != want.reason || reason != "" && k != want.k {
 			t.Errorf("%q, want %q", reason, want.reason)
 		}
 		if k != nil && want.at != fresh {
-			c.end(reason, k)
+			c.closeConns(reason, k)
 		}
 		c.mu.Unlock()
 	}
 	coming := accept("e") // one that began long ago and comes on is not ended for being slow
 	coming.Read(make([]byte, 1))
 	c.mu.Lock()
-	coming.since = fresh.Add(-time.Hour)
-	if reason, _ := c.spare(time.Now()); reason != "" {
+	coming.requestStart = fresh.Add(-time.Hour)
+	if reason, _ := c.evictionCandidate(time.Now()); reason != "" {
 		t.Errorf("%q, and its request comes on", reason)
 	}
 	c.mu.Unlock()
@@ -1317,7 +1317,7 @@
 			t.Fatal(err)
 		}
 		log := make(lines, 100)
-		c := newClients(l, ClientLimits{MaxOpen: 9, MaxIdle: 9}, log.log())
+		c := newClientConns(l, ClientLimits{MaxOpen: 9, MaxIdle: 9}, log.log())
 		defer c.Close()
 		var clients []*client
 		var conns []*clientConn
@@ -1331,12 +1331,12 @@
 			io.WriteString(clients[len(conns)], "G")
 			k.Read(make([]byte, 9))
 			if conns = append(conns, k); len(conns) != 2 { // that one's request is open
-				c.state(k, http.StateIdle)
+				c.connState(k, http.StateIdle)
 			}
 		}
 		io.WriteString(clients[0], "G")
-		waitFor(t, func() bool { return unread(conns[0].Conn) })
-		c.bound(b)
+		waitFor(t, func() bool { return hasUnread(conns[0].Conn) })
+		c.setLimits(b)
 		for i, k := range conns {
 			c.mu.Lock()
 			open := c.open[k]
@@ -1372,9 +1372,9 @@
 			go io.Copy(io.Discard, far)
 			return pipe{near}, nil
 		}, slog.New(slog.DiscardHandler))
-		const last = watchWait + watchLate + (watchAgain-1)*watchBeside // when the last call goes out
-		if err := w.Watch(t.Context(), nil); err == nil || dialed.Load() != 1+watchAgain || time.Since(began) > last+watchSlack {
-			t.Errorf("%v after %d calls in %v, want %d in at most %v", err, dialed.Load(), time.Since(began), 1+watchAgain, last+watchSlack)
+		const last = defaultPollWait + pollLateAfter + (maxExtraPolls-1)*parallelPollAfter // when the last call goes out
+		if err := w.Watch(t.Context(), nil); err == nil || dialed.Load() != 1+maxExtraPolls || time.Since(began) > last+pollReadTimeout {
+			t.Errorf("%v after %d calls in %v, want %d in at most %v", err, dialed.Load(), time.Since(began), 1+maxExtraPolls, last+pollReadTimeout)
 		}
 	})
 }
@@ -1430,7 +1430,7 @@
 	}))
 	defer s.Close()
 	w := NewEndpointWatcher(strings.TrimPrefix(s.URL, "http://"), protocol.Names{}, 1, nil, slog.New(slog.DiscardHandler))
-	w.wait, w.late, w.slack = 20*time.Millisecond, time.Millisecond, time.Minute
+	w.wait, w.lateAfter, w.readTimeout = 20*time.Millisecond, time.Millisecond, time.Minute
 	lists := 0
 	if err := w.Watch(t.Context(), func(routing.Group) { lists++ }); err == nil || lists != 1 || w.version != 2 {
 		t.Errorf("%v, %d lists, version %d; want the one of the second call", err, lists, w.version)
@@ -1439,7 +1439,7 @@
 
 // TestWatchAmongNodes: however many nodes ask, discovery gets no more calls from all of them, up to a bound.
 func TestWatchAmongNodes(t *testing.T) {
-	for nodes, want := range map[int]time.Duration{0: watchEach, 1: watchEach, 2: watchWait, 4: 4 * watchEach, 300: watchMost} {
+	for nodes, want := range map[int]time.Duration{0: pollWaitPerNode, 1: pollWaitPerNode, 2: defaultPollWait, 4: 4 * pollWaitPerNode, 300: maxPollWait} {
 		if w := new(EndpointWatcher).ForFleetSize(nodes, 1); w.wait != want {
 			t.Errorf("%d nodes: held for %v, want %v", nodes, w.wait, want)
 		}
@@ -1483,7 +1483,7 @@
 	}))
 	defer s.Close()
 	w := NewEndpointWatcher(strings.TrimPrefix(s.URL, "http://"), protocol.Names{}, -1, nil, slog.New(slog.DiscardHandler))
-	w.again, w.late = 1, time.Millisecond
+	w.maxExtra, w.lateAfter = 1, time.Millisecond
 	var kinds []balancer.UpdateKind
 	for range 4 { // what is no JSON, a malformed list, or a 503, each time the second in a row
 		if err := w.Watch(t.Context(), func(g routing.Group) { kinds = append(kinds, g.Kind) }); err == nil {
@@ -1510,9 +1510,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	reason := regexp.MustCompile(`(?:because\(|\.end\(|read\(err, |return |why = |reasonOf\(cause, )"([a-z-]+)"(?:, "([a-z-]+)")?`)
+	reason := regexp.MustCompile(`(?:setReason\(|\.closeFor\(|[cC]loseConns\(|noteReadError\(err, |return |why = |cancelReason\(cause, )"([a-z-]+)"(?:, "([a-z-]+)")?`)
 	found := 0
-	for _, name := range []string{"carrier.go", "clients.go", "peerconn.go", "pool.go"} {
+	for _, name := range []string{"upstream_transport.go", "client_conns.go", "upstream_conn.go", "upstream_pool.go"} {
 		code, err := os.ReadFile(name)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/transport/uploadpace_test.go
+++ b/internal/transport/uploadpace_test.go
@@ -43,12 +43,12 @@
 		"a late connection":                     {time.Minute, atOnce, atOnce, "", 0},
 		"a peer that is slow between parts":     {0, atOnce, steps{streamBuffer, 1200 * time.Millisecond}, "", 154 * time.Second},
 		"a client at its pace, late":            {time.Minute, steps{streamBuffer / 2, 450 * time.Millisecond}, atOnce, "", 116 * time.Second},
-		"a client that stands still":            {0, steps{streamBuffer, time.Minute}, atOnce, client, bodyAllowance},
-		"one that stands still, late":           {time.Minute, steps{streamBuffer, time.Minute}, atOnce, client, bodyAllowance},
-		"a client that trickles":                {0, trickle, atOnce, client, bodyAllowance + 10*time.Millisecond},
-		"one that trickles, late":               {time.Minute, trickle, atOnce, client, bodyAllowance + 10*time.Millisecond},
+		"a client that stands still":            {0, steps{streamBuffer, time.Minute}, atOnce, client, bodyStallTimeout},
+		"one that stands still, late":           {time.Minute, steps{streamBuffer, time.Minute}, atOnce, client, bodyStallTimeout},
+		"a client that trickles":                {0, trickle, atOnce, client, bodyStallTimeout + 10*time.Millisecond},
+		"one that trickles, late":               {time.Minute, trickle, atOnce, client, bodyStallTimeout + 10*time.Millisecond},
 		"a client too slow, and so is its peer": {0, steps{8 << 10, 400 * time.Millisecond}, steps{8 << 10, 100 * time.Millisecond}, client, 22 * time.Second},
-		"a peer that stands still":              {0, atOnce, steps{streamBuffer, time.Hour}, peer, streamStall},
+		"a peer that stands still":              {0, atOnce, steps{streamBuffer, time.Hour}, peer, streamStallTimeout},
 		"a peer that trickles":                  {0, atOnce, steps{2 << 10, 100 * time.Millisecond}, peer, 82 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -71,9 +71,9 @@
 				})
 				begun := time.Now()
 				u.send(t.Context(), out, []byte(head), routing.Try{Written: func() {}})
-				late := errors.Is(u.refused, os.ErrDeadlineExceeded)
-				if u.whole.Load() != (c.fault == "") || late != (c.fault == client) || u.refused != nil && !late {
-					t.Errorf("whole: %v, refused: %v", u.whole.Load(), u.refused)
+				late := errors.Is(u.clientErr, os.ErrDeadlineExceeded)
+				if u.bodySent.Load() != (c.fault == "") || late != (c.fault == client) || u.clientErr != nil && !late {
+					t.Errorf("whole: %v, refused: %v", u.bodySent.Load(), u.clientErr)
 				}
 				if took := time.Since(begun); took > c.within {
 					t.Errorf("it took %v", took)
@@ -91,9 +91,9 @@
 		defer far.Close()
 		defer in.Close()
 		close(u.done) // so that halt waits for nobody
-		u.halt()
+		u.stopReading()
 		begun := time.Now()
-		if n, err := u.next(make([]byte, 1)); len(n) > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(begun) > 0 {
+		if n, err := u.readNext(make([]byte, 1)); len(n) > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(begun) > 0 {
 			t.Errorf("%d bytes, %v after %v", len(n), err, time.Since(begun))
 		}
 	})
@@ -101,14 +101,14 @@
 
 // uploadInMemory is a body of so many bytes that is to be sent to out, with the far ends of its client's connection and
 // of its peer's.
-func uploadInMemory(length int64) (u *upload, out *peerConn, client, peer net.Conn) {
+func uploadInMemory(length int64) (u *upload, out *upstreamConn, client, peer net.Conn) {
 	log := slog.New(slog.DiscardHandler)
 	client, near := net.Pipe()
-	k := &clientConn{Conn: inMemory{pipe{near}}, all: newClients(nil, ClientLimits{}, log), since: time.Now(),
-		life: newLife(log, "client", "", func() {})}
+	k := &clientConn{Conn: inMemory{pipe{near}}, conns: newClientConns(nil, ClientLimits{}, log), requestStart: time.Now(),
+		log: newConnLog(log, "client", "", func() {})}
 	k.deadlines.init()
 	r := &http.Request{Method: "POST", Body: io.NopCloser(io.LimitReader(k, length))}
-	u = new(Frontend).uploading(requestBody{Request: r, target: "/", length: length, k: k}, nil).up
+	u = new(Frontend).newUploadMessage(requestBody{Request: r, target: "/", length: length, conn: k}, nil).upload
 	to, peer := net.Pipe()
-	return u, &peerConn{Conn: pipe{to}, life: newLife(log, "peer", "", func() {})}, client, peer
+	return u, &upstreamConn{Conn: pipe{to}, log: newConnLog(log, "peer", "", func() {})}, client, peer
 }
--- a/internal/transport/pool.go
+++ b/internal/transport/upstream_pool.go
@@ -15,11 +15,11 @@
 // settle is how long a connection rests before it carries another try: what
 // follows behind an answer is there by then, and shows. A second answer is known
 // to come some milliseconds late, and would be served to whoever is next.
-const settle = 10 * time.Millisecond
+const settleTime = 10 * time.Millisecond
 
 // errNoRoom says that this node may open no further connection, for want of
 // descriptors or as it ends.
-var errNoRoom = errors.New("no room for a connection")
+var errConnLimit = errors.New("no room for a connection")
 
 // pool holds the connections to peers. http.Transport has one of its own, but
 // gives a connection out again before it looks for bytes behind the answer, and
@@ -29,64 +29,64 @@
 //
 // Connections belong to a peer, not to its address: one to a server that has
 // left the upstream group must not carry a try for its successor there.
-type pool struct {
-	settle time.Duration
-	log    *slog.Logger
-	dial   Dialer
-
-	mu      sync.Mutex
-	connect time.Duration // a connection that comes later has not come
-	keep    time.Duration // how long one may lie idle
-	most    int           // connections, open and being opened
-	open    int
-	idle    map[*routing.Peer][]*peerConn // the longest idle first; the sweep drops lists that are empty
-	sweeper *time.Timer                   // the sweep that is due; nil: none is
-	closed  bool                          // none is opened or kept any more
-	told    time.Time                     // when the last line of lacks was left
+type upstreamPool struct {
+	settleTime time.Duration
+	log        *slog.Logger
+	dial       Dialer
+
+	mu              sync.Mutex
+	connectTimeout  time.Duration // a connection that comes later has not come
+	idleTimeout     time.Duration // how long one may lie idle
+	maxConns        int           // connections, open and being opened
+	open            int
+	idle            map[*routing.Peer][]*upstreamConn // the longest idle first; the sweep drops lists that are empty
+	sweeper         *time.Timer                       // the sweep that is due; nil: none is
+	closed          bool                              // none is opened or kept any more
+	lastShortageLog time.Time                         // when the last line of lacks was left
 }
 
 // get returns a connection that carries nothing, or a new one, which must be up by until.
-func (p *pool) get(ctx context.Context, peer *routing.Peer, until time.Time) (*peerConn, error) {
+func (p *upstreamPool) get(ctx context.Context, peer *routing.Peer, until time.Time) (*upstreamConn, error) {
 	for c := p.take(peer); c != nil; c = p.take(peer) {
-		if why := c.stale(); why != "" {
-			c.end(why)
+		if why := c.staleReason(); why != "" {
+			c.closeFor(why)
 			continue
 		}
 		return c, nil
 	}
 	for {
-		c, err := p.connectTo(ctx, peer, until)
-		if err == nil || ctx.Err() != nil || !ownLack(err) || !p.evict() {
+		c, err := p.connect(ctx, peer, until)
+		if err == nil || ctx.Err() != nil || !isLocalShortage(err) || !p.evict() {
 			return c, err
 		}
 	}
 }
 
 // connectTo returns a new connection.
-func (p *pool) connectTo(ctx context.Context, peer *routing.Peer, until time.Time) (*peerConn, error) {
-	connect, ok := p.reserve()
+func (p *upstreamPool) connect(ctx context.Context, peer *routing.Peer, until time.Time) (*upstreamConn, error) {
+	connect, ok := p.reserveConn()
 	if !ok {
-		return nil, errNoRoom
+		return nil, errConnLimit
 	}
 	ctx, stop := context.WithTimeout(ctx, min(connect, time.Until(until)))
 	defer stop()
 	conn, err := p.dial.dial(ctx, peer.Addr)
 	if err != nil {
-		p.release()
+		p.releaseConn()
 		return nil, err
 	}
-	return &peerConn{Conn: conn, peer: peer, life: newLife(p.log, "peer", peer.Addr, p.release)}, nil
+	return &upstreamConn{Conn: conn, peer: peer, log: newConnLog(p.log, "peer", peer.Addr, p.releaseConn)}, nil
 }
 
 // take takes the last used idle connection to a peer that has settled, and has
 // not lain idle for too long; nil if there is none. The sweep may be late for
 // that, or still go by the time before a reload.
-func (p *pool) take(peer *routing.Peer) *peerConn {
+func (p *upstreamPool) take(peer *routing.Peer) *upstreamConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list, now := p.idle[peer], time.Now()
 	for i := len(list) - 1; i >= 0; i-- {
-		if lain := now.Sub(list[i].freed); lain >= p.settle && lain < p.keep {
+		if lain := now.Sub(list[i].idleSince); lain >= p.settleTime && lain < p.idleTimeout {
 			c := list[i]
 			p.idle[peer] = slices.Delete(list, i, i+1)
 			return c
@@ -96,36 +96,36 @@
 }
 
 // put takes a connection back that carries nothing any more.
-func (p *pool) put(c *peerConn) {
-	if !p.keeps(c) {
-		c.end("idle")
+func (p *upstreamPool) put(c *upstreamConn) {
+	if !p.putIdle(c) {
+		c.closeFor("idle")
 	}
 }
 
-func (p *pool) keeps(c *peerConn) bool {
+func (p *upstreamPool) putIdle(c *upstreamConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return false
 	}
-	c.freed = time.Now()
+	c.idleSince = time.Now()
 	p.idle[c.peer] = append(p.idle[c.peer], c)
 	if p.sweeper == nil {
-		p.sweeper = time.AfterFunc(p.keep/8, p.sweep)
+		p.sweeper = time.AfterFunc(p.idleTimeout/8, p.sweep)
 	}
 	return true
 }
 
 // reserve counts a connection to be opened and says how long that may take. At
 // the bound an idle one makes room.
-func (p *pool) reserve() (connect time.Duration, ok bool) {
+func (p *upstreamPool) reserveConn() (connect time.Duration, ok bool) {
 	for {
 		p.mu.Lock()
-		full, closed := p.open >= p.most, p.closed
+		full, closed := p.open >= p.maxConns, p.closed
 		if !full && !closed {
 			p.open++
 		}
-		connect = p.connect
+		connect = p.connectTimeout
 		p.mu.Unlock()
 		if !full || closed {
 			return connect, !closed
@@ -138,11 +138,11 @@
 
 // evict ends the connection that has been idle for the longest, to whichever
 // peer, and reports whether there was one: a handshake more beats a try less.
-func (p *pool) evict() bool {
+func (p *upstreamPool) evict() bool {
 	p.mu.Lock()
-	var oldest *peerConn
+	var oldest *upstreamConn
 	for _, list := range p.idle {
-		if len(list) > 0 && (oldest == nil || list[0].freed.Before(oldest.freed)) {
+		if len(list) > 0 && (oldest == nil || list[0].idleSince.Before(oldest.idleSince)) {
 			oldest = list[0]
 		}
 	}
@@ -153,35 +153,35 @@
 	if oldest == nil {
 		return false
 	}
-	oldest.end("idle")
+	oldest.closeFor("idle")
 	return true
 }
 
 // lackEach is how often at most the log tells that connections cannot be opened.
-const lackEach = time.Second
+const shortageLogInterval = time.Second
 
 // ownLack reports whether this node is why there is no connection, and not the
 // peer: descriptors, ports or memory are short.
-func ownLack(err error) bool {
+func isLocalShortage(err error) bool {
 	for _, no := range [...]syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL,
 		syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, no) {
 			return true
 		}
 	}
-	return errors.Is(err, errNoRoom)
+	return errors.Is(err, errConnLimit)
 }
 
 // lacks reports whether it is this node's own lack, and tells it. It guards
 // sound peers, all of which would seem to fail together.
-func (p *pool) lacks(err error, now time.Time) bool {
-	if !ownLack(err) {
+func (p *upstreamPool) logShortage(err error, now time.Time) bool {
+	if !isLocalShortage(err) {
 		return false
 	}
 	p.mu.Lock()
-	tell := !p.closed && now.Sub(p.told) >= lackEach
+	tell := !p.closed && now.Sub(p.lastShortageLog) >= shortageLogInterval
 	if tell {
-		p.told = now
+		p.lastShortageLog = now
 	}
 	p.mu.Unlock()
 	if tell {
@@ -190,13 +190,13 @@
 	return true
 }
 
-func (p *pool) configure(connect, keep time.Duration, most int) {
+func (p *upstreamPool) configure(connect, keep time.Duration, most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.connect, p.keep, p.most = connect, keep, most
+	p.connectTimeout, p.idleTimeout, p.maxConns = connect, keep, most
 }
 
-func (p *pool) release() {
+func (p *upstreamPool) releaseConn() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
@@ -204,9 +204,9 @@
 
 // sweep closes what has lain idle for too long, or has been ended by its peer,
 // as long as any is idle.
-func (p *pool) sweep() {
-	p.drop(func(c *peerConn) string { // the lock is held
-		if why := c.stale(); why != "" || time.Since(c.freed) < p.keep {
+func (p *upstreamPool) sweep() {
+	p.closeMatching(func(c *upstreamConn) string { // the lock is held
+		if why := c.staleReason(); why != "" || time.Since(c.idleSince) < p.idleTimeout {
 			return why
 		}
 		return "idle"
@@ -214,27 +214,27 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.sweeper = nil; len(p.idle) > 0 {
-		p.sweeper = time.AfterFunc(p.keep/8, p.sweep)
+		p.sweeper = time.AfterFunc(p.idleTimeout/8, p.sweep)
 	}
 }
 
 // close closes what is idle, and from then on whatever is put back.
-func (p *pool) close() {
+func (p *upstreamPool) close() {
 	p.mu.Lock()
 	p.closed = true
 	if p.sweeper != nil {
 		p.sweeper.Stop()
 	}
 	p.mu.Unlock()
-	p.drop(func(*peerConn) string { return "idle" })
+	p.closeMatching(func(*upstreamConn) string { return "idle" })
 }
 
 // drop closes each idle connection for which why gives a reason.
-func (p *pool) drop(why func(*peerConn) string) {
-	ended := map[*peerConn]string{}
+func (p *upstreamPool) closeMatching(why func(*upstreamConn) string) {
+	ended := map[*upstreamConn]string{}
 	p.mu.Lock()
 	for peer, list := range p.idle {
-		list = slices.DeleteFunc(list, func(c *peerConn) bool {
+		list = slices.DeleteFunc(list, func(c *upstreamConn) bool {
 			reason := why(c)
 			if reason != "" {
 				ended[c] = reason
@@ -247,6 +247,6 @@
 	}
 	p.mu.Unlock()
 	for c, reason := range ended {
-		c.end(reason)
+		c.closeFor(reason)
 	}
 }
--- a/internal/transport/carrier.go
+++ b/internal/transport/upstream_transport.go
@@ -17,7 +17,7 @@
 
 // fairConnect is the time after which a connection that is not up speaks against its peer, though it may take longer by the
 // settings: some round trips over the widest net.
-const fairConnect = 100 * time.Millisecond
+const fairConnectTime = 100 * time.Millisecond
 
 // CarrierConfig is what a Carrier is made from.
 type UpstreamConfig struct {
@@ -32,15 +32,15 @@
 // Carrier brings tries and probes to peers over pooled connections.
 type UpstreamTransport struct {
 	config  atomic.Pointer[UpstreamConfig]
-	pool    *pool
-	readers sync.Pool // a connection needs its buffer only while it carries a try
-	buffers buffers   // of the answers' bodies
+	pool    *upstreamPool
+	readers sync.Pool  // a connection needs its buffer only while it carries a try
+	buffers bufferPool // of the answers' bodies
 }
 
 // NewCarrier makes a Carrier.
 func NewUpstreamTransport(c UpstreamConfig) *UpstreamTransport {
 	k := &UpstreamTransport{
-		pool:    &pool{settle: settle, log: c.Log, dial: c.Dial, idle: map[*routing.Peer][]*peerConn{}},
+		pool:    &upstreamPool{settleTime: settleTime, log: c.Log, dial: c.Dial, idle: map[*routing.Peer][]*upstreamConn{}},
 		readers: sync.Pool{New: func() any { return bufio.NewReader(nil) }},
 	}
 	k.Configure(c)
@@ -67,7 +67,7 @@
 
 // Try implements routing.Carrier.
 func (k *UpstreamTransport) Try(ctx context.Context, t routing.Try) routing.TryResult {
-	m, ok := t.Payload.(*message)
+	m, ok := t.Payload.(*requestMessage)
 	if !ok || !m.hold() { // its front has done with it: the call is over
 		return routing.TryResult{Result: balancer.NotSent}
 	}
@@ -86,12 +86,12 @@
 }
 
 // keep puts a connection back that carries nothing, unless its request is still being sent.
-func (k *UpstreamTransport) keep(c *peerConn) {
-	if c.up != nil && !c.up.whole.Load() {
-		c.end("peer-asked") // by answering early
+func (k *UpstreamTransport) putConn(c *upstreamConn) {
+	if c.upload != nil && !c.upload.bodySent.Load() {
+		c.closeFor("peer-asked") // by answering early
 		return
 	}
-	c.up = nil
+	c.upload = nil
 	k.pool.put(c)
 }
 
@@ -99,40 +99,40 @@
 // A try whose call is over by the time that its connection is there never
 // leaves: a copy may find that the first has been answered, a further try that
 // its class's window has passed. told: the peer is told the time left.
-func (k *UpstreamTransport) exchange(ctx context.Context, t routing.Try, m *message, told bool) routing.TryResult {
-	fair := time.Until(t.Until) >= fairConnect
+func (k *UpstreamTransport) exchange(ctx context.Context, t routing.Try, m *requestMessage, told bool) routing.TryResult {
+	fair := time.Until(t.Until) >= fairConnectTime
 	c, err := k.pool.get(ctx, t.Peer, t.Until)
 	stands := err != nil || t.Stands(time.Now())
 	now := time.Now() // the decisions may have been waited for
-	cause := causeOf(ctx, t.Until, now)
+	cause := cancelCause(ctx, t.Until, now)
 	switch {
-	case err != nil && (ctx.Err() != nil || cause != nil && !fair || k.pool.lacks(err, now)):
+	case err != nil && (ctx.Err() != nil || cause != nil && !fair || k.pool.logShortage(err, now)):
 		return routing.TryResult{Result: balancer.NotSent} // not the peer's doing
 	case err != nil:
 		return routing.TryResult{Result: balancer.ConnectFailed}
-	case cause != nil || !stands || !t.MayBegin(now) || m.left(t.Attempt, now):
+	case cause != nil || !stands || !t.MayBegin(now) || m.clientLeft(t.Attempt, now):
 		k.pool.put(c)
 		return routing.TryResult{Result: balancer.NotSent}
 	case !t.Peer.OpenFor(now, k.config.Load().DrainGrace):
-		c.end("not-sent")
+		c.closeFor("not-sent")
 		return routing.TryResult{Result: balancer.NotSent}
 	}
-	if m.up != nil {
-		return k.carryUpload(ctx, t, m, c)
+	if m.upload != nil {
+		return k.exchangeUpload(ctx, t, m, c)
 	}
 	c.SetDeadline(t.Until)
-	watch := watchEnd(ctx, c)
+	watch := watchCancel(ctx, c)
 	var budget time.Duration
 	if told {
 		budget = max(t.Until.Sub(now), 1)
 	}
 	request, own := m.compose(budget)
 	n, _ := c.Write(request)
-	if m.wrote(own); n < len(request) {
+	if m.releaseRoom(own); n < len(request) {
 		// Its last byte was never written, which proves that it never ran.
-		watch.end()
-		cause := causeOf(ctx, t.Until, time.Now())
-		c.end(reasonOf(cause, "reset"))
+		watch.stop()
+		cause := cancelCause(ctx, t.Until, time.Now())
+		c.closeFor(cancelReason(cause, "reset"))
 		if cause != nil {
 			return routing.TryResult{Result: balancer.NotSent}
 		}
@@ -142,46 +142,46 @@
 }
 
 // receive reads the answer to a try, or the first part of a long one.
-func (k *UpstreamTransport) receive(ctx context.Context, t routing.Try, c *peerConn, watch endWatch) routing.TryResult {
+func (k *UpstreamTransport) receive(ctx context.Context, t routing.Try, c *upstreamConn, watch cancelWatch) routing.TryResult {
 	in := k.readers.Get().(*bufio.Reader)
 	in.Reset(c)
-	a, err := readAnswer(c, in, &k.buffers, t.Until)
-	undisturbed := watch.end()
+	a, err := readResponse(c, in, &k.buffers, t.Until)
+	undisturbed := watch.stop()
 	res := protocol.ResultOf(a.status, a.values(protocol.HeaderRejected))
 	if err == nil && a.rest != nil && res == balancer.OK && undisturbed {
-		a.rest.carrier, a.rest.last = k, a.last
-		return routing.TryResult{Result: balancer.OK, Reply: &reply{fields: a.endToEnd(), body: a.body, rest: a.rest}}
+		a.rest.carrier, a.rest.closeAfter = k, a.closeAfter
+		return routing.TryResult{Result: balancer.OK, Reply: &response{fields: a.endToEnd(), body: a.body, stream: a.rest}}
 	}
 	surplus := in.Buffered() > 0
 	in.Reset(nil)
 	k.readers.Put(in)
 	switch {
 	case err != nil:
-		return routing.TryResult{Result: c.ended(err, causeOf(ctx, c.deadline(t.Until), time.Now()))}
+		return routing.TryResult{Result: c.failureResult(err, cancelCause(ctx, c.responseDeadline(t.Until), time.Now()))}
 	case a.rest != nil && res == balancer.OK:
-		c.end("called-off")
+		c.closeFor("called-off")
 		return routing.TryResult{Result: balancer.Cancelled}
 	case a.rest != nil: // no reader wants the rest of a failure
-		c.end("oversize")
+		c.closeFor("oversize")
 	case surplus: // guards the next call: it may be taken for its answer
-		c.end("surplus")
-	case a.last:
-		c.end("peer-asked")
+		c.closeFor("surplus")
+	case a.closeAfter:
+		c.closeFor("peer-asked")
 	case !undisturbed:
-		c.end("called-off")
+		c.closeFor("called-off")
 	default:
-		k.keep(c)
+		k.putConn(c)
 	}
-	p := &reply{fields: a.endToEnd(), body: a.body, buf: a.buf}
+	p := &response{fields: a.endToEnd(), body: a.body, buf: a.buf}
 	if res != balancer.OK {
-		p.free()
+		p.freeBuffer()
 		return routing.TryResult{Result: res}
 	}
 	return routing.TryResult{Result: balancer.OK, Reply: p}
 }
 
 // causeOf says why a try is given up; nil: it is not.
-func causeOf(ctx context.Context, until, now time.Time) error {
+func cancelCause(ctx context.Context, until, now time.Time) error {
 	switch {
 	case ctx.Err() != nil:
 		return context.Cause(ctx)
@@ -193,16 +193,16 @@
 
 // ended closes a connection that brought no whole answer and says what that
 // means for its try, which was written whole and so may have run.
-func (c *peerConn) ended(err, cause error) balancer.Result {
+func (c *upstreamConn) failureResult(err, cause error) balancer.Result {
 	switch {
-	case errors.Is(err, errOversize):
-		c.end("oversize")
+	case errors.Is(err, errResponseTooLarge):
+		c.closeFor("oversize")
 		return balancer.Errored
-	case c.failed == nil: // the bytes are there, and no answer
-		c.end("spoilt")
+	case c.readErr == nil: // the bytes are there, and no answer
+		c.closeFor("spoilt")
 		return balancer.Errored
 	}
-	c.end(reasonOf(cause, "reset"))
+	c.closeFor(cancelReason(cause, "reset"))
 	switch {
 	case cause == routing.ErrTimeUp:
 		return balancer.TimedOut
@@ -214,7 +214,7 @@
 }
 
 // reasonOf is the reason that a context's end gives for that of a connection.
-func reasonOf(cause error, otherwise string) string {
+func cancelReason(cause error, otherwise string) string {
 	switch cause {
 	case nil:
 		return otherwise
--- a/internal/transport/watchturn_test.go
+++ b/internal/transport/watchturn_test.go
@@ -26,7 +26,7 @@
 			select {
 			case <-more:
 				w.WriteHeader(http.StatusServiceUnavailable)
-			case <-time.After(watchWait + watchLate + 250*time.Millisecond):
+			case <-time.After(defaultPollWait + pollLateAfter + 250*time.Millisecond):
 				w.Write([]byte(`{"version":2,"full":false,"servers":[]}`))
 			}
 		default:
