--- a/internal/transport/client_conns.go
+++ b/internal/transport/client_conns.go
@@ -1,12 +1,9 @@
 package transport
 
 import (
-	"cmp"
 	"container/list"
-	"context"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"net"
 	"net/http"
@@ -16,126 +13,93 @@
 	"time"
 )
 
-// patience is how long a new connection may say nothing, once room is needed.
-// One that sends at once is read by then, or has bytes waiting to be.
-const silentGrace = 100 * time.Millisecond
-
-// slowness is how long a request may stand still on its way, once room is
-// needed. The one that has stood still for the longest goes, so that one that
-// comes on in pieces is the last of a crowd that has stopped half way.
-const stalledGrace = 300 * time.Millisecond
-
-// mostLooks bounds how many connections are looked at for one that can end.
-const maxPeeks = 16
-
-// Crowd is how many client connections beyond the bound are taken to be turned away, at most.
-const DefaultOverflow = 32
-
-// ClientBounds bound the client connections of a node.
-type ClientLimits struct {
-	MaxOpen int // all of them
-	// Idle bounds those between requests. Clients may hold only so many to a
-	// node, and whoever asks once and keeps his takes one from the others:
-	// beyond this the longest idle is closed.
-	MaxIdle int
-	// Crowd is how many beyond Open are taken to be turned away; 0: as many as are ever.
-	MaxOverflow int
-}
-
-// clients bounds the client connections and closes them at need. When they are
-// as many as may be, one makes room: first one that has never said anything,
-// then the one idle for the longest, which costs its client a new connection at
-// most, then one whose request stands still. If there is none, a few more
-// are taken for a quick reject, since what a client has sent on a connection in
-// the listener's queue counts as taken too; beyond that, new ones wait.
+// clientConns is the listener of a Frontend, and owns the state of its client connections.
 //
-// http.Server could close idle connections itself, but it holds one for idle
-// until a request's head is read: it may close one whose request it goes on to
-// serve, and the client sends that request again. Here a connection is idle
-// only while no byte of a request has been read, and once its end is decided
-// no byte is read any more.
+// http.Server could close idle connections itself, but takes one for idle until a request's head has been read: it may
+// close one whose request it goes on to serve, and the client sends that request again. Here a connection is idle only
+// while no byte of a request has been read, and once its close is decided no byte is read any more.
 type clientConns struct {
 	net.Listener
 	log *slog.Logger
 
-	mu          sync.Mutex
-	changed     sync.Cond
-	maxOpen     int // open
-	maxIdle     int
-	maxOverflow int // beyond max
-	open        map[*clientConn]bool
-	silent      list.List // nothing has ever been read; the oldest first
-	idle        list.List // the longest idle first
-	// lingering are those that wait for their last answer to arrive, the longest first
-	lingering  list.List
-	closed     bool                     // the listener
-	draining   bool                     // the node closes what is idle
-	drainEnded bool                     // the planned end is: nothing lingers any more
-	streaming  int                      // connections with a long message, which goes on as it comes, whatever time that takes
-	handOff    func(syscall.Conn) error // to another process of the node, instead; nil: there is none
-	aborted    atomic.Bool              // nothing is read or written any more; set under mu
-}
-
-func newClientConns(l net.Listener, b ClientLimits, log *slog.Logger) *clientConns {
-	c := &clientConns{Listener: l, log: log, open: map[*clientConn]bool{}}
-	c.changed.L = &c.mu
-	c.setLimits(b)
-	return c
-}
-
-func (c *clientConns) setLimits(b ClientLimits) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.maxOpen, c.maxIdle, c.maxOverflow = max(b.MaxOpen, 1), b.MaxIdle, cmp.Or(b.MaxOverflow, DefaultOverflow)
-	if some := c.surplusIdle(); len(some) > 0 {
-		c.closeConns("evicted", some...)
-	}
-	c.changed.Broadcast()
-}
+	mu sync.Mutex
+	// changed is signaled when a connection may have made room, or has ended.
+	changed sync.Cond
 
-// beyond are the connections idle for the longest that the bounds have no room for any more, but for those with
-// something to be read. Where bounds sink, the descriptors may be another process's by now. The lock is held.
-func (c *clientConns) surplusIdle() (some []*clientConn) {
-	surplus := max(len(c.open)-c.maxOpen, c.idle.Len()-c.maxIdle)
-	for e := c.idle.Front(); e != nil && len(some) < surplus; e = e.Next() {
-		if k := e.Value.(*clientConn); !hasUnread(k.Conn) {
-			some = append(some, k)
-		}
-	}
-	return some
-}
+	// The limits: see ClientLimits.
 
-// Accept implements net.Listener. It fails for good only with the listener: a
-// connection that cannot be taken up is passed over.
-func (c *clientConns) Accept() (net.Conn, error) {
+	maxOpen     int
+	maxIdle     int
+	maxOverflow int
+
+	open map[*clientConn]bool
+	// silent are the connections that nothing was ever read from, the oldest first.
+	silent list.List
+	// idle are the connections between two requests, the longest idle first.
+	idle list.List
+	// lingering are the connections that wait for their last response to arrive, the longest first.
+	lingering list.List
+	// streaming counts the connections with a message too long to be buffered.
+	streaming int
+
+	// listenerClosed: nothing is accepted any more.
+	listenerClosed bool
+	// draining: connections are closed as they fall idle.
+	draining bool
+	// drainEnded: the time of the graceful shutdown is over, and nothing lingers any more.
+	drainEnded bool
+	// handOff sends an idle connection to another process of the node; nil: it is closed instead.
+	handOff func(syscall.Conn) error
+	// aborted: nothing is read or written any more. It is set under mu.
+	aborted atomic.Bool
+}
+
+func newClientConns(l net.Listener, limits ClientLimits, log *slog.Logger) *clientConns {
+	cs := &clientConns{Listener: l, log: log, open: map[*clientConn]bool{}}
+	cs.changed.L = &cs.mu
+	cs.setLimits(limits)
+	return cs
+}
+
+// Accept implements net.Listener. It fails for good only with the listener: a connection that cannot be added is skipped.
+func (cs *clientConns) Accept() (net.Conn, error) {
 	for {
-		conn, err := c.Listener.Accept()
+		conn, err := cs.Listener.Accept()
 		if err != nil {
 			return nil, classifyAcceptError(err)
 		}
-		if k, err := c.add(conn); err == nil {
-			return k, nil
+		if c, err := cs.add(conn); err == nil {
+			return c, nil
 		}
 	}
 }
 
-// ofAccept lets http.Server try again, after a pause, where an error of
-// accept(2) is one of the connection that it was to give, or of a moment's
-// want: its page says which. http.Server knows of descriptors alone.
+// Close implements net.Listener.
+func (cs *clientConns) Close() error {
+	cs.mu.Lock()
+	cs.listenerClosed = true
+	cs.changed.Broadcast()
+	cs.mu.Unlock()
+	return cs.Listener.Close()
+}
+
+// classifyAcceptError marks errors of accept(2) that are those of the one connection, or of a moment's shortage, as
+// temporary: http.Server then accepts again after a pause. By itself it does so for a shortage of descriptors alone.
 func classifyAcceptError(err error) error {
-	var no syscall.Errno
-	if errors.As(err, &no) {
-		switch no {
-		case syscall.ENETDOWN, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
-			syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.EPERM,
-			syscall.ENOBUFS, syscall.ENOMEM:
-			return temporaryError{err}
-		}
+	var errno syscall.Errno
+	if !errors.As(err, &errno) {
+		return err
+	}
+	switch errno {
+	case syscall.ENETDOWN, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
+		syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.EPERM,
+		syscall.ENOBUFS, syscall.ENOMEM:
+		return temporaryError{err}
 	}
 	return err
 }
 
-// passing is an error that passes.
+// temporaryError is a net.Error after which accepting goes on.
 type temporaryError struct{ error }
 
 // Timeout implements net.Error.
@@ -144,483 +108,138 @@
 // Temporary implements net.Error.
 func (temporaryError) Temporary() bool { return true }
 
-// errGone says that a connection has no other side any more.
+// errClientGone says that a connection has no other side any more.
 var errClientGone = errors.New("client: it has gone")
 
-// enter takes a connection up.
-func (c *clientConns) add(conn net.Conn) (*clientConn, error) {
-	from := conn.RemoteAddr()
-	if from == nil { // handed over by another process, after its client had reset it: the kernel knows of nobody
-		conn.Close()
+// add takes up a connection that was accepted, here or by another process. It closes one that it cannot take.
+func (cs *clientConns) add(conn net.Conn) (*clientConn, error) {
+	addr := conn.RemoteAddr()
+	if addr == nil { // handed over after its client had reset it
+		_ = conn.Close()
 		return nil, errClientGone
 	}
-	c.makeRoom()
-	gated, err := wrapConn(conn)
+	cs.makeRoom()
+	wrapped, err := wrapConn(conn)
 	if err != nil {
-		conn.Close()
+		_ = conn.Close()
 		return nil, fmt.Errorf("client: %w", err)
 	}
-	k := &clientConn{Conn: gated, conns: c, requestStart: time.Now()}
-	k.deadlines.init()
-	k.beforeRead, k.afterRead = k.mayRead, k.hasRead
-	k.log = newConnLog(c.log, "client", from.String(), func() { c.remove(k) })
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.aborted.Load() {
-		conn.Close()
+	c := &clientConn{Conn: wrapped, conns: cs, requestStart: time.Now()}
+	c.deadlines.init()
+	c.beforeRead = c.checkReadable
+	c.afterRead = c.noteRead
+	c.log = newConnLog(cs.log, "client", addr.String(), func() { cs.remove(c) })
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	if cs.aborted.Load() {
+		_ = conn.Close()
 		return nil, net.ErrClosed
 	}
-	c.open[k] = true
-	k.moveTo(&c.silent)
-	return k, nil
+	cs.open[c] = true
+	c.moveTo(&cs.silent)
+	return c, nil
 }
 
-func (c *clientConns) makeRoom() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for len(c.open) >= c.maxOpen && !c.closed {
-		if reason, k := c.evictionCandidate(time.Now()); k != nil {
-			c.closeConns(reason, k)
-		} else if len(c.open) < c.maxOpen+c.maxOverflow {
-			return
-		} else {
-			wake := time.AfterFunc(silentGrace/2, c.changed.Broadcast) // a silent one may have become old enough
-			c.changed.Wait()
-			wake.Stop()
-		}
-	}
+// remove forgets a connection that has ended.
+func (cs *clientConns) remove(c *clientConn) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	c.moveTo(nil)
+	cs.endStreaming(c)
+	delete(cs.open, c)
+	cs.changed.Broadcast()
 }
 
-// spare finds the connection whose end costs least. One with bytes to be read
-// is none: they may be a whole request. The lock is held.
-func (c *clientConns) evictionCandidate(now time.Time) (reason string, k *clientConn) {
-	if e := c.lingering.Front(); e != nil {
-		return "evicted", e.Value.(*clientConn)
-	}
-	looks := 0 // at the kernel: the lock holds every read up
-	for e := c.silent.Front(); e != nil && looks < maxPeeks; e = e.Next() {
-		looks++
-		if k = e.Value.(*clientConn); now.Sub(k.requestStart) < silentGrace {
-			break
-		} else if !hasUnread(k.Conn) {
-			return "silent", k
-		}
-	}
-	if k = c.longestIdle(); k != nil {
-		return "evicted", k
-	}
-	for o := range c.open { // the longest, so that which one it is does not hang on chance
-		if o.active && !o.whole && !o.gone && now.Sub(o.lastRead) >= stalledGrace &&
-			(k == nil || o.lastRead.Before(k.lastRead)) && !hasUnread(o.Conn) {
-			k = o
-		}
-	}
-	if k == nil {
-		return "", nil
+// connState is the http.Server's hook. It is told when a connection has carried its response.
+func (cs *clientConns) connState(conn net.Conn, s http.ConnState) {
+	c, ok := conn.(*clientConn)
+	if !ok || s != http.StateIdle {
+		return
 	}
-	return "slow", k
-}
-
-// longestIdle is the connection idle for the longest that has nothing to be
-// read; nil if there is none. The lock is held.
-func (c *clientConns) longestIdle() *clientConn {
-	looks := 0
-	for e := c.idle.Front(); e != nil && looks < maxPeeks; e = e.Next() {
-		looks++
-		if k := e.Value.(*clientConn); !hasUnread(k.Conn) {
-			return k
-		}
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.endStreaming(c)
+	c.finishRequest()
+	if c.state.idle() && cs.open[c] {
+		cs.addIdle(c)
 	}
-	return nil
+	cs.changed.Broadcast()
 }
 
-// end closes connections on which no byte of a request was read. The lock is
-// held, but for the closing itself.
-func (c *clientConns) closeConns(reason string, some ...*clientConn) {
-	give := c.handOff
-	for _, k := range some {
-		k.gone, k.handedOff = true, give != nil
-		k.moveTo(nil)
-	}
-	c.mu.Unlock()
-	defer c.mu.Lock()
-	for _, k := range some {
-		if give != nil {
-			k.handOffTo(give)
+// addIdle keeps a connection that has fallen idle, or closes one that may not be kept. The lock is held.
+func (cs *clientConns) addIdle(c *clientConn) {
+	c.moveTo(&cs.idle)
+	switch {
+	case cs.draining:
+		if !cs.hasNextRequest(c) {
+			cs.closeConns(reasonDrain, c)
 		}
-		k.log.setReason(reason)
-		k.close(reason)
-	}
-}
-
-// crowded reports whether calls must be turned away to keep the bound. Those
-// that have stopped half way make no crowd: a whole request among them is served.
-func (c *clientConns) overloaded() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.open) <= c.maxOpen {
-		return false
-	}
-	calls := 0
-	for k := range c.open {
-		if k.active && k.whole && !k.gone {
-			calls++
+	case cs.idle.Len() > cs.maxIdle:
+		if longest := cs.longestIdle(); longest != nil {
+			cs.closeConns(reasonEvicted, longest)
 		}
 	}
-	return calls > c.maxOpen
-}
-
-// leaves reports whether the node closes client connections by now.
-func (c *clientConns) isDraining() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.draining
-}
-
-// leave closes every connection that carries nothing. Later ones end with
-// their answer, until stay.
-func (c *clientConns) startDraining() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.draining = true
-	c.shortenLingering()
-	c.closeIdle()
 }
 
-// stay lets connections be kept again.
-func (c *clientConns) stopDraining() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.draining = false
-}
-
-// drain goes on with that until none is open or ctx ends, and returns how many are. While a long message goes on
-// as it comes it waits for that too, until most ends.
-func (c *clientConns) waitDrained(ctx, most context.Context) int {
-	wake := func() {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		c.changed.Broadcast()
+// closeConns closes connections on which no byte of a request was read, or hands them off. The lock is held, but for the
+// closing itself.
+func (cs *clientConns) closeConns(reason closeReason, conns ...*clientConn) {
+	handOff := cs.handOff
+	for _, c := range conns {
+		c.state.decideClose(handOff != nil)
+		c.moveTo(nil)
 	}
-	defer context.AfterFunc(ctx, wake)()
-	defer context.AfterFunc(most, wake)()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for len(c.open) > 0 && (ctx.Err() == nil || c.streaming > 0 && most.Err() == nil) {
-		if !c.closeIdle() {
-			c.changed.Wait()
+	cs.mu.Unlock()
+	defer cs.mu.Lock()
+	for _, c := range conns {
+		if handOff != nil {
+			c.handOffTo(handOff)
 		}
-	}
-	c.drainEnded = true
-	return len(c.open)
-}
-
-// goesOn notes a long message on a connection, until that has carried its answer.
-func (k *clientConn) startStreaming() {
-	k.conns.mu.Lock()
-	defer k.conns.mu.Unlock()
-	if !k.streaming && k.conns.open[k] {
-		k.streaming = true
-		k.conns.streaming++
+		c.log.setReason(reason)
+		_ = c.closeNow(reason)
 	}
 }
 
-// carried notes that no long message is on a connection any more. The lock is held.
-func (c *clientConns) endStreaming(k *clientConn) {
-	if k.streaming {
-		k.streaming = false
-		c.streaming--
+// startStreaming notes a message too long to be buffered on a connection, until that has carried its response.
+func (c *clientConn) startStreaming() {
+	c.conns.mu.Lock()
+	defer c.conns.mu.Unlock()
+	if !c.streaming && c.conns.open[c] {
+		c.streaming = true
+		c.conns.streaming++
 	}
 }
 
-// abort lets no byte be read or written any more, on connections still to come
-// either. Closing them is left to http.Server.
-func (c *clientConns) abort() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.aborted.Store(true)
-	for k := range c.open {
-		k.gone = true
-		k.moveTo(nil)
+// endStreaming notes that no such message is on a connection any more. The lock is held.
+func (cs *clientConns) endStreaming(c *clientConn) {
+	if c.streaming {
+		c.streaming = false
+		cs.streaming--
 	}
 }
 
-// count says how many are open.
-func (c *clientConns) count() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.open)
+// count is how many connections are open.
+func (cs *clientConns) count() int {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	return len(cs.open)
 }
 
-// endIdle ends what carries nothing and reports whether there was any. The lock is held.
-func (c *clientConns) closeIdle() bool {
-	var some []*clientConn
-	for k := range c.open {
-		if !k.active && !k.gone && !c.hasNextRequest(k) {
-			some = append(some, k)
-		}
-	}
-	if len(some) > 0 {
-		c.closeConns("drain", some...)
-	}
-	return len(some) > 0
-}
-
-// comesOn reports whether the next request is there behind an answer. It is served, and ends its connection: a
-// close over it would be a reset, and might take the answer with it. The lock is held.
-func (c *clientConns) hasNextRequest(k *clientConn) bool {
-	return c.handOff == nil && k.responseWritten.Load() && hasUnread(k.Conn)
-}
-
-// String counts the client connections by what they do, one line.
-func (c *clientConns) String() string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// String counts the client connections by what they do, on one line.
+func (cs *clientConns) String() string {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
 	reading, calls, ending := 0, 0, 0
-	for k := range c.open {
+	for c := range cs.open {
 		switch {
-		case k.gone:
+		case c.state.closing():
 			ending++
-		case k.active && k.whole:
+		case c.state.request == requestComplete:
 			calls++
-		case k.active:
+		case c.state.request == readingRequest:
 			reading++
 		}
 	}
 	return fmt.Sprintf("open=%d silent=%d idle=%d reading=%d calls=%d ending=%d",
-		len(c.open), c.silent.Len(), c.idle.Len(), reading, calls, ending)
-}
-
-// Close implements net.Listener.
-func (c *clientConns) Close() error {
-	c.mu.Lock()
-	c.closed = true
-	c.changed.Broadcast()
-	c.mu.Unlock()
-	return c.Listener.Close()
-}
-
-func (c *clientConns) remove(k *clientConn) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	k.moveTo(nil)
-	c.endStreaming(k)
-	delete(c.open, k)
-	c.changed.Broadcast()
-}
-
-// state hears from http.Server when a connection has carried its answer.
-func (c *clientConns) connState(conn net.Conn, s http.ConnState) {
-	k, ok := conn.(*clientConn)
-	if !ok || s != http.StateIdle {
-		return
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.endStreaming(k)
-	k.responses++
-	k.active, k.pipelinedRequest = k.next, k.next || k.unreadPipelined
-	k.whole, k.unreadPipelined, k.next = false, false, k.framing.started > k.responses+1
-	if k.active {
-		k.requestStart = time.Now() // its turn has come: the call before it took none of its time
-		k.lastRead = k.requestStart
-	}
-	if !k.active && c.open[k] {
-		k.moveTo(&c.idle)
-		if c.draining {
-			if !c.hasNextRequest(k) {
-				c.closeConns("drain", k)
-			}
-		} else if c.idle.Len() > c.maxIdle {
-			if first := c.longestIdle(); first != nil {
-				c.closeConns("evicted", first)
-			}
-		}
-	}
-	c.changed.Broadcast()
-}
-
-// clientConn is a client connection. Its marks belong to the lock of all.
-type clientConn struct {
-	Conn
-	log   *connLog
-	conns *clientConns
-
-	list             *list.List // the one of all's that it stands in; nil: none
-	element          *list.Element
-	requestStart     time.Time // when it was accepted, or its request's first byte was read
-	lastRead         time.Time // when bytes were last read
-	active           bool      // a byte of an unanswered request has been read
-	whole            bool      // that request has been read whole
-	next             bool      // a byte of the one after it has been read: it is owed an answer, too
-	unreadPipelined  bool      // bytes of the one after it wait to be read
-	pipelinedRequest bool      // one of the two was so of the request
-	responses        int       // requests that were answered
-	gone             bool      // its end is decided
-	handedOff        bool      // so that another process goes on with it: it must be open until it is sent there
-	streaming        bool      // a long message is on it
-	framing          requestFraming
-
-	// for Read, of which one runs at a time
-	buf        []byte
-	beforeRead func() error // mayRead
-	afterRead  func(n int)  // hasRead
-
-	responseWritten atomic.Bool // bytes were written since its request began, or to the one before
-	lingering       bool
-	lingerUntil     time.Time // until when it lingers
-
-	deadlines connDeadlines
-}
-
-// mayRead says whether a read may go on. The lock is held.
-func (k *clientConn) mayRead() error {
-	switch {
-	case k.gone && k.conns.handOff != nil:
-		return io.EOF // http.Server would answer any other error, to a client that is another process's by now
-	case k.gone:
-		return net.ErrClosed
-	}
-	return nil
-}
-
-// CloseWrite ends the sending, unless another process goes on with it.
-func (k *clientConn) CloseWrite() error {
-	if k.isClosing() {
-		return net.ErrClosed
-	}
-	return k.Conn.CloseWrite()
-}
-
-func (k *clientConn) isClosing() bool {
-	k.conns.mu.Lock()
-	defer k.conns.mu.Unlock()
-	return k.gone
-}
-
-// hasRead notes that n bytes were read. The lock is held.
-func (k *clientConn) hasRead(n int) {
-	k.beginRequest()
-	k.lastRead = time.Now()
-	k.framing.feed(k.buf[:n])
-	k.next = k.next || k.whole || k.framing.started > k.responses+1
-}
-
-// owesMore reports whether a further request has been read, or a part of it, behind the one that is answered, whose end
-// is beyond doubt. While that one is open no more is read: see watch.
-func (k *clientConn) hasPipelinedRequest() bool {
-	k.conns.mu.Lock()
-	defer k.conns.mu.Unlock()
-	return k.next && !k.framing.ambiguousAt(k.responses+1)
-}
-
-// most is how many bytes a read of so many may take. While the node closes connections, it takes none behind a request
-// that has begun: who always sends the next one ahead would be owed an answer for ever.
-func (k *clientConn) readLimit(n int) int {
-	k.conns.mu.Lock()
-	defer k.conns.mu.Unlock()
-	if k.conns.draining && k.active {
-		return k.framing.bytesNeeded(n)
-	}
-	return n
-}
-
-// isWhole reports whether the request that is read has come whole.
-func (k *clientConn) requestArrived() bool {
-	k.conns.mu.Lock()
-	defer k.conns.mu.Unlock()
-	return k.whole || k.framing.complete(k.responses+1)
-}
-
-// comesEarly notes that bytes wait behind a request that is open.
-func (k *clientConn) noteUnreadPipelined() {
-	k.conns.mu.Lock()
-	defer k.conns.mu.Unlock()
-	k.unreadPipelined = true
-}
-
-// pipelined reports whether the request that is read began to come while the one before was open.
-func (k *clientConn) wasPipelined() bool {
-	k.conns.mu.Lock()
-	defer k.conns.mu.Unlock()
-	return k.pipelinedRequest
-}
-
-// torn reports whether the head of the request that is read leaves any doubt about where it ends.
-func (k *clientConn) framingAmbiguous() bool {
-	k.conns.mu.Lock()
-	defer k.conns.mu.Unlock()
-	return k.framing.ambiguousAt(k.responses + 1)
-}
-
-// isLast reports whether the connection ends with the request that is answered, for how that one's body came.
-func (k *clientConn) mustCloseAfterRequest() bool {
-	k.conns.mu.Lock()
-	defer k.conns.mu.Unlock()
-	return k.framing.isLast(k.responses + 1)
-}
-
-// begin notes that a request has begun. The lock is held.
-func (k *clientConn) beginRequest() {
-	if !k.active {
-		k.active, k.requestStart = true, time.Now()
-		k.responseWritten.Store(false)
-	}
-	k.moveTo(nil)
-}
-
-// moveTo moves the connection to the end of a list, or, by nil, out of any. The lock is held.
-func (k *clientConn) moveTo(l *list.List) {
-	if k.list != nil {
-		k.list.Remove(k.element)
-	}
-	if k.list = l; l != nil {
-		k.element = l.PushBack(k)
-	}
-}
-
-// requestRead notes that all bytes from now on are of the next request, and
-// reports whether this one may be passed on. Until now its connection may have
-// been ended for standing still, though its last bytes had come.
-func (k *clientConn) completeRequest() bool {
-	k.conns.mu.Lock()
-	defer k.conns.mu.Unlock()
-	k.whole = true
-	return !k.gone
-}
-
-// Write implements net.Conn.
-func (k *clientConn) Write(b []byte) (int, error) {
-	if k.conns.aborted.Load() {
-		return 0, net.ErrClosed
-	}
-	k.responseWritten.Store(true)
-	n, err := k.Conn.Write(b)
-	if err != nil {
-		k.log.setReason("client-gone")
-	}
-	return n, err
-}
-
-// Close implements net.Conn, and lets the last answer arrive first: see linger. http.Server, whose read finds that the
-// connection has gone, closes it at once. Where it is being handed on that would be too early: the descriptor were closed
-// under the sending, and the bytes that have just come would be answered by a reset.
-func (k *clientConn) Close() error {
-	k.conns.mu.Lock()
-	reason, given := "node-closed", k.handedOff
-	if k.conns.draining {
-		reason = "drain"
-	}
-	k.conns.mu.Unlock()
-	if given {
-		return nil // by whoever hands it on
-	}
-	k.log.setReason(reason)
-	k.linger()
-	return k.close(reason)
-}
-
-func (k *clientConn) close(reason string) error {
-	k.log.logEnd(reason)
-	return k.Conn.Close()
+		len(cs.open), cs.silent.Len(), cs.idle.Len(), reading, calls, ending)
 }
--- /dev/null
+++ b/internal/transport/client_response.go
@@ -0,0 +1,158 @@
+package transport
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"olivebridge/internal/protocol"
+	"olivebridge/internal/routing"
+)
+
+// writeAnswer writes the one final response to a call.
+func (f *Frontend) writeAnswer(w http.ResponseWriter, c *clientConn, a routing.Answer) {
+	h := w.Header()
+	if a.Verdict == routing.Served {
+		a.Reply.(*response).copyHeader(h)
+	}
+	f.closeIfDraining(w, c)
+	switch a.Verdict {
+	case routing.Served:
+		f.writeResponse(w, c, a.Reply.(*response))
+	case routing.Reject:
+		if a.RetryAfter > 0 {
+			h.Set("Retry-After", protocol.FormatSeconds(a.RetryAfter))
+		}
+		w.WriteHeader(http.StatusServiceUnavailable)
+	case routing.Twice:
+		w.WriteHeader(http.StatusConflict)
+	case routing.Overdue:
+		w.WriteHeader(http.StatusGatewayTimeout)
+	default:
+		w.WriteHeader(http.StatusBadGateway)
+	}
+}
+
+// writeUploadAnswer writes the response to a call whose body may still be coming.
+func (f *Frontend) writeUploadAnswer(w http.ResponseWriter, r *http.Request, m *requestMessage, a routing.Answer) {
+	c := m.upload.conn
+	err := m.upload.finish()
+	m.release()
+	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout)) // net/http counts from the request's head
+	switch {
+	case errors.Is(err, errBodyTooLarge):
+		if d, ok := a.Reply.(routing.Dropper); ok { // it came ahead of the body's end
+			d.Drop()
+		}
+		f.writeError(w, r, http.StatusRequestEntityTooLarge, errors.New("body: too large"))
+		return
+	case err != nil && a.Verdict != routing.Served:
+		f.writeError(w, r, http.StatusBadRequest, fmt.Errorf("body: %w", err))
+		return
+	}
+	if !m.upload.bodySent.Load() && !discardRequestBody(r, c) {
+		w.Header().Set("Connection", "close")
+	}
+	f.writeAnswer(w, c, a)
+}
+
+// writeError answers a request that deserves no attempt. What was read along behind it is served, unless someone could
+// find the end of this one elsewhere; whatever else waits on the connection is not worth reading.
+func (f *Frontend) writeError(w http.ResponseWriter, r *http.Request, status int, err error) {
+	f.malformed.Add(1)
+	c := r.Context().Value(clientConnKey{}).(*clientConn)
+	if _, ambiguous := errors.AsType[ambiguousRequestError](err); ambiguous || !discardRequestBody(r, c) {
+		w.Header().Set("Connection", "close")
+	}
+	if m, ok := errors.AsType[*protocol.MethodError](err); ok {
+		status = http.StatusMethodNotAllowed
+		w.Header().Set("Allow", m.Allow)
+	}
+	http.Error(w, err.Error(), status)
+}
+
+// discardRequestBody reports whether more was read behind a request, to be served though the request itself need not have
+// been read to its end: the rest of its body is read and discarded. It must leave no doubt where the request ends: others
+// read no body behind a GET, and a tunnel's bytes behind a method that the platform does not know.
+func discardRequestBody(r *http.Request, c *clientConn) bool {
+	unambiguous := r.Method == http.MethodPost || r.Method == http.MethodGet && r.ContentLength == 0
+	if !unambiguous || !c.hasPipelinedRequest() {
+		return false
+	}
+	_, err := io.Copy(io.Discard, r.Body)
+	return err == nil
+}
+
+// closeIfDraining closes the connection with the response at hand while the node drains, or for how the request's body
+// was framed.
+func (f *Frontend) closeIfDraining(w http.ResponseWriter, c *clientConn) {
+	if f.clients.isDraining() || c.mustCloseAfterRequest() {
+		closeAfterResponse(w, c)
+	}
+}
+
+// closeAfterResponse closes a connection with the response at hand, or with a later one, since every request that was read
+// is answered.
+func closeAfterResponse(w http.ResponseWriter, c *clientConn) {
+	if !c.hasPipelinedRequest() {
+		w.Header().Set("Connection", "close")
+	}
+}
+
+// writeResponse writes a server's response.
+func (f *Frontend) writeResponse(w http.ResponseWriter, c *clientConn, p *response) {
+	if p.stream != nil {
+		f.streamResponse(w, c, p)
+		return
+	}
+	_, _ = w.Write(p.body) // an error is the client's leaving, which the connection's log line tells
+	p.freeBuffer()
+}
+
+// streamResponse passes a long response on as it comes. One that breaks aborts the client's connection, so that the
+// client can tell.
+func (f *Frontend) streamResponse(w http.ResponseWriter, c *clientConn, p *response) {
+	c.startStreaming()
+	p.stream.client = c
+	reason := reasonCalledOff // also if w panics
+	defer func() {
+		p.stream.finish(reason)
+		p.freeBuffer()
+		if reason != reasonNone {
+			panic(http.ErrAbortHandler)
+		}
+	}()
+	reason = f.copyStream(w, c, p)
+}
+
+// copyStream copies a long response to a client. It returns why the server's connection must be closed; reasonNone: the
+// response is complete.
+func (f *Frontend) copyStream(w http.ResponseWriter, c *clientConn, p *response) closeReason {
+	buf := f.buffers.get(streamBufferSize)
+	defer f.buffers.put(buf)
+	flush := w.(http.Flusher).Flush
+	part := p.body
+	for {
+		_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
+		if _, err := w.Write(part); err != nil {
+			return reasonCalledOff
+		}
+		if !p.stream.hasBuffered() {
+			flush()
+		}
+		n, err := p.stream.Read(buf.bytes[:streamBufferSize])
+		switch {
+		case err == nil:
+			part = buf.bytes[:n]
+		case err == io.EOF:
+			return reasonNone
+		case c.hasLeft():
+			return reasonCalledOff
+		default:
+			flush() // the client gets what the server has sent
+			return p.stream.failureReason()
+		}
+	}
+}
--- a/internal/transport/clientleft_test.go
+++ b/internal/transport/clientleft_test.go
@@ -149,7 +149,7 @@
 func (k *clientConn) sees() bool {
 	k.conns.mu.Lock()
 	defer k.conns.mu.Unlock()
-	return k.unreadPipelined
+	return k.state.nextUnread
 }
 
 // TestGoneWhileAnAnswerStands: a client that goes in the middle of a long answer whose peer stands still, whatever it has
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -7,30 +7,30 @@
 	"sync"
 )
 
-// Conn is what fronts and carriers ask of a connection beyond net.Conn. Sockets are wrapped to give it,
-// a network that is none brings connections with it; so nothing else here knows which of them carries
-// the bytes.
+// Conn is what frontends and upstream transports ask of a connection beyond net.Conn. TCP connections are wrapped to
+// provide it; a simulated network brings connections with it.
 type Conn interface {
 	net.Conn
 	// CloseWrite ends the sending: the other side reads to the end and may still answer.
 	CloseWrite() error
-	// ReadGate reads like Read, but takes the bytes under a lock: each time bytes or an end may be there to
-	// be taken, it locks mu and asks open. On nil it takes them, calls took with their number if there are
-	// any, and unlocks; any error of open's is returned, and nothing is taken. One call runs at a time. Where b is
-	// empty, it takes nothing, and nil says that bytes are there.
+	// ReadGate reads like Read, but takes the bytes under a lock: each time bytes or an end may be there to be taken, it
+	// locks mu and calls open. On nil it takes them, calls took with their number if there are any, and unlocks; any error
+	// of open's is returned, and nothing is taken. One call runs at a time. Where b is empty, it takes nothing, and nil
+	// says that bytes are there.
 	ReadGate(b []byte, mu sync.Locker, open func() error, took func(n int)) (int, error)
-	// Peek says what there is to read and takes nothing: n > 0: bytes wait; 0 and nil: the other side has
-	// ended; syscall.EAGAIN: nothing is there; any other error: the connection is broken.
+	// Peek says what there is to read and takes nothing. n > 0: bytes wait; 0 and nil: the other side has closed;
+	// syscall.EAGAIN: nothing is there; any other error: the connection is broken.
 	Peek() (n int, err error)
-	// HasEnded reports whether the other side has ended or broken the connection, though bytes that it sent before may
+	// HasEnded reports whether the other side has closed or broken the connection, though bytes that it sent before may
 	// still wait to be read. It is false where that cannot be told.
 	HasEnded() bool
 }
 
-// Dialer opens connections to addresses of the form host:port, until ctx ends.
+// Dialer opens connections to addresses of the form host:port, until ctx ends. What it returns is a Conn or a
+// *net.TCPConn. A nil Dialer dials TCP.
 type Dialer func(ctx context.Context, addr string) (net.Conn, error)
 
-// dial opens a connection; nil dials TCP.
+// dial opens a connection.
 func (d Dialer) dial(ctx context.Context, addr string) (Conn, error) {
 	if d == nil {
 		d = dialTCP
@@ -41,12 +41,12 @@
 	}
 	c, err := wrapConn(conn)
 	if err != nil {
-		conn.Close()
+		_ = conn.Close()
 	}
 	return c, err
 }
 
-// connOf gives a connection what Conn asks.
+// wrapConn gives a connection what Conn asks.
 func wrapConn(conn net.Conn) (Conn, error) {
 	switch c := conn.(type) {
 	case Conn:
@@ -57,13 +57,14 @@
 	return nil, fmt.Errorf("connection: %T can neither be peeked at nor read under a lock", conn)
 }
 
-// unread reports whether bytes wait to be read from a connection.
+// hasUnread reports whether bytes wait to be read from a connection.
 func hasUnread(c Conn) bool {
 	n, _ := c.Peek()
 	return n > 0
 }
 
-// presence tells whether the client that a message or response belongs to is still there.
+// presence tells whether the client that a message belongs to is still there.
 type presence interface {
+	// hasLeft reports whether the client has closed or broken its connection by now.
 	hasLeft() bool
 }
--- a/internal/transport/drain.go
+++ b/internal/transport/drain.go
@@ -1,109 +1,181 @@
 package transport
 
 import (
+	"context"
 	"sync"
 	"time"
 )
 
-// leaving is whether a front sends its clients away: for good at its planned
-// end, or for a while as operators ask. It is the one owner of that.
-type drainState struct {
-	mu           sync.Mutex
-	shuttingDown bool        // the front ends
-	handedOff    bool        // another process of the node takes its clients
-	paused       bool        // operators empty the node
-	pauseTimer   *time.Timer // when a pause comes to the open connections; nil: none is due
-
-	maxCallTime     time.Duration // that a call may take at the end
-	fullBudgetUntil time.Time     // until when it may still come, and take as long; zero: there is no such time
-}
-
-// now reports whether the node sends clients away. It does not where another
-// process goes on with them.
-func (l *drainState) rejectsClients() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.shuttingDown && !l.handedOff || l.paused
-}
+// The times of a graceful shutdown, from its beginning; see Frontend.Drain.
+const (
+	// drainAcceptIdle is how long idle connections are kept: new ones keep coming for up to 0.4 s.
+	drainAcceptIdle = 500 * time.Millisecond
+	// drainFullBudget is until when a call may begin that takes the longest time.
+	drainFullBudget = 700 * time.Millisecond
+	// drainStopAccept is longer, so that the last connection of such a call is accepted.
+	drainStopAccept = 800 * time.Millisecond
+	// drainMargin is waited beyond the longest deadline, so that no open call is ever cut off.
+	drainMargin = 2 * time.Second
+	// drainStreamMargin is waited beyond that for messages too long to be buffered.
+	drainStreamMargin = time.Minute
+)
 
-// ending reports whether it does so for good.
-func (l *drainState) isShuttingDown() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.shuttingDown
+// Drain shuts the frontend down gracefully. Clients still arrive for a while, so it goes on accepting; then it closes
+// client connections as they fall idle, stops accepting, and waits for open calls, which may take maxCallTime. Abort cuts
+// it short. Drain blocks until the frontend has ended.
+func (f *Frontend) Drain(maxCallTime time.Duration) {
+	f.drain.beginShutdown(false)
+	f.drain.setCallTime(maxCallTime)
+	calls, streams, stop := f.shutdownContexts(maxCallTime)
+	defer stop()
+	sleep(calls, drainAcceptIdle)
+	f.clients.startDraining()
+	sleep(calls, drainStopAccept-drainAcceptIdle)
+	_ = f.clients.Close()
+	f.awaitDrained(calls, streams)
 }
 
-// end begins the end. A pause due is left: the end closes connections by itself.
-// handed: another process has the clients from now on.
-func (l *drainState) beginShutdown(handed bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.shuttingDown, l.handedOff = true, l.handedOff || handed
-	l.stopPauseTimer()
+// awaitDrained waits for the open connections and then closes the server.
+func (f *Frontend) awaitDrained(calls, streams context.Context) {
+	left := f.clients.waitDrained(calls, streams)
+	if left > 0 && f.aborted.Err() == nil {
+		f.log.Warn("client connections were open at the end", "left", left)
+	}
+	_ = f.server.Close()
 }
 
-func (l *drainState) stopPauseTimer() {
-	if l.pauseTimer != nil {
-		l.pauseTimer.Stop()
-		l.pauseTimer = nil
+// shutdownContexts end when a graceful shutdown waits no longer for calls, and for messages too long to be buffered.
+func (f *Frontend) shutdownContexts(maxCallTime time.Duration) (calls, streams context.Context, stop func()) {
+	streams, stopStreams := context.WithTimeout(f.aborted, maxCallTime+drainMargin+drainStreamMargin)
+	calls, stopCalls := context.WithTimeout(streams, maxCallTime+drainMargin)
+	stop = func() {
+		stopCalls()
+		stopStreams()
 	}
+	return calls, streams, stop
 }
 
-// within gives the end its time, whose first part is for what still comes: a call that begins later has so much less.
-func (l *drainState) setCallTime(longest time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.maxCallTime, l.fullBudgetUntil = longest, time.Now().Add(drainFullBudget)
+// sleep waits until the time is over or ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
+	ctx, stop := context.WithTimeout(ctx, d)
+	defer stop()
+	<-ctx.Done()
 }
 
-// lets reports whether a call may begin, which is to be answered within its budget. At the end one that was read along
-// with others may have its turn when there is no time left for it.
-func (l *drainState) admits(budget time.Duration) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	late := time.Since(l.fullBudgetUntil)
-	return l.fullBudgetUntil.IsZero() || late <= 0 || budget <= l.maxCallTime-late
+// Abort ends the frontend and all its client connections at once. Nothing further is read, and what is open gets no
+// response.
+func (f *Frontend) Abort() {
+	f.drain.beginShutdown(false)
+	f.clients.abort()
+	_ = f.server.Close()
+	f.abort()
 }
 
-// Pause empties the front: it is not ready from now on, and closes connections
-// that carry nothing, or with their next answer, once new ones have ceased.
-// What comes nevertheless is served. Said again it changes nothing.
+// Pause takes the frontend out of service: it is not ready from now on, and closes connections that are idle, or with
+// their next response, once new ones have ceased. A call that comes nevertheless is served. A second Pause changes nothing.
 func (f *Frontend) Pause() {
-	l := &f.drain
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.paused || l.shuttingDown {
-		l.paused = true
+	d := &f.drain
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.paused || d.shuttingDown {
+		d.paused = true
 		return
 	}
-	l.paused = true
-	l.pauseTimer = time.AfterFunc(drainAcceptIdle, func() {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		if l.pauseTimer != nil { // else a Resume was first
+	d.paused = true
+	d.pauseTimer = time.AfterFunc(drainAcceptIdle, func() {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		if d.pauseTimer != nil { // else a Resume came first
 			f.clients.startDraining()
 		}
 	})
 }
 
-// Resume ends a pause. A front that ends goes on with that.
+// Resume ends a pause. A shutdown goes on.
 func (f *Frontend) Resume() {
-	l := &f.drain
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.paused = false
-	l.stopPauseTimer()
-	if !l.shuttingDown {
+	d := &f.drain
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.paused = false
+	d.stopPauseTimer()
+	if !d.shuttingDown {
 		f.clients.stopDraining()
 	}
 }
 
-// Paused reports whether operators have the front emptied.
+// Paused reports whether the frontend is paused.
 func (f *Frontend) Paused() bool {
 	f.drain.mu.Lock()
 	defer f.drain.mu.Unlock()
 	return f.drain.paused
 }
 
-// Leaving reports whether the front ends.
+// Draining reports whether the frontend shuts down.
 func (f *Frontend) Draining() bool { return f.drain.isShuttingDown() }
+
+// drainState is whether a frontend sends its clients away: for good at its shutdown, or for a while as operators ask.
+type drainState struct {
+	mu sync.Mutex
+	// shuttingDown: the frontend ends.
+	shuttingDown bool
+	// handedOff: another process of the node takes its clients over.
+	handedOff bool
+	// paused: operators have taken the node out of service.
+	paused bool
+	// pauseTimer is when a pause starts to close connections; nil: none is due.
+	pauseTimer *time.Timer
+
+	// maxCallTime is how long a call may take at the shutdown.
+	maxCallTime time.Duration
+	// fullBudgetUntil is until when a call may still begin and take as long; zero: there is no shutdown.
+	fullBudgetUntil time.Time
+}
+
+// rejectsClients reports whether the node is not ready for clients. It is ready where another process goes on with them.
+func (d *drainState) rejectsClients() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.shuttingDown && !d.handedOff || d.paused
+}
+
+// isShuttingDown reports whether the frontend ends.
+func (d *drainState) isShuttingDown() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.shuttingDown
+}
+
+// beginShutdown notes the shutdown, which closes connections by itself: a pause that is due is dropped. With handedOff
+// another process has the clients from now on.
+func (d *drainState) beginShutdown(handedOff bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.shuttingDown = true
+	d.handedOff = d.handedOff || handedOff
+	d.stopPauseTimer()
+}
+
+// stopPauseTimer drops a pause that is due. The lock is held.
+func (d *drainState) stopPauseTimer() {
+	if d.pauseTimer != nil {
+		d.pauseTimer.Stop()
+		d.pauseTimer = nil
+	}
+}
+
+// setCallTime sets how long a call may take that begins soon; a later one has so much less.
+func (d *drainState) setCallTime(maxCallTime time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.maxCallTime = maxCallTime
+	d.fullBudgetUntil = time.Now().Add(drainFullBudget)
+}
+
+// admits reports whether a call may begin that is to be answered within its budget. At the shutdown a pipelined one may
+// have its turn when there is no time left for it.
+func (d *drainState) admits(budget time.Duration) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	late := time.Since(d.fullBudgetUntil)
+	return d.fullBudgetUntil.IsZero() || late <= 0 || budget <= d.maxCallTime-late
+}
--- a/internal/transport/endpoint_watcher.go
+++ b/internal/transport/endpoint_watcher.go
@@ -1,7 +1,6 @@
 package transport
 
 import (
-	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -14,7 +13,6 @@
 	"strconv"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"olivebridge/internal/protocol"
@@ -22,69 +20,85 @@
 )
 
 const (
-	// watchWait is how long discovery may hold a call. A call that has fallen
-	// silent tells nothing until then, and what it should have told counts as
-	// told 2 s after that, so it stays short.
+	// defaultPollWait is how long discovery may hold a request. One that has fallen silent tells nothing until then, and
+	// what it should have told counts as told 2 s after that, so it stays short.
 	defaultPollWait = 800 * time.Millisecond
-	// watchEach is how often all nodes together may call: discovery serves them in turn, and has
-	// been seen to need 0.35 s for each call and to refuse what is more.
+	// pollWaitPerNode is how often all nodes together may send a request: discovery serves them in turn, and has been seen
+	// to need 0.35 s for each and to refuse what is more.
 	pollWaitPerNode = 400 * time.Millisecond
-	// watchMost is the longest hold, however many nodes there are.
+	// maxPollWait is the longest hold, however many nodes there are.
 	maxPollWait = 2400 * time.Millisecond
-	// watchLate is how much later an answer may come before another call goes out beside it,
-	// and after how long a refused one is made again, the first time.
+	// pollLateAfter is how much later an answer may come before another request is sent beside it, and after how long a
+	// refused one is repeated, the first time.
 	pollLateAfter = 200 * time.Millisecond
-	// watchPause is the longest pause once a call was refused: pauses double up to this, and go on in the next watch. Many
-	// nodes would keep discovery crowded with shorter ones; five of these fit into the time in which a change is due.
+	// maxPollBackoff is the longest pause once a request was refused: pauses double up to this, and go on in the next
+	// watch. Many nodes would keep discovery crowded with shorter ones; five of these fit into the time in which a change
+	// is due.
 	maxPollBackoff = 850 * time.Millisecond
-	// watchBeside is how long a call that must not wait may take before yet another goes out.
+	// parallelPollAfter is how long a request that is not held may take before yet another is sent.
 	parallelPollAfter = 450 * time.Millisecond
-	// watchTurn is how long a call may take once discovery has refused one before another goes out beside it. It has
-	// more calls than it can serve, and takes them in turn: it has been seen to let one wait for 2 s, and to refuse that
-	// one along with the next that its node sends meanwhile, so that no node that asks often is ever served.
+	// refusedPollAfter is how long a request may take once discovery has refused one before another is sent beside it.
+	// It has more requests than it can serve, and takes them in turn: it has been seen to let one wait for 2 s, and to
+	// refuse that one along with the next that its node sends meanwhile, so that a node that polls often is never served.
 	refusedPollAfter = 2200 * time.Millisecond
-	// watchSlack is how much later than its wait the end of an answer may come. Others go out beside the call long
-	// before; it is for answers that trickle, and leaves more than half of the time in which a change is due.
+	// pollReadTimeout is how much later than its hold the end of an answer may come. Others are sent beside the request
+	// long before; it is for answers that trickle, and leaves more than half of the time in which a change is due.
 	pollReadTimeout = 2400 * time.Millisecond
-	// watchAgain is how many calls may follow one that brings nothing before the watch ends. One that discovery has refused
-	// a call of is begun again behind the pause that was due.
+	// maxExtraPolls is how many requests may follow one that brings nothing before the watch ends. One of which discovery
+	// has refused a request is started again after the backoff that was due.
 	maxExtraPolls = 12
-	// WatchCalls is how many calls a watch has in hand at most, each on a connection of its own.
-	MaxWatchRequests = 1 + maxExtraPolls
-	// watchSpread is the pause before a broken call is made once more, from the second in a row on; it doubles up
-	// to watchLate. Calls that all break in one moment of trouble would end the watch, and what discovery tells
+	// minPollRetryPause is the pause before a broken request is repeated, from the second in a row on; it doubles up to
+	// pollLateAfter. Requests that all break in one moment of a fault would end the watch, and what discovery tells
 	// meanwhile counts as told.
 	minPollRetryPause = 25 * time.Millisecond
-	// maxList bounds a list's bytes.
+	// watchConnectTimeout is how long a connection to discovery may take to come up.
+	watchConnectTimeout = time.Second
+	// maxListBytes bounds the bytes of an endpoint list.
 	maxListBytes = 8 << 20
 )
 
-// watchConnect is how long a connection to discovery may take to come up.
-const watchConnectTimeout = time.Second
+// MaxWatchRequests is how many requests a watch has in flight at most, each on a connection of its own.
+const MaxWatchRequests = 1 + maxExtraPolls
 
-// Watch follows the upstream group at discovery. One Watch call runs at a time.
+// EndpointWatcher follows the endpoint list at the discovery service by long polls. It implements routing.Watcher. One
+// Watch runs at a time.
 type EndpointWatcher struct {
-	addr              string
-	names             protocol.Names
-	client            *http.Client        // for one call at a time
-	newParallelClient func() *http.Client // for each one beside it, which has its connection to itself
-	version           int64               // of the list held; -1: none
-	wait              time.Duration
-	lateAfter         time.Duration
-	parallelAfter     time.Duration
-	refusedAfter      time.Duration
-	readTimeout       time.Duration
-	maxExtra          int           // calls that may follow one that brings nothing
-	backoff           time.Duration // before the next call, where discovery has refused one since it last told a list; 0: it has not
-	rng               rand.PCG      // draws pauses, each node's its own
-
-	calls     sync.WaitGroup // in hand
-	lastBytes atomic.Int64   // when bytes of an answer last came, in Unix nanoseconds
+	addr  string
+	names protocol.Names
+	// version is that of the list held; -1: none is.
+	version int64
+
+	// client sends one request at a time, on a kept connection.
+	client *http.Client
+	// newParallelClient makes a client for a request beside that one, which has its connection to itself.
+	newParallelClient func() *http.Client
+
+	// The times of polls; see the constants.
+
+	wait          time.Duration
+	lateAfter     time.Duration
+	parallelAfter time.Duration
+	refusedAfter  time.Duration
+	readTimeout   time.Duration
+	// maxExtra is how many requests may follow one that brings nothing.
+	maxExtra int
+
+	// backoff is the pause before the next request, where discovery has refused one since it last told a list; 0: it has
+	// not.
+	backoff time.Duration
+	// rng draws the jitter of pauses, each node's its own.
+	rng rand.PCG
+
+	// requests waits for those in flight.
+	requests sync.WaitGroup
+	// lastBytes is when bytes of an answer last came, in Unix nanoseconds.
+	lastBytes atomic.Int64
 }
 
-// NewWatch makes a watch that goes on from a known version, or from none if
-// that is negative. A nil dialer dials TCP.
-func NewEndpointWatcher(addr string, names protocol.Names, version int64, dial Dialer, log *slog.Logger) *EndpointWatcher {
+// NewEndpointWatcher makes a watcher that goes on from a known version, or from none if that is negative. A nil dialer
+// dials TCP.
+func NewEndpointWatcher(addr string, names protocol.Names, version int64, dial Dialer,
+	log *slog.Logger) *EndpointWatcher {
 	connect := func(ctx context.Context, _, addr string) (net.Conn, error) {
 		ctx, stop := context.WithTimeout(ctx, watchConnectTimeout)
 		defer stop()
@@ -94,42 +108,46 @@
 		}
 		return &upstreamConn{Conn: conn, log: newConnLog(log, "discovery", addr, func() {})}, nil
 	}
-	// http.Transport may give a connection that falls idle, or one that comes up, to a call that is being given up
-	client := func(once bool) *http.Client {
+	// http.Transport may give a connection that falls idle, or one that comes up, to a request that is being given up.
+	newClient := func(once bool) *http.Client {
 		return &http.Client{
 			Transport:     &http.Transport{DialContext: connect, DisableCompression: true, DisableKeepAlives: once},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		}
 	}
-	return &EndpointWatcher{addr: addr, names: names, client: client(false), version: version,
-		newParallelClient: func() *http.Client { return client(true) },
-		wait:              defaultPollWait, lateAfter: pollLateAfter, parallelAfter: parallelPollAfter, refusedAfter: refusedPollAfter, readTimeout: pollReadTimeout, maxExtra: maxExtraPolls}
+	return &EndpointWatcher{
+		addr:              addr,
+		names:             names,
+		version:           version,
+		client:            newClient(false),
+		newParallelClient: func() *http.Client { return newClient(true) },
+		wait:              defaultPollWait,
+		lateAfter:         pollLateAfter,
+		parallelAfter:     parallelPollAfter,
+		refusedAfter:      refusedPollAfter,
+		readTimeout:       pollReadTimeout,
+		maxExtra:          maxExtraPolls,
+	}
 }
 
-// Among sets how long discovery may hold a call by how many nodes ask it, and returns the watch. The seed, another
-// one at each of them, keeps their pauses apart.
+// ForFleetSize sets how long discovery may hold a request by how many nodes poll it, and returns the watcher. The seed,
+// another one at each of them, keeps their pauses apart.
 func (w *EndpointWatcher) ForFleetSize(nodes int, seed uint64) *EndpointWatcher {
 	w.wait = min(time.Duration(max(nodes, 1))*pollWaitPerNode, maxPollWait)
 	w.rng.Seed(seed, 0)
 	return w
 }
 
-// errOlder is a list that was asked for what is newer than it.
-var errOlderVersion = errors.New("older than the one held")
-
-// errSilent ends a watch none of whose calls has brought anything yet.
-var errNoAnswer = errors.New("upstream group: no answer")
-
-// Watch implements routing.Watcher: each answer is followed at once by the next
-// question. One that no call brought an answer to ends the watch, and its
-// connections with it.
-func (w *EndpointWatcher) Watch(ctx context.Context, told func(routing.Group)) error {
+// Watch implements routing.Watcher: each answer is followed at once by the next poll. It calls onList from its own
+// goroutine. It returns an error once no request of a poll has brought a list, and closes its connections then.
+func (w *EndpointWatcher) Watch(ctx context.Context, onList func(routing.Group)) error {
 	defer func() {
-		w.calls.Wait()                  // http.Transport goes on dialing for a call that has not noticed its end
-		w.client.CloseIdleConnections() // and what is still dialed, for a call that was given up
+		w.requests.Wait()               // http.Transport goes on dialing for a request that has not noticed its end
+		w.client.CloseIdleConnections() // and what is still dialed, for a request that was given up
 	}()
-	for hold := min(w.wait, defaultPollWait); ; hold = w.wait { // news may be due by the first
-		g, version, err := w.poll(ctx, hold)
+	hold := min(w.wait, defaultPollWait) // a change may be due by the first
+	for {
+		group, version, err := w.poll(ctx, hold)
 		if !errors.Is(err, routing.ErrRefused) {
 			w.backoff = 0 // a list has come, or the decisions pause
 		}
@@ -137,116 +155,28 @@
 			return err
 		}
 		w.version = version
-		told(g)
+		onList(group)
+		hold = w.wait
 	}
 }
 
-// outcome is what one call to discovery brought: an answer's bytes, or an error.
+// jitter spreads d over three quarters to five quarters of itself.
+func (w *EndpointWatcher) jitter(d time.Duration) time.Duration {
+	lowest := d * 3 / 4
+	spread := uint64(d/2 + 1)
+	return lowest + time.Duration(w.rng.Uint64()%spread)
+}
+
+// pollResult is what one request to discovery brought.
 type pollResult struct {
 	since int64 // the version it asked from
 	data  []byte
 	err   error
 }
 
-// ask puts one question to discovery, in as many calls as it takes: what it
-// should have told counts as told. A call that broke is made again at once, on
-// a new connection; one that discovery refused, which may have too many in
-// hand, after a pause. One that is late gets others beside it, which need not
-// wait, since a connection fallen silent never tells. Once discovery has refused one, its pauses are those
-// behind all that bring nothing, and the only ones. The first good answer counts,
-// but none of an older version: whether discovery has gone back, or that answer
-// alone is stale, its whole list tells. After trouble no call is held for long.
-func (w *EndpointWatcher) poll(ctx context.Context, hold time.Duration) (g routing.Group, version int64, err error) {
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
-	came := make(chan pollResult, w.maxExtra+1)
-	first := w.jitter(w.backoff)
-	next := time.NewTimer(first)
-	defer next.Stop()
-	begun, out, since, broke := 0, 0, w.version, time.Duration(0) // broke: the next pause after a call that broke
-	due := time.Now().Add(first)                                  // the next call
-	var refusal error
-	plan := func(in time.Duration) {
-		due = time.Now().Add(in)
-		next.Reset(in)
-	}
-	err = errNoAnswer
-	for {
-		select {
-		case <-ctx.Done():
-			return g, version, ctx.Err()
-		case <-next.C:
-			if begun > w.maxExtra && time.Since(time.Unix(0, w.lastBytes.Load())) > w.parallelAfter {
-				return g, version, cmp.Or(refusal, err) // silence may last, and what is news by now is due soon
-			}
-			if begun > w.maxExtra { // an answer is coming
-				plan(w.parallelAfter)
-				continue
-			}
-			client, wait, late := w.client, hold, hold+w.lateAfter
-			if out > 0 {
-				client, wait, late = w.newParallelClient(), 0, w.parallelAfter
-			}
-			begun, out = begun+1, out+1
-			if w.backoff > 0 && (begun <= w.maxExtra || refusal != nil) { // else the decisions' pause follows the last one
-				late = max(late, w.refusedAfter)
-			}
-			plan(late)
-			w.calls.Go(func() { came <- w.pollOnce(ctx, client, since, wait) })
-		case o := <-came:
-			out--
-			g, version, err = w.parseList(o)
-			if errors.Is(err, errOlderVersion) {
-				since = -1
-			}
-			hold = min(hold, defaultPollWait)
-			if err == nil || errors.Is(err, syscall.ECONNREFUSED) {
-				return g, version, err
-			}
-			refused := errors.Is(err, routing.ErrRefused)
-			if refused {
-				refusal, w.backoff = err, max(w.backoff, w.lateAfter)
-			}
-			if begun > w.maxExtra && out == 0 {
-				return g, version, cmp.Or(refusal, err)
-			}
-			pause, most := &broke, w.lateAfter // a call may get through trouble that breaks most of them
-			if w.backoff > 0 {
-				pause, most = &w.backoff, maxPollBackoff
-			}
-			in := w.jitter(*pause)
-			switch {
-			case begun > w.maxExtra:
-			case refused && out > 0: // the one in hand may have its turn
-				plan(w.refusedAfter)
-			case out == 0 || in < time.Until(due):
-				plan(in)
-			}
-			*pause = min(max(2**pause, minPollRetryPause), most)
-		}
-	}
-}
-
-// list reads what a call brought.
-func (w *EndpointWatcher) parseList(o pollResult) (g routing.Group, version int64, err error) {
-	if o.err != nil {
-		return g, 0, o.err
-	}
-	g, version, err = w.names.ParseGroup(o.data)
-	g.At, g.Version = time.Now(), version
-	if err == nil && version < o.since {
-		err = fmt.Errorf("upstream group: %w: version %d after %d", errOlderVersion, version, o.since)
-	}
-	return g, version, err
-}
-
-// jitter spreads d over three quarters to five quarters of itself.
-func (w *EndpointWatcher) jitter(d time.Duration) time.Duration {
-	return d*3/4 + time.Duration(w.rng.Uint64()%uint64(d/2+1))
-}
-
-// call asks once: for what is newer than the version held, or for the whole list.
-func (w *EndpointWatcher) pollOnce(ctx context.Context, client *http.Client, since int64, wait time.Duration) pollResult {
+// pollOnce sends one request: for what is newer than a version, or for the complete list.
+func (w *EndpointWatcher) pollOnce(ctx context.Context, client *http.Client, since int64,
+	wait time.Duration) pollResult {
 	if client != w.client {
 		defer client.CloseIdleConnections()
 	}
@@ -257,12 +187,15 @@
 	return pollResult{since, data, err}
 }
 
-func (w *EndpointWatcher) fetch(ctx context.Context, client *http.Client, since int64, wait time.Duration) ([]byte, error) {
+// fetch sends one request and reads the bytes of its answer.
+func (w *EndpointWatcher) fetch(ctx context.Context, client *http.Client, since int64,
+	wait time.Duration) ([]byte, error) {
 	ctx, stop := context.WithTimeout(ctx, wait+w.readTimeout)
 	defer stop()
 	u := url.URL{Scheme: "http", Host: w.addr, Path: protocol.PathGroup}
 	if since >= 0 {
-		u.RawQuery = "after=" + strconv.FormatInt(since, 10) + "&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
+		u.RawQuery = "after=" + strconv.FormatInt(since, 10) +
+			"&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
 	if err != nil {
@@ -272,11 +205,11 @@
 	if err != nil {
 		return nil, err
 	}
-	defer resp.Body.Close()
-	body := timestampReader{resp.Body, &w.lastBytes}
+	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("%w: status %d", routing.ErrRefused, resp.StatusCode)
 	}
+	body := timestampReader{resp.Body, &w.lastBytes}
 	data, err := io.ReadAll(io.LimitReader(body, maxListBytes+1))
 	if err == nil && len(data) > maxListBytes {
 		err = fmt.Errorf("a list longer than %d bytes", maxListBytes)
@@ -284,16 +217,17 @@
 	return data, err
 }
 
-// noting notes when something is read.
+// timestampReader notes when something is read.
 type timestampReader struct {
 	io.Reader
-	at *atomic.Int64
+	at *atomic.Int64 // in Unix nanoseconds
 }
 
-func (n timestampReader) Read(b []byte) (int, error) {
-	got, err := n.Reader.Read(b)
-	if got > 0 {
-		n.at.Store(time.Now().UnixNano())
+// Read implements io.Reader.
+func (r timestampReader) Read(b []byte) (int, error) {
+	n, err := r.Reader.Read(b)
+	if n > 0 {
+		r.at.Store(time.Now().UnixNano())
 	}
-	return got, err
+	return n, err
 }
--- a/internal/transport/errorpaths_test.go
+++ b/internal/transport/errorpaths_test.go
@@ -122,7 +122,7 @@
 		}
 		rest, got, err := r.Reply.(*response).stream, 0, error(nil)
 		rest.waited = streamStallTimeout - 50*time.Millisecond // as after a long wait
-		for b, n := make([]byte, streamBuffer), 0; err == nil; time.Sleep(c.pause) {
+		for b, n := make([]byte, streamBufferSize), 0; err == nil; time.Sleep(c.pause) {
 			n, err = rest.Read(b)
 			got += n
 		}
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -7,56 +7,60 @@
 	"time"
 )
 
-// HandOver ends a front whose clients another process of the node goes on with,
-// on the same listener. It accepts nothing more, gives away each connection on
-// which no byte of a request was read, and ends the others with their answer:
-// no client finds its connection refused, reset or unread. A connection that
-// cannot be given is closed as at any planned end.
-func (f *Frontend) HandOver(longest time.Duration, give func(syscall.Conn) error) {
+// HandOver shuts the frontend down while another process of the node takes its clients over, on the same listener. It
+// accepts nothing more, hands off each connection on which no byte of a request was read, and closes the others with
+// their response: no client finds its connection refused, reset or unread. A connection that handOff cannot send is closed
+// as at any graceful shutdown. Calls may take maxCallTime.
+func (f *Frontend) HandOver(maxCallTime time.Duration, handOff func(syscall.Conn) error) {
 	f.drain.beginShutdown(true)
-	f.drain.setCallTime(longest)
-	ctx, most, stop := f.shutdownContexts(longest)
+	f.drain.setCallTime(maxCallTime)
+	calls, streams, stop := f.shutdownContexts(maxCallTime)
 	defer stop()
-	f.clients.Close()
+	_ = f.clients.Close()
 	select {
 	case <-f.serveEnded: // what was accepted last counts as open by now
-	case <-ctx.Done():
+	case <-calls.Done():
 	}
-	f.clients.startHandOff(give)
-	if left := f.clients.waitDrained(ctx, most); left > 0 && f.aborted.Err() == nil {
-		f.log.Warn("client connections were open at the end", "left", left)
-	}
-	f.server.Close()
+	f.clients.startHandOff(handOff)
+	f.awaitDrained(calls, streams)
 }
 
-// giveAway has what carries nothing given to another process from now on.
-func (c *clientConns) startHandOff(give func(syscall.Conn) error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.draining, c.handOff = true, give
-	c.shortenLingering()
-	c.closeIdle()
+// startHandOff has idle connections handed off from now on, in place of being closed.
+func (cs *clientConns) startHandOff(handOff func(syscall.Conn) error) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.draining = true
+	cs.handOff = handOff
+	cs.shortenLingering()
+	cs.closeIdle()
 }
 
-// handOn gives a connection whose end is decided to another process.
-func (k *clientConn) handOffTo(give func(syscall.Conn) error) {
-	s, ok := k.Conn.(*tcpConn)
-	if !ok || give(s.TCPConn) != nil {
+// handOffTo hands off a connection whose close is decided.
+func (c *clientConn) handOffTo(handOff func(syscall.Conn) error) {
+	tcp, ok := c.Conn.(*tcpConn)
+	if !ok || handOff(tcp.TCPConn) != nil {
 		return
 	}
-	k.log.setReason("handed-over")
+	c.log.setReason(reasonHandedOver)
 }
 
-// Adopt goes on with a client connection of another process.
+// Adopt takes over a client connection that another process of the node has handed off. It closes the connection if the
+// frontend has shut down.
 func (f *Frontend) Adopt(conn net.Conn) {
 	select {
 	case f.adopted.conns <- conn:
 	case <-f.adopted.closed:
-		conn.Close()
+		_ = conn.Close()
 	}
 }
 
-// adopted is a listener of connections that were accepted elsewhere.
+// ServeAdopted serves what Adopt brings until the frontend shuts down.
+func (f *Frontend) ServeAdopted() error {
+	_ = f.server.Serve(f.adopted)
+	return nil
+}
+
+// adoptedListener is a listener of connections that were accepted by another process.
 type adoptedListener struct {
 	clients *clientConns
 	conns   chan net.Conn
@@ -65,30 +69,24 @@
 }
 
 // Accept implements net.Listener.
-func (a *adoptedListener) Accept() (net.Conn, error) {
+func (l *adoptedListener) Accept() (net.Conn, error) {
 	for {
 		select {
-		case conn := <-a.conns:
-			if k, err := a.clients.add(conn); err == nil {
-				return k, nil
+		case conn := <-l.conns:
+			if c, err := l.clients.add(conn); err == nil {
+				return c, nil
 			}
-		case <-a.closed:
+		case <-l.closed:
 			return nil, net.ErrClosed
 		}
 	}
 }
 
 // Close implements net.Listener.
-func (a *adoptedListener) Close() error {
-	a.once.Do(func() { close(a.closed) })
+func (l *adoptedListener) Close() error {
+	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (a *adoptedListener) Addr() net.Addr { return a.clients.Addr() }
-
-// ServeAdopted serves what Adopt brings until the front ends.
-func (f *Frontend) ServeAdopted() error {
-	f.server.Serve(f.adopted)
-	return nil
-}
+func (l *adoptedListener) Addr() net.Addr { return l.clients.Addr() }
--- a/internal/transport/idempotency.go
+++ b/internal/transport/idempotency.go
@@ -13,151 +13,170 @@
 	"olivebridge/internal/routing"
 )
 
-// Header fields of kept calls. The first is the one of the IETF's draft on idempotency keys; the second tells a client how its
-// work stands where there is no outcome to give.
 const (
+	// headerIdempotencyKey is that of the IETF's draft on idempotency keys.
 	headerIdempotencyKey = "Idempotency-Key"
-	headerWorkState      = "Work-State"
+	// headerWorkState tells a client how its call stands where there is no response to give.
+	headerWorkState = "Work-State"
 )
 
-// mostKey bounds a client's key, mostKept the body of an outcome that is kept.
 const (
-	maxKeyLen     = 255
+	// maxKeyLen bounds a client's key, in bytes.
+	maxKeyLen = 255
+	// maxStoredBody bounds the body of a response that is stored, in bytes.
 	maxStoredBody = 16 << 10
+	// fingerprintSize is how many bytes of a request's hash are its fingerprint.
+	fingerprintSize = 16
+	// storeRetryAfter is when to ask again for a call that runs elsewhere.
+	storeRetryAfter = 100 * time.Millisecond
 )
 
-// comeBack is when to ask again for work that runs elsewhere.
-const storeRetryAfter = 100 * time.Millisecond
-
-// Keeper keeps calls beyond the loss of this node: each is let out at most once, whichever nodes it is asked of.
+// IdempotencyStore records calls beyond the loss of this node: each is run at most once, whichever nodes it is sent to. It
+// is called from the goroutines of client connections.
 type IdempotencyStore interface {
-	// Keeps reports whether calls of a class are kept, where their clients name them.
+	// Covers reports whether calls of a class are recorded, where their clients give them a key.
 	Covers(class int) bool
-	// Begin asks whether this node may let a call out. It returns at once where nobody can say.
-	Begin(ctx context.Context, w KeyedCall) CallClaim
+	// Begin asks whether this node may run a call. It returns at once where nobody can say.
+	Begin(ctx context.Context, call KeyedCall) CallClaim
 }
 
-// Work is a call that its client has named.
+// KeyedCall is a call to which its client has given an idempotency key.
 type KeyedCall struct {
-	Key         string // its client's, and whose it is
-	Fingerprint string // of the request; another one under the same key is refused
-	Class       int
+	// Key is the caller's name and its key.
+	Key string
+	// Fingerprint is that of the request; another request under the same key is rejected.
+	Fingerprint string
+	// Class is the index of the call's class.
+	Class int
 }
 
-// KeptState says how a call stands.
+// CallState says how a keyed call stands.
 type CallState uint8
 
-// The states.
 const (
-	CallGranted          CallState = iota // it may be let out here, and nowhere else
-	CallRunning                           // another has it in hand
-	CallAnswered                          // it has run; Outcome is what came of it
-	CallOutcomeUnknown                    // it may have run, and is never let out again
-	CallKeyConflict                       // the key is another request's
-	CallStoreUnavailable                  // nobody can say: it was not let out
-	CallNotRun                            // for End: it surely has not run
+	// CallGranted: it may be run here, and nowhere else.
+	CallGranted CallState = iota
+	// CallRunning: it runs elsewhere.
+	CallRunning
+	// CallAnswered: it has run; the claim's Response is its response.
+	CallAnswered
+	// CallOutcomeUnknown: it may have run, and is never run again.
+	CallOutcomeUnknown
+	// CallKeyConflict: the key is another request's.
+	CallKeyConflict
+	// CallStoreUnavailable: nobody can say, and it was not run.
+	CallStoreUnavailable
+	// CallNotRun: it surely has not run. For Finish only.
+	CallNotRun
 )
 
-// Outcome is a kept answer.
+// StoredResponse is the response to a keyed call as the store records it.
 type StoredResponse struct {
-	Status    int
-	Header    http.Header
-	Body      []byte
-	Truncated bool // its body was too long to be kept
+	Status int
+	Header http.Header
+	Body   []byte
+	// Truncated: the body was too long to be stored, and Body is empty.
+	Truncated bool
 }
 
-// Kept is what a Keeper says.
+// CallClaim is what a store says of a call.
 type CallClaim struct {
-	State    CallState
+	State CallState
+	// Response is that of an answered call; nil: it is not known.
 	Response *StoredResponse
-	// End is to be called once with what became of a call that is this node's: before its client is told.
-	Finish func(s CallState, o *StoredResponse)
+	// Finish is to be called once with what became of a granted call, before its client is answered.
+	Finish func(s CallState, r *StoredResponse)
 }
 
-// keptAs is the work that a request is; false: it is not kept. An error deserves a 4xx.
-func (f *Frontend) keyedCall(r *http.Request, call routing.Call, target string) (w KeyedCall, kept bool, err error) {
+// keyedCall reads the idempotency key of a request; nil: it is not recorded. An error deserves a 400.
+func (f *Frontend) keyedCall(r *http.Request, call routing.Call, target string) (*KeyedCall, error) {
 	if f.idempotency == nil || !f.idempotency.Covers(call.Class) {
-		return w, false, nil
+		return nil, nil
 	}
 	values := r.Header[headerIdempotencyKey]
 	if len(values) == 0 {
-		return w, false, nil
+		return nil, nil
 	}
-	key := strings.Trim(values[0], `"`) // a string of the draft's; a bare word is taken, too
+	key := strings.Trim(values[0], `"`) // the draft's is a quoted string; a bare word is taken, too
+	m := call.Payload.(*requestMessage)
 	switch {
 	case len(values) > 1:
-		return w, false, errors.New(headerIdempotencyKey + ": given more than once")
-	case key == "" || len(key) > maxKeyLen || strings.ContainsFunc(key, func(c rune) bool { return c < ' ' || c > '~' }):
-		return w, false, errors.New(headerIdempotencyKey + ": not 1 to 255 printable characters")
-	}
-	m := call.Payload.(*requestMessage)
-	if m.upload != nil {
-		return w, false, errors.New(headerIdempotencyKey + ": the body is too long to be kept")
+		return nil, errors.New(headerIdempotencyKey + ": given more than once")
+	case key == "" || len(key) > maxKeyLen || strings.ContainsFunc(key, notPrintable):
+		return nil, errors.New(headerIdempotencyKey + ": not 1 to 255 printable characters")
+	case m.upload != nil:
+		return nil, errors.New(headerIdempotencyKey + ": the body is too long to be kept")
 	}
+	caller := r.Header.Get(protocol.HeaderCaller)
+	return &KeyedCall{Key: caller + " " + key, Fingerprint: fingerprint(r, target, m.body), Class: call.Class}, nil
+}
+
+// notPrintable reports whether a character is none of printable ASCII.
+func notPrintable(c rune) bool { return c < ' ' || c > '~' }
+
+// fingerprint is a hash of what makes two requests the same one.
+func fingerprint(r *http.Request, target string, body []byte) string {
 	h := sha256.New()
-	for _, part := range []string{r.Method, target, r.Header.Get(protocol.HeaderClass), r.Header.Get(protocol.HeaderCaller)} {
+	parts := []string{r.Method, target, r.Header.Get(protocol.HeaderClass), r.Header.Get(protocol.HeaderCaller)}
+	for _, part := range parts {
 		h.Write([]byte(part))
 		h.Write([]byte{0})
 	}
-	h.Write(m.body)
-	return KeyedCall{Key: r.Header.Get(protocol.HeaderCaller) + " " + key, Fingerprint: fmt.Sprintf("%x", h.Sum(nil)[:16]), Class: call.Class}, true, nil
+	h.Write(body)
+	return fmt.Sprintf("%x", h.Sum(nil)[:fingerprintSize])
 }
 
-// takeKept takes a call that is kept: it goes on also if its client goes, who may ask any node for what came of it.
-func (f *Frontend) handleKeyed(w http.ResponseWriter, r *http.Request, k *clientConn, call routing.Call, work KeyedCall) {
+// handleKeyed has a keyed call handled. It goes on also if its client leaves, who may ask any node for its response.
+func (f *Frontend) handleKeyed(w http.ResponseWriter, r *http.Request, c *clientConn, call routing.Call,
+	keyed KeyedCall) {
 	m := call.Payload.(*requestMessage)
-	kept := f.idempotency.Begin(r.Context(), work)
-	if kept.State != CallGranted {
+	claim := f.idempotency.Begin(r.Context(), keyed)
+	if claim.State != CallGranted {
 		m.release()
-		f.writeStoredAnswer(w, k, kept)
+		f.writeClaim(w, c, claim)
 		return
 	}
-	m.client = nil // nobody's going ends it
-	a, ok := f.handler.Take(context.WithoutCancel(r.Context()), call)
-	if !ok {
-		a = routing.Answer{Verdict: routing.Failed}
-	}
-	kept.Finish(callOutcome(a))
+	m.client = nil // nobody's leaving ends it
+	a := f.handle(context.WithoutCancel(r.Context()), call)
+	claim.Finish(callOutcome(a))
 	m.release()
-	f.writeAnswer(w, k, a)
+	f.writeAnswer(w, c, a)
 }
 
-// ended is what an answer says of its call.
+// callOutcome is what an answer says of its call.
 func callOutcome(a routing.Answer) (CallState, *StoredResponse) {
 	switch a.Verdict {
 	case routing.Served:
-		p := a.Reply.(*response)
-		o := &StoredResponse{Status: http.StatusOK, Header: http.Header{}, Truncated: p.stream != nil || len(p.body) > maxStoredBody}
-		for _, one := range p.fields {
-			o.Header.Add(one.name, one.value[0])
-		}
-		if !o.Truncated {
-			o.Body = append([]byte{}, p.body...)
-		}
-		return CallAnswered, o
+		return CallAnswered, storedResponse(a.Reply.(*response))
 	case routing.Reject, routing.Twice:
 		return CallNotRun, nil
 	}
 	return CallOutcomeUnknown, nil
 }
 
-// answerKept answers a call that was not let out here.
-func (f *Frontend) writeStoredAnswer(w http.ResponseWriter, k *clientConn, kept CallClaim) {
+// storedResponse is a response as the store records it.
+func storedResponse(p *response) *StoredResponse {
+	stored := &StoredResponse{
+		Status:    http.StatusOK,
+		Header:    http.Header{},
+		Truncated: p.stream != nil || len(p.body) > maxStoredBody,
+	}
+	for _, field := range p.fields {
+		stored.Header.Add(field.name, field.value[0])
+	}
+	if !stored.Truncated {
+		stored.Body = append([]byte{}, p.body...)
+	}
+	return stored
+}
+
+// writeClaim answers a call that was not run here.
+func (f *Frontend) writeClaim(w http.ResponseWriter, c *clientConn, claim CallClaim) {
 	h := w.Header()
-	f.closeIfDraining(w, k)
-	switch kept.State {
+	f.closeIfDraining(w, c)
+	switch claim.State {
 	case CallAnswered:
-		if o := kept.Response; o != nil && !o.Truncated {
-			for name, values := range o.Header {
-				h[name] = values
-			}
-			h.Set(headerWorkState, "kept")
-			w.WriteHeader(o.Status)
-			w.Write(o.Body) // an error here is the client's going; its connection's line tells
-			return
-		}
-		h.Set(headerWorkState, "answered")
-		w.WriteHeader(http.StatusBadGateway)
+		writeStoredResponse(w, claim.Response)
 	case CallRunning:
 		h.Set(headerWorkState, "running")
 		h.Set("Retry-After", protocol.FormatSeconds(storeRetryAfter))
@@ -172,3 +191,19 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
+
+// writeStoredResponse writes a stored response, or says that there was one which is not stored.
+func writeStoredResponse(w http.ResponseWriter, stored *StoredResponse) {
+	h := w.Header()
+	if stored == nil || stored.Truncated {
+		h.Set(headerWorkState, "answered")
+		w.WriteHeader(http.StatusBadGateway)
+		return
+	}
+	for name, values := range stored.Header {
+		h[name] = values
+	}
+	h.Set(headerWorkState, "kept")
+	w.WriteHeader(stored.Status)
+	_, _ = w.Write(stored.Body) // an error is the client's leaving, which the connection's log line tells
+}
--- a/internal/transport/linger.go
+++ b/internal/transport/linger.go
@@ -6,101 +6,112 @@
 	"time"
 )
 
-// How long a connection may linger, once its end is decided. A client on a slow way still gets to write the
-// longest body that is known, 60 MB, and then reads why it was refused.
+// How long a connection may linger once its close is decided. A client on a slow path still gets to write the longest
+// body that is known, 60 MB, and then reads why it was rejected.
 const (
-	lingerTimeout       = 5 * time.Second        // in all
-	lingerStallTimeout  = time.Second            // without a byte: whoever holds it open has had its answer
-	lingerDrainTimeout  = 300 * time.Millisecond // in all, while the node closes connections: it has to end in time
-	lingerUnreadTimeout = 250 * time.Millisecond // for an answer to arrive, where a request behind it stays unread
-	lingerPollInterval  = 10 * time.Millisecond  // between two looks meanwhile
-	maxLingerBytes      = 64 << 20               // that are read and dropped
+	// lingerTimeout bounds the whole lingering.
+	lingerTimeout = 5 * time.Second
+	// lingerStallTimeout bounds the time without a byte: who holds the connection open has had its response.
+	lingerStallTimeout = time.Second
+	// lingerDrainTimeout bounds the whole lingering while the node closes connections, since it has to end in time.
+	lingerDrainTimeout = 300 * time.Millisecond
+	// lingerUnreadTimeout is for a response to arrive where a request behind it stays unread.
+	lingerUnreadTimeout = 250 * time.Millisecond
+	// lingerPollInterval is between two looks meanwhile.
+	lingerPollInterval = 10 * time.Millisecond
+	// maxLingerBytes are read and discarded.
+	maxLingerBytes = 64 << 20
+	// lingerBufferSize is what is read of them at a time.
+	lingerBufferSize = 16 << 10
 )
 
-// linger keeps a connection whose end is decided for as long as its last answer needs to arrive. A close over
-// unread bytes is a reset, which takes an answer still under way with it, as do bytes that come after it.
+// linger keeps a connection whose close is decided for as long as its last response needs to arrive. A close over unread
+// bytes is a reset, which takes a response still under way with it, as do bytes that come after the close.
 //
-// What is left of a request that has its answer is read and dropped, behind the end of the sending, until the
-// client ends too. Bytes of a request behind a whole one are not read: their reset proves to its client that it
-// may send that request again; it only waits a moment.
-func (k *clientConn) linger() {
-	rest, until := k.startLingering()
+// What is left of a request that has its response is read and discarded, behind the end of the sending, until the client
+// closes, too. Bytes of a request behind a complete one are not read: their reset proves to the client that it may send
+// that request again; it only waits a moment.
+func (c *clientConn) linger() {
+	discard, until := c.startLingering()
 	switch {
 	case until.IsZero():
-	case rest:
-		k.discardUntilClosed()
+	case discard:
+		c.discardUntilClosed()
 	default:
-		for hasUnread(k.Conn) && time.Now().Before(until) {
+		for hasUnread(c.Conn) && time.Now().Before(until) {
 			time.Sleep(lingerPollInterval)
 		}
 	}
 }
 
-// lingers says until when the connection may linger, and whether for the rest of a request. Zero: not at all.
-// Nothing is owed where no answer was written, or the end is at hand; a second close ends the lingering.
-func (k *clientConn) startLingering() (rest bool, until time.Time) {
-	c := k.conns
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !k.responseWritten.Load() || k.lingering || c.aborted.Load() || c.drainEnded || !c.open[k] {
+// startLingering says until when the connection may linger, and whether to discard the rest of a request. The time is zero
+// where nothing is owed: no response was written, or the time of the shutdown is over. A second close ends the lingering.
+func (c *clientConn) startLingering() (discard bool, until time.Time) {
+	cs := c.conns
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	lingering := c.state.close == connLingering
+	if !c.responseWritten.Load() || lingering || cs.aborted.Load() || cs.drainEnded || !cs.open[c] {
 		return false, time.Time{}
 	}
-	rest = k.active && !k.whole
-	n, err := k.Peek()
-	if n == 0 && (!rest || !errors.Is(err, syscall.EAGAIN)) { // its client has ended, or nothing is unread
+	discard = c.state.request == readingRequest
+	n, err := c.Peek()
+	if n == 0 && (!discard || !errors.Is(err, syscall.EAGAIN)) { // its client has closed, or nothing is unread
 		return false, time.Time{}
 	}
-	k.gone, k.lingering = true, true
-	k.moveTo(&c.lingering)
-	most := lingerUnreadTimeout
-	if rest {
-		most = c.lingerTimeout()
+	c.state.startLingering()
+	c.moveTo(&cs.lingering)
+	timeout := lingerUnreadTimeout
+	if discard {
+		timeout = cs.lingerTimeout()
 	}
-	k.lingerUntil = time.Now().Add(most)
-	return rest, k.lingerUntil
+	c.lingerUntil = time.Now().Add(timeout)
+	return discard, c.lingerUntil
 }
 
-// lingerTime is how long the rest of a request is read at most. The lock is held.
-func (c *clientConns) lingerTimeout() time.Duration {
-	if c.draining {
+// lingerTimeout is how long the rest of a request is discarded at most. The lock is held.
+func (cs *clientConns) lingerTimeout() time.Duration {
+	if cs.draining {
 		return lingerDrainTimeout
 	}
 	return lingerTimeout
 }
 
-// hurryLingering lets what lingers end as it must while the node closes connections. The lock is held.
-func (c *clientConns) shortenLingering() {
-	for e := c.lingering.Front(); e != nil; e = e.Next() {
-		k := e.Value.(*clientConn)
-		if soon := time.Now().Add(lingerDrainTimeout); soon.Before(k.lingerUntil) {
-			k.lingerUntil = soon
-			k.Conn.SetReadDeadline(soon)
+// shortenLingering has lingering connections end as they must while the node closes connections. The lock is held.
+func (cs *clientConns) shortenLingering() {
+	for e := cs.lingering.Front(); e != nil; e = e.Next() {
+		c := e.Value.(*clientConn)
+		until := time.Now().Add(lingerDrainTimeout)
+		if until.Before(c.lingerUntil) {
+			c.lingerUntil = until
+			_ = c.Conn.SetReadDeadline(until)
 		}
 	}
 }
 
-// drop ends the sending, and reads and drops what comes.
-func (k *clientConn) discardUntilClosed() {
-	if k.Conn.CloseWrite() != nil {
+// discardUntilClosed ends the sending, and reads and discards what comes.
+func (c *clientConn) discardUntilClosed() {
+	if c.Conn.CloseWrite() != nil {
 		return
 	}
-	buf := make([]byte, 16<<10)
-	for left := maxLingerBytes; left > 0 && k.extendDiscardDeadline(); {
-		n, err := k.Conn.Read(buf[:min(left, len(buf))])
-		if left -= n; err != nil {
+	buf := make([]byte, lingerBufferSize)
+	for left := maxLingerBytes; left > 0 && c.extendDiscardDeadline(); {
+		n, err := c.Conn.Read(buf[:min(left, len(buf))])
+		left -= n
+		if err != nil {
 			return
 		}
 	}
 }
 
-// waits lets the next read of drop's wait, and reports whether there is time for one.
-func (k *clientConn) extendDiscardDeadline() bool {
-	k.conns.mu.Lock()
-	defer k.conns.mu.Unlock()
+// extendDiscardDeadline gives the next read of discardUntilClosed its time, and reports whether there is any left.
+func (c *clientConn) extendDiscardDeadline() bool {
+	c.conns.mu.Lock()
+	defer c.conns.mu.Unlock()
 	now := time.Now()
-	end := now.Add(lingerStallTimeout)
-	if k.lingerUntil.Before(end) {
-		end = k.lingerUntil
+	deadline := now.Add(lingerStallTimeout)
+	if c.lingerUntil.Before(deadline) {
+		deadline = c.lingerUntil
 	}
-	return now.Before(end) && k.Conn.SetReadDeadline(end) == nil
+	return now.Before(deadline) && c.Conn.SetReadDeadline(deadline) == nil
 }
--- a/internal/transport/request_framing.go
+++ b/internal/transport/request_framing.go
@@ -6,90 +6,116 @@
 	"strings"
 )
 
-// framing follows the requests on a client connection, in the raw bytes. Where
-// Transfer-Encoding stands beside Content-Length, net/http takes the latter out
-// and goes by the former; whoever goes by the latter finds another request in
-// the body. A handler cannot see that: only the bytes tell.
+// maxLengthDigits is above what net/http takes for a length.
+const maxLengthDigits = 20
+
+// requestFraming follows the requests on a client connection, in the raw bytes. Where Transfer-Encoding stands beside
+// Content-Length, net/http takes the latter out and goes by the former; whoever goes by the latter finds another request in
+// the body. A handler cannot see that: only the bytes tell. Requests are counted from 1.
 type requestFraming struct {
-	line                [len("transfer-encoding:")]byte // how the current line begins, in lower case
-	lineLen             int                             // bytes of it; at its length the rest does not matter
-	inValue             bool                            // of a length
-	digits              []byte
-	hasContentLength    bool  // the head has a Content-Length
-	hasTransferEncoding bool  // the head has a Transfer-Encoding
-	bodyLeft            int64 // bytes of a body, or of a chunk, still to come
-	chunked             bool  // the last begun has a body in chunks
-	inBody              bool  // which has not ended yet
-	chunkEndDue         bool  // the line that ends a chunk is due, or the body
-	lastChunk           bool  // the last chunk has come
-	started             int   // requests of which a byte has come, the last of which is followed
-	inHead              bool  // its head has not ended yet
-	stopped             bool  // nothing further is followed, nor served: the connection ends with the last begun
-	ambiguous           bool  // its head had both, or two lengths, or a folded line, which can hide one
-	afterCR             bool  // the last byte was a carriage return
-	firstBareLF         int   // the first request of whose head a line ended without one: whoever minds reads another head; 0: none
+	// started counts the requests of which a byte has come. The last one is followed.
+	started int
+	// stopped: nothing further is followed, nor served: the connection ends with the last one started.
+	stopped bool
+	// ambiguous: the head of the last one has a Content-Length and a Transfer-Encoding, or two lengths, or a folded line,
+	// which can hide one.
+	ambiguous bool
+	// firstBareLF is the first request of whose head a line ended without a carriage return: some servers read another
+	// head then; 0: none.
+	firstBareLF int
+
+	// line is how the current line begins, in lower case.
+	line [len("transfer-encoding:")]byte
+	// lineLen is how many bytes of it have come; at its length the rest does not matter.
+	lineLen int
+	// afterCR: the last byte was a carriage return.
+	afterCR bool
+	// inHead: the head has not ended yet.
+	inHead bool
+	// inValue: the next bytes are those of a Content-Length, whose digits are collected.
+	inValue bool
+	digits  []byte
+	// hasContentLength and hasTransferEncoding: the head has such a field.
+	hasContentLength    bool
+	hasTransferEncoding bool
+
+	// bodyLeft is how many bytes of a body, or of a chunk, are still to come.
+	bodyLeft int64
+	// chunked: the body is in chunks.
+	chunked bool
+	// inBody: a body in chunks has not ended yet.
+	inBody bool
+	// chunkEndDue: the line that ends a chunk is due, or the body.
+	chunkEndDue bool
+	// lastChunk: the last chunk has come.
+	lastChunk bool
 }
 
-// whole reports whether all of the nth request has come.
+// complete reports whether all of the nth request has come.
 func (f *requestFraming) complete(n int) bool {
-	return f.started > n || f.started == n && !f.inHead && !f.inBody && f.bodyLeft == 0 && !f.stopped
+	bodyEnded := !f.inHead && !f.inBody && f.bodyLeft == 0
+	return f.started > n || f.started == n && bodyEnded && !f.stopped
 }
 
-// tornAt reports whether the head of the nth request leaves any doubt about where it ends.
+// ambiguousAt reports whether the head of the nth request leaves any doubt about where it ends.
 func (f *requestFraming) ambiguousAt(n int) bool {
 	return f.ambiguous && f.started <= n || f.firstBareLF > 0 && f.firstBareLF <= n
 }
 
-// last reports whether the connection ends with the nth request, unless another has begun behind it.
+// isLast reports whether the connection ends with the nth request, unless another has started behind it.
 func (f *requestFraming) isLast(n int) bool { return f.started <= n && (f.stopped || f.chunked) }
 
-// needs is how many bytes, of so many at most, can be read for the request that has begun, and surely for no further one.
-func (f *requestFraming) bytesNeeded(most int) int {
+// bytesNeeded is how many bytes, of so many at most, can be read for the request that has started, and surely for no
+// further one.
+func (f *requestFraming) bytesNeeded(limit int) int {
 	switch {
 	case f.stopped:
-		return most
+		return limit
 	case f.bodyLeft > 0:
-		return int(min(f.bodyLeft, int64(most)))
+		return int(min(f.bodyLeft, int64(limit)))
 	case f.inHead || f.inBody:
-		return min(1, most)
+		return min(1, limit)
 	}
-	return most
+	return limit
 }
 
-// maxDigits is above what net/http takes for a length.
-const maxDigits = 20
-
-// read takes in what was read from the connection.
+// feed takes in what was read from the connection.
 func (f *requestFraming) feed(b []byte) {
 	for len(b) > 0 && !f.stopped {
-		if f.bodyLeft > 0 {
+		switch {
+		case f.bodyLeft > 0:
 			n := min(f.bodyLeft, int64(len(b)))
-			f.bodyLeft, b = f.bodyLeft-n, b[n:]
-			continue
-		}
-		if f.inBody {
+			f.bodyLeft -= n
+			b = b[n:]
+		case f.inBody:
 			f.feedChunkByte(b[0])
 			b = b[1:]
-			continue
-		}
-		if f.lineLen == len(f.line) && !f.inValue { // of the rest of the line only its end matters
-			end := bytes.IndexByte(b, '\n')
-			if end < 0 {
-				f.afterCR = b[len(b)-1] == '\r'
-				return
-			}
-			if end > 0 {
-				f.afterCR = b[end-1] == '\r'
-			}
-			b = b[end:]
+		case f.lineLen == len(f.line) && !f.inValue:
+			b = f.skipLine(b)
+		default:
+			f.feedHeadByte(b[0])
+			b = b[1:]
 		}
-		f.feedHeadByte(b[0])
-		b = b[1:]
 	}
 }
 
+// skipLine takes in the rest of a line of which only the end matters, and returns the bytes behind it.
+func (f *requestFraming) skipLine(b []byte) []byte {
+	end := bytes.IndexByte(b, '\n')
+	if end < 0 {
+		f.afterCR = b[len(b)-1] == '\r'
+		return nil
+	}
+	if end > 0 {
+		f.afterCR = b[end-1] == '\r'
+	}
+	f.feedHeadByte('\n')
+	return b[end+1:]
+}
+
+// feedHeadByte takes in a byte of a head.
 func (f *requestFraming) feedHeadByte(c byte) {
-	if !f.inHead && c != '\r' && c != '\n' { // empty lines ahead of a request are none of it
+	if !f.inHead && c != '\r' && c != '\n' { // empty lines ahead of a request are no part of it
 		f.inHead = true
 		f.started++
 	}
@@ -100,71 +126,101 @@
 	switch {
 	case c == '\n':
 		f.endLine()
-	case f.lineLen == 0 && (c == ' ' || c == '\t'):
-		f.ambiguous, f.stopped = true, true
+	case f.lineLen == 0 && (c == ' ' || c == '\t'): // a folded line
+		f.stopAmbiguous()
 	case f.inValue:
-		if c >= '0' && c <= '9' && len(f.digits) < maxDigits {
+		if c >= '0' && c <= '9' && len(f.digits) < maxLengthDigits {
 			f.digits = append(f.digits, c)
 		}
 	case f.lineLen < len(f.line):
-		if 'A' <= c && c <= 'Z' {
-			c += 'a' - 'A'
-		}
-		f.line[f.lineLen] = c
-		f.lineLen++
-		if c == ':' {
-			f.fieldName(f.line[:f.lineLen])
-			f.lineLen = len(f.line)
-		}
+		f.feedNameByte(c)
 	}
 }
 
+// feedNameByte takes in a byte of a field's name, or of what else a line begins with.
+func (f *requestFraming) feedNameByte(c byte) {
+	if 'A' <= c && c <= 'Z' {
+		c += 'a' - 'A'
+	}
+	f.line[f.lineLen] = c
+	f.lineLen++
+	if c == ':' {
+		f.fieldName(f.line[:f.lineLen])
+		f.lineLen = len(f.line)
+	}
+}
+
+// fieldName takes in the name of a field, with its colon.
 func (f *requestFraming) fieldName(name []byte) {
 	switch string(name) {
 	case "content-length:":
-		f.ambiguous, f.stopped = f.hasContentLength, f.hasContentLength
-		f.hasContentLength, f.inValue, f.digits = true, true, f.digits[:0]
+		if f.hasContentLength {
+			f.stopAmbiguous()
+		}
+		f.hasContentLength = true
+		f.inValue = true
+		f.digits = f.digits[:0]
 	case "transfer-encoding:":
 		f.hasTransferEncoding = true
 	}
 	if f.hasContentLength && f.hasTransferEncoding {
-		f.ambiguous, f.stopped = true, true
+		f.stopAmbiguous()
 	}
 }
 
+// stopAmbiguous follows nothing further, since the end of the request is in doubt.
+func (f *requestFraming) stopAmbiguous() {
+	f.ambiguous = true
+	f.stopped = true
+}
+
+// endLine takes in the end of a line of the head; the empty one ends the head.
 func (f *requestFraming) endLine() {
 	empty := f.lineLen == 0 || f.lineLen == 1 && f.line[0] == '\r'
-	f.lineLen, f.inValue = 0, false
+	f.lineLen = 0
+	f.inValue = false
 	if !empty {
 		return
 	}
 	if f.hasContentLength {
-		f.bodyLeft, _ = strconv.ParseInt(string(f.digits), 10, 64) // net/http turns away what is no number
+		f.bodyLeft, _ = strconv.ParseInt(string(f.digits), 10, 64) // net/http rejects what is no number
 	}
-	f.chunked, f.inBody = f.hasTransferEncoding, f.hasTransferEncoding
-	f.hasContentLength, f.hasTransferEncoding, f.inHead = false, false, false
+	f.chunked = f.hasTransferEncoding
+	f.inBody = f.hasTransferEncoding
+	f.hasContentLength = false
+	f.hasTransferEncoding = false
+	f.inHead = false
 }
 
-// inChunks follows a body in chunks, outside of their bytes. It takes only what nobody reads otherwise, which is less
-// than net/http takes: a chunk with an extension or a bare line feed, or a trailer, makes the request the last one.
+// feedChunkByte takes in a byte of a body in chunks, outside of the chunks' bytes. It accepts only what nobody reads
+// otherwise, which is less than net/http does: a chunk with an extension or a bare line feed, or a trailer, makes the
+// request the last one.
 func (f *requestFraming) feedChunkByte(c byte) {
 	switch {
-	case c != '\n' && f.lineLen == len(f.line):
+	case c == '\n':
+		f.endChunkLine()
+	case f.lineLen == len(f.line):
 		f.stopped = true
-		return
-	case c != '\n':
+	default:
 		f.line[f.lineLen] = c
 		f.lineLen++
-		return
 	}
+}
+
+// endChunkLine takes in the end of a line between chunks.
+func (f *requestFraming) endChunkLine() {
 	line, ok := strings.CutSuffix(string(f.line[:f.lineLen]), "\r")
 	f.lineLen = 0
 	if f.chunkEndDue {
 		f.stopped = !ok || line != ""
-		f.chunkEndDue, f.inBody, f.lastChunk = false, !f.lastChunk, false
+		f.chunkEndDue = false
+		f.inBody = !f.lastChunk
+		f.lastChunk = false
 		return
 	}
 	size, err := strconv.ParseUint(line, 16, 62)
 	f.stopped = !ok || err != nil
-	f.bodyLeft, f.chunkEndDue, f.lastChunk = int64(size), true, size == 0
+	f.bodyLeft = int64(size)
+	f.chunkEndDue = true
+	f.lastChunk = size == 0
 }
--- a/internal/transport/response_stream.go
+++ b/internal/transport/response_stream.go
@@ -2,50 +2,91 @@
 
 import (
 	"bufio"
+	"bytes"
 	"errors"
 	"io"
-	"net/http"
 	"os"
 	"sync"
 	"time"
-)
 
-// stillLook is how long a peer may leave a long answer where it stands before a look whether its client is there, and the
-// time between two such looks. A write would tell, but there is nothing to write.
-const clientCheckInterval = 50 * time.Millisecond
+	"olivebridge/internal/protocol"
+)
 
-// holdBack is how long the first part of an answer of unknown length may wait
-// for the rest. Most come whole by then, and one that is spoilt can be tried again.
-const firstPartWait = 20 * time.Millisecond
+const (
+	// maxResponseBody is the longest body that a server may send, in bytes; one of several GB is no response.
+	maxResponseBody = 64 << 20
+	// clientCheckInterval is how long a server may let a long response stand still before a look whether its client is
+	// there, and the time between two such looks. A write would tell, but there is nothing to write.
+	clientCheckInterval = 50 * time.Millisecond
+	// firstPartWait is how long the first part of a response of unknown length may wait for the rest. Most are complete by
+	// then, and an attempt whose response is malformed can be retried.
+	firstPartWait = 20 * time.Millisecond
+	// minFirstPart is the first size of the buffer for that part, in bytes.
+	minFirstPart = 512
+)
 
-// rest is what a peer still gives of an answer of which the first part is there.
-// It holds the connection; whoever has it reads to the end, or drops it.
+// responseStream is the rest of a long response of which the first part has been read. It holds the server's connection:
+// whoever has it calls finish, once.
 type responseStream struct {
-	carrier    *UpstreamTransport
-	conn       *upstreamConn
-	reader     *bufio.Reader
-	body       io.Reader
-	length     int64 // of the whole body; -1: unknown
-	remaining  int64 // of a known length, or of what an answer may have
-	closeAfter bool  // the connection ends with it
-
-	transferPace // of what was read here
-
-	client      presence // whom it is passed to; nil: nobody who could go
-	mu          sync.Mutex
-	waiting     bool        // a read waits
-	clientCheck *time.Timer // at the client, while it does
+	transport *UpstreamTransport
+	conn      *upstreamConn
+	reader    *bufio.Reader
+	body      io.Reader
+	// length is that of the whole body; -1: unknown.
+	length int64
+	// remaining is what is left of a known length, or of what a response may have.
+	remaining int64
+	// closeAfter: the connection ends with the response.
+	closeAfter bool
+
+	transferPace // of what is read here
+
+	// client is whom the response is passed to; nil: nobody who could leave.
+	client presence
+	mu     sync.Mutex
+	// waiting: a read waits.
+	waiting bool
+	// clientCheck looks at the client meanwhile.
+	clientCheck *time.Timer
 }
 
-// stands notes that a read begins to wait, or has ended. It is looked meanwhile whether the client has gone.
-func (s *responseStream) setWaiting(still bool) {
+// Read implements io.Reader; io.EOF means that the response is complete.
+func (s *responseStream) Read(b []byte) (int, error) {
+	if s.remaining == 0 {
+		if s.length < 0 {
+			return 0, errResponseTooLarge
+		}
+		return 0, io.EOF
+	}
+	if int64(len(b)) > s.remaining {
+		b = b[:s.remaining]
+	}
+	started := time.Now()
+	_ = s.conn.SetReadDeadline(started.Add(s.timeLeft(streamStallTimeout)))
+	s.setWaiting(true)
+	n, err := s.body.Read(b)
+	s.setWaiting(false)
+	s.add(n, started)
+	s.remaining -= int64(n)
+	if err == io.EOF && s.length >= 0 && s.remaining > 0 {
+		err = io.ErrUnexpectedEOF
+	}
+	if n > 0 && err == io.EOF {
+		err = nil // the next read returns it
+	}
+	return n, err
+}
+
+// setWaiting notes that a read begins to wait, or has ended. Meanwhile the client is checked.
+func (s *responseStream) setWaiting(waiting bool) {
 	if s.client == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	switch s.waiting = still; {
-	case !still:
+	s.waiting = waiting
+	switch {
+	case !waiting:
 		s.clientCheck.Stop()
 	case s.clientCheck == nil:
 		s.clientCheck = time.AfterFunc(clientCheckInterval, s.checkClient)
@@ -54,7 +95,7 @@
 	}
 }
 
-// lookAtClient ends a read that waits for the answer of a client that has gone. The lock keeps it from any later use of
+// checkClient ends a read that waits for the response of a client that has left. The lock keeps it from any later use of
 // the connection.
 func (s *responseStream) checkClient() {
 	s.mu.Lock()
@@ -68,110 +109,45 @@
 	}
 }
 
-// Read reads on; io.EOF means that the answer is whole.
-func (s *responseStream) Read(b []byte) (int, error) {
-	if s.remaining == 0 {
-		if s.length < 0 {
-			return 0, errResponseTooLarge
-		}
-		return 0, io.EOF
-	}
-	if int64(len(b)) > s.remaining {
-		b = b[:s.remaining]
-	}
-	begun := time.Now()
-	s.conn.SetReadDeadline(begun.Add(s.timeLeft(streamStallTimeout)))
-	s.setWaiting(true)
-	n, err := s.body.Read(b)
-	s.setWaiting(false)
-	s.add(n, begun)
-	s.remaining -= int64(n)
-	if err == io.EOF && s.length >= 0 && s.remaining > 0 {
-		err = io.ErrUnexpectedEOF
-	}
-	if n > 0 && err == io.EOF {
-		err = nil // told by the next
+// hasBuffered reports whether more can be read without waiting.
+func (s *responseStream) hasBuffered() bool { return s.reader.Buffered() > 0 }
+
+// failureReason says why the connection ends after a read has failed.
+func (s *responseStream) failureReason() closeReason {
+	if s.conn.readErr == nil { // the bytes are there, and no response
+		return reasonMalformed
 	}
-	return n, err
+	return reasonReset
 }
 
-// atHand reports whether more can be read without waiting.
-func (s *responseStream) hasBuffered() bool { return s.reader.Buffered() > 0 }
-
-// end gives the connection back after a whole answer, or ends it for a reason.
-func (s *responseStream) finish(reason string) {
-	surplus := s.reader.Buffered() > 0
+// finish gives the connection back after a complete response, or closes it for a reason.
+func (s *responseStream) finish(reason closeReason) {
+	surplus := s.hasBuffered()
 	s.reader.Reset(nil)
-	s.carrier.readers.Put(s.reader)
+	s.transport.readers.Put(s.reader)
 	switch {
-	case reason != "":
+	case reason != reasonNone:
 		s.conn.closeFor(reason)
 	case s.closeAfter:
-		s.conn.closeFor("peer-asked")
+		s.conn.closeFor(reasonPeerAsked)
 	case surplus:
-		s.conn.closeFor("surplus")
+		s.conn.closeFor(reasonSurplus)
 	default:
-		s.carrier.putConn(s.conn)
-	}
-}
-
-// Drop implements routing.Dropper.
-func (p *response) Drop() {
-	if p.stream != nil {
-		p.stream.finish("called-off")
-	}
-}
-
-// trailed reads chunks, and the trailer behind them.
-type chunkedBody struct {
-	chunks io.Reader
-	in     *bufio.Reader
-	end    error // sticky
-}
-
-// Read takes no more than is there: the reader of chunks would wait in the
-// middle of one until b is full, and hold back what a slow peer has given.
-func (t *chunkedBody) Read(b []byte) (int, error) {
-	if t.end != nil {
-		return 0, t.end
-	}
-	if _, err := t.in.Peek(1); err != nil {
-		return 0, noEOF(err)
-	}
-	n, err := t.chunks.Read(b[:min(len(b), t.in.Buffered())])
-	if err == io.EOF {
-		if e := skipTrailer(t.in); e != nil {
-			err = noEOF(e)
-		}
-	}
-	t.end = err
-	return n, err
-}
-
-// unexpected keeps the end of a connection from being taken for that of an answer.
-func noEOF(err error) error {
-	if err == io.EOF {
-		return io.ErrUnexpectedEOF
+		s.transport.putConn(s.conn)
 	}
-	return err
 }
 
-// gather reads the first part of a body of unknown length: all of it, if it is
-// short and comes soon.
-func readFirstPart(c *upstreamConn, in *bufio.Reader, body io.Reader, most int, until time.Time) (first []byte, whole bool, err error) {
+// readFirstPart reads the first part of a body of unknown length: all of it, if it is short and comes soon.
+func readFirstPart(conn *upstreamConn, reader *bufio.Reader, body io.Reader,
+	until time.Time) (first []byte, complete bool, err error) {
 	hold := time.Now().Add(firstPartWait)
-	for len(first) <= most {
-		if end := c.responseDeadline(until); in.Buffered() == 0 && (end.IsZero() || hold.Before(end)) {
-			c.SetReadDeadline(hold)
-			_, err := in.Peek(1)
-			c.SetReadDeadline(end)
-			if errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(hold) { // else it was interrupted
-				c.readErr = nil // nothing was lost by it
-				return first, false, nil
-			}
+	for len(first) <= protocol.MaxBody {
+		if reader.Buffered() == 0 && conn.waitsInVain(reader, hold, until) {
+			return first, false, nil
 		}
 		if len(first) == cap(first) {
-			first = append(make([]byte, 0, max(2*cap(first), 512)), first...)
+			larger := make([]byte, 0, max(2*cap(first), minFirstPart))
+			first = append(larger, first...)
 		}
 		n, err := body.Read(first[len(first):cap(first)])
 		first = first[:len(first)+n]
@@ -185,44 +161,60 @@
 	return first, false, nil
 }
 
-// stream passes a long answer on as it comes. One that breaks ends the client's
-// connection, so that the client can tell.
-func (f *Frontend) streamResponse(w http.ResponseWriter, k *clientConn, p *response) {
-	k.startStreaming()
-	p.stream.client = k
-	whole := false
-	reason := "called-off" // unless the peer ends it first
-	defer func() {
-		if whole {
-			reason = ""
-		}
-		p.stream.finish(reason)
-		p.freeBuffer()
-		if !whole {
-			panic(http.ErrAbortHandler)
-		}
-	}()
-	buf := f.buffers.get(streamBuffer)
-	defer f.buffers.put(buf)
-	flush := w.(http.Flusher).Flush
-	for part := p.body; ; {
-		k.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if _, err := w.Write(part); err != nil {
-			return
-		}
-		if !p.stream.hasBuffered() {
-			flush()
+// waitsInVain waits until hold for bytes of a response that is given up at until, and reports whether none have come. It
+// does not wait where the response is given up before.
+func (c *upstreamConn) waitsInVain(reader *bufio.Reader, hold, until time.Time) bool {
+	end := c.responseDeadline(until)
+	if !end.IsZero() && !hold.Before(end) {
+		return false
+	}
+	_ = c.SetReadDeadline(hold)
+	_, err := reader.Peek(1)
+	_ = c.SetReadDeadline(end)
+	if !errors.Is(err, os.ErrDeadlineExceeded) || time.Now().Before(hold) { // by then it was interrupted
+		return false
+	}
+	c.readErr = nil // nothing was lost by it
+	return true
+}
+
+// chunkedBody reads chunks, and the trailer behind them.
+type chunkedBody struct {
+	chunks io.Reader
+	reader *bufio.Reader
+	err    error // of an earlier read
+}
+
+// Read implements io.Reader. It takes no more than is there: the reader of chunks would wait in the middle of one until b
+// is full, and hold back what a slow server has sent.
+func (c *chunkedBody) Read(b []byte) (int, error) {
+	if c.err != nil {
+		return 0, c.err
+	}
+	if _, err := c.reader.Peek(1); err != nil {
+		return 0, noEOF(err)
+	}
+	n, err := c.chunks.Read(b[:min(len(b), c.reader.Buffered())])
+	if err == io.EOF {
+		if trailerErr := skipTrailer(c.reader); trailerErr != nil {
+			err = noEOF(trailerErr)
 		}
-		n, err := p.stream.Read(buf.bytes[:streamBuffer])
+	}
+	c.err = err
+	return n, err
+}
+
+// skipTrailer reads the lines behind the last chunk.
+func skipTrailer(reader *bufio.Reader) error {
+	for room := maxResponseHead; room > 0; {
+		line, err := reader.ReadSlice('\n')
 		if err != nil {
-			if whole = err == io.EOF; !whole && !k.hasLeft() {
-				if reason = "reset"; p.stream.conn.readErr == nil {
-					reason = "spoilt"
-				}
-				flush() // what the peer has given is the client's
-			}
-			return
+			return err
+		}
+		if len(bytes.TrimRight(line, "\r\n")) == 0 {
+			return nil
 		}
-		part = buf.bytes[:n]
+		room -= len(line)
 	}
+	return errResponseTooLarge
 }
--- a/internal/transport/tcp_conn.go
+++ b/internal/transport/tcp_conn.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -9,30 +10,32 @@
 	"syscall"
 )
 
-// socket is a Conn over TCP. What net.TCPConn does not offer is asked of the kernel, here alone.
+// tcpConn is a Conn over TCP. What net.TCPConn does not offer is asked of the kernel, here alone.
 type tcpConn struct {
 	*net.TCPConn
 	raw syscall.RawConn
+	// stateKnown: the kernel tells the connection's state.
+	stateKnown bool
+
+	// The arguments and results of the one ReadGate that runs. They are kept here, since it is called for every request
+	// and would allocate each of them.
 
-	// of the one ReadGate that runs; kept here, since it is called for every
-	// request and would allocate each of them
 	b          []byte
 	mu         sync.Locker
 	beforeTake func() error
 	afterTake  func(n int)
 	takeFunc   func(fd uintptr) bool // takeGated
 	n          int
-	gateErr    error // open's
-	readErr    error // the kernel's
+	gateErr    error // of beforeTake
+	readErr    error // of the kernel
+
+	// The results of Peek, which is called as often.
 
-	// of Peek, which is called as often
 	peekMu   sync.Mutex
 	peekFunc func(fd uintptr) // peekAt
 	peekBuf  [1]byte
 	peeked   int
-	peekErr  error // the kernel's
-
-	stateKnown bool // the kernel tells the connection's state
+	peekErr  error // of the kernel
 }
 
 func newTCPConn(c *net.TCPConn) (*tcpConn, error) {
@@ -40,102 +43,120 @@
 	if err != nil {
 		return nil, fmt.Errorf("connection: %w", err)
 	}
-	s := &tcpConn{TCPConn: c, raw: raw}
-	s.takeFunc, s.peekFunc = s.takeGated, s.peekAt
-	s.stateKnown = s.state() == stateEstablished
-	return s, nil
+	t := &tcpConn{TCPConn: c, raw: raw}
+	t.takeFunc = t.takeGated
+	t.peekFunc = t.peekAt
+	t.stateKnown = t.state() == tcpEstablished
+	return t, nil
 }
 
-// States of a connection, as TCP_INFO has them (include/net/tcp_states.h).
+// tcpState is the state of a connection, as TCP_INFO has it (include/net/tcp_states.h).
+type tcpState int
+
 const (
-	stateUnknown     = 0
-	stateEstablished = 1
-	stateClose       = 7 // reset, too
-	stateCloseWait   = 8
+	tcpUnknown     tcpState = 0
+	tcpEstablished tcpState = 1
+	tcpClosed      tcpState = 7 // reset, too
+	tcpCloseWait   tcpState = 8
 )
 
-// state asks the kernel for the connection's state, which is the first byte of what TCP_INFO gives.
-func (s *tcpConn) state() (state int) {
-	s.raw.Control(func(fd uintptr) {
-		if info, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO); err == nil {
-			state = info & 0xff
+// tcpStateMask selects the connection's state, the first byte of what TCP_INFO gives.
+const tcpStateMask = 0xff
+
+// state asks the kernel for the connection's state.
+func (t *tcpConn) state() tcpState {
+	state := tcpUnknown
+	_ = t.raw.Control(func(fd uintptr) {
+		info, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO)
+		if err == nil {
+			state = tcpState(info & tcpStateMask)
 		}
 	})
 	return state
 }
 
-// HasEnded implements Conn. What has never been told to be open is not believed to have ended: sockets may be another
-// network's, whose calls look like the kernel's.
-func (s *tcpConn) HasEnded() bool {
-	state := stateUnknown
-	if s.stateKnown {
-		state = s.state()
+// HasEnded implements Conn. A connection that was never told to be established is not believed to have ended: sockets may
+// be another network's, whose calls look like the kernel's.
+func (t *tcpConn) HasEnded() bool {
+	if !t.stateKnown {
+		return false
 	}
-	return state == stateCloseWait || state == stateClose
+	state := t.state()
+	return state == tcpCloseWait || state == tcpClosed
 }
 
-// dialTCP is the Dialer of nodes on sockets. Keep-alive probes are off: what
-// falls silent is noticed by its tries, and earlier.
+// dialTCP is the Dialer of nodes on sockets. Keep-alive probes are off: a connection that falls silent is noticed by its
+// attempts, and earlier.
 func dialTCP(ctx context.Context, addr string) (net.Conn, error) {
 	d := net.Dialer{KeepAlive: -1}
 	return d.DialContext(ctx, "tcp", addr)
 }
 
 // ReadGate implements Conn.
-func (s *tcpConn) ReadGate(b []byte, mu sync.Locker, open func() error, took func(n int)) (int, error) {
-	s.b, s.mu, s.beforeTake, s.afterTake, s.n, s.gateErr, s.readErr = b, mu, open, took, 0, nil, nil
-	failed := s.raw.Read(s.takeFunc)
-	s.b = nil
+func (t *tcpConn) ReadGate(b []byte, mu sync.Locker, open func() error, took func(n int)) (int, error) {
+	t.b = b
+	t.mu = mu
+	t.beforeTake = open
+	t.afterTake = took
+	t.n = 0
+	t.gateErr = nil
+	t.readErr = nil
+	err := t.raw.Read(t.takeFunc)
+	t.b = nil
 	switch {
-	case s.gateErr != nil:
-		return 0, s.gateErr
-	case failed != nil:
-		return 0, failed
-	case s.readErr != nil:
-		return 0, &net.OpError{Op: "read", Net: "tcp", Source: s.LocalAddr(), Addr: s.RemoteAddr(), Err: s.readErr}
-	case s.n == 0:
+	case t.gateErr != nil:
+		return 0, t.gateErr
+	case err != nil:
+		return 0, err
+	case t.readErr != nil:
+		return 0, &net.OpError{Op: "read", Net: "tcp", Source: t.LocalAddr(), Addr: t.RemoteAddr(), Err: t.readErr}
+	case t.n == 0:
 		return 0, io.EOF
 	}
-	return min(s.n, len(b)), nil
+	return min(t.n, len(b)), nil
 }
 
 // takeGated takes what there is to read, and says whether the read is done.
-func (s *tcpConn) takeGated(fd uintptr) (done bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.gateErr = s.beforeTake(); s.gateErr != nil {
+func (t *tcpConn) takeGated(fd uintptr) (done bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.gateErr = t.beforeTake()
+	if t.gateErr != nil {
 		return true
 	}
-	if len(s.b) == 0 {
-		s.n, s.readErr = s.lookAhead(fd)
-		return s.readErr != syscall.EAGAIN
+	if len(t.b) == 0 {
+		t.n, t.readErr = t.lookAhead(fd)
+		return !errors.Is(t.readErr, syscall.EAGAIN)
 	}
-	for s.readErr = syscall.EINTR; s.readErr == syscall.EINTR; {
-		s.n, s.readErr = syscall.Read(int(fd), s.b)
+	t.n, t.readErr = syscall.Read(int(fd), t.b)
+	for errors.Is(t.readErr, syscall.EINTR) {
+		t.n, t.readErr = syscall.Read(int(fd), t.b)
 	}
-	if s.n > 0 {
-		s.afterTake(s.n)
+	if t.n > 0 {
+		t.afterTake(t.n)
 	}
-	return s.readErr != syscall.EAGAIN
+	return !errors.Is(t.readErr, syscall.EAGAIN)
 }
 
 // Peek implements Conn.
-func (s *tcpConn) Peek() (n int, err error) {
-	s.peekMu.Lock()
-	defer s.peekMu.Unlock()
-	if err := s.raw.Control(s.peekFunc); err != nil {
+func (t *tcpConn) Peek() (n int, err error) {
+	t.peekMu.Lock()
+	defer t.peekMu.Unlock()
+	if err := t.raw.Control(t.peekFunc); err != nil {
 		return 0, err
 	}
-	return s.peeked, s.peekErr
+	return t.peeked, t.peekErr
 }
 
-func (s *tcpConn) lookAhead(fd uintptr) (n int, err error) {
-	s.peekMu.Lock()
-	defer s.peekMu.Unlock()
-	s.peekAt(fd)
-	return s.peeked, s.peekErr
+// lookAhead is Peek within a call on the raw connection.
+func (t *tcpConn) lookAhead(fd uintptr) (n int, err error) {
+	t.peekMu.Lock()
+	defer t.peekMu.Unlock()
+	t.peekAt(fd)
+	return t.peeked, t.peekErr
 }
 
-func (s *tcpConn) peekAt(fd uintptr) {
-	s.peeked, _, s.peekErr = syscall.Recvfrom(int(fd), s.peekBuf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+// peekAt asks the kernel for a byte, and leaves it there. The lock of peeks is held.
+func (t *tcpConn) peekAt(fd uintptr) {
+	t.peeked, _, t.peekErr = syscall.Recvfrom(int(fd), t.peekBuf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -13,6 +13,7 @@
 	"net/http/httptest"
 	"net/url"
 	"os"
+	"path/filepath"
 	"regexp"
 	"runtime"
 	"strings"
@@ -884,7 +885,7 @@
 	}
 	for begun := false; !begun; { // the call is as long as a body may take
 		front.clients.mu.Lock()
-		if begun = k.next == along && k.unreadPipelined != along; begun {
+		if begun = k.state.nextStarted == along && k.state.nextUnread != along; begun {
 			k.requestStart = k.requestStart.Add(-requestTimeout)
 		}
 		front.clients.mu.Unlock()
@@ -1026,11 +1027,11 @@
 	for _, k := range []*clientConn{decided, early} {
 		c.connState(k, http.StateIdle)
 	}
-	decided.gone = true // as leave does, just before it closes
+	decided.state.close = connClosing // as startDraining does, just before it closes
 	if n, err := decided.Read(b); n != 0 || !errors.Is(err, net.ErrClosed) || !hasUnread(decided.Conn) {
 		t.Errorf("%d bytes, %v after the end was decided; or they were taken, and their client is told so", n, err)
 	}
-	decided.gone = false
+	decided.state.close = connOpen
 	c.startDraining()
 	if c.open[decided] || !c.open[begun] || !c.open[early] {
 		t.Errorf("open: %v", c.open)
@@ -1276,14 +1277,14 @@
 	}
 	fresh := time.Now()
 	for _, want := range []struct {
-		reason string
+		reason closeReason
 		k      *clientConn
 		at     time.Time
 	}{{"evicted", idle, fresh}, {"silent", silent, fresh.Add(time.Hour)}, {"evicted", idle, fresh.Add(time.Hour)},
 		{"slow", slow, fresh.Add(time.Hour)}, {"", nil, fresh.Add(time.Hour)}} {
 		c.mu.Lock()
 		reason, k := c.evictionCandidate(want.at)
-		if reason != want.reason || reason != "" && k != want.k {
+		if reason != want.reason || reason != reasonNone && k != want.k {
 			t.Errorf("%q, want %q", reason, want.reason)
 		}
 		if k != nil && want.at != fresh {
@@ -1510,22 +1511,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	reason := regexp.MustCompile(`(?:setReason\(|\.closeFor\(|[cC]loseConns\(|noteReadError\(err, |return |why = |cancelReason\(cause, )"([a-z-]+)"(?:, "([a-z-]+)")?`)
+	constant := regexp.MustCompile(`reason\w+\s+closeReason = "([a-z-]+)"`)
+	literal := regexp.MustCompile(`(?:setReason|closeFor|closeNow|closeConns|logEnd|noteReadError|cancelReason)\([^()]*"`)
+	files, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
 	found := 0
-	for _, name := range []string{"upstream_transport.go", "client_conns.go", "upstream_conn.go", "upstream_pool.go"} {
+	for _, name := range files {
+		if strings.HasSuffix(name, "_test.go") {
+			continue
+		}
 		code, err := os.ReadFile(name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, m := range reason.FindAllSubmatch(code, -1) {
-			for _, code := range m[1:] {
-				if found++; len(code) > 0 && !bytes.Contains(page, []byte("| `"+string(code)+"` |")) {
-					t.Errorf("reason %s is not on the on-call page", code)
-				}
+		for _, m := range constant.FindAllSubmatch(code, -1) {
+			found++
+			if !bytes.Contains(page, []byte("| `"+string(m[1])+"` |")) {
+				t.Errorf("reason %s is not on the on-call page", m[1])
 			}
 		}
+		if m := literal.Find(code); m != nil {
+			t.Errorf("%s: a reason that is no constant: %s", name, m)
+		}
 	}
-	if found < 10 {
+	if found < 19 {
 		t.Errorf("only %d reasons found in the code", found)
 	}
 }
--- a/internal/transport/uploadpace_test.go
+++ b/internal/transport/uploadpace_test.go
@@ -32,7 +32,7 @@
 // two parts. Who trickles, or stands still, is found out on either side, whatever the other does.
 func TestPaceOfAnUpload(t *testing.T) {
 	const client, peer = "the client's fault", "the peer's fault"
-	atOnce, trickle := steps{streamBuffer, 0}, steps{1, time.Second}
+	atOnce, trickle := steps{streamBufferSize, 0}, steps{1, time.Second}
 	for name, c := range map[string]struct {
 		waits        time.Duration // until the try begins
 		sends, takes steps
@@ -41,14 +41,14 @@
 	}{
 		"at once":                               {0, atOnce, atOnce, "", 0},
 		"a late connection":                     {time.Minute, atOnce, atOnce, "", 0},
-		"a peer that is slow between parts":     {0, atOnce, steps{streamBuffer, 1200 * time.Millisecond}, "", 154 * time.Second},
-		"a client at its pace, late":            {time.Minute, steps{streamBuffer / 2, 450 * time.Millisecond}, atOnce, "", 116 * time.Second},
-		"a client that stands still":            {0, steps{streamBuffer, time.Minute}, atOnce, client, bodyStallTimeout},
-		"one that stands still, late":           {time.Minute, steps{streamBuffer, time.Minute}, atOnce, client, bodyStallTimeout},
+		"a peer that is slow between parts":     {0, atOnce, steps{streamBufferSize, 1200 * time.Millisecond}, "", 154 * time.Second},
+		"a client at its pace, late":            {time.Minute, steps{streamBufferSize / 2, 450 * time.Millisecond}, atOnce, "", 116 * time.Second},
+		"a client that stands still":            {0, steps{streamBufferSize, time.Minute}, atOnce, client, bodyStallTimeout},
+		"one that stands still, late":           {time.Minute, steps{streamBufferSize, time.Minute}, atOnce, client, bodyStallTimeout},
 		"a client that trickles":                {0, trickle, atOnce, client, bodyStallTimeout + 10*time.Millisecond},
 		"one that trickles, late":               {time.Minute, trickle, atOnce, client, bodyStallTimeout + 10*time.Millisecond},
 		"a client too slow, and so is its peer": {0, steps{8 << 10, 400 * time.Millisecond}, steps{8 << 10, 100 * time.Millisecond}, client, 22 * time.Second},
-		"a peer that stands still":              {0, atOnce, steps{streamBuffer, time.Hour}, peer, streamStallTimeout},
+		"a peer that stands still":              {0, atOnce, steps{streamBufferSize, time.Hour}, peer, streamStallTimeout},
 		"a peer that trickles":                  {0, atOnce, steps{2 << 10, 100 * time.Millisecond}, peer, 82 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/transport/upstream_conn.go
+++ b/internal/transport/upstream_conn.go
@@ -7,28 +7,31 @@
 	"syscall"
 	"time"
 
+	"olivebridge/balancer"
 	"olivebridge/internal/routing"
 )
 
-// peerConn is a connection to a peer, or to discovery. One try at a time uses it.
+// upstreamConn is a connection to a server, or to the discovery service. One attempt at a time uses it.
 type upstreamConn struct {
 	Conn
-	log       *connLog
-	peer      *routing.Peer
-	idleSince time.Time // when it fell idle
-	readErr   error     // of a read: what came before it is not whole
-	upload    *upload   // that it carries, or carried last; nil: none
+	log  *connLog
+	peer *routing.Peer // nil: discovery
+	// idleSince is when it fell idle.
+	idleSince time.Time
+	// readErr is the error of a failed read: what came before it is incomplete. nil: none has failed.
+	readErr error
+	// upload is the body that it carries, or carried last; nil: none.
+	upload *upload
 }
 
-// Read implements net.Conn. An end stays as it was first told: the system tells
-// a reset once, and an orderly end from then on, which would make a cut answer
-// without length a whole one.
+// Read implements net.Conn. An error stays as it was first returned: the system tells a reset once, and an orderly end
+// from then on, which would make a cut response without length a complete one.
 func (c *upstreamConn) Read(b []byte) (int, error) {
 	if c.readErr != nil && !errors.Is(c.readErr, os.ErrDeadlineExceeded) {
 		return 0, c.readErr
 	}
 	n, err := c.Conn.Read(b)
-	c.log.noteReadError(err, "peer-closed", "reset")
+	c.log.noteReadError(err, reasonPeerClosed, reasonReset)
 	if err != nil {
 		c.readErr = err
 	}
@@ -37,60 +40,120 @@
 
 // Close implements net.Conn.
 func (c *upstreamConn) Close() error {
-	c.log.logEnd("idle")
+	c.log.logEnd(reasonIdle)
 	return c.Conn.Close()
 }
 
-// end closes the connection for a reason, unless an earlier one is known.
-func (c *upstreamConn) closeFor(reason string) {
+// closeFor closes the connection for a reason, unless an earlier one is known.
+func (c *upstreamConn) closeFor(reason closeReason) {
 	c.log.setReason(reason)
-	c.Close()
+	_ = c.Close()
 }
 
-// Interrupt ends what is being read or written.
-func (c *upstreamConn) Interrupt() { c.SetDeadline(time.Unix(1, 0)) }
+// Interrupt implements routing.Interrupter: it ends what is being read or written.
+func (c *upstreamConn) Interrupt() { _ = c.SetDeadline(expiredDeadline) }
 
-// endWatch interrupts a connection when a context ends.
+// staleReason says why an idle connection cannot carry an attempt; reasonNone: it can. Whatever there is to read belongs
+// to no request that is still to be sent.
+func (c *upstreamConn) staleReason() closeReason {
+	n, err := c.Peek()
+	switch {
+	case errors.Is(err, syscall.EAGAIN):
+		return reasonNone
+	case err != nil:
+		return reasonReset
+	case n == 0:
+		return reasonPeerClosed
+	default:
+		return reasonSurplus
+	}
+}
+
+// responseDeadline is when the response to an attempt on the connection is given up: at until, but that of an upload
+// counts from its last byte; zero: that has not been written.
+func (c *upstreamConn) responseDeadline(until time.Time) time.Time {
+	if c.upload == nil {
+		return until
+	}
+	if nanoseconds := c.upload.responseUntil.Load(); nanoseconds != 0 {
+		return time.Unix(0, nanoseconds)
+	}
+	return time.Time{} // its pace is the client's, and watched there
+}
+
+// failureResult closes a connection that brought no complete response, and says what that means for its attempt, which
+// was written to its end and so may have run. cause is why the attempt was given up; nil: it was not.
+func (c *upstreamConn) failureResult(err, cause error) balancer.Result {
+	switch {
+	case errors.Is(err, errResponseTooLarge):
+		c.closeFor(reasonOversize)
+		return balancer.Errored
+	case c.readErr == nil: // the bytes are there, and no response
+		c.closeFor(reasonMalformed)
+		return balancer.Errored
+	}
+	c.closeFor(cancelReason(cause, reasonReset))
+	switch {
+	case errors.Is(cause, routing.ErrTimeUp):
+		return balancer.TimedOut
+	case cause != nil:
+		return balancer.Cancelled
+	default:
+		return balancer.Reset
+	}
+}
+
+// cancelCause says why an attempt is given up; nil: it is not.
+func cancelCause(ctx context.Context, until, now time.Time) error {
+	switch {
+	case ctx.Err() != nil:
+		return context.Cause(ctx)
+	case !until.IsZero() && !now.Before(until):
+		return routing.ErrTimeUp
+	}
+	return nil
+}
+
+// cancelReason is the reason why the connection of an attempt ends that was given up for a cause; otherwise: it was not.
+func cancelReason(cause error, otherwise closeReason) closeReason {
+	switch {
+	case cause == nil:
+		return otherwise
+	case errors.Is(cause, routing.ErrTimeUp):
+		return reasonTimeout
+	default:
+		return reasonCalledOff
+	}
+}
+
+// cancelWatch interrupts a connection when a context ends.
 type cancelWatch struct {
-	attempt       attemptContext
-	stopAfterFunc func() bool // without a try
+	attempt       attemptContext // nil: the context is not an attempt's
+	stopAfterFunc func() bool    // ends the watch of any other context
 }
 
-// tryContext is a try's context, which needs no goroutine to tell its end.
+// attemptContext is an attempt's context, which needs no goroutine to tell its end.
 type attemptContext interface {
-	OnEnd(routing.Interrupter) (goesOn bool)
+	// OnEnd has i interrupted when the context ends; nil: nobody any more. It reports whether the context goes on.
+	OnEnd(i routing.Interrupter) (goesOn bool)
 }
 
+// watchCancel has a connection interrupted when a context ends, until the watch is stopped.
 func watchCancel(ctx context.Context, c *upstreamConn) cancelWatch {
-	if try, ok := ctx.(attemptContext); ok {
-		if !try.OnEnd(c) { // it ended just before
-			c.Interrupt()
-		}
-		return cancelWatch{attempt: try}
+	attempt, ok := ctx.(attemptContext)
+	if !ok {
+		return cancelWatch{stopAfterFunc: context.AfterFunc(ctx, c.Interrupt)}
+	}
+	if !attempt.OnEnd(c) { // it ended just before
+		c.Interrupt()
 	}
-	return cancelWatch{stopAfterFunc: context.AfterFunc(ctx, c.Interrupt)}
+	return cancelWatch{attempt: attempt}
 }
 
-// end ends the watch, and says whether the context had not ended. Nothing is
-// interrupted any more then.
+// stop ends the watch, and reports whether the context had not ended. Nothing is interrupted any more then.
 func (w cancelWatch) stop() (undisturbed bool) {
 	if w.attempt != nil {
 		return w.attempt.OnEnd(nil)
 	}
 	return w.stopAfterFunc()
 }
-
-// stale says why an idle connection cannot carry a try; "": it can. Whatever
-// there is to read belongs to no request that is still to be sent.
-func (c *upstreamConn) staleReason() string {
-	switch n, err := c.Peek(); {
-	case errors.Is(err, syscall.EAGAIN):
-		return ""
-	case err != nil:
-		return "reset"
-	case n == 0:
-		return "peer-closed"
-	default:
-		return "surplus"
-	}
-}
--- a/internal/transport/upstream_pool.go
+++ b/internal/transport/upstream_pool.go
@@ -12,47 +12,65 @@
 	"olivebridge/internal/routing"
 )
 
-// settle is how long a connection rests before it carries another try: what
-// follows behind an answer is there by then, and shows. A second answer is known
-// to come some milliseconds late, and would be served to whoever is next.
-const settleTime = 10 * time.Millisecond
+const (
+	// settleTime is how long a connection rests before it carries another attempt. A second response is known to come
+	// some milliseconds late: it is there by then, and shows, and would else be served to whoever is next.
+	settleTime = 10 * time.Millisecond
+	// shortageLogInterval is how often at most the log tells that connections cannot be opened.
+	shortageLogInterval = time.Second
+	// sweepsPerIdleTimeout is how often idle connections are swept within their idle timeout.
+	sweepsPerIdleTimeout = 8
+)
 
-// errNoRoom says that this node may open no further connection, for want of
-// descriptors or as it ends.
+// errConnLimit says that this node may open no further connection, for want of descriptors or as it ends.
 var errConnLimit = errors.New("no room for a connection")
 
-// pool holds the connections to peers. http.Transport has one of its own, but
-// gives a connection out again before it looks for bytes behind the answer, and
-// takes these for the next answer: in a probe of 20,000 tries against a peer
-// that sends every answer twice, 380 calls were served with another's answer,
-// and 2,167 under the race detector.
+// upstreamPool holds the connections to servers. The one in http.Transport gives a connection out again before it looks
+// for bytes behind the response, and takes these for the next response.
 //
-// Connections belong to a peer, not to its address: one to a server that has
-// left the upstream group must not carry a try for its successor there.
+// Connections belong to a server, not to its address: one to a server that has left the upstream group must not carry an
+// attempt for its successor at that address.
 type upstreamPool struct {
 	settleTime time.Duration
 	log        *slog.Logger
 	dial       Dialer
 
-	mu              sync.Mutex
-	connectTimeout  time.Duration // a connection that comes later has not come
-	idleTimeout     time.Duration // how long one may lie idle
-	maxConns        int           // connections, open and being opened
-	open            int
-	idle            map[*routing.Peer][]*upstreamConn // the longest idle first; the sweep drops lists that are empty
-	sweeper         *time.Timer                       // the sweep that is due; nil: none is
-	closed          bool                              // none is opened or kept any more
-	lastShortageLog time.Time                         // when the last line of lacks was left
+	mu sync.Mutex
+	// connectTimeout is how long a connection may take to come up.
+	connectTimeout time.Duration
+	// idleTimeout is how long a connection may be idle.
+	idleTimeout time.Duration
+	// maxConns bounds open.
+	maxConns int
+	// open counts the connections, those being opened included.
+	open int
+	// idle are the idle connections, the longest idle first. The sweep drops empty lists.
+	idle map[*routing.Peer][]*upstreamConn
+	// sweeper is the sweep that is due; nil: none is.
+	sweeper *time.Timer
+	// closed: no connection is opened or kept any more.
+	closed bool
+	// lastShortageLog is when the last line of logShortage was written.
+	lastShortageLog time.Time
+}
+
+// configure changes the limits, which hold from the next connection on.
+func (p *upstreamPool) configure(connectTimeout, idleTimeout time.Duration, maxConns int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.connectTimeout = connectTimeout
+	p.idleTimeout = idleTimeout
+	p.maxConns = maxConns
 }
 
-// get returns a connection that carries nothing, or a new one, which must be up by until.
+// get returns an idle connection, or a new one, which must be up by until.
 func (p *upstreamPool) get(ctx context.Context, peer *routing.Peer, until time.Time) (*upstreamConn, error) {
 	for c := p.take(peer); c != nil; c = p.take(peer) {
-		if why := c.staleReason(); why != "" {
-			c.closeFor(why)
-			continue
+		reason := c.staleReason()
+		if reason == reasonNone {
+			return c, nil
 		}
-		return c, nil
+		c.closeFor(reason)
 	}
 	for {
 		c, err := p.connect(ctx, peer, until)
@@ -62,13 +80,13 @@
 	}
 }
 
-// connectTo returns a new connection.
+// connect opens a new connection.
 func (p *upstreamPool) connect(ctx context.Context, peer *routing.Peer, until time.Time) (*upstreamConn, error) {
-	connect, ok := p.reserveConn()
+	timeout, ok := p.reserveConn()
 	if !ok {
 		return nil, errConnLimit
 	}
-	ctx, stop := context.WithTimeout(ctx, min(connect, time.Until(until)))
+	ctx, stop := context.WithTimeout(ctx, min(timeout, time.Until(until)))
 	defer stop()
 	conn, err := p.dial.dial(ctx, peer.Addr)
 	if err != nil {
@@ -78,16 +96,17 @@
 	return &upstreamConn{Conn: conn, peer: peer, log: newConnLog(p.log, "peer", peer.Addr, p.releaseConn)}, nil
 }
 
-// take takes the last used idle connection to a peer that has settled, and has
-// not lain idle for too long; nil if there is none. The sweep may be late for
-// that, or still go by the time before a reload.
+// take takes the last used idle connection to a server that has settled, and has not been idle for too long; nil if there
+// is none. The sweep may be late for that, or still go by the timeout before a reload.
 func (p *upstreamPool) take(peer *routing.Peer) *upstreamConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list, now := p.idle[peer], time.Now()
+	list := p.idle[peer]
+	now := time.Now()
 	for i := len(list) - 1; i >= 0; i-- {
-		if lain := now.Sub(list[i].idleSince); lain >= p.settleTime && lain < p.idleTimeout {
-			c := list[i]
+		c := list[i]
+		idle := now.Sub(c.idleSince)
+		if idle >= p.settleTime && idle < p.idleTimeout {
 			p.idle[peer] = slices.Delete(list, i, i+1)
 			return c
 		}
@@ -98,10 +117,11 @@
 // put takes a connection back that carries nothing any more.
 func (p *upstreamPool) put(c *upstreamConn) {
 	if !p.putIdle(c) {
-		c.closeFor("idle")
+		c.closeFor(reasonIdle)
 	}
 }
 
+// putIdle keeps an idle connection, and reports whether the pool still does so.
 func (p *upstreamPool) putIdle(c *upstreamConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,24 +131,24 @@
 	c.idleSince = time.Now()
 	p.idle[c.peer] = append(p.idle[c.peer], c)
 	if p.sweeper == nil {
-		p.sweeper = time.AfterFunc(p.idleTimeout/8, p.sweep)
+		p.scheduleSweep()
 	}
 	return true
 }
 
-// reserve counts a connection to be opened and says how long that may take. At
-// the bound an idle one makes room.
-func (p *upstreamPool) reserveConn() (connect time.Duration, ok bool) {
+// reserveConn counts a connection to be opened and says how long that may take. At the limit an idle one makes room.
+func (p *upstreamPool) reserveConn() (timeout time.Duration, ok bool) {
 	for {
 		p.mu.Lock()
-		full, closed := p.open >= p.maxConns, p.closed
+		full := p.open >= p.maxConns
+		closed := p.closed
 		if !full && !closed {
 			p.open++
 		}
-		connect = p.connectTimeout
+		timeout = p.connectTimeout
 		p.mu.Unlock()
 		if !full || closed {
-			return connect, !closed
+			return timeout, !closed
 		}
 		if !p.evict() {
 			return 0, false
@@ -136,8 +156,22 @@
 	}
 }
 
-// evict ends the connection that has been idle for the longest, to whichever
-// peer, and reports whether there was one: a handshake more beats a try less.
+// releaseConn counts a connection that has ended.
+func (p *upstreamPool) releaseConn() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.open--
+}
+
+// count is how many connections there are, those being opened included.
+func (p *upstreamPool) count() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.open
+}
+
+// evict closes the connection that has been idle for the longest, to whichever server, and reports whether there was one:
+// a further handshake costs less than a failed attempt.
 func (p *upstreamPool) evict() bool {
 	p.mu.Lock()
 	var oldest *upstreamConn
@@ -153,72 +187,32 @@
 	if oldest == nil {
 		return false
 	}
-	oldest.closeFor("idle")
+	oldest.closeFor(reasonIdle)
 	return true
 }
 
-// lackEach is how often at most the log tells that connections cannot be opened.
-const shortageLogInterval = time.Second
-
-// ownLack reports whether this node is why there is no connection, and not the
-// peer: descriptors, ports or memory are short.
-func isLocalShortage(err error) bool {
-	for _, no := range [...]syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL,
-		syscall.ENOBUFS, syscall.ENOMEM} {
-		if errors.Is(err, no) {
-			return true
-		}
-	}
-	return errors.Is(err, errConnLimit)
+// scheduleSweep has the pool swept. The lock is held.
+func (p *upstreamPool) scheduleSweep() {
+	p.sweeper = time.AfterFunc(p.idleTimeout/sweepsPerIdleTimeout, p.sweep)
 }
 
-// lacks reports whether it is this node's own lack, and tells it. It guards
-// sound peers, all of which would seem to fail together.
-func (p *upstreamPool) logShortage(err error, now time.Time) bool {
-	if !isLocalShortage(err) {
-		return false
-	}
-	p.mu.Lock()
-	tell := !p.closed && now.Sub(p.lastShortageLog) >= shortageLogInterval
-	if tell {
-		p.lastShortageLog = now
-	}
-	p.mu.Unlock()
-	if tell {
-		p.log.Warn("no connection to peers", "reason", err.Error())
-	}
-	return true
-}
-
-func (p *upstreamPool) configure(connect, keep time.Duration, most int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.connectTimeout, p.idleTimeout, p.maxConns = connect, keep, most
-}
-
-func (p *upstreamPool) releaseConn() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.open--
-}
-
-// sweep closes what has lain idle for too long, or has been ended by its peer,
-// as long as any is idle.
+// sweep closes connections that have been idle for too long, or were closed by their server, as long as any is idle.
 func (p *upstreamPool) sweep() {
-	p.closeMatching(func(c *upstreamConn) string { // the lock is held
-		if why := c.staleReason(); why != "" || time.Since(c.idleSince) < p.idleTimeout {
-			return why
+	p.closeMatching(func(c *upstreamConn) closeReason { // the lock is held
+		if reason := c.staleReason(); reason != reasonNone || time.Since(c.idleSince) < p.idleTimeout {
+			return reason
 		}
-		return "idle"
+		return reasonIdle
 	})
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.sweeper = nil; len(p.idle) > 0 {
-		p.sweeper = time.AfterFunc(p.idleTimeout/8, p.sweep)
+	p.sweeper = nil
+	if len(p.idle) > 0 {
+		p.scheduleSweep()
 	}
 }
 
-// close closes what is idle, and from then on whatever is put back.
+// close closes the idle connections, and from then on whatever is put back.
 func (p *upstreamPool) close() {
 	p.mu.Lock()
 	p.closed = true
@@ -226,22 +220,23 @@
 		p.sweeper.Stop()
 	}
 	p.mu.Unlock()
-	p.closeMatching(func(*upstreamConn) string { return "idle" })
+	p.closeMatching(func(*upstreamConn) closeReason { return reasonIdle })
 }
 
-// drop closes each idle connection for which why gives a reason.
-func (p *upstreamPool) closeMatching(why func(*upstreamConn) string) {
-	ended := map[*upstreamConn]string{}
+// closeMatching closes each idle connection for which match gives a reason. It calls match under the lock.
+func (p *upstreamPool) closeMatching(match func(*upstreamConn) closeReason) {
+	ended := map[*upstreamConn]closeReason{}
 	p.mu.Lock()
 	for peer, list := range p.idle {
 		list = slices.DeleteFunc(list, func(c *upstreamConn) bool {
-			reason := why(c)
-			if reason != "" {
+			reason := match(c)
+			if reason != reasonNone {
 				ended[c] = reason
 			}
-			return reason != ""
+			return reason != reasonNone
 		})
-		if p.idle[peer] = list; len(list) == 0 {
+		p.idle[peer] = list
+		if len(list) == 0 {
 			delete(p.idle, peer)
 		}
 	}
@@ -250,3 +245,33 @@
 		c.closeFor(reason)
 	}
 }
+
+// isLocalShortage reports whether this node is why there is no connection, and not the server: descriptors, ports or
+// memory are short.
+func isLocalShortage(err error) bool {
+	for _, errno := range [...]syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL,
+		syscall.ENOBUFS, syscall.ENOMEM} {
+		if errors.Is(err, errno) {
+			return true
+		}
+	}
+	return errors.Is(err, errConnLimit)
+}
+
+// logShortage reports whether an error is a shortage of this node, and logs it. It guards sound servers, all of which
+// would seem to fail together.
+func (p *upstreamPool) logShortage(err error, now time.Time) bool {
+	if !isLocalShortage(err) {
+		return false
+	}
+	p.mu.Lock()
+	due := !p.closed && now.Sub(p.lastShortageLog) >= shortageLogInterval
+	if due {
+		p.lastShortageLog = now
+	}
+	p.mu.Unlock()
+	if due {
+		p.log.Warn("no connection to peers", "reason", err.Error())
+	}
+	return true
+}
--- a/internal/transport/upstream_response.go
+++ b/internal/transport/upstream_response.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"net/http"
 	"net/http/httputil"
 	"strings"
 	"time"
@@ -13,137 +14,151 @@
 	"olivebridge/internal/protocol"
 )
 
-// errSpoilt marks an answer that breaks HTTP/1.1 or its own word. Its try may
-// have run, and its connection is of no further use.
+// errMalformedResponse marks a response that breaks HTTP/1.1 or its own framing. The server may have run its attempt, and
+// its connection is of no further use.
 var errMalformedResponse = errors.New("spoilt answer")
 
-// errOversize is a spoilt answer that exceeds what an answer may have.
+// errResponseTooLarge is a malformed response that exceeds what a response may have.
 var errResponseTooLarge = fmt.Errorf("%w: too long", errMalformedResponse)
 
+// malformedResponse is an errMalformedResponse that says what is wrong.
 func malformedResponse(what string) error { return fmt.Errorf("%w: %s", errMalformedResponse, what) }
 
-// maxHead bounds the bytes of an answer's head, together with what comes ahead of it.
+// maxResponseHead bounds the bytes of a response's head, together with the 1xx responses ahead of it.
 const maxResponseHead = 32 << 10
 
-// answer is a whole answer of a peer.
+// upstreamResponse is a server's response.
 type upstreamResponse struct {
 	responseHead
+	// body is all of the body, or the first part of a long one.
 	body []byte
-	buf  *pooledBuffer   // that body stands in; nil: none of the carrier's
-	rest *responseStream // of a long one, whose first part is the body; nil: there is none
+	buf  *pooledBuffer // that body is a part of; nil: none
+	// stream is the rest of a long body; nil: there is none.
+	stream *responseStream
 }
 
-// readAnswer reads the one answer to a request, into a buffer of home's; of one
-// that is long, or of unknown length and slow to come, the first part. Any error
-// but errSpoilt is one of reading.
-func readResponse(c *upstreamConn, in *bufio.Reader, home *bufferPool, until time.Time) (a upstreamResponse, err error) {
+// readResponse reads the one response to a request, with its body in a buffer of the pool; of one that is long, or of
+// unknown length and slow to come, the first part. Any error but errMalformedResponse is one of reading.
+func readResponse(conn *upstreamConn, reader *bufio.Reader, buffers *bufferPool,
+	until time.Time) (r upstreamResponse, err error) {
 	for room := maxResponseHead; ; {
-		head, err := readResponseHead(in, room)
+		head, err := readResponseHead(reader, room)
 		if err != nil {
-			return a, err
+			return r, err
 		}
 		room -= len(head)
-		if a.responseHead, err = parseResponseHead(string(head)); err != nil {
-			return a, err
+		if r.responseHead, err = parseResponseHead(string(head)); err != nil {
+			return r, err
 		}
 		switch {
-		case a.status == 101 || a.status < 100:
-			return a, malformedResponse("status")
-		case a.status < 200: // ahead of the answer
-			if a.length > 0 || a.chunked {
-				return a, malformedResponse("a body ahead of the answer")
-			}
-			continue
+		case r.status == http.StatusSwitchingProtocols || r.status < http.StatusContinue:
+			return r, malformedResponse("status")
+		case r.status >= http.StatusOK:
+			return r, r.readBody(conn, reader, buffers, until)
+		case r.length > 0 || r.chunked:
+			return r, malformedResponse("a body ahead of the answer")
 		}
-		return a, a.readBody(c, in, home, until)
 	}
 }
 
-// readHead reads the bytes of a head, the empty line included; they hold until
-// the next read. It gives up at the first that cannot be one's: noise need not
-// have an end.
-func readResponseHead(in *bufio.Reader, room int) ([]byte, error) {
-	const start = "HTTP/1."
-	if _, err := in.Peek(1); err != nil {
+// readBody reads what follows the head.
+func (r *upstreamResponse) readBody(conn *upstreamConn, reader *bufio.Reader, buffers *bufferPool,
+	until time.Time) (err error) {
+	switch {
+	case r.status == http.StatusNoContent || r.status == http.StatusNotModified: // have none
+	case r.chunked:
+		body := &chunkedBody{chunks: httputil.NewChunkedReader(reader), reader: reader}
+		err = r.readUnknownLength(conn, reader, body, until)
+	case r.length > maxResponseBody:
+		err = errResponseTooLarge
+	case r.length > protocol.MaxBody:
+		r.stream = &responseStream{
+			conn:      conn,
+			reader:    reader,
+			body:      reader,
+			length:    r.length,
+			remaining: r.length,
+		}
+	case r.length > 0:
+		r.buf = buffers.get(int(r.length))
+		r.body = r.buf.bytes[:r.length]
+		_, err = io.ReadFull(reader, r.body)
+	case r.length == 0:
+	case strings.EqualFold(r.first("Connection"), "close"):
+		err = r.readUnknownLength(conn, reader, reader, until)
+	default: // the end of the connection would be no sign that the body is complete
+		err = malformedResponse("no length")
+	}
+	return err
+}
+
+// readUnknownLength reads the first part of a body whose length is not announced.
+func (r *upstreamResponse) readUnknownLength(conn *upstreamConn, reader *bufio.Reader, body io.Reader,
+	until time.Time) error {
+	first, complete, err := readFirstPart(conn, reader, body, until)
+	r.body = first
+	if err == nil && !complete {
+		r.stream = &responseStream{
+			conn:      conn,
+			reader:    reader,
+			body:      body,
+			length:    -1,
+			remaining: maxResponseBody,
+		}
+	}
+	return err
+}
+
+// readResponseHead reads the bytes of a head, the empty line included; they hold until the next read. It gives up at the
+// first byte that cannot be one's: noise need not have an end.
+func readResponseHead(reader *bufio.Reader, room int) ([]byte, error) {
+	const (
+		start = "HTTP/1."
+		end   = "\n\r\n"
+	)
+	if _, err := reader.Peek(1); err != nil {
 		return nil, err
 	}
-	if got, _ := in.Peek(in.Buffered()); bytes.HasPrefix(got, []byte(start)) { // most heads come whole
-		if end := bytes.Index(got, []byte("\n\r\n")) + len("\n\r\n"); end >= len("\n\r\n") && end <= room {
-			in.Discard(end)
-			return got[:end], nil
+	buffered, _ := reader.Peek(reader.Buffered())
+	if bytes.HasPrefix(buffered, []byte(start)) { // most heads come in one piece
+		size := bytes.Index(buffered, []byte(end)) + len(end)
+		if size >= len(end) && size <= room {
+			_, _ = reader.Discard(size)
+			return buffered[:size], nil
 		}
 	}
 	var head []byte
 	for len(head) < len(start) {
-		b, err := in.ReadByte()
+		b, err := reader.ReadByte()
 		if err != nil {
 			return nil, err
 		}
-		if head = append(head, b); b != start[len(head)-1] {
+		head = append(head, b)
+		if b != start[len(head)-1] {
 			return nil, malformedResponse("no head")
 		}
 	}
-	for begun := true; ; { // begun: a line is, with what has been read
-		part, err := in.ReadSlice('\n')
-		if head = append(head, part...); len(head) > room {
+	return readHeadLines(reader, head, room)
+}
+
+// readHeadLines reads on from within the first line of a head to the empty line.
+func readHeadLines(reader *bufio.Reader, head []byte, room int) ([]byte, error) {
+	inLine := true // the next bytes go on with a line
+	for {
+		part, err := reader.ReadSlice('\n')
+		head = append(head, part...)
+		if len(head) > room {
 			return nil, errResponseTooLarge
 		}
 		switch {
-		case err == bufio.ErrBufferFull:
-			begun = true
+		case errors.Is(err, bufio.ErrBufferFull):
+			inLine = true
 		case err != nil:
 			return nil, err
-		case !begun && len(bytes.TrimRight(part, "\r\n")) == 0:
+		case !inLine && len(bytes.TrimRight(part, "\r\n")) == 0:
 			return head, nil
 		default:
-			begun = false
-		}
-	}
-}
-
-// readBody reads what follows the head.
-func (a *upstreamResponse) readBody(c *upstreamConn, in *bufio.Reader, home *bufferPool, until time.Time) (err error) {
-	switch {
-	case a.status == 204 || a.status == 304: // have none
-	case a.chunked:
-		err = a.readUnknownLength(c, in, &chunkedBody{chunks: httputil.NewChunkedReader(in), in: in}, until)
-	case a.length > maxResponseBody:
-		err = errResponseTooLarge
-	case a.length > protocol.MaxBody:
-		a.rest = &responseStream{conn: c, reader: in, body: in, length: a.length, remaining: a.length}
-	case a.length > 0:
-		a.buf = home.get(int(a.length))
-		a.body = a.buf.bytes[:a.length]
-		_, err = io.ReadFull(in, a.body)
-	case a.length == 0:
-	case strings.EqualFold(a.first("Connection"), "close"):
-		err = a.readUnknownLength(c, in, in, until)
-	default: // the end of the connection would be no sign that it is whole
-		err = malformedResponse("no length")
-	}
-	return err
-}
-
-// begin reads the first part of a body whose length is not announced.
-func (a *upstreamResponse) readUnknownLength(c *upstreamConn, in *bufio.Reader, body io.Reader, until time.Time) (err error) {
-	var whole bool
-	if a.body, whole, err = readFirstPart(c, in, body, protocol.MaxBody, until); err == nil && !whole {
-		a.rest = &responseStream{conn: c, reader: in, body: body, length: -1, remaining: maxResponseBody}
-	}
-	return err
-}
-
-// skipTrailer reads what stands behind the last chunk.
-func skipTrailer(in *bufio.Reader) error {
-	for room := maxResponseHead; room > 0; {
-		line, err := in.ReadSlice('\n')
-		if err != nil {
-			return err
-		}
-		if len(bytes.TrimRight(line, "\r\n")) == 0 {
-			return nil
+			inLine = false
 		}
-		room -= len(line)
 	}
-	return errResponseTooLarge
 }
--- a/internal/transport/upstream_transport.go
+++ b/internal/transport/upstream_transport.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"errors"
 	"log/slog"
 	"net/http"
 	"sync"
@@ -15,212 +14,205 @@
 	"olivebridge/internal/routing"
 )
 
-// fairConnect is the time after which a connection that is not up speaks against its peer, though it may take longer by the
-// settings: some round trips over the widest net.
-const fairConnectTime = 100 * time.Millisecond
+const (
+	// fairConnectTime is the time after which a connection that is not up counts against its server, though it may take
+	// longer by the settings: some round trips over the widest network.
+	fairConnectTime = 100 * time.Millisecond
+	// probeConnectTimeouts is how long a health check may take, in connect timeouts.
+	probeConnectTimeouts = 4
+	// idleTimeoutTenths is the part of the servers' idle timeout after which an idle connection is closed, in tenths: a
+	// request that crosses the server's close is reset.
+	idleTimeoutTenths = 7
+)
 
-// CarrierConfig is what a Carrier is made from.
+// UpstreamConfig is what an UpstreamTransport is made from.
 type UpstreamConfig struct {
-	ConnectTimeout    time.Duration // a connection that comes later has not come
-	ServerIdleTimeout time.Duration // peers close a connection idle for this long
-	DrainGrace        time.Duration // first bytes to a leaving peer end within this time
-	MaxConns          int           // connections to all peers together
-	Log               *slog.Logger
-	Dial              Dialer // nil: TCP
+	// ConnectTimeout is how long a connection may take to come up; 0: none ever does.
+	ConnectTimeout time.Duration
+	// ServerIdleTimeout is the time after which servers close an idle connection; 0: none is used again.
+	ServerIdleTimeout time.Duration
+	// DrainGrace is how long after its draining began a server is still sent first bytes; 0: not at all.
+	DrainGrace time.Duration
+	// MaxConns bounds the connections to all servers together; 0: none is opened.
+	MaxConns int
+	// Log gets one line for each connection that ends, and for a shortage. Configure does not change it.
+	Log *slog.Logger
+	// Dial opens connections; nil: TCP. Configure does not change it.
+	Dial Dialer
 }
 
-// Carrier brings tries and probes to peers over pooled connections.
+// UpstreamTransport sends attempts and health checks to servers over pooled connections. It implements routing.Carrier,
+// and its methods may be called from any goroutine.
 type UpstreamTransport struct {
-	config  atomic.Pointer[UpstreamConfig]
-	pool    *upstreamPool
-	readers sync.Pool  // a connection needs its buffer only while it carries a try
-	buffers bufferPool // of the answers' bodies
+	config atomic.Pointer[UpstreamConfig]
+	pool   *upstreamPool
+	// readers are buffered readers: a connection needs one only while it carries an attempt.
+	readers sync.Pool
+	// buffers are for the responses' bodies.
+	buffers bufferPool
 }
 
-// NewCarrier makes a Carrier.
+// NewUpstreamTransport makes an UpstreamTransport.
 func NewUpstreamTransport(c UpstreamConfig) *UpstreamTransport {
-	k := &UpstreamTransport{
-		pool:    &upstreamPool{settleTime: settleTime, log: c.Log, dial: c.Dial, idle: map[*routing.Peer][]*upstreamConn{}},
+	t := &UpstreamTransport{
+		pool: &upstreamPool{
+			settleTime: settleTime,
+			log:        c.Log,
+			dial:       c.Dial,
+			idle:       map[*routing.Peer][]*upstreamConn{},
+		},
 		readers: sync.Pool{New: func() any { return bufio.NewReader(nil) }},
 	}
-	k.Configure(c)
-	return k
+	t.Configure(c)
+	return t
 }
 
-// Configure changes a Carrier in use, but for its log and dialer.
-func (k *UpstreamTransport) Configure(c UpstreamConfig) {
-	k.config.Store(&c)
-	// Connections are closed safely before the peer does: a request that crosses its closing is reset.
-	k.pool.configure(c.ConnectTimeout, c.ServerIdleTimeout*7/10, c.MaxConns)
+// Configure changes a transport in use, but for its log and dialer.
+func (t *UpstreamTransport) Configure(c UpstreamConfig) {
+	t.config.Store(&c)
+	t.pool.configure(c.ConnectTimeout, c.ServerIdleTimeout*idleTimeoutTenths/10, c.MaxConns)
 }
 
-// Close ends the Carrier. Connections that carry nothing are closed at once,
-// the others with their tries; those to come are moot.
-func (k *UpstreamTransport) Close() { k.pool.close() }
+// Close ends the transport. Idle connections are closed at once, the others with their attempts; no attempt is sent any
+// more.
+func (t *UpstreamTransport) Close() { t.pool.close() }
 
-// Conns counts the connections to peers, those being opened included.
-func (k *UpstreamTransport) Conns() int {
-	k.pool.mu.Lock()
-	defer k.pool.mu.Unlock()
-	return k.pool.open
-}
+// Conns counts the connections to servers, those being opened included.
+func (t *UpstreamTransport) Conns() int { return t.pool.count() }
 
-// Try implements routing.Carrier.
-func (k *UpstreamTransport) Try(ctx context.Context, t routing.Try) routing.TryResult {
-	m, ok := t.Payload.(*requestMessage)
-	if !ok || !m.hold() { // its front has done with it: the call is over
+// Try implements routing.Carrier. It blocks until the attempt has ended, or the first part of a long response is there.
+func (t *UpstreamTransport) Try(ctx context.Context, attempt routing.Try) routing.TryResult {
+	m, ok := attempt.Payload.(*requestMessage)
+	if !ok || !m.hold() { // its frontend has released it: the call is over
 		return routing.TryResult{Result: balancer.NotSent}
 	}
 	defer m.release()
-	return k.exchange(ctx, t, m, true)
+	return t.exchange(ctx, attempt, m, true)
 }
 
-// Probe implements routing.Carrier.
-func (k *UpstreamTransport) Probe(ctx context.Context, p *routing.Peer) balancer.Result {
-	t := routing.Try{Peer: p, Until: time.Now().Add(4 * k.config.Load().ConnectTimeout)}
-	r := k.exchange(ctx, t, newMessage(&k.buffers, http.MethodGet, protocol.PathLive, p.Addr, nil, 0), false)
+// Probe implements routing.Carrier. It blocks until the health check has ended.
+func (t *UpstreamTransport) Probe(ctx context.Context, p *routing.Peer) balancer.Result {
+	timeout := probeConnectTimeouts * t.config.Load().ConnectTimeout
+	attempt := routing.Try{Peer: p, Until: time.Now().Add(timeout)}
+	m := newMessage(&t.buffers, http.MethodGet, protocol.PathLive, p.Addr, nil, 0)
+	r := t.exchange(ctx, attempt, m, false)
 	if d, ok := r.Reply.(routing.Dropper); ok {
 		d.Drop()
 	}
 	return r.Result
 }
 
-// keep puts a connection back that carries nothing, unless its request is still being sent.
-func (k *UpstreamTransport) putConn(c *upstreamConn) {
-	if c.upload != nil && !c.upload.bodySent.Load() {
-		c.closeFor("peer-asked") // by answering early
-		return
-	}
-	c.upload = nil
-	k.pool.put(c)
-}
-
-// exchange sends one message to a peer, at most once, and waits for the answer.
-// A try whose call is over by the time that its connection is there never
-// leaves: a copy may find that the first has been answered, a further try that
-// its class's window has passed. told: the peer is told the time left.
-func (k *UpstreamTransport) exchange(ctx context.Context, t routing.Try, m *requestMessage, told bool) routing.TryResult {
-	fair := time.Until(t.Until) >= fairConnectTime
-	c, err := k.pool.get(ctx, t.Peer, t.Until)
-	stands := err != nil || t.Stands(time.Now())
-	now := time.Now() // the decisions may have been waited for
-	cause := cancelCause(ctx, t.Until, now)
-	switch {
-	case err != nil && (ctx.Err() != nil || cause != nil && !fair || k.pool.logShortage(err, now)):
-		return routing.TryResult{Result: balancer.NotSent} // not the peer's doing
-	case err != nil:
-		return routing.TryResult{Result: balancer.ConnectFailed}
-	case cause != nil || !stands || !t.MayBegin(now) || m.clientLeft(t.Attempt, now):
-		k.pool.put(c)
-		return routing.TryResult{Result: balancer.NotSent}
-	case !t.Peer.OpenFor(now, k.config.Load().DrainGrace):
-		c.closeFor("not-sent")
-		return routing.TryResult{Result: balancer.NotSent}
+// exchange sends one message to a server, at most once, and waits for the response. With withBudget the server is told
+// the time left.
+func (t *UpstreamTransport) exchange(ctx context.Context, attempt routing.Try, m *requestMessage,
+	withBudget bool) routing.TryResult {
+	conn, now, res := t.connect(ctx, &attempt, m)
+	if conn == nil {
+		return routing.TryResult{Result: res}
 	}
 	if m.upload != nil {
-		return k.exchangeUpload(ctx, t, m, c)
+		return t.exchangeUpload(ctx, attempt, m, conn)
 	}
-	c.SetDeadline(t.Until)
-	watch := watchCancel(ctx, c)
+	_ = conn.SetDeadline(attempt.Until)
+	watch := watchCancel(ctx, conn)
 	var budget time.Duration
-	if told {
-		budget = max(t.Until.Sub(now), 1)
+	if withBudget {
+		budget = max(attempt.Until.Sub(now), 1)
 	}
-	request, own := m.compose(budget)
-	n, _ := c.Write(request)
-	if m.releaseRoom(own); n < len(request) {
-		// Its last byte was never written, which proves that it never ran.
+	request, ownsRoom := m.compose(budget)
+	n, _ := conn.Write(request) // how much was written tells more than the error
+	m.releaseRoom(ownsRoom)
+	if n < len(request) {
 		watch.stop()
-		cause := cancelCause(ctx, t.Until, time.Now())
-		c.closeFor(cancelReason(cause, "reset"))
-		if cause != nil {
-			return routing.TryResult{Result: balancer.NotSent}
-		}
-		return routing.TryResult{Result: balancer.ConnectFailed}
+		return conn.notWritten(cancelCause(ctx, attempt.Until, time.Now()))
+	}
+	return t.receive(ctx, attempt, conn, watch)
+}
+
+// connect returns a connection on which an attempt may begin, and when that was found; or nil, and what the attempt ended
+// with. An attempt whose call is over by the time that its connection is up is never sent: a hedged request may find that
+// the first one has been answered, a retry that the window of its class is over.
+func (t *UpstreamTransport) connect(ctx context.Context, attempt *routing.Try,
+	m *requestMessage) (*upstreamConn, time.Time, balancer.Result) {
+	fair := time.Until(attempt.Until) >= fairConnectTime
+	conn, err := t.pool.get(ctx, attempt.Peer, attempt.Until)
+	stands := err != nil || attempt.Stands(time.Now())
+	now := time.Now() // the decisions may have been waited for
+	cause := cancelCause(ctx, attempt.Until, now)
+	switch {
+	case err != nil && (ctx.Err() != nil || cause != nil && !fair || t.pool.logShortage(err, now)):
+		return nil, now, balancer.NotSent // the server has no part in it
+	case err != nil:
+		return nil, now, balancer.ConnectFailed
+	case cause != nil || !stands || !attempt.MayBegin(now) || m.clientLeft(attempt.Attempt, now):
+		t.pool.put(conn)
+		return nil, now, balancer.NotSent
+	case !attempt.Peer.OpenFor(now, t.config.Load().DrainGrace):
+		conn.closeFor(reasonNotSent)
+		return nil, now, balancer.NotSent
 	}
-	return k.receive(ctx, t, c, watch)
+	return conn, now, balancer.OK
 }
 
-// receive reads the answer to a try, or the first part of a long one.
-func (k *UpstreamTransport) receive(ctx context.Context, t routing.Try, c *upstreamConn, watch cancelWatch) routing.TryResult {
-	in := k.readers.Get().(*bufio.Reader)
-	in.Reset(c)
-	a, err := readResponse(c, in, &k.buffers, t.Until)
+// receive reads the response to an attempt, or the first part of a long one.
+func (t *UpstreamTransport) receive(ctx context.Context, attempt routing.Try, conn *upstreamConn,
+	watch cancelWatch) routing.TryResult {
+	reader := t.readers.Get().(*bufio.Reader)
+	reader.Reset(conn)
+	r, err := readResponse(conn, reader, &t.buffers, attempt.Until)
 	undisturbed := watch.stop()
-	res := protocol.ResultOf(a.status, a.values(protocol.HeaderRejected))
-	if err == nil && a.rest != nil && res == balancer.OK && undisturbed {
-		a.rest.carrier, a.rest.closeAfter = k, a.closeAfter
-		return routing.TryResult{Result: balancer.OK, Reply: &response{fields: a.endToEnd(), body: a.body, stream: a.rest}}
+	result := protocol.ResultOf(r.status, r.values(protocol.HeaderRejected))
+	if err == nil && r.stream != nil && result == balancer.OK && undisturbed {
+		r.stream.transport = t
+		r.stream.closeAfter = r.closeAfter
+		streamed := &response{fields: r.endToEnd(), body: r.body, stream: r.stream}
+		return routing.TryResult{Result: balancer.OK, Reply: streamed}
 	}
-	surplus := in.Buffered() > 0
-	in.Reset(nil)
-	k.readers.Put(in)
+	surplus := reader.Buffered() > 0
+	reader.Reset(nil)
+	t.readers.Put(reader)
 	switch {
 	case err != nil:
-		return routing.TryResult{Result: c.failureResult(err, cancelCause(ctx, c.responseDeadline(t.Until), time.Now()))}
-	case a.rest != nil && res == balancer.OK:
-		c.closeFor("called-off")
+		cause := cancelCause(ctx, conn.responseDeadline(attempt.Until), time.Now())
+		return routing.TryResult{Result: conn.failureResult(err, cause)}
+	case r.stream != nil && result == balancer.OK:
+		conn.closeFor(reasonCalledOff)
 		return routing.TryResult{Result: balancer.Cancelled}
-	case a.rest != nil: // no reader wants the rest of a failure
-		c.closeFor("oversize")
-	case surplus: // guards the next call: it may be taken for its answer
-		c.closeFor("surplus")
-	case a.closeAfter:
-		c.closeFor("peer-asked")
+	case r.stream != nil: // nobody reads the rest of a failure
+		conn.closeFor(reasonOversize)
+	case surplus: // guards the next call: it may be taken for its response
+		conn.closeFor(reasonSurplus)
+	case r.closeAfter:
+		conn.closeFor(reasonPeerAsked)
 	case !undisturbed:
-		c.closeFor("called-off")
+		conn.closeFor(reasonCalledOff)
 	default:
-		k.putConn(c)
+		t.putConn(conn)
 	}
-	p := &response{fields: a.endToEnd(), body: a.body, buf: a.buf}
-	if res != balancer.OK {
+	p := &response{fields: r.endToEnd(), body: r.body, buf: r.buf}
+	if result != balancer.OK {
 		p.freeBuffer()
-		return routing.TryResult{Result: res}
+		return routing.TryResult{Result: result}
 	}
 	return routing.TryResult{Result: balancer.OK, Reply: p}
 }
 
-// causeOf says why a try is given up; nil: it is not.
-func cancelCause(ctx context.Context, until, now time.Time) error {
-	switch {
-	case ctx.Err() != nil:
-		return context.Cause(ctx)
-	case !until.IsZero() && !now.Before(until):
-		return routing.ErrTimeUp
-	}
-	return nil
-}
-
-// ended closes a connection that brought no whole answer and says what that
-// means for its try, which was written whole and so may have run.
-func (c *upstreamConn) failureResult(err, cause error) balancer.Result {
-	switch {
-	case errors.Is(err, errResponseTooLarge):
-		c.closeFor("oversize")
-		return balancer.Errored
-	case c.readErr == nil: // the bytes are there, and no answer
-		c.closeFor("spoilt")
-		return balancer.Errored
-	}
-	c.closeFor(cancelReason(cause, "reset"))
-	switch {
-	case cause == routing.ErrTimeUp:
-		return balancer.TimedOut
-	case cause != nil:
-		return balancer.Cancelled
-	default:
-		return balancer.Reset
+// putConn puts a connection back that carries nothing, unless its request is still being sent.
+func (t *UpstreamTransport) putConn(c *upstreamConn) {
+	if c.upload != nil && !c.upload.bodySent.Load() {
+		c.closeFor(reasonPeerAsked) // by answering early
+		return
 	}
+	c.upload = nil
+	t.pool.put(c)
 }
 
-// reasonOf is the reason that a context's end gives for that of a connection.
-func cancelReason(cause error, otherwise string) string {
-	switch cause {
-	case nil:
-		return otherwise
-	case routing.ErrTimeUp:
-		return "try-timeout"
-	default:
-		return "called-off"
+// notWritten closes a connection on which the last byte of a request was never written, which proves that the server never
+// ran it. cause is why the attempt was given up; nil: it was not.
+func (c *upstreamConn) notWritten(cause error) routing.TryResult {
+	c.closeFor(cancelReason(cause, reasonReset))
+	if cause != nil {
+		return routing.TryResult{Result: balancer.NotSent}
 	}
+	return routing.TryResult{Result: balancer.ConnectFailed}
 }
