--- a/cmd/olivefleet/keep.go
+++ b/cmd/olivefleet/keep.go
@@ -63,45 +63,45 @@
 
 var _ transport.IdempotencyStore = (*kept)(nil)
 
-// Begin implements transport.Keeper.
-func (k *kept) Begin(ctx context.Context, w transport.Work) transport.Kept {
+// Begin implements transport.IdempotencyStore.
+func (k *kept) Begin(ctx context.Context, w transport.KeyedCall) transport.CallClaim {
 	owner, ok := k.work.NewOwner()
 	if !ok {
 		return transport.CallClaim{State: transport.CallStoreUnavailable}
 	}
 	mutant.Breakpoint("before-permission")
-	v, err := k.work.Begin(ctx, callstore.BeginRequest{Key: w.Key, Fingerprint: w.Print, Owner: owner, Idempotent: k.again[w.Class]})
+	v, err := k.work.Begin(ctx, callstore.BeginRequest{Key: w.Key, Fingerprint: w.Fingerprint, Owner: owner, Idempotent: k.again[w.Class]})
 	switch {
 	case err != nil || v.StoreFull || v.OwnersExhausted:
-		return transport.Kept{State: transport.KeptRefused}
+		return transport.CallClaim{State: transport.CallStoreUnavailable}
 	case v.KeyConflict:
-		return transport.Kept{State: transport.KeptOther}
+		return transport.CallClaim{State: transport.CallKeyConflict}
 	case v.Granted:
 		mutant.Breakpoint("with-permission")
-		return transport.Kept{State: transport.KeptYours, End: func(s transport.KeptState, o *transport.Outcome) {
+		return transport.CallClaim{State: transport.CallGranted, Finish: func(s transport.CallState, o *transport.StoredResponse) {
 			k.end(w.Key, owner, s, o)
 		}}
 	case v.State == callstore.Answered:
-		kept := transport.Kept{State: transport.KeptAnswered}
+		kept := transport.CallClaim{State: transport.CallAnswered}
 		if o := v.Outcome; o != nil {
-			kept.Outcome = &transport.Outcome{Status: o.Status, Header: http.Header(o.Header), Body: o.Body, Long: o.BodyOmitted}
+			kept.Response = &transport.StoredResponse{Status: o.Status, Header: http.Header(o.Header), Body: o.Body, Truncated: o.BodyOmitted}
 		}
 		return kept
 	case v.State == callstore.Unknown:
-		return transport.Kept{State: transport.KeptUnknown}
+		return transport.CallClaim{State: transport.CallOutcomeUnknown}
 	case v.State == callstore.Free: // this very call was given up before
-		return transport.Kept{State: transport.KeptRefused}
+		return transport.CallClaim{State: transport.CallStoreUnavailable}
 	}
 	return transport.CallClaim{State: transport.CallRunning}
 }
 
-func (k *kept) end(key string, owner callstore.Owner, s transport.KeptState, o *transport.Outcome) {
+func (k *kept) end(key string, owner callstore.Owner, s transport.CallState, o *transport.StoredResponse) {
 	e := callstore.EndRequest{Key: key, Owner: owner, State: callstore.Unknown}
 	switch {
-	case s == transport.KeptFree:
+	case s == transport.CallNotRun:
 		e.State = callstore.Free
-	case s == transport.KeptAnswered && o != nil:
-		e.State, e.Outcome = callstore.Answered, &callstore.Outcome{Status: o.Status, Header: o.Header, Body: o.Body, BodyOmitted: o.Long}
+	case s == transport.CallAnswered && o != nil:
+		e.State, e.Outcome = callstore.Answered, &callstore.Outcome{Status: o.Status, Header: o.Header, Body: o.Body, BodyOmitted: o.Truncated}
 	}
 	mutant.Breakpoint("answered")
 	k.work.End(e)
