--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -24,7 +24,7 @@
 	f := NewFrontend(FrontendConfig{
 		Listener:     l,
 		Names:        protocol.Names{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
-		Handler:      taker(func(context.Context, routing.Call) (routing.Answer, bool) { return served, true }),
+		Handler:      handlerFunc(func(context.Context, routing.Call) (routing.Answer, bool) { return served, true }),
 		ClientLimits: ClientLimits{MaxOpen: 10, MaxIdle: 10},
 		Log:          slog.New(slog.DiscardHandler),
 	})
@@ -35,7 +35,7 @@
 		b.Fatal(err)
 	}
 	defer conn.Close()
-	in, raw := bufio.NewReader(conn), []byte(head+"Content-Length: 2\r\n\r\nhi")
+	in, raw := bufio.NewReader(conn), []byte(callHead+"Content-Length: 2\r\n\r\nhi")
 	b.ReportAllocs()
 	for b.Loop() {
 		conn.Write(raw)
@@ -72,13 +72,13 @@
 			if _, err := conn.Read(buf); err != nil {
 				return
 			}
-			io.WriteString(conn, ok)
+			io.WriteString(conn, okResponse)
 		}
 	}()
 	k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, MaxConns: 10,
 		Log: slog.New(slog.DiscardHandler)})
 	k.pool.settleTime = 0
-	t := tryOf(routing.NewPeer(1, "s-1", l.Addr().String()), "GET", "")
+	t := newAttempt(routing.NewPeer(1, "s-1", l.Addr().String()), "GET", "")
 	b.ReportAllocs()
 	for b.Loop() {
 		if r := k.Try(context.Background(), t); r.Result != balancer.OK {
--- a/internal/transport/buffer_pool.go
+++ b/internal/transport/buffer_pool.go
@@ -13,9 +13,9 @@
 	unpooledClass = -1
 )
 
-// bufferPool holds buffers that are used again. A buffer has one owner: who took it, or whom that one has handed it to.
-// The owner alone gives it back, once, and only when nobody reads or writes it any more; one who cannot tell drops it, and
-// it is garbage. What is given back too early serves someone else's bytes.
+// bufferPool holds buffers that are used again. A buffer has one owner: who took it, or whom that one has handed it
+// to. The owner alone gives it back, once, and only when nobody reads or writes it any more; one who cannot tell
+// drops it, and it is garbage. What is given back too early serves someone else's bytes.
 type bufferPool struct{ classes [bufferClasses]sync.Pool }
 
 // pooledBuffer is bytes out of a bufferPool.
--- /dev/null
+++ b/internal/transport/buffer_pool_test.go
@@ -0,0 +1,29 @@
+package transport
+
+import (
+	"bytes"
+	"strings"
+	"sync"
+	"testing"
+)
+
+// TestBuffersHaveOneOwner: whatever is written into one that is taken stays until it is given back.
+func TestBuffersHaveOneOwner(t *testing.T) {
+	var home bufferPool
+	var all sync.WaitGroup
+	for i := range 8 {
+		all.Go(func() {
+			mark := bytes.Repeat([]byte{byte('a' + i)}, 200<<10)
+			for n := range 300 {
+				size := 1 + n*n%len(mark)
+				b := home.get(size)
+				copy(b.bytes, mark[:size])
+				if len(b.bytes) < size || strings.Trim(string(b.bytes[:size]), string(mark[:1])) != "" {
+					t.Errorf("%d bytes of %d are another's", len(b.bytes), size)
+				}
+				home.put(b)
+			}
+		})
+	}
+	all.Wait()
+}
--- a/internal/transport/client_conn.go
+++ b/internal/transport/client_conn.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// completeRequest notes that the current request has been read to its end, and reports whether it may be forwarded. The
-// connection may have been closed for standing still just before, though the last bytes had come.
+// completeRequest notes that the current request has been read to its end, and reports whether it may be forwarded.
+// The connection may have been closed for standing still just before, though the last bytes had come.
 func (c *clientConn) completeRequest() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
@@ -124,8 +124,8 @@
 	return c.state.pipelined
 }
 
-// hasPipelinedRequest reports whether a further request, or a part of it, has been read behind the current one, whose end
-// is beyond doubt. No more is read while that one is open: see watchForClose.
+// hasPipelinedRequest reports whether a further request, or a part of it, has been read behind the current one,
+// whose end is beyond doubt. No more is read while that one is open: see watchForClose.
 func (c *clientConn) hasPipelinedRequest() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
@@ -170,7 +170,8 @@
 	return n, err
 }
 
-// CloseWrite implements Conn. It does nothing once the close is decided: another process may go on with the connection.
+// CloseWrite implements Conn. It does nothing once the close is decided: another process may go on with the
+// connection.
 func (c *clientConn) CloseWrite() error {
 	if c.isClosing() {
 		return net.ErrClosed
@@ -178,8 +179,9 @@
 	return c.Conn.CloseWrite()
 }
 
-// Close implements net.Conn, and lets the last response arrive first: see linger. A connection that is being handed off
-// is closed by whoever sends it: http.Server, whose read finds it closing, would close the descriptor under the sending.
+// Close implements net.Conn, and lets the last response arrive first: see linger. A connection that is being handed
+// off is closed by whoever sends it: http.Server, whose read finds it closing, would close the descriptor under the
+// sending.
 func (c *clientConn) Close() error {
 	c.conns.mu.Lock()
 	reason := reasonNodeClosed
--- a/internal/transport/client_conns.go
+++ b/internal/transport/client_conns.go
@@ -61,7 +61,8 @@
 	return cs
 }
 
-// Accept implements net.Listener. It fails for good only with the listener: a connection that cannot be added is skipped.
+// Accept implements net.Listener. It fails for good only with the listener: a connection that cannot be added is
+// skipped.
 func (cs *clientConns) Accept() (net.Conn, error) {
 	for {
 		conn, err := cs.Listener.Accept()
@@ -181,8 +182,8 @@
 	}
 }
 
-// closeConns closes connections on which no byte of a request was read, or hands them off. The lock is held, but for the
-// closing itself.
+// closeConns closes connections on which no byte of a request was read, or hands them off. The lock is held, but
+// for the closing itself.
 func (cs *clientConns) closeConns(reason closeReason, conns ...*clientConn) {
 	handOff := cs.handOff
 	for _, c := range conns {
--- /dev/null
+++ b/internal/transport/client_conns_test.go
@@ -0,0 +1,126 @@
+package transport
+
+import (
+	"context"
+	"errors"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+)
+
+// TestCloseWhileReading guards against a connection that is closed as idle while
+// its request is being read: served once already, it would be sent again.
+func TestCloseWhileReading(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := newClientConns(l, ClientLimits{MaxOpen: 5, MaxIdle: 5}, slog.New(slog.DiscardHandler))
+	defer c.Close()
+	accept := func(raw string) *clientConn {
+		io.WriteString(dialClient(t, l.Addr().String()), raw)
+		conn, err := c.Accept()
+		if err != nil {
+			t.Fatal(err)
+		}
+		return conn.(*clientConn)
+	}
+	b, one := make([]byte, 1), callHead+"Content-Length: 0\r\n\r\n"
+	begun, decided, early := accept("ab"), accept("ab"), accept(one+one)
+	begun.Read(b)
+	early.Read(make([]byte, 2*len(one))) // its next request is read along with the one before
+	early.completeRequest()
+	for _, k := range []*clientConn{decided, early} {
+		c.connState(k, http.StateIdle)
+	}
+	decided.state.close = connClosing // as startDraining does, just before it closes
+	if n, err := decided.Read(b); n != 0 || !errors.Is(err, net.ErrClosed) || !hasUnread(decided.Conn) {
+		t.Errorf("%d bytes, %v after the end was decided; or they were taken, and their client is told so", n, err)
+	}
+	decided.state.close = connOpen
+	c.startDraining()
+	if c.open[decided] || !c.open[begun] || !c.open[early] {
+		t.Errorf("open: %v", c.open)
+	}
+	c.connState(begun, http.StateIdle)
+	early.completeRequest()
+	c.connState(early, http.StateIdle)
+	if left := c.waitDrained(t.Context(), t.Context()); left != 0 {
+		t.Errorf("%d left", left)
+	}
+}
+
+// TestUnsupportedConnection: a connection that cannot be read under a lock is no
+// client's: a close could cross its request.
+func TestUnsupportedConnection(t *testing.T) {
+	near, far := net.Pipe()
+	defer far.Close()
+	if c, err := Dialer(func(context.Context, string) (net.Conn, error) { return near, nil }).dial(t.Context(), ""); err == nil {
+		t.Errorf("%T was taken", c)
+	}
+	if _, err := near.Write([]byte("x")); err != io.ErrClosedPipe {
+		t.Errorf("it is left open: %v", err)
+	}
+}
+
+// faltering is a listener that fails before it gives the connections of another.
+type failingListener struct {
+	net.Listener
+	first chan func() (net.Conn, error)
+}
+
+func (f failingListener) Accept() (net.Conn, error) {
+	select {
+	case one := <-f.first:
+		return one()
+	default:
+		return f.Listener.Accept()
+	}
+}
+
+// TestAcceptGoesOn: neither an error of accept(2) that is not the listener's nor a connection that cannot be taken up
+// ends the front.
+func TestAcceptGoesOn(t *testing.T) {
+	fails := []error{syscall.EPROTO, syscall.ENOBUFS, syscall.ENOMEM, syscall.EHOSTUNREACH, syscall.EMFILE}
+	first := make(chan func() (net.Conn, error), len(fails)+1)
+	for _, err := range fails {
+		first <- func() (net.Conn, error) {
+			return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", err)}
+		}
+	}
+	first <- func() (net.Conn, error) { near, _ := net.Pipe(); return near, nil }
+	addr, _, log := newTestFrontend(t, 10, nil, func(f *Frontend) {
+		f.clients.Listener = failingListener{f.clients.Listener, first}
+	})
+	if resp, _ := dialClient(t, addr).roundTrip(t, readyRequest); resp.StatusCode != 200 {
+		t.Errorf("status %d", resp.StatusCode)
+	}
+	for _, err := range fails {
+		log.waitFor("http: Accept error", err.Error(), "retrying")
+	}
+}
+
+// TestListenerError: an error that is the listener's own ends the front, with its name.
+func TestListenerError(t *testing.T) {
+	one := make(chan func() (net.Conn, error), 1)
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	log := make(logLines, 10)
+	front := NewFrontend(FrontendConfig{
+		Listener:     failingListener{l, one},
+		ClientLimits: ClientLimits{MaxOpen: 1},
+		Log:          log.logger(),
+	})
+	one <- func() (net.Conn, error) { return nil, syscall.EINVAL }
+	if err := front.Serve(); !errors.Is(err, syscall.EINVAL) || !strings.HasPrefix(err.Error(), "front: ") {
+		t.Error(err)
+	}
+}
--- a/internal/transport/client_deadlines.go
+++ b/internal/transport/client_deadlines.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// connDeadlines are the deadlines that http.Server sets on a client connection. It sets nine for one request and waits for
-// few of them, and each costs a timer: the connection is told of one only when a read is to wait.
+// connDeadlines are the deadlines that http.Server sets on a client connection. It sets nine for one request and
+// waits for few of them, and each costs a timer: the connection is told of one only when a read is to wait.
 type connDeadlines struct {
 	mu sync.Mutex
 	// read is the read deadline that was set; zero: none.
--- a/internal/transport/client_drain.go
+++ b/internal/transport/client_drain.go
@@ -25,8 +25,9 @@
 	cs.draining = false
 }
 
-// waitDrained closes connections as they fall idle, until none is open or the time for calls is over, and returns how many
-// are left. While messages too long to be buffered are on their way it waits until the time for streams is over.
+// waitDrained closes connections as they fall idle, until none is open or the time for calls is over, and returns
+// how many are left. While messages too long to be buffered are on their way it waits until the time for streams is
+// over.
 func (cs *clientConns) waitDrained(calls, streams context.Context) int {
 	wake := func() {
 		cs.mu.Lock()
@@ -61,7 +62,8 @@
 }
 
 // hasNextRequest reports whether bytes of the next request wait behind a response. That request is served, and its
-// connection closed with it: a close over unread bytes is a reset, which might take the response with it. The lock is held.
+// connection closed with it: a close over unread bytes is a reset, which might take the response with it. The lock
+// is held.
 func (cs *clientConns) hasNextRequest(c *clientConn) bool {
 	return cs.handOff == nil && c.responseWritten.Load() && hasUnread(c.Conn)
 }
--- a/internal/transport/clientleft_test.go
+++ b/internal/transport/client_left_test.go
@@ -18,11 +18,11 @@
 // leftAfter is how soon after its client's going no try of a call begins any more.
 const leftAfter = 100 * time.Millisecond
 
-// TestClientLeft: whatever a call waits for, and however its client goes, no try begins 0.1 s later, also where the client
-// has sent something behind its request, which hides its going from whoever looks at the next byte alone.
+// TestClientLeft: whatever a call waits for, and however its client goes, no try begins 0.1 s later, also where the
+// client has sent something behind its request, which hides its going from whoever looks at the next byte alone.
 func TestClientLeft(t *testing.T) {
-	const whole = head + "Content-Length: 0\r\n\r\n"
-	upload := head + "Content-Length: 100000\r\n\r\n" + strings.Repeat("x", 100000)
+	const whole = callHead + "Content-Length: 0\r\n\r\n"
+	upload := callHead + "Content-Length: 100000\r\n\r\n" + strings.Repeat("x", 100000)
 	const failed = "HTTP/1.1 500 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 	for name, c := range map[string]struct {
 		raw    string
@@ -44,7 +44,7 @@
 				t.Run(fmt.Sprintf("%s, %d bytes behind, reset %v", name, len(behind), reset), func(t *testing.T) {
 					t.Parallel()
 					taken, goOn, ended := make(chan bool), make(chan bool), make(chan balancer.Result)
-					first := listenOn(t, func(conn net.Conn) {
+					first := startServer(t, func(conn net.Conn) {
 						in := bufio.NewReader(conn)
 						in.ReadByte()
 						if taken <- true; c.before != "-" {
@@ -52,12 +52,12 @@
 						}
 						io.Copy(io.Discard, in)
 					})
-					last := listenOn(t, func(conn net.Conn) {
+					last := startServer(t, func(conn net.Conn) {
 						if n, _ := conn.Read(make([]byte, 1)); n > 0 {
 							t.Error("a try began")
 						}
 					})
-					k, _ := newCarrier(time.Minute)
+					k, _ := newTestTransport(time.Minute)
 					k.pool.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 						if c.late && addr == last.Addr {
 							if c.before != "-" && c.before != failed {
@@ -68,7 +68,7 @@
 						}
 						return dialTCP(ctx, addr)
 					}
-					addr, _, _ := newFront(t, 10, func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
+					addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
 						try := routing.Try{Peer: first, Until: time.Now().Add(time.Minute), Payload: call.Payload,
 							Budget: time.Minute, Written: func() {}}
 						if c.before == "-" {
@@ -88,7 +88,7 @@
 						ended <- k.Try(ctx, try).Result
 						return routing.Answer{}, false
 					})
-					client := dial(t, addr)
+					client := dialClient(t, addr)
 					io.WriteString(client, c.raw)
 					<-taken
 					io.WriteString(client, behind)
@@ -108,9 +108,10 @@
 	}
 }
 
-// TestGoneBehindBytes: a call ends by its client's going, whatever the client has sent behind it, and though nobody asks.
-func TestGoneBehindBytes(t *testing.T) {
-	const whole = head + "Content-Length: 0\r\n\r\n"
+// TestClientLeftBehindUnreadBytes: a call ends by its client's going, whatever the client has sent behind it, and
+// though nobody asks.
+func TestClientLeftBehindUnreadBytes(t *testing.T) {
+	const whole = callHead + "Content-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct{ along, behind string }{
 		"read along": {whole, ""}, "unread": {"", whole}, "both": {whole[:50], whole[50:] + whole},
 	} {
@@ -118,18 +119,18 @@
 			t.Run(fmt.Sprintf("%s, reset %v", name, reset), func(t *testing.T) {
 				t.Parallel()
 				taken, ended := make(chan *clientConn, 3), make(chan bool, 3)
-				addr, _, _ := newFront(t, 10, func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
+				addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
 					taken <- call.Payload.(*requestMessage).client.(*clientConn)
 					<-ctx.Done()
 					ended <- true
 					return routing.Answer{}, false
 				})
-				client := dial(t, addr)
+				client := dialClient(t, addr)
 				io.WriteString(client, whole+c.along)
 				k := <-taken
 				io.WriteString(client, c.behind)
 				if c.behind != "" {
-					waitFor(t, k.sees)
+					waitFor(t, k.seesUnreadPipelined)
 				}
 				if reset {
 					client.Conn.(*net.TCPConn).SetLinger(0)
@@ -145,29 +146,29 @@
 	}
 }
 
-// sees reports whether bytes behind the request that is open have been seen.
-func (k *clientConn) sees() bool {
-	k.conns.mu.Lock()
-	defer k.conns.mu.Unlock()
-	return k.state.nextUnread
+// seesUnreadPipelined reports whether bytes behind the request that is open have been seen.
+func (c *clientConn) seesUnreadPipelined() bool {
+	c.conns.mu.Lock()
+	defer c.conns.mu.Unlock()
+	return c.state.nextUnread
 }
 
-// TestGoneWhileAnAnswerStands: a client that goes in the middle of a long answer whose peer stands still, whatever it has
-// sent, costs its descriptors no longer; one that stays is waited for.
-func TestGoneWhileAnAnswerStands(t *testing.T) {
-	const whole = head + "Content-Length: 0\r\n\r\n"
+// TestClientLeftDuringStalledResponse: a client that goes in the middle of a long answer whose peer stands still,
+// whatever it has sent, costs its descriptors no longer; one that stays is waited for.
+func TestClientLeftDuringStalledResponse(t *testing.T) {
+	const whole = callHead + "Content-Length: 0\r\n\r\n"
 	half := strings.Repeat("x", 100<<10)
 	for name, c := range map[string]struct{ raw, behind, coding string }{
 		"a call":                {whole, "", "Content-Length: 204800\r\n\r\n" + half},
 		"in chunks":             {whole, "", "Transfer-Encoding: chunked\r\n\r\n32000\r\n" + half},
 		"with a request behind": {whole, whole, "Content-Length: 204800\r\n\r\n" + half},
-		"ahead of a body's end": {head + "Content-Length: 204800\r\n\r\n" + half, half[:100], "Content-Length: 204800\r\n\r\n" + half},
+		"ahead of a body's end": {callHead + "Content-Length: 204800\r\n\r\n" + half, half[:100], "Content-Length: 204800\r\n\r\n" + half},
 	} {
 		for way, end := range map[string]func(*net.TCPConn){"closes": func(*net.TCPConn) {}, "resets": func(conn *net.TCPConn) { conn.SetLinger(0) }, "stays": nil} {
 			t.Run(name+", "+way, func(t *testing.T) {
 				t.Parallel()
 				stands, goOn, ended := make(chan bool), make(chan bool), make(chan error, 1)
-				p := listenOn(t, func(conn net.Conn) {
+				p := startServer(t, func(conn net.Conn) {
 					if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 						return
 					}
@@ -180,8 +181,8 @@
 					_, err := io.Copy(io.Discard, conn)
 					ended <- err
 				})
-				addr, front, k, log, _ := through(t, p, 10)
-				client := dial(t, addr)
+				addr, front, k, log, _ := newFrontendOverTransport(t, p, 10)
+				client := dialClient(t, addr)
 				io.WriteString(client, c.raw)
 				<-stands
 				resp, err := http.ReadResponse(client.in, nil)
@@ -203,9 +204,33 @@
 				end(client.Conn.(*net.TCPConn))
 				client.Close()
 				waitFor(t, func() bool { return k.Conns() == 0 && front.ClientConns() == 0 }) // well before the peer's stall is one
-				log.until("side=peer", "reason=called-off")
+				log.waitFor("side=peer", "reason=called-off")
 				<-ended
 			})
 		}
 	}
 }
+
+// TestClientLeftBeforeWatch: a client that goes before its connection is watched is found to have gone by a try
+// that does not leave at once, and its call hears of it then.
+func TestClientLeftBeforeWatch(t *testing.T) {
+	var c *testClient
+	found := make(chan [2]bool)
+	addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
+		m := call.Payload.(*requestMessage)
+		stays := !m.clientLeft(1, time.Now())
+		c.Close()
+		for !m.clientLeft(1, time.Now()) {
+		}
+		found <- [2]bool{stays, !m.clientLeft(0, m.arrived)}
+		<-ctx.Done()
+		close(found)
+		return routing.Answer{}, false
+	})
+	c = dialClient(t, addr)
+	io.WriteString(c, callHead+"Content-Length: 0\r\n\r\n")
+	if got := <-found; got != [2]bool{true, true} {
+		t.Errorf("stays, and a first try at once: %v", got)
+	}
+	<-found
+}
--- a/internal/transport/client_limits.go
+++ b/internal/transport/client_limits.go
@@ -23,8 +23,9 @@
 type ClientLimits struct {
 	// MaxOpen bounds all of them. Below 1 it counts as 1.
 	MaxOpen int
-	// MaxIdle bounds those between two requests; 0: none is kept. Beyond it the longest idle is closed: clients may hold
-	// only so many connections to a node, and whoever sends one request and keeps the connection takes one from the others.
+	// MaxIdle bounds those between two requests; 0: none is kept. Beyond it the longest idle is closed: clients may
+	// hold only so many connections to a node, and whoever sends one request and keeps the connection takes one from
+	// the others.
 	MaxIdle int
 	// MaxOverflow is how many beyond MaxOpen are accepted to have their calls rejected; 0: DefaultOverflow.
 	MaxOverflow int
@@ -43,8 +44,8 @@
 	cs.changed.Broadcast()
 }
 
-// surplusIdle are the longest idle connections that the limits have no room for, but for those with something to be read.
-// The lock is held.
+// surplusIdle are the longest idle connections that the limits have no room for, but for those with something to be
+// read. The lock is held.
 func (cs *clientConns) surplusIdle() []*clientConn {
 	surplus := max(len(cs.open)-cs.maxOpen, cs.idle.Len()-cs.maxIdle)
 	var conns []*clientConn
@@ -56,9 +57,9 @@
 	return conns
 }
 
-// makeRoom evicts connections until a new one fits. Where none can be evicted, some more are accepted, so that their
-// calls are rejected soon: what a client has sent on a connection in the listener's queue counts as accepted, too. Beyond
-// those makeRoom waits.
+// makeRoom evicts connections until a new one fits. Where none can be evicted, some more are accepted, so that
+// their calls are rejected soon: what a client has sent on a connection in the listener's queue counts as accepted,
+// too. Beyond those makeRoom waits.
 func (cs *clientConns) makeRoom() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -96,8 +97,8 @@
 	return reasonNone, nil
 }
 
-// longestSilent is the oldest connection that nothing has come from within the grace; nil if there is none. The lock is
-// held.
+// longestSilent is the oldest connection that nothing has come from within the grace; nil if there is none. The
+// lock is held.
 func (cs *clientConns) longestSilent(now time.Time) *clientConn {
 	peeks := 0
 	for e := cs.silent.Front(); e != nil && peeks < maxPeeks; e = e.Next() {
@@ -138,8 +139,8 @@
 	return longest
 }
 
-// overloaded reports whether calls must be rejected to keep the limit. Requests that have stopped half way do not count:
-// a complete one among them is served.
+// overloaded reports whether calls must be rejected to keep the limit. Requests that have stopped half way do not
+// count: a complete one among them is served.
 func (cs *clientConns) overloaded() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- /dev/null
+++ b/internal/transport/client_limits_test.go
@@ -0,0 +1,210 @@
+package transport
+
+import (
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/url"
+	"strings"
+	"testing"
+	"time"
+
+	"olivebridge/internal/protocol"
+)
+
+// TestOverloadedRejects: with no idle client connection to close, a call beyond the bound
+// is turned away at once instead of waiting unseen in the listener's queue.
+func TestOverloadedRejects(t *testing.T) {
+	addr, front, first, release := newFrontendWithOpenCall(t, 1)
+	resp, _ := dialClient(t, addr).roundTrip(t, callHead+"Content-Length: 2\r\n\r\nhi")
+	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "0.500" || !resp.Close || front.Shed() != 1 {
+		t.Errorf("%d %v, %d shed", resp.StatusCode, resp.Header, front.Shed())
+	}
+	close(release)
+	if resp, err := http.ReadResponse(first.in, nil); err != nil || resp.StatusCode != 502 {
+		t.Errorf("the first: %v", err)
+	}
+}
+
+// ending is a body that has come whole, but is read only once its connection was ended for standing still.
+type evictingBody struct {
+	io.Reader
+	k *clientConn
+}
+
+func (b evictingBody) Read(p []byte) (int, error) {
+	b.k.conns.mu.Lock()
+	defer b.k.conns.mu.Unlock()
+	b.k.lastRead = time.Now().Add(-time.Hour)
+	if reason, k := b.k.conns.evictionCandidate(time.Now()); k == b.k {
+		b.k.conns.closeConns(reason, k)
+	}
+	return b.Reader.Read(p)
+}
+
+// TestStalledEvictionWhileReading: a request whose connection was ended as slow before the node had done reading it
+// is not passed on: its client sends it again.
+func TestStalledEvictionWhileReading(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	f := NewFrontend(FrontendConfig{
+		Listener:     l,
+		Names:        protocol.Names{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
+		ClientLimits: ClientLimits{MaxOpen: 5, MaxIdle: 5},
+		Log:          slog.New(slog.DiscardHandler),
+	})
+	defer f.clients.Close()
+	io.WriteString(dialClient(t, l.Addr().String()), "P")
+	conn, err := f.clients.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	k := conn.(*clientConn)
+	k.Read(make([]byte, 1))
+	if k.isClosing() {
+		t.Fatal("it has ended")
+	}
+	r := &http.Request{Method: "POST", ProtoMajor: 1, ProtoMinor: 1, ContentLength: 4, URL: &url.URL{}, Host: "a",
+		Header: http.Header{"X-Call-Id": {"1"}, "X-Call-Class": {"book"}, "X-Caller": {"acme"}, "X-Budget": {"1"}},
+		Body:   io.NopCloser(evictingBody{strings.NewReader("paid"), k})}
+	defer func() {
+		if p := recover(); p != http.ErrAbortHandler {
+			t.Errorf("it goes on: %v", p)
+		}
+	}()
+	_, status, err := f.parseRequest(r, k, "/api")
+	t.Errorf("%d, %v", status, err)
+}
+
+// TestClientLimitEvictsLongestIdle: one connection too many closes the one idle for longest.
+func TestClientLimitEvictsLongestIdle(t *testing.T) {
+	addr, front, log := newTestFrontend(t, 2, nil)
+	first, second := front.dialIdle(t, addr, 1), front.dialIdle(t, addr, 2)
+	third := dialClient(t, addr)
+	if _, err := first.in.ReadByte(); err != io.EOF {
+		t.Errorf("the first: %v", err)
+	}
+	log.waitFor("side=client", "addr="+first.LocalAddr().String(), "reason=evicted")
+	for _, c := range []*testClient{third, second} {
+		if resp, _ := c.roundTrip(t, readyRequest); resp.StatusCode != 200 {
+			t.Errorf("status %d", resp.StatusCode)
+		}
+	}
+}
+
+// TestEvictionOrder: clients that connect and say nothing make room for those that
+// speak; one whose request waits to be read keeps its connection.
+func TestEvictionOrder(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	log := make(logLines, 100)
+	c := newClientConns(l, ClientLimits{MaxOpen: 4, MaxIdle: 4}, log.logger())
+	defer c.Close()
+	var ends []*testClient
+	accept := func(raw string) *clientConn {
+		end := dialClient(t, l.Addr().String())
+		io.WriteString(end, raw)
+		ends = append(ends, end)
+		conn, err := c.Accept()
+		if err != nil {
+			t.Fatal(err)
+		}
+		return conn.(*clientConn)
+	}
+	idle, waiting, silent, slow := accept("a"), accept("b"), accept(""), accept("c")
+	idle.Read(make([]byte, 1))
+	c.connState(idle, http.StateIdle)
+	slow.Read(make([]byte, 1))
+	for !hasUnread(waiting.Conn) {
+	}
+	fresh := time.Now()
+	for _, want := range []struct {
+		reason closeReason
+		k      *clientConn
+		at     time.Time
+	}{{"evicted", idle, fresh}, {"silent", silent, fresh.Add(time.Hour)}, {"evicted", idle, fresh.Add(time.Hour)},
+		{"slow", slow, fresh.Add(time.Hour)}, {"", nil, fresh.Add(time.Hour)}} {
+		c.mu.Lock()
+		reason, k := c.evictionCandidate(want.at)
+		if reason != want.reason || reason != reasonNone && k != want.k {
+			t.Errorf("%q, want %q", reason, want.reason)
+		}
+		if k != nil && want.at != fresh {
+			c.closeConns(reason, k)
+		}
+		c.mu.Unlock()
+	}
+	coming := accept("e") // one that began long ago and comes on is not ended for being slow
+	coming.Read(make([]byte, 1))
+	c.mu.Lock()
+	coming.requestStart = fresh.Add(-time.Hour)
+	if reason, _ := c.evictionCandidate(time.Now()); reason != "" {
+		t.Errorf("%q, and its request comes on", reason)
+	}
+	c.mu.Unlock()
+	coming.Close()
+	// a full house of silent ones must not stop Accept
+	for range 4 + DefaultOverflow {
+		accept("")
+	}
+	accept("d")
+	log.waitFor("reason=silent", ends[2].LocalAddr().String())
+}
+
+// TestLoweredClientLimits: where the bounds sink, the clients idle for the longest are closed at once, and none
+// that has sent something, whose answer comes as ever.
+func TestLoweredClientLimits(t *testing.T) {
+	for name, b := range map[string]ClientLimits{"on all": {MaxOpen: 3, MaxIdle: 9}, "on idle ones": {MaxOpen: 9, MaxIdle: 2}} {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		log := make(logLines, 100)
+		c := newClientConns(l, ClientLimits{MaxOpen: 9, MaxIdle: 9}, log.logger())
+		defer c.Close()
+		var clients []*testClient
+		var conns []*clientConn
+		for range 6 {
+			clients = append(clients, dialClient(t, l.Addr().String()))
+			conn, err := c.Accept()
+			if err != nil {
+				t.Fatal(err)
+			}
+			k := conn.(*clientConn)
+			io.WriteString(clients[len(conns)], "G")
+			k.Read(make([]byte, 9))
+			if conns = append(conns, k); len(conns) != 2 { // that one's request is open
+				c.connState(k, http.StateIdle)
+			}
+		}
+		io.WriteString(clients[0], "G")
+		waitFor(t, func() bool { return hasUnread(conns[0].Conn) })
+		c.setLimits(b)
+		for i, k := range conns {
+			c.mu.Lock()
+			open := c.open[k]
+			c.mu.Unlock()
+			if closed := i >= 2 && i < 5; open == closed {
+				t.Errorf("%s: connection %d is open: %v", name, i, open)
+			} else if closed {
+				log.waitFor("addr="+clients[i].LocalAddr().String(), "reason=evicted")
+			}
+		}
+	}
+}
+
+// TestIdleLimit: clients that ask once and keep their connection must not use up
+// what clients may hold to a node.
+func TestIdleLimit(t *testing.T) {
+	addr, front, log := newTestFrontend(t, 10, nil)
+	front.SetClientLimits(ClientLimits{MaxOpen: 10, MaxIdle: 2})
+	first := front.dialIdle(t, addr, 1)
+	front.dialIdle(t, addr, 2)
+	front.dialIdle(t, addr, 2)
+	log.waitFor("addr="+first.LocalAddr().String(), "reason=evicted")
+}
--- a/internal/transport/client_response.go
+++ b/internal/transport/client_response.go
@@ -73,9 +73,10 @@
 	http.Error(w, err.Error(), status)
 }
 
-// discardRequestBody reports whether more was read behind a request, to be served though the request itself need not have
-// been read to its end: the rest of its body is read and discarded. It must leave no doubt where the request ends: others
-// read no body behind a GET, and a tunnel's bytes behind a method that the platform does not know.
+// discardRequestBody reports whether more was read behind a request, to be served though the request itself need
+// not have been read to its end: the rest of its body is read and discarded. It must leave no doubt where the
+// request ends: others read no body behind a GET, and a tunnel's bytes behind a method that the platform does not
+// know.
 func discardRequestBody(r *http.Request, c *clientConn) bool {
 	unambiguous := r.Method == http.MethodPost || r.Method == http.MethodGet && r.ContentLength == 0
 	if !unambiguous || !c.hasPipelinedRequest() {
@@ -93,8 +94,8 @@
 	}
 }
 
-// closeAfterResponse closes a connection with the response at hand, or with a later one, since every request that was read
-// is answered.
+// closeAfterResponse closes a connection with the response at hand, or with a later one, since every request that
+// was read is answered.
 func closeAfterResponse(w http.ResponseWriter, c *clientConn) {
 	if !c.hasPipelinedRequest() {
 		w.Header().Set("Connection", "close")
@@ -127,8 +128,8 @@
 	reason = f.copyStream(w, c, p)
 }
 
-// copyStream copies a long response to a client. It returns why the server's connection must be closed; reasonNone: the
-// response is complete.
+// copyStream copies a long response to a client. It returns why the server's connection must be closed; reasonNone:
+// the response is complete.
 func (f *Frontend) copyStream(w http.ResponseWriter, c *clientConn, p *response) closeReason {
 	buf := f.buffers.get(streamBufferSize)
 	defer f.buffers.put(buf)
@@ -146,7 +147,7 @@
 		switch {
 		case err == nil:
 			part = buf.bytes[:n]
-		case err == io.EOF:
+		case errors.Is(err, io.EOF):
 			return reasonNone
 		case c.hasLeft():
 			return reasonCalledOff
--- a/internal/transport/client_state.go
+++ b/internal/transport/client_state.go
@@ -24,8 +24,8 @@
 	connLingering
 )
 
-// clientState is the state of a client connection. The lock of clientConns guards it, and it changes by its transitions
-// alone.
+// clientState is the state of a client connection. The lock of clientConns guards it, and it changes by its
+// transitions alone.
 type clientState struct {
 	request requestPhase
 	close   closePhase
@@ -61,8 +61,8 @@
 // completeRequest notes that the current request has been read to its end.
 func (s *clientState) completeRequest() { s.request = requestComplete }
 
-// finishRequest notes that the current request has been answered. The next one takes its place if a byte of it has been
-// read; furtherStarted tells whether one behind that has started, too.
+// finishRequest notes that the current request has been answered. The next one takes its place if a byte of it has
+// been read; furtherStarted tells whether one behind that has started, too.
 func (s *clientState) finishRequest(furtherStarted bool) {
 	s.pipelined = s.nextStarted || s.nextUnread
 	s.request = noRequest
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -13,10 +13,10 @@
 	net.Conn
 	// CloseWrite ends the sending: the other side reads to the end and may still answer.
 	CloseWrite() error
-	// ReadGate reads like Read, but takes the bytes under a lock: each time bytes or an end may be there to be taken, it
-	// locks mu and calls open. On nil it takes them, calls took with their number if there are any, and unlocks; any error
-	// of open's is returned, and nothing is taken. One call runs at a time. Where b is empty, it takes nothing, and nil
-	// says that bytes are there.
+	// ReadGate reads like Read, but takes the bytes under a lock: each time bytes or an end may be there to be taken,
+	// it locks mu and calls open. On nil it takes them, calls took with their number if there are any, and unlocks;
+	// any error of open's is returned, and nothing is taken. One call runs at a time. Where b is empty, it takes
+	// nothing, and nil says that bytes are there.
 	ReadGate(b []byte, mu sync.Locker, open func() error, took func(n int)) (int, error)
 	// Peek says what there is to read and takes nothing. n > 0: bytes wait; 0 and nil: the other side has closed;
 	// syscall.EAGAIN: nothing is there; any other error: the connection is broken.
--- a/internal/transport/conn_log.go
+++ b/internal/transport/conn_log.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// noteReadError notes what a failed read says of the other side: it closed, or the connection broke. An expired deadline
-// says nothing, nor does a close on this side.
+// noteReadError notes what a failed read says of the other side: it closed, or the connection broke. An expired
+// deadline says nothing, nor does a close on this side.
 func (l *connLog) noteReadError(err error, closed, broke closeReason) {
 	switch {
 	case err == nil:
--- a/internal/transport/drain.go
+++ b/internal/transport/drain.go
@@ -20,9 +20,9 @@
 	drainStreamMargin = time.Minute
 )
 
-// Drain shuts the frontend down gracefully. Clients still arrive for a while, so it goes on accepting; then it closes
-// client connections as they fall idle, stops accepting, and waits for open calls, which may take maxCallTime. Abort cuts
-// it short. Drain blocks until the frontend has ended.
+// Drain shuts the frontend down gracefully. Clients still arrive for a while, so it goes on accepting; then it
+// closes client connections as they fall idle, stops accepting, and waits for open calls, which may take
+// maxCallTime. Abort cuts it short. Drain blocks until the frontend has ended.
 func (f *Frontend) Drain(maxCallTime time.Duration) {
 	f.drain.beginShutdown(false)
 	f.drain.setCallTime(maxCallTime)
@@ -71,8 +71,9 @@
 	f.abort()
 }
 
-// Pause takes the frontend out of service: it is not ready from now on, and closes connections that are idle, or with
-// their next response, once new ones have ceased. A call that comes nevertheless is served. A second Pause changes nothing.
+// Pause takes the frontend out of service: it is not ready from now on, and closes connections that are idle, or
+// with their next response, once new ones have ceased. A call that comes nevertheless is served. A second Pause
+// changes nothing.
 func (f *Frontend) Pause() {
 	d := &f.drain
 	d.mu.Lock()
@@ -131,7 +132,8 @@
 	fullBudgetUntil time.Time
 }
 
-// rejectsClients reports whether the node is not ready for clients. It is ready where another process goes on with them.
+// rejectsClients reports whether the node is not ready for clients. It is ready where another process goes on with
+// them.
 func (d *drainState) rejectsClients() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -171,8 +173,8 @@
 	d.fullBudgetUntil = time.Now().Add(drainFullBudget)
 }
 
-// admits reports whether a call may begin that is to be answered within its budget. At the shutdown a pipelined one may
-// have its turn when there is no time left for it.
+// admits reports whether a call may begin that is to be answered within its budget. At the shutdown a pipelined one
+// may have its turn when there is no time left for it.
 func (d *drainState) admits(budget time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- /dev/null
+++ b/internal/transport/drain_test.go
@@ -0,0 +1,77 @@
+package transport
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+)
+
+// TestAbort: once a front ends at once, no answer leaves, however soon it is there.
+func TestAbort(t *testing.T) {
+	_, front, c, release := newFrontendWithOpenCall(t, 10)
+	front.clients.abort()
+	close(release)
+	if b, err := io.ReadAll(c); len(b) > 0 {
+		t.Errorf("%q, %v", b, err)
+	}
+	front.Abort()
+}
+
+// TestDrainWaitsForOpenCall: a call that is still open when the front has stopped
+// accepting keeps its time, and its answer ends its connection.
+func TestDrainWaitsForOpenCall(t *testing.T) {
+	addr, front, c, release := newFrontendWithOpenCall(t, 10)
+	drained := make(chan bool)
+	go func() {
+		front.Drain(time.Minute)
+		close(drained)
+	}()
+	for conn, err := net.Dial("tcp", addr); err == nil; conn, err = net.Dial("tcp", addr) {
+		io.Copy(io.Discard, conn) // until the front ends it, as it carries nothing
+		conn.Close()
+	}
+	close(release)
+	if resp, err := http.ReadResponse(c.in, nil); err != nil || resp.StatusCode != 502 || !resp.Close {
+		t.Errorf("%+v, %v", resp, err)
+	}
+	<-drained
+}
+
+// TestUploadOutlivesTheEnd: a body that goes on coming while its node ends as planned comes whole, and is answered,
+// though it takes longer than any call may.
+func TestUploadOutlivesTheEnd(t *testing.T) {
+	p := startServer(t, func(conn net.Conn) {
+		if r, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
+			io.Copy(io.Discard, r.Body)
+			io.WriteString(conn, okResponse)
+		}
+	})
+	addr, front, _, _, _ := newFrontendOverTransport(t, p, 10)
+	c := dialClient(t, addr)
+	half := strings.Repeat("x", 100<<10)
+	io.WriteString(c, callHead+fmt.Sprintf("Content-Length: %d\r\n\r\n", 2*len(half))+half)
+	waitFor(t, func() bool {
+		front.clients.mu.Lock()
+		defer front.clients.mu.Unlock()
+		return front.clients.streaming > 0
+	})
+	drained, calls := make(chan bool), 50*time.Millisecond
+	go func() {
+		front.Drain(calls - drainMargin)
+		close(drained)
+	}()
+	select {
+	case <-drained:
+		t.Error("it was cut")
+	case <-time.After(4 * calls):
+	}
+	if resp, _ := c.roundTrip(t, half); resp.StatusCode != 200 || !resp.Close {
+		t.Errorf("status %d, close: %v", resp.StatusCode, resp.Close)
+	}
+	<-drained
+}
--- a/internal/transport/endpoint_watcher.go
+++ b/internal/transport/endpoint_watcher.go
@@ -23,8 +23,8 @@
 	// defaultPollWait is how long discovery may hold a request. One that has fallen silent tells nothing until then, and
 	// what it should have told counts as told 2 s after that, so it stays short.
 	defaultPollWait = 800 * time.Millisecond
-	// pollWaitPerNode is how often all nodes together may send a request: discovery serves them in turn, and has been seen
-	// to need 0.35 s for each and to refuse what is more.
+	// pollWaitPerNode is how often all nodes together may send a request: discovery serves them in turn, and has been
+	// seen to need 0.35 s for each and to refuse what is more.
 	pollWaitPerNode = 400 * time.Millisecond
 	// maxPollWait is the longest hold, however many nodes there are.
 	maxPollWait = 2400 * time.Millisecond
@@ -130,8 +130,8 @@
 	}
 }
 
-// ForFleetSize sets how long discovery may hold a request by how many nodes poll it, and returns the watcher. The seed,
-// another one at each of them, keeps their pauses apart.
+// ForFleetSize sets how long discovery may hold a request by how many nodes poll it, and returns the watcher. The
+// seed, another one at each of them, keeps their pauses apart.
 func (w *EndpointWatcher) ForFleetSize(nodes int, seed uint64) *EndpointWatcher {
 	w.wait = min(time.Duration(max(nodes, 1))*pollWaitPerNode, maxPollWait)
 	w.rng.Seed(seed, 0)
--- a/internal/transport/frontend.go
+++ b/internal/transport/frontend.go
@@ -167,13 +167,14 @@
 	f.serveCall(w, r, c, call, target)
 }
 
-// recoverPanic answers a call whose handling panicked: without an answer the connection would end, and the call be lost.
+// recoverPanic answers a call whose handling panicked: without an answer the connection would end, and the call be
+// lost.
 func (f *Frontend) recoverPanic(w http.ResponseWriter) {
 	p := recover()
 	if p == nil {
 		return
 	}
-	if p == http.ErrAbortHandler {
+	if err, ok := p.(error); ok && errors.Is(err, http.ErrAbortHandler) {
 		panic(p)
 	}
 	f.log.Error("panic", "in", "front", "value", fmt.Sprint(p), "stack", string(debug.Stack()))
@@ -215,8 +216,8 @@
 	f.writeAnswer(w, c, a)
 }
 
-// handle has a call handled. One whose client left gets an answer, too: nobody should read it, but net/http must not make
-// it an empty 200.
+// handle has a call handled. One whose client left gets an answer, too: nobody should read it, but net/http must
+// not make it an empty 200.
 func (f *Frontend) handle(ctx context.Context, call routing.Call) routing.Answer {
 	a, ok := f.handler.Take(ctx, call)
 	if !ok {
--- /dev/null
+++ b/internal/transport/frontend_test.go
@@ -0,0 +1,118 @@
+package transport
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"olivebridge/internal/routing"
+)
+
+// TestSlowClients: whoever does not send a whole request in time is closed; one
+// whose call takes longer than that is not.
+func TestSlowClients(t *testing.T) {
+	addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
+		select {
+		case <-time.After(250 * time.Millisecond): // above the timeouts
+			return routing.Answer{Verdict: routing.Failed}, true
+		case <-ctx.Done():
+			return routing.Answer{}, false
+		}
+	}, func(f *Frontend) {
+		if f.server.ReadHeaderTimeout >= 3*time.Second || f.server.ReadTimeout >= 3*time.Second {
+			t.Error("the timeouts are too long for what a bad client is owed")
+		}
+		f.server.ReadHeaderTimeout, f.server.ReadTimeout = 100*time.Millisecond, 100*time.Millisecond
+	})
+	for _, raw := range []string{"", "POST /api", callHead, callHead + "Content-Length: 5\r\n\r\nhi"} {
+		c := dialClient(t, addr)
+		io.WriteString(c, raw)
+		if _, err := io.Copy(io.Discard, c); err != nil {
+			t.Error(err)
+		}
+	}
+	if resp, _ := dialClient(t, addr).roundTrip(t, callHead+"Content-Length: 2\r\n\r\nhi"); resp.StatusCode != 502 {
+		t.Errorf("status %d", resp.StatusCode)
+	}
+}
+
+func TestResponsesOnTheWire(t *testing.T) {
+	var a routing.Answer
+	addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
+		if a.Verdict == 9 {
+			panic("taker")
+		}
+		return a, true
+	})
+	c := dialClient(t, addr)
+	for _, k := range []struct {
+		answer routing.Answer
+		status int
+		after  string
+	}{
+		{routing.Answer{Verdict: routing.Served, Reply: &response{fields: []headerField{{"X-Hit", [1]string{"1"}}}, body: []byte("\x00b")}}, 200, ""},
+		{routing.Answer{Verdict: routing.Reject, RetryAfter: 250 * time.Millisecond}, 503, "0.250"},
+		{routing.Answer{Verdict: routing.Reject}, 503, ""}, {routing.Answer{Verdict: routing.Failed}, 502, ""},
+		{routing.Answer{Verdict: routing.Overdue}, 504, ""}, {routing.Answer{Verdict: routing.Twice}, 409, ""},
+		{routing.Answer{Verdict: 9}, 500, ""}, // a panic must not end the connection: the call would be lost
+	} {
+		a = k.answer
+		resp, body := c.roundTrip(t, callHead+"Content-Length: 0\r\n\r\n")
+		if resp.StatusCode != k.status || resp.Header.Get("Retry-After") != k.after || (body == "\x00b") != (k.status == 200) ||
+			(resp.Header.Get("X-Hit") != "") != (k.status == 200) {
+			t.Errorf("%+v: %d %q %v", k.answer, resp.StatusCode, body, resp.Header)
+		}
+	}
+	if resp, _ := c.roundTrip(t, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
+		t.Errorf("ready: %d", resp.StatusCode)
+	}
+}
+
+func TestClientGone(t *testing.T) {
+	taken, gone := make(chan bool), make(chan bool)
+	addr, _, log := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
+		taken <- true
+		<-ctx.Done()
+		close(gone)
+		return routing.Answer{}, false
+	})
+	c := dialClient(t, addr)
+	io.WriteString(c, callHead+"Content-Length: 0\r\n\r\n")
+	<-taken
+	c.Close()
+	<-gone
+	log.waitFor("side=client", "reason=client-closed")
+}
+
+// TestFrontendStats: the counters tell what client connections do, and an end that takes too long says what it cut.
+func TestFrontendStats(t *testing.T) {
+	addr, front, c, release := newFrontendWithOpenCall(t, 10)
+	defer close(release)
+	reading, silent := dialClient(t, addr), dialClient(t, addr)
+	defer silent.Close()
+	io.WriteString(reading, "POST /api HTTP/1.1\r\n")
+	const want = "open=3 silent=1 idle=0 reading=1 calls=1 ending=0"
+	for until := time.Now().Add(5 * time.Second); front.ClientStats() != want && time.Now().Before(until); {
+		time.Sleep(time.Millisecond)
+	}
+	if got := front.ClientStats(); got != want {
+		t.Errorf("%s, want %s", got, want)
+	}
+	log := make(logLines, 100)
+	front.log = log.logger()
+	go front.Drain(100*time.Millisecond - drainMargin)
+	log.waitFor("client connections were open at the end", "left=")
+	if _, err := http.ReadResponse(c.in, nil); err == nil {
+		t.Error("a call that was cut got an answer")
+	}
+	near, far := net.Pipe()
+	front.adopted.Close()
+	front.Adopt(near) // which comes too late
+	if _, err := far.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("a connection that comes too late is left open: %v", err)
+	}
+}
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// HandOver shuts the frontend down while another process of the node takes its clients over, on the same listener. It
-// accepts nothing more, hands off each connection on which no byte of a request was read, and closes the others with
-// their response: no client finds its connection refused, reset or unread. A connection that handOff cannot send is closed
-// as at any graceful shutdown. Calls may take maxCallTime.
+// HandOver shuts the frontend down while another process of the node takes its clients over, on the same listener.
+// It accepts nothing more, hands off each connection on which no byte of a request was read, and closes the others
+// with their response: no client finds its connection refused, reset or unread. A connection that handOff cannot
+// send is closed as at any graceful shutdown. Calls may take maxCallTime.
 func (f *Frontend) HandOver(maxCallTime time.Duration, handOff func(syscall.Conn) error) {
 	f.drain.beginShutdown(true)
 	f.drain.setCallTime(maxCallTime)
@@ -44,8 +44,8 @@
 	c.log.setReason(reasonHandedOver)
 }
 
-// Adopt takes over a client connection that another process of the node has handed off. It closes the connection if the
-// frontend has shut down.
+// Adopt takes over a client connection that another process of the node has handed off. It closes the connection if
+// the frontend has shut down.
 func (f *Frontend) Adopt(conn net.Conn) {
 	select {
 	case f.adopted.conns <- conn:
--- a/internal/transport/handover_test.go
+++ b/internal/transport/handover_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// A connection whose client sends just as it is handed on stays open until it is sent: what reads it here is told of its
-// end, and closes it.
-func TestHandedOnWhileBytesCome(t *testing.T) {
+// A connection whose client sends just as it is handed on stays open until it is sent: what reads it here is told
+// of its end, and closes it.
+func TestHandOffWhileBytesArrive(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -58,9 +58,9 @@
 	}
 }
 
-// A connection that is handed over after its client has reset it is passed over, and the next one is served: the kernel
-// gives such a connection no address of the other side.
-func TestAdoptedWhoHasGone(t *testing.T) {
+// A connection that is handed over after its client has reset it is passed over, and the next one is served: the
+// kernel gives such a connection no address of the other side.
+func TestAdoptResetConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -113,7 +113,7 @@
 
 // Small writes are not held back on a connection, wherever it comes from: those that a kernel still held would go with
 // a reset.
-func TestNothingHeldBack(t *testing.T) {
+func TestNoDelaySet(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/transport/helpers_test.go
@@ -0,0 +1,154 @@
+package transport
+
+import (
+	"bufio"
+	"bytes"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"olivebridge/internal/routing"
+)
+
+// logLines is a log that a test can wait on.
+type logLines chan string
+
+// Write implements io.Writer.
+func (l logLines) Write(b []byte) (int, error) {
+	l <- string(b)
+	return len(b), nil
+}
+
+// logger is a logger that writes to the lines.
+func (l logLines) logger() *slog.Logger { return slog.New(slog.NewTextHandler(l, nil)) }
+
+// waitFor waits for a line that holds all the words.
+func (l logLines) waitFor(words ...string) string {
+next:
+	for line := range l {
+		for _, w := range words {
+			if !strings.Contains(line, w) {
+				continue next
+			}
+		}
+		return line
+	}
+	return ""
+}
+
+// startServer is a server that has a function serve each connection.
+func startServer(t *testing.T, serve func(net.Conn)) *routing.Peer {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	go func() {
+		for {
+			conn, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer conn.Close()
+				serve(conn)
+			}()
+		}
+	}()
+	return routing.NewPeer(1, "s-1", l.Addr().String())
+}
+
+// startScriptedServer is a server that reads complete requests, sends their bytes to requests, and writes the next of the
+// responses; "" closes the connection, and so does one that contains "cut".
+func startScriptedServer(t *testing.T, responses ...string) (server *routing.Peer, requests chan string) {
+	t.Helper()
+	requests = make(chan string, 100)
+	next := make(chan string, len(responses))
+	for _, r := range responses {
+		next <- r
+	}
+	server = startServer(t, func(conn net.Conn) {
+		var raw bytes.Buffer
+		in := bufio.NewReader(io.TeeReader(conn, &raw))
+		for {
+			r, err := http.ReadRequest(in)
+			if err != nil {
+				return
+			}
+			io.Copy(io.Discard, r.Body)
+			requests <- raw.String()
+			raw.Reset()
+			response := <-next
+			io.WriteString(conn, response)
+			if response == "" || strings.Contains(response, "cut") {
+				return
+			}
+		}
+	})
+	return server, requests
+}
+
+// okResponse is a response with a body of two bytes.
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
+
+// newTestTransport is a transport with at most ten connections, which are used again at once.
+func newTestTransport(connectTimeout time.Duration) (*UpstreamTransport, logLines) {
+	l := make(logLines, 1000)
+	transport := NewUpstreamTransport(UpstreamConfig{
+		ConnectTimeout:    connectTimeout,
+		ServerIdleTimeout: time.Minute,
+		DrainGrace:        time.Second,
+		MaxConns:          10,
+		Log:               l.logger(),
+	})
+	transport.pool.settleTime = 0 // or the next attempt would find the connection unsettled
+	return transport, l
+}
+
+// newAttempt is an attempt of a call with the ID 9b.
+func newAttempt(p *routing.Peer, method, body string) routing.Try {
+	return newAttemptWithID(p, method, "9b", body)
+}
+
+// newAttemptWithID is an attempt that ends in a minute.
+func newAttemptWithID(p *routing.Peer, method, id, body string) routing.Try {
+	const target = "/api?user=a%2Fb&x=%7e"
+	header := http.Header{"X-Call-Id": {id}}
+	m := newMessage(new(bufferPool), method, target, "api.internal", header, int64(len(body)))
+	copy(m.body, body)
+	return routing.Try{Peer: p, Until: time.Now().Add(time.Minute), Payload: m}
+}
+
+// pipeConn is a Conn that nothing waits on unless it is read.
+type pipeConn struct{ net.Conn }
+
+// CloseWrite implements Conn.
+func (pipeConn) CloseWrite() error { return nil }
+
+// Peek implements Conn.
+func (pipeConn) Peek() (int, error) { return 0, syscall.EAGAIN }
+
+// HasEnded implements Conn.
+func (pipeConn) HasEnded() bool { return false }
+
+// ReadGate implements Conn.
+func (pipeConn) ReadGate([]byte, sync.Locker, func() error, func(int)) (int, error) {
+	panic("not a client's")
+}
+
+// waitFor waits until something holds.
+func waitFor(t *testing.T, holds func() bool) {
+	t.Helper()
+	for until := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(until) {
+			t.Fatal("it does not come to that")
+		}
+	}
+}
--- a/internal/transport/idempotency.go
+++ b/internal/transport/idempotency.go
@@ -31,8 +31,8 @@
 	storeRetryAfter = 100 * time.Millisecond
 )
 
-// IdempotencyStore records calls beyond the loss of this node: each is run at most once, whichever nodes it is sent to. It
-// is called from the goroutines of client connections.
+// IdempotencyStore records calls beyond the loss of this node: each is run at most once, whichever nodes it is sent
+// to. It is called from the goroutines of client connections.
 type IdempotencyStore interface {
 	// Covers reports whether calls of a class are recorded, where their clients give them a key.
 	Covers(class int) bool
@@ -54,19 +54,19 @@
 type CallState uint8
 
 const (
-	// CallGranted: it may be run here, and nowhere else.
+	// CallGranted says that it may be run here, and nowhere else.
 	CallGranted CallState = iota
-	// CallRunning: it runs elsewhere.
+	// CallRunning says that it runs elsewhere.
 	CallRunning
-	// CallAnswered: it has run; the claim's Response is its response.
+	// CallAnswered says that it has run; the claim's Response is its response.
 	CallAnswered
-	// CallOutcomeUnknown: it may have run, and is never run again.
+	// CallOutcomeUnknown says that it may have run, and is never run again.
 	CallOutcomeUnknown
-	// CallKeyConflict: the key is another request's.
+	// CallKeyConflict says that the key is another request's.
 	CallKeyConflict
-	// CallStoreUnavailable: nobody can say, and it was not run.
+	// CallStoreUnavailable says that nobody can tell, and it was not run.
 	CallStoreUnavailable
-	// CallNotRun: it surely has not run. For Finish only.
+	// CallNotRun says that it surely has not run. It is for Finish only.
 	CallNotRun
 )
 
--- a/internal/transport/keep_test.go
+++ b/internal/transport/idempotency_test.go
@@ -13,7 +13,7 @@
 )
 
 // keeping is a keeper that a test answers for.
-type keeping struct {
+type scriptedStore struct {
 	mu    sync.Mutex
 	says  CallClaim
 	work  []KeyedCall
@@ -21,9 +21,9 @@
 	last  *StoredResponse
 }
 
-func (k *keeping) Covers(class int) bool { return class == 0 }
+func (k *scriptedStore) Covers(class int) bool { return class == 0 }
 
-func (k *keeping) Begin(_ context.Context, w KeyedCall) CallClaim {
+func (k *scriptedStore) Begin(_ context.Context, w KeyedCall) CallClaim {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.work = append(k.work, w)
@@ -36,12 +36,12 @@
 	return says
 }
 
-// TestKept: what a client that names its work gets, as the work stands; what the keeper is told; and that nothing is let out but
-// what is this node's.
-func TestKept(t *testing.T) {
-	k, taken := &keeping{}, 0
+// TestIdempotencyKeys: what a client that names its work gets, as the work stands; what the keeper is told; and
+// that nothing is let out but what is this node's.
+func TestIdempotencyKeys(t *testing.T) {
+	k, taken := &scriptedStore{}, 0
 	verdict := routing.Served
-	addr, _, _ := newFront(t, 10, func(context.Context, routing.Call) (routing.Answer, bool) {
+	addr, _, _ := newTestFrontend(t, 10, func(context.Context, routing.Call) (routing.Answer, bool) {
 		taken++
 		if verdict == routing.Served {
 			return routing.Answer{Verdict: verdict, Reply: &response{body: []byte("done"), fields: []headerField{{"X-Ref", [1]string{"7"}}}}}, true
--- a/internal/transport/lateconn_test.go
+++ b/internal/transport/late_connection_test.go
@@ -19,26 +19,26 @@
 )
 
 // still is an upstream group that never changes.
-type still struct{}
+type staticEndpoints struct{}
 
-func (still) Watch(ctx context.Context, told func(routing.Group)) error {
+func (staticEndpoints) Watch(ctx context.Context, told func(routing.Group)) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
 // decided is a router that runs over a carrier and peers of one zone that have just started, each of which serves its
 // connections so.
-func decided(t *testing.T, k *UpstreamTransport, set balancer.Settings, peers int, serve func(net.Conn)) *routing.Router {
+func newRouter(t *testing.T, k *UpstreamTransport, set balancer.Settings, peers int, serve func(net.Conn)) *routing.Router {
 	t.Helper()
 	class := &set.Classes[0]
 	class.LatencyObjective, class.Deadline, class.PriorityWeight = 10*time.Second, 20*time.Second, 1
 	set.Nodes, set.MaxAttempts, set.CancelAttempts = 1, 3, true
 	known := routing.Group{Kind: balancer.UpdateFull, At: time.Now()}
 	for id := range balancer.ServerID(peers) {
-		known.Entries = append(known.Entries, routing.Entry{Addr: listenOn(t, serve).Addr,
+		known.Entries = append(known.Entries, routing.Entry{Addr: startServer(t, serve).Addr,
 			Server: balancer.Server{ID: id + 1, Weight: 1, State: balancer.Ready, StartedAt: balancer.Time(known.At.UnixNano())}})
 	}
-	r := routing.New(routing.Config{Seed: 1, Known: known, Carrier: k, Watcher: still{}, Log: slog.New(slog.DiscardHandler),
+	r := routing.New(routing.Config{Seed: 1, Known: known, Carrier: k, Watcher: staticEndpoints{}, Log: slog.New(slog.DiscardHandler),
 		Settings: set})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error)
@@ -52,10 +52,10 @@
 	return r
 }
 
-// TestLateConnections: a further try of a class whose repeats are dropped for a while must not leave once that is over,
-// counted from the first try that may have run, though it was decided in time and its connection came up later. None is
-// bound where nothing can have run.
-func TestLateConnections(t *testing.T) {
+// TestLateConnectionAfterDedupWindow: a further try of a class whose repeats are dropped for a while must not leave
+// once that is over, counted from the first try that may have run, though it was decided in time and its connection
+// came up later. None is bound where nothing can have run.
+func TestLateConnectionAfterDedupWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
 	token := balancer.Class{Idempotency: balancer.IdempotencyKeyed, DedupScope: balancer.DedupZone, DedupWindow: window}
 	long, pure := token, token
@@ -78,7 +78,7 @@
 			t.Parallel()
 			var dials, reached atomic.Int64
 			begun := make(chan time.Time, 1)
-			k, _ := newCarrier(time.Minute)
+			k, _ := newTestTransport(time.Minute)
 			k.pool.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 				n := dials.Add(1)
 				if n == 1 {
@@ -93,19 +93,19 @@
 				}
 				return dialTCP(ctx, addr)
 			}
-			r := decided(t, k, balancer.Settings{Classes: []balancer.Class{c.class}}, 2, func(conn net.Conn) {
+			r := newRouter(t, k, balancer.Settings{Classes: []balancer.Class{c.class}}, 2, func(conn net.Conn) {
 				for in := bufio.NewReader(conn); ; {
 					if _, err := http.ReadRequest(in); err != nil {
 						return
 					}
-					answer := ok
+					answer := okResponse
 					if reached.Add(1) == 1 && c.first == nil {
 						answer = "HTTP/1.1 500 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 					}
 					io.WriteString(conn, answer)
 				}
 			})
-			try := tryOf(nil, "GET", "")
+			try := newAttempt(nil, "GET", "")
 			a, _ := r.Take(t.Context(), routing.Call{Name: "9b", Tenant: -1, Arrived: time.Now(), Budget: 20 * time.Second,
 				Payload: try.Payload})
 			if a.Verdict != c.want || reached.Load() != c.reach {
@@ -115,11 +115,12 @@
 	}
 }
 
-// TestLateConnectionToAColdPeer: a call's connection is up after the half fall window that its peer's allowance was of.
-// Where that of the present one has been spent meanwhile, no byte of it leaves and it is turned away at once.
-func TestLateConnectionToAColdPeer(t *testing.T) {
+// TestLateConnectionToWarmingServer: a call's connection is up after the half fall window that its peer's allowance
+// was of. Where that of the present one has been spent meanwhile, no byte of it leaves and it is turned away at
+// once.
+func TestLateConnectionToWarmingServer(t *testing.T) {
 	const half = time.Second
-	whole, upload := head+"Content-Length: 0\r\n\r\n", head+"Content-Length: 100000\r\n\r\n"+strings.Repeat("x", 100000)
+	whole, upload := callHead+"Content-Length: 0\r\n\r\n", callHead+"Content-Length: 100000\r\n\r\n"+strings.Repeat("x", 100000)
 	for name, c := range map[string]struct {
 		raw    string
 		spent  bool
@@ -134,7 +135,7 @@
 			t.Parallel()
 			var dials, reached atomic.Int64
 			opened, up := make(chan bool), make(chan bool)
-			k, _ := newCarrier(time.Minute)
+			k, _ := newTestTransport(time.Minute)
 			k.pool.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 				if dials.Add(1) == 1 {
 					close(opened)
@@ -142,7 +143,7 @@
 				}
 				return dialTCP(ctx, addr)
 			}
-			r := decided(t, k, balancer.Settings{Classes: make([]balancer.Class, 1), RetryAfter: true, MaxRetryAfter: time.Second,
+			r := newRouter(t, k, balancer.Settings{Classes: make([]balancer.Class, 1), RetryAfter: true, MaxRetryAfter: time.Second,
 				InitialCapacity: 0.5, SlowStart: time.Hour, OverloadFactor: 2.5, WarmThroughput: 2, OverloadWindow: 2 * half, // one call in each half
 			}, 1, func(conn net.Conn) {
 				for in := bufio.NewReader(conn); ; {
@@ -152,7 +153,7 @@
 					}
 					reached.Add(1)
 					io.Copy(io.Discard, req.Body)
-					io.WriteString(conn, ok)
+					io.WriteString(conn, okResponse)
 				}
 			})
 			patient := func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
@@ -165,13 +166,13 @@
 					time.Sleep(half)
 					return
 				}
-				other := routing.Call{Arrived: time.Now(), Payload: tryOf(nil, "GET", "").Payload}
+				other := routing.Call{Arrived: time.Now(), Payload: newAttempt(nil, "GET", "").Payload}
 				if a, _ := patient(t.Context(), other); a.Verdict != routing.Served { // it waits for the next half
 					t.Errorf("the call that spends it is %v", a.Verdict)
 				}
 			}()
-			addr, _, _ := newFront(t, 10, patient)
-			resp, _ := dial(t, addr).ask(t, c.raw)
+			addr, _, _ := newTestFrontend(t, 10, patient)
+			resp, _ := dialClient(t, addr).roundTrip(t, c.raw)
 			if resp.StatusCode != c.status || (resp.Header.Get("Retry-After") != "") != (c.status == 503) || reached.Load() != 1 {
 				t.Errorf("%s, to come back after %q s, and %d requests reached the peer", resp.Status,
 					resp.Header.Get("Retry-After"), reached.Load())
--- a/internal/transport/linger.go
+++ b/internal/transport/linger.go
@@ -25,12 +25,12 @@
 	lingerBufferSize = 16 << 10
 )
 
-// linger keeps a connection whose close is decided for as long as its last response needs to arrive. A close over unread
-// bytes is a reset, which takes a response still under way with it, as do bytes that come after the close.
+// linger keeps a connection whose close is decided for as long as its last response needs to arrive. A close over
+// unread bytes is a reset, which takes a response still under way with it, as do bytes that come after the close.
 //
-// What is left of a request that has its response is read and discarded, behind the end of the sending, until the client
-// closes, too. Bytes of a request behind a complete one are not read: their reset proves to the client that it may send
-// that request again; it only waits a moment.
+// What is left of a request that has its response is read and discarded, behind the end of the sending, until the
+// client closes, too. Bytes of a request behind a complete one are not read: their reset proves to the client that
+// it may send that request again; it only waits a moment.
 func (c *clientConn) linger() {
 	discard, until := c.startLingering()
 	switch {
@@ -44,8 +44,9 @@
 	}
 }
 
-// startLingering says until when the connection may linger, and whether to discard the rest of a request. The time is zero
-// where nothing is owed: no response was written, or the time of the shutdown is over. A second close ends the lingering.
+// startLingering says until when the connection may linger, and whether to discard the rest of a request. The time
+// is zero where nothing is owed: no response was written, or the time of the shutdown is over. A second close ends
+// the lingering.
 func (c *clientConn) startLingering() (discard bool, until time.Time) {
 	cs := c.conns
 	cs.mu.Lock()
--- a/internal/transport/linger_test.go
+++ b/internal/transport/linger_test.go
@@ -19,12 +19,12 @@
 	"olivebridge/internal/routing"
 )
 
-// TestAnswerAheadOfTheRest: a client that writes all it has before it reads anything gets the whole answer, however
+// TestResponseBeforeBodyEnd: a client that writes all it has before it reads anything gets the whole answer, however
 // early that came. A close over what is unread would reset its connection.
-func TestAnswerAheadOfTheRest(t *testing.T) {
+func TestResponseBeforeBodyEnd(t *testing.T) {
 	const mb = 1 << 20
 	sized := func(n int) string { return fmt.Sprintf("Content-Length: %d\r\n\r\n", n) }
-	get := strings.NewReplacer("POST", "GET", "book", "status").Replace(head)
+	get := strings.NewReplacer("POST", "GET", "book", "status").Replace(callHead)
 	chunks := strings.Repeat("100000\r\n"+strings.Repeat("x", mb)+"\r\n", 60)
 	for name, c := range map[string]struct {
 		head   string
@@ -32,41 +32,41 @@
 		rest   string
 		status int
 	}{
-		"a body beyond all bounds": {head + sized(60*mb), 60 * mb, "", 413},
-		"the same in chunks":       {head + "Transfer-Encoding: chunked\r\n\r\n", 0, chunks, 413},
-		"an unknown class":         {strings.Replace(head, "book", "gift", 1) + sized(60*mb), 60 * mb, "", 400},
+		"a body beyond all bounds": {callHead + sized(60*mb), 60 * mb, "", 413},
+		"the same in chunks":       {callHead + "Transfer-Encoding: chunked\r\n\r\n", 0, chunks, 413},
+		"an unknown class":         {strings.Replace(callHead, "book", "gift", 1) + sized(60*mb), 60 * mb, "", 400},
 		"a GET with a long body":   {get + sized(20*mb), 20 * mb, "", 400},
 		"the same, in chunks":      {get + "Transfer-Encoding: chunked\r\n\r\n", 0, chunks, 400},
-		"a method that is wrong":   {strings.Replace(head, "POST", "PUT", 1) + sized(20*mb), 20 * mb, "", 405},
-		"an old version":           {strings.Replace(head, "1.1", "1.0", 1) + sized(20*mb), 20 * mb, "", 505},
+		"a method that is wrong":   {strings.Replace(callHead, "POST", "PUT", 1) + sized(20*mb), 20 * mb, "", 405},
+		"an old version":           {strings.Replace(callHead, "1.1", "1.0", 1) + sized(20*mb), 20 * mb, "", 505},
 		"a flood without a line":   {"", 20 * mb, "", 431},
 		"a flood of lines":         {"", 0, strings.Repeat("noise\r\n", 4*mb), 400},
-		"too many connections":     {head + sized(20*mb), 20 * mb, "", 503},
-		"a peer that answers":      {head + sized(20*mb), 20 * mb, "", 200},
+		"too many connections":     {callHead + sized(20*mb), 20 * mb, "", 503},
+		"a peer that answers":      {callHead + sized(20*mb), 20 * mb, "", 200},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := listenOn(t, func(conn net.Conn) {
+			p := startServer(t, func(conn net.Conn) {
 				if c.status == 200 { // ahead of the body
-					io.WriteString(conn, ok)
+					io.WriteString(conn, okResponse)
 				}
 				io.Copy(io.Discard, conn)
 			})
-			addr, front, _, _, _ := through(t, p, 10)
+			addr, front, _, _, _ := newFrontendOverTransport(t, p, 10)
 			if c.status == 503 {
 				taken, release := make(chan bool), make(chan bool)
-				addr, front, _ = newFront(t, 2, func(context.Context, routing.Call) (routing.Answer, bool) {
+				addr, front, _ = newTestFrontend(t, 2, func(context.Context, routing.Call) (routing.Answer, bool) {
 					taken <- true
 					<-release
 					return routing.Answer{}, true
 				})
 				defer close(release)
 				for range 2 {
-					io.WriteString(dial(t, addr), head+sized(0))
+					io.WriteString(dialClient(t, addr), callHead+sized(0))
 					<-taken
 				}
 				front.SetClientLimits(ClientLimits{MaxOpen: 1})
 			}
-			conn := dial(t, addr)
+			conn := dialClient(t, addr)
 			io.WriteString(conn, c.head)
 			for block := strings.Repeat("x", mb); c.bytes > 0; c.bytes -= mb {
 				if _, err := io.WriteString(conn, block); err != nil {
@@ -87,33 +87,16 @@
 				t.Errorf("behind it: %q, %v", b, err)
 			}
 			conn.Close()
-			waitFor(t, func() bool { return !front.lingers() })
+			waitFor(t, func() bool { return !front.hasLingering() })
 		})
 	}
 }
 
-// lingers reports whether any client connection does.
-func (f *Frontend) lingers() bool {
-	f.clients.mu.Lock()
-	defer f.clients.mu.Unlock()
-	return f.clients.lingering.Len() > 0
-}
-
-// waitFor waits until something holds.
-func waitFor(t *testing.T, holds func() bool) {
-	t.Helper()
-	for until := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
-		if time.Now().After(until) {
-			t.Fatal("it does not come to that")
-		}
-	}
-}
-
 // refused is a client whose request was, and that goes on sending a little for as long as it can.
-func refused(t *testing.T, c *client) (ended chan error) {
+func sendRejectedUpload(t *testing.T, c *testClient) (ended chan error) {
 	t.Helper()
 	ended = make(chan error, 1)
-	if resp, _ := c.ask(t, head+"Content-Length: 60000000\r\n\r\nx"); resp.StatusCode != 413 {
+	if resp, _ := c.roundTrip(t, callHead+"Content-Length: 60000000\r\n\r\nx"); resp.StatusCode != 413 {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
 	go func() {
@@ -128,18 +111,18 @@
 	return ended
 }
 
-// TestLingeringMakesRoom: a connection that lingers counts as open, and is the first to go where room is needed.
-func TestLingeringMakesRoom(t *testing.T) {
-	addr, front, _ := newFront(t, 2, nil)
-	idle := front.idle(t, addr, 1)
-	ended := refused(t, dial(t, addr))
-	waitFor(t, front.lingers)
+// TestLingeringEvictedFirst: a connection that lingers counts as open, and is the first to go where room is needed.
+func TestLingeringEvictedFirst(t *testing.T) {
+	addr, front, _ := newTestFrontend(t, 2, nil)
+	idle := front.dialIdle(t, addr, 1)
+	ended := sendRejectedUpload(t, dialClient(t, addr))
+	waitFor(t, front.hasLingering)
 	if n := front.ClientConns(); n != 2 {
 		t.Errorf("%d are open", n)
 	}
 	begun := time.Now()
-	for _, c := range []*client{dial(t, addr), idle} {
-		if resp, _ := c.ask(t, ready); resp.StatusCode != 200 {
+	for _, c := range []*testClient{dialClient(t, addr), idle} {
+		if resp, _ := c.roundTrip(t, readyRequest); resp.StatusCode != 200 {
 			t.Errorf("status %d", resp.StatusCode)
 		}
 	}
@@ -148,8 +131,8 @@
 	}
 }
 
-// TestLingeringEndsInTime: whoever never ends, nor falls silent, holds up neither his connection's end nor the node's. It
-// is played in a bubble: on a busy machine the sum of many short waits would pass for a long one.
+// TestLingeringEndsInTime: whoever never ends, nor falls silent, holds up neither his connection's end nor the
+// node's. It is played in a bubble: on a busy machine the sum of many short waits would pass for a long one.
 func TestLingeringEndsInTime(t *testing.T) {
 	for name, drain := range map[string]bool{"alone": false, "at a planned end": true} {
 		t.Run(name, func(t *testing.T) {
@@ -161,14 +144,14 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				front, _ := frontOn(t, l, 10, nil)
+				front, _ := newTestFrontendOn(t, l, 10, nil)
 				begun := time.Now()
 				conn, err := net.Host("client").Dial(t.Context(), l.Addr().String())
 				if err != nil {
 					t.Fatal(err)
 				}
-				ended := refused(t, &client{conn, bufio.NewReader(conn)})
-				waitFor(t, front.lingers)
+				ended := sendRejectedUpload(t, &testClient{conn, bufio.NewReader(conn)})
+				waitFor(t, front.hasLingering)
 				most := lingerTimeout
 				if drain {
 					front.Drain(time.Second)
@@ -184,9 +167,9 @@
 	}
 }
 
-// TestCloseOverTheNextRequest: where the next request is there unread, the answer before arrives whole all the same,
+// TestCloseOverUnreadRequest: where the next request is there unread, the answer before arrives whole all the same,
 // and the request is reset unread, or served: never read and dropped.
-func TestCloseOverTheNextRequest(t *testing.T) {
+func TestCloseOverUnreadRequest(t *testing.T) {
 	for name, leave := range map[string]bool{"behind the last answer": false, "on a connection that is idle": true} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -195,7 +178,7 @@
 			}
 			all := newClientConns(l, ClientLimits{MaxOpen: 5, MaxIdle: 5}, slog.New(slog.DiscardHandler))
 			defer all.Close()
-			c := dial(t, l.Addr().String())
+			c := dialClient(t, l.Addr().String())
 			c.Conn.(*net.TCPConn).SetReadBuffer(64 << 10)
 			io.WriteString(c, "one")
 			conn, err := all.Accept()
@@ -236,37 +219,3 @@
 		})
 	}
 }
-
-// TestUploadOutlivesTheEnd: a body that goes on coming while its node ends as planned comes whole, and is answered,
-// though it takes longer than any call may.
-func TestUploadOutlivesTheEnd(t *testing.T) {
-	p := listenOn(t, func(conn net.Conn) {
-		if r, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
-			io.Copy(io.Discard, r.Body)
-			io.WriteString(conn, ok)
-		}
-	})
-	addr, front, _, _, _ := through(t, p, 10)
-	c := dial(t, addr)
-	half := strings.Repeat("x", 100<<10)
-	io.WriteString(c, head+fmt.Sprintf("Content-Length: %d\r\n\r\n", 2*len(half))+half)
-	waitFor(t, func() bool {
-		front.clients.mu.Lock()
-		defer front.clients.mu.Unlock()
-		return front.clients.streaming > 0
-	})
-	drained, calls := make(chan bool), 50*time.Millisecond
-	go func() {
-		front.Drain(calls - drainMargin)
-		close(drained)
-	}()
-	select {
-	case <-drained:
-		t.Error("it was cut")
-	case <-time.After(4 * calls):
-	}
-	if resp, _ := c.ask(t, half); resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("status %d, close: %v", resp.StatusCode, resp.Close)
-	}
-	<-drained
-}
--- a/internal/transport/pipelined_test.go
+++ b/internal/transport/pipelined_test.go
@@ -15,12 +15,12 @@
 	"olivebridge/internal/routing"
 )
 
-// pipelining is a client that has written several requests at once, the first of which is at a peer that answers it, and
-// then any other, once told to.
-func pipelining(t *testing.T, raw string) (c *client, front *Frontend, atPeer chan string, release chan bool) {
+// pipelining is a client that has written several requests at once, the first of which is at a peer that answers
+// it, and then any other, once told to.
+func startPipelined(t *testing.T, raw string) (c *testClient, front *Frontend, atPeer chan string, release chan bool) {
 	t.Helper()
 	atPeer, release = make(chan string, 1000), make(chan bool)
-	p := listenOn(t, func(conn net.Conn) {
+	p := startServer(t, func(conn net.Conn) {
 		for in := bufio.NewReader(conn); ; {
 			r, err := http.ReadRequest(in)
 			if err != nil {
@@ -32,12 +32,12 @@
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"+r.Header.Get("X-Call-Id"))
 		}
 	})
-	addr, front, _, _, results := through(t, p, 10)
+	addr, front, _, _, results := newFrontendOverTransport(t, p, 10)
 	go func() {
 		for range results {
 		}
 	}()
-	c = dial(t, addr)
+	c = dialClient(t, addr)
 	io.WriteString(c, raw)
 	if id := <-atPeer; id != "1b" {
 		t.Fatalf("%s is first at the peer", id)
@@ -46,37 +46,38 @@
 }
 
 // numbered is the nth request, with a body of so many bytes.
-func numbered(n, body int) string {
-	return strings.Replace(head, "9b", fmt.Sprintf("%db", n), 1) + fmt.Sprintf("Content-Length: %d\r\n\r\n", body) + strings.Repeat("x", body)
+func numberedRequest(n, body int) string {
+	return strings.Replace(callHead, "9b", fmt.Sprintf("%db", n), 1) + fmt.Sprintf("Content-Length: %d\r\n\r\n", body) + strings.Repeat("x", body)
 }
 
 // chunked is the nth request, with a body as it is in chunks.
-func chunked(n int, body string) string {
-	return strings.Replace(numbered(n, 0), "Content-Length: 0\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n"+body, 1)
+func chunkedRequest(n int, body string) string {
+	return strings.Replace(numberedRequest(n, 0), "Content-Length: 0\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n"+body, 1)
 }
 
-// TestPipelinedAtTheEnd: whatever was read along with a request gets its answer, though the node begins to leave, or to
-// make room, while that one is at its peer; the last answer says that the connection ends, and it does.
-func TestPipelinedAtTheEnd(t *testing.T) {
-	inChunks := chunked(2, "1\r\nx\r\n00A\r\n0\r\n\r\n0\r\n\r\n\r\n0\r\n\r\n")
+// TestPipelinedWhileDraining: whatever was read along with a request gets its answer, though the node begins to
+// leave, or to make room, while that one is at its peer; the last answer says that the connection ends, and it
+// does.
+func TestPipelinedWhileDraining(t *testing.T) {
+	inChunks := chunkedRequest(2, "1\r\nx\r\n00A\r\n0\r\n\r\n0\r\n\r\n\r\n0\r\n\r\n")
 	half := len(inChunks) - 9 // in the middle of a chunk
 	for name, c := range map[string]struct {
 		raw   string
 		later string // what comes once the node leaves
 		want  int    // answers
 	}{
-		"two":                  {numbered(1, 0) + numbered(2, 0), "", 2},
-		"three":                {numbered(1, 0) + numbered(2, 3) + numbered(3, 0), "", 3},
-		"behind a body":        {numbered(1, 500) + numbered(2, 0), "", 2},
-		"the first in a burst": {numbered(1, 0) + numbered(2, 0), strings.Repeat(numbered(3, 0), 10), 2},
-		"half a head":          {numbered(1, 0) + numbered(2, 0)[:50], numbered(2, 0)[50:], 2},
-		"half a body":          {numbered(1, 0) + numbered(2, 9)[:len(numbered(2, 9))-4], "xxxx", 2},
-		"half one, and on":     {numbered(1, 0) + numbered(2, 0)[:50], numbered(2, 0)[50:] + strings.Repeat(numbered(3, 0), 100), 2},
-		"half a body, and on":  {numbered(1, 0) + numbered(2, 9)[:len(numbered(2, 9))-4], "xxxx" + strings.Repeat(numbered(3, 0), 100), 2},
-		"one in chunks behind": {numbered(1, 0) + inChunks, "", 2},
-		"behind one in chunks": {numbered(1, 0) + inChunks + numbered(3, 3), "", 3},
-		"half one in chunks":   {numbered(1, 0) + inChunks[:half], inChunks[half:], 2},
-		"half of it, and on":   {numbered(1, 0) + inChunks[:half], inChunks[half:] + strings.Repeat(numbered(3, 0), 100), 2},
+		"two":                  {numberedRequest(1, 0) + numberedRequest(2, 0), "", 2},
+		"three":                {numberedRequest(1, 0) + numberedRequest(2, 3) + numberedRequest(3, 0), "", 3},
+		"behind a body":        {numberedRequest(1, 500) + numberedRequest(2, 0), "", 2},
+		"the first in a burst": {numberedRequest(1, 0) + numberedRequest(2, 0), strings.Repeat(numberedRequest(3, 0), 10), 2},
+		"half a head":          {numberedRequest(1, 0) + numberedRequest(2, 0)[:50], numberedRequest(2, 0)[50:], 2},
+		"half a body":          {numberedRequest(1, 0) + numberedRequest(2, 9)[:len(numberedRequest(2, 9))-4], "xxxx", 2},
+		"half one, and on":     {numberedRequest(1, 0) + numberedRequest(2, 0)[:50], numberedRequest(2, 0)[50:] + strings.Repeat(numberedRequest(3, 0), 100), 2},
+		"half a body, and on":  {numberedRequest(1, 0) + numberedRequest(2, 9)[:len(numberedRequest(2, 9))-4], "xxxx" + strings.Repeat(numberedRequest(3, 0), 100), 2},
+		"one in chunks behind": {numberedRequest(1, 0) + inChunks, "", 2},
+		"behind one in chunks": {numberedRequest(1, 0) + inChunks + numberedRequest(3, 3), "", 3},
+		"half one in chunks":   {numberedRequest(1, 0) + inChunks[:half], inChunks[half:], 2},
+		"half of it, and on":   {numberedRequest(1, 0) + inChunks[:half], inChunks[half:] + strings.Repeat(numberedRequest(3, 0), 100), 2},
 	} {
 		for way, leave := range map[string]func(*Frontend){
 			"leaves":     func(f *Frontend) { f.clients.startDraining() },
@@ -89,7 +90,7 @@
 			ends := way != "makes room" || strings.HasSuffix(c.raw, inChunks)
 			t.Run(name+", "+way, func(t *testing.T) {
 				t.Parallel()
-				conn, front, _, release := pipelining(t, c.raw)
+				conn, front, _, release := startPipelined(t, c.raw)
 				leave(front)
 				if way == "drains" {
 					waitFor(t, front.clients.isDraining)
@@ -122,23 +123,23 @@
 	}
 }
 
-// TestBehindARefusedOne: what was read along behind a refused request is served, unless someone could find another end to
-// that one than the node did: then its answer ends the connection, and nothing behind it is taken.
-func TestBehindARefusedOne(t *testing.T) {
-	two := func(old, new string) string { return strings.Replace(numbered(2, 0), old, new, 1) }
+// TestPipelinedBehindRejected: what was read along behind a refused request is served, unless someone could find
+// another end to that one than the node did: then its answer ends the connection, and nothing behind it is taken.
+func TestPipelinedBehindRejected(t *testing.T) {
+	two := func(old, new string) string { return strings.Replace(numberedRequest(2, 0), old, new, 1) }
 	for name, c := range map[string]struct {
 		raw    string
 		status int
 		on     bool
 	}{
 		"an unknown class":          {two("book", "gift"), 400, true},
-		"a bad budget, and a body":  {strings.Replace(numbered(2, 9), "0.5", "soon", 1), 400, true},
+		"a bad budget, and a body":  {strings.Replace(numberedRequest(2, 9), "0.5", "soon", 1), 400, true},
 		"no id":                     {two("X-Call-Id", "X-Id"), 400, true},
 		"a POST that must be a GET": {two("book", "status"), 405, true},
 		"a GET that must be a POST": {"GET" + two("POST", "")[:len(two("POST", ""))-2] + "\r\n", 405, true},
 		"no question of readiness":  {two("/api?user=%41", protocol.PathReady), 405, true},
-		"in chunks":                 {strings.Replace(chunked(2, "1\r\nx\r\n0\r\n\r\n"), "book", "gift", 1), 400, true},
-		"a body that was not asked for": {strings.Replace(numbered(2, 9), "Host: h", "Host: h\r\nExpect: 100-continue\r\nX-Budget: 1", 1),
+		"in chunks":                 {strings.Replace(chunkedRequest(2, "1\r\nx\r\n0\r\n\r\n"), "book", "gift", 1), 400, true},
+		"a body that was not asked for": {strings.Replace(numberedRequest(2, 9), "Host: h", "Host: h\r\nExpect: 100-continue\r\nX-Budget: 1", 1),
 			400, true},
 
 		"two lengths":        {two("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length"), 400, false},
@@ -148,18 +149,18 @@
 		"another length":     {two("Host: h", "Host: h\r\nContent_Length: 5"), 400, false},
 		"an odd target":      {two("/api", "//api"), 400, false},
 		"an old version":     {two("1.1\r\n", "1.0\r\nConnection: keep-alive\r\n"), 505, false},
-		"a GET with a body":  {strings.NewReplacer("POST", "GET", "book", "status").Replace(numbered(2, 9)), 400, false},
-		"the same, no class": {strings.NewReplacer("POST", "GET", "book", "gift").Replace(numbered(2, 9)), 400, false},
-		"with a long body":   {strings.NewReplacer("POST", "GET", "book", "status").Replace(numbered(2, 70000)), 400, false},
+		"a GET with a body":  {strings.NewReplacer("POST", "GET", "book", "status").Replace(numberedRequest(2, 9)), 400, false},
+		"the same, no class": {strings.NewReplacer("POST", "GET", "book", "gift").Replace(numberedRequest(2, 9)), 400, false},
+		"with a long body":   {strings.NewReplacer("POST", "GET", "book", "status").Replace(numberedRequest(2, 70000)), 400, false},
 		"a tunnel":           {two("POST", "CONNECT"), 405, false},
-		"chunks that break":  {chunked(2, "1\r\nxx\r\n0\r\n\r\n"), 400, false},
-		"a bare chunk":       {strings.Replace(chunked(2, "1\nx\r\n0\r\n\r\n"), "book", "gift", 1), 400, false},
-		"a trailer":          {strings.Replace(chunked(2, "0\r\nA: b\r\n\r\n"), "book", "gift", 1), 400, false},
+		"chunks that break":  {chunkedRequest(2, "1\r\nxx\r\n0\r\n\r\n"), 400, false},
+		"a bare chunk":       {strings.Replace(chunkedRequest(2, "1\nx\r\n0\r\n\r\n"), "book", "gift", 1), 400, false},
+		"a trailer":          {strings.Replace(chunkedRequest(2, "0\r\nA: b\r\n\r\n"), "book", "gift", 1), 400, false},
 	} {
 		for way, leave := range map[string]func(*Frontend){"": func(*Frontend) {}, ", leaving": func(f *Frontend) { f.clients.startDraining() }} {
 			t.Run(name+way, func(t *testing.T) {
 				t.Parallel()
-				conn, front, atPeer, release := pipelining(t, numbered(1, 0)+c.raw+numbered(3, 0))
+				conn, front, atPeer, release := startPipelined(t, numberedRequest(1, 0)+c.raw+numberedRequest(3, 0))
 				leave(front)
 				close(release)
 				want := []int{200, c.status}
@@ -192,10 +193,10 @@
 	}
 }
 
-// TestNoTimeLeftForPipelined: a planned end has a time, and a chain of calls that were read along with the first has not
-// got it for itself: one that is not sure to be answered by then is turned away at its turn.
+// TestNoTimeLeftForPipelined: a planned end has a time, and a chain of calls that were read along with the first
+// has not got it for itself: one that is not sure to be answered by then is turned away at its turn.
 func TestNoTimeLeftForPipelined(t *testing.T) {
-	conn, front, atPeer, release := pipelining(t, numbered(1, 0)+numbered(2, 0)+numbered(3, 0))
+	conn, front, atPeer, release := startPipelined(t, numberedRequest(1, 0)+numberedRequest(2, 0)+numberedRequest(3, 0))
 	ended := make(chan bool)
 	go func() {
 		front.Drain(0)
@@ -218,17 +219,17 @@
 	}
 }
 
-// TestBehindALongBody: a call that is turned away before its long body was read to the end keeps nothing behind it from
-// its answer, where all of that has come.
-func TestBehindALongBody(t *testing.T) {
-	addr, front, _ := newFront(t, 10, func(_ context.Context, c routing.Call) (routing.Answer, bool) {
+// TestPipelinedBehindLongBody: a call that is turned away before its long body was read to the end keeps nothing
+// behind it from its answer, where all of that has come.
+func TestPipelinedBehindLongBody(t *testing.T) {
+	addr, front, _ := newTestFrontend(t, 10, func(_ context.Context, c routing.Call) (routing.Answer, bool) {
 		if c.Name == "2b" {
 			return routing.Answer{Verdict: routing.Served, Reply: &response{}}, true
 		}
 		return routing.Answer{Verdict: routing.Reject}, true
 	})
-	c := dial(t, addr)
-	io.WriteString(c, chunked(1, fmt.Sprintf("%x\r\n%s", protocol.MaxBody, strings.Repeat("x", protocol.MaxBody))))
+	c := dialClient(t, addr)
+	io.WriteString(c, chunkedRequest(1, fmt.Sprintf("%x\r\n%s", protocol.MaxBody, strings.Repeat("x", protocol.MaxBody))))
 	waitFor(t, func() bool { // all of that is read
 		front.clients.mu.Lock()
 		defer front.clients.mu.Unlock()
@@ -237,7 +238,7 @@
 		}
 		return false
 	})
-	io.WriteString(c, "\r\n1\r\nx\r\n0\r\n\r\n"+numbered(2, 0))
+	io.WriteString(c, "\r\n1\r\nx\r\n0\r\n\r\n"+numberedRequest(2, 0))
 	for n, want := range []int{503, 200} {
 		resp, err := http.ReadResponse(c.in, nil)
 		if err != nil || resp.StatusCode != want || resp.Close {
@@ -245,3 +246,71 @@
 		}
 	}
 }
+
+// TestPipelined: a request read along with the one before it is open, so that
+// its connection must not be closed as idle.
+func TestPipelined(t *testing.T) {
+	taken, release := make(chan bool), make(chan bool)
+	addr, front, _ := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
+		taken <- true
+		<-release
+		return routing.Answer{Verdict: routing.Failed}, true
+	})
+	c := dialClient(t, addr)
+	one := callHead + "Content-Length: 0\r\n\r\n"
+	io.WriteString(c, one+one)
+	<-taken
+	release <- true
+	<-taken
+	front.clients.startDraining()
+	release <- true
+	for range 2 {
+		if resp, err := http.ReadResponse(c.in, nil); err != nil || resp.StatusCode != 502 {
+			t.Fatal(resp, err)
+		}
+	}
+}
+
+// TestPipelinedRequestTimeout: a request that began to come behind a long call has as much time for its body as any
+// other, whether it was read along with that or waits to be read.
+func TestPipelinedRequestTimeout(t *testing.T) {
+	for name, along := range map[string]bool{"read along": true, "unread": false} {
+		t.Run(name, func(t *testing.T) { pipelinedInTime(t, along) })
+	}
+}
+
+func pipelinedInTime(t *testing.T, along bool) {
+	const half = callHead + "Content-Length: 10\r\n\r\nhalf "
+	taken, release := make(chan *clientConn, 2), make(chan bool, 2)
+	addr, front, _ := newTestFrontend(t, 10, func(_ context.Context, c routing.Call) (routing.Answer, bool) {
+		taken <- c.Payload.(*requestMessage).client.(*clientConn)
+		<-release
+		return routing.Answer{Verdict: routing.Failed}, true
+	})
+	c := dialClient(t, addr)
+	raw := callHead + "Content-Length: 0\r\n\r\n"
+	if along {
+		raw += half
+	}
+	io.WriteString(c, raw)
+	k := <-taken
+	if !along {
+		io.WriteString(c, half)
+	}
+	for begun := false; !begun; { // the call is as long as a body may take
+		front.clients.mu.Lock()
+		if begun = k.state.nextStarted == along && k.state.nextUnread != along; begun {
+			k.requestStart = k.requestStart.Add(-requestTimeout)
+		}
+		front.clients.mu.Unlock()
+	}
+	release <- true
+	if resp, err := http.ReadResponse(c.in, nil); err != nil || resp.StatusCode != 502 {
+		t.Fatal(resp, err)
+	}
+	io.WriteString(c, "of it")
+	release <- true
+	if resp, err := http.ReadResponse(c.in, nil); err != nil || resp.StatusCode != 502 {
+		t.Fatal(resp, err)
+	}
+}
--- a/internal/transport/request.go
+++ b/internal/transport/request.go
@@ -20,8 +20,8 @@
 // ambiguousRequest makes an ambiguousRequestError with a message.
 func ambiguousRequest(message string) error { return ambiguousRequestError{errors.New(message)} }
 
-// parseRequest reads a call from a request. Its payload is a requestMessage, held by the caller. An error comes with the
-// 4xx or 505 that the request deserves.
+// parseRequest reads a call from a request. Its payload is a requestMessage, held by the caller. An error comes
+// with the 4xx or 505 that the request deserves.
 func (f *Frontend) parseRequest(r *http.Request, c *clientConn, target string) (routing.Call, int, error) {
 	if !r.ProtoAtLeast(1, 1) { // net/http ignores a Transfer-Encoding there
 		return routing.Call{}, http.StatusHTTPVersionNotSupported, ambiguousRequest("version: below HTTP/1.1")
@@ -44,7 +44,8 @@
 		return call, http.StatusRequestEntityTooLarge, errors.New("body: too large")
 	case err != nil:
 		return call, http.StatusBadRequest, fmt.Errorf("body: %w", err)
-	case (len(m.body) > 0 || m.upload != nil) && r.Method == http.MethodGet: // a server that reads none takes it for a request
+	case (len(m.body) > 0 || m.upload != nil) && r.Method == http.MethodGet:
+		// Guards the servers: one that reads no body takes it for a request.
 		return call, http.StatusBadRequest, ambiguousRequest("body: none belongs to a GET")
 	}
 	call.Arrived = time.Now()
@@ -114,7 +115,7 @@
 
 // noEOF keeps the end of a connection from being taken for that of a message.
 func noEOF(err error) error {
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
--- a/internal/transport/request_framing.go
+++ b/internal/transport/request_framing.go
@@ -9,9 +9,9 @@
 // maxLengthDigits is above what net/http takes for a length.
 const maxLengthDigits = 20
 
-// requestFraming follows the requests on a client connection, in the raw bytes. Where Transfer-Encoding stands beside
-// Content-Length, net/http takes the latter out and goes by the former; whoever goes by the latter finds another request in
-// the body. A handler cannot see that: only the bytes tell. Requests are counted from 1.
+// requestFraming follows the requests on a client connection, in the raw bytes. Where Transfer-Encoding stands
+// beside Content-Length, net/http takes the latter out and goes by the former; whoever goes by the latter finds
+// another request in the body. A handler cannot see that: only the bytes tell. Requests are counted from 1.
 type requestFraming struct {
 	// started counts the requests of which a byte has come. The last one is followed.
 	started int
@@ -129,14 +129,19 @@
 	case f.lineLen == 0 && (c == ' ' || c == '\t'): // a folded line
 		f.stopAmbiguous()
 	case f.inValue:
-		if c >= '0' && c <= '9' && len(f.digits) < maxLengthDigits {
-			f.digits = append(f.digits, c)
-		}
+		f.feedLengthByte(c)
 	case f.lineLen < len(f.line):
 		f.feedNameByte(c)
 	}
 }
 
+// feedLengthByte takes in a byte of a Content-Length.
+func (f *requestFraming) feedLengthByte(c byte) {
+	if c >= '0' && c <= '9' && len(f.digits) < maxLengthDigits {
+		f.digits = append(f.digits, c)
+	}
+}
+
 // feedNameByte takes in a byte of a field's name, or of what else a line begins with.
 func (f *requestFraming) feedNameByte(c byte) {
 	if 'A' <= c && c <= 'Z' {
--- a/internal/transport/request_head.go
+++ b/internal/transport/request_head.go
@@ -9,8 +9,8 @@
 	"olivebridge/internal/protocol"
 )
 
-// checkRequestHead says what is wrong with the head of a request that net/http has taken. It guards the servers against
-// heads that the node and they would read in different ways.
+// checkRequestHead says what is wrong with the head of a request that net/http has taken. It guards the servers
+// against heads that the node and they would read in different ways.
 func checkRequestHead(r *http.Request, target string) error {
 	if err := checkTarget(target); err != nil {
 		return err
@@ -32,8 +32,8 @@
 // notInHost reports whether a character may not stand in a host.
 func notInHost(c rune) bool { return !isUnreserved(c) && !strings.ContainsRune("[:]", c) }
 
-// checkUnderscores rejects a name that many servers, which read "_" as "-", take for a second value of a protected header
-// field.
+// checkUnderscores rejects a name that many servers, which read "_" as "-", take for a second value of a protected
+// header field.
 func checkUnderscores(name string) error {
 	if !strings.Contains(name, "_") {
 		return nil
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// originForm is a target as servers get it: of one that names its host, too, the path and query. net/http has the host by
-// then.
+// originForm is a target as servers get it: of one that names its host, too, the path and query. net/http has the
+// host by then.
 func originForm(target string) string {
 	const scheme = "http://"
 	if len(target) < len(scheme) || !strings.EqualFold(target[:len(scheme)], scheme) {
@@ -64,8 +64,8 @@
 	return path
 }
 
-// checkTarget takes a path strictly as RFC 3986 has it: a target is forwarded as it came, and servers differ in what they
-// make of the rest. A query may hold what browsers leave unescaped in it.
+// checkTarget takes a path strictly as RFC 3986 has it: a target is forwarded as it came, and servers differ in
+// what they make of the rest. A query may hold what browsers leave unescaped in it.
 func checkTarget(target string) error {
 	if !strings.HasPrefix(target, "/") || strings.HasPrefix(target, "//") {
 		return fmt.Errorf("target: begins with no slash, or with two: %.80q", target)
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// isProtectedHeader reports whether a header field, in canonical form, says where a request goes, where it ends, or what
-// it is to the platform.
+// isProtectedHeader reports whether a header field, in canonical form, says where a request goes, where it ends, or
+// what it is to the platform.
 func isProtectedHeader(name string) bool {
 	return protocol.Owned(name) || name == "Host" || name == "Content-Length" || name == "Transfer-Encoding"
 }
--- a/internal/transport/refuse_test.go
+++ b/internal/transport/request_head_test.go
@@ -1,7 +1,9 @@
 package transport
 
 import (
+	"bytes"
 	"context"
+	"fmt"
 	"io"
 	"net/http"
 	"strings"
@@ -13,9 +15,9 @@
 
 // served sends raw requests, each on a connection of its own, to a front that
 // serves whatever it takes. It tells the status, and what the peer would get.
-func served(t *testing.T) func(raw string) (resp *http.Response, peer string) {
+func serveRaw(t *testing.T) func(raw string) (resp *http.Response, peer string) {
 	got := make(chan string, 1)
-	addr, _, _ := newFront(t, 100, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
+	addr, _, _ := newTestFrontend(t, 100, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
 		m := c.Payload.(*requestMessage)
 		b, own := m.compose(c.Budget)
 		got <- string(b)
@@ -23,7 +25,7 @@
 		return routing.Answer{Verdict: routing.Served, Reply: &response{}}, true
 	})
 	return func(raw string) (*http.Response, string) {
-		c := dial(t, addr)
+		c := dialClient(t, addr)
 		defer c.Close()
 		go io.WriteString(c, raw)
 		method, _, _ := strings.Cut(raw, " ")
@@ -41,10 +43,49 @@
 	}
 }
 
+// TestMalformedRequests get a plain 4xx and no try.
+func TestMalformedRequests(t *testing.T) {
+	addr, front, _ := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
+		return routing.Answer{Verdict: routing.Served, Reply: &response{body: bytes.Clone(c.Payload.(*requestMessage).body)}}, true
+	})
+	body := func(n int) string { return fmt.Sprintf("Content-Length: %d\r\n\r\n", n) + strings.Repeat("x", n) }
+	cases := []struct {
+		raw  string
+		want int
+	}{
+		{callHead + body(0), 200}, {callHead + body(protocol.MaxBody), 200}, {callHead + body(protocol.MaxBody+1), 200},
+		{callHead + fmt.Sprintf("Content-Length: %d\r\n\r\n", maxRequestBody+1), 413},
+		{callHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", 200},
+		{callHead + "Transfer-Encoding: chunked\r\n\r\n10001\r\n" + strings.Repeat("x", 0x10001) + "\r\n0\r\n\r\n", 200},
+		{strings.Replace(callHead, "book", "gift", 1) + body(0), 400}, {strings.Replace(callHead, "0.5", "soon", 1) + body(0), 400},
+		{strings.Replace(callHead, "X-Call-Id", "X-Id", 1) + body(0), 400}, {strings.Replace(callHead, ": 9b", ": 9 b", 1) + body(0), 400},
+		{strings.Replace(callHead, ": 9b", ": 9"+strings.Repeat("b", 128), 1) + body(0), 400}, {strings.Replace(callHead, "/api", "//api", 1) + body(0), 400},
+		{callHead + "Transfer-Encoding: chunked\r\n" + body(2), 400}, {callHead + "content-LENGTH: 2\r\ntransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
+		{strings.Replace(callHead, "1.1", "1.0", 1) + "Transfer-Encoding: chunked\r\n" + body(2), 505},
+		{callHead + "Content-Length: 2\r\n" + body(3), 0}, {callHead + "Content-Length: -1\r\n\r\n", 0},
+		{callHead + "Content-Length:\r\n 2\r\n\r\nhi", 400},
+	}
+	bad := 0
+	for _, c := range cases {
+		resp, _ := dialClient(t, addr).roundTrip(t, c.raw)
+		if c.want == 0 { // net/http's own answer
+			c.want = 400
+		} else if c.want != 200 {
+			bad++
+		}
+		if resp.StatusCode != c.want || !resp.Close && (c.want != 200 || strings.Contains(c.raw, "chunked")) {
+			t.Errorf("%.190q: status %d, want %d; close: %v", c.raw, resp.StatusCode, c.want, resp.Close)
+		}
+	}
+	if front.Malformed() != int64(bad) {
+		t.Errorf("%d counted as malformed of %d", front.Malformed(), bad)
+	}
+}
+
 // TestConnectionOptions: a client must not make the node take from a try what
 // its peer needs, nor hand it a second value for that under another name.
 func TestConnectionOptions(t *testing.T) {
-	send := served(t)
+	send := serveRaw(t)
 	for line, want := range map[string]int{
 		"Connection: X-Call-Id": 400, "Connection: keep-alive, x-call-ID": 400,
 		"Connection: close\r\nconnection:X-Budget ,": 400,
@@ -55,7 +96,7 @@
 		"Transfer_Encoding: chunked":                              400,
 		"Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nX_Other: 1": 200, "Connection: Upgrade\r\nUpgrade: h2c": 200,
 	} {
-		resp, peer := send(head + line + "\r\nContent-Length: 2\r\n\r\nhi")
+		resp, peer := send(callHead + line + "\r\nContent-Length: 2\r\n\r\nhi")
 		if resp.StatusCode != want || (peer != "") != (want == 200) {
 			t.Errorf("%q: status %d, want %d; to the peer: %q", line, resp.StatusCode, want, peer)
 		}
@@ -68,7 +109,7 @@
 // TestMethods: the class decides the method, since it decides what the node may
 // do with a call: a POST is never sent twice, and a GET carries nothing.
 func TestMethods(t *testing.T) {
-	send := served(t)
+	send := serveRaw(t)
 	class := func(method, class, rest string) string {
 		return method + " /api?user=7f HTTP/1.1\r\nHost: h\r\nX-Call-Id: 9b\r\nX-Call-Class: " + class + "\r\nX-Budget: 0.5\r\n" + rest
 	}
@@ -105,10 +146,10 @@
 	}
 }
 
-// TestOddHeads: what is not HTTP/1.1 to the letter, or reads in two ways, gets
+// TestStrictRequestHeads: what is not HTTP/1.1 to the letter, or reads in two ways, gets
 // an error and no try; what is odd but lawful reaches the peer as it came.
-func TestOddHeads(t *testing.T) {
-	send := served(t)
+func TestStrictRequestHeads(t *testing.T) {
+	send := serveRaw(t)
 	const rest = " HTTP/1.1\r\nHost: h\r\nX-Call-Id: 9b\r\nX-Call-Class: status\r\nX-Budget: 0.5\r\n\r\n"
 	line := func(s string) string { return strings.Replace("GET /api"+rest, "Host: h", "Host: h\r\n"+s, 1) }
 	host := func(s string) string { return strings.Replace("GET /api"+rest, "Host: h\r\n", s, 1) }
@@ -159,3 +200,13 @@
 		}
 	}
 }
+
+// TestAbsoluteFormTargets: what a target that names its host asks of a server.
+func TestAbsoluteFormTargets(t *testing.T) {
+	for target, want := range map[string]string{"/api?a=b": "/api?a=b", "http://h": "/", "http://h/": "/", "http://h/api?a": "/api?a",
+		"http://h?a": "/?a", "*": "*"} {
+		if got := originForm(target); got != want {
+			t.Errorf("%s: %s, want %s", target, got, want)
+		}
+	}
+}
--- a/internal/transport/request_message.go
+++ b/internal/transport/request_message.go
@@ -18,12 +18,13 @@
 // maxBudgetLine is room for the longest line with a budget, and the empty line.
 const maxBudgetLine = len(protocol.HeaderBudget) + len(": 3600.000\r\n\r\n")
 
-// requestMessage is a client's request as it is sent to servers; it is a call's payload. A buffer holds its head, room for
-// one attempt's head with the budget in it, and right behind that the body: an attempt leaves by one write, and no body is
-// copied.
+// requestMessage is a client's request as it is sent to servers; it is a call's payload. A buffer holds its head,
+// room for one attempt's head with the budget in it, and right behind that the body: an attempt leaves by one
+// write, and no body is copied.
 //
-// The frontend and every attempt hold the message while they use it, and the last one gives the buffer back. Nobody can
-// hold it again then, so an attempt that begins too late is never sent, and one that hangs keeps the buffer from all others.
+// The frontend and every attempt hold the message while they use it, and the last one gives the buffer back. Nobody
+// can hold it again then, so an attempt that begins too late is never sent, and one that hangs keeps the buffer
+// from all others.
 type requestMessage struct {
 	method string
 	// head is the request line and the header, but for the budget's line and the empty one.
@@ -47,8 +48,8 @@
 	arrived time.Time
 }
 
-// newMessage makes a message, held by its caller, of the header fields that are end to end. The body, of so many bytes, is
-// still to be read into it. One that is too long to be buffered, or of unknown length (-1), has no room.
+// newMessage makes a message, held by its caller, of the header fields that are end to end. The body, of so many
+// bytes, is still to be read into it. One that is too long to be buffered, or of unknown length (-1), has no room.
 func newMessage(buffers *bufferPool, method, target, host string, header http.Header, announced int64) *requestMessage {
 	bodyLen := int(announced)
 	if announced < 0 || announced > protocol.MaxBody {
@@ -60,7 +61,8 @@
 	headSize := len(method) + len(target) + len(host) + requestLine + fieldsSize
 	m := &requestMessage{method: method, buffers: buffers, buf: buffers.get(2*headSize + maxBudgetLine + bodyLen)}
 	m.holders.Store(1)
-	h := append(m.buf.bytes[:0], method...)
+	h := m.buf.bytes[:0]
+	h = append(h, method...)
 	h = append(h, ' ')
 	h = append(h, target...)
 	h = append(h, " HTTP/1.1\r\nHost: "...)
@@ -106,8 +108,8 @@
 	return names, size
 }
 
-// readBody reads the body that the message's head announces. Room for it was made once: growing buffers of many calls at a
-// time would take much of a small machine's memory.
+// readBody reads the body that the message's head announces. Room for it was made once: growing buffers of many
+// calls at a time would take much of a small machine's memory.
 func (m *requestMessage) readBody(r io.Reader, c *clientConn) error {
 	body := m.body
 	for received := 0; received < len(body); {
@@ -154,8 +156,8 @@
 	}
 }
 
-// compose returns the bytes of an attempt, with the budget left unless that is 0. They hold until releaseRoom is called
-// with ownsRoom. The room is for one attempt at a time: another that is written meanwhile gets a copy.
+// compose returns the bytes of an attempt, with the budget left unless that is 0. They hold until releaseRoom is
+// called with ownsRoom. The room is for one attempt at a time: another that is written meanwhile gets a copy.
 func (m *requestMessage) compose(budget time.Duration) (b []byte, ownsRoom bool) {
 	room := m.headRoom
 	ownsRoom = m.roomTaken.CompareAndSwap(false, true)
--- /dev/null
+++ b/internal/transport/request_message_test.go
@@ -0,0 +1,46 @@
+package transport
+
+import (
+	"net/http"
+	"testing"
+	"time"
+
+	"olivebridge/internal/protocol"
+)
+
+// TestMessageHeld: the buffer comes back only once nobody holds the message, and nobody holds it after that.
+func TestMessageHeld(t *testing.T) {
+	var home bufferPool
+	m := newMessage(&home, "POST", "/", "h", http.Header{}, 3)
+	if !m.hold() {
+		t.Fatal("a message in use cannot be held")
+	}
+	m.release() // the front's
+	if m.holders.Load() != 1 || !m.hold() {
+		t.Error("a try is left without its message")
+	}
+	m.release()
+	m.release()
+	if m.hold() {
+		t.Error("a message that nobody held any more is held again")
+	}
+}
+
+// TestConcurrentAttemptsCompose: tries that write at one time do not disturb each other, and each has its own budget.
+func TestConcurrentAttemptsCompose(t *testing.T) {
+	m := newMessage(new(bufferPool), "POST", "/", "h", http.Header{"X-Call-Id": {"9b"}, protocol.HeaderBudget: {"9"}}, 4)
+	copy(m.body, "book")
+	want := func(budget string) string {
+		return "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nX-Call-Id: 9b\r\n" + budget + "\r\nbook"
+	}
+	first, own := m.compose(90 * time.Second)
+	second, copied := m.compose(time.Second)
+	if string(first) != want("X-Budget: 90.000\r\n") || string(second) != want("X-Budget: 1.000\r\n") || !own || copied {
+		t.Errorf("%q, %q, %v, %v", first, second, own, copied)
+	}
+	m.releaseRoom(copied)
+	m.releaseRoom(own)
+	if third, own := m.compose(0); string(third) != want("") || !own {
+		t.Errorf("%q, %v", third, own)
+	}
+}
--- a/internal/transport/response_head.go
+++ b/internal/transport/response_head.go
@@ -18,9 +18,9 @@
 	http10     bool
 }
 
-// parseResponseHead reads a head, the empty line included. It takes what RFC 9112 has and nothing that two readers could
-// take for two things: two lengths, a folded line, a name that is no token. It guards calls against being served with what
-// no server made for them.
+// parseResponseHead reads a head, the empty line included. It takes what RFC 9112 has and nothing that two readers
+// could take for two things: two lengths, a folded line, a name that is no token. It guards calls against being
+// served with what no server made for them.
 func parseResponseHead(head string) (h responseHead, err error) {
 	line, rest, _ := strings.Cut(head, "\n")
 	if err := h.parseStatusLine(strings.TrimSuffix(line, "\r")); err != nil {
--- a/internal/transport/response_stream.go
+++ b/internal/transport/response_stream.go
@@ -18,15 +18,15 @@
 	// clientCheckInterval is how long a server may let a long response stand still before a look whether its client is
 	// there, and the time between two such looks. A write would tell, but there is nothing to write.
 	clientCheckInterval = 50 * time.Millisecond
-	// firstPartWait is how long the first part of a response of unknown length may wait for the rest. Most are complete by
-	// then, and an attempt whose response is malformed can be retried.
+	// firstPartWait is how long the first part of a response of unknown length may wait for the rest. Most are
+	// complete by then, and an attempt whose response is malformed can be retried.
 	firstPartWait = 20 * time.Millisecond
 	// minFirstPart is the first size of the buffer for that part, in bytes.
 	minFirstPart = 512
 )
 
-// responseStream is the rest of a long response of which the first part has been read. It holds the server's connection:
-// whoever has it calls finish, once.
+// responseStream is the rest of a long response of which the first part has been read. It holds the server's
+// connection: whoever has it calls finish, once.
 type responseStream struct {
 	transport *UpstreamTransport
 	conn      *upstreamConn
@@ -95,8 +95,8 @@
 	}
 }
 
-// checkClient ends a read that waits for the response of a client that has left. The lock keeps it from any later use of
-// the connection.
+// checkClient ends a read that waits for the response of a client that has left. The lock keeps it from any later
+// use of the connection.
 func (s *responseStream) checkClient() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +151,7 @@
 		}
 		n, err := body.Read(first[len(first):cap(first)])
 		first = first[:len(first)+n]
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return first, true, nil
 		}
 		if err != nil {
@@ -161,8 +161,8 @@
 	return first, false, nil
 }
 
-// waitsInVain waits until hold for bytes of a response that is given up at until, and reports whether none have come. It
-// does not wait where the response is given up before.
+// waitsInVain waits until hold for bytes of a response that is given up at until, and reports whether none have
+// come. It does not wait where the response is given up before.
 func (c *upstreamConn) waitsInVain(reader *bufio.Reader, hold, until time.Time) bool {
 	end := c.responseDeadline(until)
 	if !end.IsZero() && !hold.Before(end) {
@@ -185,8 +185,8 @@
 	err    error // of an earlier read
 }
 
-// Read implements io.Reader. It takes no more than is there: the reader of chunks would wait in the middle of one until b
-// is full, and hold back what a slow server has sent.
+// Read implements io.Reader. It takes no more than is there: the reader of chunks would wait in the middle of one
+// until b is full, and hold back what a slow server has sent.
 func (c *chunkedBody) Read(b []byte) (int, error) {
 	if c.err != nil {
 		return 0, c.err
--- a/internal/transport/tcp_conn.go
+++ b/internal/transport/tcp_conn.go
@@ -75,8 +75,8 @@
 	return state
 }
 
-// HasEnded implements Conn. A connection that was never told to be established is not believed to have ended: sockets may
-// be another network's, whose calls look like the kernel's.
+// HasEnded implements Conn. A connection that was never told to be established is not believed to have ended:
+// sockets may be another network's, whose calls look like the kernel's.
 func (t *tcpConn) HasEnded() bool {
 	if !t.stateKnown {
 		return false
@@ -85,8 +85,8 @@
 	return state == tcpCloseWait || state == tcpClosed
 }
 
-// dialTCP is the Dialer of nodes on sockets. Keep-alive probes are off: a connection that falls silent is noticed by its
-// attempts, and earlier.
+// dialTCP is the Dialer of nodes on sockets. Keep-alive probes are off: a connection that falls silent is noticed
+// by its attempts, and earlier.
 func dialTCP(ctx context.Context, addr string) (net.Conn, error) {
 	d := net.Dialer{KeepAlive: -1}
 	return d.DialContext(ctx, "tcp", addr)
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"runtime/debug"
@@ -26,8 +27,8 @@
 // expiredDeadline is a deadline that ends any read or write at once.
 var expiredDeadline = time.Unix(1, 0)
 
-// upload is a body too long to be buffered: it is streamed as it comes, to one server, once. The attempt that claims it
-// reads it; the frontend waits until that has ended.
+// upload is a body too long to be buffered: it is streamed as it comes, to one server, once. The attempt that
+// claims it reads it; the frontend waits until that has ended.
 type upload struct {
 	conn       *clientConn
 	body       io.Reader
@@ -56,8 +57,8 @@
 	responseUntil atomic.Int64
 }
 
-// newUploadMessage makes the message of a request whose body is too long to be buffered, and of which the first part may
-// have been read.
+// newUploadMessage makes the message of a request whose body is too long to be buffered, and of which the first
+// part may have been read.
 func (f *Frontend) newUploadMessage(r requestBody, first []byte) *requestMessage {
 	m := newMessage(&f.buffers, r.Method, r.target, r.Host, r.Header, r.length)
 	m.upload = &upload{
@@ -82,7 +83,8 @@
 	return true
 }
 
-// finish keeps attempts from claiming the body from now on, waits for one that reads it, and returns the client's error.
+// finish keeps attempts from claiming the body from now on, waits for one that reads it, and returns the client's
+// error.
 func (u *upload) finish() error {
 	u.mu.Lock()
 	u.closed = true
@@ -95,9 +97,9 @@
 	return u.clientErr
 }
 
-// stopReading ends the reading of the body, unless all of it has been read, and waits for that. Behind the body nothing is
-// ended, since net/http watches for the client's leaving there: a server may answer before the write of the last byte
-// returns here.
+// stopReading ends the reading of the body, unless all of it has been read, and waits for that. Behind the body
+// nothing is ended, since net/http watches for the client's leaving there: a server may answer before the write of
+// the last byte returns here.
 func (u *upload) stopReading() {
 	if !u.bodyRead.Load() {
 		u.stopped.Store(true)
@@ -109,8 +111,8 @@
 	}
 }
 
-// send writes the head and the body to a server, from a goroutine of its own, and notes the client's error if the body ends
-// early.
+// send writes the head and the body to a server, from a goroutine of its own, and notes the client's error if the
+// body ends early.
 func (u *upload) send(ctx context.Context, conn *upstreamConn, head []byte, attempt routing.Try) {
 	defer close(u.done)
 	defer conn.recoverUploadPanic()
@@ -123,7 +125,7 @@
 		if u.clientPace.bytes > maxRequestBody {
 			err = errBodyTooLarge
 		}
-		last := err == io.EOF
+		last := errors.Is(err, io.EOF)
 		u.bodyRead.Store(last)
 		writeErr := u.writePart(conn, out, part, last)
 		switch {
@@ -179,8 +181,8 @@
 	return buf[:n], err
 }
 
-// writePart writes a part of the body, and its end, as long as the server takes it at its pace: one that is silent in the
-// middle would hold the call for ever. The flush returns the error of any write.
+// writePart writes a part of the body, and its end, as long as the server takes it at its pace: one that is silent
+// in the middle would hold the call for ever. The flush returns the error of any write.
 func (u *upload) writePart(conn *upstreamConn, out *bufio.Writer, part []byte, last bool) error {
 	started := time.Now()
 	_ = conn.SetWriteDeadline(started.Add(u.serverPace.timeLeft(streamStallTimeout)))
--- a/internal/transport/uploadpace_test.go
+++ b/internal/transport/upload_pace_test.go
@@ -16,46 +16,46 @@
 )
 
 // inMemory is a client's connection of which a byte is taken only as it is read.
-type inMemory struct{ pipe }
+type memoryConn struct{ pipeConn }
 
-func (c inMemory) ReadGate(b []byte, _ sync.Locker, _ func() error, _ func(int)) (int, error) {
+func (c memoryConn) ReadGate(b []byte, _ sync.Locker, _ func() error, _ func(int)) (int, error) {
 	return c.Read(b)
 }
 
 // steps is how one side of a body goes on: so many bytes at a time, with a pause behind.
-type steps struct {
+type pacing struct {
 	bytes int
 	pause time.Duration
 }
 
-// TestPaceOfAnUpload: the time for which a body waits for its peer is not its client's, ahead of the first byte or between
+// TestUploadPace: the time for which a body waits for its peer is not its client's, ahead of the first byte or between
 // two parts. Who trickles, or stands still, is found out on either side, whatever the other does.
-func TestPaceOfAnUpload(t *testing.T) {
+func TestUploadPace(t *testing.T) {
 	const client, peer = "the client's fault", "the peer's fault"
-	atOnce, trickle := steps{streamBufferSize, 0}, steps{1, time.Second}
+	atOnce, trickle := pacing{streamBufferSize, 0}, pacing{1, time.Second}
 	for name, c := range map[string]struct {
 		waits        time.Duration // until the try begins
-		sends, takes steps
+		sends, takes pacing
 		fault        string
 		within       time.Duration // of the try
 	}{
 		"at once":                               {0, atOnce, atOnce, "", 0},
 		"a late connection":                     {time.Minute, atOnce, atOnce, "", 0},
-		"a peer that is slow between parts":     {0, atOnce, steps{streamBufferSize, 1200 * time.Millisecond}, "", 154 * time.Second},
-		"a client at its pace, late":            {time.Minute, steps{streamBufferSize / 2, 450 * time.Millisecond}, atOnce, "", 116 * time.Second},
-		"a client that stands still":            {0, steps{streamBufferSize, time.Minute}, atOnce, client, bodyStallTimeout},
-		"one that stands still, late":           {time.Minute, steps{streamBufferSize, time.Minute}, atOnce, client, bodyStallTimeout},
+		"a peer that is slow between parts":     {0, atOnce, pacing{streamBufferSize, 1200 * time.Millisecond}, "", 154 * time.Second},
+		"a client at its pace, late":            {time.Minute, pacing{streamBufferSize / 2, 450 * time.Millisecond}, atOnce, "", 116 * time.Second},
+		"a client that stands still":            {0, pacing{streamBufferSize, time.Minute}, atOnce, client, bodyStallTimeout},
+		"one that stands still, late":           {time.Minute, pacing{streamBufferSize, time.Minute}, atOnce, client, bodyStallTimeout},
 		"a client that trickles":                {0, trickle, atOnce, client, bodyStallTimeout + 10*time.Millisecond},
 		"one that trickles, late":               {time.Minute, trickle, atOnce, client, bodyStallTimeout + 10*time.Millisecond},
-		"a client too slow, and so is its peer": {0, steps{8 << 10, 400 * time.Millisecond}, steps{8 << 10, 100 * time.Millisecond}, client, 22 * time.Second},
-		"a peer that stands still":              {0, atOnce, steps{streamBufferSize, time.Hour}, peer, streamStallTimeout},
-		"a peer that trickles":                  {0, atOnce, steps{2 << 10, 100 * time.Millisecond}, peer, 82 * time.Second},
+		"a client too slow, and so is its peer": {0, pacing{8 << 10, 400 * time.Millisecond}, pacing{8 << 10, 100 * time.Millisecond}, client, 22 * time.Second},
+		"a peer that stands still":              {0, atOnce, pacing{streamBufferSize, time.Hour}, peer, streamStallTimeout},
+		"a peer that trickles":                  {0, atOnce, pacing{2 << 10, 100 * time.Millisecond}, peer, 82 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var sides sync.WaitGroup
 				defer sides.Wait()
-				u, out, in, far := uploadInMemory(4 << 20)
+				u, out, in, far := newMemoryUpload(4 << 20)
 				defer far.Close()
 				defer in.Close()
 				time.Sleep(c.waits)
@@ -70,7 +70,7 @@
 					}
 				})
 				begun := time.Now()
-				u.send(t.Context(), out, []byte(head), routing.Try{Written: func() {}})
+				u.send(t.Context(), out, []byte(callHead), routing.Try{Written: func() {}})
 				late := errors.Is(u.clientErr, os.ErrDeadlineExceeded)
 				if u.bodySent.Load() != (c.fault == "") || late != (c.fault == client) || u.clientErr != nil && !late {
 					t.Errorf("whole: %v, refused: %v", u.bodySent.Load(), u.clientErr)
@@ -83,11 +83,11 @@
 	}
 }
 
-// TestHaltBetweenTwoParts: an answer that comes ahead of the body's end, just as the next part is about to be waited for, does not
-// wait for a client that stands still.
-func TestHaltBetweenTwoParts(t *testing.T) {
+// TestStopReadingBetweenParts: an answer that comes ahead of the body's end, just as the next part is about to be
+// waited for, does not wait for a client that stands still.
+func TestStopReadingBetweenParts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u, _, in, far := uploadInMemory(4 << 20)
+		u, _, in, far := newMemoryUpload(4 << 20)
 		defer far.Close()
 		defer in.Close()
 		close(u.done) // so that halt waits for nobody
@@ -99,16 +99,16 @@
 	})
 }
 
-// uploadInMemory is a body of so many bytes that is to be sent to out, with the far ends of its client's connection and
-// of its peer's.
-func uploadInMemory(length int64) (u *upload, out *upstreamConn, client, peer net.Conn) {
+// uploadInMemory is a body of so many bytes that is to be sent to out, with the far ends of its client's connection
+// and of its peer's.
+func newMemoryUpload(length int64) (u *upload, out *upstreamConn, client, peer net.Conn) {
 	log := slog.New(slog.DiscardHandler)
 	client, near := net.Pipe()
-	k := &clientConn{Conn: inMemory{pipe{near}}, conns: newClientConns(nil, ClientLimits{}, log), requestStart: time.Now(),
+	k := &clientConn{Conn: memoryConn{pipeConn{near}}, conns: newClientConns(nil, ClientLimits{}, log), requestStart: time.Now(),
 		log: newConnLog(log, "client", "", func() {})}
 	k.deadlines.init()
 	r := &http.Request{Method: "POST", Body: io.NopCloser(io.LimitReader(k, length))}
 	u = new(Frontend).newUploadMessage(requestBody{Request: r, target: "/", length: length, conn: k}, nil).upload
 	to, peer := net.Pipe()
-	return u, &upstreamConn{Conn: pipe{to}, log: newConnLog(log, "peer", "", func() {})}, client, peer
+	return u, &upstreamConn{Conn: pipeConn{to}, log: newConnLog(log, "peer", "", func() {})}, client, peer
 }
--- /dev/null
+++ b/internal/transport/upload_test.go
@@ -0,0 +1,186 @@
+package transport
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"olivebridge/balancer"
+	"olivebridge/internal/routing"
+)
+
+// panicking is a body whose reading meets a fault of the program.
+type panickingBody struct{}
+
+func (panickingBody) Read([]byte) (int, error) { panic("body") }
+
+// TestPanicInAnUpload: a fault while a long body goes on costs its call, not the node.
+func TestPanicInAnUpload(t *testing.T) {
+	p := startServer(t, func(conn net.Conn) { io.Copy(io.Discard, conn) })
+	k, log := newTestTransport(time.Second)
+	addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
+		c.Payload.(*requestMessage).upload.body = panickingBody{}
+		r := k.Try(ctx, routing.Try{Peer: p, Until: time.Now().Add(time.Minute), Payload: c.Payload, Written: func() {}})
+		if r.Result != balancer.ConnectFailed {
+			t.Errorf("result %d of what was never whole", r.Result)
+		}
+		return routing.Answer{Verdict: routing.Reject, RetryAfter: time.Second}, true
+	})
+	if resp, _ := dialClient(t, addr).roundTrip(t, callHead+"Content-Length: 100000\r\n\r\n"); resp.StatusCode != 503 {
+		t.Errorf("status %d", resp.StatusCode)
+	}
+	log.waitFor("msg=panic", "in=upload")
+}
+
+// TestInterruptedUploads: a long body that does not come to its end, on either side, ends in an answer and in a
+// proof that it never ran, unless its peer has answered.
+func TestInterruptedUploads(t *testing.T) {
+	const sized = "Content-Length: 1000000\r\n\r\n"
+	some := strings.Repeat("x", 100<<10)
+	reads := func(n int, answer string) func(net.Conn) {
+		return func(conn net.Conn) {
+			in := bufio.NewReader(conn)
+			for line := ""; line != "\r\n"; {
+				line, _ = in.ReadString('\n')
+			}
+			io.CopyN(io.Discard, in, int64(n))
+			io.WriteString(conn, answer)
+			if answer != "" {
+				io.Copy(io.Discard, in)
+			}
+		}
+	}
+	const early = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nearly"
+	const turned = "HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
+	for name, c := range map[string]struct {
+		peer   func(net.Conn)
+		raw    string
+		then   func(*testClient) // once the raw bytes are out; nil: nothing
+		status int
+		result balancer.Result
+	}{
+		"the peer answers early": {reads(1000, early), sized + some, nil, 200, balancer.OK},
+		"the peer turns it away": {reads(1000, turned), sized + some, nil, 503, balancer.Rejected},
+		"the peer fails early":   {reads(1000, strings.Replace(turned, "X-Rejected", "X", 1)), sized + some, nil, 503, balancer.ConnectFailed},
+		"the peer closes":        {reads(1000, ""), sized + some, nil, 503, balancer.ConnectFailed},
+		"chunks that are none":   {reads(1<<20, early), "Transfer-Encoding: chunked\r\n\r\n19000\r\n" + some + "\r\nzz\r\n", nil, 400, balancer.NotSent},
+		"beyond all bounds": {func(conn net.Conn) { io.Copy(io.Discard, conn) }, "Transfer-Encoding: chunked\r\n\r\n", func(k *testClient) {
+			for part := fmt.Sprintf("%x\r\n%s\r\n", len(some), some); ; {
+				if _, err := io.WriteString(k, part); err != nil {
+					return
+				}
+			}
+		}, 413, balancer.NotSent},
+	} {
+		addr, _, k, _, results := newFrontendOverTransport(t, startServer(t, c.peer), 10)
+		conn := dialClient(t, addr)
+		go func() {
+			io.WriteString(conn, callHead+c.raw)
+			if c.then != nil {
+				c.then(conn)
+			}
+		}()
+		resp, err := http.ReadResponse(conn.in, nil)
+		if err != nil {
+			t.Errorf("%s: %v", name, err)
+			continue
+		}
+		if r := <-results; resp.StatusCode != c.status || r != c.result || !resp.Close {
+			t.Errorf("%s: status %d, result %d, want %d and %d; close: %v", name, resp.StatusCode, r, c.status, c.result, resp.Close)
+		}
+		conn.Close()
+		for k.Conns() > 0 { // what it used is let go
+			time.Sleep(time.Millisecond)
+		}
+	}
+}
+
+// TestUploadSentOnce: a second try of a long body is never sent, and one whose call has ended before its connection
+// was there reads none of it.
+func TestUploadSentOnce(t *testing.T) {
+	p := startServer(t, func(conn net.Conn) { io.Copy(io.Discard, conn) })
+	k, _ := newTestTransport(time.Second)
+	addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
+		ended, stop := context.WithCancelCause(ctx)
+		try := routing.Try{Peer: p, Until: time.Now().Add(time.Minute), Payload: c.Payload, Written: func() {}}
+		time.AfterFunc(20*time.Millisecond, func() { stop(routing.ErrCalledOff) })
+		for i, want := range []balancer.Result{balancer.NotSent, balancer.NotSent} {
+			if r := k.Try(ended, try); r.Result != want {
+				t.Errorf("try %d: %d", i, r.Result)
+			}
+		}
+		if r := k.Try(ctx, try); r.Result != balancer.NotSent { // it has a connection, and no body
+			t.Errorf("once more: %d", r.Result)
+		}
+		return routing.Answer{Verdict: routing.Failed}, true
+	})
+	if resp, _ := dialClient(t, addr).roundTrip(t, callHead+"Content-Length: 1000000\r\n\r\n"+strings.Repeat("x", 80<<10)); resp.StatusCode != 502 {
+		t.Errorf("status %d", resp.StatusCode)
+	}
+}
+
+// slowReturn is a connection whose write of a body's last bytes returns only once an answer has been read and has had
+// time to end what is read of the body's client.
+type slowWriteConn struct {
+	Conn
+	last     string
+	answered chan bool
+	ended    <-chan struct{}
+}
+
+func (c *slowWriteConn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	if strings.HasSuffix(string(b), c.last) {
+		<-c.answered
+		select {
+		case <-c.ended:
+		case <-time.After(50 * time.Millisecond):
+		}
+	}
+	return n, err
+}
+
+func (c *slowWriteConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	c.answered <- true
+	return n, err
+}
+
+// TestResponseBeforeWriteReturns: a peer answers a long body as its last byte comes, before the write of that has
+// returned here. Its client has not gone, and gets the answer.
+func TestResponseBeforeWriteReturns(t *testing.T) {
+	body := strings.Repeat("x", 100000) + "end"
+	for last, raw := range map[string]string{
+		"end":       fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body),
+		"0\r\n\r\n": fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body),
+	} {
+		p := startServer(t, func(conn net.Conn) {
+			r, err := http.ReadRequest(bufio.NewReader(conn))
+			if err != nil {
+				return
+			}
+			io.Copy(io.Discard, r.Body)
+			io.WriteString(conn, okResponse)
+			io.Copy(io.Discard, conn)
+		})
+		addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
+			k, _ := newTestTransport(time.Minute)
+			k.pool.dial = func(dialing context.Context, addr string) (net.Conn, error) {
+				conn, err := Dialer(nil).dial(dialing, addr)
+				return &slowWriteConn{conn, last, make(chan bool, 9), ctx.Done()}, err
+			}
+			r := k.Try(ctx, routing.Try{Peer: p, Until: time.Now().Add(time.Minute), Payload: call.Payload,
+				Budget: time.Minute, Written: func() {}})
+			return routing.Answer{Reply: r.Reply}, ctx.Err() == nil
+		})
+		if resp, _ := dialClient(t, addr).roundTrip(t, callHead+raw); resp.StatusCode != 200 {
+			t.Error(resp.Status)
+		}
+	}
+}
--- a/internal/transport/upstream_conn.go
+++ b/internal/transport/upstream_conn.go
@@ -53,8 +53,8 @@
 // Interrupt implements routing.Interrupter: it ends what is being read or written.
 func (c *upstreamConn) Interrupt() { _ = c.SetDeadline(expiredDeadline) }
 
-// staleReason says why an idle connection cannot carry an attempt; reasonNone: it can. Whatever there is to read belongs
-// to no request that is still to be sent.
+// staleReason says why an idle connection cannot carry an attempt; reasonNone: it can. Whatever there is to read
+// belongs to no request that is still to be sent.
 func (c *upstreamConn) staleReason() closeReason {
 	n, err := c.Peek()
 	switch {
@@ -114,7 +114,8 @@
 	return nil
 }
 
-// cancelReason is the reason why the connection of an attempt ends that was given up for a cause; otherwise: it was not.
+// cancelReason is the reason why the connection of an attempt ends that was given up for a cause; otherwise: it was
+// not.
 func cancelReason(cause error, otherwise closeReason) closeReason {
 	switch {
 	case cause == nil:
--- a/internal/transport/upstream_pool.go
+++ b/internal/transport/upstream_pool.go
@@ -25,11 +25,11 @@
 // errConnLimit says that this node may open no further connection, for want of descriptors or as it ends.
 var errConnLimit = errors.New("no room for a connection")
 
-// upstreamPool holds the connections to servers. The one in http.Transport gives a connection out again before it looks
-// for bytes behind the response, and takes these for the next response.
+// upstreamPool holds the connections to servers. The one in http.Transport gives a connection out again before it
+// looks for bytes behind the response, and takes these for the next response.
 //
-// Connections belong to a server, not to its address: one to a server that has left the upstream group must not carry an
-// attempt for its successor at that address.
+// Connections belong to a server, not to its address: one to a server that has left the upstream group must not
+// carry an attempt for its successor at that address.
 type upstreamPool struct {
 	settleTime time.Duration
 	log        *slog.Logger
@@ -96,8 +96,8 @@
 	return &upstreamConn{Conn: conn, peer: peer, log: newConnLog(p.log, "peer", peer.Addr, p.releaseConn)}, nil
 }
 
-// take takes the last used idle connection to a server that has settled, and has not been idle for too long; nil if there
-// is none. The sweep may be late for that, or still go by the timeout before a reload.
+// take takes the last used idle connection to a server that has settled, and has not been idle for too long; nil if
+// there is none. The sweep may be late for that, or still go by the timeout before a reload.
 func (p *upstreamPool) take(peer *routing.Peer) *upstreamConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -170,8 +170,8 @@
 	return p.open
 }
 
-// evict closes the connection that has been idle for the longest, to whichever server, and reports whether there was one:
-// a further handshake costs less than a failed attempt.
+// evict closes the connection that has been idle for the longest, to whichever server, and reports whether there
+// was one: a further handshake costs less than a failed attempt.
 func (p *upstreamPool) evict() bool {
 	p.mu.Lock()
 	var oldest *upstreamConn
--- a/internal/transport/upstream_response.go
+++ b/internal/transport/upstream_response.go
@@ -14,8 +14,8 @@
 	"olivebridge/internal/protocol"
 )
 
-// errMalformedResponse marks a response that breaks HTTP/1.1 or its own framing. The server may have run its attempt, and
-// its connection is of no further use.
+// errMalformedResponse marks a response that breaks HTTP/1.1 or its own framing. The server may have run its
+// attempt, and its connection is of no further use.
 var errMalformedResponse = errors.New("spoilt answer")
 
 // errResponseTooLarge is a malformed response that exceeds what a response may have.
@@ -109,8 +109,8 @@
 	return err
 }
 
-// readResponseHead reads the bytes of a head, the empty line included; they hold until the next read. It gives up at the
-// first byte that cannot be one's: noise need not have an end.
+// readResponseHead reads the bytes of a head, the empty line included; they hold until the next read. It gives up
+// at the first byte that cannot be one's: noise need not have an end.
 func readResponseHead(reader *bufio.Reader, room int) ([]byte, error) {
 	const (
 		start = "HTTP/1."
--- a/internal/transport/cutanswer_test.go
+++ b/internal/transport/upstream_response_test.go
@@ -15,22 +15,22 @@
 )
 
 // announced is a connection that tells when a read of it begins: whatever came before has been taken by then.
-type announced struct {
+type announcedConn struct {
 	Conn
 	reads chan struct{}
 }
 
-func (a announced) Read(b []byte) (int, error) {
+func (a announcedConn) Read(b []byte) (int, error) {
 	a.reads <- struct{}{}
 	return a.Conn.Read(b)
 }
 
-// cutting tries by a carrier whose one connection goes to a peer that gives the bytes of an answer, and ends when the carrier
-// has taken them and waits for more: by a reset, or in order.
-func cutting(t *testing.T, given string, reset bool) (try func() balancer.Result) {
+// cutting tries by a carrier whose one connection goes to a peer that gives the bytes of an answer, and ends when
+// the carrier has taken them and waits for more: by a reset, or in order.
+func tryCutResponse(t *testing.T, given string, reset bool) (try func() balancer.Result) {
 	t.Helper()
 	reads := make(chan struct{}, 100)
-	p := listenOn(t, func(conn net.Conn) {
+	p := startServer(t, func(conn net.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 			return
 		}
@@ -44,16 +44,16 @@
 		}
 	})
 	k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, DrainGrace: time.Second, MaxConns: 1,
-		Log: make(lines, 100).log(), Dial: func(ctx context.Context, addr string) (net.Conn, error) {
+		Log: make(logLines, 100).logger(), Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 			conn, err := dialTCP(ctx, addr)
 			if err != nil {
 				return nil, err
 			}
 			c, err := wrapConn(conn)
-			return announced{c, reads}, err
+			return announcedConn{c, reads}, err
 		}})
 	return func() balancer.Result {
-		r := k.Try(t.Context(), tryOf(p, "GET", ""))
+		r := k.Try(t.Context(), newAttempt(p, "GET", ""))
 		if r.Reply == nil || r.Reply.(*response).stream == nil {
 			return r.Result
 		}
@@ -67,9 +67,10 @@
 	}
 }
 
-// TestCutAnswers: an answer that its peer cuts is never taken for a whole one, wherever the cut falls, and its try may
-// have run. A reset is no end, also of an answer without length, which only an orderly end of the connection makes whole.
-func TestCutAnswers(t *testing.T) {
+// TestCutResponses: an answer that its peer cuts is never taken for a whole one, wherever the cut falls, and its
+// try may have run. A reset is no end, also of an answer without length, which only an orderly end of the
+// connection makes whole.
+func TestCutResponses(t *testing.T) {
 	const open = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 	const sized = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"
 	const chunks = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -94,20 +95,20 @@
 		"a failure without length": {"HTTP/1.1 500 X\r\nConnection: close\r\n\r\nno", balancer.Errored},
 	} {
 		for reset, want := range map[bool]balancer.Result{true: balancer.Reset, false: c.inOrder} {
-			if got := cutting(t, c.given, reset)(); got != want {
+			if got := tryCutResponse(t, c.given, reset)(); got != want {
 				t.Errorf("%s, reset %v: result %d, want %d", name, reset, got, want)
 			}
 		}
 	}
 }
 
-// TestAResetStaysOne: the system tells a reset once; who reads on must not find an orderly end.
-func TestAResetStaysOne(t *testing.T) {
-	peer := listenOn(t, func(conn net.Conn) {
+// TestResetIsSticky: the system tells a reset once; who reads on must not find an orderly end.
+func TestResetIsSticky(t *testing.T) {
+	peer := startServer(t, func(conn net.Conn) {
 		io.ReadFull(conn, make([]byte, 1))
 		conn.(*net.TCPConn).SetLinger(0)
 	})
-	k, _ := newCarrier(time.Second)
+	k, _ := newTestTransport(time.Second)
 	c, err := k.pool.get(t.Context(), peer, time.Now().Add(time.Minute))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/transport/upstream_transport.go
+++ b/internal/transport/upstream_transport.go
@@ -41,8 +41,8 @@
 	Dial Dialer
 }
 
-// UpstreamTransport sends attempts and health checks to servers over pooled connections. It implements routing.Carrier,
-// and its methods may be called from any goroutine.
+// UpstreamTransport sends attempts and health checks to servers over pooled connections. It implements
+// routing.Carrier, and its methods may be called from any goroutine.
 type UpstreamTransport struct {
 	config atomic.Pointer[UpstreamConfig]
 	pool   *upstreamPool
@@ -73,14 +73,15 @@
 	t.pool.configure(c.ConnectTimeout, c.ServerIdleTimeout*idleTimeoutTenths/10, c.MaxConns)
 }
 
-// Close ends the transport. Idle connections are closed at once, the others with their attempts; no attempt is sent any
-// more.
+// Close ends the transport. Idle connections are closed at once, the others with their attempts; no attempt is sent
+// any more.
 func (t *UpstreamTransport) Close() { t.pool.close() }
 
 // Conns counts the connections to servers, those being opened included.
 func (t *UpstreamTransport) Conns() int { return t.pool.count() }
 
-// Try implements routing.Carrier. It blocks until the attempt has ended, or the first part of a long response is there.
+// Try implements routing.Carrier. It blocks until the attempt has ended, or the first part of a long response is
+// there.
 func (t *UpstreamTransport) Try(ctx context.Context, attempt routing.Try) routing.TryResult {
 	m, ok := attempt.Payload.(*requestMessage)
 	if !ok || !m.hold() { // its frontend has released it: the call is over
@@ -129,9 +130,9 @@
 	return t.receive(ctx, attempt, conn, watch)
 }
 
-// connect returns a connection on which an attempt may begin, and when that was found; or nil, and what the attempt ended
-// with. An attempt whose call is over by the time that its connection is up is never sent: a hedged request may find that
-// the first one has been answered, a retry that the window of its class is over.
+// connect returns a connection on which an attempt may begin, and when that was found; or nil, and what the attempt
+// ended with. An attempt whose call is over by the time that its connection is up is never sent: a hedged request
+// may find that the first one has been answered, a retry that the window of its class is over.
 func (t *UpstreamTransport) connect(ctx context.Context, attempt *routing.Try,
 	m *requestMessage) (*upstreamConn, time.Time, balancer.Result) {
 	fair := time.Until(attempt.Until) >= fairConnectTime
@@ -207,8 +208,8 @@
 	t.pool.put(c)
 }
 
-// notWritten closes a connection on which the last byte of a request was never written, which proves that the server never
-// ran it. cause is why the attempt was given up; nil: it was not.
+// notWritten closes a connection on which the last byte of a request was never written, which proves that the
+// server never ran it. cause is why the attempt was given up; nil: it was not.
 func (c *upstreamConn) notWritten(cause error) routing.TryResult {
 	c.closeFor(cancelReason(cause, reasonReset))
 	if cause != nil {
--- /dev/null
+++ b/internal/transport/upstream_transport_test.go
@@ -0,0 +1,285 @@
+package transport
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"regexp"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"olivebridge/balancer"
+	"olivebridge/internal/routing"
+)
+
+// TestNoHiddenRetry guards against a request that is sent again when a reused
+// connection breaks: the peer must see it once.
+func TestNoHiddenRetry(t *testing.T) {
+	for _, c := range []struct{ method, body string }{{"GET", ""}, {"POST", "book"}, {"POST", ""}, {"PUT", ""}} {
+		p, got := startScriptedServer(t, okResponse, "", okResponse)
+		k, _ := newTestTransport(time.Second)
+		if r := k.Try(t.Context(), newAttempt(p, c.method, c.body)); r.Result != balancer.OK {
+			t.Fatalf("%v: first try %d", c, r.Result)
+		}
+		if r := k.Try(t.Context(), newAttempt(p, c.method, c.body)); r.Result != balancer.Reset || len(got) != 2 {
+			t.Errorf("%v: result %d after %d requests on the wire, want a reset after 2", c, r.Result, len(got))
+		}
+	}
+}
+
+var budgetOfAMinute = regexp.MustCompile(`X-Budget: (5\d\.\d{3}|60\.000)`)
+
+func TestBytesOnTheWire(t *testing.T) {
+	for _, c := range []struct{ method, body, framing string }{
+		{"GET", "", ""}, {"POST", "\x00book\xff", "Content-Length: 6\r\n"}, {"POST", "", "Content-Length: 0\r\n"}} {
+		p, got := startScriptedServer(t, okResponse)
+		k, _ := newTestTransport(time.Second)
+		r := k.Try(t.Context(), newAttempt(p, c.method, c.body))
+		if r.Result != balancer.OK || string(r.Reply.(*response).body) != "hi" {
+			t.Errorf("%v: %+v", c, r)
+		}
+		want := c.method + " /api?user=a%2Fb&x=%7e HTTP/1.1\r\nHost: api.internal\r\n" + c.framing +
+			"X-Call-Id: 9b\r\nX-Budget: LEFT\r\n\r\n" + c.body
+		// What is left of a minute depends on how busy the machine is.
+		if wire := budgetOfAMinute.ReplaceAllString(<-got, "X-Budget: LEFT"); wire != want {
+			t.Errorf("on the wire:\n%q\nwant\n%q", wire, want)
+		}
+	}
+}
+
+// TestAttemptResults: what comes back says what became of the try. The connection
+// stays open, as it does at a peer whose answer is spoilt: nobody may wait for
+// its end. What is spoilt may have run, whatever it says.
+func TestAttemptResults(t *testing.T) {
+	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
+	endless := strings.Repeat("x", maxResponseHead)
+	for name, c := range map[string]struct {
+		answer string
+		want   balancer.Result
+		reuse  bool
+	}{
+		"served":               {okResponse, balancer.OK, true},
+		"in chunks":            {chunked + "Trailer: A\r\n\r\n2\r\nhi\r\n0\r\nA: b\r\n\r\n", balancer.OK, true},
+		"1xx ahead":            {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: a\r\n\r\n" + okResponse, balancer.OK, true},
+		"asks for the end":     {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", balancer.OK, false},
+		"error":                {"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
+		"turned away":          {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected, true},
+		"503 without proof":    {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
+		"redirect":             {"HTTP/1.1 302 X\r\nLocation: /other\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
+		"other protocol":       {"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", balancer.Errored, false},
+		"break after sending":  {"", balancer.Reset, false},
+		"body cut short":       {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", balancer.Reset, false},
+		"turned away, cut":     {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 9\r\n\r\ncut", balancer.Reset, false},
+		"noise":                {"\x06\xb2HTTP", balancer.Errored, false},
+		"noise, no first line": {"HTTP/1.1 nonsense\r\n\r\n", balancer.Errored, false},
+		"a line that is none":  {"HTTP/1.1 200 OK\r\nContent-Length 2\r\n\r\nhi", balancer.Errored, false},
+		"a length and chunks":  {chunked + "Content-Length: 2\r\n\r\nhi", balancer.Errored, false},
+		"two lengths":          {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nhi", balancer.Errored, false},
+		"a negative length":    {"HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi", balancer.Errored, false},
+		"no length":            {"HTTP/1.1 200 OK\r\n\r\nhi", balancer.Errored, false},
+		"spoilt chunks":        {chunked + "\r\nzz\r\nhi\r\n", balancer.Errored, false},
+		"1xx with a body":      {"HTTP/1.1 100 X\r\nContent-Length: 2\r\n\r\nhi" + okResponse, balancer.Errored, false},
+		"turned away, spoilt":  {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nTransfer-Encoding: chunked\r\n\r\nno\r\n", balancer.Errored, false},
+		"endless head":         {"HTTP/1.1 200 OK\r\nA: " + endless, balancer.Errored, false},
+		"endless 1xx":          {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", maxResponseHead/25+1), balancer.Errored, false},
+		"a control character":  {"HTTP/1.1 200 OK\r\nA: \x01\r\nContent-Length: 2\r\n\r\nhi", balancer.Errored, false},
+		"an unknown coding":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nhi", balancer.Errored, false},
+		"a status of letters":  {"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nhi", balancer.Errored, false},
+		"1.0 that stays":       {"HTTP/1.0 200 OK\r\nConnection: keep-alive\r\nContent-Length: 2\r\n\r\nhi", balancer.OK, true},
+		"no content":           {"HTTP/1.1 204 X\r\n\r\n", balancer.Errored, true},
+		"a long failure":       {"HTTP/1.1 500 X\r\nContent-Length: 100000\r\n\r\n", balancer.Errored, false},
+		"endless body":         {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", balancer.Errored, false},
+		"a copy behind":        {okResponse + okResponse, balancer.OK, false},
+		"noise behind":         {okResponse + "\r\n", balancer.OK, false},
+	} {
+		p, got := startScriptedServer(t, c.answer, okResponse)
+		k, _ := newTestTransport(time.Second)
+		r := k.Try(t.Context(), newAttempt(p, "POST", "book"))
+		if r.Result != c.want || len(got) != 1 || (r.Result == balancer.OK) != (r.Reply != nil) ||
+			r.Reply != nil && string(r.Reply.(*response).body) != "hi" {
+			t.Errorf("%s: result %d, %+v after %d requests, want %d after 1", name, r.Result, r.Reply, len(got), c.want)
+		}
+		if reused := len(k.pool.idle[p]) > 0; reused != c.reuse {
+			t.Errorf("%s: the connection may be used again: %v", name, reused)
+		}
+	}
+}
+
+// TestNotConnected: a connection that is refused, or late, proves that the try never ran.
+func TestNotConnected(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	l.Close()
+	refusing := routing.NewPeer(1, "s-1", l.Addr().String())
+	silent := startServer(t, func(net.Conn) { <-t.Context().Done() })
+	for name, c := range map[string]struct {
+		peer    *routing.Peer
+		connect time.Duration
+		want    balancer.Result
+	}{"refused": {refusing, time.Second, balancer.ConnectFailed}, "late": {silent, 1, balancer.ConnectFailed}} {
+		k, _ := newTestTransport(c.connect)
+		if r := k.Try(t.Context(), newAttempt(c.peer, "POST", "book")); r.Result != c.want {
+			t.Errorf("%s: result %d, want %d", name, r.Result, c.want)
+		}
+	}
+}
+
+// TestTimeoutBeforeConnect: where a connection may take longer to come up than a call has time, a peer that is out
+// of reach is told by the time that it did have, or a node that may not probe would send to it for ever. A call
+// with little time left, and one called off, say nothing of the peer.
+func TestTimeoutBeforeConnect(t *testing.T) {
+	for _, c := range []struct {
+		left   time.Duration
+		calls  bool
+		result balancer.Result
+	}{{fairConnectTime + 20*time.Millisecond, false, balancer.ConnectFailed}, {fairConnectTime / 2, false, balancer.NotSent},
+		{time.Minute, true, balancer.NotSent}} {
+		ctx, callOff := context.WithCancelCause(t.Context())
+		k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Hour, ServerIdleTimeout: time.Minute, MaxConns: 10, Log: slog.New(slog.DiscardHandler),
+			Dial: func(ctx context.Context, _ string) (net.Conn, error) {
+				if c.calls {
+					callOff(routing.ErrCalledOff)
+				}
+				<-ctx.Done()
+				return nil, ctx.Err()
+			}})
+		try := newAttempt(routing.NewPeer(1, "s-1", "a:1"), "POST", "book")
+		try.Until = time.Now().Add(c.left)
+		if r := k.Try(ctx, try); r.Result != c.result {
+			t.Errorf("%v left: result %d, want %d", c.left, r.Result, c.result)
+		}
+	}
+}
+
+// TestCancelledAttempt: what was written whole and then given up may have run; what was
+// given up before never did. Each leaves its reason.
+func TestCancelledAttempt(t *testing.T) {
+	for _, c := range []struct {
+		cause  error
+		want   balancer.Result
+		reason string
+	}{{routing.ErrTimeUp, balancer.TimedOut, "try-timeout"}, {routing.ErrCalledOff, balancer.Cancelled, "called-off"}} {
+		ctx, giveUp := context.WithCancelCause(t.Context())
+		p := startServer(t, func(conn net.Conn) {
+			if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
+				giveUp(c.cause)
+				io.Copy(io.Discard, conn)
+			}
+		})
+		k, log := newTestTransport(time.Second)
+		if r := k.Try(ctx, newAttempt(p, "GET", "")); r.Result != c.want {
+			t.Errorf("%v: result %d, want %d", c.cause, r.Result, c.want)
+		}
+		log.waitFor("side=peer", "reason="+c.reason)
+		if r := k.Try(ctx, newAttempt(p, "GET", "")); r.Result != balancer.NotSent {
+			t.Errorf("%v before it was sent: result %d", c.cause, r.Result)
+		}
+	}
+}
+
+// TestLastByteNotWritten: a connection that breaks before the request's last
+// byte was written proves that it never ran; one that breaks after does not.
+func TestLastByteNotWritten(t *testing.T) {
+	for whole, want := range map[bool]balancer.Result{false: balancer.ConnectFailed, true: balancer.Reset} {
+		near, far := net.Pipe() // which takes a byte only as it is read
+		k, l := newTestTransport(time.Second)
+		p := routing.NewPeer(1, "", "")
+		k.pool.put(&upstreamConn{Conn: pipeConn{near}, peer: p, log: newConnLog(l.logger(), "peer", "", k.pool.releaseConn)})
+		go func() {
+			if whole {
+				http.ReadRequest(bufio.NewReader(far))
+			} else {
+				io.ReadFull(far, make([]byte, 5))
+			}
+			far.Close()
+		}()
+		if r := k.Try(t.Context(), newAttempt(p, "GET", "")); r.Result != want {
+			t.Errorf("written whole: %v: result %d, want %d", whole, r.Result, want)
+		}
+	}
+}
+
+// TestConfigure: changed limits hold from the next connection on.
+func TestConfigure(t *testing.T) {
+	p, _ := startScriptedServer(t, okResponse)
+	k, log := newTestTransport(time.Second)
+	k.Configure(UpstreamConfig{ConnectTimeout: 1, ServerIdleTimeout: time.Minute, MaxConns: 1, Log: log.logger()})
+	if r := k.Try(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.ConnectFailed {
+		t.Errorf("result %d with no time to connect", r.Result)
+	}
+	k.Configure(UpstreamConfig{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, MaxConns: 0, Log: log.logger()})
+	if r := k.Try(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.NotSent {
+		t.Errorf("result %d with no connection allowed", r.Result)
+	}
+}
+
+// TestCallAnsweredBeforeSend: a copy whose call was answered while its connection came up is never sent.
+func TestCallAnsweredBeforeSend(t *testing.T) {
+	p := startServer(t, func(conn net.Conn) {
+		if n, _ := io.Copy(io.Discard, conn); n != 0 {
+			t.Errorf("%d bytes reached a peer after the call was over", n)
+		}
+	})
+	k, _ := newTestTransport(time.Second)
+	try := newAttempt(p, "GET", "")
+	try.Over = new(atomic.Bool)
+	try.Over.Store(true)
+	if r := k.Try(t.Context(), try); r.Result != balancer.NotSent {
+		t.Errorf("result %d", r.Result)
+	}
+	k.Close()
+}
+
+// TestDrainingServer holds the drain rule where it counts, at the first byte: a
+// peer past its grace gets none, though the connection is up.
+func TestDrainingServer(t *testing.T) {
+	read := make(chan int64)
+	p := startServer(t, func(conn net.Conn) {
+		n, _ := io.Copy(io.Discard, conn)
+		read <- n
+	})
+	p.Mark(false, time.Now().Add(-time.Hour))
+	k, log := newTestTransport(time.Second)
+	if r := k.Try(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.NotSent {
+		t.Errorf("result %d", r.Result)
+	}
+	if n := <-read; n != 0 {
+		t.Errorf("%d bytes reached a peer that left", n)
+	}
+	log.waitFor("side=peer", "reason=not-sent")
+}
+
+// TestUpstreamTransportClose: a carrier that has ended keeps no connection and opens none.
+func TestUpstreamTransportClose(t *testing.T) {
+	p, _ := startScriptedServer(t, okResponse, okResponse)
+	k, _ := newTestTransport(time.Second)
+	k.Try(t.Context(), newAttempt(p, "GET", ""))
+	c := k.pool.take(p)
+	k.Close()
+	if k.pool.put(c); k.Conns() != 0 {
+		t.Errorf("%d connections are left", k.Conns())
+	}
+	if r := k.Try(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.NotSent {
+		t.Errorf("result %d", r.Result)
+	}
+}
+
+func TestProbe(t *testing.T) {
+	for answer, want := range map[string]balancer.Result{okResponse: balancer.OK, "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n": balancer.Errored} {
+		p, got := startScriptedServer(t, answer)
+		k, _ := newTestTransport(time.Second)
+		if r := k.Probe(t.Context(), p); r != want {
+			t.Errorf("result %d, want %d", r, want)
+		}
+		if wire := <-got; !strings.HasPrefix(wire, "GET /health/live HTTP/1.1\r\n") {
+			t.Errorf("on the wire: %q", wire)
+		}
+	}
+}
