--- a/internal/fleet/rounds/service.go
+++ b/internal/fleet/rounds/service.go
@@ -467,7 +467,7 @@
 func (s *Service) advance(log *agreed.Log, r Round) {
 	v := s.c.View()
 	var members []Member
-	for _, m := range v.Here() {
+	for _, m := range v.Present() {
 		members = append(members, Member{m.Name, m.Incarnation.String(), m.Predecessor})
 	}
 	at := Move{r.ID, r.At, r.Step}
@@ -484,7 +484,7 @@
 	ok, waits := Ready(r, members, reports, now.Sub(s.since))
 	s.waits = append([]string{}, waits...)
 	s.mu.Unlock()
-	if !ok || !v.Side().Most {
+	if !ok || !v.Partition().Majority {
 		return
 	}
 	got, err := log.Agree(command{Move: &at})
@@ -546,7 +546,7 @@
 	case words[0] == "STATUS" && len(rest) == 0:
 		return nil, nil
 	case words[0] == "SUSPEND" && len(rest) == 1 && !desk.Known(rest[0]):
-		return nil, maintenance.UnknownError(rest[0])
+		return nil, maintenance.UnknownServerError(rest[0])
 	case words[0] == "SUSPEND" && len(rest) == 1:
 		return &command{Suspend: &Word{rest[0], s.c.Name}}, nil
 	case words[0] == "RESTORE" && len(rest) == 1:
@@ -564,7 +564,7 @@
 		}
 		for _, one := range servers {
 			if !desk.Known(one) {
-				return nil, maintenance.UnknownError(one)
+				return nil, maintenance.UnknownServerError(one)
 			}
 		}
 		return &command{Begin: &Begin{rest[0], s.c.Name, servers, hold}}, nil
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -24,7 +24,7 @@
 func share(c *protocol.Config, part float64) shares {
 	all := int(float64(c.Sockets) * part)
 	few := max(all/16, 1)
-	s := shares{discovery: transport.MaxWatchRequests, callers: min(admin.MaxCallers, few), crowd: min(transport.DefaultOverflow, few)}
+	s := shares{discovery: transport.MaxWatchRequests, callers: min(admin.MaxConnections, few), crowd: min(transport.DefaultOverflow, few)}
 	s.side = max((all-ownDescriptors-s.discovery-s.callers-s.crowd)/2, 8)
 	return s
 }
@@ -36,7 +36,7 @@
 }
 
 func (n *Node) carrierConfig(c *protocol.Config, part float64) transport.UpstreamConfig {
-	return transport.UpstreamConfig{ConnectTimeout: c.ConnectTimeout, ServerIdleTimeout: c.IdleClose,
+	return transport.UpstreamConfig{ConnectTimeout: c.ConnectTimeout, ServerIdleTimeout: c.IdleTimeout,
 		DrainGrace: c.Settings.DrainGrace, MaxConns: share(c, part).side,
 		Dial: n.parts.Dial, Log: n.log}
 }
@@ -44,6 +44,6 @@
 // boundDoor keeps the operators' door to its callers.
 func (n *Node) boundDoor(c *protocol.Config, part float64) {
 	if n.door != nil {
-		n.door.Bound(share(c, part).callers)
+		n.door.SetMaxConnections(share(c, part).callers)
 	}
 }
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -23,7 +23,7 @@
 	served := routing.Answer{Verdict: routing.Served, Reply: &response{body: []byte("hi")}}
 	f := NewFrontend(FrontendConfig{
 		Listener:     l,
-		Names:        protocol.Names{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
+		Names:        protocol.NameIndex{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
 		Handler:      handlerFunc(func(context.Context, routing.Call) (routing.Answer, bool) { return served, true }),
 		ClientLimits: ClientLimits{MaxOpen: 10, MaxIdle: 10},
 		Log:          slog.New(slog.DiscardHandler),
@@ -78,10 +78,10 @@
 	k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, MaxConns: 10,
 		Log: slog.New(slog.DiscardHandler)})
 	k.pool.settleTime = 0
-	t := newAttempt(routing.NewPeer(1, "s-1", l.Addr().String()), "GET", "")
+	t := newAttempt(routing.NewUpstream(1, "s-1", l.Addr().String()), "GET", "")
 	b.ReportAllocs()
 	for b.Loop() {
-		if r := k.Try(context.Background(), t); r.Result != balancer.OK {
+		if r := k.RoundTrip(context.Background(), t); r.Result != balancer.OK {
 			b.Fatal(r)
 		}
 	}
--- a/internal/transport/client_limits_test.go
+++ b/internal/transport/client_limits_test.go
@@ -52,7 +52,7 @@
 	}
 	f := NewFrontend(FrontendConfig{
 		Listener:     l,
-		Names:        protocol.Names{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
+		Names:        protocol.NameIndex{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
 		ClientLimits: ClientLimits{MaxOpen: 5, MaxIdle: 5},
 		Log:          slog.New(slog.DiscardHandler),
 	})
--- a/internal/transport/client_response.go
+++ b/internal/transport/client_response.go
@@ -21,14 +21,14 @@
 	switch a.Verdict {
 	case routing.Served:
 		f.writeResponse(w, c, a.Reply.(*response))
-	case routing.Reject:
+	case routing.Rejected:
 		if a.RetryAfter > 0 {
 			h.Set("Retry-After", protocol.FormatSeconds(a.RetryAfter))
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case routing.Twice:
+	case routing.Duplicate:
 		w.WriteHeader(http.StatusConflict)
-	case routing.Overdue:
+	case routing.DeadlineExceeded:
 		w.WriteHeader(http.StatusGatewayTimeout)
 	default:
 		w.WriteHeader(http.StatusBadGateway)
@@ -43,8 +43,8 @@
 	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout)) // net/http counts from the request's head
 	switch {
 	case errors.Is(err, errBodyTooLarge):
-		if d, ok := a.Reply.(routing.Dropper); ok { // it came ahead of the body's end
-			d.Drop()
+		if d, ok := a.Reply.(routing.Releaser); ok { // it came ahead of the body's end
+			d.Release()
 		}
 		f.writeError(w, r, http.StatusRequestEntityTooLarge, errors.New("body: too large"))
 		return
--- a/internal/transport/endpoint_poll.go
+++ b/internal/transport/endpoint_poll.go
@@ -25,7 +25,7 @@
 // fallen silent never tells. Once discovery has refused one, the backoff is the only pause behind all that bring
 // nothing. The first good list counts, but none of an older version: whether discovery has gone back, or that
 // answer alone is stale, its complete list tells. After a fault no request is held for long.
-func (w *EndpointWatcher) poll(ctx context.Context, hold time.Duration) (routing.Group, int64, error) {
+func (w *EndpointWatcher) poll(ctx context.Context, hold time.Duration) (routing.EndpointList, int64, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	first := w.jitter(w.backoff)
@@ -42,10 +42,10 @@
 	for {
 		select {
 		case <-ctx.Done():
-			return routing.Group{}, 0, ctx.Err()
+			return routing.EndpointList{}, 0, ctx.Err()
 		case <-p.timer.C:
 			if p.exhausted() && !p.receiving() { // the silence may last, and a change is due soon
-				return routing.Group{}, 0, p.failure()
+				return routing.EndpointList{}, 0, p.failure()
 			}
 			p.sendNext(ctx)
 		case result := <-p.results:
@@ -121,7 +121,7 @@
 
 // take takes the result of a request, and schedules the next one unless the poll is done: with a list, or with an
 // error in p.err.
-func (p *pollRound) take(result pollResult) (group routing.Group, version int64, done bool) {
+func (p *pollRound) take(result pollResult) (group routing.EndpointList, version int64, done bool) {
 	w := p.watcher
 	p.inFlight--
 	group, version, p.err = w.parseList(result)
@@ -132,7 +132,7 @@
 	if p.err == nil || errors.Is(p.err, syscall.ECONNREFUSED) {
 		return group, version, true
 	}
-	refused := errors.Is(p.err, routing.ErrRefused)
+	refused := errors.Is(p.err, routing.ErrDiscoveryRejected)
 	if refused {
 		p.refusal = p.err
 		w.backoff = max(w.backoff, w.lateAfter)
@@ -166,12 +166,12 @@
 }
 
 // parseList reads what a request brought.
-func (w *EndpointWatcher) parseList(result pollResult) (routing.Group, int64, error) {
+func (w *EndpointWatcher) parseList(result pollResult) (routing.EndpointList, int64, error) {
 	if result.err != nil {
-		return routing.Group{}, 0, result.err
+		return routing.EndpointList{}, 0, result.err
 	}
-	group, version, err := w.names.ParseGroup(result.data)
-	group.At = time.Now()
+	group, version, err := w.names.ParseEndpoints(result.data)
+	group.ReceivedAt = time.Now()
 	group.Version = version
 	if err == nil && version < result.since {
 		err = fmt.Errorf("upstream group: %w: version %d after %d", errOlderVersion, version, result.since)
--- a/internal/transport/endpoint_watcher.go
+++ b/internal/transport/endpoint_watcher.go
@@ -64,7 +64,7 @@
 // Watch runs at a time.
 type EndpointWatcher struct {
 	addr  string
-	names protocol.Names
+	names protocol.NameIndex
 	// version is that of the list held; -1: none is.
 	version int64
 
@@ -97,7 +97,7 @@
 
 // NewEndpointWatcher makes a watcher that goes on from a known version, or from none if that is negative. A nil dialer
 // dials TCP.
-func NewEndpointWatcher(addr string, names protocol.Names, version int64, dial Dialer,
+func NewEndpointWatcher(addr string, names protocol.NameIndex, version int64, dial Dialer,
 	log *slog.Logger) *EndpointWatcher {
 	connect := func(ctx context.Context, _, addr string) (net.Conn, error) {
 		ctx, stop := context.WithTimeout(ctx, watchConnectTimeout)
@@ -140,7 +140,7 @@
 
 // Watch implements routing.Watcher: each answer is followed at once by the next poll. It calls onList from its own
 // goroutine. It returns an error once no request of a poll has brought a list, and closes its connections then.
-func (w *EndpointWatcher) Watch(ctx context.Context, onList func(routing.Group)) error {
+func (w *EndpointWatcher) Watch(ctx context.Context, onList func(routing.EndpointList)) error {
 	defer func() {
 		w.requests.Wait()               // http.Transport goes on dialing for a request that has not noticed its end
 		w.client.CloseIdleConnections() // and what is still dialed, for a request that was given up
@@ -148,7 +148,7 @@
 	hold := min(w.wait, defaultPollWait) // a change may be due by the first
 	for {
 		group, version, err := w.poll(ctx, hold)
-		if !errors.Is(err, routing.ErrRefused) {
+		if !errors.Is(err, routing.ErrDiscoveryRejected) {
 			w.backoff = 0 // a list has come, or the decisions pause
 		}
 		if err != nil {
@@ -192,7 +192,7 @@
 	wait time.Duration) ([]byte, error) {
 	ctx, stop := context.WithTimeout(ctx, wait+w.readTimeout)
 	defer stop()
-	u := url.URL{Scheme: "http", Host: w.addr, Path: protocol.PathGroup}
+	u := url.URL{Scheme: "http", Host: w.addr, Path: protocol.PathEndpoints}
 	if since >= 0 {
 		u.RawQuery = "after=" + strconv.FormatInt(since, 10) +
 			"&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
@@ -207,7 +207,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("%w: status %d", routing.ErrRefused, resp.StatusCode)
+		return nil, fmt.Errorf("%w: status %d", routing.ErrDiscoveryRejected, resp.StatusCode)
 	}
 	body := timestampReader{resp.Body, &w.lastBytes}
 	data, err := io.ReadAll(io.LimitReader(body, maxListBytes+1))
--- a/internal/transport/endpoint_watcher_test.go
+++ b/internal/transport/endpoint_watcher_test.go
@@ -36,11 +36,11 @@
 		io.WriteString(w, a)
 	}))
 	defer s.Close()
-	w := NewEndpointWatcher(strings.TrimPrefix(s.URL, "http://"), protocol.Names{}, -1, nil, slog.New(slog.DiscardHandler))
+	w := NewEndpointWatcher(strings.TrimPrefix(s.URL, "http://"), protocol.NameIndex{}, -1, nil, slog.New(slog.DiscardHandler))
 	w.maxExtra, w.lateAfter = 1, time.Millisecond
 	var kinds []balancer.UpdateKind
 	for range 4 { // what is no JSON, a malformed list, or a 503, each time the second in a row
-		if err := w.Watch(t.Context(), func(g routing.Group) { kinds = append(kinds, g.Kind) }); err == nil {
+		if err := w.Watch(t.Context(), func(g routing.EndpointList) { kinds = append(kinds, g.Kind) }); err == nil {
 			t.Error("no error")
 		}
 	}
@@ -75,11 +75,11 @@
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 		}
 	})
-	w := NewEndpointWatcher(p.Addr, protocol.Names{}, -1, nil, slog.New(slog.DiscardHandler))
+	w := NewEndpointWatcher(p.Addr, protocol.NameIndex{}, -1, nil, slog.New(slog.DiscardHandler))
 	w.lateAfter = time.Millisecond
 	lists := 0
 	const most = 1 + maxExtraPolls + 1 // calls, and one that is sent again on the connection kept
-	if err := w.Watch(t.Context(), func(routing.Group) { lists++ }); err == nil || lists != 1 || asked.Load()-1 != most {
+	if err := w.Watch(t.Context(), func(routing.EndpointList) { lists++ }); err == nil || lists != 1 || asked.Load()-1 != most {
 		t.Errorf("%v: %d lists, then %d questions, and %d should be the most", err, lists, asked.Load()-1, most)
 	}
 }
@@ -89,7 +89,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var dialed atomic.Int64
 		began := time.Now()
-		w := NewEndpointWatcher("d:1", protocol.Names{}, 1, func(context.Context, string) (net.Conn, error) {
+		w := NewEndpointWatcher("d:1", protocol.NameIndex{}, 1, func(context.Context, string) (net.Conn, error) {
 			dialed.Add(1)
 			near, far := net.Pipe()
 			go io.Copy(io.Discard, far)
@@ -120,7 +120,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
 			dialed := make(chan time.Duration)
-			w := NewEndpointWatcher("d:1", protocol.Names{}, 1, func(ctx context.Context, _ string) (net.Conn, error) {
+			w := NewEndpointWatcher("d:1", protocol.NameIndex{}, 1, func(ctx context.Context, _ string) (net.Conn, error) {
 				stop()
 				began := time.Now()
 				<-ctx.Done()
@@ -130,7 +130,7 @@
 			if late > 0 {
 				w.client.Transport = lateCancelTransport{w.client.Transport.(*http.Transport), late}
 			}
-			go w.Watch(ctx, func(routing.Group) {})
+			go w.Watch(ctx, func(routing.EndpointList) {})
 			if d := <-dialed; d > late {
 				t.Errorf("dialing went on for %v after an end that the call notices %v late", d, late)
 			}
@@ -152,10 +152,10 @@
 		}
 	}))
 	defer s.Close()
-	w := NewEndpointWatcher(strings.TrimPrefix(s.URL, "http://"), protocol.Names{}, 1, nil, slog.New(slog.DiscardHandler))
+	w := NewEndpointWatcher(strings.TrimPrefix(s.URL, "http://"), protocol.NameIndex{}, 1, nil, slog.New(slog.DiscardHandler))
 	w.wait, w.lateAfter, w.readTimeout = 20*time.Millisecond, time.Millisecond, time.Minute
 	lists := 0
-	if err := w.Watch(t.Context(), func(routing.Group) { lists++ }); err == nil || lists != 1 || w.version != 2 {
+	if err := w.Watch(t.Context(), func(routing.EndpointList) { lists++ }); err == nil || lists != 1 || w.version != 2 {
 		t.Errorf("%v, %d lists, version %d; want the one of the second call", err, lists, w.version)
 	}
 }
@@ -189,7 +189,7 @@
 	defer stop()
 	told := 0
 	l := make(logLines, 1000)
-	err := NewEndpointWatcher(server.Listener.Addr().String(), protocol.Names{}, 1, nil, l.logger()).Watch(ctx, func(routing.Group) {
+	err := NewEndpointWatcher(server.Listener.Addr().String(), protocol.NameIndex{}, 1, nil, l.logger()).Watch(ctx, func(routing.EndpointList) {
 		told++
 		stop()
 	})
@@ -226,8 +226,8 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	told, l := 0, make(logLines, 1000)
-	w := NewEndpointWatcher(server.Listener.Addr().String(), protocol.Names{}, 1, nil, l.logger()).ForFleetSize(30, 1)
-	w.Watch(ctx, func(routing.Group) {
+	w := NewEndpointWatcher(server.Listener.Addr().String(), protocol.NameIndex{}, 1, nil, l.logger()).ForFleetSize(30, 1)
+	w.Watch(ctx, func(routing.EndpointList) {
 		told++
 		stop()
 	})
--- a/internal/transport/frontend.go
+++ b/internal/transport/frontend.go
@@ -41,9 +41,9 @@
 
 // CallHandler decides on calls: routing's first stage.
 type CallHandler interface {
-	// Take handles a call and returns its answer, from the goroutine of the client connection. ok is false if the client
+	// Handle handles a call and returns its answer, from the goroutine of the client connection. ok is false if the client
 	// left before there was one.
-	Take(ctx context.Context, c routing.Call) (a routing.Answer, ok bool)
+	Handle(ctx context.Context, c routing.Call) (a routing.Answer, ok bool)
 	// Ready reports whether the node may be sent clients.
 	Ready() bool
 }
@@ -53,7 +53,7 @@
 	// Listener accepts the client connections. The frontend closes it when it shuts down.
 	Listener net.Listener
 	// Names are the wire names and request classes that calls are parsed by. SetNames changes them later.
-	Names protocol.Names
+	Names protocol.NameIndex
 	// Handler decides on each call and forwards it.
 	Handler CallHandler
 	// ClientLimits bound the client connections. SetClientLimits changes them later.
@@ -66,7 +66,7 @@
 
 // Frontend is the HTTP server that client connections reach.
 type Frontend struct {
-	names       atomic.Pointer[protocol.Names]
+	names       atomic.Pointer[protocol.NameIndex]
 	handler     CallHandler
 	idempotency IdempotencyStore // nil: no call is recorded
 	log         *slog.Logger
@@ -130,7 +130,7 @@
 }
 
 // SetNames changes the names that calls are parsed by.
-func (f *Frontend) SetNames(names protocol.Names) { f.names.Store(&names) }
+func (f *Frontend) SetNames(names protocol.NameIndex) { f.names.Store(&names) }
 
 // SetClientLimits changes the limits of client connections, and closes idle ones beyond them.
 func (f *Frontend) SetClientLimits(limits ClientLimits) { f.clients.setLimits(limits) }
@@ -189,10 +189,10 @@
 		_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	}
 	// Guards the descriptors: no attempt, and room for the next call. Guards a shutdown, which would cut the call off.
-	if f.clients.overloaded() || !f.drain.admits(call.Budget) {
+	if f.clients.overloaded() || !f.drain.admits(call.Timeout) {
 		f.shed.Add(1)
 		closeAfterResponse(w, c)
-		f.writeAnswer(w, c, routing.Answer{Verdict: routing.Reject, RetryAfter: shedRetryAfter})
+		f.writeAnswer(w, c, routing.Answer{Verdict: routing.Rejected, RetryAfter: shedRetryAfter})
 		return
 	}
 	keyed, err := f.keyedCall(r, call, target)
@@ -219,7 +219,7 @@
 // handle has a call handled. One whose client left gets an answer, too: nobody should read it, but net/http must
 // not make it an empty 200.
 func (f *Frontend) handle(ctx context.Context, call routing.Call) routing.Answer {
-	a, ok := f.handler.Take(ctx, call)
+	a, ok := f.handler.Handle(ctx, call)
 	if !ok {
 		return routing.Answer{Verdict: routing.Failed}
 	}
--- a/internal/transport/frontend_helpers_test.go
+++ b/internal/transport/frontend_helpers_test.go
@@ -18,8 +18,8 @@
 // handlerFunc is a CallHandler that is ready.
 type handlerFunc func(ctx context.Context, c routing.Call) (routing.Answer, bool)
 
-// Take implements CallHandler.
-func (f handlerFunc) Take(ctx context.Context, c routing.Call) (routing.Answer, bool) {
+// Handle implements CallHandler.
+func (f handlerFunc) Handle(ctx context.Context, c routing.Call) (routing.Answer, bool) {
 	return f(ctx, c)
 }
 
@@ -45,7 +45,7 @@
 	log = make(logLines, 1000)
 	front = NewFrontend(FrontendConfig{
 		Listener:     l,
-		Names:        protocol.Names{Classes: map[string]int{"book": 0, "status": 1}, Methods: []string{"POST", "GET"}},
+		Names:        protocol.NameIndex{Classes: map[string]int{"book": 0, "status": 1}, Methods: []string{"POST", "GET"}},
 		Handler:      f,
 		ClientLimits: ClientLimits{MaxOpen: maxConns, MaxIdle: maxConns},
 		Log:          log.logger(),
@@ -59,7 +59,7 @@
 }
 
 // newFrontendOverTransport is a frontend whose calls a transport sends to one server; results gets that of each attempt.
-func newFrontendOverTransport(t *testing.T, p *routing.Peer, maxConns int) (addr string, front *Frontend,
+func newFrontendOverTransport(t *testing.T, p *routing.Upstream, maxConns int) (addr string, front *Frontend,
 	transport *UpstreamTransport, log logLines, results chan balancer.Result) {
 	t.Helper()
 	transport, log = newTestTransport(time.Second)
@@ -67,11 +67,11 @@
 	addr, front, _ = newTestFrontend(t, maxConns, func(_ context.Context, c routing.Call) (routing.Answer, bool) {
 		// As in a node, an attempt's context is not its client's: net/http ends that as soon as a body's reading is cut
 		// short.
-		r := transport.Try(t.Context(), routing.Try{Peer: p, Until: time.Now().Add(time.Minute), Payload: c.Payload,
-			Budget: time.Minute, Written: func() {}})
+		r := transport.RoundTrip(t.Context(), routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(time.Minute), Payload: c.Payload,
+			BodyTimeout: time.Minute, OnBodySent: func() {}})
 		results <- r.Result
 		if r.Result != balancer.OK {
-			return routing.Answer{Verdict: routing.Reject, RetryAfter: time.Second}, true
+			return routing.Answer{Verdict: routing.Rejected, RetryAfter: time.Second}, true
 		}
 		return routing.Answer{Verdict: routing.Served, Reply: r.Reply}, true
 	})
--- a/internal/transport/frontend_test.go
+++ b/internal/transport/frontend_test.go
@@ -55,9 +55,9 @@
 		after  string
 	}{
 		{routing.Answer{Verdict: routing.Served, Reply: &response{fields: []headerField{{"X-Hit", [1]string{"1"}}}, body: []byte("\x00b")}}, 200, ""},
-		{routing.Answer{Verdict: routing.Reject, RetryAfter: 250 * time.Millisecond}, 503, "0.250"},
-		{routing.Answer{Verdict: routing.Reject}, 503, ""}, {routing.Answer{Verdict: routing.Failed}, 502, ""},
-		{routing.Answer{Verdict: routing.Overdue}, 504, ""}, {routing.Answer{Verdict: routing.Twice}, 409, ""},
+		{routing.Answer{Verdict: routing.Rejected, RetryAfter: 250 * time.Millisecond}, 503, "0.250"},
+		{routing.Answer{Verdict: routing.Rejected}, 503, ""}, {routing.Answer{Verdict: routing.Failed}, 502, ""},
+		{routing.Answer{Verdict: routing.DeadlineExceeded}, 504, ""}, {routing.Answer{Verdict: routing.Duplicate}, 409, ""},
 		{routing.Answer{Verdict: 9}, 500, ""}, // a panic must not end the connection: the call would be lost
 	} {
 		a = k.answer
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -43,7 +43,7 @@
 }
 
 // startServer is a server that has a function serve each connection.
-func startServer(t *testing.T, serve func(net.Conn)) *routing.Peer {
+func startServer(t *testing.T, serve func(net.Conn)) *routing.Upstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,12 +62,12 @@
 			}()
 		}
 	}()
-	return routing.NewPeer(1, "s-1", l.Addr().String())
+	return routing.NewUpstream(1, "s-1", l.Addr().String())
 }
 
 // startScriptedServer is a server that reads complete requests, sends their bytes to requests, and writes the next of the
 // responses; "" closes the connection, and so does one that contains "cut".
-func startScriptedServer(t *testing.T, responses ...string) (server *routing.Peer, requests chan string) {
+func startScriptedServer(t *testing.T, responses ...string) (server *routing.Upstream, requests chan string) {
 	t.Helper()
 	requests = make(chan string, 100)
 	next := make(chan string, len(responses))
@@ -113,17 +113,17 @@
 }
 
 // newAttempt is an attempt of a call with the ID 9b.
-func newAttempt(p *routing.Peer, method, body string) routing.Try {
+func newAttempt(p *routing.Upstream, method, body string) routing.Attempt {
 	return newAttemptWithID(p, method, "9b", body)
 }
 
 // newAttemptWithID is an attempt that ends in a minute.
-func newAttemptWithID(p *routing.Peer, method, id, body string) routing.Try {
+func newAttemptWithID(p *routing.Upstream, method, id, body string) routing.Attempt {
 	const target = "/api?user=a%2Fb&x=%7e"
 	header := http.Header{"X-Call-Id": {id}}
 	m := newMessage(new(bufferPool), method, target, "api.internal", header, int64(len(body)))
 	copy(m.body, body)
-	return routing.Try{Peer: p, Until: time.Now().Add(time.Minute), Payload: m}
+	return routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(time.Minute), Payload: m}
 }
 
 // pipeConn is a Conn that nothing waits on unless it is read.
--- a/internal/transport/idempotency.go
+++ b/internal/transport/idempotency.go
@@ -107,7 +107,7 @@
 	case m.upload != nil:
 		return nil, errors.New(headerIdempotencyKey + ": the body is too long to be kept")
 	}
-	caller := r.Header.Get(protocol.HeaderCaller)
+	caller := r.Header.Get(protocol.HeaderTenant)
 	return &KeyedCall{Key: caller + " " + key, Fingerprint: fingerprint(r, target, m.body), Class: call.Class}, nil
 }
 
@@ -117,7 +117,7 @@
 // fingerprint is a hash of what makes two requests the same one.
 func fingerprint(r *http.Request, target string, body []byte) string {
 	h := sha256.New()
-	parts := []string{r.Method, target, r.Header.Get(protocol.HeaderClass), r.Header.Get(protocol.HeaderCaller)}
+	parts := []string{r.Method, target, r.Header.Get(protocol.HeaderClass), r.Header.Get(protocol.HeaderTenant)}
 	for _, part := range parts {
 		h.Write([]byte(part))
 		h.Write([]byte{0})
@@ -148,7 +148,7 @@
 	switch a.Verdict {
 	case routing.Served:
 		return CallAnswered, storedResponse(a.Reply.(*response))
-	case routing.Reject, routing.Twice:
+	case routing.Rejected, routing.Duplicate:
 		return CallNotRun, nil
 	}
 	return CallOutcomeUnknown, nil
--- a/internal/transport/idempotency_test.go
+++ b/internal/transport/idempotency_test.go
@@ -77,10 +77,10 @@
 		ended   string
 	}{
 		{`"k1"`, CallClaim{}, routing.Served, 200, "", "done", fmt.Sprint(CallAnswered)},
-		{`k1`, CallClaim{}, routing.Reject, 503, "", "", fmt.Sprint(CallNotRun)},
-		{`k1`, CallClaim{}, routing.Twice, 409, "", "", fmt.Sprint(CallNotRun)},
+		{`k1`, CallClaim{}, routing.Rejected, 503, "", "", fmt.Sprint(CallNotRun)},
+		{`k1`, CallClaim{}, routing.Duplicate, 409, "", "", fmt.Sprint(CallNotRun)},
 		{`k1`, CallClaim{}, routing.Failed, 502, "", "", fmt.Sprint(CallOutcomeUnknown)},
-		{`k1`, CallClaim{}, routing.Overdue, 504, "", "", fmt.Sprint(CallOutcomeUnknown)},
+		{`k1`, CallClaim{}, routing.DeadlineExceeded, 504, "", "", fmt.Sprint(CallOutcomeUnknown)},
 		{`k1`, CallClaim{State: CallRunning}, 0, 409, "running", "", ""},
 		{`k1`, CallClaim{State: CallOutcomeUnknown}, 0, 502, "unknown", "", ""},
 		{`k1`, CallClaim{State: CallAnswered, Response: outcome}, 0, 200, "kept", "before", ""},
--- a/internal/transport/pipelined_test.go
+++ b/internal/transport/pipelined_test.go
@@ -223,13 +223,13 @@
 // behind it from its answer, where all of that has come.
 func TestPipelinedBehindLongBody(t *testing.T) {
 	addr, front, _ := newTestFrontend(t, 10, func(_ context.Context, c routing.Call) (routing.Answer, bool) {
-		if c.Name == "2b" {
+		if c.ClientRequestID == "2b" {
 			return routing.Answer{Verdict: routing.Served, Reply: &response{}}, true
 		}
-		return routing.Answer{Verdict: routing.Reject}, true
+		return routing.Answer{Verdict: routing.Rejected}, true
 	})
 	c := dialClient(t, addr)
-	io.WriteString(c, chunkedRequest(1, fmt.Sprintf("%x\r\n%s", protocol.MaxBody, strings.Repeat("x", protocol.MaxBody))))
+	io.WriteString(c, chunkedRequest(1, fmt.Sprintf("%x\r\n%s", protocol.MaxBodyBytes, strings.Repeat("x", protocol.MaxBodyBytes))))
 	waitFor(t, func() bool { // all of that is read
 		front.clients.mu.Lock()
 		defer front.clients.mu.Unlock()
--- a/internal/transport/request.go
+++ b/internal/transport/request.go
@@ -48,16 +48,16 @@
 		// Guards the servers: one that reads no body takes it for a request.
 		return call, http.StatusBadRequest, ambiguousRequest("body: none belongs to a GET")
 	}
-	call.Arrived = time.Now()
-	call.Slow = m.upload != nil
-	if !call.Slow && !c.completeRequest() {
+	call.ReceivedAt = time.Now()
+	call.StreamsBody = m.upload != nil
+	if !call.StreamsBody && !c.completeRequest() {
 		m.release()
 		panic(http.ErrAbortHandler) // its client sees the close, and sends the request again
 	}
 	m.client = c
 	call.Payload = m
 	if !c.wasPipelined() { // else its client may have left long ago
-		m.arrived = call.Arrived
+		m.arrived = call.ReceivedAt
 	}
 	return call, 0, nil
 }
@@ -75,7 +75,7 @@
 	switch {
 	case r.length > maxRequestBody:
 		return nil, errBodyTooLarge
-	case r.length > protocol.MaxBody:
+	case r.length > protocol.MaxBodyBytes:
 		return f.newUploadMessage(r, nil), nil
 	case r.length >= 0:
 		m := newMessage(&f.buffers, r.Method, r.target, r.Host, r.Header, r.length)
@@ -84,11 +84,11 @@
 		}
 		return m, nil
 	}
-	body, err := io.ReadAll(io.LimitReader(&pacedReader{body: r.Body, conn: r.conn}, protocol.MaxBody+1))
+	body, err := io.ReadAll(io.LimitReader(&pacedReader{body: r.Body, conn: r.conn}, protocol.MaxBodyBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > protocol.MaxBody {
+	if len(body) > protocol.MaxBodyBytes {
 		return f.newUploadMessage(r, body), nil
 	}
 	m := newMessage(&f.buffers, r.Method, r.target, r.Host, r.Header, int64(len(body)))
--- a/internal/transport/request_head.go
+++ b/internal/transport/request_head.go
@@ -111,7 +111,7 @@
 // isProtectedHeader reports whether a header field, in canonical form, says where a request goes, where it ends, or
 // what it is to the platform.
 func isProtectedHeader(name string) bool {
-	return protocol.Owned(name) || name == "Host" || name == "Content-Length" || name == "Transfer-Encoding"
+	return protocol.IsPlatformHeader(name) || name == "Host" || name == "Content-Length" || name == "Transfer-Encoding"
 }
 
 // canonicalHeader is a header field's name in canonical form.
--- a/internal/transport/request_head_test.go
+++ b/internal/transport/request_head_test.go
@@ -19,7 +19,7 @@
 	got := make(chan string, 1)
 	addr, _, _ := newTestFrontend(t, 100, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
 		m := c.Payload.(*requestMessage)
-		b, own := m.compose(c.Budget)
+		b, own := m.compose(c.Timeout)
 		got <- string(b)
 		m.releaseRoom(own)
 		return routing.Answer{Verdict: routing.Served, Reply: &response{}}, true
@@ -53,7 +53,7 @@
 		raw  string
 		want int
 	}{
-		{callHead + body(0), 200}, {callHead + body(protocol.MaxBody), 200}, {callHead + body(protocol.MaxBody+1), 200},
+		{callHead + body(0), 200}, {callHead + body(protocol.MaxBodyBytes), 200}, {callHead + body(protocol.MaxBodyBytes+1), 200},
 		{callHead + fmt.Sprintf("Content-Length: %d\r\n\r\n", maxRequestBody+1), 413},
 		{callHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", 200},
 		{callHead + "Transfer-Encoding: chunked\r\n\r\n10001\r\n" + strings.Repeat("x", 0x10001) + "\r\n0\r\n\r\n", 200},
@@ -100,7 +100,7 @@
 		if resp.StatusCode != want || (peer != "") != (want == 200) {
 			t.Errorf("%q: status %d, want %d; to the peer: %q", line, resp.StatusCode, want, peer)
 		}
-		if want == 200 && (!strings.Contains(peer, protocol.HeaderID) || strings.Contains(peer, "X-Hop") || strings.Contains(peer, "h2c")) {
+		if want == 200 && (!strings.Contains(peer, protocol.HeaderCallID) || strings.Contains(peer, "X-Hop") || strings.Contains(peer, "h2c")) {
 			t.Errorf("%q: to the peer: %q", line, peer)
 		}
 	}
--- a/internal/transport/request_message.go
+++ b/internal/transport/request_message.go
@@ -16,7 +16,7 @@
 const immediateSend = 250 * time.Microsecond
 
 // maxBudgetLine is room for the longest line with a budget, and the empty line.
-const maxBudgetLine = len(protocol.HeaderBudget) + len(": 3600.000\r\n\r\n")
+const maxBudgetLine = len(protocol.HeaderTimeout) + len(": 3600.000\r\n\r\n")
 
 // requestMessage is a client's request as it is sent to servers; it is a call's payload. A buffer holds its head,
 // room for one attempt's head with the budget in it, and right behind that the body: an attempt leaves by one
@@ -52,7 +52,7 @@
 // bytes, is still to be read into it. One that is too long to be buffered, or of unknown length (-1), has no room.
 func newMessage(buffers *bufferPool, method, target, host string, header http.Header, announced int64) *requestMessage {
 	bodyLen := int(announced)
-	if announced < 0 || announced > protocol.MaxBody {
+	if announced < 0 || announced > protocol.MaxBodyBytes {
 		bodyLen = 0
 	}
 	var few [24]string // so that the names of most headers need no allocation
@@ -96,7 +96,7 @@
 func endToEndNames(names []string, header http.Header) (sorted []string, size int) {
 	options := connectionOptions(header["Connection"])
 	for name, values := range header {
-		if name == protocol.HeaderBudget || isHopByHop(name) || slices.Contains(options, name) {
+		if name == protocol.HeaderTimeout || isHopByHop(name) || slices.Contains(options, name) {
 			continue
 		}
 		names = append(names, name)
@@ -169,7 +169,7 @@
 	var line [maxBudgetLine]byte
 	tail := line[:0]
 	if budget > 0 {
-		tail = append(tail, protocol.HeaderBudget...)
+		tail = append(tail, protocol.HeaderTimeout...)
 		tail = append(tail, ": "...)
 		tail = protocol.AppendSeconds(tail, budget)
 		tail = append(tail, "\r\n"...)
--- a/internal/transport/response_stream.go
+++ b/internal/transport/response_stream.go
@@ -141,7 +141,7 @@
 func readFirstPart(conn *upstreamConn, reader *bufio.Reader, body io.Reader,
 	until time.Time) (first []byte, complete bool, err error) {
 	hold := time.Now().Add(firstPartWait)
-	for len(first) <= protocol.MaxBody {
+	for len(first) <= protocol.MaxBodyBytes {
 		if reader.Buffered() == 0 && conn.waitsInVain(reader, hold, until) {
 			return first, false, nil
 		}
--- a/internal/transport/response_stream_test.go
+++ b/internal/transport/response_stream_test.go
@@ -37,7 +37,7 @@
 	} {
 		p, _ := startScriptedServer(t, c.raw+map[bool]string{false: "cut"}[c.whole])
 		k, l := newTestTransport(time.Second)
-		r := k.Try(t.Context(), newAttempt(p, "GET", ""))
+		r := k.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
 		if r.Result != balancer.OK || r.Reply.(*response).stream == nil {
 			t.Fatalf("%s: result %d", name, r.Result)
 		}
@@ -64,14 +64,14 @@
 		<-halves
 	})
 	k, _ := newTestTransport(time.Second)
-	r := k.Try(t.Context(), newAttempt(slow, "GET", ""))
+	r := k.RoundTrip(t.Context(), newAttempt(slow, "GET", ""))
 	if s := r.Reply.(*response); len(s.body) != 1000 { // what a chunk in the making has so far is there for the client
 		t.Errorf("%d bytes of a chunk that is still coming", len(s.body))
 	}
 	close(halves)
 	p, _ := startScriptedServer(t, sized+big)
 	k, l := newTestTransport(time.Second)
-	k.Try(t.Context(), newAttempt(p, "GET", "")).Reply.(routing.Dropper).Drop()
+	k.RoundTrip(t.Context(), newAttempt(p, "GET", "")).Reply.(routing.Releaser).Release()
 	l.waitFor("connection ended", "reason=called-off")
 	if k.Conns() != 0 {
 		t.Error("a dropped answer holds its connection")
@@ -158,7 +158,7 @@
 			}
 		})
 		k, _ := newTestTransport(time.Second)
-		r := k.Try(t.Context(), newAttempt(p, "GET", ""))
+		r := k.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
 		if r.Result != balancer.OK {
 			t.Fatal(name, r.Result)
 		}
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -113,7 +113,7 @@
 
 // send writes the head and the body to a server, from a goroutine of its own, and notes the client's error if the
 // body ends early.
-func (u *upload) send(ctx context.Context, conn *upstreamConn, head []byte, attempt routing.Try) {
+func (u *upload) send(ctx context.Context, conn *upstreamConn, head []byte, attempt routing.Attempt) {
 	defer close(u.done)
 	defer conn.recoverUploadPanic()
 	out := bufio.NewWriterSize(conn, streamBufferSize+chunkOverhead)
@@ -148,17 +148,17 @@
 }
 
 // finishSending starts the wait for the response, once the last byte of the body has been written.
-func (u *upload) finishSending(ctx context.Context, conn *upstreamConn, attempt routing.Try) {
+func (u *upload) finishSending(ctx context.Context, conn *upstreamConn, attempt routing.Attempt) {
 	_ = u.conn.SetReadDeadline(time.Time{})
 	u.conn.completeRequest()
 	u.bodySent.Store(true)
-	until := time.Now().Add(attempt.Budget)
+	until := time.Now().Add(attempt.BodyTimeout)
 	u.responseUntil.Store(until.UnixNano())
 	_ = conn.SetDeadline(until)
 	if ctx.Err() != nil { // the deadline must not undo an interruption
 		conn.Interrupt()
 	}
-	attempt.Written()
+	attempt.OnBodySent()
 }
 
 // recoverUploadPanic keeps a panic in the goroutine that sends an upload from ending the node.
@@ -203,17 +203,17 @@
 }
 
 // exchangeUpload sends a call to a server whose body is still coming, and waits for the response.
-func (t *UpstreamTransport) exchangeUpload(ctx context.Context, attempt routing.Try, m *requestMessage,
-	conn *upstreamConn) routing.TryResult {
+func (t *UpstreamTransport) exchangeUpload(ctx context.Context, attempt routing.Attempt, m *requestMessage,
+	conn *upstreamConn) routing.AttemptResult {
 	u := m.upload
 	if !u.claim() {
 		t.putConn(conn)
-		return routing.TryResult{Result: balancer.NotSent}
+		return routing.AttemptResult{Result: balancer.NotSent}
 	}
 	conn.upload = u
 	_ = conn.SetDeadline(time.Time{})
 	watch := watchCancel(ctx, conn)
-	head, ownsRoom := m.compose(attempt.Budget)
+	head, ownsRoom := m.compose(attempt.BodyTimeout)
 	go func() {
 		u.send(ctx, conn, head, attempt)
 		m.releaseRoom(ownsRoom)
@@ -225,7 +225,7 @@
 	}
 	// The last byte was never written, which proves that the server never ran it.
 	if u.clientErr != nil || ctx.Err() != nil {
-		return routing.TryResult{Result: balancer.NotSent}
+		return routing.AttemptResult{Result: balancer.NotSent}
 	}
-	return routing.TryResult{Result: balancer.ConnectFailed}
+	return routing.AttemptResult{Result: balancer.ConnectFailed}
 }
--- a/internal/transport/upload_pace_test.go
+++ b/internal/transport/upload_pace_test.go
@@ -70,7 +70,7 @@
 					}
 				})
 				begun := time.Now()
-				u.send(t.Context(), out, []byte(callHead), routing.Try{Written: func() {}})
+				u.send(t.Context(), out, []byte(callHead), routing.Attempt{OnBodySent: func() {}})
 				late := errors.Is(u.clientErr, os.ErrDeadlineExceeded)
 				if u.bodySent.Load() != (c.fault == "") || late != (c.fault == client) || u.clientErr != nil && !late {
 					t.Errorf("whole: %v, refused: %v", u.bodySent.Load(), u.clientErr)
--- a/internal/transport/upload_test.go
+++ b/internal/transport/upload_test.go
@@ -26,11 +26,11 @@
 	k, log := newTestTransport(time.Second)
 	addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
 		c.Payload.(*requestMessage).upload.body = panickingBody{}
-		r := k.Try(ctx, routing.Try{Peer: p, Until: time.Now().Add(time.Minute), Payload: c.Payload, Written: func() {}})
+		r := k.RoundTrip(ctx, routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(time.Minute), Payload: c.Payload, OnBodySent: func() {}})
 		if r.Result != balancer.ConnectFailed {
 			t.Errorf("result %d of what was never whole", r.Result)
 		}
-		return routing.Answer{Verdict: routing.Reject, RetryAfter: time.Second}, true
+		return routing.Answer{Verdict: routing.Rejected, RetryAfter: time.Second}, true
 	})
 	if resp, _ := dialClient(t, addr).roundTrip(t, callHead+"Content-Length: 100000\r\n\r\n"); resp.StatusCode != 503 {
 		t.Errorf("status %d", resp.StatusCode)
@@ -108,14 +108,14 @@
 	k, _ := newTestTransport(time.Second)
 	addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
 		ended, stop := context.WithCancelCause(ctx)
-		try := routing.Try{Peer: p, Until: time.Now().Add(time.Minute), Payload: c.Payload, Written: func() {}}
-		time.AfterFunc(20*time.Millisecond, func() { stop(routing.ErrCalledOff) })
+		try := routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(time.Minute), Payload: c.Payload, OnBodySent: func() {}}
+		time.AfterFunc(20*time.Millisecond, func() { stop(routing.ErrCancelled) })
 		for i, want := range []balancer.Result{balancer.NotSent, balancer.NotSent} {
-			if r := k.Try(ended, try); r.Result != want {
+			if r := k.RoundTrip(ended, try); r.Result != want {
 				t.Errorf("try %d: %d", i, r.Result)
 			}
 		}
-		if r := k.Try(ctx, try); r.Result != balancer.NotSent { // it has a connection, and no body
+		if r := k.RoundTrip(ctx, try); r.Result != balancer.NotSent { // it has a connection, and no body
 			t.Errorf("once more: %d", r.Result)
 		}
 		return routing.Answer{Verdict: routing.Failed}, true
@@ -175,8 +175,8 @@
 				conn, err := Dialer(nil).dial(dialing, addr)
 				return &slowWriteConn{conn, last, make(chan bool, 9), ctx.Done()}, err
 			}
-			r := k.Try(ctx, routing.Try{Peer: p, Until: time.Now().Add(time.Minute), Payload: call.Payload,
-				Budget: time.Minute, Written: func() {}})
+			r := k.RoundTrip(ctx, routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(time.Minute), Payload: call.Payload,
+				BodyTimeout: time.Minute, OnBodySent: func() {}})
 			return routing.Answer{Reply: r.Reply}, ctx.Err() == nil
 		})
 		if resp, _ := dialClient(t, addr).roundTrip(t, callHead+raw); resp.StatusCode != 200 {
--- a/internal/transport/upstream_conn.go
+++ b/internal/transport/upstream_conn.go
@@ -15,7 +15,7 @@
 type upstreamConn struct {
 	Conn
 	log  *connLog
-	peer *routing.Peer // nil: discovery
+	peer *routing.Upstream // nil: discovery
 	// idleSince is when it fell idle.
 	idleSince time.Time
 	// readErr is the error of a failed read: what came before it is incomplete. nil: none has failed.
@@ -94,7 +94,7 @@
 	}
 	c.closeFor(cancelReason(cause, reasonReset))
 	switch {
-	case errors.Is(cause, routing.ErrTimeUp):
+	case errors.Is(cause, routing.ErrDeadlineExceeded):
 		return balancer.TimedOut
 	case cause != nil:
 		return balancer.Cancelled
@@ -109,7 +109,7 @@
 	case ctx.Err() != nil:
 		return context.Cause(ctx)
 	case !until.IsZero() && !now.Before(until):
-		return routing.ErrTimeUp
+		return routing.ErrDeadlineExceeded
 	}
 	return nil
 }
@@ -120,7 +120,7 @@
 	switch {
 	case cause == nil:
 		return otherwise
-	case errors.Is(cause, routing.ErrTimeUp):
+	case errors.Is(cause, routing.ErrDeadlineExceeded):
 		return reasonTimeout
 	default:
 		return reasonCalledOff
@@ -135,8 +135,8 @@
 
 // attemptContext is an attempt's context, which needs no goroutine to tell its end.
 type attemptContext interface {
-	// OnEnd has i interrupted when the context ends; nil: nobody any more. It reports whether the context goes on.
-	OnEnd(i routing.Interrupter) (goesOn bool)
+	// InterruptOnDone has i interrupted when the context ends; nil: nobody any more. It reports whether the context goes on.
+	InterruptOnDone(i routing.Interrupter) (goesOn bool)
 }
 
 // watchCancel has a connection interrupted when a context ends, until the watch is stopped.
@@ -145,7 +145,7 @@
 	if !ok {
 		return cancelWatch{stopAfterFunc: context.AfterFunc(ctx, c.Interrupt)}
 	}
-	if !attempt.OnEnd(c) { // it ended just before
+	if !attempt.InterruptOnDone(c) { // it ended just before
 		c.Interrupt()
 	}
 	return cancelWatch{attempt: attempt}
@@ -154,7 +154,7 @@
 // stop ends the watch, and reports whether the context had not ended. Nothing is interrupted any more then.
 func (w cancelWatch) stop() (undisturbed bool) {
 	if w.attempt != nil {
-		return w.attempt.OnEnd(nil)
+		return w.attempt.InterruptOnDone(nil)
 	}
 	return w.stopAfterFunc()
 }
--- a/internal/transport/upstream_pool.go
+++ b/internal/transport/upstream_pool.go
@@ -45,7 +45,7 @@
 	// open counts the connections, those being opened included.
 	open int
 	// idle are the idle connections, the longest idle first. The sweep drops empty lists.
-	idle map[*routing.Peer][]*upstreamConn
+	idle map[*routing.Upstream][]*upstreamConn
 	// sweeper is the sweep that is due; nil: none is.
 	sweeper *time.Timer
 	// closed: no connection is opened or kept any more.
@@ -64,7 +64,7 @@
 }
 
 // get returns an idle connection, or a new one, which must be up by until.
-func (p *upstreamPool) get(ctx context.Context, peer *routing.Peer, until time.Time) (*upstreamConn, error) {
+func (p *upstreamPool) get(ctx context.Context, peer *routing.Upstream, until time.Time) (*upstreamConn, error) {
 	for c := p.take(peer); c != nil; c = p.take(peer) {
 		reason := c.staleReason()
 		if reason == reasonNone {
@@ -81,7 +81,7 @@
 }
 
 // connect opens a new connection.
-func (p *upstreamPool) connect(ctx context.Context, peer *routing.Peer, until time.Time) (*upstreamConn, error) {
+func (p *upstreamPool) connect(ctx context.Context, peer *routing.Upstream, until time.Time) (*upstreamConn, error) {
 	timeout, ok := p.reserveConn()
 	if !ok {
 		return nil, errConnLimit
@@ -98,7 +98,7 @@
 
 // take takes the last used idle connection to a server that has settled, and has not been idle for too long; nil if
 // there is none. The sweep may be late for that, or still go by the timeout before a reload.
-func (p *upstreamPool) take(peer *routing.Peer) *upstreamConn {
+func (p *upstreamPool) take(peer *routing.Upstream) *upstreamConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[peer]
--- a/internal/transport/upstream_pool_test.go
+++ b/internal/transport/upstream_pool_test.go
@@ -44,7 +44,7 @@
 		all.Go(func() {
 			for j := range 500 {
 				id := fmt.Sprintf("%d-%d", i, j)
-				if r := k.Try(t.Context(), newAttemptWithID(p, "GET", id, "")); r.Result != balancer.OK || string(r.Reply.(*response).body) != id {
+				if r := k.RoundTrip(t.Context(), newAttemptWithID(p, "GET", id, "")); r.Result != balancer.OK || string(r.Reply.(*response).body) != id {
 					t.Errorf("%s: %+v", id, r)
 				}
 			}
@@ -88,7 +88,7 @@
 	k, _ := newTestTransport(time.Second)
 	k.pool.settleTime = settleTime
 	for len(again) < 10 {
-		if r := k.Try(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.OK {
+		if r := k.RoundTrip(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.OK {
 			t.Fatal(r.Result)
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -106,8 +106,8 @@
 func TestConnectionsBelongToPeers(t *testing.T) {
 	p, _ := startScriptedServer(t, okResponse, okResponse)
 	k, _ := newTestTransport(time.Second)
-	for _, peer := range []*routing.Peer{p, routing.NewPeer(2, "s-2", p.Addr)} {
-		if r := k.Try(t.Context(), newAttempt(peer, "GET", "")); r.Result != balancer.OK || len(k.pool.idle[peer]) != 1 {
+	for _, peer := range []*routing.Upstream{p, routing.NewUpstream(2, "s-2", p.Addr)} {
+		if r := k.RoundTrip(t.Context(), newAttempt(peer, "GET", "")); r.Result != balancer.OK || len(k.pool.idle[peer]) != 1 {
 			t.Errorf("%s: result %d, idle %v", peer.Name, r.Result, k.pool.idle)
 		}
 	}
@@ -122,7 +122,7 @@
 	if k.pool.idleTimeout >= 40*time.Millisecond {
 		t.Errorf("idle for %v of 50 ms", k.pool.idleTimeout)
 	}
-	k.Try(t.Context(), newAttempt(p, "GET", ""))
+	k.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
 	l.waitFor("side=peer", "reason=idle")
 	for k.Conns() > 0 { // the line comes just before it counts
 		runtime.Gosched()
@@ -139,7 +139,7 @@
 func TestIdleTimeShortened(t *testing.T) {
 	p, _ := startScriptedServer(t, okResponse)
 	k, _ := newTestTransport(time.Second)
-	k.Try(t.Context(), newAttempt(p, "GET", ""))
+	k.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
 	long := *k.config.Load()
 	short := long
 	short.ServerIdleTimeout = 1
@@ -159,13 +159,13 @@
 	p, _ := startScriptedServer(t, okResponse, okResponse)
 	k, log := newTestTransport(time.Second)
 	k.pool.open = 10
-	if r := k.Try(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.NotSent || k.pool.open != 10 {
+	if r := k.RoundTrip(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.NotSent || k.pool.open != 10 {
 		t.Errorf("result %d, %d connections", r.Result, k.pool.open)
 	}
 	k.pool.open = 9 // the next is the last, and makes room for another peer's once it is idle
 	other, _ := startScriptedServer(t, okResponse)
-	for _, peer := range []*routing.Peer{p, other} {
-		if r := k.Try(t.Context(), newAttempt(peer, "GET", "")); r.Result != balancer.OK || k.pool.open != 10 {
+	for _, peer := range []*routing.Upstream{p, other} {
+		if r := k.RoundTrip(t.Context(), newAttempt(peer, "GET", "")); r.Result != balancer.OK || k.pool.open != 10 {
 			t.Errorf("result %d, %d connections", r.Result, k.pool.open)
 		}
 	}
@@ -195,7 +195,7 @@
 	for range 2 {
 		var tries sync.WaitGroup
 		for range load {
-			tries.Go(func() { k.Try(t.Context(), newAttempt(p, "GET", "")) })
+			tries.Go(func() { k.RoundTrip(t.Context(), newAttempt(p, "GET", "")) })
 		}
 		for range load {
 			<-arrived
@@ -216,12 +216,12 @@
 		log := make(logLines, 10)
 		k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, MaxConns: 10, Log: log.logger(),
 			Dial: func(context.Context, string) (net.Conn, error) { return nil, os.NewSyscallError("socket", err) }})
-		p := routing.NewPeer(1, "s-1", "a:1")
+		p := routing.NewUpstream(1, "s-1", "a:1")
 		for range 3 {
-			if r := k.Try(t.Context(), newAttempt(p, "POST", "book")); r.Result != balancer.NotSent {
+			if r := k.RoundTrip(t.Context(), newAttempt(p, "POST", "book")); r.Result != balancer.NotSent {
 				t.Errorf("%v: try: %d", err, r.Result)
 			}
-			if r := k.Probe(t.Context(), p); r != balancer.NotSent {
+			if r := k.CheckHealth(t.Context(), p); r != balancer.NotSent {
 				t.Errorf("%v: probe: %d", err, r)
 			}
 		}
--- a/internal/transport/upstream_response_test.go
+++ b/internal/transport/upstream_response_test.go
@@ -53,7 +53,7 @@
 			return announcedConn{c, reads}, err
 		}})
 	return func() balancer.Result {
-		r := k.Try(t.Context(), newAttempt(p, "GET", ""))
+		r := k.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
 		if r.Reply == nil || r.Reply.(*response).stream == nil {
 			return r.Result
 		}
--- a/internal/transport/upstream_transport.go
+++ b/internal/transport/upstream_transport.go
@@ -42,7 +42,7 @@
 }
 
 // UpstreamTransport sends attempts and health checks to servers over pooled connections. It implements
-// routing.Carrier, and its methods may be called from any goroutine.
+// routing.Transport, and its methods may be called from any goroutine.
 type UpstreamTransport struct {
 	config atomic.Pointer[UpstreamConfig]
 	pool   *upstreamPool
@@ -59,7 +59,7 @@
 			settleTime: settleTime,
 			log:        c.Log,
 			dial:       c.Dial,
-			idle:       map[*routing.Peer][]*upstreamConn{},
+			idle:       map[*routing.Upstream][]*upstreamConn{},
 		},
 		readers: sync.Pool{New: func() any { return bufio.NewReader(nil) }},
 	}
@@ -80,52 +80,52 @@
 // Conns counts the connections to servers, those being opened included.
 func (t *UpstreamTransport) Conns() int { return t.pool.count() }
 
-// Try implements routing.Carrier. It blocks until the attempt has ended, or the first part of a long response is
+// RoundTrip implements routing.Transport. It blocks until the attempt has ended, or the first part of a long response is
 // there.
-func (t *UpstreamTransport) Try(ctx context.Context, attempt routing.Try) routing.TryResult {
+func (t *UpstreamTransport) RoundTrip(ctx context.Context, attempt routing.Attempt) routing.AttemptResult {
 	m, ok := attempt.Payload.(*requestMessage)
 	if !ok || !m.hold() { // its frontend has released it: the call is over
-		return routing.TryResult{Result: balancer.NotSent}
+		return routing.AttemptResult{Result: balancer.NotSent}
 	}
 	defer m.release()
 	return t.exchange(ctx, attempt, m, true)
 }
 
-// Probe implements routing.Carrier. It blocks until the health check has ended.
-func (t *UpstreamTransport) Probe(ctx context.Context, p *routing.Peer) balancer.Result {
+// CheckHealth implements routing.Transport. It blocks until the health check has ended.
+func (t *UpstreamTransport) CheckHealth(ctx context.Context, p *routing.Upstream) balancer.Result {
 	timeout := probeConnectTimeouts * t.config.Load().ConnectTimeout
-	attempt := routing.Try{Peer: p, Until: time.Now().Add(timeout)}
-	m := newMessage(&t.buffers, http.MethodGet, protocol.PathLive, p.Addr, nil, 0)
+	attempt := routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(timeout)}
+	m := newMessage(&t.buffers, http.MethodGet, protocol.PathHealthCheck, p.Addr, nil, 0)
 	r := t.exchange(ctx, attempt, m, false)
-	if d, ok := r.Reply.(routing.Dropper); ok {
-		d.Drop()
+	if d, ok := r.Reply.(routing.Releaser); ok {
+		d.Release()
 	}
 	return r.Result
 }
 
 // exchange sends one message to a server, at most once, and waits for the response. With withBudget the server is told
 // the time left.
-func (t *UpstreamTransport) exchange(ctx context.Context, attempt routing.Try, m *requestMessage,
-	withBudget bool) routing.TryResult {
+func (t *UpstreamTransport) exchange(ctx context.Context, attempt routing.Attempt, m *requestMessage,
+	withBudget bool) routing.AttemptResult {
 	conn, now, res := t.connect(ctx, &attempt, m)
 	if conn == nil {
-		return routing.TryResult{Result: res}
+		return routing.AttemptResult{Result: res}
 	}
 	if m.upload != nil {
 		return t.exchangeUpload(ctx, attempt, m, conn)
 	}
-	_ = conn.SetDeadline(attempt.Until)
+	_ = conn.SetDeadline(attempt.ExpiresAt)
 	watch := watchCancel(ctx, conn)
 	var budget time.Duration
 	if withBudget {
-		budget = max(attempt.Until.Sub(now), 1)
+		budget = max(attempt.ExpiresAt.Sub(now), 1)
 	}
 	request, ownsRoom := m.compose(budget)
 	n, _ := conn.Write(request) // how much was written tells more than the error
 	m.releaseRoom(ownsRoom)
 	if n < len(request) {
 		watch.stop()
-		return conn.notWritten(cancelCause(ctx, attempt.Until, time.Now()))
+		return conn.notWritten(cancelCause(ctx, attempt.ExpiresAt, time.Now()))
 	}
 	return t.receive(ctx, attempt, conn, watch)
 }
@@ -133,22 +133,22 @@
 // connect returns a connection on which an attempt may begin, and when that was found; or nil, and what the attempt
 // ended with. An attempt whose call is over by the time that its connection is up is never sent: a hedged request
 // may find that the first one has been answered, a retry that the window of its class is over.
-func (t *UpstreamTransport) connect(ctx context.Context, attempt *routing.Try,
+func (t *UpstreamTransport) connect(ctx context.Context, attempt *routing.Attempt,
 	m *requestMessage) (*upstreamConn, time.Time, balancer.Result) {
-	fair := time.Until(attempt.Until) >= fairConnectTime
-	conn, err := t.pool.get(ctx, attempt.Peer, attempt.Until)
-	stands := err != nil || attempt.Stands(time.Now())
+	fair := time.Until(attempt.ExpiresAt) >= fairConnectTime
+	conn, err := t.pool.get(ctx, attempt.Upstream, attempt.ExpiresAt)
+	stands := err != nil || attempt.StillValid(time.Now())
 	now := time.Now() // the decisions may have been waited for
-	cause := cancelCause(ctx, attempt.Until, now)
+	cause := cancelCause(ctx, attempt.ExpiresAt, now)
 	switch {
 	case err != nil && (ctx.Err() != nil || cause != nil && !fair || t.pool.logShortage(err, now)):
 		return nil, now, balancer.NotSent // the server has no part in it
 	case err != nil:
 		return nil, now, balancer.ConnectFailed
-	case cause != nil || !stands || !attempt.MayBegin(now) || m.clientLeft(attempt.Attempt, now):
+	case cause != nil || !stands || !attempt.MayStart(now) || m.clientLeft(attempt.Number, now):
 		t.pool.put(conn)
 		return nil, now, balancer.NotSent
-	case !attempt.Peer.OpenFor(now, t.config.Load().DrainGrace):
+	case !attempt.Upstream.MaySend(now, t.config.Load().DrainGrace):
 		conn.closeFor(reasonNotSent)
 		return nil, now, balancer.NotSent
 	}
@@ -156,29 +156,29 @@
 }
 
 // receive reads the response to an attempt, or the first part of a long one.
-func (t *UpstreamTransport) receive(ctx context.Context, attempt routing.Try, conn *upstreamConn,
-	watch cancelWatch) routing.TryResult {
+func (t *UpstreamTransport) receive(ctx context.Context, attempt routing.Attempt, conn *upstreamConn,
+	watch cancelWatch) routing.AttemptResult {
 	reader := t.readers.Get().(*bufio.Reader)
 	reader.Reset(conn)
-	r, err := readResponse(conn, reader, &t.buffers, attempt.Until)
+	r, err := readResponse(conn, reader, &t.buffers, attempt.ExpiresAt)
 	undisturbed := watch.stop()
-	result := protocol.ResultOf(r.status, r.values(protocol.HeaderRejected))
+	result := protocol.ClassifyResponse(r.status, r.values(protocol.HeaderRejected))
 	if err == nil && r.stream != nil && result == balancer.OK && undisturbed {
 		r.stream.transport = t
 		r.stream.closeAfter = r.closeAfter
 		streamed := &response{fields: r.endToEnd(), body: r.body, stream: r.stream}
-		return routing.TryResult{Result: balancer.OK, Reply: streamed}
+		return routing.AttemptResult{Result: balancer.OK, Reply: streamed}
 	}
 	surplus := reader.Buffered() > 0
 	reader.Reset(nil)
 	t.readers.Put(reader)
 	switch {
 	case err != nil:
-		cause := cancelCause(ctx, conn.responseDeadline(attempt.Until), time.Now())
-		return routing.TryResult{Result: conn.failureResult(err, cause)}
+		cause := cancelCause(ctx, conn.responseDeadline(attempt.ExpiresAt), time.Now())
+		return routing.AttemptResult{Result: conn.failureResult(err, cause)}
 	case r.stream != nil && result == balancer.OK:
 		conn.closeFor(reasonCalledOff)
-		return routing.TryResult{Result: balancer.Cancelled}
+		return routing.AttemptResult{Result: balancer.Cancelled}
 	case r.stream != nil: // nobody reads the rest of a failure
 		conn.closeFor(reasonOversize)
 	case surplus: // guards the next call: it may be taken for its response
@@ -193,9 +193,9 @@
 	p := &response{fields: r.endToEnd(), body: r.body, buf: r.buf}
 	if result != balancer.OK {
 		p.freeBuffer()
-		return routing.TryResult{Result: result}
+		return routing.AttemptResult{Result: result}
 	}
-	return routing.TryResult{Result: balancer.OK, Reply: p}
+	return routing.AttemptResult{Result: balancer.OK, Reply: p}
 }
 
 // putConn puts a connection back that carries nothing, unless its request is still being sent.
@@ -210,10 +210,10 @@
 
 // notWritten closes a connection on which the last byte of a request was never written, which proves that the
 // server never ran it. cause is why the attempt was given up; nil: it was not.
-func (c *upstreamConn) notWritten(cause error) routing.TryResult {
+func (c *upstreamConn) notWritten(cause error) routing.AttemptResult {
 	c.closeFor(cancelReason(cause, reasonReset))
 	if cause != nil {
-		return routing.TryResult{Result: balancer.NotSent}
+		return routing.AttemptResult{Result: balancer.NotSent}
 	}
-	return routing.TryResult{Result: balancer.ConnectFailed}
+	return routing.AttemptResult{Result: balancer.ConnectFailed}
 }
--- a/internal/transport/upstream_transport_test.go
+++ b/internal/transport/upstream_transport_test.go
@@ -23,10 +23,10 @@
 	for _, c := range []struct{ method, body string }{{"GET", ""}, {"POST", "book"}, {"POST", ""}, {"PUT", ""}} {
 		p, got := startScriptedServer(t, okResponse, "", okResponse)
 		k, _ := newTestTransport(time.Second)
-		if r := k.Try(t.Context(), newAttempt(p, c.method, c.body)); r.Result != balancer.OK {
+		if r := k.RoundTrip(t.Context(), newAttempt(p, c.method, c.body)); r.Result != balancer.OK {
 			t.Fatalf("%v: first try %d", c, r.Result)
 		}
-		if r := k.Try(t.Context(), newAttempt(p, c.method, c.body)); r.Result != balancer.Reset || len(got) != 2 {
+		if r := k.RoundTrip(t.Context(), newAttempt(p, c.method, c.body)); r.Result != balancer.Reset || len(got) != 2 {
 			t.Errorf("%v: result %d after %d requests on the wire, want a reset after 2", c, r.Result, len(got))
 		}
 	}
@@ -39,7 +39,7 @@
 		{"GET", "", ""}, {"POST", "\x00book\xff", "Content-Length: 6\r\n"}, {"POST", "", "Content-Length: 0\r\n"}} {
 		p, got := startScriptedServer(t, okResponse)
 		k, _ := newTestTransport(time.Second)
-		r := k.Try(t.Context(), newAttempt(p, c.method, c.body))
+		r := k.RoundTrip(t.Context(), newAttempt(p, c.method, c.body))
 		if r.Result != balancer.OK || string(r.Reply.(*response).body) != "hi" {
 			t.Errorf("%v: %+v", c, r)
 		}
@@ -99,7 +99,7 @@
 	} {
 		p, got := startScriptedServer(t, c.answer, okResponse)
 		k, _ := newTestTransport(time.Second)
-		r := k.Try(t.Context(), newAttempt(p, "POST", "book"))
+		r := k.RoundTrip(t.Context(), newAttempt(p, "POST", "book"))
 		if r.Result != c.want || len(got) != 1 || (r.Result == balancer.OK) != (r.Reply != nil) ||
 			r.Reply != nil && string(r.Reply.(*response).body) != "hi" {
 			t.Errorf("%s: result %d, %+v after %d requests, want %d after 1", name, r.Result, r.Reply, len(got), c.want)
@@ -117,15 +117,15 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	refusing := routing.NewPeer(1, "s-1", l.Addr().String())
+	refusing := routing.NewUpstream(1, "s-1", l.Addr().String())
 	silent := startServer(t, func(net.Conn) { <-t.Context().Done() })
 	for name, c := range map[string]struct {
-		peer    *routing.Peer
+		peer    *routing.Upstream
 		connect time.Duration
 		want    balancer.Result
 	}{"refused": {refusing, time.Second, balancer.ConnectFailed}, "late": {silent, 1, balancer.ConnectFailed}} {
 		k, _ := newTestTransport(c.connect)
-		if r := k.Try(t.Context(), newAttempt(c.peer, "POST", "book")); r.Result != c.want {
+		if r := k.RoundTrip(t.Context(), newAttempt(c.peer, "POST", "book")); r.Result != c.want {
 			t.Errorf("%s: result %d, want %d", name, r.Result, c.want)
 		}
 	}
@@ -145,14 +145,14 @@
 		k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Hour, ServerIdleTimeout: time.Minute, MaxConns: 10, Log: slog.New(slog.DiscardHandler),
 			Dial: func(ctx context.Context, _ string) (net.Conn, error) {
 				if c.calls {
-					callOff(routing.ErrCalledOff)
+					callOff(routing.ErrCancelled)
 				}
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}})
-		try := newAttempt(routing.NewPeer(1, "s-1", "a:1"), "POST", "book")
-		try.Until = time.Now().Add(c.left)
-		if r := k.Try(ctx, try); r.Result != c.result {
+		try := newAttempt(routing.NewUpstream(1, "s-1", "a:1"), "POST", "book")
+		try.ExpiresAt = time.Now().Add(c.left)
+		if r := k.RoundTrip(ctx, try); r.Result != c.result {
 			t.Errorf("%v left: result %d, want %d", c.left, r.Result, c.result)
 		}
 	}
@@ -165,7 +165,7 @@
 		cause  error
 		want   balancer.Result
 		reason string
-	}{{routing.ErrTimeUp, balancer.TimedOut, "try-timeout"}, {routing.ErrCalledOff, balancer.Cancelled, "called-off"}} {
+	}{{routing.ErrDeadlineExceeded, balancer.TimedOut, "try-timeout"}, {routing.ErrCancelled, balancer.Cancelled, "called-off"}} {
 		ctx, giveUp := context.WithCancelCause(t.Context())
 		p := startServer(t, func(conn net.Conn) {
 			if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
@@ -174,11 +174,11 @@
 			}
 		})
 		k, log := newTestTransport(time.Second)
-		if r := k.Try(ctx, newAttempt(p, "GET", "")); r.Result != c.want {
+		if r := k.RoundTrip(ctx, newAttempt(p, "GET", "")); r.Result != c.want {
 			t.Errorf("%v: result %d, want %d", c.cause, r.Result, c.want)
 		}
 		log.waitFor("side=peer", "reason="+c.reason)
-		if r := k.Try(ctx, newAttempt(p, "GET", "")); r.Result != balancer.NotSent {
+		if r := k.RoundTrip(ctx, newAttempt(p, "GET", "")); r.Result != balancer.NotSent {
 			t.Errorf("%v before it was sent: result %d", c.cause, r.Result)
 		}
 	}
@@ -190,7 +190,7 @@
 	for whole, want := range map[bool]balancer.Result{false: balancer.ConnectFailed, true: balancer.Reset} {
 		near, far := net.Pipe() // which takes a byte only as it is read
 		k, l := newTestTransport(time.Second)
-		p := routing.NewPeer(1, "", "")
+		p := routing.NewUpstream(1, "", "")
 		k.pool.put(&upstreamConn{Conn: pipeConn{near}, peer: p, log: newConnLog(l.logger(), "peer", "", k.pool.releaseConn)})
 		go func() {
 			if whole {
@@ -200,7 +200,7 @@
 			}
 			far.Close()
 		}()
-		if r := k.Try(t.Context(), newAttempt(p, "GET", "")); r.Result != want {
+		if r := k.RoundTrip(t.Context(), newAttempt(p, "GET", "")); r.Result != want {
 			t.Errorf("written whole: %v: result %d, want %d", whole, r.Result, want)
 		}
 	}
@@ -211,11 +211,11 @@
 	p, _ := startScriptedServer(t, okResponse)
 	k, log := newTestTransport(time.Second)
 	k.Configure(UpstreamConfig{ConnectTimeout: 1, ServerIdleTimeout: time.Minute, MaxConns: 1, Log: log.logger()})
-	if r := k.Try(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.ConnectFailed {
+	if r := k.RoundTrip(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.ConnectFailed {
 		t.Errorf("result %d with no time to connect", r.Result)
 	}
 	k.Configure(UpstreamConfig{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, MaxConns: 0, Log: log.logger()})
-	if r := k.Try(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.NotSent {
+	if r := k.RoundTrip(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.NotSent {
 		t.Errorf("result %d with no connection allowed", r.Result)
 	}
 }
@@ -229,9 +229,9 @@
 	})
 	k, _ := newTestTransport(time.Second)
 	try := newAttempt(p, "GET", "")
-	try.Over = new(atomic.Bool)
-	try.Over.Store(true)
-	if r := k.Try(t.Context(), try); r.Result != balancer.NotSent {
+	try.CallDone = new(atomic.Bool)
+	try.CallDone.Store(true)
+	if r := k.RoundTrip(t.Context(), try); r.Result != balancer.NotSent {
 		t.Errorf("result %d", r.Result)
 	}
 	k.Close()
@@ -245,9 +245,9 @@
 		n, _ := io.Copy(io.Discard, conn)
 		read <- n
 	})
-	p.Mark(false, time.Now().Add(-time.Hour))
+	p.SetAccepting(false, time.Now().Add(-time.Hour))
 	k, log := newTestTransport(time.Second)
-	if r := k.Try(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.NotSent {
+	if r := k.RoundTrip(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.NotSent {
 		t.Errorf("result %d", r.Result)
 	}
 	if n := <-read; n != 0 {
@@ -260,13 +260,13 @@
 func TestUpstreamTransportClose(t *testing.T) {
 	p, _ := startScriptedServer(t, okResponse, okResponse)
 	k, _ := newTestTransport(time.Second)
-	k.Try(t.Context(), newAttempt(p, "GET", ""))
+	k.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
 	c := k.pool.take(p)
 	k.Close()
 	if k.pool.put(c); k.Conns() != 0 {
 		t.Errorf("%d connections are left", k.Conns())
 	}
-	if r := k.Try(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.NotSent {
+	if r := k.RoundTrip(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.NotSent {
 		t.Errorf("result %d", r.Result)
 	}
 }
@@ -275,7 +275,7 @@
 	for answer, want := range map[string]balancer.Result{okResponse: balancer.OK, "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n": balancer.Errored} {
 		p, got := startScriptedServer(t, answer)
 		k, _ := newTestTransport(time.Second)
-		if r := k.Probe(t.Context(), p); r != want {
+		if r := k.CheckHealth(t.Context(), p); r != want {
 			t.Errorf("result %d, want %d", r, want)
 		}
 		if wire := <-got; !strings.HasPrefix(wire, "GET /health/live HTTP/1.1\r\n") {
