--- a/internal/transport/frontend_helpers_test.go
+++ b/internal/transport/frontend_helpers_test.go
@@ -18,7 +18,7 @@
 // handlerFunc is a CallHandler that is ready.
 type handlerFunc func(ctx context.Context, c routing.Call) (routing.Answer, bool)
 
-// Take implements CallHandler.
+// Handle implements CallHandler.
 func (f handlerFunc) Handle(ctx context.Context, c routing.Call) (routing.Answer, bool) {
 	return f(ctx, c)
 }
--- a/internal/transport/response.go
+++ b/internal/transport/response.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Drop implements routing.Dropper: nobody takes the response.
-func (p *response) Drop() {
+// Release implements routing.Releaser: nobody takes the response.
+func (p *response) Release() {
 	if p.stream != nil {
 		p.stream.finish(reasonCalledOff)
 	}
--- a/internal/transport/upstream_conn.go
+++ b/internal/transport/upstream_conn.go
@@ -135,8 +135,8 @@
 
 // attemptContext is an attempt's context, which needs no goroutine to tell its end.
 type attemptContext interface {
-	// OnEnd has i interrupted when the context ends; nil: nobody any more. It reports whether the context goes on.
-	OnEnd(i routing.Interrupter) (goesOn bool)
+	// InterruptOnDone has i interrupted when the context ends; nil: nobody any more. It reports whether the context goes on.
+	InterruptOnDone(i routing.Interrupter) (goesOn bool)
 }
 
 // watchCancel has a connection interrupted when a context ends, until the watch is stopped.
@@ -145,7 +145,7 @@
 	if !ok {
 		return cancelWatch{stopAfterFunc: context.AfterFunc(ctx, c.Interrupt)}
 	}
-	if !attempt.OnEnd(c) { // it ended just before
+	if !attempt.InterruptOnDone(c) { // it ended just before
 		c.Interrupt()
 	}
 	return cancelWatch{attempt: attempt}
@@ -154,7 +154,7 @@
 // stop ends the watch, and reports whether the context had not ended. Nothing is interrupted any more then.
 func (w cancelWatch) stop() (undisturbed bool) {
 	if w.attempt != nil {
-		return w.attempt.OnEnd(nil)
+		return w.attempt.InterruptOnDone(nil)
 	}
 	return w.stopAfterFunc()
 }
--- a/internal/transport/upstream_transport.go
+++ b/internal/transport/upstream_transport.go
@@ -42,7 +42,7 @@
 }
 
 // UpstreamTransport sends attempts and health checks to servers over pooled connections. It implements
-// routing.Carrier, and its methods may be called from any goroutine.
+// routing.Transport, and its methods may be called from any goroutine.
 type UpstreamTransport struct {
 	config atomic.Pointer[UpstreamConfig]
 	pool   *upstreamPool
@@ -80,7 +80,7 @@
 // Conns counts the connections to servers, those being opened included.
 func (t *UpstreamTransport) Conns() int { return t.pool.count() }
 
-// Try implements routing.Carrier. It blocks until the attempt has ended, or the first part of a long response is
+// RoundTrip implements routing.Transport. It blocks until the attempt has ended, or the first part of a long response is
 // there.
 func (t *UpstreamTransport) RoundTrip(ctx context.Context, attempt routing.Attempt) routing.AttemptResult {
 	m, ok := attempt.Payload.(*requestMessage)
@@ -91,7 +91,7 @@
 	return t.exchange(ctx, attempt, m, true)
 }
 
-// Probe implements routing.Carrier. It blocks until the health check has ended.
+// CheckHealth implements routing.Transport. It blocks until the health check has ended.
 func (t *UpstreamTransport) CheckHealth(ctx context.Context, p *routing.Upstream) balancer.Result {
 	timeout := probeConnectTimeouts * t.config.Load().ConnectTimeout
 	attempt := routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(timeout)}
