--- /dev/null
+++ b/internal/routing/counters.go
@@ -0,0 +1,114 @@
+package routing
+
+import (
+	"fmt"
+	"strings"
+	"sync/atomic"
+
+	"olivebridge/balancer"
+)
+
+// Counters count what a node receives, sends and answers. They are safe for concurrent use.
+type Counters struct {
+	// Received counts the calls; each ends as one of the next six.
+	Received         atomic.Int64
+	Served           atomic.Int64
+	Rejected         atomic.Int64
+	Failed           atomic.Int64
+	DeadlineExceeded atomic.Int64
+	Duplicates       atomic.Int64
+	Disconnected     atomic.Int64
+
+	// These should stay 0.
+	QueueFull       atomic.Int64
+	WatchdogAnswers atomic.Int64
+	Panics          atomic.Int64
+
+	Attempts       atomic.Int64
+	Cancelled      atomic.Int64
+	AttemptResults [balancer.NotSent + 1]atomic.Int64 // by balancer.Result
+
+	// These are calls and attempts for which an AdmissionControl had nothing left.
+	RejectedByFleetQuota   atomic.Int64
+	RetriesOverFleetBudget atomic.Int64
+	WarmUpOverFleetBudget  atomic.Int64
+
+	HealthChecks       atomic.Int64
+	HealthChecksFailed atomic.Int64
+	EndpointLists      atomic.Int64
+	WatchFailures      atomic.Int64
+}
+
+// attemptResultNames are the names of balancer.Result in the counters' line.
+var attemptResultNames = [balancer.NotSent + 1]string{
+	balancer.OK:            "ok",
+	balancer.Errored:       "errored",
+	balancer.Rejected:      "turned_away",
+	balancer.TimedOut:      "timed_out",
+	balancer.ConnectFailed: "connect_failed",
+	balancer.Reset:         "reset",
+	balancer.Cancelled:     "called_off",
+	balancer.NotSent:       "moot",
+}
+
+// countEnd counts the end of a call. Without an answer its client has disconnected.
+func (c *Counters) countEnd(answer Answer, answered bool) {
+	if !answered {
+		c.Disconnected.Add(1)
+		return
+	}
+	c.ofVerdict(answer.Verdict).Add(1)
+}
+
+func (c *Counters) ofVerdict(v Verdict) *atomic.Int64 {
+	byVerdict := [...]*atomic.Int64{
+		Served:           &c.Served,
+		Rejected:         &c.Rejected,
+		Failed:           &c.Failed,
+		DeadlineExceeded: &c.DeadlineExceeded,
+		Duplicate:        &c.Duplicates,
+	}
+	return byVerdict[v]
+}
+
+// countResult counts the end of an attempt.
+func (c *Counters) countResult(result balancer.Result) {
+	if int(result) < len(c.AttemptResults) {
+		c.AttemptResults[result].Add(1)
+	}
+}
+
+// String writes the counters as name=value on one line.
+func (c *Counters) String() string {
+	var line strings.Builder
+	add := func(name string, counter *atomic.Int64) { fmt.Fprintf(&line, " %s=%d", name, counter.Load()) }
+	add("taken", &c.Received)
+	add("served", &c.Served)
+	add("reject", &c.Rejected)
+	add("failed", &c.Failed)
+	add("overdue", &c.DeadlineExceeded)
+	add("twice", &c.Duplicates)
+	add("hung_up", &c.Disconnected)
+	add("queue_full", &c.QueueFull)
+	add("guard_answers", &c.WatchdogAnswers)
+	add("panics", &c.Panics)
+	add("tries", &c.Attempts)
+	add("called_off", &c.Cancelled)
+	for result, name := range attemptResultNames {
+		add("try_"+name, &c.AttemptResults[result])
+	}
+	if c.overFleetBudget() > 0 { // nodes without fleet budgets do not mention them
+		add("over_budget", &c.RejectedByFleetQuota)
+		add("over_retries", &c.RetriesOverFleetBudget)
+		add("over_cold", &c.WarmUpOverFleetBudget)
+	}
+	add("probes", &c.HealthChecks)
+	add("probes_failed", &c.HealthChecksFailed)
+	add("lists", &c.EndpointLists)
+	add("watch_failures", &c.WatchFailures)
+	return strings.TrimSpace(line.String())
+}
+
+func (c *Counters) overFleetBudget() int64 {
+	return c.RejectedByFleetQuota.Load() + c.RetriesOverFleetBudget.Load() + c.WarmUpOverFleetBudget.Load()
+}
--- /dev/null
+++ b/internal/routing/dedup_window_test.go
@@ -0,0 +1,66 @@
+package routing
+
+import (
+	"context"
+	"log/slog"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"olivebridge/balancer"
+)
+
+// settingsWithDedupWindow have a class whose calls carry an idempotency key, which servers remember for window.
+func settingsWithDedupWindow(window time.Duration) balancer.Settings {
+	settings := testSettings()
+	class := &settings.Classes[safe]
+	class.Idempotency = balancer.IdempotencyKeyed
+	class.DedupScope = balancer.DedupFleet
+	class.DedupWindow = window
+	return settings
+}
+
+// TestDedupWindowAcrossReload: a retry must start within the window that its call's class had as the call came,
+// whatever a reload while the first attempt was in flight has made of it, and within a shorter one of the reload's.
+func TestDedupWindowAcrossReload(t *testing.T) {
+	for _, c := range []struct{ before, after, want time.Duration }{
+		{time.Second, time.Second, time.Second},
+		{time.Second, time.Minute, time.Second},
+		{time.Minute, time.Second, time.Second},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			first, retry := make(chan bool), make(chan time.Time, 1)
+			transport := func(_ context.Context, attempt Attempt) AttemptResult {
+				if attempt.Number > 0 {
+					retry <- attempt.StartBefore
+					return AttemptResult{Result: balancer.OK}
+				}
+				first <- true
+				<-first
+				return AttemptResult{Result: balancer.Errored}
+			}
+			r := New(Config{
+				Settings:         settingsWithDedupWindow(c.before),
+				Seed:             1,
+				InitialEndpoints: listed(7, 8),
+				Transport:        transportFunc(transport),
+				Watcher:          silentWatcher{},
+				Log:              slog.New(slog.DiscardHandler),
+			})
+			ctx, stop := context.WithCancel(t.Context())
+			go r.Run(ctx)
+			begun := time.Now()
+			go r.Handle(ctx, newCall(safe, 10*time.Second))
+			<-first
+			r.UpdateSettings(settingsWithDedupWindow(c.after))
+			synctest.Wait()
+			first <- true
+			startBefore := <-retry
+			if window := startBefore.Sub(begun); window != c.want {
+				t.Errorf("%v, then %v: it must start within %v, want %v", c.before, c.after, window, c.want)
+			}
+			stop()
+			synctest.Wait()
+		})
+	}
+}
--- /dev/null
+++ b/internal/routing/respond.go
@@ -0,0 +1,97 @@
+package routing
+
+import (
+	"time"
+
+	"olivebridge/balancer"
+)
+
+// outcomeEvent is the fifth stage: an attempt has ended.
+type outcomeEvent struct{ attempt *runningAttempt }
+
+func (e outcomeEvent) requestID() balancer.RequestID { return e.attempt.RequestID }
+
+// handle answers the call before the Balancer hears of the outcome, so that the Balancer knows whether the call is
+// done.
+func (e outcomeEvent) handle(r *Router) {
+	attempt := e.attempt
+	call := r.calls.byID[attempt.RequestID]
+	if call == nil || attempt.finished {
+		return
+	}
+	attempt.finished = true
+	call.inFlight--
+	outcome := balancer.Outcome{
+		ID:      attempt.RequestID,
+		Attempt: attempt.Number,
+		Latency: attempt.latency,
+		Result:  attempt.result.Result,
+	}
+	if attempt.Upstream != nil {
+		outcome.Server = attempt.Upstream.ID
+		r.subset.observe(attempt.Upstream, outcome.Result, false)
+	}
+	r.counters.countResult(outcome.Result)
+	if outcome.Result == balancer.OK {
+		r.respond(call, Answer{Verdict: Served, Reply: attempt.result.Reply})
+	}
+	outcome.RequestDone = call.answered
+	defer r.calls.removeIfDone(call)
+	r.balancer.HandleOutcome(r.now(), outcome)
+}
+
+// respond gives a call its one answer. Outcome, disconnect and deadline may race: only the first counts.
+func (r *Router) respond(call *openCall, answer Answer) {
+	if call.answered {
+		releaseReply(answer.Reply)
+		return
+	}
+	call.finish()
+	call.deliver(answer)
+}
+
+// Reject implements balancer.Host. The answer leaves at once.
+func (r *Router) Reject(id balancer.RequestID, retryAfter time.Duration) {
+	r.end(id, Answer{Verdict: Rejected, RetryAfter: retryAfter})
+}
+
+// Fail implements balancer.Host. The answer leaves at once.
+func (r *Router) Fail(id balancer.RequestID) {
+	call := r.calls.byID[id]
+	if call == nil {
+		return
+	}
+	verdict := Failed
+	if r.now() >= call.deadline {
+		verdict = DeadlineExceeded
+	}
+	r.end(id, Answer{Verdict: verdict})
+}
+
+// end answers an open call without a reply.
+func (r *Router) end(id balancer.RequestID, answer Answer) {
+	call := r.calls.byID[id]
+	if call == nil {
+		return
+	}
+	r.respond(call, answer)
+	r.calls.removeIfDone(call)
+}
+
+// disconnectEvent tells that nobody waits for a call's answer any more.
+type disconnectEvent struct{ call *openCall }
+
+func (e disconnectEvent) requestID() balancer.RequestID { return e.call.id }
+
+func (e disconnectEvent) handle(r *Router) {
+	call := e.call
+	if call.answered { // the answer was on its way
+		releaseReply(call.answer.Reply)
+	}
+	if r.calls.byID[call.id] != call {
+		return
+	}
+	call.finish()
+	defer r.calls.removeIfDone(call)
+	r.balancer.HandleDisconnect(r.now(), call.id)
+}
--- /dev/null
+++ b/internal/routing/respond_test.go
@@ -0,0 +1,126 @@
+package routing
+
+import (
+	"context"
+	"sync"
+	"testing"
+	"time"
+
+	"olivebridge/balancer"
+)
+
+// resultsInOrder answers the first attempt with one result and all further ones with another.
+func resultsInOrder(first, later balancer.Result) transportFunc {
+	var mu sync.Mutex
+	attempts := 0
+	return func(context.Context, Attempt) AttemptResult {
+		mu.Lock()
+		defer mu.Unlock()
+		attempts++
+		if attempts == 1 {
+			return AttemptResult{Result: first, Reply: "reply"}
+		}
+		return AttemptResult{Result: later, Reply: "reply"}
+	}
+}
+
+func TestAnswers(t *testing.T) {
+	panics := func(context.Context, Attempt) AttemptResult { panic("transport") }
+	refused := resultsInOrder(balancer.ConnectFailed, balancer.ConnectFailed)
+	two := []balancer.ServerID{7, 8}
+	for name, c := range map[string]struct {
+		class     int
+		transport transportFunc
+		servers   []balancer.ServerID
+		want      Verdict
+		attempts  int64
+	}{
+		"served":                    {safe, resultsInOrder(balancer.OK, 0), two, Served, 1},
+		"no server":                 {unsafe, nil, nil, Rejected, 0},
+		"safe after an error":       {safe, resultsInOrder(balancer.Errored, balancer.OK), two, Served, 2},
+		"unsafe after an error":     {unsafe, resultsInOrder(balancer.Errored, balancer.OK), two, Failed, 1},
+		"unsafe after a reset":      {unsafe, resultsInOrder(balancer.Reset, balancer.OK), two, Failed, 1},
+		"unsafe rejected":           {unsafe, resultsInOrder(balancer.Rejected, balancer.OK), two, Served, 2},
+		"unsafe not connected":      {unsafe, resultsInOrder(balancer.ConnectFailed, balancer.OK), two, Served, 2},
+		"unsafe, connected nowhere": {unsafe, refused, two, Rejected, 2},
+		"a transport that panics":   {unsafe, panics, []balancer.ServerID{7}, Failed, 1},
+		"no such class":             {9, nil, []balancer.ServerID{7}, Failed, 0},
+	} {
+		r := startRouter(t, c.transport, listed(c.servers...))
+		answer, ok := r.Handle(t.Context(), newCall(c.class, time.Minute))
+		attempts := r.counters.Attempts.Load()
+		if !ok || answer.Verdict != c.want || attempts != c.attempts ||
+			(answer.Reply == "reply") != (c.want == Served) || (answer.RetryAfter > 0) != (c.want == Rejected) {
+			t.Errorf("%s: %+v, %v after %d attempts, want %v after %d", name, answer, ok, attempts, c.want, c.attempts)
+		}
+	}
+}
+
+// TestAttemptPastItsDeadline: a server that says nothing costs the call its time, no more, and the attempt ends with
+// the cause that tells the transport why.
+func TestAttemptPastItsDeadline(t *testing.T) {
+	cause := make(chan error, 1)
+	r := startRouter(t, func(ctx context.Context, attempt Attempt) AttemptResult {
+		ctx, stop := context.WithDeadlineCause(ctx, attempt.ExpiresAt, ErrDeadlineExceeded)
+		defer stop()
+		<-ctx.Done()
+		cause <- context.Cause(ctx)
+		return AttemptResult{Result: balancer.TimedOut}
+	}, listed(7))
+	call := newCall(unsafe, 100*time.Millisecond)
+	answer, ok := r.Handle(t.Context(), call)
+	elapsed := time.Since(call.ReceivedAt)
+	if !ok || answer.Verdict != DeadlineExceeded || elapsed < 90*time.Millisecond {
+		t.Errorf("%+v, %v after %v", answer, ok, elapsed)
+	}
+	if err := <-cause; !sameError(err, ErrDeadlineExceeded) {
+		t.Error(err)
+	}
+}
+
+// TestDisconnectCancelsAttempt: when the client disconnects, its attempt is cancelled.
+func TestDisconnectCancelsAttempt(t *testing.T) {
+	ctx, disconnect := context.WithCancel(t.Context())
+	cause := make(chan error, 1)
+	r := startRouter(t, func(ctx context.Context, _ Attempt) AttemptResult {
+		disconnect()
+		<-ctx.Done()
+		cause <- context.Cause(ctx)
+		return AttemptResult{Result: balancer.Cancelled}
+	}, listed(7))
+	if _, ok := r.Handle(ctx, newCall(safe, time.Minute)); ok {
+		t.Error("a disconnected client was answered")
+	}
+	if err := <-cause; !sameError(err, ErrCancelled) {
+		t.Error(err)
+	}
+}
+
+// TestOutcomeDisconnectAndDeadlineRace: every call ends once, and the table is empty afterwards.
+func TestOutcomeDisconnectAndDeadlineRace(t *testing.T) {
+	r := startRouter(t, func(_ context.Context, attempt Attempt) AttemptResult {
+		attempt.Payload.(context.CancelFunc)()
+		return AttemptResult{Result: balancer.OK}
+	}, listed(7, 8, 9))
+	var all sync.WaitGroup
+	const calls = 300
+	for i := range calls {
+		all.Go(func() {
+			ctx, disconnect := context.WithCancel(context.Background())
+			defer disconnect()
+			call := newCall(i%2, time.Duration(1+i%30)*time.Millisecond)
+			call.Payload = disconnect
+			r.Handle(ctx, call)
+		})
+	}
+	all.Wait()
+	c := r.counters
+	ends := c.Served.Load() + c.Rejected.Load() + c.Failed.Load() + c.DeadlineExceeded.Load() + c.Disconnected.Load()
+	if ends != calls {
+		t.Errorf("%d ends of %d calls: %v", ends, calls, c)
+	}
+	open := make(chan int, 1)
+	for left := 1; left > 0; left = <-open { // attempts in flight come back by the transport's end
+		r.post(inspectEvent(func(r *Router) { open <- len(r.calls.byID) }))
+	}
+}
--- /dev/null
+++ b/internal/routing/router_test.go
@@ -0,0 +1,105 @@
+package routing
+
+import (
+	"bytes"
+	"context"
+	"log/slog"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"olivebridge/balancer"
+	"olivebridge/internal/maintenance"
+)
+
+// TestInvalidChangesAreRefused: what the decisions cannot do is returned or logged, and changes nothing.
+func TestInvalidChangesAreRefused(t *testing.T) {
+	r := newRouter(nil, listed(7))
+	r.maintenance = maintenance.New()
+	var logged bytes.Buffer
+	r.log = slog.New(slog.NewTextHandler(&logged, nil))
+	ctx, stop := context.WithCancel(t.Context())
+	ended := make(chan error)
+	go func() { ended <- r.Run(ctx) }()
+	if err := r.Suspend("nobody"); err == nil || err.Error() != `no list has ever named server "nobody"` {
+		t.Error(err)
+	}
+	r.AddKnownServer("elsewhere") // listed in the node's other process, not here
+	if err := r.Suspend("elsewhere"); err != nil {
+		t.Error(err)
+	}
+	r.UpdateSettings(balancer.Settings{}) // which have no classes
+	classes := make(chan int)
+	r.post(inspectEvent(func(r *Router) {
+		r.CheckHealth(99) // which no list has named
+		r.abandon(99)
+		classes <- len(r.settings.Classes)
+	}))
+	if n := <-classes; n != 2 {
+		t.Errorf("%d classes", n)
+	}
+	stop()
+	<-ended
+	if !strings.Contains(logged.String(), "settings not taken") {
+		t.Error(logged.String())
+	}
+	r = newRouter(nil, listed())
+	r.settings = balancer.Settings{}
+	if err := r.Run(t.Context()); err == nil {
+		t.Error("decisions without a class")
+	}
+	if DeadlineExceeded.String() != "overdue" {
+		t.Error(DeadlineExceeded)
+	}
+}
+
+// TestShutdownLeavesNothing: once Run returns, nothing that it started is left, and no call waits.
+func TestShutdownLeavesNothing(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var attemptEnded atomic.Bool
+		r := newRouter(func(ctx context.Context, _ Attempt) AttemptResult {
+			<-ctx.Done()
+			time.Sleep(time.Millisecond)
+			attemptEnded.Store(true)
+			return AttemptResult{Result: balancer.Cancelled}
+		}, listed(7))
+		ctx, stop := context.WithCancel(t.Context())
+		ended := make(chan error)
+		go func() { ended <- r.Run(ctx) }()
+		answered := make(chan bool)
+		go func() {
+			_, ok := r.Handle(t.Context(), newCall(safe, time.Minute))
+			answered <- ok
+		}()
+		synctest.Wait()
+		want := Snapshot{
+			Calls:            1,
+			ClientRequestIDs: 1,
+			AttemptsInFlight: 1,
+			Upstreams:        1,
+			Timers:           1,
+			WatchRunning:     true,
+		}
+		if snapshot, err := r.Snapshot(t.Context()); err != nil || snapshot != want {
+			t.Errorf("%+v, %v", snapshot, err)
+		}
+		stopped := time.Now()
+		stop()
+		if ok := <-answered; ok || time.Since(stopped) > 0 {
+			t.Errorf("answered: %v, after %v", ok, time.Since(stopped))
+		}
+		if err := <-ended; err != nil || !attemptEnded.Load() {
+			t.Errorf("%v, or an attempt is left behind", err)
+		}
+		for e := range r.timers {
+			if e.timer.Stop() {
+				t.Error("a timer is left")
+			}
+		}
+		if _, err := r.Snapshot(t.Context()); err == nil {
+			t.Error("decisions that have ended give a snapshot")
+		}
+	})
+}
--- /dev/null
+++ b/internal/routing/subset_test.go
@@ -0,0 +1,73 @@
+package routing
+
+import (
+	"slices"
+	"testing"
+
+	"olivebridge/balancer"
+)
+
+// recordingSelector records the lists that it is told of.
+type recordingSelector struct{ lists [][]balancer.Server }
+
+func (s *recordingSelector) EndpointsChanged(ready []balancer.Server) {
+	s.lists = append(s.lists, ready)
+}
+func (s *recordingSelector) Subscribe(func(Subset)) {}
+
+func (s *recordingSelector) ObserveResult(balancer.ServerID, balancer.Time, balancer.Result, bool) {}
+
+func readyServers(ids ...balancer.ServerID) []balancer.Server {
+	var servers []balancer.Server
+	for _, id := range ids {
+		servers = append(servers, balancer.Server{ID: id, State: balancer.Ready, Weight: 1})
+	}
+	return servers
+}
+
+func suspendedIDs(servers []balancer.Server) []balancer.ServerID {
+	var ids []balancer.ServerID
+	for _, server := range servers {
+		if server.Suspended {
+			ids = append(ids, server.ID)
+		}
+	}
+	return ids
+}
+
+// TestSubsetSuspendsOtherServers: servers outside the subset are shown as suspended, as lists and subsets come; the
+// selector is told of those alone that accept new work.
+func TestSubsetSuspendsOtherServers(t *testing.T) {
+	selector := &recordingSelector{}
+	subset := subsetState{selector: selector}
+	got := subset.apply(balancer.UpdateCached, readyServers(1, 2, 3))
+	if len(got) != 3 || len(suspendedIDs(got)) != 0 {
+		t.Errorf("without a subset: %+v", got)
+	}
+	subset.current.Included = map[balancer.ServerID]bool{1: true}
+	got = subset.apply(balancer.UpdateFull, readyServers(1, 2, 3))
+	if ids := suspendedIDs(got); !slices.Equal(ids, []balancer.ServerID{2, 3}) {
+		t.Errorf("a full list: %v are suspended", ids)
+	}
+	draining := balancer.Server{ID: 2, State: balancer.Draining}
+	got = subset.apply(balancer.UpdateDelta, append([]balancer.Server{draining}, readyServers(4)...))
+	if got[0].State != balancer.Draining || !slices.Equal(suspendedIDs(got), []balancer.ServerID{2, 4}) {
+		t.Errorf("changes: %+v", got)
+	}
+	subset.apply(balancer.UpdateDelta, []balancer.Server{{ID: 3, State: balancer.Removed}})
+	last := selector.lists[len(selector.lists)-1]
+	slices.SortFunc(last, func(a, b balancer.Server) int { return int(a.ID) - int(b.ID) })
+	if !slices.Equal(last, readyServers(1, 4)) {
+		t.Errorf("the selector was told of %+v", last)
+	}
+	none := subsetState{}
+	if got := none.apply(balancer.UpdateFull, readyServers(1)); !slices.Equal(got, readyServers(1)) {
+		t.Errorf("without a selector: %+v", got)
+	}
+	for zones, want := range map[int]int{0: 2, 1: 1, 2: 2, 3: 2} {
+		subset.current.ActiveZones = zones
+		if got := subset.settings(balancer.Settings{Zones: 2}).Zones; got != want {
+			t.Errorf("nodes work in %d zones of 2: the Balancer is told of %d", zones, got)
+		}
+	}
+}
--- /dev/null
+++ b/internal/routing/suspend_test.go
@@ -0,0 +1,57 @@
+package routing
+
+import (
+	"context"
+	"log/slog"
+	"testing"
+	"time"
+
+	"olivebridge/balancer"
+	"olivebridge/internal/maintenance"
+)
+
+// TestSuspendWhileAttemptWaits: an attempt that waits for its connection as operators suspend its server must not
+// leave, though it was started before. The grace of the drain rule does not count here.
+func TestSuspendWhileAttemptWaits(t *testing.T) {
+	waiting, connected := make(chan *Upstream), make(chan bool)
+	initial := listed(7)
+	initial.Endpoints[0].Name = "s-7"
+	transport := func(_ context.Context, attempt Attempt) AttemptResult {
+		waiting <- attempt.Upstream
+		<-connected
+		if !attempt.Upstream.MaySend(time.Now(), time.Hour) {
+			return AttemptResult{Result: balancer.NotSent}
+		}
+		return AttemptResult{Result: balancer.OK}
+	}
+	r := New(Config{
+		Settings:         testSettings(),
+		Seed:             1,
+		InitialEndpoints: initial,
+		Transport:        transportFunc(transport),
+		Watcher:          silentWatcher{},
+		Maintenance:      maintenance.New(),
+		Log:              slog.New(slog.DiscardHandler),
+	})
+	ctx, stop := context.WithCancel(t.Context())
+	ended := make(chan error)
+	go func() { ended <- r.Run(ctx) }()
+	answers := make(chan Answer)
+	go func() {
+		call := Call{ClientRequestID: "9b", Class: unsafe, ReceivedAt: time.Now(), Timeout: 10 * time.Second}
+		answer, _ := r.Handle(t.Context(), call)
+		answers <- answer
+	}()
+	<-waiting
+	if err := r.Suspend("s-7"); err != nil {
+		t.Fatal(err)
+	}
+	connected <- true
+	if answer := <-answers; answer.Verdict != Rejected {
+		t.Errorf("%v: the attempt left for a suspended server", answer.Verdict)
+	}
+	stop()
+	if err := <-ended; err != nil {
+		t.Error(err)
+	}
+}
