--- a/cmd/drill/main_test.go
+++ b/cmd/drill/adapter_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"slices"
 	"strings"
 	"testing"
 )
@@ -78,10 +79,11 @@
 	return all
 }
 
+// TestConversation: each batch gets one reply, and instances start, decide and stop apart from each other.
 func TestConversation(t *testing.T) {
 	list := append(make([]byte, 10), 10, 0, 0, 1, 80, 0, 0, 0, 0x80, 0x3f, 1, 0, 0)
 	text := []byte(sample)
-	tail := append(text, list...)
+	tail := slices.Concat(text, list)
 	view := record(17, 1, []byte{2}, u32(1, uint32(len(text)), 1))
 	in := bytes.Join([][]byte{
 		batch(1, 1e9, nil),
@@ -100,7 +102,8 @@
 	}
 }
 
-func TestBadSettingsGiveIn(t *testing.T) {
+// TestBadSettingsAreAFault: settings that cannot be used are the fault of their instance, not of the process.
+func TestBadSettingsAreAFault(t *testing.T) {
 	bad := strings.Replace(sample, "contract.fall", "contract.fell", 1)
 	in := append(batch(1, 1, []byte(bad), begin(4, bad)), batch(2, 2, nil, request(4, 1))...)
 	var out bytes.Buffer
@@ -112,13 +115,14 @@
 	}
 }
 
-func TestPanicBecomesGiveIn(t *testing.T) {
-	h := &hosts{instances: map[uint32]*instance{}}
-	if err := h.guard(9, func() error { panic("index out of range") }); err != nil {
+// TestPanicIsAFault: a panic in one instance is reported as its fault, and ends no other.
+func TestPanicIsAFault(t *testing.T) {
+	a := newAdapter()
+	if err := a.guard(9, func() error { panic("index out of range") }); err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	if err := h.reply.Write(&out, 1); err != nil {
+	if err := a.reply.Write(&out, 1); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Contains(out.Bytes(), []byte("index out of range")) || codes(t, out.Bytes())[0][0] != 23 {
@@ -126,6 +130,7 @@
 	}
 }
 
+// TestMalformedInputIsAnError: input that breaks the wire's form is one clear error that names the batch.
 func TestMalformedInputIsAnError(t *testing.T) {
 	for name, in := range map[string][]byte{
 		"unknown instance":   batch(1, 1, nil, request(3, 1)),
--- a/cmd/olivefleet/main.go
+++ b/cmd/olivefleet/main.go
@@ -14,5 +14,5 @@
 	if os.Getenv(protocol.EnvFleet) == "" {
 		program.Fail(fmt.Errorf("variable %s is missing", protocol.EnvFleet))
 	}
-	program.Main(program.Options{Fleet: enter})
+	program.Main(program.Options{NewFleet: enter})
 }
--- a/internal/cost/cost.go
+++ b/internal/cost/cost.go
@@ -1,5 +1,5 @@
-// Package cost tells what a process has used up since its start, in one line: a node's log has it, and
-// the meter of the path reads it from there.
+// Package cost measures what a process has used since its start, in one line: a node logs it, and the benchmarks of the
+// request path read it from the log.
 package cost
 
 import (
@@ -8,52 +8,76 @@
 	"syscall"
 )
 
-// Used is what a process has used up.
+// Usage is what a process has used.
 type Usage struct {
-	Allocations    uint64 // objects on the heap, the smallest included
+	// Allocations counts objects on the heap, the smallest included.
+	Allocations uint64
+	// AllocatedBytes counts their bytes.
 	AllocatedBytes uint64
-	Collections    uint32 // of garbage
-	UserMicros     int64  // processor time of its own code, all threads
-	SystemMicros   int64  // processor time of the kernel on its behalf
+	// Collections counts the cycles of the garbage collector.
+	Collections uint32
+	// UserMicros is the processor time of the process's own code, of all threads, in microseconds.
+	UserMicros int64
+	// SystemMicros is the processor time of the kernel on its behalf, in microseconds.
+	SystemMicros int64
 }
 
-// form is the one form of the line.
-const form = "allocations=%d allocated_bytes=%d gc_cycles=%d user_us=%d system_us=%d"
+// lineFormat is the form of the line that String writes and Parse reads.
+const lineFormat = "allocations=%d allocated_bytes=%d gc_cycles=%d user_us=%d system_us=%d"
 
-// Now asks for this process. It stops the world for some ten microseconds, so that the counts are exact.
+const nanosPerMicro = 1000
+
+// Read returns the usage of this process. It stops the world for some ten microseconds, so that the counts are exact.
 func Read() Usage {
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	u := Usage{Allocations: m.Mallocs, AllocatedBytes: m.TotalAlloc, Collections: m.NumGC}
-	var r syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &r) == nil { // without it the times are 0
-		u.UserMicros, u.SystemMicros = r.Utime.Nano()/1e3, r.Stime.Nano()/1e3
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	usage := Usage{
+		Allocations:    memory.Mallocs,
+		AllocatedBytes: memory.TotalAlloc,
+		Collections:    memory.NumGC,
+	}
+	var times syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &times) == nil { // otherwise the times are 0
+		usage.UserMicros = times.Utime.Nano() / nanosPerMicro
+		usage.SystemMicros = times.Stime.Nano() / nanosPerMicro
 	}
-	return u
+	return usage
 }
 
+// String implements fmt.Stringer.
 func (u Usage) String() string {
-	return fmt.Sprintf(form, u.Allocations, u.AllocatedBytes, u.Collections, u.UserMicros, u.SystemMicros)
+	return fmt.Sprintf(lineFormat, u.Allocations, u.AllocatedBytes, u.Collections, u.UserMicros, u.SystemMicros)
 }
 
-// Parse reads what String wrote.
-func Parse(s string) (u Usage, err error) {
-	_, err = fmt.Sscanf(s, form, &u.Allocations, &u.AllocatedBytes, &u.Collections, &u.UserMicros,
-		&u.SystemMicros)
+// Parse parses what String wrote.
+func Parse(text string) (Usage, error) {
+	var u Usage
+	_, err := fmt.Sscanf(text, lineFormat,
+		&u.Allocations, &u.AllocatedBytes, &u.Collections, &u.UserMicros, &u.SystemMicros)
 	if err != nil {
-		return Usage{}, fmt.Errorf("cost %.80q: %w", s, err)
+		return Usage{}, fmt.Errorf("cost %.80q: %w", text, err)
 	}
 	return u, nil
 }
 
-// Since is what was used up after an earlier time.
-func (u Usage) Sub(old Usage) Usage {
-	return Usage{u.Allocations - old.Allocations, u.AllocatedBytes - old.AllocatedBytes,
-		u.Collections - old.Collections, u.UserMicros - old.UserMicros, u.SystemMicros - old.SystemMicros}
+// Sub returns what was used after an earlier reading.
+func (u Usage) Sub(earlier Usage) Usage {
+	return Usage{
+		Allocations:    u.Allocations - earlier.Allocations,
+		AllocatedBytes: u.AllocatedBytes - earlier.AllocatedBytes,
+		Collections:    u.Collections - earlier.Collections,
+		UserMicros:     u.UserMicros - earlier.UserMicros,
+		SystemMicros:   u.SystemMicros - earlier.SystemMicros,
+	}
 }
 
-// And adds what else was used up.
-func (u Usage) Add(more Usage) Usage {
-	return Usage{u.Allocations + more.Allocations, u.AllocatedBytes + more.AllocatedBytes,
-		u.Collections + more.Collections, u.UserMicros + more.UserMicros, u.SystemMicros + more.SystemMicros}
+// Add returns the sum of two usages.
+func (u Usage) Add(other Usage) Usage {
+	return Usage{
+		Allocations:    u.Allocations + other.Allocations,
+		AllocatedBytes: u.AllocatedBytes + other.AllocatedBytes,
+		Collections:    u.Collections + other.Collections,
+		UserMicros:     u.UserMicros + other.UserMicros,
+		SystemMicros:   u.SystemMicros + other.SystemMicros,
+	}
 }
--- a/internal/cost/cost_test.go
+++ b/internal/cost/cost_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-var kept [][]byte
+var allocated [][]byte // keeps the compiler from leaving the allocations out
 
-// TestNow: what is allocated shows, the smallest objects as well, and the line brings it over whole.
-func TestNow(t *testing.T) {
+// TestRead: every allocation is counted, of the smallest objects as well, and Parse reads what String writes.
+func TestRead(t *testing.T) {
 	before := Read()
 	const objects, size = 5000, 8
 	for range objects {
-		kept = append(kept, make([]byte, size))
+		allocated = append(allocated, make([]byte, size))
 	}
 	after, err := Parse(Read().String())
 	if err != nil {
--- a/internal/lab/path/count_allocations.go
+++ b/internal/lab/path/count_allocations.go
@@ -17,7 +17,7 @@
 const (
 	profileTag      = "meter"
 	profileVariable = "OLIVEBRIDGE_ALLOCATIONS"
-	profileWriter   = module + "internal/program.writeProfile"
+	profileWriter   = module + "internal/program.writeAllocationProfile"
 )
 
 // errNoProfile says that a node does not write its allocations.
--- a/internal/lab/stage/node.go
+++ b/internal/lab/stage/node.go
@@ -105,7 +105,7 @@
 			return pace{l}, err
 		},
 		Dial: dial, Log: log,
-		WrapCarrier: func(c routing.Transport) routing.Transport { return spread{c, i.run.places} },
+		WrapTransport: func(c routing.Transport) routing.Transport { return spread{c, i.run.places} },
 		WrapWatcher: func(w routing.Watcher) routing.Watcher { return lag{w} },
 	})
 }
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -17,8 +17,8 @@
 	"olivebridge/internal/routing"
 )
 
-// BenchmarkNode is calls through a whole node over loopback, 16 kept client connections and twelve peers.
-// Clients and peers allocate nothing for a call, so what is allocated is the node's.
+// BenchmarkNode measures calls through a whole node over loopback, from 16 client connections to twelve servers.
+// Clients and servers allocate nothing for a call, so what is allocated is the node's.
 func BenchmarkNode(b *testing.B) {
 	for _, load := range []struct {
 		name, method string
@@ -43,7 +43,7 @@
 	}
 }
 
-// benchNode starts a node that twelve peers stand behind, which answer so many bytes at once.
+// benchNode starts a node with twelve servers, which answer so many bytes at once.
 func benchNode(b *testing.B, answer int) (addr string) {
 	c := config()
 	c.Listen, c.Sockets, c.KnownEndpoints.Endpoints = "127.0.0.1:0", 1024, nil
@@ -51,7 +51,7 @@
 	class.Idempotency = balancer.Idempotent
 	c.Settings.Classes = append(c.Settings.Classes, class)
 	c.NameIndex = protocol.NameIndex{Classes: map[string]int{"book": 0, "look": 1}, Methods: []string{"POST", "GET"}}
-	whole := []byte("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Cache: hit\r\nContent-Length: " +
+	response := []byte("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Cache: hit\r\nContent-Length: " +
 		strconv.Itoa(answer) + "\r\n\r\n" + strings.Repeat("x", answer))
 	for i := range 12 {
 		l := benchListener(b)
@@ -61,11 +61,14 @@
 				if err != nil {
 					return
 				}
-				go benchPeer(conn, whole)
+				go benchServer(conn, response)
 			}
 		}()
-		c.KnownEndpoints.Endpoints = append(c.KnownEndpoints.Endpoints, routing.Endpoint{Name: fmt.Sprint("s-", i), Addr: l.Addr().String(),
-			Server: balancer.Server{ID: balancer.ServerID(i + 1), Weight: 1, State: balancer.Ready}})
+		c.KnownEndpoints.Endpoints = append(c.KnownEndpoints.Endpoints, routing.Endpoint{
+			Server: balancer.Server{ID: balancer.ServerID(i + 1), Weight: 1, State: balancer.Ready},
+			Name:   fmt.Sprint("s-", i),
+			Addr:   l.Addr().String(),
+		})
 	}
 	l := benchListener(b)
 	n, err := Start(c, Options{Listen: func(string) (net.Listener, error) { return l, nil },
@@ -77,7 +80,7 @@
 	return l.Addr().String()
 }
 
-// unchanged is an upstream group without news.
+// unchanged is an endpoint list that never changes.
 type unchanged struct{}
 
 func (unchanged) Watch(ctx context.Context, _ func(routing.EndpointList)) error {
@@ -94,8 +97,8 @@
 	return l
 }
 
-// benchPeer answers each whole message with the same bytes.
-func benchPeer(conn net.Conn, answer []byte) {
+// benchServer answers each whole message with the same bytes.
+func benchServer(conn net.Conn, answer []byte) {
 	defer conn.Close()
 	for buf := make([]byte, 128<<10); ; {
 		if _, err := benchRead(conn, buf); err != nil {
@@ -117,7 +120,8 @@
 	defer conn.Close()
 	class := map[string]string{"GET": "look", "POST": "book"}[method]
 	head := fmt.Sprintf("%s /api/items?user=u%d HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: %02d%016x-00000000\r\n"+
-		"X-Call-Class: %s\r\nX-Budget: 1.500\r\nUser-Agent: bench/1\r\nAccept: */*\r\n", method, nth, nth, time.Now().UnixNano(), class)
+		"X-Call-Class: %s\r\nX-Budget: 1.500\r\nUser-Agent: bench/1\r\nAccept: */*\r\n",
+		method, nth, nth, time.Now().UnixNano(), class)
 	if body > 0 {
 		head += fmt.Sprintf("Content-Length: %d\r\n", body)
 	}
--- /dev/null
+++ b/internal/node/commands.go
@@ -0,0 +1,107 @@
+package node
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"sync/atomic"
+
+	"olivebridge/internal/admin"
+	"olivebridge/internal/handover"
+)
+
+// startingExecutor carries operators' commands out. The admin listener opens before the node is there, so that it can
+// say that it is not.
+type startingExecutor struct {
+	node atomic.Pointer[Node]
+}
+
+// Do implements admin.Executor.
+func (e *startingExecutor) Do(command admin.Command) (string, error) {
+	n := e.node.Load()
+	if n == nil {
+		return "", errors.New("the node is starting")
+	}
+	return n.Do(command)
+}
+
+// Do carries an operator's command out, in all processes of the node. It implements admin.Executor.
+func (n *Node) Do(command admin.Command) (string, error) {
+	switch command.Name {
+	case admin.Status:
+		return n.status()
+	case admin.Fleet:
+		if n.options.Fleet == nil {
+			return "", admin.UnknownCommand(command.Name)
+		}
+		return n.options.Fleet.Do(strings.Fields(command.FleetArgs))
+	}
+	return n.executeInAllProcesses(command)
+}
+
+// status waits for nothing. A paused node takes whoever still comes.
+func (n *Node) status() (string, error) {
+	state := "serving"
+	switch {
+	case n.frontend.Draining():
+		return "", errors.New("the node is ending")
+	case !n.router.Ready():
+		return "", errors.New("the upstream group is not known yet")
+	case n.frontend.Paused():
+		state = "paused"
+	}
+	return fmt.Sprintf("%s; suspended: %v", state, n.servers.SuspendedServers()) + n.fleetStatus(), nil
+}
+
+// executeInAllProcesses carries an operator's command out here and in the node's other processes.
+func (n *Node) executeInAllProcesses(command admin.Command) (string, error) {
+	n.processes.commands.Lock()
+	defer n.processes.commands.Unlock()
+	return n.executeAndForward(command, nil)
+}
+
+// executeAndForward carries a command out here, then in the processes but for the one that it came from. Where another
+// one does not confirm, the operator has to repeat the command: a success would be false.
+func (n *Node) executeAndForward(command admin.Command, from *handover.Link) (string, error) {
+	answer, err := n.execute(command)
+	if err != nil {
+		return "", err
+	}
+	for _, link := range n.processes.links() {
+		if link == from {
+			continue
+		}
+		err := link.Request(handover.Message{
+			Kind:     handover.KindCommand,
+			Command:  command.Name,
+			ServerID: command.ServerID,
+		})
+		if err != nil && !errors.Is(err, handover.ErrProcessEnded) {
+			return "", fmt.Errorf("it holds in this process alone, call again: %w", err)
+		}
+	}
+	return answer, nil
+}
+
+// execute carries a command out in this process.
+func (n *Node) execute(command admin.Command) (string, error) {
+	switch command.Name {
+	case admin.Suspend:
+		if err := n.router.Suspend(command.ServerID); err != nil {
+			return "", err
+		}
+		return fmt.Sprintf("nothing new goes to %s", command.ServerID), nil
+	case admin.Restore:
+		if err := n.router.Restore(command.ServerID); err != nil {
+			return "", err
+		}
+		return fmt.Sprintf("%s is in use again as lists and its health let it", command.ServerID), nil
+	case admin.Pause:
+		n.frontend.Pause()
+		return "the node empties itself", nil
+	case admin.Resume:
+		n.frontend.Resume()
+		return "the node is back to work", nil
+	}
+	return "", fmt.Errorf("unknown call %q", command.Name)
+}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -8,87 +8,87 @@
 	"olivebridge/internal/transport"
 )
 
-// Fleet is the node's place among the nodes of its fleet. Two processes of one node are one member: the place goes from
-// one to the other while an upgrade lasts. All but Take return in well under the time that the other process waits for
-// an answer.
+// Fleet is the node's membership in a fleet. Two processes of one node are one member: the membership goes from one to
+// the other during an upgrade. All methods but Take return in well under the time that the other process waits for a
+// result.
 type Fleet interface {
-	// Take takes the node's place in this process. With patience the place is waited for, in the background: the
-	// node's other process may hold it still.
+	// Take takes the node's membership in this process. With patience it is waited for, in the background: the node's
+	// other process may still have it.
 	Take(patience bool) error
-	// Yield frees the place for the node's other process, and tells no other node of it.
+	// Yield frees the membership for the node's other process, and tells no other node of it.
 	Yield()
-	// Leaving tells the others that this node ends as planned; Left that it has ended. Without the place they do nothing.
+	// Leaving tells the other nodes that this one shuts down. Without the membership it does nothing.
 	Leaving()
+	// Left tells the other nodes that this one has shut down. Without the membership it does nothing.
 	Left()
-	// Close gives the place up and tells nobody, as a death does.
+	// Close gives the membership up and tells nobody, as a crash does.
 	Close()
-	// Gate is what the fleet's budgets let through; nil: there are none.
+	// Gate returns the fleet's budgets; nil: there are none.
 	Gate() routing.AdmissionControl
-	// Keeper keeps calls beyond the loss of this node; nil: none are kept.
+	// Keeper returns the store of calls with an idempotency key; nil: there is none.
 	Keeper() transport.IdempotencyStore
-	// Operate gives the fleet the node's desk, before there are clients; only where operators have a door. Do carries out an
-	// operator's call that is for the whole fleet.
+	// Chooser returns which servers of a large group this node works with; nil: with all.
+	Chooser() routing.SubsetSelector
+	// Operate gives the fleet control of the node's servers, before there are clients; only where the node has an admin
+	// listener.
 	Operate(ServerControl)
+	// Do carries out an operator's command that is for the whole fleet.
 	Do(words []string) (string, error)
-	// Chooser says with which servers of a large group this node works; nil: with all.
-	Chooser() routing.SubsetSelector
 	// Reload reads what may change in a running node. What cannot hold as a whole changes nothing.
 	Reload(c *protocol.Config) error
-	// Status and Counters are for people: what is believed, and what was counted.
+	// Status returns what is believed of the fleet, for operators.
 	Status() string
+	// Counters returns what was counted, for operators.
 	Counters() string
 }
 
-// join takes the node's place in its fleet once this process has clients.
-func (n *Node) join() error {
-	if n.parts.Fleet == nil {
+// joinFleet takes the node's membership once this process has clients.
+func (n *Node) joinFleet() error {
+	if n.options.Fleet == nil {
 		return nil
 	}
-	n.company.mu.Lock()
-	predecessor := n.company.predecessor != nil
-	n.company.mu.Unlock()
-	if err := n.parts.Fleet.Take(predecessor); err != nil {
+	if err := n.options.Fleet.Take(n.processes.hasPredecessor()); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
 	return nil
 }
 
-// yield gives the place to the successor, which takes clients now.
-func (n *Node) yield() {
-	if n.parts.Fleet != nil {
-		n.parts.Fleet.Yield()
+// rejoinFleet takes the membership back from a successor that has died.
+func (n *Node) rejoinFleet() {
+	if n.options.Fleet != nil {
+		_ = n.options.Fleet.Take(true) // with patience nothing fails
 	}
 }
 
-// resume takes the place back from a successor that has died.
-func (n *Node) resume() {
-	if n.parts.Fleet != nil {
-		n.parts.Fleet.Take(true) // with patience nothing fails
+// yieldFleet gives the membership to the successor, which takes clients now.
+func (n *Node) yieldFleet() {
+	if n.options.Fleet != nil {
+		n.options.Fleet.Yield()
 	}
 }
 
-func (n *Node) leaving() {
-	if n.parts.Fleet != nil {
-		n.parts.Fleet.Leaving()
+func (n *Node) announceLeave() {
+	if n.options.Fleet != nil {
+		n.options.Fleet.Leaving()
 	}
 }
 
-func (n *Node) left() {
-	if n.parts.Fleet != nil {
-		n.parts.Fleet.Left()
+func (n *Node) leaveFleet() {
+	if n.options.Fleet != nil {
+		n.options.Fleet.Left()
 	}
 }
 
-func (n *Node) lost() {
-	if n.parts.Fleet != nil {
-		n.parts.Fleet.Close()
+func (n *Node) abandonFleet() {
+	if n.options.Fleet != nil {
+		n.options.Fleet.Close()
 	}
 }
 
-// standing is the fleet's part of the node's status.
-func (n *Node) standing() string {
-	if n.parts.Fleet == nil {
+// fleetStatus is the fleet's part of the node's status.
+func (n *Node) fleetStatus() string {
+	if n.options.Fleet == nil {
 		return ""
 	}
-	return "; fleet: " + n.parts.Fleet.Status()
+	return "; fleet: " + n.options.Fleet.Status()
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -2,48 +2,89 @@
 
 import (
 	"olivebridge/internal/admin"
+	"olivebridge/internal/handover"
 	"olivebridge/internal/protocol"
 	"olivebridge/internal/transport"
 )
 
-// ownDescriptors are held whatever comes: the three standard ones, the poller's two, the listeners of clients,
-// operators and a successor, two links to other processes of the node, a file that is read, and one accepted but
-// not yet counted on each listener. Some are left for those that are closed a moment after they are counted.
-const ownDescriptors = 16
-
-// shares is how a process of the node divides the descriptors that it may hold. What has to come through when all
-// else is full, calls to discovery above all, has its part to itself: no client's and no peer's takes from it.
-type shares struct {
-	discovery int // calls side by side, each on a connection of its own
-	callers int // at the operators' door
-	crowd int // clients' beyond those that may stay, taken to be turned away
-	side int // clients' that may stay; as many again to peers: tries and probes
+const (
+	// reservedDescriptors are held whatever comes: the three standard ones, the poller's two, the listeners of clients,
+	// operators and a successor, two links to other processes of the node, a file that is read, and one accepted but not
+	// yet counted on each listener. Some are left for those that are closed a moment after they are counted.
+	reservedDescriptors = 16
+	// smallPoolDivisor bounds what operators and clients in excess have each, where there are few descriptors.
+	smallPoolDivisor = 16
+	// idleClientDivisor keeps idle client connections well below what clients may hold.
+	idleClientDivisor = 4
+	// minConns is how many connections clients and servers have each, however few descriptors there are.
+	minConns = 8
+)
+
+// descriptorBudget divides the descriptors that a process of the node may hold. What has to come through when all else
+// is full, requests to discovery above all, has its part to itself: no client and no server takes from it.
+type descriptorBudget struct {
+	// discovery is for concurrent requests to discovery, each on a connection of its own.
+	discovery int
+	// operators is for connections of operators.
+	operators int
+	// excessClients is for client connections beyond those that may stay, accepted to be rejected.
+	excessClients int
+	// clients is for client connections that may stay.
+	clients int
+	// servers is for attempts and health checks.
+	servers int
+}
+
+// divideDescriptors divides this process's share of the node's descriptors.
+func divideDescriptors(c *protocol.Config, share float64) descriptorBudget {
+	all := int(float64(c.Sockets) * share)
+	smallPool := max(all/smallPoolDivisor, 1)
+	budget := descriptorBudget{
+		discovery:     transport.MaxWatchRequests,
+		operators:     min(admin.MaxConnections, smallPool),
+		excessClients: min(transport.DefaultOverflow, smallPool),
+	}
+	rest := all - reservedDescriptors - budget.discovery - budget.operators - budget.excessClients
+	budget.clients = max(rest/2, minConns)
+	budget.servers = budget.clients
+	return budget
 }
 
-// share divides this process's part of the node's descriptors. Callers and the crowd have less where there are few.
-func share(c *protocol.Config, part float64) shares {
-	all := int(float64(c.Sockets) * part)
-	few := max(all/16, 1)
-	s := shares{discovery: transport.MaxWatchRequests, callers: min(admin.MaxConnections, few), crowd: min(transport.DefaultOverflow, few)}
-	s.side = max((all-ownDescriptors-s.discovery-s.callers-s.crowd)/2, 8)
-	return s
+func clientLimits(c *protocol.Config, share float64) transport.ClientLimits {
+	budget := divideDescriptors(c, share)
+	return transport.ClientLimits{
+		MaxOpen:     budget.clients,
+		MaxIdle:     int(float64(c.Sockets) * share / idleClientDivisor),
+		MaxOverflow: budget.excessClients,
+	}
 }
 
-// clientBounds keeps idle client connections well under what clients may hold.
-func clientBounds(c *protocol.Config, part float64) transport.ClientLimits {
-	s := share(c, part)
-	return transport.ClientLimits{MaxOpen: s.side, MaxIdle: int(float64(c.Sockets) * part / 4), MaxOverflow: s.crowd}
+func (n *Node) upstreamConfig(c *protocol.Config, share float64) transport.UpstreamConfig {
+	return transport.UpstreamConfig{
+		ConnectTimeout:    c.ConnectTimeout,
+		ServerIdleTimeout: c.IdleTimeout,
+		DrainGrace:        c.Settings.DrainGrace,
+		MaxConns:          divideDescriptors(c, share).servers,
+		Dial:              n.options.Dial,
+		Log:               n.log,
+	}
 }
 
-func (n *Node) carrierConfig(c *protocol.Config, part float64) transport.UpstreamConfig {
-	return transport.UpstreamConfig{ConnectTimeout: c.ConnectTimeout, ServerIdleTimeout: c.IdleTimeout,
-		DrainGrace: c.Settings.DrainGrace, MaxConns: share(c, part).side,
-		Dial: n.parts.Dial, Log: n.log}
+func (n *Node) limitAdmin(c *protocol.Config, share float64) {
+	if n.admin != nil {
+		n.admin.SetMaxConnections(divideDescriptors(c, share).operators)
+	}
 }
 
-// boundDoor keeps the operators' door to its callers.
-func (n *Node) boundDoor(c *protocol.Config, part float64) {
-	if n.door != nil {
-		n.door.SetMaxConnections(share(c, part).callers)
+// applyLimits keeps this process to its share of the node's limits.
+func (n *Node) applyLimits() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	share := handover.ResourceShare(n.processes.count())
+	n.transport.Configure(n.upstreamConfig(n.config, share))
+	n.frontend.SetClientLimits(clientLimits(n.config, share))
+	n.limitAdmin(n.config, share)
+	if n.options.ApplyLimits != nil {
+		n.options.ApplyLimits(n.config, share)
 	}
 }
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -9,23 +9,29 @@
 	"olivebridge/internal/transport"
 )
 
-// TestSharesFit: all that may be held at once fits what the process may hold, of the node's part in an upgrade, and what
-// has to come through has its whole part however few there are.
-func TestSharesFit(t *testing.T) {
-	for sockets := 56; sockets <= 8192; sockets++ {
+// TestDescriptorBudgetFits: all that may be held at once fits what the process may hold, of the node's share in an
+// upgrade, and what has to come through has its whole part however few descriptors there are.
+func TestDescriptorBudgetFits(t *testing.T) {
+	const least = 56 // that one process can do with: docs/DESIGN.md
+	for sockets := least; sockets <= 8192; sockets++ {
 		for processes := 1; processes <= 3; processes++ {
-			if sockets/processes < 56 {
-				continue // the least that one process can do with: docs/DESIGN.md
+			if sockets/processes < least {
+				continue
 			}
-			part := handover.ResourceShare(processes)
+			share := handover.ResourceShare(processes)
 			c := &protocol.Config{Sockets: sockets}
-			s, clients, peers := share(c, part), clientBounds(c, part), (&Node{}).carrierConfig(c, part).MaxConns
-			all := ownDescriptors + s.discovery + s.callers + clients.MaxOverflow + clients.MaxOpen + peers
-			if all*processes > sockets || s.discovery != transport.MaxWatchRequests || clients.MaxOpen < 8 || peers < 8 || s.callers < 1 || clients.MaxOverflow < 1 {
-				t.Fatalf("%d processes with %d descriptors hold %d each: %+v, %+v, %d to peers", processes, sockets, all, s, clients, peers)
+			budget := divideDescriptors(c, share)
+			clients := clientLimits(c, share)
+			servers := (&Node{}).upstreamConfig(c, share).MaxConns
+			all := reservedDescriptors + budget.discovery + budget.operators + clients.MaxOverflow + clients.MaxOpen + servers
+			if all*processes > sockets || budget.discovery != transport.MaxWatchRequests || clients.MaxOpen < 8 ||
+				servers < 8 || budget.operators < 1 || clients.MaxOverflow < 1 {
+				t.Fatalf("%d processes with %d descriptors hold %d each: %+v, %+v, %d to servers",
+					processes, sockets, all, budget, clients, servers)
 			}
-			if sockets >= 512*processes && (s.callers != admin.MaxConnections || clients.MaxOverflow != transport.DefaultOverflow) {
-				t.Fatalf("%d descriptors: %+v", sockets, s)
+			if sockets >= 512*processes &&
+				(budget.operators != admin.MaxConnections || clients.MaxOverflow != transport.DefaultOverflow) {
+				t.Fatalf("%d descriptors: %+v", sockets, budget)
 			}
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,7 +1,3 @@
-// Package node builds one instance of the load balancer from its parts: a
-// front, the decisions, a carrier and a watch, over whatever network it is
-// given. It knows no environment, no signal and no limit of its machine; those
-// are the program's.
 package node
 
 import (
@@ -20,192 +16,245 @@
 	"olivebridge/internal/transport"
 )
 
-// Parts are what an instance stands on. The zero value is a node on TCP that
-// logs nothing.
+// Options are what an instance stands on. The zero value is a node on TCP that logs nothing.
 type Options struct {
-	Listen func(addr string) (net.Listener, error) // nil: TCP
-	Dial func(ctx context.Context, addr string) (net.Conn, error) // nil: TCP
-	WrapCarrier func(routing.Transport) routing.Transport // around the node's own; nil: nothing
-	WrapWatcher func(routing.Watcher) routing.Watcher // around each watch; nil: nothing
-	Log *slog.Logger // must not block; nil: none
-	HandoverPath string // path at which processes of this node find each other; "": they do not
-	ApplyLimits func(c *protocol.Config, part float64) // keeps the process to its part; nil: nothing to keep
-	Fleet Fleet // the node's place among others; nil: it has none
+	// Listen listens for clients and for operators; nil: on TCP.
+	Listen func(addr string) (net.Listener, error)
+	// Dial connects to servers and to discovery; nil: over TCP.
+	Dial func(ctx context.Context, addr string) (net.Conn, error)
+	// WrapTransport wraps the transport to servers; nil: it stays as it is.
+	WrapTransport func(routing.Transport) routing.Transport
+	// WrapWatcher wraps each watcher of the endpoint list; nil: it stays as it is.
+	WrapWatcher func(routing.Watcher) routing.Watcher
+	// Log must not block; nil: nothing is logged.
+	Log *slog.Logger
+	// HandoverPath is the socket at which the processes of this node find each other; "": they do not.
+	HandoverPath string
+	// ApplyLimits keeps the process to its share of the node's machine; nil: there are no limits.
+	ApplyLimits func(c *protocol.Config, share float64)
+	// Fleet is the node's membership in a fleet; nil: it belongs to none.
+	Fleet Fleet
 }
 
 // Node is a running instance.
 type Node struct {
-	parts Options
-	log *slog.Logger
-	carrier *transport.UpstreamTransport
-	router *routing.Router
-	front *transport.Frontend
-	servers *maintenance.Registry // nil without a door
-	door *admin.Server // nil: none
-	listener net.Listener // of clients
-	company company
-	stop context.CancelFunc // ends the decisions and all that they started
-	running sync.WaitGroup // front and decisions
-	failed chan error
-
-	mu sync.Mutex
+	options   Options
+	log       *slog.Logger
+	transport *transport.UpstreamTransport
+	router    *routing.Router
+	frontend  *transport.Frontend
+	servers   *maintenance.Registry // nil without an admin listener
+	admin     *admin.Server         // nil: there is no admin listener
+	listener  net.Listener          // of clients
+	processes processGroup
+	stop      context.CancelFunc // ends the router and all that it started
+	running   sync.WaitGroup     // frontend and router
+	failed    chan error
+
+	mu     sync.Mutex
 	config *protocol.Config
-	longest time.Duration // that a call may take by any settings so far: reloads leave those in hand their time
+	// longestDeadline is that of all settings so far: a reload leaves requests in flight their time.
+	longestDeadline time.Duration
 }
 
-// Start listens and begins to serve. Connections that it is given must be
-// transport.Conns, or TCP's.
-func Start(c *protocol.Config, p Options) (*Node, error) {
-	listen := p.Listen
-	if listen == nil {
-		listen = func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
-	}
-	n := &Node{parts: p, log: p.Log, config: c, longest: c.LongestDeadline, failed: make(chan error, 2)}
-	if n.log == nil {
-		n.log = slog.New(slog.DiscardHandler)
-	}
-	operators := &desk{}
-	if c.AdminListen != "" {
-		n.servers = maintenance.New()
-		if err := n.openDoor(c.AdminListen, listen, operators); err != nil {
-			return nil, err
-		}
+// Start listens and begins to serve. The connections of options.Listen must be transport.Conns, or TCP's.
+func Start(c *protocol.Config, options Options) (*Node, error) {
+	n := newNode(c, options)
+	executor := &startingExecutor{}
+	if err := n.openAdmin(executor); err != nil {
+		return nil, err
 	}
-	listener, paused := n.inherit()
-	if listener == nil {
-		var err error
-		if listener, err = listen(c.Listen); err != nil {
-			n.closeDoor()
-			return nil, fmt.Errorf("listening: %w", err)
-		}
+	paused, err := n.openListener()
+	if err != nil {
+		n.closeAdmin()
+		return nil, fmt.Errorf("listening: %w", err)
 	}
-	n.listener = listener
-	part := handover.ResourceShare(n.company.processes())
-	if p.ApplyLimits != nil {
-		p.ApplyLimits(c, part)
+	n.build()
+	n.serve(paused)
+	if err := n.joinFleet(); err != nil {
+		n.Abort()
+		return nil, err
+	}
+	executor.node.Store(n)
+	n.log.Info("started", "name", c.Name, "listen", n.listener.Addr().String(),
+		"peers", len(c.KnownEndpoints.Endpoints), "version", c.KnownEndpointsVersion,
+		"cores", c.Cores, "memory_mb", c.MemoryMB, "sockets", c.Sockets, "admin", c.AdminListen)
+	return n, nil
+}
+
+func newNode(c *protocol.Config, options Options) *Node {
+	if options.Listen == nil {
+		options.Listen = func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 	}
-	n.boundDoor(c, part)
+	if options.Log == nil {
+		options.Log = slog.New(slog.DiscardHandler)
+	}
+	return &Node{
+		options:         options,
+		log:             options.Log,
+		config:          c,
+		longestDeadline: c.LongestDeadline,
+		failed:          make(chan error, 2), // of frontend and router
+	}
+}
+
+// openAdmin listens where operators connect, if the configuration has an address for them.
+func (n *Node) openAdmin(executor admin.Executor) error {
+	if n.config.AdminListen == "" {
+		return nil
+	}
+	n.servers = maintenance.New()
+	listener, err := n.options.Listen(n.config.AdminListen)
+	if err != nil {
+		return fmt.Errorf("listening for operators: %w", err)
+	}
+	n.admin = admin.Serve(listener, executor, n.log)
+	return nil
+}
+
+func (n *Node) closeAdmin() {
+	if n.admin != nil {
+		n.admin.Close()
+	}
+}
+
+// openListener takes the clients' listener over from the process in service, or listens itself. paused reports that
+// operators have paused the node.
+func (n *Node) openListener() (paused bool, err error) {
+	n.listener, paused = n.takeOver()
+	if n.listener != nil {
+		return paused, nil
+	}
+	n.listener, err = n.options.Listen(n.config.Listen)
+	return false, err
+}
+
+// build makes the parts, none of which runs yet.
+func (n *Node) build() {
+	c := n.config
+	share := handover.ResourceShare(n.processes.count())
+	if n.options.ApplyLimits != nil {
+		n.options.ApplyLimits(c, share)
+	}
+	n.limitAdmin(c, share)
 	c.KnownEndpoints.Version = c.KnownEndpointsVersion
-	n.carrier = transport.NewUpstreamTransport(n.carrierConfig(c, part))
-	carrier := routing.Transport(n.carrier)
-	if p.WrapCarrier != nil {
-		carrier = p.WrapCarrier(carrier)
-	}
-	var gate routing.AdmissionControl
-	var chooser routing.SubsetSelector
-	if p.Fleet != nil {
-		gate, chooser = p.Fleet.Gate(), p.Fleet.Chooser()
-	}
-	n.router = routing.New(routing.Config{
-		Admission: gate, Subsets: chooser, Settings: c.Settings, Seed: c.Seed, InitialEndpoints: c.KnownEndpoints, Transport: carrier,
-		Watcher: n.newWatch(c, c.KnownEndpointsVersion), Maintenance: n.servers,
-		Log: n.log,
-	})
+	n.transport = transport.NewUpstreamTransport(n.upstreamConfig(c, share))
+	upstream := routing.Transport(n.transport)
+	if n.options.WrapTransport != nil {
+		upstream = n.options.WrapTransport(upstream)
+	}
+	router := routing.Config{
+		Settings:         c.Settings,
+		Seed:             c.Seed,
+		InitialEndpoints: c.KnownEndpoints,
+		Transport:        upstream,
+		Maintenance:      n.servers,
+		Log:              n.log,
+	}
 	frontend := transport.FrontendConfig{
-		Listener: listener,
-		Names: c.NameIndex,
-		Handler: n.router,
-		ClientLimits: clientBounds(c, part),
-		Log: n.log,
+		Listener:     n.listener,
+		Names:        c.NameIndex,
+		ClientLimits: clientLimits(c, share),
+		Log:          n.log,
 	}
-	if p.Fleet != nil {
-		frontend.IdempotencyStore = p.Fleet.Keeper()
+	if fleet := n.options.Fleet; fleet != nil {
+		router.Admission = fleet.Gate()
+		router.Subsets = fleet.Chooser()
 	}
-	n.front = transport.NewFrontend(frontend)
-	n.operate()
+	router.Watcher = n.newWatcher(c, c.KnownEndpointsVersion)
+	n.router = routing.New(router)
+	frontend.Handler = n.router
+	if fleet := n.options.Fleet; fleet != nil {
+		frontend.IdempotencyStore = fleet.Keeper()
+	}
+	n.frontend = transport.NewFrontend(frontend)
+	n.attachServerControl()
+}
+
+// serve runs the parts, and then lets the node's other processes know.
+func (n *Node) serve(paused bool) {
 	ctx, stop := context.WithCancel(context.Background())
 	n.stop = stop
 	n.run(func() error { return n.router.Run(ctx) })
 	if paused {
-		n.front.Pause()
+		n.frontend.Pause()
 	}
-	n.run(n.front.ServeAdopted)
-	n.run(n.front.Serve)
-	n.settle()
-	if err := n.join(); err != nil {
-		n.Abort()
-		return nil, err
-	}
-	operators.node.Store(n)
-	n.log.Info("started", "name", c.Name, "listen", listener.Addr().String(), "peers", len(c.KnownEndpoints.Endpoints),
-		"version", c.KnownEndpointsVersion,
-		"cores", c.Cores, "memory_mb", c.MemoryMB, "sockets", c.Sockets, "admin", c.AdminListen)
-	return n, nil
+	n.run(n.frontend.ServeAdopted)
+	n.run(n.frontend.Serve)
+	n.completeTakeover()
 }
 
-func (n *Node) run(f func() error) {
+func (n *Node) run(serve func() error) {
 	n.running.Go(func() {
-		if err := f(); err != nil {
+		if err := serve(); err != nil {
 			n.failed <- err
 		}
 	})
 }
 
-// Failed tells why front or decisions ended by themselves. The node is of no
-// further use then.
+// Failed delivers why frontend or router ended by themselves. The node is of no further use then, but Drain still
+// answers requests in flight.
 func (n *Node) Failed() <-chan error { return n.failed }
 
-// Drain is the planned end: the node serves on until nothing is open, for as
-// long as any call may take, and a minute more for long messages. It returns once nothing of the node is left: no
-// connection, goroutine or timer. Abort cuts it short.
+// Drain is the graceful shutdown: the node serves on until nothing is open, for as long as any request may take, and a
+// minute more for long messages. It returns once nothing of the node is left: no connection, goroutine or timer. Abort
+// cuts it short.
 func (n *Node) Drain() {
 	n.mu.Lock()
-	longest := n.longest
+	longest := n.longestDeadline
 	n.mu.Unlock()
-	n.leaving()
-	if l := n.company.tookOver(); l != nil {
+	n.announceLeave()
+	if successor := n.processes.readySuccessor(); successor != nil {
 		n.log.Info("handing over")
-		n.front.HandOver(longest, give(l))
+		n.frontend.HandOver(longest, connectionSender(successor))
 	} else {
-		n.front.Drain(longest)
+		n.frontend.Drain(longest)
 	}
 	n.stop()
 	n.running.Wait()
-	n.carrier.Close()
-	n.company.end()
-	n.left()
-	n.closeDoor()
+	n.transport.Close()
+	n.processes.close()
+	n.leaveFleet()
+	n.closeAdmin()
 }
 
-func (n *Node) closeDoor() {
-	if n.door != nil {
-		n.door.Close()
-	}
-}
-
-// Abort ends everything at once, and no open call gets an answer. It waits for
-// nothing: goroutines of the node end as they find its connections closed.
+// Abort ends everything at once, and no open request gets an answer. It waits for nothing: goroutines of the node end
+// as they find its connections closed.
 func (n *Node) Abort() {
-	n.front.Abort()
+	n.frontend.Abort()
 	n.stop()
-	n.carrier.Close()
-	n.company.end()
-	n.lost()
-	n.closeDoor()
+	n.transport.Close()
+	n.processes.close()
+	n.abandonFleet()
+	n.closeAdmin()
 }
 
-// Reload takes changed configuration, which has passed Config.Reload. Calls in
-// hand go on as before, and so does the watch unless discovery has moved. One
-// Reload runs at a time.
+// Reload takes changed configuration, which has passed Config.Reload. Requests in flight go on as before, and so does
+// the watch unless discovery has moved. One Reload runs at a time.
 func (n *Node) Reload(c *protocol.Config) {
 	n.mu.Lock()
 	old := n.config
-	n.config, n.longest = c, max(n.longest, c.LongestDeadline)
+	n.config = c
+	n.longestDeadline = max(n.longestDeadline, c.LongestDeadline)
 	n.mu.Unlock()
 	if c.Discovery != old.Discovery {
-		// versions of another discovery need not compare with those held: it is asked for the whole list
-		n.router.ReplaceWatcher(n.newWatch(c, -1))
+		// Versions of another discovery need not compare with those held: it is asked for the whole list.
+		n.router.ReplaceWatcher(n.newWatcher(c, unknownVersion))
 	}
 	n.router.UpdateSettings(c.Settings)
-	n.front.SetNames(c.NameIndex) // a class whose effect has changed goes by another method
-	n.bound()
+	n.frontend.SetNames(c.NameIndex) // a class whose idempotency has changed has another method
+	n.applyLimits()
 	n.log.Info("reloaded", "discovery", c.Discovery)
 }
 
-func (n *Node) newWatch(c *protocol.Config, version int64) routing.Watcher {
-	w := transport.NewEndpointWatcher(c.Discovery, c.NameIndex, version, n.parts.Dial, n.log).ForFleetSize(c.Settings.Nodes, c.Seed)
-	if n.parts.WrapWatcher == nil {
-		return w
+// unknownVersion is that of an endpoint list whose version means nothing to discovery.
+const unknownVersion = -1
+
+func (n *Node) newWatcher(c *protocol.Config, version int64) routing.Watcher {
+	watcher := transport.NewEndpointWatcher(c.Discovery, c.NameIndex, version, n.options.Dial, n.log).
+		ForFleetSize(c.Settings.Nodes, c.Seed)
+	if n.options.WrapWatcher == nil {
+		return watcher
 	}
-	return n.parts.WrapWatcher(w)
+	return n.options.WrapWatcher(watcher)
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,58 +18,62 @@
 )
 
 func config() *protocol.Config {
-	class := balancer.Class{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: balancer.NonIdempotent}
-	entry := routing.Endpoint{Server: balancer.Server{ID: 7, Weight: 1, State: balancer.Ready}, Name: "s-7", Addr: "peer:1"}
+	class := balancer.Class{
+		LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: balancer.NonIdempotent}
+	endpoint := routing.Endpoint{
+		Server: balancer.Server{ID: 7, Weight: 1, State: balancer.Ready}, Name: "s-7", Addr: "server:1"}
 	return &protocol.Config{
 		Name: "n1", Listen: "node:1", Discovery: "discovery:1", Cores: 1, MemoryMB: 64, Sockets: 256, Seed: 1,
 		Settings: balancer.Settings{
-			Classes: []balancer.Class{class}, Nodes: 1, SlowStart: time.Second, InitialCapacity: 0.2, OverloadFactor: 3, OverloadWindow: time.Second,
-			MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: time.Second, CancelAttempts: true, DrainGrace: time.Second, PollDiscovery: true,
-			PollInterval: time.Second, HealthChecks: true,
+			Classes: []balancer.Class{class}, Nodes: 1, SlowStart: time.Second, InitialCapacity: 0.2, OverloadFactor: 3,
+			OverloadWindow: time.Second, MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: time.Second,
+			CancelAttempts: true, DrainGrace: time.Second, PollDiscovery: true, PollInterval: time.Second,
+			HealthChecks: true,
 		},
-		NameIndex: protocol.NameIndex{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
+		NameIndex:      protocol.NameIndex{Classes: map[string]int{"book": 0}, Methods: []string{"POST"}},
 		ConnectTimeout: 75 * time.Millisecond, IdleTimeout: 10 * time.Second, LongestDeadline: 2 * time.Second,
-		KnownEndpoints: routing.EndpointList{Endpoints: []routing.Endpoint{entry}}, KnownEndpointsVersion: 4,
+		KnownEndpoints: routing.EndpointList{Endpoints: []routing.Endpoint{endpoint}}, KnownEndpointsVersion: 4,
 	}
 }
 
-// wrapped sees the tries on their way to the carrier.
-type wrapped struct {
+// attemptRecorder reports the attempts on their way to the transport.
+type attemptRecorder struct {
 	routing.Transport
-	tries chan routing.Attempt
+	attempts chan routing.Attempt
 }
 
-func (w wrapped) RoundTrip(ctx context.Context, t routing.Attempt) routing.AttemptResult {
-	w.tries <- t
-	return w.Transport.RoundTrip(ctx, t)
+func (r attemptRecorder) RoundTrip(ctx context.Context, a routing.Attempt) routing.AttemptResult {
+	r.attempts <- a
+	return r.Transport.RoundTrip(ctx, a)
 }
 
-// stage is a node in a bubble, with all that it hangs on.
-type stage struct {
+// testNode is a node on a memory network and a virtual clock, with a client, a server and two discovery services.
+type testNode struct {
 	*Node
-	memory *memory
-	client *http.Client
-	tries chan routing.Attempt
-	asked chan string // of discoveries
-	arrived chan bool // at the peer, under /held
-	release chan bool // of these
-	ids atomic.Int64
+	network   *memoryNetwork
+	client    *http.Client
+	attempts  chan routing.Attempt
+	discovery chan string // address and URI of each request to discovery
+	arrived   chan bool   // a request under /held has arrived at the server
+	release   chan bool   // lets one of these be answered
+	ids       atomic.Int64
 }
 
-// play runs f in a bubble, which panics at its end if any goroutine is left.
-func play(t *testing.T, f func(t *testing.T, s *stage)) {
+// runNode runs f on a virtual clock. synctest fails at its end if any goroutine is left.
+func runNode(t *testing.T, f func(t *testing.T, s *testNode)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &stage{memory: &memory{ports: map[string]chan net.Conn{}}, tries: make(chan routing.Attempt, 100),
-			asked: make(chan string, 1000), arrived: make(chan bool), release: make(chan bool)}
+		s := &testNode{
+			network: newMemoryNetwork(), attempts: make(chan routing.Attempt, 100),
+			discovery: make(chan string, 1000), arrived: make(chan bool), release: make(chan bool)}
 		serve := func(addr string, h http.HandlerFunc) {
-			l, _ := s.memory.listen(addr)
+			l, _ := s.network.listen(addr)
 			server := &http.Server{Handler: h}
 			go server.Serve(l)
 			t.Cleanup(func() { server.Close() })
 		}
 		for _, addr := range []string{"discovery:1", "discovery:2"} {
 			serve(addr, func(w http.ResponseWriter, r *http.Request) {
-				s.asked <- addr + r.RequestURI
+				s.discovery <- addr + r.RequestURI
 				if addr == "discovery:2" { // its watch ends, on a connection that is still good
 					w.WriteHeader(http.StatusServiceUnavailable)
 					return
@@ -81,7 +85,7 @@
 				io.WriteString(w, `{"version":4,"full":false,"servers":[]}`)
 			})
 		}
-		serve("peer:1", func(w http.ResponseWriter, r *http.Request) {
+		serve("server:1", func(w http.ResponseWriter, r *http.Request) {
 			io.Copy(io.Discard, r.Body) // or net/http does not notice that the node has gone
 			if r.URL.Path == "/held" {
 				s.arrived <- true
@@ -92,36 +96,35 @@
 			}
 			io.WriteString(w, r.Header.Get(protocol.HeaderCallID))
 		})
-		s.client = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
-			return s.memory.dial(ctx, addr)
-		}}}
+		dial := func(ctx context.Context, _, addr string) (net.Conn, error) { return s.network.dial(ctx, addr) }
+		s.client = &http.Client{Transport: &http.Transport{DialContext: dial}}
 		var err error
-		s.Node, err = Start(config(), Options{Listen: s.memory.listen, Dial: s.memory.dial,
-			WrapCarrier: func(c routing.Transport) routing.Transport { return wrapped{c, s.tries} }})
+		s.Node, err = Start(config(), Options{Listen: s.network.listen, Dial: s.network.dial,
+			WrapTransport: func(c routing.Transport) routing.Transport { return attemptRecorder{c, s.attempts} }})
 		if err != nil {
 			t.Fatal(err)
 		}
 		f(t, s)
 		s.client.CloseIdleConnections()
 		time.Sleep(time.Second)
-		if n := s.memory.open(); n > 0 {
+		if n := s.network.openConns(); n > 0 {
 			t.Errorf("%d ends of connections are left open", n)
 		}
 		if _, err := s.Resources(t.Context()); err == nil {
-			t.Error("the decisions go on")
+			t.Error("the router goes on")
 		}
 	})
 }
 
-// ask sends one call; status 0: it got no answer.
-func (s *stage) ask(path string) (status int, body string) { return s.askWithin(path, "1.5") }
+// call sends one call; status 0: it got no answer.
+func (s *testNode) call(path string) (status int, body string) { return s.callWithin(path, "1.5") }
 
-// askWithin gives the call so many seconds.
-func (s *stage) askWithin(path, budget string) (status int, body string) {
+// callWithin gives the call a timeout in seconds.
+func (s *testNode) callWithin(path, timeout string) (status int, body string) {
 	req, _ := http.NewRequest("POST", "http://node:1"+path, strings.NewReader("paid"))
-	for name, v := range map[string]string{"X-Call-Id": fmt.Sprint("9b", s.ids.Add(1)), "X-Call-Class": "book", "X-Budget": budget} {
-		req.Header.Set(name, v)
-	}
+	req.Header.Set(protocol.HeaderCallID, fmt.Sprint("9b", s.ids.Add(1)))
+	req.Header.Set(protocol.HeaderClass, "book")
+	req.Header.Set(protocol.HeaderTimeout, timeout)
 	resp, err := s.client.Do(req)
 	if err != nil {
 		return 0, err.Error()
@@ -131,35 +134,36 @@
 	return resp.StatusCode, string(data)
 }
 
-// TestDrain: a planned end answers what is open and leaves nothing behind.
+// TestDrain: a graceful shutdown answers open calls and leaves nothing behind.
 func TestDrain(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
-		if status, body := s.ask("/api"); status != 200 || body != "9b1" {
+	runNode(t, func(t *testing.T, s *testNode) {
+		if status, body := s.call("/api"); status != 200 || body != "9b1" {
 			t.Errorf("%d %q", status, body)
 		}
-		if try := <-s.tries; try.RequestID != 1 || try.Number != 0 {
-			t.Errorf("call %d, attempt %d", try.RequestID, try.Number)
+		if attempt := <-s.attempts; attempt.RequestID != 1 || attempt.Number != 0 {
+			t.Errorf("call %d, attempt %d", attempt.RequestID, attempt.Number)
 		}
-		if r, err := s.Resources(t.Context()); err != nil || r != (Resources{Servers: 1, Timers: 1, Watching: true, ClientConns: 1, ServerConns: 1}) {
-			t.Errorf("at rest: %+v, %v", r, err)
+		idle := Resources{Servers: 1, Timers: 1, Watching: true, ClientConns: 1, ServerConns: 1}
+		if r, err := s.Resources(t.Context()); err != nil || r != idle {
+			t.Errorf("idle: %+v, %v", r, err)
 		}
-		safe := config() // its only class, that is
-		safe.NameIndex.Methods = []string{"GET"}
-		s.Reload(safe)
-		if status, _ := s.ask("/api"); status != 405 {
-			t.Errorf("a POST of a class that is safe by now: %d", status)
+		idempotent := config()
+		idempotent.NameIndex.Methods = []string{"GET"}
+		s.Reload(idempotent)
+		if status, _ := s.call("/api"); status != 405 {
+			t.Errorf("a POST of a class that is idempotent by now: %d", status)
 		}
 		moved := config()
 		moved.Discovery = "discovery:2"
 		s.Reload(moved)
-		for uri := range s.asked {
+		for uri := range s.discovery {
 			if uri == "discovery:2"+protocol.PathEndpoints {
 				break
 			}
 		}
 		status := make(chan int)
 		go func() {
-			got, _ := s.ask("/held")
+			got, _ := s.call("/held")
 			status <- got
 		}()
 		<-s.arrived
@@ -178,15 +182,15 @@
 		}
 		<-drained
 		s.Drain() // of a node that has ended returns
-		if status, _ := s.ask("/api"); status != 0 {
+		if status, _ := s.call("/api"); status != 0 {
 			t.Errorf("after the end: %d", status)
 		}
 	})
 }
 
-// TestDrainOutlastsAReload: calls that came with the times of settings before are waited for as long as those allow.
-func TestDrainOutlastsAReload(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
+// TestDrainAfterReload: calls that came under earlier settings are waited for as long as those allow.
+func TestDrainAfterReload(t *testing.T) {
+	runNode(t, func(t *testing.T, s *testNode) {
 		reload := func(longest time.Duration) {
 			c := config()
 			c.LongestDeadline = longest
@@ -195,7 +199,7 @@
 		reload(30 * time.Second)
 		status := make(chan int)
 		go func() {
-			got, _ := s.askWithin("/held", "30")
+			got, _ := s.callWithin("/held", "30")
 			status <- got
 		}()
 		<-s.arrived
@@ -209,14 +213,13 @@
 	})
 }
 
-// TestAbort: a node that ends at once answers nothing, also in the middle of a
-// planned end, and all that it started ends too.
+// TestAbort: a node that is aborted answers nothing, also during a graceful shutdown, and all that it started ends too.
 func TestAbort(t *testing.T) {
 	for _, draining := range []bool{false, true} {
-		play(t, func(t *testing.T, s *stage) {
+		runNode(t, func(t *testing.T, s *testNode) {
 			answer := make(chan int)
 			go func() {
-				status, _ := s.ask("/held")
+				status, _ := s.call("/held")
 				answer <- status
 			}()
 			<-s.arrived
@@ -241,7 +244,7 @@
 			}
 			select {
 			case err := <-s.Failed():
-				t.Errorf("an end that was asked for counts as failure: %v", err)
+				t.Errorf("an abort counts as failure: %v", err)
 			default:
 			}
 		})
--- a/internal/node/handover_test.go
+++ b/internal/node/predecessor_test.go
@@ -9,49 +9,49 @@
 	"olivebridge/internal/handover"
 )
 
-// TestGiveUpOnAHangingSuccessor: one that does not read costs one time-out, not
-// one for each connection: the planned end has only a few seconds.
-func TestGiveUpOnAHangingSuccessor(t *testing.T) {
+// TestHangingSuccessorCostsOneTimeout: a successor that does not read costs one timeout, not one for each connection.
+// It guards the graceful shutdown, which has only a few seconds.
+func TestHangingSuccessorCostsOneTimeout(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	seat, err := handover.Listen(path)
+	awaiting, err := handover.Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer seat.Close()
+	defer awaiting.Close()
 	hanging, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Net: "unixpacket", Name: path})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer hanging.Close()
-	l, err := seat.Accept()
+	link, err := awaiting.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer link.Close()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	hand := give(l)
+	send := connectionSender(link)
 	ended, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended.Close()
-	if hand(ended.(*net.TCPListener)) == nil {
-		t.Error("what is closed was given")
+	if send(ended.(*net.TCPListener)) == nil {
+		t.Error("a closed connection was sent")
 	}
-	if err = hand(listener.(*net.TCPListener)); err != nil {
+	if err = send(listener.(*net.TCPListener)); err != nil {
 		t.Errorf("after one that has ended: %v", err)
 	}
 	for err == nil { // until the socket is full
-		err = hand(listener.(*net.TCPListener))
+		err = send(listener.(*net.TCPListener))
 	}
 	begun := time.Now()
 	for range 100 {
-		if hand(listener.(*net.TCPListener)) == nil {
-			t.Fatal("given after all")
+		if send(listener.(*net.TCPListener)) == nil {
+			t.Fatal("sent after all")
 		}
 	}
 	if d := time.Since(begun); d > 100*time.Millisecond {
--- a/internal/program/patient_test.go
+++ b/internal/program/listen_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// TestPatient: an address in use is waited for, as long as may be and until the process is told to end; nothing else is.
-func TestPatient(t *testing.T) {
+// TestListenWithRetry: only an address in use is waited for, until a timeout or until the process is to shut down.
+func TestListenWithRetry(t *testing.T) {
 	inUse, other := &net.OpError{Op: "listen", Err: syscall.EADDRINUSE}, errors.New("other")
 	for name, c := range map[string]struct {
 		frees, ends time.Duration // when the address is free, and the process told to end
@@ -21,7 +21,7 @@
 	}{
 		"free at once":  {0, time.Hour, inUse, nil, 0},
 		"free later":    {time.Second, time.Hour, inUse, nil, time.Second},
-		"never free":    {time.Hour, time.Hour, inUse, inUse, addressWait},
+		"never free":    {time.Hour, time.Hour, inUse, inUse, addressTimeout},
 		"told to end":   {time.Hour, time.Second, inUse, inUse, time.Second},
 		"another error": {time.Hour, time.Hour, other, other, 0},
 	} {
@@ -30,7 +30,7 @@
 				began := time.Now()
 				ctx, stop := context.WithTimeout(t.Context(), c.ends)
 				defer stop()
-				_, err := patient(ctx, func(string) (net.Listener, error) {
+				_, err := listenWithRetry(ctx, func(string) (net.Listener, error) {
 					if time.Since(began) < c.frees {
 						return nil, c.err
 					}
--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -2,130 +2,146 @@
 
 import (
 	"fmt"
-	"net/http"
 	"net/url"
-	"strconv"
 	"strings"
-	"time"
 
-	"olivebridge/balancer"
 	"olivebridge/internal/routing"
 )
 
-// maxBudget bounds a budget, so that sums with it cannot overflow.
-const maxBudget = time.Hour
+// maxIDBytes bounds a call's id.
+const maxIDBytes = 128
 
-// Names are the places of names in the settings' lists.
-type NameIndex struct {
-	Classes, Tenants, Zones, Kinds map[string]int
-	Methods                        []string // of the classes, by their places
+// MethodError says that a call's method is not its class's: what the class lets the node do with the call, such as a
+// retry, would not hold for it.
+type MethodError struct {
+	Class  string
+	Method string
+	// Allow is the class's method; "": it has none.
+	Allow string
 }
 
-// methodOf is the one method of a class's calls. Repeats of a token are dropped
-// by whoever keeps it; its first run has an effect all the same.
-func methodOf(e balancer.Idempotency) string {
-	if e == balancer.Idempotent {
-		return http.MethodGet
-	}
-	return http.MethodPost
-}
-
-// MethodError says that a call's method is not its class's: what the class lets
-// the node do with the call, send it again say, would not hold for it.
-type MethodError struct{ Class, Method, Allow string }
-
 func (e *MethodError) Error() string {
 	return fmt.Sprintf("method: %.20q, but calls of class %q are made by %s", e.Method, e.Class, e.Allow)
 }
 
-// ParseCall reads from the head of a request what decisions need. header gives
-// a header's values, query is the raw query. Any error deserves a plain 4xx
-// answer and no try; a *MethodError says that it should be 405.
+// callHeaders are the headers of a call that decisions need; "" where one is missing.
+type callHeaders struct {
+	id      string
+	class   string
+	tenant  string
+	timeout string
+	retry   string
+}
+
+// ParseCall parses from the head of a request what decisions need. header returns a header's values, query is the raw
+// query. Any error deserves a plain 4xx answer and no attempt; a *MethodError says that it should be 405.
 func (n NameIndex) ParseCall(method string, header func(name string) []string, query string) (routing.Call, error) {
-	var fields [5]string
-	for i, name := range [...]string{HeaderCallID, HeaderClass, HeaderTenant, HeaderTimeout, HeaderRetry} {
-		switch v := header(name); {
-		case len(v) > 1:
-			return routing.Call{}, fmt.Errorf("%s: given %d times", name, len(v))
-		case len(v) == 1:
-			fields[i] = v[0]
-		}
-	}
-	id, className, caller, left, again := fields[0], fields[1], fields[2], fields[3], fields[4]
-	if !validID(id) { // an odd one must not reach a peer
-		return routing.Call{}, fmt.Errorf("%s: missing or malformed: %.80q", HeaderCallID, id)
+	headers, err := readCallHeaders(header)
+	if err != nil {
+		return routing.Call{}, err
 	}
-	class, ok := n.Classes[className]
-	if !ok {
-		return routing.Call{}, fmt.Errorf("%s: missing or unknown: %q", HeaderClass, className)
+	if !validID(headers.id) { // a malformed one must not reach a server
+		return routing.Call{}, fmt.Errorf("%s: missing or malformed: %.80q", HeaderCallID, headers.id)
 	}
-	if class >= len(n.Methods) || method != n.Methods[class] {
-		e := &MethodError{Class: className, Method: method}
-		if class < len(n.Methods) {
-			e.Allow = n.Methods[class]
-		}
-		return routing.Call{}, e
+	class, err := n.classOf(headers.class, method)
+	if err != nil {
+		return routing.Call{}, err
 	}
-	tenant := -1
-	if len(n.Tenants) > 0 {
-		if tenant, ok = n.Tenants[caller]; !ok {
-			return routing.Call{}, fmt.Errorf("%s: missing or unknown: %q", HeaderTenant, caller)
-		}
+	tenant, err := n.tenantOf(headers.tenant)
+	if err != nil {
+		return routing.Call{}, err
 	}
-	budget, err := ParseTimeout(left)
+	timeout, err := ParseTimeout(headers.timeout)
 	if err != nil {
 		return routing.Call{}, err
 	}
-	key, err := keyOf(query)
+	key, err := parseAffinityKey(query)
 	if err != nil {
 		return routing.Call{}, err
 	}
 	return routing.Call{
-		ClientRequestID: id, Class: class, Tenant: tenant, AffinityKey: key, ClientRetry: again == "1", Timeout: budget,
+		ClientRequestID: headers.id,
+		Class:           class,
+		Tenant:          tenant,
+		AffinityKey:     key,
+		ClientRetry:     headers.retry == "1",
+		Timeout:         timeout,
 	}, nil
 }
 
-// maxID bounds a call's id.
-const maxID = 128
-
-// validID reports whether an id has 1 to maxID letters, digits and - _ . only.
-func validID(id string) bool {
-	return id != "" && len(id) <= maxID && !strings.ContainsFunc(id, func(c rune) bool {
-		return (c < '0' || c > '9') && (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && c != '-' && c != '_' && c != '.'
-	})
+// readCallHeaders reads headers of which each may be given once.
+func readCallHeaders(header func(name string) []string) (callHeaders, error) {
+	var values callHeaders
+	for _, field := range [...]struct {
+		name  string
+		value *string
+	}{
+		{HeaderCallID, &values.id},
+		{HeaderClass, &values.class},
+		{HeaderTenant, &values.tenant},
+		{HeaderTimeout, &values.timeout},
+		{HeaderRetry, &values.retry},
+	} {
+		switch given := header(field.name); {
+		case len(given) > 1:
+			return callHeaders{}, fmt.Errorf("%s: given %d times", field.name, len(given))
+		case len(given) == 1:
+			*field.value = given[0]
+		}
+	}
+	return values, nil
 }
 
-// ParseBudget reads a time in seconds with decimals: digits and at most one
-// point, above zero.
-func ParseTimeout(s string) (time.Duration, error) {
-	bad := strings.IndexFunc(s, func(c rune) bool { return (c < '0' || c > '9') && c != '.' })
-	v, err := strconv.ParseFloat(s, 64)
-	if bad >= 0 || err != nil || v <= 0 || v > maxBudget.Seconds() {
-		return 0, fmt.Errorf("%s: missing or malformed: %q", HeaderTimeout, s)
+// classOf returns a class's position if the method is its own.
+func (n NameIndex) classOf(name, method string) (int, error) {
+	class, known := n.Classes[name]
+	if !known {
+		return 0, fmt.Errorf("%s: missing or unknown: %q", HeaderClass, name)
+	}
+	allowed := ""
+	if class < len(n.Methods) {
+		allowed = n.Methods[class]
 	}
-	return time.Duration(v * float64(time.Second)), nil
+	if allowed == "" || method != allowed {
+		return 0, &MethodError{Class: name, Method: method, Allow: allowed}
+	}
+	return class, nil
 }
 
-// FormatSeconds writes a time as seconds with decimals, and never as less than
-// a millisecond.
-func FormatSeconds(d time.Duration) string { return string(AppendSeconds(nil, d)) }
+// tenantOf returns a tenant's position, or routing.Call's -1 where the settings have no tenants.
+func (n NameIndex) tenantOf(name string) (int, error) {
+	if len(n.Tenants) == 0 {
+		return -1, nil
+	}
+	tenant, known := n.Tenants[name]
+	if !known {
+		return 0, fmt.Errorf("%s: missing or unknown: %q", HeaderTenant, name)
+	}
+	return tenant, nil
+}
 
-// AppendSeconds appends what FormatSeconds writes.
-func AppendSeconds(b []byte, d time.Duration) []byte {
-	return strconv.AppendFloat(b, max(d, time.Millisecond).Seconds(), 'f', 3, 64)
+// validID reports whether an id has 1 to maxIDBytes letters, digits and - _ . only.
+func validID(id string) bool {
+	return id != "" && len(id) <= maxIDBytes && !strings.ContainsFunc(id, func(c rune) bool {
+		return (c < '0' || c > '9') && (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && c != '-' && c != '_' && c != '.'
+	})
 }
 
-// keyOf hashes the key that a raw query carries; 0 means none. One that stands
-// twice is an error: whoever serves the call may go by the other.
-func keyOf(query string) (key uint64, err error) {
-	for given := false; query != ""; {
+// parseAffinityKey returns the hash of the affinity key in a raw query; 0 means none. A key that is given twice is an
+// error: the server may go by the other one.
+func parseAffinityKey(query string) (uint64, error) {
+	var key uint64
+	given := false
+	for query != "" {
 		var pair string
 		pair, query, _ = strings.Cut(query, "&")
 		name, value, _ := strings.Cut(pair, "=")
 		if strings.Contains(name, "%") {
-			if name, err = url.QueryUnescape(name); err != nil {
+			plainName, err := url.QueryUnescape(name)
+			if err != nil {
 				return 0, fmt.Errorf("query: malformed: %.80q", pair)
 			}
+			name = plainName
 		}
 		if name != AffinityKeyParameter {
 			continue
@@ -137,7 +153,8 @@
 		if given {
 			return 0, fmt.Errorf("%s: given more than once", AffinityKeyParameter)
 		}
-		if given = true; plain != "" {
+		given = true
+		if plain != "" {
 			key = hash(plain)
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/decode_test.go
@@ -44,14 +44,17 @@
 worth_by=work
 `
 
-func TestSettings(t *testing.T) {
+// TestDecodeText: each line that is malformed or missing is an error that names its path, unless it is optional.
+func TestDecodeText(t *testing.T) {
 	s, err := DecodeText([]byte(sample))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(s.Classes) != 2 || s.Classes[1].DedupScope != balancer.DedupZone || s.Classes[1].DedupWindow != 6*time.Second ||
-		s.Classes[1].ObjectivePerWork != 0 || len(s.Tenants) != 1 || s.Tenants[0].Quota != 153 || !s.LiveWeights || !s.PollDiscovery ||
-		s.PollInterval != 10*time.Second || s.Nodes != 5 || s.ServeRemoved || s.OverQuotaWeightShare != 1 || !s.WeightPerWork {
+	if len(s.Classes) != 2 || s.Classes[1].DedupScope != balancer.DedupZone ||
+		s.Classes[1].DedupWindow != 6*time.Second || s.Classes[1].ObjectivePerWork != 0 ||
+		len(s.Tenants) != 1 || s.Tenants[0].Quota != 153 || !s.LiveWeights || !s.PollDiscovery ||
+		s.PollInterval != 10*time.Second || s.Nodes != 5 || s.ServeRemoved || s.OverQuotaWeightShare != 1 ||
+		!s.WeightPerWork {
 		t.Errorf("got %+v", s)
 	}
 	for _, odd := range []string{"classes.1.serial_by_key=maybe", "classes.1.serial_by_key=true"} {
@@ -78,9 +81,9 @@
 	}
 }
 
-// TestOddFigures: what is absent, zero, negative or no figure at all gets the page's meaning or one clear error that
-// names its path, and never passes for something else.
-func TestOddFigures(t *testing.T) {
+// TestValuesOutOfRange: what is absent, zero, negative or no number at all has its documented meaning or is one clear
+// error that names its path, and never passes for something else.
+func TestValuesOutOfRange(t *testing.T) {
 	for change, want := range map[string]string{ // "": it is taken
 		"limits.try_limit=0": "limits.try_limit", "limits.try_limit=1.5": "limits.try_limit", "limits.try_limit=1e9": "",
 		"n_instances=0": "n_instances", "n_instances=0.5": "n_instances", "n_instances=-1": "n_instances",
@@ -100,7 +103,9 @@
 			t.Errorf("%s: got %v, want an error about %q", change, err, want)
 		}
 	}
-	for change, want := range map[string]bool{"": false, "tenants.0.quota_per_s=0.0\n": true, "tenants.0.quota_per_s=5\n": true} {
+	for change, want := range map[string]bool{
+		"": false, "tenants.0.quota_per_s=0.0\n": true, "tenants.0.quota_per_s=5\n": true,
+	} {
 		s, err := DecodeText([]byte(strings.Replace(sample, "tenants.0.quota_per_s=153.0\n", change, 1)))
 		if err != nil || (s.Tenants[0].Quota > 0) != want {
 			t.Errorf("%q: a quota is set: %v, want %v; %v", change, !want, want, err)
@@ -108,9 +113,8 @@
 	}
 }
 
-// TestJSONIsTheText holds both forms of the settings to one meaning: nested
-// names, lists of objects, and lists of plain values.
-func TestJSONIsTheText(t *testing.T) {
+// TestJSONEqualsText: both forms of the settings mean the same: nested names, lists of objects, lists of plain values.
+func TestJSONEqualsText(t *testing.T) {
 	text := `classes.count=1
 classes.0.aim=150000000
 classes.0.deadline=300000000
@@ -148,12 +152,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := DecodeJSON([]byte(nested))
+	got, err := decodeJSON([]byte(nested))
 	if err != nil || !reflect.DeepEqual(got, want) || got.Zones != 2 {
 		t.Errorf("%v: got %+v, want %+v", err, got, want)
 	}
 	for _, bad := range []string{"", "[]", "{", `{"classes":[]}`} {
-		if _, err := DecodeJSON([]byte(bad)); err == nil {
+		if _, err := decodeJSON([]byte(bad)); err == nil {
 			t.Errorf("%q was taken", bad)
 		}
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/hex"
+	"errors"
 	"io"
 	"math"
 	"strings"
@@ -36,7 +37,7 @@
 	t.Helper()
 	body := unhex(t, words)
 	head := unhex(t, "00000000 00000000 90bf68f501000000 0c000000")
-	le.PutUint32(head, uint32(len(body)))
+	byteOrder.PutUint32(head, uint32(len(body)))
 	head[4] = count
 	return append(head, body...)
 }
@@ -101,7 +102,8 @@
 		t.Fatalf("view %v %v %v %v", kind, list, err, err2)
 	}
 	if list[0] != (balancer.Server{ID: wantServer, Weight: 1, State: balancer.Ready}) ||
-		list[1] != (balancer.Server{ID: 0x0a9011f21f6c, Weight: 1.5, State: balancer.Ready, Zone: 1, StartedAt: 0x16b969d00}) {
+		list[1] != (balancer.Server{
+			ID: 0x0a9011f21f6c, Weight: 1.5, State: balancer.Ready, Zone: 1, StartedAt: 0x16b969d00}) {
 		t.Errorf("entries %+v", list)
 	}
 	if e := ev(4, EventFirstByte, 3); e.ID() != id || e.Attempt() != 0 {
@@ -127,19 +129,30 @@
 		do   func(*Reply)
 		want string
 	}{
-		"assign": {func(r *Reply) { r.Send(3, id, wantServer, 0x1fa2d7390) }, "15 03000000 c4913a5d0e5c0f00 0a124a07 431f 90732dfa01000000 +05"},
-		"revoke": {func(r *Reply) { r.Cancel(3, id, 0) }, "1b 03000000 c4913a5d0e5c0f00 0000 +17"},
-		"watch":  {func(r *Reply) { r.Watch(3, true) }, "19 03000000 01 +26"},
-		"give in": {func(r *Reply) { r.ReportFault(3, "index out of range") },
+		"send": {func(r *Reply) { r.Send(3, id, wantServer, 0x1fa2d7390) },
+			"15 03000000 c4913a5d0e5c0f00 0a124a07 431f 90732dfa01000000 +05"},
+		"cancel": {func(r *Reply) { r.Cancel(3, id, 0) },
+			"1b 03000000 c4913a5d0e5c0f00 0000 +17"},
+		"watch": {func(r *Reply) { r.Watch(3, true) },
+			"19 03000000 01 +26"},
+		"report fault": {func(r *Reply) { r.ReportFault(3, "index out of range") },
 			"17 03000000 00000000 12000000 +19 696e646578206f7574206f662072616e6765"},
-		"fail":    {func(r *Reply) { r.Fail(3, 0x03d7950e6f2b19) }, "13 03000000 192b6f0e95d70300 +19"},
-		"close":   {func(r *Reply) { r.CloseIdle(3, s2) }, "12 03000000 0a9011f2 6c1f +21"},
-		"peer":    {func(r *Reply) { r.SendPeerMessage(3, AllInstances, "hi 7") }, "18 03000000 ffffffff 00000000 04000000 +15 68692037"},
-		"inspect": {func(r *Reply) { r.CheckHealth(3, s2) }, "10 03000000 0a9011f2 6c1f +21"},
-		"resolve": {func(r *Reply) { r.FetchEndpoints(3) }, "1a 03000000 +27"},
-		"arm":     {func(r *Reply) { r.SetTimer(3, 500*time.Millisecond, 77) }, "11 03000000 0065cd1d00000000 4d00000000000000 +11"},
-		"refuse":  {func(r *Reply) { r.Reject(3, 0x03d7950e6f2b19, 250*time.Millisecond) }, "14 03000000 192b6f0e95d70300 80b2e60e00000000 +11"},
-		"trace":   {func(r *Reply) { r.Log(5, "two servers known") }, "16 05000000 00000000 11000000 +19 74776f2073657276657273206b6e6f776e"},
+		"fail": {func(r *Reply) { r.Fail(3, 0x03d7950e6f2b19) },
+			"13 03000000 192b6f0e95d70300 +19"},
+		"close idle": {func(r *Reply) { r.CloseIdle(3, s2) },
+			"12 03000000 0a9011f2 6c1f +21"},
+		"send peer message": {func(r *Reply) { r.SendPeerMessage(3, AllInstances, "hi 7") },
+			"18 03000000 ffffffff 00000000 04000000 +15 68692037"},
+		"check health": {func(r *Reply) { r.CheckHealth(3, s2) },
+			"10 03000000 0a9011f2 6c1f +21"},
+		"fetch endpoints": {func(r *Reply) { r.FetchEndpoints(3) },
+			"1a 03000000 +27"},
+		"set timer": {func(r *Reply) { r.SetTimer(3, 500*time.Millisecond, 77) },
+			"11 03000000 0065cd1d00000000 4d00000000000000 +11"},
+		"reject": {func(r *Reply) { r.Reject(3, 0x03d7950e6f2b19, 250*time.Millisecond) },
+			"14 03000000 192b6f0e95d70300 80b2e60e00000000 +11"},
+		"log": {func(r *Reply) { r.Log(5, "two servers known") },
+			"16 05000000 00000000 11000000 +19 74776f2073657276657273206b6e6f776e"},
 		"three with a tail": {func(r *Reply) {
 			r.Send(3, id, wantServer, 0x1fa2d7390)
 			r.SetTimer(3, 500*time.Millisecond, 77)
@@ -157,7 +170,8 @@
 				t.Fatal(err)
 			}
 		}
-		if want := unhex(t, c.want); !bytes.Equal(out.Bytes()[12:], want) || int(le.Uint32(out.Bytes())) != len(want) {
+		want := unhex(t, c.want)
+		if !bytes.Equal(out.Bytes()[12:], want) || int(byteOrder.Uint32(out.Bytes())) != len(want) {
 			t.Errorf("%s:\n got %x\nwant %x", name, out.Bytes()[12:], want)
 		}
 	}
@@ -170,11 +184,11 @@
 		"impossible count":  frame(t, 2, "16 03000000 4d00000000000000 +43"),
 		"impossible length": unhex(t, "ffffffff 01000000 90bf68f501000000 0c000000 0000"),
 	} {
-		if err := new(Frame).Read(bytes.NewReader(b)); err == nil || err == io.EOF {
+		if err := new(Frame).Read(bytes.NewReader(b)); err == nil || errors.Is(err, io.EOF) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if err := new(Frame).Read(bytes.NewReader(nil)); err != io.EOF {
+	if err := new(Frame).Read(bytes.NewReader(nil)); !errors.Is(err, io.EOF) || errors.Unwrap(err) != nil {
 		t.Errorf("end of input: %v", err)
 	}
 	f := read(t, frame(t, 1, "11 03000000 00 29000000 f0ffffff ffffffff +38"))
@@ -184,7 +198,8 @@
 }
 
 func FuzzFrame(f *testing.F) {
-	f.Add(frame(f, 1, "11 03000000 02 29000000 00000000 01000000 +38 0000 0000000000000000 0a124a07 431f 0000803f 01 00 00"))
+	f.Add(frame(f, 1, "11 03000000 02 29000000 00000000 01000000 +38 "+
+		"0000 0000000000000000 0a124a07 431f 0000803f 01 00 00"))
 	f.Add(frame(f, 1, "14 03000000 c4913a5d0e5c0f00 a0491a0100000000 0b00 01 0000 0a124a07 431f ff 52b81e3f +19"))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 1, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
