--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -32,7 +32,7 @@
 		return n.status()
 	case admin.Fleet:
 		if n.options.Fleet == nil {
-			return "", admin.UnknownCommand(command.Name)
+			return "", admin.UnknownCommandError(command.Name)
 		}
 		return n.options.Fleet.Do(strings.Fields(command.FleetArgs))
 	}
