--- a/internal/lab/fleet/amounts.go
+++ b/internal/lab/fleet/amounts.go
@@ -20,37 +20,40 @@
 
 // inUseFile and countFile are what the fleet files say of such a budget.
 func inUseFile(s FileValues) string {
-	return bookFile(s, 0) + fmt.Sprintf("[[budget]]\nname = %q\ntenant = \"acme\"\nkind = \"in-use\"\nmost = %d\n", budgetName,
-		int(inUseMost*s.AmountShare))
+	return bookFile(s, 0) + fmt.Sprintf("[[budget]]\nname = %q\ntenant = \"acme\"\nkind = \"in-use\"\nmost = %d\n",
+		budgetName, int(inUseMost*s.AmountShare))
 }
 
 func countFile(s FileValues) string {
-	return bookFile(s, 0.04) + fmt.Sprintf("[[budget]]\nname = %q\ntenant = \"acme\"\nkind = \"count\"\ncount = %d\nperiod = %q\n",
-		budgetName, int(countWhole*s.AmountShare), countPeriod)
+	return bookFile(s, 0.04) +
+		fmt.Sprintf("[[budget]]\nname = %q\ntenant = \"acme\"\nkind = \"count\"\ncount = %d\nperiod = %q\n",
+			budgetName, int(countWhole*s.AmountShare), countPeriod)
 }
 
-// inUseQuietScript is budgetWorld with calls that take long enough for some to be in use at one time.
+// inUseQuietScript is budgetQuietScript with calls that take long enough for some to be in use at one time.
 func inUseQuietScript(seed uint64, nodes int, length time.Duration) *fault.Script {
 	s := budgetQuietScript(seed, nodes, length)
-	c := &s.World.Classes[0] // the one that is asked for
-	c.Work, c.Spread = 5*c.Work, 0.2
-	c.Aim, c.Deadline = 5*c.Aim, 5*c.Deadline
+	class := &s.World.Classes[0] // that clients call
+	class.Work *= 5
+	class.Spread = 0.2
+	class.Aim *= 5
+	class.Deadline *= 5
 	return s
 }
 
-// drawnIn plays the faults of a seed, or a drama's, in a world of another kind.
-func drawnIn(world func(uint64, int, time.Duration) *fault.Script,
-	draw func(uint64, int, time.Duration) (*fault.Script, error)) func(uint64, int, time.Duration) (*fault.Script, error) {
+// drawnIn makes scripts with the faults of one kind of script in the quiet script of another.
+func drawnIn(quiet quietScriptMaker, draw scriptMaker) scriptMaker {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 		drawn, err := draw(seed, nodes, length)
 		if err != nil {
 			return nil, err
 		}
-		s := world(seed, nodes, length)
+		s := quiet(seed, nodes, length)
 		s.Faults = append(s.Faults, drawn.Faults...)
 		for i := range s.Faults { // whose calls may take longer
 			f := &s.Faults[i]
-			if f.For = max(f.For, fault.Least(f.Kind, &s.World)); f.Ends() > s.Length {
+			f.For = max(f.For, fault.Least(f.Kind, &s.World))
+			if f.Ends() > s.Length {
 				f.At = s.Length - f.For
 			}
 		}
@@ -61,14 +64,15 @@
 // The budget for retries that the rig's processes share, where peers turn so many requests away that they want several
 // times as many.
 const (
-	retriesRate  = 20.0
-	retriesBurst = 12.0
-	turnedAway   = 0.4
+	retriesRate   = 20.0
+	retriesBurst  = 12.0
+	rejectedShare = 0.4
 )
 
 func retriesFile(s FileValues) string {
-	return bookFile(s, 0.04) + fmt.Sprintf("[[budget]]\nname = \"retries\"\nuse = \"retries\"\nrate = %.1f\nburst = %.1f\n", retriesRate*s.AmountShare,
-		retriesBurst*s.AmountShare)
+	return bookFile(s, 0.04) +
+		fmt.Sprintf("[[budget]]\nname = \"retries\"\nuse = \"retries\"\nrate = %.1f\nburst = %.1f\n",
+			retriesRate*s.AmountShare, retriesBurst*s.AmountShare)
 }
 
 // retriesQuietScript is one in which peers turn requests away nearly all of the time.
@@ -79,7 +83,9 @@
 		peers = append(peers, p.Name)
 	}
 	from := figure.Span(figure.Seconds(1))
-	s.Faults = append(s.Faults, fault.Fault{Kind: "turnaway", At: from, For: s.Length - 2*from, Peers: peers, Share: turnedAway})
+	s.Faults = append(s.Faults, fault.Fault{
+		Kind: "turnaway", At: from, For: s.Length - 2*from, Peers: peers, Share: rejectedShare,
+	})
 	return s
 }
 
@@ -99,11 +105,13 @@
 	}
 	m.Most = len(more)
 	var at, wide time.Duration
-	if m.Over, at, wide = over(more, allowances(a).rate(retriesRate, retriesBurst)); m.Over > 1 {
-		m.Broken = append(m.Broken, Violation{"over", at - a.Begin, fmt.Sprintf("in %v, %.3f times the retries that are allowed came to peers",
-			wide, m.Over)})
+	m.Over, at, wide = over(more, allowances(a).rate(retriesRate, retriesBurst))
+	if m.Over > 1 {
+		what := fmt.Sprintf("in %v, %.3f times the retries that are allowed came to peers", wide, m.Over)
+		m.Broken = append(m.Broken, Violation{Rule: "over", At: at - a.Begin, What: what})
 	}
-	from, to := a.Begin+8*time.Second, a.End-2*time.Second
+	from := a.Begin + 8*time.Second
+	to := a.End - 2*time.Second
 	m.Use = counted(more, from, to) / (retriesRate * (to - from).Seconds())
 	m.empty(a)
 	return m
@@ -123,8 +131,14 @@
 }
 
 func newAmount(a *Account, kind string, whole int) *Amount {
-	m := &Amount{Kind: kind, Nodes: len(a.Names), Seconds: (a.End - a.Begin).Seconds(), Whole: whole, Asked: a.Tally.Asked,
-		Broken: []Violation{}}
+	m := &Amount{
+		Kind:    kind,
+		Nodes:   len(a.Names),
+		Seconds: (a.End - a.Begin).Seconds(),
+		Whole:   whole,
+		Asked:   a.Tally.Asked,
+		Broken:  []Violation{},
+	}
 	for _, w := range a.Broken {
 		m.Broken = append(m.Broken, Violation{"world", 0, w})
 	}
@@ -215,8 +229,8 @@
 func (m *Amount) Text(*Account) string {
 	var t strings.Builder
 	what := map[string]string{"in-use": "at one time", "count": "in all", "retries": "retries a second"}[m.Kind]
-	fmt.Fprintf(&t, "%d processes share %d %s, for %.0f s: peers saw at most %d, %.3f of the whole; used %.3f\n", m.Nodes, m.Whole, what,
-		m.Seconds, m.Most, m.Over, m.Use)
+	fmt.Fprintf(&t, "%d processes share %d %s, for %.0f s: peers saw at most %d, %.3f of the whole; used %.3f\n",
+		m.Nodes, m.Whole, what, m.Seconds, m.Most, m.Over, m.Use)
 	for _, one := range m.Broken {
 		fmt.Fprintf(&t, "  %s\n", one)
 	}
@@ -225,6 +239,7 @@
 
 // Line is the result in one line.
 func (m *Amount) Line(s *fault.Script) string {
-	return fmt.Sprintf("seed %d: %s; most %d, over %.3f, use %.3f; %s", s.Seed, strings.Join(s.Kinds(), " "), m.Most, m.Over, m.Use,
+	return fmt.Sprintf("seed %d: %s; most %d, over %.3f, use %.3f; %s",
+		s.Seed, strings.Join(s.Kinds(), " "), m.Most, m.Over, m.Use,
 		verdict(m.Broken))
 }
--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -40,12 +40,13 @@
 				c.add("fleet-split", 4+16*float64(i), 6, c.names[i%5], c.names[(i+2)%5])
 			}
 		}},
-		{"one-way", "one is not heard by the others, then one hears nothing, then both", 5, 75 * time.Second, func(c *caseMaker) {
-			c.add("fleet-mute", 4, 8, c.names[1])
-			c.add("fleet-deaf", 24, 8, c.names[2])
-			c.add("fleet-mute", 44, 8, c.names[3])
-			c.add("fleet-deaf", 46, 8, c.names[4])
-		}},
+		{"one-way", "one is not heard by the others, then one hears nothing, then both",
+			5, 75 * time.Second, func(c *caseMaker) {
+				c.add("fleet-mute", 4, 8, c.names[1])
+				c.add("fleet-deaf", 24, 8, c.names[2])
+				c.add("fleet-mute", 44, 8, c.names[3])
+				c.add("fleet-deaf", 46, 8, c.names[4])
+			}},
 		{"loss-10", "a tenth of all messages get lost for a minute", 5, 80 * time.Second, func(c *caseMaker) {
 			c.add("fleet-lossy", 4, 60, c.names...).Share = 0.1
 		}},
@@ -84,7 +85,8 @@
 			}
 			c.add("node-restart", 40, 30, c.names[3:]...)
 		}},
-		{"apart", "eight of ten are cut apart from each other, two reach all; one of those is killed, then one of the eight", 10, 60 * time.Second,
+		{"apart", "eight of ten are cut apart from each other, two reach all; one of those is killed, then one of the eight",
+			10, 60 * time.Second,
 			func(c *caseMaker) {
 				c.add("fleet-apart", 6, 30, c.names[:8]...)
 				c.add("node-kill", 10, 10, c.names[8])
@@ -94,23 +96,25 @@
 			c.add("fleet-clock", 6, 12, c.names[0])
 			c.add("fleet-clock", 24, 12, c.names[3])
 		}},
-		{"most-killed", "forty-seven of fifty are killed at once, and start one after the other", 50, 75 * time.Second, func(c *caseMaker) {
-			for i, n := range c.names[3:] {
-				c.add("node-kill", 10, 20+float64(i)*0.4, n)
-			}
-		}},
+		{"most-killed", "forty-seven of fifty are killed at once, and start one after the other",
+			50, 75 * time.Second, func(c *caseMaker) {
+				for i, n := range c.names[3:] {
+					c.add("node-kill", 10, 20+float64(i)*0.4, n)
+				}
+			}},
 	}
 }
 
 // BudgetCases are those of budgets.
 func BudgetCases() []Case {
 	return []Case{
-		{"lease-end", "holders stand still until just about the end of their lease, 25 times", 3, 110 * time.Second, func(c *caseMaker) {
-			g := figure.Stream(c.seed, "lease-end")
-			for i := range 25 {
-				c.add("fleet-stop", 6+3.6*float64(i), figure.Uniform(g, 0.9, 1.15)*budgetLease.Seconds(), c.names[g.IntN(3)])
-			}
-		}},
+		{"lease-end", "holders stand still until just about the end of their lease, 25 times",
+			3, 110 * time.Second, func(c *caseMaker) {
+				g := figure.Stream(c.seed, "lease-end")
+				for i := range 25 {
+					c.add("fleet-stop", 6+3.6*float64(i), figure.Uniform(g, 0.9, 1.15)*budgetLease.Seconds(), c.names[g.IntN(3)])
+				}
+			}},
 		{"keepers", "one voter after the other is killed, then all at once", 5, 80 * time.Second, func(c *caseMaker) {
 			for i := range 3 {
 				c.add("node-kill", 8+10*float64(i), 4, c.names[i])
@@ -126,12 +130,15 @@
 			}
 			c.add("node-kill", 40, 30, c.names[3:]...)
 		}},
-		{"cut-off", "one is cut off from the book, but not from peers; then one way, and the other", 5, 70 * time.Second, func(c *caseMaker) {
-			c.add("fleet-split", 10, 8, c.names[4])
-			c.add("fleet-mute", 26, 8, c.names[4])
-			c.add("fleet-deaf", 42, 8, c.names[4])
-		}},
-		{"clock", "a voter, and one that is none, have wall clocks that are an hour ahead, while the other voters die in turn", 5, 70 * time.Second,
+		{"cut-off", "one is cut off from the book, but not from peers; then one way, and the other",
+			5, 70 * time.Second, func(c *caseMaker) {
+				c.add("fleet-split", 10, 8, c.names[4])
+				c.add("fleet-mute", 26, 8, c.names[4])
+				c.add("fleet-deaf", 42, 8, c.names[4])
+			}},
+		{"clock",
+			"a voter, and one that is none, have wall clocks that are an hour ahead, while the other voters die in turn",
+			5, 70 * time.Second,
 			func(c *caseMaker) {
 				c.add("fleet-clock", 6, 56, c.names[0])
 				c.add("fleet-clock", 8, 50, c.names[3])
@@ -150,7 +157,8 @@
 
 // votersCase replaces one voter that is lost for good, and then loses another of the first three, and replaces that.
 func votersCase() Case {
-	return Case{"new-keepers", "a voter is lost for good and replaced, then the next, then one goes that is well", 6, 100 * time.Second,
+	return Case{"new-keepers", "a voter is lost for good and replaced, then the next, then one goes that is well",
+		6, 100 * time.Second,
 		func(c *caseMaker) {
 			n := c.names
 			c.add("node-kill", 10, 88, n[1])
@@ -164,7 +172,9 @@
 
 // upgradesCase upgrades one process after the other, and ends some as planned, with work open.
 func upgradesCase() Case {
-	return Case{"upgrades", "one process after the other is upgraded, three times; then each ends as planned and starts again", 5, 75 * time.Second,
+	return Case{"upgrades",
+		"one process after the other is upgraded, three times; then each ends as planned and starts again",
+		5, 75 * time.Second,
 		func(c *caseMaker) {
 			for i := range 15 {
 				c.add("fleet-upgrade", 6+2.5*float64(i), 0, c.names[i%5])
@@ -178,7 +188,8 @@
 // stepsCase meets processes at each step of a kept call, and kills them, has them stand still for longer than it takes
 // to be given up, and cuts them off.
 func stepsCase() Case {
-	return Case{"steps", "one process after the other is killed, stopped or cut off just as a kept call is at a step", 5, 115 * time.Second,
+	return Case{"steps", "one process after the other is killed, stopped or cut off just as a kept call is at a step",
+		5, 115 * time.Second,
 		func(c *caseMaker) {
 			i := 0
 			for _, k := range fault.FleetTable() {
@@ -193,7 +204,9 @@
 // restartsCase has processes die and be back at once, while peers are slow and go on with what the dead had asked of
 // them.
 func restartsCase() Case {
-	return Case{"restarts", "one after the other is killed and back at once, while slow peers go on with what it had asked", 5, 60 * time.Second,
+	return Case{"restarts",
+		"one after the other is killed and back at once, while slow peers go on with what it had asked",
+		5, 60 * time.Second,
 		func(c *caseMaker) {
 			var peers []string
 			for i := range c.s.World.Peers {
@@ -210,7 +223,8 @@
 
 // amountsCase changes the amounts of budgets, which only the judge of rates knows of.
 func amountsCase() Case {
-	return Case{"amounts", "the fleet files say less, more and less again, also as a voter dies or one stands still", 5, 80 * time.Second,
+	return Case{"amounts", "the fleet files say less, more and less again, also as a voter dies or one stands still",
+		5, 80 * time.Second,
 		func(c *caseMaker) {
 			c.add("fleet-amounts", 10, 10).Share = 0.3
 			c.add("fleet-amounts", 26, 8).Share = 0.5
--- a/internal/lab/fleet/clocks.go
+++ b/internal/lab/fleet/clocks.go
@@ -23,7 +23,8 @@
 		}
 		wrong := time.Duration(wall-l.At) - a.WallOffset
 		if due := a.wrong(l); (wrong - due).Abs() > clockSlack {
-			report("rig", time.Duration(l.At), "the wall clock of %s was to be wrong by %v, and is by %v", l.Node, due, wrong.Round(time.Second))
+			report("rig", time.Duration(l.At), "the wall clock of %s was to be wrong by %v, and is by %v",
+				l.Node, due, wrong.Round(time.Second))
 		}
 	}
 }
@@ -49,5 +50,7 @@
 
 // ForMutants reports whether a script can be played with programs alone that were built for mutants.
 func ForMutants(s *fault.Script) bool {
-	return slices.ContainsFunc(s.Faults, func(f fault.Fault) bool { return f.Kind == "fleet-clock" || strings.Contains(f.Kind, "-at-") })
+	return slices.ContainsFunc(s.Faults, func(f fault.Fault) bool {
+		return f.Kind == "fleet-clock" || strings.Contains(f.Kind, "-at-")
+	})
 }
--- a/internal/lab/fleet/page.go
+++ b/internal/lab/fleet/page.go
@@ -41,8 +41,13 @@
 // against what is true.
 func (r *Result) WriteHTML(w io.Writer) error {
 	a := r.Account
-	p := page{Title: fmt.Sprintf("seed %d, %d processes", r.Script.Seed, len(a.Names)), Verdict: verdict(r.Outcome.Verdict()),
-		Wide: pageWide + labelWide, High: laneHigh*len(a.Names) + 30, Text: r.Outcome.Text(a)}
+	p := page{
+		Title:   fmt.Sprintf("seed %d, %d processes", r.Script.Seed, len(a.Names)),
+		Verdict: verdict(r.Outcome.Verdict()),
+		Wide:    pageWide + labelWide,
+		High:    laneHigh*len(a.Names) + 30,
+		Text:    r.Outcome.Text(a),
+	}
 	d := &drawing{p: &p, a: a, open: map[string]*segment{}}
 	j := newJudge(a)
 	j.observe = func(at time.Duration) { d.look(j, at) }
@@ -58,7 +63,8 @@
 		step *= 2
 	}
 	for t := 0.0; t <= span; t += step {
-		p.Ticks = append(p.Ticks, segment{X: labelWide + t/span*pageWide, Y: float64(p.High - 8), Title: fmt.Sprintf("%.0f s", t)})
+		tick := segment{X: labelWide + t/span*pageWide, Y: float64(p.High - 8), Title: fmt.Sprintf("%.0f s", t)}
+		p.Ticks = append(p.Ticks, tick)
 	}
 	for _, e := range a.Events {
 		if e.At >= a.Begin && e.At <= a.End {
@@ -137,8 +143,8 @@
 	case len(wrong) > 0:
 		class = "wrong"
 	}
-	d.draw("belief "+name, class, fmt.Sprintf("of %s, right: %s; not yet: %s", name, strings.Join(right, " "), strings.Join(wrong, " ")),
-		at, y, 8)
+	title := fmt.Sprintf("of %s, right: %s; not yet: %s", name, strings.Join(right, " "), strings.Join(wrong, " "))
+	d.draw("belief "+name, class, title, at, y, 8)
 }
 
 // draw goes on with a stretch, or begins another.
@@ -182,7 +188,8 @@
 <rect class="wrong" x="240" width="12" height="12"/><text x="256" y="11">none is right yet</text></svg></p>
 <svg width="{{.Wide}}" height="{{.High}}" font-size="12">
 {{range .Lanes}}<text x="4" y="{{.Y}}">{{.Name}}</text>{{end}}
-{{range .Segments}}<rect class="{{.Class}}" x="{{.X}}" y="{{.Y}}" width="{{.W}}" height="{{.H}}"><title>{{.Title}}</title></rect>{{end}}
+{{range .Segments}}<rect class="{{.Class}}" x="{{.X}}" y="{{.Y}}" width="{{.W}}" height="{{.H}}">{{/* no line break */ -}}
+<title>{{.Title}}</title></rect>{{end}}
 {{range .Ticks}}<text x="{{.X}}" y="{{.Y}}">{{.Title}}</text>{{end}}
 </svg><pre>{{.Text}}</pre><h2>What happened</h2><pre>{{range .Events}}{{.}}
 {{end}}</pre></html>
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -15,7 +15,8 @@
 // quietScript is a script without faults, of some nodes that are asked a little.
 func quietScript(seed uint64, nodes int, length time.Duration) *fault.Script {
 	s := live.Sample(3, nodes, 10+2*float64(nodes))
-	s.Seed, s.Length = seed, figure.Span(length)
+	s.Seed = seed
+	s.Length = figure.Span(length)
 	for i := range s.World.Clients {
 		s.World.Clients[i].Conns = 50
 	}
@@ -27,7 +28,8 @@
 func DemoScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	s := quietScript(seed, nodes, length)
 	if nodes < 4 {
-		return nil, fmt.Errorf("%d nodes: at least 4 are wanted, for one to be killed, one stopped, one cut off and one left", nodes)
+		return nil, fmt.Errorf("%d nodes: at least 4 are wanted, "+
+			"for one to be killed, one stopped, one cut off and one left", nodes)
 	}
 	if length < 25*time.Second {
 		return nil, fmt.Errorf("%v: at least 25s are wanted", length)
@@ -39,7 +41,10 @@
 	}
 	name := func(i int) []string { return []string{s.World.Nodes[whom[i]].Name} }
 	span := func(from, to figure.Span) figure.Span { return to - from }
-	kill, stop, cut, back := at(0.08), at(0.1), at(0.5), at(0.9)
+	kill := at(0.08)
+	stop := at(0.1)
+	cut := at(0.5)
+	back := at(0.9)
 	s.Faults = []fault.Fault{
 		{Kind: "node-kill", At: kill, For: span(kill, cut), Nodes: name(0)},
 		{Kind: "fleet-stop", At: stop, For: span(stop, at(0.4)), Nodes: name(1)},
