--- a/internal/lab/fleet/choices.go
+++ b/internal/lab/fleet/choices.go
@@ -23,30 +23,37 @@
 // MostPeers is the most stand-in peers of a run: each has a loopback address.
 const MostPeers = 400
 
-// How the sums are looked at.
+// The windows in which loads are looked at.
 const (
-	calmWindow   = 5 * time.Second
-	anyWindow    = 2 * time.Second
-	windowStep   = 250 * time.Millisecond
-	settlesAfter = 5 * time.Second // after a change, and after the first clients
-	warmFor      = 12 * time.Second
-	// starvedFrom is how many tries a peer has to get on average in a window for none to say anything: by chance alone
+	// calmWindow is the length of windows once things have settled, anyWindow of all.
+	calmWindow = 5 * time.Second
+	anyWindow  = 2 * time.Second
+	windowStep = 250 * time.Millisecond
+	// settlesAfter is how long things take to settle after a change, and after the first clients.
+	settlesAfter = 5 * time.Second
+	// warmFor is how long a peer takes to warm up after a fault.
+	warmFor = 12 * time.Second
+	// starvedFrom is how many attempts a peer has to get on average in a window for none to say anything: by chance alone
 	// one window of 3,000 then has none.
 	starvedFrom = 8.0
-	// choicesRoom is for how much above what chance alone gives the sums may be: the rest is what the choices add.
-	calmBusiest, calmIdlest = 1.15, 0.85
-	anyBusiest, anyIdlest   = 1.3, 0.7
+	// calmBusiest and calmIdlest bound what a peer gets by its weight, as parts of the mean or of what chance alone gives.
+	calmBusiest = 1.15
+	calmIdlest  = 0.85
 )
 
 // choicesQuietScript is a script without faults of so many peers, alike, that are asked evenly.
-func choicesQuietScript(peers int) func(seed uint64, nodes int, length time.Duration) *fault.Script {
+func choicesQuietScript(peers int) quietScriptMaker {
 	return func(seed uint64, nodes int, length time.Duration) *fault.Script {
 		s := live.Sample(peers, nodes, min(choicesEach*float64(peers), choicesMost))
-		s.Seed, s.Length = seed, figure.Span(length)
+		s.Seed = seed
+		s.Length = figure.Span(length)
 		for i := range s.World.Clients {
-			c := &s.World.Clients[i]
-			c.Keys, c.Zipf, c.Mix = choicesKeys, 0, map[string]float64{"status": 1}
-			c.Fresh, c.Keep = 1, 0
+			client := &s.World.Clients[i]
+			client.Keys = choicesKeys
+			client.Zipf = 0
+			client.Mix = map[string]float64{"status": 1}
+			client.Fresh = 1
+			client.Keep = 0
 		}
 		for i := range s.World.Tenants {
 			s.World.Tenants[i].Quota = 0
@@ -56,7 +63,7 @@
 }
 
 // choicesDemoScript is the script that shows choices: one process is killed, and starts again.
-func choicesDemoScript(peers int) func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
+func choicesDemoScript(peers int) scriptMaker {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 		drama, err := BudgetDemoScript(seed, nodes, length)
 		if err != nil {
@@ -70,7 +77,7 @@
 
 // choicesRandomScript is the script of a seed: nodes and peers die, stand still, are slow or cut off, several at one
 // time.
-func choicesRandomScript(peers int) func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
+func choicesRandomScript(peers int) scriptMaker {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 		s := choicesQuietScript(peers)(seed, nodes, length)
 		one := func(name string, weight, lo, hi float64) fault.KindRanges {
@@ -95,8 +102,14 @@
 	if copies > 0 {
 		more = fmt.Sprintf("\n[choices]\ncopies = %d\nleast = %d\n", copies, least)
 	}
-	return Scenario{"choices", choicesDemoScript(peers), choicesRandomScript(peers), choicesQuietScript(peers), nil,
-		func(FileValues) string { return more }, func(s *fault.Script, a *Account) Outcome { return JudgeChoices(s, a) }, nil, nil}
+	return Scenario{
+		Name:         "choices",
+		DemoScript:   choicesDemoScript(peers),
+		RandomScript: choicesRandomScript(peers),
+		QuietScript:  choicesQuietScript(peers),
+		ExtraTables:  func(FileValues) string { return more },
+		Judge:        func(s *fault.Script, a *Account) Outcome { return JudgeChoices(s, a) },
+	}
 }
 
 // Choices is how what all processes chose fell on the peers.
@@ -128,133 +141,190 @@
 	Idlest  float64 `json:"idlest"`
 }
 
-// sums are what came to peers, looked at in windows.
-type sums struct {
-	a     *Account
-	s     *fault.Script
-	place map[string]int
-	came  [][]time.Duration // by peer
+// peerLoads are what came to peers, looked at in windows.
+type peerLoads struct {
+	account  *Account
+	script   *fault.Script
+	index    map[string]int    // of each peer in arrivals
+	arrivals [][]time.Duration // by peer
 }
 
-// JudgeChoices looks at how a run's tries fell on the peers.
+// JudgeChoices looks at how a run's attempts fell on the peers.
 func JudgeChoices(s *fault.Script, a *Account) *Choices {
-	c := &Choices{Nodes: len(a.Names), Peers: len(s.World.Peers), Seconds: (a.End - a.Begin).Seconds(), Broken: []Violation{}, Starved: []string{}}
-	breaks := func(rule string, at time.Duration, format string, args ...any) {
-		if len(c.Broken) < 20 {
-			c.Broken = append(c.Broken, Violation{rule, at - a.Begin, fmt.Sprintf(format, args...)})
-		}
+	c := &Choices{
+		Nodes:   len(a.Names),
+		Peers:   len(s.World.Peers),
+		Seconds: (a.End - a.Begin).Seconds(),
+		Broken:  []Violation{},
+		Starved: []string{},
 	}
-	for _, w := range a.Broken {
-		breaks("world", a.Begin, "%s", w)
+	report := newReporter(&c.Broken, a.Begin)
+	reportRun(a, report)
+	loads := c.count(s, a)
+	calm := loads.look(calmWindow, true)
+	c.Busiest = calm.busiest.ratio
+	c.Idlest = calm.idlest.ratio
+	c.Chance = loads.chance(calm)
+	all := loads.look(anyWindow, false)
+	c.BusiestAny = all.busiest.ratio
+	c.IdlestAny = all.idlest.ratio
+	c.ChanceAny = loads.chance(all)
+	c.Probes = probeRate(a)
+	c.CPU = loads.cpu()
+	if c.Tries == 0 {
+		report("use", a.End, "nothing came to any peer")
 	}
-	if a.RunError != nil {
-		breaks("rig", a.Begin, "%v", a.RunError)
+	for _, starved := range all.starved {
+		c.Starved = append(c.Starved, starved.peer)
+		report("starved", starved.at, "%s is sound, and nothing came to it for %v", starved.peer, anyWindow)
+	}
+	c.checkCalm(calm, report)
+	return c
+}
+
+// count counts the attempts that came to peers.
+func (c *Choices) count(s *fault.Script, a *Account) *peerLoads {
+	loads := &peerLoads{
+		account:  a,
+		script:   s,
+		index:    map[string]int{},
+		arrivals: make([][]time.Duration, len(s.World.Peers)),
 	}
-	u := &sums{a: a, s: s, place: map[string]int{}, came: make([][]time.Duration, len(s.World.Peers))}
 	for i, p := range s.World.Peers {
-		u.place[p.Name] = i
+		loads.index[p.Name] = i
 	}
 	c.Each = make([]int, int(c.Seconds))
-	for _, came := range a.Arrivals {
-		if i, known := u.place[came.Peer]; known && !came.Done && came.At >= a.Begin && came.At < a.End {
-			u.came[i] = append(u.came[i], came.At)
-			c.Tries++
-			if sec := int((came.At - a.Begin).Seconds()); sec < len(c.Each) {
-				c.Each[sec]++
-			}
+	for _, arrival := range a.Arrivals {
+		i, known := loads.index[arrival.Peer]
+		if !known || arrival.Done || arrival.At < a.Begin || arrival.At >= a.End {
+			continue
+		}
+		loads.arrivals[i] = append(loads.arrivals[i], arrival.At)
+		c.Tries++
+		if second := int((arrival.At - a.Begin).Seconds()); second < len(c.Each) {
+			c.Each[second]++
 		}
 	}
-	calm := u.look(calmWindow, true)
-	c.Busiest, c.Idlest, c.Chance = calm.most, calm.least, u.chance(calm)
-	all := u.look(anyWindow, false)
-	c.BusiestAny, c.IdlestAny, c.ChanceAny = all.most, all.least, u.chance(all)
-	c.Starved = append(c.Starved, all.starved...)
-	c.Probes, c.CPU = u.probes(), u.cpu()
-	if c.Tries == 0 {
-		breaks("use", a.End, "nothing came to any peer")
-	}
-	for i, name := range all.starved {
-		breaks("starved", all.when[i], "%s is sound, and nothing came to it for %v", name, anyWindow)
+	return loads
+}
+
+// checkCalm holds the busiest and the idlest peer against the bounds, once things have settled.
+func (c *Choices) checkCalm(calm *windowLoads, report reporter) {
+	if calm.windows == 0 {
+		return
 	}
-	if bound := max(calmBusiest, calm.chance.Busiest*calmBusiest); calm.windows > 0 && c.Busiest > bound {
-		breaks("busiest", calm.at, "%.3f of the mean came to %s in %v, %.3f by chance alone", c.Busiest, calm.who, calmWindow, c.Chance.Busiest)
+	if c.Busiest > max(calmBusiest, c.Chance.Busiest*calmBusiest) {
+		report("busiest", calm.busiest.at, "%.3f of the mean came to %s in %v, %.3f by chance alone",
+			c.Busiest, calm.busiest.peer, calmWindow, c.Chance.Busiest)
 	}
-	if bound := min(calmIdlest, calm.chance.Idlest*calmIdlest); calm.windows > 0 && c.Idlest < bound {
-		breaks("idlest", calm.lateAt, "%.3f of the mean came to %s in %v, %.3f by chance alone", c.Idlest, calm.lateWho, calmWindow, c.Chance.Idlest)
+	if c.Idlest < min(calmIdlest, c.Chance.Idlest*calmIdlest) {
+		report("idlest", calm.idlest.at, "%.3f of the mean came to %s in %v, %.3f by chance alone",
+			c.Idlest, calm.idlest.peer, calmWindow, c.Chance.Idlest)
 	}
-	return c
 }
 
-// looked is what windows of one length show.
-type looked struct {
-	windows      int
-	mean         float64 // tries for a peer in one
-	most, least  float64
-	at, lateAt   time.Duration
-	who, lateWho string
-	starved      []string
-	when         []time.Duration
-	sound        int // peers, at least
-	chance       Chance
+// peerLoad is what came to a peer in one window.
+type peerLoad struct {
+	peer  string
+	at    time.Duration // when the window began
+	ratio float64       // of what came to it by its weight, to the mean
+}
+
+// windowLoads is what windows of one length show.
+type windowLoads struct {
+	windows int
+	mean    float64 // attempts for a peer in one
+	busiest peerLoad
+	idlest  peerLoad
+	starved []peerLoad // the first window of each peer that got nothing
+	sound   int        // peers, at least
 }
 
 // look goes through the windows: all, or those in which things have settled.
-func (u *sums) look(wide time.Duration, settled bool) *looked {
-	l := &looked{least: math.Inf(1), sound: len(u.came)}
-	starved := map[string]bool{}
-	for t := u.a.Begin + settlesAfter; t+wide <= u.a.End; t += windowStep {
-		if settled && u.changed(t-settlesAfter, t+wide) {
-			continue
+func (u *peerLoads) look(length time.Duration, settled bool) *windowLoads {
+	w := &windowLoads{sound: len(u.arrivals), idlest: peerLoad{ratio: math.Inf(1)}}
+	for t := u.account.Begin + settlesAfter; t+length <= u.account.End; t += windowStep {
+		if !settled || !u.changed(t-settlesAfter, t+length) {
+			u.lookAt(w, t, length)
 		}
-		var parts []float64
-		var who []int
-		sum, weight := 0.0, 0.0
-		for i, p := range u.s.World.Peers {
-			if u.touched(p.Name, t, t+wide) {
-				continue
-			}
-			n := counted(u.came[i], t, t+wide)
-			parts, who = append(parts, n/p.Weight), append(who, i)
-			sum, weight = sum+n, weight+p.Weight
+	}
+	if w.windows == 0 {
+		w.idlest.ratio = 0
+		return w
+	}
+	w.mean /= float64(w.windows)
+	return w
+}
+
+// lookAt looks at one window, unless nothing came to peers in it.
+func (u *peerLoads) lookAt(w *windowLoads, begin, length time.Duration) {
+	loads, mean := u.soundLoads(begin, length)
+	sum := 0.0
+	for _, load := range loads {
+		sum += load.count
+	}
+	if sum == 0 || len(loads) < 2 {
+		return
+	}
+	perPeer := sum / float64(len(loads))
+	w.windows++
+	w.sound = min(w.sound, len(loads))
+	w.mean += perPeer
+	for _, load := range loads {
+		one := peerLoad{peer: load.peer, at: begin, ratio: load.weighted / mean}
+		if one.ratio > w.busiest.ratio {
+			w.busiest = one
 		}
-		if sum == 0 || len(parts) < 2 {
-			continue
+		if one.ratio < w.idlest.ratio {
+			w.idlest = one
 		}
-		l.windows++
-		l.sound = min(l.sound, len(parts))
-		mean := sum / weight
-		l.mean += sum / float64(len(parts))
-		for k, part := range parts {
-			name := u.s.World.Peers[who[k]].Name
-			if r := part / mean; r > l.most {
-				l.most, l.at, l.who = r, t, name
-			}
-			if r := part / mean; r < l.least {
-				l.least, l.lateAt, l.lateWho = r, t, name
-			}
-			if part == 0 && sum/float64(len(parts)) >= starvedFrom && !starved[name] && len(starved) < 20 {
-				starved[name] = true
-				l.starved, l.when = append(l.starved, name), append(l.when, t)
-			}
+		if load.count == 0 && perPeer >= starvedFrom {
+			w.noteStarved(one)
 		}
 	}
-	if l.windows == 0 {
-		l.least = 0
-		return l
+}
+
+// maxStarved bounds the peers that are told to have got nothing.
+const maxStarved = 20
+
+func (w *windowLoads) noteStarved(load peerLoad) {
+	known := slices.ContainsFunc(w.starved, func(other peerLoad) bool { return other.peer == load.peer })
+	if !known && len(w.starved) < maxStarved {
+		w.starved = append(w.starved, load)
+	}
+}
+
+// soundLoad is what came to a sound peer in a window.
+type soundLoad struct {
+	peer     string
+	count    float64
+	weighted float64 // by its weight
+}
+
+// soundLoads are those of all peers that had nothing to suffer, and the mean by weight.
+func (u *peerLoads) soundLoads(begin, length time.Duration) (loads []soundLoad, mean float64) {
+	sum, weight := 0.0, 0.0
+	for i, p := range u.script.World.Peers {
+		if u.touched(p.Name, begin, begin+length) {
+			continue
+		}
+		count := counted(u.arrivals[i], begin, begin+length)
+		loads = append(loads, soundLoad{peer: p.Name, count: count, weighted: count / p.Weight})
+		sum += count
+		weight += p.Weight
 	}
-	l.mean /= float64(l.windows)
-	return l
+	return loads, sum / weight
 }
 
 // changed reports whether anything was done to a process or a peer between two instants.
-func (u *sums) changed(from, to time.Duration) bool {
-	for _, e := range u.a.Events {
-		if e.At > from && e.At < to && e.At > u.a.Begin {
+func (u *peerLoads) changed(from, to time.Duration) bool {
+	for _, e := range u.account.Events {
+		if e.At > from && e.At < to && e.At > u.account.Begin {
 			return true
 		}
 	}
-	for _, f := range u.s.Faults {
-		at, end := u.a.Begin+f.At.D(), u.a.Begin+f.Ends().D()
+	for _, f := range u.script.Faults {
+		at, end := u.account.Begin+f.At.D(), u.account.Begin+f.Ends().D()
 		if at < to && end > from {
 			return true
 		}
@@ -263,53 +333,60 @@
 }
 
 // touched reports whether a peer had something to suffer between two instants, or was not yet warm after it.
-func (u *sums) touched(peer string, from, to time.Duration) bool {
-	for _, f := range u.s.Faults {
-		if at, end := u.a.Begin+f.At.D(), u.a.Begin+f.Ends().D()+warmFor; slices.Contains(f.Peers, peer) && at < to && end > from {
+func (u *peerLoads) touched(peer string, from, to time.Duration) bool {
+	for _, f := range u.script.Faults {
+		begin := u.account.Begin + f.At.D()
+		end := u.account.Begin + f.Ends().D() + warmFor
+		if slices.Contains(f.Peers, peer) && begin < to && end > from {
 			return true
 		}
 	}
 	return false
 }
 
-// chance plays as many windows as lie beside each other in what was looked at, each with as many tries, that fall by
+// chance plays as many windows as lie beside each other in what was looked at, each with as many attempts, that fall by
 // chance.
-func (u *sums) chance(l *looked) Chance {
-	l.chance = Chance{Idlest: 1}
-	if l.windows == 0 {
-		return l.chance
+func (u *peerLoads) chance(w *windowLoads) Chance {
+	chance := Chance{Idlest: 1}
+	if w.windows == 0 {
+		return chance
 	}
-	g := figure.Stream(u.s.Seed, "choices by chance")
-	apart := max(l.windows*int(windowStep)/int(anyWindow), 1)
-	tries := int(l.mean * float64(l.sound))
+	random := figure.Stream(u.script.Seed, "choices by chance")
+	apart := max(w.windows*int(windowStep)/int(anyWindow), 1)
+	attempts := int(w.mean * float64(w.sound))
 	for range apart {
-		fell := make([]int, l.sound)
-		for range tries {
-			fell[g.IntN(l.sound)]++
+		counts := make([]int, w.sound)
+		for range attempts {
+			counts[random.IntN(w.sound)]++
 		}
-		l.chance.Busiest = max(l.chance.Busiest, float64(slices.Max(fell))/l.mean)
-		l.chance.Idlest = min(l.chance.Idlest, float64(slices.Min(fell))/l.mean)
+		chance.Busiest = max(chance.Busiest, float64(slices.Max(counts))/w.mean)
+		chance.Idlest = min(chance.Idlest, float64(slices.Min(counts))/w.mean)
 	}
-	return l.chance
+	return chance
 }
 
-// probes is how many came to all peers a second.
-func (u *sums) probes() float64 {
-	all := slices.DeleteFunc(slices.Clone(u.a.ProbeCounts), func(p ProbeCount) bool { return p.At < u.a.Begin || p.At > u.a.End })
-	if len(all) < 2 {
+// probeRate is how many health checks came to all peers a second.
+func probeRate(a *Account) float64 {
+	var counts []ProbeCount
+	for _, count := range a.ProbeCounts {
+		if count.At >= a.Begin && count.At <= a.End {
+			counts = append(counts, count)
+		}
+	}
+	if len(counts) < 2 {
 		return 0
 	}
-	first, last := all[0], all[len(all)-1]
+	first, last := counts[0], counts[len(counts)-1]
 	return float64(last.Probes-first.Probes) / (last.At - first.At).Seconds()
 }
 
 // cpu is what a process used of a core.
-func (u *sums) cpu() float64 {
+func (u *peerLoads) cpu() float64 {
 	var sum time.Duration
-	for _, d := range u.a.CPU {
+	for _, d := range u.account.CPU {
 		sum += d
 	}
-	return sum.Seconds() / (u.a.End - u.a.Begin).Seconds() / float64(max(len(u.a.Names), 1))
+	return sum.Seconds() / (u.account.End - u.account.Begin).Seconds() / float64(max(len(u.account.Names), 1))
 }
 
 // Verdict are the rules that did not hold.
@@ -319,10 +396,11 @@
 func (c *Choices) Text(*Account) string {
 	var t strings.Builder
 	fmt.Fprintf(&t, "%d processes chose among %d peers, for %.0f s: %d tries\n", c.Nodes, c.Peers, c.Seconds, c.Tries)
-	fmt.Fprintf(&t, "settled, in %v: to the busiest peer came %.3f of the mean, to the idlest %.3f (by chance alone %.3f and %.3f)\n",
+	fmt.Fprintf(&t, "settled, in %v: to the busiest peer came %.3f of the mean, "+
+		"to the idlest %.3f (by chance alone %.3f and %.3f)\n",
 		calmWindow, c.Busiest, c.Idlest, c.Chance.Busiest, c.Chance.Idlest)
-	fmt.Fprintf(&t, "in any %v: %.3f and %.3f (%.3f and %.3f); starved %d\n", anyWindow, c.BusiestAny, c.IdlestAny, c.ChanceAny.Busiest,
-		c.ChanceAny.Idlest, len(c.Starved))
+	fmt.Fprintf(&t, "in any %v: %.3f and %.3f (%.3f and %.3f); starved %d\n",
+		anyWindow, c.BusiestAny, c.IdlestAny, c.ChanceAny.Busiest, c.ChanceAny.Idlest, len(c.Starved))
 	fmt.Fprintf(&t, "%.1f probes a second came to all peers; a process uses %.1f%% of a core\n", c.Probes, 100*c.CPU)
 	for _, one := range c.Broken {
 		fmt.Fprintf(&t, "  %s\n", one)
@@ -332,7 +410,8 @@
 
 // Line is the result in one line.
 func (c *Choices) Line(s *fault.Script) string {
-	return fmt.Sprintf("seed %d: %s; busiest %.3f, idlest %.3f (chance %.3f, %.3f), any %.3f, %.3f, starved %d; %s", s.Seed,
-		strings.Join(s.Kinds(), " "), c.Busiest, c.Idlest, c.Chance.Busiest, c.Chance.Idlest, c.BusiestAny, c.IdlestAny, len(c.Starved),
+	return fmt.Sprintf("seed %d: %s; busiest %.3f, idlest %.3f (chance %.3f, %.3f), any %.3f, %.3f, starved %d; %s",
+		s.Seed, strings.Join(s.Kinds(), " "), c.Busiest, c.Idlest, c.Chance.Busiest, c.Chance.Idlest,
+		c.BusiestAny, c.IdlestAny, len(c.Starved),
 		verdict(c.Broken))
 }
--- a/internal/lab/fleet/cold.go
+++ b/internal/lab/fleet/cold.go
@@ -17,11 +17,16 @@
 	coldSpare = 2 // units of burst beyond one for each process
 )
 
-func coldBurst(nodes int) float64 { return float64(nodes + coldSpare) }
+// coldBurst is the burst of the budget.
+func coldBurst(nodes int) float64 {
+	return float64(nodes + coldSpare)
+}
 
+// coldFile are the tables of the fleet files for it.
 func coldFile(s FileValues) string {
-	return bookFile(s, 0.04) + fmt.Sprintf("[[budget]]\nname = \"cold\"\nuse = \"cold-peers\"\nrate = %.1f\nburst = %.1f\n",
-		coldRate*s.AmountShare, coldBurst(s.Nodes))
+	return bookFile(s, 0.04) +
+		fmt.Sprintf("[[budget]]\nname = \"cold\"\nuse = \"cold-peers\"\nrate = %.1f\nburst = %.1f\n",
+			coldRate*s.AmountShare, coldBurst(s.Nodes))
 }
 
 // coldLead is when the first peer may die: a leader has been elected by then, and processes have learnt what warm peers
@@ -31,22 +36,26 @@
 // coldAway is for how long a peer is gone.
 const coldAway = time.Second
 
-// deaths lets peers die and come back cold, one each six seconds.
-func deaths(s *fault.Script) {
+// addDeaths lets peers die and come back cold, one each six seconds.
+func addDeaths(s *fault.Script) {
 	g := figure.Stream(s.Seed, "deaths")
 	for at := coldLead; at+coldAway+4*time.Second <= s.Length.D(); at += 6 * time.Second {
-		s.Faults = append(s.Faults, fault.Fault{Kind: "death", At: figure.Span(at + time.Duration(g.Float64()*float64(time.Second))),
-			For: figure.Span(coldAway), Peers: []string{s.World.Peers[g.IntN(len(s.World.Peers))].Name}})
+		death := at + time.Duration(g.Float64()*float64(time.Second))
+		peer := s.World.Peers[g.IntN(len(s.World.Peers))].Name
+		s.Faults = append(s.Faults, fault.Fault{
+			Kind: "death", At: figure.Span(death), For: figure.Span(coldAway), Peers: []string{peer},
+		})
 	}
 }
 
-func coldWith(draw func(uint64, int, time.Duration) (*fault.Script, error)) func(uint64, int, time.Duration) (*fault.Script, error) {
+// coldWith makes scripts of some kind in which peers die, too.
+func coldWith(make scriptMaker) scriptMaker {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
-		s, err := draw(seed, nodes, length)
+		s, err := make(seed, nodes, length)
 		if err != nil {
 			return nil, err
 		}
-		deaths(s)
+		addDeaths(s)
 		return s, s.Check()
 	}
 }
@@ -57,8 +66,15 @@
 	if !shared {
 		more = func(FileValues) string { return "" }
 	}
-	return Scenario{"cold", coldWith(BudgetDemoScript), coldWith(BudgetRandomScript), budgetQuietScript, BudgetCases(), more,
-		func(s *fault.Script, a *Account) Outcome { return JudgeCold(s, a, shared) }, nil, nil}
+	return Scenario{
+		Name:         "cold",
+		DemoScript:   coldWith(BudgetDemoScript),
+		RandomScript: coldWith(BudgetRandomScript),
+		QuietScript:  budgetQuietScript,
+		Cases:        BudgetCases(),
+		ExtraTables:  more,
+		Judge:        func(s *fault.Script, a *Account) Outcome { return JudgeCold(s, a, shared) },
+	}
 }
 
 // Cold is what came of it.
@@ -66,7 +82,7 @@
 	Nodes   int         `json:"nodes"`
 	Seconds float64     `json:"seconds"`
 	Starts  int         `json:"starts"` // of peers, cold
-	Over    float64     `json:"over"`   // greatest part of what any window allows that came to a cold peer, its tries by what they cost
+	Over    float64     `json:"over"`   // greatest part of what any window allows that came to a cold peer, by cost
 	Use     float64     `json:"use"`    // of what was allowed, the mean from 2 to 8 s after starts
 	Tries   int         `json:"tries"`  // that came to cold peers
 	Falls   int         `json:"falls"`  // of them, pushed over
@@ -75,8 +91,10 @@
 
 // coldTime is one time for which a peer was cold, from when its start was listed.
 type coldTime struct {
-	peer             string
-	born, from, till time.Duration
+	peer string
+	born time.Duration // its start
+	from time.Duration // that was listed then; 0: it was not
+	till time.Duration
 }
 
 // listGrace is how long a list is on its way to the processes: what one that has not got it sends, it sends to a warm
@@ -116,45 +134,66 @@
 	return least / (least + (1-least)*float64(at-c.born)/float64(s.World.Contract.Cold))
 }
 
-// JudgeCold counts what came to cold peers.
+// JudgeCold counts what came to cold peers, and holds it against the budget if that is shared.
 func JudgeCold(s *fault.Script, a *Account, shared bool) *Cold {
-	m := newAmount(a, "cold", int(coldRate))
-	c := &Cold{Nodes: m.Nodes, Seconds: m.Seconds, Falls: a.Falls, Broken: m.Broken}
-	used, looked := 0.0, 0.0
-	for _, one := range coldTimes(s, a) {
+	base := newAmount(a, "cold", int(coldRate))
+	c := &Cold{Nodes: base.Nodes, Seconds: base.Seconds, Falls: a.Falls, Broken: base.Broken}
+	used, allowed := 0.0, 0.0
+	for _, cold := range coldTimes(s, a) {
 		c.Starts++
-		var at []time.Duration
-		var costs []float64
-		for _, came := range a.Arrivals {
-			if !came.Done && came.Peer == one.peer && came.At >= one.from && came.At < one.till && came.At <= a.End {
-				at, costs = append(at, came.At), append(costs, one.cost(s, came.At))
-			}
-		}
+		at, costs := cold.arrivals(s, a)
 		c.Tries += len(at)
-		if part, when, wide := costly(at, costs, coldBurst(len(a.Names))); part > c.Over {
-			if c.Over = part; shared && part > 1 {
-				c.Broken = append(c.Broken, Violation{"over", when - a.Begin,
-					fmt.Sprintf("in %v, %.3f times what is allowed came to the cold peer %s", wide, part, one.peer)})
+		part, when, window := costly(at, costs, coldBurst(len(a.Names)))
+		if part > c.Over {
+			c.Over = part
+			if shared && part > 1 {
+				what := fmt.Sprintf("in %v, %.3f times what is allowed came to the cold peer %s", window, part, cold.peer)
+				c.Broken = append(c.Broken, Violation{Rule: "over", At: when - a.Begin, What: what})
 			}
 		}
-		if begin, end := one.born+2*time.Second, one.born+8*time.Second; one.from <= begin && one.till >= end {
-			looked += coldRate * (end - begin).Seconds()
-			for i := range at {
-				if at[i] >= begin && at[i] < end {
-					used += costs[i]
-				}
-			}
+		begin, end := cold.born+coldUseFrom, cold.born+coldUseTo
+		if cold.from <= begin && cold.till >= end {
+			allowed += coldRate * (end - begin).Seconds()
+			used += costsBetween(at, costs, begin, end)
 		}
 	}
-	if looked > 0 {
-		c.Use = used / looked
+	if allowed > 0 {
+		c.Use = used / allowed
 	}
 	if c.Tries == 0 {
-		c.Broken = append(c.Broken, Violation{"use", a.End - a.Begin, "nothing came to any cold peer"})
+		c.Broken = append(c.Broken, Violation{Rule: "use", At: a.End - a.Begin, What: "nothing came to any cold peer"})
 	}
 	return c
 }
 
+// The time after a cold start over which the use of the budget is measured.
+const (
+	coldUseFrom = 2 * time.Second
+	coldUseTo   = 8 * time.Second
+)
+
+// arrivals are the attempts that came to the peer while it was cold, and what each costs.
+func (c coldTime) arrivals(s *fault.Script, a *Account) (at []time.Duration, costs []float64) {
+	for _, arrival := range a.Arrivals {
+		toPeer := !arrival.Done && arrival.Peer == c.peer
+		if toPeer && arrival.At >= c.from && arrival.At < c.till && arrival.At <= a.End {
+			at = append(at, arrival.At)
+			costs = append(costs, c.cost(s, arrival.At))
+		}
+	}
+	return at, costs
+}
+
+// costsBetween is what the attempts of a time cost together.
+func costsBetween(at []time.Duration, costs []float64, from, to time.Duration) (sum float64) {
+	for i := range at {
+		if at[i] >= from && at[i] < to {
+			sum += costs[i]
+		}
+	}
+	return sum
+}
+
 // costly is the greatest part of what any window allows.
 func costly(came []time.Duration, costs []float64, burst float64) (most float64, at, wide time.Duration) {
 	for _, w := range windows {
@@ -179,10 +218,10 @@
 // Text is the result for people.
 func (c *Cold) Text(*Account) string {
 	var t strings.Builder
-	fmt.Fprintf(&t, "%d processes share %.0f tries a second to each cold peer, and a burst of %.0f, for %.0f s, in which peers started %d "+
-		"times and %d fell\n", c.Nodes, coldRate, coldBurst(c.Nodes), c.Seconds, c.Starts, c.Falls)
-	fmt.Fprintf(&t, "to a cold peer came at most %.3f of what any window allows; of what was allowed %.3f was used from 2 to 8 s after a "+
-		"start\n", c.Over, c.Use)
+	fmt.Fprintf(&t, "%d processes share %.0f tries a second to each cold peer, and a burst of %.0f, for %.0f s, "+
+		"in which peers started %d times and %d fell\n", c.Nodes, coldRate, coldBurst(c.Nodes), c.Seconds, c.Starts, c.Falls)
+	fmt.Fprintf(&t, "to a cold peer came at most %.3f of what any window allows; "+
+		"of what was allowed %.3f was used from 2 to 8 s after a start\n", c.Over, c.Use)
 	for _, one := range c.Broken {
 		fmt.Fprintf(&t, "  %s\n", one)
 	}
@@ -191,6 +230,6 @@
 
 // Line is the result in one line.
 func (c *Cold) Line(s *fault.Script) string {
-	return fmt.Sprintf("seed %d: %s; %d starts, over %.3f, use %.3f, %d fell; %s", s.Seed, strings.Join(s.Kinds(), " "), c.Starts, c.Over,
-		c.Use, c.Falls, verdict(c.Broken))
+	return fmt.Sprintf("seed %d: %s; %d starts, over %.3f, use %.3f, %d fell; %s",
+		s.Seed, strings.Join(s.Kinds(), " "), c.Starts, c.Over, c.Use, c.Falls, verdict(c.Broken))
 }
--- a/internal/lab/fleet/page.go
+++ b/internal/lab/fleet/page.go
@@ -188,7 +188,7 @@
 <rect class="wrong" x="240" width="12" height="12"/><text x="256" y="11">none is right yet</text></svg></p>
 <svg width="{{.Wide}}" height="{{.High}}" font-size="12">
 {{range .Lanes}}<text x="4" y="{{.Y}}">{{.Name}}</text>{{end}}
-{{range .Segments}}<rect class="{{.Class}}" x="{{.X}}" y="{{.Y}}" width="{{.W}}" height="{{.H}}">{{/* no line break */ -}}
+{{range .Segments}}<rect class="{{.Class}}" x="{{.X}}" y="{{.Y}}" width="{{.W}}" height="{{.H}}">{{/* join */ -}}
 <title>{{.Title}}</title></rect>{{end}}
 {{range .Ticks}}<text x="{{.X}}" y="{{.Y}}">{{.Title}}</text>{{end}}
 </svg><pre>{{.Text}}</pre><h2>What happened</h2><pre>{{range .Events}}{{.}}
--- a/internal/lab/fleet/signals.go
+++ b/internal/lab/fleet/signals.go
@@ -23,6 +23,8 @@
 	signalOld = 8 * time.Second
 	// signalsFrom is when the first peer may fail.
 	signalsFrom = 8 * time.Second
+	// signalsFault is for how long they fail.
+	signalsFault = 7 * time.Second
 )
 
 // SignalWitnesses is that number where processes tell each other of peers; else 0.
@@ -33,8 +35,8 @@
 	return 0
 }
 
-// signalsQuietScript is choicesWorld, thinly asked.
-func signalsQuietScript(peers int) func(seed uint64, nodes int, length time.Duration) *fault.Script {
+// signalsQuietScript is choicesQuietScript with few calls.
+func signalsQuietScript(peers int) quietScriptMaker {
 	return func(seed uint64, nodes int, length time.Duration) *fault.Script {
 		s := choicesQuietScript(peers)(seed, nodes, length)
 		for i := range s.World.Clients {
@@ -45,7 +47,7 @@
 }
 
 // signalsDemoScript lets peers die and fall silent, one in ten at a time.
-func signalsDemoScript(peers int) func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
+func signalsDemoScript(peers int) scriptMaker {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 		if length < 25*time.Second {
 			return nil, fmt.Errorf("%v: at least 25s are wanted", length)
@@ -57,7 +59,10 @@
 			for _, p := range g.Perm(peers)[:max(peers/10, 1)] {
 				some = append(some, s.World.Peers[p].Name)
 			}
-			s.Faults = append(s.Faults, fault.Fault{Kind: []string{"death", "stall"}[i%2], At: figure.Span(at), For: figure.Span(7 * time.Second), Peers: some})
+			kind := []string{"death", "stall"}[i%2]
+			s.Faults = append(s.Faults, fault.Fault{
+				Kind: kind, At: figure.Span(at), For: figure.Span(signalsFault), Peers: some,
+			})
 		}
 		return s, s.Check()
 	}
@@ -78,8 +83,14 @@
 		s.Faults = drawn.Faults
 		return s, s.Check()
 	}
-	return Scenario{"signals", signalsDemoScript(peers), draw, signalsQuietScript(peers), nil, more,
-		func(s *fault.Script, a *Account) Outcome { return JudgeSignals(s, a) }, nil, nil}
+	return Scenario{
+		Name:         "signals",
+		DemoScript:   signalsDemoScript(peers),
+		RandomScript: draw,
+		QuietScript:  signalsQuietScript(peers),
+		ExtraTables:  more,
+		Judge:        func(s *fault.Script, a *Account) Outcome { return JudgeSignals(s, a) },
+	}
 }
 
 // Signals is what came of it.
@@ -92,8 +103,8 @@
 	Silent   Times       `json:"silent_used_s"` // the same of peers that fell silent, until the last try had failed
 	Quiet    float64     `json:"silent_tries"`
 	Back     Times       `json:"back_s"`    // from a dead peer's start to its first try
-	WrongOut int         `json:"wrong_out"` // sound peers that a process left alone, with fewer others that had failed with them
-	ByChance int         `json:"by_chance"` // sound peers that it left alone since others had: a busy machine, or lost answers
+	WrongOut int         `json:"wrong_out"` // sound peers that a process ejected, and fewer others had failed with them
+	ByChance int         `json:"by_chance"` // sound peers that it ejected since others had: a busy machine, or lost answers
 	Probes   float64     `json:"probes_s"`  // that came to all peers
 	Doubts   int         `json:"doubts"`    // times that a process changed whom it leaves alone
 	Broken   []Violation `json:"broken"`
@@ -172,7 +183,7 @@
 		}
 	}
 	m.used(s, a, failed)
-	m.Probes = (&sums{a: a}).probes()
+	m.Probes = probeRate(a)
 	return m
 }
 
@@ -227,12 +238,12 @@
 func (m *Signals) Text(*Account) string {
 	var t strings.Builder
 	fmt.Fprintf(&t, "%d processes in front of %d peers, for %.0f s\n", m.Nodes, m.Peers, m.Seconds)
-	fmt.Fprintf(&t, "a dead peer was tried %.1f times, the last time after %.2f s (median of %d), %.2f s at worst; it was used again %.2f s after "+
-		"its start (median), %.2f s at worst\n", m.DeadEach, m.Dead.Median, m.Dead.Count, m.Dead.Worst, m.Back.Median, m.Back.Worst)
-	fmt.Fprintf(&t, "%.1f tries failed with a silent one, the last after %.2f s (median of %d), %.2f s at worst\n", m.Quiet, m.Silent.Median,
-		m.Silent.Count, m.Silent.Worst)
-	fmt.Fprintf(&t, "sound peers left alone on others' word: %d without reason, %d since others had failed with them; doubts changed %d times; %.1f probes a "+
-		"second came to all peers\n", m.WrongOut, m.ByChance, m.Doubts, m.Probes)
+	fmt.Fprintf(&t, "a dead peer was tried %.1f times, the last time after %.2f s (median of %d), %.2f s at worst; "+
+		"it was used again %.2f s after its start (median), %.2f s at worst\n", m.DeadEach, m.Dead.Median, m.Dead.Count, m.Dead.Worst, m.Back.Median, m.Back.Worst)
+	fmt.Fprintf(&t, "%.1f tries failed with a silent one, the last after %.2f s (median of %d), %.2f s at worst\n",
+		m.Quiet, m.Silent.Median, m.Silent.Count, m.Silent.Worst)
+	fmt.Fprintf(&t, "sound peers left alone on others' word: %d without reason, %d since others had failed with them; "+
+		"doubts changed %d times; %.1f probes a second came to all peers\n", m.WrongOut, m.ByChance, m.Doubts, m.Probes)
 	for _, one := range m.Broken {
 		fmt.Fprintf(&t, "  %s\n", one)
 	}
@@ -241,7 +252,7 @@
 
 // Line is the result in one line.
 func (m *Signals) Line(s *fault.Script) string {
-	return fmt.Sprintf("seed %d: %s; dead %.2f/%.2f s, %.1f tries, silent %.2f/%.2f s, %.1f tries, wrong_out %d; %s", s.Seed,
-		strings.Join(s.Kinds(), " "), m.Dead.Median, m.Dead.Worst, m.DeadEach, m.Silent.Median, m.Silent.Worst, m.Quiet, m.WrongOut,
+	return fmt.Sprintf("seed %d: %s; dead %.2f/%.2f s, %.1f tries, silent %.2f/%.2f s, %.1f tries, wrong_out %d; %s",
+		s.Seed, strings.Join(s.Kinds(), " "), m.Dead.Median, m.Dead.Worst, m.DeadEach, m.Silent.Median, m.Silent.Worst, m.Quiet, m.WrongOut,
 		verdict(m.Broken))
 }
