--- a/internal/lab/fleet/amounts.go
+++ b/internal/lab/fleet/amounts.go
@@ -105,7 +105,7 @@
 	}
 	m.Most = len(more)
 	var at, wide time.Duration
-	m.Over, at, wide = over(more, allowances(a).rate(retriesRate, retriesBurst))
+	m.Over, at, wide = greatestPart(more, allowances(a).rate(retriesRate, retriesBurst))
 	if m.Over > 1 {
 		what := fmt.Sprintf("in %v, %.3f times the retries that are allowed came to peers", wide, m.Over)
 		m.Broken = append(m.Broken, Violation{Rule: "over", At: at - a.Begin, What: what})
@@ -201,7 +201,7 @@
 // JudgeCount counts the calls that came to peers in all. A run that goes over the end of a period has two of them.
 func JudgeCount(a *Account) *Amount {
 	m := newAmount(a, "count", countWhole)
-	came := firsts(a)
+	came := firstArrivals(a)
 	m.Most = len(came)
 	m.Over = float64(m.Most) / countWhole
 	m.Use = min(m.Over, 1)
--- a/internal/lab/fleet/budget.go
+++ b/internal/lab/fleet/budget.go
@@ -43,37 +43,53 @@
 
 // JudgeBudget holds a run against the budget, by what peers received first.
 func JudgeBudget(a *Account) *Budget {
-	b := &Budget{Nodes: len(a.Names), Seconds: (a.End - a.Begin).Seconds(), Broken: []Violation{}}
+	b := &Budget{
+		Nodes:   len(a.Names),
+		Seconds: (a.End - a.Begin).Seconds(),
+		Broken:  []Violation{},
+	}
 	report := newReporter(&b.Broken, a.Begin)
 	reportRun(a, report)
-	first := firsts(a)
-	b.Arrivals, b.Asked = len(first), a.Tally.Asked
-	var at time.Duration
-	var wide time.Duration
+	came := firstArrivals(a)
+	b.Arrivals = len(came)
+	b.Asked = a.Tally.Asked
 	allowed := allowances(a)
-	if b.Over, at, wide = over(first, allowed.rate(budgetRate, budgetBurst)); b.Over > 1 {
-		report("over", at, "in %v, %.3f times what is allowed came to peers", wide, b.Over)
+	over, overAt, window := greatestPart(came, allowed.rate(budgetRate, budgetBurst))
+	b.Over = over
+	if over > 1 {
+		report("over", overAt, "in %v, %.3f times what is allowed came to peers", window, over)
 	}
 	leases(a, report)
 	b.Lent = make([]int, int(b.Seconds))
-	if b.ShareSum, at = shareSum(a, allowed, b.Lent); b.ShareSum > 1+1e-9 {
-		report("share", at, "the parts that could be used add up to %.4f of the whole", b.ShareSum)
+	sum, sumAt := shareSum(a, allowed, b.Lent)
+	b.ShareSum = sum
+	if sum > 1+roundingError {
+		report("share", sumAt, "the parts that could be used add up to %.4f of the whole", sum)
 	}
 	for t := a.Begin; t+time.Second <= a.End; t += time.Second {
-		b.Each = append(b.Each, int(counted(first, t, t+time.Second)))
+		b.Each = append(b.Each, int(counted(came, t, t+time.Second)))
 	}
-	b.uses(a, first)
+	b.measureUse(a, came)
 	b.shares(a)
-	replaced := slices.ContainsFunc(a.Events, func(e Event) bool { return e.What == eventVoters })
-	if replaced && b.UseAfter < leastReplaced {
-		report("book", a.End, "of the whole %.3f was used from 10 s after a change on, though lost voters were replaced", b.UseAfter)
-	}
-	if len(first) == 0 {
+	b.checkReplaced(a, report)
+	if len(came) == 0 {
 		report("use", a.End, "nothing came to any peer")
 	}
 	return b
 }
 
+// roundingError is by how much the sum of parts may be more than the whole.
+const roundingError = 1e-9
+
+// checkReplaced holds the use against its bound where lost voters were replaced.
+func (b *Budget) checkReplaced(a *Account, report reporter) {
+	replaced := slices.ContainsFunc(a.Events, func(e Event) bool { return e.What == eventVoters })
+	if replaced && b.UseAfter < leastReplaced {
+		report("book", a.End, "of the whole %.3f was used from 10 s after a change on, though lost voters were replaced",
+			b.UseAfter)
+	}
+}
+
 // leastReplaced is the least part of the whole that has to be used where voters that are lost are replaced: far beyond
 // the reserve, which is all that is left without a majority of them.
 const leastReplaced = 0.5
@@ -84,14 +100,15 @@
 // Text is the result for people.
 func (b *Budget) Text(*Account) string {
 	var t strings.Builder
-	fmt.Fprintf(&t, "%d processes share %.0f a second and a burst of %.0f, under %.1f times as much demand, for %.0f s; %d terms of "+
-		"leaders\n", b.Nodes, budgetRate, budgetBurst, demandTimes, b.Seconds, b.Handovers)
-	fmt.Fprintf(&t, "to peers came at most %.3f of what any window allows; parts usable at one time add up to %.4f at most\n", b.Over,
-		b.ShareSum)
-	fmt.Fprintf(&t, "used at least %.3f in calm, %.3f from 10 s after a change; with a fixed part for each name %.3f while one is "+
-		"dead; by the number told at the start %.3f to %.3f\n", b.Use, b.UseAfter, b.Fixed, b.ToldUse, b.ToldOver)
-	fmt.Fprintf(&t, "a dead process's part is in use again after %.2f s; a newcomer has a part after %.2f s; parts are within %.3f of "+
-		"their demand's 5 s after a change\n", b.Idle, b.Newcomer, b.Fair)
+	fmt.Fprintf(&t, "%d processes share %.0f a second and a burst of %.0f, under %.1f times as much demand, "+
+		"for %.0f s; %d terms of leaders\n", b.Nodes, budgetRate, budgetBurst, demandTimes, b.Seconds, b.Handovers)
+	fmt.Fprintf(&t, "to peers came at most %.3f of what any window allows; "+
+		"parts usable at one time add up to %.4f at most\n", b.Over, b.ShareSum)
+	fmt.Fprintf(&t, "used at least %.3f in calm, %.3f from 10 s after a change; "+
+		"with a fixed part for each name %.3f while one is dead; by the number told at the start %.3f to %.3f\n",
+		b.Use, b.UseAfter, b.Fixed, b.ToldUse, b.ToldOver)
+	fmt.Fprintf(&t, "a dead process's part is in use again after %.2f s; a newcomer has a part after %.2f s; "+
+		"parts are within %.3f of their demand's 5 s after a change\n", b.Idle, b.Newcomer, b.Fair)
 	for _, one := range b.Broken {
 		fmt.Fprintf(&t, "  %s\n", one)
 	}
@@ -100,6 +117,7 @@
 
 // Line is the result in one line.
 func (b *Budget) Line(s *fault.Script) string {
-	return fmt.Sprintf("seed %d: %s; over %.3f, share_sum %.4f, use %.3f, after changes %.3f, idle %.2f s, newcomer %.2f s; %s", s.Seed,
-		strings.Join(s.Kinds(), " "), b.Over, b.ShareSum, b.Use, b.UseAfter, b.Idle, b.Newcomer, verdict(b.Broken))
+	return fmt.Sprintf("seed %d: %s; "+
+		"over %.3f, share_sum %.4f, use %.3f, after changes %.3f, idle %.2f s, newcomer %.2f s; %s",
+		s.Seed, strings.Join(s.Kinds(), " "), b.Over, b.ShareSum, b.Use, b.UseAfter, b.Idle, b.Newcomer, verdict(b.Broken))
 }
--- a/internal/lab/fleet/budget_test.go
+++ b/internal/lab/fleet/budget_test.go
@@ -24,13 +24,20 @@
 	x.line(s, node, "holds", []budget.Holding{h})
 }
 
-// Each rule of budgets is broken by what breaks it.
 // TestAllowance: of two amounts that follow each other the greater counts until the old one is settled.
 func TestAllowance(t *testing.T) {
 	s := time.Second
 	all := Allowance{{At: 10 * s, Share: 0.5}, {At: 20 * s, Share: 2}, {At: 21 * s, Share: 1}}
-	for at, want := range map[time.Duration]float64{0: 1, 10*s - 1: 1, 10 * s: 1, 10*s + settled - 1: 1, 10*s + settled: 0.5,
-		20 * s: 2, 21 * s: 2, 21*s + settled: 1} {
+	for at, want := range map[time.Duration]float64{
+		0:                  1,
+		10*s - 1:           1,
+		10 * s:             1,
+		10*s + settled - 1: 1,
+		10*s + settled:     0.5,
+		20 * s:             2,
+		21 * s:             2,
+		21*s + settled:     1,
+	} {
 		if got := all.at(at); got != want {
 			t.Errorf("at %v: %v, want %v", at, got, want)
 		}
@@ -49,7 +56,8 @@
 	}
 }
 
-func TestTheJudgeOfBudgets(t *testing.T) {
+// TestBudgetJudge: each rule of budgets is broken by what breaks it.
+func TestBudgetJudge(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		tell   func(x *runBuilder)
@@ -93,7 +101,8 @@
 	}
 }
 
-func TestTheJudgeOfAmounts(t *testing.T) {
+// TestAmountJudges: of units at one time and of a count no more than the whole may come to peers.
+func TestAmountJudges(t *testing.T) {
 	x := newRunBuilder(t)
 	for i := range inUseMost + 1 {
 		x.a.Arrivals = append(x.a.Arrivals, Arrival{At: at(20 + float64(i)/100), Call: time.Duration(i).String()})
@@ -115,8 +124,8 @@
 	}
 }
 
-// A history that one ledger could have made is told from one that none could.
-func TestHistories(t *testing.T) {
+// TestCountHistory: a history that one ledger could have made is told from one that none could.
+func TestCountHistory(t *testing.T) {
 	got := func(units, left int64) budget.CountGrant {
 		return budget.CountGrant{Period: 1, Units: units, Left: left}
 	}
--- a/internal/lab/fleet/signals.go
+++ b/internal/lab/fleet/signals.go
@@ -104,7 +104,7 @@
 	Quiet    float64     `json:"silent_tries"`
 	Back     Times       `json:"back_s"`    // from a dead peer's start to its first try
 	WrongOut int         `json:"wrong_out"` // sound peers that a process ejected, and fewer others had failed with them
-	ByChance int         `json:"by_chance"` // sound peers that it ejected since others had: a busy machine, or lost answers
+	ByChance int         `json:"by_chance"` // sound peers that it ejected since others had failed: a busy machine
 	Probes   float64     `json:"probes_s"`  // that came to all peers
 	Doubts   int         `json:"doubts"`    // times that a process changed whom it leaves alone
 	Broken   []Violation `json:"broken"`
@@ -239,7 +239,8 @@
 	var t strings.Builder
 	fmt.Fprintf(&t, "%d processes in front of %d peers, for %.0f s\n", m.Nodes, m.Peers, m.Seconds)
 	fmt.Fprintf(&t, "a dead peer was tried %.1f times, the last time after %.2f s (median of %d), %.2f s at worst; "+
-		"it was used again %.2f s after its start (median), %.2f s at worst\n", m.DeadEach, m.Dead.Median, m.Dead.Count, m.Dead.Worst, m.Back.Median, m.Back.Worst)
+		"it was used again %.2f s after its start (median), %.2f s at worst\n",
+		m.DeadEach, m.Dead.Median, m.Dead.Count, m.Dead.Worst, m.Back.Median, m.Back.Worst)
 	fmt.Fprintf(&t, "%.1f tries failed with a silent one, the last after %.2f s (median of %d), %.2f s at worst\n",
 		m.Quiet, m.Silent.Median, m.Silent.Count, m.Silent.Worst)
 	fmt.Fprintf(&t, "sound peers left alone on others' word: %d without reason, %d since others had failed with them; "+
@@ -253,6 +254,6 @@
 // Line is the result in one line.
 func (m *Signals) Line(s *fault.Script) string {
 	return fmt.Sprintf("seed %d: %s; dead %.2f/%.2f s, %.1f tries, silent %.2f/%.2f s, %.1f tries, wrong_out %d; %s",
-		s.Seed, strings.Join(s.Kinds(), " "), m.Dead.Median, m.Dead.Worst, m.DeadEach, m.Silent.Median, m.Silent.Worst, m.Quiet, m.WrongOut,
-		verdict(m.Broken))
+		s.Seed, strings.Join(s.Kinds(), " "), m.Dead.Median, m.Dead.Worst, m.DeadEach, m.Silent.Median, m.Silent.Worst,
+		m.Quiet, m.WrongOut, verdict(m.Broken))
 }
