--- a/cmd/olivebridge/crowd_test.go
+++ b/cmd/olivebridge/client_overflow_test.go
@@ -10,14 +10,13 @@
 	"time"
 )
 
-// TestCrowd: clients that connect and say nothing, or stop half way, many times
-// as many as the node has descriptors, keep neither operators nor clients out,
-// and a request that comes on slowly is not thrown out among them.
-func TestCrowd(t *testing.T) {
+// TestClientOverflow: clients that connect and send nothing, or stop half way, many times as many as the node has
+// descriptors, keep neither operators nor clients out, and a request that comes slowly is not closed among them.
+func TestClientOverflow(t *testing.T) {
 	door := freeAddr(t)
 	t.Setenv("ROUTER_ADMIN", door)
 	half := strings.Replace(config, `"sockets":256`, `"sockets":128`, 1)
-	n := startAs(t, half, unchanged, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
+	n := startWithConfig(t, half, unchanged, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
 	slow := make(chan string)
 	go func() {
 		c, err := net.Dial("tcp", n.addr)
@@ -26,7 +25,8 @@
 			return
 		}
 		defer c.Close()
-		raw := "POST /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: slow\r\nX-Call-Class: book\r\nX-Caller: acme\r\nX-Budget: 1.5\r\nContent-Length: 4\r\nConnection: close\r\n\r\npaid"
+		raw := "POST /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: slow\r\nX-Call-Class: book\r\nX-Caller: acme\r\n" +
+			"X-Budget: 1.5\r\nContent-Length: 4\r\nConnection: close\r\n\r\npaid"
 		for len(raw) > 0 { // two seconds in all
 			k := min(len(raw), 8)
 			io.WriteString(c, raw[:k])
@@ -59,7 +59,7 @@
 		}
 		if i%50 == 0 {
 			begun := time.Now()
-			must(t, door, "STATUS")
+			mustCommand(t, door, "STATUS")
 			worst = max(worst, time.Since(begun))
 		}
 		time.Sleep(2 * time.Millisecond)
@@ -70,7 +70,7 @@
 	if got := <-slow; !strings.HasPrefix(got, "HTTP/1.1 200") {
 		t.Errorf("the slow request in the crowd: %.80q", got)
 	}
-	if status, _ := n.ask(t, "GET", fmt.Sprint("/api?user=", 1), "status", ""); status != 200 {
+	if status, _ := n.call(t, "GET", fmt.Sprint("/api?user=", 1), "status", ""); status != 200 {
 		t.Errorf("a call behind the crowd: %d", status)
 	}
 }
--- a/cmd/olivebridge/descriptors_test.go
+++ b/cmd/olivebridge/descriptors_test.go
@@ -12,29 +12,77 @@
 	"strings"
 	"sync"
 	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 )
 
-// TestDescriptorsFilledWhileDiscoveryIsDown: while discovery is down, clients that have asked once or say nothing fill
-// the node's side of clients, over and over, holders its door, and resting connections its side of peers. Then discovery
-// is back, and does not answer its first calls. The changed list comes through; a new client is served by a server that is
-// on this list alone, hence probed before; whoever was closed under a request had none of it passed on; and the process,
-// which may hold what the settings say and no more, never lacks a descriptor.
+// TestDescriptorsExhaustedAtDial: the node's lack of descriptors is no failure of its servers. They are all in use
+// again as soon as it has descriptors, without a pause, and none is taken out of the table.
+func TestDescriptorsExhaustedAtDial(t *testing.T) {
+	s := newRuleChecker()
+	n := startWithLimits(t, "ulimit -n 24", unchanged, s.server("s-0", respondOK), s.server("s-1", respondOK))
+	var idle []net.Conn
+	for range 40 { // clients that hold what descriptors there are
+		c, err := net.Dial("tcp", n.addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		idle = append(idle, c)
+	}
+	for fds := 0; fds < 23; { // all that it may have are in use
+		list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", n.cmd.Process.Pid))
+		if err != nil {
+			t.Skip("no /proc to count descriptors in")
+		}
+		fds = len(list)
+	}
+	for _, c := range idle[:8] { // the requests come on connections that are open
+		fmt.Fprintf(c, "GET /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: f%s\r\nX-Call-Class: status\r\nX-Caller: acme\r\n"+
+			"X-Budget: 1\r\n\r\n", strings.ReplaceAll(c.LocalAddr().String(), ":", "-"))
+		c.SetReadDeadline(time.Now().Add(2 * time.Second))
+		head := make([]byte, 200)
+		k, err := c.Read(head)
+		if !strings.HasPrefix(string(head[:k]), "HTTP/1.1 503 ") || !strings.Contains(string(head[:k]), "Retry-After: ") {
+			t.Errorf("%q, %v: wanted a refusal that says when to come back", head[:k], err)
+		}
+	}
+	for _, c := range idle {
+		c.Close()
+	}
+	for i := range 20 {
+		if status, _ := s.call(t, n.addr, "status", nil); status != 200 {
+			t.Errorf("call %d with descriptors again: %d", i, status)
+		}
+	}
+	n.cmd.Process.Signal(syscall.SIGTERM)
+	for line := range n.lines {
+		if strings.Contains(line, "out of the table") {
+			t.Error(line)
+		}
+	}
+	s.check(t, "s-1")
+}
+
+// TestDescriptorsFilledWhileDiscoveryIsDown: while discovery is down, clients that have sent one request or nothing use
+// all client connections, over and over, silent operators all admin connections, and idle connections those to servers.
+// Then discovery is back, and does not answer its first requests. The changed list comes through; a new client is
+// served by a server that is on this list alone, hence checked before; a request whose connection was closed was not
+// forwarded; and the process, which may hold what the settings say and no more, never lacks a descriptor.
 func TestDescriptorsFilledWhileDiscoveryIsDown(t *testing.T) {
 	for _, sockets := range []int{64, 256} {
 		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
 			t.Parallel()
-			fill(t, sockets)
+			checkFullDescriptors(t, sockets)
 		})
 	}
 }
 
-func fill(t *testing.T, sockets int) {
+func checkFullDescriptors(t *testing.T, sockets int) {
 	const hung = 4 // calls that discovery does not answer at first
-	s, peers := newShop(), []http.HandlerFunc(nil)
+	s, peers := newRuleChecker(), []http.HandlerFunc(nil)
 	for i := range sockets / 2 {
-		peers = append(peers, s.peer(fmt.Sprint("s-", i), served))
+		peers = append(peers, s.server(fmt.Sprint("s-", i), respondOK))
 	}
 	small := strings.NewReplacer(`"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets), `"probes":false`, `"probes":true`)
 	n := prepare(t, small.Replace(config), unchanged, peers...)
@@ -62,7 +110,7 @@
 	}()
 
 	for range 40 {
-		hold(t, door)
+		holdConnection(t, door)
 	}
 	var clients sync.WaitGroup
 	var over atomic.Bool
@@ -72,7 +120,7 @@
 	for range 8 { // clients that ask, rest a while, and ask again on the same connection as long as it is there
 		clients.Go(func() {
 			for !over.Load() {
-				s.rest(n.addr, &over, asked, cut)
+				s.callWithPauses(n.addr, &over, asked, cut)
 			}
 		})
 	}
@@ -83,7 +131,7 @@
 					c.SetReadDeadline(time.Now().Add(2 * time.Second))
 					io.Copy(io.Discard, c) // until the node closes it
 					c.Close()
-					note(silent)
+					notify(silent)
 				}
 			}
 		})
@@ -95,7 +143,7 @@
 		<-silent
 	}
 
-	fresh := httptest.NewServer(s.peer("fresh", served))
+	fresh := httptest.NewServer(s.server("fresh", respondOK))
 	t.Cleanup(fresh.Close)
 	calls, told := atomic.Int64{}, make(chan time.Time, 2)
 	l, err := net.Listen("tcp", discovery)
@@ -104,12 +152,12 @@
 	}
 	list := httptest.Server{Listener: l, Config: &http.Server{Handler: http.HandlerFunc(
 		func(w http.ResponseWriter, r *http.Request) {
-			switch call := calls.Add(1); {
-			case call == hung+1:
-				fmt.Fprintf(w, `{"version":2,"full":true,"servers":[{"id":"fresh","addr":%q,"zone":"a","kind":"m1","state":"Ready","started_ms":0}]}`,
-					fresh.Listener.Addr())
+			switch calls.Add(1) {
+			case hung + 1:
+				fmt.Fprintf(w, `{"version":2,"full":true,"servers":[{"id":"fresh","addr":%q,"zone":"a","kind":"m1",`+
+					`"state":"Ready","started_ms":0}]}`, fresh.Listener.Addr())
 				return
-			case call == 1 || call == hung+2: // the first one, and the one after the list has come through
+			case 1, hung + 2: // the first one, and the one after the list has come through
 				told <- time.Now()
 			}
 			<-r.Context().Done()
@@ -126,7 +174,7 @@
 		}
 	}
 	s.mu.Lock()
-	if s.coming["fresh"] == 0 {
+	if s.received["fresh"] == 0 {
 		t.Error("nothing has come to the server on the changed list")
 	}
 	s.mu.Unlock()
@@ -138,15 +186,15 @@
 	clients.Wait()
 	close(cut)
 	for id := range cut { // now: what was read may be passed on long after its connection is closed
-		if !s.unread(id) {
+		if !s.notReceived(id) {
 			t.Errorf("%s was passed on, and its connection closed", id)
 		}
 	}
 }
 
-// rest has one client ask on one connection, with rests between, until the node closes it. A request that this cuts off
-// is told.
-func (s *shop) rest(addr string, over *atomic.Bool, asked chan bool, cut chan string) {
+// callWithPauses has one client send requests on one connection, with pauses, until the node closes it. A request that
+// this cuts off is sent to cut.
+func (s *ruleChecker) callWithPauses(addr string, over *atomic.Bool, asked chan bool, cut chan string) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return
@@ -156,7 +204,8 @@
 	for !over.Load() {
 		id := fmt.Sprint("rest-", ids.Add(1))
 		c.SetDeadline(time.Now().Add(7 * time.Second))
-		_, err := fmt.Fprintf(c, "GET /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: %s\r\nX-Call-Class: status\r\nX-Caller: acme\r\nX-Budget: 5\r\n\r\n", id)
+		_, err := fmt.Fprintf(c, "GET /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: %s\r\nX-Call-Class: status\r\n"+
+			"X-Caller: acme\r\nX-Budget: 5\r\n\r\n", id)
 		if err == nil {
 			_, err = http.ReadResponse(answers, nil)
 		}
@@ -166,21 +215,21 @@
 			}
 			return
 		}
-		note(asked)
+		notify(asked)
 		time.Sleep(time.Duration(ids.Load()%30) * time.Millisecond) // a client's rest
 	}
 }
 
-// note tells c, unless it is full.
-func note(c chan bool) {
+// notify sends to c, unless it is full.
+func notify(c chan bool) {
 	select {
 	case c <- true:
 	default:
 	}
 }
 
-// hold opens a connection that stays until the test's end.
-func hold(t *testing.T, addr string) {
+// holdConnection opens a connection that stays until the test's end.
+func holdConnection(t *testing.T, addr string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/cmd/olivebridge/large_test.go
+++ b/cmd/olivebridge/large_messages_test.go
@@ -10,30 +10,31 @@
 	"strconv"
 	"strings"
 	"sync"
+	"syscall"
 	"testing"
 	"time"
 )
 
-// long is a body of n bytes that depends on a seed.
-func long(seed, n int64) io.Reader { return io.LimitReader(rand.New(rand.NewSource(seed)), n) }
+// randomBody is a body of n bytes that depends on a seed.
+func randomBody(seed, n int64) io.Reader { return io.LimitReader(rand.New(rand.NewSource(seed)), n) }
 
-func sum(r io.Reader) (string, error) {
+func checksum(r io.Reader) (string, error) {
 	h := sha256.New()
 	_, err := io.Copy(h, r)
 	return fmt.Sprintf("%x", h.Sum(nil)), err
 }
 
-// plain hides what a reader can do beyond reading: its length is not announced.
-type plain struct{ io.Reader }
+// unknownLength hides what a reader can do beyond reading: its length is not announced.
+type unknownLength struct{ io.Reader }
 
-// TestLongMessages: bodies and answers that together exceed the node's memory
-// many times come through whole, both ways, announced and in chunks.
-func TestLongMessages(t *testing.T) {
+// TestLargeMessages: bodies and responses that together exceed the node's memory many times come through whole, both
+// ways, with a length and in chunks.
+func TestLargeMessages(t *testing.T) {
 	const each, calls = 24 << 20, 12 // 288 MB each way, at 64 MB of memory
-	n := startAs(t, strings.Replace(config, `"memory_mb":192`, `"memory_mb":64`, 1), unchanged,
+	n := startWithConfig(t, strings.Replace(config, `"memory_mb":192`, `"memory_mb":64`, 1), unchanged,
 		func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == "POST" {
-				got, err := sum(r.Body)
+				got, err := checksum(r.Body)
 				fmt.Fprint(w, got, err)
 				return
 			}
@@ -41,14 +42,14 @@
 			if seed%2 == 0 {
 				w.Header().Set("Content-Length", strconv.Itoa(each))
 			}
-			io.Copy(w, long(seed, each))
+			io.Copy(w, randomBody(seed, each))
 		})
 	var all sync.WaitGroup
 	for i := range int64(calls) {
-		want, _ := sum(long(i, each))
+		want, _ := checksum(randomBody(i, each))
 		all.Go(func() {
-			body := long(i, each)
-			req, _ := http.NewRequest("POST", "http://"+n.addr+"/api", plain{body})
+			body := randomBody(i, each)
+			req, _ := http.NewRequest("POST", "http://"+n.addr+"/api", unknownLength{body})
 			if i%2 == 0 {
 				req.ContentLength = each
 			}
@@ -62,7 +63,7 @@
 			got.Close()
 			req, _ = http.NewRequest("GET", fmt.Sprintf("http://%s/api?seed=%d", n.addr, i), nil)
 			status, got = n.send(t, req, "status")
-			if have, err := sum(got); status != 200 || have != want || err != nil {
+			if have, err := checksum(got); status != 200 || have != want || err != nil {
 				t.Errorf("answer %d: status %d, %v", i, status, err)
 			}
 			got.Close()
@@ -81,22 +82,8 @@
 	}
 }
 
-// send sends a call of a class; the caller closes the answer's body.
-func (n *process) send(t *testing.T, req *http.Request, class string) (int, io.ReadCloser) {
-	t.Helper()
-	for name, v := range map[string]string{"X-Call-Id": fmt.Sprint("9b1f-", ids.Add(1)), "X-Call-Class": class, "X-Caller": "acme", "X-Budget": "5"} {
-		req.Header.Set(name, v)
-	}
-	resp, err := http.DefaultClient.Do(req)
-	if err != nil {
-		t.Error(err)
-		return 0, http.NoBody
-	}
-	return resp.StatusCode, resp.Body
-}
-
-// TestSlowBody: a body that comes at its pace for longer than any time-out is
-// served; one that stops is found out within 3 s, and its peer is let go.
+// TestSlowBody: a body that keeps coming for longer than any timeout is served; one that stops is found out within 3 s,
+// and its server is let go.
 func TestSlowBody(t *testing.T) {
 	ended := make(chan error, 2)
 	n := start(t, unchanged, func(w http.ResponseWriter, r *http.Request) {
@@ -128,3 +115,25 @@
 	}
 	body.Close()
 }
+
+// TestServerSilentDuringUpload: a server that stops reading a long body in its middle does not hold the request for
+// ever. Its last byte never left, so that it never ran, and its client, which still writes, gets a Retry-After.
+func TestServerSilentDuringUpload(t *testing.T) {
+	if testing.Short() {
+		t.Skip("it waits for 30 s")
+	}
+	t.Parallel()
+	s, release := newRuleChecker(), make(chan bool)
+	n := start(t, unchanged, func(w http.ResponseWriter, r *http.Request) { <-release })
+	defer close(release)
+	begun := time.Now()
+	status, after := s.call(t, n.addr, "book", io.LimitReader(zeros{}, 30<<20))
+	if d := time.Since(begun); status != 503 || after == "" || d > 40*time.Second {
+		t.Errorf("status %d, to come again after %q s, in %v", status, after, d)
+	}
+	n.cmd.Process.Signal(syscall.SIGTERM)
+}
+
+type zeros struct{}
+
+func (zeros) Read(b []byte) (int, error) { return len(b), nil }
--- a/cmd/olivebridge/main.go
+++ b/cmd/olivebridge/main.go
@@ -11,19 +11,19 @@
 	"olivebridge/internal/protocol"
 )
 
-// fleetProgram is the node with a fleet around it. It is a program of its own, since the libraries that this takes
+// fleetProgram is the node that belongs to a fleet. It is a program of its own, since the libraries that this takes
 // cost every process that links them more memory than the platform's node can spare.
 const fleetProgram = "olivefleet"
 
 func main() {
 	if os.Getenv(protocol.EnvFleet) != "" {
-		program.Fail(become(fleetProgram))
+		program.Fail(execProgram(fleetProgram))
 	}
 	program.Main(program.Options{})
 }
 
-// become lets this process go on as another program of the same folder. It returns only if it cannot.
-func become(name string) error {
+// execProgram replaces this process by another program of the same folder. It returns only if it cannot.
+func execProgram(name string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("variable %s: finding %s: %w", protocol.EnvFleet, name, err)
--- a/cmd/olivebridge/operate_test.go
+++ b/cmd/olivebridge/operators_test.go
@@ -5,6 +5,7 @@
 	"io"
 	"net"
 	"net/http"
+	"os"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -23,8 +24,8 @@
 	return l.Addr().String()
 }
 
-// call makes a call at an operators' door; "" if nobody is there.
-func call(t *testing.T, door, line string) string {
+// command sends an operator's command and returns the answer; "" if nobody listens.
+func command(t *testing.T, door, line string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", door)
 	if err != nil {
@@ -36,15 +37,18 @@
 	return string(got)
 }
 
-func must(t *testing.T, door, line string) {
+func mustCommand(t *testing.T, door, line string) {
 	t.Helper()
-	if got := call(t, door, line); !strings.HasPrefix(got, "SUCCESS") {
+	if got := command(t, door, line); !strings.HasPrefix(got, "SUCCESS") {
 		t.Errorf("%s: %q", line, got)
 	}
 }
 
-// TestMaintenance: from the yes on a suspended server gets nothing, also when
-// the upstream group goes on listing it as ready, and restored it is used again.
+// adminAddr is where operators connect to this process.
+func (n *process) adminAddr() string { return os.Getenv("ROUTER_ADMIN") }
+
+// TestMaintenance: from the answer on a suspended server gets nothing, also when discovery goes on listing it as ready,
+// and once restored it is used again.
 func TestMaintenance(t *testing.T) {
 	door := freeAddr(t)
 	t.Setenv("ROUTER_ADMIN", door)
@@ -52,12 +56,12 @@
 	storm := make(chan bool)
 	var n *process
 	quick := strings.Replace(config, `"fall":3000000000`, `"fall":100000000`, 1) // or chance has few turns in 5 s
-	n = startAs(t, quick, func(w http.ResponseWriter, r *http.Request) {
+	n = startWithConfig(t, quick, func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-storm: // whole lists that say nothing of maintenance, one after the other
 			time.Sleep(time.Millisecond)
 			fmt.Fprintf(w, `{"version":2,"full":true,"servers":[`)
-			for i, addr := range n.known {
+			for i, addr := range n.serverAddrs {
 				fmt.Fprintf(w, `%s{"id":"s-%d","addr":%q,"zone":"a","kind":"m1","state":"Ready","started_ms":0}`,
 					[]string{"", ","}[i], i, addr)
 			}
@@ -66,27 +70,27 @@
 		}
 	}, func(http.ResponseWriter, *http.Request) { tries[0].Add(1) },
 		func(http.ResponseWriter, *http.Request) { tries[1].Add(1) })
-	if got := call(t, door, "SUSPEND s-9"); !strings.HasPrefix(got, "FAILURE") {
+	if got := command(t, door, "SUSPEND s-9"); !strings.HasPrefix(got, "FAILURE") {
 		t.Errorf("a server that was never listed: %q", got)
 	}
 	load := func(calls int) {
 		for i := range calls {
-			n.ask(t, "GET", fmt.Sprint("/api?user=k", i), "status", "")
+			n.call(t, "GET", fmt.Sprint("/api?user=k", i), "status", "")
 		}
 	}
 	close(storm)
 	load(50)
-	must(t, door, "SUSPEND s-0")
+	mustCommand(t, door, "SUSPEND s-0")
 	before := tries[0].Load()
 	load(200)
 	if got := tries[0].Load(); got != before || before == 0 {
 		t.Errorf("%d tries before the yes, %d after", before, got-before)
 	}
-	must(t, door, "SUSPEND s-1")
-	if status, _ := n.ask(t, "GET", "/api", "status", ""); status != 503 {
+	mustCommand(t, door, "SUSPEND s-1")
+	if status, _ := n.call(t, "GET", "/api", "status", ""); status != 503 {
 		t.Errorf("with all suspended: %d", status)
 	}
-	must(t, door, "RESTORE s-0")
+	mustCommand(t, door, "RESTORE s-0")
 	for until := time.Now().Add(5 * time.Second); tries[0].Load() == before && time.Now().Before(until); {
 		load(1)
 	}
@@ -95,26 +99,26 @@
 	}
 }
 
-// TestPause: a paused node says no, serves what still comes, holds no client
-// connection idle, and is back at once.
+// TestPause: a paused node is not ready, serves what still comes, holds no client connection idle, and is back at once.
 func TestPause(t *testing.T) {
 	door := freeAddr(t)
 	t.Setenv("ROUTER_ADMIN", door)
 	n := start(t, unchanged, func(http.ResponseWriter, *http.Request) {})
-	ready := func() int { status, _ := n.ask(t, "GET", "/health/ready", "", ""); return status }
+	ready := func() int { status, _ := n.call(t, "GET", "/health/ready", "", ""); return status }
 	idle, err := net.Dial("tcp", n.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer idle.Close()
-	fmt.Fprint(idle, "GET /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: 1\r\nX-Call-Class: status\r\nX-Caller: acme\r\nX-Budget: 5\r\n\r\n")
+	fmt.Fprint(idle, "GET /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: 1\r\nX-Call-Class: status\r\nX-Caller: acme\r\n"+
+		"X-Budget: 5\r\n\r\n")
 	for range 2 {
-		must(t, door, "PAUSE")
+		mustCommand(t, door, "PAUSE")
 		if got := ready(); got != 503 {
 			t.Errorf("ready while paused: %d", got)
 		}
 	}
-	if status, _ := n.ask(t, "GET", "/api", "status", ""); status != 200 {
+	if status, _ := n.call(t, "GET", "/api", "status", ""); status != 200 {
 		t.Errorf("a call while paused: %d", status)
 	}
 	begun := time.Now()
@@ -122,16 +126,16 @@
 	if d := time.Since(begun); !strings.Contains(string(answer), "200 OK") || d > 1500*time.Millisecond {
 		t.Errorf("%q, held for %v", answer, d)
 	}
-	if got := call(t, door, "STATUS"); !strings.HasPrefix(got, "SUCCESS paused") {
+	if got := command(t, door, "STATUS"); !strings.HasPrefix(got, "SUCCESS paused") {
 		t.Errorf("status: %q", got)
 	}
-	must(t, door, "RESUME")
+	mustCommand(t, door, "RESUME")
 	if got := ready(); got != 200 {
 		t.Errorf("ready after the pause: %d", got)
 	}
-	n.ask(t, "GET", "/api", "status", "")
-	must(t, door, "PAUSE")
-	must(t, door, "RESUME") // before the connections were come to
+	n.call(t, "GET", "/api", "status", "")
+	mustCommand(t, door, "PAUSE")
+	mustCommand(t, door, "RESUME") // before the connections were come to
 	time.Sleep(700 * time.Millisecond)
 	if got := ready(); got != 200 {
 		t.Errorf("ready after a pause cut short: %d", got)
--- a/cmd/olivebridge/upgrade_test.go
+++ b/cmd/olivebridge/upgrade_test.go
@@ -10,45 +10,32 @@
 	"strings"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 
 	"olivebridge/internal/handover"
 )
 
-// successor starts the program once more beside a process, with a door of its own.
+// successor starts the program once more beside a process, with an admin address of its own.
 func (n *process) successor(t *testing.T) (next *process, door string) {
 	t.Helper()
 	door = freeAddr(t)
-	next = &process{known: n.known, config: n.config, env: append(n.env[:len(n.env):len(n.env)], "ROUTER_ADMIN="+door)}
+	next = n.sibling("ROUTER_ADMIN=" + door)
 	next.launch(t)
-	for !strings.HasPrefix(call(t, door, "STATUS"), "SUCCESS") {
+	for !strings.HasPrefix(command(t, door, "STATUS"), "SUCCESS") {
 		time.Sleep(time.Millisecond)
 	}
 	return next, door
 }
 
-// end has a process end as planned, and waits for that.
-func (n *process) end(t *testing.T) {
-	t.Helper()
-	n.cmd.Process.Signal(syscall.SIGTERM)
-	n.until(t, "when=exit")
-	for range n.lines {
-	}
-	if err := n.cmd.Wait(); err != nil {
-		t.Errorf("exit: %v", err)
-	}
-}
-
-// book sends a call with an effect, on a kept connection or a new one.
+// book sends a non-idempotent request, on a kept connection or a new one.
 func book(client *http.Client, addr string) (status int, err error) {
 	req, err := http.NewRequest("POST", "http://"+addr+"/api", io.NopCloser(strings.NewReader("paid"))) // never sent again
 	if err != nil {
 		return 0, err
 	}
 	req.ContentLength = 4
-	req.Header = http.Header{"X-Call-Id": {fmt.Sprint("u", ids.Add(1))}, "X-Call-Class": {"book"}, "X-Caller": {"acme"}, "X-Budget": {"1.5"}}
+	req.Header = callHeader(fmt.Sprint("u", ids.Add(1)), "book", "1.5")
 	resp, err := client.Do(req)
 	if err != nil {
 		return 0, err
@@ -58,9 +45,9 @@
 	return resp.StatusCode, err
 }
 
-// keep uses one connection, while it need not rest, so often that no process closes it for its silence. It ends after a
-// last use once stop is closed.
-func keep(addr string, rest *sync.Mutex, stop chan bool) error {
+// useConnection uses one connection, while idle is unlocked, so often that no process closes it for its silence. It
+// ends after a last use once stop is closed.
+func useConnection(addr string, idle *sync.Mutex, stop chan bool) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
@@ -68,12 +55,15 @@
 	defer c.Close()
 	answers := bufio.NewReader(c)
 	for last := false; ; {
-		rest.Lock()
+		idle.Lock()
 		fmt.Fprint(c, "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
 		resp, err := http.ReadResponse(answers, nil)
-		rest.Unlock()
-		if err != nil || resp.StatusCode != 200 || resp.Close {
-			return fmt.Errorf("%+v, %v", resp, err)
+		idle.Unlock()
+		if err != nil {
+			return err
+		}
+		if resp.StatusCode != 200 || resp.Close {
+			return fmt.Errorf("%+v", resp)
 		}
 		if last {
 			return nil
@@ -86,9 +76,8 @@
 	}
 }
 
-// TestUpgrade: while clients go on, one process follows another, and one dies
-// half way. No connection is refused, reset or left unread; nothing runs twice,
-// and a suspension holds throughout.
+// TestUpgrade: while clients go on, one process follows another, and one dies half way. No connection is refused, reset
+// or left unread; nothing runs twice, and a suspension holds throughout.
 func TestUpgrade(t *testing.T) {
 	t.Setenv("ROUTER_ADMIN", freeAddr(t))
 	var ran, held atomic.Int64
@@ -97,9 +86,9 @@
 	addr := n.addr
 	n.env[1] = "ROUTER_LISTEN=" + addr
 	next, door := n.successor(t)
-	n.end(t) // the first has another address in its environment
+	n.shutdown(t) // the first has another address in its environment
 	n = next
-	must(t, door, "SUSPEND s-1")
+	mustCommand(t, door, "SUSPEND s-1")
 	before := held.Load()
 	var served atomic.Int64
 	stop := make(chan bool)
@@ -128,7 +117,7 @@
 	}
 	var idle sync.Mutex // held while the connection that is kept throughout has to rest
 	clients.Go(func() {
-		if err := keep(addr, &idle, stop); err != nil {
+		if err := useConnection(addr, &idle, stop); err != nil {
 			t.Errorf("the connection that was kept throughout: %v", err)
 		}
 	})
@@ -140,22 +129,23 @@
 			}
 			takeover.Listener.Close()
 			begun := time.Now() // it does not say that the ban holds there: a yes would be false
-			if got := call(t, door, "SUSPEND s-1"); !strings.HasPrefix(got, "FAILURE it holds in this process alone") || time.Since(begun) > time.Second {
+			got := command(t, door, "SUSPEND s-1")
+			if !strings.HasPrefix(got, "FAILURE it holds in this process alone") || time.Since(begun) > time.Second {
 				t.Errorf("beside a process that hangs: %q after %v", got, time.Since(begun))
 			}
 			takeover.Link.Close()
-			n.until(t, "other process has ended")
-			must(t, door, "SUSPEND s-1")
+			n.waitForLog(t, "other process has ended")
+			mustCommand(t, door, "SUSPEND s-1")
 		}
 		for some := served.Load() + 200; served.Load() < some; {
 			time.Sleep(time.Millisecond)
 		}
 		next, door = n.successor(t)
-		if got := call(t, door, "STATUS"); !strings.Contains(got, "[s-1]") {
+		if got := command(t, door, "STATUS"); !strings.Contains(got, "[s-1]") {
 			t.Errorf("round %d: %q", round, got)
 		}
 		idle.Lock()
-		n.end(t)
+		n.shutdown(t)
 		idle.Unlock()
 		n = next
 	}
@@ -164,22 +154,22 @@
 	if ran.Load() == 0 || held.Load() != before || served.Load() < ran.Load()-before-1 {
 		t.Errorf("%d ran, %d at the suspended peer, %d served", ran.Load(), held.Load()-before, served.Load())
 	}
-	must(t, door, "RESTORE s-1")
+	mustCommand(t, door, "RESTORE s-1")
 }
 
-// TestOtherAddress: a process of the same name that is told another address is
-// no successor. It must not take clients where nobody sent it.
-func TestOtherAddress(t *testing.T) {
+// TestSuccessorOfOtherAddress: a process of the same name that is told another address is no successor. It must not
+// take clients where nobody sent it.
+func TestSuccessorOfOtherAddress(t *testing.T) {
 	t.Setenv("ROUTER_ADMIN", freeAddr(t))
 	n := start(t, unchanged, func(http.ResponseWriter, *http.Request) {})
-	other := &process{config: n.config, env: append(n.env[:len(n.env):len(n.env)], "ROUTER_ADMIN="+freeAddr(t), "ROUTER_LISTEN="+freeAddr(t))}
+	other := n.sibling("ROUTER_ADMIN="+freeAddr(t), "ROUTER_LISTEN="+freeAddr(t))
 	other.launch(t)
 	if other.addr == n.addr {
 		t.Error("it serves at the address of the process in service")
 	}
-	other.end(t)
-	n.until(t, "other process has ended")
-	if status, _ := n.ask(t, "GET", "/api", "status", ""); status != 200 {
+	other.shutdown(t)
+	n.waitForLog(t, "other process has ended")
+	if status, _ := n.call(t, "GET", "/api", "status", ""); status != 200 {
 		t.Errorf("status %d", status)
 	}
 }
