--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -69,29 +69,40 @@
 	}, nil
 }
 
-// readCallHeaders reads headers of which each may be given once.
+// readCallHeaders reads headers of which each may be given once. It allocates nothing.
 func readCallHeaders(header func(name string) []string) (callHeaders, error) {
 	var values callHeaders
-	for _, field := range [...]struct {
-		name  string
-		value *string
-	}{
-		{HeaderCallID, &values.id},
-		{HeaderClass, &values.class},
-		{HeaderTenant, &values.tenant},
-		{HeaderTimeout, &values.timeout},
-		{HeaderRetry, &values.retry},
-	} {
-		switch given := header(field.name); {
-		case len(given) > 1:
-			return callHeaders{}, fmt.Errorf("%s: given %d times", field.name, len(given))
-		case len(given) == 1:
-			*field.value = given[0]
-		}
+	var err error
+	if values.id, err = onlyValue(header, HeaderCallID); err != nil {
+		return callHeaders{}, err
+	}
+	if values.class, err = onlyValue(header, HeaderClass); err != nil {
+		return callHeaders{}, err
+	}
+	if values.tenant, err = onlyValue(header, HeaderTenant); err != nil {
+		return callHeaders{}, err
+	}
+	if values.timeout, err = onlyValue(header, HeaderTimeout); err != nil {
+		return callHeaders{}, err
+	}
+	if values.retry, err = onlyValue(header, HeaderRetry); err != nil {
+		return callHeaders{}, err
 	}
 	return values, nil
 }
 
+// onlyValue returns the value of a header; "": it is missing.
+func onlyValue(header func(name string) []string, name string) (string, error) {
+	switch values := header(name); len(values) {
+	case 0:
+		return "", nil
+	case 1:
+		return values[0], nil
+	default:
+		return "", fmt.Errorf("%s: given %d times", name, len(values))
+	}
+}
+
 // classOf returns a class's position if the method is its own.
 func (n NameIndex) classOf(name, method string) (int, error) {
 	class, known := n.Classes[name]
