--- a/internal/transport/handover_test.go
+++ b/internal/transport/handover_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// A connection whose client sends just as it is handed on stays open until it is sent: what reads it here is told of its
-// end, and closes it.
-func TestHandedOnWhileBytesCome(t *testing.T) {
+// A connection whose client sends just as it is handed on stays open until it is sent: what reads it here is told
+// of its end, and closes it.
+func TestHandOffWhileBytesArrive(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	all := newClients(l, ClientLimits{MaxOpen: 10, MaxIdle: 10}, slog.New(slog.DiscardHandler))
+	all := newClientConns(l, ClientLimits{MaxOpen: 10, MaxIdle: 10}, slog.New(slog.DiscardHandler))
 	k, err := all.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 		closed <- k.Close()
 	}()
 	given := 0
-	all.giveAway(func(conn syscall.Conn) error {
+	all.startHandOff(func(conn syscall.Conn) error {
 		if _, err := client.Write([]byte("GET")); err != nil {
 			t.Error(err)
 		}
@@ -58,9 +58,9 @@
 	}
 }
 
-// A connection that is handed over after its client has reset it is passed over, and the next one is served: the kernel
-// gives such a connection no address of the other side.
-func TestAdoptedWhoHasGone(t *testing.T) {
+// A connection that is handed over after its client has reset it is passed over, and the next one is served: the
+// kernel gives such a connection no address of the other side.
+func TestAdoptResetConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -98,8 +98,8 @@
 	if reset.RemoteAddr() != nil {
 		t.Fatalf("the kernel still knows %v", reset.RemoteAddr())
 	}
-	all := newClients(l, ClientLimits{MaxOpen: 10, MaxIdle: 10}, slog.New(slog.DiscardHandler))
-	a := &adopted{clients: all, conns: make(chan net.Conn, 2), closed: make(chan struct{})}
+	all := newClientConns(l, ClientLimits{MaxOpen: 10, MaxIdle: 10}, slog.New(slog.DiscardHandler))
+	a := &adoptedListener{clients: all, conns: make(chan net.Conn, 2), closed: make(chan struct{})}
 	a.conns <- reset
 	a.conns <- handed(false)
 	conn, err := a.Accept()
@@ -113,7 +113,7 @@
 
 // Small writes are not held back on a connection, wherever it comes from: those that a kernel still held would go with
 // a reset.
-func TestNothingHeldBack(t *testing.T) {
+func TestNoDelaySet(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
