--- a/cmd/drill/adapter.go
+++ b/cmd/drill/adapter.go
@@ -97,7 +97,7 @@
 	}
 	i := &instance{number: number, reply: &a.reply}
 	a.instances[number] = i
-	if err := i.start(text, event.Ref(), a.batch.Clock); err != nil {
+	if err := i.start(text, event.Seed(), a.batch.Clock); err != nil {
 		a.reply.ReportFault(number, err.Error())
 	}
 	return nil
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -17,23 +17,28 @@
 }
 
 // Code returns the event's code, maybe an unknown one.
-func (e Event) Code() EventCode { return EventCode(e.record[0]) }
+func (e Event) Code() EventCode { return EventCode(e.record[codeOffset]) }
 
 // Instance returns the number of the instance concerned.
-func (e Event) Instance() uint32 { return byteOrder.Uint32(e.record[1:]) }
+func (e Event) Instance() uint32 { return byteOrder.Uint32(e.record[instanceOffset:]) }
 
 // ID returns the request's id; of all events but EventStart, EventEndpoints, EventHealthCheck and EventPeerMessage.
-func (e Event) ID() balancer.RequestID { return balancer.RequestID(byteOrder.Uint64(e.record[5:])) }
+func (e Event) ID() balancer.RequestID {
+	return balancer.RequestID(byteOrder.Uint64(e.record[requestIDOffset:]))
+}
+
+// Ref returns the reference that the timer of an EventTimer was set with.
+func (e Event) Ref() uint64 { return byteOrder.Uint64(e.record[timerRefOffset:]) }
 
-// Ref returns the reference that a timer was set with, or the seed of an EventStart.
-func (e Event) Ref() uint64 { return byteOrder.Uint64(e.record[5:]) }
+// Seed returns the seed of an EventStart.
+func (e Event) Seed() uint64 { return byteOrder.Uint64(e.record[startSeedOffset:]) }
 
 // Attempt returns the number of an EventFirstByte's attempt.
-func (e Event) Attempt() int { return int(byteOrder.Uint16(e.record[13:])) }
+func (e Event) Attempt() int { return int(byteOrder.Uint16(e.record[firstByteAttemptOffset:])) }
 
 // UpdateKind returns the kind of an EventEndpoints.
 func (e Event) UpdateKind() (balancer.UpdateKind, error) {
-	kind := balancer.UpdateKind(e.record[5])
+	kind := balancer.UpdateKind(e.record[endpointsKindOffset])
 	if kind > balancer.UpdateFailed {
 		return 0, e.errorf("unknown kind of list %d", kind)
 	}
@@ -41,30 +46,30 @@
 }
 
 // Settings returns the settings of an EventStart, as settings.DecodeText takes them.
-func (e Event) Settings() ([]byte, error) { return e.tail(13, 1) }
+func (e Event) Settings() ([]byte, error) { return e.tail(startSettingsOffset, 1) }
 
 // PeerMessage returns the sender of an EventPeerMessage, and its bytes.
 func (e Event) PeerMessage() (sender int, data []byte, err error) {
-	data, err = e.tail(7, 1)
-	return int(byteOrder.Uint16(e.record[5:])), data, err
+	data, err = e.tail(peerMessageDataOffset, 1)
+	return int(byteOrder.Uint16(e.record[peerMessageSenderOffset:])), data, err
 }
 
 // Endpoints returns the list of an EventEndpoints. It is overwritten by the next call on the frame.
 func (e Event) Endpoints() ([]balancer.Server, error) {
-	data, err := e.tail(10, endpointSize)
+	data, err := e.tail(endpointsListOffset, endpointSize)
 	if err != nil {
 		return nil, err
 	}
 	endpoints := e.frame.endpoints[:0]
 	for ; len(data) > 0; data = data[endpointSize:] {
 		server := balancer.Server{
-			Cell:      byteOrder.Uint16(data),
-			StartedAt: balancer.Time(byteOrder.Uint64(data[2:])),
-			ID:        getServer(data[10:]),
-			Weight:    math.Float32frombits(byteOrder.Uint32(data[16:])),
-			State:     balancer.ServerState(data[20]),
-			Kind:      data[21],
-			Zone:      data[22],
+			Cell:      byteOrder.Uint16(data[endpointCellOffset:]),
+			StartedAt: balancer.Time(byteOrder.Uint64(data[endpointStartedOffset:])),
+			ID:        getServer(data[endpointServerOffset:]),
+			Weight:    math.Float32frombits(byteOrder.Uint32(data[endpointWeightOffset:])),
+			State:     balancer.ServerState(data[endpointStateOffset]),
+			Kind:      data[endpointKindOffset],
+			Zone:      data[endpointZoneOffset],
 		}
 		if server.State > balancer.Draining {
 			return nil, e.errorf("unknown availability %d", server.State)
@@ -83,43 +88,43 @@
 
 // Request returns the request of an EventRequest.
 func (e Event) Request() balancer.Request {
-	options := e.record[39]
+	options := e.record[requestOptionsOffset]
 	r := balancer.Request{
 		ID:          e.ID(),
-		Timeout:     getDuration(e.record[13:]),
-		AffinityKey: byteOrder.Uint64(e.record[29:]),
-		Class:       int(byteOrder.Uint16(e.record[37:])),
-		Tenant:      int(byteOrder.Uint32(e.record[40:])),
+		Timeout:     getDuration(e.record[requestTimeoutOffset:]),
+		AffinityKey: byteOrder.Uint64(e.record[requestAffinityKeyOffset:]),
+		Class:       int(byteOrder.Uint16(e.record[requestClassOffset:])),
+		Tenant:      int(byteOrder.Uint32(e.record[requestTenantOffset:])),
 		ClientRetry: options&optionClientRetry != 0,
 	}
 	if options&optionHasExpectedWork != 0 {
-		r.ExpectedWork = getDuration(e.record[21:])
+		r.ExpectedWork = getDuration(e.record[requestExpectedWorkOffset:])
 	}
 	return r
 }
 
 // Outcome returns how the attempt of an EventOutcome ended.
 func (e Event) Outcome() (balancer.Outcome, error) {
-	result, err := e.result(byteOrder.Uint16(e.record[21:]))
+	result, err := e.result(byteOrder.Uint16(e.record[outcomeResultOffset:]))
 	return balancer.Outcome{
 		ID:          e.ID(),
-		Latency:     getDuration(e.record[13:]),
+		Latency:     getDuration(e.record[outcomeLatencyOffset:]),
 		Result:      result,
-		RequestDone: e.record[23] != 0,
-		Attempt:     int(byteOrder.Uint16(e.record[24:])),
-		Server:      getServer(e.record[26:]),
-		Load:        getLoad(e.record[32:]),
+		RequestDone: e.record[outcomeDoneOffset] != 0,
+		Attempt:     int(byteOrder.Uint16(e.record[outcomeAttemptOffset:])),
+		Server:      getServer(e.record[outcomeServerOffset:]),
+		Load:        getLoad(e.record[outcomeLoadOffset:]),
 	}, err
 }
 
 // HealthCheck returns the result of an EventHealthCheck.
 func (e Event) HealthCheck() (balancer.HealthCheckResult, error) {
-	result, err := e.result(byteOrder.Uint16(e.record[11:]))
+	result, err := e.result(byteOrder.Uint16(e.record[healthCheckResultOffset:]))
 	return balancer.HealthCheckResult{
-		Server:  getServer(e.record[5:]),
-		Latency: getDuration(e.record[13:]),
+		Server:  getServer(e.record[healthCheckServerOffset:]),
+		Latency: getDuration(e.record[healthCheckLatencyOffset:]),
 		Result:  result,
-		Load:    getLoad(e.record[21:]),
+		Load:    getLoad(e.record[healthCheckLoadOffset:]),
 	}, err
 }
 
--- a/internal/wire/layout.go
+++ b/internal/wire/layout.go
@@ -54,6 +54,82 @@
 	actionCancel          actionCode = 27
 )
 
+// Offsets of the fields that every record has, and of those that most records about a request have, in bytes.
+const (
+	codeOffset      = 0
+	instanceOffset  = 1
+	requestIDOffset = 5
+)
+
+// Offsets of the fields of event records, in bytes. A text or list is referred to by its offset in the tail, 4 bytes,
+// and its length, 4 bytes.
+const (
+	startSeedOffset     = 5
+	startSettingsOffset = 13
+
+	endpointsKindOffset = 5
+	endpointsListOffset = 10
+
+	requestTimeoutOffset      = 13
+	requestExpectedWorkOffset = 21
+	requestAffinityKeyOffset  = 29
+	requestClassOffset        = 37
+	requestOptionsOffset      = 39
+	requestTenantOffset       = 40
+
+	firstByteAttemptOffset = 13
+
+	outcomeLatencyOffset = 13
+	outcomeResultOffset  = 21
+	outcomeDoneOffset    = 23
+	outcomeAttemptOffset = 24
+	outcomeServerOffset  = 26
+	outcomeLoadOffset    = 32
+
+	timerRefOffset = 5
+
+	healthCheckServerOffset  = 5
+	healthCheckResultOffset  = 11
+	healthCheckLatencyOffset = 13
+	healthCheckLoadOffset    = 21
+
+	peerMessageSenderOffset = 5
+	peerMessageDataOffset   = 7
+)
+
+// Offsets of the fields of an endpoint in a list, in bytes.
+const (
+	endpointCellOffset    = 0
+	endpointStartedOffset = 2
+	endpointServerOffset  = 10
+	endpointWeightOffset  = 16
+	endpointStateOffset   = 20
+	endpointKindOffset    = 21
+	endpointZoneOffset    = 22
+)
+
+// Offsets of the fields of action records, in bytes.
+const (
+	sendServerOffset    = 13
+	sendAbandonAtOffset = 19
+
+	cancelAttemptOffset = 13
+
+	rejectAfterOffset = 13
+
+	serverOffset = 5 // of the actions that are about a server alone
+
+	setTimerAfterOffset = 5
+	setTimerRefOffset   = 13
+
+	watchOnOffset = 5
+
+	peerMessageToOffset   = 5
+	peerMessageTextOffset = 9
+
+	textOffset = 5 // of the actions that have a text alone
+)
+
 // AllInstances addresses a message to every instance of the tier.
 const AllInstances = math.MaxUint32
 
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -17,20 +17,20 @@
 // Send sends an attempt, to be abandoned at a time; 0: when the client gives up.
 func (r *Reply) Send(instance uint32, id balancer.RequestID, to balancer.ServerID, abandonAt balancer.Time) {
 	record := r.addRequest(actionSend, instance, id)
-	putServer(record[13:], to)
-	byteOrder.PutUint64(record[19:], uint64(abandonAt))
+	putServer(record[sendServerOffset:], to)
+	byteOrder.PutUint64(record[sendAbandonAtOffset:], uint64(abandonAt))
 }
 
 // Cancel cancels an attempt.
 func (r *Reply) Cancel(instance uint32, id balancer.RequestID, attempt int) {
 	record := r.addRequest(actionCancel, instance, id)
-	byteOrder.PutUint16(record[13:], uint16(attempt))
+	byteOrder.PutUint16(record[cancelAttemptOffset:], uint16(attempt))
 }
 
 // Reject rejects a request; the client may come again after a while, 0: at once.
 func (r *Reply) Reject(instance uint32, id balancer.RequestID, after time.Duration) {
 	record := r.addRequest(actionReject, instance, id)
-	byteOrder.PutUint64(record[13:], uint64(after))
+	byteOrder.PutUint64(record[rejectAfterOffset:], uint64(after))
 }
 
 // Fail fails a request.
@@ -38,26 +38,26 @@
 
 // CheckHealth starts a health check.
 func (r *Reply) CheckHealth(instance uint32, server balancer.ServerID) {
-	putServer(r.add(actionCheckHealth, instance)[5:], server)
+	putServer(r.add(actionCheckHealth, instance)[serverOffset:], server)
 }
 
 // CloseIdle closes the idle connections to a server.
 func (r *Reply) CloseIdle(instance uint32, server balancer.ServerID) {
-	putServer(r.add(actionCloseIdle, instance)[5:], server)
+	putServer(r.add(actionCloseIdle, instance)[serverOffset:], server)
 }
 
 // SetTimer sets a timer, whose EventTimer has the reference.
 func (r *Reply) SetTimer(instance uint32, after time.Duration, ref uint64) {
 	record := r.add(actionSetTimer, instance)
-	byteOrder.PutUint64(record[5:], uint64(after))
-	byteOrder.PutUint64(record[13:], ref)
+	byteOrder.PutUint64(record[setTimerAfterOffset:], uint64(after))
+	byteOrder.PutUint64(record[setTimerRefOffset:], ref)
 }
 
 // Watch starts or ends the watch on the endpoint list.
 func (r *Reply) Watch(instance uint32, on bool) {
 	record := r.add(actionWatch, instance)
 	if on {
-		record[5] = 1
+		record[watchOnOffset] = 1
 	}
 }
 
@@ -66,16 +66,16 @@
 
 // SendPeerMessage sends a message to one instance, or to AllInstances.
 func (r *Reply) SendPeerMessage(instance, to uint32, data string) {
-	record := r.addText(actionSendPeerMessage, instance, 9, data)
-	byteOrder.PutUint32(record[5:], to)
+	record := r.addText(actionSendPeerMessage, instance, peerMessageTextOffset, data)
+	byteOrder.PutUint32(record[peerMessageToOffset:], to)
 }
 
 // Log adds a line to the simulator's report.
-func (r *Reply) Log(instance uint32, line string) { r.addText(actionLog, instance, 5, line) }
+func (r *Reply) Log(instance uint32, line string) { r.addText(actionLog, instance, textOffset, line) }
 
 // ReportFault says that the decision code has failed, and why.
 func (r *Reply) ReportFault(instance uint32, reason string) {
-	r.addText(actionReportFault, instance, 5, reason)
+	r.addText(actionReportFault, instance, textOffset, reason)
 }
 
 // Write writes the reply to the batch of a number, and empties it.
@@ -107,14 +107,14 @@
 	r.records = append(r.records, zero[:]...)
 	r.count++
 	record := r.records[start:]
-	record[0] = byte(code)
-	byteOrder.PutUint32(record[1:], instance)
+	record[codeOffset] = byte(code)
+	byteOrder.PutUint32(record[instanceOffset:], instance)
 	return record
 }
 
 func (r *Reply) addRequest(code actionCode, instance uint32, id balancer.RequestID) []byte {
 	record := r.add(code, instance)
-	byteOrder.PutUint64(record[5:], uint64(id))
+	byteOrder.PutUint64(record[requestIDOffset:], uint64(id))
 	return record
 }
 
