--- a/cmd/olivebridge/client_overflow_test.go
+++ b/cmd/olivebridge/client_overflow_test.go
@@ -13,8 +13,8 @@
 // TestClientOverflow: clients that connect and send nothing, or stop half way, many times as many as the node has
 // descriptors, keep neither operators nor clients out, and a request that comes slowly is not closed among them.
 func TestClientOverflow(t *testing.T) {
-	door := freeAddr(t)
-	t.Setenv("ROUTER_ADMIN", door)
+	adminAddr := freeAddr(t)
+	t.Setenv("ROUTER_ADMIN", adminAddr)
 	half := strings.Replace(config, `"sockets":256`, `"sockets":128`, 1)
 	n := startWithConfig(t, half, unchanged, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
 	slow := make(chan string)
@@ -36,9 +36,9 @@
 		got, _ := io.ReadAll(c)
 		slow <- string(got)
 	}()
-	var crowd []net.Conn
+	var silent []net.Conn
 	defer func() {
-		for _, c := range crowd {
+		for _, c := range silent {
 			c.Close()
 		}
 	}()
@@ -48,29 +48,29 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if crowd = append(crowd, c); i%2 == 0 {
+		if silent = append(silent, c); i%2 == 0 {
 			io.WriteString(c, "POST /api HT")
 		}
-		if holder, err := net.Dial("tcp", door); err == nil && i%10 == 0 {
-			io.WriteString(holder, "STA")
-			crowd = append(crowd, holder)
+		if operator, err := net.Dial("tcp", adminAddr); err == nil && i%10 == 0 {
+			io.WriteString(operator, "STA")
+			silent = append(silent, operator)
 		} else if err == nil {
-			holder.Close()
+			operator.Close()
 		}
 		if i%50 == 0 {
 			begun := time.Now()
-			mustCommand(t, door, "STATUS")
+			mustCommand(t, adminAddr, "STATUS")
 			worst = max(worst, time.Since(begun))
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 	if worst > time.Second {
-		t.Errorf("an answer at the door took %v", worst)
+		t.Errorf("an answer to an operator took %v", worst)
 	}
 	if got := <-slow; !strings.HasPrefix(got, "HTTP/1.1 200") {
-		t.Errorf("the slow request in the crowd: %.80q", got)
+		t.Errorf("the slow request beside silent clients: %.80q", got)
 	}
 	if status, _ := n.call(t, "GET", fmt.Sprint("/api?user=", 1), "status", ""); status != 200 {
-		t.Errorf("a call behind the crowd: %d", status)
+		t.Errorf("a call beside silent clients: %d", status)
 	}
 }
--- a/cmd/olivebridge/descriptors_test.go
+++ b/cmd/olivebridge/descriptors_test.go
@@ -80,12 +80,12 @@
 
 func checkFullDescriptors(t *testing.T, sockets int) {
 	const hung = 4 // calls that discovery does not answer at first
-	s, peers := newRuleChecker(), []http.HandlerFunc(nil)
+	s, handlers := newRuleChecker(), []http.HandlerFunc(nil)
 	for i := range sockets / 2 {
-		peers = append(peers, s.server(fmt.Sprint("s-", i), respondOK))
+		handlers = append(handlers, s.server(fmt.Sprint("s-", i), respondOK))
 	}
 	small := strings.NewReplacer(`"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets), `"probes":false`, `"probes":true`)
-	n := prepare(t, small.Replace(config), unchanged, peers...)
+	n := prepare(t, small.Replace(config), unchanged, handlers...)
 	text, err := os.ReadFile(n.config)
 	if err != nil {
 		t.Fatal(err)
@@ -94,9 +94,9 @@
 	if err := os.WriteFile(n.config, warm, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	door := freeAddr(t)
+	adminAddr := freeAddr(t)
 	discovery := freeAddr(t)
-	n.env = append(n.env, "ROUTER_ADMIN="+door, "ROUTER_DISCOVERY="+discovery)
+	n.env = append(n.env, "ROUTER_ADMIN="+adminAddr, "ROUTER_DISCOVERY="+discovery)
 	n.limits = fmt.Sprint("ulimit -n ", sockets)
 	n.launch(t)
 	lacks := make(chan string, 1)
@@ -110,7 +110,7 @@
 	}()
 
 	for range 40 {
-		holdConnection(t, door)
+		holdConnection(t, adminAddr)
 	}
 	var clients sync.WaitGroup
 	var over atomic.Bool
--- a/cmd/olivebridge/handover_failures_test.go
+++ b/cmd/olivebridge/handover_failures_test.go
@@ -37,7 +37,7 @@
 		}
 	}
 	call := func(line string) func(*testing.T, *ruleChecker, *process, *process, string) {
-		return func(t *testing.T, _ *ruleChecker, _, _ *process, door string) { mustCommand(t, door, line) }
+		return func(t *testing.T, _ *ruleChecker, _, _ *process, adminAddr string) { mustCommand(t, adminAddr, line) }
 	}
 	for name, c := range map[string]struct {
 		discovery http.HandlerFunc
@@ -49,36 +49,36 @@
 		kill      bool             // the predecessor is killed, in place of its graceful shutdown
 		want      int              // a status that clients get
 
-		meanwhile func(t *testing.T, s *ruleChecker, n, next *process, door string) // while both processes live
+		meanwhile func(t *testing.T, s *ruleChecker, n, next *process, adminAddr string) // while both processes live
 	}{
-		"a peer is silent":          {serve: silent, want: 200},
-		"a peer answers 500":        {serve: fails, want: 200},
-		"a peer turns away":         {serve: reject, want: 200},
-		"a peer breaks connections": {serve: dropConnection, want: 200},
-		"a peer is slow":            {serve: slow, want: 200},
-		"answers are spoilt":        {serve: rawResponse("HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n"), want: 200},
-		"bytes behind answers":      {serve: rawResponse(twoResponses), want: 200},
-		"a peer is dead":            {dead: true, want: 200},
-		"discovery refuses":         {lost: true, want: 200},
-		"discovery breaks":          {discovery: dropConnection, want: 200},
-		"peers are cold":            {cold: true, want: 200},
-		"discovery says 503":        {discovery: fails, want: 200},
-		"a list cannot be read":     {discovery: says(`{"version":`), want: 200},
+		"a server is silent":          {serve: silent, want: 200},
+		"a server answers 500":        {serve: fails, want: 200},
+		"a server rejects":            {serve: reject, want: 200},
+		"a server breaks connections": {serve: dropConnection, want: 200},
+		"a server is slow":            {serve: slow, want: 200},
+		"responses are malformed":     {serve: rawResponse("HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n"), want: 200},
+		"bytes behind responses":      {serve: rawResponse(twoResponses), want: 200},
+		"a server is dead":            {dead: true, want: 200},
+		"discovery refuses":           {lost: true, want: 200},
+		"discovery breaks":            {discovery: dropConnection, want: 200},
+		"servers are in slow start":   {cold: true, want: 200},
+		"discovery says 503":          {discovery: fails, want: 200},
+		"a list cannot be read":       {discovery: says(`{"version":`), want: 200},
 		"the list empties": {discovery: empties, meanwhile: func(*testing.T, *ruleChecker, *process, *process, string) {
 			close(gone)
 		}, want: 503},
 		"descriptors are short": {limits: "ulimit -n 40", want: 200},
-		"a server is suspended": {meanwhile: func(t *testing.T, s *ruleChecker, n, _ *process, door string) {
-			mustCommand(t, door, "SUSPEND s-1")
+		"a server is suspended": {meanwhile: func(t *testing.T, s *ruleChecker, n, _ *process, adminAddr string) {
+			mustCommand(t, adminAddr, "SUSPEND s-1")
 			s.mu.Lock()
 			// There is no grace; what left before the answer may still be read.
 			s.drained["s-1"] = time.Now().Add(timingTolerance - drainGrace)
 			s.mu.Unlock()
 		}, want: 200},
 		"the node is paused": {meanwhile: call("PAUSE"), want: 200},
-		"it is paused and back": {meanwhile: func(t *testing.T, _ *ruleChecker, _, _ *process, door string) {
-			mustCommand(t, door, "PAUSE")
-			mustCommand(t, door, "RESUME")
+		"it is paused and back": {meanwhile: func(t *testing.T, _ *ruleChecker, _, _ *process, adminAddr string) {
+			mustCommand(t, adminAddr, "PAUSE")
+			mustCommand(t, adminAddr, "RESUME")
 		}, want: 200},
 		"both reload": {meanwhile: func(t *testing.T, _ *ruleChecker, n, next *process, _ string) {
 			n.reloadWith(t, `"connect_timeout":75000000`, `"connect_timeout":80000000`)
@@ -114,10 +114,10 @@
 			for s.answers(200) < 20 {
 				time.Sleep(time.Millisecond)
 			}
-			next, door := n.successor(t)
+			next, adminAddr := n.successor(t)
 			n.waitForLog(t, "successor takes clients")
 			if c.meanwhile != nil {
-				c.meanwhile(t, s, n, next, door)
+				c.meanwhile(t, s, n, next, adminAddr)
 			}
 			if c.kill {
 				s.mu.Lock()
--- a/cmd/olivebridge/log_test.go
+++ b/cmd/olivebridge/log_test.go
@@ -20,7 +20,7 @@
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for i := range 800 { // each connection leaves a line, which is more than a pipe holds
 		status := 0
-		if i%10 == 0 { // calls are few: after many fast ones, a peer that the machine lets stand still is taken for silent
+		if i%10 == 0 { // calls are few: after many fast ones, a server that the machine lets stand still is taken for silent
 			status, _ = s.call(t, n.addr, "status", nil)
 		} else if resp, err := client.Get("http://" + n.addr + "/health/ready"); err != nil {
 			t.Fatal(err)
--- a/cmd/olivebridge/operators_test.go
+++ b/cmd/olivebridge/operators_test.go
@@ -25,9 +25,9 @@
 }
 
 // command sends an operator's command and returns the answer; "" if nobody listens.
-func command(t *testing.T, door, line string) string {
+func command(t *testing.T, adminAddr, line string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", door)
+	c, err := net.Dial("tcp", adminAddr)
 	if err != nil {
 		return ""
 	}
@@ -37,9 +37,9 @@
 	return string(got)
 }
 
-func mustCommand(t *testing.T, door, line string) {
+func mustCommand(t *testing.T, adminAddr, line string) {
 	t.Helper()
-	if got := command(t, door, line); !strings.HasPrefix(got, "SUCCESS") {
+	if got := command(t, adminAddr, line); !strings.HasPrefix(got, "SUCCESS") {
 		t.Errorf("%s: %q", line, got)
 	}
 }
@@ -50,9 +50,9 @@
 // TestMaintenance: from the answer on a suspended server gets nothing, also when discovery goes on listing it as ready,
 // and once restored it is used again.
 func TestMaintenance(t *testing.T) {
-	door := freeAddr(t)
-	t.Setenv("ROUTER_ADMIN", door)
-	var tries [2]atomic.Int64
+	adminAddr := freeAddr(t)
+	t.Setenv("ROUTER_ADMIN", adminAddr)
+	var attempts [2]atomic.Int64
 	storm := make(chan bool)
 	var n *process
 	quick := strings.Replace(config, `"fall":3000000000`, `"fall":100000000`, 1) // or chance has few turns in 5 s
@@ -68,9 +68,9 @@
 			io.WriteString(w, "]}")
 		case <-r.Context().Done():
 		}
-	}, func(http.ResponseWriter, *http.Request) { tries[0].Add(1) },
-		func(http.ResponseWriter, *http.Request) { tries[1].Add(1) })
-	if got := command(t, door, "SUSPEND s-9"); !strings.HasPrefix(got, "FAILURE") {
+	}, func(http.ResponseWriter, *http.Request) { attempts[0].Add(1) },
+		func(http.ResponseWriter, *http.Request) { attempts[1].Add(1) })
+	if got := command(t, adminAddr, "SUSPEND s-9"); !strings.HasPrefix(got, "FAILURE") {
 		t.Errorf("a server that was never listed: %q", got)
 	}
 	load := func(calls int) {
@@ -80,29 +80,29 @@
 	}
 	close(storm)
 	load(50)
-	mustCommand(t, door, "SUSPEND s-0")
-	before := tries[0].Load()
+	mustCommand(t, adminAddr, "SUSPEND s-0")
+	before := attempts[0].Load()
 	load(200)
-	if got := tries[0].Load(); got != before || before == 0 {
-		t.Errorf("%d tries before the yes, %d after", before, got-before)
+	if got := attempts[0].Load(); got != before || before == 0 {
+		t.Errorf("%d attempts before the answer, %d after", before, got-before)
 	}
-	mustCommand(t, door, "SUSPEND s-1")
+	mustCommand(t, adminAddr, "SUSPEND s-1")
 	if status, _ := n.call(t, "GET", "/api", "status", ""); status != 503 {
 		t.Errorf("with all suspended: %d", status)
 	}
-	mustCommand(t, door, "RESTORE s-0")
-	for until := time.Now().Add(5 * time.Second); tries[0].Load() == before && time.Now().Before(until); {
+	mustCommand(t, adminAddr, "RESTORE s-0")
+	for until := time.Now().Add(5 * time.Second); attempts[0].Load() == before && time.Now().Before(until); {
 		load(1)
 	}
-	if tries[0].Load() == before {
-		t.Error("not in use 5 s after the call back")
+	if attempts[0].Load() == before {
+		t.Error("not in use 5 s after it was restored")
 	}
 }
 
 // TestPause: a paused node is not ready, serves what still comes, holds no client connection idle, and is back at once.
 func TestPause(t *testing.T) {
-	door := freeAddr(t)
-	t.Setenv("ROUTER_ADMIN", door)
+	adminAddr := freeAddr(t)
+	t.Setenv("ROUTER_ADMIN", adminAddr)
 	n := start(t, unchanged, func(http.ResponseWriter, *http.Request) {})
 	ready := func() int { status, _ := n.call(t, "GET", "/health/ready", "", ""); return status }
 	idle, err := net.Dial("tcp", n.addr)
@@ -113,7 +113,7 @@
 	fmt.Fprint(idle, "GET /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: 1\r\nX-Call-Class: status\r\nX-Caller: acme\r\n"+
 		"X-Budget: 5\r\n\r\n")
 	for range 2 {
-		mustCommand(t, door, "PAUSE")
+		mustCommand(t, adminAddr, "PAUSE")
 		if got := ready(); got != 503 {
 			t.Errorf("ready while paused: %d", got)
 		}
@@ -126,16 +126,16 @@
 	if d := time.Since(begun); !strings.Contains(string(answer), "200 OK") || d > 1500*time.Millisecond {
 		t.Errorf("%q, held for %v", answer, d)
 	}
-	if got := command(t, door, "STATUS"); !strings.HasPrefix(got, "SUCCESS paused") {
+	if got := command(t, adminAddr, "STATUS"); !strings.HasPrefix(got, "SUCCESS paused") {
 		t.Errorf("status: %q", got)
 	}
-	mustCommand(t, door, "RESUME")
+	mustCommand(t, adminAddr, "RESUME")
 	if got := ready(); got != 200 {
 		t.Errorf("ready after the pause: %d", got)
 	}
 	n.call(t, "GET", "/api", "status", "")
-	mustCommand(t, door, "PAUSE")
-	mustCommand(t, door, "RESUME") // before the connections were come to
+	mustCommand(t, adminAddr, "PAUSE")
+	mustCommand(t, adminAddr, "RESUME") // before the connections were closed
 	time.Sleep(700 * time.Millisecond)
 	if got := ready(); got != 200 {
 		t.Errorf("ready after a pause cut short: %d", got)
--- a/cmd/olivebridge/process_test.go
+++ b/cmd/olivebridge/process_test.go
@@ -75,37 +75,37 @@
 }
 
 // start runs a node with servers, of which each but the first has only just started.
-func start(t *testing.T, discovery http.HandlerFunc, peers ...http.HandlerFunc) *process {
+func start(t *testing.T, discovery http.HandlerFunc, handlers ...http.HandlerFunc) *process {
 	t.Helper()
-	return startWithConfig(t, config, discovery, peers...)
+	return startWithConfig(t, config, discovery, handlers...)
 }
 
 // startWithConfig does as start, with another configuration.
-func startWithConfig(t *testing.T, config string, discovery http.HandlerFunc, peers ...http.HandlerFunc) *process {
+func startWithConfig(t *testing.T, config string, discovery http.HandlerFunc, handlers ...http.HandlerFunc) *process {
 	t.Helper()
-	n := prepare(t, config, discovery, peers...)
+	n := prepare(t, config, discovery, handlers...)
 	n.launch(t)
 	return n
 }
 
 // startWithLimits does as start, with limits of the program's own.
-func startWithLimits(t *testing.T, limits string, discovery http.HandlerFunc, peers ...http.HandlerFunc) *process {
+func startWithLimits(t *testing.T, limits string, discovery http.HandlerFunc, handlers ...http.HandlerFunc) *process {
 	t.Helper()
-	n := prepare(t, config, discovery, peers...)
+	n := prepare(t, config, discovery, handlers...)
 	n.limits = limits
 	n.launch(t)
 	return n
 }
 
 // prepare starts all that a node needs, but not the node.
-func prepare(t *testing.T, config string, discovery http.HandlerFunc, peers ...http.HandlerFunc) *process {
+func prepare(t *testing.T, config string, discovery http.HandlerFunc, handlers ...http.HandlerFunc) *process {
 	t.Helper()
 	list := httptest.NewServer(discovery)
 	t.Cleanup(list.Close)
 	var known, addrs []string
 	started := int64(0)
-	for i, peer := range peers {
-		server := httptest.NewServer(peer)
+	for i, handler := range handlers {
+		server := httptest.NewServer(handler)
 		t.Cleanup(server.Close)
 		addrs = append(addrs, server.Listener.Addr().String())
 		known = append(known, fmt.Sprintf(`{"id":"s-%d","addr":%q,"zone":"a","kind":"m1","state":"Ready","started_ms":%d}`,
--- a/cmd/olivebridge/program_test.go
+++ b/cmd/olivebridge/program_test.go
@@ -70,7 +70,7 @@
 
 // TestDrainingServer: once discovery lists a server as draining, it gets nothing, and the client gets a Retry-After.
 func TestDrainingServer(t *testing.T) {
-	var calls, tries atomic.Int64
+	var calls, attempts atomic.Int64
 	told := make(chan bool)
 	n := start(t, func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) == 1 {
@@ -79,10 +79,10 @@
 		}
 		close(told) // the next call comes once the first answer was handed to the decisions
 		<-r.Context().Done()
-	}, func(http.ResponseWriter, *http.Request) { tries.Add(1) })
+	}, func(http.ResponseWriter, *http.Request) { attempts.Add(1) })
 	<-told
-	if status, _ := n.call(t, "POST", "/api", "book", "x"); status != 503 || tries.Load() != 0 {
-		t.Errorf("status %d after %d tries", status, tries.Load())
+	if status, _ := n.call(t, "POST", "/api", "book", "x"); status != 503 || attempts.Load() != 0 {
+		t.Errorf("status %d after %d attempts", status, attempts.Load())
 	}
 }
 
@@ -99,7 +99,7 @@
 		}
 	}
 	if warm.Load()+cold.Load() != calls || cold.Load() > calls/5 {
-		t.Errorf("%d to the warm peer, %d to the cold one", warm.Load(), cold.Load())
+		t.Errorf("%d to the warm server, %d to the one in slow start", warm.Load(), cold.Load())
 	}
 }
 
@@ -139,19 +139,19 @@
 		serve       http.HandlerFunc
 		came        int
 	}{
-		{"booking turned away", "book", reject, limit}, {"booking that fails", "book", fails, 1},
-		{"booking whose connection breaks", "book", dropConnection, 1},
-		{"repeatable turned away", "status", reject, limit}, {"repeatable that fails", "status", fails, limit},
-		{"repeatable whose connection breaks", "status", dropConnection, 1}, // it may be what brings peers down
+		{"non-idempotent, rejected", "book", reject, limit}, {"non-idempotent, fails", "book", fails, 1},
+		{"non-idempotent, connection breaks", "book", dropConnection, 1},
+		{"idempotent, rejected", "status", reject, limit}, {"idempotent, fails", "status", fails, limit},
+		{"idempotent, connection breaks", "status", dropConnection, 1}, // it may be what brings servers down
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			s := newRuleChecker()
-			var peers []http.HandlerFunc
+			var handlers []http.HandlerFunc
 			for i := range 2 * limit {
-				peers = append(peers, s.server(fmt.Sprint("s-", i), c.serve))
+				handlers = append(handlers, s.server(fmt.Sprint("s-", i), c.serve))
 			}
-			n := prepare(t, config, unchanged, peers...)
+			n := prepare(t, config, unchanged, handlers...)
 			n.markServersWarm(t)
 			n.launch(t)
 			s.call(t, n.addr, c.class, nil)
--- a/cmd/olivebridge/rule_checker_test.go
+++ b/cmd/olivebridge/rule_checker_test.go
@@ -158,7 +158,7 @@
 	breaks := func(format string, args ...any) { all = append(all, fmt.Sprintf(format, args...)) }
 	total := 0
 	for id, a := range s.requests {
-		if a.class == "" { // a probe
+		if a.class == "" { // a health check
 			continue
 		}
 		total++
--- a/cmd/olivebridge/shutdown_test.go
+++ b/cmd/olivebridge/shutdown_test.go
@@ -61,10 +61,10 @@
 // TestShutdownBesideOtherEvents: SIGTERM while something else goes on. Open requests are answered, and the process
 // ends.
 func TestShutdownBesideOtherEvents(t *testing.T) {
-	for name, before := range map[string]func(t *testing.T, n *process, door string){
+	for name, before := range map[string]func(t *testing.T, n *process, adminAddr string){
 		"alone":          func(*testing.T, *process, string) {},
 		"twice":          func(_ *testing.T, n *process, _ string) { n.cmd.Process.Signal(syscall.SIGTERM) },
-		"paused":         func(t *testing.T, _ *process, door string) { mustCommand(t, door, "PAUSE") },
+		"paused":         func(t *testing.T, _ *process, adminAddr string) { mustCommand(t, adminAddr, "PAUSE") },
 		"before a pause": func(*testing.T, *process, string) {},
 		"with a reload":  func(_ *testing.T, n *process, _ string) { n.cmd.Process.Signal(syscall.SIGHUP) },
 		"with a bad one": func(t *testing.T, n *process, _ string) {
@@ -84,8 +84,8 @@
 				held <- true
 				<-release
 			}))
-			door := freeAddr(t)
-			n.env = append(n.env, "ROUTER_ADMIN="+door)
+			adminAddr := freeAddr(t)
+			n.env = append(n.env, "ROUTER_ADMIN="+adminAddr)
 			n.launch(t)
 			status := make(chan int)
 			go func() {
@@ -93,12 +93,12 @@
 				status <- got
 			}()
 			<-held
-			before(t, n, door)
+			before(t, n, adminAddr)
 			n.cmd.Process.Signal(syscall.SIGTERM)
 			n.waitForLog(t, "msg=draining")
 			if name == "before a pause" {
-				mustCommand(t, door, "PAUSE")
-				mustCommand(t, door, "RESUME")
+				mustCommand(t, adminAddr, "PAUSE")
+				mustCommand(t, adminAddr, "RESUME")
 			}
 			close(release)
 			if got := <-status; got != 200 {
--- a/cmd/olivebridge/upgrade_test.go
+++ b/cmd/olivebridge/upgrade_test.go
@@ -17,15 +17,15 @@
 )
 
 // successor starts the program once more beside a process, with an admin address of its own.
-func (n *process) successor(t *testing.T) (next *process, door string) {
+func (n *process) successor(t *testing.T) (next *process, adminAddr string) {
 	t.Helper()
-	door = freeAddr(t)
-	next = n.sibling("ROUTER_ADMIN=" + door)
+	adminAddr = freeAddr(t)
+	next = n.sibling("ROUTER_ADMIN=" + adminAddr)
 	next.launch(t)
-	for !strings.HasPrefix(command(t, door, "STATUS"), "SUCCESS") {
+	for !strings.HasPrefix(command(t, adminAddr, "STATUS"), "SUCCESS") {
 		time.Sleep(time.Millisecond)
 	}
-	return next, door
+	return next, adminAddr
 }
 
 // book sends a non-idempotent request, on a kept connection or a new one.
@@ -85,10 +85,10 @@
 		func(http.ResponseWriter, *http.Request) { held.Add(1) })
 	addr := n.addr
 	n.env[1] = "ROUTER_LISTEN=" + addr
-	next, door := n.successor(t)
+	next, adminAddr := n.successor(t)
 	n.shutdown(t) // the first has another address in its environment
 	n = next
-	mustCommand(t, door, "SUSPEND s-1")
+	mustCommand(t, adminAddr, "SUSPEND s-1")
 	before := held.Load()
 	var served atomic.Int64
 	stop := make(chan bool)
@@ -129,19 +129,19 @@
 			}
 			takeover.Listener.Close()
 			begun := time.Now() // it does not say that the ban holds there: a yes would be false
-			got := command(t, door, "SUSPEND s-1")
+			got := command(t, adminAddr, "SUSPEND s-1")
 			if !strings.HasPrefix(got, "FAILURE it holds in this process alone") || time.Since(begun) > time.Second {
 				t.Errorf("beside a process that hangs: %q after %v", got, time.Since(begun))
 			}
 			takeover.Link.Close()
 			n.waitForLog(t, "other process has ended")
-			mustCommand(t, door, "SUSPEND s-1")
+			mustCommand(t, adminAddr, "SUSPEND s-1")
 		}
 		for some := served.Load() + 200; served.Load() < some; {
 			time.Sleep(time.Millisecond)
 		}
-		next, door = n.successor(t)
-		if got := command(t, door, "STATUS"); !strings.Contains(got, "[s-1]") {
+		next, adminAddr = n.successor(t)
+		if got := command(t, adminAddr, "STATUS"); !strings.Contains(got, "[s-1]") {
 			t.Errorf("round %d: %q", round, got)
 		}
 		idle.Lock()
@@ -152,9 +152,9 @@
 	close(stop)
 	clients.Wait()
 	if ran.Load() == 0 || held.Load() != before || served.Load() < ran.Load()-before-1 {
-		t.Errorf("%d ran, %d at the suspended peer, %d served", ran.Load(), held.Load()-before, served.Load())
+		t.Errorf("%d ran, %d at the suspended server, %d served", ran.Load(), held.Load()-before, served.Load())
 	}
-	mustCommand(t, door, "RESTORE s-1")
+	mustCommand(t, adminAddr, "RESTORE s-1")
 }
 
 // TestSuccessorOfOtherAddress: a process of the same name that is told another address is no successor. It must not
