--- a/cmd/olivefleet/fleet.go
+++ b/cmd/olivefleet/fleet.go
@@ -155,7 +155,7 @@
 		f.places = append(f.places, -1)
 	}
 	for i, one := range file.Budgets {
-		b.Wholes = append(b.Wholes, whole(one, c.LongestDeadline))
+		b.Quotas = append(b.Quotas, whole(one, c.LongestDeadline))
 		switch one.Use {
 		case fleetfile.Retries:
 			f.retries = i
@@ -172,10 +172,10 @@
 		f.places[tenant] = i
 	}
 	f.budgets = budget.New(b)
-	m.OnJoin = func(i member.Incarnation) { f.budgets.Up(i.Home, i.Number) }
-	m.OnLeave = f.budgets.Down
+	m.OnJoin = func(i member.Incarnation) { f.budgets.Start(i.Home, i.Number) }
+	m.OnLeave = f.budgets.Stop
 	f.serve(m, budget.VotersChannel, f.budgets.ServeVoters)
-	f.serve(m, budget.BookChannel, f.budgets.ServeBook)
+	f.serve(m, budget.HolderChannel, f.budgets.ServeHolders)
 	return nil
 }
 
@@ -183,8 +183,8 @@
 const holdSpare = 2 * time.Second
 
 // whole is a budget as the file has it.
-func whole(b fleetfile.Budget, longest time.Duration) budget.Whole {
-	w := budget.Whole{Name: b.Name, Kind: budget.Kind(b.Kind), Amount: b.Rate, Burst: b.Burst}
+func whole(b fleetfile.Budget, longest time.Duration) budget.Quota {
+	w := budget.Quota{Name: b.Name, Kind: budget.Kind(b.Kind), Amount: b.Rate, Burst: b.Burst}
 	switch w.Kind {
 	case budget.InUse:
 		w.Amount, w.Hold = float64(b.Most), longest+holdSpare
@@ -214,12 +214,12 @@
 	if f.budgets == nil {
 		return nil
 	}
-	f.budgets.Keep(agreed.Roster{Edition: next.Book.Edition, Names: next.Book.Voters})
-	var wholes []budget.Whole
+	f.budgets.SetVoters(agreed.Roster{Edition: next.Book.Edition, Names: next.Book.Voters})
+	var wholes []budget.Quota
 	for _, one := range next.Budgets {
 		wholes = append(wholes, whole(one, c.LongestDeadline))
 	}
-	f.budgets.Change(wholes)
+	f.budgets.SetQuotas(wholes)
 	return nil
 }
 
@@ -265,7 +265,7 @@
 
 // AdmitCold implements routing.Gate.
 func (f *company) AdmitCold(peer balancer.ServerID, units float64) bool {
-	return f.cold < 0 || f.budgets.AdmitEach(f.cold, uint64(peer), units)
+	return f.cold < 0 || f.budgets.AdmitKey(f.cold, uint64(peer), units)
 }
 
 // Done implements routing.Gate.
--- /dev/null
+++ b/internal/fleet/budget/divide_test.go
@@ -0,0 +1,49 @@
+package budget
+
+import (
+	"fmt"
+	"math"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// Targets add up to no more than the amount, no demand below the level is cut, and what is demanded is used.
+func TestDivide(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		amount := rapid.Float64Range(0, 1000).Draw(t, "amount")
+		var demands []Demand
+		for i := range rapid.IntRange(0, 12).Draw(t, "holders") {
+			demands = append(demands, Demand{fmt.Sprint("n", i), rapid.Float64Range(0, 400).Draw(t, "want"),
+				rapid.Float64Range(0, 300).Draw(t, "holds")})
+		}
+		targets := Divide(amount, demands)
+		sum, want := 0.0, 0.0
+		for _, d := range demands {
+			sum += targets[d.Holder]
+			want += d.Units
+			if targets[d.Holder] < 0 {
+				t.Fatalf("%s is to have %g", d.Holder, targets[d.Holder])
+			}
+		}
+		slack := hysteresis * amount
+		if sum > amount*(1+1e-9) || sum < min(want, amount)-slack-1e-9 {
+			t.Fatalf("%g of %g, for a demand of %g", sum, amount, want)
+		}
+		for _, a := range demands {
+			for _, b := range demands {
+				level := hysteresis*amount/float64(len(demands))*2 + 1e-9
+				if a.Units >= b.Units && targets[a.Holder] < targets[b.Holder]-level {
+					t.Fatalf("%v gets less than %v", a, b)
+				}
+			}
+		}
+	})
+	got := Divide(90, []Demand{{"a", 10, 0}, {"b", 100, 0}, {"c", 100, 0}})
+	if got["a"] != 10 || got["b"] != 40 || got["c"] != 40 {
+		t.Error(got)
+	}
+	if got := Divide(90, []Demand{{"a", 0, 0}, {"b", 0, 0}, {"c", 0, 0}}); math.Abs(got["a"]-30) > 1e-9 {
+		t.Error(got)
+	}
+}
--- a/internal/fleet/budget/period_test.go
+++ b/internal/fleet/budget/leader_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// The period of a count is the one that most voters name: neither one that is wrong, nor who is no voter, nor what was named
-// long ago has a say.
-func TestPeriodOfMostVoters(t *testing.T) {
+// The period of a count is the one that most voters name: a wrong clock, a node that is no voter and a name of long ago
+// do not count.
+func TestPeriodOfMajority(t *testing.T) {
 	voters := []string{"a", "b", "c"}
 	terms := Terms{Lease: time.Second, Seats: 5}
 	type named struct {
@@ -29,11 +29,12 @@
 		{"it names another by now", []named{{"a", 0, 7}, {"b", 0, 7}, {"b", 1, 8}}, 0},
 		{"the turn of the period", []named{{"a", 0, 7}, {"b", 0, 7}, {"c", 0, 7}, {"a", 1, 8}, {"c", 2, 8}}, 8},
 	} {
-		k := NewLeader(terms, []Whole{{Name: "x", Kind: Count, Amount: 10, Period: time.Hour}}, 1, 0)
+		k := NewLeader(terms, []Quota{{Name: "x", Kind: Count, Amount: 10, Period: time.Hour}}, 1, 0)
 		var now time.Duration
 		for i, n := range c.named {
 			now = max(now, n.at)
-			k.Ask(n.at, Ask{Holder: n.who, Incarnation: "1", Number: uint64(i + 1), Periods: map[string]int64{"x": n.period}})
+			periods := map[string]int64{"x": n.period}
+			k.Lend(n.at, Request{Holder: n.who, Incarnation: "1", Number: uint64(i + 1), Periods: periods})
 		}
 		if got, some := k.Period(now, "x", voters); some != (c.want != 0) || got != c.want {
 			t.Errorf("%s: %d, %v", c.what, got, some)
--- /dev/null
+++ b/internal/fleet/budget/lease_test.go
@@ -0,0 +1,166 @@
+package budget
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// Without faults all of what is lendable is lent, a new holder has its part within two requests, and a failed one's is
+// lent again once its lease is over.
+func TestGrantsWithoutFaults(t *testing.T) {
+	terms := Terms{Lease: 2 * second, Reserve: 0.04, Seats: 4}
+	quotas := []Quota{{Name: "a", Kind: Rate, Amount: 100, Burst: 20}}
+	k := NewLeader(terms, quotas, 1, 0)
+	names := []string{"n1", "n2", "n3"}
+	holders := map[string]*Holder{}
+	for _, n := range names {
+		holders[n] = NewHolder(terms, quotas, n, "1", 0)
+	}
+	now := time.Duration(0)
+	run := func(d time.Duration) {
+		for end := now + d; now < end; now += second / 4 {
+			for _, n := range names {
+				if h := holders[n]; h != nil {
+					for range 30 {
+						h.Admit(now, time.Time{}, 0)
+					}
+					h.Accept(now, k.Lend(now, h.NextRequest(now, time.Time{})))
+				}
+			}
+		}
+	}
+	sum := func() (sum float64) {
+		for _, h := range holders {
+			if h != nil {
+				sum += h.Holdings(now)[0].Amount
+			}
+		}
+		return sum
+	}
+	run(second)
+	if sum() != 0 {
+		t.Error("a new leader lends")
+	}
+	run(3 * second)
+	if got := sum(); math.Abs(got-96) > 1e-6 {
+		t.Errorf("%g of 96 are lent", got)
+	}
+	names, holders["n4"] = append(names, "n4"), NewHolder(terms, quotas, "n4", "1", now)
+	run(second)
+	if got := holders["n4"].Holdings(now)[0].Amount; math.Abs(got-24) > 3 {
+		t.Errorf("the newcomer has %g", got)
+	}
+	holders["n4"] = nil
+	run(3 * second)
+	if got := sum(); math.Abs(got-96) > 1e-6 {
+		t.Errorf("after a failure %g of 96 are lent", got)
+	}
+	final := holders["n1"].NextRequest(now, time.Time{})
+	final.Final = true
+	k.Lend(now, final)
+	if all := k.Shares(now, "a"); all[0].Lent != 0 {
+		t.Errorf("what was returned is lent: %v", all)
+	}
+}
+
+// A grant ends by the time of its request, however late the response comes, and a response that comes twice or is
+// overtaken does nothing.
+func TestLeaseCountsFromRequest(t *testing.T) {
+	terms := Terms{Lease: 2 * second, Seats: 1}
+	h := NewHolder(terms, []Quota{{Name: "a", Kind: Rate, Amount: 100, Burst: 20}}, "n1", "1", 0)
+	first, next := h.NextRequest(second, time.Time{}), h.NextRequest(2*second, time.Time{})
+	respond := func(r Request, grant uint64) Response {
+		return Response{Number: r.Number, Lease: 2 * second, Grants: map[string]Grant{"a": {grant, 50}}}
+	}
+	if !h.Accept(2500*time.Millisecond, respond(first, 1)) {
+		t.Error("a late response is of no use")
+	}
+	for at, amount := range map[time.Duration]float64{2900 * time.Millisecond: 50, 3 * second: 0} {
+		if got := h.Holdings(at)[0].Amount; got != amount {
+			t.Errorf("at %v it holds %g", at, got)
+		}
+	}
+	if h.Accept(2600*time.Millisecond, respond(first, 1)) {
+		t.Error("a response counts twice")
+	}
+	h.Accept(3*second, respond(next, 7))
+	if got := h.Holdings(3900 * time.Millisecond)[0].Grant; got != 7 {
+		t.Errorf("it holds grant %d", got)
+	}
+	last := h.NextRequest(3500*time.Millisecond, time.Time{})
+	if h.Accept(3600*time.Millisecond, respond(last, 5)); h.Holdings(3700 * time.Millisecond)[0].Grant != 7 {
+		t.Error("it goes back to an earlier grant")
+	}
+	if h.Accept(3600*time.Millisecond, Response{Number: 99}) {
+		t.Error("a response to no request is of use")
+	}
+}
+
+func BenchmarkAdmit(b *testing.B) {
+	quotas := []Quota{{Name: "a", Kind: Rate, Amount: 1e9, Burst: 1e9}}
+	h := NewHolder(Terms{Lease: time.Hour, Seats: 1}, quotas, "n1", "1", 0)
+	number := h.NextRequest(0, time.Time{}).Number
+	h.Accept(0, Response{Number: number, Lease: time.Hour, Grants: map[string]Grant{"a": {1, 1e9}}})
+	b.ReportAllocs()
+	now := time.Duration(0)
+	for b.Loop() {
+		now++
+		h.Admit(now, time.Time{}, 0)
+	}
+}
+
+// While a quota changes, at some nodes earlier than at others, no more can be used than the larger of the two; and the
+// new one holds, in all, a lease after the leader was told, though some node is told late: but for the old reserve of
+// that node, where it alone is more than the new quota.
+func TestQuotaChange(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		terms := Terms{Lease: 2 * second, Reserve: 0.1, Seats: 3}
+		old, next := []Quota{{Name: "a", Kind: Rate, Amount: 100, Burst: 20}},
+			[]Quota{{Name: "a", Kind: Rate, Amount: float64(rapid.IntRange(0, 300).Draw(t, "next")), Burst: 20}}
+		k := NewLeader(terms, old, 1, 0)
+		l := newLedger()
+		var holders []*Holder
+		var told []time.Duration
+		for i := range 3 {
+			h := NewHolder(terms, old, fmt.Sprint("n", i), "1", 0)
+			h.TakeSeat(h.SeatReserves())
+			holders = append(holders, h)
+			told = append(told, 5*second+time.Duration(rapid.IntRange(0, 9000).Draw(t, "told"))*time.Millisecond)
+		}
+		leader := 5*second + time.Duration(rapid.IntRange(0, 3000).Draw(t, "leader told"))*time.Millisecond
+		from := leader + terms.leaderLease()
+		for now := time.Duration(0); now < 15*second; now += 50 * time.Millisecond {
+			if now >= leader && leader > 0 {
+				k.SetQuotas(now, next)
+				leader = -1
+			}
+			sum, reserved := 0.0, 0.0
+			for i, h := range holders {
+				if now >= told[i] && told[i] > 0 {
+					h.SetQuotas(now, next)
+					told[i] = -1
+				}
+				for range 5 {
+					h.Admit(now, time.Time{}, 0)
+				}
+				if same := (leader < 0) == (told[i] < 0); same { // else the leader refuses
+					reserves := h.SeatReserves()
+					k.Withhold(l.excess(reserves))
+					h.Accept(now, k.Lend(now, h.NextRequest(now, time.Time{})))
+					l.assignSeat(seatCommand{h.name, i + 1, 3, reserves})
+					h.TakeSeat(reserves)
+				}
+				one := h.Holdings(now)[0]
+				sum += one.Amount + one.Reserve
+				reserved += one.Reserve
+			}
+			if sum > max(100, next[0].Amount)+1e-6 || now > from && sum > max(next[0].Amount, reserved)+1e-6 {
+				t.Fatalf("at %v, %v after the leader was told, %g can be used of %g", now, now-from, sum, next[0].Amount)
+			}
+		}
+	})
+}
--- a/internal/lab/fleet/budget.go
+++ b/internal/lab/fleet/budget.go
@@ -241,7 +241,7 @@
 func leases(a *Account, breaks func(rule string, at time.Duration, format string, args ...any)) {
 	ends := map[string]time.Duration{}
 	for _, l := range a.Lines {
-		var lent budget.Lent
+		var lent budget.GrantRecord
 		if l.Kind == "lends" && json.Unmarshal(l.Data, &lent) == nil {
 			ends[fmt.Sprintf("%s %d", lent.Holder, lent.Grant)] = time.Duration(lent.Until)
 		}
@@ -439,11 +439,11 @@
 		held, want := 0.0, 0.0
 		for _, h := range now {
 			held += h.Amount
-			want += h.Want
+			want += h.Demand
 		}
 		for _, h := range now {
 			if held > 0 && want > 0 {
-				b.Fair = max(b.Fair, math.Abs(h.Amount/held-h.Want/want))
+				b.Fair = max(b.Fair, math.Abs(h.Amount/held-h.Demand/want))
 			}
 		}
 	}
--- a/internal/lab/fleet/budget_test.go
+++ b/internal/lab/fleet/budget_test.go
@@ -78,7 +78,7 @@
 		}, ""},
 		{"a part that is held longer than it is counted", func(x *tale) {
 			arrivals(x.a, 2, 59, 100)
-			x.line(20, "n2", "lends", budget.Lent{Holder: "n1", Grant: 7, Until: int64(at(22))})
+			x.line(20, "n2", "lends", budget.GrantRecord{Holder: "n1", Grant: 7, Until: int64(at(22))})
 			holds(x, 20.5, "n1", budget.Holding{Amount: 10, Left: 1600 * time.Millisecond, Grant: 7})
 		}, "lease"},
 	} {
@@ -118,21 +118,21 @@
 // A history that one ledger could have made is told from one that none could.
 func TestHistories(t *testing.T) {
 	got := func(units, left int64) budget.CountGrant {
-		return budget.CountGrant{Period: 1, Units: units, Left: left}
+		return budget.CountGrant{Period: 1, Units: units, Remaining: left}
 	}
 	for _, c := range []struct {
 		name string
-		tell []budget.Counted // each a second after the one before
+		tell []budget.CountRecord // each a second after the one before
 		want porcupine.CheckResult
 	}{
-		{"one after the other", []budget.Counted{{Ask: budget.CountAsk{Period: 1, Need: 100}, Got: got(100, countWhole-100), Known: true},
-			{Ask: budget.CountAsk{Period: 1, Need: 50}, Got: got(50, countWhole-150), Known: true}}, porcupine.Ok},
-		{"given twice", []budget.Counted{{Ask: budget.CountAsk{Period: 1, Need: 100}, Got: got(100, countWhole-100), Known: true},
-			{Ask: budget.CountAsk{Period: 1, Need: 50}, Got: got(50, countWhole-50), Known: true}}, porcupine.Illegal},
-		{"a lost answer", []budget.Counted{{Ask: budget.CountAsk{Period: 1, Need: 100}},
-			{Ask: budget.CountAsk{Period: 1, Need: 50}, Got: got(50, countWhole-150), Known: true}}, porcupine.Ok},
-		{"a lost ask", []budget.Counted{{Ask: budget.CountAsk{Period: 1, Need: 100}},
-			{Ask: budget.CountAsk{Period: 1, Need: 50}, Got: got(50, countWhole-50), Known: true}}, porcupine.Ok},
+		{"one after the other", []budget.CountRecord{{Request: budget.CountRequest{Period: 1, Need: 100}, Granted: got(100, countWhole-100), Answered: true},
+			{Request: budget.CountRequest{Period: 1, Need: 50}, Granted: got(50, countWhole-150), Answered: true}}, porcupine.Ok},
+		{"given twice", []budget.CountRecord{{Request: budget.CountRequest{Period: 1, Need: 100}, Granted: got(100, countWhole-100), Answered: true},
+			{Request: budget.CountRequest{Period: 1, Need: 50}, Granted: got(50, countWhole-50), Answered: true}}, porcupine.Illegal},
+		{"a lost answer", []budget.CountRecord{{Request: budget.CountRequest{Period: 1, Need: 100}},
+			{Request: budget.CountRequest{Period: 1, Need: 50}, Granted: got(50, countWhole-150), Answered: true}}, porcupine.Ok},
+		{"a lost ask", []budget.CountRecord{{Request: budget.CountRequest{Period: 1, Need: 100}},
+			{Request: budget.CountRequest{Period: 1, Need: 50}, Granted: got(50, countWhole-50), Answered: true}}, porcupine.Ok},
 	} {
 		x := newTale(t)
 		for i, one := range c.tell {
--- a/internal/lab/fleet/history.go
+++ b/internal/lab/fleet/history.go
@@ -19,12 +19,12 @@
 func countHistory(a *Account) porcupine.CheckResult {
 	var ops []porcupine.Operation
 	for _, l := range a.Lines {
-		var c budget.Counted
+		var c budget.CountRecord
 		if l.Kind != "counted" || json.Unmarshal(l.Data, &c) != nil {
 			continue
 		}
 		op := porcupine.Operation{ClientId: l.PID, Input: c, Call: c.Began, Return: l.At}
-		if !c.Known {
+		if !c.Answered {
 			op.Return = math.MaxInt64
 		}
 		ops = append(ops, op)
@@ -33,7 +33,7 @@
 		Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 			by := map[int64][]porcupine.Operation{}
 			for _, op := range history {
-				period := op.Input.(budget.Counted).Ask.Period
+				period := op.Input.(budget.CountRecord).Request.Period
 				by[period] = append(by[period], op)
 			}
 			var parts [][]porcupine.Operation
@@ -44,13 +44,13 @@
 		},
 		Init: func() []any { return []any{int64(0)} },
 		Step: func(state, input, _ any) []any {
-			spent, c := state.(int64), input.(budget.Counted)
-			units := budget.Stock(c.Ask.Need, countWhole-spent)
-			after := max(spent+units-max(c.Ask.Back, 0), 0)
+			spent, c := state.(int64), input.(budget.CountRecord)
+			units := budget.StockSize(c.Request.Need, countWhole-spent)
+			after := max(spent+units-max(c.Request.Returned, 0), 0)
 			switch {
-			case !c.Known:
+			case !c.Answered:
 				return []any{spent, after}
-			case units != c.Got.Units || countWhole-after != c.Got.Left:
+			case units != c.Granted.Units || countWhole-after != c.Granted.Remaining:
 				return nil
 			}
 			return []any{after}
