--- a/cmd/olivefleet/fleet.go
+++ b/cmd/olivefleet/fleet.go
@@ -70,7 +70,7 @@
 		all.signal(c.Name, &config)
 	}
 	all.Service = member.New(config)
-	all.choices = choices.New(choices.Config{Name: c.Name, Signals: all.signals, Plan: subset.Plan{Copies: f.Choices.Copies, Least: f.Choices.Least},
+	all.choices = choices.New(choices.Config{Name: c.Name, Signals: all.signals, Plan: subset.Plan{Copies: f.Choices.Copies, MinServers: f.Choices.Least},
 		Zones: c.Names.Zones, Next: all.Service.Next, Log: log, Record: config.Record})
 	return all, nil
 }
@@ -118,13 +118,13 @@
 // signal makes the node's part in telling of peers.
 func (f *company) signal(name string, m *member.Config) {
 	f.signals = signals.New(signals.Config{Name: name, Witnesses: f.file.Choices.Witnesses, Record: m.Record,
-		Tell: func(from string, word []byte) { f.Service.Broadcast(from, word) },
-		Here: func(name string) bool {
+		Broadcast: func(from string, word []byte) { f.Service.Broadcast(from, word) },
+		Present: func(name string) bool {
 			who, known := f.Service.View().Lookup(name)
 			return known && who.State.Present()
 		}})
-	m.OnMessage = func(word []byte) { f.signals.Hear(word) }
-	f.around(m, func(i member.Incarnation) { f.signals.Up(i.String()) }, f.signals.Down)
+	m.OnMessage = func(word []byte) { f.signals.Receive(word) }
+	f.around(m, func(i member.Incarnation) { f.signals.Start(i.String()) }, f.signals.Stop)
 }
 
 // around has one more part of the node's begin and end with its place.
@@ -201,7 +201,7 @@
 	if err != nil {
 		return err
 	}
-	if what := f.file.Fixed(next); what != "" {
+	if what := f.file.ImmutableChange(next); what != "" {
 		return fmt.Errorf("fleet file %s: %s cannot change in a running node", path, what)
 	}
 	f.file = next
--- a/internal/fleet/choices/choices_test.go
+++ b/internal/fleet/choices/service_test.go
@@ -11,7 +11,7 @@
 	"olivebridge/internal/routing"
 )
 
-// views gives views as a test makes them.
+// views returns views as a test makes them.
 type views chan *member.View
 
 func (v views) next(ctx context.Context, _ uint64) (*member.View, error) {
@@ -33,11 +33,11 @@
 	return v
 }
 
-// TestService: what is chosen follows the views and the lists; who takes nothing new does not count, who is only silent does;
-// without a place in the fleet all peers are worked with.
-func TestService(t *testing.T) {
+// A choice follows the views and the lists: a node that takes nothing new does not count, a suspect one does, and a
+// node without a place in the fleet works with all servers.
+func TestChoiceFollowsViewsAndLists(t *testing.T) {
 	from := make(views)
-	s := New(Config{Name: "n1", Plan: subset.Plan{Copies: 2, Least: 1}, Next: from.next})
+	s := New(Config{Name: "n1", Plan: subset.Plan{Copies: 2, MinServers: 1}, Next: from.next})
 	got := make(chan routing.Choice)
 	s.Tell(func(chosen routing.Choice) {
 		select {
@@ -46,9 +46,9 @@
 		}
 	})
 	defer s.Close()
-	var peers []balancer.Server
+	var servers []balancer.Server
 	for i := range 60 {
-		peers = append(peers, balancer.Server{ID: balancer.ServerID(1000 + 7919*i), Weight: 1, State: balancer.Ready})
+		servers = append(servers, balancer.Server{ID: balancer.ServerID(1000 + 7919*i), Weight: 1, State: balancer.Ready})
 	}
 	wait := func(what string, least, most int) {
 		t.Helper()
@@ -62,17 +62,17 @@
 			t.Fatalf("%s: nothing is told", what)
 		}
 	}
-	s.Listed(peers)
-	wait("nobody is known", 0, 0)
+	s.Listed(servers)
+	wait("no node is known", 0, 0)
 	all := map[string]member.State{}
 	for _, n := range []string{"n1", "n2", "n3", "n4", "n5", "n6"} {
 		all[n] = member.Alive
 	}
 	from <- view(1, all)
-	wait("six nodes, two to a peer", 15, 25)
+	wait("six nodes, two to a server", 15, 25)
 	all["n2"] = member.Suspect
 	from <- view(2, all)
-	wait("one is silent", 15, 25)
+	wait("one is suspect", 15, 25)
 	all["n2"], all["n3"], all["n4"] = member.Dead, member.Left, member.Leaving
 	from <- view(3, all)
 	wait("three are left", 32, 48)
@@ -80,13 +80,13 @@
 	from <- view(4, all)
 	wait("two are left", 0, 0)
 	from <- view(5, map[string]member.State{"n2": member.Alive, "n3": member.Alive, "n4": member.Alive})
-	wait("it has no place", 0, 0)
-	s.Listed(peers[:1])
-	wait("one peer", 0, 0)
+	wait("this node has no place", 0, 0)
+	s.Listed(servers[:1])
+	wait("one server", 0, 0)
 }
 
-// TestZones: in how many zones nodes work, as far as one can say.
-func TestZones(t *testing.T) {
+// A node counts the zones in which nodes work, as far as it can say.
+func TestWorkingZones(t *testing.T) {
 	s := New(Config{Name: "n1", Zones: map[string]int{"east": 0, "west": 1}})
 	v := &member.View{Self: "n1"}
 	for i, name := range []string{"n1", "n2", "n3", "n4", "n5"} {
@@ -111,13 +111,13 @@
 		{[]member.State{dead, alive, alive, alive, alive}, 0},
 	} {
 		now := set(c.states...)
-		if got := s.zonesOf(now, working(now)); got != c.want {
+		if got := s.workingZones(now, workingNodes(now)); got != c.want {
 			t.Errorf("%v: %d zones, want %d", c.states, got, c.want)
 		}
 	}
 	v.Members[1].Zone = "elsewhere"
 	now := set(alive, alive, alive, alive, alive)
-	if got := s.zonesOf(now, working(now)); got != 0 {
+	if got := s.workingZones(now, workingNodes(now)); got != 0 {
 		t.Errorf("a zone that the group does not know: %d", got)
 	}
 }
--- a/internal/fleet/choices/stored_forms_test.go
+++ b/internal/fleet/choices/stored_forms_test.go
@@ -9,8 +9,8 @@
 // Records are judged by builds other than the one that wrote them.
 func TestRecordKeepsItsBytes(t *testing.T) {
 	for path, value := range map[string]any{
-		"testdata/chose.json":  Chose{View: 4, Nodes: 3, Zones: 2, Peers: 60, Chose: []uint64{1, 2}},
-		"testdata/failed.json": Failed{Peer: 7, Probe: true},
+		"testdata/chose.json":  ChoiceRecord{View: 4, Nodes: 3, Zones: 2, Servers: 60, Chosen: []uint64{1, 2}},
+		"testdata/failed.json": FailureRecord{Server: 7, Probe: true},
 	} {
 		text, err := json.Marshal(value)
 		if err != nil {
--- a/internal/fleet/fleetfile/fleetfile_test.go
+++ b/internal/fleet/fleetfile/fleetfile_test.go
@@ -24,21 +24,23 @@
 	}
 }
 
-// TestChoices: how many peers a node works with; without the table, all.
-func TestChoices(t *testing.T) {
+// Without the table a node works with all servers.
+func TestChoicesTable(t *testing.T) {
 	f, err := Parse("f.toml", []byte(good+"[choices]\ncopies = 8\n"))
 	if err != nil || f.Choices != (Choices{8, 64, 0}) {
 		t.Errorf("%+v, %v", f, err)
 	}
-	if f, err := Parse("f.toml", []byte(good+"[choices]\nwitnesses = 3\n")); err != nil || f.Choices.Copies != 0 || f.Choices.Witnesses != 3 {
+	f, err = Parse("f.toml", []byte(good+"[choices]\nwitnesses = 3\n"))
+	if err != nil || f.Choices.Copies != 0 || f.Choices.Witnesses != 3 {
 		t.Errorf("%+v, %v", f, err)
 	}
-	if _, err := Parse("f.toml", []byte(good+"[choices]\nwitnesses = 1\n")); err == nil || !strings.Contains(err.Error(), "choices.witnesses: 1 is not from 2") {
+	_, err = Parse("f.toml", []byte(good+"[choices]\nwitnesses = 1\n"))
+	if err == nil || !strings.Contains(err.Error(), "choices.witnesses: 1 is not from 2") {
 		t.Error(err)
 	}
 	plain, _ := Parse("f.toml", []byte(good))
-	if plain.Choices != (Choices{}) || plain.Fixed(f) != "choices" {
-		t.Errorf("%+v, %q", plain.Choices, plain.Fixed(f))
+	if plain.Choices != (Choices{}) || plain.ImmutableChange(f) != "choices" {
+		t.Errorf("%+v, %q", plain.Choices, plain.ImmutableChange(f))
 	}
 	for text, want := range map[string]string{
 		"[choices]\nleast = 10\n":             "line 8: choices.copies: 0 is not from 2 to 1000",
@@ -53,16 +55,16 @@
 	}
 }
 
-// TestWork: which calls are kept, and what is meant where nothing is said.
-func TestWork(t *testing.T) {
+// Missing keys of kept requests have their defaults.
+func TestWorkTable(t *testing.T) {
 	const table = "[work]\nclasses = [\"order\"]\nkeepers = [\"n1\"]\n"
 	f, err := Parse("f.toml", []byte(good+table))
 	if err != nil || f.Work.WindowTime != time.Hour || f.Work.Most != 100000 || f.Work.Tries != 3 {
 		t.Errorf("%+v, %v", f, err)
 	}
 	plain, _ := Parse("f.toml", []byte(good))
-	if plain.Fixed(f) != "work" {
-		t.Errorf("%q", plain.Fixed(f))
+	if plain.ImmutableChange(f) != "work" {
+		t.Errorf("%q", plain.ImmutableChange(f))
 	}
 	for text, want := range map[string]string{
 		"[work]\nkeepers = [\"n1\"]\n":                           "line 8: work.classes: missing",
@@ -78,8 +80,8 @@
 	}
 }
 
-// Each fault is told by file, line, key and reason, in one line.
-func TestFaults(t *testing.T) {
+// Each error has file, line, key and reason, in one line.
+func TestErrors(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`fleet = "calder"`, ``, "line 2: member.fleet: missing"},
 		{`fleet = "calder"`, `fleet = "a b"`, "line 3: member.fleet: not a word"},
@@ -89,7 +91,8 @@
 		{`"127.0.0.1:7946"`, `"127.0.0.1:0"`, "line 4: member.listen: port 0"},
 		{`"127.0.0.1:7946"`, `"0.0.0.0:7946"`, "line 4: member.listen: 0.0.0.0 is no address of its own"},
 		{`"127.0.0.2:7946"`, `"127.0.0.2"`, "line 5: member.join: not IP:port"},
-		{`"127.0.0.2:7946"`, strings.Repeat(`"127.0.0.2:7946",`, 64) + `"127.0.0.3:1"`, "line 5: member.join: 66 addresses, 64 at most"},
+		{`"127.0.0.2:7946"`, strings.Repeat(`"127.0.0.2:7946",`, 64) + `"127.0.0.3:1"`,
+			"line 5: member.join: 66 addresses, 64 at most"},
 		{`"/var/lib/olivebridge/n1"`, `"state"`, "line 7: member.directory: not an absolute path"},
 		{`directory`, `# directory`, "line 2: member.directory: missing"},
 		{`zone = "derby"`, `zone = "` + strings.Repeat("z", 65) + `"`, "line 6: member.zone: 65 bytes, 64 at most"},
@@ -98,12 +101,18 @@
 		{`[member]`, `[membre]`, "line 2: membre: unknown key"},
 	} {
 		_, err := Parse("f.toml", []byte(strings.Replace(good, c.old, c.new, 1)))
-		var told *Error
-		if !errors.As(err, &told) || !strings.HasPrefix(err.Error(), "fleet file f.toml, "+c.want) || strings.Contains(err.Error(), "\n") {
+		var reported *Error
+		if !errors.As(err, &reported) {
+			t.Errorf("%s: %v", c.want, err)
+			continue
+		}
+		text := err.Error()
+		if !strings.HasPrefix(text, "fleet file f.toml, "+c.want) || strings.Contains(text, "\n") {
 			t.Errorf("%s: %v", c.want, err)
 		}
 	}
-	if _, err := Load("/no/where.toml"); err == nil || err.Error() != "fleet file /no/where.toml: no such file or directory" {
+	const missing = "fleet file /no/where.toml: no such file or directory"
+	if _, err := Load("/no/where.toml"); err == nil || err.Error() != missing {
 		t.Error(err)
 	}
 }
@@ -121,7 +130,7 @@
 burst = 20.0
 `
 
-func TestBudgets(t *testing.T) {
+func TestBudgetTables(t *testing.T) {
 	f, err := Parse("f.toml", []byte(good+budgets))
 	if err != nil || len(f.Budgets) != 1 || f.Budgets[0].Kind != "rate" || f.Book.LeaseTime.Seconds() != 2 {
 		t.Fatalf("%+v, %v", f, err)
@@ -138,9 +147,11 @@
 		{`burst = 20.0`, `most = 3`, `budget.most: "a" is of the kind rate`},
 		{`tenant = "acme"`, `use = "copies"`, `line 16: budget.use: "copies": there are "retries" and "cold-peers"`},
 		{`tenant = "acme"`, "tenant = \"acme\"\nuse = \"retries\"", `line 16: budget.tenant: "a" is for retries`},
-		{`tenant = "acme"`, "use = \"cold-peers\"\nkind = \"count\"", `line 17: budget.kind: "a" is for cold-peers, which have a rate`},
+		{`tenant = "acme"`, "use = \"cold-peers\"\nkind = \"count\"",
+			`line 17: budget.kind: "a" is for cold-peers, which have a rate`},
 		{`rate = 100.0`, `kind = "speed"`, `line 17: budget.kind: "speed" is none of`},
-		{"rate = 100.0\nburst = 20.0", "kind = \"count\"\ncount = 5\nperiod = \"1s\"", "budget.period: not a time of a minute"},
+		{"rate = 100.0\nburst = 20.0", "kind = \"count\"\ncount = 5\nperiod = \"1s\"",
+			"budget.period: not a time of a minute"},
 	} {
 		_, err := Parse("f.toml", []byte(strings.Replace(good+budgets, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
@@ -149,8 +160,8 @@
 	}
 }
 
-// Voters change with a higher edition, and not otherwise.
-func TestEditions(t *testing.T) {
+// An older file must not take voters back: they change with a higher edition, and not otherwise.
+func TestVotersNeedAnEdition(t *testing.T) {
 	with := func(text string) *File {
 		t.Helper()
 		f, err := Parse("f.toml", []byte(good+text))
@@ -166,7 +177,7 @@
 		"[operators]\nkeepers = [\"b\"]\nedition = 2\n": "",
 		"": "operators",
 	} {
-		if got := first.Fixed(with(text)); got != want {
+		if got := first.ImmutableChange(with(text)); got != want {
 			t.Errorf("%q: %q", text, got)
 		}
 	}
@@ -176,8 +187,8 @@
 	}
 }
 
-// The example that is shipped is a good one.
-func TestExample(t *testing.T) {
+// The example that is shipped is valid.
+func TestShippedExample(t *testing.T) {
 	data, err := os.ReadFile("../../../deploy/fleet.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/signals/service.go
+++ b/internal/fleet/signals/service.go
@@ -8,68 +8,88 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/hashicorp/go-msgpack/v2/codec"
-
 	"olivebridge/internal/fleet/mutant"
 	"olivebridge/internal/fleet/record"
 )
 
 const (
-	// sayEach is how often a node says again what it has seen, while there is anything; news goes out at once, but for
-	// sayPause between two words.
-	sayEach  = time.Second
-	sayPause = 100 * time.Millisecond
+	// reportInterval is how often a node sends its report again, while there is anything in it.
+	reportInterval = time.Second
+	// reportPause is the least time between two reports: news is sent at once but for that.
+	reportPause = 100 * time.Millisecond
 )
 
-// Config is what a process is told.
+// Config configures a Service.
 type Config struct {
-	Name      string
-	Witnesses int // on whose word a peer is doubted
-	// Tell hands a word to the others, in place of this one's last; see member.Service.
-	Tell   func(from string, word []byte)
-	Here   func(name string) bool // whether a node is in the fleet
+	// Name is the node's name.
+	Name string
+	// Witnesses is how many other nodes have to report a server for it to be suspected.
+	Witnesses int
+	// Broadcast gossips a report, in place of the last one from the same node; see member.Service.
+	Broadcast func(from string, message []byte)
+	// Present reports whether a node is in the fleet.
+	Present func(name string) bool
+	// Record is given the suspected servers; nil: nothing.
 	Record *record.Book
 }
 
-// Service is a process's part in telling of peers. Its methods are safe for concurrent use.
+// Service is a process's part in the gossip about servers. Its methods are safe for concurrent use, and do not block.
 type Service struct {
-	c     Config
-	start time.Time
-	count struct{ said, heard, stale, broken, doubts atomic.Int64 }
+	config   Config
+	start    time.Time // origin of times
+	counters counters
 
 	mu          sync.Mutex
-	book        *Book
-	incarnation string // "": this process has not the node's place, and says nothing
-	group       []Peer
-	doubted     []uint64
-	changed     func() // is told when doubts change; nil: nobody
-	poke        chan struct{}
-	news        atomic.Bool // there is something to say at once
-	stop        chan struct{}
-	tasks       sync.WaitGroup
+	detector    *Detector
+	incarnation string // "": this process does not have the node's place, and reports nothing
+	group       []Server
+	suspected   []uint64
+	onChange    func() // is called when the suspected servers change; nil: nobody is told
+
+	wake  chan struct{} // holds one
+	news  atomic.Bool   // there is something to report at once
+	stop  chan struct{} // ends the loop; nil: it does not run
+	tasks sync.WaitGroup
+}
+
+// counters count events of a Service, since its start.
+type counters struct {
+	sent    atomic.Int64 // reports
+	taken   atomic.Int64 // reports of others
+	stale   atomic.Int64 // reports that were not new
+	broken  atomic.Int64 // reports that could not be decoded
+	changes atomic.Int64 // of the suspected servers
 }
 
-// New makes a service, which says nothing until Up.
+// New makes a service, which reports nothing until Start.
 func New(c Config) *Service {
-	return &Service{c: c, start: time.Now(), book: NewBook(c.Name, c.Witnesses), poke: make(chan struct{}, 1)}
+	return &Service{
+		config:   c,
+		start:    time.Now(),
+		detector: NewDetector(c.Name, c.Witnesses),
+		wake:     make(chan struct{}, 1),
+	}
 }
 
-func (s *Service) now() time.Duration { return time.Since(s.start) + 1 } // 0 is never
+// now is the detector's time, which is never 0.
+func (s *Service) now() time.Duration { return time.Since(s.start) + 1 }
 
-// Up begins, for a process that has got the node's place.
-func (s *Service) Up(incarnation string) {
+// Start begins to report, for a process that has got the node's place in the fleet.
+func (s *Service) Start(incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.incarnation, s.stop = incarnation, make(chan struct{})
-	stop := s.stop
+	stop := make(chan struct{})
+	s.incarnation = incarnation
+	s.stop = stop
 	s.tasks.Go(func() { s.run(stop) })
 }
 
-// Down ends that.
-func (s *Service) Down() {
+// Stop ends that, for a process that gives the place up.
+func (s *Service) Stop() {
 	s.mu.Lock()
 	stop := s.stop
-	s.incarnation, s.stop = "", nil
+	s.incarnation = ""
+	s.stop = nil
 	s.mu.Unlock()
 	if stop != nil {
 		close(stop)
@@ -77,190 +97,147 @@
 	}
 }
 
-// Changed has somebody told, from now on, when doubts change. It must not wait.
-func (s *Service) Changed(tell func()) {
+// OnChange sets what is called from now on when the suspected servers change. It must not block.
+func (s *Service) OnChange(changed func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.changed = tell
+	s.onChange = changed
 }
 
-// Listed hears of all peers that take new work.
-func (s *Service) Listed(group []Peer) {
+// SetGroup takes all servers that take new requests.
+func (s *Service) SetGroup(group []Server) {
 	s.mu.Lock()
 	s.group = group
 	s.mu.Unlock()
-	s.stir()
+	s.wakeUp()
 }
 
-// Saw hears how a try or a probe of this node's went. It does not wait.
-func (s *Service) Saw(p Peer, r Result) {
+// Observe takes how an attempt or a health check of this node went.
+func (s *Service) Observe(server Server, result Result) {
 	s.mu.Lock()
-	news := s.book.Saw(s.now(), p, r)
+	news := s.detector.Observe(s.now(), server, result)
 	s.mu.Unlock()
 	if news {
 		s.news.Store(true)
-		s.stir()
+		s.wakeUp()
 	}
 }
 
-func (s *Service) stir() {
+func (s *Service) wakeUp() {
 	select {
-	case s.poke <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Hear takes in another's word, hands it on, and reports whether it was news. It does not wait.
-func (s *Service) Hear(word []byte) bool {
-	w, err := decode(word)
+// Receive takes another node's report, passes it on, and reports whether it was new.
+func (s *Service) Receive(message []byte) bool {
+	report, err := decode(message)
 	if err != nil {
-		s.count.broken.Add(1)
+		s.counters.broken.Add(1)
 		return false
 	}
 	s.mu.Lock()
-	fresh := s.c.Here(w.From) && s.book.Hear(s.now(), w)
+	fresh := s.config.Present(report.From) && s.detector.Receive(s.now(), report)
 	s.mu.Unlock()
 	if !fresh {
-		s.count.stale.Add(1)
+		s.counters.stale.Add(1)
 		return false
 	}
-	s.count.heard.Add(1)
-	s.c.Tell(w.From, word) // in place of the one before, to others than it came from
-	s.stir()
+	s.counters.taken.Add(1)
+	s.config.Broadcast(report.From, message)
+	s.wakeUp()
 	return true
 }
 
-// run says what there is to say, and looks what has become old.
+// run sends reports, and finds which servers are suspected, until stop is closed.
 func (s *Service) run(stop chan struct{}) {
-	each := time.NewTicker(sayEach)
-	defer each.Stop()
-	spoke := false
+	ticker := time.NewTicker(reportInterval)
+	defer ticker.Stop()
+	reported := false
 	for {
 		due := false
 		select {
 		case <-stop:
 			return
-		case <-s.poke:
-		case <-each.C:
+		case <-s.wake:
+		case <-ticker.C:
 			due = true
 		}
 		if s.news.Swap(false) || due {
-			spoke = s.say(spoke)
+			reported = s.sendReport(reported)
 		}
-		s.look()
+		s.updateSuspected()
 		select {
 		case <-stop:
 			return
-		case <-time.After(sayPause):
+		case <-time.After(reportPause):
 		}
 	}
 }
 
-// say tells what this node has seen, and once more where there is nothing left to tell. It reports whether there was.
-func (s *Service) say(spoke bool) bool {
-	s.mu.Lock()
-	s.book.Forget(s.c.Here)
-	w := s.book.Say(s.now(), s.incarnation)
-	if (mutant.Active("liar") || mutant.Active("one-witness")) && strings.HasSuffix(s.c.Name, "1") {
-		w.Seen = nil
-		for _, p := range s.group[:len(s.group)/3] { // fewer than would not be believed
-			w.Seen = append(w.Seen, Seen{Peer: p})
-		}
-		w.Seen = w.Seen[:min(len(w.Seen), MostSaid)]
-	}
-	s.mu.Unlock()
-	if len(w.Seen) == 0 && !spoke {
+// sendReport sends what this node has observed. An empty report is sent only after one that was not. It reports whether
+// there was anything in it.
+func (s *Service) sendReport(reportedBefore bool) bool {
+	report := s.nextReport()
+	if len(report.Observations) == 0 && !reportedBefore {
 		return false
 	}
-	if text, err := encode(w); err == nil {
-		s.count.said.Add(1)
-		s.c.Tell(w.From, text)
+	if message, err := encode(report); err == nil {
+		s.counters.sent.Add(1)
+		s.config.Broadcast(report.From, message)
+	}
+	return len(report.Observations) > 0
+}
+
+func (s *Service) nextReport() Report {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.detector.DropNodes(s.config.Present)
+	report := s.detector.Report(s.now(), s.incarnation)
+	if (mutant.Active("liar") || mutant.Active("one-witness")) && strings.HasSuffix(s.config.Name, "1") {
+		report.Observations = nil
+		for _, server := range s.group[:len(s.group)/3] { // fewer than would be ignored
+			report.Observations = append(report.Observations, Observation{Server: server})
+		}
+		report.Observations = report.Observations[:min(len(report.Observations), MaxObservations)]
 	}
-	return len(w.Seen) > 0
+	return report
 }
 
-// look tells of doubts that have changed.
-func (s *Service) look() {
+// updateSuspected finds which servers are suspected now, and tells if that has changed.
+func (s *Service) updateSuspected() {
 	s.mu.Lock()
-	doubted := s.book.Doubted(s.now(), s.group)
-	changed := !slices.Equal(doubted, s.doubted)
-	s.doubted = doubted
-	tell := s.changed
+	suspected := s.detector.Suspected(s.now(), s.group)
+	changed := !slices.Equal(suspected, s.suspected)
+	s.suspected = suspected
+	onChange := s.onChange
 	s.mu.Unlock()
 	if !changed {
 		return
 	}
-	s.count.doubts.Add(1)
-	s.c.Record.Write("doubts", doubted)
-	if tell != nil {
-		tell()
+	s.counters.changes.Add(1)
+	s.config.Record.Write("doubts", suspected)
+	if onChange != nil {
+		onChange()
 	}
 }
 
-// Doubted are the peers that this node should leave alone.
-func (s *Service) Doubted() []uint64 {
+// Suspected returns the servers that this node should avoid.
+func (s *Service) Suspected() []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.doubted
+	return s.suspected
 }
 
 // Status is for operators.
 func (s *Service) Status() string {
-	return fmt.Sprintf("signals: %d peers left alone on others' word", len(s.Doubted()))
+	return fmt.Sprintf("signals: %d peers left alone on others' word", len(s.Suspected()))
 }
 
-// Counters are for the log.
+// Counters returns the counters for the log.
 func (s *Service) Counters() string {
-	c := &s.count
-	return fmt.Sprintf("words_said=%d words_heard=%d words_stale=%d words_broken=%d doubts_changed=%d", c.said.Load(), c.heard.Load(),
-		c.stale.Load(), c.broken.Load(), c.doubts.Load())
-}
-
-// wire is a word as it is told: positions, no names, so that MostSaid peers fit into one packet of 1,400 bytes.
-type wire struct {
-	From        string
-	Incarnation string
-	Number      uint64
-	Seen        []wireSeen
-}
-
-type wireSeen struct {
-	ID   uint64
-	Born int64
-	Mark uint8
-	Age  uint32 // milliseconds
-}
-
-// handle is how it is written.
-func handle() *codec.MsgpackHandle {
-	h := &codec.MsgpackHandle{}
-	h.StructToArray = true
-	return h
-}
-
-func encode(w Word) (b []byte, err error) {
-	out := wire{From: w.From, Incarnation: w.Incarnation, Number: w.Number}
-	for _, s := range w.Seen {
-		out.Seen = append(out.Seen, wireSeen{ID: s.ID, Born: s.Born, Mark: uint8(s.Mark), Age: uint32(s.Age.Milliseconds())})
-	}
-	err = codec.NewEncoderBytes(&b, handle()).Encode(&out)
-	return b, err
-}
-
-func decode(b []byte) (Word, error) {
-	var in wire
-	if err := codec.NewDecoderBytes(b, handle()).Decode(&in); err != nil {
-		return Word{}, fmt.Errorf("a word of peers: %w", err)
-	}
-	if in.From == "" || len(in.From) > 64 || len(in.Incarnation) > 64 || len(in.Seen) > MostSaid {
-		return Word{}, fmt.Errorf("a word of peers: %d bytes of name, %d peers", len(in.From), len(in.Seen))
-	}
-	w := Word{From: in.From, Incarnation: in.Incarnation, Number: in.Number}
-	for _, s := range in.Seen {
-		if s.Mark > uint8(Good) {
-			return Word{}, fmt.Errorf("a word of peers: mark %d", s.Mark)
-		}
-		w.Seen = append(w.Seen, Seen{Peer{s.ID, s.Born}, Mark(s.Mark), time.Duration(s.Age) * time.Millisecond})
-	}
-	return w, nil
+	c := &s.counters
+	return fmt.Sprintf("words_said=%d words_heard=%d words_stale=%d words_broken=%d doubts_changed=%d",
+		c.sent.Load(), c.taken.Load(), c.stale.Load(), c.broken.Load(), c.changes.Load())
 }
--- a/internal/fleet/signals/stored_forms_test.go
+++ b/internal/fleet/signals/stored_forms_test.go
@@ -9,11 +9,14 @@
 	"time"
 )
 
-// A word is read by nodes of other builds.
-func TestWordKeepsItsBytes(t *testing.T) {
+// A report is read by nodes of other builds.
+func TestReportKeepsItsBytes(t *testing.T) {
 	path := filepath.Join("testdata", "word.msgpack")
-	want := Word{From: "n1", Incarnation: "0123456789abcdef/4", Number: 300, Seen: []Seen{
-		{Peer{1 << 63, 1764000000000000000}, Failed, 1500 * time.Millisecond}, {Peer{2, 7}, Good, 0}, {Peer{3, -1}, Missed, time.Second}}}
+	want := Report{From: "n1", Incarnation: "0123456789abcdef/4", Number: 300, Observations: []Observation{
+		{Server{1 << 63, 1764000000000000000}, Failing, 1500 * time.Millisecond},
+		{Server{2, 7}, Recovered, 0},
+		{Server{3, -1}, Missed, time.Second},
+	}}
 	text, err := encode(want)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-func group(n, zones int) (all []Peer) {
+func group(n, zones int) (all []Server) {
 	for i := range n {
-		all = append(all, Peer{ID: mix(uint64(i + 1)), Zone: uint8(i % zones), Kind: uint8(i / zones % 3), Weight: 1})
+		all = append(all, Server{ID: scramble(uint64(i + 1)), Zone: uint8(i % zones), Kind: uint8(i / zones % 3), Weight: 1})
 	}
 	return all
 }
@@ -23,22 +23,23 @@
 	return all
 }
 
-// Whatever there is: each peer has as many nodes as the plan says, each of them once; no zone and no kind is forgotten by
-// a node that has room for one of each; and the order of what is known does not matter.
+// Whatever the fleet: each server has as many nodes as the plan says, each of them once; a node with room for one of
+// each has servers of every zone and kind; and the order of nodes and servers does not matter.
 func TestAssign(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.IntRange(1, 3).Draw(t, "zones")
-		names, peers := nodes(rapid.IntRange(1, 40).Draw(t, "nodes"), rapid.IntRange(1, 2).Draw(t, "zones of nodes")), group(rapid.IntRange(1, 300).Draw(t, "peers"), zones)
-		p := Plan{Copies: rapid.IntRange(1, 10).Draw(t, "copies"), Least: rapid.IntRange(0, 60).Draw(t, "least")}
-		got := p.Assign(names, peers)
-		copies := p.copies(len(names), len(peers))
+		names := nodes(rapid.IntRange(1, 40).Draw(t, "nodes"), rapid.IntRange(1, 2).Draw(t, "zones of nodes"))
+		servers := group(rapid.IntRange(1, 300).Draw(t, "peers"), zones)
+		p := Plan{Copies: rapid.IntRange(1, 10).Draw(t, "copies"), MinServers: rapid.IntRange(0, 60).Draw(t, "least")}
+		got := p.Assign(names, servers)
+		copies := p.copies(len(names), len(servers))
 		if got == nil {
 			if copies < len(names) {
 				t.Fatalf("all, with %d copies among %d nodes", copies, len(names))
 			}
 			return
 		}
-		times, most, least := map[uint64]int{}, 0, len(peers)
+		times, most, least := map[uint64]int{}, 0, len(servers)
 		near := map[uint64]map[string]int{}
 		for _, node := range names {
 			n := node.Name
@@ -55,63 +56,64 @@
 			}
 			most, least = max(most, len(ids)), min(least, len(ids))
 		}
-		for _, one := range peers {
+		for _, one := range servers {
 			if off := times[one.ID] - copies; off < -1 || off > 1 { // its parts of two zones are rounded
-				t.Fatalf("a peer has %d nodes of %d", times[one.ID], copies)
+				t.Fatalf("a server has %d nodes of %d", times[one.ID], copies)
 			}
-			if !maps.Equal(near[one.ID], near[peers[0].ID]) {
-				t.Fatalf("peers have %v and %v nodes of each zone", near[one.ID], near[peers[0].ID])
+			if !maps.Equal(near[one.ID], near[servers[0].ID]) {
+				t.Fatalf("servers have %v and %v nodes of each zone", near[one.ID], near[servers[0].ID])
 			}
 		}
-		mean := float64(len(peers)*copies) / float64(len(names))
+		mean := float64(len(servers)*copies) / float64(len(names))
 		zones2 := len(names) >= 2 && names[0].Zone != names[1].Zone
 		if float64(most) > 1.3*mean+2 && !zones2 {
-			t.Fatalf("a node has %d peers, %.1f in the mean", most, mean)
+			t.Fatalf("a node has %d servers, %.1f in the mean", most, mean)
 		}
 		if mean >= 30 && float64(least) < 0.5*mean && !zones2 {
-			t.Fatalf("a node has %d peers, %.1f in the mean", least, mean)
+			t.Fatalf("a node has %d servers, %.1f in the mean", least, mean)
 		}
-		likes := map[uint64]stratum{}
-		for _, one := range peers {
-			likes[one.ID] = stratum{one.Zone, one.Kind}
+		strata := map[uint64]stratum{}
+		for _, one := range servers {
+			strata[one.ID] = stratum{one.Zone, one.Kind}
 		}
 		for _, node := range names {
 			n := node.Name
 			has := map[stratum]bool{}
 			for _, id := range got[n] {
-				has[likes[id]] = true
+				has[strata[id]] = true
 			}
 			if mean >= 80 && len(got[n]) >= 60 && len(has) < zones*3 {
-				t.Fatalf("%s has %d likes of %d, of %d peers", n, len(has), zones*3, len(got[n]))
+				t.Fatalf("%s has %d strata of %d, of %d servers", n, len(has), zones*3, len(got[n]))
 			}
 		}
-		mixed, twice := rapid.Permutation(names).Draw(t, "order"), append(rapid.Permutation(peers).Draw(t, "order of peers"), peers[0])
+		mixed := rapid.Permutation(names).Draw(t, "order")
+		twice := append(rapid.Permutation(servers).Draw(t, "order of peers"), servers[0])
 		if again := p.Assign(append(mixed, names[0]), twice); !maps.EqualFunc(got, again, slices.Equal) {
 			t.Fatal("the order changes something")
 		}
-		if one := p.Of(names[0].Name, mixed, twice); !slices.Equal(one, got[names[0].Name]) {
+		if one := p.SubsetOf(names[0].Name, mixed, twice); !slices.Equal(one, got[names[0].Name]) {
 			t.Fatal("one node alone sees it otherwise")
 		}
 	})
 }
 
-// TestLittleMoves: what one node or peer more or less moves, over 20 fleets of different sizes.
-func TestLittleMoves(t *testing.T) {
+// One node or server more or less moves few others, over 20 fleets of different sizes.
+func TestFewServersMove(t *testing.T) {
 	p := Plan{Copies: 8}
-	node, peer, rounds := 0.0, 0.0, 0.0
+	node, server, rounds := 0.0, 0.0, 0.0
 	for n := 20; n < 40; n++ {
-		peers := group(10*n, 2)
-		before := p.Assign(nodes(n, 1), peers)
+		servers := group(10*n, 2)
+		before := p.Assign(nodes(n, 1), servers)
 		pairs := float64(10 * n * 8)
-		node += float64(moves(before, p.Assign(nodes(n+1, 1), peers))) / (pairs / float64(n+1))
-		peer += float64(moves(p.Assign(nodes(n, 1), slices.Delete(slices.Clone(peers), n, n+1)), before)) / 8
+		node += float64(moves(before, p.Assign(nodes(n+1, 1), servers))) / (pairs / float64(n+1))
+		server += float64(moves(p.Assign(nodes(n, 1), slices.Delete(slices.Clone(servers), n, n+1)), before)) / 8
 		rounds++
 	}
 	if node /= rounds; node > 2 {
 		t.Errorf("a node more moves %.2f of the least", node)
 	}
-	if peer /= rounds; peer > 3 {
-		t.Errorf("a peer more moves %.2f of the least", peer)
+	if server /= rounds; server > 3 {
+		t.Errorf("a server more moves %.2f of the least", server)
 	}
 }
 
@@ -129,25 +131,25 @@
 func BenchmarkAssign(b *testing.B) {
 	for _, c := range [][2]int{{20, 200}, {100, 1000}, {300, 1000}} {
 		b.Run(fmt.Sprintf("%d-%d", c[0], c[1]), func(b *testing.B) {
-			names, peers := nodes(c[0], 2), group(c[1], 2)
+			names, servers := nodes(c[0], 2), group(c[1], 2)
 			for b.Loop() {
-				Plan{Copies: 8, Least: 64}.Assign(names, peers)
+				Plan{Copies: 8, MinServers: 64}.Assign(names, servers)
 			}
 		})
 	}
 }
 
-// TestLikesAreEven: each node has its part of every zone and kind, so that none of them is some nodes' alone.
-func TestLikesAreEven(t *testing.T) {
-	peers, beyond, all := group(400, 2), 0, 0
+// Each node has its part of every zone and kind, so that none of them belongs to a few nodes.
+func TestStrataAreEven(t *testing.T) {
+	servers, beyond, all := group(400, 2), 0, 0
 	of := map[uint64]stratum{}
-	for _, p := range peers {
+	for _, p := range servers {
 		of[p.ID] = stratum{p.Zone, p.Kind}
 	}
 	for n := 16; n < 24; n++ {
 		p := Plan{Copies: 8}
-		room := rung(likeSlack * 400 / 6 * 8 / float64(n))
-		for _, ids := range p.Assign(nodes(n, 1), peers) {
+		room := roundUpToStep(stratumSlack * 400 / 6 * 8 / float64(n))
+		for _, ids := range p.Assign(nodes(n, 1), servers) {
 			has := map[stratum]int{}
 			for _, id := range ids {
 				has[of[id]]++
--- a/internal/lab/fleet/signals.go
+++ b/internal/lab/fleet/signals.go
@@ -140,11 +140,11 @@
 		}
 		switch l.Kind {
 		case "failed":
-			var f choices.Failed
+			var f choices.FailureRecord
 			if json.Unmarshal(l.Data, &f) != nil {
 				continue
 			}
-			name := names[f.Peer]
+			name := names[f.Server]
 			meets[name] = append(meets[name], meeting{l.Node, at})
 			if !f.Probe {
 				failed[name] = append(failed[name], at)
--- a/internal/lab/subsets/compare.go
+++ b/internal/lab/subsets/compare.go
@@ -49,12 +49,12 @@
 }
 
 // group is a group of peers in two zones, of three kinds.
-func (c Case) group(peers int) (all []subset.Peer) {
+func (c Case) group(peers int) (all []subset.Server) {
 	for i := range peers {
 		w := math.Pow(max(c.Spread, 1), float64(i*7%peers)/float64(max(peers-1, 1)))
-		all = append(all, subset.Peer{ID: xxhash.Sum64String(fmt.Sprintf("peer %d", i)), Zone: uint8(i % 2), Kind: uint8(i / 2 % 3), Weight: w})
+		all = append(all, subset.Server{ID: xxhash.Sum64String(fmt.Sprintf("peer %d", i)), Zone: uint8(i % 2), Kind: uint8(i / 2 % 3), Weight: w})
 	}
-	slices.SortFunc(all, func(a, b subset.Peer) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(all, func(a, b subset.Server) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
 
@@ -83,7 +83,7 @@
 }
 
 // loads sums what comes to each peer.
-func (f *Figures) loads(got map[string][]Part, peers []subset.Peer) {
+func (f *Figures) loads(got map[string][]Part, peers []subset.Server) {
 	come, weight := map[uint64]float64{}, 0.0
 	for _, p := range peers {
 		weight += p.Weight
@@ -110,8 +110,8 @@
 }
 
 // represent looks at what each node has of every zone and kind.
-func (f *Figures) represent(got map[string][]Part, peers []subset.Peer) {
-	of, kinds := map[uint64]subset.Peer{}, map[uint8]bool{}
+func (f *Figures) represent(got map[string][]Part, peers []subset.Server) {
+	of, kinds := map[uint64]subset.Server{}, map[uint8]bool{}
 	for _, p := range peers {
 		of[p.ID] = p
 		kinds[p.Kind] = true
--- a/internal/lab/subsets/ways.go
+++ b/internal/lab/subsets/ways.go
@@ -21,7 +21,7 @@
 // Way gives every node its peers, of so many copies. Nodes and peers are in order, as all nodes know them.
 type Way struct {
 	Name, From string
-	Assign     func(nodes []string, peers []subset.Peer, copies int) map[string][]Part
+	Assign     func(nodes []string, peers []subset.Server, copies int) map[string][]Part
 }
 
 // Ways are all that are compared; the one in use is the last.
@@ -48,7 +48,7 @@
 	return parts
 }
 
-func weightsOf(peers []subset.Peer) map[uint64]float64 {
+func weightsOf(peers []subset.Server) map[uint64]float64 {
 	w := map[uint64]float64{}
 	for _, p := range peers {
 		w[p.ID] = p.Weight
@@ -56,7 +56,7 @@
 	return w
 }
 
-func idsOf(peers []subset.Peer) (ids []uint64) {
+func idsOf(peers []subset.Server) (ids []uint64) {
 	for _, p := range peers {
 		ids = append(ids, p.ID)
 	}
@@ -66,7 +66,7 @@
 // size is how many peers a node has.
 func size(nodes, peers, copies int) int { return min((peers*copies+nodes-1)/nodes, peers) }
 
-func all(nodes []string, peers []subset.Peer, _ int) map[string][]Part {
+func all(nodes []string, peers []subset.Server, _ int) map[string][]Part {
 	out := map[string][]Part{}
 	for _, n := range nodes {
 		out[n] = even(idsOf(peers), weightsOf(peers))
@@ -74,7 +74,7 @@
 	return out
 }
 
-func random(nodes []string, peers []subset.Peer, copies int) map[string][]Part {
+func random(nodes []string, peers []subset.Server, copies int) map[string][]Part {
 	out := map[string][]Part{}
 	for _, n := range nodes {
 		ids := idsOf(peers)
@@ -86,7 +86,7 @@
 }
 
 // dealt is deterministic subsetting: nodes are numbered, and each round of them deals out a shuffle of the peers.
-func dealt(nodes []string, peers []subset.Peer, copies int) map[string][]Part {
+func dealt(nodes []string, peers []subset.Server, copies int) map[string][]Part {
 	out, some := map[string][]Part{}, size(len(nodes), len(peers), copies)
 	each := max(len(peers)/some, 1) // nodes to a round
 	for i, n := range nodes {
@@ -113,7 +113,7 @@
 
 // steady puts the nodes of a lot and the peers on a ring, each at the next place of a sequence of low discrepancy; a node takes
 // the peers that follow its place. Each lot turns the ring by its own. What comes or goes at the end of the lists moves little.
-func steady(nodes []string, peers []subset.Peer, copies int) map[string][]Part {
+func steady(nodes []string, peers []subset.Server, copies int) map[string][]Part {
 	type at struct {
 		place float64
 		id    uint64
@@ -142,10 +142,10 @@
 
 // aperture lays the nodes evenly on a ring of peers; each covers as long a piece as its part of the copies, and of the peers
 // at the ends of it a part.
-func aperture(nodes []string, peers []subset.Peer, copies int) map[string][]Part {
+func aperture(nodes []string, peers []subset.Server, copies int) map[string][]Part {
 	out, sum := map[string][]Part{}, 0.0
 	ring := slices.Clone(peers)
-	slices.SortFunc(ring, func(a, b subset.Peer) int { return cmp.Compare(scatter(a.ID), scatter(b.ID)) })
+	slices.SortFunc(ring, func(a, b subset.Server) int { return cmp.Compare(scatter(a.ID), scatter(b.ID)) })
 	for _, p := range ring {
 		sum += p.Weight
 	}
@@ -168,7 +168,7 @@
 
 func scatter(id uint64) uint64 { return (id ^ id>>31) * 0x94d049bb133111eb }
 
-func rendezvous(nodes []string, peers []subset.Peer, copies int) map[string][]Part {
+func rendezvous(nodes []string, peers []subset.Server, copies int) map[string][]Part {
 	var known []subset.Node
 	for _, n := range nodes {
 		known = append(known, subset.Node{Name: n})
