--- a/cmd/olivebridge/drill_test.go
+++ b/cmd/olivebridge/drill_test.go
@@ -484,30 +484,28 @@
 	return errors.New("no listener among its descriptors")
 }
 
-// TestSuccessorDiesBeforeItIsReady: one that took the seat and died before it said that it was ready leaves its predecessor
-// able to have another.
+// TestSuccessorDiesBeforeItIsReady: one that listens in its predecessor's place and dies before it says that it is ready
+// leaves its predecessor able to have another.
 func TestSuccessorDiesBeforeItIsReady(t *testing.T) {
 	t.Setenv("ROUTER_ADMIN", freeAddr(t))
 	s := newShop()
 	n := start(t, unchanged, s.peer("s-0", served))
 	n.env[1] = "ROUTER_LISTEN=" + n.addr
 	path := filepath.Join(n.env[4][len("TMPDIR="):], "olivebridge-n0.sock")
-	var link *handover.Link
-	for link == nil { // the seat is taken just after the start
-		var l net.Listener
+	var takeover *handover.Takeover
+	for takeover == nil { // the process waits for a successor just after its start
 		var err error
-		if link, _, l, err = handover.Join(path); err != nil {
+		if takeover, err = handover.Connect(path); err != nil {
 			t.Fatal(err)
-		} else if link != nil {
-			l.Close()
 		}
 	}
-	seat, err := handover.Take(path)
+	takeover.Listener.Close()
+	listener, err := handover.Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	seat.Close()
-	link.Close()
+	listener.Close()
+	takeover.Link.Close()
 	n.until(t, "other process has ended")
 	next, _ := n.successor(t)
 	n.until(t, "successor takes clients")
--- a/cmd/olivefleet/fleet.go
+++ b/cmd/olivefleet/fleet.go
@@ -71,7 +71,7 @@
 	}
 	all.Service = member.New(config)
 	all.choices = choices.New(choices.Config{Name: c.Name, Signals: all.signals, Plan: subset.Plan{Copies: f.Choices.Copies, MinServers: f.Choices.Least},
-		Zones: c.Names.Zones, Next: all.Service.Next, Log: log, Record: config.Record})
+		Zones: c.NameIndex.Zones, Next: all.Service.Next, Log: log, Record: config.Record})
 	return all, nil
 }
 
@@ -101,7 +101,7 @@
 }
 
 // Operate implements node.Fleet.
-func (f *company) Operate(d node.FleetDesk) {
+func (f *company) Operate(d node.ServerControl) {
 	if f.rounds != nil {
 		f.rounds.Operate(d)
 	}
@@ -110,7 +110,7 @@
 // Do implements node.Fleet.
 func (f *company) Do(words []string) (string, error) {
 	if f.rounds == nil {
-		return "", admin.Unknown(admin.Fleet)
+		return "", admin.UnknownCommandError(admin.Fleet)
 	}
 	return f.rounds.Do(words)
 }
@@ -151,7 +151,7 @@
 		Dial: func(name string, channel byte, timeout time.Duration) (net.Conn, error) {
 			return f.Service.Dial(name, channel, timeout)
 		}}
-	for range c.Names.Callers {
+	for range c.NameIndex.Tenants {
 		f.places = append(f.places, -1)
 	}
 	for i, one := range file.Budgets {
@@ -164,7 +164,7 @@
 			f.cold = i
 			continue
 		}
-		tenant, known := c.Names.Callers[one.Tenant]
+		tenant, known := c.NameIndex.Tenants[one.Tenant]
 		if !known {
 			return fmt.Errorf("fleet file %s: budget %q is for tenant %q, which the configuration does not know",
 				os.Getenv(protocol.EnvFleet), one.Name, one.Tenant)
@@ -224,7 +224,7 @@
 }
 
 // Chooser implements node.Fleet.
-func (f *company) Chooser() routing.Chooser { return f.choices }
+func (f *company) Chooser() routing.SubsetSelector { return f.choices }
 
 // Left implements node.Fleet.
 func (f *company) Left() {
@@ -239,14 +239,14 @@
 }
 
 // Gate implements node.Fleet.
-func (f *company) Gate() routing.Gate {
+func (f *company) Gate() routing.AdmissionControl {
 	if f.budgets == nil {
 		return nil
 	}
 	return f
 }
 
-// Admit implements routing.Gate.
+// Admit implements routing.AdmissionControl.
 func (f *company) Admit(tenant int) (bool, time.Duration) {
 	if tenant < 0 || f.places[tenant] < 0 { // a request without a tenant, or whose tenant has no budget
 		return true, 0
@@ -254,7 +254,7 @@
 	return f.budgets.Admit(f.places[tenant])
 }
 
-// AdmitRetry implements routing.Gate.
+// AdmitRetry implements routing.AdmissionControl.
 func (f *company) AdmitRetry() bool {
 	if f.retries < 0 {
 		return true
@@ -263,13 +263,13 @@
 	return ok
 }
 
-// AdmitCold implements routing.Gate.
-func (f *company) AdmitCold(peer balancer.ServerID, units float64) bool {
+// AdmitWarmUp implements routing.AdmissionControl.
+func (f *company) AdmitWarmUp(peer balancer.ServerID, units float64) bool {
 	return f.cold < 0 || f.budgets.AdmitKey(f.cold, uint64(peer), units)
 }
 
-// Done implements routing.Gate.
-func (f *company) Done(tenant int) {
+// Release implements routing.AdmissionControl.
+func (f *company) Release(tenant int) {
 	if tenant >= 0 && f.places[tenant] >= 0 {
 		f.budgets.Release(f.places[tenant])
 	}
--- a/internal/fleet/choices/service.go
+++ b/internal/fleet/choices/service.go
@@ -47,7 +47,7 @@
 	tasks  sync.WaitGroup
 
 	mu       sync.Mutex
-	onChoice func(routing.Choice) // nil: nobody is to be told yet
+	onChoice func(routing.Subset) // nil: nobody is to be told yet
 	fleet    fleetState
 	servers  []subset.Server
 
@@ -62,9 +62,9 @@
 	zones int // in which nodes work; 0: unknown
 }
 
-var _ routing.Chooser = (*Service)(nil)
+var _ routing.SubsetSelector = (*Service)(nil)
 
-// New makes a service, which chooses nothing until Tell.
+// New makes a service, which chooses nothing until Subscribe.
 func New(c Config) *Service {
 	if c.Log == nil {
 		c.Log = slog.New(slog.DiscardHandler)
@@ -74,8 +74,8 @@
 	return s
 }
 
-// Tell implements routing.Chooser: from now on chosen is called with each choice.
-func (s *Service) Tell(chosen func(routing.Choice)) {
+// Subscribe implements routing.SubsetSelector: from now on chosen is called with each choice.
+func (s *Service) Subscribe(chosen func(routing.Subset)) {
 	s.mu.Lock()
 	s.onChoice = chosen
 	s.mu.Unlock()
@@ -92,8 +92,8 @@
 	s.tasks.Wait()
 }
 
-// Listed implements routing.Chooser: these servers take new requests. It does not block.
-func (s *Service) Listed(servers []balancer.Server) {
+// EndpointsChanged implements routing.SubsetSelector: these servers take new requests. It does not block.
+func (s *Service) EndpointsChanged(servers []balancer.Server) {
 	eligible := make([]subset.Server, 0, len(servers))
 	for _, server := range servers {
 		eligible = append(eligible, subset.Server{
@@ -116,8 +116,8 @@
 	s.wakeUp()
 }
 
-// Saw implements routing.Chooser: an attempt or a health check had this result.
-func (s *Service) Saw(server balancer.ServerID, startedAt balancer.Time, result balancer.Result, probe bool) {
+// ObserveResult implements routing.SubsetSelector: an attempt or a health check had this result.
+func (s *Service) ObserveResult(server balancer.ServerID, startedAt balancer.Time, result balancer.Result, probe bool) {
 	var outcome signals.Result
 	switch result {
 	case balancer.OK, balancer.Errored: // it answers
@@ -175,7 +175,7 @@
 			continue
 		}
 		chosen := s.choose(fleet, servers)
-		onChoice(routing.Choice{Servers: chosen, Doubted: s.suspected(), Zones: fleet.zones})
+		onChoice(routing.Subset{Included: chosen, Suspected: s.suspected(), ActiveZones: fleet.zones})
 		s.recordChoice(chosen, fleet, len(servers))
 	}
 }
--- a/internal/transport/refuse_test.go
+++ b/internal/transport/refuse_test.go
@@ -17,7 +17,7 @@
 	got := make(chan string, 1)
 	addr, _, _ := newFront(t, 100, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
 		m := c.Payload.(*message)
-		b, own := m.compose(c.Budget)
+		b, own := m.compose(c.Timeout)
 		got <- string(b)
 		m.wrote(own)
 		return routing.Answer{Verdict: routing.Served, Reply: &reply{}}, true
@@ -59,7 +59,7 @@
 		if resp.StatusCode != want || (peer != "") != (want == 200) {
 			t.Errorf("%q: status %d, want %d; to the peer: %q", line, resp.StatusCode, want, peer)
 		}
-		if want == 200 && (!strings.Contains(peer, protocol.HeaderID) || strings.Contains(peer, "X-Hop") || strings.Contains(peer, "h2c")) {
+		if want == 200 && (!strings.Contains(peer, protocol.HeaderCallID) || strings.Contains(peer, "X-Hop") || strings.Contains(peer, "h2c")) {
 			t.Errorf("%q: to the peer: %q", line, peer)
 		}
 	}
