--- /dev/null
+++ b/cmd/olivefleet/call_store.go
@@ -0,0 +1,139 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"os"
+
+	"olivebridge/balancer"
+	"olivebridge/internal/fleet/callstore"
+	"olivebridge/internal/fleet/member"
+	"olivebridge/internal/fleet/mutant"
+	"olivebridge/internal/fleet/raftlog"
+	"olivebridge/internal/protocol"
+	"olivebridge/internal/transport"
+)
+
+// callStore stores calls with an idempotency key in the fleet. It implements transport.IdempotencyStore.
+type callStore struct {
+	service *callstore.Service
+	// idempotent has the classes whose calls are stored, by position, and whether they may run more than once.
+	idempotent map[int]bool
+}
+
+var _ transport.IdempotencyStore = (*callStore)(nil)
+
+// addCallStore makes the service that stores calls.
+func (f *fleetNode) addCallStore(c *protocol.Config, m *member.Config) error {
+	work := f.file.Work
+	s := &callStore{idempotent: map[int]bool{}}
+	for _, name := range work.Classes {
+		class, known := c.NameIndex.Classes[name]
+		if !known {
+			return fmt.Errorf("fleet file %s: work.classes: the configuration does not know %q",
+				os.Getenv(protocol.EnvFleet), name)
+		}
+		s.idempotent[class] = c.Settings.Classes[class].Idempotency == balancer.Idempotent
+	}
+	s.service = callstore.New(callstore.Config{
+		Name:      c.Name,
+		Voters:    raftlog.VoterSet{Edition: work.Edition, Names: work.Voters},
+		Directory: m.Directory,
+		MaxOwners: work.Tries,
+		Limits:    callstore.Limits{Retention: work.WindowTime, MaxEntries: work.Most},
+		Log:       m.Log,
+		Record:    m.Record,
+		Dial:      f.dial,
+		NextView: func(ctx context.Context, after uint64) (*member.View, error) {
+			return f.membership.Next(ctx, after)
+		},
+	})
+	f.calls = s
+	addService(m, func(i member.Incarnation) { s.service.Start(i.Home, i.Number) }, s.service.Stop)
+	addChannel(m, callstore.VotersChannel, s.service.ServeVoters)
+	addChannel(m, callstore.CallsChannel, s.service.ServeCalls)
+	return nil
+}
+
+// Covers implements transport.IdempotencyStore.
+func (s *callStore) Covers(class int) bool {
+	_, covered := s.idempotent[class]
+	return covered
+}
+
+// Begin implements transport.IdempotencyStore.
+func (s *callStore) Begin(ctx context.Context, call transport.KeyedCall) transport.CallClaim {
+	owner, ok := s.service.NewOwner()
+	if !ok {
+		return transport.CallClaim{State: transport.CallStoreUnavailable}
+	}
+	mutant.Breakpoint("before-permission")
+	result, err := s.service.Begin(ctx, callstore.BeginRequest{
+		Key:         call.Key,
+		Fingerprint: call.Fingerprint,
+		Owner:       owner,
+		Idempotent:  s.idempotent[call.Class],
+	})
+	if err != nil {
+		return transport.CallClaim{State: transport.CallStoreUnavailable}
+	}
+	switch {
+	case result.StoreFull || result.OwnersExhausted:
+		return transport.CallClaim{State: transport.CallStoreUnavailable}
+	case result.KeyConflict:
+		return transport.CallClaim{State: transport.CallKeyConflict}
+	case result.Granted:
+		mutant.Breakpoint("with-permission")
+		return transport.CallClaim{
+			State: transport.CallGranted,
+			Finish: func(state transport.CallState, response *transport.StoredResponse) {
+				s.finish(call.Key, owner, state, response)
+			},
+		}
+	}
+	switch result.State {
+	case callstore.Answered:
+		return transport.CallClaim{State: transport.CallAnswered, Response: responseOf(result.Outcome)}
+	case callstore.Unknown:
+		return transport.CallClaim{State: transport.CallOutcomeUnknown}
+	case callstore.Free: // this very call was given up before
+		return transport.CallClaim{State: transport.CallStoreUnavailable}
+	}
+	return transport.CallClaim{State: transport.CallRunning}
+}
+
+// responseOf returns a stored response; nil: the outcome has none.
+func responseOf(outcome *callstore.Outcome) *transport.StoredResponse {
+	if outcome == nil {
+		return nil
+	}
+	return &transport.StoredResponse{
+		Status:    outcome.Status,
+		Header:    http.Header(outcome.Header),
+		Body:      outcome.Body,
+		Truncated: outcome.BodyOmitted,
+	}
+}
+
+// finish stores how a call ended.
+func (s *callStore) finish(
+	key string, owner callstore.Owner, state transport.CallState, response *transport.StoredResponse,
+) {
+	end := callstore.EndRequest{Key: key, Owner: owner, State: callstore.Unknown}
+	switch {
+	case state == transport.CallNotRun:
+		end.State = callstore.Free
+	case state == transport.CallAnswered && response != nil:
+		end.State = callstore.Answered
+		end.Outcome = &callstore.Outcome{
+			Status:      response.Status,
+			Header:      response.Header,
+			Body:        response.Body,
+			BodyOmitted: response.Truncated,
+		}
+	}
+	mutant.Breakpoint("answered")
+	s.service.End(end)
+	mutant.Breakpoint("recorded")
+}
--- /dev/null
+++ b/cmd/olivefleet/quotas.go
@@ -0,0 +1,139 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"time"
+
+	"olivebridge/balancer"
+	"olivebridge/internal/fleet/budget"
+	"olivebridge/internal/fleet/fleetfile"
+	"olivebridge/internal/fleet/member"
+	"olivebridge/internal/fleet/raftlog"
+	"olivebridge/internal/protocol"
+	"olivebridge/internal/routing"
+)
+
+// noQuota stands for the position of a quota that there is none of.
+const noQuota = -1
+
+// inUseMargin is how much longer than its client waits a request may be in use at a server.
+const inUseMargin = 2 * time.Second
+
+// quotaAdmission admits requests and attempts by the fleet's quotas. It implements routing.AdmissionControl.
+type quotaAdmission struct {
+	service   *budget.Service
+	tenants   []int // the position of each tenant's quota, or noQuota
+	retries   int   // the position of the quota for retries, or noQuota
+	slowStart int   // the position of the quota for servers in slow start, or noQuota
+}
+
+var _ routing.AdmissionControl = (*quotaAdmission)(nil)
+
+// addQuotas makes the service that keeps the fleet's quotas.
+func (f *fleetNode) addQuotas(c *protocol.Config, m *member.Config) error {
+	q, err := newQuotaAdmission(c, f.file.Budgets)
+	if err != nil {
+		return err
+	}
+	holder := f.file.Book
+	q.service = budget.New(budget.Config{
+		Name:      c.Name,
+		Directory: m.Directory,
+		Log:       m.Log,
+		Record:    m.Record,
+		Voters:    raftlog.VoterSet{Edition: holder.Edition, Names: holder.Voters},
+		Terms:     budget.Terms{Lease: holder.LeaseTime, Reserve: holder.Reserve, Seats: holder.Seats},
+		Quotas:    quotasOf(f.file.Budgets, c.LongestDeadline),
+		Dial:      f.dial,
+	})
+	f.quotas = q
+	addService(m, func(i member.Incarnation) { q.service.Start(i.Home, i.Number) }, q.service.Stop)
+	addChannel(m, budget.VotersChannel, q.service.ServeVoters)
+	addChannel(m, budget.HolderChannel, q.service.ServeHolders)
+	return nil
+}
+
+// newQuotaAdmission finds which quota is for whom.
+func newQuotaAdmission(c *protocol.Config, budgets []fleetfile.Budget) (*quotaAdmission, error) {
+	q := &quotaAdmission{retries: noQuota, slowStart: noQuota}
+	for range c.NameIndex.Tenants {
+		q.tenants = append(q.tenants, noQuota)
+	}
+	for position, b := range budgets {
+		switch b.Use {
+		case fleetfile.Retries:
+			q.retries = position
+		case fleetfile.ColdPeers:
+			q.slowStart = position
+		default:
+			tenant, known := c.NameIndex.Tenants[b.Tenant]
+			if !known {
+				return nil, fmt.Errorf("fleet file %s: budget %q is for tenant %q, which the configuration does not know",
+					os.Getenv(protocol.EnvFleet), b.Name, b.Tenant)
+			}
+			q.tenants[tenant] = position
+		}
+	}
+	return q, nil
+}
+
+func quotasOf(budgets []fleetfile.Budget, longestDeadline time.Duration) []budget.Quota {
+	var quotas []budget.Quota
+	for _, b := range budgets {
+		quotas = append(quotas, quotaOf(b, longestDeadline))
+	}
+	return quotas
+}
+
+func quotaOf(b fleetfile.Budget, longestDeadline time.Duration) budget.Quota {
+	quota := budget.Quota{Name: b.Name, Kind: budget.Kind(b.Kind), Amount: b.Rate, Burst: b.Burst}
+	switch quota.Kind {
+	case budget.InUse:
+		quota.Amount = float64(b.Most)
+		quota.Hold = longestDeadline + inUseMargin
+	case budget.Count:
+		quota.Amount = float64(b.Count)
+		quota.Period = b.PeriodTime
+	}
+	return quota
+}
+
+// quotaOfTenant returns the position of a tenant's quota. A request without a tenant has none, and a tenant may have
+// none.
+func (q *quotaAdmission) quotaOfTenant(tenant int) int {
+	if tenant < 0 {
+		return noQuota
+	}
+	return q.tenants[tenant]
+}
+
+// Admit implements routing.AdmissionControl.
+func (q *quotaAdmission) Admit(tenant int) (ok bool, retryAfter time.Duration) {
+	quota := q.quotaOfTenant(tenant)
+	if quota == noQuota {
+		return true, 0
+	}
+	return q.service.Admit(quota)
+}
+
+// AdmitRetry implements routing.AdmissionControl.
+func (q *quotaAdmission) AdmitRetry() bool {
+	if q.retries == noQuota {
+		return true
+	}
+	ok, _ := q.service.Admit(q.retries)
+	return ok
+}
+
+// AdmitWarmUp implements routing.AdmissionControl.
+func (q *quotaAdmission) AdmitWarmUp(server balancer.ServerID, units float64) bool {
+	return q.slowStart == noQuota || q.service.AdmitKey(q.slowStart, uint64(server), units)
+}
+
+// Release implements routing.AdmissionControl.
+func (q *quotaAdmission) Release(tenant int) {
+	if quota := q.quotaOfTenant(tenant); quota != noQuota {
+		q.service.Release(quota)
+	}
+}
--- /dev/null
+++ b/cmd/olivefleet/reload.go
@@ -0,0 +1,34 @@
+package main
+
+import (
+	"fmt"
+	"os"
+
+	"olivebridge/internal/fleet/fleetfile"
+	"olivebridge/internal/fleet/raftlog"
+	"olivebridge/internal/protocol"
+)
+
+// Reload implements node.Fleet: voters and the amounts of quotas may change in a running node, and nothing else.
+func (f *fleetNode) Reload(c *protocol.Config) error {
+	path := os.Getenv(protocol.EnvFleet)
+	next, err := fleetfile.Load(path)
+	if err != nil {
+		return err
+	}
+	if what := f.file.ImmutableChange(next); what != "" {
+		return fmt.Errorf("fleet file %s: %s cannot change in a running node", path, what)
+	}
+	f.file = next
+	if f.calls != nil {
+		f.calls.service.SetVoters(raftlog.VoterSet{Edition: next.Work.Edition, Names: next.Work.Voters})
+	}
+	if f.operations != nil {
+		f.operations.SetVoters(raftlog.VoterSet{Edition: next.Operators.Edition, Names: next.Operators.Voters})
+	}
+	if f.quotas != nil {
+		f.quotas.service.SetVoters(raftlog.VoterSet{Edition: next.Book.Edition, Names: next.Book.Voters})
+		f.quotas.service.SetQuotas(quotasOf(next.Budgets, c.LongestDeadline))
+	}
+	return nil
+}
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -34,7 +34,7 @@
 		if n.options.Fleet == nil {
 			return "", admin.UnknownCommandError(command.Name)
 		}
-		return n.options.Fleet.Do(strings.Fields(command.FleetArgs))
+		return n.options.Fleet.Execute(strings.Fields(command.FleetArgs))
 	}
 	return n.executeInAllProcesses(command)
 }
--- a/internal/node/process_messages.go
+++ b/internal/node/process_messages.go
@@ -47,7 +47,7 @@
 func (n *Node) handleReady(link *handover.Link, message handover.Message) {
 	n.processes.setReady(link)
 	n.log.Info("successor takes clients")
-	n.yieldFleet()
+	n.releaseFleet()
 	n.sendResult(link, message, nil)
 }
 
