--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -97,7 +97,7 @@
 	return l
 }
 
-// benchServer answers each whole message with the same bytes.
+// benchServer answers each message with the same bytes.
 func benchServer(conn net.Conn, answer []byte) {
 	defer conn.Close()
 	for buf := make([]byte, 128<<10); ; {
@@ -142,16 +142,16 @@
 	}
 }
 
-// benchRead reads one whole message into buf.
+// benchRead reads one message into buf.
 func benchRead(conn net.Conn, buf []byte) ([]byte, error) {
-	for n, whole := 0, 0; ; {
+	for n, size := 0, 0; ; {
 		k, err := conn.Read(buf[n:])
 		if err != nil {
 			return nil, err
 		}
 		n += k
-		if end := bytes.Index(buf[:n], []byte("\r\n\r\n")); whole == 0 && end >= 0 {
-			whole = end + 4
+		if end := bytes.Index(buf[:n], []byte("\r\n\r\n")); size == 0 && end >= 0 {
+			size = end + 4
 			if at := bytes.Index(buf[:end], []byte("Content-Length: ")); at >= 0 {
 				length := 0
 				for _, c := range buf[at+len("Content-Length: ") : end] {
@@ -160,10 +160,10 @@
 					}
 					length = length*10 + int(c-'0')
 				}
-				whole += length
+				size += length
 			}
 		}
-		if whole > 0 && n >= whole {
+		if size > 0 && n >= size {
 			return buf[:n], nil
 		}
 	}
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -10,6 +10,13 @@
 	"olivebridge/internal/handover"
 )
 
+// Why a node does not carry a command out, or is not ready.
+var (
+	errStarting       = errors.New("the node is starting")
+	errShuttingDown   = errors.New("the node is ending")
+	errNoEndpointList = errors.New("the upstream group is not known yet")
+)
+
 // startingExecutor carries operators' commands out. The admin listener opens before the node is there, so that it can
 // say that it is not.
 type startingExecutor struct {
@@ -20,7 +27,7 @@
 func (e *startingExecutor) Do(command admin.Command) (string, error) {
 	n := e.node.Load()
 	if n == nil {
-		return "", errors.New("the node is starting")
+		return "", errStarting
 	}
 	return n.Do(command)
 }
@@ -44,9 +51,9 @@
 	state := "serving"
 	switch {
 	case n.frontend.Draining():
-		return "", errors.New("the node is ending")
+		return "", errShuttingDown
 	case !n.router.Ready():
-		return "", errors.New("the upstream group is not known yet")
+		return "", errNoEndpointList
 	case n.frontend.Paused():
 		state = "paused"
 	}
