--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -8,8 +8,9 @@
 	// ClientRequestID is the id that the client gave. Of two open calls with one id the later is answered Duplicate.
 	// Empty: the call cannot be told from others.
 	ClientRequestID string
-	// Class and Tenant are indices into the settings' lists. Below 0: none.
-	Class  int
+	// Class is an index into the settings' classes.
+	Class int
+	// Tenant is an index into the settings' tenants. Below 0: none.
 	Tenant int
 	// AffinityKey keeps calls with the same key at the same servers. 0: none.
 	AffinityKey uint64
--- a/internal/routing/restart_test.go
+++ b/internal/routing/restart_test.go
@@ -24,21 +24,26 @@
 	return b.asked.Add(1) <= b.limit.Load()
 }
 
+// halfWindow is half of the overload window, in which a server that has just started is sent one request.
+const halfWindow = 5 * time.Second
+
+// restartCase is a list that comes while attempts wait for their connections.
+type restartCase struct {
+	ageBefore time.Duration // of the server by the first list
+	ageAfter  time.Duration // and by the list that comes
+	addrAfter string
+	calls     int
+	wait      time.Duration // between that list and the connections
+	limit     int64         // of the fleet's budget
+	asked     int64         // how often the budget is to be asked
+	served    int
+}
+
 // TestServerRestartsWhileAttemptsWait: attempts wait for their connections while their server restarts, or while half
-// of its overload window ends. Only as many leave then as a server that warms up may be sent, by this node's share
-// and by the fleet's budget; the other calls are rejected.
+// of its overload window ends. Only as many leave then as a server that warms up may be sent, by this node's share and
+// by the fleet's budget; the other calls are rejected.
 func TestServerRestartsWhileAttemptsWait(t *testing.T) {
-	const halfWindow = 5 * time.Second // in which a server that has just started is sent one request
-	for name, c := range map[string]struct {
-		ageBefore time.Duration // of the server by the first list
-		ageAfter  time.Duration // and by the list that comes while attempts wait
-		addrAfter string
-		calls     int
-		wait      time.Duration // between that list and the connections
-		limit     int64         // of the fleet's budget
-		asked     int64         // how often the budget is to be asked
-		served    int
-	}{
+	for name, c := range map[string]restartCase{
 		"no restart":                             {2 * time.Hour, 2 * time.Hour, "a:1", 3, halfWindow, 0, 0, 3},
 		"another address":                        {2 * time.Hour, 2 * time.Hour, "a:2", 3, halfWindow, 0, 0, 3},
 		"restart":                                {2 * time.Hour, 0, "a:1", 3, 0, 9, 1, 1},
@@ -49,63 +54,70 @@
 		"after it, the budget is used up":        {0, 0, "a:1", 1, halfWindow, 1, 2, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				lists, budget := make(scriptedWatcher), new(warmUpBudget)
-				connected, verdicts := make(chan bool), make(chan Verdict, c.calls)
-				budget.limit.Store(c.limit)
-				start := time.Now()
-				before := listed(7)
-				before.Endpoints[0].StartedAt = balancer.Time(start.Add(-c.ageBefore).UnixNano())
-				after := listed(7)
-				after.Kind = balancer.UpdateDelta
-				after.Endpoints[0].Addr = c.addrAfter
-				after.Endpoints[0].StartedAt = balancer.Time(start.Add(-c.ageAfter).UnixNano())
-				settings := testSettings()
-				settings.SlowStart = time.Hour
-				settings.InitialCapacity = 0.5
-				settings.OverloadFactor = 2.5
-				settings.OverloadWindow = 2 * halfWindow
-				settings.WarmThroughput = 2 / halfWindow.Seconds()
-				transport := func(_ context.Context, attempt Attempt) AttemptResult {
-					<-connected
-					if !attempt.StillValid(time.Now()) {
-						return AttemptResult{Result: balancer.NotSent}
-					}
-					return AttemptResult{Result: balancer.OK}
-				}
-				r := New(Config{
-					Settings:         settings,
-					Seed:             1,
-					InitialEndpoints: before,
-					Transport:        transportFunc(transport),
-					Watcher:          lists,
-					Admission:        budget,
-					Log:              slog.New(slog.DiscardHandler),
-				})
-				ctx, stop := context.WithCancel(t.Context())
-				go r.Run(ctx)
-				for range c.calls {
-					go func() {
-						answer, _ := r.Handle(ctx, newCall(safe, 20*time.Second))
-						verdicts <- answer.Verdict
-					}()
-				}
-				synctest.Wait()
-				lists <- after
-				time.Sleep(c.wait)
-				synctest.Wait()
-				close(connected)
-				got := map[Verdict]int{}
-				for range c.calls {
-					got[<-verdicts]++
-				}
-				if got[Served] != c.served || got[Rejected] != c.calls-c.served || budget.asked.Load() != c.asked {
-					t.Errorf("%v, and the fleet was asked %d times; want %d served, the others rejected, and %d",
-						got, budget.asked.Load(), c.served, c.asked)
-				}
-				stop()
-				synctest.Wait()
-			})
+			synctest.Test(t, c.play)
 		})
 	}
 }
+
+func (c restartCase) play(t *testing.T) {
+	lists, budget, connected := make(scriptedWatcher), new(warmUpBudget), make(chan bool)
+	budget.limit.Store(c.limit)
+	start := time.Now()
+	before := listed(7)
+	before.Endpoints[0].StartedAt = balancer.Time(start.Add(-c.ageBefore).UnixNano())
+	after := listed(7)
+	after.Kind = balancer.UpdateDelta
+	after.Endpoints[0].Addr = c.addrAfter
+	after.Endpoints[0].StartedAt = balancer.Time(start.Add(-c.ageAfter).UnixNano())
+	transport := func(_ context.Context, attempt Attempt) AttemptResult {
+		<-connected
+		if !attempt.StillValid(time.Now()) {
+			return AttemptResult{Result: balancer.NotSent}
+		}
+		return AttemptResult{Result: balancer.OK}
+	}
+	r := New(Config{
+		Settings:         settingsWithSlowStart(),
+		Seed:             1,
+		InitialEndpoints: before,
+		Transport:        transportFunc(transport),
+		Watcher:          lists,
+		Admission:        budget,
+		Log:              slog.New(slog.DiscardHandler),
+	})
+	ctx, stop := context.WithCancel(t.Context())
+	go r.Run(ctx)
+	verdicts := make(chan Verdict, c.calls)
+	for range c.calls {
+		go func() {
+			answer, _ := r.Handle(ctx, newCall(safe, 20*time.Second))
+			verdicts <- answer.Verdict
+		}()
+	}
+	synctest.Wait()
+	lists <- after
+	time.Sleep(c.wait)
+	synctest.Wait()
+	close(connected)
+	got := map[Verdict]int{}
+	for range c.calls {
+		got[<-verdicts]++
+	}
+	if got[Served] != c.served || got[Rejected] != c.calls-c.served || budget.asked.Load() != c.asked {
+		t.Errorf("%v, and the fleet was asked %d times; want %d served, the others rejected, and %d",
+			got, budget.asked.Load(), c.served, c.asked)
+	}
+	stop()
+	synctest.Wait()
+}
+
+// settingsWithSlowStart are such that a server that has just started is sent one request in halfWindow.
+func settingsWithSlowStart() balancer.Settings {
+	settings := testSettings()
+	settings.SlowStart = time.Hour
+	settings.InitialCapacity = 0.5
+	settings.OverloadFactor = 2.5
+	settings.OverloadWindow = 2 * halfWindow
+	settings.WarmThroughput = 2 / halfWindow.Seconds()
+	return settings
+}
--- a/internal/routing/transport.go
+++ b/internal/routing/transport.go
@@ -60,23 +60,23 @@
 
 // MayStart reports whether the first byte may still leave at now. The Transport asks once the connection is up, which
 // may be long after the decision.
-func (t *Attempt) MayStart(now time.Time) bool {
-	return (t.CallDone == nil || !t.CallDone.Load()) && (t.StartBefore.IsZero() || now.Before(t.StartBefore))
+func (a *Attempt) MayStart(now time.Time) bool {
+	return (a.CallDone == nil || !a.CallDone.Load()) && (a.StartBefore.IsZero() || now.Before(a.StartBefore))
 }
 
 // StillValid reports whether the decision still holds at now, and waits for the decisions to confirm it where need be:
 // what was meant for a server in one half of its overload window must not come with what the next half brings, nor what
 // was meant for a warm server come to one that has restarted. The Transport asks once the connection is up, and asks
 // MayStart afterwards.
-func (t *Attempt) StillValid(now time.Time) bool {
-	if t.confirmer == nil {
+func (a *Attempt) StillValid(now time.Time) bool {
+	if a.confirmer == nil {
 		return true
 	}
-	sameStart := t.upstreamStart == t.Upstream.startTime()
-	if sameStart && (t.ValidUntil.IsZero() || now.Before(t.ValidUntil)) {
+	sameStart := a.upstreamStart == a.Upstream.startTime()
+	if sameStart && (a.ValidUntil.IsZero() || now.Before(a.ValidUntil)) {
 		return true
 	}
-	return t.confirmer.confirm()
+	return a.confirmer.confirm()
 }
 
 // AttemptResult is how an attempt ended.
