--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -14,7 +14,7 @@
 	"olivebridge/internal/routing"
 )
 
-// BenchmarkFront is one request after the other over a socket, through the front, and its answer.
+// BenchmarkFront sends one request after the other over a socket, through the frontend, and reads its response.
 func BenchmarkFront(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,12 +39,12 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		conn.Write(raw)
-		skipAnswer(b, in)
+		skipResponse(b, in)
 	}
 }
 
-// skipAnswer reads an answer with a body of two bytes.
-func skipAnswer(b *testing.B, in *bufio.Reader) {
+// skipResponse reads a response with a body of two bytes.
+func skipResponse(b *testing.B, in *bufio.Reader) {
 	for n := 3; n > 2; {
 		line, err := in.ReadSlice('\n')
 		if err != nil {
@@ -55,7 +55,7 @@
 	in.Discard(2)
 }
 
-// BenchmarkTry is one try after the other to a peer, over a pooled connection.
+// BenchmarkTry sends one attempt after the other to a server, over a pooled connection.
 func BenchmarkTry(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/transport/buffer_pool_test.go
+++ b/internal/transport/buffer_pool_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestBuffersHaveOneOwner: whatever is written into one that is taken stays until it is given back.
+// TestBuffersHaveOneOwner guards against a buffer with two owners: what its owner writes stays until it is put back.
 func TestBuffersHaveOneOwner(t *testing.T) {
 	var home bufferPool
 	var all sync.WaitGroup
--- a/internal/transport/client_conns_test.go
+++ b/internal/transport/client_conns_test.go
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// TestCloseWhileReading guards against a connection that is closed as idle while
-// its request is being read: served once already, it would be sent again.
+// TestCloseWhileReading guards against a connection that is closed as idle while its request is being read: the client
+// would send a request again that was served.
 func TestCloseWhileReading(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -55,20 +55,21 @@
 	}
 }
 
-// TestUnsupportedConnection: a connection that cannot be read under a lock is no
-// client's: a close could cross its request.
+// TestUnsupportedConnection: a connection that cannot be read under a lock is not taken, since a close could cross its
+// request.
 func TestUnsupportedConnection(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	if c, err := Dialer(func(context.Context, string) (net.Conn, error) { return near, nil }).dial(t.Context(), ""); err == nil {
+	dialer := Dialer(func(context.Context, string) (net.Conn, error) { return near, nil })
+	if c, err := dialer.dial(t.Context(), ""); err == nil {
 		t.Errorf("%T was taken", c)
 	}
-	if _, err := near.Write([]byte("x")); err != io.ErrClosedPipe {
+	if _, err := near.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
 		t.Errorf("it is left open: %v", err)
 	}
 }
 
-// faltering is a listener that fails before it gives the connections of another.
+// failingListener is a listener that fails before it accepts the connections of another.
 type failingListener struct {
 	net.Listener
 	first chan func() (net.Conn, error)
@@ -83,8 +84,8 @@
 	}
 }
 
-// TestAcceptGoesOn: neither an error of accept(2) that is not the listener's nor a connection that cannot be taken up
-// ends the front.
+// TestAcceptGoesOn: neither an error of accept(2) that is not the listener's nor a connection that cannot be added
+// ends the frontend.
 func TestAcceptGoesOn(t *testing.T) {
 	fails := []error{syscall.EPROTO, syscall.ENOBUFS, syscall.ENOMEM, syscall.EHOSTUNREACH, syscall.EMFILE}
 	first := make(chan func() (net.Conn, error), len(fails)+1)
@@ -105,7 +106,7 @@
 	}
 }
 
-// TestListenerError: an error that is the listener's own ends the front, with its name.
+// TestListenerError: an error that is the listener's own ends the frontend, with its name.
 func TestListenerError(t *testing.T) {
 	one := make(chan func() (net.Conn, error), 1)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/transport/client_left_test.go
+++ b/internal/transport/client_left_test.go
@@ -15,11 +15,12 @@
 	"olivebridge/internal/routing"
 )
 
-// leftAfter is how soon after its client's going no try of a call begins any more.
+// leftAfter is how soon after its client's leaving no attempt of a call is sent any more.
 const leftAfter = 100 * time.Millisecond
 
-// TestClientLeft: whatever a call waits for, and however its client goes, no try begins 0.1 s later, also where the
-// client has sent something behind its request, which hides its going from whoever looks at the next byte alone.
+// TestClientLeft: whatever a call waits for, and however its client leaves, no attempt is sent 0.1 s later, also
+// where the client has sent something behind its request, which hides its leaving from whoever looks at the next
+// byte alone.
 func TestClientLeft(t *testing.T) {
 	const whole = callHead + "Content-Length: 0\r\n\r\n"
 	upload := callHead + "Content-Length: 100000\r\n\r\n" + strings.Repeat("x", 100000)
@@ -54,7 +55,7 @@
 					})
 					last := startServer(t, func(conn net.Conn) {
 						if n, _ := conn.Read(make([]byte, 1)); n > 0 {
-							t.Error("a try began")
+							t.Error("an attempt was sent")
 						}
 					})
 					k, _ := newTestTransport(time.Minute)
@@ -99,7 +100,7 @@
 					time.Sleep(leftAfter)
 					close(goOn)
 					if r := <-ended; r != balancer.NotSent {
-						t.Errorf("the try ended with %d", r)
+						t.Errorf("the attempt ended with %d", r)
 					}
 					k.Close()
 				})
@@ -108,8 +109,8 @@
 	}
 }
 
-// TestClientLeftBehindUnreadBytes: a call ends by its client's going, whatever the client has sent behind it, and
-// though nobody asks.
+// TestClientLeftBehindUnreadBytes: a call ends when its client leaves, whatever the client has sent behind it, and
+// though nobody looks.
 func TestClientLeftBehindUnreadBytes(t *testing.T) {
 	const whole = callHead + "Content-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct{ along, behind string }{
@@ -139,7 +140,7 @@
 				select {
 				case <-ended:
 				case <-time.After(10 * time.Second):
-					t.Error("its going is not seen")
+					t.Error("its leaving is not noticed")
 				}
 			})
 		}
@@ -153,18 +154,23 @@
 	return c.state.nextUnread
 }
 
-// TestClientLeftDuringStalledResponse: a client that goes in the middle of a long answer whose peer stands still,
-// whatever it has sent, costs its descriptors no longer; one that stays is waited for.
+// TestClientLeftDuringStalledResponse: a client that leaves in the middle of a long response whose server stands still
+// holds no descriptors any longer, whatever it has sent; the response to one that stays is waited for.
 func TestClientLeftDuringStalledResponse(t *testing.T) {
 	const whole = callHead + "Content-Length: 0\r\n\r\n"
 	half := strings.Repeat("x", 100<<10)
+	sized := func(head string) string { return head + "Content-Length: 204800\r\n\r\n" + half }
 	for name, c := range map[string]struct{ raw, behind, coding string }{
-		"a call":                {whole, "", "Content-Length: 204800\r\n\r\n" + half},
+		"a call":                {whole, "", sized("")},
 		"in chunks":             {whole, "", "Transfer-Encoding: chunked\r\n\r\n32000\r\n" + half},
-		"with a request behind": {whole, whole, "Content-Length: 204800\r\n\r\n" + half},
-		"ahead of a body's end": {callHead + "Content-Length: 204800\r\n\r\n" + half, half[:100], "Content-Length: 204800\r\n\r\n" + half},
+		"with a request behind": {whole, whole, sized("")},
+		"ahead of a body's end": {sized(callHead), half[:100], sized("")},
 	} {
-		for way, end := range map[string]func(*net.TCPConn){"closes": func(*net.TCPConn) {}, "resets": func(conn *net.TCPConn) { conn.SetLinger(0) }, "stays": nil} {
+		for way, end := range map[string]func(*net.TCPConn){
+			"closes": func(*net.TCPConn) {},
+			"resets": func(conn *net.TCPConn) { conn.SetLinger(0) },
+			"stays":  nil,
+		} {
 			t.Run(name+", "+way, func(t *testing.T) {
 				t.Parallel()
 				stands, goOn, ended := make(chan bool), make(chan bool), make(chan error, 1)
@@ -211,8 +217,8 @@
 	}
 }
 
-// TestClientLeftBeforeWatch: a client that goes before its connection is watched is found to have gone by a try
-// that does not leave at once, and its call hears of it then.
+// TestClientLeftBeforeWatch: that a client left before its connection is watched is found by an attempt that is not
+// sent at once, and its call is told then.
 func TestClientLeftBeforeWatch(t *testing.T) {
 	var c *testClient
 	found := make(chan [2]bool)
--- a/internal/transport/client_limits_test.go
+++ b/internal/transport/client_limits_test.go
@@ -1,6 +1,7 @@
 package transport
 
 import (
+	"errors"
 	"io"
 	"log/slog"
 	"net"
@@ -13,8 +14,8 @@
 	"olivebridge/internal/protocol"
 )
 
-// TestOverloadedRejects: with no idle client connection to close, a call beyond the bound
-// is turned away at once instead of waiting unseen in the listener's queue.
+// TestOverloadedRejects: with no idle client connection to close, a call beyond the limit is rejected at once
+// instead of waiting unseen in the listener's queue.
 func TestOverloadedRejects(t *testing.T) {
 	addr, front, first, release := newFrontendWithOpenCall(t, 1)
 	resp, _ := dialClient(t, addr).roundTrip(t, callHead+"Content-Length: 2\r\n\r\nhi")
@@ -27,7 +28,7 @@
 	}
 }
 
-// ending is a body that has come whole, but is read only once its connection was ended for standing still.
+// evictingBody is a body that has come to its end, but is read only once its connection was evicted as stalled.
 type evictingBody struct {
 	io.Reader
 	k *clientConn
@@ -43,8 +44,8 @@
 	return b.Reader.Read(p)
 }
 
-// TestStalledEvictionWhileReading: a request whose connection was ended as slow before the node had done reading it
-// is not passed on: its client sends it again.
+// TestStalledEvictionWhileReading: a request whose connection was evicted as stalled before the node had done
+// reading it is not forwarded, since its client sends it again.
 func TestStalledEvictionWhileReading(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,21 +66,21 @@
 	k := conn.(*clientConn)
 	k.Read(make([]byte, 1))
 	if k.isClosing() {
-		t.Fatal("it has ended")
+		t.Fatal("it was closed")
 	}
 	r := &http.Request{Method: "POST", ProtoMajor: 1, ProtoMinor: 1, ContentLength: 4, URL: &url.URL{}, Host: "a",
 		Header: http.Header{"X-Call-Id": {"1"}, "X-Call-Class": {"book"}, "X-Caller": {"acme"}, "X-Budget": {"1"}},
 		Body:   io.NopCloser(evictingBody{strings.NewReader("paid"), k})}
 	defer func() {
-		if p := recover(); p != http.ErrAbortHandler {
-			t.Errorf("it goes on: %v", p)
+		if p, _ := recover().(error); !errors.Is(p, http.ErrAbortHandler) {
+			t.Errorf("it is forwarded: %v", p)
 		}
 	}()
 	_, status, err := f.parseRequest(r, k, "/api")
 	t.Errorf("%d, %v", status, err)
 }
 
-// TestClientLimitEvictsLongestIdle: one connection too many closes the one idle for longest.
+// TestClientLimitEvictsLongestIdle: one connection beyond the limit closes the longest idle one.
 func TestClientLimitEvictsLongestIdle(t *testing.T) {
 	addr, front, log := newTestFrontend(t, 2, nil)
 	first, second := front.dialIdle(t, addr, 1), front.dialIdle(t, addr, 2)
@@ -95,8 +96,8 @@
 	}
 }
 
-// TestEvictionOrder: clients that connect and say nothing make room for those that
-// speak; one whose request waits to be read keeps its connection.
+// TestEvictionOrder: clients that connect and send nothing make room for those that send; one whose request waits
+// to be read keeps its connection.
 func TestEvictionOrder(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -148,7 +149,7 @@
 	}
 	c.mu.Unlock()
 	coming.Close()
-	// a full house of silent ones must not stop Accept
+	// as many silent ones as may be open must not stop Accept
 	for range 4 + DefaultOverflow {
 		accept("")
 	}
@@ -156,10 +157,13 @@
 	log.waitFor("reason=silent", ends[2].LocalAddr().String())
 }
 
-// TestLoweredClientLimits: where the bounds sink, the clients idle for the longest are closed at once, and none
-// that has sent something, whose answer comes as ever.
+// TestLoweredClientLimits: where the limits are lowered, the longest idle clients are closed at once, and none that
+// has sent something, which is answered as ever.
 func TestLoweredClientLimits(t *testing.T) {
-	for name, b := range map[string]ClientLimits{"on all": {MaxOpen: 3, MaxIdle: 9}, "on idle ones": {MaxOpen: 9, MaxIdle: 2}} {
+	for name, limits := range map[string]ClientLimits{
+		"on all":       {MaxOpen: 3, MaxIdle: 9},
+		"on idle ones": {MaxOpen: 9, MaxIdle: 2},
+	} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -184,7 +188,7 @@
 		}
 		io.WriteString(clients[0], "G")
 		waitFor(t, func() bool { return hasUnread(conns[0].Conn) })
-		c.setLimits(b)
+		c.setLimits(limits)
 		for i, k := range conns {
 			c.mu.Lock()
 			open := c.open[k]
@@ -198,8 +202,8 @@
 	}
 }
 
-// TestIdleLimit: clients that ask once and keep their connection must not use up
-// what clients may hold to a node.
+// TestIdleLimit: clients that send one request and keep their connection must not use up what clients may hold to a
+// node.
 func TestIdleLimit(t *testing.T) {
 	addr, front, log := newTestFrontend(t, 10, nil)
 	front.SetClientLimits(ClientLimits{MaxOpen: 10, MaxIdle: 2})
--- a/internal/transport/conn_log_test.go
+++ b/internal/transport/conn_log_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// TestCloseReasonsDocumented keeps the reason codes and the on-call page in step.
+// TestCloseReasonsDocumented: every reason is a constant, and stands on the on-call page.
 func TestCloseReasonsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/ONCALL.md")
 	if err != nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestCloseReasons: reasons that no other test has a connection end by.
+// TestCloseReasons covers reasons that no other test does.
 func TestCloseReasons(t *testing.T) {
 	long, _ := startScriptedServer(t, "HTTP/1.1 500 X\r\nContent-Length: 100000\r\n\r\n")
 	k, log := newTestTransport(time.Second)
--- a/internal/transport/drain_test.go
+++ b/internal/transport/drain_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// TestAbort: once a front ends at once, no answer leaves, however soon it is there.
+// TestAbort: after Abort no response is written, however soon it is there.
 func TestAbort(t *testing.T) {
 	_, front, c, release := newFrontendWithOpenCall(t, 10)
 	front.clients.abort()
@@ -22,8 +22,8 @@
 	front.Abort()
 }
 
-// TestDrainWaitsForOpenCall: a call that is still open when the front has stopped
-// accepting keeps its time, and its answer ends its connection.
+// TestDrainWaitsForOpenCall: a call that is still open when the frontend has stopped accepting keeps its time, and its
+// response closes its connection.
 func TestDrainWaitsForOpenCall(t *testing.T) {
 	addr, front, c, release := newFrontendWithOpenCall(t, 10)
 	drained := make(chan bool)
@@ -32,7 +32,7 @@
 		close(drained)
 	}()
 	for conn, err := net.Dial("tcp", addr); err == nil; conn, err = net.Dial("tcp", addr) {
-		io.Copy(io.Discard, conn) // until the front ends it, as it carries nothing
+		io.Copy(io.Discard, conn) // until the frontend closes it as idle
 		conn.Close()
 	}
 	close(release)
@@ -42,7 +42,7 @@
 	<-drained
 }
 
-// TestUploadOutlivesTheEnd: a body that goes on coming while its node ends as planned comes whole, and is answered,
+// TestUploadOutlivesTheEnd: a body that goes on coming during a graceful shutdown is read to its end, and answered,
 // though it takes longer than any call may.
 func TestUploadOutlivesTheEnd(t *testing.T) {
 	p := startServer(t, func(conn net.Conn) {
--- a/internal/transport/endpoint_list_test.go
+++ b/internal/transport/endpoint_list_test.go
@@ -15,15 +15,16 @@
 	"olivebridge/internal/routing"
 )
 
-// TestListsThatMislead: what discovery may write on a watch from version 41, what is asked then, and which list
-// counts. A cut list never does, however it is framed; one of an older version only once it came without being
-// asked for what is newer.
+// TestListsThatMislead: what discovery may answer to a watch from version 41, what is polled then, and which list
+// counts. A cut list never does, however it is framed; one of an older version only where nothing newer was asked
+// for.
 func TestListsThatMislead(t *testing.T) {
 	const changes, whole = `{"version":%d,"full":false,"servers":[]}`, `{"version":%d,"full":true,"servers":[]}`
 	cut := func(head, body string) string { // written raw, then reset
 		return "HTTP/1.1 200 OK\r\n" + head + "\r\n" + body
 	}
 	list := fmt.Sprintf(changes, 42)
+	const indented = "\n{\n\t\"version\" : 42,\n\t\"full\" : false,\n\t\"servers\" : [\n\t]\n}\n"
 	for name, c := range map[string]struct {
 		answers []string
 		again   string // the version asked from in the second call
@@ -34,7 +35,7 @@
 		"numbered anew":               {[]string{fmt.Sprintf(whole, 3), fmt.Sprintf(whole, 3)}, "", "3 of kind 1"},
 		"the same":                    {[]string{fmt.Sprintf(changes, 41)}, "", "41 of kind 0"},
 		"a whole list":                {[]string{fmt.Sprintf(whole, 42)}, "", "42 of kind 1"},
-		"indented":                    {[]string{"\n{\n\t\"version\" : 42,\n\t\"full\" : false,\n\t\"servers\" : [\n\t]\n}\n"}, "", "42 of kind 0"},
+		"indented":                    {[]string{indented}, "", "42 of kind 0"},
 		"half, with length":           {[]string{cut("Content-Length: 40\r\n", list[:20]), list}, "41", "42 of kind 0"},
 		"half, without length":        {[]string{cut("", list[:20]), list}, "41", "42 of kind 0"},
 		"all, without length, reset":  {[]string{cut("", list), list}, "41", "42 of kind 0"},
--- a/internal/transport/endpoint_watcher_test.go
+++ b/internal/transport/endpoint_watcher_test.go
@@ -9,7 +9,7 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"strings"
+	"slices"
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
@@ -20,12 +20,13 @@
 	"olivebridge/internal/routing"
 )
 
-// TestWatch: each call names the version held; a faulty answer is asked for
-// again, once, and leaves the version, so that nothing is skipped.
+// TestWatch: each request names the version held; one with a faulty answer is repeated, once, and leaves the
+// version, so that nothing is skipped.
 func TestWatch(t *testing.T) {
 	asked := make(chan string, 11)
 	answers := []string{`{"version":41,"full":true,"servers":[]}`, `{"version":43,"full":false,"servers":[]}`,
-		"cut", `{"version":44,"full":false,"servers":[{"id":""}]}`, "", "cut", `{"version":45,"full":false,"servers":[]}`, "", "cut", "cut", ""}
+		"cut", `{"version":44,"full":false,"servers":[{"id":""}]}`, "", "cut",
+		`{"version":45,"full":false,"servers":[]}`, "", "cut", "cut", ""}
 	next := 0
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.RequestURI
@@ -36,7 +37,7 @@
 		io.WriteString(w, a)
 	}))
 	defer s.Close()
-	w := NewEndpointWatcher(strings.TrimPrefix(s.URL, "http://"), protocol.NameIndex{}, -1, nil, slog.New(slog.DiscardHandler))
+	w := NewEndpointWatcher(s.Listener.Addr().String(), protocol.NameIndex{}, -1, nil, slog.New(slog.DiscardHandler))
 	w.maxExtra, w.lateAfter = 1, time.Millisecond
 	var kinds []balancer.UpdateKind
 	for range 4 { // what is no JSON, a malformed list, or a 503, each time the second in a row
@@ -44,7 +45,8 @@
 			t.Error("no error")
 		}
 	}
-	if fmt.Sprint(kinds) != fmt.Sprint([]balancer.UpdateKind{balancer.UpdateFull, balancer.UpdateDelta, balancer.UpdateDelta}) {
+	want := []balancer.UpdateKind{balancer.UpdateFull, balancer.UpdateDelta, balancer.UpdateDelta}
+	if !slices.Equal(kinds, want) {
 		t.Errorf("told %v", kinds)
 	}
 	for _, version := range []string{"", "41", "43", "43", "43", "43", "43", "45", "45", "45", "45"} {
@@ -58,8 +60,8 @@
 	}
 }
 
-// TestMaxWatchRequests: what one question to discovery causes there at most, http.Transport's own repeat on a kept
-// connection included. A layer that adds one makes it fail.
+// TestMaxWatchRequests: how many requests one poll sends at most, http.Transport's own repeat on a kept connection
+// included. It guards against a layer that adds one.
 func TestMaxWatchRequests(t *testing.T) {
 	var asked atomic.Int64
 	p := startServer(t, func(conn net.Conn) {
@@ -79,12 +81,13 @@
 	w.lateAfter = time.Millisecond
 	lists := 0
 	const most = 1 + maxExtraPolls + 1 // calls, and one that is sent again on the connection kept
-	if err := w.Watch(t.Context(), func(routing.EndpointList) { lists++ }); err == nil || lists != 1 || asked.Load()-1 != most {
-		t.Errorf("%v: %d lists, then %d questions, and %d should be the most", err, lists, asked.Load()-1, most)
+	err := w.Watch(t.Context(), func(routing.EndpointList) { lists++ })
+	if err == nil || lists != 1 || asked.Load()-1 != most {
+		t.Errorf("%v: %d lists, then %d requests, and %d should be the most", err, lists, asked.Load()-1, most)
 	}
 }
 
-// TestSilentDiscovery: a call that never comes back gets others beside it, but not for ever.
+// TestSilentDiscovery: a request that is never answered gets others beside it, but not for ever.
 func TestSilentDiscovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var dialed atomic.Int64
@@ -96,25 +99,30 @@
 			return pipeConn{near}, nil
 		}, slog.New(slog.DiscardHandler))
 		const last = defaultPollWait + pollLateAfter + (maxExtraPolls-1)*parallelPollAfter // when the last call goes out
-		if err := w.Watch(t.Context(), nil); err == nil || dialed.Load() != 1+maxExtraPolls || time.Since(began) > last+pollReadTimeout {
-			t.Errorf("%v after %d calls in %v, want %d in at most %v", err, dialed.Load(), time.Since(began), 1+maxExtraPolls, last+pollReadTimeout)
+		err := w.Watch(t.Context(), nil)
+		if took := time.Since(began); err == nil || dialed.Load() != 1+maxExtraPolls || took > last+pollReadTimeout {
+			t.Errorf("%v after %d requests in %v, want %d in at most %v",
+				err, dialed.Load(), took, 1+maxExtraPolls, last+pollReadTimeout)
 		}
 	})
 }
 
-// noticing is a transport whose calls notice their end a moment late, as a goroutine may on a busy machine.
+// lateCancelTransport is a transport whose requests notice their end a moment late, as a goroutine may on a busy
+// machine.
 type lateCancelTransport struct {
 	*http.Transport
 	late time.Duration
 }
 
+// RoundTrip implements http.RoundTripper.
 func (n lateCancelTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	ctx, end := context.WithCancel(context.WithoutCancel(r.Context()))
 	context.AfterFunc(r.Context(), func() { time.AfterFunc(n.late, end) })
 	return n.Transport.RoundTrip(r.WithContext(ctx))
 }
 
-// TestWatchStopsDialing: http.Transport would go on dialing without it, also for a call that notices its end late.
+// TestWatchStopsDialing guards against dialing that goes on in http.Transport, also for a request that notices its
+// end late.
 func TestWatchStopsDialing(t *testing.T) {
 	for _, late := range []time.Duration{0, 10 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
@@ -138,7 +146,7 @@
 	}
 }
 
-// TestLatePollGetsParallelPoll: beside a call that has fallen silent another goes out, which does not wait, and its
+// TestLatePollGetsParallelPoll: beside a request that has fallen silent another is sent, which is not held, and its
 // answer counts.
 func TestLatePollGetsParallelPoll(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -152,7 +160,7 @@
 		}
 	}))
 	defer s.Close()
-	w := NewEndpointWatcher(strings.TrimPrefix(s.URL, "http://"), protocol.NameIndex{}, 1, nil, slog.New(slog.DiscardHandler))
+	w := NewEndpointWatcher(s.Listener.Addr().String(), protocol.NameIndex{}, 1, nil, slog.New(slog.DiscardHandler))
 	w.wait, w.lateAfter, w.readTimeout = 20*time.Millisecond, time.Millisecond, time.Minute
 	lists := 0
 	if err := w.Watch(t.Context(), func(routing.EndpointList) { lists++ }); err == nil || lists != 1 || w.version != 2 {
@@ -160,17 +168,23 @@
 	}
 }
 
-// TestPollWaitByFleetSize: however many nodes ask, discovery gets no more calls from all of them, up to a bound.
+// TestPollWaitByFleetSize: however many nodes poll, discovery gets no more requests from all of them, up to a bound.
 func TestPollWaitByFleetSize(t *testing.T) {
-	for nodes, want := range map[int]time.Duration{0: pollWaitPerNode, 1: pollWaitPerNode, 2: defaultPollWait, 4: 4 * pollWaitPerNode, 300: maxPollWait} {
+	for nodes, want := range map[int]time.Duration{
+		0:   pollWaitPerNode,
+		1:   pollWaitPerNode,
+		2:   defaultPollWait,
+		4:   4 * pollWaitPerNode,
+		300: maxPollWait,
+	} {
 		if w := new(EndpointWatcher).ForFleetSize(nodes, 1); w.wait != want {
 			t.Errorf("%d nodes: held for %v, want %v", nodes, w.wait, want)
 		}
 	}
 }
 
-// TestWatchOutlastsABurst: eight calls in a row break, as in a moment of trouble
-// at discovery, and the watch goes on until a list has come.
+// TestWatchOutlastsABurst: eight requests in a row break, as in a short fault at discovery, and the watch goes on
+// until a list has come.
 func TestWatchOutlastsABurst(t *testing.T) {
 	var calls atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -189,7 +203,8 @@
 	defer stop()
 	told := 0
 	l := make(logLines, 1000)
-	err := NewEndpointWatcher(server.Listener.Addr().String(), protocol.NameIndex{}, 1, nil, l.logger()).Watch(ctx, func(routing.EndpointList) {
+	w := NewEndpointWatcher(server.Listener.Addr().String(), protocol.NameIndex{}, 1, nil, l.logger())
+	err := w.Watch(ctx, func(routing.EndpointList) {
 		told++
 		stop()
 	})
@@ -198,8 +213,8 @@
 	}
 }
 
-// TestOverloadedDiscovery: a call that waits for its turn at a discovery that has just refused one is left there:
-// whatever else its node sends meanwhile is refused, and the call in its turn with it.
+// TestOverloadedDiscovery: a request that waits for its turn at a discovery that has just refused one is left there:
+// whatever else its node sends meanwhile is refused, and the request in its turn with it.
 func TestOverloadedDiscovery(t *testing.T) {
 	var calls atomic.Int64
 	waits, more := make(chan struct{}), make(chan struct{})
--- a/internal/transport/frontend.go
+++ b/internal/transport/frontend.go
@@ -41,8 +41,8 @@
 
 // CallHandler decides on calls: routing's first stage.
 type CallHandler interface {
-	// Handle handles a call and returns its answer, from the goroutine of the client connection. ok is false if the client
-	// left before there was one.
+	// Handle handles a call and returns its answer, from the goroutine of the client connection. ok is false if the
+	// client left before there was one.
 	Handle(ctx context.Context, c routing.Call) (a routing.Answer, ok bool)
 	// Ready reports whether the node may be sent clients.
 	Ready() bool
--- a/internal/transport/frontend_helpers_test.go
+++ b/internal/transport/frontend_helpers_test.go
@@ -58,7 +58,8 @@
 	return front, log
 }
 
-// newFrontendOverTransport is a frontend whose calls a transport sends to one server; results gets that of each attempt.
+// newFrontendOverTransport is a frontend whose calls a transport sends to one server; results gets that of each
+// attempt.
 func newFrontendOverTransport(t *testing.T, p *routing.Upstream, maxConns int) (addr string, front *Frontend,
 	transport *UpstreamTransport, log logLines, results chan balancer.Result) {
 	t.Helper()
@@ -67,8 +68,13 @@
 	addr, front, _ = newTestFrontend(t, maxConns, func(_ context.Context, c routing.Call) (routing.Answer, bool) {
 		// As in a node, an attempt's context is not its client's: net/http ends that as soon as a body's reading is cut
 		// short.
-		r := transport.RoundTrip(t.Context(), routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(time.Minute), Payload: c.Payload,
-			BodyTimeout: time.Minute, OnBodySent: func() {}})
+		r := transport.RoundTrip(t.Context(), routing.Attempt{
+			Upstream:    p,
+			ExpiresAt:   time.Now().Add(time.Minute),
+			Payload:     c.Payload,
+			BodyTimeout: time.Minute,
+			OnBodySent:  func() {},
+		})
 		results <- r.Result
 		if r.Result != balancer.OK {
 			return routing.Answer{Verdict: routing.Rejected, RetryAfter: time.Second}, true
@@ -79,7 +85,8 @@
 }
 
 // newFrontendWithOpenCall is a frontend at which one call is open until release is closed.
-func newFrontendWithOpenCall(t *testing.T, maxConns int) (addr string, front *Frontend, c *testClient, release chan bool) {
+func newFrontendWithOpenCall(t *testing.T, maxConns int) (addr string, front *Frontend, c *testClient,
+	release chan bool) {
 	t.Helper()
 	taken, release := make(chan bool), make(chan bool)
 	addr, front, _ = newTestFrontend(t, maxConns, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
@@ -131,8 +138,8 @@
 // readyRequest asks whether the node is ready.
 const readyRequest = "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// dialIdle sends a request on a new connection and waits until it counts as idle, which is shortly after its response; n
-// connections do then.
+// dialIdle sends a request on a new connection and waits until it counts as idle, which is shortly after its
+// response; n connections do then.
 func (f *Frontend) dialIdle(t *testing.T, addr string, n int) *testClient {
 	t.Helper()
 	c := dialClient(t, addr)
--- a/internal/transport/frontend_test.go
+++ b/internal/transport/frontend_test.go
@@ -12,8 +12,8 @@
 	"olivebridge/internal/routing"
 )
 
-// TestSlowClients: whoever does not send a whole request in time is closed; one
-// whose call takes longer than that is not.
+// TestSlowClients: a client that does not send a complete request in time is closed; one whose call takes longer than
+// that is not.
 func TestSlowClients(t *testing.T) {
 	addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
 		select {
@@ -49,12 +49,13 @@
 		return a, true
 	})
 	c := dialClient(t, addr)
+	hit := &response{fields: []headerField{{"X-Hit", [1]string{"1"}}}, body: []byte("\x00b")}
 	for _, k := range []struct {
 		answer routing.Answer
 		status int
 		after  string
 	}{
-		{routing.Answer{Verdict: routing.Served, Reply: &response{fields: []headerField{{"X-Hit", [1]string{"1"}}}, body: []byte("\x00b")}}, 200, ""},
+		{routing.Answer{Verdict: routing.Served, Reply: hit}, 200, ""},
 		{routing.Answer{Verdict: routing.Rejected, RetryAfter: 250 * time.Millisecond}, 503, "0.250"},
 		{routing.Answer{Verdict: routing.Rejected}, 503, ""}, {routing.Answer{Verdict: routing.Failed}, 502, ""},
 		{routing.Answer{Verdict: routing.DeadlineExceeded}, 504, ""}, {routing.Answer{Verdict: routing.Duplicate}, 409, ""},
@@ -62,7 +63,8 @@
 	} {
 		a = k.answer
 		resp, body := c.roundTrip(t, callHead+"Content-Length: 0\r\n\r\n")
-		if resp.StatusCode != k.status || resp.Header.Get("Retry-After") != k.after || (body == "\x00b") != (k.status == 200) ||
+		if resp.StatusCode != k.status || resp.Header.Get("Retry-After") != k.after ||
+			(body == "\x00b") != (k.status == 200) ||
 			(resp.Header.Get("X-Hit") != "") != (k.status == 200) {
 			t.Errorf("%+v: %d %q %v", k.answer, resp.StatusCode, body, resp.Header)
 		}
@@ -88,7 +90,8 @@
 	log.waitFor("side=client", "reason=client-closed")
 }
 
-// TestFrontendStats: the counters tell what client connections do, and an end that takes too long says what it cut.
+// TestFrontendStats: the counters tell what client connections do, and a shutdown that takes too long logs what it
+// cut.
 func TestFrontendStats(t *testing.T) {
 	addr, front, c, release := newFrontendWithOpenCall(t, 10)
 	defer close(release)
--- a/internal/transport/handover_test.go
+++ b/internal/transport/handover_test.go
@@ -1,6 +1,7 @@
 package transport
 
 import (
+	"errors"
 	"io"
 	"log/slog"
 	"net"
@@ -9,8 +10,8 @@
 	"time"
 )
 
-// A connection whose client sends just as it is handed on stays open until it is sent: what reads it here is told
-// of its end, and closes it.
+// TestHandOffWhileBytesArrive: a connection whose client sends just as it is handed off stays open until it has
+// been sent to the other process, though what reads it here is told of its end, and closes it.
 func TestHandOffWhileBytesArrive(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,7 +39,7 @@
 		if _, err := client.Write([]byte("GET")); err != nil {
 			t.Error(err)
 		}
-		if err := <-read; err != io.EOF {
+		if err := <-read; !errors.Is(err, io.EOF) {
 			t.Errorf("it is read: %v", err)
 		}
 		if err := <-closed; err != nil {
@@ -51,15 +52,15 @@
 		return err
 	})
 	if given != 1 {
-		t.Error("it was closed before it was sent")
+		t.Error("it was closed before it was handed off")
 	}
 	if n := all.count(); n != 0 {
-		t.Errorf("%d are open after all were handed on", n)
+		t.Errorf("%d are open after all were handed off", n)
 	}
 }
 
-// A connection that is handed over after its client has reset it is passed over, and the next one is served: the
-// kernel gives such a connection no address of the other side.
+// TestAdoptResetConnection: a connection that is handed off after its client has reset it is skipped, and the next
+// one is served. The kernel knows no address of such a connection's other side.
 func TestAdoptResetConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -111,8 +112,8 @@
 	}
 }
 
-// Small writes are not held back on a connection, wherever it comes from: those that a kernel still held would go with
-// a reset.
+// TestNoDelaySet: small writes are not held back on a connection, wherever it comes from: what a kernel still held
+// would be lost with a reset.
 func TestNoDelaySet(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -65,8 +65,8 @@
 	return routing.NewUpstream(1, "s-1", l.Addr().String())
 }
 
-// startScriptedServer is a server that reads complete requests, sends their bytes to requests, and writes the next of the
-// responses; "" closes the connection, and so does one that contains "cut".
+// startScriptedServer is a server that reads complete requests, sends their bytes to requests, and writes the next
+// of the responses; "" closes the connection, and so does one that contains "cut".
 func startScriptedServer(t *testing.T, responses ...string) (server *routing.Upstream, requests chan string) {
 	t.Helper()
 	requests = make(chan string, 100)
--- a/internal/transport/idempotency_test.go
+++ b/internal/transport/idempotency_test.go
@@ -12,7 +12,7 @@
 	"olivebridge/internal/routing"
 )
 
-// keeping is a keeper that a test answers for.
+// scriptedStore is an IdempotencyStore that answers as a test says.
 type scriptedStore struct {
 	mu    sync.Mutex
 	says  CallClaim
@@ -21,8 +21,10 @@
 	last  *StoredResponse
 }
 
+// Covers implements IdempotencyStore.
 func (k *scriptedStore) Covers(class int) bool { return class == 0 }
 
+// Begin implements IdempotencyStore.
 func (k *scriptedStore) Begin(_ context.Context, w KeyedCall) CallClaim {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -36,15 +38,16 @@
 	return says
 }
 
-// TestIdempotencyKeys: what a client that names its work gets, as the work stands; what the keeper is told; and
-// that nothing is let out but what is this node's.
+// TestIdempotencyKeys: what a client that gives its call a key gets, as the call stands; what the store is told;
+// and that no call is run but what the store has granted.
 func TestIdempotencyKeys(t *testing.T) {
 	k, taken := &scriptedStore{}, 0
 	verdict := routing.Served
 	addr, _, _ := newTestFrontend(t, 10, func(context.Context, routing.Call) (routing.Answer, bool) {
 		taken++
 		if verdict == routing.Served {
-			return routing.Answer{Verdict: verdict, Reply: &response{body: []byte("done"), fields: []headerField{{"X-Ref", [1]string{"7"}}}}}, true
+			reply := &response{body: []byte("done"), fields: []headerField{{"X-Ref", [1]string{"7"}}}}
+			return routing.Answer{Verdict: verdict, Reply: reply}, true
 		}
 		return routing.Answer{Verdict: verdict}, true
 	}, func(f *Frontend) { f.idempotency = k })
@@ -66,6 +69,7 @@
 		data, _ := io.ReadAll(resp.Body)
 		return resp.StatusCode, resp.Header.Get("Work-State"), string(data)
 	}
+	truncated := &StoredResponse{Status: 200, Truncated: true}
 	outcome := &StoredResponse{Status: 200, Header: http.Header{"X-Ref": {"7"}}, Body: []byte("before")}
 	for _, c := range []struct {
 		key     string
@@ -84,7 +88,7 @@
 		{`k1`, CallClaim{State: CallRunning}, 0, 409, "running", "", ""},
 		{`k1`, CallClaim{State: CallOutcomeUnknown}, 0, 502, "unknown", "", ""},
 		{`k1`, CallClaim{State: CallAnswered, Response: outcome}, 0, 200, "kept", "before", ""},
-		{`k1`, CallClaim{State: CallAnswered, Response: &StoredResponse{Status: 200, Truncated: true}}, 0, 502, "answered", "", ""},
+		{`k1`, CallClaim{State: CallAnswered, Response: truncated}, 0, 502, "answered", "", ""},
 		{`k1`, CallClaim{State: CallKeyConflict}, 0, 422, "", "Idempotency-Key: it is another request's\n", ""},
 		{`k1`, CallClaim{State: CallStoreUnavailable}, 0, 503, "", "", ""},
 		{`k1|k2`, CallClaim{}, 0, 400, "", "Idempotency-Key: given more than once\n", ""},
@@ -100,7 +104,8 @@
 		}
 		lets := c.ended != ""
 		if status != c.status || state != c.state || body != c.body || ended != c.ended || (taken > before) != lets {
-			t.Errorf("%.10s %+v, %v: status %d, state %q, body %q, ended %q, taken %v", c.key, c.says, c.verdict, status, state, body, ended, taken > before)
+			t.Errorf("%.10s %+v, %v: status %d, state %q, body %q, ended %q, taken %v",
+				c.key, c.says, c.verdict, status, state, body, ended, taken > before)
 		}
 	}
 	k.says, k.work, verdict = CallClaim{}, nil, routing.Served
--- a/internal/transport/response_stream.go
+++ b/internal/transport/response_stream.go
@@ -195,7 +195,7 @@
 		return 0, noEOF(err)
 	}
 	n, err := c.chunks.Read(b[:min(len(b), c.reader.Buffered())])
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		if trailerErr := skipTrailer(c.reader); trailerErr != nil {
 			err = noEOF(trailerErr)
 		}
--- a/internal/transport/upstream_conn.go
+++ b/internal/transport/upstream_conn.go
@@ -135,7 +135,8 @@
 
 // attemptContext is an attempt's context, which needs no goroutine to tell its end.
 type attemptContext interface {
-	// InterruptOnDone has i interrupted when the context ends; nil: nobody any more. It reports whether the context goes on.
+	// InterruptOnDone has i interrupted when the context ends; nil: nobody any more. It reports whether the context
+	// goes on.
 	InterruptOnDone(i routing.Interrupter) (goesOn bool)
 }
 
--- a/internal/transport/upstream_transport.go
+++ b/internal/transport/upstream_transport.go
@@ -80,8 +80,8 @@
 // Conns counts the connections to servers, those being opened included.
 func (t *UpstreamTransport) Conns() int { return t.pool.count() }
 
-// RoundTrip implements routing.Transport. It blocks until the attempt has ended, or the first part of a long response is
-// there.
+// RoundTrip implements routing.Transport. It blocks until the attempt has ended, or the first part of a long
+// response is there.
 func (t *UpstreamTransport) RoundTrip(ctx context.Context, attempt routing.Attempt) routing.AttemptResult {
 	m, ok := attempt.Payload.(*requestMessage)
 	if !ok || !m.hold() { // its frontend has released it: the call is over
