--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -75,13 +75,17 @@
 			io.WriteString(conn, okResponse)
 		}
 	}()
-	k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, MaxConns: 10,
-		Log: slog.New(slog.DiscardHandler)})
-	k.pool.settleTime = 0
+	transport := NewUpstreamTransport(UpstreamConfig{
+		ConnectTimeout:    time.Second,
+		ServerIdleTimeout: time.Minute,
+		MaxConns:          10,
+		Log:               slog.New(slog.DiscardHandler),
+	})
+	transport.pool.settleTime = 0
 	t := newAttempt(routing.NewUpstream(1, "s-1", l.Addr().String()), "GET", "")
 	b.ReportAllocs()
 	for b.Loop() {
-		if r := k.RoundTrip(context.Background(), t); r.Result != balancer.OK {
+		if r := transport.RoundTrip(context.Background(), t); r.Result != balancer.OK {
 			b.Fatal(r)
 		}
 	}
--- a/internal/transport/client_conns_test.go
+++ b/internal/transport/client_conns_test.go
@@ -35,8 +35,8 @@
 	begun.Read(b)
 	early.Read(make([]byte, 2*len(one))) // its next request is read along with the one before
 	early.completeRequest()
-	for _, k := range []*clientConn{decided, early} {
-		c.connState(k, http.StateIdle)
+	for _, accepted := range []*clientConn{decided, early} {
+		c.connState(accepted, http.StateIdle)
 	}
 	decided.state.close = connClosing // as startDraining does, just before it closes
 	if n, err := decided.Read(b); n != 0 || !errors.Is(err, net.ErrClosed) || !hasUnread(decided.Conn) {
--- a/internal/transport/client_left_test.go
+++ b/internal/transport/client_left_test.go
@@ -58,8 +58,8 @@
 							t.Error("an attempt was sent")
 						}
 					})
-					k, _ := newTestTransport(time.Minute)
-					k.pool.dial = func(ctx context.Context, addr string) (net.Conn, error) {
+					transport, _ := newTestTransport(time.Minute)
+					transport.pool.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 						if c.late && addr == last.Addr {
 							if c.before != "-" && c.before != failed {
 								taken <- true
@@ -73,10 +73,10 @@
 						try := routing.Attempt{Upstream: first, ExpiresAt: time.Now().Add(time.Minute), Payload: call.Payload,
 							BodyTimeout: time.Minute, OnBodySent: func() {}}
 						if c.before == "-" {
-							go k.RoundTrip(context.WithoutCancel(ctx), try)
+							go transport.RoundTrip(context.WithoutCancel(ctx), try)
 							try.Number++
 						} else if c.before != "" {
-							k.RoundTrip(ctx, try)
+							transport.RoundTrip(ctx, try)
 							try.Number++
 						}
 						try.Upstream = last
@@ -86,7 +86,7 @@
 							}
 							<-goOn
 						}
-						ended <- k.RoundTrip(ctx, try).Result
+						ended <- transport.RoundTrip(ctx, try).Result
 						return routing.Answer{}, false
 					})
 					client := dialClient(t, addr)
@@ -102,7 +102,7 @@
 					if r := <-ended; r != balancer.NotSent {
 						t.Errorf("the attempt ended with %d", r)
 					}
-					k.Close()
+					transport.Close()
 				})
 			}
 		}
@@ -128,10 +128,10 @@
 				})
 				client := dialClient(t, addr)
 				io.WriteString(client, whole+c.along)
-				k := <-taken
+				accepted := <-taken
 				io.WriteString(client, c.behind)
 				if c.behind != "" {
-					waitFor(t, k.seesUnreadPipelined)
+					waitFor(t, accepted.seesUnreadPipelined)
 				}
 				if reset {
 					client.Conn.(*net.TCPConn).SetLinger(0)
@@ -187,7 +187,7 @@
 					_, err := io.Copy(io.Discard, conn)
 					ended <- err
 				})
-				addr, front, k, log, _ := newFrontendOverTransport(t, p, 10)
+				addr, front, transport, log, _ := newFrontendOverTransport(t, p, 10)
 				client := dialClient(t, addr)
 				io.WriteString(client, c.raw)
 				<-stands
@@ -209,7 +209,8 @@
 				}
 				end(client.Conn.(*net.TCPConn))
 				client.Close()
-				waitFor(t, func() bool { return k.Conns() == 0 && front.ClientConns() == 0 }) // well before the peer's stall is one
+				// well before the server is given up as stalled
+				waitFor(t, func() bool { return transport.Conns() == 0 && front.ClientConns() == 0 })
 				log.waitFor("side=peer", "reason=called-off")
 				<-ended
 			})
--- a/internal/transport/client_limits_test.go
+++ b/internal/transport/client_limits_test.go
@@ -31,15 +31,15 @@
 // evictingBody is a body that has come to its end, but is read only once its connection was evicted as stalled.
 type evictingBody struct {
 	io.Reader
-	k *clientConn
+	accepted *clientConn
 }
 
 func (b evictingBody) Read(p []byte) (int, error) {
-	b.k.conns.mu.Lock()
-	defer b.k.conns.mu.Unlock()
-	b.k.lastRead = time.Now().Add(-time.Hour)
-	if reason, k := b.k.conns.evictionCandidate(time.Now()); k == b.k {
-		b.k.conns.closeConns(reason, k)
+	b.accepted.conns.mu.Lock()
+	defer b.accepted.conns.mu.Unlock()
+	b.accepted.lastRead = time.Now().Add(-time.Hour)
+	if reason, accepted := b.accepted.conns.evictionCandidate(time.Now()); accepted == b.accepted {
+		b.accepted.conns.closeConns(reason, accepted)
 	}
 	return b.Reader.Read(p)
 }
@@ -63,20 +63,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := conn.(*clientConn)
-	k.Read(make([]byte, 1))
-	if k.isClosing() {
+	accepted := conn.(*clientConn)
+	accepted.Read(make([]byte, 1))
+	if accepted.isClosing() {
 		t.Fatal("it was closed")
 	}
 	r := &http.Request{Method: "POST", ProtoMajor: 1, ProtoMinor: 1, ContentLength: 4, URL: &url.URL{}, Host: "a",
 		Header: http.Header{"X-Call-Id": {"1"}, "X-Call-Class": {"book"}, "X-Caller": {"acme"}, "X-Budget": {"1"}},
-		Body:   io.NopCloser(evictingBody{strings.NewReader("paid"), k})}
+		Body:   io.NopCloser(evictingBody{strings.NewReader("paid"), accepted})}
 	defer func() {
 		if p, _ := recover().(error); !errors.Is(p, http.ErrAbortHandler) {
 			t.Errorf("it is forwarded: %v", p)
 		}
 	}()
-	_, status, err := f.parseRequest(r, k, "/api")
+	_, status, err := f.parseRequest(r, accepted, "/api")
 	t.Errorf("%d, %v", status, err)
 }
 
@@ -125,18 +125,18 @@
 	}
 	fresh := time.Now()
 	for _, want := range []struct {
-		reason closeReason
-		k      *clientConn
-		at     time.Time
+		reason   closeReason
+		accepted *clientConn
+		at       time.Time
 	}{{"evicted", idle, fresh}, {"silent", silent, fresh.Add(time.Hour)}, {"evicted", idle, fresh.Add(time.Hour)},
 		{"slow", slow, fresh.Add(time.Hour)}, {"", nil, fresh.Add(time.Hour)}} {
 		c.mu.Lock()
-		reason, k := c.evictionCandidate(want.at)
-		if reason != want.reason || reason != reasonNone && k != want.k {
+		reason, accepted := c.evictionCandidate(want.at)
+		if reason != want.reason || reason != reasonNone && accepted != want.accepted {
 			t.Errorf("%q, want %q", reason, want.reason)
 		}
-		if k != nil && want.at != fresh {
-			c.closeConns(reason, k)
+		if accepted != nil && want.at != fresh {
+			c.closeConns(reason, accepted)
 		}
 		c.mu.Unlock()
 	}
@@ -179,19 +179,19 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			k := conn.(*clientConn)
+			accepted := conn.(*clientConn)
 			io.WriteString(clients[len(conns)], "G")
-			k.Read(make([]byte, 9))
-			if conns = append(conns, k); len(conns) != 2 { // that one's request is open
-				c.connState(k, http.StateIdle)
+			accepted.Read(make([]byte, 9))
+			if conns = append(conns, accepted); len(conns) != 2 { // that one's request is open
+				c.connState(accepted, http.StateIdle)
 			}
 		}
 		io.WriteString(clients[0], "G")
 		waitFor(t, func() bool { return hasUnread(conns[0].Conn) })
 		c.setLimits(limits)
-		for i, k := range conns {
+		for i, accepted := range conns {
 			c.mu.Lock()
-			open := c.open[k]
+			open := c.open[accepted]
 			c.mu.Unlock()
 			if closed := i >= 2 && i < 5; open == closed {
 				t.Errorf("%s: connection %d is open: %v", name, i, open)
--- a/internal/transport/conn_log_test.go
+++ b/internal/transport/conn_log_test.go
@@ -50,8 +50,8 @@
 // TestCloseReasons covers reasons that no other test does.
 func TestCloseReasons(t *testing.T) {
 	long, _ := startScriptedServer(t, "HTTP/1.1 500 X\r\nContent-Length: 100000\r\n\r\n")
-	k, log := newTestTransport(time.Second)
-	k.RoundTrip(t.Context(), newAttempt(long, "POST", "book"))
+	transport, log := newTestTransport(time.Second)
+	transport.RoundTrip(t.Context(), newAttempt(long, "POST", "book"))
 	log.waitFor("side=peer", "reason=oversize")
 	addr, _, log := newTestFrontend(t, 10, nil)
 	dialClient(t, addr).roundTrip(t, strings.Replace(readyRequest, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
--- a/internal/transport/frontend_test.go
+++ b/internal/transport/frontend_test.go
@@ -50,7 +50,7 @@
 	})
 	c := dialClient(t, addr)
 	hit := &response{fields: []headerField{{"X-Hit", [1]string{"1"}}}, body: []byte("\x00b")}
-	for _, k := range []struct {
+	for _, test := range []struct {
 		answer routing.Answer
 		status int
 		after  string
@@ -61,12 +61,12 @@
 		{routing.Answer{Verdict: routing.DeadlineExceeded}, 504, ""}, {routing.Answer{Verdict: routing.Duplicate}, 409, ""},
 		{routing.Answer{Verdict: 9}, 500, ""}, // a panic must not end the connection: the call would be lost
 	} {
-		a = k.answer
+		a = test.answer
 		resp, body := c.roundTrip(t, callHead+"Content-Length: 0\r\n\r\n")
-		if resp.StatusCode != k.status || resp.Header.Get("Retry-After") != k.after ||
-			(body == "\x00b") != (k.status == 200) ||
-			(resp.Header.Get("X-Hit") != "") != (k.status == 200) {
-			t.Errorf("%+v: %d %q %v", k.answer, resp.StatusCode, body, resp.Header)
+		if resp.StatusCode != test.status || resp.Header.Get("Retry-After") != test.after ||
+			(body == "\x00b") != (test.status == 200) ||
+			(resp.Header.Get("X-Hit") != "") != (test.status == 200) {
+			t.Errorf("%+v: %d %q %v", test.answer, resp.StatusCode, body, resp.Header)
 		}
 	}
 	if resp, _ := c.roundTrip(t, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
--- a/internal/transport/handover_test.go
+++ b/internal/transport/handover_test.go
@@ -24,15 +24,15 @@
 	}
 	defer client.Close()
 	all := newClientConns(l, ClientLimits{MaxOpen: 10, MaxIdle: 10}, slog.New(slog.DiscardHandler))
-	k, err := all.Accept()
+	accepted, err := all.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	read, closed := make(chan error, 1), make(chan error, 1)
 	go func() { // as http.Server does
-		_, err := k.Read(make([]byte, 100))
+		_, err := accepted.Read(make([]byte, 100))
 		read <- err
-		closed <- k.Close()
+		closed <- accepted.Close()
 	}()
 	given := 0
 	all.startHandOff(func(conn syscall.Conn) error {
--- a/internal/transport/idempotency_test.go
+++ b/internal/transport/idempotency_test.go
@@ -14,26 +14,26 @@
 
 // scriptedStore is an IdempotencyStore that answers as a test says.
 type scriptedStore struct {
-	mu    sync.Mutex
-	says  CallClaim
-	work  []KeyedCall
-	ended []CallState
-	last  *StoredResponse
+	mu       sync.Mutex
+	claim    CallClaim
+	calls    []KeyedCall
+	states   []CallState
+	response *StoredResponse
 }
 
 // Covers implements IdempotencyStore.
-func (k *scriptedStore) Covers(class int) bool { return class == 0 }
+func (store *scriptedStore) Covers(class int) bool { return class == 0 }
 
 // Begin implements IdempotencyStore.
-func (k *scriptedStore) Begin(_ context.Context, w KeyedCall) CallClaim {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.work = append(k.work, w)
-	says := k.says
+func (store *scriptedStore) Begin(_ context.Context, w KeyedCall) CallClaim {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	store.calls = append(store.calls, w)
+	says := store.claim
 	says.Finish = func(s CallState, o *StoredResponse) {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		k.ended, k.last = append(k.ended, s), o
+		store.mu.Lock()
+		defer store.mu.Unlock()
+		store.states, store.response = append(store.states, s), o
 	}
 	return says
 }
@@ -41,7 +41,7 @@
 // TestIdempotencyKeys: what a client that gives its call a key gets, as the call stands; what the store is told;
 // and that no call is run but what the store has granted.
 func TestIdempotencyKeys(t *testing.T) {
-	k, taken := &scriptedStore{}, 0
+	store, taken := &scriptedStore{}, 0
 	verdict := routing.Served
 	addr, _, _ := newTestFrontend(t, 10, func(context.Context, routing.Call) (routing.Answer, bool) {
 		taken++
@@ -50,7 +50,7 @@
 			return routing.Answer{Verdict: verdict, Reply: reply}, true
 		}
 		return routing.Answer{Verdict: verdict}, true
-	}, func(f *Frontend) { f.idempotency = k })
+	}, func(f *Frontend) { f.idempotency = store })
 	ask := func(key, body string) (int, string, string) {
 		t.Helper()
 		r, err := http.NewRequest("POST", "http://"+addr+"/api", strings.NewReader(body))
@@ -95,11 +95,11 @@
 		{`""`, CallClaim{}, 0, 400, "", "Idempotency-Key: not 1 to 255 printable characters\n", ""},
 		{strings.Repeat("k", 256), CallClaim{}, 0, 400, "", "Idempotency-Key: not 1 to 255 printable characters\n", ""},
 	} {
-		k.says, k.ended, k.work, verdict = c.says, nil, nil, c.verdict
+		store.claim, store.states, store.calls, verdict = c.says, nil, nil, c.verdict
 		before := taken
 		status, state, body := ask(c.key, "pay")
 		ended := ""
-		for _, s := range k.ended {
+		for _, s := range store.states {
 			ended += fmt.Sprint(s)
 		}
 		lets := c.ended != ""
@@ -108,18 +108,18 @@
 				c.key, c.says, c.verdict, status, state, body, ended, taken > before)
 		}
 	}
-	k.says, k.work, verdict = CallClaim{}, nil, routing.Served
+	store.claim, store.calls, verdict = CallClaim{}, nil, routing.Served
 	ask("k1", "pay")
 	ask("k1", "pay more")
 	ask(`"k1"`, "pay")
-	if w := k.work; len(w) != 3 || w[0] != w[2] || w[0].Fingerprint == w[1].Fingerprint || w[0].Key != "acme k1" {
-		t.Errorf("the work is %+v", k.work)
+	if w := store.calls; len(w) != 3 || w[0] != w[2] || w[0].Fingerprint == w[1].Fingerprint || w[0].Key != "acme k1" {
+		t.Errorf("the calls are %+v", store.calls)
 	}
-	if k.last == nil || string(k.last.Body) != "done" || k.last.Header.Get("X-Ref") != "7" {
-		t.Errorf("kept: %+v", k.last)
+	if store.response == nil || string(store.response.Body) != "done" || store.response.Header.Get("X-Ref") != "7" {
+		t.Errorf("stored: %+v", store.response)
 	}
-	k.work = nil
-	if status, _, _ := ask("", "pay"); status != 200 || len(k.work) != 0 {
-		t.Errorf("without a key: %d, %+v", status, k.work)
+	store.calls = nil
+	if status, _, _ := ask("", "pay"); status != 200 || len(store.calls) != 0 {
+		t.Errorf("without a key: %d, %+v", status, store.calls)
 	}
 }
--- a/internal/transport/late_connection_test.go
+++ b/internal/transport/late_connection_test.go
@@ -18,28 +18,41 @@
 	"olivebridge/internal/routing"
 )
 
-// still is an upstream group that never changes.
+// staticEndpoints is an endpoint list that never changes.
 type staticEndpoints struct{}
 
+// Watch implements routing.Watcher.
 func (staticEndpoints) Watch(ctx context.Context, told func(routing.EndpointList)) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-// decided is a router that runs over a carrier and peers of one zone that have just started, each of which serves its
-// connections so.
-func newRouter(t *testing.T, k *UpstreamTransport, set balancer.Settings, peers int, serve func(net.Conn)) *routing.Router {
+// newRouter is a router that runs over a transport and servers of one zone that have just started, each of which
+// serves its connections by a function.
+func newRouter(t *testing.T, transport *UpstreamTransport, set balancer.Settings, servers int,
+	serve func(net.Conn)) *routing.Router {
 	t.Helper()
 	class := &set.Classes[0]
 	class.LatencyObjective, class.Deadline, class.PriorityWeight = 10*time.Second, 20*time.Second, 1
 	set.Nodes, set.MaxAttempts, set.CancelAttempts = 1, 3, true
 	known := routing.EndpointList{Kind: balancer.UpdateFull, ReceivedAt: time.Now()}
-	for id := range balancer.ServerID(peers) {
+	for id := range balancer.ServerID(servers) {
 		known.Endpoints = append(known.Endpoints, routing.Endpoint{Addr: startServer(t, serve).Addr,
-			Server: balancer.Server{ID: id + 1, Weight: 1, State: balancer.Ready, StartedAt: balancer.Time(known.ReceivedAt.UnixNano())}})
+			Server: balancer.Server{
+				ID:        id + 1,
+				Weight:    1,
+				State:     balancer.Ready,
+				StartedAt: balancer.Time(known.ReceivedAt.UnixNano()),
+			}})
 	}
-	r := routing.New(routing.Config{Seed: 1, InitialEndpoints: known, Transport: k, Watcher: staticEndpoints{}, Log: slog.New(slog.DiscardHandler),
-		Settings: set})
+	r := routing.New(routing.Config{
+		Seed:             1,
+		InitialEndpoints: known,
+		Transport:        transport,
+		Watcher:          staticEndpoints{},
+		Log:              slog.New(slog.DiscardHandler),
+		Settings:         set,
+	})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() { ended <- r.Run(ctx) }()
@@ -52,9 +65,9 @@
 	return r
 }
 
-// TestLateConnectionAfterDedupWindow: a further try of a class whose repeats are dropped for a while must not leave
-// once that is over, counted from the first try that may have run, though it was decided in time and its connection
-// came up later. None is bound where nothing can have run.
+// TestLateConnectionAfterDedupWindow: a retry of a class with a dedup window must not be sent once that is over,
+// counted from the first attempt that may have run, though it was decided in time and its connection came up later.
+// No retry is bound where nothing can have run.
 func TestLateConnectionAfterDedupWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
 	token := balancer.Class{Idempotency: balancer.IdempotencyKeyed, DedupScope: balancer.DedupZone, DedupWindow: window}
@@ -78,8 +91,8 @@
 			t.Parallel()
 			var dials, reached atomic.Int64
 			begun := make(chan time.Time, 1)
-			k, _ := newTestTransport(time.Minute)
-			k.pool.dial = func(ctx context.Context, addr string) (net.Conn, error) {
+			transport, _ := newTestTransport(time.Minute)
+			transport.pool.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 				n := dials.Add(1)
 				if n == 1 {
 					begun <- time.Now()
@@ -93,7 +106,7 @@
 				}
 				return dialTCP(ctx, addr)
 			}
-			r := newRouter(t, k, balancer.Settings{Classes: []balancer.Class{c.class}}, 2, func(conn net.Conn) {
+			r := newRouter(t, transport, balancer.Settings{Classes: []balancer.Class{c.class}}, 2, func(conn net.Conn) {
 				for in := bufio.NewReader(conn); ; {
 					if _, err := http.ReadRequest(in); err != nil {
 						return
@@ -106,21 +119,27 @@
 				}
 			})
 			try := newAttempt(nil, "GET", "")
-			a, _ := r.Handle(t.Context(), routing.Call{ClientRequestID: "9b", Tenant: -1, ReceivedAt: time.Now(), Timeout: 20 * time.Second,
-				Payload: try.Payload})
+			a, _ := r.Handle(t.Context(), routing.Call{
+				ClientRequestID: "9b",
+				Tenant:          -1,
+				ReceivedAt:      time.Now(),
+				Timeout:         20 * time.Second,
+				Payload:         try.Payload,
+			})
 			if a.Verdict != c.want || reached.Load() != c.reach {
-				t.Errorf("%v, and %d requests reached a peer; want %v and %d", a.Verdict, reached.Load(), c.want, c.reach)
+				t.Errorf("%v, and %d requests reached a server; want %v and %d", a.Verdict, reached.Load(), c.want, c.reach)
 			}
 		})
 	}
 }
 
-// TestLateConnectionToWarmingServer: a call's connection is up after the half fall window that its peer's allowance
-// was of. Where that of the present one has been spent meanwhile, no byte of it leaves and it is turned away at
-// once.
+// TestLateConnectionToWarmingServer: a call's connection comes up after the half of the overload window for which
+// its warming server had an allowance. Where that of the present half has been spent meanwhile, no byte of the call
+// is sent and it is rejected at once.
 func TestLateConnectionToWarmingServer(t *testing.T) {
 	const half = time.Second
-	whole, upload := callHead+"Content-Length: 0\r\n\r\n", callHead+"Content-Length: 100000\r\n\r\n"+strings.Repeat("x", 100000)
+	whole := callHead + "Content-Length: 0\r\n\r\n"
+	upload := callHead + "Content-Length: 100000\r\n\r\n" + strings.Repeat("x", 100000)
 	for name, c := range map[string]struct {
 		raw    string
 		spent  bool
@@ -135,16 +154,23 @@
 			t.Parallel()
 			var dials, reached atomic.Int64
 			opened, up := make(chan bool), make(chan bool)
-			k, _ := newTestTransport(time.Minute)
-			k.pool.dial = func(ctx context.Context, addr string) (net.Conn, error) {
+			transport, _ := newTestTransport(time.Minute)
+			transport.pool.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 				if dials.Add(1) == 1 {
 					close(opened)
 					<-up
 				}
 				return dialTCP(ctx, addr)
 			}
-			r := newRouter(t, k, balancer.Settings{Classes: make([]balancer.Class, 1), RetryAfter: true, MaxRetryAfter: time.Second,
-				InitialCapacity: 0.5, SlowStart: time.Hour, OverloadFactor: 2.5, WarmThroughput: 2, OverloadWindow: 2 * half, // one call in each half
+			r := newRouter(t, transport, balancer.Settings{
+				Classes:         make([]balancer.Class, 1),
+				RetryAfter:      true,
+				MaxRetryAfter:   time.Second,
+				InitialCapacity: 0.5,
+				SlowStart:       time.Hour,
+				OverloadFactor:  2.5,
+				WarmThroughput:  2,
+				OverloadWindow:  2 * half, // one call in each half
 			}, 1, func(conn net.Conn) {
 				for in := bufio.NewReader(conn); ; {
 					req, err := http.ReadRequest(in)
@@ -173,9 +199,10 @@
 			}()
 			addr, _, _ := newTestFrontend(t, 10, patient)
 			resp, _ := dialClient(t, addr).roundTrip(t, c.raw)
-			if resp.StatusCode != c.status || (resp.Header.Get("Retry-After") != "") != (c.status == 503) || reached.Load() != 1 {
-				t.Errorf("%s, to come back after %q s, and %d requests reached the peer", resp.Status,
-					resp.Header.Get("Retry-After"), reached.Load())
+			retryAfter := resp.Header.Get("Retry-After")
+			if resp.StatusCode != c.status || (retryAfter != "") != (c.status == 503) || reached.Load() != 1 {
+				t.Errorf("%s, to retry after %q s, and %d requests reached the server",
+					resp.Status, retryAfter, reached.Load())
 			}
 		})
 	}
--- a/internal/transport/linger_test.go
+++ b/internal/transport/linger_test.go
@@ -19,8 +19,8 @@
 	"olivebridge/internal/routing"
 )
 
-// TestResponseBeforeBodyEnd: a client that writes all it has before it reads anything gets the whole answer, however
-// early that came. A close over what is unread would reset its connection.
+// TestResponseBeforeBodyEnd: a client that writes all it has before it reads anything gets the complete response,
+// however early that came. A close over what is unread would reset its connection.
 func TestResponseBeforeBodyEnd(t *testing.T) {
 	const mb = 1 << 20
 	sized := func(n int) string { return fmt.Sprintf("Content-Length: %d\r\n\r\n", n) }
@@ -92,7 +92,7 @@
 	}
 }
 
-// refused is a client whose request was, and that goes on sending a little for as long as it can.
+// sendRejectedUpload sends a request that is rejected, and goes on sending a little for as long as it can.
 func sendRejectedUpload(t *testing.T, c *testClient) (ended chan error) {
 	t.Helper()
 	ended = make(chan error, 1)
@@ -111,7 +111,7 @@
 	return ended
 }
 
-// TestLingeringEvictedFirst: a connection that lingers counts as open, and is the first to go where room is needed.
+// TestLingeringEvictedFirst: a connection that lingers counts as open, and is the first to be evicted.
 func TestLingeringEvictedFirst(t *testing.T) {
 	addr, front, _ := newTestFrontend(t, 2, nil)
 	idle := front.dialIdle(t, addr, 1)
@@ -131,8 +131,9 @@
 	}
 }
 
-// TestLingeringEndsInTime: whoever never ends, nor falls silent, holds up neither his connection's end nor the
-// node's. It is played in a bubble: on a busy machine the sum of many short waits would pass for a long one.
+// TestLingeringEndsInTime: a client that neither closes nor falls silent delays neither the close of its connection
+// nor a shutdown. It runs on a virtual clock: on a busy machine the sum of many short waits would pass for a long
+// one.
 func TestLingeringEndsInTime(t *testing.T) {
 	for name, drain := range map[string]bool{"alone": false, "at a planned end": true} {
 		t.Run(name, func(t *testing.T) {
@@ -167,8 +168,8 @@
 	}
 }
 
-// TestCloseOverUnreadRequest: where the next request is there unread, the answer before arrives whole all the same,
-// and the request is reset unread, or served: never read and dropped.
+// TestCloseOverUnreadRequest: where the next request is there unread, the response before it arrives all the same,
+// and the request is reset unread, or served: never read and discarded.
 func TestCloseOverUnreadRequest(t *testing.T) {
 	for name, leave := range map[string]bool{"behind the last answer": false, "on a connection that is idle": true} {
 		t.Run(name, func(t *testing.T) {
@@ -185,32 +186,32 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			k := conn.(*clientConn)
-			io.ReadFull(k, make([]byte, 3))
-			k.completeRequest()
+			accepted := conn.(*clientConn)
+			io.ReadFull(accepted, make([]byte, 3))
+			accepted.completeRequest()
 			answer := 1 << 20 // more than the client's side holds
-			k.Conn.(*tcpConn).SetWriteBuffer(2 * answer)
-			if n, err := k.Write(make([]byte, answer)); n != answer || err != nil {
+			accepted.Conn.(*tcpConn).SetWriteBuffer(2 * answer)
+			if n, err := accepted.Write(make([]byte, answer)); n != answer || err != nil {
 				t.Fatal(n, err)
 			}
 			io.WriteString(c, "two")
-			waitFor(t, func() bool { return hasUnread(k.Conn) })
+			waitFor(t, func() bool { return hasUnread(accepted.Conn) })
 			closed := make(chan error)
 			if leave {
-				all.connState(k, http.StateIdle)
+				all.connState(accepted, http.StateIdle)
 				all.startDraining()
-				if k.isClosing() {
-					t.Error("its end is decided over a request that is there")
+				if accepted.isClosing() {
+					t.Error("its close is decided over a request that is there")
 				}
 				next := make([]byte, 3)
-				if _, err := io.ReadFull(k, next); string(next) != "two" {
+				if _, err := io.ReadFull(accepted, next); string(next) != "two" {
 					t.Errorf("%q, %v", next, err)
 				}
-				k.completeRequest()
-				k.Write([]byte("x"))
+				accepted.completeRequest()
+				accepted.Write([]byte("x"))
 				answer++
 			}
-			go func() { closed <- k.Close() }()
+			go func() { closed <- accepted.Close() }()
 			n, err := io.Copy(io.Discard, c)
 			if n != int64(answer) || (err == nil) != leave {
 				t.Errorf("%d bytes of %d, %v", n, answer, err)
--- a/internal/transport/pipelined_test.go
+++ b/internal/transport/pipelined_test.go
@@ -15,8 +15,8 @@
 	"olivebridge/internal/routing"
 )
 
-// pipelining is a client that has written several requests at once, the first of which is at a peer that answers
-// it, and then any other, once told to.
+// startPipelined is a client that has written several requests at once, the first of which is at a server that
+// answers it, and then any other, at each release.
 func startPipelined(t *testing.T, raw string) (c *testClient, front *Frontend, atPeer chan string, release chan bool) {
 	t.Helper()
 	atPeer, release = make(chan string, 1000), make(chan bool)
@@ -45,39 +45,45 @@
 	return c, front, atPeer, release
 }
 
-// numbered is the nth request, with a body of so many bytes.
+// numberedRequest is the nth request, with a body of so many bytes.
 func numberedRequest(n, body int) string {
-	return strings.Replace(callHead, "9b", fmt.Sprintf("%db", n), 1) + fmt.Sprintf("Content-Length: %d\r\n\r\n", body) + strings.Repeat("x", body)
+	head := strings.Replace(callHead, "9b", fmt.Sprintf("%db", n), 1)
+	return head + fmt.Sprintf("Content-Length: %d\r\n\r\n", body) + strings.Repeat("x", body)
 }
 
-// chunked is the nth request, with a body as it is in chunks.
+// chunkedRequest is the nth request, with a body as it is in chunks.
 func chunkedRequest(n int, body string) string {
-	return strings.Replace(numberedRequest(n, 0), "Content-Length: 0\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n"+body, 1)
+	const sized, chunked = "Content-Length: 0\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n"
+	return strings.Replace(numberedRequest(n, 0), sized, chunked+body, 1)
 }
 
-// TestPipelinedWhileDraining: whatever was read along with a request gets its answer, though the node begins to
-// leave, or to make room, while that one is at its peer; the last answer says that the connection ends, and it
-// does.
+// TestPipelinedWhileDraining: whatever was read along with a request gets its response, though the node begins to
+// drain, or to make room, while that one is at its server; the last response says that the connection is closed,
+// and it is.
 func TestPipelinedWhileDraining(t *testing.T) {
 	inChunks := chunkedRequest(2, "1\r\nx\r\n00A\r\n0\r\n\r\n0\r\n\r\n\r\n0\r\n\r\n")
 	half := len(inChunks) - 9 // in the middle of a chunk
+	first, second, third := numberedRequest(1, 0), numberedRequest(2, 0), numberedRequest(3, 0)
+	withBody := numberedRequest(2, 9)
+	halfBody := withBody[:len(withBody)-4]
+	burst := strings.Repeat(third, 100)
 	for name, c := range map[string]struct {
 		raw   string
 		later string // what comes once the node leaves
 		want  int    // answers
 	}{
-		"two":                  {numberedRequest(1, 0) + numberedRequest(2, 0), "", 2},
-		"three":                {numberedRequest(1, 0) + numberedRequest(2, 3) + numberedRequest(3, 0), "", 3},
-		"behind a body":        {numberedRequest(1, 500) + numberedRequest(2, 0), "", 2},
-		"the first in a burst": {numberedRequest(1, 0) + numberedRequest(2, 0), strings.Repeat(numberedRequest(3, 0), 10), 2},
-		"half a head":          {numberedRequest(1, 0) + numberedRequest(2, 0)[:50], numberedRequest(2, 0)[50:], 2},
-		"half a body":          {numberedRequest(1, 0) + numberedRequest(2, 9)[:len(numberedRequest(2, 9))-4], "xxxx", 2},
-		"half one, and on":     {numberedRequest(1, 0) + numberedRequest(2, 0)[:50], numberedRequest(2, 0)[50:] + strings.Repeat(numberedRequest(3, 0), 100), 2},
-		"half a body, and on":  {numberedRequest(1, 0) + numberedRequest(2, 9)[:len(numberedRequest(2, 9))-4], "xxxx" + strings.Repeat(numberedRequest(3, 0), 100), 2},
-		"one in chunks behind": {numberedRequest(1, 0) + inChunks, "", 2},
-		"behind one in chunks": {numberedRequest(1, 0) + inChunks + numberedRequest(3, 3), "", 3},
-		"half one in chunks":   {numberedRequest(1, 0) + inChunks[:half], inChunks[half:], 2},
-		"half of it, and on":   {numberedRequest(1, 0) + inChunks[:half], inChunks[half:] + strings.Repeat(numberedRequest(3, 0), 100), 2},
+		"two":                  {first + second, "", 2},
+		"three":                {first + numberedRequest(2, 3) + third, "", 3},
+		"behind a body":        {numberedRequest(1, 500) + second, "", 2},
+		"the first in a burst": {first + second, strings.Repeat(third, 10), 2},
+		"half a head":          {first + second[:50], second[50:], 2},
+		"half a body":          {first + halfBody, "xxxx", 2},
+		"half one, and on":     {first + second[:50], second[50:] + burst, 2},
+		"half a body, and on":  {first + halfBody, "xxxx" + burst, 2},
+		"one in chunks behind": {first + inChunks, "", 2},
+		"behind one in chunks": {first + inChunks + numberedRequest(3, 3), "", 3},
+		"half one in chunks":   {first + inChunks[:half], inChunks[half:], 2},
+		"half of it, and on":   {first + inChunks[:half], inChunks[half:] + burst, 2},
 	} {
 		for way, leave := range map[string]func(*Frontend){
 			"leaves":     func(f *Frontend) { f.clients.startDraining() },
@@ -123,24 +129,29 @@
 	}
 }
 
-// TestPipelinedBehindRejected: what was read along behind a refused request is served, unless someone could find
-// another end to that one than the node did: then its answer ends the connection, and nothing behind it is taken.
+// TestPipelinedBehindRejected: what was read along behind a malformed request is served, unless someone could find
+// another end to that one than the node did: then its response closes the connection, and nothing behind it is
+// taken.
 func TestPipelinedBehindRejected(t *testing.T) {
 	two := func(old, new string) string { return strings.Replace(numberedRequest(2, 0), old, new, 1) }
+	asGet := func(request string) string {
+		return strings.NewReplacer("POST", "GET", "book", "status").Replace(request)
+	}
+	const expect = "Host: h\r\nExpect: 100-continue\r\nX-Budget: 1"
+	inChunks := chunkedRequest(2, "1\r\nx\r\n0\r\n\r\n")
 	for name, c := range map[string]struct {
 		raw    string
 		status int
 		on     bool
 	}{
-		"an unknown class":          {two("book", "gift"), 400, true},
-		"a bad budget, and a body":  {strings.Replace(numberedRequest(2, 9), "0.5", "soon", 1), 400, true},
-		"no id":                     {two("X-Call-Id", "X-Id"), 400, true},
-		"a POST that must be a GET": {two("book", "status"), 405, true},
-		"a GET that must be a POST": {"GET" + two("POST", "")[:len(two("POST", ""))-2] + "\r\n", 405, true},
-		"no question of readiness":  {two("/api?user=%41", protocol.PathReady), 405, true},
-		"in chunks":                 {strings.Replace(chunkedRequest(2, "1\r\nx\r\n0\r\n\r\n"), "book", "gift", 1), 400, true},
-		"a body that was not asked for": {strings.Replace(numberedRequest(2, 9), "Host: h", "Host: h\r\nExpect: 100-continue\r\nX-Budget: 1", 1),
-			400, true},
+		"an unknown class":              {two("book", "gift"), 400, true},
+		"a bad budget, and a body":      {strings.Replace(numberedRequest(2, 9), "0.5", "soon", 1), 400, true},
+		"no id":                         {two("X-Call-Id", "X-Id"), 400, true},
+		"a POST that must be a GET":     {two("book", "status"), 405, true},
+		"a GET that must be a POST":     {"GET" + two("POST", "")[:len(two("POST", ""))-2] + "\r\n", 405, true},
+		"no question of readiness":      {two("/api?user=%41", protocol.PathReady), 405, true},
+		"in chunks":                     {strings.Replace(inChunks, "book", "gift", 1), 400, true},
+		"a body that was not asked for": {strings.Replace(numberedRequest(2, 9), "Host: h", expect, 1), 400, true},
 
 		"two lengths":        {two("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length"), 400, false},
 		"a folded line":      {two("Host: h", "Host: h\r\nA: b\r\n c"), 400, false},
@@ -149,15 +160,18 @@
 		"another length":     {two("Host: h", "Host: h\r\nContent_Length: 5"), 400, false},
 		"an odd target":      {two("/api", "//api"), 400, false},
 		"an old version":     {two("1.1\r\n", "1.0\r\nConnection: keep-alive\r\n"), 505, false},
-		"a GET with a body":  {strings.NewReplacer("POST", "GET", "book", "status").Replace(numberedRequest(2, 9)), 400, false},
+		"a GET with a body":  {asGet(numberedRequest(2, 9)), 400, false},
 		"the same, no class": {strings.NewReplacer("POST", "GET", "book", "gift").Replace(numberedRequest(2, 9)), 400, false},
-		"with a long body":   {strings.NewReplacer("POST", "GET", "book", "status").Replace(numberedRequest(2, 70000)), 400, false},
+		"with a long body":   {asGet(numberedRequest(2, 70000)), 400, false},
 		"a tunnel":           {two("POST", "CONNECT"), 405, false},
 		"chunks that break":  {chunkedRequest(2, "1\r\nxx\r\n0\r\n\r\n"), 400, false},
 		"a bare chunk":       {strings.Replace(chunkedRequest(2, "1\nx\r\n0\r\n\r\n"), "book", "gift", 1), 400, false},
 		"a trailer":          {strings.Replace(chunkedRequest(2, "0\r\nA: b\r\n\r\n"), "book", "gift", 1), 400, false},
 	} {
-		for way, leave := range map[string]func(*Frontend){"": func(*Frontend) {}, ", leaving": func(f *Frontend) { f.clients.startDraining() }} {
+		for way, leave := range map[string]func(*Frontend){
+			"":          func(*Frontend) {},
+			", leaving": func(f *Frontend) { f.clients.startDraining() },
+		} {
 			t.Run(name+way, func(t *testing.T) {
 				t.Parallel()
 				conn, front, atPeer, release := startPipelined(t, numberedRequest(1, 0)+c.raw+numberedRequest(3, 0))
@@ -193,8 +207,8 @@
 	}
 }
 
-// TestNoTimeLeftForPipelined: a planned end has a time, and a chain of calls that were read along with the first
-// has not got it for itself: one that is not sure to be answered by then is turned away at its turn.
+// TestNoTimeLeftForPipelined: a graceful shutdown has a time, and a chain of pipelined calls has not got it for
+// itself: one that is not sure to be answered by then is rejected at its turn.
 func TestNoTimeLeftForPipelined(t *testing.T) {
 	conn, front, atPeer, release := startPipelined(t, numberedRequest(1, 0)+numberedRequest(2, 0)+numberedRequest(3, 0))
 	ended := make(chan bool)
@@ -219,8 +233,8 @@
 	}
 }
 
-// TestPipelinedBehindLongBody: a call that is turned away before its long body was read to the end keeps nothing
-// behind it from its answer, where all of that has come.
+// TestPipelinedBehindLongBody: a call that is rejected before its long body was read to the end does not keep a
+// request behind it from being answered, where all of that body has come.
 func TestPipelinedBehindLongBody(t *testing.T) {
 	addr, front, _ := newTestFrontend(t, 10, func(_ context.Context, c routing.Call) (routing.Answer, bool) {
 		if c.ClientRequestID == "2b" {
@@ -229,12 +243,13 @@
 		return routing.Answer{Verdict: routing.Rejected}, true
 	})
 	c := dialClient(t, addr)
-	io.WriteString(c, chunkedRequest(1, fmt.Sprintf("%x\r\n%s", protocol.MaxBodyBytes, strings.Repeat("x", protocol.MaxBodyBytes))))
+	body := strings.Repeat("x", protocol.MaxBodyBytes)
+	io.WriteString(c, chunkedRequest(1, fmt.Sprintf("%x\r\n%s", len(body), body)))
 	waitFor(t, func() bool { // all of that is read
 		front.clients.mu.Lock()
 		defer front.clients.mu.Unlock()
-		for k := range front.clients.open {
-			return k.framing.chunkEndDue && k.framing.bodyLeft == 0
+		for accepted := range front.clients.open {
+			return accepted.framing.chunkEndDue && accepted.framing.bodyLeft == 0
 		}
 		return false
 	})
@@ -247,8 +262,8 @@
 	}
 }
 
-// TestPipelined: a request read along with the one before it is open, so that
-// its connection must not be closed as idle.
+// TestPipelined: a request read along with the one before it is open, so that its connection must not be closed as
+// idle.
 func TestPipelined(t *testing.T) {
 	taken, release := make(chan bool), make(chan bool)
 	addr, front, _ := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
@@ -293,14 +308,14 @@
 		raw += half
 	}
 	io.WriteString(c, raw)
-	k := <-taken
+	accepted := <-taken
 	if !along {
 		io.WriteString(c, half)
 	}
 	for begun := false; !begun; { // the call is as long as a body may take
 		front.clients.mu.Lock()
-		if begun = k.state.nextStarted == along && k.state.nextUnread != along; begun {
-			k.requestStart = k.requestStart.Add(-requestTimeout)
+		if begun = accepted.state.nextStarted == along && accepted.state.nextUnread != along; begun {
+			accepted.requestStart = accepted.requestStart.Add(-requestTimeout)
 		}
 		front.clients.mu.Unlock()
 	}
--- a/internal/transport/request_framing_test.go
+++ b/internal/transport/request_framing_test.go
@@ -9,22 +9,26 @@
 	"testing"
 )
 
-// TestFraming: a head that has a length beside a coding is found wherever the
-// reads are cut, also behind other requests, and no body is taken for a head.
+// TestFraming: a head with a Content-Length beside a Transfer-Encoding is found wherever the reads are cut, also
+// behind other requests, and no body is taken for a head.
 func TestFraming(t *testing.T) {
 	both := "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n"
-	for raw, torn := range map[string]bool{
-		"GET / HTTP/1.1\r\n\r\n": false, "POST / HTTP/1.1\r\n" + both: true, "GET / HTTP/1.1\n\nPOST / HTTP/1.1\n" + both: true,
-		fmt.Sprintf("POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n\n%sGET / HTTP/1.1\r\nA: b\r\n\r\n", len(both)+1, both): false,
-		"POST / HTTP/1.1\r\ncontent-length:\t1\r\n\r\nxPOST / HTTP/1.1\r\n" + both:                                        true,
-		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n":                                       false,
-		"GET / HTTP/1.1\r\nContent-Length:\r\n 5\r\n\r\n":                                                                 true, "GET / HTTP/1.1\r\nX-Content-Length: 1\r\nTransfer-Encoding: a\r\n\r\n": false,
+	for raw, ambiguous := range map[string]bool{
+		"GET / HTTP/1.1\r\n\r\n":                     false,
+		"POST / HTTP/1.1\r\n" + both:                 true,
+		"GET / HTTP/1.1\n\nPOST / HTTP/1.1\n" + both: true,
+		fmt.Sprintf("POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n\n%s", len(both)+1, both) +
+			"GET / HTTP/1.1\r\nA: b\r\n\r\n": false,
+		"POST / HTTP/1.1\r\ncontent-length:\t1\r\n\r\nxPOST / HTTP/1.1\r\n" + both:  true,
+		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n": false,
+		"GET / HTTP/1.1\r\nContent-Length:\r\n 5\r\n\r\n":                           true,
+		"GET / HTTP/1.1\r\nX-Content-Length: 1\r\nTransfer-Encoding: a\r\n\r\n":     false,
 	} {
 		for cut := range len(raw) {
 			var f requestFraming
 			f.feed([]byte(raw[:cut]))
-			if f.feed([]byte(raw[cut:])); f.ambiguous != torn {
-				t.Errorf("%q cut at %d: torn: %v", raw, cut, f.ambiguous)
+			if f.feed([]byte(raw[cut:])); f.ambiguous != ambiguous {
+				t.Errorf("%q cut at %d: ambiguous: %v", raw, cut, f.ambiguous)
 			}
 		}
 	}
@@ -33,12 +37,16 @@
 // TestChunkedFraming: a body in chunks is followed to where net/http finds its end, wherever the reads are cut, or the
 // request counts as the last one. What is read of no more than it needs never goes beyond that end.
 func TestChunkedFraming(t *testing.T) {
-	const first, second = "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n", "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
+	const first = "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
+	const second = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 	for body, plain := range map[string]bool{
-		"0\r\n\r\n": true, "00\r\n\r\n": true, "2\r\n\r\n\r\n0\r\n\r\n": true, "0A\r\n0\r\n\r\n\nxxxx\r\n1\r\nx\r\n0\r\n\r\n": true,
-		"1;a=b\r\nx\r\n0\r\n\r\n": false, "0\r\nA: b\r\n\r\n": false, "1 \r\nx\r\n0\r\n\r\n": false, // lawful, but not followed
-		"1\nx\r\n0\r\n\r\n": false, "1\r\nx\n0\r\n\r\n": false, "0\n\r\n": false, "0\r\n\n": false, "1\r\nxx\r\n0\r\n\r\n": false,
-		"\r\n\r\n": false, "-0\r\n\r\n": false, "+0\r\n\r\n": false, "0x0\r\n\r\n": false, "0\r\r\n\r\n": false,
+		"0\r\n\r\n": true, "00\r\n\r\n": true, "2\r\n\r\n\r\n0\r\n\r\n": true,
+		"0A\r\n0\r\n\r\n\nxxxx\r\n1\r\nx\r\n0\r\n\r\n": true,
+		// lawful, but not followed
+		"1;a=b\r\nx\r\n0\r\n\r\n": false, "0\r\nA: b\r\n\r\n": false, "1 \r\nx\r\n0\r\n\r\n": false,
+		"1\nx\r\n0\r\n\r\n": false, "1\r\nx\n0\r\n\r\n": false, "0\n\r\n": false, "0\r\n\n": false,
+		"1\r\nxx\r\n0\r\n\r\n": false,
+		"\r\n\r\n":             false, "-0\r\n\r\n": false, "+0\r\n\r\n": false, "0x0\r\n\r\n": false, "0\r\r\n\r\n": false,
 		"ffffffffffffffff\r\nx": false, "00000000000000000000\r\n\r\n": false,
 	} {
 		raw := first + body + second
--- a/internal/transport/request_head_test.go
+++ b/internal/transport/request_head_test.go
@@ -13,8 +13,8 @@
 	"olivebridge/internal/routing"
 )
 
-// served sends raw requests, each on a connection of its own, to a front that
-// serves whatever it takes. It tells the status, and what the peer would get.
+// serveRaw sends raw requests, each on a connection of its own, to a frontend whose handler serves them all. It
+// returns the response, and what the server would get.
 func serveRaw(t *testing.T) func(raw string) (resp *http.Response, peer string) {
 	got := make(chan string, 1)
 	addr, _, _ := newTestFrontend(t, 100, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
@@ -43,24 +43,31 @@
 	}
 }
 
-// TestMalformedRequests get a plain 4xx and no try.
+// TestMalformedRequests: a malformed request gets a plain 4xx and no attempt.
 func TestMalformedRequests(t *testing.T) {
 	addr, front, _ := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
-		return routing.Answer{Verdict: routing.Served, Reply: &response{body: bytes.Clone(c.Payload.(*requestMessage).body)}}, true
+		body := bytes.Clone(c.Payload.(*requestMessage).body)
+		return routing.Answer{Verdict: routing.Served, Reply: &response{body: body}}, true
 	})
 	body := func(n int) string { return fmt.Sprintf("Content-Length: %d\r\n\r\n", n) + strings.Repeat("x", n) }
 	cases := []struct {
 		raw  string
 		want int
 	}{
-		{callHead + body(0), 200}, {callHead + body(protocol.MaxBodyBytes), 200}, {callHead + body(protocol.MaxBodyBytes+1), 200},
+		{callHead + body(0), 200},
+		{callHead + body(protocol.MaxBodyBytes), 200},
+		{callHead + body(protocol.MaxBodyBytes+1), 200},
 		{callHead + fmt.Sprintf("Content-Length: %d\r\n\r\n", maxRequestBody+1), 413},
 		{callHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", 200},
 		{callHead + "Transfer-Encoding: chunked\r\n\r\n10001\r\n" + strings.Repeat("x", 0x10001) + "\r\n0\r\n\r\n", 200},
-		{strings.Replace(callHead, "book", "gift", 1) + body(0), 400}, {strings.Replace(callHead, "0.5", "soon", 1) + body(0), 400},
-		{strings.Replace(callHead, "X-Call-Id", "X-Id", 1) + body(0), 400}, {strings.Replace(callHead, ": 9b", ": 9 b", 1) + body(0), 400},
-		{strings.Replace(callHead, ": 9b", ": 9"+strings.Repeat("b", 128), 1) + body(0), 400}, {strings.Replace(callHead, "/api", "//api", 1) + body(0), 400},
-		{callHead + "Transfer-Encoding: chunked\r\n" + body(2), 400}, {callHead + "content-LENGTH: 2\r\ntransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
+		{strings.Replace(callHead, "book", "gift", 1) + body(0), 400},
+		{strings.Replace(callHead, "0.5", "soon", 1) + body(0), 400},
+		{strings.Replace(callHead, "X-Call-Id", "X-Id", 1) + body(0), 400},
+		{strings.Replace(callHead, ": 9b", ": 9 b", 1) + body(0), 400},
+		{strings.Replace(callHead, ": 9b", ": 9"+strings.Repeat("b", 128), 1) + body(0), 400},
+		{strings.Replace(callHead, "/api", "//api", 1) + body(0), 400},
+		{callHead + "Transfer-Encoding: chunked\r\n" + body(2), 400},
+		{callHead + "content-LENGTH: 2\r\ntransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
 		{strings.Replace(callHead, "1.1", "1.0", 1) + "Transfer-Encoding: chunked\r\n" + body(2), 505},
 		{callHead + "Content-Length: 2\r\n" + body(3), 0}, {callHead + "Content-Length: -1\r\n\r\n", 0},
 		{callHead + "Content-Length:\r\n 2\r\n\r\nhi", 400},
@@ -82,8 +89,8 @@
 	}
 }
 
-// TestConnectionOptions: a client must not make the node take from a try what
-// its peer needs, nor hand it a second value for that under another name.
+// TestConnectionOptions: a client must not make the node take from an attempt what its server needs, nor give it a
+// second value for that under another name.
 func TestConnectionOptions(t *testing.T) {
 	send := serveRaw(t)
 	for line, want := range map[string]int{
@@ -98,23 +105,26 @@
 	} {
 		resp, peer := send(callHead + line + "\r\nContent-Length: 2\r\n\r\nhi")
 		if resp.StatusCode != want || (peer != "") != (want == 200) {
-			t.Errorf("%q: status %d, want %d; to the peer: %q", line, resp.StatusCode, want, peer)
+			t.Errorf("%q: status %d, want %d; to the server: %q", line, resp.StatusCode, want, peer)
 		}
-		if want == 200 && (!strings.Contains(peer, protocol.HeaderCallID) || strings.Contains(peer, "X-Hop") || strings.Contains(peer, "h2c")) {
-			t.Errorf("%q: to the peer: %q", line, peer)
+		hops := strings.Contains(peer, "X-Hop") || strings.Contains(peer, "h2c")
+		if want == 200 && (!strings.Contains(peer, protocol.HeaderCallID) || hops) {
+			t.Errorf("%q: to the server: %q", line, peer)
 		}
 	}
 }
 
-// TestMethods: the class decides the method, since it decides what the node may
-// do with a call: a POST is never sent twice, and a GET carries nothing.
+// TestMethods: the class decides the method, since it decides what the node may do with a call: a POST is never
+// sent twice, and a GET carries nothing.
 func TestMethods(t *testing.T) {
 	send := serveRaw(t)
 	class := func(method, class, rest string) string {
-		return method + " /api?user=7f HTTP/1.1\r\nHost: h\r\nX-Call-Id: 9b\r\nX-Call-Class: " + class + "\r\nX-Budget: 0.5\r\n" + rest
+		return method + " /api?user=7f HTTP/1.1\r\nHost: h\r\nX-Call-Id: 9b\r\n" +
+			"X-Call-Class: " + class + "\r\nX-Budget: 0.5\r\n" + rest
 	}
 	long := strings.Repeat("x", 70000) // it would go on as it comes
-	const empty, body, chunk = "\r\n", "Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"
+	const empty, body = "\r\n", "Content-Length: 2\r\n\r\nhi"
+	const chunk = "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"
 	for raw, want := range map[string]struct {
 		status int
 		allow  string
@@ -140,14 +150,16 @@
 	} {
 		resp, peer := send(raw)
 		if resp.StatusCode != want.status || resp.Header.Get("Allow") != want.allow ||
-			(peer != "") != (want.status == 200 && !strings.Contains(raw, protocol.PathReady)) || resp.Close != (want.status != 200 || strings.Contains(raw, "chunked")) {
-			t.Errorf("%.300q: status %d, allow %q, want %v; to the peer: %.300q", raw, resp.StatusCode, resp.Header.Get("Allow"), want, peer)
+			(peer != "") != (want.status == 200 && !strings.Contains(raw, protocol.PathReady)) ||
+			resp.Close != (want.status != 200 || strings.Contains(raw, "chunked")) {
+			t.Errorf("%.300q: status %d, allow %q, want %v; to the server: %.300q",
+				raw, resp.StatusCode, resp.Header.Get("Allow"), want, peer)
 		}
 	}
 }
 
-// TestStrictRequestHeads: what is not HTTP/1.1 to the letter, or reads in two ways, gets
-// an error and no try; what is odd but lawful reaches the peer as it came.
+// TestStrictRequestHeads: what is not strictly HTTP/1.1, or reads in two ways, gets an error and no attempt; what
+// is odd but lawful reaches the server as it came.
 func TestStrictRequestHeads(t *testing.T) {
 	send := serveRaw(t)
 	const rest = " HTTP/1.1\r\nHost: h\r\nX-Call-Id: 9b\r\nX-Call-Class: status\r\nX-Budget: 0.5\r\n\r\n"
@@ -156,22 +168,25 @@
 	for _, target := range []string{"/api?user=a%2Fb&x=%7e", "/", "/?", "/a?x[]=1|2", "/a;b=1/c,d?x;y=z&user=7f",
 		"/a!$&'()*+,;=:@-._~", "/api/%C3%A9?q=a/b?c",
 		"/api?users=a&user=b", "/a/../b/./c", "/api?user=a+b&y=user", "/a//b"} {
-		if resp, peer := send("GET " + target + rest); resp.StatusCode != 200 || !strings.HasPrefix(peer, "GET "+target+" HTTP/1.1\r\n") {
-			t.Errorf("%s: status %d, to the peer: %q", target, resp.StatusCode, peer)
+		resp, peer := send("GET " + target + rest)
+		if resp.StatusCode != 200 || !strings.HasPrefix(peer, "GET "+target+" HTTP/1.1\r\n") {
+			t.Errorf("%s: status %d, to the server: %q", target, resp.StatusCode, peer)
 		}
 	}
 	for _, target := range []string{"/api#x", "/api?user=7f#x", "/#", "/api?a=\x01", "/a\x7f", "/a\x00",
 		"/\xc3\xa9", "/api?user=\xe9", "/%zz", "/api?x=%zz",
 		"/api?x=%", "/api?x=%4", "/api?user=%4", "/a\\b", "/a|b", "/a\"b", "/a<b>", "/a^b", "/a`b", "/{id}",
 		"/a[1]", "//api", "api", "*", "?user=7f",
-		"http://h//api", "h:80", "/a b", "/a\tb", "", " /api", "/api?user=a&user=b", "/api?user=a&%75ser=b", "/api?user&user=b"} {
+		"http://h//api", "h:80", "/a b", "/a\tb", "", " /api", "/api?user=a&user=b", "/api?user=a&%75ser=b",
+		"/api?user&user=b"} {
 		if resp, peer := send("GET " + target + rest); resp.StatusCode != 400 || peer != "" {
-			t.Errorf("%q: status %d, to the peer: %q", target, resp.StatusCode, peer)
+			t.Errorf("%q: status %d, to the server: %q", target, resp.StatusCode, peer)
 		}
 	}
 	for _, raw := range []string{line("A: b"), line("a_b: c"), line("A: b\r\nA: c"), line("A:"),
 		line("A: \xe9"), line("Expect: 100-continue"),
-		host("Host: h.example:8080\r\n"), host("host: [::1]:80\r\n"), line("Accept: */*\r\nUser-Agent: x/1 (y; z)\r\nX-Call-Info: a=1,b=2")} {
+		host("Host: h.example:8080\r\n"), host("host: [::1]:80\r\n"),
+		line("Accept: */*\r\nUser-Agent: x/1 (y; z)\r\nX-Call-Info: a=1,b=2")} {
 		if resp, peer := send(raw); resp.StatusCode != 200 || peer == "" {
 			t.Errorf("%q: status %d", raw, resp.StatusCode)
 		}
@@ -196,15 +211,21 @@
 		"\r\n\r\nGET /api" + rest, "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n",
 		"GET /" + strings.Repeat("a", 40<<10) + rest} {
 		if resp, peer := send(raw); resp.StatusCode < 400 || peer != "" {
-			t.Errorf("%.300q: status %d, to the peer: %q", raw, resp.StatusCode, peer)
+			t.Errorf("%.300q: status %d, to the server: %q", raw, resp.StatusCode, peer)
 		}
 	}
 }
 
 // TestAbsoluteFormTargets: what a target that names its host asks of a server.
 func TestAbsoluteFormTargets(t *testing.T) {
-	for target, want := range map[string]string{"/api?a=b": "/api?a=b", "http://h": "/", "http://h/": "/", "http://h/api?a": "/api?a",
-		"http://h?a": "/?a", "*": "*"} {
+	for target, want := range map[string]string{
+		"/api?a=b":       "/api?a=b",
+		"http://h":       "/",
+		"http://h/":      "/",
+		"http://h/api?a": "/api?a",
+		"http://h?a":     "/?a",
+		"*":              "*",
+	} {
 		if got := originForm(target); got != want {
 			t.Errorf("%s: %s, want %s", target, got, want)
 		}
--- a/internal/transport/request_message_test.go
+++ b/internal/transport/request_message_test.go
@@ -8,7 +8,7 @@
 	"olivebridge/internal/protocol"
 )
 
-// TestMessageHeld: the buffer comes back only once nobody holds the message, and nobody holds it after that.
+// TestMessageHeld: the buffer is put back only once nobody holds the message, and nobody holds it after that.
 func TestMessageHeld(t *testing.T) {
 	var home bufferPool
 	m := newMessage(&home, "POST", "/", "h", http.Header{}, 3)
@@ -17,7 +17,7 @@
 	}
 	m.release() // the front's
 	if m.holders.Load() != 1 || !m.hold() {
-		t.Error("a try is left without its message")
+		t.Error("an attempt is left without its message")
 	}
 	m.release()
 	m.release()
@@ -26,7 +26,8 @@
 	}
 }
 
-// TestConcurrentAttemptsCompose: tries that write at one time do not disturb each other, and each has its own budget.
+// TestConcurrentAttemptsCompose: attempts that are written at one time do not disturb each other, and each has its own
+// budget.
 func TestConcurrentAttemptsCompose(t *testing.T) {
 	m := newMessage(new(bufferPool), "POST", "/", "h", http.Header{"X-Call-Id": {"9b"}, protocol.HeaderTimeout: {"9"}}, 4)
 	copy(m.body, "book")
--- a/internal/transport/response_stream_test.go
+++ b/internal/transport/response_stream_test.go
@@ -16,8 +16,8 @@
 	"olivebridge/internal/routing"
 )
 
-// TestLargeResponses: an answer beyond what is kept comes in parts, to its end, and
-// its connection is used again; one that breaks, or is dropped, ends it.
+// TestLargeResponses: a response too long to be buffered comes in parts, to its end, and its connection is used
+// again; one that breaks, or is released unread, closes it.
 func TestLargeResponses(t *testing.T) {
 	big := strings.Repeat("x", 200<<10)
 	sized := "HTTP/1.1 200 OK\r\nContent-Length: 204800\r\n\r\n"
@@ -36,8 +36,8 @@
 		"no last chunk": {chunks + "32000\r\n" + big + "\r\ncut", false, 0, "peer-closed"},
 	} {
 		p, _ := startScriptedServer(t, c.raw+map[bool]string{false: "cut"}[c.whole])
-		k, l := newTestTransport(time.Second)
-		r := k.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
+		transport, l := newTestTransport(time.Second)
+		r := transport.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
 		if r.Result != balancer.OK || r.Reply.(*response).stream == nil {
 			t.Fatalf("%s: result %d", name, r.Result)
 		}
@@ -53,7 +53,7 @@
 		}
 		if c.ends != "" {
 			l.waitFor("connection ended", "reason="+c.ends)
-		} else if k.Conns() != 1 {
+		} else if transport.Conns() != 1 {
 			t.Errorf("%s: its connection is not kept", name)
 		}
 	}
@@ -63,36 +63,40 @@
 		io.WriteString(conn, chunks+"20000\r\n"+big[:1000])
 		<-halves
 	})
-	k, _ := newTestTransport(time.Second)
-	r := k.RoundTrip(t.Context(), newAttempt(slow, "GET", ""))
+	transport, _ := newTestTransport(time.Second)
+	r := transport.RoundTrip(t.Context(), newAttempt(slow, "GET", ""))
 	if s := r.Reply.(*response); len(s.body) != 1000 { // what a chunk in the making has so far is there for the client
 		t.Errorf("%d bytes of a chunk that is still coming", len(s.body))
 	}
 	close(halves)
 	p, _ := startScriptedServer(t, sized+big)
-	k, l := newTestTransport(time.Second)
-	k.RoundTrip(t.Context(), newAttempt(p, "GET", "")).Reply.(routing.Releaser).Release()
+	transport, l := newTestTransport(time.Second)
+	transport.RoundTrip(t.Context(), newAttempt(p, "GET", "")).Reply.(routing.Releaser).Release()
 	l.waitFor("connection ended", "reason=called-off")
-	if k.Conns() != 0 {
-		t.Error("a dropped answer holds its connection")
+	if transport.Conns() != 0 {
+		t.Error("a released response holds its connection")
 	}
 }
 
-// TestBrokenLongResponses: a client can tell that a long answer is not whole, and the connection that brought it
+// TestBrokenLongResponses: a client can tell that a long response is incomplete, and the connection that brought it
 // carries nothing more.
 func TestBrokenLongResponses(t *testing.T) {
 	big := strings.Repeat("x", 200<<10)
-	const sized, chunks = "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	const sized = "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n"
+	const chunks = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	const fields = "\r\nA: b\r\nA: c\r\nConnection: close\r\n\r\n"
+	chunk := "32000\r\n" + big + "\r\n"
+	endless := strings.Repeat("a: b\r\n", maxResponseHead)
 	for name, c := range map[string]struct {
 		raw, reason string
 		whole       bool
 	}{
 		"cut short":               {sized + big, "peer-closed", false},
-		"no last chunk":           {chunks + "32000\r\n" + big + "\r\n", "peer-closed", false},
-		"a chunk that is none":    {chunks + "32000\r\n" + big + "\r\nzz\r\n", "spoilt", false},
-		"an endless trailer":      {chunks + "32000\r\n" + big + "\r\n0\r\n" + strings.Repeat("a: b\r\n", maxResponseHead), "spoilt", false},
-		"a trailer cut short":     {chunks + "32000\r\n" + big + "\r\n0\r\na: b\r\n", "peer-closed", false},
-		"in two fields of a name": {strings.Replace(chunks, "\r\n\r\n", "\r\nA: b\r\nA: c\r\nConnection: close\r\n\r\n", 1) + "32000\r\n" + big + "\r\n0\r\n\r\n", "peer-asked", true},
+		"no last chunk":           {chunks + chunk, "peer-closed", false},
+		"a chunk that is none":    {chunks + chunk + "zz\r\n", "spoilt", false},
+		"an endless trailer":      {chunks + chunk + "0\r\n" + endless, "spoilt", false},
+		"a trailer cut short":     {chunks + chunk + "0\r\na: b\r\n", "peer-closed", false},
+		"in two fields of a name": {strings.Replace(chunks, "\r\n\r\n", fields, 1) + chunk + "0\r\n\r\n", "peer-asked", true},
 	} {
 		p := startServer(t, func(conn net.Conn) {
 			http.ReadRequest(bufio.NewReader(conn))
@@ -100,7 +104,7 @@
 			conn.(*net.TCPConn).CloseWrite()
 			io.Copy(io.Discard, conn)
 		})
-		addr, _, k, log, _ := newFrontendOverTransport(t, p, 10)
+		addr, _, transport, log, _ := newFrontendOverTransport(t, p, 10)
 		conn := dialClient(t, addr)
 		io.WriteString(conn, callHead+"Content-Length: 0\r\n\r\n")
 		resp, err := http.ReadResponse(conn.in, nil)
@@ -115,14 +119,15 @@
 			t.Errorf("%s: %v", name, resp.Header)
 		}
 		line := log.waitFor("side=peer")
-		if !strings.Contains(line, "reason="+c.reason) && !strings.Contains(line, "reason=peer-closed") { // its end may come along
+		closed := strings.Contains(line, "reason=peer-closed") // its close may come along
+		if !strings.Contains(line, "reason="+c.reason) && !closed {
 			t.Errorf("%s: %s", name, line)
 		}
-		if n := k.Conns(); n != 0 {
+		if n := transport.Conns(); n != 0 {
 			t.Errorf("%s: %d connections are left", name, n)
 		}
 	}
-	p := startServer(t, func(conn net.Conn) { // one whose client has gone
+	p := startServer(t, func(conn net.Conn) { // one whose client has left
 		http.ReadRequest(bufio.NewReader(conn))
 		io.WriteString(conn, strings.Replace(sized, "300000", "60000000", 1)) // more than sockets hold
 		for err := error(nil); err == nil; {
@@ -135,13 +140,14 @@
 	conn.in.ReadByte()
 	conn.Conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
-	if line := log.waitFor("side=peer"); !strings.Contains(line, "reason=called-off") && !strings.Contains(line, "reason=reset") {
+	line := log.waitFor("side=peer")
+	if !strings.Contains(line, "reason=called-off") && !strings.Contains(line, "reason=reset") {
 		t.Error(line)
 	}
 }
 
-// TestTricklingAnswers: a long answer that comes slower than any known ends once its peer was waited for as long as
-// one that stands still; a client that takes it slowly costs it none of that.
+// TestTricklingAnswers: a long response that comes slower than any known is given up once its server was waited for
+// as long as one that stands still; the time that a slow client takes does not count.
 func TestTricklingAnswers(t *testing.T) {
 	const all = 300000
 	for name, c := range map[string]struct {
@@ -157,8 +163,8 @@
 				time.Sleep(time.Millisecond)
 			}
 		})
-		k, _ := newTestTransport(time.Second)
-		r := k.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
+		transport, _ := newTestTransport(time.Second)
+		r := transport.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
 		if r.Result != balancer.OK {
 			t.Fatal(name, r.Result)
 		}
@@ -168,10 +174,10 @@
 			n, err = rest.Read(b)
 			got += n
 		}
-		if (err == io.EOF) != c.whole || !c.whole && !errors.Is(err, os.ErrDeadlineExceeded) || c.whole && got != all {
+		if errors.Is(err, io.EOF) != c.whole || !c.whole && !errors.Is(err, os.ErrDeadlineExceeded) || c.whole && got != all {
 			t.Errorf("%s: %d bytes, then %v", name, got, err)
 		}
 		rest.finish("reset")
-		k.Close()
+		transport.Close()
 	}
 }
--- a/internal/transport/upload_test.go
+++ b/internal/transport/upload_test.go
@@ -15,20 +15,26 @@
 	"olivebridge/internal/routing"
 )
 
-// panicking is a body whose reading meets a fault of the program.
+// panickingBody is a body whose Read panics.
 type panickingBody struct{}
 
+// Read implements io.Reader.
 func (panickingBody) Read([]byte) (int, error) { panic("body") }
 
-// TestPanicInAnUpload: a fault while a long body goes on costs its call, not the node.
+// TestPanicInAnUpload: a panic while a long body goes on fails its call, and does not end the node.
 func TestPanicInAnUpload(t *testing.T) {
 	p := startServer(t, func(conn net.Conn) { io.Copy(io.Discard, conn) })
-	k, log := newTestTransport(time.Second)
+	transport, log := newTestTransport(time.Second)
 	addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
 		c.Payload.(*requestMessage).upload.body = panickingBody{}
-		r := k.RoundTrip(ctx, routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(time.Minute), Payload: c.Payload, OnBodySent: func() {}})
+		r := transport.RoundTrip(ctx, routing.Attempt{
+			Upstream:   p,
+			ExpiresAt:  time.Now().Add(time.Minute),
+			Payload:    c.Payload,
+			OnBodySent: func() {},
+		})
 		if r.Result != balancer.ConnectFailed {
-			t.Errorf("result %d of what was never whole", r.Result)
+			t.Errorf("result %d of what was never complete", r.Result)
 		}
 		return routing.Answer{Verdict: routing.Rejected, RetryAfter: time.Second}, true
 	})
@@ -38,11 +44,20 @@
 	log.waitFor("msg=panic", "in=upload")
 }
 
-// TestInterruptedUploads: a long body that does not come to its end, on either side, ends in an answer and in a
-// proof that it never ran, unless its peer has answered.
+// TestInterruptedUploads: a long body that does not come to its end, on either side, ends in a response and in a
+// proof that it never ran, unless its server has answered.
 func TestInterruptedUploads(t *testing.T) {
 	const sized = "Content-Length: 1000000\r\n\r\n"
+	const chunks = "Transfer-Encoding: chunked\r\n\r\n"
 	some := strings.Repeat("x", 100<<10)
+	badChunk := "19000\r\n" + some + "\r\nzz\r\n"
+	discard := func(conn net.Conn) { io.Copy(io.Discard, conn) }
+	sendEndless := func(client *testClient) {
+		part := fmt.Sprintf("%x\r\n%s\r\n", len(some), some)
+		for err := error(nil); err == nil; {
+			_, err = io.WriteString(client, part)
+		}
+	}
 	reads := func(n int, answer string) func(net.Conn) {
 		return func(conn net.Conn) {
 			in := bufio.NewReader(conn)
@@ -57,7 +72,8 @@
 		}
 	}
 	const early = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nearly"
-	const turned = "HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
+	const failed = "HTTP/1.1 503 X\r\nX: 1\r\nContent-Length: 0\r\n\r\n"
+	const rejected = "HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
 		peer   func(net.Conn)
 		raw    string
@@ -66,19 +82,13 @@
 		result balancer.Result
 	}{
 		"the peer answers early": {reads(1000, early), sized + some, nil, 200, balancer.OK},
-		"the peer turns it away": {reads(1000, turned), sized + some, nil, 503, balancer.Rejected},
-		"the peer fails early":   {reads(1000, strings.Replace(turned, "X-Rejected", "X", 1)), sized + some, nil, 503, balancer.ConnectFailed},
+		"the peer turns it away": {reads(1000, rejected), sized + some, nil, 503, balancer.Rejected},
+		"the peer fails early":   {reads(1000, failed), sized + some, nil, 503, balancer.ConnectFailed},
 		"the peer closes":        {reads(1000, ""), sized + some, nil, 503, balancer.ConnectFailed},
-		"chunks that are none":   {reads(1<<20, early), "Transfer-Encoding: chunked\r\n\r\n19000\r\n" + some + "\r\nzz\r\n", nil, 400, balancer.NotSent},
-		"beyond all bounds": {func(conn net.Conn) { io.Copy(io.Discard, conn) }, "Transfer-Encoding: chunked\r\n\r\n", func(k *testClient) {
-			for part := fmt.Sprintf("%x\r\n%s\r\n", len(some), some); ; {
-				if _, err := io.WriteString(k, part); err != nil {
-					return
-				}
-			}
-		}, 413, balancer.NotSent},
+		"chunks that are none":   {reads(1<<20, early), chunks + badChunk, nil, 400, balancer.NotSent},
+		"beyond all bounds":      {discard, chunks, sendEndless, 413, balancer.NotSent},
 	} {
-		addr, _, k, _, results := newFrontendOverTransport(t, startServer(t, c.peer), 10)
+		addr, _, transport, _, results := newFrontendOverTransport(t, startServer(t, c.peer), 10)
 		conn := dialClient(t, addr)
 		go func() {
 			io.WriteString(conn, callHead+c.raw)
@@ -92,41 +102,43 @@
 			continue
 		}
 		if r := <-results; resp.StatusCode != c.status || r != c.result || !resp.Close {
-			t.Errorf("%s: status %d, result %d, want %d and %d; close: %v", name, resp.StatusCode, r, c.status, c.result, resp.Close)
+			t.Errorf("%s: status %d, result %d, want %d and %d; close: %v",
+				name, resp.StatusCode, r, c.status, c.result, resp.Close)
 		}
 		conn.Close()
-		for k.Conns() > 0 { // what it used is let go
+		for transport.Conns() > 0 { // what it used is let go
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// TestUploadSentOnce: a second try of a long body is never sent, and one whose call has ended before its connection
-// was there reads none of it.
+// TestUploadSentOnce: a second attempt of a long body is never sent, and one whose call has ended before its
+// connection was up reads none of it.
 func TestUploadSentOnce(t *testing.T) {
 	p := startServer(t, func(conn net.Conn) { io.Copy(io.Discard, conn) })
-	k, _ := newTestTransport(time.Second)
+	transport, _ := newTestTransport(time.Second)
 	addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
 		ended, stop := context.WithCancelCause(ctx)
 		try := routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(time.Minute), Payload: c.Payload, OnBodySent: func() {}}
 		time.AfterFunc(20*time.Millisecond, func() { stop(routing.ErrCancelled) })
 		for i, want := range []balancer.Result{balancer.NotSent, balancer.NotSent} {
-			if r := k.RoundTrip(ended, try); r.Result != want {
-				t.Errorf("try %d: %d", i, r.Result)
+			if r := transport.RoundTrip(ended, try); r.Result != want {
+				t.Errorf("attempt %d: %d", i, r.Result)
 			}
 		}
-		if r := k.RoundTrip(ctx, try); r.Result != balancer.NotSent { // it has a connection, and no body
+		if r := transport.RoundTrip(ctx, try); r.Result != balancer.NotSent { // it has a connection, and no body
 			t.Errorf("once more: %d", r.Result)
 		}
 		return routing.Answer{Verdict: routing.Failed}, true
 	})
-	if resp, _ := dialClient(t, addr).roundTrip(t, callHead+"Content-Length: 1000000\r\n\r\n"+strings.Repeat("x", 80<<10)); resp.StatusCode != 502 {
+	raw := callHead + "Content-Length: 1000000\r\n\r\n" + strings.Repeat("x", 80<<10)
+	if resp, _ := dialClient(t, addr).roundTrip(t, raw); resp.StatusCode != 502 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
 
-// slowReturn is a connection whose write of a body's last bytes returns only once an answer has been read and has had
-// time to end what is read of the body's client.
+// slowWriteConn is a connection whose write of a body's last bytes returns only once a response has been read and
+// has had time to end the reading of the body.
 type slowWriteConn struct {
 	Conn
 	last     string
@@ -134,6 +146,7 @@
 	ended    <-chan struct{}
 }
 
+// Write implements net.Conn.
 func (c *slowWriteConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	if strings.HasSuffix(string(b), c.last) {
@@ -146,14 +159,15 @@
 	return n, err
 }
 
+// Read implements net.Conn.
 func (c *slowWriteConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.answered <- true
 	return n, err
 }
 
-// TestResponseBeforeWriteReturns: a peer answers a long body as its last byte comes, before the write of that has
-// returned here. Its client has not gone, and gets the answer.
+// TestResponseBeforeWriteReturns: a server answers a long body as its last byte comes, before the write of that has
+// returned here. Its client has not left, and gets the response.
 func TestResponseBeforeWriteReturns(t *testing.T) {
 	body := strings.Repeat("x", 100000) + "end"
 	for last, raw := range map[string]string{
@@ -170,13 +184,18 @@
 			io.Copy(io.Discard, conn)
 		})
 		addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
-			k, _ := newTestTransport(time.Minute)
-			k.pool.dial = func(dialing context.Context, addr string) (net.Conn, error) {
+			transport, _ := newTestTransport(time.Minute)
+			transport.pool.dial = func(dialing context.Context, addr string) (net.Conn, error) {
 				conn, err := Dialer(nil).dial(dialing, addr)
 				return &slowWriteConn{conn, last, make(chan bool, 9), ctx.Done()}, err
 			}
-			r := k.RoundTrip(ctx, routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(time.Minute), Payload: call.Payload,
-				BodyTimeout: time.Minute, OnBodySent: func() {}})
+			r := transport.RoundTrip(ctx, routing.Attempt{
+				Upstream:    p,
+				ExpiresAt:   time.Now().Add(time.Minute),
+				Payload:     call.Payload,
+				BodyTimeout: time.Minute,
+				OnBodySent:  func() {},
+			})
 			return routing.Answer{Reply: r.Reply}, ctx.Err() == nil
 		})
 		if resp, _ := dialClient(t, addr).roundTrip(t, callHead+raw); resp.StatusCode != 200 {
--- a/internal/transport/upstream_pool_test.go
+++ b/internal/transport/upstream_pool_test.go
@@ -20,8 +20,8 @@
 	"olivebridge/internal/routing"
 )
 
-// TestSurplusBytesRetireConnection: with bytes behind its answer a connection carries no other try,
-// however late they come. http.Transport fails this.
+// TestSurplusBytesRetireConnection: with bytes behind its response a connection carries no other attempt, however
+// late they come. http.Transport fails this.
 func TestSurplusBytesRetireConnection(t *testing.T) {
 	p := startServer(t, func(conn net.Conn) {
 		for in := bufio.NewReader(conn); ; {
@@ -33,8 +33,8 @@
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s%s", len(id), id, okResponse)
 		}
 	})
-	k, l := newTestTransport(time.Second)
-	k.pool.settleTime = settleTime
+	transport, l := newTestTransport(time.Second)
+	transport.pool.settleTime = settleTime
 	go func() {
 		for range l {
 		}
@@ -44,31 +44,32 @@
 		all.Go(func() {
 			for j := range 500 {
 				id := fmt.Sprintf("%d-%d", i, j)
-				if r := k.RoundTrip(t.Context(), newAttemptWithID(p, "GET", id, "")); r.Result != balancer.OK || string(r.Reply.(*response).body) != id {
+				r := transport.RoundTrip(t.Context(), newAttemptWithID(p, "GET", id, ""))
+				if r.Result != balancer.OK || string(r.Reply.(*response).body) != id {
 					t.Errorf("%s: %+v", id, r)
 				}
 			}
 		})
 	}
 	all.Wait()
-	// late: the bytes come while the connection lies idle
+	// late: the bytes come while the connection is idle
 	late := startServer(t, func(conn net.Conn) { io.WriteString(conn, okResponse); io.Copy(io.Discard, conn) })
-	c, err := k.pool.get(t.Context(), late, time.Now().Add(time.Minute))
+	c, err := transport.pool.get(t.Context(), late, time.Now().Add(time.Minute))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Read(make([]byte, 1)) // all of it is there
 	c.idleSince = time.Now().Add(-settleTime)
-	k.pool.mu.Lock()
-	k.pool.idle[late] = []*upstreamConn{c}
-	k.pool.mu.Unlock()
-	if again, err := k.pool.get(t.Context(), late, time.Now().Add(time.Minute)); err != nil || again == c {
+	transport.pool.mu.Lock()
+	transport.pool.idle[late] = []*upstreamConn{c}
+	transport.pool.mu.Unlock()
+	if again, err := transport.pool.get(t.Context(), late, time.Now().Add(time.Minute)); err != nil || again == c {
 		t.Errorf("%v: the same connection: %v", err, again == c)
 	}
 }
 
-// TestLateSecondResponse: a second answer is known to come some milliseconds behind the first, so no request may
-// reach a connection sooner than that: the answer would be taken for its own.
+// TestLateSecondResponse: a second response is known to come some milliseconds behind the first, so no request may
+// reach a connection sooner than that: the response would be taken for its own.
 func TestLateSecondResponse(t *testing.T) {
 	const late = 10 * time.Millisecond
 	again := make(chan time.Duration, 1000)
@@ -85,15 +86,15 @@
 			io.WriteString(conn, okResponse)
 		}
 	})
-	k, _ := newTestTransport(time.Second)
-	k.pool.settleTime = settleTime
+	transport, _ := newTestTransport(time.Second)
+	transport.pool.settleTime = settleTime
 	for len(again) < 10 {
-		if r := k.RoundTrip(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.OK {
+		if r := transport.RoundTrip(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.OK {
 			t.Fatal(r.Result)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	k.Close()
+	transport.Close()
 	for range len(again) {
 		if after := <-again; after < late {
 			t.Errorf("a request came %v after the answer before it", after)
@@ -101,79 +102,86 @@
 	}
 }
 
-// TestConnectionsBelongToPeers: one to a peer that has left must not carry a
-// try for its successor at the same address.
+// TestConnectionsBelongToPeers: a connection to a server that has left must not carry an attempt for its successor
+// at the same address.
 func TestConnectionsBelongToPeers(t *testing.T) {
 	p, _ := startScriptedServer(t, okResponse, okResponse)
-	k, _ := newTestTransport(time.Second)
+	transport, _ := newTestTransport(time.Second)
 	for _, peer := range []*routing.Upstream{p, routing.NewUpstream(2, "s-2", p.Addr)} {
-		if r := k.RoundTrip(t.Context(), newAttempt(peer, "GET", "")); r.Result != balancer.OK || len(k.pool.idle[peer]) != 1 {
-			t.Errorf("%s: result %d, idle %v", peer.Name, r.Result, k.pool.idle)
+		r := transport.RoundTrip(t.Context(), newAttempt(peer, "GET", ""))
+		if r.Result != balancer.OK || len(transport.pool.idle[peer]) != 1 {
+			t.Errorf("%s: result %d, idle %v", peer.Name, r.Result, transport.pool.idle)
 		}
 	}
 }
 
-// TestIdleConnections are closed safely before the peer would: a request that
-// crosses its closing is lost.
+// TestIdleConnections: idle connections are closed safely before the server would close them: a request that
+// crosses its close is lost.
 func TestIdleConnections(t *testing.T) {
 	p, _ := startScriptedServer(t, okResponse)
 	l := make(logLines, 10)
-	k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Second, ServerIdleTimeout: 50 * time.Millisecond, MaxConns: 4, Log: l.logger()})
-	if k.pool.idleTimeout >= 40*time.Millisecond {
-		t.Errorf("idle for %v of 50 ms", k.pool.idleTimeout)
+	transport := NewUpstreamTransport(UpstreamConfig{
+		ConnectTimeout:    time.Second,
+		ServerIdleTimeout: 50 * time.Millisecond,
+		MaxConns:          4,
+		Log:               l.logger(),
+	})
+	if transport.pool.idleTimeout >= 40*time.Millisecond {
+		t.Errorf("idle for %v of 50 ms", transport.pool.idleTimeout)
 	}
-	k.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
+	transport.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
 	l.waitFor("side=peer", "reason=idle")
-	for k.Conns() > 0 { // the line comes just before it counts
+	for transport.Conns() > 0 { // the line comes just before it counts
 		runtime.Gosched()
 	}
-	k.pool.mu.Lock()
-	defer k.pool.mu.Unlock()
-	if len(k.pool.idle) != 0 {
-		t.Errorf("idle after the last ended: %v", k.pool.idle)
+	transport.pool.mu.Lock()
+	defer transport.pool.mu.Unlock()
+	if len(transport.pool.idle) != 0 {
+		t.Errorf("idle after the last ended: %v", transport.pool.idle)
 	}
 }
 
-// TestIdleTimeShortened: a connection that has lain idle for longer than a reload allows carries no try, though the
-// sweep that would end it is still to come.
+// TestIdleTimeShortened: a connection that has been idle for longer than a reload allows carries no attempt, though
+// the sweep that would close it is still to come.
 func TestIdleTimeShortened(t *testing.T) {
 	p, _ := startScriptedServer(t, okResponse)
-	k, _ := newTestTransport(time.Second)
-	k.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
-	long := *k.config.Load()
+	transport, _ := newTestTransport(time.Second)
+	transport.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
+	long := *transport.config.Load()
 	short := long
 	short.ServerIdleTimeout = 1
-	k.Configure(short)
-	if c := k.pool.take(p); c != nil {
+	transport.Configure(short)
+	if c := transport.pool.take(p); c != nil {
 		t.Error("given out beyond its time")
 	}
-	k.Configure(long)
-	if c := k.pool.take(p); c == nil {
+	transport.Configure(long)
+	if c := transport.pool.take(p); c == nil {
 		t.Error("not given out within its time")
 	}
 }
 
-// TestUpstreamConnLimit: the descriptors run out before the node does, and
-// the try is known not to have run.
+// TestUpstreamConnLimit: at the limit an attempt is not sent, which is known, unless an idle connection makes room.
 func TestUpstreamConnLimit(t *testing.T) {
 	p, _ := startScriptedServer(t, okResponse, okResponse)
-	k, log := newTestTransport(time.Second)
-	k.pool.open = 10
-	if r := k.RoundTrip(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.NotSent || k.pool.open != 10 {
-		t.Errorf("result %d, %d connections", r.Result, k.pool.open)
+	transport, log := newTestTransport(time.Second)
+	transport.pool.open = 10
+	r := transport.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
+	if r.Result != balancer.NotSent || transport.pool.open != 10 {
+		t.Errorf("result %d, %d connections", r.Result, transport.pool.open)
 	}
-	k.pool.open = 9 // the next is the last, and makes room for another peer's once it is idle
+	transport.pool.open = 9 // the next is the last, and makes room for another peer's once it is idle
 	other, _ := startScriptedServer(t, okResponse)
 	for _, peer := range []*routing.Upstream{p, other} {
-		if r := k.RoundTrip(t.Context(), newAttempt(peer, "GET", "")); r.Result != balancer.OK || k.pool.open != 10 {
-			t.Errorf("result %d, %d connections", r.Result, k.pool.open)
+		r := transport.RoundTrip(t.Context(), newAttempt(peer, "GET", ""))
+		if r.Result != balancer.OK || transport.pool.open != 10 {
+			t.Errorf("result %d, %d connections", r.Result, transport.pool.open)
 		}
 	}
 	log.waitFor("side=peer", "addr="+p.Addr, "reason=idle")
 }
 
-// TestIdleConnectionReuse: within the bound, tries find the connections of those before
-// them. A pool too small for the load costs a handshake a try.
+// TestIdleConnectionReuse: within the limit, attempts find the connections of those before them. A pool too small
+// for the load costs a handshake an attempt.
 func TestIdleConnectionReuse(t *testing.T) {
 	const most, load = 8, 6
 	var opened atomic.Int64
@@ -190,12 +198,17 @@
 		}
 	})
 	l := make(logLines, 100)
-	k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, MaxConns: most, Log: l.logger()})
-	k.pool.settleTime = 0
+	transport := NewUpstreamTransport(UpstreamConfig{
+		ConnectTimeout:    time.Second,
+		ServerIdleTimeout: time.Minute,
+		MaxConns:          most,
+		Log:               l.logger(),
+	})
+	transport.pool.settleTime = 0
 	for range 2 {
 		var tries sync.WaitGroup
 		for range load {
-			tries.Go(func() { k.RoundTrip(t.Context(), newAttempt(p, "GET", "")) })
+			tries.Go(func() { transport.RoundTrip(t.Context(), newAttempt(p, "GET", "")) })
 		}
 		for range load {
 			<-arrived
@@ -206,23 +219,28 @@
 		tries.Wait()
 	}
 	if n := opened.Load(); n != load {
-		t.Errorf("%d connections for %d tries at a time", n, load)
+		t.Errorf("%d connections for %d attempts at a time", n, load)
 	}
 }
 
-// TestOwnLackIsNoPeersFault: where this node lacks what a connection takes, nothing is said of the peer.
+// TestOwnLackIsNoPeersFault: where this node lacks what a connection takes, it says nothing of the server.
 func TestOwnLackIsNoPeersFault(t *testing.T) {
 	for _, err := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM} {
 		log := make(logLines, 10)
-		k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, MaxConns: 10, Log: log.logger(),
-			Dial: func(context.Context, string) (net.Conn, error) { return nil, os.NewSyscallError("socket", err) }})
+		transport := NewUpstreamTransport(UpstreamConfig{
+			ConnectTimeout:    time.Second,
+			ServerIdleTimeout: time.Minute,
+			MaxConns:          10,
+			Log:               log.logger(),
+			Dial:              func(context.Context, string) (net.Conn, error) { return nil, os.NewSyscallError("socket", err) },
+		})
 		p := routing.NewUpstream(1, "s-1", "a:1")
 		for range 3 {
-			if r := k.RoundTrip(t.Context(), newAttempt(p, "POST", "book")); r.Result != balancer.NotSent {
-				t.Errorf("%v: try: %d", err, r.Result)
+			if r := transport.RoundTrip(t.Context(), newAttempt(p, "POST", "book")); r.Result != balancer.NotSent {
+				t.Errorf("%v: attempt: %d", err, r.Result)
 			}
-			if r := k.CheckHealth(t.Context(), p); r != balancer.NotSent {
-				t.Errorf("%v: probe: %d", err, r)
+			if r := transport.CheckHealth(t.Context(), p); r != balancer.NotSent {
+				t.Errorf("%v: health check: %d", err, r)
 			}
 		}
 		if line := log.waitFor("no connection to peers"); !strings.Contains(line, err.Error()) || len(log) > 0 {
--- a/internal/transport/upstream_response_test.go
+++ b/internal/transport/upstream_response_test.go
@@ -14,19 +14,20 @@
 	"olivebridge/balancer"
 )
 
-// announced is a connection that tells when a read of it begins: whatever came before has been taken by then.
+// announcedConn is a connection that tells when a read of it begins: whatever came before has been taken by then.
 type announcedConn struct {
 	Conn
 	reads chan struct{}
 }
 
+// Read implements net.Conn.
 func (a announcedConn) Read(b []byte) (int, error) {
 	a.reads <- struct{}{}
 	return a.Conn.Read(b)
 }
 
-// cutting tries by a carrier whose one connection goes to a peer that gives the bytes of an answer, and ends when
-// the carrier has taken them and waits for more: by a reset, or in order.
+// tryCutResponse sends an attempt to a server that sends the bytes of a response, and closes the connection when the
+// transport has taken them and waits for more: by a reset, or in order.
 func tryCutResponse(t *testing.T, given string, reset bool) (try func() balancer.Result) {
 	t.Helper()
 	reads := make(chan struct{}, 100)
@@ -43,17 +44,23 @@
 			conn.(*net.TCPConn).SetLinger(0)
 		}
 	})
-	k := NewUpstreamTransport(UpstreamConfig{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, DrainGrace: time.Second, MaxConns: 1,
-		Log: make(logLines, 100).logger(), Dial: func(ctx context.Context, addr string) (net.Conn, error) {
+	transport := NewUpstreamTransport(UpstreamConfig{
+		ConnectTimeout:    time.Second,
+		ServerIdleTimeout: time.Minute,
+		DrainGrace:        time.Second,
+		MaxConns:          1,
+		Log:               make(logLines, 100).logger(),
+		Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 			conn, err := dialTCP(ctx, addr)
 			if err != nil {
 				return nil, err
 			}
 			c, err := wrapConn(conn)
 			return announcedConn{c, reads}, err
-		}})
+		},
+	})
 	return func() balancer.Result {
-		r := k.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
+		r := transport.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
 		if r.Reply == nil || r.Reply.(*response).stream == nil {
 			return r.Result
 		}
@@ -67,9 +74,9 @@
 	}
 }
 
-// TestCutResponses: an answer that its peer cuts is never taken for a whole one, wherever the cut falls, and its
-// try may have run. A reset is no end, also of an answer without length, which only an orderly end of the
-// connection makes whole.
+// TestCutResponses: a response that its server cuts is never taken for a complete one, wherever the cut falls, and
+// its attempt may have run. A reset is no end, also of a response without length, which only an orderly close of
+// the connection completes.
 func TestCutResponses(t *testing.T) {
 	const open = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 	const sized = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"
@@ -102,14 +109,14 @@
 	}
 }
 
-// TestResetIsSticky: the system tells a reset once; who reads on must not find an orderly end.
+// TestResetIsSticky: the system tells a reset once; who reads on must not find an orderly close.
 func TestResetIsSticky(t *testing.T) {
 	peer := startServer(t, func(conn net.Conn) {
 		io.ReadFull(conn, make([]byte, 1))
 		conn.(*net.TCPConn).SetLinger(0)
 	})
-	k, _ := newTestTransport(time.Second)
-	c, err := k.pool.get(t.Context(), peer, time.Now().Add(time.Minute))
+	transport, _ := newTestTransport(time.Second)
+	c, err := transport.pool.get(t.Context(), peer, time.Now().Add(time.Minute))
 	if err != nil {
 		t.Fatal(err)
 	}
