--- a/internal/transport/client_conns.go
+++ b/internal/transport/client_conns.go
@@ -151,7 +151,8 @@
 	cs.changed.Broadcast()
 }
 
-// connState is the http.Server's hook. It is told when a connection has carried its response.
+// connState is the http.Server's hook. http.Server calls it with StateIdle when a connection has carried its
+// response.
 func (cs *clientConns) connState(conn net.Conn, s http.ConnState) {
 	c, ok := conn.(*clientConn)
 	if !ok || s != http.StateIdle {
--- a/internal/transport/client_deadlines.go
+++ b/internal/transport/client_deadlines.go
@@ -6,7 +6,8 @@
 )
 
 // connDeadlines are the deadlines that http.Server sets on a client connection. It sets nine for one request and
-// waits for few of them, and each costs a timer: the connection is told of one only when a read is to wait.
+// waits for few of them, and each costs a timer: a read deadline is applied to the connection only when a read is
+// to wait.
 type connDeadlines struct {
 	mu sync.Mutex
 	// read is the read deadline that was set; zero: none.
--- a/internal/transport/client_read.go
+++ b/internal/transport/client_read.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// watchDelay is how long a call may be open before its client connection is watched for the client's leaving. Most
-// calls are answered by then. Until then an attempt that does not leave at once looks first: see hasLeft.
+// watchDelay is how long a call may be open before its client connection is watched for a disconnect. Most calls
+// are answered by then. Until then an attempt that is not sent at once looks first: see hasLeft.
 const watchDelay = 10 * time.Millisecond
 
 // Read implements net.Conn. Bytes are taken under the lock of conns, so that a close is decided either before them
@@ -28,7 +28,7 @@
 }
 
 // readLimit is how many of n bytes a read may take. While connections are drained it takes none behind the current
-// request: a client that always sends the next one ahead would be owed a response for ever.
+// request: a client that always sends the next one ahead would have to be answered for ever.
 func (c *clientConn) readLimit(n int) int {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
@@ -38,9 +38,9 @@
 	return n
 }
 
-// watchForClose waits, while a call is open, until its client has left. Bytes behind the call's request say nothing
-// of that. They are left to be read in their turn, since whatever is read is owed a response, however soon the
-// connection is to be closed.
+// watchForClose waits, while a call is open, until its client has disconnected. Bytes behind the call's request say
+// nothing of that. They are left to be read in their turn, since every request that is read must be answered,
+// however soon the connection is to be closed.
 func (c *clientConn) watchForClose() error {
 	for {
 		if _, err := c.readGated(nil); err != nil {
@@ -71,9 +71,9 @@
 	return n, err
 }
 
-// hasLeft implements presence. It finds a client that left behind bytes that nobody reads yet, too: those of a long
-// body whose call still waits, or of a further request. http.Server is told at once, unless it still reads the
-// body.
+// hasLeft implements presence. It finds a client that disconnected behind bytes that nobody reads yet, too: those
+// of a long body whose call still waits, or of a further request. http.Server notices at once, unless it still
+// reads the body.
 func (c *clientConn) hasLeft() bool {
 	n, err := c.Peek()
 	if errors.Is(err, syscall.EAGAIN) || n > 0 && !c.HasEnded() {
--- a/internal/transport/client_response.go
+++ b/internal/transport/client_response.go
@@ -108,7 +108,7 @@
 		f.streamResponse(w, c, p)
 		return
 	}
-	_, _ = w.Write(p.body) // an error is the client's leaving, which the connection's log line tells
+	_, _ = w.Write(p.body) // an error is the client's disconnect, which the connection's log line tells
 	p.freeBuffer()
 }
 
--- a/internal/transport/client_state.go
+++ b/internal/transport/client_state.go
@@ -29,7 +29,7 @@
 type clientState struct {
 	request requestPhase
 	close   closePhase
-	// nextStarted: a byte of the request behind the current one has been read. That request is owed a response, too.
+	// nextStarted: a byte of the request behind the current one has been read. That request must be answered, too.
 	nextStarted bool
 	// nextUnread: bytes of the request behind the current one wait to be read.
 	nextUnread bool
--- a/internal/transport/endpoint_poll.go
+++ b/internal/transport/endpoint_poll.go
@@ -17,13 +17,13 @@
 // errNoAnswer ends a watch none of whose requests has brought anything yet.
 var errNoAnswer = errors.New("upstream group: no answer")
 
-// poll asks discovery for what is newer than the version held, in as many requests as it takes: what it should have
-// told counts as told. It may hold the first request for so long.
+// poll asks discovery for what is newer than the version held, in as many requests as it takes: a change counts as
+// known to the node soon after it was due. Discovery may hold the first request for so long.
 //
-// A request that broke is repeated at once, on a new connection; one that discovery refused, which may have too
-// many in hand, after a pause. One that is late gets others beside it, which are not held, since a connection
-// fallen silent never tells. Once discovery has refused one, the backoff is the only pause behind all that bring
-// nothing. The first good list counts, but none of an older version: whether discovery has gone back, or that
+// A request that broke is repeated at once, on a new connection; one that discovery refused, which may be
+// overloaded, after a pause. Beside a late request others are sent, which are not held, since a silent connection
+// never tells that it is broken. Once discovery has refused one, the backoff is the only pause behind all that
+// bring nothing. The first good list counts, but none of an older version: whether discovery has gone back, or that
 // answer alone is stale, its complete list tells. After a fault no request is held for long.
 func (w *EndpointWatcher) poll(ctx context.Context, hold time.Duration) (routing.EndpointList, int64, error) {
 	ctx, stop := context.WithCancel(ctx)
--- a/internal/transport/endpoint_watcher.go
+++ b/internal/transport/endpoint_watcher.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	// defaultPollWait is how long discovery may hold a request. One that has fallen silent tells nothing until then, and
-	// what it should have told counts as told 2 s after that, so it stays short.
+	// defaultPollWait is how long discovery may hold a request. A request that has fallen silent tells nothing until
+	// then, and a change counts as known to the node 2 s after it was due, so the hold stays short.
 	defaultPollWait = 800 * time.Millisecond
-	// pollWaitPerNode is how often all nodes together may send a request: discovery serves them in turn, and has been
-	// seen to need 0.35 s for each and to refuse what is more.
+	// pollWaitPerNode is the time between two requests of all nodes together: discovery serves them one at a time,
+	// needs up to 0.35 s for each, and refuses what is more.
 	pollWaitPerNode = 400 * time.Millisecond
 	// maxPollWait is the longest hold, however many nodes there are.
 	maxPollWait = 2400 * time.Millisecond
@@ -38,18 +38,17 @@
 	// parallelPollAfter is how long a request that is not held may take before yet another is sent.
 	parallelPollAfter = 450 * time.Millisecond
 	// refusedPollAfter is how long a request may take once discovery has refused one before another is sent beside it.
-	// It has more requests than it can serve, and takes them in turn: it has been seen to let one wait for 2 s, and to
-	// refuse that one along with the next that its node sends meanwhile, so that a node that polls often is never served.
+	// A discovery with more requests than it can serve lets one wait for up to 2 s, and refuses it along with the next
+	// that its node sends meanwhile, so that a node that polls often would never be served.
 	refusedPollAfter = 2200 * time.Millisecond
-	// pollReadTimeout is how much later than its hold the end of an answer may come. Others are sent beside the request
-	// long before; it is for answers that trickle, and leaves more than half of the time in which a change is due.
+	// pollReadTimeout is how much later than its hold the end of an answer may come. Other requests are sent long
+	// before; it is for answers that trickle, and leaves more than half of the time in which a change is due.
 	pollReadTimeout = 2400 * time.Millisecond
-	// maxExtraPolls is how many requests may follow one that brings nothing before the watch ends. One of which discovery
-	// has refused a request is started again after the backoff that was due.
+	// maxExtraPolls is how many requests may follow one that brings nothing before the watch ends. After a refusal the
+	// next watch starts with the backoff that was due.
 	maxExtraPolls = 12
-	// minPollRetryPause is the pause before a broken request is repeated, from the second in a row on; it doubles up to
-	// pollLateAfter. Requests that all break in one moment of a fault would end the watch, and what discovery tells
-	// meanwhile counts as told.
+	// minPollRetryPause is the pause before a broken request is repeated, from the second in a row on; it doubles up
+	// to pollLateAfter. Without it all requests might break in one moment of a fault, which would end the watch.
 	minPollRetryPause = 25 * time.Millisecond
 	// watchConnectTimeout is how long a connection to discovery may take to come up.
 	watchConnectTimeout = time.Second
--- a/internal/transport/frontend.go
+++ b/internal/transport/frontend.go
@@ -16,8 +16,8 @@
 	"olivebridge/internal/routing"
 )
 
-// How long a client may take. One that sends nothing usable is owed an error or a close within 3 s of connecting, and
-// holds a descriptor for as long.
+// How long a client may take. One that sends nothing usable must get an error or a close within 3 s of connecting,
+// and holds a descriptor for as long.
 const (
 	// headTimeout is for a request's head. Some clients take two seconds.
 	headTimeout = 2600 * time.Millisecond
@@ -185,7 +185,7 @@
 func (f *Frontend) serveCall(w http.ResponseWriter, r *http.Request, c *clientConn, call routing.Call, target string) {
 	m := call.Payload.(*requestMessage)
 	if m.upload == nil {
-		// The request has come in time. net/http would take the end of that time for the client's leaving.
+		// The request has come in time. net/http would take the end of that time for a disconnect.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	}
 	// Guards the descriptors: no attempt, and room for the next call. Guards a shutdown, which would cut the call off.
--- a/internal/transport/idempotency.go
+++ b/internal/transport/idempotency.go
@@ -136,7 +136,7 @@
 		f.writeClaim(w, c, claim)
 		return
 	}
-	m.client = nil // nobody's leaving ends it
+	m.client = nil // a disconnect does not end it
 	a := f.handle(context.WithoutCancel(r.Context()), call)
 	claim.Finish(callOutcome(a))
 	m.release()
@@ -205,5 +205,5 @@
 	}
 	h.Set(headerWorkState, "kept")
 	w.WriteHeader(stored.Status)
-	_, _ = w.Write(stored.Body) // an error is the client's leaving, which the connection's log line tells
+	_, _ = w.Write(stored.Body) // an error is the client's disconnect, which the connection's log line tells
 }
--- a/internal/transport/linger.go
+++ b/internal/transport/linger.go
@@ -45,8 +45,8 @@
 }
 
 // startLingering says until when the connection may linger, and whether to discard the rest of a request. The time
-// is zero where nothing is owed: no response was written, or the time of the shutdown is over. A second close ends
-// the lingering.
+// is zero where it may not: no response was written, or the time of the shutdown is over. A second close ends the
+// lingering.
 func (c *clientConn) startLingering() (discard bool, until time.Time) {
 	cs := c.conns
 	cs.mu.Lock()
--- a/internal/transport/request_message.go
+++ b/internal/transport/request_message.go
@@ -12,14 +12,14 @@
 	"olivebridge/internal/protocol"
 )
 
-// immediateSend is how long after its call has come a first attempt leaves without a look at the client.
+// immediateSend is how long after its call has come a first attempt is sent without a look at the client.
 const immediateSend = 250 * time.Microsecond
 
 // maxBudgetLine is room for the longest line with a budget, and the empty line.
 const maxBudgetLine = len(protocol.HeaderTimeout) + len(": 3600.000\r\n\r\n")
 
 // requestMessage is a client's request as it is sent to servers; it is a call's payload. A buffer holds its head,
-// room for one attempt's head with the budget in it, and right behind that the body: an attempt leaves by one
+// room for one attempt's head with the budget in it, and right behind that the body: an attempt is sent by one
 // write, and no body is copied.
 //
 // The frontend and every attempt hold the message while they use it, and the last one gives the buffer back. Nobody
@@ -42,7 +42,7 @@
 	// roomTaken: an attempt that writes uses headRoom.
 	roomTaken atomic.Bool
 
-	// client is the client connection; nil: none whose leaving counts.
+	// client is the client connection; nil: a disconnect does not end the call.
 	client presence
 	// arrived is when the call came; zero: some time ago.
 	arrived time.Time
--- a/internal/transport/response_stream.go
+++ b/internal/transport/response_stream.go
@@ -129,7 +129,7 @@
 	case reason != reasonNone:
 		s.conn.closeFor(reason)
 	case s.closeAfter:
-		s.conn.closeFor(reasonPeerAsked)
+		s.conn.closeFor(reasonServerAsked)
 	case surplus:
 		s.conn.closeFor(reasonSurplus)
 	default:
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -97,9 +97,9 @@
 	return u.clientErr
 }
 
-// stopReading ends the reading of the body, unless all of it has been read, and waits for that. Behind the body
-// nothing is ended, since net/http watches for the client's leaving there: a server may answer before the write of
-// the last byte returns here.
+// stopReading ends the reading of the body, unless all of it has been read, and waits for that. Behind the body no
+// read is ended, since net/http watches for a disconnect there: a server may answer before the write of the last
+// byte returns here.
 func (u *upload) stopReading() {
 	if !u.bodyRead.Load() {
 		u.stopped.Store(true)
@@ -107,7 +107,7 @@
 	}
 	<-u.done
 	if u.bodyRead.Load() {
-		_ = u.conn.SetReadDeadline(time.Time{}) // net/http watches for the client's leaving
+		_ = u.conn.SetReadDeadline(time.Time{}) // net/http watches for a disconnect
 	}
 }
 
--- a/internal/transport/upstream_conn.go
+++ b/internal/transport/upstream_conn.go
@@ -14,8 +14,8 @@
 // upstreamConn is a connection to a server, or to the discovery service. One attempt at a time uses it.
 type upstreamConn struct {
 	Conn
-	log  *connLog
-	peer *routing.Upstream // nil: discovery
+	log    *connLog
+	server *routing.Upstream // nil: discovery
 	// idleSince is when it fell idle.
 	idleSince time.Time
 	// readErr is the error of a failed read: what came before it is incomplete. nil: none has failed.
@@ -31,7 +31,7 @@
 		return 0, c.readErr
 	}
 	n, err := c.Conn.Read(b)
-	c.log.noteReadError(err, reasonPeerClosed, reasonReset)
+	c.log.noteReadError(err, reasonServerClosed, reasonReset)
 	if err != nil {
 		c.readErr = err
 	}
@@ -63,7 +63,7 @@
 	case err != nil:
 		return reasonReset
 	case n == 0:
-		return reasonPeerClosed
+		return reasonServerClosed
 	default:
 		return reasonSurplus
 	}
--- a/internal/transport/upstream_pool.go
+++ b/internal/transport/upstream_pool.go
@@ -64,8 +64,8 @@
 }
 
 // get returns an idle connection, or a new one, which must be up by until.
-func (p *upstreamPool) get(ctx context.Context, peer *routing.Upstream, until time.Time) (*upstreamConn, error) {
-	for c := p.take(peer); c != nil; c = p.take(peer) {
+func (p *upstreamPool) get(ctx context.Context, server *routing.Upstream, until time.Time) (*upstreamConn, error) {
+	for c := p.take(server); c != nil; c = p.take(server) {
 		reason := c.staleReason()
 		if reason == reasonNone {
 			return c, nil
@@ -73,7 +73,7 @@
 		c.closeFor(reason)
 	}
 	for {
-		c, err := p.connect(ctx, peer, until)
+		c, err := p.connect(ctx, server, until)
 		if err == nil || ctx.Err() != nil || !isLocalShortage(err) || !p.evict() {
 			return c, err
 		}
@@ -81,33 +81,33 @@
 }
 
 // connect opens a new connection.
-func (p *upstreamPool) connect(ctx context.Context, peer *routing.Upstream, until time.Time) (*upstreamConn, error) {
+func (p *upstreamPool) connect(ctx context.Context, server *routing.Upstream, until time.Time) (*upstreamConn, error) {
 	timeout, ok := p.reserveConn()
 	if !ok {
 		return nil, errConnLimit
 	}
 	ctx, stop := context.WithTimeout(ctx, min(timeout, time.Until(until)))
 	defer stop()
-	conn, err := p.dial.dial(ctx, peer.Addr)
+	conn, err := p.dial.dial(ctx, server.Addr)
 	if err != nil {
 		p.releaseConn()
 		return nil, err
 	}
-	return &upstreamConn{Conn: conn, peer: peer, log: newConnLog(p.log, "peer", peer.Addr, p.releaseConn)}, nil
+	return &upstreamConn{Conn: conn, server: server, log: newConnLog(p.log, "peer", server.Addr, p.releaseConn)}, nil
 }
 
 // take takes the last used idle connection to a server that has settled, and has not been idle for too long; nil if
 // there is none. The sweep may be late for that, or still go by the timeout before a reload.
-func (p *upstreamPool) take(peer *routing.Upstream) *upstreamConn {
+func (p *upstreamPool) take(server *routing.Upstream) *upstreamConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[peer]
+	list := p.idle[server]
 	now := time.Now()
 	for i := len(list) - 1; i >= 0; i-- {
 		c := list[i]
 		idle := now.Sub(c.idleSince)
 		if idle >= p.settleTime && idle < p.idleTimeout {
-			p.idle[peer] = slices.Delete(list, i, i+1)
+			p.idle[server] = slices.Delete(list, i, i+1)
 			return c
 		}
 	}
@@ -129,7 +129,7 @@
 		return false
 	}
 	c.idleSince = time.Now()
-	p.idle[c.peer] = append(p.idle[c.peer], c)
+	p.idle[c.server] = append(p.idle[c.server], c)
 	if p.sweeper == nil {
 		p.scheduleSweep()
 	}
@@ -181,7 +181,7 @@
 		}
 	}
 	if oldest != nil {
-		p.idle[oldest.peer] = slices.Delete(p.idle[oldest.peer], 0, 1)
+		p.idle[oldest.server] = slices.Delete(p.idle[oldest.server], 0, 1)
 	}
 	p.mu.Unlock()
 	if oldest == nil {
@@ -227,7 +227,7 @@
 func (p *upstreamPool) closeMatching(match func(*upstreamConn) closeReason) {
 	ended := map[*upstreamConn]closeReason{}
 	p.mu.Lock()
-	for peer, list := range p.idle {
+	for server, list := range p.idle {
 		list = slices.DeleteFunc(list, func(c *upstreamConn) bool {
 			reason := match(c)
 			if reason != reasonNone {
@@ -235,9 +235,9 @@
 			}
 			return reason != reasonNone
 		})
-		p.idle[peer] = list
+		p.idle[server] = list
 		if len(list) == 0 {
-			delete(p.idle, peer)
+			delete(p.idle, server)
 		}
 	}
 	p.mu.Unlock()
--- a/internal/transport/upstream_response.go
+++ b/internal/transport/upstream_response.go
@@ -16,7 +16,7 @@
 
 // errMalformedResponse marks a response that breaks HTTP/1.1 or its own framing. The server may have run its
 // attempt, and its connection is of no further use.
-var errMalformedResponse = errors.New("spoilt answer")
+var errMalformedResponse = errors.New("malformed response")
 
 // errResponseTooLarge is a malformed response that exceeds what a response may have.
 var errResponseTooLarge = fmt.Errorf("%w: too long", errMalformedResponse)
@@ -56,7 +56,7 @@
 		case r.status >= http.StatusOK:
 			return r, r.readBody(conn, reader, buffers, until)
 		case r.length > 0 || r.chunked:
-			return r, malformedResponse("a body ahead of the answer")
+			return r, malformedResponse("a body in a 1xx response")
 		}
 	}
 }
--- a/internal/transport/upstream_transport.go
+++ b/internal/transport/upstream_transport.go
@@ -184,7 +184,7 @@
 	case surplus: // guards the next call: it may be taken for its response
 		conn.closeFor(reasonSurplus)
 	case r.closeAfter:
-		conn.closeFor(reasonPeerAsked)
+		conn.closeFor(reasonServerAsked)
 	case !undisturbed:
 		conn.closeFor(reasonCalledOff)
 	default:
@@ -201,7 +201,7 @@
 // putConn puts a connection back that carries nothing, unless its request is still being sent.
 func (t *UpstreamTransport) putConn(c *upstreamConn) {
 	if c.upload != nil && !c.upload.bodySent.Load() {
-		c.closeFor(reasonPeerAsked) // by answering early
+		c.closeFor(reasonServerAsked) // by answering early
 		return
 	}
 	c.upload = nil
--- a/internal/transport/upstream_transport_test.go
+++ b/internal/transport/upstream_transport_test.go
@@ -207,7 +207,7 @@
 		transport, l := newTestTransport(time.Second)
 		p := routing.NewUpstream(1, "", "")
 		connLog := newConnLog(l.logger(), "peer", "", transport.pool.releaseConn)
-		transport.pool.put(&upstreamConn{Conn: pipeConn{near}, peer: p, log: connLog})
+		transport.pool.put(&upstreamConn{Conn: pipeConn{near}, server: p, log: connLog})
 		go func() {
 			if whole {
 				http.ReadRequest(bufio.NewReader(far))
