--- a/internal/transport/upstream_conn.go
+++ b/internal/transport/upstream_conn.go
@@ -14,8 +14,8 @@
 // upstreamConn is a connection to a server, or to the discovery service. One attempt at a time uses it.
 type upstreamConn struct {
 	Conn
-	log  *connLog
-	peer *routing.Upstream // nil: discovery
+	log    *connLog
+	server *routing.Upstream // nil: discovery
 	// idleSince is when it fell idle.
 	idleSince time.Time
 	// readErr is the error of a failed read: what came before it is incomplete. nil: none has failed.
@@ -31,7 +31,7 @@
 		return 0, c.readErr
 	}
 	n, err := c.Conn.Read(b)
-	c.log.noteReadError(err, reasonPeerClosed, reasonReset)
+	c.log.noteReadError(err, reasonServerClosed, reasonReset)
 	if err != nil {
 		c.readErr = err
 	}
@@ -63,7 +63,7 @@
 	case err != nil:
 		return reasonReset
 	case n == 0:
-		return reasonPeerClosed
+		return reasonServerClosed
 	default:
 		return reasonSurplus
 	}
@@ -135,7 +135,8 @@
 
 // attemptContext is an attempt's context, which needs no goroutine to tell its end.
 type attemptContext interface {
-	// InterruptOnDone has i interrupted when the context ends; nil: nobody any more. It reports whether the context goes on.
+	// InterruptOnDone has i interrupted when the context ends; nil: nobody any more. It reports whether the context
+	// goes on.
 	InterruptOnDone(i routing.Interrupter) (goesOn bool)
 }
 
--- a/internal/transport/upstream_transport.go
+++ b/internal/transport/upstream_transport.go
@@ -80,8 +80,8 @@
 // Conns counts the connections to servers, those being opened included.
 func (t *UpstreamTransport) Conns() int { return t.pool.count() }
 
-// RoundTrip implements routing.Transport. It blocks until the attempt has ended, or the first part of a long response is
-// there.
+// RoundTrip implements routing.Transport. It blocks until the attempt has ended, or the first part of a long
+// response is there.
 func (t *UpstreamTransport) RoundTrip(ctx context.Context, attempt routing.Attempt) routing.AttemptResult {
 	m, ok := attempt.Payload.(*requestMessage)
 	if !ok || !m.hold() { // its frontend has released it: the call is over
@@ -184,7 +184,7 @@
 	case surplus: // guards the next call: it may be taken for its response
 		conn.closeFor(reasonSurplus)
 	case r.closeAfter:
-		conn.closeFor(reasonPeerAsked)
+		conn.closeFor(reasonServerAsked)
 	case !undisturbed:
 		conn.closeFor(reasonCalledOff)
 	default:
@@ -201,7 +201,7 @@
 // putConn puts a connection back that carries nothing, unless its request is still being sent.
 func (t *UpstreamTransport) putConn(c *upstreamConn) {
 	if c.upload != nil && !c.upload.bodySent.Load() {
-		c.closeFor(reasonPeerAsked) // by answering early
+		c.closeFor(reasonServerAsked) // by answering early
 		return
 	}
 	c.upload = nil
