--- a/internal/lab/fleet/members_events.go
+++ b/internal/lab/fleet/members_events.go
@@ -17,13 +17,13 @@
 func changesNothing(what string) bool {
 	switch what {
 	case "upgrade", "upgraded", "directory full", "directory unwritable", "directory foreign", "directory torn",
-		"directory emptied", "refused", "moves", "clock wrong":
+		"directory emptied", "refused", "moves", eventClockWrong:
 		return true
 	}
 	return false
 }
 
-func (j *judge) applyEvent(e Happened) {
+func (j *judge) applyEvent(e Event) {
 	before := j.truth.nodes[e.Node]
 	wasLeaving := before != nil && before.leaving
 	j.truth.apply(e)
@@ -39,9 +39,9 @@
 		return
 	}
 	switch e.What {
-	case "cut":
+	case eventCut:
 		j.noteCut(e)
-	case "cut healed":
+	case eventCutHealed:
 		j.noteHealed(e)
 	default:
 		j.node(e.Node).apply(e, wasLeaving)
@@ -50,9 +50,9 @@
 }
 
 // apply notes what happened to the node.
-func (n *nodeHistory) apply(e Happened, wasLeaving bool) {
+func (n *nodeHistory) apply(e Event, wasLeaving bool) {
 	switch e.What {
-	case "killed":
+	case eventKilled:
 		n.leftAsPlanned = false
 		n.endedAt = e.At
 		if wasLeaving { // it may have said that it had left
@@ -64,19 +64,19 @@
 		n.holder = 0
 		n.stopped = false
 		n.stoppedAt = 0
-	case "ended":
+	case eventEnded:
 		n.leftAsPlanned = true
 		n.endedAt = e.At
 		n.holder = 0
-	case "started":
+	case eventStarted:
 		n.killed = false
 		n.view = nil
-	case "twin killed":
+	case eventStrangerKilled:
 		n.strangerUntil = e.At + calmFor // the last that was heard of it is reported for a while
-	case "stopped":
+	case eventStopped:
 		n.stopped = true
 		n.stoppedAt = e.At
-	case "goes on":
+	case eventResumed:
 		n.wasStoppedBriefly = e.At-n.stoppedAt <= briefStop
 		n.stopped = false
 		n.stoppedAt = 0
@@ -86,7 +86,7 @@
 	}
 }
 
-func (j *judge) noteCut(e Happened) {
+func (j *judge) noteCut(e Event) {
 	for _, from := range e.From {
 		for _, to := range e.To {
 			j.cutAt[nodePair{from, to}] = e.At
@@ -94,10 +94,10 @@
 	}
 }
 
-func (j *judge) noteHealed(e Happened) {
+func (j *judge) noteHealed(e Event) {
 	for _, from := range e.From {
 		for _, to := range e.To {
-			if j.truth.open(from, to) {
+			if j.truth.isOpen(from, to) {
 				delete(j.cutAt, nodePair{from, to})
 			}
 		}
@@ -105,8 +105,8 @@
 }
 
 // noteChange notes that views have something to follow from now on.
-func (j *judge) noteChange(e Happened) {
-	if e.What != "serves" && e.What != "told SIGTERM" && j.changedAt > 0 {
+func (j *judge) noteChange(e Event) {
+	if e.What != eventServes && e.What != eventTerminated && j.changedAt > 0 {
 		j.result.Changes++
 		if !j.viewsAgree {
 			j.result.Unsettled++
@@ -118,8 +118,8 @@
 			j.node(name).undisturbedSince = e.At
 		}
 	}
-	recovers := e.What == "cut healed" || e.What == "ail over" || e.What == "goes on"
-	if !j.truth.whole() || j.anyStopped() || recovers {
+	recovers := e.What == eventCutHealed || e.What == eventImpairmentOver || e.What == eventResumed
+	if !j.truth.isIntact() || j.anyStopped() || recovers {
 		j.disturbedAt = e.At
 	}
 	j.checkAgreement(e.At)
--- a/internal/lab/fleet/signals.go
+++ b/internal/lab/fleet/signals.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// signalsEach is how often a peer is asked by all processes together: each process meets each peer once in two seconds where
-	// there are ten, so that what one learns alone comes late.
+	// signalsEach is how often a peer is asked by all processes together: each process meets each peer once in two seconds
+	// where there are ten, so that what one learns alone comes late.
 	signalsEach = 5.0
 	// signalWitnesses is on how many others' word a peer is left alone.
 	signalWitnesses = 2
@@ -33,10 +33,10 @@
 	return 0
 }
 
-// signalsWorld is choicesWorld, thinly asked.
-func signalsWorld(peers int) func(seed uint64, nodes int, length time.Duration) *fault.Script {
+// signalsQuietScript is choicesWorld, thinly asked.
+func signalsQuietScript(peers int) func(seed uint64, nodes int, length time.Duration) *fault.Script {
 	return func(seed uint64, nodes int, length time.Duration) *fault.Script {
-		s := choicesWorld(peers)(seed, nodes, length)
+		s := choicesQuietScript(peers)(seed, nodes, length)
 		for i := range s.World.Clients {
 			s.World.Clients[i].Rate *= signalsEach / choicesEach
 		}
@@ -44,13 +44,13 @@
 	}
 }
 
-// signalsDrama lets peers die and fall silent, one in ten at a time.
-func signalsDrama(peers int) func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
+// signalsDemoScript lets peers die and fall silent, one in ten at a time.
+func signalsDemoScript(peers int) func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 		if length < 25*time.Second {
 			return nil, fmt.Errorf("%v: at least 25s are wanted", length)
 		}
-		s := signalsWorld(peers)(seed, nodes, length)
+		s := signalsQuietScript(peers)(seed, nodes, length)
 		g := figure.Stream(seed, "drama")
 		for i, at := 0, signalsFrom; at+9*time.Second <= length; i, at = i+1, at+17*time.Second {
 			var some []string
@@ -63,40 +63,40 @@
 	}
 }
 
-// SignalsSubject is what processes tell each other of so many peers; 0 witnesses: they tell nothing.
-func SignalsSubject(peers, witnesses int) Subject {
-	more := func(Says) string { return "" }
+// SignalsScenario is what processes tell each other of so many peers; 0 witnesses: they tell nothing.
+func SignalsScenario(peers, witnesses int) Scenario {
+	more := func(FileValues) string { return "" }
 	if witnesses > 0 {
-		more = func(Says) string { return fmt.Sprintf("\n[choices]\nwitnesses = %d\n", witnesses) }
+		more = func(FileValues) string { return fmt.Sprintf("\n[choices]\nwitnesses = %d\n", witnesses) }
 	}
 	draw := func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
-		drawn, err := choicesDraw(peers)(seed, nodes, length)
+		drawn, err := choicesRandomScript(peers)(seed, nodes, length)
 		if err != nil {
 			return nil, err
 		}
-		s := signalsWorld(peers)(seed, nodes, length)
+		s := signalsQuietScript(peers)(seed, nodes, length)
 		s.Faults = drawn.Faults
 		return s, s.Check()
 	}
-	return Subject{"signals", signalsDrama(peers), draw, signalsWorld(peers), nil, more,
+	return Scenario{"signals", signalsDemoScript(peers), draw, signalsQuietScript(peers), nil, more,
 		func(s *fault.Script, a *Account) Outcome { return JudgeSignals(s, a) }, nil, nil}
 }
 
 // Signals is what came of it.
 type Signals struct {
-	Nodes    int      `json:"nodes"`
-	Peers    int      `json:"peers"`
-	Seconds  float64  `json:"seconds"`
-	Dead     Times    `json:"dead_used_s"`   // from a peer's death to the last try to it, over all processes
-	DeadEach float64  `json:"dead_tries"`    // tries to a dead peer, the mean
-	Silent   Times    `json:"silent_used_s"` // the same of peers that fell silent, until the last try had failed
-	Quiet    float64  `json:"silent_tries"`
-	Back     Times    `json:"back_s"`    // from a dead peer's start to its first try
-	WrongOut int      `json:"wrong_out"` // sound peers that a process left alone, with fewer others that had failed with them
-	ByChance int      `json:"by_chance"` // sound peers that it left alone since others had: a busy machine, or lost answers
-	Probes   float64  `json:"probes_s"`  // that came to all peers
-	Doubts   int      `json:"doubts"`    // times that a process changed whom it leaves alone
-	Broken   []Broken `json:"broken"`
+	Nodes    int         `json:"nodes"`
+	Peers    int         `json:"peers"`
+	Seconds  float64     `json:"seconds"`
+	Dead     Times       `json:"dead_used_s"`   // from a peer's death to the last try to it, over all processes
+	DeadEach float64     `json:"dead_tries"`    // tries to a dead peer, the mean
+	Silent   Times       `json:"silent_used_s"` // the same of peers that fell silent, until the last try had failed
+	Quiet    float64     `json:"silent_tries"`
+	Back     Times       `json:"back_s"`    // from a dead peer's start to its first try
+	WrongOut int         `json:"wrong_out"` // sound peers that a process left alone, with fewer others that had failed with them
+	ByChance int         `json:"by_chance"` // sound peers that it left alone since others had: a busy machine, or lost answers
+	Probes   float64     `json:"probes_s"`  // that came to all peers
+	Doubts   int         `json:"doubts"`    // times that a process changed whom it leaves alone
+	Broken   []Violation `json:"broken"`
 }
 
 // ailing reports whether a peer had something to suffer just before an instant.
@@ -165,7 +165,7 @@
 					wrong[who] = true
 					m.WrongOut++
 					if len(m.Broken) < 20 {
-						m.Broken = append(m.Broken, Broken{"wrong", at - a.Begin, fmt.Sprintf("%s leaves %q alone, which is sound", l.Node, name)})
+						m.Broken = append(m.Broken, Violation{"wrong", at - a.Begin, fmt.Sprintf("%s leaves %q alone, which is sound", l.Node, name)})
 					}
 				}
 			}
@@ -180,7 +180,7 @@
 func (m *Signals) used(s *fault.Script, a *Account, failed map[string][]time.Duration) {
 	dead, silent := 0, 0
 	came := map[string][]time.Duration{}
-	for _, c := range a.Came {
+	for _, c := range a.Arrivals {
 		if !c.Done {
 			came[c.Peer] = append(came[c.Peer], c.At)
 		}
@@ -203,9 +203,9 @@
 	}
 	m.DeadEach /= float64(max(dead, 1))
 	m.Quiet /= float64(max(silent, 1))
-	m.Dead.done()
-	m.Silent.done()
-	m.Back.done()
+	m.Dead.summarize()
+	m.Silent.summarize()
+	m.Back.summarize()
 }
 
 // between counts the instants within a time, and adds how long it took until the last.
@@ -221,7 +221,7 @@
 }
 
 // Verdict are the rules that did not hold.
-func (m *Signals) Verdict() []Broken { return m.Broken }
+func (m *Signals) Verdict() []Violation { return m.Broken }
 
 // Text is the result for people.
 func (m *Signals) Text(*Account) string {
