--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -106,7 +106,8 @@
 }
 
 // TestDiscoveryIsPolledAgainInTime: however often calls fail and whatever the settings say, discovery is polled again
-// soon enough that what it tells then is taken in 6 s after it could be reached, with 3 s left for the call; and not at once.
+// soon enough that what it tells then is taken in 6 s after it could be reached, with 3 s left for the call; and not at
+// once.
 func TestDiscoveryIsPolledAgainInTime(t *testing.T) {
 	for _, every := range []time.Duration{
 		0, time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second, time.Hour,
