--- a/cmd/olivefleet/main.go
+++ b/cmd/olivefleet/main.go
@@ -1,4 +1,4 @@
-// Command olivefleet is one load-balancing node that knows of its fleet: the same node as olivebridge, which becomes
+// Command olivefleet is one load-balancing node that belongs to a fleet: the same node as olivebridge, which becomes
 // this program where its environment names a fleet file.
 package main
 
@@ -14,5 +14,5 @@
 	if os.Getenv(protocol.EnvFleet) == "" {
 		program.Fail(fmt.Errorf("variable %s is missing", protocol.EnvFleet))
 	}
-	program.Main(program.Options{NewFleet: enter})
+	program.Main(program.Options{NewFleet: newFleetNode})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -158,14 +158,14 @@
 		Log:          n.log,
 	}
 	if fleet := n.options.Fleet; fleet != nil {
-		router.Admission = fleet.Gate()
-		router.Subsets = fleet.Chooser()
+		router.Admission = fleet.AdmissionControl()
+		router.Subsets = fleet.SubsetSelector()
 	}
 	router.Watcher = n.newWatcher(c, c.KnownEndpointsVersion)
 	n.router = routing.New(router)
 	frontend.Handler = n.router
 	if fleet := n.options.Fleet; fleet != nil {
-		frontend.IdempotencyStore = fleet.Keeper()
+		frontend.IdempotencyStore = fleet.IdempotencyStore()
 	}
 	n.frontend = transport.NewFrontend(frontend)
 	n.attachServerControl()
--- a/internal/transport/frontend.go
+++ b/internal/transport/frontend.go
@@ -16,8 +16,8 @@
 	"olivebridge/internal/routing"
 )
 
-// How long a client may take. One that sends nothing usable is owed an error or a close within 3 s of connecting, and
-// holds a descriptor for as long.
+// How long a client may take. One that sends nothing usable must get an error or a close within 3 s of connecting,
+// and holds a descriptor for as long.
 const (
 	// headTimeout is for a request's head. Some clients take two seconds.
 	headTimeout = 2600 * time.Millisecond
@@ -41,8 +41,8 @@
 
 // CallHandler decides on calls: routing's first stage.
 type CallHandler interface {
-	// Handle handles a call and returns its answer, from the goroutine of the client connection. ok is false if the client
-	// left before there was one.
+	// Handle handles a call and returns its answer, from the goroutine of the client connection. ok is false if the
+	// client left before there was one.
 	Handle(ctx context.Context, c routing.Call) (a routing.Answer, ok bool)
 	// Ready reports whether the node may be sent clients.
 	Ready() bool
@@ -185,7 +185,7 @@
 func (f *Frontend) serveCall(w http.ResponseWriter, r *http.Request, c *clientConn, call routing.Call, target string) {
 	m := call.Payload.(*requestMessage)
 	if m.upload == nil {
-		// The request has come in time. net/http would take the end of that time for the client's leaving.
+		// The request has come in time. net/http would take the end of that time for a disconnect.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	}
 	// Guards the descriptors: no attempt, and room for the next call. Guards a shutdown, which would cut the call off.
--- a/internal/transport/response_stream.go
+++ b/internal/transport/response_stream.go
@@ -129,7 +129,7 @@
 	case reason != reasonNone:
 		s.conn.closeFor(reason)
 	case s.closeAfter:
-		s.conn.closeFor(reasonPeerAsked)
+		s.conn.closeFor(reasonServerAsked)
 	case surplus:
 		s.conn.closeFor(reasonSurplus)
 	default:
@@ -195,7 +195,7 @@
 		return 0, noEOF(err)
 	}
 	n, err := c.chunks.Read(b[:min(len(b), c.reader.Buffered())])
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		if trailerErr := skipTrailer(c.reader); trailerErr != nil {
 			err = noEOF(trailerErr)
 		}
