--- a/internal/lab/fleet/budget.go
+++ b/internal/lab/fleet/budget.go
@@ -59,7 +59,7 @@
 	if over > 1 {
 		report("over", overAt, "in %v, %.3f times what is allowed came to peers", window, over)
 	}
-	leases(a, report)
+	checkLeases(a, report)
 	b.Lent = make([]int, int(b.Seconds))
 	sum, sumAt := shareSum(a, allowed, b.Lent)
 	b.ShareSum = sum
@@ -70,7 +70,7 @@
 		b.Each = append(b.Each, int(counted(came, t, t+time.Second)))
 	}
 	b.measureUse(a, came)
-	b.shares(a)
+	b.measureShares(a)
 	b.checkReplaced(a, report)
 	if len(came) == 0 {
 		report("use", a.End, "nothing came to any peer")
--- a/internal/lab/fleet/budget_shares.go
+++ b/internal/lab/fleet/budget_shares.go
@@ -11,135 +11,192 @@
 	"olivebridge/internal/fleet/budget"
 )
 
-// leases holds each part's end at its holder against its end at the leader, by the one clock of the machine.
-func leases(a *Account, report reporter) {
-	ends := map[string]time.Duration{}
-	for _, l := range a.Lines {
-		var lent budget.GrantRecord
-		if l.Kind == "lends" && json.Unmarshal(l.Data, &lent) == nil {
-			ends[fmt.Sprintf("%s %d", lent.Holder, lent.Grant)] = time.Duration(lent.Until)
-		}
-	}
-	for _, l := range a.Lines {
-		var hs []budget.Holding
-		if l.Kind != "holds" || json.Unmarshal(l.Data, &hs) != nil || len(hs) == 0 || hs[0].Grant == 0 {
+// holding is what a process recorded of its share of the budget.
+type holding struct {
+	at    time.Duration
+	node  string
+	pid   int
+	share *budget.Holding // nil: it holds none
+}
+
+// holdings are those of all processes, in order.
+func holdings(a *Account) []holding {
+	var all []holding
+	for _, line := range a.Lines {
+		if line.Kind != "holds" {
 			continue
 		}
-		end, known := ends[fmt.Sprintf("%s %d", strings.TrimSuffix(l.Node, "~"), hs[0].Grant)]
-		if own := time.Duration(hs[0].Ends); known && hs[0].Left > 0 && own > end {
-			report("lease", time.Duration(l.At), "%s holds a part %.3fs longer than the leader counts it", l.Node, (own - end).Seconds())
+		one := holding{at: time.Duration(line.At), node: line.Node, pid: line.PID}
+		var shares []budget.Holding
+		if json.Unmarshal(line.Data, &shares) == nil && len(shares) > 0 {
+			one.share = &shares[0]
 		}
+		all = append(all, one)
 	}
+	return all
 }
 
-// usable is what one process may use, as it said last.
-type usable struct {
-	lent, reserve float64
-	until         time.Duration
+// processID names one process of a node.
+func processID(node string, pid int) string {
+	return fmt.Sprintf("%s %d", node, pid)
+}
+
+// grantKey names one grant to a node.
+type grantKey struct {
+	node  string
+	grant uint64
 }
 
-// shareSum is the greatest sum of all that processes could use at one instant: those that stood still, were cut off or
-// ended later than they knew, too. What was killed uses nothing.
-func shareSum(a *Account, allowed Allowance, each []int) (most float64, when time.Duration) {
-	type change struct {
-		at  time.Duration
-		who string
-		u   *usable // nil: look again
+// checkLeases holds each share's end at its holder against its end at the leader, by the one clock of the machine.
+func checkLeases(a *Account, report reporter) {
+	ends := map[grantKey]time.Duration{}
+	for _, line := range a.Lines {
+		var granted budget.GrantRecord
+		if line.Kind == "lends" && json.Unmarshal(line.Data, &granted) == nil {
+			ends[grantKey{granted.Holder, granted.Grant}] = time.Duration(granted.Until)
+		}
 	}
-	var all []change
-	for _, l := range a.Lines {
-		if l.Kind != "holds" {
+	for _, h := range holdings(a) {
+		if h.share == nil || h.share.Grant == 0 || h.share.Left <= 0 {
 			continue
 		}
-		u := &usable{}
-		var hs []budget.Holding
-		if json.Unmarshal(l.Data, &hs) == nil && len(hs) > 0 {
-			u = &usable{hs[0].Amount, hs[0].Reserve, time.Duration(hs[0].Ends)}
-		}
-		who := fmt.Sprintf("%s %d", l.Node, l.PID)
-		all = append(all, change{time.Duration(l.At), who, u}, change{at: u.until, who: who})
-	}
-	for _, e := range a.Events {
-		if e.PID != 0 && (e.What == eventKilled || e.What == eventEnded || e.What == eventStrangerKilled) {
-			name := e.Node
-			if e.What == eventStrangerKilled {
-				name += "~"
-			}
-			all = append(all, change{e.At, fmt.Sprintf("%s %d", name, e.PID), &usable{}})
+		end, known := ends[grantKey{strings.TrimSuffix(h.node, strangerMark), h.share.Grant}]
+		if own := time.Duration(h.share.Ends); known && own > end {
+			report("lease", h.at, "%s holds a part %.3fs longer than the leader counts it", h.node, (own - end).Seconds())
 		}
 	}
-	slices.SortStableFunc(all, func(x, y change) int { return int(x.at - y.at) })
-	have := map[string]*usable{}
-	for _, c := range all {
-		if c.u != nil {
-			have[c.who] = c.u
+}
+
+// usable is what one process may use, as it said last.
+type usable struct {
+	lent    float64
+	until   time.Duration // of what is lent
+	reserve float64
+}
+
+// usableChange is an instant at which what a process may use changes.
+type usableChange struct {
+	at      time.Duration
+	process string
+	usable  *usable // from then on; nil: what is lent to it ends
+}
+
+// shareSum is the greatest sum of all that processes could use at one instant, as a part of the whole: of those that
+// were stopped, were cut off or ended later than they knew, too. What was killed uses nothing. It notes the sum in
+// percent at the end of each second.
+func shareSum(a *Account, allowed Allowance, eachSecond []int) (most float64, when time.Duration) {
+	now := map[string]*usable{}
+	for _, change := range usableChanges(a) {
+		if change.usable != nil {
+			now[change.process] = change.usable
 		}
 		sum := 0.0
-		for _, u := range have {
-			if sum += u.reserve; c.at < u.until {
+		for _, u := range now {
+			sum += u.reserve
+			if change.at < u.until {
 				sum += u.lent
 			}
 		}
-		if s := int((c.at - a.Begin).Seconds()); c.at >= a.Begin && s < len(each) {
-			each[s] = int(math.Round(100 * sum / budgetRate))
+		if second := int((change.at - a.Begin).Seconds()); change.at >= a.Begin && second < len(eachSecond) {
+			eachSecond[second] = int(math.Round(100 * sum / budgetRate))
 		}
-		if part := sum / (budgetRate * allowed.at(c.at)); part > most && c.at <= a.End {
-			most, when = part, c.at
+		if part := sum / (budgetRate * allowed.at(change.at)); part > most && change.at <= a.End {
+			most, when = part, change.at
 		}
 	}
 	return most, when
 }
 
-// shares looks at the parts themselves: how fair they are, and how soon a newcomer has one.
-func (b *Budget) shares(a *Account) {
-	type holds struct {
-		at   time.Duration
-		node string
-		h    budget.Holding
+// usableChanges are those of all processes, in order.
+func usableChanges(a *Account) []usableChange {
+	var all []usableChange
+	for _, h := range holdings(a) {
+		u := &usable{}
+		if h.share != nil {
+			u = &usable{lent: h.share.Amount, until: time.Duration(h.share.Ends), reserve: h.share.Reserve}
+		}
+		process := processID(h.node, h.pid)
+		all = append(all,
+			usableChange{at: h.at, process: process, usable: u},
+			usableChange{at: u.until, process: process})
 	}
-	var all []holds
-	took := map[string]time.Duration{}
-	for _, l := range a.Lines {
-		switch l.Kind {
-		case "took":
-			took[fmt.Sprintf("%s %d", l.Node, l.PID)] = time.Duration(l.At)
-		case "keeps":
+	for _, e := range a.Events {
+		if e.PID == 0 {
+			continue
+		}
+		switch e.What {
+		case eventKilled, eventEnded:
+			all = append(all, usableChange{at: e.At, process: processID(e.Node, e.PID), usable: &usable{}})
+		case eventStrangerKilled:
+			all = append(all, usableChange{at: e.At, process: processID(e.Node+strangerMark, e.PID), usable: &usable{}})
+		}
+	}
+	slices.SortStableFunc(all, func(x, y usableChange) int { return int(x.at - y.at) })
+	return all
+}
+
+// measureShares measures how fair the shares are, and how soon a newcomer has one.
+func (b *Budget) measureShares(a *Account) {
+	for _, line := range a.Lines {
+		if line.Kind == "keeps" {
 			b.Handovers++
-		case "holds":
-			var hs []budget.Holding
-			if json.Unmarshal(l.Data, &hs) != nil || len(hs) == 0 {
-				continue
-			}
-			all = append(all, holds{time.Duration(l.At), l.Node, hs[0]})
-			who := fmt.Sprintf("%s %d", l.Node, l.PID)
-			if since, waits := took[who]; waits && hs[0].Amount+hs[0].Reserve > 0 {
-				delete(took, who)
-				if since > a.Begin {
-					b.Newcomer = max(b.Newcomer, (time.Duration(l.At) - since).Seconds())
-				}
-			}
 		}
 	}
+	all := holdings(a)
+	b.measureNewcomers(a, all)
 	for i, e := range a.Events {
-		at := e.At + 5*time.Second
-		if at > a.End || e.At < a.Begin || i+1 < len(a.Events) && a.Events[i+1].At < at+budgetLease/8 {
-			continue
+		at := e.At + fairAfterChange
+		changesSoon := i+1 < len(a.Events) && a.Events[i+1].At < at+budgetLease/8
+		if at <= a.End && e.At >= a.Begin && !changesSoon {
+			b.measureFairness(all, at)
 		}
-		now := map[string]budget.Holding{}
-		for _, h := range all {
-			if h.at > at-budgetLease/4 && h.at <= at {
-				now[h.node] = h.h
+	}
+}
+
+// fairAfterChange is how long after a change the shares have to be fair.
+const fairAfterChange = 5 * time.Second
+
+// measureNewcomers measures how long processes that took their node's place waited for a share.
+func (b *Budget) measureNewcomers(a *Account, all []holding) {
+	began := map[string]time.Duration{}
+	next := 0
+	for _, line := range a.Lines {
+		process := processID(line.Node, line.PID)
+		switch line.Kind {
+		case "took":
+			began[process] = time.Duration(line.At)
+		case "holds":
+			share := all[next].share
+			next++
+			since, waits := began[process]
+			if share == nil || !waits || share.Amount+share.Reserve <= 0 {
+				continue
 			}
-		}
-		held, want := 0.0, 0.0
-		for _, h := range now {
-			held += h.Amount
-			want += h.Demand
-		}
-		for _, h := range now {
-			if held > 0 && want > 0 {
-				b.Fair = max(b.Fair, math.Abs(h.Amount/held-h.Demand/want))
+			delete(began, process)
+			if since > a.Begin {
+				b.Newcomer = max(b.Newcomer, (time.Duration(line.At) - since).Seconds())
 			}
 		}
 	}
 }
+
+// measureFairness measures by how much the shares are not in the ratio of their demands at an instant.
+func (b *Budget) measureFairness(all []holding, at time.Duration) {
+	latest := map[string]*budget.Holding{}
+	for _, h := range all {
+		if h.share != nil && h.at > at-budgetLease/4 && h.at <= at {
+			latest[h.node] = h.share
+		}
+	}
+	amount, demand := 0.0, 0.0
+	for _, share := range latest {
+		amount += share.Amount
+		demand += share.Demand
+	}
+	if amount <= 0 || demand <= 0 {
+		return
+	}
+	for _, share := range latest {
+		b.Fair = max(b.Fair, math.Abs(share.Amount/amount-share.Demand/demand))
+	}
+}
--- a/internal/lab/fleet/budget_test.go
+++ b/internal/lab/fleet/budget_test.go
@@ -134,14 +134,22 @@
 		tell []budget.CountRecord // each a second after the one before
 		want porcupine.CheckResult
 	}{
-		{"one after the other", []budget.CountRecord{{Request: budget.CountRequest{Period: 1, Need: 100}, Granted: got(100, countWhole-100), Answered: true},
-			{Request: budget.CountRequest{Period: 1, Need: 50}, Granted: got(50, countWhole-150), Answered: true}}, porcupine.Ok},
-		{"given twice", []budget.CountRecord{{Request: budget.CountRequest{Period: 1, Need: 100}, Granted: got(100, countWhole-100), Answered: true},
-			{Request: budget.CountRequest{Period: 1, Need: 50}, Granted: got(50, countWhole-50), Answered: true}}, porcupine.Illegal},
-		{"a lost answer", []budget.CountRecord{{Request: budget.CountRequest{Period: 1, Need: 100}},
-			{Request: budget.CountRequest{Period: 1, Need: 50}, Granted: got(50, countWhole-150), Answered: true}}, porcupine.Ok},
-		{"a lost ask", []budget.CountRecord{{Request: budget.CountRequest{Period: 1, Need: 100}},
-			{Request: budget.CountRequest{Period: 1, Need: 50}, Granted: got(50, countWhole-50), Answered: true}}, porcupine.Ok},
+		{"one after the other", []budget.CountRecord{
+			{Request: budget.CountRequest{Period: 1, Need: 100}, Granted: got(100, countWhole-100), Answered: true},
+			{Request: budget.CountRequest{Period: 1, Need: 50}, Granted: got(50, countWhole-150), Answered: true},
+		}, porcupine.Ok},
+		{"given twice", []budget.CountRecord{
+			{Request: budget.CountRequest{Period: 1, Need: 100}, Granted: got(100, countWhole-100), Answered: true},
+			{Request: budget.CountRequest{Period: 1, Need: 50}, Granted: got(50, countWhole-50), Answered: true},
+		}, porcupine.Illegal},
+		{"a lost answer", []budget.CountRecord{
+			{Request: budget.CountRequest{Period: 1, Need: 100}},
+			{Request: budget.CountRequest{Period: 1, Need: 50}, Granted: got(50, countWhole-150), Answered: true},
+		}, porcupine.Ok},
+		{"a lost ask", []budget.CountRecord{
+			{Request: budget.CountRequest{Period: 1, Need: 100}},
+			{Request: budget.CountRequest{Period: 1, Need: 50}, Granted: got(50, countWhole-50), Answered: true},
+		}, porcupine.Ok},
 	} {
 		x := newRunBuilder(t)
 		for i, one := range c.tell {
--- a/internal/lab/fleet/signals.go
+++ b/internal/lab/fleet/signals.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"olivebridge/internal/fleet/choices"
+	"olivebridge/internal/fleet/record"
 	"olivebridge/internal/lab/fault"
 	"olivebridge/internal/lab/figure"
 	"olivebridge/internal/protocol"
@@ -117,76 +118,104 @@
 	})
 }
 
-// meeting is a try or a probe of a process that failed.
-type meeting struct {
+// peerFailure is an attempt or a health check of a node that failed.
+type peerFailure struct {
 	node string
 	at   time.Duration
 }
 
-// metBy is how many others had failed with a peer not long before an instant.
-func metBy(all []meeting, node string, at time.Duration) int {
-	who := map[string]bool{}
-	for _, m := range all {
-		if m.node != node && m.at <= at && m.at > at-signalOld {
-			who[m.node] = true
+// witnesses is how many other nodes had failed with a peer not long before an instant.
+func witnesses(failures []peerFailure, node string, at time.Duration) int {
+	others := map[string]bool{}
+	for _, failure := range failures {
+		if failure.node != node && failure.at <= at && failure.at > at-signalOld {
+			others[failure.node] = true
 		}
 	}
-	return len(who)
+	return len(others)
 }
 
-// JudgeSignals looks at whom the processes went on sending to, and whom they left alone.
+// JudgeSignals looks at which peers the processes went on sending to, and which they ejected.
 func JudgeSignals(s *fault.Script, a *Account) *Signals {
 	base := newAmount(a, "signals", 0)
 	m := &Signals{Nodes: base.Nodes, Peers: len(s.World.Peers), Seconds: base.Seconds, Broken: base.Broken}
-	names := map[uint64]string{}
+	w := &signalsWalk{
+		script:   s,
+		account:  a,
+		result:   m,
+		names:    map[uint64]string{},
+		attempts: map[string][]time.Duration{},
+		failures: map[string][]peerFailure{},
+		wrong:    map[ejection]bool{},
+		report:   newReporter(&m.Broken, a.Begin),
+	}
 	for _, p := range s.World.Peers {
-		names[uint64(protocol.ServerID(p.Name))] = p.Name
+		w.names[uint64(protocol.ServerID(p.Name))] = p.Name
 	}
-	failed := map[string][]time.Duration{}
-	wrong, meets := map[string]bool{}, map[string][]meeting{}
-	for _, l := range a.Lines {
-		at := time.Duration(l.At)
-		if at < a.Begin || at > a.End {
-			continue
-		}
-		switch l.Kind {
-		case "failed":
-			var f choices.FailureRecord
-			if json.Unmarshal(l.Data, &f) != nil {
-				continue
-			}
-			name := names[f.Server]
-			meets[name] = append(meets[name], meeting{l.Node, at})
-			if !f.Probe {
-				failed[name] = append(failed[name], at)
-			}
-		case "doubts":
-			var ids []uint64
-			json.Unmarshal(l.Data, &ids)
-			m.Doubts++
-			for _, id := range ids {
-				who := l.Node + " " + names[id]
-				name := names[id]
-				if ailing(s, a, name, at) || wrong[who] {
-					continue
-				}
-				if metBy(meets[name], l.Node, at) >= signalWitnesses {
-					m.ByChance++
-				} else {
-					wrong[who] = true
-					m.WrongOut++
-					if len(m.Broken) < 20 {
-						m.Broken = append(m.Broken, Violation{"wrong", at - a.Begin, fmt.Sprintf("%s leaves %q alone, which is sound", l.Node, name)})
-					}
-				}
-			}
+	for _, line := range a.Lines {
+		if at := time.Duration(line.At); at >= a.Begin && at <= a.End {
+			w.apply(at, line)
 		}
 	}
-	m.used(s, a, failed)
+	m.used(s, a, w.attempts)
 	m.Probes = probeRate(a)
 	return m
 }
 
+// ejection is a peer that a node ejected.
+type ejection struct{ node, peer string }
+
+// signalsWalk goes through the records of a run.
+type signalsWalk struct {
+	script   *fault.Script
+	account  *Account
+	result   *Signals
+	report   reporter
+	names    map[uint64]string          // of peers, by ID
+	attempts map[string][]time.Duration // that failed, by peer
+	failures map[string][]peerFailure   // the same with health checks
+	wrong    map[ejection]bool          // that were reported
+}
+
+func (w *signalsWalk) apply(at time.Duration, line record.Line) {
+	switch line.Kind {
+	case "failed":
+		var failure choices.FailureRecord
+		if json.Unmarshal(line.Data, &failure) != nil {
+			return
+		}
+		peer := w.names[failure.Server]
+		w.failures[peer] = append(w.failures[peer], peerFailure{line.Node, at})
+		if !failure.Probe {
+			w.attempts[peer] = append(w.attempts[peer], at)
+		}
+	case "doubts":
+		var ejected []uint64
+		if json.Unmarshal(line.Data, &ejected) != nil {
+			ejected = nil
+		}
+		w.result.Doubts++
+		for _, id := range ejected {
+			w.checkEjection(at, line.Node, w.names[id])
+		}
+	}
+}
+
+// checkEjection finds that a node ejected a peer that was sound.
+func (w *signalsWalk) checkEjection(at time.Duration, node, peer string) {
+	one := ejection{node: node, peer: peer}
+	if ailing(w.script, w.account, peer, at) || w.wrong[one] {
+		return
+	}
+	if witnesses(w.failures[peer], node, at) >= signalWitnesses {
+		w.result.ByChance++
+		return
+	}
+	w.wrong[one] = true
+	w.result.WrongOut++
+	w.report("wrong", at, "%s leaves %q alone, which is sound", node, peer)
+}
+
 // used measures for how long peers that had failed were sent to.
 func (m *Signals) used(s *fault.Script, a *Account, failed map[string][]time.Duration) {
 	dead, silent := 0, 0
