--- a/cmd/olivebridge/rule_checker_test.go
+++ b/cmd/olivebridge/rule_checker_test.go
@@ -101,6 +101,18 @@
 	}
 }
 
+// killedNodeSettles is how long a client waits before it asks whether a server has received a request that a killed
+// node may have sent. It guards against a request that stands in the server's socket, is taken for unreceived and sent
+// again.
+const killedNodeSettles = 100 * time.Millisecond
+
+// nodeKilled reports whether a node was killed under its clients.
+func (s *ruleChecker) nodeKilled() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.killed
+}
+
 // call sends a request of a class and waits for its answer.
 func (s *ruleChecker) call(t *testing.T, addr, class string, body io.Reader) (status int, retryAfter string) {
 	t.Helper()
@@ -117,6 +129,9 @@
 	begun := time.Now()
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(req)
+	if err != nil && s.nodeKilled() {
+		time.Sleep(killedNodeSettles)
+	}
 	if err != nil && body == nil && s.notReceived(id) { // closed before it was read: clients send it once more
 		resp, err = client.Do(req)
 	}
