--- a/internal/fleet/budget/config.go
+++ b/internal/fleet/budget/config.go
@@ -5,7 +5,7 @@
 	"net"
 	"time"
 
-	"olivebridge/internal/fleet/agreed"
+	"olivebridge/internal/fleet/raftlog"
 	"olivebridge/internal/fleet/record"
 )
 
@@ -28,7 +28,7 @@
 	// Terms are the same at all nodes.
 	Terms Terms
 	// Voters keep the ledger, and elect the leader.
-	Voters agreed.Roster
+	Voters raftlog.VoterSet
 	// Directory is where the node stores its seat and, on a voter, the log.
 	Directory string
 	// Dial opens a stream to another node's channel.
@@ -36,5 +36,5 @@
 	// Log may be nil.
 	Log *slog.Logger
 	// Record is given what the process holds and lends; nil: nothing.
-	Record *record.Book
+	Record *record.Recorder
 }
--- a/internal/fleet/budget/count_test.go
+++ b/internal/fleet/budget/count_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"olivebridge/internal/fleet/agreed"
+	"olivebridge/internal/fleet/raftlog"
 )
 
 // Whatever is requested, twice, late or in any order, and whoever fails with a stock: no more than the quota is
@@ -67,7 +67,7 @@
 					t.Fatal(err)
 				}
 				l = newLedger()
-				if err := l.Restore(io.NopCloser(bytes.NewReader(snap.(agreed.Snapshot)))); err != nil {
+				if err := l.Restore(io.NopCloser(bytes.NewReader(snap.(raftlog.Snapshot)))); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/fleet/budget/leader_client.go
+++ b/internal/fleet/budget/leader_client.go
@@ -92,7 +92,7 @@
 // newRequest is the holder's next request. It is called with mu held.
 func (s *Service) newRequest(h *Holder, terms string) holderRequest {
 	return holderRequest{
-		Request: h.NextRequest(s.now(), mutant.Wall()),
+		Request: h.NextRequest(s.now(), mutant.WallClock()),
 		Home:    s.home,
 		Seat:    s.seat,
 		Terms:   terms,
@@ -132,7 +132,7 @@
 func (c *leaderClient) exchange(request holderRequest) (response leaderResponse, err error) {
 	to := c.leader
 	if to == "" {
-		voters := c.service.voter.Roster().Names
+		voters := c.service.voter.Voters().Names
 		if len(voters) == 0 {
 			return response, errNoVoters
 		}
--- a/internal/fleet/budget/leader_server.go
+++ b/internal/fleet/budget/leader_server.go
@@ -31,7 +31,7 @@
 	ledger := s.ledger
 	s.mu.Unlock()
 	switch {
-	case ledger == nil || !ledger.Leads() && !mutant.Active("no-majority"):
+	case ledger == nil || !ledger.IsLeader() && !mutant.Active("no-majority"):
 		return s.reject(request, rejectedNotLeader)
 	case request.Terms != s.termsText():
 		return s.reject(request, rejectedOtherTerms)
@@ -39,7 +39,7 @@
 	term := ledger.Term()
 	lent, reserves := s.lend(ledger, term, request.Request)
 	// What was decided holds only if this process was in office after it: no later leader has begun by then.
-	err := ledger.Verify()
+	err := ledger.VerifyLeader()
 	if (err != nil || ledger.Term() != term) && !mutant.Active("no-majority") {
 		return s.reject(request, rejectedDeposed)
 	}
@@ -114,9 +114,9 @@
 // inPeriod reports whether a count's period is that of most voters.
 func (s *Service) inPeriod(q Quota, period int64) bool {
 	if mutant.Active("own-clock") {
-		return period == periodOf(mutant.Wall(), q.Period)
+		return period == periodOf(mutant.WallClock(), q.Period)
 	}
-	voters := s.voter.Roster().Names
+	voters := s.voter.Voters().Names
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leader == nil {
--- a/internal/fleet/budget/ledger.go
+++ b/internal/fleet/budget/ledger.go
@@ -2,15 +2,13 @@
 
 import (
 	"encoding/json"
-	"errors"
-	"fmt"
 	"io"
 	"maps"
 	"sync"
 
 	"github.com/hashicorp/raft"
 
-	"olivebridge/internal/fleet/agreed"
+	"olivebridge/internal/fleet/raftlog"
 )
 
 // ledger is the state machine of the voters' log: it has what must last, which is who has which seat of the reserve,
@@ -43,8 +41,6 @@
 	Reserved map[string]float64 `json:"kept,omitempty"`
 }
 
-var errUnknownCommand = errors.New("not of this form")
-
 func newLedger() *ledger {
 	return &ledger{
 		Seats:    map[string]int{},
@@ -90,7 +86,7 @@
 	case err == nil && c.Count != nil:
 		return l.Counts.apply(*c.Count)
 	}
-	return fmt.Errorf("log entry %d: %w", entry.Index, errors.Join(err, errUnknownCommand))
+	return raftlog.MalformedEntry(entry, err)
 }
 
 // assignSeat gives a home its seat: once, and never one that another home has. It returns 0 if there is none left.
@@ -123,13 +119,13 @@
 func (l *ledger) Snapshot() (raft.FSMSnapshot, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return agreed.Freeze(l)
+	return raftlog.EncodeSnapshot(l)
 }
 
 // Restore implements raft.FSM.
 func (l *ledger) Restore(r io.ReadCloser) error {
 	next := newLedger()
-	if err := agreed.Thaw(r, "ledger", next); err != nil {
+	if err := raftlog.DecodeSnapshot(r, "ledger", next); err != nil {
 		return err
 	}
 	l.mu.Lock()
--- a/internal/fleet/budget/service.go
+++ b/internal/fleet/budget/service.go
@@ -11,16 +11,16 @@
 
 	"github.com/hashicorp/raft"
 
-	"olivebridge/internal/fleet/agreed"
 	"olivebridge/internal/fleet/mutant"
+	"olivebridge/internal/fleet/raftlog"
 )
 
 // Service is a process's part in the fleet's quotas: what it holds, and, in a voter's process, the ledger and the
 // leader. Its methods are safe for concurrent use.
 type Service struct {
 	config   Config
-	voter    *agreed.Part // this process's part in the log
-	start    time.Time    // origin of times
+	voter    *raftlog.Participant // this process's part in the log
+	start    time.Time            // origin of times
 	counters counters
 
 	mu     sync.Mutex
@@ -42,15 +42,15 @@
 		c.Log = slog.New(slog.DiscardHandler)
 	}
 	s := &Service{config: c, start: time.Now(), orphans: make([]int, len(c.Quotas))}
-	s.voter = agreed.NewPart(agreed.PartConfig{
-		Name:      c.Name,
-		Roster:    c.Voters,
-		Directory: filepath.Join(c.Directory, "book"),
-		What:      "fleet budget",
-		Log:       c.Log,
-		Opened:    s.ledgerOpened,
-		Closed:    s.ledgerClosed,
-		New:       func() raft.FSM { return newLedger() },
+	s.voter = raftlog.NewParticipant(raftlog.ParticipantConfig{
+		Name:       c.Name,
+		Voters:     c.Voters,
+		Directory:  filepath.Join(c.Directory, "book"),
+		LogMessage: "fleet budget",
+		Log:        c.Log,
+		OnOpen:     s.ledgerOpened,
+		OnClose:    s.ledgerClosed,
+		NewState:   func() raft.FSM { return newLedger() },
 		Dial: func(name string, timeout time.Duration) (net.Conn, error) {
 			return c.Dial(name, VotersChannel, timeout)
 		},
@@ -59,7 +59,7 @@
 }
 
 // ledgerOpened takes the log that this process keeps from now on.
-func (s *Service) ledgerOpened(log *agreed.Log, state raft.FSM) {
+func (s *Service) ledgerOpened(log *raftlog.Log, state raft.FSM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leader = nil
@@ -75,10 +75,10 @@
 }
 
 // SetVoters changes who keeps the ledger.
-func (s *Service) SetVoters(r agreed.Roster) { s.voter.Keep(r) }
+func (s *Service) SetVoters(r raftlog.VoterSet) { s.voter.SetVoters(r) }
 
 // ServeVoters serves a stream of VotersChannel.
-func (s *Service) ServeVoters(conn net.Conn, from string) { s.voter.Serve(conn, from) }
+func (s *Service) ServeVoters(conn net.Conn, from string) { s.voter.ServeStream(conn, from) }
 
 func (s *Service) now() time.Duration { return time.Since(s.start) }
 
@@ -94,7 +94,7 @@
 	s.holder.TakeSeat(stored.Reserved)
 	stop := make(chan struct{})
 	s.stop = stop
-	s.voter.Up()
+	s.voter.Start()
 	s.tasks.Go(func() { s.requestLoop(stop) })
 }
 
@@ -116,7 +116,7 @@
 	s.stop = nil
 	s.mu.Unlock()
 	s.tasks.Wait() // what is held is returned first: this process may be the leader
-	s.voter.Down()
+	s.voter.Stop()
 }
 
 // SetQuotas changes the amounts of the quotas, which are the same in the same order.
@@ -146,7 +146,7 @@
 		s.counters.rejected.Add(1)
 		return false, nextRequest
 	}
-	ok, wait = s.holder.Admit(s.now(), mutant.Wall(), budget)
+	ok, wait = s.holder.Admit(s.now(), mutant.WallClock(), budget)
 	if ok {
 		s.counters.admitted.Add(1)
 		return true, 0
--- a/internal/fleet/choices/service.go
+++ b/internal/fleet/choices/service.go
@@ -31,7 +31,7 @@
 	// Log may be nil.
 	Log *slog.Logger
 	// Record is given what is chosen; nil: nothing.
-	Record *record.Book
+	Record *record.Recorder
 }
 
 // everyServer is the size of a choice of all servers.
--- a/internal/fleet/signals/service.go
+++ b/internal/fleet/signals/service.go
@@ -30,7 +30,7 @@
 	// Present reports whether a node is in the fleet.
 	Present func(name string) bool
 	// Record is given the suspected servers; nil: nothing.
-	Record *record.Book
+	Record *record.Recorder
 }
 
 // Service is a process's part in the gossip about servers. Its methods are safe for concurrent use, and do not block.
