--- a/internal/lab/fleet/amounts.go
+++ b/internal/lab/fleet/amounts.go
@@ -19,38 +19,41 @@
 )
 
 // inUseFile and countFile are what the fleet files say of such a budget.
-func inUseFile(s Says) string {
-	return bookFile(s, 0) + fmt.Sprintf("[[budget]]\nname = %q\ntenant = \"acme\"\nkind = \"in-use\"\nmost = %d\n", budgetName,
-		int(inUseMost*s.Share))
+func inUseFile(s FileValues) string {
+	return bookFile(s, 0) + fmt.Sprintf("[[budget]]\nname = %q\ntenant = \"acme\"\nkind = \"in-use\"\nmost = %d\n",
+		budgetName, int(inUseMost*s.AmountShare))
 }
 
-func countFile(s Says) string {
-	return bookFile(s, 0.04) + fmt.Sprintf("[[budget]]\nname = %q\ntenant = \"acme\"\nkind = \"count\"\ncount = %d\nperiod = %q\n",
-		budgetName, int(countWhole*s.Share), countPeriod)
+func countFile(s FileValues) string {
+	return bookFile(s, 0.04) +
+		fmt.Sprintf("[[budget]]\nname = %q\ntenant = \"acme\"\nkind = \"count\"\ncount = %d\nperiod = %q\n",
+			budgetName, int(countWhole*s.AmountShare), countPeriod)
 }
 
-// inUseWorld is budgetWorld with calls that take long enough for some to be in use at one time.
-func inUseWorld(seed uint64, nodes int, length time.Duration) *fault.Script {
-	s := budgetWorld(seed, nodes, length)
-	c := &s.World.Classes[0] // the one that is asked for
-	c.Work, c.Spread = 5*c.Work, 0.2
-	c.Aim, c.Deadline = 5*c.Aim, 5*c.Deadline
+// inUseQuietScript is budgetQuietScript with calls that take long enough for some to be in use at one time.
+func inUseQuietScript(seed uint64, nodes int, length time.Duration) *fault.Script {
+	s := budgetQuietScript(seed, nodes, length)
+	class := &s.World.Classes[0] // that clients call
+	class.Work *= 5
+	class.Spread = 0.2
+	class.Aim *= 5
+	class.Deadline *= 5
 	return s
 }
 
-// drawnIn plays the faults of a seed, or a drama's, in a world of another kind.
-func drawnIn(world func(uint64, int, time.Duration) *fault.Script,
-	draw func(uint64, int, time.Duration) (*fault.Script, error)) func(uint64, int, time.Duration) (*fault.Script, error) {
+// drawnIn makes scripts with the faults of one kind of script in the quiet script of another.
+func drawnIn(quiet quietScriptMaker, draw scriptMaker) scriptMaker {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 		drawn, err := draw(seed, nodes, length)
 		if err != nil {
 			return nil, err
 		}
-		s := world(seed, nodes, length)
+		s := quiet(seed, nodes, length)
 		s.Faults = append(s.Faults, drawn.Faults...)
 		for i := range s.Faults { // whose calls may take longer
 			f := &s.Faults[i]
-			if f.For = max(f.For, fault.Least(f.Kind, &s.World)); f.Ends() > s.Length {
+			f.For = max(f.For, fault.Least(f.Kind, &s.World))
+			if f.Ends() > s.Length {
 				f.At = s.Length - f.For
 			}
 		}
@@ -58,28 +61,31 @@
 	}
 }
 
-// The budget for retries that the rig's processes share, where peers turn so many requests away that they want several times
-// as many.
+// The budget for retries that the rig's processes share, where peers turn so many requests away that they want several
+// times as many.
 const (
-	retriesRate  = 20.0
-	retriesBurst = 12.0
-	turnedAway   = 0.4
+	retriesRate   = 20.0
+	retriesBurst  = 12.0
+	rejectedShare = 0.4
 )
 
-func retriesFile(s Says) string {
-	return bookFile(s, 0.04) + fmt.Sprintf("[[budget]]\nname = \"retries\"\nuse = \"retries\"\nrate = %.1f\nburst = %.1f\n", retriesRate*s.Share,
-		retriesBurst*s.Share)
+func retriesFile(s FileValues) string {
+	return bookFile(s, 0.04) +
+		fmt.Sprintf("[[budget]]\nname = \"retries\"\nuse = \"retries\"\nrate = %.1f\nburst = %.1f\n",
+			retriesRate*s.AmountShare, retriesBurst*s.AmountShare)
 }
 
-// retriesWorld is one in which peers turn requests away nearly all of the time.
-func retriesWorld(seed uint64, nodes int, length time.Duration) *fault.Script {
-	s := budgetWorld(seed, nodes, length)
+// retriesQuietScript is one in which peers turn requests away nearly all of the time.
+func retriesQuietScript(seed uint64, nodes int, length time.Duration) *fault.Script {
+	s := budgetQuietScript(seed, nodes, length)
 	var peers []string
 	for _, p := range s.World.Peers {
 		peers = append(peers, p.Name)
 	}
 	from := figure.Span(figure.Seconds(1))
-	s.Faults = append(s.Faults, fault.Fault{Kind: "turnaway", At: from, For: s.Length - 2*from, Peers: peers, Share: turnedAway})
+	s.Faults = append(s.Faults, fault.Fault{
+		Kind: "turnaway", At: from, For: s.Length - 2*from, Peers: peers, Share: rejectedShare,
+	})
 	return s
 }
 
@@ -88,7 +94,7 @@
 	m := newAmount(a, "retries", int(retriesRate))
 	seen := map[string]bool{}
 	var more []time.Duration
-	for _, c := range a.Came {
+	for _, c := range a.Arrivals {
 		if c.Done || c.At > a.End {
 			continue
 		}
@@ -99,11 +105,13 @@
 	}
 	m.Most = len(more)
 	var at, wide time.Duration
-	if m.Over, at, wide = over(more, allowances(a).rate(retriesRate, retriesBurst)); m.Over > 1 {
-		m.Broken = append(m.Broken, Broken{"over", at - a.Begin, fmt.Sprintf("in %v, %.3f times the retries that are allowed came to peers",
-			wide, m.Over)})
+	m.Over, at, wide = over(more, allowances(a).rate(retriesRate, retriesBurst))
+	if m.Over > 1 {
+		what := fmt.Sprintf("in %v, %.3f times the retries that are allowed came to peers", wide, m.Over)
+		m.Broken = append(m.Broken, Violation{Rule: "over", At: at - a.Begin, What: what})
 	}
-	from, to := a.Begin+8*time.Second, a.End-2*time.Second
+	from := a.Begin + 8*time.Second
+	to := a.End - 2*time.Second
 	m.Use = counted(more, from, to) / (retriesRate * (to - from).Seconds())
 	m.empty(a)
 	return m
@@ -111,44 +119,50 @@
 
 // Amount is what came of a budget of these kinds.
 type Amount struct {
-	Kind    string   `json:"kind"`
-	Nodes   int      `json:"nodes"`
-	Seconds float64  `json:"seconds"`
-	Whole   int      `json:"whole"`
-	Most    int      `json:"most"` // units that peers saw: at one time, or in all
-	Over    float64  `json:"over"` // that, of the whole
-	Use     float64  `json:"use"`  // of in-use the mean, once the book is kept; of a count what was used in the end
-	Asked   int      `json:"asked"`
-	Broken  []Broken `json:"broken"`
+	Kind    string      `json:"kind"`
+	Nodes   int         `json:"nodes"`
+	Seconds float64     `json:"seconds"`
+	Whole   int         `json:"whole"`
+	Most    int         `json:"most"` // units that peers saw: at one time, or in all
+	Over    float64     `json:"over"` // that, of the whole
+	Use     float64     `json:"use"`  // of in-use the mean, once the book is kept; of a count what was used in the end
+	Asked   int         `json:"asked"`
+	Broken  []Violation `json:"broken"`
 }
 
 func newAmount(a *Account, kind string, whole int) *Amount {
-	m := &Amount{Kind: kind, Nodes: len(a.Names), Seconds: (a.End - a.Begin).Seconds(), Whole: whole, Asked: a.Tally.Asked,
-		Broken: []Broken{}}
+	m := &Amount{
+		Kind:    kind,
+		Nodes:   len(a.Names),
+		Seconds: (a.End - a.Begin).Seconds(),
+		Whole:   whole,
+		Asked:   a.Tally.Asked,
+		Broken:  []Violation{},
+	}
 	for _, w := range a.Broken {
-		m.Broken = append(m.Broken, Broken{"world", 0, w})
+		m.Broken = append(m.Broken, Violation{"world", 0, w})
 	}
-	if a.Machine != nil {
-		m.Broken = append(m.Broken, Broken{"rig", 0, a.Machine.Error()})
+	if a.RunError != nil {
+		m.Broken = append(m.Broken, Violation{"rig", 0, a.RunError.Error()})
 	}
 	wrongClocks(a, func(rule string, at time.Duration, format string, args ...any) {
-		m.Broken = append(m.Broken, Broken{rule, at - a.Begin, fmt.Sprintf(format, args...)})
+		m.Broken = append(m.Broken, Violation{rule, at - a.Begin, fmt.Sprintf(format, args...)})
 	})
 	return m
 }
 
-// peersWork is the longest that a peer works on a call here: beyond the deadline of the class that is asked for. Of one whose
-// node has died no end is seen.
+// peersWork is the longest that a peer works on a call here: beyond the deadline of the class that is asked for. Of one
+// whose node has died no end is seen.
 const peersWork = 2 * time.Second
 
 // JudgeInUse counts the calls that peers held at one time.
 func JudgeInUse(a *Account) *Amount {
 	m := newAmount(a, "in-use", inUseMost)
 	held := map[string][]time.Duration{} // since when, of each try
-	var began []Came
+	var began []Arrival
 	now, area := 0, 0.0
 	last, from := a.Begin, a.Begin+8*time.Second
-	for _, c := range a.Came {
+	for _, c := range a.Arrivals {
 		if c.At > a.End {
 			break
 		}
@@ -173,7 +187,7 @@
 			now--
 		}
 		if m.Most = max(m.Most, now); now > inUseMost && len(m.Broken) < 20 {
-			m.Broken = append(m.Broken, Broken{"over", c.At - a.Begin, fmt.Sprintf("peers hold %d of %d", now, inUseMost)})
+			m.Broken = append(m.Broken, Violation{"over", c.At - a.Begin, fmt.Sprintf("peers hold %d of %d", now, inUseMost)})
 		}
 	}
 	m.Over = float64(m.Most) / inUseMost
@@ -192,11 +206,11 @@
 	m.Over = float64(m.Most) / countWhole
 	m.Use = min(m.Over, 1)
 	if m.Most > countWhole*a.Periods {
-		m.Broken = append(m.Broken, Broken{"over", came[countWhole*a.Periods] - a.Begin,
+		m.Broken = append(m.Broken, Violation{"over", came[countWhole*a.Periods] - a.Begin,
 			fmt.Sprintf("%d calls came to peers, of %d in each of %d periods", m.Most, countWhole, a.Periods)})
 	}
 	if countHistory(a) == porcupine.Illegal {
-		m.Broken = append(m.Broken, Broken{"history", a.End - a.Begin, "what the ledger gave fits no order of the asks"})
+		m.Broken = append(m.Broken, Violation{"history", a.End - a.Begin, "what the ledger gave fits no order of the asks"})
 	}
 	m.empty(a)
 	return m
@@ -204,19 +218,19 @@
 
 func (m *Amount) empty(a *Account) {
 	if m.Most == 0 {
-		m.Broken = append(m.Broken, Broken{"use", a.End - a.Begin, "nothing came to any peer"})
+		m.Broken = append(m.Broken, Violation{"use", a.End - a.Begin, "nothing came to any peer"})
 	}
 }
 
 // Verdict are the rules that did not hold.
-func (m *Amount) Verdict() []Broken { return m.Broken }
+func (m *Amount) Verdict() []Violation { return m.Broken }
 
 // Text is the result for people.
 func (m *Amount) Text(*Account) string {
 	var t strings.Builder
 	what := map[string]string{"in-use": "at one time", "count": "in all", "retries": "retries a second"}[m.Kind]
-	fmt.Fprintf(&t, "%d processes share %d %s, for %.0f s: peers saw at most %d, %.3f of the whole; used %.3f\n", m.Nodes, m.Whole, what,
-		m.Seconds, m.Most, m.Over, m.Use)
+	fmt.Fprintf(&t, "%d processes share %d %s, for %.0f s: peers saw at most %d, %.3f of the whole; used %.3f\n",
+		m.Nodes, m.Whole, what, m.Seconds, m.Most, m.Over, m.Use)
 	for _, one := range m.Broken {
 		fmt.Fprintf(&t, "  %s\n", one)
 	}
@@ -225,6 +239,7 @@
 
 // Line is the result in one line.
 func (m *Amount) Line(s *fault.Script) string {
-	return fmt.Sprintf("seed %d: %s; most %d, over %.3f, use %.3f; %s", s.Seed, strings.Join(s.Kinds(), " "), m.Most, m.Over, m.Use,
+	return fmt.Sprintf("seed %d: %s; most %d, over %.3f, use %.3f; %s",
+		s.Seed, strings.Join(s.Kinds(), " "), m.Most, m.Over, m.Use,
 		verdict(m.Broken))
 }
--- a/internal/lab/fleet/choices_test.go
+++ b/internal/lab/fleet/choices_test.go
@@ -8,8 +8,8 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// TestJudgeChoices: what falls evenly holds; a peer that gets more, less or nothing breaks the rule that it should, unless it had
-// something to suffer.
+// TestJudgeChoices: what falls evenly holds; a peer that gets more, less or nothing breaks the rule that it should,
+// unless it had something to suffer.
 func TestJudgeChoices(t *testing.T) {
 	const peers, rounds, length = 10, 3000, 30 * time.Second
 	for name, c := range map[string]struct {
@@ -23,7 +23,7 @@
 		"less":         {func(p, r int) bool { return p == 0 && r%2 == 0 }, false, "idlest"},
 		"more":         {func(p, r int) bool { return p != 0 && r%3 != 0 }, false, "busiest"},
 	} {
-		s := choicesWorld(peers)(1, 5, length)
+		s := choicesQuietScript(peers)(1, 5, length)
 		if c.ails {
 			s.Faults = []fault.Fault{{Kind: "death", At: figure.Span(10 * time.Second), For: figure.Span(5 * time.Second),
 				Peers: []string{s.World.Peers[0].Name}}}
@@ -32,7 +32,7 @@
 		for r := range rounds {
 			for p, peer := range s.World.Peers {
 				if !c.skips(p, r) {
-					a.Came = append(a.Came, Came{At: time.Hour + time.Duration(r)*length/rounds, Peer: peer.Name})
+					a.Arrivals = append(a.Arrivals, Arrival{At: time.Hour + time.Duration(r)*length/rounds, Peer: peer.Name})
 				}
 			}
 		}
@@ -46,7 +46,7 @@
 	}
 }
 
-func ruleOf(all []Broken) string {
+func ruleOf(all []Violation) string {
 	if len(all) == 0 {
 		return ""
 	}
--- a/internal/lab/fleet/cold.go
+++ b/internal/lab/fleet/cold.go
@@ -10,8 +10,8 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// The budget for tries to each cold peer that the rig's processes share: as many a second to one at its start, and more as it
-// warms. What each guesses for itself comes to 8 a second here, of 40 that a warm peer gets.
+// The budget for tries to each cold peer that the rig's processes share: as many a second to one at its start, and more
+// as it warms. What each guesses for itself comes to 8 a second here, of 40 that a warm peer gets.
 const (
 	coldRate  = 5.0
 	coldSpare = 2 // units of burst beyond one for each process
@@ -19,12 +19,13 @@
 
 func coldBurst(nodes int) float64 { return float64(nodes + coldSpare) }
 
-func coldFile(s Says) string {
+func coldFile(s FileValues) string {
 	return bookFile(s, 0.04) + fmt.Sprintf("[[budget]]\nname = \"cold\"\nuse = \"cold-peers\"\nrate = %.1f\nburst = %.1f\n",
-		coldRate*s.Share, coldBurst(s.Nodes))
+		coldRate*s.AmountShare, coldBurst(s.Nodes))
 }
 
-// coldLead is when the first peer may die: a leader has been elected by then, and processes have learnt what warm peers carry.
+// coldLead is when the first peer may die: a leader has been elected by then, and processes have learnt what warm peers
+// carry.
 const coldLead = 10 * time.Second
 
 // coldAway is for how long a peer is gone.
@@ -50,26 +51,26 @@
 	}
 }
 
-// ColdSubject is what all processes send to cold peers. Without the budget each guesses its part.
-func ColdSubject(shared bool) Subject {
+// ColdScenario is what all processes send to cold peers. Without the budget each guesses its part.
+func ColdScenario(shared bool) Scenario {
 	more := coldFile
 	if !shared {
-		more = func(Says) string { return "" }
+		more = func(FileValues) string { return "" }
 	}
-	return Subject{"cold", coldWith(BudgetDrama), coldWith(BudgetDraw), budgetWorld, BudgetCases(), more,
+	return Scenario{"cold", coldWith(BudgetDemoScript), coldWith(BudgetRandomScript), budgetQuietScript, BudgetCases(), more,
 		func(s *fault.Script, a *Account) Outcome { return JudgeCold(s, a, shared) }, nil, nil}
 }
 
 // Cold is what came of it.
 type Cold struct {
-	Nodes   int      `json:"nodes"`
-	Seconds float64  `json:"seconds"`
-	Starts  int      `json:"starts"` // of peers, cold
-	Over    float64  `json:"over"`   // greatest part of what any window allows that came to a cold peer, its tries by what they cost
-	Use     float64  `json:"use"`    // of what was allowed, the mean from 2 to 8 s after starts
-	Tries   int      `json:"tries"`  // that came to cold peers
-	Falls   int      `json:"falls"`  // of them, pushed over
-	Broken  []Broken `json:"broken"`
+	Nodes   int         `json:"nodes"`
+	Seconds float64     `json:"seconds"`
+	Starts  int         `json:"starts"` // of peers, cold
+	Over    float64     `json:"over"`   // greatest part of what any window allows that came to a cold peer, its tries by what they cost
+	Use     float64     `json:"use"`    // of what was allowed, the mean from 2 to 8 s after starts
+	Tries   int         `json:"tries"`  // that came to cold peers
+	Falls   int         `json:"falls"`  // of them, pushed over
+	Broken  []Violation `json:"broken"`
 }
 
 // coldTime is one time for which a peer was cold, from when its start was listed.
@@ -78,7 +79,8 @@
 	born, from, till time.Duration
 }
 
-// listGrace is how long a list is on its way to the processes: what one that has not got it sends, it sends to a warm peer.
+// listGrace is how long a list is on its way to the processes: what one that has not got it sends, it sends to a warm
+// peer.
 const listGrace = 300 * time.Millisecond
 
 // coldTimes are all of a run. A start that is not listed before the peer ends again is none.
@@ -95,7 +97,7 @@
 		case e.What == "started cold":
 			shut(e.Who, e.At)
 			open[e.Who] = &coldTime{peer: e.Who, born: e.At}
-		case e.What == "ended":
+		case e.What == eventEnded:
 			shut(e.Who, e.At)
 		case e.What == "listed Ready" && c != nil && c.from == 0:
 			c.from = e.At + listGrace
@@ -123,7 +125,7 @@
 		c.Starts++
 		var at []time.Duration
 		var costs []float64
-		for _, came := range a.Came {
+		for _, came := range a.Arrivals {
 			if !came.Done && came.Peer == one.peer && came.At >= one.from && came.At < one.till && came.At <= a.End {
 				at, costs = append(at, came.At), append(costs, one.cost(s, came.At))
 			}
@@ -131,7 +133,7 @@
 		c.Tries += len(at)
 		if part, when, wide := costly(at, costs, coldBurst(len(a.Names))); part > c.Over {
 			if c.Over = part; shared && part > 1 {
-				c.Broken = append(c.Broken, Broken{"over", when - a.Begin,
+				c.Broken = append(c.Broken, Violation{"over", when - a.Begin,
 					fmt.Sprintf("in %v, %.3f times what is allowed came to the cold peer %s", wide, part, one.peer)})
 			}
 		}
@@ -148,7 +150,7 @@
 		c.Use = used / looked
 	}
 	if c.Tries == 0 {
-		c.Broken = append(c.Broken, Broken{"use", a.End - a.Begin, "nothing came to any cold peer"})
+		c.Broken = append(c.Broken, Violation{"use", a.End - a.Begin, "nothing came to any cold peer"})
 	}
 	return c
 }
@@ -172,7 +174,7 @@
 }
 
 // Verdict are the rules that did not hold.
-func (c *Cold) Verdict() []Broken { return c.Broken }
+func (c *Cold) Verdict() []Violation { return c.Broken }
 
 // Text is the result for people.
 func (c *Cold) Text(*Account) string {
--- a/internal/lab/fleet/members.go
+++ b/internal/lab/fleet/members.go
@@ -1,7 +1,6 @@
 package fleet
 
 import (
-	"fmt"
 	"math"
 	"slices"
 	"time"
@@ -32,17 +31,6 @@
 	stopTakes = 100 * time.Millisecond
 )
 
-// Broken is a rule that did not hold.
-type Broken struct {
-	Rule string        `json:"rule"`
-	At   time.Duration `json:"at"` // since the script's beginning
-	What string        `json:"what"`
-}
-
-func (b Broken) String() string {
-	return fmt.Sprintf("%s at %.2fs: %s", b.Rule, b.At.Seconds(), b.What)
-}
-
 // Rules are those that a run of members is held to.
 func Rules() []string {
 	return []string{"agree", "false", "told", "life", "twice", "order", "kept", "rig", "world"}
@@ -50,20 +38,20 @@
 
 // Members is what came of a run.
 type Members struct {
-	Nodes       int      `json:"nodes"`
-	Seconds     float64  `json:"seconds"`
-	Agree       Times    `json:"agree_s"`  // from a change until all views agree
-	Detect      Times    `json:"detect_s"` // from a kill until a view has it
-	Changes     int      `json:"changes"`
-	Unsettled   int      `json:"unsettled"`    // changes that the next one came before
-	BriefDeaths int      `json:"brief_deaths"` // processes called dead that stood still for 1 s at most
-	FalseDeaths int      `json:"false_deaths"`
-	Flaps       int      `json:"flaps"` // suspicions of processes that were well
-	Bytes       float64  `json:"bytes_s"`
-	CPU         float64  `json:"cpu_share"`
-	RSS         float64  `json:"rss_mb"`
-	Dropped     int64    `json:"dropped"`
-	Broken      []Broken `json:"broken"`
+	Nodes       int         `json:"nodes"`
+	Seconds     float64     `json:"seconds"`
+	Agree       Times       `json:"agree_s"`  // from a change until all views agree
+	Detect      Times       `json:"detect_s"` // from a kill until a view has it
+	Changes     int         `json:"changes"`
+	Unsettled   int         `json:"unsettled"`    // changes that the next one came before
+	BriefDeaths int         `json:"brief_deaths"` // processes called dead that stood still for 1 s at most
+	FalseDeaths int         `json:"false_deaths"`
+	Flaps       int         `json:"flaps"` // suspicions of processes that were well
+	Bytes       float64     `json:"bytes_s"`
+	CPU         float64     `json:"cpu_share"`
+	RSS         float64     `json:"rss_mb"`
+	Dropped     int64       `json:"dropped"`
+	Broken      []Violation `json:"broken"`
 }
 
 // Times are some lengths of time, in seconds.
@@ -76,7 +64,7 @@
 
 func (t *Times) add(d time.Duration) { t.all = append(t.all, d) }
 
-func (t *Times) done() {
+func (t *Times) summarize() {
 	slices.Sort(t.all)
 	t.Count = len(t.all)
 	if t.Count > 0 {
@@ -89,7 +77,8 @@
 type judge struct {
 	account *Account
 	result  *Members
-	truth   *walk                      // how things are with the nodes
+	report  reporter                   // to the result
+	truth   *timeline                  // how things are with the nodes
 	nodes   map[string]*nodeHistory    // by name, also of strangers; see node
 	observe func(at time.Duration)     // called before each line of the records; nil: not
 	cutAt   map[nodePair]time.Duration // since when messages between two nodes are cut
@@ -102,9 +91,6 @@
 	differedAtChange   bool          // they did not agree when the change happened
 }
 
-// nodePair is an ordered pair of nodes.
-type nodePair struct{ from, to string }
-
 // nodeHistory is what the judge notes of one node.
 type nodeHistory struct {
 	view        *belief            // of the process that holds the node's place; nil: none
@@ -152,16 +138,18 @@
 }
 
 func newJudge(a *Account) *judge {
+	result := &Members{
+		Nodes:   len(a.Names),
+		Seconds: (a.End - a.Begin).Seconds(),
+		Broken:  []Violation{},
+	}
 	return &judge{
 		account: a,
-		result: &Members{
-			Nodes:   len(a.Names),
-			Seconds: (a.End - a.Begin).Seconds(),
-			Broken:  []Broken{},
-		},
-		truth: &walk{truth: newTruth(a.Names), events: a.Events},
-		nodes: map[string]*nodeHistory{},
-		cutAt: map[nodePair]time.Duration{},
+		result:  result,
+		report:  newReporter(&result.Broken, a.Begin),
+		truth:   &timeline{truth: newTruth(a.Names), events: a.Events},
+		nodes:   map[string]*nodeHistory{},
+		cutAt:   map[nodePair]time.Duration{},
 	}
 }
 
@@ -178,12 +166,7 @@
 // play goes through the run.
 func (j *judge) play() {
 	a := j.account
-	for _, broken := range a.Broken {
-		j.report("world", a.Begin, "%s", broken)
-	}
-	if a.Machine != nil {
-		j.report("rig", a.Begin, "%v", a.Machine)
-	}
+	reportRun(a, j.report)
 	wrongClocks(a, j.report)
 	for _, line := range a.Lines {
 		at := time.Duration(line.At)
@@ -199,17 +182,6 @@
 	j.advance(a.End)
 }
 
-// maxBroken bounds the rules' violations that a result lists.
-const maxBroken = 20
-
-// report notes that a rule did not hold.
-func (j *judge) report(rule string, at time.Duration, format string, args ...any) {
-	if len(j.result.Broken) < maxBroken {
-		broken := Broken{Rule: rule, At: at - j.account.Begin, What: fmt.Sprintf(format, args...)}
-		j.result.Broken = append(j.result.Broken, broken)
-	}
-}
-
 // What is lost by chance may differ from its expected value by five standard deviations, and a few for small numbers.
 const (
 	lossDeviations = 5
@@ -219,8 +191,8 @@
 // finish measures what the events and records do not show.
 func (j *judge) finish() {
 	result := j.result
-	result.Agree.done()
-	result.Detect.done()
+	result.Agree.summarize()
+	result.Detect.summarize()
 	span := (j.account.End - j.account.Begin).Seconds()
 	nodes := float64(len(j.account.Names))
 	result.Dropped = j.account.Traffic.Dropped
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -12,22 +12,24 @@
 // settle is how long a script goes on after its last fault, so that what it did can be seen to be over.
 const settle = 13 * time.Second
 
-// world is a script without faults, of some nodes that are asked a little.
-func world(seed uint64, nodes int, length time.Duration) *fault.Script {
+// quietScript is a script without faults, of some nodes that are asked a little.
+func quietScript(seed uint64, nodes int, length time.Duration) *fault.Script {
 	s := live.Sample(3, nodes, 10+2*float64(nodes))
-	s.Seed, s.Length = seed, figure.Span(length)
+	s.Seed = seed
+	s.Length = figure.Span(length)
 	for i := range s.World.Clients {
 		s.World.Clients[i].Conns = 50
 	}
 	return s
 }
 
-// Drama is the script that shows membership: of some nodes one is killed and comes back, one stands still, one is cut
-// off; which, and when, is drawn.
-func Drama(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
-	s := world(seed, nodes, length)
+// DemoScript is the script that shows membership: of some nodes one is killed and comes back, one stands still, one is
+// cut off; which, and when, is drawn.
+func DemoScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
+	s := quietScript(seed, nodes, length)
 	if nodes < 4 {
-		return nil, fmt.Errorf("%d nodes: at least 4 are wanted, for one to be killed, one stopped, one cut off and one left", nodes)
+		return nil, fmt.Errorf("%d nodes: at least 4 are wanted, "+
+			"for one to be killed, one stopped, one cut off and one left", nodes)
 	}
 	if length < 25*time.Second {
 		return nil, fmt.Errorf("%v: at least 25s are wanted", length)
@@ -39,7 +41,10 @@
 	}
 	name := func(i int) []string { return []string{s.World.Nodes[whom[i]].Name} }
 	span := func(from, to figure.Span) figure.Span { return to - from }
-	kill, stop, cut, back := at(0.08), at(0.1), at(0.5), at(0.9)
+	kill := at(0.08)
+	stop := at(0.1)
+	cut := at(0.5)
+	back := at(0.9)
 	s.Faults = []fault.Fault{
 		{Kind: "node-kill", At: kill, For: span(kill, cut), Nodes: name(0)},
 		{Kind: "fleet-stop", At: stop, For: span(stop, at(0.4)), Nodes: name(1)},
@@ -73,14 +78,14 @@
 	}
 }
 
-// Draw is the script of a seed: faults of all kinds, several at one time.
-func Draw(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
-	s := world(seed, nodes, length)
+// RandomScript is the script of a seed: faults of all kinds, several at one time.
+func RandomScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
+	s := quietScript(seed, nodes, length)
 	tail := figure.Span(settle)
 	s.DrawFaults(ranges(), fault.FaultPlan{Count: fault.Counts{Lo: 2, Hi: 5}, Lead: fault.Between(2, 4),
 		Tail: fault.Spans{Lo: tail, Hi: tail}, Overlap: 0.4})
-	// A fault that would last to the end leaves no time to see that it is over, so it is cut short; a restart, which takes its
-	// time, is left out.
+	// A fault that would last to the end leaves no time to see that it is over, so it is cut short; a restart, which takes
+	// its time, is left out.
 	last := s.Length - tail
 	kept := s.Faults[:0]
 	for _, f := range s.Faults {
--- a/internal/node/server_control.go
+++ b/internal/node/server_control.go
@@ -40,6 +40,6 @@
 // attachServerControl gives the fleet control of the servers, where the node has an admin listener.
 func (n *Node) attachServerControl() {
 	if n.options.Fleet != nil && n.servers != nil {
-		n.options.Fleet.Operate(ServerControl{n})
+		n.options.Fleet.SetServerControl(ServerControl{n})
 	}
 }
