--- a/cmd/olivefleet/fleet_node.go
+++ b/cmd/olivefleet/fleet_node.go
@@ -116,17 +116,17 @@
 }
 
 // Join implements node.Fleet.
-func (f *fleetNode) Join(wait bool) error { return f.membership.Take(wait) }
+func (f *fleetNode) Join(wait bool) error { return f.membership.Join(wait) }
 
 // Release implements node.Fleet.
-func (f *fleetNode) Release() { f.membership.Yield() }
+func (f *fleetNode) Release() { f.membership.Release() }
 
 // AnnounceLeave implements node.Fleet.
-func (f *fleetNode) AnnounceLeave() { f.membership.Leaving() }
+func (f *fleetNode) AnnounceLeave() { f.membership.AnnounceLeave() }
 
 // Leave implements node.Fleet.
 func (f *fleetNode) Leave() {
-	f.membership.Left()
+	f.membership.Leave()
 	f.subsets.Close()
 }
 
--- a/internal/fleet/budget/service.go
+++ b/internal/fleet/budget/service.go
@@ -24,7 +24,7 @@
 	counters counters
 
 	mu     sync.Mutex
-	holder *Holder           // nil: this process does not have the node's place in the fleet, and holds nothing
+	holder *Holder           // nil: this process does not have the node's membership, and holds nothing
 	leader *Leader           // of this term; nil: another process leads, or none
 	ledger *replicatedLedger // nil: this process is no voter, or not yet
 	home   string            // see member.Incarnation
@@ -82,7 +82,7 @@
 
 func (s *Service) now() time.Duration { return time.Since(s.start) }
 
-// Start begins to hold, for a process that has got the node's place in the fleet, in an incarnation of its home.
+// Start begins to hold, for a process that has got the node's membership, in an incarnation of its home.
 func (s *Service) Start(home string, incarnation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +98,7 @@
 	s.tasks.Go(func() { s.requestLoop(stop) })
 }
 
-// Stop ends that, for a process that gives the place up: nothing is held any more.
+// Stop ends that, for a process that gives the membership up: nothing is held any more.
 func (s *Service) Stop() {
 	s.mu.Lock()
 	if s.holder == nil || s.stop == nil {
--- a/internal/fleet/choices/service_test.go
+++ b/internal/fleet/choices/service_test.go
@@ -34,7 +34,7 @@
 }
 
 // A choice follows the views and the lists: a node that takes nothing new does not count, a suspect one does, and a
-// node without a place in the fleet works with all servers.
+// node without a membership works with all servers.
 func TestChoiceFollowsViewsAndLists(t *testing.T) {
 	from := make(views)
 	s := New(Config{Name: "n1", Plan: subset.Plan{Copies: 2, MinServers: 1}, Next: from.next})
@@ -80,7 +80,7 @@
 	from <- view(4, all)
 	wait("two are left", 0, 0)
 	from <- view(5, map[string]member.State{"n2": member.Alive, "n3": member.Alive, "n4": member.Alive})
-	wait("this node has no place", 0, 0)
+	wait("this node has no membership", 0, 0)
 	s.EndpointsChanged(servers[:1])
 	wait("one server", 0, 0)
 }
--- a/internal/fleet/member/agent.go
+++ b/internal/fleet/member/agent.go
@@ -19,7 +19,7 @@
 	receptionInterval = time.Second
 )
 
-// agent runs memberlist for one incarnation of the node, for as long as this process holds the node's place in the
+// agent runs memberlist for one incarnation of the node, for as long as this process has the node's membership of the
 // fleet. It implements memberlist's delegates, whose methods are called by memberlist's goroutines.
 type agent struct {
 	service      *Service
--- a/internal/fleet/member/broadcast.go
+++ b/internal/fleet/member/broadcast.go
@@ -35,7 +35,7 @@
 
 // Broadcast gossips a message to all members, in place of the last one from the same sender. It travels with
 // memberlist's own packets, as long as whoever receives it broadcasts it again. A message beyond MaxMessage is
-// dropped, and so is one of a process that does not hold the node's place.
+// dropped, and so is one of a process that does not have the node's membership.
 func (s *Service) Broadcast(from string, message []byte) {
 	a := s.currentAgent()
 	if a != nil && len(message) <= MaxMessage {
--- a/internal/fleet/member/config.go
+++ b/internal/fleet/member/config.go
@@ -34,8 +34,8 @@
 	// OnMessage is given the messages that others send with Service.Broadcast; nil: they are dropped. It is called by
 	// memberlist's goroutine and must not block. The bytes are its own.
 	OnMessage func(message []byte)
-	// OnJoin is called when this process has got the node's place, in a new incarnation; nil: nobody is told.
+	// OnJoin is called when this process has got the node's membership, in a new incarnation; nil: nobody is told.
 	OnJoin func(Incarnation)
-	// OnLeave is called before the process gives the place up; nil: nobody is told.
+	// OnLeave is called before the process gives the membership up; nil: nobody is told.
 	OnLeave func()
 }
--- a/internal/fleet/member/dial.go
+++ b/internal/fleet/member/dial.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// ErrNoPlace is returned by Service.Dial where this process does not hold the node's place in the fleet.
-var ErrNoPlace = errors.New("this process has no place in the fleet")
+// ErrNoMembership is returned by Service.Dial where this process does not have the node's membership.
+var ErrNoMembership = errors.New("this process has no place in the fleet")
 
 // NotMemberError is returned by Service.Dial for a node that is not present.
 type NotMemberError struct {
@@ -18,17 +18,17 @@
 // Error implements error.
 func (e *NotMemberError) Error() string { return e.Name + " is not in the fleet" }
 
-// Dial opens a stream to a member's channel. A process that has yielded the place may do so for predecessorTime, to
-// whom it knew then.
+// Dial opens a stream to a member's channel. A process that has released the membership may do so for predecessorTime,
+// to the members that it knew then. The errors are ErrNoMembership, a NotMemberError, or those of the network.
 func (s *Service) Dial(name string, channel byte, timeout time.Duration) (net.Conn, error) {
 	s.mu.Lock()
 	a := s.agent
 	view := s.table.View()
-	yielded := s.yielded
+	yielded := s.released
 	s.mu.Unlock()
 	mayFinish := !yielded.IsZero() && time.Since(yielded) <= predecessorTime
 	if a == nil && !mayFinish {
-		return nil, ErrNoPlace
+		return nil, ErrNoMembership
 	}
 	m, known := view.Lookup(name)
 	if !known || !m.State.Present() {
@@ -40,12 +40,12 @@
 	return a.transport.dial(m.Addr, channel, timeout)
 }
 
-// DialAddr opens a stream to a channel of the node at an address. The process need not hold the place.
+// DialAddr opens a stream to a channel of the node at an address. The process need not have the membership.
 func (s *Service) DialAddr(addr string, channel byte, timeout time.Duration) (net.Conn, error) {
 	return dialOnlyTransport(s.config, &s.traffic).dial(addr, channel, timeout)
 }
 
-// KnownAddrs returns the addresses of other members that a process may ask before it holds the place: those to join,
+// KnownAddrs returns the addresses of other members that a process may ask before it has the membership: those to join,
 // and those known last.
 func (s *Service) KnownAddrs() []string {
 	own := []string{s.config.Advertise.String(), s.config.Listen.String()}
--- a/internal/fleet/member/mass_failure_test.go
+++ b/internal/fleet/member/mass_failure_test.go
@@ -83,7 +83,7 @@
 			own = freeAddr(t)
 		}
 		all = append(all, newService(t, fmt.Sprintf("n%d", i), fmt.Sprintf("%s/%d", dir, i), own, at))
-		takePlace(t, all[i])
+		joinFleet(t, all[i])
 	}
 	for _, s := range all {
 		awaitView(t, s, "all", func(v *View) bool { return len(v.Present()) == len(all) })
@@ -101,14 +101,14 @@
 		t.Errorf("%d probes of all members, %d deaths by them", probes, deaths)
 	}
 	late := newService(t, "late", dir+"/late", freeAddr(t), at)
-	takePlace(t, late)
+	joinFleet(t, late)
 	v := awaitView(t, late, "the two", func(v *View) bool { return len(v.Present()) >= 3 })
 	if len(v.Present()) != 3 {
 		t.Errorf("the newcomer has dead members: %s", v)
 	}
 	// One that was declared dead and is alive after all refutes it.
 	back := newService(t, "n5", dir+"/5", failed[3].config.Listen, at)
-	takePlace(t, back)
+	joinFleet(t, back)
 	awaitView(t, rest[0], "one is back", hasState("n5", Alive))
 	before := back.currentAgent().incarnation
 	rest[0].currentAgent().declareDead("n5", before)
@@ -125,8 +125,8 @@
 func TestWitnessReport(t *testing.T) {
 	a, b := freeAddr(t), freeAddr(t)
 	n1, n2 := newService(t, "n1", t.TempDir(), a), newService(t, "n2", t.TempDir(), b, a)
-	takePlace(t, n1)
-	takePlace(t, n2)
+	joinFleet(t, n1)
+	joinFleet(t, n2)
 	awaitView(t, n1, "two", hasState("n2", Alive))
 	awaitView(t, n2, "two", hasState("n1", Alive))
 	report, err := n2.currentAgent().massFailures.askWitness(a.String(), []string{"n1", "n2", "nobody"})
--- a/internal/fleet/member/place.go
+++ b/internal/fleet/member/membership.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// joinRetryInterval is the time between two attempts to take a place that the node's other process holds.
+	// joinRetryInterval is the time between two attempts to take a membership that the node's other process holds.
 	joinRetryInterval = 20 * time.Millisecond
-	// predecessorTime is for how long a process that has yielded the place may still report how its work ended: above
-	// the deadlines of requests. Others are told for as long that it may.
+	// predecessorTime is for how long a process that has released the membership may still report how its work ended:
+	// above the deadlines of requests. Others are told for as long that it may.
 	predecessorTime = 10 * time.Second
 	// conflictBackoff is how long a process that lost a conflict leaves the name alone before it tries again: others
 	// need to have forgotten it by then.
 	conflictBackoff = 15 * time.Second
 )
 
-// Take takes the node's place in the fleet, in a new incarnation. With wait, it keeps trying in the background while
+// Join takes the node's membership, in a new incarnation. With wait, it keeps trying in the background while
 // the node's other process holds it, and returns no error. See node.Fleet.
-func (s *Service) Take(wait bool) error {
+func (s *Service) Join(wait bool) error {
 	s.transition.Lock()
 	defer s.transition.Unlock()
 	s.mu.Lock()
@@ -39,7 +39,7 @@
 		s.config.Listen = netip.AddrPortFrom(s.config.Listen.Addr(), s.config.Listen.Port()+1)
 		s.config.Advertise = s.config.Listen
 	}
-	err := s.join()
+	err := s.beginMembership()
 	if err == nil || !wait {
 		return err
 	}
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// retryAfter tries to take the place, each time after a pause, until it is taken. It is called with mu held.
+// retryAfter tries to take the membership, each time after a pause, until it is taken. It is called with mu held.
 func (s *Service) retryAfter(pause time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancelRetry = cancel
@@ -77,7 +77,7 @@
 	if ctx.Err() != nil {
 		return true
 	}
-	err := s.join()
+	err := s.beginMembership()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
@@ -88,8 +88,8 @@
 	return true
 }
 
-// join begins an incarnation, whoever held the place before. It is called with transition held.
-func (s *Service) join() error {
+// beginMembership begins an incarnation, whoever had the membership before. It is called with transition held.
+func (s *Service) beginMembership() error {
 	t, err := openTransport(s.config, &s.traffic)
 	if errors.Is(err, syscall.EADDRINUSE) {
 		return fmt.Errorf("%s is in use: %w", s.config.Listen, err)
@@ -138,27 +138,27 @@
 	return newAgent(s, t, incarnation, predecessor)
 }
 
-// Yield gives the place to the node's other process.
-func (s *Service) Yield() {
+// Release gives the membership to the node's other process.
+func (s *Service) Release() {
 	if mutant.Active("upgrade-twice") {
 		return
 	}
 	s.mu.Lock()
-	s.yielded = time.Now()
+	s.released = time.Now()
 	s.mu.Unlock()
-	s.release("yielded", "the node's other process has it")
+	s.giveUp("yielded", "the node's other process has it")
 }
 
-// Leaving tells the others that this node is shutting down as planned.
-func (s *Service) Leaving() {
+// AnnounceLeave tells the others that this node is shutting down as planned.
+func (s *Service) AnnounceLeave() {
 	if a := s.currentAgent(); a != nil {
 		a.announceLeaving()
 		s.config.Record.Write("leaving", nil)
 	}
 }
 
-// Left tells the others that this node has left, and closes the service.
-func (s *Service) Left() {
+// Leave tells the others that this node has left, and closes the service.
+func (s *Service) Leave() {
 	if a := s.currentAgent(); a != nil {
 		a.announceLeft()
 		s.config.Record.Write("left", nil)
@@ -166,17 +166,17 @@
 	s.Close()
 }
 
-// Close gives the place up without a message to others.
+// Close gives the membership up without a message to others.
 func (s *Service) Close() {
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.release("closed", "closed")
+	s.giveUp("closed", "closed")
 	s.retries.Wait()
 }
 
-// release gives the place up. The code is for log and record, the reason for operators.
-func (s *Service) release(code, reason string) {
+// giveUp gives the membership up. The code is for log and record, the reason for operators.
+func (s *Service) giveUp(code, reason string) {
 	s.transition.Lock()
 	defer s.transition.Unlock()
 	s.mu.Lock()
@@ -198,7 +198,7 @@
 	s.config.Record.Write(code, nil)
 }
 
-// forgetAgent notes that this process does not hold the place any more, unless another agent does by now.
+// forgetAgent notes that this process does not have the membership any more, unless another agent does by now.
 func (s *Service) forgetAgent(a *agent, reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/member/service.go
+++ b/internal/fleet/member/service.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Service is a process's membership of its fleet. At any time this process holds the node's place in the fleet, or the
+// Service is a process's membership of its fleet. At any time this process has the node's membership, or the
 // node's other process does, or neither. Its methods are safe for concurrent use.
 type Service struct {
 	config   Config
@@ -15,23 +15,23 @@
 	traffic  traffic
 	counters counters
 
-	// transition is held while the place is taken or given up. memberlist, which calls back with a lock of its own
+	// transition is held while the membership is taken or given up. memberlist, which calls back with a lock of its own
 	// held, is called with transition held, and never with mu: mu is taken within memberlist's lock.
 	transition sync.Mutex
 
 	mu           sync.Mutex
 	table        *Table
 	changed      chan struct{}      // closed with the next view
-	agent        *agent             // nil: this process does not hold the place
+	agent        *agent             // nil: this process does not have the membership
 	absentReason string             // why not
-	cancelRetry  context.CancelFunc // ends the attempts to take the place; nil: there are none
+	cancelRetry  context.CancelFunc // ends the attempts to take the membership; nil: there are none
 	retries      sync.WaitGroup     // goroutines of those attempts
 	closed       bool
-	yielded      time.Time // when this process gave the place to the node's other one; zero: never
-	succeeds     bool      // it gets the place from a predecessor that may still be finishing its work
+	released     time.Time // when this process released the membership to the node's other one; zero: never
+	succeeds     bool      // it gets the membership from a predecessor that may still be finishing its work
 }
 
-// New makes a service, which does nothing until Take.
+// New makes a service, which does nothing until Join.
 func New(c Config) *Service {
 	if c.Log == nil {
 		c.Log = slog.New(slog.DiscardHandler)
--- a/internal/fleet/member/service_test.go
+++ b/internal/fleet/member/service_test.go
@@ -43,9 +43,9 @@
 	return s
 }
 
-func takePlace(t *testing.T, s *Service) {
+func joinFleet(t *testing.T, s *Service) {
 	t.Helper()
-	if err := s.Take(false); err != nil {
+	if err := s.Join(false); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -81,19 +81,19 @@
 	n1 := newService(t, "n1", dir+"/1", a)
 	n2, n3 := newService(t, "n2", dir+"/2", b, a), newService(t, "n3", dir+"/3", c, a)
 	for _, s := range []*Service{n1, n2, n3} {
-		takePlace(t, s)
+		joinFleet(t, s)
 	}
 	for _, s := range []*Service{n1, n2, n3} {
 		awaitView(t, s, "three", func(v *View) bool { return len(v.Present()) == 3 })
 	}
-	n2.Leaving()
+	n2.AnnounceLeave()
 	awaitView(t, n1, "it announces that it leaves", hasState("n2", Leaving))
-	n2.Left()
+	n2.Leave()
 	awaitView(t, n1, "it has left", hasState("n2", Left))
 	n3.Close()
 	awaitView(t, n1, "it has failed", hasState("n3", Dead))
 	again := newService(t, "n3", dir+"/3", c, a)
-	takePlace(t, again)
+	joinFleet(t, again)
 	v := awaitView(t, n1, "its next incarnation", hasState("n3", Alive))
 	if m, _ := v.Lookup("n3"); m.Incarnation.Number != 2 {
 		t.Errorf("incarnation %v", m.Incarnation)
@@ -103,22 +103,22 @@
 	}
 }
 
-// In an upgrade the place goes from one process to the other, and no view has the node gone or twice.
-func TestUpgradeHandsPlaceOver(t *testing.T) {
+// In an upgrade the membership goes from one process to the other, and no view has the node gone or twice.
+func TestUpgradeHandsMembershipOver(t *testing.T) {
 	a, b := freeAddr(t), freeAddr(t)
 	dir := t.TempDir()
 	n1, predecessor := newService(t, "n1", dir+"/1", a), newService(t, "n2", dir+"/2", b, a)
-	takePlace(t, n1)
-	takePlace(t, predecessor)
+	joinFleet(t, n1)
+	joinFleet(t, predecessor)
 	awaitView(t, n1, "two", hasState("n2", Alive))
 	next := newService(t, "n2", dir+"/2", b, a)
-	if err := next.Take(false); err == nil || !strings.Contains(err.Error(), "is in use") {
+	if err := next.Join(false); err == nil || !strings.Contains(err.Error(), "is in use") {
 		t.Errorf("without waiting: %v", err)
 	}
-	if err := next.Take(true); err != nil {
+	if err := next.Join(true); err != nil {
 		t.Fatal(err)
 	}
-	predecessor.Yield()
+	predecessor.Release()
 	awaitView(t, n1, "its next incarnation", func(v *View) bool {
 		m, _ := v.Lookup("n2")
 		if len(v.Members) != 2 || !m.State.Present() {
@@ -136,13 +136,13 @@
 	a, b, c := freeAddr(t), freeAddr(t), freeAddr(t)
 	dir := t.TempDir()
 	n1, n2 := newService(t, "n1", dir+"/1", a), newService(t, "n2", dir+"/2", b, a)
-	takePlace(t, n1)
-	takePlace(t, n2)
+	joinFleet(t, n1)
+	joinFleet(t, n2)
 	v := awaitView(t, n1, "two", hasState("n2", Alive))
 	settled, _ := v.Lookup("n2")
 	time.Sleep(settleTime + time.Second) // its claim settles by time alone
 	twin := newService(t, "n2", dir+"/3", c, a)
-	takePlace(t, twin)
+	joinFleet(t, twin)
 	for deadline := time.Now().Add(20 * time.Second); !strings.Contains(twin.Status(), "is used by another process"); {
 		if time.Now().After(deadline) {
 			t.Fatalf("it does not step back: %s", twin.Status())
@@ -158,7 +158,7 @@
 func TestForeignPacketsAreDropped(t *testing.T) {
 	a := freeAddr(t)
 	n1 := newService(t, "n1", t.TempDir(), a)
-	takePlace(t, n1)
+	joinFleet(t, n1)
 	before := n1.View().Number
 	u, err := net.Dial("udp", a.String())
 	if err != nil {
@@ -230,8 +230,8 @@
 	if l, err := beginIncarnation(good, "n1"); err != nil || l.Number != 2 {
 		t.Error(l, err)
 	}
-	if n1 := newService(t, "n1", full, freeAddr(t)); n1.Take(false) == nil {
-		t.Error("it takes the place without an incarnation")
+	if n1 := newService(t, "n1", full, freeAddr(t)); n1.Join(false) == nil {
+		t.Error("it takes the membership without an incarnation")
 	}
 }
 
@@ -275,7 +275,7 @@
 	n1 := newService(t, "n1", dir+"/1", a)
 	n2, n3 := newService(t, "n2", dir+"/2", b, a), newService(t, "n3", dir+"/3", c, a)
 	for _, s := range []*Service{n1, n2, n3} {
-		takePlace(t, s)
+		joinFleet(t, s)
 	}
 	for _, s := range []*Service{n2, n3} {
 		awaitView(t, s, "three", func(v *View) bool { return len(v.Present()) == 3 })
@@ -291,8 +291,8 @@
 		s.Close()
 	}
 	n2, n3 = newService(t, "n2", dir+"/2", b, a), newService(t, "n3", dir+"/3", c, a)
-	takePlace(t, n2)
-	takePlace(t, n3)
+	joinFleet(t, n2)
+	joinFleet(t, n3)
 	awaitView(t, n2, "the other", hasState("n3", Alive))
 	if err := os.WriteFile(dir+"/2/"+knownAddrsFile, []byte(`["x", "127.0.0.1:1"`), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/fleet/signals/service.go
+++ b/internal/fleet/signals/service.go
@@ -41,7 +41,7 @@
 
 	mu          sync.Mutex
 	detector    *Detector
-	incarnation string // "": this process does not have the node's place, and reports nothing
+	incarnation string // "": this process does not have the node's membership, and reports nothing
 	group       []Server
 	suspected   []uint64
 	onChange    func() // is called when the suspected servers change; nil: nobody is told
@@ -74,7 +74,7 @@
 // now is the detector's time, which is never 0.
 func (s *Service) now() time.Duration { return time.Since(s.start) + 1 }
 
-// Start begins to report, for a process that has got the node's place in the fleet.
+// Start begins to report, for a process that has got the node's membership.
 func (s *Service) Start(incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +84,7 @@
 	s.tasks.Go(func() { s.run(stop) })
 }
 
-// Stop ends that, for a process that gives the place up.
+// Stop ends that, for a process that gives the membership up.
 func (s *Service) Stop() {
 	s.mu.Lock()
 	stop := s.stop
