--- a/internal/fleet/budget/ledger.go
+++ b/internal/fleet/budget/ledger.go
@@ -2,8 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
-	"fmt"
 	"io"
 	"maps"
 	"sync"
@@ -43,8 +41,6 @@
 	Reserved map[string]float64 `json:"kept,omitempty"`
 }
 
-var errUnknownCommand = errors.New("not of this form")
-
 func newLedger() *ledger {
 	return &ledger{
 		Seats:    map[string]int{},
@@ -90,7 +86,7 @@
 	case err == nil && c.Count != nil:
 		return l.Counts.apply(*c.Count)
 	}
-	return fmt.Errorf("log entry %d: %w", entry.Index, errors.Join(err, errUnknownCommand))
+	return raftlog.MalformedEntry(entry, err)
 }
 
 // assignSeat gives a home its seat: once, and never one that another home has. It returns 0 if there is none left.
