--- a/docs/references_test.go
+++ b/docs/references_test.go
@@ -17,9 +17,6 @@
 
 const moduleRoot = ".."
 
-// unchecked are the pages that may name code of earlier revisions.
-var unchecked = map[string]bool{"ROADMAP.md": true} // the plan has history in it
-
 var (
 	// goFile matches the name of a Go file, with or without folders.
 	goFile = regexp.MustCompile(`(?:[\w-]+/)*\w+\.go\b`)
@@ -156,9 +153,6 @@
 	}
 	m := readModule(t)
 	for _, page := range append(pages, "../README.md") {
-		if unchecked[page] {
-			continue
-		}
 		text, err := os.ReadFile(page)
 		if err != nil {
 			t.Fatal(err)
