--- a/internal/lab/live/judge.go
+++ b/internal/lab/live/judge.go
@@ -68,8 +68,8 @@
 	return append(j.found[:len(j.found):len(j.found)], fmt.Sprintf("and %d more", j.more))
 }
 
-// Came implements fact.Tries.
-func (j *judge) Came(peer, call string, safe bool) {
+// AttemptReceived implements event.AttemptObserver.
+func (j *judge) AttemptReceived(peer, call string, safe bool) {
 	now := j.now()
 	if j.hears != nil {
 		j.hears(peer, call)
@@ -91,8 +91,8 @@
 	m.may++
 }
 
-// Spared implements fact.Tries.
-func (j *judge) Spared(peer, call string) {
+// AttemptRejected implements event.AttemptObserver.
+func (j *judge) AttemptRejected(peer, call string) {
 	j.done(peer, call)
 	if j.spares != nil {
 		j.spares(peer, call)
@@ -102,8 +102,8 @@
 	}
 }
 
-// Answered implements fact.Tries.
-func (j *judge) Answered(peer, call string, body []byte) {
+// AttemptAnswered implements event.AttemptObserver.
+func (j *judge) AttemptAnswered(peer, call string, body []byte) {
 	j.done(peer, call)
 	if m := j.calls[call]; m != nil {
 		m.bodies = append(m.bodies, xxhash.Sum64(body))
--- a/internal/lab/live/judge_test.go
+++ b/internal/lab/live/judge_test.go
@@ -19,51 +19,51 @@
 		wants []string // in order
 	}{
 		{"served", func(j *judge) {
-			j.Came("p1", "a", false)
-			j.Answered("p1", "a", []byte("call=a 1"))
+			j.AttemptReceived("p1", "a", false)
+			j.AttemptAnswered("p1", "a", []byte("call=a 1"))
 			answer(j, 200, "call=a 1")
 		}, nil},
 		{"tried again after a proof", func(j *judge) {
-			j.Came("p1", "a", false)
-			j.Spared("p1", "a")
-			j.Came("p2", "a", false)
+			j.AttemptReceived("p1", "a", false)
+			j.AttemptRejected("p1", "a")
+			j.AttemptReceived("p2", "a", false)
 		}, nil},
 		{"refused after a proof", func(j *judge) {
-			j.Came("p1", "a", false)
-			j.Spared("p1", "a")
+			j.AttemptReceived("p1", "a", false)
+			j.AttemptRejected("p1", "a")
 			answer(j, 503, "")
 		}, nil},
 		{"a second copy of a safe call", func(j *judge) {
-			j.Came("p1", "a", true)
-			j.Came("p2", "a", true)
-			j.Answered("p1", "a", []byte("call=a 1"))
-			j.Answered("p2", "a", []byte("call=a 2"))
+			j.AttemptReceived("p1", "a", true)
+			j.AttemptReceived("p2", "a", true)
+			j.AttemptAnswered("p1", "a", []byte("call=a 1"))
+			j.AttemptAnswered("p2", "a", []byte("call=a 2"))
 			answer(j, 200, "call=a 2")
 		}, nil},
 		{"failed", func(j *judge) {
-			j.Came("p1", "a", false)
+			j.AttemptReceived("p1", "a", false)
 			answer(j, 502, "")
 		}, nil},
 		{"an unsafe call twice", func(j *judge) {
-			j.Came("p1", "a", false)
-			j.Came("p2", "a", false)
+			j.AttemptReceived("p1", "a", false)
+			j.AttemptReceived("p2", "a", false)
 		}, []string{"effect at 1.000000s: call a comes to peer p2, though"}},
 		{"refused without a proof", func(j *judge) {
-			j.Came("p1", "a", false)
+			j.AttemptReceived("p1", "a", false)
 			answer(j, 503, "")
 		}, []string{"effect at 1.000000s: call a is refused"}},
 		{"too many tries", func(j *judge) {
 			for range 4 {
-				j.Came("p1", "a", true)
+				j.AttemptReceived("p1", "a", true)
 			}
 		}, []string{"effect at 1.000000s: call a comes to peer p1 as try 4 of 3"}},
 		{"another call's body", func(j *judge) {
-			j.Came("p1", "a", true)
+			j.AttemptReceived("p1", "a", true)
 			answer(j, 200, "call=b 1")
 		}, []string{"wrong answer at 1.000000s: call a gets what names another call"}},
 		{"a body that was cut", func(j *judge) {
-			j.Came("p1", "a", true)
-			j.Answered("p1", "a", []byte("call=a 1"))
+			j.AttemptReceived("p1", "a", true)
+			j.AttemptAnswered("p1", "a", []byte("call=a 1"))
 			answer(j, 200, "call=a ")
 		}, []string{"wrong answer at 1.000000s: call a gets a body that no peer made"}},
 		{"a body of nobody's", func(j *judge) { answer(j, 200, "call=a 1") }, []string{"wrong answer"}},
@@ -86,7 +86,7 @@
 	now := time.Duration(0)
 	j := newJudge(3, time.Second, func() time.Duration { return now })
 	for _, call := range []string{"a", "b", "c"} {
-		j.Came("p1", call, true)
+		j.AttemptReceived("p1", call, true)
 		now += 2 * time.Second
 	}
 	if len(j.calls) != 1 || len(j.order) != 1 {
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"olivebridge/internal/lab/fact"
+	"olivebridge/internal/lab/event"
 	"olivebridge/internal/lab/fault"
 	"olivebridge/internal/lab/figure"
 	"olivebridge/internal/lab/link"
@@ -149,17 +149,17 @@
 		r.net.Guest(n.Name)
 	}
 	r.place()
-	facts := witness{run: r}
+	observer := worldObserver{run: r}
 	var err error
 	if r.registry, err = registry.New(c.Discovery, c.Peers, registry.Env{
-		Loop: r.loop, Fabric: r.net, Seed: s.Seed, Facts: facts,
+		Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: observer,
 	}); err != nil {
 		return err
 	}
 	r.discovery = c.Discovery.Addr
 	for _, p := range c.Peers {
 		one := &server{run: r, c: p, Peer: peer.New(p, peer.Env{
-			Loop: r.loop, Fabric: r.net, Seed: s.Seed, Facts: facts, Classes: c.Classes, Listed: r.registry, Tries: r.judge,
+			Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: observer, Classes: c.Classes, Listed: r.registry, Attempts: r.judge,
 		})}
 		r.peers = append(r.peers, one)
 		if p.Late {
@@ -171,7 +171,7 @@
 	}
 	r.front = client.NewFront(c.Front, c.Nodes, client.FrontEnv{Loop: r.loop, Fabric: r.net, Seed: s.Seed})
 	env := client.Env{
-		Loop: r.loop, Fabric: r.net, Seed: s.Seed, Facts: facts, Classes: c.Classes, Tenants: c.Tenants,
+		Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: observer, Classes: c.Classes, Tenants: c.Tenants,
 		Front: r.front, Contract: c.Contract, Ended: r.watch.request, Heard: r.judge.heard,
 	}
 	for _, one := range c.Clients {
@@ -272,7 +272,7 @@
 		crowd.Start(s.Length.D())
 	}
 	env := client.Env{
-		Loop: r.loop, Fabric: r.net, Seed: s.Seed, Facts: fact.Nobody{}, Classes: c.Classes, Tenants: c.Tenants,
+		Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: event.NopObserver{}, Classes: c.Classes, Tenants: c.Tenants,
 		Front: r.front, Contract: c.Contract,
 	}
 	for _, one := range c.Rogues {
--- a/internal/lab/live/watch.go
+++ b/internal/lab/live/watch.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"olivebridge/internal/lab/fact"
+	"olivebridge/internal/lab/event"
 	"olivebridge/internal/lab/sample"
 )
 
@@ -86,24 +86,24 @@
 	}
 }
 
-// witness hears what peers and discovery do.
-type witness struct {
-	fact.Nobody
+// worldObserver passes the events of peers and discovery on to the watch.
+type worldObserver struct {
+	event.NopObserver
 	run *Run
 }
 
-// PeerStarted implements fact.Witness, as do the methods below.
-func (w witness) PeerStarted(peer, _ string, cold bool) {
+// PeerStarted implements event.Observer, as do the methods below.
+func (w worldObserver) PeerStarted(peer, _ string, cold bool) {
 	if cold {
 		w.run.watch.tell(peer, "started cold")
 	}
 }
 
-// PeerStopped implements fact.Witness.
-func (w witness) PeerStopped(peer string) { w.run.watch.tell(peer, "ended") }
+// PeerStopped implements event.Observer.
+func (w worldObserver) PeerStopped(peer string) { w.run.watch.tell(peer, "ended") }
 
-// Listed implements fact.Witness.
-func (w witness) Listed(_ int64, peer, _, state string, _ time.Duration) {
+// PeerListed implements event.Observer.
+func (w worldObserver) PeerListed(_ int64, peer, _, state string, _ time.Duration) {
 	w.run.listed[peer] = state
 	w.run.watch.tell(peer, "listed "+state)
 }
--- a/internal/lab/rules/judge.go
+++ b/internal/lab/rules/judge.go
@@ -16,9 +16,9 @@
 	Classes   []world.Class
 	Nodes     []string             // host names; a node listens at NAME:9000
 	Discovery []string             // its addresses
-	Peers     map[string]string    // address at start -> name; more become known by fact PeerStarted
+	Peers     map[string]string    // address at start -> name; more become known by the event PeerStarted
 	Known     func(version int64)  // hears each version that a node is told on the wire; nil: nobody does
-	Now       func() time.Duration // the time of facts; nil: that of the last crossing or Tick
+	Now       func() time.Duration // the time of events; nil: that of the last crossing or Tick
 	Slack     time.Duration        // on every time limit; 0: 50 ms
 }
 
@@ -34,7 +34,7 @@
 	maxFound = 20
 )
 
-// Judge sees all that crosses the network, and hears facts. It belongs to the
+// Judge sees all that crosses the network, and observes the events of the run. It belongs to the
 // loop of the run.
 type Judge struct {
 	c       Config
@@ -52,7 +52,7 @@
 	gone   []ended                  // connections and calls that are over, the first first
 	at     map[string]string        // peers by address
 	starts map[string]*start        // of peers, by name
-	sent   map[string][]*try        // written whole, and not yet met by a fact, by call
+	sent   map[string][]*try        // written whole, and not yet matched by a PeerAttempt event, by call
 	bad    map[string]badMark       // of connections not met yet
 	book   book                     // what discovery knows
 	barred map[way]bool             // where calls to discovery are not served
@@ -205,7 +205,7 @@
 	j.now = max(j.now, now)
 }
 
-// clock is the time of a fact.
+// clock is the time of an event.
 func (j *Judge) clock() time.Duration {
 	if j.c.Now != nil {
 		j.advance(j.c.Now())
--- a/internal/lab/rules/fact.go
+++ b/internal/lab/rules/observer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// PeerStarted implements fact.Witness.
+// PeerStarted implements event.Observer.
 func (j *Judge) PeerStarted(peer, addr string, cold bool) {
 	now := j.clock()
 	j.at[addr] = peer
@@ -14,20 +14,20 @@
 	}
 }
 
-// PeerStopped implements fact.Witness.
+// PeerStopped implements event.Observer.
 func (j *Judge) PeerStopped(peer string) {
 	j.clock()
 	delete(j.starts, peer)
 }
 
-// PeerWork implements fact.Witness.
-func (j *Judge) PeerWork(peer, call string, work, capacity float64) {
+// PeerAttempt implements event.Observer.
+func (j *Judge) PeerAttempt(peer, call string, work, capacity float64) {
 	j.clock()
 	j.work(peer, call, work, capacity)
 }
 
-// Listed implements fact.Witness.
-func (j *Judge) Listed(version int64, peer, addr, state string, started time.Duration) {
+// PeerListed implements event.Observer.
+func (j *Judge) PeerListed(version int64, peer, addr, state string, started time.Duration) {
 	j.book.put(listing{version: version, name: peer, addr: addr, state: state, started: started, at: j.clock()})
 	for _, name := range j.c.Nodes {
 		if n := j.nodes[name]; n.told.reaches {
@@ -36,8 +36,8 @@
 	}
 }
 
-// Reach implements fact.Witness.
-func (j *Judge) Reach(node, addr string, served bool) {
+// DiscoveryReachable implements event.Observer.
+func (j *Judge) DiscoveryReachable(node, addr string, served bool) {
 	j.clock()
 	j.barred[way{node, addr}] = !served
 	for _, name := range j.c.Nodes {
@@ -45,8 +45,8 @@
 	}
 }
 
-// Bad implements fact.Witness.
-func (j *Judge) Bad(id, why string, within time.Duration) {
+// MalformedInput implements event.Observer.
+func (j *Judge) MalformedInput(id, why string, within time.Duration) {
 	j.clock()
 	m := badMark{why, within}
 	if k := j.conns[id]; k == nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-// NodeStarted implements fact.Witness.
+// NodeStarted implements event.Observer.
 func (j *Judge) NodeStarted(name string, version int64) {
 	j.clock()
 	n := j.nodes[name]
@@ -70,7 +70,7 @@
 	j.begin(n, version)
 }
 
-// NodeKilled implements fact.Witness.
+// NodeKilled implements event.Observer.
 func (j *Judge) NodeKilled(name string) {
 	j.clock()
 	if n := j.nodes[name]; n != nil {
@@ -91,8 +91,8 @@
 	n.reset()
 }
 
-// NodeTold implements fact.Witness.
-func (j *Judge) NodeTold(name, signal, discovery string) {
+// NodeSignaled implements event.Observer.
+func (j *Judge) NodeSignaled(name, signal, discovery string) {
 	now := j.clock()
 	n := j.nodes[name]
 	if n == nil {
--- a/internal/lab/rules/operate.go
+++ b/internal/lab/rules/operate.go
@@ -20,8 +20,8 @@
 	inUse bool // it got a try shortly before
 }
 
-// NodeOperated implements fact.Witness.
-func (j *Judge) NodeOperated(name, call, peer string) {
+// NodeCommanded implements event.Observer.
+func (j *Judge) NodeCommanded(name, call, peer string) {
 	now := j.clock()
 	n := j.nodes[name]
 	if n == nil || !n.alive {
--- a/internal/lab/rules/operate_test.go
+++ b/internal/lab/rules/operate_test.go
@@ -31,35 +31,35 @@
 // restored lets p1, in use, be suspended, restarted and put back.
 func (s *scene) restored() {
 	s.serve("a", "quote")
-	s.j.NodeOperated("n1", "SUSPEND", "p1")
+	s.j.NodeCommanded("n1", "SUSPEND", "p1")
 	s.pass(time.Second)
 	s.j.PeerStarted("p1", "p1:9", true)
 	s.pass(time.Second)
-	s.j.NodeOperated("n1", "RESTORE", "p1")
+	s.j.NodeCommanded("n1", "RESTORE", "p1")
 }
 
 // operatorCases are those of operators' calls.
 var operatorCases = []ruleCase{
 	{"a try to a suspended peer", Suspended, nil, func(s *scene) {
-		s.j.NodeOperated("n1", "SUSPEND", "p1")
+		s.j.NodeCommanded("n1", "SUSPEND", "p1")
 		s.pass(100 * ms)
 		s.serve("a", "quote")
 	}},
 	{"a probe of one", Suspended, nil, func(s *scene) {
-		s.j.NodeOperated("n1", "SUSPEND", "p1")
+		s.j.NodeCommanded("n1", "SUSPEND", "p1")
 		s.pass(100 * ms)
 		s.open("a1", "n1", "p1:9")
 		s.send("a1", false, "GET /health/live HTTP/1.1\r\nHost: p1\r\n\r\n")
 	}},
 	{"suspended twice, put back once", "", nil, func(s *scene) {
-		s.j.NodeOperated("n1", "SUSPEND", "p1")
-		s.j.NodeOperated("n1", "SUSPEND", "p1")
+		s.j.NodeCommanded("n1", "SUSPEND", "p1")
+		s.j.NodeCommanded("n1", "SUSPEND", "p1")
 		s.pass(time.Second)
-		s.j.NodeOperated("n1", "RESTORE", "p1")
+		s.j.NodeCommanded("n1", "RESTORE", "p1")
 		s.serve("a", "quote")
 	}},
 	{"a list says nothing of it", Suspended, nil, func(s *scene) {
-		s.j.NodeOperated("n1", "SUSPEND", "p1")
+		s.j.NodeCommanded("n1", "SUSPEND", "p1")
 		s.call("d", "")
 		s.send("d", true, listed(9, true, "p1=Ready", "p2=Ready"))
 		s.pass(100 * ms)
@@ -82,25 +82,25 @@
 		s.pass(2 * inUse)
 	}},
 	{"ready while paused", Paused, nil, func(s *scene) {
-		s.j.NodeOperated("n1", "PAUSE", "")
+		s.j.NodeCommanded("n1", "PAUSE", "")
 		s.pass(100 * ms)
 		s.asksReady("200 ")
 	}},
 	{"not ready while paused, and ready after it", "", nil, func(s *scene) {
-		s.j.NodeOperated("n1", "PAUSE", "")
+		s.j.NodeCommanded("n1", "PAUSE", "")
 		s.pass(100 * ms)
 		s.asksReady("503 ")
-		s.j.NodeOperated("n1", "RESUME", "")
+		s.j.NodeCommanded("n1", "RESUME", "")
 		s.pass(emptied + time.Second)
 	}},
 	{"a connection held idle", Paused, nil, func(s *scene) {
 		s.serve("a", "quote")
-		s.j.NodeOperated("n1", "PAUSE", "")
+		s.j.NodeCommanded("n1", "PAUSE", "")
 		s.pass(emptied + 100*ms)
 	}},
 	{"closed in time", "", nil, func(s *scene) {
 		s.serve("a", "quote")
-		s.j.NodeOperated("n1", "PAUSE", "")
+		s.j.NodeCommanded("n1", "PAUSE", "")
 		s.end("a", true, "")
 		s.pass(emptied + 100*ms)
 	}},
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -14,7 +14,7 @@
 
 const ms = time.Millisecond
 
-// scene plays crossings and facts by hand. A call "a" comes on the connection
+// scene plays crossings and events by hand. A call "a" comes on the connection
 // "a"; its tries go on "a1", "a2", …; "d" is one to discovery. Each step takes
 // a millisecond.
 type scene struct {
@@ -43,8 +43,8 @@
 		Peers: map[string]string{"p1:9": "p1", "p2:9": "p2"},
 		Now:   func() time.Duration { return s.now },
 	})
-	s.j.Listed(1, "p1", "p1:9", ready, 0)
-	s.j.Listed(2, "p2", "p2:9", ready, 0)
+	s.j.PeerListed(1, "p1", "p1:9", ready, 0)
+	s.j.PeerListed(2, "p2", "p2:9", ready, 0)
 	s.j.NodeStarted("n1", 2)
 	return s
 }
@@ -139,7 +139,7 @@
 
 // leave lets discovery know that p1 leaves, and tell it to the node.
 func (s *scene) leave() {
-	s.j.Listed(3, "p1", "p1:9", terminating, 0)
+	s.j.PeerListed(3, "p1", "p1:9", terminating, 0)
 	s.call("d", "?after=2&wait_ms=2000")
 	s.send("d", true, listed(3, false, "p1=Terminating"))
 }
@@ -148,14 +148,14 @@
 func (s *scene) fail() {
 	s.call("d", "")
 	s.send("d", true, answer("503 "))
-	s.j.Listed(3, "p1", "p1:9", gone, 0)
+	s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 }
 
 // cold lets a cold start of p1 be listed, and told if knows, and n calls of 0.1 s of work reach it.
 func (s *scene) cold(knows bool, n int) {
 	s.pass(time.Second)
 	s.j.PeerStarted("p1", "p1:9", true)
-	s.j.Listed(3, "p1", "p1:9", ready, s.now)
+	s.j.PeerListed(3, "p1", "p1:9", ready, s.now)
 	s.pass(ms)
 	if knows {
 		s.call("d", "")
@@ -165,7 +165,7 @@
 		id := string(rune('A' + i))
 		s.ask(id, "quote")
 		s.try(id+"1", "quote")
-		s.j.PeerWork("p1", id, 0.1, 0.14)
+		s.j.PeerAttempt("p1", id, 0.1, 0.14)
 		s.reply(id+"1", "200 "+id)
 		s.answer(id, "200 "+id)
 		s.pass(50 * ms)
@@ -228,21 +228,21 @@
 		s.j.NodeKilled("n1")
 	}},
 	{"late after SIGTERM, and killed", Lost, nil, func(s *scene) {
-		s.j.NodeTold("n1", "SIGTERM", "")
+		s.j.NodeSignaled("n1", "SIGTERM", "")
 		s.pass(2300 * ms)
 		s.ask("a", "quote")
 		s.cross(link.Broke, "a", true, "", "killed")
 		s.j.NodeKilled("n1")
 	}},
 	{"soon after SIGTERM, and killed", "", nil, func(s *scene) {
-		s.j.NodeTold("n1", "SIGTERM", "")
+		s.j.NodeSignaled("n1", "SIGTERM", "")
 		s.pass(740 * ms)
 		s.ask("a", "book")
 		s.pass(1460 * ms)
 		s.j.NodeKilled("n1")
 	}},
 	{"late after SIGTERM, and killed before its time", "", nil, func(s *scene) {
-		s.j.NodeTold("n1", "SIGTERM", "")
+		s.j.NodeSignaled("n1", "SIGTERM", "")
 		s.pass(time.Second)
 		s.ask("a", "quote")
 		s.j.NodeKilled("n1")
@@ -498,7 +498,7 @@
 	}},
 	{"ready again", "", nil, func(s *scene) {
 		s.leave()
-		s.j.Listed(4, "p1", "p1:9", ready, s.now)
+		s.j.PeerListed(4, "p1", "p1:9", ready, s.now)
 		s.send("d", false, "GET /registry/instances?after=3&wait_ms=9 HTTP/1.1\r\n\r\n")
 		s.send("d", true, listed(4, false, "p1=Ready"))
 		s.pass(4 * time.Second)
@@ -517,7 +517,7 @@
 		s.serve("a", "quote")
 	}},
 	{"the answer never came", Drain, nil, func(s *scene) {
-		s.j.Listed(3, "p1", "p1:9", gone, 0)
+		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.call("d", "?after=2&wait_ms=2000")
 		s.end("d", false, "") // the node gives up
 		s.end("d", true, "")
@@ -525,37 +525,37 @@
 		s.serve("a", "quote")
 	}},
 	{"the answer never came, in the grace", "", nil, func(s *scene) {
-		s.j.Listed(3, "p1", "p1:9", gone, 0)
+		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.call("d", "?after=2&wait_ms=2000")
 		s.pass(6530 * ms)
 		s.serve("a", "quote")
 	}},
 	{"the call broke", "", nil, func(s *scene) {
-		s.j.Listed(3, "p1", "p1:9", gone, 0)
+		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.call("d", "?after=2&wait_ms=2000")
 		s.cross(link.Broke, "d", false, "", "reset")
 		s.pass(8 * time.Second)
 		s.serve("a", "quote")
 	}},
 	{"told of its return before that counts", "", nil, func(s *scene) {
-		s.j.Listed(3, "p1", "p1:9", gone, 0)
+		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.call("d", "?after=2&wait_ms=2000")
 		s.end("d", false, "")
-		s.j.Listed(4, "p1", "p1:9", ready, s.now)
+		s.j.PeerListed(4, "p1", "p1:9", ready, s.now)
 		s.call("d2", "?after=2&wait_ms=2000")
 		s.send("d2", true, listed(4, false, "p1=Ready"))
 		s.pass(8 * time.Second)
 		s.serve("a", "quote")
 	}},
 	{"the answer cannot be read", "", nil, func(s *scene) {
-		s.j.Listed(3, "p1", "p1:9", gone, 0)
+		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.call("d", "?after=2&wait_ms=2000")
 		s.send("d", true, answer(`200 {"version":3,"full":false,"servers":[{"id":"p1"`))
 		s.pass(8 * time.Second)
 		s.serve("a", "quote")
 	}},
 	{"never asked", Drain, nil, func(s *scene) {
-		s.j.Listed(3, "p1", "p1:9", gone, 0)
+		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.pass(12551 * ms)
 		s.serve("a", "quote")
 	}},
@@ -570,60 +570,60 @@
 		s.serve("a", "quote")
 	}},
 	{"asked, and failed, and it is down", "", nil, func(s *scene) {
-		s.j.Reach("", "d:1", false)
+		s.j.DiscoveryReachable("", "d:1", false)
 		s.fail()
 		s.pass(40 * time.Second)
 		s.serve("a", "quote")
 	}},
 	{"asked, and failed, and the way is cut", "", nil, func(s *scene) {
-		s.j.Reach("n1", "d:1", false)
+		s.j.DiscoveryReachable("n1", "d:1", false)
 		s.fail()
 		s.pass(40 * time.Second)
 		s.serve("a", "quote")
 	}},
 	{"another node's way is cut", Drain, nil, func(s *scene) {
 		s.fail()
-		s.j.Reach("n2", "d:1", false)
+		s.j.DiscoveryReachable("n2", "d:1", false)
 		s.pass(8551 * ms)
 		s.serve("a", "quote")
 	}},
 	{"it is back", Drain, nil, func(s *scene) {
-		s.j.Reach("", "d:1", false)
+		s.j.DiscoveryReachable("", "d:1", false)
 		s.fail()
 		s.pass(10 * time.Second)
-		s.j.Reach("", "d:1", true)
+		s.j.DiscoveryReachable("", "d:1", true)
 		s.pass(8551 * ms)
 		s.serve("a", "quote")
 	}},
 	{"it is back, in the grace", "", nil, func(s *scene) {
-		s.j.Reach("", "d:1", false)
+		s.j.DiscoveryReachable("", "d:1", false)
 		s.fail()
 		s.pass(10 * time.Second)
-		s.j.Reach("", "d:1", true)
+		s.j.DiscoveryReachable("", "d:1", true)
 		s.pass(8530 * ms)
 		s.serve("a", "quote")
 	}},
 	{"it is back, and down again before that counts", "", nil, func(s *scene) {
 		s.fail()
 		s.pass(5990 * ms)
-		s.j.Reach("", "d:1", false)
+		s.j.DiscoveryReachable("", "d:1", false)
 		s.pass(time.Second)
-		s.j.Reach("", "d:1", true)
+		s.j.DiscoveryReachable("", "d:1", true)
 		s.pass(8530 * ms)
 		s.serve("a", "quote")
 	}},
 	{"it is back elsewhere", "", nil, func(s *scene) {
-		s.j.Reach("", "d:1", false)
+		s.j.DiscoveryReachable("", "d:1", false)
 		s.fail()
-		s.j.Reach("", "e:1", true)
+		s.j.DiscoveryReachable("", "e:1", true)
 		s.pass(40 * time.Second)
 		s.serve("a", "quote")
 	}},
 	{"moved", Drain, nil, func(s *scene) {
 		s.call("d", "")
 		s.send("d", true, listed(2, true, "p1=Ready", "p2=Ready"))
-		s.j.NodeTold("n1", "SIGHUP", "e:1")
-		s.j.Listed(1500, "p1", "p1:9", gone, 0)
+		s.j.NodeSignaled("n1", "SIGHUP", "e:1")
+		s.j.PeerListed(1500, "p1", "p1:9", gone, 0)
 		s.send("d", false, "GET /registry/instances HTTP/1.1\r\n\r\n")
 		s.send("d", true, listed(1400, true, "p1=Ready", "p2=Ready")) // of the old one
 		s.pass(6550 * ms)
@@ -632,13 +632,13 @@
 	{"reloaded, not moved", "", nil, func(s *scene) {
 		s.call("d", "")
 		s.send("d", true, listed(2, true, "p1=Ready", "p2=Ready"))
-		s.j.NodeTold("n1", "SIGHUP", "d:1")
-		s.j.Listed(3, "p1", "p1:9", gone, 0)
+		s.j.NodeSignaled("n1", "SIGHUP", "d:1")
+		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.pass(6550 * ms)
 		s.serve("a", "quote")
 	}},
 	{"started with a list that has it gone", Drain, nil, func(s *scene) {
-		s.j.Listed(3, "p1", "p1:9", gone, 0)
+		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.j.NodeKilled("n1")
 		s.j.NodeStarted("n1", 3)
 		s.pass(2550 * ms)
@@ -658,29 +658,29 @@
 
 	{"bad, and served", Bad, nil, func(s *scene) {
 		s.open("a", "c1", "n1:9000")
-		s.j.Bad("a", "noise", 3*time.Second)
+		s.j.MalformedInput("a", "noise", 3*time.Second)
 		s.send("a", false, "noise\r\n")
 		s.answer("a", "200 ")
 	}},
 	{"bad, and tried", Bad, nil, func(s *scene) {
-		s.j.Bad("a", "class", 3*time.Second)
+		s.j.MalformedInput("a", "class", 3*time.Second)
 		s.ask("a", "nonsense")
 		s.try("a1", "nonsense")
 	}},
 	{"bad, and nothing comes of it", Bad, nil, func(s *scene) {
-		s.j.Bad("a", "silence", 3*time.Second)
+		s.j.MalformedInput("a", "silence", 3*time.Second)
 		s.open("a", "c1", "n1:9000")
 		s.pass(3051 * ms)
 	}},
 	{"bad, and an error", "", nil, func(s *scene) {
-		s.j.Bad("a", "class", 3*time.Second)
+		s.j.MalformedInput("a", "class", 3*time.Second)
 		s.ask("a", "nonsense")
 		s.answer("a", "400 ")
 		s.pass(4 * time.Second)
 	}},
 	{"bad, and a close", "", nil, func(s *scene) {
 		s.serve("a", "quote")
-		s.j.Bad("a", "noise", 3*time.Second)
+		s.j.MalformedInput("a", "noise", 3*time.Second)
 		s.send("a", false, "noise\r\n")
 		s.pass(3 * time.Second)
 		s.end("a", true, "unread")
--- a/internal/lab/rules/scan_test.go
+++ b/internal/lab/rules/scan_test.go
@@ -116,15 +116,15 @@
 			case 10:
 				s.j.NodeStarted("n1", int64(in[2]))
 			case 11:
-				s.j.Bad(k[0], "fuzz", time.Second)
+				s.j.MalformedInput(k[0], "fuzz", time.Second)
 			case 12:
-				s.j.Listed(int64(in[2]), "p1", "p1:9", []string{ready, terminating, gone}[in[1]%3], s.now)
+				s.j.PeerListed(int64(in[2]), "p1", "p1:9", []string{ready, terminating, gone}[in[1]%3], s.now)
 			case 13:
-				s.j.NodeTold("n1", []string{"SIGTERM", "SIGHUP"}[in[1]%2], "e:1")
+				s.j.NodeSignaled("n1", []string{"SIGTERM", "SIGHUP"}[in[1]%2], "e:1")
 			case 14:
 				s.j.PeerStarted("p1", "p1:9", in[1]%2 == 0)
 			case 15:
-				s.j.PeerWork("p1", "a", 1, 0.1)
+				s.j.PeerAttempt("p1", "a", 1, 0.1)
 			}
 			s.j.Tick(s.now)
 		}
--- a/internal/lab/stage/build.go
+++ b/internal/lab/stage/build.go
@@ -4,7 +4,7 @@
 	"strings"
 	"time"
 
-	"olivebridge/internal/lab/fact"
+	"olivebridge/internal/lab/event"
 	"olivebridge/internal/lab/network"
 	"olivebridge/internal/lab/rules"
 	"olivebridge/internal/lab/world/client"
@@ -21,17 +21,17 @@
 		Discovery: []string{c.Discovery.Addr, c.Discovery.Spare}, Peers: map[string]string{},
 		Now: r.loop.Now, Slack: slack,
 	})
-	r.facts = facts{r.trace, r.judge}
+	r.observer = observers{r.trace, r.judge}
 	if r.options.Watch != nil {
 		r.watch = &watch{run: r, to: r.options.Watch}
-		r.facts = facts{r.trace, r.judge, r.watch}
+		r.observer = observers{r.trace, r.judge, r.watch}
 	}
 	r.net = network.New(r.loop, s.Seed, c.Net, taps{r.trace, r.judge})
 	r.place()
 
 	var err error
 	if r.registry, err = registry.New(c.Discovery, c.Peers, registry.Env{
-		Loop: r.loop, Fabric: r.net, Seed: s.Seed, Facts: r.facts,
+		Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: r.observer,
 	}); err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 	for i, p := range c.Peers {
 		r.places[p.Name], r.hosts[p.Name] = i, hostOf(p)
 		r.peers[p.Name] = peer.New(p, peer.Env{
-			Loop: r.loop, Fabric: r.net, Seed: s.Seed, Facts: r.facts, Classes: c.Classes, Listed: r.registry,
+			Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: r.observer, Classes: c.Classes, Listed: r.registry,
 		})
 	}
 	if err := r.startWarm(); err != nil {
@@ -50,7 +50,7 @@
 	}
 	r.front = client.NewFront(c.Front, c.Nodes, client.FrontEnv{Loop: r.loop, Fabric: r.net, Seed: s.Seed})
 	env := client.Env{
-		Loop: r.loop, Fabric: r.net, Seed: s.Seed, Facts: r.facts, Classes: c.Classes, Tenants: c.Tenants,
+		Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: r.observer, Classes: c.Classes, Tenants: c.Tenants,
 		Front: r.front, Contract: c.Contract,
 	}
 	if r.watch != nil {
@@ -99,57 +99,57 @@
 	return all
 }
 
-// facts lets the trace and the judge both hear what the world tells.
-type facts []fact.Witness
+// observers passes every event on to the trace, the judge and, if there is one, the watch, in this order.
+type observers []event.Observer
 
-func (f facts) each(tell func(fact.Witness)) {
+func (f observers) each(tell func(event.Observer)) {
 	for _, one := range f {
 		tell(one)
 	}
 }
 
-// PeerStarted and the methods below implement fact.Witness.
-func (f facts) PeerStarted(peer, addr string, cold bool) {
-	f.each(func(w fact.Witness) { w.PeerStarted(peer, addr, cold) })
+// PeerStarted and the methods below implement event.Observer.
+func (f observers) PeerStarted(peer, addr string, cold bool) {
+	f.each(func(w event.Observer) { w.PeerStarted(peer, addr, cold) })
 }
 
-// PeerStopped implements fact.Witness.
-func (f facts) PeerStopped(peer string) { f.each(func(w fact.Witness) { w.PeerStopped(peer) }) }
+// PeerStopped implements event.Observer.
+func (f observers) PeerStopped(peer string) { f.each(func(w event.Observer) { w.PeerStopped(peer) }) }
 
-// PeerWork implements fact.Witness.
-func (f facts) PeerWork(peer, call string, work, capacity float64) {
-	f.each(func(w fact.Witness) { w.PeerWork(peer, call, work, capacity) })
+// PeerAttempt implements event.Observer.
+func (f observers) PeerAttempt(peer, call string, work, capacity float64) {
+	f.each(func(w event.Observer) { w.PeerAttempt(peer, call, work, capacity) })
 }
 
-// Listed implements fact.Witness.
-func (f facts) Listed(version int64, peer, addr, state string, started time.Duration) {
-	f.each(func(w fact.Witness) { w.Listed(version, peer, addr, state, started) })
+// PeerListed implements event.Observer.
+func (f observers) PeerListed(version int64, peer, addr, state string, started time.Duration) {
+	f.each(func(w event.Observer) { w.PeerListed(version, peer, addr, state, started) })
 }
 
-// Reach implements fact.Witness.
-func (f facts) Reach(node, addr string, served bool) {
-	f.each(func(w fact.Witness) { w.Reach(node, addr, served) })
+// DiscoveryReachable implements event.Observer.
+func (f observers) DiscoveryReachable(node, addr string, served bool) {
+	f.each(func(w event.Observer) { w.DiscoveryReachable(node, addr, served) })
 }
 
-// Bad implements fact.Witness.
-func (f facts) Bad(conn, why string, within time.Duration) {
-	f.each(func(w fact.Witness) { w.Bad(conn, why, within) })
+// MalformedInput implements event.Observer.
+func (f observers) MalformedInput(conn, why string, within time.Duration) {
+	f.each(func(w event.Observer) { w.MalformedInput(conn, why, within) })
 }
 
-// NodeStarted implements fact.Witness.
-func (f facts) NodeStarted(node string, version int64) {
-	f.each(func(w fact.Witness) { w.NodeStarted(node, version) })
+// NodeStarted implements event.Observer.
+func (f observers) NodeStarted(node string, version int64) {
+	f.each(func(w event.Observer) { w.NodeStarted(node, version) })
 }
 
-// NodeKilled implements fact.Witness.
-func (f facts) NodeKilled(node string) { f.each(func(w fact.Witness) { w.NodeKilled(node) }) }
+// NodeKilled implements event.Observer.
+func (f observers) NodeKilled(node string) { f.each(func(w event.Observer) { w.NodeKilled(node) }) }
 
-// NodeOperated implements fact.Witness.
-func (f facts) NodeOperated(node, call, peer string) {
-	f.each(func(w fact.Witness) { w.NodeOperated(node, call, peer) })
+// NodeCommanded implements event.Observer.
+func (f observers) NodeCommanded(node, call, peer string) {
+	f.each(func(w event.Observer) { w.NodeCommanded(node, call, peer) })
 }
 
-// NodeTold implements fact.Witness.
-func (f facts) NodeTold(node, signal, discovery string) {
-	f.each(func(w fact.Witness) { w.NodeTold(node, signal, discovery) })
+// NodeSignaled implements event.Observer.
+func (f observers) NodeSignaled(node, signal, discovery string) {
+	f.each(func(w event.Observer) { w.NodeSignaled(node, signal, discovery) })
 }
--- a/internal/lab/stage/node.go
+++ b/internal/lab/stage/node.go
@@ -70,7 +70,7 @@
 	}
 	l := &life{number: i.lives, file: file}
 	i.live = l
-	i.run.facts.NodeStarted(i.c.Name, versionOf(known)) // ahead of its first call to discovery
+	i.run.observer.NodeStarted(i.c.Name, versionOf(known)) // ahead of its first call to discovery
 	host := i.run.net.Host(i.c.Name)
 	log := i.run.logger(i.c.Name)
 	go func() {
@@ -151,7 +151,7 @@
 		return
 	}
 	i.live = nil
-	i.run.facts.NodeKilled(i.c.Name)
+	i.run.observer.NodeKilled(i.c.Name)
 	i.run.front.Died(i.c.Name)
 	i.run.net.Kill(i.c.Name)
 	if l.node != nil {
@@ -167,7 +167,7 @@
 	}
 	l.leaving = true
 	i.run.front.Leaving(i.c.Name)
-	i.run.facts.NodeTold(i.c.Name, "SIGTERM", "")
+	i.run.observer.NodeSignaled(i.c.Name, "SIGTERM", "")
 	go func() {
 		l.node.Drain()
 		i.post(l, hasEnded, func() {
@@ -189,7 +189,7 @@
 	}
 	back := call.Name == admin.Restore || call.Name == admin.Resume
 	if back { // it holds while it is being said
-		i.run.facts.NodeOperated(i.c.Name, call.Name, call.ServerID)
+		i.run.observer.NodeCommanded(i.c.Name, call.Name, call.ServerID)
 	}
 	if _, err := l.node.Do(call); err != nil {
 		i.run.fail("operators", "node %s: %s %s: %v", i.c.Name, call.Name, call.ServerID, err)
@@ -199,7 +199,7 @@
 		i.run.front.Leaving(i.c.Name) // which finds that it is not ready any more
 	}
 	if !back {
-		i.run.facts.NodeOperated(i.c.Name, call.Name, call.ServerID)
+		i.run.observer.NodeCommanded(i.c.Name, call.Name, call.ServerID)
 	}
 }
 
@@ -216,7 +216,7 @@
 		return
 	}
 	l.config = c
-	i.run.facts.NodeTold(i.c.Name, "SIGHUP", discovery)
+	i.run.observer.NodeSignaled(i.c.Name, "SIGHUP", discovery)
 	go l.node.Reload(c)
 }
 
--- a/internal/lab/stage/run.go
+++ b/internal/lab/stage/run.go
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"olivebridge/internal/lab/fact"
+	"olivebridge/internal/lab/event"
 	"olivebridge/internal/lab/fault"
 	"olivebridge/internal/lab/link"
 	"olivebridge/internal/lab/loop"
@@ -55,7 +55,7 @@
 	loop      *loop.Loop
 	trace     *trace
 	judge     *rules.Judge
-	facts     fact.Witness
+	observer  event.Observer
 	net       *network.Net
 	registry  *registry.Registry
 	discovery string // where it is
--- a/internal/lab/stage/target.go
+++ b/internal/lab/stage/target.go
@@ -105,7 +105,7 @@
 			way, cut := [2]string{n.Name, addr}, r.net.Parted(n.Name, host)
 			if cut != r.parted[way] {
 				r.parted[way] = cut
-				r.facts.Reach(n.Name, addr, !cut)
+				r.observer.DiscoveryReachable(n.Name, addr, !cut)
 			}
 		}
 	}
--- a/internal/lab/stage/trace.go
+++ b/internal/lab/stage/trace.go
@@ -13,7 +13,7 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// trace writes down all that crosses the network, and all facts, one line each,
+// trace writes down all that crosses the network, and all events, one line each,
 // and sums them up in one hash. Two runs are the same if their hashes are.
 type trace struct {
 	loop *loop.Loop
@@ -54,46 +54,48 @@
 	return hex.EncodeToString(t.sum.Sum(nil))
 }
 
-// PeerStarted and the methods below implement fact.Witness.
+// PeerStarted and the methods below implement event.Observer.
 func (t *trace) PeerStarted(peer, addr string, cold bool) {
 	t.note("fact peer %s started at %s cold=%v", peer, addr, cold)
 }
 
-// PeerStopped implements fact.Witness.
+// PeerStopped implements event.Observer.
 func (t *trace) PeerStopped(peer string) { t.note("fact peer %s stopped", peer) }
 
-// PeerWork implements fact.Witness.
-func (t *trace) PeerWork(peer, call string, work, capacity float64) {
+// PeerAttempt implements event.Observer.
+func (t *trace) PeerAttempt(peer, call string, work, capacity float64) {
 	t.note("fact work %s %s %.6f of %.4f", peer, call, work, capacity)
 }
 
-// Listed implements fact.Witness.
-func (t *trace) Listed(version int64, peer, addr, state string, started time.Duration) {
+// PeerListed implements event.Observer.
+func (t *trace) PeerListed(version int64, peer, addr, state string, started time.Duration) {
 	t.note("fact listed %d %s %s %s since %v", version, peer, addr, state, started)
 }
 
-// Reach implements fact.Witness.
-func (t *trace) Reach(node, addr string, served bool) {
+// DiscoveryReachable implements event.Observer.
+func (t *trace) DiscoveryReachable(node, addr string, served bool) {
 	t.note("fact reach %q to %s: %v", node, addr, served)
 }
 
-// Bad implements fact.Witness.
-func (t *trace) Bad(conn, why string, within time.Duration) { t.note("fact bad %s %s", conn, why) }
+// MalformedInput implements event.Observer.
+func (t *trace) MalformedInput(conn, why string, within time.Duration) {
+	t.note("fact bad %s %s", conn, why)
+}
 
-// NodeStarted implements fact.Witness.
+// NodeStarted implements event.Observer.
 func (t *trace) NodeStarted(node string, version int64) {
 	t.note("fact node %s started at %d", node, version)
 }
 
-// NodeKilled implements fact.Witness.
+// NodeKilled implements event.Observer.
 func (t *trace) NodeKilled(node string) { t.note("fact node %s killed", node) }
 
-// NodeOperated implements fact.Witness.
-func (t *trace) NodeOperated(node, call, peer string) {
+// NodeCommanded implements event.Observer.
+func (t *trace) NodeCommanded(node, call, peer string) {
 	t.note("fact node %s operated %s %s", node, call, peer)
 }
 
-// NodeTold implements fact.Witness.
-func (t *trace) NodeTold(node, signal, discovery string) {
+// NodeSignaled implements event.Observer.
+func (t *trace) NodeSignaled(node, signal, discovery string) {
 	t.note("fact node %s told %s %s", node, signal, discovery)
 }
--- a/internal/lab/stage/watch.go
+++ b/internal/lab/stage/watch.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// PeerStarted and the methods below implement fact.Witness. Who was there from
+// PeerStarted and the methods below implement event.Observer. Who was there from
 // the beginning is no event.
 func (w *watch) PeerStarted(peer, _ string, cold bool) {
 	if cold {
@@ -62,37 +62,39 @@
 	}
 }
 
-// PeerStopped implements fact.Witness.
+// PeerStopped implements event.Observer.
 func (w *watch) PeerStopped(peer string) { w.tell(peer, "ended") }
 
-// PeerWork implements fact.Witness.
-func (w *watch) PeerWork(string, string, float64, float64) {}
+// PeerAttempt implements event.Observer.
+func (w *watch) PeerAttempt(string, string, float64, float64) {}
 
-// Listed implements fact.Witness.
-func (w *watch) Listed(_ int64, peer, _, state string, _ time.Duration) {
+// PeerListed implements event.Observer.
+func (w *watch) PeerListed(_ int64, peer, _, state string, _ time.Duration) {
 	if w.run.loop.Now() > 0 {
 		w.tell(peer, "listed "+state)
 	}
 }
 
-// Reach implements fact.Witness.
-func (w *watch) Reach(string, string, bool) {}
+// DiscoveryReachable implements event.Observer.
+func (w *watch) DiscoveryReachable(string, string, bool) {}
 
-// Bad implements fact.Witness.
-func (w *watch) Bad(string, string, time.Duration) {}
+// MalformedInput implements event.Observer.
+func (w *watch) MalformedInput(string, string, time.Duration) {}
 
-// NodeStarted implements fact.Witness.
+// NodeStarted implements event.Observer.
 func (w *watch) NodeStarted(node string, _ int64) {
 	if w.run.loop.Now() > 0 {
 		w.tell(node, "started")
 	}
 }
 
-// NodeKilled implements fact.Witness.
+// NodeKilled implements event.Observer.
 func (w *watch) NodeKilled(node string) { w.tell(node, "killed") }
 
-// NodeOperated implements fact.Witness.
-func (w *watch) NodeOperated(node, call, peer string) { w.tell(node, strings.TrimSpace(call+" "+peer)) }
+// NodeCommanded implements event.Observer.
+func (w *watch) NodeCommanded(node, call, peer string) {
+	w.tell(node, strings.TrimSpace(call+" "+peer))
+}
 
-// NodeTold implements fact.Witness.
-func (w *watch) NodeTold(node, signal, _ string) { w.tell(node, "told "+signal) }
+// NodeSignaled implements event.Observer.
+func (w *watch) NodeSignaled(node, signal, _ string) { w.tell(node, "told "+signal) }
--- a/internal/lab/world/client/client.go
+++ b/internal/lab/world/client/client.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"olivebridge/internal/lab/fact"
+	"olivebridge/internal/lab/event"
 	"olivebridge/internal/lab/link"
 	"olivebridge/internal/lab/loop"
 	"olivebridge/internal/lab/sample"
@@ -18,7 +18,7 @@
 	Loop     *loop.Loop
 	Fabric   link.Fabric
 	Seed     uint64
-	Facts    fact.Witness
+	Observer event.Observer
 	Classes  []world.Class
 	Tenants  []world.Tenant // rogues speak for them
 	Front    *Front
--- a/internal/lab/world/client/lab_test.go
+++ b/internal/lab/world/client/lab_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"olivebridge/internal/lab/fact"
+	"olivebridge/internal/lab/event"
 	"olivebridge/internal/lab/figure"
 	"olivebridge/internal/lab/http1"
 	"olivebridge/internal/lab/link"
@@ -34,10 +34,12 @@
 	front *Front
 	nodes []*node
 	bad   []string // connections told to be so, and why
-	fact.Witness
+	event.Observer
 }
 
-func (l *lab) Bad(conn, why string, within time.Duration) { l.bad = append(l.bad, conn+" "+why) }
+func (l *lab) MalformedInput(conn, why string, within time.Duration) {
+	l.bad = append(l.bad, conn+" "+why)
+}
 
 // node is a fake one.
 type node struct {
@@ -151,7 +153,7 @@
 func (l *lab) until(at time.Duration) { l.loop.Run(context.Background(), at, nil) }
 
 func (l *lab) env(seed uint64) Env {
-	return Env{Loop: l.loop, Fabric: l.net, Seed: seed, Facts: l, Classes: classes, Front: l.front,
+	return Env{Loop: l.loop, Fabric: l.net, Seed: seed, Observer: l, Classes: classes, Front: l.front,
 		Tenants: []world.Tenant{{Name: "acme"}}, Contract: world.Contract{MaxRetryAfter: span(1500 * time.Millisecond)}}
 }
 
--- a/internal/lab/world/client/rogue.go
+++ b/internal/lab/world/client/rogue.go
@@ -147,7 +147,7 @@
 	s.up = true
 	s.rogue.results.Begun++
 	if s.why != "" {
-		s.rogue.env.Facts.Bad(c.ID(), s.why, s.within)
+		s.rogue.env.Observer.MalformedInput(c.ID(), s.why, s.within)
 	}
 	s.overdue = s.rogue.env.Loop.After(s.within+patience, func() {
 		s.end(&s.rogue.results.Ignored)
--- a/internal/lab/world/peer/answer.go
+++ b/internal/lab/world/peer/answer.go
@@ -76,8 +76,8 @@
 // answer is a good answer on the wire, and whether the connection ends with it.
 func (p *Peer) answer(a *call) (wire []byte, last bool) {
 	body := p.body(a)
-	if t := p.env.Tries; t != nil {
-		t.Answered(p.c.Name, a.id, body)
+	if t := p.env.Attempts; t != nil {
+		t.AttemptAnswered(p.c.Name, a.id, body)
 	}
 	last = a.last || a.fate.last < lastShare
 	var b bytes.Buffer
--- a/internal/lab/world/peer/peer.go
+++ b/internal/lab/world/peer/peer.go
@@ -11,7 +11,7 @@
 	"fmt"
 	"time"
 
-	"olivebridge/internal/lab/fact"
+	"olivebridge/internal/lab/event"
 	"olivebridge/internal/lab/figure"
 	"olivebridge/internal/lab/link"
 	"olivebridge/internal/lab/loop"
@@ -23,13 +23,13 @@
 
 // Env is what a Peer lives in.
 type Env struct {
-	Loop    *loop.Loop
-	Fabric  link.Fabric
-	Seed    uint64
-	Facts   fact.Witness
-	Classes []world.Class
-	Listed  Registrar  // discovery, which shows it later
-	Tries   fact.Tries // nil: nobody hears them
+	Loop     *loop.Loop
+	Fabric   link.Fabric
+	Seed     uint64
+	Observer event.Observer
+	Classes  []world.Class
+	Listed   Registrar             // discovery, which shows it later
+	Attempts event.AttemptObserver // nil: no observer
 }
 
 // Registrar hears at once what a peer's process does.
@@ -142,7 +142,7 @@
 	p.lives++
 	p.stats.Starts++
 	q.begin()
-	p.env.Facts.PeerStarted(p.c.Name, p.addr, !warm)
+	p.env.Observer.PeerStarted(p.c.Name, p.addr, !warm)
 	p.env.Listed.Started(p.c.Name, p.addr, p.env.Loop.Now(), warm)
 	return nil
 }
--- a/internal/lab/world/peer/peer_test.go
+++ b/internal/lab/world/peer/peer_test.go
@@ -39,7 +39,7 @@
 func TestTurnsAwayBeyondTheQueue(t *testing.T) {
 	r := play(t, world.Peer{Slots: 2, Queue: 3}, func(r *rig) { r.calls(10, sec, 0) })
 	r.want("answers", r.statuses(), map[int]int{200: 5, 503: 5})
-	r.want("attempts that weigh", len(r.facts.work), 10)
+	r.want("attempts that weigh", len(r.events.work), 10)
 	mark, n := r.asks[9].got[0].Get("X-Rejected")
 	r.want("the mark", mark+fmt.Sprint(n), "11")
 }
@@ -55,7 +55,7 @@
 		r.send(10*sec, quote("8a"))
 	})
 	for i, full := range []bool{true, false, true, false, true, true, true, true, true} {
-		if w := r.facts.work[i]; (w > 0.015) != full {
+		if w := r.events.work[i]; (w > 0.015) != full {
 			t.Errorf("call %d costs %g, want it full: %v", i, w, full)
 		}
 	}
@@ -80,7 +80,7 @@
 				r.calls(1, 12*sec, 0)
 			})
 			for i, k := range []int{0, 2, 3} {
-				if got := r.facts.able[k] / 2; got < c.want[i]-0.01 || got > c.want[i]+0.01 {
+				if got := r.events.able[k] / 2; got < c.want[i]-0.01 || got > c.want[i]+0.01 {
 					t.Errorf("warmth %g, want %g", got, c.want[i])
 				}
 			}
@@ -112,7 +112,7 @@
 			if k.falls > 0 {
 				r.want("the waiting call", r.asks[0].err, link.ErrReset)
 				r.want("the last call", r.asks[29].err, link.ErrRefused)
-				r.want("facts", r.facts.log[len(r.facts.log)-2:], "[1.243s stop 1.243s stopped]")
+				r.want("events", r.events.log[len(r.events.log)-2:], "[1.243s stop 1.243s stopped]")
 			}
 		})
 	}
@@ -209,7 +209,7 @@
 	r.want("answers", r.statuses(), map[int]int{0: 4, 200: 1})
 	r.want("while down", r.asks[3].err, link.ErrRefused)
 	r.want("held, starts", []int{r.Stats().Held, r.Stats().Starts}, "[0 2]")
-	r.want("facts", strings.Join(r.facts.log, ", "), "0s start cold false, 0s started p03:9000 warm true, "+
+	r.want("events", strings.Join(r.events.log, ", "), "0s start cold false, 0s started p03:9000 warm true, "+
 		"1.01s stop, 1.01s stopped, 3s start cold true, 3s started p03:9000 warm false, 29s stop, 29s stopped")
 }
 
@@ -227,7 +227,7 @@
 	}
 	r.want("answers", got, "[0 200 503 503]")
 	r.want("idle", fmt.Sprint(r.asks[0].err, r.asks[0].ended.Round(ms)), "end of stream 3.001s")
-	r.want("facts", r.facts.log[2:], "[1s draining 3s stop 3s stopped]")
+	r.want("events", r.events.log[2:], "[1s draining 3s stop 3s stopped]")
 
 	r = play(t, world.Peer{Slots: 4}, func(r *rig) { // what it holds is done first
 		r.Slow(100)
--- a/internal/lab/world/peer/process.go
+++ b/internal/lab/world/peer/process.go
@@ -64,7 +64,7 @@
 			with(c.link)
 		}
 	}
-	q.p.env.Facts.PeerStopped(q.p.c.Name)
+	q.p.env.Observer.PeerStopped(q.p.c.Name)
 	q.p.env.Listed.Stopped(q.p.c.Name)
 }
 
--- a/internal/lab/world/peer/request.go
+++ b/internal/lab/world/peer/request.go
@@ -107,10 +107,10 @@
 	// All that arrives weighs, turned away or not, by its usual work: what a
 	// fault makes of it (dearer, or failing quickly) no node can know ahead.
 	work := a.base * q.cache.share(a.key, now)
-	if t := p.env.Tries; t != nil {
-		t.Came(p.c.Name, a.id, a.class.Safe)
+	if t := p.env.Attempts; t != nil {
+		t.AttemptReceived(p.c.Name, a.id, a.class.Safe)
 	}
-	p.env.Facts.PeerWork(p.c.Name, a.id, work, q.capacity(now))
+	p.env.Observer.PeerAttempt(p.c.Name, a.id, work, q.capacity(now))
 	if q.cold.pushed(now, work, q.capacity(now)) {
 		p.stats.Falls++
 		q.fall()
@@ -139,8 +139,8 @@
 
 // spares tells that an attempt is answered without ever running.
 func (p *Peer) spares(a *call) {
-	if t := p.env.Tries; t != nil {
-		t.Spared(p.c.Name, a.id)
+	if t := p.env.Attempts; t != nil {
+		t.AttemptRejected(p.c.Name, a.id)
 	}
 }
 
--- a/internal/lab/world/peer/rig_test.go
+++ b/internal/lab/world/peer/rig_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"olivebridge/internal/lab/fact"
+	"olivebridge/internal/lab/event"
 	"olivebridge/internal/lab/figure"
 	"olivebridge/internal/lab/http1"
 	"olivebridge/internal/lab/link"
@@ -88,26 +88,26 @@
 	e.wire.loop.After(way, func() { e.peer.hear(link.ErrReset) })
 }
 
-// facts is a Witness and a Registrar that writes down what it hears.
-type facts struct {
-	fact.Witness
+// recordedEvents is an event.Observer and a Registrar that records what it is notified of.
+type recordedEvents struct {
+	event.Observer
 	loop *loop.Loop
 	log  []string
 	work []float64 // of each attempt
 	able []float64 // what the peer could do then
 }
 
-func (f *facts) note(format string, a ...any) {
+func (f *recordedEvents) note(format string, a ...any) {
 	f.log = append(f.log, fmt.Sprintf("%v ", f.loop.Now().Round(time.Millisecond))+fmt.Sprintf(format, a...))
 }
-func (f *facts) PeerStarted(_, _ string, cold bool) { f.note("start cold %v", cold) }
-func (f *facts) PeerStopped(string)                 { f.note("stop") }
-func (f *facts) Draining(string)                    { f.note("draining") }
-func (f *facts) Stopped(string)                     { f.note("stopped") }
-func (f *facts) Started(_, addr string, _ time.Duration, warm bool) {
+func (f *recordedEvents) PeerStarted(_, _ string, cold bool) { f.note("start cold %v", cold) }
+func (f *recordedEvents) PeerStopped(string)                 { f.note("stop") }
+func (f *recordedEvents) Draining(string)                    { f.note("draining") }
+func (f *recordedEvents) Stopped(string)                     { f.note("stopped") }
+func (f *recordedEvents) Started(_, addr string, _ time.Duration, warm bool) {
 	f.note("started %s warm %v", addr, warm)
 }
-func (f *facts) PeerWork(_, _ string, work, capacity float64) {
+func (f *recordedEvents) PeerAttempt(_, _ string, work, capacity float64) {
 	f.work, f.able = append(f.work, work), append(f.able, capacity)
 }
 
@@ -115,9 +115,9 @@
 type rig struct {
 	*testing.T
 	*Peer
-	wire  *wire
-	facts *facts
-	asks  []*ask
+	wire   *wire
+	events *recordedEvents
+	asks   []*ask
 }
 
 // play lets f set up what is to happen to a peer, which is warm, and runs it for 30 s.
@@ -127,10 +127,10 @@
 	synctest.Test(t, func(*testing.T) {
 		l := loop.New(synctest.Wait)
 		r.wire = &wire{l, map[string]func(link.Conn) link.Handler{}}
-		r.facts = &facts{loop: l}
+		r.events = &recordedEvents{loop: l}
 		c.Name = cmp.Or(c.Name, "p03")
 		c.Cores, c.Slots, c.Speed = max(c.Cores, 1), max(c.Slots, 1), cmp.Or(c.Speed, 1)
-		r.Peer = New(c, Env{Loop: l, Fabric: r.wire, Seed: 7, Facts: r.facts, Listed: r.facts, Classes: []world.Class{
+		r.Peer = New(c, Env{Loop: l, Fabric: r.wire, Seed: 7, Observer: r.events, Listed: r.events, Classes: []world.Class{
 			{Name: "quote", Safe: true, Work: figure.Span(20 * time.Millisecond), Answer: 100},
 			{Name: "book", Work: figure.Span(40 * time.Millisecond), Spread: 1},
 		}})
--- a/internal/lab/world/registry/faults.go
+++ b/internal/lab/world/registry/faults.go
@@ -40,7 +40,7 @@
 	}
 	if failing != r.failing {
 		r.failing = failing
-		r.env.Facts.Reach("", r.addr, !failing)
+		r.env.Observer.DiscoveryReachable("", r.addr, !failing)
 	}
 }
 
@@ -79,7 +79,7 @@
 	if r.conf.Spare == "" || r.conf.Spare == r.conf.Addr {
 		return r.addr
 	}
-	r.env.Facts.Reach("", r.addr, false)
+	r.env.Observer.DiscoveryReachable("", r.addr, false)
 	if r.addr == r.conf.Addr {
 		r.addr = r.conf.Spare
 	} else {
@@ -95,11 +95,11 @@
 			panic(err) // an address that is nobody else's
 		}
 	}
-	r.env.Facts.Reach("", r.addr, !r.failing)
+	r.env.Observer.DiscoveryReachable("", r.addr, !r.failing)
 	if anew {
 		r.book.restart(down, off)
 		for _, e := range r.book.entries(len(r.book.changes)) { // the same list, under another version
-			r.env.Facts.Listed(r.book.version, e.ID, e.Addr, e.State, r.subjects[e.ID].of)
+			r.env.Observer.PeerListed(r.book.version, e.ID, e.Addr, e.State, r.subjects[e.ID].of)
 		}
 	}
 	return r.addr
--- a/internal/lab/world/registry/hear.go
+++ b/internal/lab/world/registry/hear.go
@@ -123,7 +123,7 @@
 	}
 	s.listed, s.of = e, since
 	r.book.put(r.env.Loop.Now(), 1+r.numbers.Int64N(2), e)
-	r.env.Facts.Listed(r.book.version, e.ID, e.Addr, e.State, since)
+	r.env.Observer.PeerListed(r.book.version, e.ID, e.Addr, e.State, since)
 	r.wake()
 }
 
--- a/internal/lab/world/registry/registry.go
+++ b/internal/lab/world/registry/registry.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"time"
 
-	"olivebridge/internal/lab/fact"
+	"olivebridge/internal/lab/event"
 	"olivebridge/internal/lab/figure"
 	"olivebridge/internal/lab/link"
 	"olivebridge/internal/lab/loop"
@@ -17,10 +17,10 @@
 
 // Env is where a Registry lives.
 type Env struct {
-	Loop   *loop.Loop
-	Fabric link.Fabric
-	Seed   uint64
-	Facts  fact.Witness
+	Loop     *loop.Loop
+	Fabric   link.Fabric
+	Seed     uint64
+	Observer event.Observer
 }
 
 // Registry is the discovery service.
--- a/internal/lab/world/registry/registry_test.go
+++ b/internal/lab/world/registry/registry_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"olivebridge/internal/lab/fact"
+	"olivebridge/internal/lab/event"
 	"olivebridge/internal/lab/figure"
 	"olivebridge/internal/lab/http1"
 	"olivebridge/internal/lab/link"
@@ -21,30 +21,30 @@
 
 const way = 10 * time.Millisecond
 
-// told is what discovery itself came to know, a line each.
-type told struct {
-	fact.Witness
+// recordedEvents records the events that discovery reports, one line each.
+type recordedEvents struct {
+	event.Observer
 	loop  *loop.Loop
 	lines []string
 	at    []time.Duration
 	reach []string
 }
 
-func (w *told) Reach(node, addr string, served bool) {
+func (w *recordedEvents) DiscoveryReachable(node, addr string, served bool) {
 	w.reach = append(w.reach, fmt.Sprint(node, addr, " ", served))
 }
 
-func (w *told) Listed(version int64, peer, addr, state string, started time.Duration) {
+func (w *recordedEvents) PeerListed(version int64, peer, addr, state string, started time.Duration) {
 	w.lines = append(w.lines, fmt.Sprintf("%s %s %v", peer, state, started > 0))
 	w.at = append(w.at, w.loop.Now())
 }
 
 type lab struct {
 	*Registry
-	t     *testing.T
-	loop  *loop.Loop
-	net   *straight.Fabric
-	facts *told
+	t      *testing.T
+	loop   *loop.Loop
+	net    *straight.Fabric
+	events *recordedEvents
 }
 
 var conf = world.Discovery{
@@ -58,10 +58,10 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		l := &lab{t: t, loop: loop.New(synctest.Wait)}
-		l.net, l.facts = straight.New(l.loop, way), &told{loop: l.loop}
+		l.net, l.events = straight.New(l.loop, way), &recordedEvents{loop: l.loop}
 		peers := []world.Peer{{Name: "p1"}, {Name: "p2"}, {Name: "p3"}, {Name: "p4"}}
 		var err error
-		if l.Registry, err = New(c, peers, Env{l.loop, l.net, 7, l.facts}); err != nil {
+		if l.Registry, err = New(c, peers, Env{l.loop, l.net, 7, l.events}); err != nil {
 			t.Fatal(err)
 		}
 		for _, p := range peers[:3] {
@@ -177,10 +177,10 @@
 					f(l)
 				}
 				l.until(30 * time.Second)
-				if got := strings.Join(l.facts.lines[3:], ", "); got != c.want {
+				if got := strings.Join(l.events.lines[3:], ", "); got != c.want {
 					t.Fatalf("discovery knows %q, want %q", got, c.want)
 				}
-				if last := l.facts.at[len(l.facts.at)-1]; last > c.by {
+				if last := l.events.at[len(l.events.at)-1]; last > c.by {
 					t.Errorf("known at %v, want by %v", last, c.by)
 				}
 			})
@@ -220,7 +220,7 @@
 				}
 				want := c.at
 				if want == 0 {
-					want = l.facts.at[3] + way
+					want = l.events.at[3] + way
 				}
 				if late := a.at[0] - want; late < 0 || late > time.Millisecond {
 					t.Errorf("told at %v, want %v", a.at[0], want)
@@ -313,7 +313,7 @@
 				}
 				heal()
 				heal()
-				if got := fmt.Sprint(l.facts.reach); got != "[reg:80 false reg:80 true]" {
+				if got := fmt.Sprint(l.events.reach); got != "[reg:80 false reg:80 true]" {
 					t.Errorf("it tells that it can be reached: %s", got)
 				}
 				a := l.get("reg:80", "")
@@ -357,12 +357,12 @@
 		for _, a := range all {
 			ends[fmt.Sprint(a.says(), a.end)]++
 		}
-		if len(ends) != 2 || len(l.facts.lines) != 3 {
-			t.Errorf("watches ended %v, and it knows %v", ends, l.facts.lines)
+		if len(ends) != 2 || len(l.events.lines) != 3 {
+			t.Errorf("watches ended %v, and it knows %v", ends, l.events.lines)
 		}
 		heal()
-		if len(l.facts.lines) != 4 || l.net.Open != 0 {
-			t.Errorf("back, it knows %v; %d ends open", l.facts.lines, l.net.Open)
+		if len(l.events.lines) != 4 || l.net.Open != 0 {
+			t.Errorf("back, it knows %v; %d ends open", l.events.lines, l.net.Open)
 		}
 	})
 }
@@ -381,7 +381,7 @@
 			if to := l.Move(); to != spare {
 				t.Fatalf("moved to %q", to)
 			}
-			if got := fmt.Sprint(l.facts.reach[2*i:]); got != fmt.Sprintf("[%s false %s true]", here, spare) {
+			if got := fmt.Sprint(l.events.reach[2*i:]); got != fmt.Sprintf("[%s false %s true]", here, spare) {
 				t.Errorf("it tells that it can be reached: %s", got)
 			}
 			if l.Version() != version {
@@ -454,7 +454,7 @@
 			fault(l)
 			l.loop.At(time.Second, func() { l.Draining("p2") })
 			l.until(4 * time.Second)
-			got = fmt.Sprint(l.facts.lines[len(l.facts.lines)-1], l.facts.at[len(l.facts.at)-1].Round(time.Microsecond))
+			got = fmt.Sprint(l.events.lines[len(l.events.lines)-1], l.events.at[len(l.events.at)-1].Round(time.Microsecond))
 		})
 		return got
 	}
@@ -472,10 +472,10 @@
 			l.Vanished("p1")
 			more(l)
 			l.until(9 * time.Second)
-			if len(l.facts.lines) != 4 {
-				t.Fatalf("it knows %v", l.facts.lines)
+			if len(l.events.lines) != 4 {
+				t.Fatalf("it knows %v", l.events.lines)
 			}
-			at = l.facts.at[3].Round(time.Microsecond)
+			at = l.events.at[3].Round(time.Microsecond)
 		})
 		return at
 	}
