--- /dev/null
+++ b/internal/lab/rules/client_conn.go
@@ -0,0 +1,343 @@
+package rules
+
+import (
+	"net/http"
+	"strings"
+	"time"
+)
+
+// readinessPath is where a load balancer in front of the nodes checks their
+// readiness.
+const readinessPath = "/health/ready"
+
+// Limits of a graceful shutdown.
+const (
+	// lateArrivalGrace is how long after SIGTERM calls that arrive are answered.
+	// What arrives later need not be.
+	lateArrivalGrace = 700 * time.Millisecond
+	// maxPlannedDeadline bounds how long a shutdown waits for the longest deadline.
+	maxPlannedDeadline = 3 * time.Second
+)
+
+// clientConn is a connection from a client.
+type clientConn struct {
+	*conn
+	current        *request   // being sent
+	queue          []*request // sent at least in part, and not answered, the oldest first
+	answering      *request   // whose answer is being sent; nil: none
+	announcedClose bool       // an answer announced the end of the connection
+
+	malformedReason  string        // why input must not be served; "": all may be
+	malformedFrom    int64         // offset from which on it must not
+	malformedWithin  time.Duration // how soon the client must get an error or a close
+	malformedHandled bool          // it got its error, or its close
+}
+
+// request takes in what a client sends.
+func (c *clientConn) request(e scanEvent, m *message) {
+	switch e {
+	case messageBegun:
+		c.current = &request{
+			conn:      c,
+			start:     c.forward.sent,
+			malformed: c.malformedReason != "" && c.forward.sent >= c.malformedFrom,
+		}
+		c.queue = append(c.queue, c.current)
+	case headComplete:
+		c.headArrived(c.current, m)
+	case messageComplete:
+		c.current.end = c.forward.sent
+		c.current.body = m.body
+		if c.open {
+			c.accept(c.current)
+		}
+	}
+}
+
+// headArrived takes in the head of a request.
+func (c *clientConn) headArrived(r *request, m *message) {
+	r.method = m.method
+	r.target = m.target
+	r.budget = m.budget
+	r.class = c.judge.classes[m.class]
+	path, _, _ := strings.Cut(m.target, "?")
+	r.readiness = path == readinessPath
+	if m.idCount == 1 && !r.readiness {
+		r.id = m.id
+		r.call = c.node.call(m.id)
+		r.call.requests = append(r.call.requests, r)
+	}
+}
+
+// accept makes the node owe an answer to a complete request.
+func (c *clientConn) accept(r *request) {
+	r.accepted = true
+	r.acceptedAt = c.judge.now
+	if c.backward.ended || c.broken || c.announcedClose {
+		c.settle(r) // it was sent while the connection was ending
+	}
+}
+
+// opened: the connection is up; requests sent before that are accepted now.
+func (c *clientConn) opened() {
+	for _, r := range c.queue {
+		if r.end > 0 {
+			c.accept(r)
+		}
+	}
+	if c.malformedReason != "" {
+		c.expectError()
+	}
+}
+
+// arrived looks for requests that have reached the node completely. end says
+// that the end of the client's sending has.
+func (c *clientConn) arrived(end bool) {
+	for _, r := range c.queue {
+		if r.end == 0 || r.end > c.forward.arrived {
+			break
+		}
+		if !r.arrived {
+			r.arrived = true
+			r.arrivedAt = c.judge.now
+		}
+	}
+	c.armDeadline()
+	if end {
+		for _, r := range c.queue {
+			r.forbidAttempts(c.judge.now + c.judge.config.Slack)
+		}
+	}
+}
+
+// armDeadline starts the time of the request that is next to be answered.
+func (c *clientConn) armDeadline() {
+	if len(c.queue) == 0 {
+		return
+	}
+	r := c.queue[0]
+	if !r.arrived || !r.accepted || r.deadlineArmed {
+		return
+	}
+	r.deadlineArmed = true
+	if r.budget == 0 && r.class != nil {
+		r.budget = r.class.Deadline.D()
+	}
+	if r.budget == 0 || !r.owed() {
+		return
+	}
+	at := r.acceptedAt + max(r.arrivedAt-r.acceptedAt-c.judge.config.Slack/2, 0)
+	if c.judge.now > r.arrivedAt {
+		at = c.judge.now // it waited behind another request
+	}
+	at += r.budget + c.judge.config.Slack
+	c.judge.schedule(at, func() {
+		if r.owed() && !r.reported && c.node.incarnation == c.incarnation {
+			r.reported = true
+			c.judge.report(Late, at, "%s: call %s has no answer %v after its sending", c.id, r.id, at-r.acceptedAt)
+		}
+	})
+}
+
+// settle ends what the node owes to a request.
+func (c *clientConn) settle(r *request) {
+	if r.settled {
+		return
+	}
+	r.settled = true
+	if r.call != nil && !r.call.expiring {
+		r.call.expiring = true
+		c.judge.expireLater(c.judge.now, expiry{call: r.call})
+	}
+}
+
+// answer takes in what a node sends to a client.
+func (c *clientConn) answer(e scanEvent, m *message) {
+	switch e {
+	case messageBegun:
+		c.answering = nil
+		if len(c.queue) > 0 && c.queue[0].start < c.forward.arrived {
+			c.answering = c.queue[0]
+			c.backward.scan.answersHEAD = c.answering.method == http.MethodHead
+		} else if c.malformedReason == "" && !c.forward.malformed {
+			c.judge.report(Twice, c.judge.now, "%s: bytes to a client that no request waits for", c.id)
+			c.backward.malformed = true
+		}
+	case messageComplete:
+		if m.status >= http.StatusOK {
+			c.answered(c.answering, m)
+		}
+	case malformedMessage:
+		if c.answering != nil && c.malformedReason == "" {
+			c.judge.report(Wrong, c.judge.now, "%s: the answer to call %s cannot be read", c.id, c.answering.id)
+			c.settle(c.answering)
+		}
+	}
+}
+
+// answered checks a complete answer, to a request or to none.
+func (c *clientConn) answered(r *request, m *message) {
+	c.announcedClose = c.announcedClose || m.close || c.backward.ended
+	if c.malformedReason != "" && (r == nil || r.malformed) {
+		c.checkMalformedAnswer(m)
+	}
+	if r == nil {
+		return
+	}
+	c.queue = c.queue[1:]
+	settled := r.settled
+	c.settle(r)
+	r.forbidAttempts(c.judge.now + instant)
+	switch {
+	case r.readiness:
+		c.checkReadiness(r, m)
+	case r.malformed:
+	case m.status == http.StatusOK:
+		c.checkBody(r, m)
+	case m.rejectsCall() && r.call != nil && !settled && !r.idempotent():
+		c.checkRejection(r)
+	}
+	if c.announcedClose {
+		c.settleAccepted()
+	}
+	c.armDeadline()
+}
+
+// checkMalformedAnswer checks an answer to input that must not be served.
+func (c *clientConn) checkMalformedAnswer(m *message) {
+	if m.status < http.StatusMultipleChoices {
+		c.judge.report(Bad, c.judge.now, "%s: served with %d: %s", c.id, m.status, c.malformedReason)
+	}
+	if m.status >= http.StatusBadRequest {
+		c.malformedHandled = true
+	}
+}
+
+// checkBody checks that a peer sent the body of an answer with status 200.
+func (c *clientConn) checkBody(r *request, m *message) {
+	if !r.call.hasBody(m.body) {
+		c.judge.report(Wrong, c.judge.now, "%s: call %s is served with %d bytes that no peer made for it",
+			c.id, r.id, m.body.size)
+	}
+}
+
+// checkRejection checks that a call which is not idempotent, and is rejected,
+// has not run and will not.
+func (c *clientConn) checkRejection(r *request) {
+	r.call.rejected = true
+	if a := r.call.mayRun(nil); a != nil {
+		c.judge.report(Effect, c.judge.now, "%s: call %s is refused, and its try on %s may have run",
+			c.id, r.id, a.conn.id)
+	}
+}
+
+// settleAccepted settles the requests behind an answer that announced the end
+// of the connection.
+func (c *clientConn) settleAccepted() {
+	for _, r := range c.queue {
+		if r.accepted {
+			c.settle(r)
+		}
+	}
+}
+
+// idle reports whether an open connection has no request.
+func (c *clientConn) idle() bool {
+	ending := c.broken || c.backward.ended || c.forward.ended || c.announcedClose
+	return c.open && !ending && len(c.queue) == 0
+}
+
+// malformedInput says why input must not be served, and how soon the client
+// must get an error or a close.
+type malformedInput struct {
+	reason string
+	within time.Duration
+}
+
+// markMalformed lets nothing be served that is sent from now on; the first
+// mark counts.
+func (c *clientConn) markMalformed(m malformedInput) {
+	if c.malformedReason != "" {
+		return
+	}
+	c.malformedReason = m.reason
+	c.malformedFrom = c.forward.sent
+	c.malformedWithin = m.within
+	if c.open {
+		c.expectError()
+	}
+}
+
+// expectError checks later that the client got an error or a close.
+func (c *clientConn) expectError() {
+	at := c.judge.now + c.malformedWithin + c.judge.config.Slack
+	c.judge.schedule(at, func() {
+		if !c.malformedHandled && c.node.incarnation == c.incarnation {
+			c.malformedHandled = true
+			c.judge.report(Bad, at, "%s: neither error nor close within %v: %s",
+				c.id, c.malformedWithin, c.malformedReason)
+		}
+	})
+}
+
+// nodeEnded: the node has ended its sending, or closed.
+func (c *clientConn) nodeEnded() {
+	c.malformedHandled = true
+	now := c.judge.now
+	for _, r := range c.queue {
+		r.forbidAttempts(now + instant)
+		truncated := r == c.answering && r.call.truncated()
+		if r.owed() && c.forward.read >= r.end && !truncated {
+			c.reportUnanswered(r, now)
+		}
+		c.settle(r)
+	}
+}
+
+// reportUnanswered reports a request whose connection the node ended, unless
+// the node turns out to have been killed at the same instant.
+func (c *clientConn) reportUnanswered(r *request, at time.Duration) {
+	c.judge.schedule(at, func() {
+		if !r.reported && c.node.incarnation == c.incarnation {
+			r.reported = true
+			c.judge.report(Lost, at, "%s: the node read call %s and ended the connection unanswered",
+				c.id, r.id)
+		}
+	})
+}
+
+// clientEnded: the client has ended its sending, or closed.
+func (c *clientConn) clientEnded() {
+	c.malformedHandled = true
+	for _, r := range c.queue {
+		c.settle(r)
+	}
+}
+
+// reset: one end was reset. At the node's end, the node knows that its client
+// is gone, unless bytes that it has not read stand before the reset.
+func (c *clientConn) reset(back bool) {
+	c.clientEnded()
+	if back && c.forward.read >= c.forward.arrived {
+		for _, r := range c.queue {
+			r.forbidAttempts(c.judge.now + instant)
+		}
+	}
+}
+
+// killed checks what a killed node leaves unanswered: after a graceful shutdown
+// it must leave nothing.
+func (c *clientConn) killed(at time.Duration) {
+	term := c.node.terminatedAt
+	planned := term > 0 && at >= term+min(c.judge.maxDeadline, maxPlannedDeadline)+lateArrivalGrace
+	excusedUntil := term + lateArrivalGrace + c.judge.config.Slack
+	for _, r := range c.queue {
+		if planned && r.owed() && r.arrived && !r.reported && r.acceptedAt > excusedUntil {
+			r.reported = true
+			c.judge.report(Lost, at, "%s: call %s came %v after SIGTERM and has no answer at the node's end",
+				c.id, r.id, r.acceptedAt-term)
+		}
+		c.settle(r)
+	}
+	c.malformedHandled = true
+}
--- a/internal/lab/rules/conn.go
+++ b/internal/lab/rules/conn.go
@@ -1,102 +1,102 @@
 package rules
 
 import (
+	"slices"
 	"strings"
 	"time"
 
 	"olivebridge/internal/lab/link"
 )
 
-// kind is what a connection is for.
-type kind uint8
+// connKind is what a connection is for.
+type connKind uint8
 
 const (
-	fromClient kind = iota // to a node
-	toPeer                 // from a node
-	toDiscovery
+	fromClient  connKind = iota // from a client to a node
+	toPeer                      // from a node to a peer
+	toDiscovery                 // from a node to discovery
 )
 
 // conn is one connection to or from a node.
 type conn struct {
-	j        *Judge
-	id       string
-	from, to string
-	kind     kind
-	node     *node
-	life     int // of the node
-	open     bool
-	fwd      flow // from the side that dialed
-	back     flow
-	broken   bool // reset at one end at least
-	forgot   bool // it is to be forgotten
-
-	client *clientConn
-	peer   *peerConn
-	ask    *askConn
+	judge       *Judge
+	id          string
+	from        string // the host that dialed
+	to          string // the address dialed
+	kind        connKind
+	node        *node
+	incarnation int // of the node
+	open        bool
+	forward     flow // from the side that dialed
+	backward    flow
+	broken      bool // reset at one end at least
+	expiring    bool // it stands among those to be forgotten
+
+	// One of these is not nil, by kind.
+	client    *clientConn
+	peer      *peerConn
+	discovery *discoveryConn
 }
 
-// flow is one direction. Offsets count its bytes from the connection's begin.
+// flow is one direction of a connection. Offsets count its bytes from the
+// beginning of the connection.
 type flow struct {
-	scan                scanner
-	sent, arrived, read int64
-	ended               bool // no byte is sent any more
-	spoilt              bool // what is sent cannot be read
+	scan      scanner
+	sent      int64 // offset up to which bytes left the sending machine
+	arrived   int64 // offset up to which they reached the other machine
+	read      int64 // offset up to which the program there read them
+	ended     bool  // no byte is sent any more
+	malformed bool  // what is sent cannot be parsed
 }
 
 func byID(a, b *conn) int { return strings.Compare(a.id, b.id) }
 
-// meet takes up a connection if it is one of a node's.
-func (j *Judge) meet(c link.Crossing) *conn {
-	k := &conn{j: j, id: c.Conn, from: c.From, to: c.To}
-	k.back.scan.answers = true
-	if n := j.nodes[strings.TrimSuffix(c.To, nodePort)]; n != nil && strings.HasSuffix(c.To, nodePort) {
-		k.kind, k.node, k.client = fromClient, n, &clientConn{conn: k}
-	} else if k.node = j.nodes[c.From]; k.node == nil {
+// track adds a connection. It returns nil if it is not a node's.
+func (j *Judge) track(c link.Crossing) *conn {
+	k := &conn{judge: j, id: c.Conn, from: c.From, to: c.To}
+	k.backward.scan.answers = true
+	host, isNodePort := strings.CutSuffix(c.To, nodePort)
+	server := j.nodes[host]
+	k.node = j.nodes[c.From]
+	switch {
+	case isNodePort && server != nil:
+		k.kind = fromClient
+		k.node = server
+		k.client = &clientConn{conn: k}
+	case k.node == nil:
 		return nil
-	} else if j.isDiscovery(c.To) {
-		k.kind, k.ask = toDiscovery, &askConn{conn: k}
-		k.back.scan.keep = true
-	} else {
-		k.kind, k.peer = toPeer, &peerConn{conn: k}
+	case slices.Contains(j.config.Discovery, c.To):
+		k.kind = toDiscovery
+		k.discovery = &discoveryConn{conn: k}
+		k.backward.scan.storeBody = true
+	default:
+		k.kind = toPeer
+		k.peer = &peerConn{conn: k}
 	}
-	k.life = k.node.life
+	k.incarnation = k.node.incarnation
 	k.node.conns[k] = struct{}{}
 	j.conns[k.id] = k
-	if m, ok := j.bad[k.id]; ok && k.client != nil {
-		delete(j.bad, k.id)
-		k.client.mark(m)
+	if input, marked := j.malformedConns[k.id]; marked && k.client != nil {
+		delete(j.malformedConns, k.id)
+		k.client.markMalformed(input)
 	}
 	return k
 }
 
-func (j *Judge) isDiscovery(addr string) bool {
-	for _, a := range j.c.Discovery {
-		if a == addr {
-			return true
-		}
-	}
-	return false
-}
-
-// see takes in one crossing.
-func (k *conn) see(c link.Crossing) {
-	f := &k.fwd
+// observe takes in one crossing.
+func (k *conn) observe(c link.Crossing) {
+	f := &k.forward
 	if c.Back {
-		f = &k.back
+		f = &k.backward
 	}
 	switch c.What {
 	case link.Dial:
-		if k.ask != nil {
-			k.ask.dialed()
-		}
+		k.dialed()
 	case link.Open:
-		if !k.open {
-			k.open = true
-			k.opened()
-		}
+		k.opened()
 	case link.Fail:
-		k.broke(true)
-		k.broke(false)
+		k.reset(true)
+		k.reset(false)
 	case link.Sent:
 		k.scan(f, c.Back, c.Data)
 	case link.Arrived:
@@ -105,15 +105,15 @@
 	case link.Read:
 		f.read += int64(len(c.Data))
 	case link.Fin:
-		k.finished(f, c.Back)
+		k.finishedSending(f, c.Back)
 	case link.Shut:
-		k.finished(f, c.Back)
-		k.forgetAt(c.Back)
+		k.finishedSending(f, c.Back)
+		k.expireAt(c.Back)
 	case link.Broke:
 		if c.Note == "killed" && k.atNode(c.Back) {
 			k.killed(c.At)
 		} else {
-			k.broke(c.Back)
+			k.reset(c.Back)
 		}
 	}
 }
@@ -121,18 +121,18 @@
 // atNode reports whether a side is the node's.
 func (k *conn) atNode(back bool) bool { return back == (k.kind == fromClient) }
 
-// forgetAt lets the connection go once it is over at its node's side. Until
-// then the node may go on writing to it.
-func (k *conn) forgetAt(back bool) {
-	if k.atNode(back) && !k.forgot {
-		k.forgot = true
-		k.j.forget(k.j.now, ended{conn: k})
+// expireAt marks the connection to be forgotten once it is closed at its node's
+// side. Until then the node may go on writing to it.
+func (k *conn) expireAt(back bool) {
+	if k.atNode(back) && !k.expiring {
+		k.expiring = true
+		k.judge.expireLater(k.judge.now, expiry{conn: k})
 	}
 }
 
-// scan reads bytes that were sent.
+// scan parses bytes that were sent.
 func (k *conn) scan(f *flow, back bool, b []byte) {
-	if f.spoilt {
+	if f.malformed {
 		f.sent += int64(len(b))
 		return
 	}
@@ -140,22 +140,25 @@
 		n, e := f.scan.next(b)
 		f.sent += int64(n)
 		b = b[n:]
-		if e != none {
-			k.met(f, back, e)
+		if e != needMore {
+			k.dispatch(f, back, e)
+		}
+		if e == malformedMessage {
+			f.malformed = true
 		}
-		if f.spoilt = f.spoilt || e == spoilt; f.spoilt {
+		if f.malformed { // dispatch may have found so as well
 			f.sent += int64(len(b))
 			return
 		}
-		if n == 0 && e == none {
+		if n == 0 && e == needMore {
 			return
 		}
 	}
 }
 
-// met passes on what a scanner met; f.sent is where.
-func (k *conn) met(f *flow, back bool, e event) {
-	m := &f.scan.m
+// dispatch passes on what a scanner found, at the offset f.sent.
+func (k *conn) dispatch(f *flow, back bool, e scanEvent) {
+	m := &f.scan.message
 	switch {
 	case k.client != nil && back:
 		k.client.answer(e, m)
@@ -166,77 +169,89 @@
 	case k.peer != nil:
 		k.peer.request(e, m)
 	case back:
-		k.ask.answer(e, m)
+		k.discovery.answer(e, m)
 	default:
-		k.ask.request(e, m)
+		k.discovery.request(e, m)
 	}
 }
 
-// opened: it is up.
+// dialed: the connection was asked for.
+func (k *conn) dialed() {
+	if k.discovery != nil {
+		k.discovery.dialed()
+	}
+}
+
+// opened: the connection is up at one side; the first counts.
 func (k *conn) opened() {
+	if k.open {
+		return
+	}
+	k.open = true
 	switch {
 	case k.client != nil:
 		k.client.opened()
 	case k.peer != nil:
-		k.peer.name = k.j.at[k.to]
+		k.peer.name = k.judge.peerNames[k.to]
 	}
 }
 
-// arrived: more bytes have come to the other side, or the end of them has.
+// arrived: more bytes, or the end of them, have reached the other machine.
 func (k *conn) arrived(back, end bool) {
 	switch {
 	case k.client != nil && !back:
 		k.client.arrived(end)
 	case k.peer != nil && back:
 		k.peer.arrived()
-	case k.ask != nil:
-		k.ask.arrived(back)
+	case k.discovery != nil:
+		k.discovery.arrived(back)
 	}
 }
 
-// finished: one side has ended its sending, or closed.
-func (k *conn) finished(f *flow, back bool) {
+// finishedSending: one side has ended its sending, or closed.
+func (k *conn) finishedSending(f *flow, back bool) {
 	if f.ended {
 		return
 	}
 	f.ended = true
 	if f.scan.end() {
-		k.met(f, back, whole)
+		k.dispatch(f, back, messageComplete)
 	}
 	switch {
 	case k.client != nil && back:
 		k.client.nodeEnded()
 	case k.client != nil:
-		k.client.left()
+		k.client.clientEnded()
 	case k.peer != nil:
-		k.peer.ended(!back)
+		k.peer.closed(!back)
 	default:
-		k.ask.ended(back)
+		k.discovery.closed(back)
 	}
 }
 
-// broke: one end was reset.
-func (k *conn) broke(back bool) {
+// reset: one end was reset.
+func (k *conn) reset(back bool) {
 	k.broken = true
-	k.fwd.ended, k.back.ended = true, true
+	k.forward.ended = true
+	k.backward.ended = true
 	switch {
 	case k.client != nil:
-		k.client.broke(back)
+		k.client.reset(back)
 	case k.peer != nil:
-		k.peer.ended(false)
+		k.peer.closed(false)
 	default:
-		k.ask.broke()
+		k.discovery.reset()
 	}
-	k.forgetAt(back)
+	k.expireAt(back)
 }
 
-// killed: the node's process is gone, and all of its connections with it.
+// killed: the process of the node was killed, and its connections with it.
 func (k *conn) killed(at time.Duration) {
 	if k.client != nil {
 		k.client.killed(at)
 	} else if k.peer != nil {
-		k.peer.ended(true)
+		k.peer.closed(true)
 	}
 	k.broken = true
-	k.forgetAt(k.kind == fromClient)
+	k.expireAt(k.kind == fromClient)
 }
--- a/internal/lab/rules/judge.go
+++ b/internal/lab/rules/judge.go
@@ -10,88 +10,101 @@
 	"olivebridge/internal/lab/world"
 )
 
-// Config is what a Judge goes by.
+// Config configures a Judge.
 type Config struct {
-	Contract  world.Contract
-	Classes   []world.Class
-	Nodes     []string             // host names; a node listens at NAME:9000
-	Discovery []string             // its addresses
-	Peers     map[string]string    // address at start -> name; more become known by the event PeerStarted
-	Known     func(version int64)  // hears each version that a node is told on the wire; nil: nobody does
-	Now       func() time.Duration // the time of events; nil: that of the last crossing or Tick
-	Slack     time.Duration        // on every time limit; 0: 50 ms
+	// Contract holds the limits that nodes must keep.
+	Contract world.Contract
+	// Classes are the classes of calls, with their deadlines.
+	Classes []world.Class
+	// Nodes are the host names of the nodes. A node listens at NAME:9000.
+	Nodes []string
+	// Discovery holds the addresses of discovery.
+	Discovery []string
+	// Peers maps the addresses of peers at the start of the run to their
+	// names. Further ones become known by the event PeerStarted.
+	Peers map[string]string
+	// Known is called with each version of the list that a node receives on the
+	// wire. It may be nil.
+	Known func(version int64)
+	// Now is the time of events, since the start of the run. If it is nil, an
+	// event has the time of the last crossing or Tick.
+	Now func() time.Duration
+	// Slack is added to every time limit; 0 stands for 50 ms.
+	Slack time.Duration
 }
 
 const (
-	nodePort = ":9000"
-	slack    = 50 * time.Millisecond
+	nodePort     = ":9000"
+	defaultSlack = 50 * time.Millisecond
 	// instant is how far apart two things may lie that a node does at once: what
-	// one decision sets off is spread by some nanoseconds.
+	// one decision causes is spread by some nanoseconds.
 	instant = time.Millisecond
-	// remember is how long what is over is remembered, for bytes still under way.
-	remember = 10 * time.Second
-	// maxFound bounds the violations that are kept.
-	maxFound = 20
+	// retention is how long a finished connection or call is remembered, for
+	// bytes still under way.
+	retention = 10 * time.Second
+	// maxViolations bounds the violations that are stored.
+	maxViolations = 20
 )
 
-// Judge sees all that crosses the network, and observes the events of the run. It belongs to the
-// loop of the run.
+// Judge checks a run. It is a link.Tap and an event.Observer, and belongs to
+// the goroutine of the run's loop.Loop.
 type Judge struct {
-	c       Config
-	classes map[string]*world.Class
-	dearest float64 // the most mean work of a class, in seconds
-	longest time.Duration
-
-	now    time.Duration
-	dues   dues
-	posted uint64 // dues so far
-	found  []Violation
-	more   int
-	nodes  map[string]*node // by host
-	conns  map[string]*conn
-	gone   []ended                  // connections and calls that are over, the first first
-	at     map[string]string        // peers by address
-	starts map[string]*start        // of peers, by name
-	sent   map[string][]*try        // written whole, and not yet matched by a PeerAttempt event, by call
-	bad    map[string]badMark       // of connections not met yet
-	book   book                     // what discovery knows
-	barred map[way]bool             // where calls to discovery are not served
-	used   map[string]time.Duration // when peers were last tried, by any node
-	tries  int                      // so far
-}
-
-// node is one node; all but its name is of its present life.
-type node struct {
-	name   string
-	calls  map[string]*call
-	conns  map[*conn]struct{}
-	told   told
-	term   time.Duration // SIGTERM came; 0: it did not
-	life   int
-	alive  bool           // it has started, and was not killed
-	banned map[string]ban // peers that operators keep out of use
-	paused time.Duration  // since when operators have it emptied; 0: they have not
+	config      Config
+	classes     map[string]*world.Class // by name
+	maxWork     float64                 // the largest mean work of a class, in seconds
+	maxDeadline time.Duration           // the longest deadline of a class
+
+	now             time.Duration
+	timers          timerQueue
+	timersScheduled uint64
+	violations      []Violation
+	omitted         int // violations beyond maxViolations
+
+	nodes    map[string]*node // by host
+	conns    map[string]*conn // by ID
+	expiring []expiry         // finished connections and calls, the oldest first
+	attempts int              // sent to any peer so far
+
+	// sentAttempts are those written completely that no PeerAttempt event has
+	// matched yet, by call.
+	sentAttempts map[string][]*attempt
+	// malformedConns are the connections with malformed input that have not
+	// been dialed yet, by ID.
+	malformedConns map[string]malformedInput
+
+	peerNames   map[string]string        // names of peers, by address
+	coldStarts  map[string]*coldStart    // by peer
+	lastUsed    map[string]time.Duration // when any node last began an attempt, by peer
+	listings    listingLog
+	unreachable map[route]bool // routes on which polls are not served
 }
 
 // New makes a Judge.
 func New(c Config) *Judge {
 	if c.Slack == 0 {
-		c.Slack = slack
+		c.Slack = defaultSlack
 	}
 	j := &Judge{
-		c: c, classes: map[string]*world.Class{}, nodes: map[string]*node{}, conns: map[string]*conn{},
-		at: map[string]string{}, starts: map[string]*start{}, sent: map[string][]*try{},
-		bad: map[string]badMark{}, book: newBook(), used: map[string]time.Duration{},
-		barred: map[way]bool{},
+		config:         c,
+		classes:        map[string]*world.Class{},
+		nodes:          map[string]*node{},
+		conns:          map[string]*conn{},
+		sentAttempts:   map[string][]*attempt{},
+		malformedConns: map[string]malformedInput{},
+		peerNames:      map[string]string{},
+		coldStarts:     map[string]*coldStart{},
+		lastUsed:       map[string]time.Duration{},
+		listings:       newListingLog(),
+		unreachable:    map[route]bool{},
 	}
 	for addr, name := range c.Peers {
-		j.at[addr] = name
+		j.peerNames[addr] = name
 	}
 	for i := range c.Classes {
-		k := &c.Classes[i]
-		j.classes[k.Name] = k
-		j.dearest = max(j.dearest, k.Work.D().Seconds())
-		j.longest = max(j.longest, k.Deadline.D())
+		class := &c.Classes[i]
+		j.classes[class.Name] = class
+		j.maxWork = max(j.maxWork, class.Work.D().Seconds())
+		j.maxDeadline = max(j.maxDeadline, class.Deadline.D())
 	}
 	for _, name := range c.Nodes {
 		n := &node{name: name}
@@ -101,64 +114,57 @@
 	return j
 }
 
-// reset forgets all that belonged to a life of a node.
-func (n *node) reset() {
-	*n = node{
-		name: n.name, life: n.life + 1,
-		calls: map[string]*call{}, conns: map[*conn]struct{}{}, told: newTold(), banned: map[string]ban{},
-	}
-}
-
-// breaks notes a violation.
-func (j *Judge) breaks(rule string, at time.Duration, format string, args ...any) {
-	if len(j.found) == maxFound {
-		j.more++
+// report stores a violation.
+func (j *Judge) report(rule string, at time.Duration, format string, args ...any) {
+	if len(j.violations) == maxViolations {
+		j.omitted++
 		return
 	}
-	j.found = append(j.found, Violation{rule, at, fmt.Sprintf(format, args...)})
+	j.violations = append(j.violations, Violation{Rule: rule, At: at, What: fmt.Sprintf(format, args...)})
 }
 
-// Violations are the broken rules, the first 20 found, in order of time.
+// Violations returns the first 20 violations that were found, in order of time.
 func (j *Judge) Violations() []Violation {
-	v := slices.Clone(j.found)
-	slices.SortStableFunc(v, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
-	return v
+	violations := slices.Clone(j.violations)
+	slices.SortStableFunc(violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	return violations
 }
 
-// More is how many violations were found beyond those.
-func (j *Judge) More() int { return j.more }
+// More returns how many violations were found beyond those.
+func (j *Judge) More() int { return j.omitted }
 
-// Tick finds what is overdue.
+// Tick runs the checks that are due and forgets what finished long ago. It is
+// called regularly during a run.
 func (j *Judge) Tick(now time.Duration) {
 	j.advance(now)
-	for len(j.gone) > 0 && j.gone[0].at < now-remember {
-		g := j.gone[0]
-		j.gone = j.gone[1:]
+	for len(j.expiring) > 0 && j.expiring[0].at < now-retention {
+		expired := j.expiring[0]
+		j.expiring = j.expiring[1:]
 		switch {
-		case g.conn != nil:
-			delete(j.conns, g.conn.id)
-			delete(g.conn.node.conns, g.conn)
-		case g.call.busy():
-			j.forget(now, ended{call: g.call})
+		case expired.conn != nil:
+			delete(j.conns, expired.conn.id)
+			delete(expired.conn.node.conns, expired.conn)
+		case expired.call.busy():
+			j.expireLater(now, expiry{call: expired.call})
 		default:
-			j.drop(g.call)
+			j.dropCall(expired.call)
 		}
 	}
 }
 
-// ended is what is to be forgotten.
-type ended struct {
-	at   time.Duration
-	conn *conn
-	call *call
+// expiry is a finished connection or call that is to be forgotten.
+type expiry struct {
+	at   time.Duration // when it finished
+	conn *conn         // nil: it is a call
+	call *call         // nil: it is a connection
 }
 
-func (j *Judge) forget(now time.Duration, e ended) {
+func (j *Judge) expireLater(now time.Duration, e expiry) {
 	e.at = now
-	j.gone = append(j.gone, e)
+	j.expiring = append(j.expiring, e)
 }
 
-// Finish ends the judging: nothing may be open any more.
+// Finish ends the run: every request must have its answer by now.
 func (j *Judge) Finish(now time.Duration) {
 	j.advance(now + 1)
 	var open []*conn
@@ -172,7 +178,7 @@
 		for _, r := range k.client.queue {
 			if r.owed() && r.arrived && !r.reported {
 				r.reported = true
-				j.breaks(Lost, now, "%s: call %s unaccounted for at the end", k.id, r.id)
+				j.report(Lost, now, "%s: call %s unaccounted for at the end", k.id, r.id)
 			}
 		}
 	}
@@ -184,31 +190,14 @@
 	k := j.conns[c.Conn]
 	if k == nil {
 		if c.What != link.Dial && c.What != link.Open {
-			return // of a connection long over, or of no concern
+			return // the connection finished long ago, or is not a node's
 		}
-		if k = j.meet(c); k == nil {
+		k = j.track(c)
+		if k == nil {
 			return
 		}
 	}
-	if k.node.life == k.life {
-		k.see(c)
-	}
-}
-
-// advance lets time pass: whatever was due before now is judged first.
-func (j *Judge) advance(now time.Duration) {
-	for len(j.dues) > 0 && j.dues[0].at < now {
-		d := j.dues.pop()
-		j.now = max(j.now, d.at)
-		d.f()
-	}
-	j.now = max(j.now, now)
-}
-
-// clock is the time of an event.
-func (j *Judge) clock() time.Duration {
-	if j.c.Now != nil {
-		j.advance(j.c.Now())
+	if k.node.incarnation == k.incarnation {
+		k.observe(c)
 	}
-	return j.now
 }
--- a/internal/lab/rules/observer.go
+++ b/internal/lab/rules/observer.go
@@ -1,37 +1,42 @@
 package rules
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
 // PeerStarted implements event.Observer.
 func (j *Judge) PeerStarted(peer, addr string, cold bool) {
 	now := j.clock()
-	j.at[addr] = peer
-	if delete(j.starts, peer); cold {
-		j.starts[peer] = &start{at: now}
+	j.peerNames[addr] = peer
+	delete(j.coldStarts, peer)
+	if cold {
+		j.coldStarts[peer] = &coldStart{at: now}
 	}
 }
 
 // PeerStopped implements event.Observer.
 func (j *Judge) PeerStopped(peer string) {
 	j.clock()
-	delete(j.starts, peer)
+	delete(j.coldStarts, peer)
 }
 
 // PeerAttempt implements event.Observer.
 func (j *Judge) PeerAttempt(peer, call string, work, capacity float64) {
 	j.clock()
-	j.work(peer, call, work, capacity)
+	j.checkColdLoad(peer, call, work, capacity)
 }
 
 // PeerListed implements event.Observer.
 func (j *Judge) PeerListed(version int64, peer, addr, state string, started time.Duration) {
-	j.book.put(listing{version: version, name: peer, addr: addr, state: state, started: started, at: j.clock()})
-	for _, name := range j.c.Nodes {
-		if n := j.nodes[name]; n.told.reaches {
-			j.owe(n)
+	j.listings.append(listing{
+		version: version,
+		peer:    peer,
+		addr:    addr,
+		state:   state,
+		started: started,
+		at:      j.clock(),
+	})
+	for _, name := range j.config.Nodes {
+		if n := j.nodes[name]; n.view.reachable {
+			j.assumeKnownWhenReachable(n)
 		}
 	}
 }
@@ -39,20 +44,22 @@
 // DiscoveryReachable implements event.Observer.
 func (j *Judge) DiscoveryReachable(node, addr string, served bool) {
 	j.clock()
-	j.barred[way{node, addr}] = !served
-	for _, name := range j.c.Nodes {
-		j.reach(j.nodes[name])
+	j.unreachable[route{node: node, addr: addr}] = !served
+	for _, name := range j.config.Nodes {
+		j.updateReachability(j.nodes[name])
 	}
 }
 
 // MalformedInput implements event.Observer.
 func (j *Judge) MalformedInput(id, why string, within time.Duration) {
 	j.clock()
-	m := badMark{why, within}
-	if k := j.conns[id]; k == nil {
-		j.bad[id] = m
-	} else if k.client != nil {
-		k.client.mark(m)
+	input := malformedInput{reason: why, within: within}
+	k := j.conns[id]
+	switch {
+	case k == nil:
+		j.malformedConns[id] = input
+	case k.client != nil:
+		k.client.markMalformed(input)
 	}
 }
 
@@ -64,33 +71,20 @@
 		return
 	}
 	if n.alive {
-		j.end(n)
+		j.endNode(n)
 	}
 	n.alive = true
-	j.begin(n, version)
+	j.nodeBegan(n, version)
 }
 
 // NodeKilled implements event.Observer.
 func (j *Judge) NodeKilled(name string) {
 	j.clock()
 	if n := j.nodes[name]; n != nil {
-		j.end(n)
+		j.endNode(n)
 	}
 }
 
-// end ends a node's life.
-func (j *Judge) end(n *node) {
-	var some []*conn
-	for k := range n.conns {
-		some = append(some, k)
-	}
-	slices.SortFunc(some, byID)
-	for _, k := range some {
-		k.killed(j.now)
-	}
-	n.reset()
-}
-
 // NodeSignaled implements event.Observer.
 func (j *Judge) NodeSignaled(name, signal, discovery string) {
 	now := j.clock()
@@ -100,8 +94,8 @@
 	}
 	switch signal {
 	case "SIGTERM":
-		n.term = max(now, 1)
+		n.terminatedAt = max(now, 1)
 	case "SIGHUP":
-		j.moved(n, discovery)
+		j.switchDiscovery(n, discovery)
 	}
 }
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -14,16 +14,16 @@
 
 const ms = time.Millisecond
 
-// scene plays crossings and events by hand. A call "a" comes on the connection
-// "a"; its tries go on "a1", "a2", …; "d" is one to discovery. Each step takes
+// timeline plays crossings and events by hand. A call "a" comes on the connection
+// "a"; its attempts go on "a1", "a2", …; "d" is one to discovery. Each step takes
 // a millisecond.
-type scene struct {
+type timeline struct {
 	j    *Judge
 	now  time.Duration
 	ends map[string][2]string // connections that were opened: from, to
 }
 
-func newScene(change func(*world.Contract)) *scene {
+func newTimeline(change func(*world.Contract)) *timeline {
 	c := world.Contract{
 		DrainGrace: figure.Span(2500 * ms), ColdShare: 0.14, Cold: figure.Span(23 * time.Second), Overload: 2.5,
 		Fall: figure.Span(3 * time.Second), AskEvery: figure.Span(10 * time.Second), TryLimit: 3, Probes: true,
@@ -32,7 +32,7 @@
 	if change != nil {
 		change(&c)
 	}
-	s := &scene{ends: map[string][2]string{}}
+	s := &timeline{ends: map[string][2]string{}}
 	s.j = New(Config{
 		Contract: c,
 		Classes: []world.Class{
@@ -49,35 +49,35 @@
 	return s
 }
 
-func (s *scene) pass(d time.Duration) {
+func (s *timeline) advance(d time.Duration) {
 	s.now += d
 	s.j.Tick(s.now)
 }
 
-func (s *scene) cross(w link.What, conn string, back bool, data, note string) {
+func (s *timeline) crossing(w link.What, conn string, back bool, data, note string) {
 	e := s.ends[conn]
 	s.j.See(link.Crossing{
 		At: s.now, What: w, Conn: conn, From: e[0], To: e[1], Back: back, Data: []byte(data), Note: note,
 	})
-	s.pass(ms)
+	s.advance(ms)
 }
 
-func (s *scene) open(conn, from, to string) {
+func (s *timeline) open(conn, from, to string) {
 	if _, known := s.ends[conn]; !known {
 		s.ends[conn] = [2]string{from, to}
-		s.cross(link.Dial, conn, false, "", "")
-		s.cross(link.Open, conn, false, "", "")
+		s.crossing(link.Dial, conn, false, "", "")
+		s.crossing(link.Open, conn, false, "", "")
 	}
 }
 
-// send lets bytes be sent, come, and be read.
-func (s *scene) send(conn string, back bool, data string) {
-	s.cross(link.Sent, conn, back, data, "")
-	s.cross(link.Arrived, conn, back, data, "")
-	s.cross(link.Read, conn, back, data, "")
+// send sends bytes that arrive and are read.
+func (s *timeline) send(conn string, back bool, data string) {
+	s.crossing(link.Sent, conn, back, data, "")
+	s.crossing(link.Arrived, conn, back, data, "")
+	s.crossing(link.Read, conn, back, data, "")
 }
 
-// wire is a call's bytes: "quote" is read, "book" has a body.
+// wire is the bytes of a call: "quote" is a read, "book" has a body.
 func wire(id, class string) string {
 	head := "X-Call-Id: " + id + "\r\nX-Call-Class: " + class + "\r\n"
 	if class == "book" {
@@ -86,7 +86,7 @@
 	return "GET /api?user=7 HTTP/1.1\r\n" + head + "X-Budget: 0.500\r\n\r\n"
 }
 
-// answer is "200 body", or "503! body" for one that was turned away unseen.
+// answer is "200 body", or "503! body" for one that was rejected unseen.
 func answer(text string) string {
 	status, body, _ := strings.Cut(text, " ")
 	field := ""
@@ -96,29 +96,29 @@
 	return fmt.Sprintf("HTTP/1.1 %s Word\r\n%sContent-Length: %d\r\n\r\n%s", status, field, len(body), body)
 }
 
-func (s *scene) ask(id, class string) {
+func (s *timeline) request(id, class string) {
 	s.open(id, "c1", "n1:9000")
 	s.send(id, false, wire(id, class))
 }
-func (s *scene) answer(id, text string) { s.send(id, true, answer(text)) }
-func (s *scene) try(conn, class string) { s.tryAt(conn, "p1", class) }
-func (s *scene) tryAt(conn, peer, class string) {
+func (s *timeline) answer(id, text string)     { s.send(id, true, answer(text)) }
+func (s *timeline) attempt(conn, class string) { s.attemptAt(conn, "p1", class) }
+func (s *timeline) attemptAt(conn, peer, class string) {
 	s.open(conn, "n1", peer+":9")
 	s.send(conn, false, wire(conn[:1], class))
 }
-func (s *scene) serve(id, class string) {
-	s.ask(id, class)
-	s.try(id+"1", class)
-	s.reply(id+"1", "200 "+id)
+func (s *timeline) serve(id, class string) {
+	s.request(id, class)
+	s.attempt(id+"1", class)
+	s.peerAnswer(id+"1", "200 "+id)
 	s.answer(id, "200 "+id)
 }
-func (s *scene) reply(conn, text string) { s.send(conn, true, answer(text)) }
-func (s *scene) end(conn string, back bool, note string) {
-	s.cross(link.Shut, conn, back, "", note)
+func (s *timeline) peerAnswer(conn, text string) { s.send(conn, true, answer(text)) }
+func (s *timeline) closeConn(conn string, back bool, note string) {
+	s.crossing(link.Shut, conn, back, "", note)
 }
 
-// call lets the node call discovery.
-func (s *scene) call(conn, query string) {
+// poll lets the node poll discovery.
+func (s *timeline) poll(conn, query string) {
 	s.open(conn, "n1", "d:1")
 	s.send(conn, false, "GET /registry/instances"+query+" HTTP/1.1\r\nHost: d\r\n\r\n")
 }
@@ -137,38 +137,38 @@
 	return answer(fmt.Sprintf(`200 {"version":%d,"full":%v,"servers":[%s]}`, version, full, servers))
 }
 
-// leave lets discovery know that p1 leaves, and tell it to the node.
-func (s *scene) leave() {
+// peerLeaves lets discovery list p1 as leaving, and notifies the node of it.
+func (s *timeline) peerLeaves() {
 	s.j.PeerListed(3, "p1", "p1:9", terminating, 0)
-	s.call("d", "?after=2&wait_ms=2000")
+	s.poll("d", "?after=2&wait_ms=2000")
 	s.send("d", true, listed(3, false, "p1=Terminating"))
 }
 
-// fail lets the node's only call to discovery fail, and p1 be gone after it.
-func (s *scene) fail() {
-	s.call("d", "")
+// discoveryFails lets the only poll of the node fail, and p1 be gone after it.
+func (s *timeline) discoveryFails() {
+	s.poll("d", "")
 	s.send("d", true, answer("503 "))
 	s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 }
 
-// cold lets a cold start of p1 be listed, and told if knows, and n calls of 0.1 s of work reach it.
-func (s *scene) cold(knows bool, n int) {
-	s.pass(time.Second)
+// coldAttempts lists a cold start of p1, notifies the node if knows, and lets n calls of 0.1 s of work reach p1.
+func (s *timeline) coldAttempts(knows bool, n int) {
+	s.advance(time.Second)
 	s.j.PeerStarted("p1", "p1:9", true)
 	s.j.PeerListed(3, "p1", "p1:9", ready, s.now)
-	s.pass(ms)
+	s.advance(ms)
 	if knows {
-		s.call("d", "")
+		s.poll("d", "")
 		s.send("d", true, listed(3, true, "p1=Ready@7", "p2=Ready"))
 	}
 	for i := range n {
 		id := string(rune('A' + i))
-		s.ask(id, "quote")
-		s.try(id+"1", "quote")
+		s.request(id, "quote")
+		s.attempt(id+"1", "quote")
 		s.j.PeerAttempt("p1", id, 0.1, 0.14)
-		s.reply(id+"1", "200 "+id)
+		s.peerAnswer(id+"1", "200 "+id)
 		s.answer(id, "200 "+id)
-		s.pass(50 * ms)
+		s.advance(50 * ms)
 	}
 }
 
@@ -180,169 +180,169 @@
 type ruleCase struct {
 	name, rule string // "": lawful
 	change     func(*world.Contract)
-	play       func(s *scene)
+	play       func(s *timeline)
 }
 
 // Each case that breaks a rule stands before the nearest that does not.
 var cases = []ruleCase{
-	{"served", "", nil, func(s *scene) { s.serve("a", "quote"); s.serve("b", "book") }},
+	{"served", "", nil, func(s *timeline) { s.serve("a", "quote"); s.serve("b", "book") }},
 
-	{"read, and closed", Lost, nil, func(s *scene) { s.ask("a", "quote"); s.end("a", true, "") }},
-	{"read, half an answer, and closed", Lost, nil, func(s *scene) {
-		s.ask("a", "quote")
+	{"read, and closed", Lost, nil, func(s *timeline) { s.request("a", "quote"); s.closeConn("a", true, "") }},
+	{"read, half an answer, and closed", Lost, nil, func(s *timeline) {
+		s.request("a", "quote")
 		s.send("a", true, answer("200 long")[:40])
-		s.end("a", true, "")
+		s.closeConn("a", true, "")
 	}},
-	{"half an answer, as from the peer", "", nil, func(s *scene) {
-		s.ask("a", "quote")
-		s.try("a1", "quote")
+	{"half an answer, as from the peer", "", nil, func(s *timeline) {
+		s.request("a", "quote")
+		s.attempt("a1", "quote")
 		s.send("a1", true, answer("200 long")[:40])
-		s.cross(link.Broke, "a1", false, "", "")
+		s.crossing(link.Broke, "a1", false, "", "")
 		s.send("a", true, answer("200 long")[:40])
-		s.end("a", true, "")
+		s.closeConn("a", true, "")
 	}},
-	{"closed unread", "", nil, func(s *scene) {
+	{"closed unread", "", nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
-		s.cross(link.Sent, "a", false, wire("a", "quote"), "")
-		s.cross(link.Arrived, "a", false, wire("a", "quote"), "")
-		s.end("a", true, "unread")
+		s.crossing(link.Sent, "a", false, wire("a", "quote"), "")
+		s.crossing(link.Arrived, "a", false, wire("a", "quote"), "")
+		s.closeConn("a", true, "unread")
 	}},
-	{"client left first", "", nil, func(s *scene) {
-		s.ask("a", "quote")
-		s.end("a", false, "")
-		s.end("a", true, "")
+	{"client left first", "", nil, func(s *timeline) {
+		s.request("a", "quote")
+		s.closeConn("a", false, "")
+		s.closeConn("a", true, "")
 	}},
-	{"reset on the way", "", nil, func(s *scene) {
-		s.ask("a", "quote")
-		s.cross(link.Broke, "a", true, "", "reset")
+	{"reset on the way", "", nil, func(s *timeline) {
+		s.request("a", "quote")
+		s.crossing(link.Broke, "a", true, "", "reset")
 	}},
-	{"never came", "", nil, func(s *scene) {
+	{"never came", "", nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
-		s.cross(link.Sent, "a", false, wire("a", "quote"), "")
-		s.pass(time.Second)
+		s.crossing(link.Sent, "a", false, wire("a", "quote"), "")
+		s.advance(time.Second)
 	}},
-	{"killed", "", nil, func(s *scene) { s.ask("a", "quote"); s.j.NodeKilled("n1"); s.pass(time.Second) }},
-	{"closed and killed at one instant", "", nil, func(s *scene) {
-		s.ask("a", "quote")
+	{"killed", "", nil, func(s *timeline) { s.request("a", "quote"); s.j.NodeKilled("n1"); s.advance(time.Second) }},
+	{"closed and killed at one instant", "", nil, func(s *timeline) {
+		s.request("a", "quote")
 		s.j.See(link.Crossing{At: s.now, What: link.Shut, Conn: "a", Back: true})
 		s.j.NodeKilled("n1")
 	}},
-	{"late after SIGTERM, and killed", Lost, nil, func(s *scene) {
+	{"late after SIGTERM, and killed", Lost, nil, func(s *timeline) {
 		s.j.NodeSignaled("n1", "SIGTERM", "")
-		s.pass(2300 * ms)
-		s.ask("a", "quote")
-		s.cross(link.Broke, "a", true, "", "killed")
+		s.advance(2300 * ms)
+		s.request("a", "quote")
+		s.crossing(link.Broke, "a", true, "", "killed")
 		s.j.NodeKilled("n1")
 	}},
-	{"soon after SIGTERM, and killed", "", nil, func(s *scene) {
+	{"soon after SIGTERM, and killed", "", nil, func(s *timeline) {
 		s.j.NodeSignaled("n1", "SIGTERM", "")
-		s.pass(740 * ms)
-		s.ask("a", "book")
-		s.pass(1460 * ms)
+		s.advance(740 * ms)
+		s.request("a", "book")
+		s.advance(1460 * ms)
 		s.j.NodeKilled("n1")
 	}},
-	{"late after SIGTERM, and killed before its time", "", nil, func(s *scene) {
+	{"late after SIGTERM, and killed before its time", "", nil, func(s *timeline) {
 		s.j.NodeSignaled("n1", "SIGTERM", "")
-		s.pass(time.Second)
-		s.ask("a", "quote")
+		s.advance(time.Second)
+		s.request("a", "quote")
 		s.j.NodeKilled("n1")
 	}},
-	{"sent as the node closes", "", nil, func(s *scene) {
+	{"sent as the node closes", "", nil, func(s *timeline) {
 		s.serve("a", "quote")
-		s.end("a", true, "")
-		s.cross(link.Sent, "a", false, wire("b", "quote"), "")
-		s.cross(link.Arrived, "a", false, wire("b", "quote"), "")
-		s.pass(time.Second)
+		s.closeConn("a", true, "")
+		s.crossing(link.Sent, "a", false, wire("b", "quote"), "")
+		s.crossing(link.Arrived, "a", false, wire("b", "quote"), "")
+		s.advance(time.Second)
 	}},
-	{"open at the end", Lost, nil, func(s *scene) { s.ask("a", "quote"); s.j.Finish(s.now) }},
-	{"close announced, and the next read along", "", nil, func(s *scene) {
+	{"open at the end", Lost, nil, func(s *timeline) { s.request("a", "quote"); s.j.Finish(s.now) }},
+	{"close announced, and the next read along", "", nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
 		s.send("a", false, wire("a", "quote")+wire("b", "quote"))
 		s.send("a", true, "HTTP/1.1 502 Bad\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
-		s.end("a", true, "")
+		s.closeConn("a", true, "")
 	}},
 
-	{"no answer in time", Late, nil, func(s *scene) {
-		s.ask("a", "quote")
-		s.pass(550 * ms)
+	{"no answer in time", Late, nil, func(s *timeline) {
+		s.request("a", "quote")
+		s.advance(550 * ms)
 		s.answer("a", "504 ")
 	}},
-	{"just in time", "", nil, func(s *scene) {
-		s.ask("a", "quote")
-		s.pass(546 * ms)
+	{"just in time", "", nil, func(s *timeline) {
+		s.request("a", "quote")
+		s.advance(546 * ms)
 		s.answer("a", "504 ")
 	}},
-	{"the way took long", "", nil, func(s *scene) {
+	{"the way took long", "", nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
-		s.cross(link.Sent, "a", false, wire("a", "quote"), "")
-		s.pass(200 * ms)
-		s.cross(link.Arrived, "a", false, wire("a", "quote"), "")
-		s.pass(510 * ms)
+		s.crossing(link.Sent, "a", false, wire("a", "quote"), "")
+		s.advance(200 * ms)
+		s.crossing(link.Arrived, "a", false, wire("a", "quote"), "")
+		s.advance(510 * ms)
 		s.answer("a", "504 ")
 	}},
-	{"behind another", "", nil, func(s *scene) {
-		s.ask("a", "quote")
+	{"behind another", "", nil, func(s *timeline) {
+		s.request("a", "quote")
 		s.send("a", false, wire("b", "quote"))
-		s.pass(400 * ms)
+		s.advance(400 * ms)
 		s.answer("a", "502 ")
-		s.pass(400 * ms)
+		s.advance(400 * ms)
 		s.answer("a", "502 ")
 	}},
 
-	{"two answers", Twice, nil, func(s *scene) { s.serve("a", "quote"); s.answer("a", "200 a") }},
-	{"bytes behind the answer", Twice, nil, func(s *scene) {
-		s.ask("a", "quote")
+	{"two answers", Twice, nil, func(s *timeline) { s.serve("a", "quote"); s.answer("a", "200 a") }},
+	{"bytes behind the answer", Twice, nil, func(s *timeline) {
+		s.request("a", "quote")
 		s.answer("a", "502 ")
 		s.send("a", true, "x")
 	}},
-	{"ahead of the request's coming", Twice, nil, func(s *scene) {
+	{"ahead of the request's coming", Twice, nil, func(s *timeline) {
 		s.serve("a", "quote")
-		s.cross(link.Sent, "a", false, wire("b", "quote"), "")
+		s.crossing(link.Sent, "a", false, wire("b", "quote"), "")
 		s.answer("a", "502 ")
 	}},
-	{"one each, and 100 ahead", "", nil, func(s *scene) {
+	{"one each, and 100 ahead", "", nil, func(s *timeline) {
 		s.serve("a", "quote")
 		s.send("a", false, wire("b", "quote"))
 		s.send("a", true, "HTTP/1.1 100 Continue\r\n\r\n"+answer("502 "))
 	}},
 
-	{"other bytes", Wrong, nil, func(s *scene) {
-		s.ask("a", "quote")
-		s.try("a1", "quote")
-		s.reply("a1", "200 abc")
+	{"other bytes", Wrong, nil, func(s *timeline) {
+		s.request("a", "quote")
+		s.attempt("a1", "quote")
+		s.peerAnswer("a1", "200 abc")
 		s.answer("a", "200 abd")
 	}},
-	{"bytes of a 500", Wrong, nil, func(s *scene) {
-		s.ask("a", "quote")
-		s.try("a1", "quote")
-		s.reply("a1", "500 abc")
+	{"bytes of a 500", Wrong, nil, func(s *timeline) {
+		s.request("a", "quote")
+		s.attempt("a1", "quote")
+		s.peerAnswer("a1", "500 abc")
 		s.answer("a", "200 abc")
 	}},
-	{"surplus of an earlier answer", Wrong, nil, func(s *scene) {
-		s.ask("a", "quote")
-		s.try("a1", "quote")
+	{"surplus of an earlier answer", Wrong, nil, func(s *timeline) {
+		s.request("a", "quote")
+		s.attempt("a1", "quote")
 		s.send("a1", true, answer("200 a")+answer("200 more"))
 		s.answer("a", "200 a")
-		s.ask("b", "quote")
+		s.request("b", "quote")
 		s.send("a1", false, wire("b", "quote"))
 		s.answer("b", "200 more")
 	}},
-	{"surplus on the way as a try leaves", Wrong, nil, func(s *scene) {
+	{"surplus on the way as a try leaves", Wrong, nil, func(s *timeline) {
 		s.serve("a", "quote")
-		s.ask("b", "quote")
-		s.cross(link.Sent, "a1", false, wire("b", "quote"), "")
-		s.reply("a1", "200 more")
+		s.request("b", "quote")
+		s.crossing(link.Sent, "a1", false, wire("b", "quote"), "")
+		s.peerAnswer("a1", "200 more")
 		s.answer("b", "200 more")
 	}},
-	{"two lengths", Wrong, nil, func(s *scene) {
-		s.ask("a", "quote")
-		s.try("a1", "quote")
+	{"two lengths", Wrong, nil, func(s *timeline) {
+		s.request("a", "quote")
+		s.attempt("a1", "quote")
 		s.send("a1", true, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\na")
 		s.answer("a", "200 a")
 	}},
-	{"the same in chunks and pieces, 1xx ahead", "", nil, func(s *scene) {
-		s.ask("a", "quote")
-		s.try("a1", "quote")
+	{"the same in chunks and pieces, 1xx ahead", "", nil, func(s *timeline) {
+		s.request("a", "quote")
+		s.attempt("a1", "quote")
 		text := "HTTP/1.1 103 Hint\r\n\r\n" +
 			"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1;x\r\nc\r\n0\r\n\r\n"
 		for part := range slices.Chunk([]byte(text), 3) {
@@ -351,79 +351,79 @@
 		s.answer("a", "200 abc")
 	}},
 
-	{"resent, may have run", Effect, nil, func(s *scene) {
-		s.ask("a", "book")
-		s.try("a1", "book")
-		s.cross(link.Broke, "a1", false, "", "reset")
-		s.tryAt("a2", "p2", "book")
-	}},
-	{"resent after a 503 without proof", Effect, nil, func(s *scene) {
-		s.ask("a", "book")
-		s.try("a1", "book")
-		s.reply("a1", "503 ")
-		s.try("a2", "book")
-	}},
-	{"resent, the proof still on its way", Effect, nil, func(s *scene) {
-		s.ask("a", "book")
-		s.try("a1", "book")
-		s.cross(link.Sent, "a1", true, answer("503! "), "")
-		s.try("a2", "book")
-	}},
-	{"resent, never ran", "", nil, func(s *scene) {
-		s.ask("a", "book")
-		s.try("a1", "book")
-		s.reply("a1", "503! ")
+	{"resent, may have run", Effect, nil, func(s *timeline) {
+		s.request("a", "book")
+		s.attempt("a1", "book")
+		s.crossing(link.Broke, "a1", false, "", "reset")
+		s.attemptAt("a2", "p2", "book")
+	}},
+	{"resent after a 503 without proof", Effect, nil, func(s *timeline) {
+		s.request("a", "book")
+		s.attempt("a1", "book")
+		s.peerAnswer("a1", "503 ")
+		s.attempt("a2", "book")
+	}},
+	{"resent, the proof still on its way", Effect, nil, func(s *timeline) {
+		s.request("a", "book")
+		s.attempt("a1", "book")
+		s.crossing(link.Sent, "a1", true, answer("503! "), "")
+		s.attempt("a2", "book")
+	}},
+	{"resent, never ran", "", nil, func(s *timeline) {
+		s.request("a", "book")
+		s.attempt("a1", "book")
+		s.peerAnswer("a1", "503! ")
 		s.open("a2", "n1", "p2:9")
-		s.cross(link.Sent, "a2", false, wire("a", "book")[:99], "")
-		s.cross(link.Broke, "a2", false, "", "reset")
-		s.try("a3", "book")
+		s.crossing(link.Sent, "a2", false, wire("a", "book")[:99], "")
+		s.crossing(link.Broke, "a2", false, "", "reset")
+		s.attempt("a3", "book")
 	}},
-	{"refused, may have run", Effect, nil, func(s *scene) {
-		s.ask("a", "book")
-		s.try("a1", "book")
+	{"refused, may have run", Effect, nil, func(s *timeline) {
+		s.request("a", "book")
+		s.attempt("a1", "book")
 		s.answer("a", "503 ")
 	}},
-	{"failed, may have run", "", nil, func(s *scene) {
-		s.ask("a", "book")
-		s.try("a1", "book")
+	{"failed, may have run", "", nil, func(s *timeline) {
+		s.request("a", "book")
+		s.attempt("a1", "book")
 		s.answer("a", "502 ")
 	}},
-	{"refused, safe to repeat", "", nil, func(s *scene) {
-		s.ask("a", "quote")
-		s.try("a1", "quote")
+	{"refused, safe to repeat", "", nil, func(s *timeline) {
+		s.request("a", "quote")
+		s.attempt("a1", "quote")
 		s.answer("a", "429 ")
 	}},
-	{"a second copy", Effect, noCopies, func(s *scene) {
-		s.ask("a", "quote")
-		s.try("a1", "quote")
-		s.try("a2", "quote")
+	{"a second copy", Effect, noCopies, func(s *timeline) {
+		s.request("a", "quote")
+		s.attempt("a1", "quote")
+		s.attempt("a2", "quote")
 	}},
-	{"a second copy, allowed", "", nil, func(s *scene) {
-		s.ask("a", "quote")
-		s.try("a1", "quote")
-		s.try("a2", "quote")
+	{"a second copy, allowed", "", nil, func(s *timeline) {
+		s.request("a", "quote")
+		s.attempt("a1", "quote")
+		s.attempt("a2", "quote")
 	}},
-	{"one given up for another", "", noCopies, func(s *scene) {
-		s.ask("a", "quote")
-		s.try("a1", "quote")
+	{"one given up for another", "", noCopies, func(s *timeline) {
+		s.request("a", "quote")
+		s.attempt("a1", "quote")
 		s.open("a2", "n1", "p2:9")
 		s.j.See(link.Crossing{At: s.now, What: link.Sent, Conn: "a2", Data: []byte(wire("a", "quote"))})
-		s.end("a1", false, "")
+		s.closeConn("a1", false, "")
 	}},
-	{"four tries of three", Effect, nil, func(s *scene) {
-		s.ask("a", "quote")
+	{"four tries of three", Effect, nil, func(s *timeline) {
+		s.request("a", "quote")
 		for i := range 4 {
-			s.try(fmt.Sprint("a", i), "quote")
+			s.attempt(fmt.Sprint("a", i), "quote")
 		}
 	}},
 
-	{"nobody asked", Hidden, nil, func(s *scene) { s.try("a1", "quote") }},
-	{"another body", Hidden, nil, func(s *scene) {
-		s.ask("a", "book")
+	{"nobody asked", Hidden, nil, func(s *timeline) { s.attempt("a1", "quote") }},
+	{"another body", Hidden, nil, func(s *timeline) {
+		s.request("a", "book")
 		s.open("a1", "n1", "p1:9")
 		s.send("a1", false, strings.Replace(wire("a", "book"), "body", "bodz", 1))
 	}},
-	{"begun before it was taken", Hidden, nil, func(s *scene) {
+	{"begun before it was taken", Hidden, nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
 		s.send("a", false, wire("a", "book")[:100])
 		s.open("a1", "n1", "p1:9")
@@ -431,260 +431,260 @@
 		s.send("a", false, wire("a", "book")[100:])
 		s.send("a1", false, wire("a", "book")[100:])
 	}},
-	{"on a connection that is not up", Hidden, nil, func(s *scene) {
+	{"on a connection that is not up", Hidden, nil, func(s *timeline) {
 		s.ends["a"] = [2]string{"c1", "n1:9000"}
-		s.cross(link.Dial, "a", false, "", "")
-		s.ask("a", "quote")
-		s.try("a1", "quote")
+		s.crossing(link.Dial, "a", false, "", "")
+		s.request("a", "quote")
+		s.attempt("a1", "quote")
 	}},
-	{"after the answer", Hidden, nil, func(s *scene) {
-		s.ask("a", "quote")
+	{"after the answer", Hidden, nil, func(s *timeline) {
+		s.request("a", "quote")
 		s.answer("a", "502 ")
-		s.try("a1", "quote")
-	}},
-	{"after a reset behind bytes not read", "", nil, func(s *scene) {
-		s.ask("a", "quote")
-		s.cross(link.Sent, "a", false, wire("b", "quote"), "")
-		s.cross(link.Arrived, "a", false, wire("b", "quote"), "")
-		s.cross(link.Broke, "a", true, "", "reset")
-		s.pass(10 * ms)
-		s.try("a1", "quote")
-	}},
-	{"after the client's going came", Hidden, nil, func(s *scene) {
-		s.ask("a", "quote")
-		s.end("a", false, "")
-		s.cross(link.Arrived, "a", false, "", "fin")
-		s.pass(60 * ms)
-		s.try("a1", "quote")
-	}},
-	{"as the client goes", "", nil, func(s *scene) {
-		s.ask("a", "quote")
-		s.end("a", false, "")
-		s.try("a1", "quote")
-	}},
-	{"without an id", Hidden, nil, func(s *scene) {
+		s.attempt("a1", "quote")
+	}},
+	{"after a reset behind bytes not read", "", nil, func(s *timeline) {
+		s.request("a", "quote")
+		s.crossing(link.Sent, "a", false, wire("b", "quote"), "")
+		s.crossing(link.Arrived, "a", false, wire("b", "quote"), "")
+		s.crossing(link.Broke, "a", true, "", "reset")
+		s.advance(10 * ms)
+		s.attempt("a1", "quote")
+	}},
+	{"after the client's going came", Hidden, nil, func(s *timeline) {
+		s.request("a", "quote")
+		s.closeConn("a", false, "")
+		s.crossing(link.Arrived, "a", false, "", "fin")
+		s.advance(60 * ms)
+		s.attempt("a1", "quote")
+	}},
+	{"as the client goes", "", nil, func(s *timeline) {
+		s.request("a", "quote")
+		s.closeConn("a", false, "")
+		s.attempt("a1", "quote")
+	}},
+	{"without an id", Hidden, nil, func(s *timeline) {
 		s.open("a1", "n1", "p1:9")
 		s.send("a1", false, "GET /api HTTP/1.1\r\n\r\n")
 	}},
-	{"a probe", "", nil, func(s *scene) {
+	{"a probe", "", nil, func(s *timeline) {
 		s.open("a1", "n1", "p1:9")
 		s.send("a1", false, "GET /health/live HTTP/1.1\r\n\r\n")
 	}},
-	{"a probe, not allowed", Hidden, noProbes, func(s *scene) {
+	{"a probe, not allowed", Hidden, noProbes, func(s *timeline) {
 		s.open("a1", "n1", "p1:9")
 		s.send("a1", false, "GET /health/live HTTP/1.1\r\n\r\n")
 	}},
 
-	{"to one that leaves", Drain, nil, func(s *scene) {
-		s.leave()
-		s.pass(2550 * ms)
-		s.ask("a", "quote")
-		s.try("a1", "quote")
-	}},
-	{"within the grace", "", nil, func(s *scene) {
-		s.leave()
-		s.pass(2540 * ms)
-		s.ask("a", "quote")
-		s.try("a1", "quote")
-	}},
-	{"begun within the grace", "", nil, func(s *scene) {
-		s.leave()
-		s.pass(2500 * ms)
-		s.ask("a", "quote")
+	{"to one that leaves", Drain, nil, func(s *timeline) {
+		s.peerLeaves()
+		s.advance(2550 * ms)
+		s.request("a", "quote")
+		s.attempt("a1", "quote")
+	}},
+	{"within the grace", "", nil, func(s *timeline) {
+		s.peerLeaves()
+		s.advance(2540 * ms)
+		s.request("a", "quote")
+		s.attempt("a1", "quote")
+	}},
+	{"begun within the grace", "", nil, func(s *timeline) {
+		s.peerLeaves()
+		s.advance(2500 * ms)
+		s.request("a", "quote")
 		s.open("a1", "n1", "p1:9")
 		s.send("a1", false, "G")
-		s.pass(100 * ms)
+		s.advance(100 * ms)
 		s.send("a1", false, wire("a", "quote")[1:])
 	}},
-	{"ready again", "", nil, func(s *scene) {
-		s.leave()
+	{"ready again", "", nil, func(s *timeline) {
+		s.peerLeaves()
 		s.j.PeerListed(4, "p1", "p1:9", ready, s.now)
 		s.send("d", false, "GET /registry/instances?after=3&wait_ms=9 HTTP/1.1\r\n\r\n")
 		s.send("d", true, listed(4, false, "p1=Ready"))
-		s.pass(4 * time.Second)
+		s.advance(4 * time.Second)
 		s.serve("a", "quote")
 	}},
-	{"not in the whole list", Drain, nil, func(s *scene) {
-		s.call("d", "")
+	{"not in the whole list", Drain, nil, func(s *timeline) {
+		s.poll("d", "")
 		s.send("d", true, listed(9, true, "p2=Ready"))
-		s.pass(2600 * ms)
+		s.advance(2600 * ms)
 		s.serve("a", "quote")
 	}},
-	{"gone alone does not bind", "", droppedStay, func(s *scene) {
-		s.call("d", "")
+	{"gone alone does not bind", "", droppedStay, func(s *timeline) {
+		s.poll("d", "")
 		s.send("d", true, listed(9, true, "p2=Ready"))
-		s.pass(2600 * ms)
+		s.advance(2600 * ms)
 		s.serve("a", "quote")
 	}},
-	{"the answer never came", Drain, nil, func(s *scene) {
+	{"the answer never came", Drain, nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
-		s.call("d", "?after=2&wait_ms=2000")
-		s.end("d", false, "") // the node gives up
-		s.end("d", true, "")
-		s.pass(6555 * ms)
+		s.poll("d", "?after=2&wait_ms=2000")
+		s.closeConn("d", false, "") // the node gives up
+		s.closeConn("d", true, "")
+		s.advance(6555 * ms)
 		s.serve("a", "quote")
 	}},
-	{"the answer never came, in the grace", "", nil, func(s *scene) {
+	{"the answer never came, in the grace", "", nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
-		s.call("d", "?after=2&wait_ms=2000")
-		s.pass(6530 * ms)
+		s.poll("d", "?after=2&wait_ms=2000")
+		s.advance(6530 * ms)
 		s.serve("a", "quote")
 	}},
-	{"the call broke", "", nil, func(s *scene) {
+	{"the call broke", "", nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
-		s.call("d", "?after=2&wait_ms=2000")
-		s.cross(link.Broke, "d", false, "", "reset")
-		s.pass(8 * time.Second)
+		s.poll("d", "?after=2&wait_ms=2000")
+		s.crossing(link.Broke, "d", false, "", "reset")
+		s.advance(8 * time.Second)
 		s.serve("a", "quote")
 	}},
-	{"told of its return before that counts", "", nil, func(s *scene) {
+	{"told of its return before that counts", "", nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
-		s.call("d", "?after=2&wait_ms=2000")
-		s.end("d", false, "")
+		s.poll("d", "?after=2&wait_ms=2000")
+		s.closeConn("d", false, "")
 		s.j.PeerListed(4, "p1", "p1:9", ready, s.now)
-		s.call("d2", "?after=2&wait_ms=2000")
+		s.poll("d2", "?after=2&wait_ms=2000")
 		s.send("d2", true, listed(4, false, "p1=Ready"))
-		s.pass(8 * time.Second)
+		s.advance(8 * time.Second)
 		s.serve("a", "quote")
 	}},
-	{"the answer cannot be read", "", nil, func(s *scene) {
+	{"the answer cannot be read", "", nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
-		s.call("d", "?after=2&wait_ms=2000")
+		s.poll("d", "?after=2&wait_ms=2000")
 		s.send("d", true, answer(`200 {"version":3,"full":false,"servers":[{"id":"p1"`))
-		s.pass(8 * time.Second)
+		s.advance(8 * time.Second)
 		s.serve("a", "quote")
 	}},
-	{"never asked", Drain, nil, func(s *scene) {
+	{"never asked", Drain, nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
-		s.pass(12551 * ms)
+		s.advance(12551 * ms)
 		s.serve("a", "quote")
 	}},
-	{"asked, and failed", Drain, nil, func(s *scene) {
-		s.fail()
-		s.pass(8551 * ms)
+	{"asked, and failed", Drain, nil, func(s *timeline) {
+		s.discoveryFails()
+		s.advance(8551 * ms)
 		s.serve("a", "quote")
 	}},
-	{"asked, and failed, in the grace", "", nil, func(s *scene) {
-		s.fail()
-		s.pass(8530 * ms)
+	{"asked, and failed, in the grace", "", nil, func(s *timeline) {
+		s.discoveryFails()
+		s.advance(8530 * ms)
 		s.serve("a", "quote")
 	}},
-	{"asked, and failed, and it is down", "", nil, func(s *scene) {
+	{"asked, and failed, and it is down", "", nil, func(s *timeline) {
 		s.j.DiscoveryReachable("", "d:1", false)
-		s.fail()
-		s.pass(40 * time.Second)
+		s.discoveryFails()
+		s.advance(40 * time.Second)
 		s.serve("a", "quote")
 	}},
-	{"asked, and failed, and the way is cut", "", nil, func(s *scene) {
+	{"asked, and failed, and the way is cut", "", nil, func(s *timeline) {
 		s.j.DiscoveryReachable("n1", "d:1", false)
-		s.fail()
-		s.pass(40 * time.Second)
+		s.discoveryFails()
+		s.advance(40 * time.Second)
 		s.serve("a", "quote")
 	}},
-	{"another node's way is cut", Drain, nil, func(s *scene) {
-		s.fail()
+	{"another node's way is cut", Drain, nil, func(s *timeline) {
+		s.discoveryFails()
 		s.j.DiscoveryReachable("n2", "d:1", false)
-		s.pass(8551 * ms)
+		s.advance(8551 * ms)
 		s.serve("a", "quote")
 	}},
-	{"it is back", Drain, nil, func(s *scene) {
+	{"it is back", Drain, nil, func(s *timeline) {
 		s.j.DiscoveryReachable("", "d:1", false)
-		s.fail()
-		s.pass(10 * time.Second)
+		s.discoveryFails()
+		s.advance(10 * time.Second)
 		s.j.DiscoveryReachable("", "d:1", true)
-		s.pass(8551 * ms)
+		s.advance(8551 * ms)
 		s.serve("a", "quote")
 	}},
-	{"it is back, in the grace", "", nil, func(s *scene) {
+	{"it is back, in the grace", "", nil, func(s *timeline) {
 		s.j.DiscoveryReachable("", "d:1", false)
-		s.fail()
-		s.pass(10 * time.Second)
+		s.discoveryFails()
+		s.advance(10 * time.Second)
 		s.j.DiscoveryReachable("", "d:1", true)
-		s.pass(8530 * ms)
+		s.advance(8530 * ms)
 		s.serve("a", "quote")
 	}},
-	{"it is back, and down again before that counts", "", nil, func(s *scene) {
-		s.fail()
-		s.pass(5990 * ms)
+	{"it is back, and down again before that counts", "", nil, func(s *timeline) {
+		s.discoveryFails()
+		s.advance(5990 * ms)
 		s.j.DiscoveryReachable("", "d:1", false)
-		s.pass(time.Second)
+		s.advance(time.Second)
 		s.j.DiscoveryReachable("", "d:1", true)
-		s.pass(8530 * ms)
+		s.advance(8530 * ms)
 		s.serve("a", "quote")
 	}},
-	{"it is back elsewhere", "", nil, func(s *scene) {
+	{"it is back elsewhere", "", nil, func(s *timeline) {
 		s.j.DiscoveryReachable("", "d:1", false)
-		s.fail()
+		s.discoveryFails()
 		s.j.DiscoveryReachable("", "e:1", true)
-		s.pass(40 * time.Second)
+		s.advance(40 * time.Second)
 		s.serve("a", "quote")
 	}},
-	{"moved", Drain, nil, func(s *scene) {
-		s.call("d", "")
+	{"moved", Drain, nil, func(s *timeline) {
+		s.poll("d", "")
 		s.send("d", true, listed(2, true, "p1=Ready", "p2=Ready"))
 		s.j.NodeSignaled("n1", "SIGHUP", "e:1")
 		s.j.PeerListed(1500, "p1", "p1:9", gone, 0)
 		s.send("d", false, "GET /registry/instances HTTP/1.1\r\n\r\n")
 		s.send("d", true, listed(1400, true, "p1=Ready", "p2=Ready")) // of the old one
-		s.pass(6550 * ms)
+		s.advance(6550 * ms)
 		s.serve("a", "quote")
 	}},
-	{"reloaded, not moved", "", nil, func(s *scene) {
-		s.call("d", "")
+	{"reloaded, not moved", "", nil, func(s *timeline) {
+		s.poll("d", "")
 		s.send("d", true, listed(2, true, "p1=Ready", "p2=Ready"))
 		s.j.NodeSignaled("n1", "SIGHUP", "d:1")
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
-		s.pass(6550 * ms)
+		s.advance(6550 * ms)
 		s.serve("a", "quote")
 	}},
-	{"started with a list that has it gone", Drain, nil, func(s *scene) {
+	{"started with a list that has it gone", Drain, nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.j.NodeKilled("n1")
 		s.j.NodeStarted("n1", 3)
-		s.pass(2550 * ms)
+		s.advance(2550 * ms)
 		s.serve("a", "quote")
 	}},
-	{"started with an older list", "", nil, func(s *scene) {
-		s.leave()
+	{"started with an older list", "", nil, func(s *timeline) {
+		s.peerLeaves()
 		s.j.NodeKilled("n1")
 		s.j.NodeStarted("n1", 2)
-		s.pass(2550 * ms)
+		s.advance(2550 * ms)
 		s.serve("a", "quote")
 	}},
 
-	{"pushed", Cold, nil, func(s *scene) { s.cold(true, 12) }},
-	{"warmed", "", nil, func(s *scene) { s.cold(true, 11) }},
-	{"pushed unknowingly", "", nil, func(s *scene) { s.cold(false, 12) }},
+	{"pushed", Cold, nil, func(s *timeline) { s.coldAttempts(true, 12) }},
+	{"warmed", "", nil, func(s *timeline) { s.coldAttempts(true, 11) }},
+	{"pushed unknowingly", "", nil, func(s *timeline) { s.coldAttempts(false, 12) }},
 
-	{"bad, and served", Bad, nil, func(s *scene) {
+	{"bad, and served", Bad, nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
 		s.j.MalformedInput("a", "noise", 3*time.Second)
 		s.send("a", false, "noise\r\n")
 		s.answer("a", "200 ")
 	}},
-	{"bad, and tried", Bad, nil, func(s *scene) {
+	{"bad, and tried", Bad, nil, func(s *timeline) {
 		s.j.MalformedInput("a", "class", 3*time.Second)
-		s.ask("a", "nonsense")
-		s.try("a1", "nonsense")
+		s.request("a", "nonsense")
+		s.attempt("a1", "nonsense")
 	}},
-	{"bad, and nothing comes of it", Bad, nil, func(s *scene) {
+	{"bad, and nothing comes of it", Bad, nil, func(s *timeline) {
 		s.j.MalformedInput("a", "silence", 3*time.Second)
 		s.open("a", "c1", "n1:9000")
-		s.pass(3051 * ms)
+		s.advance(3051 * ms)
 	}},
-	{"bad, and an error", "", nil, func(s *scene) {
+	{"bad, and an error", "", nil, func(s *timeline) {
 		s.j.MalformedInput("a", "class", 3*time.Second)
-		s.ask("a", "nonsense")
+		s.request("a", "nonsense")
 		s.answer("a", "400 ")
-		s.pass(4 * time.Second)
+		s.advance(4 * time.Second)
 	}},
-	{"bad, and a close", "", nil, func(s *scene) {
+	{"bad, and a close", "", nil, func(s *timeline) {
 		s.serve("a", "quote")
 		s.j.MalformedInput("a", "noise", 3*time.Second)
 		s.send("a", false, "noise\r\n")
-		s.pass(3 * time.Second)
-		s.end("a", true, "unread")
-		s.pass(time.Second)
+		s.advance(3 * time.Second)
+		s.closeConn("a", true, "unread")
+		s.advance(time.Second)
 	}},
 }
 
@@ -692,9 +692,9 @@
 	broken := map[string]bool{Crash: true, Rest: true}
 	for _, c := range slices.Concat(cases, operatorCases) {
 		t.Run(c.name, func(t *testing.T) {
-			s := newScene(c.change)
+			s := newTimeline(c.change)
 			c.play(s)
-			s.pass(2 * time.Millisecond)
+			s.advance(2 * time.Millisecond)
 			v := s.j.Violations()
 			switch {
 			case c.rule == "" && len(v) > 0:
@@ -714,22 +714,22 @@
 
 // What is found is bounded, and so is what is held of a long run.
 func TestBounds(t *testing.T) {
-	s := newScene(nil)
+	s := newTimeline(nil)
 	for i := range 25 {
-		s.try(fmt.Sprint("a", i), "quote")
+		s.attempt(fmt.Sprint("a", i), "quote")
 	}
-	if v := s.j.Violations(); len(v) != maxFound || s.j.More() != 5 {
+	if v := s.j.Violations(); len(v) != maxViolations || s.j.More() != 5 {
 		t.Errorf("%d kept, %d more", len(v), s.j.More())
 	}
 	for i := range 3000 {
 		id := fmt.Sprint("b", i)
-		s.ask(id, "quote")
+		s.request(id, "quote")
 		s.answer(id, "502 ")
-		s.end(id, true, "")
+		s.closeConn(id, true, "")
 	}
-	s.pass(time.Minute)
+	s.advance(time.Minute)
 	n := s.j.nodes["n1"]
-	if len(n.calls) > 25 || len(n.conns) > 25 || len(s.j.dues) > 0 || len(s.j.conns) > 25 {
-		t.Errorf("held: %d calls, %d connections, %d dues", len(n.calls), len(n.conns), len(s.j.dues))
+	if len(n.calls) > 25 || len(n.conns) > 25 || len(s.j.timers) > 0 || len(s.j.conns) > 25 {
+		t.Errorf("held: %d calls, %d connections, %d timers", len(n.calls), len(n.conns), len(s.j.timers))
 	}
 }
--- /dev/null
+++ b/internal/lab/rules/scanner.go
@@ -0,0 +1,397 @@
+package rules
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"hash"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// scanEvent is what a scanner finds in the bytes of a connection.
+type scanEvent uint8
+
+const (
+	needMore         scanEvent = iota // more bytes are needed
+	messageBegun                      // the first byte of a message
+	headComplete                      // the last byte of its head
+	messageComplete                   // the last byte of the message
+	malformedMessage                  // not HTTP/1.1; nothing behind it can be parsed
+)
+
+// Bounds on what is stored of a message, and on the values of its fields.
+const (
+	maxHead       = 64 << 10
+	maxStoredBody = 8 << 20
+	maxBudget     = 3600 // seconds
+)
+
+// untilEOF is the number of remaining bytes of a body that ends with its
+// connection.
+const untilEOF = -1
+
+// scanner parses the messages in one direction of a connection, as bytes come.
+// It belongs to the judge alone, so that it shares no mistake with the parsers
+// of the modelled services and of the node. It is strict: lines end in CRLF,
+// and there is one plain length.
+type scanner struct {
+	answers     bool // it parses answers, not requests
+	storeBody   bool // bodies are stored, not just hashed
+	answersHEAD bool // the answer at hand is one to HEAD: set after messageBegun
+
+	step        func(s *scanner, b []byte) (int, scanEvent) // nil: between messages
+	line        []byte                                      // the line at hand, as far as it has come
+	headRoom    int                                         // bytes that the head may still take
+	atFirstLine bool                                        // the next line is the first
+	remaining   int64                                       // bytes of the body, or of a chunk
+
+	lengthCount   int   // Content-Length lines
+	length        int64 // what they say
+	codingCount   int   // Transfer-Encoding lines
+	rejectedCount int   // X-Rejected lines
+
+	bodyHash hash.Hash // nil until a body comes in pieces
+	hashing  bool      // bodyHash holds a part of the body
+	message  message
+}
+
+// next parses some of b and returns how much. It is called until it takes
+// nothing and returns needMore.
+func (s *scanner) next(b []byte) (n int, e scanEvent) {
+	if s.step != nil {
+		return s.step(s, b)
+	}
+	if len(b) == 0 {
+		return 0, needMore
+	}
+	s.begin()
+	return 0, messageBegun
+}
+
+// begin starts a message.
+func (s *scanner) begin() {
+	s.message = message{}
+	s.atFirstLine = true
+	s.headRoom = maxHead
+	s.answersHEAD = false
+	s.lengthCount = 0
+	s.length = 0
+	s.codingCount = 0
+	s.rejectedCount = 0
+	s.step = (*scanner).head
+}
+
+// end says that no more bytes come. It reports whether that completes the
+// message at hand.
+func (s *scanner) end() bool {
+	if !s.endsWithConn() {
+		return false
+	}
+	s.finishBody()
+	s.step = nil
+	return true
+}
+
+// endsWithConn reports whether the message at hand lasts until the end of the
+// connection.
+func (s *scanner) endsWithConn() bool { return s.step != nil && s.remaining == untilEOF }
+
+// discard takes nothing more, after a malformed message.
+func (s *scanner) discard([]byte) (int, scanEvent) { return 0, needMore }
+
+// fail ends the parsing.
+func (s *scanner) fail(n int) (int, scanEvent) {
+	s.step = (*scanner).discard
+	s.remaining = 0
+	return n, malformedMessage
+}
+
+// readLine takes in bytes up to the end of a line. complete says that s.line is
+// complete, without its CRLF; ok is false for a malformed or overlong line.
+func (s *scanner) readLine(b []byte) (n int, complete, ok bool) {
+	n = bytes.IndexByte(b, '\n') + 1
+	complete = n > 0
+	if !complete {
+		n = len(b)
+	}
+	s.headRoom -= n
+	if s.headRoom < 0 {
+		return n, false, false
+	}
+	s.line = append(s.line, b[:n]...)
+	if !complete {
+		return n, false, true
+	}
+	if len(s.line) < 2 || s.line[len(s.line)-2] != '\r' {
+		return n, true, false
+	}
+	s.line = s.line[:len(s.line)-2]
+	return n, true, true
+}
+
+// head parses the next line of the head.
+func (s *scanner) head(b []byte) (int, scanEvent) {
+	n, complete, ok := s.readLine(b)
+	switch {
+	case !ok:
+		return s.fail(n)
+	case !complete:
+		return n, needMore
+	}
+	line := s.line
+	s.line = s.line[:0]
+	switch {
+	case s.atFirstLine:
+		s.atFirstLine = false
+		ok = s.startLine(string(line))
+	case len(line) > 0:
+		ok = s.field(line)
+	default:
+		ok = s.chooseFraming()
+		if ok {
+			return n, headComplete
+		}
+	}
+	if !ok {
+		return s.fail(n)
+	}
+	return n, needMore
+}
+
+// startLine parses the first line.
+func (s *scanner) startLine(line string) bool {
+	first, rest, _ := strings.Cut(line, " ")
+	if !s.answers {
+		target, version, _ := strings.Cut(rest, " ")
+		s.message.method = first
+		s.message.target = target
+		return first != "" && target != "" && version == "HTTP/1.1"
+	}
+	code, _, _ := strings.Cut(rest, " ")
+	status, err := strconv.ParseUint(code, 10, 16)
+	s.message.status = int(status)
+	known := first == "HTTP/1.1" || first == "HTTP/1.0"
+	return known && len(code) == 3 && err == nil &&
+		status >= http.StatusContinue && status != http.StatusSwitchingProtocols
+}
+
+// field parses a field of the head.
+func (s *scanner) field(line []byte) bool {
+	colon := bytes.IndexByte(line, ':')
+	if colon <= 0 || bytes.ContainsAny(line[:colon], " \t\r") {
+		return false
+	}
+	name := line[:colon]
+	value := bytes.Trim(line[colon+1:], " \t")
+	switch {
+	case isField(name, "Content-Length"):
+		return s.contentLength(string(value))
+	case isField(name, "Transfer-Encoding"):
+		s.codingCount++
+		return s.codingCount == 1 && strings.EqualFold(string(value), "chunked")
+	case isField(name, "Connection"):
+		s.connectionOptions(string(value))
+	case isField(name, "X-Call-Id"):
+		s.message.id = string(value)
+		s.message.idCount++
+	case isField(name, "X-Call-Class"):
+		s.message.class = string(value)
+	case isField(name, "X-Budget"):
+		s.budget(string(value))
+	case isField(name, "X-Rejected"):
+		s.rejectedCount++
+		s.message.rejected = s.rejectedCount == 1 && string(value) == "1"
+	}
+	return true
+}
+
+// isField reports whether a field has a name, in any case.
+func isField(name []byte, known string) bool {
+	return len(name) == len(known) && strings.EqualFold(string(name), known)
+}
+
+// contentLength parses a Content-Length field.
+func (s *scanner) contentLength(value string) bool {
+	s.lengthCount++
+	length, err := strconv.ParseUint(value, 10, 62)
+	s.length = int64(length)
+	return err == nil && s.lengthCount == 1
+}
+
+// connectionOptions parses a Connection field.
+func (s *scanner) connectionOptions(value string) {
+	for option := range strings.SplitSeq(value, ",") {
+		if strings.EqualFold(strings.TrimSpace(option), "close") {
+			s.message.close = true
+		}
+	}
+}
+
+// budget parses an X-Budget field, in seconds. An invalid one counts as absent.
+func (s *scanner) budget(value string) {
+	seconds, err := strconv.ParseFloat(value, 64)
+	if err == nil && seconds > 0 && seconds <= maxBudget {
+		s.message.budget = time.Duration(seconds * float64(time.Second))
+	}
+}
+
+// chooseFraming finds out from the head how the body ends.
+func (s *scanner) chooseFraming() bool {
+	switch {
+	case s.lengthCount > 0 && s.codingCount > 0:
+		return false
+	case s.answers && s.hasNoBody():
+		s.step = (*scanner).complete
+	case s.codingCount > 0:
+		s.step = (*scanner).chunkHeader
+		s.headRoom = maxHead
+	case s.lengthCount > 0:
+		s.step = (*scanner).fixedBody
+		s.remaining = s.length
+	case s.answers:
+		s.step = (*scanner).bodyUntilEOF
+		s.remaining = untilEOF
+	default:
+		s.step = (*scanner).complete
+	}
+	return true
+}
+
+// hasNoBody reports whether an answer ends with its head, whatever its fields say.
+func (s *scanner) hasNoBody() bool {
+	status := s.message.status
+	return status < http.StatusOK || status == http.StatusNoContent || status == http.StatusNotModified ||
+		s.answersHEAD
+}
+
+// complete follows the last byte of a message.
+func (s *scanner) complete([]byte) (int, scanEvent) {
+	s.finishBody()
+	s.step = nil
+	return 0, messageComplete
+}
+
+// finishBody closes the hash of the body.
+func (s *scanner) finishBody() {
+	if s.hashing {
+		s.bodyHash.Sum(s.message.body.sum[:0])
+		s.hashing = false
+	}
+	s.remaining = 0
+}
+
+// addBody takes in some of the body.
+func (s *scanner) addBody(b []byte) {
+	s.message.body.size += int64(len(b))
+	if s.storeBody && len(s.message.storedBody)+len(b) <= maxStoredBody {
+		s.message.storedBody = append(s.message.storedBody, b...)
+	}
+	switch {
+	case len(b) == 0:
+		return
+	case s.bodyHash == nil:
+		s.bodyHash = sha256.New()
+	case !s.hashing:
+		s.bodyHash.Reset()
+	}
+	s.hashing = true
+	s.bodyHash.Write(b)
+}
+
+// fixedBody parses a body of known length.
+func (s *scanner) fixedBody(b []byte) (int, scanEvent) {
+	atOnce := s.remaining == s.length && int64(len(b)) >= s.remaining
+	if atOnce && s.remaining > 0 && !s.storeBody { // the usual case
+		n := int(s.remaining)
+		s.message.body = digest{sum: sha256.Sum256(b[:n]), size: s.remaining}
+		s.step = (*scanner).complete
+		return n, needMore
+	}
+	n := int(min(s.remaining, int64(len(b))))
+	s.addBody(b[:n])
+	s.remaining -= int64(n)
+	if s.remaining == 0 {
+		s.step = (*scanner).complete
+		return s.continueWith(n, b)
+	}
+	return n, needMore
+}
+
+// continueWith goes on with the next step where the last one took nothing.
+func (s *scanner) continueWith(n int, b []byte) (int, scanEvent) {
+	if n == 0 {
+		return s.step(s, b)
+	}
+	return n, needMore
+}
+
+// bodyUntilEOF parses a body that ends with the connection.
+func (s *scanner) bodyUntilEOF(b []byte) (int, scanEvent) {
+	s.addBody(b)
+	return len(b), needMore
+}
+
+// chunkHeader parses the line ahead of a chunk.
+func (s *scanner) chunkHeader(b []byte) (int, scanEvent) {
+	n, complete, ok := s.readLine(b)
+	if !ok {
+		return s.fail(n)
+	}
+	if !complete {
+		return n, needMore
+	}
+	text, _, _ := strings.Cut(string(s.line), ";")
+	s.line = s.line[:0]
+	size, err := strconv.ParseUint(strings.TrimRight(text, " \t"), 16, 62)
+	switch {
+	case err != nil:
+		return s.fail(n)
+	case size == 0:
+		s.step = (*scanner).trailer
+	default:
+		s.step = (*scanner).chunkBody
+		s.remaining = int64(size)
+	}
+	return n, needMore
+}
+
+// chunkBody parses the bytes of a chunk.
+func (s *scanner) chunkBody(b []byte) (int, scanEvent) {
+	n := int(min(s.remaining, int64(len(b))))
+	s.addBody(b[:n])
+	s.remaining -= int64(n)
+	if s.remaining == 0 {
+		s.step = (*scanner).chunkEnd
+		s.headRoom = maxHead
+	}
+	return n, needMore
+}
+
+// chunkEnd parses the line end behind a chunk.
+func (s *scanner) chunkEnd(b []byte) (int, scanEvent) {
+	n, complete, ok := s.readLine(b)
+	if !ok || len(s.line) > 2 || complete && len(s.line) > 0 {
+		return s.fail(n)
+	}
+	if complete {
+		s.step = (*scanner).chunkHeader
+	}
+	return n, needMore
+}
+
+// trailer parses a line behind the last chunk.
+func (s *scanner) trailer(b []byte) (int, scanEvent) {
+	n, complete, ok := s.readLine(b)
+	switch {
+	case !ok:
+		return s.fail(n)
+	case !complete:
+		return n, needMore
+	case len(s.line) == 0:
+		s.step = (*scanner).complete
+	}
+	s.line = s.line[:0]
+	return n, needMore
+}
--- a/internal/lab/rules/scan_test.go
+++ b/internal/lab/rules/scanner_test.go
@@ -11,7 +11,7 @@
 
 // read is all that a scanner meets in some bytes, cut into pieces of n.
 func read(answers bool, text string, n int) string {
-	s := scanner{answers: answers, keep: true}
+	s := scanner{answers: answers, storeBody: true}
 	var met strings.Builder
 	for len(text) > 0 {
 		piece := []byte(text[:min(n, len(text))])
@@ -20,13 +20,13 @@
 			n, e := s.next(piece)
 			piece = piece[n:]
 			switch e {
-			case whole:
-				m := s.m
+			case messageComplete:
+				m := s.message
 				fmt.Fprintf(&met, "%s%s%d id=%s %v ", m.method, m.target, m.status, m.id, m.budget)
-				fmt.Fprintf(&met, "%q %t;", m.text, m.last)
-			case spoilt:
+				fmt.Fprintf(&met, "%q %t;", m.storedBody, m.close)
+			case malformedMessage:
 				return met.String() + "spoilt"
-			case none:
+			case needMore:
 				if n == 0 {
 					goto next
 				}
@@ -35,7 +35,7 @@
 	next:
 	}
 	if s.end() {
-		fmt.Fprintf(&met, "end %q", s.m.text)
+		fmt.Fprintf(&met, "end %q", s.message.storedBody)
 	} else if s.step != nil {
 		met.WriteString("open")
 	}
@@ -97,7 +97,7 @@
 	}
 	f.Add([]byte("\x01\x00\x00\x03\x00\x00\x01\x02\x00\x03\x02\x00"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		s := newScene(noCopies)
+		s := newTimeline(noCopies)
 		for ; len(in) >= 3; in = in[3:] {
 			k, data := conns[int(in[1])%len(conns)], []byte(nil)
 			if in[2]%32 < byte(len(pieces)) {
@@ -163,7 +163,7 @@
 		}
 	}
 	for b.Loop() {
-		s := newScene(nil)
+		s := newTimeline(nil)
 		for _, c := range all {
 			s.now = c.At
 			s.j.See(c)
--- a/internal/lab/rules/violation.go
+++ b/internal/lab/rules/violation.go
@@ -1,5 +1,3 @@
-// Package rules judges a run by what crossed the network, what discovery told
-// and what the world knows of itself; it never looks into a node.
 package rules
 
 import (
@@ -7,11 +5,14 @@
 	"time"
 )
 
-// Violation is a broken rule.
+// Violation is one broken rule.
 type Violation struct {
-	Rule string        `json:"rule"` // its short name, see Names
-	At   time.Duration `json:"at"`   // since the start of the run
-	What string        `json:"what"` // one line
+	// Rule is the short name of the rule; see Names.
+	Rule string `json:"rule"`
+	// At is when it was broken, since the start of the run.
+	At time.Duration `json:"at"`
+	// What says in one line what was seen.
+	What string `json:"what"`
 }
 
 func (v Violation) String() string {
