--- /dev/null
+++ b/internal/lab/link/address.go
@@ -0,0 +1,28 @@
+package link
+
+import "strings"
+
+// AddressMapper is a Fabric on which programs outside the modelled services
+// (the nodes) reach the machines at other addresses than the services do.
+type AddressMapper interface {
+	// MapAddress returns where the program on the machine by reaches an address
+	// of the modelled services.
+	MapAddress(by, addr string) string
+}
+
+// MapAddress returns where the program on the machine by reaches an address:
+// at that address, unless the Fabric is an AddressMapper. An empty address
+// stays empty.
+func MapAddress(f Fabric, by, addr string) string {
+	mapper, ok := f.(AddressMapper)
+	if !ok || addr == "" {
+		return addr
+	}
+	return mapper.MapAddress(by, addr)
+}
+
+// Dialer returns the host that dialed a connection, by the connection's ID.
+func Dialer(id string) string {
+	host, _, _ := strings.Cut(id, ">")
+	return host
+}
--- /dev/null
+++ b/internal/lab/link/direct/conn.go
@@ -0,0 +1,165 @@
+package direct
+
+import "olivebridge/internal/lab/link"
+
+// end is one end of a connection.
+type end struct {
+	fabric          *Fabric
+	id              string
+	other           *end
+	handler         link.Handler // nil: the listener did not accept
+	up              bool
+	closed          bool     // closed or reset here
+	handlerEnded    bool     // handler.End was called
+	finishedSending bool     // CloseWrite was called
+	beforeUp        []func() // what was called before Up
+	paused          bool
+	whilePaused     []func() // what arrived while reading was paused
+	unread          int      // bytes on their way here, or not read because of the pause
+}
+
+// answered: the other side has accepted the connection of an end that dialed,
+// or nobody listens there.
+func (e *end) answered(listening bool) {
+	server := e.other
+	switch {
+	case e.closed && server.handler != nil:
+		server.handlerEnded = true
+		server.handler.End(server, link.ErrEOF)
+	case e.closed:
+	case !listening:
+		e.fail(link.ErrRefused)
+	case server.handler == nil:
+		server.markClosed()
+		e.fail(link.ErrReset)
+	default:
+		e.opened()
+	}
+}
+
+// opened: the connection of an end that dialed is up.
+func (e *end) opened() {
+	e.up = true
+	e.handler.Up(e)
+	stored := e.beforeUp
+	e.beforeUp = nil
+	for _, do := range stored {
+		do()
+	}
+}
+
+func (e *end) markClosed() {
+	if !e.closed {
+		e.closed = true
+		e.fabric.OpenEnds--
+	}
+}
+
+// fail ends the connection here with an error other than ErrEOF.
+func (e *end) fail(err error) {
+	if e.closed {
+		return
+	}
+	e.markClosed()
+	if !e.handlerEnded {
+		e.handlerEnded = true
+		e.handler.End(e, err)
+	}
+}
+
+// deliver lets something happen at the other end, in order.
+func (e *end) deliver(do func()) {
+	other := e.other
+	e.fabric.loop.After(e.fabric.delay, func() {
+		if other.paused {
+			other.whilePaused = append(other.whilePaused, do)
+		} else {
+			do()
+		}
+	})
+}
+
+// ID implements link.Conn.
+func (e *end) ID() string { return e.id }
+
+// Write implements link.Conn.
+func (e *end) Write(b []byte) {
+	b = append([]byte(nil), b...) // the caller may reuse it
+	if !e.up && !e.closed {
+		e.beforeUp = append(e.beforeUp, func() { e.Write(b) })
+		return
+	}
+	if e.closed || e.finishedSending {
+		return
+	}
+	other := e.other
+	other.unread += len(b)
+	e.deliver(func() {
+		if other.closed {
+			e.fabric.loop.After(e.fabric.delay, func() { e.fail(link.ErrReset) })
+			return
+		}
+		other.unread -= len(b)
+		other.handler.Data(other, b)
+	})
+}
+
+// CloseWrite implements link.Conn.
+func (e *end) CloseWrite() {
+	if !e.up && !e.closed {
+		e.beforeUp = append(e.beforeUp, e.CloseWrite)
+		return
+	}
+	if e.closed || e.finishedSending {
+		return
+	}
+	e.finishedSending = true
+	other := e.other
+	e.deliver(func() {
+		if !other.closed && !other.handlerEnded {
+			other.handlerEnded = true
+			other.handler.End(other, link.ErrEOF)
+		}
+	})
+}
+
+// Close implements link.Conn.
+func (e *end) Close() {
+	if e.closed {
+		return
+	}
+	other := e.other
+	switch {
+	case e.up && e.unread > 0:
+		e.deliver(func() { other.fail(link.ErrUnread) })
+	case e.up:
+		e.CloseWrite()
+	}
+	e.markClosed()
+}
+
+// Reset implements link.Conn.
+func (e *end) Reset() {
+	if e.closed {
+		return
+	}
+	e.markClosed()
+	other := e.other
+	if e.up && other.handler != nil {
+		err := link.ErrReset
+		if e.fabric.ResetsLeaveUnread {
+			err = link.ErrUnread
+		}
+		e.deliver(func() { other.fail(err) })
+	}
+}
+
+// PauseReading implements link.Conn.
+func (e *end) PauseReading(paused bool) {
+	e.paused = paused
+	for !e.paused && len(e.whilePaused) > 0 {
+		do := e.whilePaused[0]
+		e.whilePaused = e.whilePaused[1:]
+		do()
+	}
+}
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -1,9 +1,10 @@
-// Package link is what stands between the world of the lab (its peers, its
-// discovery, its clients) and the network that carries their bytes: the
-// in-memory one of package network, on a virtual clock, or sockets. The world
-// is written against these interfaces alone, so that one model serves both.
+// Package link defines the network as the modelled services of the lab (peers,
+// discovery, clients) see it. Package network implements it in memory, on a
+// virtual clock, and package sockets over loopback. The services depend on
+// these interfaces alone, so that one model serves both.
 //
-// All calls happen on one loop.Loop, to and fro; none of them blocks.
+// All calls, in both directions, happen on the goroutine of one loop.Loop; none
+// of them blocks.
 package link
 
 import (
@@ -11,12 +12,12 @@
 	"time"
 )
 
-// How a connection ends, as its Handler hears it.
+// How a connection ends, as Handler.End reports it.
 var (
-	// ErrEOF: the other side has ended its sending; everything it sent has come.
+	// ErrEOF: the other side has ended its sending; everything it sent has arrived.
 	ErrEOF = errors.New("end of stream")
-	// ErrReset: the connection broke; the other side may or may not have read
-	// what was sent.
+	// ErrReset: the connection was reset; the other side may or may not have
+	// read what was sent.
 	ErrReset = errors.New("reset")
 	// ErrUnread: a reset which proves that the other side had not read all that
 	// this side had sent when it closed.
@@ -27,48 +28,50 @@
 	ErrTimedOut = errors.New("connection timed out")
 )
 
-// Fabric carries bytes between machines, which are known by the host part of
+// Fabric is a network between machines, which are known by the host part of
 // their addresses.
 type Fabric interface {
-	// Listen takes connections at addr (host:port); accept gives each one that
-	// comes its handler, or nil, which resets it.
+	// Listen accepts connections at addr (host:port). accept returns the handler
+	// of each one, or nil, which resets it. It is an error if the address is in
+	// use.
 	Listen(addr string, accept func(c Conn) Handler) (Listener, error)
-	// Dial opens a connection from a host to an address. h hears Up once it is
-	// there, or End with ErrRefused or ErrTimedOut.
+	// Dial opens a connection from a host to an address. It calls h.Up once the
+	// connection is up, or h.End with ErrRefused or ErrTimedOut.
 	Dial(from, to string, timeout time.Duration, h Handler) Conn
 }
 
-// Listener takes connections until it is closed. Connections it has taken live on.
+// Listener accepts connections until it is closed. Accepted connections stay open.
 type Listener interface{ Close() }
 
-// Handler hears what happens on a connection.
+// Handler is notified of what happens on a connection.
 type Handler interface {
-	// Up: the connection is there. A listener's connections are up from the start,
-	// and do not hear it.
+	// Up reports that the connection is up. It is not called for the connections
+	// of a Listener, which are up from the start.
 	Up(c Conn)
-	// Data: bytes have come. They must not be kept after the call returns.
+	// Data reports that bytes have arrived. They must not be kept after the call
+	// returns.
 	Data(c Conn, b []byte)
-	// End: nothing further comes. After ErrEOF this side may still write; after
-	// any other error the connection is gone. It is heard once, and not after
-	// this side's own Close.
+	// End reports that nothing further arrives. After ErrEOF this side may still
+	// write; after any other error the connection is closed. It is called once,
+	// and not after this side's own Close.
 	End(c Conn, err error)
 }
 
-// Conn is one end of a connection. Its methods are harmless once it is gone.
+// Conn is one end of a connection. Its methods do nothing once it is closed.
 type Conn interface {
-	// ID names the connection, the same for both its ends and in every run of
+	// ID identifies the connection, equally at both its ends and in every run of
 	// one seed: "c1>n2#7" is the seventh from host c1 to host n2.
 	ID() string
-	// Write sends bytes. Before Up they wait.
+	// Write sends bytes. Before Up they are stored.
 	Write(b []byte)
-	// CloseWrite ends the sending, and the other side hears ErrEOF.
+	// CloseWrite ends the sending; the other side gets ErrEOF.
 	CloseWrite()
-	// Close ends both ways; the other side hears ErrEOF, or ErrUnread if bytes that it
-	// sent had not been read here.
+	// Close ends both directions; the other side gets ErrEOF, or ErrUnread if
+	// bytes that it sent had not been read here.
 	Close()
-	// Reset breaks the connection.
+	// Reset resets the connection; the other side gets ErrReset or ErrUnread.
 	Reset()
-	// Hold stops or resumes the reading: while held, no Data comes and the other
-	// side's writes pile up in the window.
-	Hold(held bool)
+	// PauseReading stops or resumes the reading. While it is paused, Data is not
+	// called and the other side's writes fill the window.
+	PauseReading(paused bool)
 }
--- a/internal/lab/link/tap.go
+++ b/internal/lab/link/tap.go
@@ -8,65 +8,78 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Tap sees all that crosses the network, in order: it is how a run is traced
-// and judged. It must not keep Data.
-type Tap interface{ See(c Crossing) }
+// Tap observes every event on a Fabric, in order: it is how a run is traced and
+// checked. It is called on the goroutine of the run's loop.Loop, and must not
+// keep Event.Data after the call returns.
+type Tap interface{ Observe(event Event) }
 
-// What crosses the network.
-type What uint8
+// EventKind is what happened on a connection.
+type EventKind uint8
 
+// The kinds of events.
 const (
-	Dial    What = iota // From asks for a connection to To
-	Open                // it is up: first at To's side (Back), then at the side that dialed
-	Fail                // it did not come up, for the reason in Note
-	Sent                // bytes left the sending machine: they have been written whole
-	Arrived             // bytes reached the other machine
-	Read                // bytes were taken by the program there
-	Fin                 // the sender ended its sending
-	Broke               // an end of the connection was reset, for the reason in Note
-	Shut                // the program at one end closed it; Note says "unread" if it left bytes
+	Dial     EventKind = iota // From asks for a connection to To
+	Open                      // it is up: first at To's side (Back), then at the side that dialed
+	Fail                      // it did not come up, for the reason in Note
+	Sent                      // bytes left the sending machine completely
+	Arrived                   // bytes reached the other machine
+	Read                      // bytes were read by the program there
+	Finished                  // the sender ended its sending
+	Reset                     // an end of the connection was reset, for the reason in Note
+	Closed                    // the program at one end closed it; Note says "unread" if it left bytes
 )
 
-var words = [...]string{"dial", "open", "fail", "sent", "arrived", "read", "fin", "broke", "shut"}
+// eventNames are the names of the kinds in a trace.
+var eventNames = [...]string{"dial", "open", "fail", "sent", "arrived", "read", "fin", "broke", "shut"}
 
-func (w What) String() string { return words[w] }
+func (k EventKind) String() string { return eventNames[k] }
 
-// Crossing is one thing that crosses the network. The connection's From is the
-// host that dialed it, To the address that it dialed.
-type Crossing struct {
-	At       time.Duration // since the start of the run
-	What     What
-	Conn     string // its ID
-	From, To string // of the connection: host that dialed, address dialed
-	Back     bool   // from To's side to From's; for Open, Shut, Broke: at To's side
-	Data     []byte // of Sent, Arrived; for Read only its length counts
-	Note     string
+// Event is one event on a connection.
+type Event struct {
+	At   time.Duration // since the start of the run
+	Kind EventKind
+	Conn string // the connection's ID
+	From string // the host that dialed the connection
+	To   string // the address that it dialed
+	Back bool   // from To's side to From's; for Open, Closed, Reset: at To's side
+	Data []byte // of Sent and Arrived; for Read only its length counts
+	Note string // why, or how, in a word; "" for most
 }
 
-// String is the line of a trace: one for each crossing.
-func (c Crossing) String() string { return string(c.Append(nil)) }
+// String returns the event's line in a trace.
+func (e Event) String() string { return string(e.Append(nil)) }
 
-// shown is how much of what crosses a line shows; a hash stands for the rest.
-const shown = 80
+// maxShown bounds the bytes of Data that a line shows; a hash stands for the rest.
+const maxShown = 80
 
-// Append appends the line.
-func (c Crossing) Append(b []byte) []byte {
-	b = strconv.AppendFloat(b, c.At.Seconds(), 'f', 9, 64)
-	b = append(append(b, ' '), c.Conn...)
-	if c.Back {
+// Append appends the event's line in a trace, without a line end.
+func (e Event) Append(b []byte) []byte {
+	b = strconv.AppendFloat(b, e.At.Seconds(), 'f', 9, 64)
+	b = append(b, ' ')
+	b = append(b, e.Conn...)
+	if e.Back {
 		b = append(b, " < "...)
 	} else {
 		b = append(b, " > "...)
 	}
-	b = append(b, c.What.String()...)
-	if c.Data != nil {
-		head, _, _ := bytes.Cut(c.Data[:min(len(c.Data), shown)], []byte("\r\n"))
-		b = strconv.AppendInt(append(b, ' '), int64(len(c.Data)), 10)
-		b = strconv.AppendUint(append(b, ' '), xxhash.Sum64(c.Data), 16)
-		b = strconv.AppendQuoteToASCII(append(b, ' '), string(head))
+	b = append(b, e.Kind.String()...)
+	if e.Data != nil {
+		b = appendData(b, e.Data)
 	}
-	if c.Note != "" {
-		b = append(append(b, ' '), c.Note...)
+	if e.Note != "" {
+		b = append(b, ' ')
+		b = append(b, e.Note...)
 	}
 	return b
 }
+
+// appendData appends the length, the hash and the first line of data.
+func appendData(b, data []byte) []byte {
+	firstLine, _, _ := bytes.Cut(data[:min(len(data), maxShown)], []byte("\r\n"))
+	b = append(b, ' ')
+	b = strconv.AppendInt(b, int64(len(data)), 10)
+	b = append(b, ' ')
+	b = strconv.AppendUint(b, xxhash.Sum64(data), 16)
+	b = append(b, ' ')
+	return strconv.AppendQuoteToASCII(b, string(firstLine))
+}
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -81,7 +81,7 @@
 	}
 	c := &child{program: i.run.options.Node, log: log, gone: make(chan struct{}), env: append(os.Environ(),
 		protocol.EnvName+"="+i.c.Name, protocol.EnvListen+"="+listen,
-		protocol.EnvDiscovery+"="+i.run.net.Seen(i.c.Name, i.run.discovery), protocol.EnvConfig+"="+i.path(".json"))}
+		protocol.EnvDiscovery+"="+i.run.net.MapAddress(i.c.Name, i.run.discovery), protocol.EnvConfig+"="+i.path(".json"))}
 	if f := i.run.options.Fleet; f != nil {
 		env, err := f.Env(i.c.Name, twin)
 		if err != nil {
@@ -120,7 +120,7 @@
 // write writes the configuration file, whole or not at all: a running node may read it.
 func (i *instance) write(stale bool) error {
 	data, err := nodefile.Write(&i.run.script.World, i.c, nodefile.Start{
-		Listen: i.at, Discovery: i.run.net.Seen(i.c.Name, i.run.discovery),
+		Listen: i.at, Discovery: i.run.net.MapAddress(i.c.Name, i.run.discovery),
 		Known: i.run.registry.KnownBy(i.c.Name, stale), Seed: i.seed,
 	})
 	if err != nil {
--- a/internal/lab/network/conn.go
+++ b/internal/lab/network/conn.go
@@ -87,7 +87,7 @@
 func (e *end) endWriting() {
 	if !e.gone && !e.over {
 		e.over = true
-		e.c.n.see(link.Fin, e.c, e.back(), nil, "")
+		e.c.n.see(link.Finished, e.c, e.back(), nil, "")
 		e.send(fin, nil, nil)
 	}
 }
@@ -100,11 +100,11 @@
 	case !e.up:
 		e.leave()
 	case unread:
-		e.c.n.see(link.Shut, e.c, e.back(), nil, "unread")
+		e.c.n.see(link.Closed, e.c, e.back(), nil, "unread")
 		e.reset(link.ErrUnread)
 	default:
 		e.gone = true
-		e.c.n.see(link.Shut, e.c, e.back(), nil, "")
+		e.c.n.see(link.Closed, e.c, e.back(), nil, "")
 		if !e.over {
 			e.over = true
 			e.send(fin, nil, nil)
@@ -120,7 +120,7 @@
 		if unread {
 			note = "unread"
 		}
-		e.c.n.see(link.Shut, e.c, e.back(), nil, note)
+		e.c.n.see(link.Closed, e.c, e.back(), nil, note)
 		e.reset(link.ErrUnread)
 	}
 	e.release()
@@ -129,7 +129,7 @@
 // abort breaks the connection from here, and says why in the trace.
 func (e *end) abort(note string) {
 	if !e.gone && e.up {
-		e.c.n.see(link.Broke, e.c, e.back(), nil, note)
+		e.c.n.see(link.Reset, e.c, e.back(), nil, note)
 		e.reset(link.ErrReset)
 	}
 	e.leave()
@@ -228,7 +228,7 @@
 	if err == link.ErrUnread {
 		note = "unread"
 	}
-	e.c.n.see(link.Broke, e.c, e.back(), nil, note)
+	e.c.n.see(link.Reset, e.c, e.back(), nil, note)
 	e.leave()
 	if e.port != nil {
 		e.port.broke() // it is held until the program closes it
--- a/internal/lab/network/lab_test.go
+++ b/internal/lab/network/lab_test.go
@@ -27,9 +27,9 @@
 	trace hash.Hash
 }
 
-func (l *lab) See(c link.Crossing) {
-	l.seen = append(l.seen, strings.TrimSpace(fmt.Sprint(c.Conn, " ", c.What, " ", c.Note)))
-	l.bytes[fmt.Sprintf("%s %s %t", c.Conn, c.What, c.Back)] += string(c.Data)
+func (l *lab) Observe(c link.Event) {
+	l.seen = append(l.seen, strings.TrimSpace(fmt.Sprint(c.Conn, " ", c.Kind, " ", c.Note)))
+	l.bytes[fmt.Sprintf("%s %s %t", c.Conn, c.Kind, c.Back)] += string(c.Data)
 	fmt.Fprintln(l.trace, c)
 }
 
--- a/internal/lab/network/network.go
+++ b/internal/lab/network/network.go
@@ -78,10 +78,10 @@
 }
 
 // see shows the Tap what crosses.
-func (n *Net) see(what link.What, c *conn, back bool, data []byte, note string) {
+func (n *Net) see(what link.EventKind, c *conn, back bool, data []byte, note string) {
 	if n.tap != nil {
-		n.tap.See(link.Crossing{
-			At: n.loop.Now(), What: what, Conn: c.id, From: c.from, To: c.to,
+		n.tap.Observe(link.Event{
+			At: n.loop.Now(), Kind: what, Conn: c.id, From: c.from, To: c.to,
 			Back: back, Data: data, Note: note,
 		})
 	}
--- a/internal/lab/network/network_test.go
+++ b/internal/lab/network/network_test.go
@@ -165,7 +165,7 @@
 		e := &ear{end: link.Conn.Close}
 		play(t, world.Net{}, func(l *lab) {
 			l.listen("p1:90", e)
-			l.at(2*ms, func() { e.c.Hold(test.name == "unread") })
+			l.at(2*ms, func() { e.c.PauseReading(test.name == "unread") })
 			l.at(4*ms, func() { test.peer(e.c) })
 			l.ask("p1:90", func(p *port) {
 				if n, err := p.Peek(); n != 0 || err != syscall.EAGAIN {
@@ -292,8 +292,8 @@
 			e := &ear{end: link.Conn.Close}
 			play(t, world.Net{}, func(l *lab) {
 				l.listen("p1:90", e)
-				l.at(3*ms, func() { e.c.Hold(true) })
-				l.at(time.Second, func() { e.c.Hold(false) })
+				l.at(3*ms, func() { e.c.PauseReading(true) })
+				l.at(time.Second, func() { e.c.PauseReading(false) })
 				l.ask("p1:90", func(p *port) {
 					time.Sleep(5 * ms)
 					ended := make(chan error)
@@ -389,12 +389,12 @@
 	e := &ear{end: link.Conn.Close}
 	play(t, world.Net{}, func(l *lab) {
 		l.listen("p1:90", e)
-		l.at(3*ms, func() { e.c.Hold(true) })
+		l.at(3*ms, func() { e.c.PauseReading(true) })
 		l.at(100*ms, func() {
 			if len(e.got) != 0 {
 				t.Errorf("held, and heard %d bytes", len(e.got))
 			}
-			e.c.Hold(false)
+			e.c.PauseReading(false)
 			e.c.Write(make([]byte, 3*window/2)) // more than the window at once
 			e.c.Write(make([]byte, window))
 			e.c.CloseWrite()
--- a/internal/lab/network/world.go
+++ b/internal/lab/network/world.go
@@ -32,9 +32,9 @@
 // Reset implements link.Conn.
 func (e *end) Reset() { e.abort("aborted") }
 
-// Hold implements link.Conn. While it holds, an end waits behind the bytes that
+// PauseReading implements link.Conn. While it holds, an end waits behind the bytes that
 // wait; a reset is heard at once, and takes them along.
-func (e *end) Hold(held bool) {
+func (e *end) PauseReading(held bool) {
 	if e.paused == held {
 		return
 	}
--- a/internal/lab/rules/conn.go
+++ b/internal/lab/rules/conn.go
@@ -52,7 +52,7 @@
 func byID(a, b *conn) int { return strings.Compare(a.id, b.id) }
 
 // track adds a connection. It returns nil if it is not a node's.
-func (j *Judge) track(c link.Crossing) *conn {
+func (j *Judge) track(c link.Event) *conn {
 	k := &conn{judge: j, id: c.Conn, from: c.From, to: c.To}
 	k.backward.scan.answers = true
 	host, isNodePort := strings.CutSuffix(c.To, nodePort)
@@ -83,13 +83,13 @@
 	return k
 }
 
-// observe takes in one crossing.
-func (k *conn) observe(c link.Crossing) {
+// observe takes in one event.
+func (k *conn) observe(c link.Event) {
 	f := &k.forward
 	if c.Back {
 		f = &k.backward
 	}
-	switch c.What {
+	switch c.Kind {
 	case link.Dial:
 		k.dialed()
 	case link.Open:
@@ -104,12 +104,12 @@
 		k.arrived(c.Back, len(c.Data) == 0 && c.Note == "fin")
 	case link.Read:
 		f.read += int64(len(c.Data))
-	case link.Fin:
+	case link.Finished:
 		k.finishedSending(f, c.Back)
-	case link.Shut:
+	case link.Closed:
 		k.finishedSending(f, c.Back)
 		k.expireAt(c.Back)
-	case link.Broke:
+	case link.Reset:
 		if c.Note == "killed" && k.atNode(c.Back) {
 			k.killed(c.At)
 		} else {
--- a/internal/lab/rules/judge.go
+++ b/internal/lab/rules/judge.go
@@ -27,7 +27,7 @@
 	// wire. It may be nil.
 	Known func(version int64)
 	// Now is the time of events, since the start of the run. If it is nil, an
-	// event has the time of the last crossing or Tick.
+	// event has the time of the last link.Event or Tick.
 	Now func() time.Duration
 	// Slack is added to every time limit; 0 stands for 50 ms.
 	Slack time.Duration
@@ -184,12 +184,12 @@
 	}
 }
 
-// See implements link.Tap.
-func (j *Judge) See(c link.Crossing) {
+// Observe implements link.Tap.
+func (j *Judge) Observe(c link.Event) {
 	j.advance(c.At)
 	k := j.conns[c.Conn]
 	if k == nil {
-		if c.What != link.Dial && c.What != link.Open {
+		if c.Kind != link.Dial && c.Kind != link.Open {
 			return // the connection finished long ago, or is not a node's
 		}
 		k = j.track(c)
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -14,7 +14,7 @@
 
 const ms = time.Millisecond
 
-// timeline plays crossings and events by hand. A call "a" comes on the connection
+// timeline plays events by hand, those of the network and others. A call "a" comes on the connection
 // "a"; its attempts go on "a1", "a2", …; "d" is one to discovery. Each step takes
 // a millisecond.
 type timeline struct {
@@ -54,10 +54,10 @@
 	s.j.Tick(s.now)
 }
 
-func (s *timeline) crossing(w link.What, conn string, back bool, data, note string) {
+func (s *timeline) event(w link.EventKind, conn string, back bool, data, note string) {
 	e := s.ends[conn]
-	s.j.See(link.Crossing{
-		At: s.now, What: w, Conn: conn, From: e[0], To: e[1], Back: back, Data: []byte(data), Note: note,
+	s.j.Observe(link.Event{
+		At: s.now, Kind: w, Conn: conn, From: e[0], To: e[1], Back: back, Data: []byte(data), Note: note,
 	})
 	s.advance(ms)
 }
@@ -65,16 +65,16 @@
 func (s *timeline) open(conn, from, to string) {
 	if _, known := s.ends[conn]; !known {
 		s.ends[conn] = [2]string{from, to}
-		s.crossing(link.Dial, conn, false, "", "")
-		s.crossing(link.Open, conn, false, "", "")
+		s.event(link.Dial, conn, false, "", "")
+		s.event(link.Open, conn, false, "", "")
 	}
 }
 
 // send sends bytes that arrive and are read.
 func (s *timeline) send(conn string, back bool, data string) {
-	s.crossing(link.Sent, conn, back, data, "")
-	s.crossing(link.Arrived, conn, back, data, "")
-	s.crossing(link.Read, conn, back, data, "")
+	s.event(link.Sent, conn, back, data, "")
+	s.event(link.Arrived, conn, back, data, "")
+	s.event(link.Read, conn, back, data, "")
 }
 
 // wire is the bytes of a call: "quote" is a read, "book" has a body.
@@ -114,7 +114,7 @@
 }
 func (s *timeline) peerAnswer(conn, text string) { s.send(conn, true, answer(text)) }
 func (s *timeline) closeConn(conn string, back bool, note string) {
-	s.crossing(link.Shut, conn, back, "", note)
+	s.event(link.Closed, conn, back, "", note)
 }
 
 // poll lets the node poll discovery.
@@ -197,14 +197,14 @@
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
 		s.send("a1", true, answer("200 long")[:40])
-		s.crossing(link.Broke, "a1", false, "", "")
+		s.event(link.Reset, "a1", false, "", "")
 		s.send("a", true, answer("200 long")[:40])
 		s.closeConn("a", true, "")
 	}},
 	{"closed unread", "", nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
-		s.crossing(link.Sent, "a", false, wire("a", "quote"), "")
-		s.crossing(link.Arrived, "a", false, wire("a", "quote"), "")
+		s.event(link.Sent, "a", false, wire("a", "quote"), "")
+		s.event(link.Arrived, "a", false, wire("a", "quote"), "")
 		s.closeConn("a", true, "unread")
 	}},
 	{"client left first", "", nil, func(s *timeline) {
@@ -214,24 +214,24 @@
 	}},
 	{"reset on the way", "", nil, func(s *timeline) {
 		s.request("a", "quote")
-		s.crossing(link.Broke, "a", true, "", "reset")
+		s.event(link.Reset, "a", true, "", "reset")
 	}},
 	{"never came", "", nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
-		s.crossing(link.Sent, "a", false, wire("a", "quote"), "")
+		s.event(link.Sent, "a", false, wire("a", "quote"), "")
 		s.advance(time.Second)
 	}},
 	{"killed", "", nil, func(s *timeline) { s.request("a", "quote"); s.j.NodeKilled("n1"); s.advance(time.Second) }},
 	{"closed and killed at one instant", "", nil, func(s *timeline) {
 		s.request("a", "quote")
-		s.j.See(link.Crossing{At: s.now, What: link.Shut, Conn: "a", Back: true})
+		s.j.Observe(link.Event{At: s.now, Kind: link.Closed, Conn: "a", Back: true})
 		s.j.NodeKilled("n1")
 	}},
 	{"late after SIGTERM, and killed", Lost, nil, func(s *timeline) {
 		s.j.NodeSignaled("n1", "SIGTERM", "")
 		s.advance(2300 * ms)
 		s.request("a", "quote")
-		s.crossing(link.Broke, "a", true, "", "killed")
+		s.event(link.Reset, "a", true, "", "killed")
 		s.j.NodeKilled("n1")
 	}},
 	{"soon after SIGTERM, and killed", "", nil, func(s *timeline) {
@@ -250,8 +250,8 @@
 	{"sent as the node closes", "", nil, func(s *timeline) {
 		s.serve("a", "quote")
 		s.closeConn("a", true, "")
-		s.crossing(link.Sent, "a", false, wire("b", "quote"), "")
-		s.crossing(link.Arrived, "a", false, wire("b", "quote"), "")
+		s.event(link.Sent, "a", false, wire("b", "quote"), "")
+		s.event(link.Arrived, "a", false, wire("b", "quote"), "")
 		s.advance(time.Second)
 	}},
 	{"open at the end", Lost, nil, func(s *timeline) { s.request("a", "quote"); s.j.Finish(s.now) }},
@@ -274,9 +274,9 @@
 	}},
 	{"the way took long", "", nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
-		s.crossing(link.Sent, "a", false, wire("a", "quote"), "")
+		s.event(link.Sent, "a", false, wire("a", "quote"), "")
 		s.advance(200 * ms)
-		s.crossing(link.Arrived, "a", false, wire("a", "quote"), "")
+		s.event(link.Arrived, "a", false, wire("a", "quote"), "")
 		s.advance(510 * ms)
 		s.answer("a", "504 ")
 	}},
@@ -297,7 +297,7 @@
 	}},
 	{"ahead of the request's coming", Twice, nil, func(s *timeline) {
 		s.serve("a", "quote")
-		s.crossing(link.Sent, "a", false, wire("b", "quote"), "")
+		s.event(link.Sent, "a", false, wire("b", "quote"), "")
 		s.answer("a", "502 ")
 	}},
 	{"one each, and 100 ahead", "", nil, func(s *timeline) {
@@ -330,7 +330,7 @@
 	{"surplus on the way as a try leaves", Wrong, nil, func(s *timeline) {
 		s.serve("a", "quote")
 		s.request("b", "quote")
-		s.crossing(link.Sent, "a1", false, wire("b", "quote"), "")
+		s.event(link.Sent, "a1", false, wire("b", "quote"), "")
 		s.peerAnswer("a1", "200 more")
 		s.answer("b", "200 more")
 	}},
@@ -354,7 +354,7 @@
 	{"resent, may have run", Effect, nil, func(s *timeline) {
 		s.request("a", "book")
 		s.attempt("a1", "book")
-		s.crossing(link.Broke, "a1", false, "", "reset")
+		s.event(link.Reset, "a1", false, "", "reset")
 		s.attemptAt("a2", "p2", "book")
 	}},
 	{"resent after a 503 without proof", Effect, nil, func(s *timeline) {
@@ -366,7 +366,7 @@
 	{"resent, the proof still on its way", Effect, nil, func(s *timeline) {
 		s.request("a", "book")
 		s.attempt("a1", "book")
-		s.crossing(link.Sent, "a1", true, answer("503! "), "")
+		s.event(link.Sent, "a1", true, answer("503! "), "")
 		s.attempt("a2", "book")
 	}},
 	{"resent, never ran", "", nil, func(s *timeline) {
@@ -374,8 +374,8 @@
 		s.attempt("a1", "book")
 		s.peerAnswer("a1", "503! ")
 		s.open("a2", "n1", "p2:9")
-		s.crossing(link.Sent, "a2", false, wire("a", "book")[:99], "")
-		s.crossing(link.Broke, "a2", false, "", "reset")
+		s.event(link.Sent, "a2", false, wire("a", "book")[:99], "")
+		s.event(link.Reset, "a2", false, "", "reset")
 		s.attempt("a3", "book")
 	}},
 	{"refused, may have run", Effect, nil, func(s *timeline) {
@@ -407,7 +407,7 @@
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
 		s.open("a2", "n1", "p2:9")
-		s.j.See(link.Crossing{At: s.now, What: link.Sent, Conn: "a2", Data: []byte(wire("a", "quote"))})
+		s.j.Observe(link.Event{At: s.now, Kind: link.Sent, Conn: "a2", Data: []byte(wire("a", "quote"))})
 		s.closeConn("a1", false, "")
 	}},
 	{"four tries of three", Effect, nil, func(s *timeline) {
@@ -433,7 +433,7 @@
 	}},
 	{"on a connection that is not up", Hidden, nil, func(s *timeline) {
 		s.ends["a"] = [2]string{"c1", "n1:9000"}
-		s.crossing(link.Dial, "a", false, "", "")
+		s.event(link.Dial, "a", false, "", "")
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
 	}},
@@ -444,16 +444,16 @@
 	}},
 	{"after a reset behind bytes not read", "", nil, func(s *timeline) {
 		s.request("a", "quote")
-		s.crossing(link.Sent, "a", false, wire("b", "quote"), "")
-		s.crossing(link.Arrived, "a", false, wire("b", "quote"), "")
-		s.crossing(link.Broke, "a", true, "", "reset")
+		s.event(link.Sent, "a", false, wire("b", "quote"), "")
+		s.event(link.Arrived, "a", false, wire("b", "quote"), "")
+		s.event(link.Reset, "a", true, "", "reset")
 		s.advance(10 * ms)
 		s.attempt("a1", "quote")
 	}},
 	{"after the client's going came", Hidden, nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.closeConn("a", false, "")
-		s.crossing(link.Arrived, "a", false, "", "fin")
+		s.event(link.Arrived, "a", false, "", "fin")
 		s.advance(60 * ms)
 		s.attempt("a1", "quote")
 	}},
@@ -533,7 +533,7 @@
 	{"the call broke", "", nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.poll("d", "?after=2&wait_ms=2000")
-		s.crossing(link.Broke, "d", false, "", "reset")
+		s.event(link.Reset, "d", false, "", "reset")
 		s.advance(8 * time.Second)
 		s.serve("a", "quote")
 	}},
--- a/internal/lab/rules/scanner_test.go
+++ b/internal/lab/rules/scanner_test.go
@@ -106,10 +106,10 @@
 				data = in[:min(len(in), int(in[2]))]
 			}
 			s.now += time.Duration(in[2]) * ms
-			switch what := link.What(in[0] % 16); what {
+			switch what := link.EventKind(in[0] % 16); what {
 			default:
-				s.j.See(link.Crossing{
-					At: s.now, What: what % 9, Conn: k[0], From: k[1], To: k[2], Back: in[0] >= 128, Data: data,
+				s.j.Observe(link.Event{
+					At: s.now, Kind: what % 9, Conn: k[0], From: k[1], To: k[2], Back: in[0] >= 128, Data: data,
 				})
 			case 9:
 				s.j.NodeKilled("n1")
@@ -133,13 +133,13 @@
 	})
 }
 
-// One run: 5,000 calls, 60,000 crossings.
+// One run: 5,000 calls, 60,000 events.
 func BenchmarkRun(b *testing.B) {
-	var all []link.Crossing
-	cross := func(what link.What, conn, from, to string, back bool, text string) {
+	var all []link.Event
+	cross := func(what link.EventKind, conn, from, to string, back bool, text string) {
 		at := time.Duration(len(all)) * 100 * time.Microsecond
-		all = append(all, link.Crossing{
-			At: at, What: what, Conn: conn, From: from, To: to, Back: back, Data: []byte(text),
+		all = append(all, link.Event{
+			At: at, Kind: what, Conn: conn, From: from, To: to, Back: back, Data: []byte(text),
 		})
 	}
 	made := answer("200 " + strings.Repeat("x", 2000))
@@ -150,15 +150,15 @@
 			cross(link.Open, p, "n1", "p1:9", false, "")
 		}
 		asked := wire(fmt.Sprint(i), "quote")
-		for _, what := range []link.What{link.Sent, link.Arrived, link.Read} {
+		for _, what := range []link.EventKind{link.Sent, link.Arrived, link.Read} {
 			cross(what, c, "c1", "n1:9000", false, asked)
 		}
 		for _, back := range []bool{false, true} {
-			for _, what := range []link.What{link.Sent, link.Arrived, link.Read} {
+			for _, what := range []link.EventKind{link.Sent, link.Arrived, link.Read} {
 				cross(what, p, "n1", "p1:9", back, map[bool]string{false: asked, true: made}[back])
 			}
 		}
-		for _, what := range []link.What{link.Sent, link.Arrived, link.Read} {
+		for _, what := range []link.EventKind{link.Sent, link.Arrived, link.Read} {
 			cross(what, c, "c1", "n1:9000", true, made)
 		}
 	}
@@ -166,7 +166,7 @@
 		s := newTimeline(nil)
 		for _, c := range all {
 			s.now = c.At
-			s.j.See(c)
+			s.j.Observe(c)
 			s.j.Tick(c.At)
 		}
 		s.j.Finish(s.now)
--- a/internal/lab/sockets/conn.go
+++ b/internal/lab/sockets/conn.go
@@ -79,10 +79,10 @@
 }
 
 // see shows the Tap what crosses. back: from the side that was dialed.
-func (c *conn) see(what link.What, back bool, b []byte, note string) {
+func (c *conn) see(what link.EventKind, back bool, b []byte, note string) {
 	if c.n.tap != nil {
-		c.n.tap.See(link.Crossing{
-			At: c.n.loop.Now(), What: what, Conn: c.id, From: c.from, To: c.to, Back: back, Data: b, Note: note,
+		c.n.tap.Observe(link.Event{
+			At: c.n.loop.Now(), Kind: what, Conn: c.id, From: c.from, To: c.to, Back: back, Data: b, Note: note,
 		})
 	}
 }
@@ -152,12 +152,12 @@
 	}
 	c.ended = true
 	if errors.Is(m.err, io.EOF) {
-		c.see(link.Fin, !c.taken, nil, "")
+		c.see(link.Finished, !c.taken, nil, "")
 		c.h.End(c, link.ErrEOF)
 		return
 	}
 	c.gone = true
-	c.see(link.Broke, c.taken, nil, "reset")
+	c.see(link.Reset, c.taken, nil, "reset")
 	c.abort()
 	c.h.End(c, link.ErrReset)
 }
@@ -252,13 +252,13 @@
 	switch {
 	case c.silent:
 	case c.closing == whole:
-		c.see(link.Shut, c.taken, nil, "")
+		c.see(link.Closed, c.taken, nil, "")
 		c.tcp.Close()
 		c.forget()
 	case c.closing == fin && !c.finned && !c.broken:
 		c.finned = true
 		c.tcp.CloseWrite()
-		c.see(link.Fin, c.taken, nil, "")
+		c.see(link.Finished, c.taken, nil, "")
 	}
 }
 
@@ -293,7 +293,7 @@
 		c.stop()
 	case c.silent:
 	case c.late != nil && len(c.late.b) > 0 && !c.frozen:
-		c.see(link.Shut, c.taken, nil, "unread")
+		c.see(link.Closed, c.taken, nil, "unread")
 		c.abort()
 	default:
 		c.tcp.SetWriteDeadline(time.Now().Add(lastWrites))
@@ -315,7 +315,7 @@
 	case c.frozen: // it is lost
 		c.silence()
 	default:
-		c.see(link.Broke, c.taken, nil, "aborted")
+		c.see(link.Reset, c.taken, nil, "aborted")
 		c.abort()
 	}
 	c.resume()
@@ -336,8 +336,8 @@
 
 func (c *conn) forget() { delete(c.n.conns, c.id) }
 
-// Hold implements link.Conn.
-func (c *conn) Hold(held bool) {
+// PauseReading implements link.Conn.
+func (c *conn) PauseReading(held bool) {
 	if c.held = held; !held {
 		c.n.post(c.resume) // not within a call of the Handler's own
 	}
--- a/internal/lab/sockets/listen.go
+++ b/internal/lab/sockets/listen.go
@@ -195,7 +195,7 @@
 	}
 	if c.h == nil {
 		c.leave()
-		c.see(link.Broke, true, nil, "not taken")
+		c.see(link.Reset, true, nil, "not taken")
 		c.abort()
 		return
 	}
--- a/internal/lab/sockets/net.go
+++ b/internal/lab/sockets/net.go
@@ -43,7 +43,7 @@
 const Anyone = "anyone"
 
 // Net is the network. Its methods belong to the loop, or to whoever has not yet
-// started it, but for Resolve, Seen and Place, which are safe for concurrent
+// started it, but for Resolve, MapAddress and Place, which are safe for concurrent
 // use, and Close, which may also be called when the loop has ended.
 type Net struct {
 	Seed uint64 // of what chance decides: HushNew
@@ -70,8 +70,8 @@
 }
 
 var (
-	_ link.Fabric = (*Net)(nil)
-	_ link.Seer   = (*Net)(nil)
+	_ link.Fabric        = (*Net)(nil)
+	_ link.AddressMapper = (*Net)(nil)
 )
 
 // New makes a network. tap sees what crosses it, as far as the world's ends do,
@@ -87,7 +87,7 @@
 }
 
 // Guest names the machine of a program that is not of the world: a node. It
-// reaches each machine of the world at an address of its own (see Seen), by
+// reaches each machine of the world at an address of its own (see MapAddress), by
 // which its connections are told from others'. Guests are named before anybody
 // listens.
 func (n *Net) Guest(host string) { n.book.guest(host) }
@@ -97,10 +97,10 @@
 func (n *Net) Place(host string) { n.book.place(host) }
 
 // Resolve is the real address, for anyone, of an address of the world's or of a Guest.
-func (n *Net) Resolve(addr string) string { return n.Seen("", addr) }
+func (n *Net) Resolve(addr string) string { return n.MapAddress("", addr) }
 
-// Seen implements link.Seer.
-func (n *Net) Seen(by, addr string) string {
+// MapAddress implements link.AddressMapper.
+func (n *Net) MapAddress(by, addr string) string {
 	at, err := n.book.at(by, addr)
 	if err != nil {
 		n.note(err)
@@ -263,7 +263,7 @@
 		case c.frozen: // the resets are lost
 			c.silence()
 		default:
-			c.see(link.Broke, c.taken, nil, "killed")
+			c.see(link.Reset, c.taken, nil, "killed")
 			c.abort()
 		}
 		c.resume()
--- a/internal/lab/sockets/sockets_test.go
+++ b/internal/lab/sockets/sockets_test.go
@@ -50,7 +50,7 @@
 
 type tap struct{ lines []string }
 
-func (t *tap) See(c link.Crossing) { t.lines = append(t.lines, c.What.String()+" "+c.Note) }
+func (t *tap) Observe(c link.Event) { t.lines = append(t.lines, c.Kind.String()+" "+c.Note) }
 
 // end is one end's Handler, which tells what it hears: up, =bytes, or the end's error.
 type end struct {
@@ -120,7 +120,7 @@
 // guest is a plain connection of the node's to an address of the world's.
 func (r *rig) guest(addr string) net.Conn {
 	r.t.Helper()
-	c, err := net.Dial("tcp", r.n.Seen("n1", addr))
+	c, err := net.Dial("tcp", r.n.MapAddress("n1", addr))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -207,7 +207,7 @@
 	if now := r.n.Resolve("p1:9000"); now != at {
 		t.Errorf("at %s, and then at %s", at, now)
 	}
-	if other := r.n.Seen("n1", "p1:9000"); other == at {
+	if other := r.n.MapAddress("n1", "p1:9000"); other == at {
 		t.Error("a guest is not told from others")
 	}
 }
@@ -219,7 +219,7 @@
 	c := r.guest("p1:9000")
 	b := wait(t, ends)
 	big := bytes.Repeat([]byte("0123456789abcdef"), 1<<20)
-	r.on(func() { b.conn.Hold(true) })
+	r.on(func() { b.conn.PauseReading(true) })
 	c.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
 	sent, err := c.Write(big)
 	if err == nil {
@@ -229,7 +229,7 @@
 		if len(b.heard) > 0 {
 			t.Error("a held end heard something")
 		}
-		b.conn.Hold(false)
+		b.conn.PauseReading(false)
 	})
 	for got := 0; got < sent; {
 		got += len(wait(t, b.heard)) - 1
@@ -301,7 +301,7 @@
 	a := wait(t, ends)
 	r.on(func() { r.n.Vanish("p1") })
 	dial := func() error {
-		c, err := net.DialTimeout("tcp", r.n.Seen("n1", "p1:9000"), 100*time.Millisecond)
+		c, err := net.DialTimeout("tcp", r.n.MapAddress("n1", "p1:9000"), 100*time.Millisecond)
 		if err == nil {
 			c.Close()
 		}
--- a/internal/lab/stage/run.go
+++ b/internal/lab/stage/run.go
@@ -263,8 +263,8 @@
 // taps lets the trace and the judge both see what crosses the network.
 type taps []link.Tap
 
-func (t taps) See(c link.Crossing) {
+func (t taps) Observe(c link.Event) {
 	for _, one := range t {
-		one.See(c)
+		one.Observe(c)
 	}
 }
--- a/internal/lab/stage/trace.go
+++ b/internal/lab/stage/trace.go
@@ -32,10 +32,10 @@
 	return t
 }
 
-// See implements link.Tap. What programs read is left out: it follows from what
+// Observe implements link.Tap. What programs read is left out: it follows from what
 // arrived, and is most of the lines.
-func (t *trace) See(c link.Crossing) {
-	if c.What != link.Read {
+func (t *trace) Observe(c link.Event) {
+	if c.Kind != link.Read {
 		t.line = append(c.Append(t.line[:0]), '\n')
 		t.all.Write(t.line)
 	}
--- a/internal/lab/world/client/crowd_test.go
+++ b/internal/lab/world/client/crowd_test.go
@@ -204,7 +204,7 @@
 					}
 					k.Reset()
 				}
-				l.net.Unread = true
+				l.net.ResetsLeaveUnread = true
 				got := l.play(l.crowd(world.Clients{Mix: map[string]float64{"confirm": 1}}, 8), 2*time.Second)
 				for id, n := range seen {
 					if n != c.copies {
@@ -239,7 +239,7 @@
 			before[k] = true
 			first[id]++
 		}
-		l.net.Unread = true
+		l.net.ResetsLeaveUnread = true
 		got := l.play(l.crowd(world.Clients{Mix: map[string]float64{"confirm": 1}, Pipelined: 1}, 8), 2*time.Second)
 		for id, n := range first {
 			if n != 1 {
--- a/internal/lab/world/client/front_test.go
+++ b/internal/lab/world/client/front_test.go
@@ -60,8 +60,8 @@
 		check("ready a life ago", "none", "none")
 		l.front.Stop()
 		l.until(7 * time.Second)
-		if l.loop.Pending() != 0 || l.net.Open != 0 {
-			t.Errorf("%d events pending, %d ends open after the end", l.loop.Pending(), l.net.Open)
+		if l.loop.Pending() != 0 || l.net.OpenEnds != 0 {
+			t.Errorf("%d events pending, %d ends open after the end", l.loop.Pending(), l.net.OpenEnds)
 		}
 	})
 }
--- a/internal/lab/world/client/lab_test.go
+++ b/internal/lab/world/client/lab_test.go
@@ -12,7 +12,7 @@
 	"olivebridge/internal/lab/figure"
 	"olivebridge/internal/lab/http1"
 	"olivebridge/internal/lab/link"
-	"olivebridge/internal/lab/link/straight"
+	"olivebridge/internal/lab/link/direct"
 	"olivebridge/internal/lab/loop"
 	"olivebridge/internal/lab/world"
 )
@@ -30,7 +30,7 @@
 type lab struct {
 	t     *testing.T
 	loop  *loop.Loop
-	net   *straight.Fabric
+	net   *direct.Fabric
 	front *Front
 	nodes []*node
 	bad   []string // connections told to be so, and why
@@ -137,7 +137,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		l := &lab{t: t, loop: loop.New(synctest.Wait)}
-		l.net = straight.New(l.loop, way)
+		l.net = direct.New(l.loop, way)
 		nodes := []world.Node{{Name: "n1", Zone: "a"}, {Name: "n2", Zone: "b"}}
 		for _, n := range nodes {
 			l.nodes = append(l.nodes, &node{l: l, name: n.Name, ready: true})
@@ -180,8 +180,8 @@
 	c.Stop()
 	l.front.Stop()
 	l.until(l.loop.Now() + time.Second)
-	if l.net.Open != 0 || l.loop.Pending() != 0 {
-		l.t.Errorf("%d ends open, %d events pending at the end", l.net.Open, l.loop.Pending())
+	if l.net.OpenEnds != 0 || l.loop.Pending() != 0 {
+		l.t.Errorf("%d ends open, %d events pending at the end", l.net.OpenEnds, l.loop.Pending())
 	}
 	return c.Tally()
 }
--- a/internal/lab/world/client/rogue_test.go
+++ b/internal/lab/world/client/rogue_test.go
@@ -48,8 +48,8 @@
 					}
 					l.front.Stop()
 					l.until(14 * time.Second)
-					if l.net.Open != 0 || l.loop.Pending() != 0 {
-						t.Errorf("%d ends open, %d events pending", l.net.Open, l.loop.Pending())
+					if l.net.OpenEnds != 0 || l.loop.Pending() != 0 {
+						t.Errorf("%d ends open, %d events pending", l.net.OpenEnds, l.loop.Pending())
 					}
 				})
 				return got, heard
--- a/internal/lab/world/peer/rig_test.go
+++ b/internal/lab/world/peer/rig_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-func (e *end) ID() string { return "" }
-func (e *end) Hold(bool)  {}
+func (e *end) ID() string        { return "" }
+func (e *end) PauseReading(bool) {}
 
 func (e *end) Write(b []byte) {
 	if b = append([]byte(nil), b...); !e.gone {
--- a/internal/lab/world/registry/registry.go
+++ b/internal/lab/world/registry/registry.go
@@ -113,6 +113,6 @@
 // seen puts the addresses of a list as they are seen from a machine.
 func (r *Registry) seen(by string, list []entry) {
 	for i := range list {
-		list[i].Addr = link.Seen(r.env.Fabric, by, list[i].Addr)
+		list[i].Addr = link.MapAddress(r.env.Fabric, by, list[i].Addr)
 	}
 }
--- a/internal/lab/world/registry/registry_test.go
+++ b/internal/lab/world/registry/registry_test.go
@@ -14,7 +14,7 @@
 	"olivebridge/internal/lab/figure"
 	"olivebridge/internal/lab/http1"
 	"olivebridge/internal/lab/link"
-	"olivebridge/internal/lab/link/straight"
+	"olivebridge/internal/lab/link/direct"
 	"olivebridge/internal/lab/loop"
 	"olivebridge/internal/lab/world"
 )
@@ -43,7 +43,7 @@
 	*Registry
 	t      *testing.T
 	loop   *loop.Loop
-	net    *straight.Fabric
+	net    *direct.Fabric
 	events *recordedEvents
 }
 
@@ -58,7 +58,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		l := &lab{t: t, loop: loop.New(synctest.Wait)}
-		l.net, l.events = straight.New(l.loop, way), &recordedEvents{loop: l.loop}
+		l.net, l.events = direct.New(l.loop, way), &recordedEvents{loop: l.loop}
 		peers := []world.Peer{{Name: "p1"}, {Name: "p2"}, {Name: "p3"}, {Name: "p4"}}
 		var err error
 		if l.Registry, err = New(c, peers, Env{l.loop, l.net, 7, l.events}); err != nil {
@@ -361,8 +361,8 @@
 			t.Errorf("watches ended %v, and it knows %v", ends, l.events.lines)
 		}
 		heal()
-		if len(l.events.lines) != 4 || l.net.Open != 0 {
-			t.Errorf("back, it knows %v; %d ends open", l.events.lines, l.net.Open)
+		if len(l.events.lines) != 4 || l.net.OpenEnds != 0 {
+			t.Errorf("back, it knows %v; %d ends open", l.events.lines, l.net.OpenEnds)
 		}
 	})
 }
@@ -487,7 +487,7 @@
 
 func TestBadInput(t *testing.T) {
 	l := loop.New(nil)
-	f := straight.New(l, way)
+	f := direct.New(l, way)
 	twice := []world.Peer{{Name: "p1"}, {Name: "p1"}}
 	if _, err := New(conf, twice, Env{Loop: l, Fabric: f}); fmt.Sprint(err) != `discovery: peer "p1": named twice` {
 		t.Errorf("twice: %v", err)
