--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -126,7 +126,7 @@
 	readings []sample.Reading
 	events   []string
 	run      *Run        // nil until it has started
-	overdue  *loop.Event // happens unless the next reading goes before
+	overdue  *loop.Timer // happens unless the next reading goes before
 	missed   int         // readings that did not
 }
 
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -345,7 +345,7 @@
 }
 
 // post lets f run on the loop.
-func (r *Run) post(f func()) { r.loop.Post(loop.Key{Who: "live", N: r.posts.Add(1)}, f) }
+func (r *Run) post(f func()) { r.loop.Post(loop.Key{Source: "live", Sequence: r.posts.Add(1)}, f) }
 
 // on lets f run on the loop and waits until it has; false: the run is over.
 func (r *Run) on(f func()) bool {
--- a/internal/lab/loop/loop_test.go
+++ b/internal/lab/loop/loop_test.go
@@ -44,10 +44,10 @@
 func TestStop(t *testing.T) {
 	run(t, func(l *Loop) {
 		e := l.After(time.Second, func() { t.Error("a stopped event happened") })
-		if !e.Stop() || e.Stop() || (*Event)(nil).Stop() {
+		if !e.Stop() || e.Stop() || (*Timer)(nil).Stop() {
 			t.Error("Stop lied")
 		}
-		var again *Event
+		var again *Timer
 		again = l.After(time.Second, func() {
 			if again.Stop() {
 				t.Error("an event that happens was stopped")
@@ -85,7 +85,7 @@
 		var order []string
 		at := time.Millisecond + 1
 		l.At(at, func() { order = append(order, "event") })
-		time.AfterFunc(at, func() { l.Post(Key{Who: "timer"}, func() { order = append(order, "timer") }) })
+		time.AfterFunc(at, func() { l.Post(Key{Source: "timer"}, func() { order = append(order, "timer") }) })
 		l.At(time.Second, func() {
 			if !slices.Equal(order, []string{"timer", "event"}) {
 				t.Error(order)
@@ -143,10 +143,10 @@
 		l.Post(Key{}, again)
 	}
 	l.Post(Key{}, again)
-	for range 3 * burst {
+	for range 3 * maxBurst {
 		l.After(0, func() { events++ })
 	}
-	if !l.Run(t.Context(), time.Minute, func() bool { return events >= 2*burst+5 }) || posts > 10 {
+	if !l.Run(t.Context(), time.Minute, func() bool { return events >= 2*maxBurst+5 }) || posts > 10 {
 		t.Errorf("%d events with %d posts", events, posts)
 	}
 }
--- a/internal/lab/network/conn.go
+++ b/internal/lab/network/conn.go
@@ -18,7 +18,7 @@
 	distance time.Duration
 	ends     [2]end  // the one that dialed; the other
 	pipes    [2]pipe // from each of them
-	patience *loop.Event
+	patience *loop.Timer
 
 	silent bool // nothing that is sent arrives any more
 	stale  bool // the machine at one end was away and knows it no more
--- a/internal/lab/network/faults.go
+++ b/internal/lab/network/faults.go
@@ -164,7 +164,7 @@
 	pause  time.Duration
 	turns  int
 	asking bool
-	due    *loop.Event
+	due    *loop.Timer
 }
 
 // mostTurns bounds how many requests a connection carries until it falls silent.
--- a/internal/lab/network/host.go
+++ b/internal/lab/network/host.go
@@ -71,7 +71,7 @@
 	h.mu.Lock()
 	dead := h.dead
 	h.dials[addr]++
-	key := loop.Key{Who: h.name + " dial " + addr, N: h.dials[addr] * 2}
+	key := loop.Key{Source: h.name + " dial " + addr, Sequence: h.dials[addr] * 2}
 	h.mu.Unlock()
 	err := ctx.Err()
 	switch {
@@ -85,7 +85,7 @@
 			select {
 			case <-p.done: // it came up first
 			default:
-				key.N++
+				key.Sequence++
 				h.n.loop.Post(key, p.callOff)
 				err = ctx.Err()
 			}
--- a/internal/lab/network/pipe.go
+++ b/internal/lab/network/pipe.go
@@ -37,7 +37,7 @@
 
 	queue []parcel // on their way
 	head  int      // those before it have arrived
-	next  *loop.Event
+	next  *loop.Timer
 	turn  func()        // arrive, as a value made once
 	busy  time.Duration // until when the bytes before are being sent, where the rate is bounded
 	stuck bool          // a partition holds the queue up
--- a/internal/lab/network/port.go
+++ b/internal/lab/network/port.go
@@ -73,7 +73,7 @@
 // post lets f run on the loop. Reads and writes are counted apart, since two
 // goroutines may be at them at the same instant.
 func (p *port) post(op, count uint64, f func()) {
-	p.n.loop.Post(loop.Key{Who: p.id, N: p.side<<63 | op<<61 | count}, f)
+	p.n.loop.Post(loop.Key{Source: p.id, Sequence: p.side<<63 | op<<61 | count}, f)
 }
 
 func (p *port) fail(op string, err error) error {
--- a/internal/lab/sockets/net.go
+++ b/internal/lab/sockets/net.go
@@ -149,7 +149,7 @@
 }
 
 // post lets f run on the loop, after all that was posted before.
-func (n *Net) post(f func()) { n.loop.Post(loop.Key{N: n.posts.Add(1)}, f) }
+func (n *Net) post(f func()) { n.loop.Post(loop.Key{Sequence: n.posts.Add(1)}, f) }
 
 // do lets f run on the loop and waits until it has; false: the network is closed,
 // and f may still run.
--- a/internal/lab/stage/node.go
+++ b/internal/lab/stage/node.go
@@ -50,7 +50,7 @@
 
 // post lets f run on the loop, in an order that does not hang on luck.
 func (i *instance) post(l *life, news int, f func()) {
-	i.run.loop.Post(loop.Key{Who: "node " + i.c.Name, N: uint64(l.number*newsOfLife + news)}, f)
+	i.run.loop.Post(loop.Key{Source: "node " + i.c.Name, Sequence: uint64(l.number*newsOfLife + news)}, f)
 }
 
 // start begins a life. stale says that the list it had last is an old one.
--- a/internal/lab/world/client/crowd.go
+++ b/internal/lab/world/client/crowd.go
@@ -23,7 +23,7 @@
 	tally []ClassTally
 
 	until   time.Duration
-	arrive  []*loop.Event // the next arrival of each process; the first is the crowd's own
+	arrive  []*loop.Timer // the next arrival of each process; the first is the crowd's own
 	surges  map[string]int
 	thinner figure.Shares // of arrivals left out
 	leavers figure.Shares
--- a/internal/lab/world/client/front.go
+++ b/internal/lab/world/client/front.go
@@ -43,8 +43,8 @@
 	draws    *rand.Rand
 	admitted bool
 	life     int         // of the node's process: what came of an earlier one counts no more
-	next     *loop.Event // the next check
-	fall     *loop.Event // it is taken out then
+	next     *loop.Timer // the next check
+	fall     *loop.Timer // it is taken out then
 }
 
 // NewFront makes a front that begins at once to ask all nodes whether they are ready.
@@ -174,7 +174,7 @@
 	life    int
 	conn    link.Conn
 	parser  *http1.Parser
-	late    *loop.Event
+	late    *loop.Timer
 }
 
 // Up implements link.Handler.
--- a/internal/lab/world/client/request.go
+++ b/internal/lab/world/client/request.go
@@ -57,9 +57,9 @@
 	conn  *conn
 	rest  []piece // what is not written yet
 	sent  bool    // its last byte is written
-	due   *loop.Event
-	leave *loop.Event
-	write *loop.Event
+	due   *loop.Timer
+	leave *loop.Timer
+	write *loop.Timer
 	ended bool
 }
 
@@ -179,7 +179,7 @@
 		return
 	}
 	t.ended = true
-	for _, e := range []*loop.Event{t.due, t.leave, t.write} {
+	for _, e := range []*loop.Timer{t.due, t.leave, t.write} {
 		e.Stop()
 	}
 	c, r := t.of.crowd, t.of
--- a/internal/lab/world/client/rogue.go
+++ b/internal/lab/world/client/rogue.go
@@ -19,7 +19,7 @@
 	kind    Kind
 	env     Env
 	draws   *rand.Rand
-	next    *loop.Event
+	next    *loop.Timer
 	attacks int
 	open    []*shot
 	results Results
@@ -136,8 +136,8 @@
 	conn     link.Conn
 	up       bool
 	heard    []byte
-	due      *loop.Event // of the next step
-	overdue  *loop.Event
+	due      *loop.Timer // of the next step
+	overdue  *loop.Timer
 	answered bool
 	ended    bool
 }
--- a/internal/lab/world/peer/conn.go
+++ b/internal/lab/world/peer/conn.go
@@ -19,8 +19,8 @@
 	job    *job // of the request it carries
 	spent  bool // open, and of no further use
 	gone   bool
-	idle   *loop.Event // its end, if nothing comes
-	more   *loop.Event // the next part of an answer without end
+	idle   *loop.Timer // its end, if nothing comes
+	more   *loop.Timer // the next part of an answer without end
 }
 
 // accept takes a connection, or has it reset when there are too many.
--- a/internal/lab/world/peer/process.go
+++ b/internal/lab/world/peer/process.go
@@ -22,13 +22,13 @@
 	over     bool
 
 	draining, turnsAway, leaving bool
-	steps                        []*loop.Event // of a drain
+	steps                        []*loop.Timer // of a drain
 
 	pauses *rand.Rand
-	pause  *loop.Event // the next one's begin
+	pause  *loop.Timer // the next one's begin
 	asleep bool        // in a pause
 	wakeAt time.Duration
-	wake   *loop.Event
+	wake   *loop.Timer
 	late   []func() // what waits for a pause to end
 }
 
@@ -70,7 +70,7 @@
 
 func (q *process) drain(turnAwayAfter, exitAfter time.Duration) {
 	q.draining = true
-	q.steps = []*loop.Event{
+	q.steps = []*loop.Timer{
 		q.after(turnAwayAfter, func() { q.turnsAway = true }),
 		q.after(exitAfter, func() {
 			q.turnsAway, q.leaving = true, true
@@ -87,7 +87,7 @@
 }
 
 // after lets f run once d has passed and the process is awake; never once it is over.
-func (q *process) after(d time.Duration, f func()) *loop.Event {
+func (q *process) after(d time.Duration, f func()) *loop.Timer {
 	return q.p.env.Loop.After(d, func() { q.awake(f) })
 }
 
--- a/internal/lab/world/peer/serve.go
+++ b/internal/lab/world/peer/serve.go
@@ -26,7 +26,7 @@
 	queue   []*job
 	rate    float64 // work of each running job done a second, since at
 	at      time.Duration
-	next    *loop.Event
+	next    *loop.Timer
 }
 
 // coldStep is how often the pace is looked at anew while it rises.
--- a/internal/lab/world/registry/call.go
+++ b/internal/lab/world/registry/call.go
@@ -107,7 +107,7 @@
 	at    time.Duration
 	after int64 // -1: it asks for the whole list
 	wait  time.Duration
-	timer *loop.Event // the end of its patience, then of its wait
+	timer *loop.Timer // the end of its patience, then of its wait
 	over  bool
 
 	whole, broken, stalled, refused, garbled float64 // from [0, 1): a fault strikes below its share
