--- /dev/null
+++ b/internal/lab/rules/observer.go
@@ -0,0 +1,101 @@
+package rules
+
+import "time"
+
+// PeerStarted implements event.Observer.
+func (j *Judge) PeerStarted(peer, addr string, cold bool) {
+	now := j.clock()
+	j.peerNames[addr] = peer
+	delete(j.coldStarts, peer)
+	if cold {
+		j.coldStarts[peer] = &coldStart{at: now}
+	}
+}
+
+// PeerStopped implements event.Observer.
+func (j *Judge) PeerStopped(peer string) {
+	j.clock()
+	delete(j.coldStarts, peer)
+}
+
+// PeerAttempt implements event.Observer.
+func (j *Judge) PeerAttempt(peer, call string, work, capacity float64) {
+	j.clock()
+	j.checkColdLoad(peer, call, work, capacity)
+}
+
+// PeerListed implements event.Observer.
+func (j *Judge) PeerListed(version int64, peer, addr, state string, started time.Duration) {
+	j.listings.append(listing{
+		version: version,
+		peer:    peer,
+		addr:    addr,
+		state:   state,
+		started: started,
+		at:      j.clock(),
+	})
+	for _, name := range j.config.Nodes {
+		if n := j.nodes[name]; n.view.reachable {
+			j.assumeKnownWhenReachable(n)
+		}
+	}
+}
+
+// DiscoveryReachable implements event.Observer.
+func (j *Judge) DiscoveryReachable(node, addr string, served bool) {
+	j.clock()
+	j.unreachable[route{node: node, addr: addr}] = !served
+	for _, name := range j.config.Nodes {
+		j.updateReachability(j.nodes[name])
+	}
+}
+
+// MalformedInput implements event.Observer.
+func (j *Judge) MalformedInput(id, why string, within time.Duration) {
+	j.clock()
+	input := malformedInput{reason: why, within: within}
+	k := j.conns[id]
+	switch {
+	case k == nil:
+		j.malformedConns[id] = input
+	case k.client != nil:
+		k.client.markMalformed(input)
+	}
+}
+
+// NodeStarted implements event.Observer.
+func (j *Judge) NodeStarted(name string, version int64) {
+	j.clock()
+	n := j.nodes[name]
+	if n == nil {
+		return
+	}
+	if n.alive {
+		j.endNode(n)
+	}
+	n.alive = true
+	j.nodeBegan(n, version)
+}
+
+// NodeKilled implements event.Observer.
+func (j *Judge) NodeKilled(name string) {
+	j.clock()
+	if n := j.nodes[name]; n != nil {
+		j.endNode(n)
+	}
+}
+
+// NodeSignaled implements event.Observer.
+func (j *Judge) NodeSignaled(name, signal, discovery string) {
+	now := j.clock()
+	n := j.nodes[name]
+	if n == nil {
+		return
+	}
+	switch signal {
+	case "SIGTERM":
+		n.terminatedAt = max(now, 1)
+	case "SIGHUP":
+		j.switchDiscovery(n, discovery)
+	}
+}
--- a/internal/lab/rules/scan_test.go
+++ b/internal/lab/rules/scanner_test.go
@@ -11,7 +11,7 @@
 
 // read is all that a scanner meets in some bytes, cut into pieces of n.
 func read(answers bool, text string, n int) string {
-	s := scanner{answers: answers, keep: true}
+	s := scanner{answers: answers, storeBody: true}
 	var met strings.Builder
 	for len(text) > 0 {
 		piece := []byte(text[:min(n, len(text))])
@@ -20,13 +20,13 @@
 			n, e := s.next(piece)
 			piece = piece[n:]
 			switch e {
-			case whole:
-				m := s.m
+			case messageComplete:
+				m := s.message
 				fmt.Fprintf(&met, "%s%s%d id=%s %v ", m.method, m.target, m.status, m.id, m.budget)
-				fmt.Fprintf(&met, "%q %t;", m.text, m.last)
-			case spoilt:
+				fmt.Fprintf(&met, "%q %t;", m.storedBody, m.close)
+			case malformedMessage:
 				return met.String() + "spoilt"
-			case none:
+			case needMore:
 				if n == 0 {
 					goto next
 				}
@@ -35,7 +35,7 @@
 	next:
 	}
 	if s.end() {
-		fmt.Fprintf(&met, "end %q", s.m.text)
+		fmt.Fprintf(&met, "end %q", s.message.storedBody)
 	} else if s.step != nil {
 		met.WriteString("open")
 	}
@@ -97,7 +97,7 @@
 	}
 	f.Add([]byte("\x01\x00\x00\x03\x00\x00\x01\x02\x00\x03\x02\x00"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		s := newScene(noCopies)
+		s := newTimeline(noCopies)
 		for ; len(in) >= 3; in = in[3:] {
 			k, data := conns[int(in[1])%len(conns)], []byte(nil)
 			if in[2]%32 < byte(len(pieces)) {
@@ -106,25 +106,25 @@
 				data = in[:min(len(in), int(in[2]))]
 			}
 			s.now += time.Duration(in[2]) * ms
-			switch what := link.What(in[0] % 16); what {
+			switch what := link.EventKind(in[0] % 16); what {
 			default:
-				s.j.See(link.Crossing{
-					At: s.now, What: what % 9, Conn: k[0], From: k[1], To: k[2], Back: in[0] >= 128, Data: data,
+				s.j.Observe(link.Event{
+					At: s.now, Kind: what % 9, Conn: k[0], From: k[1], To: k[2], Back: in[0] >= 128, Data: data,
 				})
 			case 9:
 				s.j.NodeKilled("n1")
 			case 10:
 				s.j.NodeStarted("n1", int64(in[2]))
 			case 11:
-				s.j.Bad(k[0], "fuzz", time.Second)
+				s.j.MalformedInput(k[0], "fuzz", time.Second)
 			case 12:
-				s.j.Listed(int64(in[2]), "p1", "p1:9", []string{ready, terminating, gone}[in[1]%3], s.now)
+				s.j.PeerListed(int64(in[2]), "p1", "p1:9", []string{ready, terminating, gone}[in[1]%3], s.now)
 			case 13:
-				s.j.NodeTold("n1", []string{"SIGTERM", "SIGHUP"}[in[1]%2], "e:1")
+				s.j.NodeSignaled("n1", []string{"SIGTERM", "SIGHUP"}[in[1]%2], "e:1")
 			case 14:
 				s.j.PeerStarted("p1", "p1:9", in[1]%2 == 0)
 			case 15:
-				s.j.PeerWork("p1", "a", 1, 0.1)
+				s.j.PeerAttempt("p1", "a", 1, 0.1)
 			}
 			s.j.Tick(s.now)
 		}
@@ -133,13 +133,13 @@
 	})
 }
 
-// One run: 5,000 calls, 60,000 crossings.
+// One run: 5,000 calls, 60,000 events.
 func BenchmarkRun(b *testing.B) {
-	var all []link.Crossing
-	cross := func(what link.What, conn, from, to string, back bool, text string) {
+	var all []link.Event
+	cross := func(what link.EventKind, conn, from, to string, back bool, text string) {
 		at := time.Duration(len(all)) * 100 * time.Microsecond
-		all = append(all, link.Crossing{
-			At: at, What: what, Conn: conn, From: from, To: to, Back: back, Data: []byte(text),
+		all = append(all, link.Event{
+			At: at, Kind: what, Conn: conn, From: from, To: to, Back: back, Data: []byte(text),
 		})
 	}
 	made := answer("200 " + strings.Repeat("x", 2000))
@@ -150,23 +150,23 @@
 			cross(link.Open, p, "n1", "p1:9", false, "")
 		}
 		asked := wire(fmt.Sprint(i), "quote")
-		for _, what := range []link.What{link.Sent, link.Arrived, link.Read} {
+		for _, what := range []link.EventKind{link.Sent, link.Arrived, link.Read} {
 			cross(what, c, "c1", "n1:9000", false, asked)
 		}
 		for _, back := range []bool{false, true} {
-			for _, what := range []link.What{link.Sent, link.Arrived, link.Read} {
+			for _, what := range []link.EventKind{link.Sent, link.Arrived, link.Read} {
 				cross(what, p, "n1", "p1:9", back, map[bool]string{false: asked, true: made}[back])
 			}
 		}
-		for _, what := range []link.What{link.Sent, link.Arrived, link.Read} {
+		for _, what := range []link.EventKind{link.Sent, link.Arrived, link.Read} {
 			cross(what, c, "c1", "n1:9000", true, made)
 		}
 	}
 	for b.Loop() {
-		s := newScene(nil)
+		s := newTimeline(nil)
 		for _, c := range all {
 			s.now = c.At
-			s.j.See(c)
+			s.j.Observe(c)
 			s.j.Tick(c.At)
 		}
 		s.j.Finish(s.now)
--- a/internal/lab/world/client/rogue.go
+++ b/internal/lab/world/client/rogue.go
@@ -19,7 +19,7 @@
 	kind    Kind
 	env     Env
 	draws   *rand.Rand
-	next    *loop.Event
+	next    *loop.Timer
 	attacks int
 	open    []*shot
 	results Results
@@ -136,8 +136,8 @@
 	conn     link.Conn
 	up       bool
 	heard    []byte
-	due      *loop.Event // of the next step
-	overdue  *loop.Event
+	due      *loop.Timer // of the next step
+	overdue  *loop.Timer
 	answered bool
 	ended    bool
 }
@@ -147,7 +147,7 @@
 	s.up = true
 	s.rogue.results.Begun++
 	if s.why != "" {
-		s.rogue.env.Facts.Bad(c.ID(), s.why, s.within)
+		s.rogue.env.Observer.MalformedInput(c.ID(), s.why, s.within)
 	}
 	s.overdue = s.rogue.env.Loop.After(s.within+patience, func() {
 		s.end(&s.rogue.results.Ignored)
--- a/internal/lab/world/registry/registry.go
+++ b/internal/lab/world/registry/registry.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"time"
 
-	"olivebridge/internal/lab/fact"
+	"olivebridge/internal/lab/event"
 	"olivebridge/internal/lab/figure"
 	"olivebridge/internal/lab/link"
 	"olivebridge/internal/lab/loop"
@@ -17,10 +17,10 @@
 
 // Env is where a Registry lives.
 type Env struct {
-	Loop   *loop.Loop
-	Fabric link.Fabric
-	Seed   uint64
-	Facts  fact.Witness
+	Loop     *loop.Loop
+	Fabric   link.Fabric
+	Seed     uint64
+	Observer event.Observer
 }
 
 // Registry is the discovery service.
@@ -113,6 +113,6 @@
 // seen puts the addresses of a list as they are seen from a machine.
 func (r *Registry) seen(by string, list []entry) {
 	for i := range list {
-		list[i].Addr = link.Seen(r.env.Fabric, by, list[i].Addr)
+		list[i].Addr = link.MapAddress(r.env.Fabric, by, list[i].Addr)
 	}
 }
