--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -50,7 +50,7 @@
 	if in.ExpectedWork > 0 {
 		r.work = in.ExpectedWork.Seconds()
 	}
-	if b.exceedsQuota(r.tenant) {
+	if b.chargeQuota(r.tenant) {
 		r.limitShare = min(r.limitShare, overQuotaLimitShare)
 	}
 	return r
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// idle is a Host that does nothing.
+// noopHost is a Host that does nothing.
 type noopHost struct{}
 
 func (noopHost) Send(RequestID, ServerID, Time) {}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -99,5 +99,5 @@
 	return b, nil
 }
 
-// seconds is the time from an instant to now.
+// secondsSince is the time from an instant to now, in seconds.
 func (b *Balancer) secondsSince(at Time) float64 { return time.Duration(b.now - at).Seconds() }
--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -24,6 +24,8 @@
 	maxLimitGrowth = 1
 	// limitCutFactor is the cut by a time-out or a rejection.
 	limitCutFactor = 0.7
+	// readmittedLimitDivisor divides the limit of a server that is readmitted.
+	readmittedLimitDivisor = 2
 	// waitCutSlope and maxExcessWait give the cut by an answer that waited.
 	waitCutSlope  = 0.3
 	maxExcessWait = 0.5
@@ -85,8 +87,8 @@
 	}
 }
 
-// reduceLimitByTimeout cuts a server's limit after a time-out, unless all of its
-// wait is what the class or tenant shows anyway.
+// reduceLimitByTimeout cuts a server's limit after a time-out, unless the wait that
+// is left without its class's or tenant's own excess is acceptable.
 func (b *Balancer) reduceLimitByTimeout(s *server, wait float64, objective time.Duration) {
 	if wait > acceptableWait {
 		b.reduceLimit(s, limitCutFactor, objective)
--- a/balancer/concurrency_limit_test.go
+++ b/balancer/concurrency_limit_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestRejectingServerRests: a server that rejected a request, as draining ones do, gets nothing new for a latency
+// TestRejectingServerBacksOff: a server that rejected a request, as draining ones do, gets nothing new for a latency
 // objective.
-func TestRejectingServerRests(t *testing.T) {
+func TestRejectingServerBacksOff(t *testing.T) {
 	g := newHarness(t, testSettings(), 1, testServers(1)...)
 	g.respond(g.request(0, 7), 0, Rejected)
 	for i, want := range []int{0, 0, 1} {
@@ -69,13 +69,13 @@
 			held[to] = id
 		}
 		s := g.b.serversByID[g.requests[late].attempts[0].server]
-		before := g.b.attraction(s)
+		before := g.b.effectiveWeight(s)
 		g.now += Time(950*time.Millisecond - gap)
 		g.requests[quick].attempts[0].sentAt = g.now - Time(10*time.Millisecond)
 		g.respond(quick, 0, OK)
 		g.now += Time(gap)
 		g.respond(late, 0, OK)
-		if lost := 1 - g.b.attraction(s)/before; seldom != (lost > 0.15) {
+		if lost := 1 - g.b.effectiveWeight(s)/before; seldom != (lost > 0.15) {
 			t.Errorf("a late answer %v after a quick one takes %.2f of the server's pull", gap, lost)
 		}
 	}
--- a/balancer/dispatch.go
+++ b/balancer/dispatch.go
@@ -10,7 +10,7 @@
 			return
 		}
 	}
-	if r.outstanding == 0 && !b.wait(r) {
+	if r.outstanding == 0 && !b.waitForCapacity(r) {
 		b.giveUp(r)
 	}
 }
@@ -47,7 +47,7 @@
 // allowance.
 func (b *Balancer) countAttempt(r *request, s *server) {
 	if s.load.inFlight == 0 {
-		s.activity.heardAt = b.now // silence counts from here
+		s.activity.silentSince = b.now // silence counts from here
 	}
 	s.load.inFlight++
 	s.load.recentAttempts++
@@ -64,10 +64,10 @@
 	return s.slowStart.windowEnd
 }
 
-// MayBegin reports whether an attempt may still begin that could not within its
-// slow-start window, or whose server has restarted. It checks what send checked
-// and charges the present window: else all attempts that waited for a
-// connection would reach a warming server at once.
+// MayBegin is asked for an attempt whose decision has expired (see Host.Send), or
+// whose server has restarted since. It reports whether the attempt may begin, and
+// then charges it to the present slow-start window. Without this, all attempts that
+// waited for a connection would reach a warming server at once.
 func (b *Balancer) MayBegin(now Time, id RequestID, attempt int) bool {
 	b.now = now
 	r := b.requests[id]
@@ -87,7 +87,7 @@
 func (b *Balancer) HandleFirstByte(now Time, id RequestID, attempt int) {
 	b.now = now
 	if r := b.requests[id]; r != nil && attempt >= 0 && attempt < r.attemptCount {
-		r.attempts[attempt].server.activity.heardAt = now
+		r.attempts[attempt].server.activity.silentSince = now
 	}
 }
 
@@ -109,5 +109,5 @@
 	r.arrivedAt = now
 	r.deadline = now + Time(timeout)
 	a.server.load.inFlight++
-	a.server.activity.heardAt = now
+	a.server.activity.silentSince = now
 }
--- a/balancer/documentation_test.go
+++ b/balancer/documentation_test.go
@@ -41,8 +41,8 @@
 	return string(data)
 }
 
-// TestLogLinesAreOnThePage keeps the package's log lines and the on-call page in step.
-func TestLogLinesAreOnThePage(t *testing.T) {
+// TestLogLinesAreOnOnCallPage keeps the package's log lines and the on-call page in step.
+func TestLogLinesAreOnOnCallPage(t *testing.T) {
 	page := readPage(t, "../docs/ONCALL.md")
 	found := 0
 	for _, file := range sources(t) {
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestConstantsAreOnThePage keeps the package's constants and the capacity page in step.
-func TestConstantsAreOnThePage(t *testing.T) {
+// TestConstantsAreNamedOnCapacityPage keeps the package's constants and the capacity page in step.
+func TestConstantsAreNamedOnCapacityPage(t *testing.T) {
 	page := readPage(t, "../docs/CAPACITY.md")
 	found := 0
 	for _, file := range sources(t) {
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// TestSuspendedServerGetsNothing: a suspended server is sent nothing and not checked, also where it is new; once it is
-// back, it is sent its share at once.
-func TestSuspendedServerGetsNothing(t *testing.T) {
+// TestServerOutsideSubsetGetsNothing: a server outside the subset is sent nothing and not checked, also where it is
+// new; once it is back, it is sent its share at once.
+func TestServerOutsideSubsetGetsNothing(t *testing.T) {
 	servers := testServers(12)
-	aside := func(from, to int) []Server {
+	outside := func(from, to int) []Server {
 		all := testServers(12)
 		for i := range all {
-			all[i].Suspended = i >= from && i < to
+			all[i].OutsideSubset = i >= from && i < to
 		}
 		return all
 	}
@@ -34,13 +34,13 @@
 	}
 	play(2000)
 	for round, c := range [][2]int{{0, 6}, {6, 12}, {3, 3}} {
-		p.b.HandleServers(p.now, UpdateDelta, aside(c[0], c[1]))
+		p.b.HandleServers(p.now, UpdateDelta, outside(c[0], c[1]))
 		p.healthCheckCounts = map[ServerID]int{}
 		sent := play(6000)
 		for i, s := range servers {
 			out := i >= c[0] && i < c[1]
 			if out && (sent[s.ID] > 0 || p.healthCheckCounts[s.ID] > 0) {
-				t.Errorf("round %d: server %d is suspended, and is sent %d and checked %d times",
+				t.Errorf("round %d: server %d is outside the subset, and is sent %d and checked %d times",
 					round, i, sent[s.ID], p.healthCheckCounts[s.ID])
 			}
 			if part := 6000 / (12 - (c[1] - c[0])); !out && sent[s.ID] < part*3/4 {
@@ -48,16 +48,16 @@
 			}
 		}
 	}
-	late := Server{ID: 5, Weight: 1, State: Ready, Suspended: true}
+	late := Server{ID: 5, Weight: 1, State: Ready, OutsideSubset: true}
 	p.b.HandleServers(p.now, UpdateDelta, []Server{late})
 	p.healthCheckCounts = map[ServerID]int{}
 	if sent := play(4000); sent[5] > 0 || p.healthCheckCounts[5] > 0 {
-		t.Errorf("a new one is suspended, and is sent %d and checked %d times", sent[5], p.healthCheckCounts[5])
+		t.Errorf("a new one is outside the subset, and is sent %d and checked %d times", sent[5], p.healthCheckCounts[5])
 	}
-	late.Suspended = false
+	late.OutsideSubset = false
 	p.b.HandleServers(p.now, UpdateDelta, []Server{late})
 	if sent := play(8000); sent[5] == 0 {
-		t.Error("a new one that was suspended is never sent anything")
+		t.Error("a new one that was outside the subset is never sent anything")
 	}
 }
 
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// Time is an instant in nanoseconds since an arbitrary origin. It never runs
-// backwards.
+// Time is an instant in nanoseconds. Its origin is common to the host's clock and
+// to Server.StartedAt. It never runs backwards and is above 0: in fields, 0 means
+// that there is no such instant.
 type Time int64
 
 // ServerID names a server. It is opaque, and the same at every node.
@@ -27,7 +28,8 @@
 	// Tenant is the index of the request's tenant in Settings.Tenants; out of
 	// range: none.
 	Tenant int
-	// ClientRetry is set where the client marked the request as its own retry.
+	// ClientRetry is set where the client marked the request as its own retry. The
+	// Balancer does not use it; hosts pass it on so that ports need no new call.
 	ClientRetry bool
 	// StreamsBody is set where the last byte of the body is still to come and is
 	// passed on as it comes. Such a request is sent once only. It counts as in
@@ -67,6 +69,8 @@
 type Outcome struct {
 	ID      RequestID
 	Attempt int
+	// Server and Load are not used by the Balancer, which knows the server of each
+	// attempt.
 	Server  ServerID
 	Latency time.Duration
 	Result  Result
@@ -76,7 +80,8 @@
 	Load        LoadReport
 }
 
-// HealthCheckResult is the result of one CheckHealth.
+// HealthCheckResult is the result of one CheckHealth. The Balancer uses Server and
+// Result.
 type HealthCheckResult struct {
 	Server  ServerID
 	Latency time.Duration
@@ -105,9 +110,10 @@
 	// Weight is its relative capacity; 0 or less: unknown.
 	Weight float32
 	State  ServerState
-	// Suspended is set while this node shall not use the server: it is sent
-	// nothing and not checked.
-	Suspended bool
+	// OutsideSubset is set while the server is not in the subset that this node
+	// works with: it is sent nothing and not checked. Servers that operators have
+	// suspended come as Draining instead.
+	OutsideSubset bool
 }
 
 // UpdateKind says how the entries of an update relate to the endpoint list held.
--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -13,7 +13,7 @@
 	objective := r.latencyObjective()
 	succeeded := o.Result == OK
 	if succeeded || o.Result == Errored || o.Result == Rejected {
-		s.activity.heardAt = b.now
+		s.activity.silentSince = b.now
 	}
 	if o.Result == Rejected {
 		b.recordRejection(s, objective)
@@ -23,7 +23,7 @@
 	if succeeded {
 		wait = b.recordSuccess(r, a, o.Latency, objective)
 	}
-	wait = b.excessOverStanding(r, wait)
+	wait = b.recordStanding(r, wait)
 	switch {
 	case succeeded:
 		b.updateServerWait(s, wait)
@@ -55,7 +55,7 @@
 	s.activity.newestAnswered = max(s.activity.newestAnswered, a.sentAt)
 	s.load.completed++
 	b.updateMeanWork(r)
-	wait := r.class.waitOf(latency, objective)
+	wait := r.class.recordWait(latency, objective)
 	b.updateMeanLatency(r.class, latency)
 	return wait
 }
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -10,7 +10,7 @@
 
 const ms = Time(time.Millisecond)
 
-// base is a fleet's settings with one class of each effect.
+// testSettings are a fleet's settings with one class of each effect.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -42,7 +42,7 @@
 	}
 }
 
-// shot is one attempt as the referee saw it leave.
+// sentAttempt is one attempt as the ruleChecker saw it leave.
 type sentAttempt struct {
 	server      ServerID
 	sentAt      Time
@@ -62,13 +62,13 @@
 	answer   string
 }
 
-// wake is a timer that was asked for.
+// pendingTimer is a timer that was asked for.
 type pendingTimer struct {
 	at    Time
 	timer uint64
 }
 
-// referee is a Host that keeps its own books and holds every action against the rules.
+// ruleChecker is a Host that keeps its own books and holds every action against the rules.
 type ruleChecker struct {
 	settings         Settings
 	now              Time
@@ -193,7 +193,7 @@
 
 func (f *ruleChecker) Log(line string) { f.logs = append(f.logs, line) }
 
-// bout is a Balancer with its referee and a clock.
+// harness is a Balancer with its ruleChecker and a clock.
 type harness struct {
 	t *testing.T
 	*ruleChecker
@@ -248,7 +248,7 @@
 	return id
 }
 
-// answer ends attempt n of a request.
+// respond ends attempt n of a request.
 func (g *harness) respond(id RequestID, n int, res Result) {
 	t := g.requests[id]
 	a := &t.attempts[n]
@@ -266,53 +266,78 @@
 	})
 }
 
-// pass moves the clock on by d in steps of 5 ms: timers, time-outs and, by alive, answers after lat and probes.
-func (g *harness) advance(d, lat time.Duration, alive func(ServerID) bool) {
+// advance moves the clock on by d in steps of 5 ms: timers, time-outs and, by alive, answers after lat and probes.
+func (g *harness) advance(d, latency time.Duration, alive func(ServerID) bool) {
 	for end := g.now + Time(d); g.now < end; {
 		g.now += 5 * ms
-		for len(g.timers) > 0 && g.timers[0].at <= g.now {
-			w := g.timers[0]
-			g.timers = g.timers[1:]
-			g.b.HandleTimer(g.now, w.timer)
-		}
-		for _, s := range g.b.servers {
-			if g.healthChecks[s.ID] > 0 && alive(s.ID) {
-				g.healthChecks[s.ID] = 0
-				g.b.HandleHealthCheck(g.now, HealthCheckResult{Server: s.ID, Latency: time.Millisecond, Result: OK})
-			}
-		}
-		for i := 0; i < len(g.order); i++ {
-			id := g.order[i]
-			t := g.requests[id]
-			out := 0
-			for n := 0; n < len(t.attempts); n++ {
-				a := &t.attempts[n]
-				if a.outstanding && !a.begun && g.now >= a.connectedAt {
-					if a.begun = a.validUntil == 0 || g.now < a.validUntil || g.b.MayBegin(g.now, id, n); !a.begun {
-						g.respond(id, n, NotSent)
-					}
-				}
-				switch {
-				case !a.outstanding:
-				case g.now >= a.connectedAt+Time(lat) && alive(a.server):
-					g.respond(id, n, OK)
-				case g.now >= a.abandonedAt:
-					g.respond(id, n, TimedOut)
-				default:
-					out++
-				}
-			}
-			if t.answer == "" && g.now > t.deadline+20*ms {
-				g.violation("request %d has no answer", id)
-			}
-			if t.answer != "" && out == 0 {
+		g.fireTimers()
+		g.answerHealthChecks(alive)
+		for i := 0; i < len(g.order); {
+			if g.advanceRequest(g.order[i], latency, alive) {
 				g.order = append(g.order[:i], g.order[i+1:]...)
-				i--
+			} else {
+				i++
 			}
 		}
 	}
 }
 
+// fireTimers calls the timers that are due.
+func (g *harness) fireTimers() {
+	for len(g.timers) > 0 && g.timers[0].at <= g.now {
+		due := g.timers[0]
+		g.timers = g.timers[1:]
+		g.b.HandleTimer(g.now, due.timer)
+	}
+}
+
+// answerHealthChecks passes the health checks of the servers that are alive.
+func (g *harness) answerHealthChecks(alive func(ServerID) bool) {
+	for _, s := range g.b.servers {
+		if g.healthChecks[s.ID] > 0 && alive(s.ID) {
+			g.healthChecks[s.ID] = 0
+			g.b.HandleHealthCheck(g.now, HealthCheckResult{Server: s.ID, Latency: time.Millisecond, Result: OK})
+		}
+	}
+}
+
+// advanceRequest begins, answers and times out the attempts of a request, and
+// reports whether it is over.
+func (g *harness) advanceRequest(id RequestID, latency time.Duration, alive func(ServerID) bool) bool {
+	t := g.requests[id]
+	outstanding := 0
+	for n := 0; n < len(t.attempts); n++ { // a response may bring a further one
+		a := &t.attempts[n]
+		if a.outstanding && !a.begun && g.now >= a.connectedAt {
+			g.beginAttempt(id, n)
+			a = &t.attempts[n]
+		}
+		switch {
+		case !a.outstanding:
+		case g.now >= a.connectedAt+Time(latency) && alive(a.server):
+			g.respond(id, n, OK)
+		case g.now >= a.abandonedAt:
+			g.respond(id, n, TimedOut)
+		default:
+			outstanding++
+		}
+	}
+	if t.answer == "" && g.now > t.deadline+20*ms {
+		g.violation("request %d has no answer", id)
+	}
+	return t.answer != "" && outstanding == 0
+}
+
+// beginAttempt lets an attempt begin whose connection is up, if its decision still
+// holds.
+func (g *harness) beginAttempt(id RequestID, n int) {
+	a := &g.requests[id].attempts[n]
+	a.begun = a.validUntil == 0 || g.now < a.validUntil || g.b.MayBegin(g.now, id, n)
+	if !a.begun {
+		g.respond(id, n, NotSent)
+	}
+}
+
 func (g *harness) assertNoViolations() {
 	g.t.Helper()
 	for _, f := range g.violations {
@@ -322,7 +347,7 @@
 
 func alwaysAlive(ServerID) bool { return true }
 
-// fleet lists n ready servers in cells of three and zones of six.
+// testServers lists n ready servers in cells of three and zones of six.
 func testServers(n int) (out []Server) {
 	for i := range n {
 		out = append(out, Server{ID: ServerID(1000 + 7*i), Cell: uint16(i / 3), Zone: uint8(i / 6), Weight: 1, State: Ready})
--- a/balancer/health_check.go
+++ b/balancer/health_check.go
@@ -35,13 +35,6 @@
 	maxCheckTokens = 4.0
 )
 
-// maxJitterNumerator and maxJitterDenominator are the longest jittered interval
-// as a part of the plain one.
-const (
-	maxJitterNumerator   = 5
-	maxJitterDenominator = 4
-)
-
 // health is what is known of a server's health.
 type health struct {
 	// unknown is set until the first result.
@@ -87,7 +80,7 @@
 	interval := s.health.checkInterval()
 	due := s.health.nextCheckAt
 	if !s.ejected() && s.activity.succeededAt > b.now-Time(interval) {
-		due += Time(idleCheckInterval - checkIntervalUp*maxJitterNumerator/maxJitterDenominator)
+		due += Time(idleCheckInterval - checkIntervalUp*maxJitterNumerator/jitterDenominator)
 	}
 	if s.health.checkSentAt != 0 || b.now < due {
 		return
@@ -168,9 +161,9 @@
 	}
 	b.startRecovery(s)
 	s.health.ejectedAt = 0
-	s.activity.heardAt = b.now
+	s.activity.silentSince = b.now
 	s.load.meanWait = 0
-	s.load.limit = max(s.load.limit/2, 1)
+	s.load.limit = max(s.load.limit/readmittedLimitDivisor, 1)
 }
 
 // presumeUp takes the endpoint list's word for a server of which no check tells:
--- a/balancer/hedging_test.go
+++ b/balancer/hedging_test.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// copy sends a second copy.
+// sendHedge sends a hedged request.
 func (g *harness) sendHedge(id RequestID) {
 	g.b.hedgeTokens = 1
 	g.b.hedge(g.b.requests[id])
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// mayRepeat reports whether the numbered attempt of a request may go to a
-// server: nothing that must not run twice may. Every earlier attempt binds it
-// that is outstanding or may have run.
+// mayRepeat reports whether the numbered attempt of a request may go to a server
+// without a second effect. Each earlier attempt that is outstanding or may have run
+// restricts it.
 func (b *Balancer) mayRepeat(r *request, s *server, attempt int) bool {
 	for i := range attempt {
 		earlier := &r.attempts[i]
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -54,9 +54,9 @@
 	return min(r.class.LatencyObjective+perWork, r.class.Deadline)
 }
 
-// waitOf moves the class's base latency and returns how much of an answer's
+// recordWait moves the class's base latency, and returns how much of an answer's
 // latency beyond it is waiting: 0 none, 1 the whole objective.
-func (c *class) waitOf(latency, objective time.Duration) float64 {
+func (c *class) recordWait(latency, objective time.Duration) float64 {
 	share := latency.Seconds() / max(objective.Seconds(), minSeconds)
 	c.baseLatency = min(c.baseLatency+baseLatencyRise, maxBaseLatency)
 	if share < c.baseLatency {
@@ -86,6 +86,8 @@
 	others float64
 }
 
+// newStanding begins with others at the worst, so that no class or tenant has an
+// excess before outcomes are known.
 func newStanding() standing { return standing{others: 1} }
 
 // note counts an outcome.
@@ -100,11 +102,11 @@
 // excess is by how much a class or tenant fares worse than all others.
 func (s *standing) excess() float64 { return s.own - s.others }
 
-// excessOverStanding takes off how badly an outcome went what its class or
-// tenant shows beyond all others, which is no sign of load at the server. It
-// also notes with the request what they show at all: so far a failure is no
-// sign of its server.
-func (b *Balancer) excessOverStanding(r *request, wait float64) float64 {
+// recordStanding counts an outcome for every class and tenant. It returns the part
+// of its wait that is not explained by the excess of its own class or tenant, which
+// is no sign of load at the server. It also stores with the request how badly its
+// class or tenant fares: to that extent a failure is no sign of its server.
+func (b *Balancer) recordStanding(r *request, wait float64) float64 {
 	r.expectedFailure = r.class.own
 	excess := r.class.excess()
 	if r.tenant != nil {
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -1,7 +1,8 @@
 package balancer
 
-// Keys stay in this node's zone where crossing zones costs more than the
-// imbalance of so few servers, as many as the zone carries with one server less.
+// Keys stay in this node's zone where crossing zones costs more than the imbalance
+// of a zone with few servers. As many stay as the zone still carries after the loss
+// of one server.
 const (
 	// zoneKeyMargin is applied to the zone's part of the fleet.
 	zoneKeyMargin = 1.2
--- a/balancer/maglev.go
+++ b/balancer/maglev.go
@@ -108,7 +108,7 @@
 // tableWeight is a server's weight in steps of the largest; 0: it is not in the
 // tables.
 func (b *Balancer) tableWeight(s *server) int {
-	if s.ejected() || s.Suspended || !b.mayUse(s) || b.tables.largestCapacity <= 0 {
+	if s.ejected() || s.OutsideSubset || !b.mayUse(s) || b.tables.largestCapacity <= 0 {
 		return 0
 	}
 	share := b.warmth(s)
--- a/balancer/many_nodes_test.go
+++ b/balancer/many_nodes_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// vast is a fleet of 60 servers, half in each zone, to which each of 80 nodes sends 20 requests a second.
+// largeFleet is a fleet of 60 servers, half in each zone, to which each of 80 nodes sends 20 requests a second.
 func largeFleet() (Settings, []Server) {
 	set := testSettings()
 	set.Nodes, set.Zones, set.CrossZoneCost = 80, 2, 0.17
@@ -16,7 +16,7 @@
 	return set, servers
 }
 
-// crowd plays some of the nodes one after the other, each for d, and returns what each server was sent by all.
+// playNodes plays some of the nodes one after the other, each for d, and returns what each server was sent by all.
 // One request in eight is for the hot key.
 func playNodes(t *testing.T, nodes int, d time.Duration) (sent map[ServerID]int, all int) {
 	t.Helper()
--- a/balancer/many_servers_test.go
+++ b/balancer/many_servers_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// plain is a host that answers every request after a time, and every probe at once.
+// simpleHost is a host that answers every request after a time, and every probe at once.
 type simpleHost struct {
 	b                 *Balancer
 	outstanding       []simpleAttempt
@@ -50,7 +50,7 @@
 	}
 }
 
-// plainStart is a node that knows of so many equal servers.
+// newSimpleHost is a node that knows of so many equal servers.
 func newSimpleHost(t testing.TB, servers int) *simpleHost {
 	p := &simpleHost{now: Time(time.Hour)}
 	var err error
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -53,13 +53,18 @@
 // ejectSilent ejects a server that has requests in flight and has been silent
 // for longer than they should take, before they time out.
 func (b *Balancer) ejectSilent(s *server, tolerated Time) {
-	inFlight := s.load.inFlight
-	if inFlight == 0 || b.now-s.activity.heardAt <= tolerated+tolerated/Time(inFlight) {
+	if s.load.inFlight == 0 || b.now-s.activity.silentSince <= silenceBound(s.load.inFlight, tolerated) {
 		return
 	}
-	s.activity.heardAt = b.now
+	s.activity.silentSince = b.now // it may be readmitted and be silent again
 	for range fallThreshold {
 		b.stepCounter(s, false)
 	}
 	s.health.distrustUntil = b.now + Time(b.random.jitter(s.health.distrustPeriod))
 }
+
+// silenceBound is how long a server may be silent. One request may be long by
+// itself, so that a server with few in flight gets up to twice the time.
+func silenceBound(inFlight int, tolerated Time) Time {
+	return tolerated + tolerated/Time(inFlight)
+}
--- a/balancer/pending.go
+++ b/balancer/pending.go
@@ -18,9 +18,9 @@
 	deadlineMargin = 2 * tickInterval
 )
 
-// wait lets a request wait for capacity, the highest limitShare first, and
+// waitForCapacity queues a request that finds no capacity, the highest limitShare first, and
 // reports whether it does.
-func (b *Balancer) wait(r *request) bool {
+func (b *Balancer) waitForCapacity(r *request) bool {
 	if r.pending {
 		return b.now < r.waitUntil
 	}
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -1,5 +1,8 @@
 package balancer
 
+// initialQuotaTokens is what a tenant may send at the start, in requests.
+const initialQuotaTokens = 1
+
 // tenant is a tenant and what is left of its quota at this node.
 type tenant struct {
 	Tenant
@@ -9,13 +12,13 @@
 }
 
 func newTenant(t Tenant, now Time) tenant {
-	return tenant{Tenant: t, tokens: 1, refilledAt: now, standing: newStanding()}
+	return tenant{Tenant: t, tokens: initialQuotaTokens, refilledAt: now, standing: newStanding()}
 }
 
-// exceedsQuota counts a request against this node's part of its tenant's quota,
-// and reports whether it is beyond it. The part may be well below one request a
+// chargeQuota counts a request against this node's part of its tenant's quota, and
+// reports whether it is beyond it. The part may be well below one request a
 // second: it is saved up for a second, or up to one request.
-func (b *Balancer) exceedsQuota(t *tenant) bool {
+func (b *Balancer) chargeQuota(t *tenant) bool {
 	if t == nil || t.Quota <= 0 {
 		return false
 	}
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -14,7 +14,7 @@
 		over := 0
 		for range 100 {
 			g.b.now += Time(every)
-			if g.b.exceedsQuota(&g.b.tenants[0]) {
+			if g.b.chargeQuota(&g.b.tenants[0]) {
 				over++
 			}
 		}
--- a/balancer/random.go
+++ b/balancer/random.go
@@ -9,6 +9,14 @@
 	splitmixFactor2   = 0x94d049bb133111eb
 )
 
+// jitter spreads a duration over minJitterNumerator to maxJitterNumerator parts of
+// jitterDenominator.
+const (
+	minJitterNumerator = 3
+	maxJitterNumerator = 5
+	jitterDenominator  = 4
+)
+
 // mantissaBits is the precision of a float64: a uniform draw uses so many bits.
 const mantissaBits = 53
 
@@ -31,7 +39,9 @@
 // jitter draws from three quarters to five quarters of d, so that nodes do not
 // act in step.
 func (r *randomSource) jitter(d time.Duration) time.Duration {
-	return d*3/4 + time.Duration(r.next()%uint64(d/2+1))
+	shortest := d * minJitterNumerator / jitterDenominator
+	width := d * (maxJitterNumerator - minJitterNumerator) / jitterDenominator
+	return shortest + time.Duration(r.next()%uint64(width+1))
 }
 
 // mix is the finaliser of splitmix64. It also hashes keys and server IDs, and so
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -18,7 +18,9 @@
 
 	work       float64 // expected, in seconds
 	limitShare float64 // the share of a server's concurrency limit that it may use
-	draw       float64 // a uniform draw from [0, 1), for all decisions made by chance
+	// draw is a uniform draw from [0, 1). One draw serves load shedding, the even
+	// share, the spread of hedges and the choice of an owed server.
+	draw float64
 	// expectedFailure is how badly its class or tenant fares anyway, from 0 to 1.
 	expectedFailure float64
 
@@ -84,6 +86,18 @@
 		b.stopWaiting(r)
 		b.cancelOutstanding(r)
 	}
+	b.forgetIfDone(r)
+}
+
+// finishServed ends a request that was answered well. Its other attempts go on,
+// to show whether they are overtaken.
+func (b *Balancer) finishServed(r *request) {
+	r.finished = true
+	b.forgetIfDone(r)
+}
+
+// forgetIfDone drops a finished request once every attempt is back.
+func (b *Balancer) forgetIfDone(r *request) {
 	if r.outstanding == 0 {
 		delete(b.requests, r.id)
 	}
@@ -116,7 +130,7 @@
 }
 
 // retryAfter is the advice that goes with a rejection. A request that may have
-// brought a server down is kept away for as long as may be.
+// brought a server down gets MaxRetryAfter.
 func (b *Balancer) retryAfter(r *request) time.Duration {
 	if !b.settings.RetryAfter {
 		return 0
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -25,13 +25,14 @@
 	a.release()
 	b.recordOutcome(r, a, o)
 	defer b.dispatchPending() // capacity may have become free
-	if r.finished || o.RequestDone {
-		// After a good answer other attempts go on, to show whether they are overtaken.
-		r.finished = r.finished || o.Result == OK
+	switch {
+	case !r.finished && !o.RequestDone:
+		b.retryOrGiveUp(r, a, o.Result)
+	case o.Result == OK:
+		b.finishServed(r)
+	default:
 		b.finish(r)
-		return
 	}
-	b.retryOrGiveUp(r, a, o.Result)
 }
 
 // retryOrGiveUp decides what becomes of a request whose attempt has failed. One
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// TestRulesHold throws long random legal events at the module and holds every action against the rules.
-func TestRulesHold(t *testing.T) {
+// TestRandomEventsKeepInvariants throws long random legal events at the module and holds every action against the
+// rules.
+func TestRandomEventsKeepInvariants(t *testing.T) {
 	for seed := range uint64(60) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		set := testSettings()
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -25,10 +25,10 @@
 	// start, when it has counted none.
 	assumedAttempts = 0.5
 
-	// waitRepulsion and maxRepulsion are by how much a server whose answers wait
+	// waitWeightPenalty and maxWeightPenalty are by how much a server whose answers wait
 	// attracts less.
-	waitRepulsion = 1.5
-	maxRepulsion  = 0.9
+	waitWeightPenalty = 1.5
+	maxWeightPenalty  = 0.9
 )
 
 // selectServer chooses a server for the next attempt of a request, or none: the
@@ -123,7 +123,7 @@
 // which no single one meets a limit; what a node sees often, it need not foresee.
 func (b *Balancer) withinEvenShare(r *request, s *server) bool {
 	sent := b.recentAttempts + assumedAttempts*float64(len(b.servers))
-	return s.load.recentAttempts+r.draw <= (1+b.attemptRate())*sent*b.attraction(s)/b.tables.totalWeight
+	return s.load.recentAttempts+r.draw <= (1+b.attemptRate())*sent*b.effectiveWeight(s)/b.tables.totalWeight
 }
 
 // attemptRate is how many attempts a second this node sends a server, in the mean.
@@ -131,13 +131,13 @@
 	return b.recentAttempts / float64(max(len(b.servers), 1)) / attemptWindow.Seconds()
 }
 
-// relativeAttempts is what a server was sent lately, for its attraction.
+// relativeAttempts is what a server was sent lately, for its effectiveWeight.
 func (b *Balancer) relativeAttempts(s *server) float64 {
-	return s.load.recentAttempts / b.attraction(s)
+	return s.load.recentAttempts / b.effectiveWeight(s)
 }
 
-// attraction is a server's weight, less where its answers wait.
-func (b *Balancer) attraction(s *server) float64 {
-	repulsion := waitRepulsion * (s.load.meanWait - acceptableWait)
-	return float64(s.entry.weight) * (1 - min(max(repulsion, 0), maxRepulsion))
+// effectiveWeight is a server's weight, less where its answers wait.
+func (b *Balancer) effectiveWeight(s *server) float64 {
+	repulsion := waitWeightPenalty * (s.load.meanWait - acceptableWait)
+	return float64(s.entry.weight) * (1 - min(max(repulsion, 0), maxWeightPenalty))
 }
--- a/balancer/server.go
+++ b/balancer/server.go
@@ -1,10 +1,10 @@
 package balancer
 
-// server is what a node knows of one server. Each part is written by the file
-// that its type stands in.
+// server is what a node knows of one server. The files named declare the types of
+// its parts; where an event concerns several parts, other files update them too.
 type server struct {
 	Server               // its entry in the endpoint list
-	capacity  float64    // relative; the highest weight that was listed
+	capacity  float64    // relative: the last listed weight, with Settings.LiveWeights the highest
 	listing   listing    // endpoints.go
 	health    health     // health_check.go and outlier.go
 	activity  activity   // evidence.go
@@ -15,7 +15,9 @@
 
 // activity is when a server was last heard from.
 type activity struct {
-	heardAt     Time // last answer of any kind, or when it became busy
+	// silentSince is the start of the current silence: the last answer or first
+	// byte, or when the server got work, was readmitted, or was ejected for silence.
+	silentSince Time
 	succeededAt Time // last good answer to real work
 	// newestAnswered is when the latest of the attempts was sent that were
 	// answered well; what was sent before it and is still out was overtaken.
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -44,7 +44,7 @@
 	// PriorityWeight is what an answer is worth against those of other classes.
 	PriorityWeight float64
 	// LateWeightShare is the share of PriorityWeight that an answer after the
-	// objective earns.
+	// objective earns. The Balancer does not use it.
 	LateWeightShare float64
 	// Idempotency says whether attempts may be repeated.
 	Idempotency Idempotency
@@ -58,9 +58,11 @@
 
 // Tenant is one customer.
 type Tenant struct {
-	// Share is the tenant's share of the fleet's capacity.
+	// Share is the tenant's share of the fleet's capacity. The Balancer does not
+	// use it: Quota holds what follows from it.
 	Share float64
-	// Quota is in requests a second over all nodes; 0: none.
+	// Quota is in requests a second over all nodes; 0: unlimited. A quota of no
+	// requests at all is the least value above 0.
 	Quota float64
 }
 
@@ -76,7 +78,7 @@
 	// rather than for each request.
 	WeightPerWork bool
 	// OverQuotaWeightShare is what is left of a request's weight beyond its
-	// tenant's quota.
+	// tenant's quota. The Balancer does not use it: see overQuotaLimitShare.
 	OverQuotaWeightShare float64
 	// LiveWeights is set where listed weights sink with a server's load.
 	LiveWeights bool
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -33,7 +33,7 @@
 	// draw is from [0, 1): the fraction of a request that has to be left of the
 	// allowance. Where the allowance is less than one request, it lets one
 	// through by chance, so that the sum over all nodes holds.
-	draw float64
+	allowanceDraw float64
 }
 
 // startRecovery begins the recovery ramp of a server that is readmitted: it
@@ -62,8 +62,8 @@
 	return initial + (1-initial)*float64(b.now-from)/float64(length)
 }
 
-// admitsSlowStart reports whether a server may be sent a request: a warming one
-// within its allowance for this half window.
+// admitsSlowStart updates the allowance of a warming server, in a new half window
+// with a new draw, and reports whether it may be sent a request.
 func (b *Balancer) admitsSlowStart(s *server, r *request) bool {
 	warmth := b.warmth(s)
 	if warmth >= 1 {
@@ -74,14 +74,14 @@
 	if end != s.slowStart.windowEnd {
 		s.slowStart.windowEnd = end
 		s.slowStart.spent = 0
-		s.slowStart.draw = b.random.float()
+		s.slowStart.allowanceDraw = b.random.float()
 	}
 	learnt := warmth * warmingOverloadShare * b.settings.OverloadFactor *
 		b.warmThroughput * s.capacity * halfWindow.Seconds()
 	// Where nothing is learnt the nodes together send one request a window, or no server would ever start.
 	least := b.slowStartCost(r) / 2 / float64(b.settings.Nodes)
 	s.slowStart.allowance = max(learnt, least)
-	return s.slowStart.spent+s.slowStart.draw*b.slowStartCost(r) <= s.slowStart.allowance
+	return s.slowStart.spent+s.slowStart.allowanceDraw*b.slowStartCost(r) <= s.slowStart.allowance
 }
 
 // slowStartCost is what a request costs of an allowance, in requests of mean
@@ -91,7 +91,8 @@
 }
 
 // measureThroughput learns, once in an overload window, what warm servers carry
-// from this node.
+// from this node. Mean latencies have moved by then, so the classes are ranked anew
+// as well.
 func (b *Balancer) measureThroughput() {
 	elapsed := time.Duration(b.now - b.throughputMeasuredAt)
 	if elapsed < max(b.settings.OverloadWindow, tickInterval) {
@@ -112,7 +113,7 @@
 // capacities, and starts the count of every server anew.
 func (b *Balancer) takeCompleted() (completed, capacity float64) {
 	for _, s := range b.servers {
-		if !s.ejected() && !s.Suspended && b.mayUse(s) && b.warmth(s) >= 1 {
+		if !s.ejected() && !s.OutsideSubset && b.mayUse(s) && b.warmth(s) >= 1 {
 			completed += s.load.completed
 			capacity += s.capacity
 		}
--- a/balancer/slow_start_fleet_test.go
+++ b/balancer/slow_start_fleet_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// fleetRestart is a fleet whose servers, the first cold of them, start anew at one instant. Its nodes share nothing, so
-// that they are played one after the other, and what they send is summed by time.
+// fleetRestart is a fleet whose servers, the first restarted of them, start anew at one instant. Its nodes share
+// nothing, so that they are played one after the other, and what they send is summed by time.
 type fleetRestart struct {
 	name                   string
 	restarted              int
@@ -34,7 +34,7 @@
 	return set
 }
 
-// node says how the n-th differs from most: told late, nearly idle, or new.
+// nodeVariant says how the n-th differs from most: told late, nearly idle, or new.
 func (r *fleetRestart) nodeVariant(n int) (rate float64, ran, told time.Duration) {
 	switch n % 10 {
 	case 3:
--- a/balancer/tick.go
+++ b/balancer/tick.go
@@ -37,7 +37,7 @@
 			continue
 		}
 		b.ejectSilent(s, toleratedSilence)
-		if b.settings.HealthChecks && !s.Suspended {
+		if b.settings.HealthChecks && !s.OutsideSubset {
 			b.sendDueCheck(s, position)
 		}
 		b.presumeUp(s)
--- a/cmd/drill/adapter.go
+++ b/cmd/drill/adapter.go
@@ -56,11 +56,11 @@
 // handle gives one event to its instance.
 func (a *adapter) handle(event wire.Event) error {
 	number := event.Instance()
-	return a.guard(number, func() error { return a.dispatch(number, event) })
+	return a.recoverPanic(number, func() error { return a.dispatch(number, event) })
 }
 
 // guard reports a panic as a fault of one instance, which ignores all further events.
-func (a *adapter) guard(number uint32, handle func() error) error {
+func (a *adapter) recoverPanic(number uint32, handle func() error) error {
 	defer func() {
 		if reason := recover(); reason != nil {
 			a.reply.ReportFault(number, fmt.Sprint("panic: ", reason))
--- a/cmd/drill/adapter_test.go
+++ b/cmd/drill/adapter_test.go
@@ -118,7 +118,7 @@
 // TestPanicIsAFault: a panic in one instance is reported as its fault, and ends no other.
 func TestPanicIsAFault(t *testing.T) {
 	a := newAdapter()
-	if err := a.guard(9, func() error { panic("index out of range") }); err != nil {
+	if err := a.recoverPanic(9, func() error { panic("index out of range") }); err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
--- a/cmd/drill/instance.go
+++ b/cmd/drill/instance.go
@@ -29,7 +29,7 @@
 
 // handle gives an event to the balancer, and reports whether there is such an event. A malformed event is an error even
 // where it would be ignored.
-func (i *instance) handle(now balancer.Time, event wire.Event) (handled bool, err error) {
+func (i *instance) handle(now balancer.Time, event wire.Event) (known bool, err error) {
 	switch event.Code() {
 	case wire.EventEndpoints:
 		return true, i.handleEndpoints(now, event)
--- a/cmd/olivefleet/quotas.go
+++ b/cmd/olivefleet/quotas.go
@@ -36,14 +36,14 @@
 	if err != nil {
 		return err
 	}
-	holder := f.file.Book
+	book := f.file.Book
 	q.service = budget.New(budget.Config{
 		Name:      c.Name,
 		Directory: m.Directory,
 		Log:       m.Log,
 		Record:    m.Record,
-		Voters:    raftlog.VoterSet{Edition: holder.Edition, Names: holder.Voters},
-		Terms:     budget.Terms{Lease: holder.LeaseTime, Reserve: holder.Reserve, Seats: holder.Seats},
+		Voters:    raftlog.VoterSet{Edition: book.Edition, Names: book.Voters},
+		Terms:     budget.Terms{Lease: book.LeaseTime, Reserve: book.Reserve, Seats: book.Seats},
 		Quotas:    quotasOf(f.file.Budgets, c.LongestDeadline),
 		Dial:      f.dial,
 	})
--- a/cmd/olivefleet/services.go
+++ b/cmd/olivefleet/services.go
@@ -28,10 +28,10 @@
 
 // addOperations makes the service for operators' commands to the whole fleet.
 func (f *fleetNode) addOperations(name string, m *member.Config) {
-	voters := f.file.Operators
+	operators := f.file.Operators
 	f.operations = operations.New(operations.Config{
 		Name:      name,
-		Voters:    raftlog.VoterSet{Edition: voters.Edition, Names: voters.Voters},
+		Voters:    raftlog.VoterSet{Edition: operators.Edition, Names: operators.Voters},
 		Directory: m.Directory,
 		Log:       m.Log,
 		Record:    m.Record,
--- a/internal/fleet/budget/holder.go
+++ b/internal/fleet/budget/holder.go
@@ -34,10 +34,10 @@
 	return h
 }
 
-// Admit admits one unit of a quota, by its place in the list. Only counts look at the wall clock. If there is none, it
-// returns when to come back; 0: unknown.
-func (h *Holder) Admit(now time.Duration, wall time.Time, budget int) (ok bool, wait time.Duration) {
-	a := h.allocations[budget]
+// Admit admits one unit of a quota, by its index in the list of quotas. Only counts look at the wall clock. If there
+// is none, it returns when to come back; 0: unknown.
+func (h *Holder) Admit(now time.Duration, wall time.Time, quotaIndex int) (ok bool, wait time.Duration) {
+	a := h.allocations[quotaIndex]
 	a.demanded++
 	switch a.quota.Kind {
 	case InUse:
@@ -57,8 +57,8 @@
 }
 
 // Release returns a unit that was admitted, of a quota of the kind InUse.
-func (h *Holder) Release(budget int) {
-	a := h.allocations[budget]
+func (h *Holder) Release(quotaIndex int) {
+	a := h.allocations[quotaIndex]
 	if a.inUse > 0 {
 		a.inUse--
 	}
--- a/internal/fleet/budget/key_buckets.go
+++ b/internal/fleet/budget/key_buckets.go
@@ -22,8 +22,8 @@
 }
 
 // AdmitKey admits some units for one key, or none of them, of a quota that holds for each of many keys.
-func (h *Holder) AdmitKey(now time.Duration, budget int, key uint64, units float64) bool {
-	a := h.allocations[budget]
+func (h *Holder) AdmitKey(now time.Duration, quotaIndex int, key uint64, units float64) bool {
+	a := h.allocations[quotaIndex]
 	h.updateRate(now, a)
 	k := h.keyBucket(now, a, key)
 	if k == nil {
--- a/internal/fleet/budget/leader.go
+++ b/internal/fleet/budget/leader.go
@@ -12,13 +12,14 @@
 // termShift is where the term stands in a grant's number.
 const termShift = 32
 
-// Leader lends quotas for one raft term. What earlier leaders lent it does not know, nor need to: it lends nothing
-// until all of that has ended. It is not safe for concurrent use.
+// Leader lends quotas for one raft term. It does not know what earlier leaders lent, and lends nothing until all their
+// grants have expired. It is not safe for concurrent use.
 type Leader struct {
-	terms     Terms
-	quotas    []Quota
-	term      uint64
-	lendsFrom time.Duration           // what is in use for longer than a lease is lent by so much later
+	terms  Terms
+	quotas []Quota
+	term   uint64
+	// lendsFrom is when lending begins; of a quota of the kind InUse, its Hold later.
+	lendsFrom time.Duration
 	number    uint64                  // of the last grant, within the term
 	holders   map[string]*holderState // by name and incarnation
 	withheld  map[string]float64      // see Withhold
--- a/internal/fleet/budget/service.go
+++ b/internal/fleet/budget/service.go
@@ -98,7 +98,7 @@
 	s.tasks.Go(func() { s.requestLoop(stop) })
 }
 
-// Stop ends that, for a process that gives the membership up: nothing is held any more.
+// Stop ends what Start began, for a process that gives the membership up: nothing is held any more.
 func (s *Service) Stop() {
 	s.mu.Lock()
 	if s.holder == nil || s.stop == nil {
@@ -137,8 +137,8 @@
 	s.config.Log.Info("fleet budget", "reason", "changed")
 }
 
-// Admit admits one unit of a quota, by its place in the list. If there is none, it returns when to come back.
-func (s *Service) Admit(budget int) (ok bool, wait time.Duration) {
+// Admit admits one unit of a quota, by its index in the list of quotas. If there is none, it returns when to come back.
+func (s *Service) Admit(quotaIndex int) (ok bool, wait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	nextRequest := s.config.Terms.Lease / requestsPerLease
@@ -146,23 +146,23 @@
 		s.counters.rejected.Add(1)
 		return false, nextRequest
 	}
-	ok, wait = s.holder.Admit(s.now(), mutant.WallClock(), budget)
+	ok, wait = s.holder.Admit(s.now(), mutant.WallClock(), quotaIndex)
 	if ok {
 		s.counters.admitted.Add(1)
 		return true, 0
 	}
 	s.counters.rejected.Add(1)
-	if wait == 0 || wait > nextRequest && s.config.Quotas[budget].Kind != Count {
+	if wait == 0 || wait > nextRequest && s.config.Quotas[quotaIndex].Kind != Count {
 		wait = nextRequest // by then it may hold another grant
 	}
 	return false, wait
 }
 
 // AdmitKey admits some units for one key, or none of them, of a quota that holds for each of many keys.
-func (s *Service) AdmitKey(budget int, key uint64, units float64) bool {
+func (s *Service) AdmitKey(quotaIndex int, key uint64, units float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.holder != nil && s.holder.AdmitKey(s.now(), budget, key, units) {
+	if s.holder != nil && s.holder.AdmitKey(s.now(), quotaIndex, key, units) {
 		s.counters.admitted.Add(1)
 		return true
 	}
@@ -171,14 +171,14 @@
 }
 
 // Release returns a unit that was admitted, of a quota of the kind InUse.
-func (s *Service) Release(budget int) {
+func (s *Service) Release(quotaIndex int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.orphans[budget] > 0:
-		s.orphans[budget]--
+	case s.orphans[quotaIndex] > 0:
+		s.orphans[quotaIndex]--
 	case s.holder != nil:
-		s.holder.Release(budget)
+		s.holder.Release(quotaIndex)
 	}
 }
 
--- a/internal/fleet/callstore/client.go
+++ b/internal/fleet/callstore/client.go
@@ -40,7 +40,7 @@
 	hint   raftlog.LeaderHint
 
 	mu         sync.Mutex
-	started    bool // false: this process never had a place in the fleet
+	started    bool // false: this process never had the membership
 	streams    map[string]*stream
 	pauseUntil time.Time // nobody is asked until then, since no voter knew of a leader
 
--- a/internal/fleet/callstore/command.go
+++ b/internal/fleet/callstore/command.go
@@ -72,7 +72,7 @@
 type response struct {
 	Number      uint64      `json:"number"`
 	Refusal     string      `json:"refuse,omitempty"` // why the voter did not take the request; "": it did
-	Leader      string      `json:"keeper,omitempty"` // with a refusal, as far as the voter knows
+	Leader      string      `json:"keeper,omitempty"` // with a rejection, as far as the voter knows
 	BeginResult BeginResult `json:"verdict,omitzero"`
 	EndAccepted bool        `json:"taken,omitempty"`
 }
--- a/internal/fleet/callstore/leader.go
+++ b/internal/fleet/callstore/leader.go
@@ -122,7 +122,7 @@
 	}
 	digits, sameHome := strings.CutPrefix(p.Incarnation, m.Incarnation.Home+"/")
 	if !sameHome {
-		return true // of another directory, whose place this one has
+		return true // of another directory, which this one has replaced
 	}
 	number, err := strconv.ParseUint(digits, 10, 64)
 	if err != nil {
--- a/internal/fleet/callstore/owner.go
+++ b/internal/fleet/callstore/owner.go
@@ -18,12 +18,12 @@
 	// maxPendingReports bounds the reports that are sent in the background. A call beyond it stays with this process until
 	// that ends, and is unknown then.
 	maxPendingReports = 20000
-	// handoverGrace is for how long a process reports on calls that it owned when it gave the node's place away: as long
-	// as members let it.
+	// handoverGrace is for how long a process reports on calls that it owned when it gave the node's membership away: as
+	// long as members let it.
 	handoverGrace = 10 * time.Second
 )
 
-// NewOwner returns a new owner for one call of this process; false: it does not hold the node's place.
+// NewOwner returns a new owner for one call of this process; false: it does not hold the node's membership.
 func (s *Service) NewOwner() (Owner, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// mayReport reports whether this process holds the node's place in the owner's incarnation, or did until lately.
+// mayReport reports whether this process holds the node's membership in the owner's incarnation, or did until lately.
 func (s *Service) mayReport(owner Owner) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/callstore/server.go
+++ b/internal/fleet/callstore/server.go
@@ -79,7 +79,7 @@
 	return s.log.Leader()
 }
 
-// answerLocally answers a request of this process; false: it does not hold the node's place, and the node's other
+// answerLocally answers a request of this process; false: it does not hold the node's membership, and the node's other
 // process may be the voter.
 func (s *Service) answerLocally(r request) (response, bool) {
 	s.mu.Lock()
--- a/internal/fleet/callstore/service.go
+++ b/internal/fleet/callstore/service.go
@@ -52,8 +52,8 @@
 	pendingReports atomic.Int64  // EndRequests that are sent in the background
 
 	mu                  sync.Mutex
-	incarnation         string // "": this process does not hold the node's place
-	previousIncarnation string // in which it held the place last
+	incarnation         string // "": this process does not hold the node's membership
+	previousIncarnation string // in which it last held the membership
 	startedAt           time.Time
 	stoppedAt           time.Time
 	log                 *raftlog.Log // nil: this process is no voter, or its log is not open
@@ -111,7 +111,8 @@
 	s.ledger, _ = state.(*ledger)
 }
 
-// Start begins, for a process that has got the node's place: home and number are its incarnation. It may be called
+// Start begins to follow views, to release the calls of failed processes and, on a voter, to replicate the log, for a
+// process that has got the node's membership: home and number are its incarnation. It may be called
 // again after Stop.
 func (s *Service) Start(home string, number uint64) {
 	s.mu.Lock()
@@ -127,7 +128,8 @@
 	s.participant.Start()
 }
 
-// Stop ends that, and returns once the log is closed. Reports on calls that this process owns go on for handoverGrace.
+// Stop ends what Start began, and returns once the log is closed. Reports on calls that this process owns go on for
+// handoverGrace.
 func (s *Service) Stop() {
 	s.mu.Lock()
 	if s.stop == nil {
--- a/internal/fleet/member/accept_streams.go
+++ b/internal/fleet/member/accept_streams.go
@@ -51,7 +51,7 @@
 		return
 	}
 	t.traffic.streamsIn.Add(1)
-	if s.channel != libraryChannel {
+	if s.channel != memberlistChannel {
 		done()
 		t.serve(s)
 		return
--- a/internal/fleet/member/agent.go
+++ b/internal/fleet/member/agent.go
@@ -44,25 +44,25 @@
 	leaving      bool // the node is shutting down as planned
 	predecessor  bool // for predecessorTime: the node's other process may still be finishing its work
 	lastConflict time.Time
-	// selfDeclaredEnds are the members that are said to be gone, and whether they said so themselves.
-	selfDeclaredEnds map[string]bool
-	suspectedNumbers map[string]uint32 // memberlist's incarnation number that is suspected, by member
-	latestNumbers    map[string]uint32 // the latest of these numbers that others have sent, by member
+	// announcedDepartures are the members that are said to be gone, and whether they said so themselves.
+	announcedDepartures map[string]bool
+	suspectedNumbers    map[string]uint32 // memberlist's incarnation number that is suspected, by member
+	latestNumbers       map[string]uint32 // the latest of these numbers that others have sent, by member
 }
 
 // newAgent starts an agent on a transport that is open. It owns the transport from then on, but if it fails.
 func newAgent(s *Service, t *transport, incarnation Incarnation, predecessor bool) (*agent, error) {
 	a := &agent{
-		service:          s,
-		incarnation:      incarnation,
-		predecessor:      predecessor,
-		transport:        t,
-		stop:             make(chan struct{}),
-		selfDeclaredEnds: map[string]bool{},
-		suspectedNumbers: map[string]uint32{},
-		latestNumbers:    map[string]uint32{},
-		rejoinedAt:       map[string]time.Time{},
-		knownAddrs:       readKnownAddrs(s.config.Directory),
+		service:             s,
+		incarnation:         incarnation,
+		predecessor:         predecessor,
+		transport:           t,
+		stop:                make(chan struct{}),
+		announcedDepartures: map[string]bool{},
+		suspectedNumbers:    map[string]uint32{},
+		latestNumbers:       map[string]uint32{},
+		rejoinedAt:          map[string]time.Time{},
+		knownAddrs:          readKnownAddrs(s.config.Directory),
 	}
 	a.massFailures = newMassFailureDetector(a)
 	a.broadcasts.RetransmitMult = retransmitMultiplier
--- a/internal/fleet/member/delegate.go
+++ b/internal/fleet/member/delegate.go
@@ -48,7 +48,7 @@
 			return EventRefuted, true
 		}
 	case deadMessage:
-		a.selfDeclaredEnds[m.Node] = m.From == m.Node
+		a.announcedDepartures[m.Node] = m.From == m.Node
 	}
 	return 0, false
 }
@@ -123,7 +123,7 @@
 		return
 	}
 	a.mu.Lock()
-	delete(a.selfDeclaredEnds, node.Name)
+	delete(a.announcedDepartures, node.Name)
 	delete(a.suspectedNumbers, node.Name)
 	a.mu.Unlock()
 	a.service.apply(Event{
@@ -145,7 +145,7 @@
 	}
 	m, _ := decodeMetadata(node.Meta)
 	a.mu.Lock()
-	selfDeclared, observed := a.selfDeclaredEnds[node.Name]
+	selfDeclared, observed := a.announcedDepartures[node.Name]
 	_, suspected := a.suspectedNumbers[node.Name]
 	delete(a.suspectedNumbers, node.Name)
 	a.mu.Unlock()
--- a/internal/fleet/member/packet.go
+++ b/internal/fleet/member/packet.go
@@ -21,8 +21,8 @@
 	numberOffset   = 10 // from here on the checksum counts
 	nameOffset     = 14
 	packetHeader   = 15
-	// maxName is the length of the longest name that the header has room for.
-	maxName = 255
+	// maxHeaderName is the length of the longest name that the header has room for.
+	maxHeaderName = 255
 	// maxPayload is the longest payload in bytes; memberlist's own limit is 1,400.
 	maxPayload = 4 << 10
 )
--- a/internal/fleet/member/stored_forms_test.go
+++ b/internal/fleet/member/stored_forms_test.go
@@ -53,7 +53,7 @@
 }
 
 // Messages about a member are read and written as the memberlist library has them.
-func TestLibraryMessageKeepsItsBytes(t *testing.T) {
+func TestSWIMMessageKeepsItsBytes(t *testing.T) {
 	var text []byte
 	message := swimMessage{Incarnation: 8192, Node: "n2", From: "n1"}
 	if err := codec.NewEncoderBytes(&text, &codec.MsgpackHandle{}).Encode(&message); err != nil {
--- a/internal/fleet/member/stream.go
+++ b/internal/fleet/member/stream.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	// libraryChannel is the channel of memberlist's own streams; other packages of the fleet have channels of their own.
-	libraryChannel = 0
+	// memberlistChannel is the channel of memberlist's own streams; other packages of the fleet have channels of their
+	// own.
+	memberlistChannel = 0
 	// maxFrame bounds the payload of a frame of a stream, in bytes.
 	maxFrame = 64 << 10
-	// maxLibraryStream bounds what is read of one of memberlist's streams, in bytes: 1,024 members take about 300 KB.
-	maxLibraryStream = 4 << 20
+	// maxMemberlistStream bounds what is read of one of memberlist's streams, in bytes: 1,024 members take about 300 KB.
+	maxMemberlistStream = 4 << 20
 	// frameHeader is the length of what stands before each frame: one byte of channel, three of the frame's length.
 	frameHeader = 4
 	// channelShift is where the channel stands in a frame's header.
@@ -109,10 +110,10 @@
 	if s.nextIn == 0 && s.accepted {
 		s.channel = channel
 	}
-	if s.channel == libraryChannel { // whose exchanges are bounded
+	if s.channel == memberlistChannel { // whose exchanges are bounded
 		s.readBytes += length
 	}
-	tooLong := length > maxFrame+packetHeader+maxName || s.readBytes > maxLibraryStream
+	tooLong := length > maxFrame+packetHeader+maxHeaderName || s.readBytes > maxMemberlistStream
 	if channel != s.channel || length < packetHeader || tooLong {
 		s.onForeign()
 		return 0, fmt.Errorf("a piece of %d bytes: %w", length, errForeignPacket)
--- a/internal/fleet/member/table.go
+++ b/internal/fleet/member/table.go
@@ -19,14 +19,15 @@
 	// suspicionTimeout is after how long a suspicion that was neither confirmed nor refuted is dropped: above what
 	// memberlist needs to confirm one in the largest fleet.
 	suspicionTimeout = 15 * time.Second
-	// doubtedEndDelay is how long an end is held back that contradicts what is known: of a member that was heard just
-	// now, or that nobody suspected. A node that was cut off has declared all others dead and gossips that when it is
-	// back, and a node that restarts meets news of its last incarnation; both are refuted within two gossip intervals.
-	doubtedEndDelay = 1200 * time.Millisecond
+	// departureConfirmDelay is how long an end is held back that contradicts what is known: of a member that was heard
+	// just now, or that nobody suspected. A node that was cut off has declared all others dead and gossips that when it
+	// is back, and a node that restarts meets news of its last incarnation; both are refuted within two gossip
+	// intervals.
+	departureConfirmDelay = 1200 * time.Millisecond
 )
 
-// doubtedEnd is an end that is not believed yet.
-type doubtedEnd struct {
+// unconfirmedDeparture is an end that is not believed yet.
+type unconfirmedDeparture struct {
 	since time.Duration
 	state State // Dead or Left
 }
@@ -34,23 +35,23 @@
 // Table is the membership table: it turns events into views, and alone decides what is believed of a member. Its
 // methods take the time since any fixed origin, which must not run backwards. It is not safe for concurrent use.
 type Table struct {
-	self            string // name of this node
-	viewNumber      uint64 // of the newest view
-	members         map[string]*Member
-	rejectedMembers int
-	staleEvents     int
-	doubtedEnds     map[string]doubtedEnd // by member
-	view            *View
-	mutant          func(string) bool // see package mutant
+	self                  string // name of this node
+	viewNumber            uint64 // of the newest view
+	members               map[string]*Member
+	rejectedMembers       int
+	staleEvents           int
+	unconfirmedDepartures map[string]unconfirmedDeparture // by member
+	view                  *View
+	mutant                func(string) bool // see package mutant
 }
 
 // NewTable makes the table of a node, which is in its own view from the start.
 func NewTable(self Member, now time.Duration) *Table {
 	t := &Table{
-		self:        self.Name,
-		members:     map[string]*Member{},
-		doubtedEnds: map[string]doubtedEnd{},
-		mutant:      mutant.Active,
+		self:                  self.Name,
+		members:               map[string]*Member{},
+		unconfirmedDepartures: map[string]unconfirmedDeparture{},
+		mutant:                mutant.Active,
 	}
 	self.enter(Alive, now)
 	t.members[self.Name] = &self
@@ -113,12 +114,12 @@
 // update changes a member by an event.
 func (t *Table) update(m *Member, now time.Duration, e Event) {
 	if e.Kind == EventAlive {
-		delete(t.doubtedEnds, m.Name)
+		delete(t.unconfirmedDepartures, m.Name)
 		t.describe(m, now, e)
 	}
 	state := t.nextState(m, now, e)
 	if m.Name == t.self && (!state.Present() || state == Suspect) {
-		delete(t.doubtedEnds, m.Name)
+		delete(t.unconfirmedDepartures, m.Name)
 		return // this process is alive, whatever others believe
 	}
 	if state != m.State {
@@ -153,34 +154,34 @@
 			return Suspect
 		}
 	case EventRefuted:
-		_, doubted := t.doubtedEnds[m.Name]
+		_, doubted := t.unconfirmedDepartures[m.Name]
 		if m.State == Suspect && !doubted {
 			return Alive
 		}
 	case EventDead:
 		expected := !e.HeardRecently && m.State != Alive
-		return t.stateAfterEnd(m, now, Dead, expected)
+		return t.stateAfterDeparture(m, now, Dead, expected)
 	case EventLeft: // a member that has not announced it may have done so in its last incarnation
 		expected := m.State == Leaving || !e.HeardRecently
-		return t.stateAfterEnd(m, now, Left, expected)
+		return t.stateAfterDeparture(m, now, Left, expected)
 	}
 	return m.State
 }
 
-// stateAfterEnd returns the state of a member that was said to be gone. An end that was expected is believed at once,
-// any other only after doubtedEndDelay.
-func (t *Table) stateAfterEnd(m *Member, now time.Duration, end State, expected bool) State {
+// stateAfterDeparture returns the state of a member that was said to be gone. An end that was expected is believed at
+// once, any other only after departureConfirmDelay.
+func (t *Table) stateAfterDeparture(m *Member, now time.Duration, end State, expected bool) State {
 	switch {
 	case !m.State.Present(), end == Dead && t.mutant("dead-kept"):
 		return m.State
 	case end == Left && t.mutant("leave-told-as-death"):
 		return Dead
 	case expected:
-		delete(t.doubtedEnds, m.Name)
+		delete(t.unconfirmedDepartures, m.Name)
 		return end
 	}
-	if _, doubted := t.doubtedEnds[m.Name]; !doubted {
-		t.doubtedEnds[m.Name] = doubtedEnd{since: now, state: end}
+	if _, doubted := t.unconfirmedDepartures[m.Name]; !doubted {
+		t.unconfirmedDepartures[m.Name] = unconfirmedDeparture{since: now, state: end}
 	}
 	return Suspect
 }
@@ -227,13 +228,13 @@
 // expire applies the passing of time to one member, and reports whether that changed it.
 func (t *Table) expire(name string, now time.Duration) bool {
 	m := t.members[name]
-	end, doubted := t.doubtedEnds[name]
+	end, doubted := t.unconfirmedDepartures[name]
 	switch {
 	case !m.State.Present() && now-m.Since > tombstoneTime:
 		delete(t.members, name)
-	case m.State.Present() && doubted && now-end.since > doubtedEndDelay:
+	case m.State.Present() && doubted && now-end.since > departureConfirmDelay:
 		m.enter(end.state, now)
-		delete(t.doubtedEnds, name)
+		delete(t.unconfirmedDepartures, name)
 	case m.State == Suspect && !doubted && now-m.Since > suspicionTimeout:
 		m.enter(Alive, now)
 	default:
--- a/internal/fleet/member/table_test.go
+++ b/internal/fleet/member/table_test.go
@@ -69,19 +69,19 @@
 }
 
 // A restarted member must not count as dead by gossip of its last incarnation: an unexpected death is held back for
-// doubtedEndDelay, and no longer.
+// departureConfirmDelay, and no longer.
 func TestUnexpectedDeathIsDelayed(t *testing.T) {
 	b := NewTable(Member{Name: "n1"}, 0)
 	b.Apply(second, aliveEvent("n2", 1))
 	b.Apply(2*second, Event{Kind: EventDead, Name: "n2", HeardRecently: true})
-	for at, want := range map[time.Duration]State{2 * second: Suspect, 2*second + doubtedEndDelay: Suspect} {
+	for at, want := range map[time.Duration]State{2 * second: Suspect, 2*second + departureConfirmDelay: Suspect} {
 		b.Tick(at)
 		if m, _ := b.View().Lookup("n2"); m.State != want {
 			t.Errorf("%v: %s", at, m.State)
 		}
 	}
-	b.Apply(2*second+doubtedEndDelay, Event{Kind: EventRefuted, Name: "n2"}) // no message of the member itself
-	b.Tick(2*second + doubtedEndDelay + 1)
+	b.Apply(2*second+departureConfirmDelay, Event{Kind: EventRefuted, Name: "n2"}) // no message of the member itself
+	b.Tick(2*second + departureConfirmDelay + 1)
 	if m, _ := b.View().Lookup("n2"); m.State != Dead {
 		t.Errorf("in the end: %s", m.State)
 	}
--- a/internal/fleet/member/traffic.go
+++ b/internal/fleet/member/traffic.go
@@ -14,8 +14,10 @@
 	bytesOut   atomic.Int64
 	streamsIn  atomic.Int64
 	streamsOut atomic.Int64
-	foreign    atomic.Int64 // packets and streams of another fleet, or corrupt ones
-	flood      atomic.Int64 // beyond maxPacketsPerSecond, packetQueue or maxHandshakes
+	// foreign counts packets and frames of another fleet or corrupt, streams that break before their first frame, and
+	// streams of a channel that nobody serves; a foreign first frame counts twice.
+	foreign atomic.Int64
+	flood   atomic.Int64 // beyond maxPacketsPerSecond, packetQueue or maxHandshakes
 }
 
 // String returns the counters for the log.
--- a/internal/fleet/member/transport.go
+++ b/internal/fleet/member/transport.go
@@ -137,7 +137,7 @@
 // DialTimeout implements memberlist.Transport. The connection comes from the process's own address, by which others,
 // and whatever stands between, know it.
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
-	return t.dial(addr, libraryChannel, timeout)
+	return t.dial(addr, memberlistChannel, timeout)
 }
 
 // dial opens a stream of a channel.
--- a/internal/fleet/operations/client.go
+++ b/internal/fleet/operations/client.go
@@ -20,8 +20,8 @@
 // errNoLeader says that no voter answered as the leader.
 var errNoLeader = errors.New("no majority of the voters is there, or none can be reached")
 
-// ask sends a request to the leader, over a stream of its own: there are some a second. It asks each voter once at
-// most, but for the one that it takes for the leader at first.
+// ask sends a request to the leader, over a stream of its own: there are some a second. It makes at most one
+// attempt more than there are voters; the leader that a voter names is asked next.
 func (s *Service) ask(r request) (response, error) {
 	voters := s.participant.Voters().Names
 	voter := s.hint.Leader()
--- a/internal/fleet/operations/command.go
+++ b/internal/fleet/operations/command.go
@@ -57,7 +57,7 @@
 // response answers a request.
 type response struct {
 	Refusal    string   `json:"refuse,omitempty"` // why the voter did not take the request; "": it did
-	Leader     string   `json:"keeper,omitempty"` // with a refusal, as far as the voter knows
+	Leader     string   `json:"keeper,omitempty"` // with a rejection, as far as the voter knows
 	Version    uint64   `json:"version"`
 	Suspended  []string `json:"out,omitempty"`
 	Rounds     []Round  `json:"rounds,omitempty"`
--- a/internal/fleet/operations/service.go
+++ b/internal/fleet/operations/service.go
@@ -52,7 +52,7 @@
 	Dial func(name string, channel byte, timeout time.Duration) (net.Conn, error)
 	// View is the present view of the fleet.
 	View func() *member.View
-	// Others are addresses of nodes that may be asked, with DialAddr, before this one has its place. Both may be nil.
+	// Others are addresses of nodes that may be asked, with DialAddr, before this one has the membership. Both may be nil.
 	Others   func() []string
 	DialAddr func(addr string, channel byte, timeout time.Duration) (net.Conn, error)
 	Log      *slog.Logger     // nil: nothing is logged
@@ -69,7 +69,7 @@
 
 	mu          sync.Mutex
 	control     ServerControl // nil: the node is starting
-	incarnation string        // "": this process does not hold the node's place
+	incarnation string        // "": this process does not hold the node's membership
 	stop        chan struct{} // nil: the same
 	log         *raftlog.Log  // nil: this process is no voter, or its log is not open
 	ledger      *ledger       // with log
@@ -156,7 +156,8 @@
 	}
 }
 
-// Start begins, for a process that has got the node's place. It may be called again after Stop.
+// Start begins to report to the leader and, on a voter, to replicate the log, for a process that has got the node's
+// membership. It may be called again after Stop.
 func (s *Service) Start(incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,7 +169,7 @@
 	s.participant.Start()
 }
 
-// Stop ends that, and returns once the log is closed.
+// Stop ends what Start began, and returns once the log is closed.
 func (s *Service) Stop() {
 	s.mu.Lock()
 	stop := s.stop
--- a/internal/fleet/operations/stored_format_test.go
+++ b/internal/fleet/operations/stored_format_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestRecordFormat guards against a change of the record's events, which the rig reads.
+// TestRecordFormat guards against a change of the record's events, which internal/lab/fleet reads.
 func TestRecordFormat(t *testing.T) {
 	lines := readLines(t, "record.jsonl")
 	events := []any{&SuspensionsRecord{}, &StepRecord{}}
--- a/internal/fleet/raftlog/participant.go
+++ b/internal/fleet/raftlog/participant.go
@@ -26,13 +26,13 @@
 	OnClose func()
 }
 
-// Participant keeps a log open while its process holds the node's place and the node is a voter.
+// Participant keeps a log open while its process holds the node's membership and the node is a voter.
 type Participant struct {
 	config ParticipantConfig
 
 	mu     sync.Mutex
 	voters VoterSet
-	stop   chan struct{} // nil: the process does not hold the node's place
+	stop   chan struct{} // nil: the process does not hold the node's membership
 	layer  *StreamLayer  // nil: it is no voter
 	log    *Log          // nil: it is no voter, or the log is not open yet
 	tasks  sync.WaitGroup
@@ -46,7 +46,8 @@
 	return &Participant{config: config, voters: config.Voters}
 }
 
-// Start begins, for a process that has got the node's place. It may be called again after Stop.
+// Start opens the log if the node is a voter, and keeps it open until Stop. The process has just taken the node's
+// membership. It may be called again after Stop.
 func (p *Participant) Start() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,7 +55,7 @@
 	p.joinLocked()
 }
 
-// Stop ends that, and returns once the log is closed.
+// Stop ends what Start began, and returns once the log is closed.
 func (p *Participant) Stop() {
 	p.mu.Lock()
 	stop := p.stop
--- a/internal/fleet/signals/codec.go
+++ b/internal/fleet/signals/codec.go
@@ -11,7 +11,7 @@
 const maxName = 64
 
 // wireReport is a report in msgpack, as arrays without names of fields, so that MaxObservations fit into one packet of
-// 1,400 bytes. The order of the fields is the format.
+// member.MaxMessage, 1,200 bytes. The order of the fields is the format.
 type wireReport struct {
 	From         string
 	Incarnation  string
--- a/internal/fleet/signals/service.go
+++ b/internal/fleet/signals/service.go
@@ -84,7 +84,7 @@
 	s.tasks.Go(func() { s.run(stop) })
 }
 
-// Stop ends that, for a process that gives the membership up.
+// Stop ends what Start began, for a process that gives the membership up.
 func (s *Service) Stop() {
 	s.mu.Lock()
 	stop := s.stop
--- a/internal/handover/codec_test.go
+++ b/internal/handover/codec_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	draining := maintenance.ListedServer{ID: 0xfedcba9876543210, Cell: 3, Zone: 1, Kind: 2, StartedAt: 1764745200000000000,
-		Weight: 1.5, State: balancer.Draining, Suspended: true}
+		Weight: 1.5, State: balancer.Draining, OutsideSubset: true}
 	ready := maintenance.ListedServer{ID: 7, Weight: 1, State: balancer.Ready}
 	want := []Message{
 		{Kind: KindServers, Servers: []maintenance.Record{
--- a/internal/maintenance/record.go
+++ b/internal/maintenance/record.go
@@ -11,14 +11,14 @@
 // are those that earlier builds write and read, so they stay when a field is renamed. Its fields are those of
 // balancer.Server in name, type and order, which lets the two convert into each other.
 type ListedServer struct {
-	ID        balancer.ServerID    `json:"ID"`
-	Cell      uint16               `json:"Cell"`
-	Zone      uint8                `json:"Zone"`
-	Kind      uint8                `json:"Kind"`
-	StartedAt balancer.Time        `json:"Born"`
-	Weight    float32              `json:"Weight"`
-	State     balancer.ServerState `json:"State"`
-	Suspended bool                 `json:"Aside"`
+	ID            balancer.ServerID    `json:"ID"`
+	Cell          uint16               `json:"Cell"`
+	Zone          uint8                `json:"Zone"`
+	Kind          uint8                `json:"Kind"`
+	StartedAt     balancer.Time        `json:"Born"`
+	Weight        float32              `json:"Weight"`
+	State         balancer.ServerState `json:"State"`
+	OutsideSubset bool                 `json:"Aside"`
 }
 
 // Record is what a Registry knows of one server, in the form in which a successor process takes it over.
--- a/internal/maintenance/record_test.go
+++ b/internal/maintenance/record_test.go
@@ -16,7 +16,7 @@
 		Name: "s-1",
 		Addr: "127.0.0.1:9000",
 		Listed: ListedServer{
-			ID: 7, Cell: 3, Zone: 2, Kind: 1, StartedAt: 1e18, Weight: 1.5, State: balancer.Draining, Suspended: true,
+			ID: 7, Cell: 3, Zone: 2, Kind: 1, StartedAt: 1e18, Weight: 1.5, State: balancer.Draining, OutsideSubset: true,
 		},
 		Suspended:        true,
 		SuspendedAt:      3,
--- a/internal/maintenance/registry.go
+++ b/internal/maintenance/registry.go
@@ -24,7 +24,7 @@
 	Addr string // host:port; empty: not listed, the known one stays
 }
 
-// UnknownServerError says that no list has ever named a server.
+// UnknownServerError says that a server is not in the Registry.
 type UnknownServerError string
 
 // Error implements error.
@@ -32,7 +32,8 @@
 	return fmt.Sprintf("no list has ever named server %q", string(e))
 }
 
-// Registry knows every server that was ever listed, and which of them are suspended. It is safe for concurrent use.
+// Registry knows the servers that are listed, suspended or were removed lately (see maxEntries). It is safe for
+// concurrent use.
 type Registry struct {
 	mu          sync.Mutex
 	entries     map[string]*entry
--- a/internal/node/process_messages.go
+++ b/internal/node/process_messages.go
@@ -53,7 +53,7 @@
 
 func (n *Node) handleCommand(link *handover.Link, message handover.Message) {
 	if message.ServerID != "" { // the other process has seen it listed, even if this one has not
-		n.router.AddKnownServer(message.ServerID)
+		n.router.AddUnlistedServer(message.ServerID)
 	}
 	command := admin.Command{Name: message.Command, ServerID: message.ServerID}
 	_, err := n.executeAndForward(command, link)
--- a/internal/node/server_control.go
+++ b/internal/node/server_control.go
@@ -11,7 +11,7 @@
 
 // Suspend keeps a server out of use, also one that no endpoint list has named yet.
 func (c ServerControl) Suspend(server string) error {
-	c.node.router.AddKnownServer(server)
+	c.node.router.AddUnlistedServer(server)
 	_, err := c.node.executeInAllProcesses(admin.Command{Name: admin.Suspend, ServerID: server})
 	return err
 }
@@ -28,10 +28,10 @@
 // Busy returns how many attempts this process has in flight at a server.
 func (c ServerControl) Busy(server string) int { return c.node.router.AttemptsInFlight(server) }
 
-// Listed returns the servers that take new requests.
+// Listed returns the servers that are ready by the endpoint list; some may be suspended.
 func (c ServerControl) Listed() []string { return c.node.servers.ReadyServers() }
 
-// Known reports whether an endpoint list has ever named a server.
+// Known reports whether this process remembers a listing of the server.
 func (c ServerControl) Known(server string) bool {
 	_, known := c.node.servers.Effective(server)
 	return known
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -4,7 +4,7 @@
 
 // Resources are what a node holds at one moment.
 type Resources struct {
-	// OpenCalls counts the requests that are not answered yet.
+	// OpenCalls counts the calls in the table: not answered yet, or with attempts in flight.
 	OpenCalls int
 	// CallIDs counts the ids of these.
 	CallIDs int
--- a/internal/protocol/headers.go
+++ b/internal/protocol/headers.go
@@ -33,8 +33,8 @@
 	PathEndpoints = "/registry/instances"
 )
 
-// MaxBodyBytes bounds the body of a request and of a response.
-const MaxBodyBytes = 64 << 10
+// MaxBufferedBody is the longest body, either way, that is buffered whole. Longer ones are streamed.
+const MaxBufferedBody = 64 << 10
 
 // IsPlatformHeader reports whether a header, in canonical form, is one that requests carry for the platform.
 func IsPlatformHeader(name string) bool {
--- a/internal/routing/admit.go
+++ b/internal/routing/admit.go
@@ -6,7 +6,7 @@
 	"olivebridge/balancer"
 )
 
-// admitEvent is the second stage: the call enters the table, and the Balancer decides what becomes of it.
+// admitEvent brings a call: it enters the table, and the Balancer decides what becomes of it.
 type admitEvent struct{ call *openCall }
 
 func (e admitEvent) requestID() balancer.RequestID { return e.call.id }
--- a/internal/routing/call_table.go
+++ b/internal/routing/call_table.go
@@ -79,7 +79,7 @@
 	t.byID[call.id] = call
 }
 
-// removeIfDone is the last stage: a call that is answered and has no attempt in flight leaves the table.
+// removeIfDone drops a call that is answered and has no attempt in flight.
 func (t *callTable) removeIfDone(call *openCall) {
 	if call.answered && call.inFlight == 0 && t.byID[call.id] == call {
 		delete(t.byID, call.id)
--- a/internal/routing/dispatch.go
+++ b/internal/routing/dispatch.go
@@ -6,7 +6,7 @@
 	"olivebridge/balancer"
 )
 
-// Send implements balancer.Host, the third stage: it makes an attempt for the server that the Balancer chose and starts
+// Send implements balancer.Host: it makes an attempt for the server that the Balancer chose and starts
 // it. The outcome comes back as an event even if nothing can be sent, since a Host must not call back.
 func (r *Router) Send(id balancer.RequestID, to balancer.ServerID, validUntil balancer.Time) {
 	call := r.calls.byID[id]
@@ -69,7 +69,7 @@
 	return time.Time{}
 }
 
-// startAttempt is the fourth stage: the attempt runs on a goroutine of its own, and exactly one outcome comes back.
+// startAttempt lets the attempt run on a goroutine of its own, and exactly one outcome comes back.
 func (r *Router) startAttempt(attempt *runningAttempt) {
 	r.tasks.Add(1)
 	go attempt.run()
--- a/internal/routing/receive.go
+++ b/internal/routing/receive.go
@@ -14,7 +14,7 @@
 	enqueueTimeoutDivisor = 4
 )
 
-// Handle is the first stage, on the front end's goroutine: it hands a call to the decisions and waits for its one
+// Handle runs on the front end's goroutine: it hands a call to the decisions and waits for its one
 // answer. It answers by itself, and so always in time, where the decisions are too busy to take the call, which then
 // has not run, or have not answered when its time is up. When ctx ends, the client has gone and ok is false.
 func (r *Router) Handle(ctx context.Context, c Call) (answer Answer, ok bool) {
--- a/internal/routing/respond.go
+++ b/internal/routing/respond.go
@@ -6,7 +6,7 @@
 	"olivebridge/balancer"
 )
 
-// outcomeEvent is the fifth stage: an attempt has ended.
+// outcomeEvent tells that an attempt has ended.
 type outcomeEvent struct{ attempt *runningAttempt }
 
 func (e outcomeEvent) requestID() balancer.RequestID { return e.attempt.RequestID }
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -26,7 +26,7 @@
 	if err := r.Suspend("nobody"); err == nil || err.Error() != `no list has ever named server "nobody"` {
 		t.Error(err)
 	}
-	r.AddKnownServer("elsewhere") // listed in the node's other process, not here
+	r.AddUnlistedServer("elsewhere") // listed in the node's other process, not here
 	if err := r.Suspend("elsewhere"); err != nil {
 		t.Error(err)
 	}
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -15,17 +15,17 @@
 
 // Subset is the part of the listed servers that a node works with.
 type Subset struct {
-	// Included are the servers that are used; the others are suspended. nil: all are used.
+	// Included are the servers that are used. If nil, all are used.
 	Included map[balancer.ServerID]bool
-	// Suspected are servers that are suspended all the same, since the fleet takes them for failed.
+	// Suspected are servers that are left out all the same, since the fleet takes them for failed.
 	Suspected map[balancer.ServerID]bool
 	// ActiveZones is in how many zones nodes work. The servers of a zone without nodes get only what other zones' nodes
 	// send across, and would idle if these counted on a node in each zone. 0: not known; the settings' number holds.
 	ActiveZones int
 }
 
-// suspends reports whether the subset leaves a server out.
-func (s Subset) suspends(id balancer.ServerID) bool {
+// excludes reports whether the subset leaves a server out.
+func (s Subset) excludes(id balancer.ServerID) bool {
 	return s.Included != nil && !s.Included[id] || s.Suspected[id]
 }
 
@@ -36,7 +36,7 @@
 	current  Subset
 }
 
-// apply takes in what a list would show the Balancer, and suspends there the servers outside the subset.
+// apply takes in what a list would show the Balancer, and marks there the servers outside the subset.
 func (s *subsetState) apply(kind balancer.UpdateKind, servers []balancer.Server) []balancer.Server {
 	if s.selector == nil {
 		return servers
@@ -50,7 +50,7 @@
 			continue
 		}
 		s.listed[server.ID] = server
-		servers[i].Suspended = s.current.suspends(server.ID)
+		servers[i].OutsideSubset = s.current.excludes(server.ID)
 	}
 	s.selector.EndpointsChanged(s.readyServers())
 	return servers
@@ -87,8 +87,8 @@
 	s.current = next
 	var changed []balancer.Server
 	for id, server := range s.listed {
-		server.Suspended = next.suspends(id)
-		if server.Suspended != previous.suspends(id) {
+		server.OutsideSubset = next.excludes(id)
+		if server.OutsideSubset != previous.excludes(id) {
 			changed = append(changed, server)
 		}
 	}
--- a/internal/routing/subset_test.go
+++ b/internal/routing/subset_test.go
@@ -28,7 +28,7 @@
 func suspendedIDs(servers []balancer.Server) []balancer.ServerID {
 	var ids []balancer.ServerID
 	for _, server := range servers {
-		if server.Suspended {
+		if server.OutsideSubset {
 			ids = append(ids, server.ID)
 		}
 	}
--- a/internal/routing/suspend.go
+++ b/internal/routing/suspend.go
@@ -26,8 +26,8 @@
 	return r.maintenance.Update(list.Kind, list.Version, named)
 }
 
-// AddKnownServer takes a server for listed, as another process of the node has seen it.
-func (r *Router) AddKnownServer(name string) { r.maintenance.Add(name) }
+// AddUnlistedServer takes a server for listed, as another process of the node has seen it.
+func (r *Router) AddUnlistedServer(name string) { r.maintenance.Add(name) }
 
 // Suspend keeps a server out of use. Once it returns, no first byte of a new attempt leaves for the server; the
 // Balancer hears of it a little later, so that no caller waits behind a full queue. It fails with a
--- a/internal/routing/transport.go
+++ b/internal/routing/transport.go
@@ -37,7 +37,7 @@
 	// Number counts the attempts of the call from 0.
 	Number   int
 	Upstream *Upstream
-	// ExpiresAt is when the Transport stops waiting; with OnBodySent, it counts from that call on.
+	// ExpiresAt is when the Transport stops waiting. It is not used for the reply to a streamed body: BodyTimeout is.
 	ExpiresAt time.Time
 	// StartBefore is from when on the first byte must not leave, however late the connection is up. Zero: no such bound.
 	StartBefore time.Time
@@ -48,10 +48,10 @@
 	// ValidUntil is how long the decision holds without being confirmed, while the upstream server does not restart.
 	// Zero: as long as need be.
 	ValidUntil time.Time
-	// BodyTimeout is how long to wait for the reply once a streamed body is sent.
+	// BodyTimeout is how long to wait for the reply to a streamed body, from OnBodySent on.
 	BodyTimeout time.Duration
-	// OnBodySent is to be called once, when the last byte of a streamed body has left; until then ExpiresAt does not
-	// count. nil: the whole call is in Payload.
+	// OnBodySent is to be called once, when the last byte of a streamed body has left. If nil, the whole call is in
+	// Payload.
 	OnBodySent func()
 
 	upstreamStart balancer.Time   // the start of the upstream server that the decision rests on
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -113,11 +113,14 @@
 	return class
 }
 
+// noRequestsQuota stands for a quota of 0, which the share of a very small tenant may be in whole requests: to the
+// Balancer, 0 is no quota.
+const noRequestsQuota = math.SmallestNonzeroFloat64
+
 func decodeTenant(r *pairReader, path string) balancer.Tenant {
 	tenant := balancer.Tenant{Share: r.number(path + "share")}
 	if r.has(path + "quota_per_s") {
-		// A quota of 0 is one, too: that of a tiny share, in whole requests.
-		tenant.Quota = max(r.number(path+"quota_per_s"), math.SmallestNonzeroFloat64)
+		tenant.Quota = max(r.number(path+"quota_per_s"), noRequestsQuota)
 	}
 	return tenant
 }
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -55,8 +55,8 @@
 	in.Discard(2)
 }
 
-// BenchmarkTry sends one attempt after the other to a server, over a pooled connection.
-func BenchmarkTry(b *testing.B) {
+// BenchmarkRoundTrip sends one attempt after the other to a server, over a pooled connection.
+func BenchmarkRoundTrip(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -81,7 +81,7 @@
 		MaxConns:          10,
 		Log:               slog.New(slog.DiscardHandler),
 	})
-	transport.pool.settleTime = 0
+	transport.pool.reuseDelay = 0
 	t := newAttempt(routing.NewUpstream(1, "s-1", l.Addr().String()), "GET", "")
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/transport/client_deadlines.go
+++ b/internal/transport/client_deadlines.go
@@ -21,16 +21,16 @@
 
 	// waiting: a read waits until it is time to look whether the client has left.
 	waiting bool
-	// look: it is time to look.
-	look      bool
-	lookTimer *time.Timer
+	// checkDue: the client is to be checked for a disconnect.
+	checkDue   bool
+	checkTimer *time.Timer
 	// wake tells the waiting read that something has changed. It holds one signal.
 	wake chan struct{}
 }
 
 func (d *connDeadlines) init() {
-	d.lookTimer = time.NewTimer(time.Hour)
-	d.lookTimer.Stop()
+	d.checkTimer = time.NewTimer(time.Hour)
+	d.checkTimer.Stop()
 	d.wake = make(chan struct{}, 1)
 }
 
@@ -45,36 +45,36 @@
 	}
 }
 
-// waitForLook waits until it is time to look whether the client has left, and reports whether the read deadline still
-// allows that.
-func (c *clientConn) waitForLook() bool {
+// waitForClientCheck waits until it is time to look whether the client has left, and reports whether the read
+// deadline still allows that.
+func (c *clientConn) waitForClientCheck() bool {
 	d := &c.deadlines
-	d.lookTimer.Reset(watchDelay)
-	defer d.lookTimer.Stop()
+	d.checkTimer.Reset(watchDelay)
+	defer d.checkTimer.Stop()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.look = false
+	d.checkDue = false
 	d.waiting = true
-	for !expired(d.read) && !d.look {
+	for !expired(d.read) && !d.checkDue {
 		d.mu.Unlock()
 		due := false
 		select {
-		case <-d.lookTimer.C:
+		case <-d.checkTimer.C:
 			due = true
 		case <-d.wake:
 		}
 		d.mu.Lock()
-		d.look = d.look || due
+		d.checkDue = d.checkDue || due
 	}
 	d.waiting = false
 	return !expired(d.read)
 }
 
-// lookNow ends the wait of waitForLook.
-func (c *clientConn) lookNow() {
+// checkClientNow ends the wait of waitForClientCheck.
+func (c *clientConn) checkClientNow() {
 	c.deadlines.mu.Lock()
 	defer c.deadlines.mu.Unlock()
-	c.deadlines.look = true
+	c.deadlines.checkDue = true
 	c.deadlines.signal()
 }
 
--- a/internal/transport/client_read.go
+++ b/internal/transport/client_read.go
@@ -9,7 +9,7 @@
 )
 
 // watchDelay is how long a call may be open before its client connection is watched for a disconnect. Most calls
-// are answered by then. Until then an attempt that is not sent at once looks first: see hasLeft.
+// are answered by then. Until then an attempt that is not sent at once looks first: see hasDisconnected.
 const watchDelay = 10 * time.Millisecond
 
 // Read implements net.Conn. Bytes are taken under the lock of conns, so that a close is decided either before them
@@ -17,7 +17,7 @@
 // at a close is sent again by its client, which the kernel tells by a reset.
 func (c *clientConn) Read(b []byte) (int, error) {
 	if len(b) == 1 { // http.Server reads one byte while a call is open, and hardly ever else
-		if !c.waitForLook() {
+		if !c.waitForClientCheck() {
 			return 0, os.ErrDeadlineExceeded
 		}
 		if c.requestArrived() {
@@ -51,7 +51,7 @@
 			c.log.setReason(reasonClientClosed)
 			return io.EOF
 		}
-		if !c.waitForLook() {
+		if !c.waitForClientCheck() {
 			return os.ErrDeadlineExceeded
 		}
 	}
@@ -71,14 +71,14 @@
 	return n, err
 }
 
-// hasLeft implements presence. It finds a client that disconnected behind bytes that nobody reads yet, too: those
-// of a long body whose call still waits, or of a further request. http.Server notices at once, unless it still
-// reads the body.
-func (c *clientConn) hasLeft() bool {
+// hasDisconnected implements disconnectChecker. It finds a client that disconnected behind bytes that nobody reads
+// yet, too: those of a long body whose call still waits, or of a further request. http.Server notices at once, unless
+// it still reads the body.
+func (c *clientConn) hasDisconnected() bool {
 	n, err := c.Peek()
 	if errors.Is(err, syscall.EAGAIN) || n > 0 && !c.HasEnded() {
 		return false
 	}
-	c.lookNow()
+	c.checkClientNow()
 	return true
 }
--- a/internal/transport/client_response.go
+++ b/internal/transport/client_response.go
@@ -17,7 +17,7 @@
 	if a.Verdict == routing.Served {
 		a.Reply.(*response).copyHeader(h)
 	}
-	f.closeIfDraining(w, c)
+	f.closeIfRequired(w, c)
 	switch a.Verdict {
 	case routing.Served:
 		f.writeResponse(w, c, a.Reply.(*response))
@@ -52,7 +52,7 @@
 		f.writeError(w, r, http.StatusBadRequest, fmt.Errorf("body: %w", err))
 		return
 	}
-	if !m.upload.bodySent.Load() && !discardRequestBody(r, c) {
+	if !m.upload.bodySent.Load() && !discardBodyBeforePipelined(r, c) {
 		w.Header().Set("Connection", "close")
 	}
 	f.writeAnswer(w, c, a)
@@ -63,7 +63,7 @@
 func (f *Frontend) writeError(w http.ResponseWriter, r *http.Request, status int, err error) {
 	f.malformed.Add(1)
 	c := r.Context().Value(clientConnKey{}).(*clientConn)
-	if _, ambiguous := errors.AsType[ambiguousRequestError](err); ambiguous || !discardRequestBody(r, c) {
+	if _, ambiguous := errors.AsType[ambiguousRequestError](err); ambiguous || !discardBodyBeforePipelined(r, c) {
 		w.Header().Set("Connection", "close")
 	}
 	if m, ok := errors.AsType[*protocol.MethodError](err); ok {
@@ -73,11 +73,10 @@
 	http.Error(w, err.Error(), status)
 }
 
-// discardRequestBody reports whether more was read behind a request, to be served though the request itself need
-// not have been read to its end: the rest of its body is read and discarded. It must leave no doubt where the
-// request ends: others read no body behind a GET, and a tunnel's bytes behind a method that the platform does not
-// know.
-func discardRequestBody(r *http.Request, c *clientConn) bool {
+// discardBodyBeforePipelined reads and discards the rest of a body if a further request was read behind it and the end
+// of this one is unambiguous: others read no body behind a GET, and a tunnel's bytes behind a method that the platform
+// does not know. It reports whether the connection can go on to that request.
+func discardBodyBeforePipelined(r *http.Request, c *clientConn) bool {
 	unambiguous := r.Method == http.MethodPost || r.Method == http.MethodGet && r.ContentLength == 0
 	if !unambiguous || !c.hasPipelinedRequest() {
 		return false
@@ -86,9 +85,9 @@
 	return err == nil
 }
 
-// closeIfDraining closes the connection with the response at hand while the node drains, or for how the request's body
-// was framed.
-func (f *Frontend) closeIfDraining(w http.ResponseWriter, c *clientConn) {
+// closeIfRequired has the connection closed after this response while the node drains, or if the framing of the
+// request's body ends the connection.
+func (f *Frontend) closeIfRequired(w http.ResponseWriter, c *clientConn) {
 	if f.clients.isDraining() || c.mustCloseAfterRequest() {
 		closeAfterResponse(w, c)
 	}
@@ -117,7 +116,7 @@
 func (f *Frontend) streamResponse(w http.ResponseWriter, c *clientConn, p *response) {
 	c.startStreaming()
 	p.stream.client = c
-	reason := reasonCalledOff // also if w panics
+	reason := reasonCancelled // also if w panics
 	defer func() {
 		p.stream.finish(reason)
 		p.freeBuffer()
@@ -138,7 +137,7 @@
 	for {
 		_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := w.Write(part); err != nil {
-			return reasonCalledOff
+			return reasonCancelled
 		}
 		if !p.stream.hasBuffered() {
 			flush()
@@ -149,8 +148,8 @@
 			part = buf.bytes[:n]
 		case errors.Is(err, io.EOF):
 			return reasonNone
-		case c.hasLeft():
-			return reasonCalledOff
+		case c.hasDisconnected():
+			return reasonCancelled
 		default:
 			flush() // the client gets what the server has sent
 			return p.stream.failureReason()
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -63,8 +63,8 @@
 	return n > 0
 }
 
-// presence tells whether the client that a message belongs to is still there.
-type presence interface {
-	// hasLeft reports whether the client has closed or broken its connection by now.
-	hasLeft() bool
+// disconnectChecker tells whether the client that a message belongs to is still there.
+type disconnectChecker interface {
+	// hasDisconnected reports whether the client has closed or broken its connection by now.
+	hasDisconnected() bool
 }
--- a/internal/transport/conn_log.go
+++ b/internal/transport/conn_log.go
@@ -16,7 +16,7 @@
 // The reasons why connections end.
 const (
 	reasonNone         closeReason = "" // unknown so far
-	reasonCalledOff    closeReason = "called-off"
+	reasonCancelled    closeReason = "called-off"
 	reasonClientClosed closeReason = "client-closed"
 	reasonClientGone   closeReason = "client-gone"
 	reasonClientReset  closeReason = "client-reset"
@@ -33,7 +33,7 @@
 	reasonReset        closeReason = "reset"
 	reasonSilent       closeReason = "silent"
 	reasonStalled      closeReason = "slow"
-	reasonSurplus      closeReason = "surplus"
+	reasonExtraBytes   closeReason = "surplus"
 	reasonTimeout      closeReason = "try-timeout"
 )
 
--- a/internal/transport/drain.go
+++ b/internal/transport/drain.go
@@ -10,9 +10,10 @@
 const (
 	// drainAcceptIdle is how long idle connections are kept: new ones keep coming for up to 0.4 s.
 	drainAcceptIdle = 500 * time.Millisecond
-	// drainFullBudget is until when a call may begin that takes the longest time.
+	// drainFullBudget is how long after the start of a shutdown a call may begin and still take its full timeout.
 	drainFullBudget = 700 * time.Millisecond
-	// drainStopAccept is longer, so that the last connection of such a call is accepted.
+	// drainStopAccept is when the frontend stops accepting: after drainFullBudget, so that the last connection of such
+	// a call is accepted.
 	drainStopAccept = 800 * time.Millisecond
 	// drainMargin is waited beyond the longest deadline, so that no open call is ever cut off.
 	drainMargin = 2 * time.Second
--- a/internal/transport/drain_test.go
+++ b/internal/transport/drain_test.go
@@ -42,9 +42,9 @@
 	<-drained
 }
 
-// TestUploadOutlivesTheEnd: a body that goes on coming during a graceful shutdown is read to its end, and answered,
-// though it takes longer than any call may.
-func TestUploadOutlivesTheEnd(t *testing.T) {
+// TestUploadCompletesDuringDrain: a body that goes on coming during a graceful shutdown is read to its end, and
+// answered, though it takes longer than any call may.
+func TestUploadCompletesDuringDrain(t *testing.T) {
 	p := startServer(t, func(conn net.Conn) {
 		if r, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
 			io.Copy(io.Discard, r.Body)
--- a/internal/transport/endpoint_list_test.go
+++ b/internal/transport/endpoint_list_test.go
@@ -15,10 +15,10 @@
 	"olivebridge/internal/routing"
 )
 
-// TestListsThatMislead: what discovery may answer to a watch from version 41, what is polled then, and which list
+// TestInvalidEndpointLists: what discovery may answer to a watch from version 41, what is polled then, and which list
 // counts. A cut list never does, however it is framed; one of an older version only where nothing newer was asked
 // for.
-func TestListsThatMislead(t *testing.T) {
+func TestInvalidEndpointLists(t *testing.T) {
 	const changes, whole = `{"version":%d,"full":false,"servers":[]}`, `{"version":%d,"full":true,"servers":[]}`
 	cut := func(head, body string) string { // written raw, then reset
 		return "HTTP/1.1 200 OK\r\n" + head + "\r\n" + body
--- a/internal/transport/endpoint_poll.go
+++ b/internal/transport/endpoint_poll.go
@@ -29,7 +29,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	first := w.jitter(w.backoff)
-	p := &pollRound{
+	p := &pollState{
 		watcher: w,
 		hold:    hold,
 		since:   w.version,
@@ -56,8 +56,8 @@
 	}
 }
 
-// pollRound is the state of one poll.
-type pollRound struct {
+// pollState is the state of one poll.
+type pollState struct {
 	watcher *EndpointWatcher
 	hold    time.Duration // of the next request that is sent alone
 	since   int64         // the version that requests ask from; -1: for the complete list
@@ -70,32 +70,32 @@
 	inFlight int
 	// retryPause is the next pause after a request that broke.
 	retryPause time.Duration
-	// refusal is the last error of discovery's; nil: it has refused none.
-	refusal error
+	// rejection is the last error of discovery's; nil: it has refused none.
+	rejection error
 	// err is the last error of any request.
 	err error
 }
 
 // exhausted reports whether no further request may be sent.
-func (p *pollRound) exhausted() bool { return p.started > p.watcher.maxExtra }
+func (p *pollState) exhausted() bool { return p.started > p.watcher.maxExtra }
 
 // receiving reports whether bytes of an answer have come lately.
-func (p *pollRound) receiving() bool {
+func (p *pollState) receiving() bool {
 	last := time.Unix(0, p.watcher.lastBytes.Load())
 	return time.Since(last) <= p.watcher.parallelAfter
 }
 
 // failure is the error of a poll that brought nothing.
-func (p *pollRound) failure() error { return cmp.Or(p.refusal, p.err) }
+func (p *pollState) failure() error { return cmp.Or(p.rejection, p.err) }
 
 // schedule sends the next request after a pause.
-func (p *pollRound) schedule(pause time.Duration) {
+func (p *pollState) schedule(pause time.Duration) {
 	p.due = time.Now().Add(pause)
 	p.timer.Reset(pause)
 }
 
 // sendNext sends a further request, or waits for an answer that is coming.
-func (p *pollRound) sendNext(ctx context.Context) {
+func (p *pollState) sendNext(ctx context.Context) {
 	w := p.watcher
 	if p.exhausted() {
 		p.schedule(w.parallelAfter)
@@ -111,8 +111,8 @@
 	}
 	p.started++
 	p.inFlight++
-	if w.backoff > 0 && (!p.exhausted() || p.refusal != nil) { // else the decisions' pause follows the last one
-		late = max(late, w.refusedAfter)
+	if w.backoff > 0 && (!p.exhausted() || p.rejection != nil) { // after the last request the balancer's own pause follows
+		late = max(late, w.rejectedAfter)
 	}
 	p.schedule(late)
 	since := p.since
@@ -121,7 +121,7 @@
 
 // take takes the result of a request, and schedules the next one unless the poll is done: with a list, or with an
 // error in p.err.
-func (p *pollRound) take(result pollResult) (group routing.EndpointList, version int64, done bool) {
+func (p *pollState) take(result pollResult) (group routing.EndpointList, version int64, done bool) {
 	w := p.watcher
 	p.inFlight--
 	group, version, p.err = w.parseList(result)
@@ -134,7 +134,7 @@
 	}
 	refused := errors.Is(p.err, routing.ErrDiscoveryRejected)
 	if refused {
-		p.refusal = p.err
+		p.rejection = p.err
 		w.backoff = max(w.backoff, w.lateAfter)
 	}
 	if p.exhausted() && p.inFlight == 0 {
@@ -146,7 +146,7 @@
 }
 
 // scheduleRetry schedules the next request after one that brought nothing.
-func (p *pollRound) scheduleRetry(refused bool) {
+func (p *pollState) scheduleRetry(refused bool) {
 	w := p.watcher
 	pause := &p.retryPause // a request may get through a fault that breaks most of them
 	longest := w.lateAfter
@@ -158,7 +158,7 @@
 	switch {
 	case p.exhausted():
 	case refused && p.inFlight > 0: // the one in flight may have its turn
-		p.schedule(w.refusedAfter)
+		p.schedule(w.rejectedAfter)
 	case p.inFlight == 0 || in < time.Until(p.due):
 		p.schedule(in)
 	}
--- a/internal/transport/endpoint_watcher.go
+++ b/internal/transport/endpoint_watcher.go
@@ -37,14 +37,14 @@
 	maxPollBackoff = 850 * time.Millisecond
 	// parallelPollAfter is how long a request that is not held may take before yet another is sent.
 	parallelPollAfter = 450 * time.Millisecond
-	// refusedPollAfter is how long a request may take once discovery has refused one before another is sent beside it.
+	// rejectedPollAfter is how long a request may take once discovery has refused one before another is sent beside it.
 	// A discovery with more requests than it can serve lets one wait for up to 2 s, and refuses it along with the next
 	// that its node sends meanwhile, so that a node that polls often would never be served.
-	refusedPollAfter = 2200 * time.Millisecond
+	rejectedPollAfter = 2200 * time.Millisecond
 	// pollReadTimeout is how much later than its hold the end of an answer may come. Other requests are sent long
 	// before; it is for answers that trickle, and leaves more than half of the time in which a change is due.
 	pollReadTimeout = 2400 * time.Millisecond
-	// maxExtraPolls is how many requests may follow one that brings nothing before the watch ends. After a refusal the
+	// maxExtraPolls is how many requests may follow one that brings nothing before the watch ends. After a rejection the
 	// next watch starts with the backoff that was due.
 	maxExtraPolls = 12
 	// minPollRetryPause is the pause before a broken request is repeated, from the second in a row on; it doubles up
@@ -77,7 +77,7 @@
 	wait          time.Duration
 	lateAfter     time.Duration
 	parallelAfter time.Duration
-	refusedAfter  time.Duration
+	rejectedAfter time.Duration
 	readTimeout   time.Duration
 	// maxExtra is how many requests may follow one that brings nothing.
 	maxExtra int
@@ -123,7 +123,7 @@
 		wait:              defaultPollWait,
 		lateAfter:         pollLateAfter,
 		parallelAfter:     parallelPollAfter,
-		refusedAfter:      refusedPollAfter,
+		rejectedAfter:     rejectedPollAfter,
 		readTimeout:       pollReadTimeout,
 		maxExtra:          maxExtraPolls,
 	}
@@ -148,7 +148,7 @@
 	for {
 		group, version, err := w.poll(ctx, hold)
 		if !errors.Is(err, routing.ErrDiscoveryRejected) {
-			w.backoff = 0 // a list has come, or the decisions pause
+			w.backoff = 0 // a list has come, or the balancer waits before the next watch
 		}
 		if err != nil {
 			return err
--- a/internal/transport/frontend.go
+++ b/internal/transport/frontend.go
@@ -233,7 +233,7 @@
 		f.writeError(w, r, http.StatusMethodNotAllowed,
 			&protocol.MethodError{Method: r.Method, Allow: http.MethodGet})
 	case f.drain.rejectsClients() || !f.handler.Ready():
-		f.closeIfDraining(w, c)
+		f.closeIfRequired(w, c)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -108,7 +108,7 @@
 		MaxConns:          10,
 		Log:               l.logger(),
 	})
-	transport.pool.settleTime = 0 // or the next attempt would find the connection unsettled
+	transport.pool.reuseDelay = 0 // or the next attempt would find the connection unsettled
 	return transport, l
 }
 
--- a/internal/transport/idempotency.go
+++ b/internal/transport/idempotency.go
@@ -173,7 +173,7 @@
 // writeClaim answers a call that was not run here.
 func (f *Frontend) writeClaim(w http.ResponseWriter, c *clientConn, claim CallClaim) {
 	h := w.Header()
-	f.closeIfDraining(w, c)
+	f.closeIfRequired(w, c)
 	switch claim.State {
 	case CallAnswered:
 		writeStoredResponse(w, claim.Response)
--- a/internal/transport/pipelined_test.go
+++ b/internal/transport/pipelined_test.go
@@ -243,7 +243,7 @@
 		return routing.Answer{Verdict: routing.Rejected}, true
 	})
 	c := dialClient(t, addr)
-	body := strings.Repeat("x", protocol.MaxBodyBytes)
+	body := strings.Repeat("x", protocol.MaxBufferedBody)
 	io.WriteString(c, chunkedRequest(1, fmt.Sprintf("%x\r\n%s", len(body), body)))
 	waitFor(t, func() bool { // all of that is read
 		front.clients.mu.Lock()
--- a/internal/transport/request.go
+++ b/internal/transport/request.go
@@ -11,7 +11,7 @@
 	"olivebridge/internal/routing"
 )
 
-// errBodyTooLarge says that a body has more bytes than the protocol allows.
+// errBodyTooLarge says that a body has more bytes than maxRequestBody.
 var errBodyTooLarge = errors.New("too large")
 
 // ambiguousRequestError is a fault in a request for which others may find its end elsewhere than the node does.
@@ -75,7 +75,7 @@
 	switch {
 	case r.length > maxRequestBody:
 		return nil, errBodyTooLarge
-	case r.length > protocol.MaxBodyBytes:
+	case r.length > protocol.MaxBufferedBody:
 		return f.newUploadMessage(r, nil), nil
 	case r.length >= 0:
 		m := newMessage(&f.buffers, r.Method, r.target, r.Host, r.Header, r.length)
@@ -84,11 +84,11 @@
 		}
 		return m, nil
 	}
-	body, err := io.ReadAll(io.LimitReader(&pacedReader{body: r.Body, conn: r.conn}, protocol.MaxBodyBytes+1))
+	body, err := io.ReadAll(io.LimitReader(&pacedReader{body: r.Body, conn: r.conn}, protocol.MaxBufferedBody+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > protocol.MaxBodyBytes {
+	if len(body) > protocol.MaxBufferedBody {
 		return f.newUploadMessage(r, body), nil
 	}
 	m := newMessage(&f.buffers, r.Method, r.target, r.Host, r.Header, int64(len(body)))
--- a/internal/transport/request_head_test.go
+++ b/internal/transport/request_head_test.go
@@ -55,8 +55,8 @@
 		want int
 	}{
 		{callHead + body(0), 200},
-		{callHead + body(protocol.MaxBodyBytes), 200},
-		{callHead + body(protocol.MaxBodyBytes+1), 200},
+		{callHead + body(protocol.MaxBufferedBody), 200},
+		{callHead + body(protocol.MaxBufferedBody+1), 200},
 		{callHead + fmt.Sprintf("Content-Length: %d\r\n\r\n", maxRequestBody+1), 413},
 		{callHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", 200},
 		{callHead + "Transfer-Encoding: chunked\r\n\r\n10001\r\n" + strings.Repeat("x", 0x10001) + "\r\n0\r\n\r\n", 200},
--- a/internal/transport/request_message.go
+++ b/internal/transport/request_message.go
@@ -43,7 +43,7 @@
 	roomTaken atomic.Bool
 
 	// client is the client connection; nil: a disconnect does not end the call.
-	client presence
+	client disconnectChecker
 	// arrived is when the call came; zero: some time ago.
 	arrived time.Time
 }
@@ -52,7 +52,7 @@
 // bytes, is still to be read into it. One that is too long to be buffered, or of unknown length (-1), has no room.
 func newMessage(buffers *bufferPool, method, target, host string, header http.Header, announced int64) *requestMessage {
 	bodyLen := int(announced)
-	if announced < 0 || announced > protocol.MaxBodyBytes {
+	if announced < 0 || announced > protocol.MaxBufferedBody {
 		bodyLen = 0
 	}
 	var few [24]string // so that the names of most headers need no allocation
@@ -133,7 +133,7 @@
 // clientLeft reports whether the client is found to have left before an attempt is sent. It guards the servers against
 // attempts for nobody, which a client connection that is not watched yet would let pass.
 func (m *requestMessage) clientLeft(attempt int, now time.Time) bool {
-	return m.client != nil && (attempt > 0 || now.Sub(m.arrived) > immediateSend) && m.client.hasLeft()
+	return m.client != nil && (attempt > 0 || now.Sub(m.arrived) > immediateSend) && m.client.hasDisconnected()
 }
 
 // hold keeps the buffer for one more user, unless the last one has released it.
--- a/internal/transport/response.go
+++ b/internal/transport/response.go
@@ -51,7 +51,7 @@
 // Release implements routing.Releaser: nobody takes the response.
 func (p *response) Release() {
 	if p.stream != nil {
-		p.stream.finish(reasonCalledOff)
+		p.stream.finish(reasonCancelled)
 	}
 }
 
--- a/internal/transport/response_stream.go
+++ b/internal/transport/response_stream.go
@@ -42,7 +42,7 @@
 	transferPace // of what is read here
 
 	// client is whom the response is passed to; nil: nobody who could leave.
-	client presence
+	client disconnectChecker
 	mu     sync.Mutex
 	// waiting: a read waits.
 	waiting bool
@@ -102,7 +102,7 @@
 	defer s.mu.Unlock()
 	switch {
 	case !s.waiting:
-	case s.client.hasLeft():
+	case s.client.hasDisconnected():
 		s.conn.Interrupt()
 	default:
 		s.clientCheck.Reset(clientCheckInterval)
@@ -131,7 +131,7 @@
 	case s.closeAfter:
 		s.conn.closeFor(reasonServerAsked)
 	case surplus:
-		s.conn.closeFor(reasonSurplus)
+		s.conn.closeFor(reasonExtraBytes)
 	default:
 		s.transport.putConn(s.conn)
 	}
@@ -141,7 +141,7 @@
 func readFirstPart(conn *upstreamConn, reader *bufio.Reader, body io.Reader,
 	until time.Time) (first []byte, complete bool, err error) {
 	hold := time.Now().Add(firstPartWait)
-	for len(first) <= protocol.MaxBodyBytes {
+	for len(first) <= protocol.MaxBufferedBody {
 		if reader.Buffered() == 0 && conn.waitsInVain(reader, hold, until) {
 			return first, false, nil
 		}
--- a/internal/transport/tcp_conn.go
+++ b/internal/transport/tcp_conn.go
@@ -75,8 +75,8 @@
 	return state
 }
 
-// HasEnded implements Conn. A connection that was never told to be established is not believed to have ended:
-// sockets may be another network's, whose calls look like the kernel's.
+// HasEnded implements Conn. If TCP_INFO did not say ESTABLISHED when the connection was wrapped, it is always false: an
+// emulated socket API may not report the state.
 func (t *tcpConn) HasEnded() bool {
 	if !t.stateKnown {
 		return false
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -139,7 +139,7 @@
 			if !u.stopped.Load() {
 				u.clientErr = err
 			}
-			conn.log.setReason(reasonCalledOff)
+			conn.log.setReason(reasonCancelled)
 			conn.Interrupt()
 			return
 		}
--- a/internal/transport/upstream_conn.go
+++ b/internal/transport/upstream_conn.go
@@ -65,7 +65,7 @@
 	case n == 0:
 		return reasonServerClosed
 	default:
-		return reasonSurplus
+		return reasonExtraBytes
 	}
 }
 
@@ -123,7 +123,7 @@
 	case errors.Is(cause, routing.ErrDeadlineExceeded):
 		return reasonTimeout
 	default:
-		return reasonCalledOff
+		return reasonCancelled
 	}
 }
 
--- a/internal/transport/upstream_pool.go
+++ b/internal/transport/upstream_pool.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// settleTime is how long a connection rests before it carries another attempt. A second response is known to come
+	// reuseDelay is how long a connection rests before it carries another attempt. A second response is known to come
 	// some milliseconds late: it is there by then, and shows, and would else be served to whoever is next.
-	settleTime = 10 * time.Millisecond
+	reuseDelay = 10 * time.Millisecond
 	// shortageLogInterval is how often at most the log tells that connections cannot be opened.
 	shortageLogInterval = time.Second
 	// sweepsPerIdleTimeout is how often idle connections are swept within their idle timeout.
@@ -31,7 +31,7 @@
 // Connections belong to a server, not to its address: one to a server that has left the upstream group must not
 // carry an attempt for its successor at that address.
 type upstreamPool struct {
-	settleTime time.Duration
+	reuseDelay time.Duration
 	log        *slog.Logger
 	dial       Dialer
 
@@ -50,7 +50,7 @@
 	sweeper *time.Timer
 	// closed: no connection is opened or kept any more.
 	closed bool
-	// lastShortageLog is when the last line of logShortage was written.
+	// lastShortageLog is when the last line of noteLocalShortage was written.
 	lastShortageLog time.Time
 }
 
@@ -106,7 +106,7 @@
 	for i := len(list) - 1; i >= 0; i-- {
 		c := list[i]
 		idle := now.Sub(c.idleSince)
-		if idle >= p.settleTime && idle < p.idleTimeout {
+		if idle >= p.reuseDelay && idle < p.idleTimeout {
 			p.idle[server] = slices.Delete(list, i, i+1)
 			return c
 		}
@@ -258,9 +258,9 @@
 	return errors.Is(err, errConnLimit)
 }
 
-// logShortage reports whether an error is a shortage of this node, and logs it. It guards sound servers, all of which
-// would seem to fail together.
-func (p *upstreamPool) logShortage(err error, now time.Time) bool {
+// noteLocalShortage reports whether an error is a shortage of this node, and logs it. It guards sound servers, all of
+// which would seem to fail together.
+func (p *upstreamPool) noteLocalShortage(err error, now time.Time) bool {
 	if !isLocalShortage(err) {
 		return false
 	}
--- a/internal/transport/upstream_pool_test.go
+++ b/internal/transport/upstream_pool_test.go
@@ -34,7 +34,7 @@
 		}
 	})
 	transport, l := newTestTransport(time.Second)
-	transport.pool.settleTime = settleTime
+	transport.pool.reuseDelay = reuseDelay
 	go func() {
 		for range l {
 		}
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	c.Read(make([]byte, 1)) // all of it is there
-	c.idleSince = time.Now().Add(-settleTime)
+	c.idleSince = time.Now().Add(-reuseDelay)
 	transport.pool.mu.Lock()
 	transport.pool.idle[late] = []*upstreamConn{c}
 	transport.pool.mu.Unlock()
@@ -87,7 +87,7 @@
 		}
 	})
 	transport, _ := newTestTransport(time.Second)
-	transport.pool.settleTime = settleTime
+	transport.pool.reuseDelay = reuseDelay
 	for len(again) < 10 {
 		if r := transport.RoundTrip(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.OK {
 			t.Fatal(r.Result)
@@ -102,9 +102,9 @@
 	}
 }
 
-// TestConnectionsBelongToPeers: a connection to a server that has left must not carry an attempt for its successor
+// TestPooledConnectionsArePerServer: a connection to a server that has left must not carry an attempt for its successor
 // at the same address.
-func TestConnectionsBelongToPeers(t *testing.T) {
+func TestPooledConnectionsArePerServer(t *testing.T) {
 	p, _ := startScriptedServer(t, okResponse, okResponse)
 	transport, _ := newTestTransport(time.Second)
 	for _, peer := range []*routing.Upstream{p, routing.NewUpstream(2, "s-2", p.Addr)} {
@@ -204,7 +204,7 @@
 		MaxConns:          most,
 		Log:               l.logger(),
 	})
-	transport.pool.settleTime = 0
+	transport.pool.reuseDelay = 0
 	for range 2 {
 		var tries sync.WaitGroup
 		for range load {
@@ -223,8 +223,8 @@
 	}
 }
 
-// TestOwnLackIsNoPeersFault: where this node lacks what a connection takes, it says nothing of the server.
-func TestOwnLackIsNoPeersFault(t *testing.T) {
+// TestLocalShortageDoesNotBlameServer: where this node lacks what a connection takes, it says nothing of the server.
+func TestLocalShortageDoesNotBlameServer(t *testing.T) {
 	for _, err := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM} {
 		log := make(logLines, 10)
 		transport := NewUpstreamTransport(UpstreamConfig{
--- a/internal/transport/upstream_response.go
+++ b/internal/transport/upstream_response.go
@@ -71,7 +71,7 @@
 		err = r.readUnknownLength(conn, reader, body, until)
 	case r.length > maxResponseBody:
 		err = errResponseTooLarge
-	case r.length > protocol.MaxBodyBytes:
+	case r.length > protocol.MaxBufferedBody:
 		r.stream = &responseStream{
 			conn:      conn,
 			reader:    reader,
--- a/internal/transport/upstream_transport.go
+++ b/internal/transport/upstream_transport.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// fairConnectTime is the time after which a connection that is not up counts against its server, though it may take
+	// minFairConnectTime is the time after which a connection that is not up counts against its server, though it may take
 	// longer by the settings: some round trips over the widest network.
-	fairConnectTime = 100 * time.Millisecond
-	// probeConnectTimeouts is how long a health check may take, in connect timeouts.
-	probeConnectTimeouts = 4
+	minFairConnectTime = 100 * time.Millisecond
+	// healthCheckConnectTimeouts is how long a health check may take, in connect timeouts.
+	healthCheckConnectTimeouts = 4
 	// idleTimeoutTenths is the part of the servers' idle timeout after which an idle connection is closed, in tenths: a
 	// request that crosses the server's close is reset.
 	idleTimeoutTenths = 7
@@ -56,7 +56,7 @@
 func NewUpstreamTransport(c UpstreamConfig) *UpstreamTransport {
 	t := &UpstreamTransport{
 		pool: &upstreamPool{
-			settleTime: settleTime,
+			reuseDelay: reuseDelay,
 			log:        c.Log,
 			dial:       c.Dial,
 			idle:       map[*routing.Upstream][]*upstreamConn{},
@@ -93,7 +93,7 @@
 
 // CheckHealth implements routing.Transport. It blocks until the health check has ended.
 func (t *UpstreamTransport) CheckHealth(ctx context.Context, p *routing.Upstream) balancer.Result {
-	timeout := probeConnectTimeouts * t.config.Load().ConnectTimeout
+	timeout := healthCheckConnectTimeouts * t.config.Load().ConnectTimeout
 	attempt := routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(timeout)}
 	m := newMessage(&t.buffers, http.MethodGet, protocol.PathHealthCheck, p.Addr, nil, 0)
 	r := t.exchange(ctx, attempt, m, false)
@@ -135,13 +135,13 @@
 // may find that the first one has been answered, a retry that the window of its class is over.
 func (t *UpstreamTransport) connect(ctx context.Context, attempt *routing.Attempt,
 	m *requestMessage) (*upstreamConn, time.Time, balancer.Result) {
-	fair := time.Until(attempt.ExpiresAt) >= fairConnectTime
+	fair := time.Until(attempt.ExpiresAt) >= minFairConnectTime
 	conn, err := t.pool.get(ctx, attempt.Upstream, attempt.ExpiresAt)
 	stands := err != nil || attempt.StillValid(time.Now())
-	now := time.Now() // the decisions may have been waited for
+	now := time.Now() // StillValid may have waited for the goroutine of Router.Run
 	cause := cancelCause(ctx, attempt.ExpiresAt, now)
 	switch {
-	case err != nil && (ctx.Err() != nil || cause != nil && !fair || t.pool.logShortage(err, now)):
+	case err != nil && (ctx.Err() != nil || cause != nil && !fair || t.pool.noteLocalShortage(err, now)):
 		return nil, now, balancer.NotSent // the server has no part in it
 	case err != nil:
 		return nil, now, balancer.ConnectFailed
@@ -177,16 +177,16 @@
 		cause := cancelCause(ctx, conn.responseDeadline(attempt.ExpiresAt), time.Now())
 		return routing.AttemptResult{Result: conn.failureResult(err, cause)}
 	case r.stream != nil && result == balancer.OK:
-		conn.closeFor(reasonCalledOff)
+		conn.closeFor(reasonCancelled)
 		return routing.AttemptResult{Result: balancer.Cancelled}
 	case r.stream != nil: // nobody reads the rest of a failure
 		conn.closeFor(reasonOversize)
 	case surplus: // guards the next call: it may be taken for its response
-		conn.closeFor(reasonSurplus)
+		conn.closeFor(reasonExtraBytes)
 	case r.closeAfter:
 		conn.closeFor(reasonServerAsked)
 	case !undisturbed:
-		conn.closeFor(reasonCalledOff)
+		conn.closeFor(reasonCancelled)
 	default:
 		t.putConn(conn)
 	}
--- a/internal/transport/upstream_transport_test.go
+++ b/internal/transport/upstream_transport_test.go
@@ -144,8 +144,8 @@
 		calls  bool
 		result balancer.Result
 	}{
-		{fairConnectTime + 20*time.Millisecond, false, balancer.ConnectFailed},
-		{fairConnectTime / 2, false, balancer.NotSent},
+		{minFairConnectTime + 20*time.Millisecond, false, balancer.ConnectFailed},
+		{minFairConnectTime / 2, false, balancer.NotSent},
 		{time.Minute, true, balancer.NotSent},
 	} {
 		ctx, callOff := context.WithCancelCause(t.Context())
@@ -291,7 +291,7 @@
 	}
 }
 
-func TestProbe(t *testing.T) {
+func TestHealthCheckResults(t *testing.T) {
 	for answer, want := range map[string]balancer.Result{
 		okResponse: balancer.OK,
 		"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n": balancer.Errored,
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -33,10 +33,10 @@
 		}
 		return err
 	}
-	size := int(byteOrder.Uint32(header[0:]))
-	f.Count = int(byteOrder.Uint32(header[4:]))
-	f.Clock = balancer.Time(byteOrder.Uint64(header[8:]))
-	f.Number = byteOrder.Uint32(header[16:])
+	size := int(byteOrder.Uint32(header[batchSizeOffset:]))
+	f.Count = int(byteOrder.Uint32(header[batchCountOffset:]))
+	f.Clock = balancer.Time(byteOrder.Uint64(header[batchClockOffset:]))
+	f.Number = byteOrder.Uint32(header[batchNumberOffset:])
 	if f.Count > size/eventSize {
 		return fmt.Errorf("batch %d: %d records do not fit in %d bytes", f.Number, f.Count, size)
 	}
--- a/internal/wire/layout.go
+++ b/internal/wire/layout.go
@@ -54,6 +54,18 @@
 	actionCancel          actionCode = 27
 )
 
+// Offsets of the fields of a batch's header and of a reply's, in bytes.
+const (
+	batchSizeOffset   = 0
+	batchCountOffset  = 4
+	batchClockOffset  = 8
+	batchNumberOffset = 16
+
+	replySizeOffset  = 0
+	replyCountOffset = 4
+	replyBatchOffset = 8
+)
+
 // Offsets of the fields that every record has, and of those that most records about a request have, in bytes.
 const (
 	codeOffset      = 0
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -82,9 +82,9 @@
 func (r *Reply) Write(w io.Writer, batch uint32) error {
 	r.reserveHeader()
 	r.records = append(r.records, r.tail...)
-	byteOrder.PutUint32(r.records[0:], uint32(len(r.records)-replyHeaderSize))
-	byteOrder.PutUint32(r.records[4:], r.count)
-	byteOrder.PutUint32(r.records[8:], batch)
+	byteOrder.PutUint32(r.records[replySizeOffset:], uint32(len(r.records)-replyHeaderSize))
+	byteOrder.PutUint32(r.records[replyCountOffset:], r.count)
+	byteOrder.PutUint32(r.records[replyBatchOffset:], batch)
 	_, err := w.Write(r.records)
 	r.records = r.records[:0]
 	r.tail = r.tail[:0]
