--- /dev/null
+++ b/internal/lab/http1/body.go
@@ -0,0 +1,89 @@
+package http1
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+	"strings"
+)
+
+const (
+	crlf = "\r\n"
+	// maxChunkSizeDigits bounds the digits of the size of a chunk.
+	maxChunkSizeDigits = 8
+	// noLength is the length of a body that no field declares.
+	noLength = -1
+)
+
+// bodyFraming is how the head of a message declares its body.
+type bodyFraming struct {
+	chunked bool
+	length  int // noLength if chunked, or if nothing declares it
+}
+
+// declared reports whether the head declares a body.
+func (f bodyFraming) declared() bool { return f.chunked || f.length != noLength }
+
+// hasNoBody reports whether an answer ends with its head.
+func (m *Message) hasNoBody() bool {
+	return m.mayNotDeclareBody() || m.Status == http.StatusNotModified
+}
+
+// mayNotDeclareBody reports whether the head of an answer may not declare a body.
+func (m *Message) mayNotDeclareBody() bool {
+	return m.Status < http.StatusOK || m.Status == http.StatusNoContent
+}
+
+// framing finds out from the fields of a message how its body is declared.
+func (m *Message) framing() (bodyFraming, error) {
+	none := bodyFraming{length: noLength}
+	length, lengths := m.Get("Content-Length")
+	coding, codings := m.Get("Transfer-Encoding")
+	switch {
+	case lengths > 1 || codings > 1 || lengths > 0 && codings > 0:
+		return none, errors.New("two lengths")
+	case codings == 1 && !strings.EqualFold(coding, "chunked"):
+		return none, fmt.Errorf("transfer encoding: %q", coding)
+	case codings == 1:
+		return bodyFraming{chunked: true, length: noLength}, nil
+	case lengths == 0:
+		return none, nil
+	}
+	size, err := strconv.ParseUint(length, 10, 63) // it accepts no sign
+	if err != nil || size > maxBody {
+		return none, fmt.Errorf("length: %.80q", length)
+	}
+	return bodyFraming{length: int(size)}, nil
+}
+
+// parseChunked parses a chunked body, without extensions or trailers, which no
+// part of the lab sends. The size on the wire is 0 while it is not complete.
+func parseChunked(b []byte) (body []byte, size int, err error) {
+	for {
+		line := b[size:min(len(b), size+maxChunkSizeDigits+len(crlf))]
+		digits := bytes.Index(line, []byte(crlf))
+		if digits < 0 && len(line) < maxChunkSizeDigits+len(crlf) {
+			return nil, 0, nil
+		}
+		chunkSize, err := strconv.ParseUint(string(line[:max(digits, 0)]), 16, 32)
+		if err != nil || len(body)+int(chunkSize) > maxBody {
+			return nil, 0, fmt.Errorf("chunk: %q", line)
+		}
+		size += digits + len(crlf)
+		end := size + int(chunkSize)
+		if len(b) < end+len(crlf) {
+			return nil, 0, nil
+		}
+		lineEnd := b[end : end+len(crlf)]
+		if string(lineEnd) != crlf {
+			return nil, 0, fmt.Errorf("chunk: no end of line behind it: %q", lineEnd)
+		}
+		body = append(body, b[size:end]...)
+		size = end + len(crlf)
+		if chunkSize == 0 {
+			return body, size, nil
+		}
+	}
+}
--- a/internal/lab/http1/http1_test.go
+++ b/internal/lab/http1/parser_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// read feeds bytes in pieces of the sizes, the rest at once, and tells what came
+// read feeds bytes in pieces of the sizes, the rest at once, and returns what came
 // out: a line for each message, and one for an error.
-func read(answers bool, text []byte, sizes []byte) (out []string, held int) {
+func read(answers bool, text []byte, sizes []byte) (out []string, buffered int) {
 	p := &Parser{answers: answers}
 	next := func() bool {
 		for {
@@ -22,7 +22,7 @@
 				return true
 			}
 			out = append(out, fmt.Sprintf("%s%s%d %q %q %v %d",
-				m.Method, m.Target, m.Status, m.Fields, m.Body, m.Last, m.Bytes))
+				m.Method, m.Target, m.Status, m.Fields, m.Body, m.Close, m.Size))
 		}
 	}
 	for _, s := range sizes {
@@ -31,7 +31,7 @@
 		p.Feed(piece)
 		clear(piece) // it must not have been kept
 		if text = text[n:]; !next() {
-			return out, p.Held()
+			return out, p.Buffered()
 		}
 	}
 	p.Feed(text)
@@ -39,7 +39,7 @@
 		p.Close()
 		next()
 	}
-	return out, p.Held()
+	return out, p.Buffered()
 }
 
 const (
@@ -55,8 +55,8 @@
 	{"chunks", "POST / HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n2\r\nab\r\nA\r\n0123456789\r\n0\r\n\r\n",
 		`POST/0 [{"Transfer-Encoding" "Chunked"}] "ab0123456789" false 74`},
 	{"last", "GET / HTTP/1.1\r\nConnection: x, Close\r\n\r\n", `GET/0 [{"Connection" "x, Close"}] "" true 40`},
-	{"not whole", "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", ""},
-	{"head not whole", get, ""},
+	{"not complete", "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", ""},
+	{"head not complete", get, ""},
 	{"other version", "GET / HTTP/1.0\r\n\r\n", "error"},
 	{"no target", "GET HTTP/1.1\r\n\r\n", "error"},
 	{"two spaces", "GET  / HTTP/1.1\r\n\r\n", "error"},
@@ -111,7 +111,7 @@
 	}
 }
 
-// FuzzPieces guards against a parser that hangs on where the bytes are cut.
+// FuzzPieces guards against a parser whose result depends on where the bytes are cut.
 func FuzzPieces(f *testing.F) {
 	for i, table := range [][]struct{ name, text, want string }{requests, answers} {
 		for _, c := range table {
--- a/internal/lab/world/client/conn.go
+++ b/internal/lab/world/client/conn.go
@@ -73,7 +73,7 @@
 			continue
 		}
 		c.held[addr]++
-		k := &conn{crowd: c, addr: addr, parser: http1.Answers(), last: t.fresh, open: []*try{t}}
+		k := &conn{crowd: c, addr: addr, parser: http1.NewAnswerParser(), last: t.fresh, open: []*try{t}}
 		t.conn = k
 		c.conns = append(c.conns, k)
 		k.link = c.env.Fabric.Dial(c.conf.Name, addr, dialTimeout, k)
@@ -143,8 +143,8 @@
 		}
 		t := k.open[0]
 		whole := t.sent
-		k.heard = k.parser.Held() > 0
-		k.last = k.last || m.Last
+		k.heard = k.parser.Buffered() > 0
+		k.last = k.last || m.Close
 		t.answered(m)
 		k.rest(whole)
 	}
--- a/internal/lab/world/client/lab_test.go
+++ b/internal/lab/world/client/lab_test.go
@@ -71,7 +71,7 @@
 func (n *node) up() {
 	var err error
 	n.listener, err = n.l.net.Listen(n.name+port, func(c link.Conn) link.Handler {
-		k := &nodeConn{Conn: c, n: n, parser: http1.Requests()}
+		k := &nodeConn{Conn: c, n: n, parser: http1.NewRequestParser()}
 		if !strings.HasPrefix(c.ID(), FrontHost) {
 			n.conns = append(n.conns, k)
 			n.open++
--- a/internal/lab/world/peer/conn.go
+++ b/internal/lab/world/peer/conn.go
@@ -33,7 +33,7 @@
 		return nil
 	}
 	q.p.stats.Accepted++
-	c := &conn{of: q, link: l, in: http1.Requests(), shaken: q.p.c.Handshake == 0}
+	c := &conn{of: q, link: l, in: http1.NewRequestParser(), shaken: q.p.c.Handshake == 0}
 	q.conns = append(q.conns, c)
 	c.rest()
 	if !c.shaken {
--- a/internal/lab/world/peer/peer_test.go
+++ b/internal/lab/world/peer/peer_test.go
@@ -141,7 +141,7 @@
 		"silent":     {(*Peer).Silent, func(s seen) bool { return len(s.raw) == 0 && s.err == nil }, 40},
 		"break":      {(*Peer).Break, func(s seen) bool { return len(s.raw) == 0 && s.err == link.ErrReset }, 25},
 		"spoil":      {(*Peer).Spoil, func(s seen) bool { return len(s.raw) > 0 && s.got == nil && s.err == nil }, 40},
-		"surplus":    {(*Peer).Surplus, func(s seen) bool { return s.good && len(s.raw) > s.got[0].Bytes }, 40},
+		"surplus":    {(*Peer).Surplus, func(s seen) bool { return s.good && len(s.raw) > s.got[0].Size }, 40},
 		"slow twice": {twice, func(s seen) bool { return s.good && s.took > 118*ms && s.took < 131*ms }, 40},
 		"costly":     {costly("quote", 6), func(s seen) bool { return s.good && s.took > 118*ms }, 40},
 		"another's":  {costly("book", 6), func(s seen) bool { return s.good && s.took < 30*ms }, 40},
@@ -381,7 +381,7 @@
 		for i, a := range r.asks {
 			m := a.got[0]
 			_, chunked := m.Get("Transfer-Encoding")
-			bodies[string(m.Body)], forms[fmt.Sprint(chunked, m.Last)] = true, true
+			bodies[string(m.Body)], forms[fmt.Sprint(chunked, m.Close)] = true, true
 			want := fmt.Sprintf("peer=%s call=a run=%d ", name, i+1)
 			if n := len(m.Body); n < 50 || n > 150 || !bytes.HasPrefix(m.Body, []byte(want)) {
 				t.Errorf("body %.60q, want %q", m.Body, want)
--- a/internal/lab/world/peer/request.go
+++ b/internal/lab/world/peer/request.go
@@ -40,13 +40,13 @@
 		q.p.stats.Bad++
 		c.send(plain("400 Bad Request", ""), true)
 	case path == "/health/live" && m.Method == "GET":
-		c.probe(m.Last)
+		c.probe(m.Close)
 	case !api || id == "":
 		q.p.stats.Unknown++
-		c.send(plain("404 Not Found", ""), m.Last)
+		c.send(plain("404 Not Found", ""), m.Close)
 	default:
 		a := q.p.call(m, id, query)
-		a.last = m.Last
+		a.last = m.Close
 		c.admit(a)
 	}
 }
--- a/internal/lab/world/registry/call.go
+++ b/internal/lab/world/registry/call.go
@@ -39,7 +39,7 @@
 }
 
 func (r *Registry) accept(c link.Conn) link.Handler {
-	k := &conn{link: c, r: r, book: r.book, parser: http1.Requests()}
+	k := &conn{link: c, r: r, book: r.book, parser: http1.NewRequestParser()}
 	r.conns = append(r.conns, k)
 	return k
 }
--- a/internal/lab/world/registry/registry_test.go
+++ b/internal/lab/world/registry/registry_test.go
@@ -85,7 +85,7 @@
 }
 
 func (l *lab) dial(addr string) *asker {
-	a := &asker{l: l, parser: http1.Answers()}
+	a := &asker{l: l, parser: http1.NewAnswerParser()}
 	a.c = l.net.Dial("n1", addr, time.Second, a)
 	return a
 }
@@ -108,7 +108,7 @@
 		if err != nil {
 			a.l.t.Error(err)
 		}
-		if a.part = a.parser.Held(); m == nil {
+		if a.part = a.parser.Buffered(); m == nil {
 			return
 		}
 		a.answers, a.at = append(a.answers, m), append(a.at, a.l.loop.Now())
