--- a/internal/fleet/budget/bucket.go
+++ b/internal/fleet/budget/bucket.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// roundingSpare is added to a wait for what is lost in rounding: whoever comes back then is not told to wait again.
-const roundingSpare = time.Microsecond
+// roundingMargin is added to the wait that TakeN returns, so that rounding does not make a retry after it fail.
+const roundingMargin = time.Microsecond
 
-// Bucket is a token bucket: units gather at a rate, up to a burst. It begins empty, and a change of the rate adds
-// nothing: so the buckets of all holders together admit no more than one bucket of the whole rate and burst would,
-// whatever moves between them.
+// Bucket is a token bucket: it refills at a rate, up to a burst. It starts empty, and changing the rate adds no units.
+// The buckets of all holders together therefore never admit more than one bucket with the total rate and burst, even
+// while parts of the quota move between holders.
 type Bucket struct {
-	rate  float64 // units a second
-	burst float64 // units at most
-	units float64
-	at    time.Duration // when units were counted
+	rate       float64       // units per second
+	burst      float64       // maximum of units
+	units      float64       // units available at refilledAt
+	refilledAt time.Duration // time of the last refill
 }
 
-// Set changes rate and burst from now on.
+// Set changes the rate and the burst from now on. Units beyond the new burst are dropped.
 func (b *Bucket) Set(now time.Duration, rate, burst float64) {
 	b.refill(now)
 	b.rate = rate
@@ -24,16 +24,16 @@
 }
 
 func (b *Bucket) refill(now time.Duration) {
-	if now > b.at {
-		b.units = min(b.units+b.rate*(now-b.at).Seconds(), b.burst)
-		b.at = now
+	if now > b.refilledAt {
+		b.units = min(b.units+b.rate*(now-b.refilledAt).Seconds(), b.burst)
+		b.refilledAt = now
 	}
 }
 
-// Take takes one unit. If there is none, it returns how long it takes until there is, at this rate; 0: never.
+// Take takes one unit. If none is available, it returns the time until one is, at the current rate; 0: never.
 func (b *Bucket) Take(now time.Duration) (ok bool, wait time.Duration) { return b.TakeN(now, 1) }
 
-// TakeN takes some units at once.
+// TakeN takes the given units, or none of them. Its results are those of Take.
 func (b *Bucket) TakeN(now time.Duration, units float64) (ok bool, wait time.Duration) {
 	b.refill(now)
 	if b.units >= units {
@@ -43,14 +43,15 @@
 	if b.rate <= 0 || b.burst < units {
 		return false, 0
 	}
-	return false, time.Duration((units-b.units)/b.rate*float64(time.Second)) + roundingSpare
+	return false, time.Duration((units-b.units)/b.rate*float64(time.Second)) + roundingMargin
 }
 
-// setAfterGrant sets another rate and burst. If a grant has expired, what gathered after its end was never there.
+// setAfterGrant changes the rate and the burst. If expired is true, the bucket is refilled only up to grantEnds, as the
+// time after the end of the grant must not add units at its rate.
 func (b *Bucket) setAfterGrant(now, grantEnds time.Duration, expired bool, rate, burst float64) {
 	if expired {
 		b.refill(min(now, grantEnds))
-		b.at = now
+		b.refilledAt = now
 	}
 	b.Set(now, rate, burst)
 }
--- a/internal/fleet/budget/config.go
+++ b/internal/fleet/budget/config.go
@@ -9,32 +9,32 @@
 	"olivebridge/internal/fleet/record"
 )
 
-// The channels of the members' streams that budgets use.
+// Channels of the streams between members that carry the quota protocol.
 const (
-	VotersChannel = 1 // raft between voters
-	HolderChannel = 2 // requests from holders to the leader
+	VotersChannel = 1 // raft messages between voters
+	HolderChannel = 2 // requests of holders to the leader
 )
 
-// requestsPerLease is how often a holder sends a request in a lease: two requests may be lost before a grant ends, and
-// demand that moves is followed within a quarter of the lease.
+// requestsPerLease is the number of requests that a holder sends per lease. With 8, two requests may be lost before a
+// grant expires, and grants follow a change of demand within a quarter of the lease.
 const requestsPerLease = 8
 
-// Config configures a Service. It is not checked: package fleetfile has done so.
+// Config configures a Service. New does not validate it, because package fleetfile already has.
 type Config struct {
 	// Name is the node's name.
 	Name string
-	// Quotas are divided among the nodes. All nodes have the same in the same order.
+	// Quotas are the limits that the nodes share. The list and its order are the same on all nodes.
 	Quotas []Quota
-	// Terms are the same at all nodes.
+	// Terms are the same on all nodes.
 	Terms Terms
-	// Voters keep the ledger, and elect the leader.
+	// Voters replicate the ledger and elect the leader.
 	Voters raftlog.VoterSet
-	// Directory is where the node stores its seat and, on a voter, the log.
+	// Directory is the directory in which the node stores its seat and, on a voter, the raft log.
 	Directory string
-	// Dial opens a stream to another node's channel.
+	// Dial opens a stream to a channel of another node.
 	Dial func(name string, channel byte, timeout time.Duration) (net.Conn, error)
-	// Log may be nil.
+	// Log receives log lines; nil: none are written.
 	Log *slog.Logger
-	// Record is given what the process holds and lends; nil: nothing.
+	// Record receives the process's holdings, grants and count requests; nil: nothing is recorded.
 	Record *record.Recorder
 }
--- a/internal/fleet/budget/count_ledger.go
+++ b/internal/fleet/budget/count_ledger.go
@@ -3,52 +3,54 @@
 import "math"
 
 const (
-	// keptPeriods is how many periods of a count the ledger knows. A request for one that it does not know any more gets
-	// nothing.
-	keptPeriods = 16
-	// maxLastGrants bounds the last grants that are known.
+	// maxPeriods is the number of periods per count that the ledger keeps. A request for a period that was dropped is
+	// granted no units.
+	maxPeriods = 16
+	// maxLastGrants is the maximum number of entries in countLedger.Last.
 	maxLastGrants = 4096
 )
 
-// countLedger is the ledger's part for counts. It is stored in snapshots: the keys of the JSON stay.
+// countLedger is the part of the ledger for quotas of the kind Count. It is stored in snapshots, so its JSON keys must
+// not change.
 type countLedger struct {
-	Spent map[string]map[int64]int64 `json:"spent"` // units by quota and period
-	// Last is what the last request of each holder for a quota was granted, so that a request that comes again is not
-	// granted twice.
+	Spent map[string]map[int64]int64 `json:"spent"` // units granted and not returned, by quota and period
+	// Last is the last grant by quota and holder. It prevents a repeated request from being granted twice.
 	Last map[string]lastCountGrant `json:"last"`
 }
 
-// lastCountGrant is the last grant of a count to one holder.
+// lastCountGrant is the last grant of a count to one holder, with the number of its request.
 type lastCountGrant struct {
-	Number uint64     `json:"number"` // of the request
+	Number uint64     `json:"number"` // number of the request
 	Grant  CountGrant `json:"grant"`
 }
 
-// countCommand is an entry of the log that grants a stock, or takes one back.
+// countCommand is a raft log entry that grants a stock of a count to a holder or takes one back.
 type countCommand struct {
 	Quota   string       `json:"budget"`
-	Amount  int64        `json:"whole"`  // of the quota, in a period
-	Holder  string       `json:"holder"` // name and incarnation
-	Number  uint64       `json:"number"` // of the request
+	Amount  int64        `json:"whole"`  // the quota's units per period
+	Holder  string       `json:"holder"` // see holderKey
+	Number  uint64       `json:"number"` // number of the request
 	Request CountRequest `json:"ask"`
 }
 
-// StockSize is how many units are granted to a holder that needs some, of those that remain: towards the end small
-// stocks, so that nobody keeps the last ones unused.
+// StockSize returns the number of units to grant to a holder: its need, limited to a quarter of the remaining units, or
+// to one unit if that is less than one. The stocks shrink towards the end of a count, so that no holder keeps the last
+// units unused.
 func StockSize(need, remaining int64) int64 {
 	need = max(need, 0)
 	remaining = max(remaining, 0)
 	return min(need, remaining, max(remaining/4, 1))
 }
 
-// apply executes a command.
+// apply executes a committed command and returns the grant. A repeated request gets the grant of its first execution; a
+// request older than the holder's last one gets no units.
 func (c *countLedger) apply(m countCommand) CountGrant {
 	key := m.Quota + " " + m.Holder
 	last, ok := c.Last[key]
 	switch {
 	case ok && last.Number == m.Number:
 		return last.Grant
-	case ok && last.Number > m.Number: // it was overtaken by a later one
+	case ok && last.Number > m.Number: // a later request was executed first
 		return CountGrant{Period: m.Request.Period}
 	}
 	spent := c.Spent[m.Quota]
@@ -68,10 +70,10 @@
 	return grant
 }
 
-// makeRoomForPeriod drops the earliest period if there are too many. It reports false for a period that is earlier than
-// all that are known.
+// makeRoomForPeriod drops the earliest period if maxPeriods are kept. It returns false, and drops nothing, if all kept
+// periods are later than the given one.
 func makeRoomForPeriod(spent map[int64]int64, period int64) bool {
-	if len(spent) < keptPeriods {
+	if len(spent) < maxPeriods {
 		return true
 	}
 	earliest := period
@@ -85,17 +87,18 @@
 	return true
 }
 
-// dropOldestGrants drops last grants where there are too many: their holders have long been answered.
+// dropOldestGrants drops the entries of Last with the lowest request number if there are more than maxLastGrants. Their
+// holders received the response long ago.
 func (c *countLedger) dropOldestGrants() {
 	if len(c.Last) <= maxLastGrants {
 		return
 	}
-	least := uint64(math.MaxUint64)
+	lowest := uint64(math.MaxUint64)
 	for _, last := range c.Last {
-		least = min(least, last.Number)
+		lowest = min(lowest, last.Number)
 	}
 	for key, last := range c.Last {
-		if last.Number == least {
+		if last.Number == lowest {
 			delete(c.Last, key)
 		}
 	}
--- a/internal/fleet/budget/count_stock.go
+++ b/internal/fleet/budget/count_stock.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// A count over a period is given out by the ledger in small stocks, each once and for good: what a holder has in stock
-// and loses, by dying, counts as used. So the sum holds without any clock but for the number of the period, however
-// long a process is paused.
+// The ledger grants a count in small stocks: batches of units that a holder then admits on its own. A stock is granted
+// once and does not expire before its period ends. If a holder fails, the units left in its stock count as used. The
+// units admitted therefore never exceed the quota, however long a process is paused: clocks only determine the number
+// of the period.
 
 const (
-	// stockTime is for how much demand a holder keeps a stock: the time of two requests.
+	// stockTime is the duration of demand that a holder keeps in stock: two request intervals at a lease of 2 s.
 	stockTime = 500 * time.Millisecond
-	// exhaustedSkips is how many requests a holder leaves out after it has learned that nothing is left: others may
-	// return some.
+	// exhaustedSkips is the interval, in requests to the leader, at which a holder requests more units of an exhausted
+	// count. It keeps requesting them, because other holders may return units.
 	exhaustedSkips = 8
 )
 
-// stock is what one process has of a count.
+// stock is the units of a count that were granted to one process and are not yet admitted.
 type stock struct {
-	period    int64
+	period    int64 // number of the period, see periodOf
 	units     int64
-	exhausted bool // nothing was left that nobody had, by the last response
-	skipped   int  // requests left out since
+	exhausted bool // by the last response, the ledger had no units left
+	skipped   int  // requests skipped since the count was exhausted
 }
 
-// periodOf is the number of the period that a time of the wall clock is in.
+// periodOf returns the number of the period that contains a wall clock time, counted from the Unix epoch.
 func periodOf(wall time.Time, period time.Duration) int64 {
 	return int64(math.Floor(float64(wall.UnixNano()) / float64(period)))
 }
 
-// untilNextPeriod is how long it takes until the next period.
+// untilNextPeriod returns the time until the next period starts.
 func untilNextPeriod(wall time.Time, period time.Duration) time.Duration {
 	return period - time.Duration(wall.UnixNano()%int64(period))
 }
 
-// take takes a unit. If there is none, it returns when to come back; 0: unknown. Units of a period that is over cannot
-// be used.
+// take takes one unit. If none is available, it returns the time to wait before a retry; 0: unknown. Units of a past
+// period cannot be taken.
 func (s *stock) take(wall time.Time, period time.Duration) (ok bool, wait time.Duration) {
 	current := periodOf(wall, period)
 	switch {
@@ -51,7 +52,8 @@
 	return false, 0
 }
 
-// request returns what to request, if anything, at a demand in units a second.
+// request returns the request for more units, and false if none is due. The demand is in units per second. It discards
+// the units of a past period.
 func (s *stock) request(wall time.Time, period time.Duration, demand float64) (CountRequest, bool) {
 	if current := periodOf(wall, period); current != s.period {
 		*s = stock{period: current}
@@ -70,7 +72,7 @@
 	return CountRequest{Period: s.period, Need: 2*wanted - s.units}, true
 }
 
-// add takes a stock that was granted.
+// add adds granted units, unless they are for another period than the stock's.
 func (s *stock) add(g CountGrant) {
 	if g.Period == s.period {
 		s.units += g.Units
--- a/internal/fleet/budget/count_test.go
+++ b/internal/fleet/budget/count_test.go
@@ -12,8 +12,8 @@
 	"olivebridge/internal/fleet/raftlog"
 )
 
-// Whatever is requested, twice, late or in any order, and whoever fails with a stock: no more than the quota is
-// admitted in a period, and a ledger that was restored from a snapshot goes on where it stood.
+// No more units than the quota are admitted in a period, although requests reach the ledger late, repeatedly and out of
+// order, holders restart and lose their stocks, and the ledger is restored from snapshots.
 func TestCountStaysWithinQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const amount, period = 40, time.Hour
@@ -34,9 +34,9 @@
 		for range rapid.IntRange(10, 200).Draw(t, "steps") {
 			d := time.Duration(rapid.IntRange(0, 400000).Draw(t, "ms")) * time.Millisecond
 			now, wall = now+d, wall.Add(d)
-			i := rapid.IntRange(0, 2).Draw(t, "who")
+			i := rapid.IntRange(0, 2).Draw(t, "holder")
 			h := holders[i]
-			switch rapid.IntRange(0, 6).Draw(t, "what") {
+			switch rapid.IntRange(0, 6).Draw(t, "action") {
 			case 0:
 				restart(i)
 			case 1, 2:
@@ -51,46 +51,46 @@
 				if len(requests) == 0 {
 					continue
 				}
-				a := requests[rapid.IntRange(0, len(requests)-1).Draw(t, "ask")]
-				out := map[string]CountGrant{}
-				if ask, ok := a.Counts["c"]; ok {
-					out["c"] = l.Counts.apply(countCommand{"c", amount, a.Holder + " " + a.Incarnation, a.Number, ask})
+				r := requests[rapid.IntRange(0, len(requests)-1).Draw(t, "request")]
+				grants := map[string]CountGrant{}
+				if count, ok := r.Counts["c"]; ok {
+					grants["c"] = l.Counts.apply(countCommand{"c", amount, r.Holder + " " + r.Incarnation, r.Number, count})
 				}
 				for _, h := range holders {
-					if h.name == a.Holder && h.incarnation == a.Incarnation {
-						h.Accept(now, Response{Number: a.Number, Counts: out})
+					if h.name == r.Holder && h.incarnation == r.Incarnation {
+						h.Accept(now, Response{Number: r.Number, Counts: grants})
 					}
 				}
 			case 6:
-				snap, err := l.Snapshot()
+				snapshot, err := l.Snapshot()
 				if err != nil {
 					t.Fatal(err)
 				}
 				l = newLedger()
-				if err := l.Restore(io.NopCloser(bytes.NewReader(snap.(raftlog.Snapshot)))); err != nil {
+				if err := l.Restore(io.NopCloser(bytes.NewReader(snapshot.(raftlog.Snapshot)))); err != nil {
 					t.Fatal(err)
 				}
 			}
 			for p, n := range admitted {
 				if n > amount {
-					t.Fatalf("%d of %d in period %d", n, amount, p)
+					t.Fatalf("%d units of a quota of %d were admitted in period %d", n, amount, p)
 				}
 			}
 		}
 	})
 }
 
-// All of a count is used, down to the last unit.
+// All units of a count can be used, including the last ones, and the wait after that is at most a period.
 func TestCountIsUsedUp(t *testing.T) {
 	l := newLedger()
 	quotas := []Quota{{Name: "c", Kind: Count, Amount: 50, Period: time.Hour}}
 	wall, now, admitted := time.Unix(3600, 0), time.Duration(0), 0
-	ask := func(h *Holder, a Request) {
-		out := map[string]CountGrant{}
-		for name, c := range a.Counts {
-			out[name] = l.Counts.apply(countCommand{name, 50, a.Holder, a.Number, c})
+	exchange := func(h *Holder, r Request) {
+		grants := map[string]CountGrant{}
+		for name, c := range r.Counts {
+			grants[name] = l.Counts.apply(countCommand{name, 50, r.Holder, r.Number, c})
 		}
-		h.Accept(now, Response{Number: a.Number, Counts: out})
+		h.Accept(now, Response{Number: r.Number, Counts: grants})
 	}
 	terms := Terms{Lease: 2 * second}
 	a := NewHolder(terms, quotas, "a", "1", 0)
@@ -101,13 +101,13 @@
 			if ok, _ := h.Admit(now, wall, 0); ok {
 				admitted++
 			}
-			ask(h, h.NextRequest(now, wall))
+			exchange(h, h.NextRequest(now, wall))
 		}
 	}
 	if admitted != 50 {
-		t.Errorf("%d of 50 were used", admitted)
+		t.Errorf("%d units were admitted, want 50", admitted)
 	}
 	if _, wait := a.Admit(now, wall, 0); wait <= 0 || wait > time.Hour {
-		t.Errorf("it has to come back after %v", wait)
+		t.Errorf("Admit returned the wait %v after the count was used up, want 0 to 1h", wait)
 	}
 }
--- a/internal/fleet/budget/divide.go
+++ b/internal/fleet/budget/divide.go
@@ -5,25 +5,26 @@
 	"slices"
 )
 
-// Demand is what one holder needs of a quota.
+// Demand is one holder's demand for a quota.
 type Demand struct {
-	Holder string
-	Units  float64 // of Rate a second, of InUse at one time
-	Target float64 // what it was to have so far; 0: it is new
+	Holder         string
+	Units          float64 // Rate: per second; InUse: at one time
+	PreviousTarget float64 // result of the previous Divide; 0: the holder is new
 }
 
 const (
-	// minPart is the part of an even share that each holder gets however small its demand, so that what comes to it
-	// next is served at once.
-	minPart = 0.1
-	// hysteresis is by which part of an even share a target must move to move at all. Demand that is counted over a
-	// second varies by as much.
+	// minShareFraction is the fraction of an even share that each holder gets however small its demand, so that it
+	// can admit its next requests at once.
+	minShareFraction = 0.1
+	// hysteresis is the minimum change of a target, as a fraction of an even share: smaller changes are not applied.
+	// Demand counted over one second varies by that much.
 	hysteresis = 0.05
 )
 
-// Divide says how much of an amount each holder should have: a minimum for all; beyond it the demand, as long as there
-// is enough; where there is not, all are cut to one level (max-min fairness); what nobody needs goes to all alike. The
-// targets add up to the amount, but for what hysteresis leaves, which never makes it more.
+// Divide returns each holder's target share of an amount by max-min fairness: every holder gets its demand, or
+// minShareFraction of an even share if that is more; if the sum exceeds the amount, the largest shares are cut to a
+// common level. An unneeded rest is divided evenly. The targets add up to the amount; hysteresis can make the sum
+// smaller, never larger.
 func Divide(amount float64, demands []Demand) map[string]float64 {
 	targets := make(map[string]float64, len(demands))
 	if len(demands) == 0 || amount <= 0 {
@@ -35,27 +36,28 @@
 	slices.SortFunc(sorted, func(a, b Demand) int {
 		return cmp.Or(cmp.Compare(a.Units, b.Units), cmp.Compare(a.Holder, b.Holder))
 	})
-	for i, d := range sorted { // the least first: whoever needs less than the level leaves the rest to the others
+	for i, d := range sorted { // ascending demand: units below the level that a holder leaves raise the level for the rest
 		level := rest / float64(len(sorted)-i)
-		target := min(max(d.Units, minPart*even), level)
+		target := min(max(d.Units, minShareFraction*even), level)
 		targets[d.Holder] = target
 		rest -= target
 	}
 	for _, d := range sorted {
 		targets[d.Holder] += rest / float64(len(sorted))
 	}
-	return damp(targets, demands, even, amount)
+	return applyHysteresis(targets, demands, even, amount)
 }
 
-// damp leaves targets that hardly move where they are, if that fits into the amount.
-func damp(targets map[string]float64, demands []Demand, even, amount float64) map[string]float64 {
+// applyHysteresis keeps the previous target of each holder whose target changes by less than hysteresis. It returns the
+// targets unchanged if the sum would exceed the amount.
+func applyHysteresis(targets map[string]float64, demands []Demand, even, amount float64) map[string]float64 {
 	sum := 0.0
 	damped := make(map[string]float64, len(targets))
 	for _, d := range demands {
 		target := targets[d.Holder]
-		move := target - d.Target
-		if d.Target > 0 && move < hysteresis*even && -move < hysteresis*even {
-			target = d.Target
+		change := target - d.PreviousTarget
+		if d.PreviousTarget > 0 && change < hysteresis*even && -change < hysteresis*even {
+			target = d.PreviousTarget
 		}
 		damped[d.Holder] = target
 		sum += target
--- a/internal/fleet/budget/divide_test.go
+++ b/internal/fleet/budget/divide_test.go
@@ -8,33 +8,34 @@
 	"pgregory.net/rapid"
 )
 
-// Targets add up to no more than the amount, no demand below the level is cut, and what is demanded is used.
+// The targets are at least 0 and add up to no more than the amount and no less than the demand or the amount, less what
+// hysteresis leaves. A holder with a higher demand never gets a lower target, but for hysteresis.
 func TestDivide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		amount := rapid.Float64Range(0, 1000).Draw(t, "amount")
 		var demands []Demand
 		for i := range rapid.IntRange(0, 12).Draw(t, "holders") {
-			demands = append(demands, Demand{fmt.Sprint("n", i), rapid.Float64Range(0, 400).Draw(t, "want"),
-				rapid.Float64Range(0, 300).Draw(t, "holds")})
+			demands = append(demands, Demand{fmt.Sprint("n", i), rapid.Float64Range(0, 400).Draw(t, "demand"),
+				rapid.Float64Range(0, 300).Draw(t, "previous")})
 		}
 		targets := Divide(amount, demands)
-		sum, want := 0.0, 0.0
+		sum, demand := 0.0, 0.0
 		for _, d := range demands {
 			sum += targets[d.Holder]
-			want += d.Units
+			demand += d.Units
 			if targets[d.Holder] < 0 {
-				t.Fatalf("%s is to have %g", d.Holder, targets[d.Holder])
+				t.Fatalf("%s has the negative target %g", d.Holder, targets[d.Holder])
 			}
 		}
 		slack := hysteresis * amount
-		if sum > amount*(1+1e-9) || sum < min(want, amount)-slack-1e-9 {
-			t.Fatalf("%g of %g, for a demand of %g", sum, amount, want)
+		if sum > amount*(1+1e-9) || sum < min(demand, amount)-slack-1e-9 {
+			t.Fatalf("targets add up to %g of an amount of %g, for a demand of %g", sum, amount, demand)
 		}
 		for _, a := range demands {
 			for _, b := range demands {
-				level := hysteresis*amount/float64(len(demands))*2 + 1e-9
-				if a.Units >= b.Units && targets[a.Holder] < targets[b.Holder]-level {
-					t.Fatalf("%v gets less than %v", a, b)
+				tolerance := hysteresis*amount/float64(len(demands))*2 + 1e-9
+				if a.Units >= b.Units && targets[a.Holder] < targets[b.Holder]-tolerance {
+					t.Fatalf("%v has a lower target than %v", a, b)
 				}
 			}
 		}
--- a/internal/fleet/budget/holder.go
+++ b/internal/fleet/budget/holder.go
@@ -6,18 +6,19 @@
 	"olivebridge/internal/fleet/mutant"
 )
 
-// Holder is what one process holds of all quotas, and what it admits. It is not safe for concurrent use.
+// Holder keeps the grants, reserves and stocks of one process for all quotas, and admits units against them. It is not
+// safe for concurrent use.
 type Holder struct {
-	terms       Terms
-	name        string // of the node
-	incarnation string
-	number      uint64                   // of the last request
-	pending     map[uint64]time.Duration // when each request was made that was not answered
-	allocations []*allocation            // in the order of the quotas
-	mutant      func(string) bool        // see package mutant
+	terms         Terms
+	name          string // name of the node
+	incarnation   string
+	requestNumber uint64                   // number of the last request
+	pending       map[uint64]time.Duration // creation time of each unanswered request, by its number
+	allocations   []*allocation            // in the order of the quotas
+	mutant        func(string) bool        // whether a mutant is active, see package mutant
 }
 
-// NewHolder makes a process's holder, which holds nothing.
+// NewHolder returns the holder of a process. It has no grants, reserves or stocks yet.
 func NewHolder(terms Terms, quotas []Quota, name, incarnation string, now time.Duration) *Holder {
 	h := &Holder{
 		terms:       terms,
@@ -34,8 +35,8 @@
 	return h
 }
 
-// Admit admits one unit of a quota, by its index in the list of quotas. Only counts look at the wall clock. If there
-// is none, it returns when to come back; 0: unknown.
+// Admit admits one unit of the quota at an index in the list of quotas. If none is available, it returns the time to
+// wait before a retry; 0: unknown. The wall clock is only used for quotas of the kind Count.
 func (h *Holder) Admit(now time.Duration, wall time.Time, quotaIndex int) (ok bool, wait time.Duration) {
 	a := h.allocations[quotaIndex]
 	a.demanded++
@@ -56,7 +57,7 @@
 	return false, wait
 }
 
-// Release returns a unit that was admitted, of a quota of the kind InUse.
+// Release ends the use of one admitted unit of a quota of the kind InUse.
 func (h *Holder) Release(quotaIndex int) {
 	a := h.allocations[quotaIndex]
 	if a.inUse > 0 {
@@ -64,7 +65,8 @@
 	}
 }
 
-// updateRate sets a bucket's rate to what may be used now. Admit calls it, so that a grant ends in time.
+// updateRate sets the rates of an allocation's buckets to the amount available now. Admit and AdmitKey call it before
+// they take units, so that no unit is admitted under an expired grant.
 func (h *Holder) updateRate(now time.Duration, a *allocation) {
 	rate := a.available(now)
 	if rate == a.rate {
@@ -79,8 +81,8 @@
 	}
 }
 
-// burst is this process's part of a quota's burst: a seat has one unit of its own, without which nothing would ever be
-// admitted by it; the rest goes with the grant.
+// burst returns this process's part of a quota's burst. Each seat has up to one unit, because a bucket with a smaller
+// burst never admits a whole unit; the rest of the burst is divided in proportion to the grants.
 func (h *Holder) burst(now time.Duration, a *allocation) float64 {
 	burst := 0.0
 	seatBurst := min(1, a.quota.Burst/float64(max(h.terms.Seats, 1)))
@@ -93,8 +95,8 @@
 	return burst
 }
 
-// SetQuotas changes the amounts of the quotas, which are the same in the same order. What was granted of one that has
-// changed is not used any more; of the reserve the process has no more than before until it takes its seat again.
+// SetQuotas changes the amounts of the quotas; their list and order must be the same as before. The grant of a changed
+// quota is no longer used. The process's part of its reserve may shrink, but does not grow until the next SetReserves.
 func (h *Holder) SetQuotas(now time.Duration, quotas []Quota) {
 	for i, a := range h.allocations {
 		if a.quota == quotas[i] {
@@ -107,15 +109,15 @@
 		a.grantEnds = 0
 		a.reserve = min(a.reserve, a.quota.seatReserve(h.terms))
 		if a.quota.Kind == Rate {
-			a.rate = -1 // whatever it was
+			a.rate = -1 // differs from any rate, so that updateRate also updates the burst
 			h.updateRate(now, a)
 		}
 	}
 }
 
-// TakeSeat gives the process its seat's part of the reserve: what the ledger has of it, and no more than the quotas
-// have by now. It returns what the ledger should have.
-func (h *Holder) TakeSeat(reserved map[string]float64) map[string]float64 {
+// SetReserves sets the process's part of each quota's reserve to the part in the ledger, limited to a seat's part of
+// the present quota. It returns a seat's parts of the present quotas, which the ledger should contain.
+func (h *Holder) SetReserves(reserved map[string]float64) map[string]float64 {
 	reserves := h.SeatReserves()
 	for _, a := range h.allocations {
 		a.reserve = min(reserved[a.quota.Name], reserves[a.quota.Name])
@@ -123,8 +125,8 @@
 	return reserves
 }
 
-// hasFullSeat reports whether the process has all that a seat has now.
-func (h *Holder) hasFullSeat() bool {
+// hasFullReserve reports whether the process has a seat's whole part of the reserve of every quota.
+func (h *Holder) hasFullReserve() bool {
 	for _, a := range h.allocations {
 		if a.reserve != a.quota.seatReserve(h.terms) {
 			return false
@@ -133,7 +135,7 @@
 	return true
 }
 
-// SeatReserves are a seat's parts of the reserve by quota, as the quotas are now.
+// SeatReserves returns one seat's part of the reserve of each present quota, by quota, without parts that are 0.
 func (h *Holder) SeatReserves() map[string]float64 {
 	var quotas []Quota
 	for _, a := range h.allocations {
--- a/internal/fleet/budget/holder_lease.go
+++ b/internal/fleet/budget/holder_lease.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// demandHeadroom is by how much more than its demand a holder requests: a bucket that gets just what comes, at random,
-// rejects a tenth.
+// demandHeadroom is the ratio of the amount that a holder requests to its average demand. A bucket whose rate equals
+// the average rate of randomly timed requests rejects a tenth of them.
 const demandHeadroom = 1.1
 
-// NextRequest returns the next request to the leader. It is sent after now.
+// NextRequest returns the next request to the leader, created at the time now. The caller must send it no earlier,
+// because the lease of the grants in its response starts at now.
 func (h *Holder) NextRequest(now time.Duration, wall time.Time) Request {
-	h.number++
-	h.pending[h.number] = now
+	h.requestNumber++
+	h.pending[h.requestNumber] = now
 	for number, at := range h.pending {
-		if now-at > h.terms.Lease { // a response would come too late to be of use
+		if now-at > h.terms.Lease { // a lease in its response would already have expired
 			delete(h.pending, number)
 		}
 	}
 	r := Request{
 		Holder:      h.name,
 		Incarnation: h.incarnation,
-		Number:      h.number,
+		Number:      h.requestNumber,
 		Demand:      map[string]float64{},
 		Current:     map[string]uint64{},
 	}
@@ -29,7 +30,7 @@
 	return r
 }
 
-// addTo adds a quota to a request.
+// addTo adds the allocation's demand and current grant to a request.
 func (a *allocation) addTo(r *Request, now time.Duration, wall time.Time) {
 	name := a.quota.Name
 	r.Demand[name] = a.demand * demandHeadroom
@@ -39,7 +40,7 @@
 		a.addCountTo(r, wall)
 	case InUse:
 		r.Demand[name] = a.peakInUse()
-		if granted && a.inUse <= a.inUseLimit(now) { // else units of an earlier grant are in use still
+		if granted && a.inUse <= a.inUseLimit(now) { // otherwise units of an earlier grant are still in use
 			r.Current[name] = a.grant.Number
 		}
 	default:
@@ -49,7 +50,7 @@
 	}
 }
 
-// addCountTo adds a count to a request.
+// addCountTo adds to a request the current period of a count, and a request for units if one is due.
 func (a *allocation) addCountTo(r *Request, wall time.Time) {
 	name := a.quota.Name
 	if r.Periods == nil {
@@ -66,7 +67,7 @@
 	r.Counts[name] = count
 }
 
-// returnCounts gives all stocks of counts up, and returns what to request for it.
+// returnCounts empties all stocks, and returns the count requests that return their units to the ledger, by quota.
 func (h *Holder) returnCounts() map[string]CountRequest {
 	returned := map[string]CountRequest{}
 	for _, a := range h.allocations {
@@ -78,7 +79,7 @@
 	return returned
 }
 
-// inUse are the units that were admitted and are in use still, by quota.
+// inUse returns the number of admitted units that are still in use, by quota, without those that are 0.
 func (h *Holder) inUse() map[string]int {
 	units := map[string]int{}
 	for _, a := range h.allocations {
@@ -89,14 +90,15 @@
 	return units
 }
 
-// Accept takes a response, and reports whether it was of use: one that is late, comes again or belongs to no request
-// is not.
+// Accept applies a response, and reports whether it did. It ignores rejections and responses whose request is not
+// pending: duplicates, responses to an earlier request than the last one answered, and responses so late that
+// NextRequest has dropped the request.
 func (h *Holder) Accept(now time.Duration, r Response) bool {
 	requestedAt, pending := h.pending[r.Number]
 	if !pending || r.Rejection != "" {
 		return false
 	}
-	for number := range h.pending { // an earlier response would have an earlier grant
+	for number := range h.pending { // responses to earlier requests can only have earlier grants
 		if number <= r.Number {
 			delete(h.pending, number)
 		}
@@ -112,6 +114,7 @@
 	return true
 }
 
+// acceptStock adds the units that a response grants of a count.
 func (h *Holder) acceptStock(a *allocation, r Response) {
 	grant, ok := r.Counts[a.quota.Name]
 	if !ok {
@@ -123,9 +126,10 @@
 	}
 }
 
+// acceptGrant replaces an allocation's grant by the one in a response, unless that is earlier.
 func (h *Holder) acceptGrant(a *allocation, r Response, now, ends time.Duration) {
 	grant, ok := r.Grants[a.quota.Name]
-	if !ok || grant.Number <= a.grant.Number { // the leader was told that it uses a later one
+	if !ok || grant.Number <= a.grant.Number { // the leader was notified that a later grant is in use
 		return
 	}
 	if a.quota.Kind == Rate {
--- a/internal/fleet/budget/key_buckets.go
+++ b/internal/fleet/budget/key_buckets.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// A quota may hold for each of many keys, such as cold servers, that nobody can list beforehand: one grant is lent to
-// each process, and holds for each key apart. So what all processes admit for one key is within the quota, and the
-// leader has one entry however many keys there are.
+// A quota may apply separately to each of many keys that are not known in advance, such as cold servers. The leader
+// lends each process one grant, which applies to each key separately. The units that all processes admit for one key
+// therefore stay within the quota, and the leader keeps one entry regardless of the number of keys.
 
 const (
-	// keyTTL is for how long a key is remembered for which nothing was requested. One that is forgotten begins with an
-	// empty bucket again, which is what it may have at least.
+	// keyTTL is the duration for which the bucket of an unused key is kept. A key that is used again later starts with
+	// an empty bucket, which never admits more than the kept one would have.
 	keyTTL = 10 * time.Second
-	// maxKeys bounds the keys of one quota: no upstream group has more servers.
+	// maxKeys is the maximum number of keys per quota: no upstream group has more servers.
 	maxKeys = 10000
 )
 
-// keyBucket is what a process admits for one key.
+// keyBucket is the token bucket of one key in one process.
 type keyBucket struct {
 	bucket   Bucket
-	demanded float64 // units since the demand was counted
+	demanded float64 // units requested since the last update of the demand
 	lastUsed time.Duration
 }
 
-// AdmitKey admits some units for one key, or none of them, of a quota that holds for each of many keys.
+// AdmitKey admits the given units for one key, or none of them. The quota must be one that applies to each key
+// separately.
 func (h *Holder) AdmitKey(now time.Duration, quotaIndex int, key uint64, units float64) bool {
 	a := h.allocations[quotaIndex]
 	h.updateRate(now, a)
@@ -32,7 +33,7 @@
 	}
 	k.lastUsed = now
 	k.demanded += units
-	a.demanded = max(a.demanded, k.demanded) // the grant has to do for the key with the greatest demand
+	a.demanded = max(a.demanded, k.demanded) // the grant must suffice for the key with the highest demand
 	ok, _ := k.bucket.TakeN(now, units)
 	if ok {
 		a.admitted++
@@ -42,7 +43,8 @@
 	return ok
 }
 
-// keyBucket returns the bucket of a key, and makes one for a new key; nil: there are too many keys.
+// keyBucket returns the bucket of a key, and creates it for a new key. It returns nil if there are maxKeys keys
+// already.
 func (h *Holder) keyBucket(now time.Duration, a *allocation, key uint64) *keyBucket {
 	if k := a.keys[key]; k != nil {
 		return k
@@ -60,7 +62,7 @@
 	return k
 }
 
-// expireKeys begins to count the demand of keys anew, and drops those that were not used for keyTTL.
+// expireKeys resets the demand of all keys, and drops the keys that were not used for keyTTL.
 func (a *allocation) expireKeys(now time.Duration) {
 	for key, k := range a.keys {
 		k.demanded = 0
--- a/internal/fleet/budget/leader.go
+++ b/internal/fleet/budget/leader.go
@@ -9,54 +9,55 @@
 	"olivebridge/internal/fleet/mutant"
 )
 
-// termShift is where the term stands in a grant's number.
+// termShift is the bit position of the raft term in a grant's number.
 const termShift = 32
 
-// Leader lends quotas for one raft term. It does not know what earlier leaders lent, and lends nothing until all their
-// grants have expired. It is not safe for concurrent use.
+// Leader lends quotas during one raft term. It does not know the grants of earlier leaders, and therefore lends nothing
+// until all of those have expired. It is not safe for concurrent use.
 type Leader struct {
 	terms  Terms
 	quotas []Quota
 	term   uint64
-	// lendsFrom is when lending begins; of a quota of the kind InUse, its Hold later.
-	lendsFrom time.Duration
-	number    uint64                  // of the last grant, within the term
-	holders   map[string]*holderState // by name and incarnation
-	withheld  map[string]float64      // see Withhold
-	periods   map[string]periodVote   // by name of the holder
-	mutant    func(string) bool       // see package mutant
+	// lendsFrom is the time at which lending starts. For a quota of the kind InUse, it starts Quota.Hold later.
+	lendsFrom   time.Duration
+	grantNumber uint64                  // number of the last grant within the term
+	holders     map[string]*holderState // by holderKey
+	withheld    map[string]float64      // see Withhold
+	periods     map[string]periodVote   // by name of the holder
+	mutant      func(string) bool       // whether a mutant is active, see package mutant
 }
 
-// holderState is what a holder's process has.
+// holderState is the leader's view of one holder process.
 type holderState struct {
-	name        string
-	incarnation string
-	lastHeard   time.Duration
-	final       bool                     // it requests nothing any more
-	demand      map[string]float64       // by quota
-	target      map[string]float64       // what it is to have, by quota
-	grants      map[string][]activeGrant // by quota
+	name          string
+	incarnation   string
+	lastRequestAt time.Duration            // time of the last request
+	final         bool                     // the holder has sent its final request
+	demand        map[string]float64       // by quota
+	target        map[string]float64       // target share of the quota, by quota
+	grants        map[string][]activeGrant // grants that the holder may still use, by quota
 }
 
-// periodVote is the periods that a holder was in, by its wall clock.
+// periodVote is the current period of each count by a holder's wall clock, as of its last request.
 type periodVote struct {
-	at      time.Duration
+	at      time.Duration    // when the request was received
 	periods map[string]int64 // by quota
 }
 
-// activeGrant is a grant that has not ended.
+// activeGrant is a grant that the leader does not count as expired.
 type activeGrant struct {
 	number uint64
 	amount float64
-	ends   time.Duration // by the leader's clock
+	ends   time.Duration // when it expires, by the leader's clock
 }
 
-// key is what the leader knows a holder by.
+// key returns the key of the holder in Leader.holders.
 func (h *holderState) key() string { return holderKey(h.name, h.incarnation) }
 
+// holderKey returns the identity of a holder process.
 func holderKey(name, incarnation string) string { return name + " " + incarnation }
 
-// NewLeader makes the leader of a term that has begun by now.
+// NewLeader returns the leader of a raft term that started no later than now.
 func NewLeader(terms Terms, quotas []Quota, term uint64, now time.Duration) *Leader {
 	l := &Leader{
 		terms:     terms,
@@ -73,11 +74,11 @@
 	return l
 }
 
-// Term is the raft term.
+// Term returns the raft term.
 func (l *Leader) Term() uint64 { return l.term }
 
-// SetQuotas changes the amounts of the quotas. Nothing is lent until all that was lent of the old ones has ended, so
-// that old and new are never used together.
+// SetQuotas changes the amounts of the quotas. Nothing is lent until all grants of the old quotas have expired, so that
+// grants of old and new quotas are never in use together.
 func (l *Leader) SetQuotas(now time.Duration, quotas []Quota) {
 	l.quotas = quotas
 	l.lendsFrom = now + l.terms.leaderLease()
@@ -87,16 +88,17 @@
 	}
 }
 
-// Withhold sets how much of each quota is not lent, beside the reserve: what seats have of a larger one, since their
-// processes have not confirmed the present one.
+// Withhold sets the amount of each quota, beyond the reserve, that is not lent. It accounts for processes that have not
+// yet confirmed a smaller quota and may still use a seat's part of the larger one; see ledger.excess.
 func (l *Leader) Withhold(units map[string]float64) { l.withheld = units }
 
-// Lend answers a holder. The response may be sent only if the leader was in office at some time after this call.
+// Lend processes a holder's request and returns the response. The caller may send the response only if it has verified
+// after this call that the process is still the raft leader of the term.
 func (l *Leader) Lend(now time.Duration, r Request) Response {
 	l.dropExpired(now)
 	l.periods[r.Holder] = periodVote{now, r.Periods}
 	h := l.holderOf(r)
-	h.lastHeard = now
+	h.lastRequestAt = now
 	h.demand = r.Demand
 	for _, q := range l.quotas {
 		released := r.Final && r.InUse[q.Name] == 0
@@ -112,14 +114,14 @@
 		return response
 	}
 	for _, q := range l.quotas {
-		if q.Kind != Count && now >= l.lendsFrom+q.Hold { // counts are the ledger's
+		if q.Kind != Count && now >= l.lendsFrom+q.Hold { // counts are granted by the ledger
 			response.Grants[q.Name] = l.grant(now, q, h)
 		}
 	}
 	return response
 }
 
-// holderOf returns the state of the holder that sent a request, and makes one for a new holder.
+// holderOf returns the state of the holder that sent a request, and creates it for a new holder.
 func (l *Leader) holderOf(r Request) *holderState {
 	key := holderKey(r.Holder, r.Incarnation)
 	if l.mutant("incarnation-forgotten") {
@@ -138,8 +140,9 @@
 	return h
 }
 
-// dropUnused drops grants that a holder does not use any more: all that it released, or those before the current one;
-// 0: it did not say which that is.
+// dropUnused drops the grants that a holder no longer uses: all of them if it released them, and otherwise those with a
+// lower number than the current one. A current of 0 means that the holder did not name its current grant: none is
+// dropped.
 func dropUnused(grants []activeGrant, current uint64, released bool) []activeGrant {
 	if released {
 		return nil
@@ -150,7 +153,7 @@
 	return slices.DeleteFunc(grants, func(g activeGrant) bool { return g.number < current })
 }
 
-// dropExpired drops grants that have ended, and holders of which nothing is left.
+// dropExpired drops expired grants, and holders without grants that have sent no request for a lease.
 func (l *Leader) dropExpired(now time.Duration) {
 	for key, h := range l.holders {
 		left := 0
@@ -158,20 +161,20 @@
 			h.grants[name] = slices.DeleteFunc(grants, func(g activeGrant) bool { return g.ends <= now })
 			left += len(h.grants[name])
 		}
-		if left == 0 && now-h.lastHeard > l.terms.leaderLease() {
+		if left == 0 && now-h.lastRequestAt > l.terms.leaderLease() {
 			delete(l.holders, key)
 		}
 	}
 }
 
-// grant grants a holder its part of a quota, as far as it is free.
+// grant records and returns a new grant of a quota for a holder: its target share, limited to the free amount.
 func (l *Leader) grant(now time.Duration, q Quota, h *holderState) Grant {
 	free := max(l.free(q, h), 0)
 	target := Divide(l.lendable(q), l.demands(now, q))[h.key()]
 	h.target[q.Name] = target
-	l.number++
-	grant := Grant{Number: l.term<<termShift | l.number, Amount: min(target, free)}
-	if q.Kind == InUse { // whole units: where they are fewer than holders, those that request first have them
+	l.grantNumber++
+	grant := Grant{Number: l.term<<termShift | l.grantNumber, Amount: min(target, free)}
+	if q.Kind == InUse { // whole units; if there are fewer than holders, the first to request get them
 		grant.Amount = min(math.Ceil(target-hysteresis/2), math.Floor(free+roundingTolerance))
 	}
 	if l.mutant("given-out-early") {
@@ -182,10 +185,10 @@
 	return grant
 }
 
-// roundingTolerance is by how much a sum of whole units may be too small for rounding.
+// roundingTolerance is the amount by which rounding errors may make a sum of whole units too small.
 const roundingTolerance = 1e-9
 
-// lendable is how much of a quota is ever lent.
+// lendable returns the amount of a quota that may be lent: all but the reserve and the withheld amount.
 func (l *Leader) lendable(q Quota) float64 {
 	if l.mutant("reserve-lent") {
 		return q.Amount
@@ -194,7 +197,8 @@
 	return max(q.Amount-reserve-l.withheld[q.Name], 0)
 }
 
-// free is how much of a quota one holder may have: what is lendable, without the most that the others may use.
+// free returns the amount of a quota that may be granted to a holder: the lendable amount less the maximum amounts that
+// the other holders may use. It can be negative.
 func (l *Leader) free(q Quota, h *holderState) float64 {
 	free := l.lendable(q)
 	for _, other := range l.holders {
@@ -205,40 +209,42 @@
 	return free
 }
 
-// demands are those of all holders that still request, in order.
+// demands returns the demands for a quota, sorted by holder. It omits holders that have sent their final request, have
+// sent none for a lease, or have been replaced by a later incarnation.
 func (l *Leader) demands(now time.Duration, q Quota) (demands []Demand) {
 	for _, h := range l.holders {
-		if h.final || now-h.lastHeard > l.terms.Lease || l.hasLaterIncarnation(h) {
+		if h.final || now-h.lastRequestAt > l.terms.Lease || l.hasLaterIncarnation(h) {
 			continue
 		}
-		demands = append(demands, Demand{Holder: h.key(), Units: h.demand[q.Name], Target: h.target[q.Name]})
+		demands = append(demands, Demand{Holder: h.key(), Units: h.demand[q.Name], PreviousTarget: h.target[q.Name]})
 	}
 	slices.SortFunc(demands, func(a, b Demand) int { return strings.Compare(a.Holder, b.Holder) })
 	return demands
 }
 
-// hasLaterIncarnation reports whether a holder's node has begun another incarnation, which requests for itself.
+// hasLaterIncarnation reports whether another incarnation of the holder's node has sent a request more recently.
 func (l *Leader) hasLaterIncarnation(h *holderState) bool {
 	for _, other := range l.holders {
-		if other.name == h.name && other.incarnation != h.incarnation && other.lastHeard > h.lastHeard {
+		if other.name == h.name && other.incarnation != h.incarnation && other.lastRequestAt > h.lastRequestAt {
 			return true
 		}
 	}
 	return false
 }
 
-// usable is the most that a holder may use of a quota.
+// usable returns the maximum amount of a quota that a holder may use: its largest active grant.
 func (h *holderState) usable(name string) float64 {
-	most := 0.0
+	largest := 0.0
 	for _, g := range h.grants[name] {
-		most = math.Max(most, g.amount)
+		largest = math.Max(largest, g.amount)
 	}
-	return most
+	return largest
 }
 
-// Period is the period that a count is in: the one that more than half of the voters have named within a lease, by
-// their wall clocks, of which any may be wrong, this process's too. There may be none.
-func (l *Leader) Period(now time.Duration, name string, voters []string) (period int64, ok bool) {
+// MajorityPeriod returns the current period of a count: the one that more than half of the voters have reported within
+// the last lease. It relies on no single wall clock, not even this process's, because any of them may be wrong. It
+// returns false if there is no such period.
+func (l *Leader) MajorityPeriod(now time.Duration, name string, voters []string) (period int64, ok bool) {
 	votes := map[int64]int{}
 	for _, voter := range voters {
 		vote, voted := l.periods[voter]
--- a/internal/fleet/budget/leader_client.go
+++ b/internal/fleet/budget/leader_client.go
@@ -11,29 +11,32 @@
 )
 
 const (
-	// requestPart is which part of a lease a request may take: one in requestPart.
-	requestPart = 4
-	// finalRequestPart is which part of that the last request may take: a process that ends must not wait for long.
-	finalRequestPart = 5
+	// requestTimeoutDivisor sets the timeout of a request: the lease divided by it.
+	requestTimeoutDivisor = 4
+	// finalTimeoutDivisor sets the timeout of the final request: the timeout of other requests divided by it. It is
+	// shorter, so that it does not delay the exit of the process.
+	finalTimeoutDivisor = 5
 )
 
-var errNoVoters = errors.New("nobody keeps the book")
+// errNoVoters means that a request cannot be sent, as there are no voters.
+var errNoVoters = errors.New("the list of voters is empty")
 
-// leaderClient sends requests to the leader, whoever that is, over one stream at a time.
+// leaderClient sends a holder's requests to the current leader, over one stream at a time. While the leader is unknown,
+// it sends them to the voters in turn.
 type leaderClient struct {
-	service *Service
-	leader  string // is sent the next request; "": unknown
-	voter   int    // counts the voters that were tried while the leader is unknown
-	conn    net.Conn
-	connTo  string // name of the node at the other end
-	in      *json.Decoder
-	out     *json.Encoder
+	service    *Service
+	leader     string // name of the leader, which receives the next request; "": unknown
+	voterIndex int    // index, modulo the number of voters, of the voter to try while the leader is unknown
+	conn       net.Conn
+	remoteName string // name of the node to which conn leads
+	in         *json.Decoder
+	out        *json.Encoder
 }
 
-// requestLoop requests grants until stop is closed, and then returns all of them.
+// requestLoop requests grants every Lease/requestsPerLease until stop is closed, and then returns all of them.
 func (s *Service) requestLoop(stop chan struct{}) {
 	c := &leaderClient{service: s}
-	defer c.hangUp()
+	defer c.closeStream()
 	ticker := time.NewTicker(s.config.Terms.Lease / requestsPerLease)
 	defer ticker.Stop()
 	s.mu.Lock()
@@ -46,14 +49,15 @@
 		c.request(h)
 		select {
 		case <-stop:
-			c.returnAll(h) // if nobody receives it, the grants end by themselves
+			c.returnAll(h) // if the request is lost, the grants expire on their own
 			return
 		case <-ticker.C:
 		}
 	}
 }
 
-// request sends a request, and gives the response to the holder. A response that does not come in time counts as lost.
+// request sends the holder's next request and applies the response. A response that does not arrive before the timeout
+// counts as lost.
 func (c *leaderClient) request(h *Holder) {
 	s := c.service
 	terms := s.termsText()
@@ -65,7 +69,7 @@
 	if err != nil {
 		return
 	}
-	s.takeSeat(response.Seat, terms)
+	s.storeSeat(response.Seat, terms)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.holder == h && h.Accept(s.now(), response.Response) {
@@ -74,7 +78,8 @@
 	s.recordHoldings()
 }
 
-// returnAll tells the leader that the holder admits nothing any more.
+// returnAll sends the final request, which returns the holder's grants and stocks and names its units still in use. A
+// failure is ignored.
 func (c *leaderClient) returnAll(h *Holder) {
 	s := c.service
 	terms := s.termsText()
@@ -89,7 +94,7 @@
 	_, _ = c.send(request, began)
 }
 
-// newRequest is the holder's next request. It is called with mu held.
+// newRequest returns the holder's next request. The caller holds mu.
 func (s *Service) newRequest(h *Holder, terms string) holderRequest {
 	return holderRequest{
 		Request: h.NextRequest(s.now(), mutant.WallClock()),
@@ -99,7 +104,8 @@
 	}
 }
 
-// send sends a request that was made at a time of the record's clock, and learns from the response who leads.
+// send sends a request, records it if it has counts, and updates the leader's name from the outcome. The time at which
+// the request was created, began, is by the record's clock.
 func (c *leaderClient) send(request holderRequest, began time.Duration) (leaderResponse, error) {
 	counters := &c.service.counters
 	counters.requests.Add(1)
@@ -108,9 +114,9 @@
 	switch {
 	case err != nil:
 		counters.lost.Add(1)
-		c.hangUp()
+		c.closeStream()
 		c.leader = ""
-		c.voter++
+		c.voterIndex++
 	case response.Rejection != "":
 		counters.refused.Add(1)
 		c.redirect(response.Leader)
@@ -118,17 +124,19 @@
 	return response, err
 }
 
-// redirect takes who leads from a rejection.
+// redirect sets the leader to the one that a rejection names. If the leader was unknown and the rejection names none,
+// the next request goes to the next voter.
 func (c *leaderClient) redirect(leader string) {
 	switch {
 	case leader != c.leader:
 		c.leader = leader
 	case leader == "":
-		c.voter++
+		c.voterIndex++
 	}
 }
 
-// exchange sends a request to the leader, or else to one voter after the other, and waits for the response.
+// exchange sends a request to the leader, or to the voter at voterIndex if the leader is unknown, and waits for the
+// response. If that is this node, it handles the request in the process, without a stream.
 func (c *leaderClient) exchange(request holderRequest) (response leaderResponse, err error) {
 	to := c.leader
 	if to == "" {
@@ -136,14 +144,14 @@
 		if len(voters) == 0 {
 			return response, errNoVoters
 		}
-		to = voters[c.voter%len(voters)]
+		to = voters[c.voterIndex%len(voters)]
 	}
 	if to == c.service.config.Name {
 		return c.service.respond(request), nil
 	}
-	timeout := c.service.config.Terms.Lease / requestPart
+	timeout := c.service.config.Terms.Lease / requestTimeoutDivisor
 	if request.Final {
-		timeout /= finalRequestPart
+		timeout /= finalTimeoutDivisor
 	}
 	if err := c.connect(to, timeout); err != nil {
 		return response, err
@@ -156,24 +164,25 @@
 	return response, err
 }
 
-// connect opens a stream to a node, unless there is one.
+// connect opens a stream to a node, unless conn already leads to it.
 func (c *leaderClient) connect(to string, timeout time.Duration) error {
-	if c.conn != nil && c.connTo == to {
+	if c.conn != nil && c.remoteName == to {
 		return nil
 	}
-	c.hangUp()
+	c.closeStream()
 	conn, err := c.service.config.Dial(to, HolderChannel, timeout)
 	if err != nil {
 		return err
 	}
 	c.conn = conn
-	c.connTo = to
+	c.remoteName = to
 	c.in = json.NewDecoder(conn)
 	c.out = json.NewEncoder(conn)
 	return nil
 }
 
-func (c *leaderClient) hangUp() {
+// closeStream closes the stream, if there is one.
+func (c *leaderClient) closeStream() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 		c.conn = nil
--- a/internal/fleet/budget/leader_server.go
+++ b/internal/fleet/budget/leader_server.go
@@ -7,7 +7,8 @@
 	"olivebridge/internal/fleet/mutant"
 )
 
-// ServeHolders serves a stream of HolderChannel: it answers the requests of one holder until the stream ends.
+// ServeHolders answers the requests on a stream of HolderChannel until the stream ends. It also returns if a request
+// names a holder other than from, the node at the other end of the stream.
 func (s *Service) ServeHolders(conn net.Conn, from string) {
 	in := json.NewDecoder(conn)
 	out := json.NewEncoder(conn)
@@ -16,7 +17,7 @@
 		if err := in.Decode(&request); err != nil {
 			return
 		}
-		if request.Holder != from { // the stream says who requests
+		if request.Holder != from { // a node may only request for itself
 			return
 		}
 		if err := out.Encode(s.respond(request)); err != nil {
@@ -25,7 +26,7 @@
 	}
 }
 
-// respond answers a holder, if this process is the leader.
+// respond handles a holder's request: it grants units if this process is the leader, and rejects the request otherwise.
 func (s *Service) respond(request holderRequest) leaderResponse {
 	s.mu.Lock()
 	ledger := s.ledger
@@ -38,7 +39,8 @@
 	}
 	term := ledger.Term()
 	lent, reserves := s.lend(ledger, term, request.Request)
-	// What was decided holds only if this process was in office after it: no later leader has begun by then.
+	// The grants are valid only if this process is still the leader now: then no later leader had started when it made
+	// them.
 	err := ledger.VerifyLeader()
 	if (err != nil || ledger.Term() != term) && !mutant.Active("no-majority") {
 		return s.reject(request, rejectedDeposed)
@@ -55,11 +57,13 @@
 	return response
 }
 
-func (s *Service) reject(request holderRequest, why Rejection) leaderResponse {
-	return leaderResponse{Response: Response{Number: request.Number, Rejection: why, Leader: s.leaderName()}}
+// reject returns the response that rejects a request and names the leader, if it is known.
+func (s *Service) reject(request holderRequest, reason Rejection) leaderResponse {
+	return leaderResponse{Response: Response{Number: request.Number, Rejection: reason, Leader: s.leaderName()}}
 }
 
-// lend has the leader of a term lend, and returns what a seat has of the reserve.
+// lend passes a request to the Leader of a raft term, which it creates for a new term. It returns the response and a
+// seat's parts of the reserves, by quota.
 func (s *Service) lend(
 	ledger *replicatedLedger, term uint64, request Request,
 ) (response Response, reserves map[string]float64) {
@@ -75,7 +79,7 @@
 	return s.leader.Lend(s.now(), request), reserves
 }
 
-// assignSeat returns the seat of a holder's home; 0: there is none left, or the voters did not agree.
+// assignSeat assigns a seat to a holder's home and returns it; 0: no seat is left, or the command was not committed.
 func (s *Service) assignSeat(ledger *replicatedLedger, request holderRequest, reserves map[string]float64) int {
 	seat, err := ledger.assignSeat(seatCommand{
 		Home:     request.Home,
@@ -89,12 +93,13 @@
 	return seat
 }
 
-// grantCounts grants stocks of counts, of the period that most voters are in.
+// grantCounts grants the stocks of counts that a request asks for. It omits requests for another period than the one
+// reported by a majority of the voters, and commands that were not committed.
 func (s *Service) grantCounts(ledger *replicatedLedger, request Request) map[string]CountGrant {
 	grants := map[string]CountGrant{}
 	for _, q := range s.quotas() {
 		count, requested := request.Counts[q.Name]
-		if q.Kind != Count || !requested || !s.inPeriod(q, count.Period) {
+		if q.Kind != Count || !requested || !s.isMajorityPeriod(q, count.Period) {
 			continue
 		}
 		grant, err := ledger.grantCount(countCommand{
@@ -111,8 +116,8 @@
 	return grants
 }
 
-// inPeriod reports whether a count's period is that of most voters.
-func (s *Service) inPeriod(q Quota, period int64) bool {
+// isMajorityPeriod reports whether a period of a count is the one reported by a majority of the voters.
+func (s *Service) isMajorityPeriod(q Quota, period int64) bool {
 	if mutant.Active("own-clock") {
 		return period == periodOf(mutant.WallClock(), q.Period)
 	}
@@ -122,6 +127,6 @@
 	if s.leader == nil {
 		return false
 	}
-	current, ok := s.leader.Period(s.now(), q.Name, voters)
+	current, ok := s.leader.MajorityPeriod(s.now(), q.Name, voters)
 	return ok && current == period
 }
--- a/internal/fleet/budget/lease_test.go
+++ b/internal/fleet/budget/lease_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// Without faults all of what is lendable is lent, a new holder has its part within two requests, and a failed one's is
-// lent again once its lease is over.
+// Without faults, the leader lends the whole lendable amount, gives a new holder its part within two requests, lends
+// the part of a failed holder again after its lease, and lends nothing to a holder that returned its grants.
 func TestGrantsWithoutFaults(t *testing.T) {
 	terms := Terms{Lease: 2 * second, Reserve: 0.04, Seats: 4}
 	quotas := []Quota{{Name: "a", Kind: Rate, Amount: 100, Burst: 20}}
-	k := NewLeader(terms, quotas, 1, 0)
+	leader := NewLeader(terms, quotas, 1, 0)
 	names := []string{"n1", "n2", "n3"}
 	holders := map[string]*Holder{}
 	for _, n := range names {
@@ -28,7 +28,7 @@
 					for range 30 {
 						h.Admit(now, time.Time{}, 0)
 					}
-					h.Accept(now, k.Lend(now, h.NextRequest(now, time.Time{})))
+					h.Accept(now, leader.Lend(now, h.NextRequest(now, time.Time{})))
 				}
 			}
 		}
@@ -47,28 +47,28 @@
 	}
 	run(3 * second)
 	if got := sum(); math.Abs(got-96) > 1e-6 {
-		t.Errorf("%g of 96 are lent", got)
+		t.Errorf("%g units are lent, want 96", got)
 	}
 	names, holders["n4"] = append(names, "n4"), NewHolder(terms, quotas, "n4", "1", now)
 	run(second)
 	if got := holders["n4"].Holdings(now)[0].Amount; math.Abs(got-24) > 3 {
-		t.Errorf("the newcomer has %g", got)
+		t.Errorf("the new holder has %g units, want 24 within 3", got)
 	}
 	holders["n4"] = nil
 	run(3 * second)
 	if got := sum(); math.Abs(got-96) > 1e-6 {
-		t.Errorf("after a failure %g of 96 are lent", got)
+		t.Errorf("after the failure of a holder, %g units are lent, want 96", got)
 	}
 	final := holders["n1"].NextRequest(now, time.Time{})
 	final.Final = true
-	k.Lend(now, final)
-	if all := k.Shares(now, "a"); all[0].Lent != 0 {
-		t.Errorf("what was returned is lent: %v", all)
+	leader.Lend(now, final)
+	if shares := leader.Shares(now, "a"); shares[0].Lent != 0 {
+		t.Errorf("a returned grant still counts as lent: %v", shares)
 	}
 }
 
-// A grant ends by the time of its request, however late the response comes, and a response that comes twice or is
-// overtaken does nothing.
+// The lease of a grant starts when its request was created, however late the response arrives. A duplicate response and
+// one with an earlier grant than the current one change nothing.
 func TestLeaseCountsFromRequest(t *testing.T) {
 	terms := Terms{Lease: 2 * second, Seats: 1}
 	h := NewHolder(terms, []Quota{{Name: "a", Kind: Rate, Amount: 100, Burst: 20}}, "n1", "1", 0)
@@ -81,7 +81,7 @@
 	}
 	for at, amount := range map[time.Duration]float64{2900 * time.Millisecond: 50, 3 * second: 0} {
 		if got := h.Holdings(at)[0].Amount; got != amount {
-			t.Errorf("at %v it holds %g", at, got)
+			t.Errorf("at %v the holder has a grant of %g units, which is wrong for a lease from its request", at, got)
 		}
 	}
 	if h.Accept(2600*time.Millisecond, respond(first, 1)) {
@@ -89,7 +89,7 @@
 	}
 	h.Accept(3*second, respond(next, 7))
 	if got := h.Holdings(3900 * time.Millisecond)[0].Grant; got != 7 {
-		t.Errorf("it holds grant %d", got)
+		t.Errorf("the holder has grant %d, want 7", got)
 	}
 	last := h.NextRequest(3500*time.Millisecond, time.Time{})
 	if h.Accept(3600*time.Millisecond, respond(last, 5)); h.Holdings(3700 * time.Millisecond)[0].Grant != 7 {
@@ -113,53 +113,54 @@
 	}
 }
 
-// While a quota changes, at some nodes earlier than at others, no more can be used than the larger of the two; and the
-// new one holds, in all, a lease after the leader was told, though some node is told late: but for the old reserve of
-// that node, where it alone is more than the new quota.
+// A quota change reaches the nodes at different times. Until it is complete, the usable amounts add up to no more than
+// the larger of the old and the new quota. From a lease after the change of the leader they add up to no more than the
+// new quota, even if a node is not notified yet; the exception is the old reserves of such nodes, if those alone exceed
+// the new quota.
 func TestQuotaChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		terms := Terms{Lease: 2 * second, Reserve: 0.1, Seats: 3}
 		old, next := []Quota{{Name: "a", Kind: Rate, Amount: 100, Burst: 20}},
 			[]Quota{{Name: "a", Kind: Rate, Amount: float64(rapid.IntRange(0, 300).Draw(t, "next")), Burst: 20}}
-		k := NewLeader(terms, old, 1, 0)
+		leader := NewLeader(terms, old, 1, 0)
 		l := newLedger()
 		var holders []*Holder
-		var told []time.Duration
+		var changes []time.Duration // when each holder is notified; -1: it has been
 		for i := range 3 {
 			h := NewHolder(terms, old, fmt.Sprint("n", i), "1", 0)
-			h.TakeSeat(h.SeatReserves())
+			h.SetReserves(h.SeatReserves())
 			holders = append(holders, h)
-			told = append(told, 5*second+time.Duration(rapid.IntRange(0, 9000).Draw(t, "told"))*time.Millisecond)
+			changes = append(changes, 5*second+time.Duration(rapid.IntRange(0, 9000).Draw(t, "holder changes"))*time.Millisecond)
 		}
-		leader := 5*second + time.Duration(rapid.IntRange(0, 3000).Draw(t, "leader told"))*time.Millisecond
-		from := leader + terms.leaderLease()
+		leaderChange := 5*second + time.Duration(rapid.IntRange(0, 3000).Draw(t, "leader changes"))*time.Millisecond
+		from := leaderChange + terms.leaderLease()
 		for now := time.Duration(0); now < 15*second; now += 50 * time.Millisecond {
-			if now >= leader && leader > 0 {
-				k.SetQuotas(now, next)
-				leader = -1
+			if now >= leaderChange && leaderChange > 0 {
+				leader.SetQuotas(now, next)
+				leaderChange = -1
 			}
 			sum, reserved := 0.0, 0.0
 			for i, h := range holders {
-				if now >= told[i] && told[i] > 0 {
+				if now >= changes[i] && changes[i] > 0 {
 					h.SetQuotas(now, next)
-					told[i] = -1
+					changes[i] = -1
 				}
 				for range 5 {
 					h.Admit(now, time.Time{}, 0)
 				}
-				if same := (leader < 0) == (told[i] < 0); same { // else the leader refuses
+				if same := (leaderChange < 0) == (changes[i] < 0); same { // otherwise the leader rejects the request
 					reserves := h.SeatReserves()
-					k.Withhold(l.excess(reserves))
-					h.Accept(now, k.Lend(now, h.NextRequest(now, time.Time{})))
+					leader.Withhold(l.excess(reserves))
+					h.Accept(now, leader.Lend(now, h.NextRequest(now, time.Time{})))
 					l.assignSeat(seatCommand{h.name, i + 1, 3, reserves})
-					h.TakeSeat(reserves)
+					h.SetReserves(reserves)
 				}
-				one := h.Holdings(now)[0]
-				sum += one.Amount + one.Reserve
-				reserved += one.Reserve
+				holding := h.Holdings(now)[0]
+				sum += holding.Amount + holding.Reserve
+				reserved += holding.Reserve
 			}
 			if sum > max(100, next[0].Amount)+1e-6 || now > from && sum > max(next[0].Amount, reserved)+1e-6 {
-				t.Fatalf("at %v, %v after the leader was told, %g can be used of %g", now, now-from, sum, next[0].Amount)
+				t.Fatalf("at %v, %v after the old leases, %g units of a quota of %g are usable", now, now-from, sum, next[0].Amount)
 			}
 		}
 	})
--- a/internal/fleet/budget/ledger.go
+++ b/internal/fleet/budget/ledger.go
@@ -11,22 +11,22 @@
 	"olivebridge/internal/fleet/raftlog"
 )
 
-// ledger is the state machine of the voters' log: it has what must last, which is who has which seat of the reserve,
-// and what was granted of counts. Leases are in the leader's memory alone: see docs/BUDGET-DESIGN.md. It is stored in
-// snapshots: the keys of the JSON stay.
+// ledger is the raft state machine of the voters. It has the state that must survive a change of the leader: the seats
+// of the reserve and the units granted of counts. Leases are only in the leader's memory, see docs/BUDGET-DESIGN.md. It
+// is stored in snapshots, so its JSON keys must not change.
 type ledger struct {
 	mu    sync.Mutex
-	Seats map[string]int `json:"of"`   // by home, from 1
-	Next  int            `json:"next"` // the next seat that nobody has
-	// Reserved is what each home's process may have of the reserve, by home and quota: amounts change, and a process may
-	// not have learned of it.
+	Seats map[string]int `json:"of"`   // seat numbers, from 1, by home
+	Next  int            `json:"next"` // lowest seat number that was never assigned
+	// Reserved is the part of each reserve that the process of each home may use, by home and quota. It is stored per
+	// home because the amounts change, and a process may still use the old ones.
 	Reserved map[string]map[string]float64 `json:"kept"`
 	Counts   countLedger                   `json:"counts"`
 }
 
 var _ raft.FSM = (*ledger)(nil)
 
-// command is an entry of the log: one of the two.
+// command is an entry of the raft log. Exactly one field is set.
 type command struct {
 	Seat  *seatCommand  `json:"seat,omitempty"`
 	Count *countCommand `json:"count,omitempty"`
@@ -35,12 +35,13 @@
 // seatCommand assigns a seat to a home.
 type seatCommand struct {
 	Home  string `json:"home"`
-	Seat  int    `json:"seat,omitempty"` // that the home has had; 0: none
-	Seats int    `json:"seats"`          // how many there are
-	// Reserved is what its process may have of the reserve from now on, by quota.
+	Seat  int    `json:"seat,omitempty"` // seat that the home stored earlier; 0: none
+	Seats int    `json:"seats"`          // number of seats in the fleet
+	// Reserved is the part of each reserve that the home's process may use once the command is committed, by quota.
 	Reserved map[string]float64 `json:"kept,omitempty"`
 }
 
+// newLedger returns the ledger of an empty log.
 func newLedger() *ledger {
 	return &ledger{
 		Seats:    map[string]int{},
@@ -50,8 +51,8 @@
 	}
 }
 
-// seatOf returns a home's seat, if what it may have of the reserve is known to be this; 0: it has none, or that is
-// something else.
+// seatOf returns a home's seat, provided that the ledger has the given parts of the reserves for it; 0: it has no seat,
+// or other parts.
 func (l *ledger) seatOf(home string, reserved map[string]float64) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,14 +62,15 @@
 	return l.Seats[home]
 }
 
-// excess is what all homes together may have of the reserve beyond what a seat has now, by quota.
-func (l *ledger) excess(seat map[string]float64) map[string]float64 {
+// excess returns, by quota, the sum over all homes of the amount by which a home's part of the reserve exceeds a seat's
+// current part.
+func (l *ledger) excess(currentParts map[string]float64) map[string]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	excess := map[string]float64{}
 	for _, reserved := range l.Reserved {
 		for name, units := range reserved {
-			excess[name] += max(units-seat[name], 0)
+			excess[name] += max(units-currentParts[name], 0)
 		}
 	}
 	return excess
@@ -89,11 +91,12 @@
 	return raftlog.MalformedEntry(entry, err)
 }
 
-// assignSeat gives a home its seat: once, and never one that another home has. It returns 0 if there is none left.
+// assignSeat returns a home's seat, and assigns one if it has none. A seat is never reassigned to another home. It
+// returns 0 if no seat is left, or the seat that the home stored earlier belongs to another home.
 func (l *ledger) assignSeat(c seatCommand) int {
 	switch {
 	case l.Seats[c.Home] != 0:
-	case c.Seat != 0 && !l.seatTaken(c.Seat): // assigned by a log that was lost
+	case c.Seat != 0 && !l.seatTaken(c.Seat): // assigned by an earlier log, which was lost
 		l.Seats[c.Home] = c.Seat
 		l.Next = max(l.Next, c.Seat+1)
 	case c.Seat == 0 && l.Next <= c.Seats:
@@ -106,9 +109,10 @@
 	return l.Seats[c.Home]
 }
 
+// seatTaken reports whether a home has the seat.
 func (l *ledger) seatTaken(seat int) bool {
-	for _, taken := range l.Seats {
-		if taken == seat {
+	for _, assigned := range l.Seats {
+		if assigned == seat {
 			return true
 		}
 	}
--- a/internal/fleet/budget/quota.go
+++ b/internal/fleet/budget/quota.go
@@ -6,63 +6,66 @@
 	"time"
 )
 
-// Kind is what a quota limits.
+// Kind is the kind of limit that a quota sets.
 type Kind string
 
-// The kinds.
+// Kinds of quotas.
 const (
-	Rate  Kind = "rate"   // units a second
-	InUse Kind = "in-use" // units at one time, from Admit until Release
-	Count Kind = "count"  // units in a period of the wall clock
+	Rate  Kind = "rate"   // units per second
+	InUse Kind = "in-use" // units in use at one time, each from Admit until Release
+	Count Kind = "count"  // units per period of the wall clock
 )
 
-// Quota is a limit for the whole fleet.
+// Quota is a fleet-wide limit. The order of its fields is part of the protocol, see termsText.
 type Quota struct {
 	Name   string
 	Kind   Kind
-	Amount float64       // of Rate a second, of InUse at one time, of Count in a period
-	Burst  float64       // of Rate: units beyond it, over all nodes together
-	Hold   time.Duration // of InUse: for how long a unit may be in use after it was admitted
-	Period time.Duration // of Count: counted from the Unix epoch
+	Amount float64       // units; Rate: per second; InUse: at one time; Count: per period
+	Burst  float64       // Rate: token bucket burst in units, summed over all nodes
+	Hold   time.Duration // InUse: maximum duration between the admission of a unit and its release
+	Period time.Duration // Count: length of a period; periods are counted from the Unix epoch
 }
 
-// Terms hold for all quotas of a fleet.
+// Terms are the settings that apply to all quotas of a fleet. The names and the order of its fields are part of
+// the protocol, see termsText.
 type Terms struct {
-	Lease   time.Duration // for how long a grant may be used, by its holder's clock, from before it was requested
-	Reserve float64       // part of every quota that is never lent, from 0 to 1
-	Seats   int           // into how many parts the reserve is divided
+	Lease   time.Duration // validity of a grant by its holder's clock, from the creation of its request
+	Reserve float64       // fraction of every quota that is never lent, from 0 to 1
+	Seats   int           // number of equal parts into which the reserve is divided
 }
 
-// termsText describes quotas and terms. A holder sends it to the leader, which compares it with its own: so the text,
-// the order of Quota's fields and the names of those of Terms are part of the protocol.
+// termsText returns a text of the quotas and terms. A holder sends it to the leader, which compares it with its own
+// text. The text, the order of the fields of Quota, and the names and order of the fields of Terms are therefore part
+// of the protocol.
 func termsText(quotas []Quota, terms Terms) string { return fmt.Sprintf("%v %+v", quotas, terms) }
 
-// clockDrift is by which part two clocks may run apart: far more than quartz does.
+// clockDrift is the maximum relative difference between the rates of two clocks that the leases tolerate. It is far
+// more than the drift of quartz clocks.
 const clockDrift = 0.01
 
-// leaderLease is for how long a leader counts a grant from when it was made.
+// leaderLease returns the duration for which a leader counts a grant as active, from when it made the grant.
 func (t Terms) leaderLease() time.Duration {
 	return time.Duration(float64(t.Lease) * (1 + clockDrift))
 }
 
-// holderLease is for how long a holder uses a grant from before it requested it.
+// holderLease returns the duration for which a holder uses a grant, from when it created the request.
 func (t Terms) holderLease() time.Duration {
 	return time.Duration(float64(t.Lease) * (1 - clockDrift))
 }
 
-// seatReserve is one seat's part of a quota.
+// seatReserve returns one seat's part of the quota's reserve.
 func (q Quota) seatReserve(t Terms) float64 {
 	part := q.Amount * t.Reserve / float64(max(t.Seats, 1))
 	switch q.Kind {
 	case InUse: // whole units
 		return math.Floor(part)
-	case Count: // no reserve is needed: a stock that is held lasts without a leader
+	case Count: // needs no reserve: a stock remains usable without a leader
 		return 0
 	}
 	return part
 }
 
-// seatReserves are a seat's parts by quota, without those that are 0.
+// seatReserves returns one seat's parts of the reserves, by quota, without parts that are 0.
 func (t Terms) seatReserves(quotas []Quota) map[string]float64 {
 	reserves := map[string]float64{}
 	for _, q := range quotas {
--- a/internal/fleet/budget/record.go
+++ b/internal/fleet/budget/record.go
@@ -6,15 +6,15 @@
 	"olivebridge/internal/fleet/record"
 )
 
-// GrantRecord is a grant in the record of the leader.
+// GrantRecord is the line that the leader writes to the record for a grant.
 type GrantRecord struct {
 	Holder      string `json:"holder"`
 	Incarnation string `json:"life"`
 	Grant       uint64 `json:"grant"`
-	Until       int64  `json:"until"` // when the leader counts it as ended, as record.Line has times
+	Until       int64  `json:"until"` // when the leader counts the grant as expired, in the time format of record.Line
 }
 
-// recordGrants records what was lent.
+// recordGrants records the grants in a response.
 func (s *Service) recordGrants(request Request, response Response) {
 	if s.config.Record == nil {
 		return
@@ -34,16 +34,17 @@
 	}
 }
 
-// CountRecord is a request for a stock of a count, in the record of its holder.
+// CountRecord is the line that a holder writes to the record for a request for a stock of a count.
 type CountRecord struct {
 	Quota    string       `json:"budget"`
-	Began    int64        `json:"began"` // as record.Line has times
+	Began    int64        `json:"began"` // when the request was created, in the time format of record.Line
 	Request  CountRequest `json:"ask"`
 	Granted  CountGrant   `json:"got"`
-	Answered bool         `json:"known"` // a response came, whether or not it granted something
+	Answered bool         `json:"known"` // a response with a grant was received, even if the grant has no units
 }
 
-// recordCounts records requests for stocks, for whoever checks the ledger against a model.
+// recordCounts records the count requests of a request and their grants. The lab compares them with a model of the
+// ledger.
 func (s *Service) recordCounts(request holderRequest, response leaderResponse, began time.Duration, err error) {
 	if s.config.Record == nil {
 		return
@@ -60,14 +61,14 @@
 	}
 }
 
-// recordHoldings records what this process may use now. It is called with mu held.
+// recordHoldings records the amounts that this process may use now. The caller holds mu.
 func (s *Service) recordHoldings() {
 	if s.config.Record == nil {
 		return
 	}
 	var holdings []Holding
 	if s.holder != nil {
-		monotonic := record.Now() // before the other clock: a pause between the two must not make an end seem later
+		monotonic := record.Now() // before s.now(): a pause in between cannot make a grant seem to end later
 		holdings = s.holder.Holdings(s.now())
 		for i := range holdings {
 			holdings[i].Ends = int64(monotonic + holdings[i].Left)
--- a/internal/fleet/budget/replicated_ledger.go
+++ b/internal/fleet/budget/replicated_ledger.go
@@ -2,14 +2,14 @@
 
 import "olivebridge/internal/fleet/raftlog"
 
-// replicatedLedger is the ledger of a voter's process, with the log that keeps it the same at all voters.
+// replicatedLedger is the ledger of a voter's process with the raft log that replicates it to all voters.
 type replicatedLedger struct {
 	*raftlog.Log
 	state *ledger
 }
 
-// assignSeat gives a home its seat; 0: there is none left. The voters are asked only the first time, and where the
-// amounts have changed.
+// assignSeat returns a home's seat, and assigns one if it has none; 0: no seat is left. It proposes a raft log entry
+// only if the home has no seat or its parts of the reserves have changed.
 func (r *replicatedLedger) assignSeat(c seatCommand) (int, error) {
 	if seat := r.state.seatOf(c.Home, c.Reserved); seat != 0 {
 		return seat, nil
@@ -19,7 +19,7 @@
 	return seat, err
 }
 
-// grantCount grants a stock of a count, or takes one back.
+// grantCount proposes a raft log entry that grants a stock of a count or takes one back, and returns the grant.
 func (r *replicatedLedger) grantCount(c countCommand) (CountGrant, error) {
 	result, err := r.Propose(command{Count: &c})
 	grant, _ := result.(CountGrant)
--- a/internal/fleet/budget/service.go
+++ b/internal/fleet/budget/service.go
@@ -15,28 +15,29 @@
 	"olivebridge/internal/fleet/raftlog"
 )
 
-// Service is a process's part in the fleet's quotas: what it holds, and, in a voter's process, the ledger and the
-// leader. Its methods are safe for concurrent use.
+// Service runs the quota protocol in one process: the holder and, on a voter, the ledger and the leader. Its methods
+// are safe for concurrent use.
 type Service struct {
 	config   Config
-	voter    *raftlog.Participant // this process's part in the log
-	start    time.Time            // origin of times
+	voter    *raftlog.Participant // this process's participation in the raft log
+	start    time.Time            // origin of the times that now returns
 	counters counters
 
 	mu     sync.Mutex
-	holder *Holder           // nil: this process does not have the node's membership, and holds nothing
-	leader *Leader           // of this term; nil: another process leads, or none
-	ledger *replicatedLedger // nil: this process is no voter, or not yet
+	holder *Holder           // nil: this process does not have the node's membership and may admit nothing
+	leader *Leader           // of the last raft term in which this process led; nil: none since the raft log was opened
+	ledger *replicatedLedger // nil: this process is no voter, or its raft log is not open
 	home   string            // see member.Incarnation
-	seat   int               // of the reserve; 0: none
-	// orphans are units in use that an earlier holder of this process admitted, by quota: they are released here, too.
+	seat   int               // seat of the reserve; 0: none
+	// orphans is the number of units still in use that an earlier holder of this process admitted, by index of the
+	// quota. Release ends their use too.
 	orphans []int
 
-	stop  chan struct{} // ends the requests; nil: there are none
+	stop  chan struct{} // closed to end requestLoop; nil: it does not run
 	tasks sync.WaitGroup
 }
 
-// New makes a service, which holds nothing until Start.
+// New returns a service. It admits nothing until Start.
 func New(c Config) *Service {
 	if c.Log == nil {
 		c.Log = slog.New(slog.DiscardHandler)
@@ -58,7 +59,7 @@
 	return s
 }
 
-// ledgerOpened takes the log that this process keeps from now on.
+// ledgerOpened sets the ledger to a raft log that this process has opened.
 func (s *Service) ledgerOpened(log *raftlog.Log, state raft.FSM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +67,7 @@
 	s.ledger = &replicatedLedger{log, state.(*ledger)}
 }
 
-// ledgerClosed says that this process keeps no log.
+// ledgerClosed removes the ledger, after this process has closed its raft log.
 func (s *Service) ledgerClosed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,15 +75,17 @@
 	s.ledger = nil
 }
 
-// SetVoters changes who keeps the ledger.
+// SetVoters changes the set of voters, which replicate the ledger.
 func (s *Service) SetVoters(r raftlog.VoterSet) { s.voter.SetVoters(r) }
 
-// ServeVoters serves a stream of VotersChannel.
+// ServeVoters serves a stream of VotersChannel from another voter.
 func (s *Service) ServeVoters(conn net.Conn, from string) { s.voter.ServeStream(conn, from) }
 
+// now returns the time since the creation of the service.
 func (s *Service) now() time.Duration { return time.Since(s.start) }
 
-// Start begins to hold, for a process that has got the node's membership, in an incarnation of its home.
+// Start creates the holder and starts to request grants. The process must have the node's membership; home and
+// incarnation are those of member.Incarnation.
 func (s *Service) Start(home string, incarnation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,14 +94,15 @@
 	s.holder = NewHolder(s.config.Terms, s.config.Quotas, s.config.Name, name, s.now())
 	stored := s.readSeat(home)
 	s.seat = stored.Seat
-	s.holder.TakeSeat(stored.Reserved)
+	s.holder.SetReserves(stored.Reserved)
 	stop := make(chan struct{})
 	s.stop = stop
 	s.voter.Start()
 	s.tasks.Go(func() { s.requestLoop(stop) })
 }
 
-// Stop ends what Start began, for a process that gives the membership up: nothing is held any more.
+// Stop returns all grants and stops the requests, for a process that gives up the node's membership. Nothing is
+// admitted after it.
 func (s *Service) Stop() {
 	s.mu.Lock()
 	if s.holder == nil || s.stop == nil {
@@ -109,17 +113,17 @@
 		s.orphans[i] += a.inUse
 	}
 	if !mutant.Active("held-twice") {
-		s.holder = nil // from here on nothing is admitted
+		s.holder = nil // nothing is admitted from here on
 	}
 	s.recordHoldings()
 	close(s.stop)
 	s.stop = nil
 	s.mu.Unlock()
-	s.tasks.Wait() // what is held is returned first: this process may be the leader
+	s.tasks.Wait() // returns the grants before the raft log is closed, because this process may be the leader
 	s.voter.Stop()
 }
 
-// SetQuotas changes the amounts of the quotas, which are the same in the same order.
+// SetQuotas changes the amounts of the quotas. Their list and order must be the same as before.
 func (s *Service) SetQuotas(quotas []Quota) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,7 +141,8 @@
 	s.config.Log.Info("fleet budget", "reason", "changed")
 }
 
-// Admit admits one unit of a quota, by its index in the list of quotas. If there is none, it returns when to come back.
+// Admit admits one unit of the quota at an index in the list of quotas. If none is available, it returns the time to
+// wait before a retry.
 func (s *Service) Admit(quotaIndex int) (ok bool, wait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,12 +158,13 @@
 	}
 	s.counters.rejected.Add(1)
 	if wait == 0 || wait > nextRequest && s.config.Quotas[quotaIndex].Kind != Count {
-		wait = nextRequest // by then it may hold another grant
+		wait = nextRequest // a new grant may have been received by then
 	}
 	return false, wait
 }
 
-// AdmitKey admits some units for one key, or none of them, of a quota that holds for each of many keys.
+// AdmitKey admits the given units for one key, or none of them. The quota must be one that applies to each key
+// separately.
 func (s *Service) AdmitKey(quotaIndex int, key uint64, units float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,7 +176,7 @@
 	return false
 }
 
-// Release returns a unit that was admitted, of a quota of the kind InUse.
+// Release ends the use of one admitted unit of a quota of the kind InUse.
 func (s *Service) Release(quotaIndex int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,20 +188,21 @@
 	}
 }
 
-// termsText is what has to be the same at leader and holder.
+// termsText returns the text of the quotas and terms, which must be the same on the leader and the holder.
 func (s *Service) termsText() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return termsText(s.config.Quotas, s.config.Terms)
 }
 
+// quotas returns the present quotas.
 func (s *Service) quotas() []Quota {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.config.Quotas
 }
 
-// leaderName is the name of the leader, as far as this voter knows; "": unknown.
+// leaderName returns the name of the leader; "": unknown, or this process is no voter.
 func (s *Service) leaderName() string {
 	s.mu.Lock()
 	ledger := s.ledger
--- a/internal/fleet/budget/share.go
+++ b/internal/fleet/budget/share.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Share is one holder's part of a quota, for operators.
+// Share is one holder's demand and part of a quota, for status output.
 type Share struct {
 	Holder      string
 	Incarnation string
@@ -15,7 +15,7 @@
 	Lent        float64
 }
 
-// Shares returns who has what of a quota, sorted by holder.
+// Shares returns the share of each holder in a quota, sorted by holder.
 func (l *Leader) Shares(now time.Duration, name string) (shares []Share) {
 	l.dropExpired(now)
 	for _, h := range l.holders {
@@ -33,21 +33,21 @@
 	return shares
 }
 
-// Holding is what a process may use of a quota, for operators and the record.
+// Holding is the amount of a quota that a process may use, for status output and the record.
 type Holding struct {
 	Quota    string        `json:"budget"`
-	Amount   float64       `json:"amount"`  // granted, or of Count in stock
-	Reserve  float64       `json:"reserve"` // of its seat
+	Amount   float64       `json:"amount"`  // granted; Count: units in stock
+	Reserve  float64       `json:"reserve"` // part of the reserve
 	Demand   float64       `json:"want"`
-	Left     time.Duration `json:"left"`           // until the grant ends
-	Ends     int64         `json:"ends,omitempty"` // the same, as record.Line has times
+	Left     time.Duration `json:"left"`           // time until the grant expires
+	Ends     int64         `json:"ends,omitempty"` // the end of the grant in the time format of record.Line
 	Grant    uint64        `json:"grant,omitempty"`
 	InUse    int           `json:"in_use,omitempty"`
 	Admitted uint64        `json:"passed"`
 	Rejected uint64        `json:"turned"`
 }
 
-// Holdings returns those of all quotas, in their order.
+// Holdings returns the holding of each quota, in the order of the quotas.
 func (h *Holder) Holdings(now time.Duration) (holdings []Holding) {
 	for _, a := range h.allocations {
 		holding := Holding{
--- a/internal/fleet/budget/status.go
+++ b/internal/fleet/budget/status.go
@@ -6,18 +6,18 @@
 	"sync/atomic"
 )
 
-// counters count events of a Service, since its start.
+// counters count the events of a Service since its creation.
 type counters struct {
-	admitted atomic.Int64 // units
-	rejected atomic.Int64 // units
-	requests atomic.Int64 // to the leader
-	answered atomic.Int64 // requests
-	refused  atomic.Int64 // requests
+	admitted atomic.Int64 // successful calls of Admit and AdmitKey
+	rejected atomic.Int64 // rejected calls of Admit and AdmitKey
+	requests atomic.Int64 // requests to the leader
+	answered atomic.Int64 // requests whose response was applied
+	refused  atomic.Int64 // requests that were rejected
 	lost     atomic.Int64 // requests without a response
-	granted  atomic.Int64 // grants of this process as leader
+	granted  atomic.Int64 // grants made by this process as leader
 }
 
-// Status describes what is held, and on the leader what is lent, for operators.
+// Status returns a text for operators with the holdings and, on the leader, the shares of all holders.
 func (s *Service) Status() string {
 	leader := s.leaderName()
 	s.mu.Lock()
@@ -40,7 +40,7 @@
 	return text
 }
 
-// sharesText describes what the leader has lent. It is called with mu held.
+// sharesText returns a text with the shares of all holders. The caller holds mu and has checked that leader is set.
 func (s *Service) sharesText() string {
 	var text strings.Builder
 	for _, q := range s.config.Quotas {
@@ -52,7 +52,7 @@
 	return text.String()
 }
 
-// Counters returns the counters for the log.
+// Counters returns the counters as text for the log, in the form name=value.
 func (s *Service) Counters() string {
 	c := &s.counters
 	return fmt.Sprintf("passed=%d turned=%d asks=%d answered=%d refused=%d lost=%d granted=%d",
--- a/internal/fleet/budget/stored_forms_test.go
+++ b/internal/fleet/budget/stored_forms_test.go
@@ -15,7 +15,7 @@
 	"olivebridge/internal/fleet/raftlog"
 )
 
-// readTestdata returns a file that an earlier build wrote.
+// readTestdata returns the content of a file written by an earlier build.
 func readTestdata(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", name))
@@ -25,31 +25,32 @@
 	return data
 }
 
-// equalBytes fails unless a value is written as the earlier build wrote it.
-func equalBytes(t *testing.T, name string, got []byte) {
+// checkBytes fails the test unless the bytes are those that the earlier build wrote.
+func checkBytes(t *testing.T, name string, got []byte) {
 	t.Helper()
 	if want := readTestdata(t, name); !bytes.Equal(got, want) {
 		t.Errorf("%s: wrote %q, want %q", name, got, want)
 	}
 }
 
-// sameForm fails unless a value is written as the earlier build wrote it, and what that wrote is read as the value.
-func sameForm[T any](t *testing.T, name string, value T) {
+// checkStoredForm fails the test unless a value is encoded as the earlier build encoded it, and the earlier encoding is
+// decoded as the value.
+func checkStoredForm[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	text, err := json.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	equalBytes(t, name, text)
+	checkBytes(t, name, text)
 	var got T
 	if err := json.Unmarshal(readTestdata(t, name), &got); err != nil || !reflect.DeepEqual(got, value) {
 		t.Errorf("%s: read %+v, want %+v, %v", name, got, value, err)
 	}
 }
 
-// Messages between holders and the leader are read by nodes of other builds.
+// Nodes of different builds exchange the messages between holders and the leader, so their encoding must not change.
 func TestMessagesKeepTheirBytes(t *testing.T) {
-	sameForm(t, "ask.json", holderRequest{
+	checkStoredForm(t, "ask.json", holderRequest{
 		Request: Request{
 			Counts:      map[string]CountRequest{"c": {Period: 5, Need: 7, Returned: 1}},
 			Holder:      "n1",
@@ -65,7 +66,7 @@
 		Seat:  2,
 		Terms: "t",
 	})
-	sameForm(t, "answer.json", leaderResponse{
+	checkStoredForm(t, "answer.json", leaderResponse{
 		Response: Response{
 			Counts:    map[string]CountGrant{"c": {Period: 5, Units: 7, Remaining: 40}},
 			Number:    9,
@@ -78,15 +79,16 @@
 	})
 }
 
-// Whether leader and holder have the same terms is told by this text: another form would part nodes of two builds.
+// Leader and holder compare their terms by this text, so another format would make nodes of different builds reject
+// each other.
 func TestTermsKeepTheirText(t *testing.T) {
 	s := &Service{config: Config{Terms: Terms{Lease: 2 * time.Second, Reserve: 0.04, Seats: 8}, Quotas: []Quota{
 		{Name: "a", Kind: Rate, Amount: 100, Burst: 20}, {Name: "s", Kind: InUse, Amount: 3, Hold: time.Second},
 		{Name: "c", Kind: Count, Amount: 50, Period: time.Hour}}}}
-	equalBytes(t, "terms", []byte(s.termsText()))
+	checkBytes(t, "terms", []byte(s.termsText()))
 }
 
-// A voter's log and snapshots are read after an upgrade.
+// A voter reads the raft log and snapshots of earlier builds after an upgrade.
 func TestLogKeepsItsBytes(t *testing.T) {
 	l := newLedger()
 	for i, c := range []command{
@@ -97,8 +99,8 @@
 		}},
 	} {
 		name := []string{"entry-seat.json", "entry-seat-again.json", "entry-count.json"}[i]
-		sameForm(t, name, c)
-		if err, bad := l.Apply(&raft.Log{Data: readTestdata(t, name)}).(error); bad {
+		checkStoredForm(t, name, c)
+		if err, failed := l.Apply(&raft.Log{Data: readTestdata(t, name)}).(error); failed {
 			t.Error(err)
 		}
 	}
@@ -106,7 +108,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	equalBytes(t, "snapshot.json", snapshot.(raftlog.Snapshot))
+	checkBytes(t, "snapshot.json", snapshot.(raftlog.Snapshot))
 	restored := newLedger()
 	if err := restored.Restore(io.NopCloser(bytes.NewReader(readTestdata(t, "snapshot.json")))); err != nil {
 		t.Fatal(err)
@@ -115,26 +117,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	equalBytes(t, "snapshot.json", again.(raftlog.Snapshot))
+	checkBytes(t, "snapshot.json", again.(raftlog.Snapshot))
 }
 
-// A node's part of the reserve is read after an upgrade.
+// A node reads the seat file of an earlier build after an upgrade.
 func TestSeatFileKeepsItsBytes(t *testing.T) {
 	want := storedSeat{Home: "0123456789abcdef", Seat: 3, Reserved: map[string]float64{"a": 0.5}}
-	sameForm(t, seatFile, want)
+	checkStoredForm(t, seatFile, want)
 	s := &Service{config: Config{Directory: "testdata", Terms: Terms{Seats: 8}}}
 	if got := s.readSeat("0123456789abcdef"); !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v", got)
+		t.Errorf("read seat %+v, which is not the stored one", got)
 	}
 }
 
-// Records are judged by builds other than the one that wrote them.
+// Other builds than the one that wrote a record read it, so its encoding must not change.
 func TestRecordKeepsItsBytes(t *testing.T) {
-	sameForm(t, "lends.json", GrantRecord{Holder: "n1", Incarnation: "h1/1", Grant: 4, Until: 5})
-	sameForm(t, "holds.json", []Holding{{
+	checkStoredForm(t, "lends.json", GrantRecord{Holder: "n1", Incarnation: "h1/1", Grant: 4, Until: 5})
+	checkStoredForm(t, "holds.json", []Holding{{
 		Quota: "a", Amount: 1, Reserve: 2, Demand: 3, Left: 4, Ends: 5, Grant: 6, InUse: 7, Admitted: 8, Rejected: 9,
 	}})
-	sameForm(t, "counted.json", CountRecord{
+	checkStoredForm(t, "counted.json", CountRecord{
 		Quota:    "c",
 		Began:    1,
 		Request:  CountRequest{Period: 5, Need: 7},
