--- a/internal/fleet/signals/codec.go
+++ b/internal/fleet/signals/codec.go
@@ -7,11 +7,12 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// maxName bounds names and incarnations of nodes in a report, in bytes.
-const maxName = 64
+// maxNameBytes is the maximum length of a node's name or incarnation in a report, in bytes.
+const maxNameBytes = 64
 
-// wireReport is a report in msgpack, as arrays without names of fields, so that MaxObservations fit into one packet of
-// member.MaxMessage, 1,200 bytes. The order of the fields is the format.
+// wireReport is the msgpack form of a Report. Structs are encoded as arrays without field names, so that
+// MaxObservations fit into one packet of member.MaxMessage, 1,200 bytes. The order of the fields is therefore part of
+// the format.
 type wireReport struct {
 	From         string
 	Incarnation  string
@@ -19,6 +20,7 @@
 	Observations []wireObservation
 }
 
+// wireObservation is the msgpack form of an Observation. The order of its fields is part of the format.
 type wireObservation struct {
 	ID        uint64
 	StartedAt int64
@@ -26,12 +28,14 @@
 	Age       uint32 // milliseconds
 }
 
+// msgpackHandle returns the msgpack options of reports.
 func msgpackHandle() *codec.MsgpackHandle {
 	h := &codec.MsgpackHandle{}
 	h.StructToArray = true
 	return h
 }
 
+// encode returns the message that carries a report.
 func encode(r Report) (b []byte, err error) {
 	out := wireReport{From: r.From, Incarnation: r.Incarnation, Number: r.Number}
 	for _, o := range r.Observations {
@@ -46,19 +50,21 @@
 	return b, err
 }
 
+// decode returns the report in a message. It returns an error if the message is malformed or exceeds a limit.
 func decode(b []byte) (Report, error) {
 	var in wireReport
 	if err := codec.NewDecoderBytes(b, msgpackHandle()).Decode(&in); err != nil {
-		return Report{}, fmt.Errorf("a word of peers: %w", err)
+		return Report{}, fmt.Errorf("signals report: decode msgpack: %w", err)
 	}
-	if in.From == "" || len(in.From) > maxName || len(in.Incarnation) > maxName ||
+	if in.From == "" || len(in.From) > maxNameBytes || len(in.Incarnation) > maxNameBytes ||
 		len(in.Observations) > MaxObservations {
-		return Report{}, fmt.Errorf("a word of peers: %d bytes of name, %d peers", len(in.From), len(in.Observations))
+		return Report{}, fmt.Errorf("signals report: sender missing or limit exceeded: name of %d bytes, %d observations",
+			len(in.From), len(in.Observations))
 	}
 	r := Report{From: in.From, Incarnation: in.Incarnation, Number: in.Number}
 	for _, o := range in.Observations {
 		if o.Condition > uint8(Recovered) {
-			return Report{}, fmt.Errorf("a word of peers: mark %d", o.Condition)
+			return Report{}, fmt.Errorf("signals report: unknown condition %d", o.Condition)
 		}
 		r.Observations = append(r.Observations, Observation{
 			Server:    Server{ID: o.ID, StartedAt: o.StartedAt},
--- a/internal/fleet/signals/detector.go
+++ b/internal/fleet/signals/detector.go
@@ -9,63 +9,65 @@
 )
 
 const (
-	// maxAge is for how long an observation counts: a node that has ejected a server tries it again within 2 s as a rule,
-	// and reports that.
+	// maxAge is the age up to which an observation counts. A node that has ejected a server usually tries it again within
+	// 2 s and reports the result, so its observation is renewed in time.
 	maxAge = 6 * time.Second
-	// forgetAfter is after how long a server that was neither used nor reported is forgotten.
+	// forgetAfter is the duration after which the state of a server without attempts or health checks is dropped.
 	forgetAfter = time.Minute
-	// maxSuspectedPart is the part of the group that may be suspected at one time. What more than that has failed for
-	// many nodes at once each finds out for itself: it may be the nodes' own network.
-	maxSuspectedPart = 0.25
-	// maxFailedPart is the part of the group beyond which a node's report is ignored: the node is cut off, slow itself,
-	// or wrong.
-	maxFailedPart = 0.25
-	// MaxObservations bounds a report: the newest.
+	// maxSuspectedFraction is the maximum fraction of the group that is suspected at one time. If more servers seem to
+	// fail for many nodes at once, the cause may be the nodes' own network, so each node must find out about the others
+	// itself.
+	maxSuspectedFraction = 0.25
+	// maxFailedFraction is the fraction of the group above which a node's report is ignored: a node that fails with more
+	// servers is itself cut off, slow or faulty.
+	maxFailedFraction = 0.25
+	// MaxObservations is the maximum number of observations in a report. The newest ones are sent.
 	MaxObservations = 40
-	// failingAfter is how many failures in a row are more than chance.
-	failingAfter = 2
-	// maxNodes bounds the nodes whose reports are kept; a fleet has fewer.
+	// failingThreshold is the number of consecutive failures that make the condition Failing. One failure may be chance.
+	failingThreshold = 2
+	// maxNodes is the maximum number of nodes whose reports are kept. A fleet has fewer.
 	maxNodes = 1024
-	// weightTolerance is by how much a sum of weights may be too small for rounding.
+	// weightTolerance is the amount by which rounding errors may make a sum of weights too small.
 	weightTolerance = 1e-9
 )
 
-// observed is an observation with the time it was made.
+// observed is the last observation of a server, with its time.
 type observed struct {
 	startedAt int64
 	condition Condition
 	at        time.Duration // 0: never
 }
 
-// ownState is what this node has observed of a server.
+// ownState is this node's own observations of a server.
 type ownState struct {
 	observed
-	answeredAt time.Duration // the last time; 0: never
-	failures   int           // in a row
+	answeredAt time.Duration // time of the last answer; 0: never
+	failures   int           // number of consecutive failures
 }
 
-// failed reports whether this node has failed with the server, and had no answer since.
+// failed reports whether the server failed to answer this node and has not answered it since.
 func (s *ownState) failed() bool { return s.at > 0 && s.condition != Recovered }
 
-// nodeReport is a node's last report.
+// nodeReport is the last report of another node.
 type nodeReport struct {
 	incarnation string
 	number      uint64
-	servers     map[uint64]observed
+	servers     map[uint64]observed // by ID of the server
 }
 
-// Detector decides which servers are suspected, by what this node has observed and others have reported. It is not
+// Detector decides which servers are suspected, from this node's observations and the reports of other nodes. It is not
 // safe for concurrent use.
 type Detector struct {
-	self      string // name of this node
-	witnesses int    // whose reports make a server suspected
-	own       map[uint64]*ownState
-	reports   map[string]*nodeReport // by name of the node
-	number    uint64                 // of this node's last report
-	mutant    func(string) bool      // see package mutant
+	self         string                 // name of this node
+	witnesses    int                    // sum of weights that makes a server suspected
+	own          map[uint64]*ownState   // by ID of the server
+	reports      map[string]*nodeReport // by name of the node
+	reportNumber uint64                 // number of this node's last report
+	mutant       func(string) bool      // whether a mutant is active, see package mutant
 }
 
-// NewDetector makes the detector of a node, which suspects a server by the reports of so many others.
+// NewDetector returns the detector of a node. It suspects a server if at least the given number of other nodes report
+// it as failing; see Condition.weight for nodes that report a single failure.
 func NewDetector(self string, witnesses int) *Detector {
 	return &Detector{
 		self:      self,
@@ -76,8 +78,8 @@
 	}
 }
 
-// Observe takes how an attempt or a health check of this node went, and reports whether others should learn of it at
-// once.
+// Observe applies the result of an attempt or a health check of this node. It returns true if the next report should be
+// sent at once.
 func (d *Detector) Observe(now time.Duration, server Server, result Result) bool {
 	s := d.own[server.ID]
 	if s == nil || s.startedAt != server.StartedAt {
@@ -85,13 +87,13 @@
 		d.own[server.ID] = s
 	}
 	if result == Answered {
-		return s.answer(now)
+		return s.recordAnswer(now)
 	}
-	return s.fail(now)
+	return s.recordFailure(now)
 }
 
-// answer takes an answer, and reports whether that is news.
-func (s *ownState) answer(now time.Duration) bool {
+// recordAnswer records an answer, and reports whether that changed the condition.
+func (s *ownState) recordAnswer(now time.Duration) bool {
 	s.answeredAt = now
 	s.failures = 0
 	if !s.failed() {
@@ -102,23 +104,24 @@
 	return true
 }
 
-// fail takes a failure, and reports whether that is news.
-func (s *ownState) fail(now time.Duration) bool {
-	before := s.condition
+// recordFailure records a failure, and reports whether that changed the condition.
+func (s *ownState) recordFailure(now time.Duration) bool {
+	conditionBefore := s.condition
 	failedBefore := s.failed()
 	s.failures++
 	s.condition = Missed
 	s.at = now
-	if s.failures >= failingAfter {
+	if s.failures >= failingThreshold {
 		s.condition = Failing
 	}
-	return !failedBefore || s.condition != before
+	return !failedBefore || s.condition != conditionBefore
 }
 
-// Report returns this node's next report; none of its observations is old.
+// Report returns this node's next report, without observations older than maxAge. It also drops the state of servers
+// that are neither reported nor used for forgetAfter.
 func (d *Detector) Report(now time.Duration, incarnation string) Report {
-	d.number++
-	r := Report{From: d.self, Incarnation: incarnation, Number: d.number}
+	d.reportNumber++
+	r := Report{From: d.self, Incarnation: incarnation, Number: d.reportNumber}
 	for id, s := range d.own {
 		switch {
 		case s.at > 0 && now-s.at <= maxAge:
@@ -135,8 +138,8 @@
 	return r
 }
 
-// Receive takes another node's report, and reports whether it is new: an earlier one, or the same again, changes
-// nothing.
+// Receive stores the report of another node in place of its last one, and reports whether it did. It ignores duplicate
+// and older reports of the same incarnation, reports in this node's own name, and reports that exceed a limit.
 func (d *Detector) Receive(now time.Duration, r Report) bool {
 	last := d.reports[r.From]
 	switch {
@@ -155,7 +158,7 @@
 	return true
 }
 
-// DropNodes drops the reports of nodes that are not present any more.
+// DropNodes drops the reports of nodes that are no longer present.
 func (d *Detector) DropNodes(present func(name string) bool) {
 	for name := range d.reports {
 		if !present(name) {
--- a/internal/fleet/signals/detector_test.go
+++ b/internal/fleet/signals/detector_test.go
@@ -11,6 +11,7 @@
 
 const second = time.Second
 
+// group returns n servers with the IDs 1 to n.
 func group(n int) (all []Server) {
 	for i := range n {
 		all = append(all, Server{uint64(i + 1), 7})
@@ -18,106 +19,108 @@
 	return all
 }
 
-func report(from string, number uint64, seen ...Observation) Report {
-	return Report{From: from, Incarnation: "a", Number: number, Observations: seen}
+func report(from string, number uint64, observations ...Observation) Report {
+	return Report{From: from, Incarnation: "a", Number: number, Observations: observations}
 }
 
-func observation(id uint64, m Condition) Observation {
-	return Observation{Server: Server{id, 7}, Condition: m}
+func observation(id uint64, condition Condition) Observation {
+	return Observation{Server: Server{id, 7}, Condition: condition}
 }
 
-// A server is suspected by as many credible witnesses as are stated, and only since anybody had an answer from it.
+// A server is suspected if the configured number of credible nodes report failures since the last answer to any node.
+// Old, overtaken and implausible reports and those of nodes that left do not count.
 func TestSuspected(t *testing.T) {
 	for _, c := range []struct {
-		what string
-		tell func(b *Detector)
-		want []uint64
+		name  string
+		apply func(d *Detector)
+		want  []uint64
 	}{
 		{"no report", func(*Detector) {}, nil},
-		{"one report of a failing server", func(b *Detector) {
-			b.Receive(second, report("x", 1, observation(1, Failing)))
+		{"one report of a failing server", func(d *Detector) {
+			d.Receive(second, report("x", 1, observation(1, Failing)))
 		}, nil},
-		{"one node reports it often", func(b *Detector) {
+		{"one node repeats its report", func(d *Detector) {
 			for n := range uint64(5) {
-				b.Receive(second, report("x", n+1, observation(1, Failing)))
+				d.Receive(second, report("x", n+1, observation(1, Failing)))
 			}
 		}, nil},
-		{"two reports of a failing server", func(b *Detector) {
-			b.Receive(second, report("x", 1, observation(1, Failing)))
-			b.Receive(second, report("y", 1, observation(1, Failing)))
+		{"two reports of a failing server", func(d *Detector) {
+			d.Receive(second, report("x", 1, observation(1, Failing)))
+			d.Receive(second, report("y", 1, observation(1, Failing)))
 		}, []uint64{1}},
-		{"two reports of a missed answer", func(b *Detector) {
-			b.Receive(second, report("x", 1, observation(1, Missed)))
-			b.Receive(second, report("y", 1, observation(1, Missed)))
+		{"two nodes report a missed answer", func(d *Detector) {
+			d.Receive(second, report("x", 1, observation(1, Missed)))
+			d.Receive(second, report("y", 1, observation(1, Missed)))
 		}, nil},
-		{"three reports of a missed answer", func(b *Detector) {
+		{"three nodes report a missed answer", func(d *Detector) {
 			for _, n := range []string{"x", "y", "z"} {
-				b.Receive(second, report(n, 1, observation(1, Missed)))
+				d.Receive(second, report(n, 1, observation(1, Missed)))
 			}
 		}, []uint64{1}},
-		{"another node had an answer since", func(b *Detector) {
-			b.Receive(second, report("x", 1, observation(1, Failing)))
-			b.Receive(second, report("y", 1, observation(1, Failing)))
-			b.Receive(2*second, report("x", 2, observation(1, Recovered)))
+		{"another node received an answer since", func(d *Detector) {
+			d.Receive(second, report("x", 1, observation(1, Failing)))
+			d.Receive(second, report("y", 1, observation(1, Failing)))
+			d.Receive(2*second, report("x", 2, observation(1, Recovered)))
 		}, nil},
-		{"this node had an answer since", func(b *Detector) {
-			b.Receive(second, report("x", 1, observation(1, Failing)))
-			b.Receive(second, report("y", 1, observation(1, Failing)))
-			b.Observe(2*second, Server{1, 7}, Answered)
+		{"this node received an answer since", func(d *Detector) {
+			d.Receive(second, report("x", 1, observation(1, Failing)))
+			d.Receive(second, report("y", 1, observation(1, Failing)))
+			d.Observe(2*second, Server{1, 7}, Answered)
 		}, nil},
-		{"this node has failed itself", func(b *Detector) {
-			b.Receive(second, report("x", 1, observation(1, Failing)))
-			b.Receive(second, report("y", 1, observation(1, Failing)))
-			b.Observe(2*second, Server{1, 7}, Unanswered)
+		{"this node has observed a failure itself", func(d *Detector) {
+			d.Receive(second, report("x", 1, observation(1, Failing)))
+			d.Receive(second, report("y", 1, observation(1, Failing)))
+			d.Observe(2*second, Server{1, 7}, Unanswered)
 		}, nil},
-		{"an old observation", func(b *Detector) {
-			b.Receive(second, report("x", 1, Observation{Server{1, 7}, Failing, maxAge}))
-			b.Receive(second, report("y", 1, observation(1, Failing)))
+		{"an old observation", func(d *Detector) {
+			d.Receive(second, report("x", 1, Observation{Server{1, 7}, Failing, maxAge}))
+			d.Receive(second, report("y", 1, observation(1, Failing)))
 		}, nil},
-		{"observations before a restart of the server", func(b *Detector) {
-			b.Receive(second, report("x", 1, Observation{Server{1, 6}, Failing, 0}))
-			b.Receive(second, report("y", 1, Observation{Server{1, 6}, Failing, 0}))
+		{"observations before a restart of the server", func(d *Detector) {
+			d.Receive(second, report("x", 1, Observation{Server{1, 6}, Failing, 0}))
+			d.Receive(second, report("y", 1, Observation{Server{1, 6}, Failing, 0}))
 		}, nil},
-		{"a node that has failed with most servers", func(b *Detector) {
-			b.Receive(second, report("x", 1, observation(1, Failing), observation(2, Failing), observation(3, Failing)))
-			b.Receive(second, report("y", 1, observation(1, Failing)))
+		{"one of two nodes reports failures of too many servers", func(d *Detector) {
+			d.Receive(second, report("x", 1, observation(1, Failing), observation(2, Failing), observation(3, Failing)))
+			d.Receive(second, report("y", 1, observation(1, Failing)))
 		}, nil},
-		{"more than a quarter of the servers", func(b *Detector) {
+		{"failures of more than a quarter of the servers", func(d *Detector) {
 			for _, n := range []string{"x", "y"} {
-				b.Receive(second, report(n, 1, observation(1, Failing), observation(2, Failing)))
+				d.Receive(second, report(n, 1, observation(1, Failing), observation(2, Failing)))
 			}
 			for _, n := range []string{"u", "v", "w"} {
-				b.Receive(second, report(n, 1, observation(3, Failing), observation(4, Failing)))
+				d.Receive(second, report(n, 1, observation(3, Failing), observation(4, Failing)))
 			}
-		}, []uint64{3, 4}}, // a quarter of eight: first those of which most say so
-		{"an earlier report comes late", func(b *Detector) {
-			b.Receive(second, report("x", 2))
-			b.Receive(second, report("x", 1, observation(1, Failing)))
-			b.Receive(second, report("y", 1, observation(1, Failing)))
+		}, []uint64{3, 4}}, // the limit is a quarter of eight; servers with more witnesses come first
+		{"an earlier report arrives after a later one", func(d *Detector) {
+			d.Receive(second, report("x", 2))
+			d.Receive(second, report("x", 1, observation(1, Failing)))
+			d.Receive(second, report("y", 1, observation(1, Failing)))
 		}, nil},
-		{"a node that is not present any more", func(b *Detector) {
-			b.Receive(second, report("x", 1, observation(1, Failing)))
-			b.Receive(second, report("y", 1, observation(1, Failing)))
-			b.DropNodes(func(n string) bool { return n != "x" })
+		{"one of two reporting nodes is no longer present", func(d *Detector) {
+			d.Receive(second, report("x", 1, observation(1, Failing)))
+			d.Receive(second, report("y", 1, observation(1, Failing)))
+			d.DropNodes(func(n string) bool { return n != "x" })
 		}, nil},
 	} {
-		b := NewDetector("me", 2)
-		c.tell(b)
-		if got := b.Suspected(3*second, group(8)); !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v, want %v", c.what, got, c.want)
+		d := NewDetector("me", 2)
+		c.apply(d)
+		if got := d.Suspected(3*second, group(8)); !slices.Equal(got, c.want) {
+			t.Errorf("%s: suspected %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// A node reports the first failure, a failing server, and the first answer after that; and nothing that is old.
+// A node reports the first failure of a server, consecutive failures and the first answer after them. It does not
+// report old observations or those of an earlier incarnation of the server.
 func TestReportOfOwnObservations(t *testing.T) {
-	b := NewDetector("me", 2)
-	p := Server{3, 7}
+	d := NewDetector("me", 2)
+	server := Server{3, 7}
 	for i, c := range []struct {
-		r    Result
-		news bool
-		mark Condition
-		says int
+		result       Result
+		changed      bool
+		condition    Condition
+		observations int
 	}{
 		{Answered, false, 0, 0},
 		{Unanswered, true, Missed, 1},
@@ -128,88 +131,88 @@
 		{Unanswered, true, Missed, 1},
 	} {
 		now := time.Duration(i+1) * time.Millisecond
-		if news := b.Observe(now, p, c.r); news != c.news {
-			t.Errorf("%d: news %v", i, news)
+		if changed := d.Observe(now, server, c.result); changed != c.changed {
+			t.Errorf("result %d: Observe returned %v, want the opposite", i, changed)
 		}
-		w := b.Report(now, "a")
-		if len(w.Observations) != c.says || c.says > 0 && w.Observations[0].Condition != c.mark {
-			t.Errorf("%d: it reports %+v", i, w.Observations)
+		r := d.Report(now, "a")
+		if len(r.Observations) != c.observations || c.observations > 0 && r.Observations[0].Condition != c.condition {
+			t.Errorf("result %d: unexpected report %+v", i, r.Observations)
 		}
 	}
-	if w := b.Report(maxAge+second, "a"); len(w.Observations) != 0 {
-		t.Errorf("old observations: %+v", w.Observations)
+	if r := d.Report(maxAge+second, "a"); len(r.Observations) != 0 {
+		t.Errorf("old observations are reported: %+v", r.Observations)
 	}
-	b.Observe(maxAge+second, Server{3, 8}, Answered)
-	if w := b.Report(maxAge+second, "a"); len(w.Observations) != 0 {
-		t.Errorf("of the last incarnation: %+v", w.Observations)
+	d.Observe(maxAge+second, Server{3, 8}, Answered)
+	if r := d.Report(maxAge+second, "a"); len(r.Observations) != 0 {
+		t.Errorf("observations of the last incarnation of the server are reported: %+v", r.Observations)
 	}
 }
 
-// Whatever comes, in whatever order: at most a quarter of the servers is suspected, none by fewer nodes than stated,
-// and a report is decoded as it was encoded.
+// With random observations and reports, at most a quarter of the servers is suspected, each by at least the configured
+// number of nodes, and a report is decoded as it was encoded.
 func TestDetectorInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewDetector("me", rapid.IntRange(2, 4).Draw(t, "witnesses"))
-		all := group(rapid.IntRange(1, 12).Draw(t, "peers"))
+		d := NewDetector("me", rapid.IntRange(2, 4).Draw(t, "witnesses"))
+		all := group(rapid.IntRange(1, 12).Draw(t, "servers"))
 		now, last := second, map[string]Report{}
 		for i := range rapid.IntRange(1, 40).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
-			p := rapid.SampledFrom(all).Draw(t, "peer")
+			server := rapid.SampledFrom(all).Draw(t, "server")
 			if rapid.Bool().Draw(t, "own") {
-				b.Observe(now, p, rapid.SampledFrom([]Result{Answered, Unanswered}).Draw(t, "result"))
+				d.Observe(now, server, rapid.SampledFrom([]Result{Answered, Unanswered}).Draw(t, "result"))
 			} else {
-				w := Report{From: fmt.Sprint("n", rapid.IntRange(1, 5).Draw(t, "from")), Incarnation: "a", Number: uint64(i + 1)}
+				r := Report{From: fmt.Sprint("n", rapid.IntRange(1, 5).Draw(t, "from")), Incarnation: "a", Number: uint64(i + 1)}
 				idOf := func(server Server) uint64 { return server.ID }
-				for _, server := range rapid.SliceOfNDistinct(rapid.SampledFrom(all), 0, 4, idOf).Draw(t, "of") {
-					condition := rapid.SampledFrom([]Condition{Failing, Missed, Recovered}).Draw(t, "mark")
+				for _, server := range rapid.SliceOfNDistinct(rapid.SampledFrom(all), 0, 4, idOf).Draw(t, "reported servers") {
+					condition := rapid.SampledFrom([]Condition{Failing, Missed, Recovered}).Draw(t, "condition")
 					age := time.Duration(rapid.IntRange(0, 9000).Draw(t, "age")) * time.Millisecond
-					w.Observations = append(w.Observations, Observation{server, condition, age})
+					r.Observations = append(r.Observations, Observation{server, condition, age})
 				}
-				text, err := encode(w)
-				if err != nil || len(text) > 1200 {
-					t.Fatal(len(text), err)
+				message, err := encode(r)
+				if err != nil || len(message) > 1200 {
+					t.Fatal(len(message), err)
 				}
-				again, err := decode(text)
-				if err != nil || fmt.Sprint(again) != fmt.Sprint(w) {
-					t.Fatalf("%v became %v, %v", w, again, err)
+				decoded, err := decode(message)
+				if err != nil || fmt.Sprint(decoded) != fmt.Sprint(r) {
+					t.Fatalf("report %v was decoded as %v, %v", r, decoded, err)
 				}
-				b.Receive(now, again)
-				last[w.From] = again
+				d.Receive(now, decoded)
+				last[r.From] = decoded
 			}
-			suspected := b.Suspected(now, all)
+			suspected := d.Suspected(now, all)
 			if len(suspected)*4 > len(all) {
-				t.Fatalf("%d of %d", len(suspected), len(all))
+				t.Fatalf("%d of %d servers are suspected, more than a quarter", len(suspected), len(all))
 			}
 			for _, id := range suspected {
 				n := 0
-				for _, w := range last {
+				for _, r := range last {
 					failed := func(o Observation) bool { return o.ID == id && o.Condition != Recovered }
-					if slices.ContainsFunc(w.Observations, failed) {
+					if slices.ContainsFunc(r.Observations, failed) {
 						n++
 					}
 				}
-				if n < b.witnesses {
-					t.Fatalf("%d is suspected by the reports of %d", id, n)
+				if n < d.witnesses {
+					t.Fatalf("server %d is suspected by the reports of only %d nodes", id, n)
 				}
 			}
 		}
 	})
 }
 
-// A full report fits into a packet, and a corrupt one is an error.
+// A report of MaxObservations fits into a packet, and a truncated or malformed one is an error.
 func TestCodec(t *testing.T) {
-	w := Report{From: "a-name-of-some-length", Incarnation: "0123456789abcdef/1234", Number: 1 << 40}
+	r := Report{From: "a-name-of-some-length", Incarnation: "0123456789abcdef/1234", Number: 1 << 40}
 	for i := range MaxObservations {
 		server := Server{ID: 1<<63 + uint64(i), StartedAt: 1764000000000000000 + int64(i)}
-		w.Observations = append(w.Observations, Observation{server, Failing, maxAge})
+		r.Observations = append(r.Observations, Observation{server, Failing, maxAge})
 	}
-	text, err := encode(w)
-	if err != nil || len(text) > 1200 {
-		t.Fatalf("%d bytes, %v", len(text), err)
+	message, err := encode(r)
+	if err != nil || len(message) > 1200 {
+		t.Fatalf("encoded to %d bytes, want at most 1200, %v", len(message), err)
 	}
-	for i := range text {
-		if w, err := decode(text[:i]); err == nil {
-			t.Errorf("the first %d bytes are a report: %v", i, w)
+	for i := range message {
+		if r, err := decode(message[:i]); err == nil {
+			t.Errorf("the first %d bytes are decoded as a report: %v", i, r)
 		}
 	}
 	if _, err := decode([]byte("garbage")); err == nil {
--- a/internal/fleet/signals/doc.go
+++ b/internal/fleet/signals/doc.go
@@ -1,7 +1,8 @@
-// Package signals gossips what nodes have observed of upstream servers: not what to do about them, but which failures
-// and recoveries each node has seen itself, and when. A node that learns of failures from enough others suspects a
-// server that it has not used just now, and avoids it until the observations are old or somebody has had an answer.
+// Package signals gossips observations of upstream servers between the nodes. A node reports the failures and
+// recoveries that it has observed itself, with their age, and no decisions. A server is suspected when enough other
+// nodes report failures: a node avoids a suspected server, unless it has itself observed a failure recently, until the
+// observations are too old or any node reports an answer.
 //
-// Detector decides, and uses no I/O, clock or goroutines: times are since an origin of the caller's. Service carries it
-// out.
+// Detector is the decision logic and uses no I/O, clocks or goroutines: times are passed in as durations since an
+// origin chosen by the caller. Service connects it to the gossip.
 package signals
--- a/internal/fleet/signals/service.go
+++ b/internal/fleet/signals/service.go
@@ -13,55 +13,55 @@
 )
 
 const (
-	// reportInterval is how often a node sends its report again, while there is anything in it.
+	// reportInterval is the interval at which a node repeats its report while it has observations.
 	reportInterval = time.Second
-	// reportPause is the least time between two reports: news is sent at once but for that.
-	reportPause = 100 * time.Millisecond
+	// minReportInterval is the minimum time between two reports. A changed condition is otherwise reported at once.
+	minReportInterval = 100 * time.Millisecond
 )
 
 // Config configures a Service.
 type Config struct {
 	// Name is the node's name.
 	Name string
-	// Witnesses is how many other nodes have to report a server for it to be suspected.
+	// Witnesses is the number of other nodes that must report a server as failing before it is suspected.
 	Witnesses int
-	// Broadcast gossips a report, in place of the last one from the same node; see member.Service.
+	// Broadcast gossips a message with a report. It replaces the last message from the same node; see member.Service.
 	Broadcast func(from string, message []byte)
 	// Present reports whether a node is in the fleet.
 	Present func(name string) bool
-	// Record is given the suspected servers; nil: nothing.
+	// Record receives each change of the suspected servers; nil: nothing is recorded.
 	Record *record.Recorder
 }
 
-// Service is a process's part in the gossip about servers. Its methods are safe for concurrent use, and do not block.
+// Service sends and receives the reports of one process. Its methods are safe for concurrent use and do not block.
 type Service struct {
 	config   Config
-	start    time.Time // origin of times
+	start    time.Time // origin of the times that now returns
 	counters counters
 
 	mu          sync.Mutex
 	detector    *Detector
-	incarnation string // "": this process does not have the node's membership, and reports nothing
-	group       []Server
-	suspected   []uint64
-	onChange    func() // is called when the suspected servers change; nil: nobody is told
+	incarnation string   // "": this process does not have the node's membership and sends no reports
+	group       []Server // servers that accept new requests
+	suspected   []uint64 // IDs of the suspected servers, sorted
+	onChange    func()   // called when the suspected servers change; may be nil
 
-	wake  chan struct{} // holds one
-	news  atomic.Bool   // there is something to report at once
-	stop  chan struct{} // ends the loop; nil: it does not run
-	tasks sync.WaitGroup
+	wake          chan struct{} // wakes run; has a buffer of one
+	reportPending atomic.Bool   // the next report is to be sent without waiting for reportInterval
+	stop          chan struct{} // closed to end run; nil: it does not run
+	tasks         sync.WaitGroup
 }
 
-// counters count events of a Service, since its start.
+// counters count the events of a Service since its creation.
 type counters struct {
-	sent    atomic.Int64 // reports
-	taken   atomic.Int64 // reports of others
-	stale   atomic.Int64 // reports that were not new
-	broken  atomic.Int64 // reports that could not be decoded
-	changes atomic.Int64 // of the suspected servers
+	sent      atomic.Int64 // reports sent
+	accepted  atomic.Int64 // reports of other nodes that were new
+	stale     atomic.Int64 // reports of other nodes that Receive ignored
+	malformed atomic.Int64 // messages that could not be decoded
+	changes   atomic.Int64 // changes of the suspected servers
 }
 
-// New makes a service, which reports nothing until Start.
+// New returns a service. It sends no reports until Start.
 func New(c Config) *Service {
 	return &Service{
 		config:   c,
@@ -71,10 +71,10 @@
 	}
 }
 
-// now is the detector's time, which is never 0.
+// now returns the time for the detector. It is never 0, because 0 means never there.
 func (s *Service) now() time.Duration { return time.Since(s.start) + 1 }
 
-// Start begins to report, for a process that has got the node's membership.
+// Start starts to send reports. The process must have the node's membership, in the given incarnation.
 func (s *Service) Start(incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +84,7 @@
 	s.tasks.Go(func() { s.run(stop) })
 }
 
-// Stop ends what Start began, for a process that gives the membership up.
+// Stop stops the reports, for a process that gives up the node's membership.
 func (s *Service) Stop() {
 	s.mu.Lock()
 	stop := s.stop
@@ -97,14 +97,14 @@
 	}
 }
 
-// OnChange sets what is called from now on when the suspected servers change. It must not block.
+// OnChange sets the function that is called when the suspected servers change. The function must not block.
 func (s *Service) OnChange(changed func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.onChange = changed
 }
 
-// SetGroup takes all servers that take new requests.
+// SetGroup sets the servers of the group that accept new requests.
 func (s *Service) SetGroup(group []Server) {
 	s.mu.Lock()
 	s.group = group
@@ -112,17 +112,18 @@
 	s.wakeUp()
 }
 
-// Observe takes how an attempt or a health check of this node went.
+// Observe applies the result of an attempt or a health check of this node.
 func (s *Service) Observe(server Server, result Result) {
 	s.mu.Lock()
-	news := s.detector.Observe(s.now(), server, result)
+	changed := s.detector.Observe(s.now(), server, result)
 	s.mu.Unlock()
-	if news {
-		s.news.Store(true)
+	if changed {
+		s.reportPending.Store(true)
 		s.wakeUp()
 	}
 }
 
+// wakeUp makes run check whether a report is due and which servers are suspected.
 func (s *Service) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
@@ -130,11 +131,11 @@
 	}
 }
 
-// Receive takes another node's report, passes it on, and reports whether it was new.
+// Receive processes a message with another node's report and forwards it if it is new. It reports whether it was new.
 func (s *Service) Receive(message []byte) bool {
 	report, err := decode(message)
 	if err != nil {
-		s.counters.broken.Add(1)
+		s.counters.malformed.Add(1)
 		return false
 	}
 	s.mu.Lock()
@@ -144,13 +145,13 @@
 		s.counters.stale.Add(1)
 		return false
 	}
-	s.counters.taken.Add(1)
+	s.counters.accepted.Add(1)
 	s.config.Broadcast(report.From, message)
 	s.wakeUp()
 	return true
 }
 
-// run sends reports, and finds which servers are suspected, until stop is closed.
+// run sends reports and updates the suspected servers until stop is closed.
 func (s *Service) run(stop chan struct{}) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
@@ -164,20 +165,20 @@
 		case <-ticker.C:
 			due = true
 		}
-		if s.news.Swap(false) || due {
+		if s.reportPending.Swap(false) || due {
 			reported = s.sendReport(reported)
 		}
 		s.updateSuspected()
 		select {
 		case <-stop:
 			return
-		case <-time.After(reportPause):
+		case <-time.After(minReportInterval):
 		}
 	}
 }
 
-// sendReport sends what this node has observed. An empty report is sent only after one that was not. It reports whether
-// there was anything in it.
+// sendReport sends this node's next report, and returns whether it has any observations. An empty report is only sent
+// after one with observations.
 func (s *Service) sendReport(reportedBefore bool) bool {
 	report := s.nextReport()
 	if len(report.Observations) == 0 && !reportedBefore {
@@ -190,6 +191,7 @@
 	return len(report.Observations) > 0
 }
 
+// nextReport drops the reports of nodes that left, and returns this node's next report.
 func (s *Service) nextReport() Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,7 +199,7 @@
 	report := s.detector.Report(s.now(), s.incarnation)
 	if (mutant.Active("liar") || mutant.Active("one-witness")) && strings.HasSuffix(s.config.Name, "1") {
 		report.Observations = nil
-		for _, server := range s.group[:len(s.group)/3] { // fewer than would be ignored
+		for _, server := range s.group[:len(s.group)/3] { // cut to MaxObservations below: credible in groups of 160 or more
 			report.Observations = append(report.Observations, Observation{Server: server})
 		}
 		report.Observations = report.Observations[:min(len(report.Observations), MaxObservations)]
@@ -205,7 +207,7 @@
 	return report
 }
 
-// updateSuspected finds which servers are suspected now, and tells if that has changed.
+// updateSuspected updates the suspected servers. If they have changed, it records them and calls onChange.
 func (s *Service) updateSuspected() {
 	s.mu.Lock()
 	suspected := s.detector.Suspected(s.now(), s.group)
@@ -223,21 +225,21 @@
 	}
 }
 
-// Suspected returns the servers that this node should avoid.
+// Suspected returns the IDs of the servers that this node should avoid, sorted.
 func (s *Service) Suspected() []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.suspected
 }
 
-// Status is for operators.
+// Status returns a text for operators with the number of suspected servers.
 func (s *Service) Status() string {
 	return fmt.Sprintf("signals: %d peers left alone on others' word", len(s.Suspected()))
 }
 
-// Counters returns the counters for the log.
+// Counters returns the counters as text for the log, in the form name=value.
 func (s *Service) Counters() string {
 	c := &s.counters
 	return fmt.Sprintf("words_said=%d words_heard=%d words_stale=%d words_broken=%d doubts_changed=%d",
-		c.sent.Load(), c.taken.Load(), c.stale.Load(), c.broken.Load(), c.changes.Load())
+		c.sent.Load(), c.accepted.Load(), c.stale.Load(), c.malformed.Load(), c.changes.Load())
 }
--- a/internal/fleet/signals/stored_forms_test.go
+++ b/internal/fleet/signals/stored_forms_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A report is read by nodes of other builds.
+// Nodes of different builds exchange reports, so their encoding must not change.
 func TestReportKeepsItsBytes(t *testing.T) {
 	path := filepath.Join("testdata", "word.msgpack")
 	want := Report{From: "n1", Incarnation: "0123456789abcdef/4", Number: 300, Observations: []Observation{
@@ -26,6 +26,6 @@
 		t.Errorf("wrote %q, want %q, %v", text, data, err)
 	}
 	if got, err := decode(data); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("read %+v, which is not the report that was written, %v", got, err)
 	}
 }
--- a/internal/fleet/signals/suspected.go
+++ b/internal/fleet/signals/suspected.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// suspect is a server that others have failed with.
+// suspect is a server of which other nodes report failures.
 type suspect struct {
 	id     uint64
-	weight float64 // of the witnesses
+	weight float64 // sum of the weights of the reports
 }
 
-// Suspected returns the servers of a group that this node should avoid, sorted: enough nodes have failed with them
-// since anybody had an answer from them, as far as this one knows, and it has not failed with them itself. With those
-// its own decisions go on, and others learn of that.
+// Suspected returns the IDs of the servers of a group that this node should avoid, sorted. Enough other nodes report
+// failures of a suspected server since the last answer that this node knows of. Servers of which this node has recently
+// observed a failure itself are omitted: its own decisions apply to them, so that it tries them again and reports an
+// answer.
 func (d *Detector) Suspected(now time.Duration, group []Server) []uint64 {
 	startedAt := make(map[uint64]int64, len(group))
 	for _, server := range group {
@@ -33,7 +34,7 @@
 	slices.SortFunc(suspects, func(x, y suspect) int {
 		return cmp.Or(cmp.Compare(y.weight, x.weight), cmp.Compare(x.id, y.id))
 	})
-	limit := int(maxSuspectedPart * float64(len(group)))
+	limit := int(maxSuspectedFraction * float64(len(group)))
 	var ids []uint64
 	for _, s := range suspects[:min(len(suspects), limit)] {
 		ids = append(ids, s.id)
@@ -42,31 +43,33 @@
 	return ids
 }
 
-// credibleReports returns what nodes report of a group's servers and is not old, without the nodes that have failed
-// with too many of them. The servers are given by when they started.
+// credibleReports returns the reported observations of each node, without those that are old or of servers outside the
+// group or of another incarnation. It omits nodes that report failures of too many servers. startedAt has the start
+// time of each server of the group, by ID.
 func (d *Detector) credibleReports(
 	now time.Duration, startedAt map[uint64]int64, groupSize int,
 ) (credible []map[uint64]observed) {
 	for _, report := range d.reports {
-		counting := map[uint64]observed{}
+		current := map[uint64]observed{}
 		failed := 0
 		for id, o := range report.servers {
 			if at, listed := startedAt[id]; !listed || at != o.startedAt || now-o.at > maxAge {
 				continue
 			}
-			counting[id] = o
+			current[id] = o
 			if o.condition != Recovered {
 				failed++
 			}
 		}
-		if float64(failed) <= max(maxFailedPart*float64(groupSize), 1) {
-			credible = append(credible, counting)
+		if float64(failed) <= max(maxFailedFraction*float64(groupSize), 1) {
+			credible = append(credible, current)
 		}
 	}
 	return credible
 }
 
-// weights sums up how much others have failed with each server since anybody had an answer from it.
+// weights returns, by server ID, the sum of the weights of the failures that other nodes report since the last answer
+// of the server to any node.
 func (d *Detector) weights(reports []map[uint64]observed) map[uint64]float64 {
 	recoveredAt := map[uint64]time.Duration{}
 	for _, report := range reports {
