--- a/internal/fleet/choices/nodes.go
+++ b/internal/fleet/choices/nodes.go
@@ -5,8 +5,8 @@
 	"olivebridge/internal/fleet/subset"
 )
 
-// workingNodes returns the nodes that take new requests, a suspect one included, so that a choice does not follow a
-// suspicion. It returns none if this node is not among them: then it cannot say what its part is.
+// workingNodes returns the nodes that accept new requests. It includes suspect nodes, so that the suspicion of a node
+// does not change the subsets. It returns nil if this node is not among them, because its subset is then undefined.
 func workingNodes(view *member.View) (nodes []subset.Node) {
 	self := false
 	for _, m := range view.Members {
@@ -21,8 +21,8 @@
 	return nodes
 }
 
-// workingZones returns in how many zones nodes work; 0: unknown. A node that is cut off from most cannot say, since
-// those that it does not hear may work, nor can one that has members in zones which the group does not know.
+// workingZones returns the number of zones with working nodes; 0: unknown. It is unknown if this node is not connected
+// to a majority, since unreachable nodes may still work, or if a node's zone is not a zone of the group.
 func (s *Service) workingZones(view *member.View, nodes []subset.Node) int {
 	if len(nodes) == 0 || !view.Partition().Majority {
 		return 0
--- a/internal/fleet/choices/record.go
+++ b/internal/fleet/choices/record.go
@@ -6,22 +6,22 @@
 	"olivebridge/balancer"
 )
 
-// FailureRecord is an attempt or a health check that failed, in the record.
+// FailureRecord is the record's line for an attempt or a health check that the server did not answer.
 type FailureRecord struct {
 	Server uint64 `json:"peer"`
-	Probe  bool   `json:"probe,omitempty"` // it was a health check
+	Probe  bool   `json:"probe,omitempty"` // true: health check; false: attempt
 }
 
-// ChoiceRecord is a choice in the record.
+// ChoiceRecord is the record's line for a choice of a subset.
 type ChoiceRecord struct {
 	View    uint64   `json:"view"`
 	Nodes   int      `json:"nodes"`
 	Zones   int      `json:"zones"`
 	Servers int      `json:"peers"`
-	Chosen  []uint64 `json:"chose,omitempty"` // missing: all
+	Chosen  []uint64 `json:"chose,omitempty"` // IDs of the chosen servers; missing: all servers
 }
 
-// recordChoice tells operators of a choice whose size has changed, and the record of every one.
+// recordChoice logs a choice if its size or the number of zones has changed, and writes every choice to the record.
 func (s *Service) recordChoice(chosen map[balancer.ServerID]bool, fleet fleetState, servers int) {
 	size := everyServer
 	if chosen != nil {
@@ -46,7 +46,7 @@
 	s.config.Record.Write("chose", line)
 }
 
-// Status is for operators.
+// Status returns a text for operators with the size of the last choice and the status of the signals.
 func (s *Service) Status() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/choices/service.go
+++ b/internal/fleet/choices/service.go
@@ -1,6 +1,6 @@
-// Package choices keeps a node to its subset of a large upstream group: it learns who is in the fleet and which servers
-// are in the group, and tells package routing with which of them the node works, and which it should avoid. Package
-// subset decides what the subset is.
+// Package choices limits a node to its subset of a large upstream group. It follows the membership views of the fleet
+// and the endpoint list of the group, and notifies package routing of the servers that the node uses and of those that
+// it should avoid. Package subset computes the subset.
 package choices
 
 import (
@@ -20,51 +20,52 @@
 type Config struct {
 	// Name is the node's name.
 	Name string
-	// Plan is how many nodes work with a server; no copies: every node works with every server.
+	// Plan sets the number of nodes that use each server. If Plan.Copies is 0, every node uses every server.
 	Plan subset.Plan
-	// Signals is what nodes tell each other of servers; nil: nothing.
+	// Signals exchanges observations of servers with other nodes; nil: no servers are suspected.
 	Signals *signals.Service
-	// Zones are those that the group's servers may be in.
+	// Zones has the zones of the group's servers as keys.
 	Zones map[string]int
-	// Next waits for the view after the one of a number; see member.Service.
+	// Next waits for the view that follows the one with the number after; see member.Service.
 	Next func(ctx context.Context, after uint64) (*member.View, error)
-	// Log may be nil.
+	// Log receives log lines; nil: none are written.
 	Log *slog.Logger
-	// Record is given what is chosen; nil: nothing.
+	// Record receives choices and failures; nil: nothing is recorded.
 	Record *record.Recorder
 }
 
-// everyServer is the size of a choice of all servers.
+// everyServer is the value of Service.lastSize if all servers were chosen.
 const everyServer = -1
 
-// Service chooses anew when the fleet or the group has changed. It works beside the decisions of package balancer:
-// until it is done they go on with what was chosen before. Its methods are safe for concurrent use.
+// Service chooses the node's subset again whenever the fleet, the group or the suspected servers change. It runs
+// concurrently with package balancer, which uses the previous choice until the next one is made. Its methods are safe
+// for concurrent use.
 type Service struct {
 	config Config
-	wake   chan struct{} // holds one
+	wake   chan struct{} // wakes chooseOnChange; has a buffer of one
 	ctx    context.Context
 	cancel context.CancelFunc
 	tasks  sync.WaitGroup
 
 	mu       sync.Mutex
-	onChoice func(routing.Subset) // nil: nobody is to be told yet
+	onChoice func(routing.Subset) // set by Subscribe
 	fleet    fleetState
-	servers  []subset.Server
+	servers  []subset.Server // servers that accept new requests
 
-	lastSize  int // of the last choice, or everyServer
-	lastZones int // of the last choice
+	lastSize  int // number of servers in the last choice, or everyServer
+	lastZones int // number of zones in the last choice
 }
 
-// fleetState is what a choice needs of a view.
+// fleetState is the part of a view that a choice depends on.
 type fleetState struct {
-	view  uint64 // its number
-	nodes []subset.Node
-	zones int // in which nodes work; 0: unknown
+	view  uint64        // number of the view
+	nodes []subset.Node // see workingNodes
+	zones int           // number of zones with working nodes; 0: unknown
 }
 
 var _ routing.SubsetSelector = (*Service)(nil)
 
-// New makes a service, which chooses nothing until Subscribe.
+// New returns a service. It makes no choice until Subscribe.
 func New(c Config) *Service {
 	if c.Log == nil {
 		c.Log = slog.New(slog.DiscardHandler)
@@ -74,7 +75,7 @@
 	return s
 }
 
-// Subscribe implements routing.SubsetSelector: from now on chosen is called with each choice.
+// Subscribe implements routing.SubsetSelector. It starts the service, which calls chosen with each choice until Close.
 func (s *Service) Subscribe(chosen func(routing.Subset)) {
 	s.mu.Lock()
 	s.onChoice = chosen
@@ -86,13 +87,13 @@
 	s.tasks.Go(s.chooseOnChange)
 }
 
-// Close ends that; the last choice stays.
+// Close stops the service. The last choice remains in effect.
 func (s *Service) Close() {
 	s.cancel()
 	s.tasks.Wait()
 }
 
-// EndpointsChanged implements routing.SubsetSelector: these servers take new requests. It does not block.
+// EndpointsChanged implements routing.SubsetSelector. It sets the servers that accept new requests, and does not block.
 func (s *Service) EndpointsChanged(servers []balancer.Server) {
 	eligible := make([]subset.Server, 0, len(servers))
 	for _, server := range servers {
@@ -116,11 +117,12 @@
 	s.wakeUp()
 }
 
-// ObserveResult implements routing.SubsetSelector: an attempt or a health check had this result.
+// ObserveResult implements routing.SubsetSelector. It passes the result of an attempt or, if probe is true, of a health
+// check to the signals. It ignores results that do not show whether the server answers.
 func (s *Service) ObserveResult(server balancer.ServerID, startedAt balancer.Time, result balancer.Result, probe bool) {
 	var outcome signals.Result
 	switch result {
-	case balancer.OK, balancer.Errored: // it answers
+	case balancer.OK, balancer.Errored: // the server answers
 		outcome = signals.Answered
 	case balancer.ConnectFailed, balancer.TimedOut, balancer.Reset:
 		outcome = signals.Unanswered
@@ -134,14 +136,15 @@
 	}
 }
 
+// wakeUp makes chooseOnChange choose again.
 func (s *Service) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
-	default: // the next choice is by everything as it is then
+	default: // a choice is due already, and will use the state at its time
 	}
 }
 
-// followViews takes the views.
+// followViews updates the fleet state from each new view until Close.
 func (s *Service) followViews() {
 	for after := uint64(0); ; {
 		view, err := s.config.Next(s.ctx, after)
@@ -158,7 +161,7 @@
 	}
 }
 
-// chooseOnChange chooses whenever something has changed.
+// chooseOnChange makes a choice after each wakeUp until Close, provided that there are servers.
 func (s *Service) chooseOnChange() {
 	for {
 		select {
@@ -180,7 +183,7 @@
 	}
 }
 
-// choose returns the node's subset; nil: all servers.
+// choose returns the IDs of the servers in the node's subset; nil: all servers.
 func (s *Service) choose(fleet fleetState, servers []subset.Server) map[balancer.ServerID]bool {
 	if len(fleet.nodes) == 0 || s.config.Plan.Copies <= 0 {
 		return nil
@@ -192,7 +195,7 @@
 	return idSet(ids)
 }
 
-// suspected returns the servers to avoid by what other nodes report.
+// suspected returns the IDs of the servers to avoid because of other nodes' reports.
 func (s *Service) suspected() map[balancer.ServerID]bool {
 	if s.config.Signals == nil {
 		return nil
@@ -200,6 +203,7 @@
 	return idSet(s.config.Signals.Suspected())
 }
 
+// idSet returns the set of some server IDs.
 func idSet(ids []uint64) map[balancer.ServerID]bool {
 	set := make(map[balancer.ServerID]bool, len(ids))
 	for _, id := range ids {
--- a/internal/fleet/choices/service_test.go
+++ b/internal/fleet/choices/service_test.go
@@ -11,18 +11,19 @@
 	"olivebridge/internal/routing"
 )
 
-// views returns views as a test makes them.
+// views is a channel from which Config.Next receives the views that a test sends.
 type views chan *member.View
 
 func (v views) next(ctx context.Context, _ uint64) (*member.View, error) {
 	select {
-	case one := <-v:
-		return one, nil
+	case view := <-v:
+		return view, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
+// view returns a view of the node n1 whose members have the given states.
 func view(number uint64, states map[string]member.State) *member.View {
 	v := &member.View{Number: number, Self: "n1"}
 	for _, name := range []string{"n1", "n2", "n3", "n4", "n5", "n6"} {
@@ -33,15 +34,15 @@
 	return v
 }
 
-// A choice follows the views and the lists: a node that takes nothing new does not count, a suspect one does, and a
-// node without a membership works with all servers.
+// The subset follows the views and the endpoint lists. Nodes that accept no new requests do not count, suspect nodes
+// do, and a node without a membership uses all servers.
 func TestChoiceFollowsViewsAndLists(t *testing.T) {
-	from := make(views)
-	s := New(Config{Name: "n1", Plan: subset.Plan{Copies: 2, MinServers: 1}, Next: from.next})
-	got := make(chan routing.Subset)
+	source := make(views)
+	s := New(Config{Name: "n1", Plan: subset.Plan{Copies: 2, MinServers: 1}, Next: source.next})
+	choices := make(chan routing.Subset)
 	s.Subscribe(func(chosen routing.Subset) {
 		select {
-		case got <- chosen:
+		case choices <- chosen:
 		case <-time.After(10 * time.Second):
 		}
 	})
@@ -50,16 +51,16 @@
 	for i := range 60 {
 		servers = append(servers, balancer.Server{ID: balancer.ServerID(1000 + 7919*i), Weight: 1, State: balancer.Ready})
 	}
-	wait := func(what string, least, most int) {
+	wait := func(event string, minSize, maxSize int) {
 		t.Helper()
 		select {
-		case choice := <-got:
+		case choice := <-choices:
 			chosen := choice.Included
-			if n := len(chosen); chosen == nil && most > 0 || n < least || n > most {
-				t.Errorf("%s: %d are chosen, %d to %d are wanted", what, n, least, most)
+			if n := len(chosen); chosen == nil && maxSize > 0 || n < minSize || n > maxSize {
+				t.Errorf("%s: %d servers are chosen, want %d to %d", event, n, minSize, maxSize)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("%s: nothing is told", what)
+			t.Fatalf("%s: no choice within 10 s", event)
 		}
 	}
 	s.EndpointsChanged(servers)
@@ -68,24 +69,25 @@
 	for _, n := range []string{"n1", "n2", "n3", "n4", "n5", "n6"} {
 		all[n] = member.Alive
 	}
-	from <- view(1, all)
-	wait("six nodes, two to a server", 15, 25)
+	source <- view(1, all)
+	wait("six nodes, two per server", 15, 25)
 	all["n2"] = member.Suspect
-	from <- view(2, all)
-	wait("one is suspect", 15, 25)
+	source <- view(2, all)
+	wait("one node is suspect", 15, 25)
 	all["n2"], all["n3"], all["n4"] = member.Dead, member.Left, member.Leaving
-	from <- view(3, all)
-	wait("three are left", 32, 48)
+	source <- view(3, all)
+	wait("three nodes are left", 32, 48)
 	all["n5"] = member.Dead
-	from <- view(4, all)
-	wait("two are left", 0, 0)
-	from <- view(5, map[string]member.State{"n2": member.Alive, "n3": member.Alive, "n4": member.Alive})
+	source <- view(4, all)
+	wait("two nodes are left", 0, 0)
+	source <- view(5, map[string]member.State{"n2": member.Alive, "n3": member.Alive, "n4": member.Alive})
 	wait("this node has no membership", 0, 0)
 	s.EndpointsChanged(servers[:1])
 	wait("one server", 0, 0)
 }
 
-// A node counts the zones in which nodes work, as far as it can say.
+// The number of zones with working nodes is known only to a node that has a membership and is connected to a majority,
+// and only if the group has all zones of the nodes.
 func TestWorkingZones(t *testing.T) {
 	s := New(Config{Name: "n1", Zones: map[string]int{"east": 0, "west": 1}})
 	v := &member.View{Self: "n1"}
@@ -107,7 +109,7 @@
 		{[]member.State{alive, dead, alive, left, alive}, 1},
 		{[]member.State{alive, leaving, alive, dead, alive}, 1},
 		{[]member.State{alive, suspect, alive, dead, alive}, 2},
-		{[]member.State{alive, dead, dead, dead, alive}, 0}, // it may be cut off from them
+		{[]member.State{alive, dead, dead, dead, alive}, 0}, // this node may be partitioned from the dead ones
 		{[]member.State{dead, alive, alive, alive, alive}, 0},
 	} {
 		now := set(c.states...)
@@ -118,6 +120,6 @@
 	v.Members[1].Zone = "elsewhere"
 	now := set(alive, alive, alive, alive, alive)
 	if got := s.workingZones(now, workingNodes(now)); got != 0 {
-		t.Errorf("a zone that the group does not know: %d", got)
+		t.Errorf("a node in a zone that the group does not have: %d zones, want 0", got)
 	}
 }
--- a/internal/fleet/choices/stored_forms_test.go
+++ b/internal/fleet/choices/stored_forms_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Records are judged by builds other than the one that wrote them.
+// Other builds than the one that wrote a record read it, so its encoding must not change.
 func TestRecordKeepsItsBytes(t *testing.T) {
 	for path, value := range map[string]any{
 		"testdata/chose.json":  ChoiceRecord{View: 4, Nodes: 3, Zones: 2, Servers: 60, Chosen: []uint64{1, 2}},
