--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -1,6 +1,6 @@
-// Package subset chooses with which servers of a large upstream group a node works, from what all nodes know alike: who
-// the nodes are, and who the servers. It uses no I/O, clock or random numbers. docs/CHOICES-DESIGN.md has the methods
-// that were compared.
+// Package subset computes the servers of a large upstream group that a node uses. The result depends only on the lists
+// of nodes and servers, which are the same on all nodes: the package uses no I/O, clock or random numbers.
+// docs/CHOICES-DESIGN.md compares the methods.
 package subset
 
 import (
@@ -8,31 +8,31 @@
 	"slices"
 )
 
-// Server is an upstream server that can be chosen.
+// Server is an upstream server that can be in a subset.
 type Server struct {
-	ID     uint64 // the same at every node
+	ID     uint64 // the same on every node
 	Zone   uint8
 	Kind   uint8
 	Weight float64
 }
 
-// Node is a node that chooses.
+// Node is a node that uses a subset of the servers.
 type Node struct {
 	Name string
 	Zone string
 }
 
-// Plan says how much is chosen. All nodes have the same.
+// Plan configures the size of the subsets. It must be the same on all nodes.
 type Plan struct {
-	// Copies is how many nodes work with a server: each sees so much less of it, and so many have to fail before nobody
-	// knows it.
+	// Copies is the number of nodes that use each server. The larger it is, the smaller the part of a server's load that
+	// each node observes, and the more nodes must fail before no node knows the server.
 	Copies int
-	// MinServers is the least number of servers that a node works with: below it a subset costs more than it saves.
+	// MinServers is the minimum number of servers that a node uses. A smaller subset costs more than it saves.
 	MinServers int
 }
 
-// SubsetOf returns the servers that a node works with, sorted by ID; nil: all of them. Nodes and servers may come in
-// any order, and twice.
+// SubsetOf returns the sorted IDs of the servers that a node uses; nil: all servers. Nodes and servers may be in any
+// order and contain duplicates.
 func (p Plan) SubsetOf(self string, nodes []Node, servers []Server) []uint64 {
 	assignment := p.Assign(nodes, servers)
 	if assignment == nil {
@@ -41,23 +41,24 @@
 	return assignment[self]
 }
 
-// copies is how many nodes work with each server, among so many; as many as there are nodes: there is nothing to
-// choose.
+// copies returns the number of nodes that use each server, for the given numbers of nodes and servers. If it equals the
+// number of nodes, every node uses every server.
 func (p Plan) copies(nodes, servers int) int {
 	if nodes == 0 {
 		return 0
 	}
-	atLeast := (p.MinServers*nodes + max(servers, 1) - 1) / max(servers, 1)
-	return min(max(p.Copies, atLeast, 1), nodes)
+	minCopies := (p.MinServers*nodes + max(servers, 1) - 1) / max(servers, 1)
+	return min(max(p.Copies, minCopies, 1), nodes)
 }
 
-// Assign returns the servers of every node; nil: all nodes work with all servers.
+// Assign returns the sorted IDs of the servers that each node uses, by name of the node; nil: all nodes use all
+// servers.
 //
-// It is rendezvous hashing with bounded loads, from the servers' side: each server, in an order fixed by its ID, goes
-// to the nodes that score highest with it, as long as they have room among servers of its stratum, and in all. The
-// tighter the bounds, the more evenly the load is spread, and the more moves when a node or server comes or goes: see
-// loadSlack. The nodes of each zone have their part of the copies: nodes prefer servers of their zone, so the load of a
-// server depends on how many of its nodes are near.
+// The method is rendezvous hashing with bounded loads: each server, in the order of a hash of its ID, is assigned to
+// the nodes with the highest scores whose number of servers is below the bound, both for the server's stratum and in
+// total. Tighter bounds spread the load more evenly, but move more servers when a node or server is added or removed;
+// see loadSlack. The copies of a server are divided among the zones in proportion to their nodes: nodes prefer servers
+// of their own zone, so a server's load depends on the number of its nodes in the same zone.
 func (p Plan) Assign(nodes []Node, servers []Server) map[string][]uint64 {
 	zones := namesByZone(nodes)
 	count := 0
@@ -73,7 +74,7 @@
 	}
 	subsets := map[string][]uint64{}
 	for _, names := range zones {
-		zoneCopies := (copies*len(names) + count/2) / count // rounded
+		zoneCopies := (copies*len(names) + count/2) / count // rounded to the nearest integer
 		zoneCopies = min(max(zoneCopies, 1), len(names))
 		newAssignment(names, sorted, zoneCopies).run().addTo(subsets)
 	}
@@ -83,7 +84,7 @@
 	return subsets
 }
 
-// namesByZone returns the nodes' names by zone, sorted and without duplicates.
+// namesByZone returns the names of the nodes by zone, sorted and without duplicates.
 func namesByZone(nodes []Node) map[string][]string {
 	zones := map[string][]string{}
 	for _, n := range nodes {
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -9,13 +9,15 @@
 	"pgregory.net/rapid"
 )
 
+// group returns n servers, spread over some zones and three kinds.
 func group(n, zones int) (all []Server) {
 	for i := range n {
-		all = append(all, Server{ID: scramble(uint64(i + 1)), Zone: uint8(i % zones), Kind: uint8(i / zones % 3), Weight: 1})
+		all = append(all, Server{ID: mix64(uint64(i + 1)), Zone: uint8(i % zones), Kind: uint8(i / zones % 3), Weight: 1})
 	}
 	return all
 }
 
+// nodes returns n nodes, spread over some zones.
 func nodes(n, zones int) (all []Node) {
 	for i := range n {
 		all = append(all, Node{fmt.Sprint("n", i), fmt.Sprint("z", i%zones)})
@@ -23,45 +25,48 @@
 	return all
 }
 
-// Whatever the fleet: each server has as many nodes as the plan says, each of them once; a node with room for one of
-// each has servers of every zone and kind; and the order of nodes and servers does not matter.
+// In random fleets, each server is assigned to the planned number of nodes, at most once to each; the numbers of
+// servers per node are near the mean; a node with a large subset has servers of every zone and kind; and the order of
+// nodes and servers and duplicates do not change the result.
 func TestAssign(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.IntRange(1, 3).Draw(t, "zones")
 		names := nodes(rapid.IntRange(1, 40).Draw(t, "nodes"), rapid.IntRange(1, 2).Draw(t, "zones of nodes"))
-		servers := group(rapid.IntRange(1, 300).Draw(t, "peers"), zones)
-		p := Plan{Copies: rapid.IntRange(1, 10).Draw(t, "copies"), MinServers: rapid.IntRange(0, 60).Draw(t, "least")}
+		servers := group(rapid.IntRange(1, 300).Draw(t, "servers"), zones)
+		p := Plan{Copies: rapid.IntRange(1, 10).Draw(t, "copies"), MinServers: rapid.IntRange(0, 60).Draw(t, "minimum")}
 		got := p.Assign(names, servers)
 		copies := p.copies(len(names), len(servers))
 		if got == nil {
 			if copies < len(names) {
-				t.Fatalf("all, with %d copies among %d nodes", copies, len(names))
+				t.Fatalf("every node has all servers, with %d copies and %d nodes", copies, len(names))
 			}
 			return
 		}
-		times, most, least := map[uint64]int{}, 0, len(servers)
-		near := map[uint64]map[string]int{}
+		nodeCounts, most, least := map[uint64]int{}, 0, len(servers)
+		nodesByZone := map[uint64]map[string]int{}
 		for _, node := range names {
 			n := node.Name
 			ids := got[n]
 			if !slices.IsSorted(ids) || len(slices.Compact(slices.Clone(ids))) != len(ids) {
-				t.Fatalf("%s: %v", n, ids)
+				t.Fatalf("the subset of %s is not sorted or has duplicates: %v", n, ids)
 			}
 			for _, id := range ids {
-				times[id]++
-				if near[id] == nil {
-					near[id] = map[string]int{}
+				nodeCounts[id]++
+				if nodesByZone[id] == nil {
+					nodesByZone[id] = map[string]int{}
 				}
-				near[id][node.Zone]++
+				nodesByZone[id][node.Zone]++
 			}
 			most, least = max(most, len(ids)), min(least, len(ids))
 		}
-		for _, one := range servers {
-			if off := times[one.ID] - copies; off < -1 || off > 1 { // its parts of two zones are rounded
-				t.Fatalf("a server has %d nodes of %d", times[one.ID], copies)
+		for _, server := range servers {
+			// The copies of two zones are rounded separately, so their sum may differ by 1.
+			if difference := nodeCounts[server.ID] - copies; difference < -1 || difference > 1 {
+				t.Fatalf("a server has %d nodes, want %d", nodeCounts[server.ID], copies)
 			}
-			if !maps.Equal(near[one.ID], near[servers[0].ID]) {
-				t.Fatalf("servers have %v and %v nodes of each zone", near[one.ID], near[servers[0].ID])
+			if !maps.Equal(nodesByZone[server.ID], nodesByZone[servers[0].ID]) {
+				t.Fatalf("two servers have %v and %v nodes by zone, want the same",
+					nodesByZone[server.ID], nodesByZone[servers[0].ID])
 			}
 		}
 		mean := float64(len(servers)*copies) / float64(len(names))
@@ -73,8 +78,8 @@
 			t.Fatalf("a node has %d servers, %.1f in the mean", least, mean)
 		}
 		strata := map[uint64]stratum{}
-		for _, one := range servers {
-			strata[one.ID] = stratum{one.Zone, one.Kind}
+		for _, server := range servers {
+			strata[server.ID] = stratum{server.Zone, server.Kind}
 		}
 		for _, node := range names {
 			n := node.Name
@@ -83,21 +88,22 @@
 				has[strata[id]] = true
 			}
 			if mean >= 80 && len(got[n]) >= 60 && len(has) < zones*3 {
-				t.Fatalf("%s has %d strata of %d, of %d servers", n, len(has), zones*3, len(got[n]))
+				t.Fatalf("%s has servers of %d strata, want %d, in a subset of %d servers", n, len(has), zones*3, len(got[n]))
 			}
 		}
 		mixed := rapid.Permutation(names).Draw(t, "order")
-		twice := append(rapid.Permutation(servers).Draw(t, "order of peers"), servers[0])
+		twice := append(rapid.Permutation(servers).Draw(t, "order of servers"), servers[0])
 		if again := p.Assign(append(mixed, names[0]), twice); !maps.EqualFunc(got, again, slices.Equal) {
-			t.Fatal("the order changes something")
+			t.Fatal("another order and duplicates change the assignment")
 		}
-		if one := p.SubsetOf(names[0].Name, mixed, twice); !slices.Equal(one, got[names[0].Name]) {
-			t.Fatal("one node alone sees it otherwise")
+		if subset := p.SubsetOf(names[0].Name, mixed, twice); !slices.Equal(subset, got[names[0].Name]) {
+			t.Fatal("SubsetOf differs from the assignment of the same node")
 		}
 	})
 }
 
-// One node or server more or less moves few others, over 20 fleets of different sizes.
+// Adding one node or one server moves few servers. The numbers are means over 20 fleets of different sizes, relative to
+// the smallest possible number of moves.
 func TestFewServersMove(t *testing.T) {
 	p := Plan{Copies: 8}
 	node, server, rounds := 0.0, 0.0, 0.0
@@ -110,13 +116,14 @@
 		rounds++
 	}
 	if node /= rounds; node > 2 {
-		t.Errorf("a node more moves %.2f of the least", node)
+		t.Errorf("an added node causes %.2f times the minimum of moves, want at most 2", node)
 	}
 	if server /= rounds; server > 3 {
-		t.Errorf("a server more moves %.2f of the least", server)
+		t.Errorf("an added server causes %.2f times the minimum of moves, want at most 3", server)
 	}
 }
 
+// moves returns the number of pairs of a node and a server that are only in the later assignment.
 func moves(before, after map[string][]uint64) (n int) {
 	for name, ids := range after {
 		for _, id := range ids {
@@ -139,29 +146,29 @@
 	}
 }
 
-// Each node has its part of every zone and kind, so that none of them belongs to a few nodes.
+// Each node has about the mean number of servers of every stratum, so that no stratum is left to a few nodes.
 func TestStrataAreEven(t *testing.T) {
-	servers, beyond, all := group(400, 2), 0, 0
-	of := map[uint64]stratum{}
-	for _, p := range servers {
-		of[p.ID] = stratum{p.Zone, p.Kind}
+	servers, aboveBound, total := group(400, 2), 0, 0
+	strata := map[uint64]stratum{}
+	for _, server := range servers {
+		strata[server.ID] = stratum{server.Zone, server.Kind}
 	}
 	for n := 16; n < 24; n++ {
 		p := Plan{Copies: 8}
-		room := roundUpToStep(stratumSlack * 400 / 6 * 8 / float64(n))
+		bound := roundUpToStep(stratumSlack * 400 / 6 * 8 / float64(n))
 		for _, ids := range p.Assign(nodes(n, 1), servers) {
-			has := map[stratum]int{}
+			counts := map[stratum]int{}
 			for _, id := range ids {
-				has[of[id]]++
+				counts[strata[id]]++
 			}
-			for _, k := range has {
-				if all++; k > room {
-					beyond++
+			for _, count := range counts {
+				if total++; count > bound {
+					aboveBound++
 				}
 			}
 		}
 	}
-	if all < 6*8*16 || beyond*14 > all { // 43 of 936; 100 where zones are forgotten
-		t.Errorf("of %d parts of a zone and kind, %d are beyond a node's room", all, beyond)
+	if total < 6*8*16 || aboveBound*14 > total { // 43 of 936 are above the bound; 100 if strata ignored the zone
+		t.Errorf("of %d parts of a stratum, %d exceed the bound, want at most a 14th", total, aboveBound)
 	}
 }
