--- a/internal/fleet/budget/count_ledger.go
+++ b/internal/fleet/budget/count_ledger.go
@@ -42,8 +42,8 @@
 	return min(need, remaining, max(remaining/4, 1))
 }
 
-// apply executes a committed command and returns the grant. A repeated request gets the grant of its first execution; a
-// request older than the holder's last one gets no units.
+// apply executes a committed command and returns the grant. A repeated request is answered with its first grant; a
+// request older than the holder's last one is granted no units.
 func (c *countLedger) apply(m countCommand) CountGrant {
 	key := m.Quota + " " + m.Holder
 	last, ok := c.Last[key]
--- a/internal/fleet/budget/divide_test.go
+++ b/internal/fleet/budget/divide_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// The targets are at least 0 and add up to no more than the amount and no less than the demand or the amount, less what
-// hysteresis leaves. A holder with a higher demand never gets a lower target, but for hysteresis.
+// The targets are at least 0 and add up to no more than the amount and no less than the demand or the amount, less the
+// amount that hysteresis can leave. A holder with a higher demand never has a lower target by more than hysteresis
+// allows.
 func TestDivide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		amount := rapid.Float64Range(0, 1000).Draw(t, "amount")
--- a/internal/fleet/budget/holder.go
+++ b/internal/fleet/budget/holder.go
@@ -125,7 +125,7 @@
 	return reserves
 }
 
-// hasFullReserve reports whether the process has a seat's whole part of the reserve of every quota.
+// hasFullReserve reports whether the process has the full part of a seat of the reserve of every quota.
 func (h *Holder) hasFullReserve() bool {
 	for _, a := range h.allocations {
 		if a.reserve != a.quota.seatReserve(h.terms) {
--- a/internal/fleet/signals/observation.go
+++ b/internal/fleet/signals/observation.go
@@ -11,8 +11,8 @@
 // Result is the result of an attempt or a health check of this node.
 type Result int
 
-// Results of an attempt or a health check. A connection timeout cannot be told from a refused connection, so a single
-// Unanswered is weak evidence.
+// Results of an attempt or a health check. A connection timeout cannot be distinguished from a refused connection, so
+// a single Unanswered is weak evidence.
 const (
 	Answered Result = iota
 	Unanswered
--- a/internal/fleet/signals/service.go
+++ b/internal/fleet/signals/service.go
@@ -25,7 +25,7 @@
 	Name string
 	// Witnesses is the number of other nodes that must report a server as failing before it is suspected.
 	Witnesses int
-	// Broadcast gossips a message with a report. It replaces the last message from the same node; see member.Service.
+	// Broadcast gossips a message with a report. The message replaces the last one of the same node; see member.Service.
 	Broadcast func(from string, message []byte)
 	// Present reports whether a node is in the fleet.
 	Present func(name string) bool
