--- a/internal/fleet/signals/detector_test.go
+++ b/internal/fleet/signals/detector_test.go
@@ -157,9 +157,9 @@
 		now, last := second, map[string]Report{}
 		for i := range rapid.IntRange(1, 40).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
-			server := rapid.SampledFrom(all).Draw(t, "server")
+			observedServer := rapid.SampledFrom(all).Draw(t, "server")
 			if rapid.Bool().Draw(t, "own") {
-				d.Observe(now, server, rapid.SampledFrom([]Result{Answered, Unanswered}).Draw(t, "result"))
+				d.Observe(now, observedServer, rapid.SampledFrom([]Result{Answered, Unanswered}).Draw(t, "result"))
 			} else {
 				r := Report{From: fmt.Sprint("n", rapid.IntRange(1, 5).Draw(t, "from")), Incarnation: "a", Number: uint64(i + 1)}
 				idOf := func(server Server) uint64 { return server.ID }
