--- a/internal/fleet/callstore/client.go
+++ b/internal/fleet/callstore/client.go
@@ -12,40 +12,42 @@
 )
 
 const (
-	// requestTimeout bounds one request to a voter, and the dial before it.
+	// requestTimeout limits the time for one request to a voter, and separately the time to dial the voter.
 	requestTimeout = 250 * time.Millisecond
-	// redialInterval is for how long a voter is not dialled again.
+	// redialInterval is the minimum interval between two dials to the same voter.
 	redialInterval = 200 * time.Millisecond
 	// retryInterval is the pause between two attempts of a request.
 	retryInterval = 25 * time.Millisecond
-	// noLeaderPause is for how long nobody is asked after a voter knew of no leader: an election takes ten times as long.
+	// noLeaderPause is the duration for which the client sends no requests after a voter reported no leader. An election
+	// takes about ten times as long.
 	noLeaderPause = 60 * time.Millisecond
 )
 
-// ErrNoLeader says that no leader has answered. A request may have been committed all the same.
+// ErrNoLeader reports that no leader responded. The request may still have been committed.
 var ErrNoLeader = errors.New("nobody keeps the work")
 
-// clientConfig is what a client is made of.
+// clientConfig configures a client.
 type clientConfig struct {
-	name   string          // of this node
-	voters func() []string // at least one
+	name   string          // name of this node
+	voters func() []string // returns the names of the voters, at least one
 	dial   func(voter string) (net.Conn, error)
-	// answer answers a request to this node in this process; false: that is not possible now.
+	// answer handles a request to this node within this process. It returns false if this process cannot handle
+	// requests at present.
 	answer func(request) (response, bool)
 }
 
-// client sends requests to the leader, many at a time over one stream to each voter.
+// client sends requests to the leader. It multiplexes concurrent requests over one stream per voter.
 type client struct {
 	config clientConfig
 	hint   raftlog.LeaderHint
 
 	mu         sync.Mutex
-	started    bool // false: this process never had the membership
-	streams    map[string]*stream
-	pauseUntil time.Time // nobody is asked until then, since no voter knew of a leader
+	started    bool               // false if this process has never held the node's membership
+	streams    map[string]*stream // by voter
+	pauseUntil time.Time          // no requests are sent before this time, because a voter reported no leader
 
-	dialing  sync.Mutex           // held while a voter is dialled
-	dialedAt map[string]time.Time // by voter; guarded by dialing
+	dialing  sync.Mutex           // held while dialing a voter
+	dialedAt map[string]time.Time // time of the last dial, by voter; guarded by dialing
 }
 
 func newClient(config clientConfig) *client {
@@ -56,7 +58,7 @@
 	}
 }
 
-// start allows the client to dial.
+// start allows the client to dial voters.
 func (c *client) start() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,8 +77,8 @@
 	}
 }
 
-// ask sends a request to the leader, and again until a leader has answered or the time is up: then the error is an
-// ErrNoLeader.
+// ask sends a request to the leader and retries until the leader responds. After the timeout, or when ctx is done, it
+// returns an error that wraps ErrNoLeader.
 func (c *client) ask(ctx context.Context, r request, timeout time.Duration) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -104,7 +106,8 @@
 	}
 }
 
-// noLeaderError is an ErrNoLeader with the reason of the last attempt, if there was one.
+// noLeaderError returns an error that wraps ErrNoLeader and the failure of the last attempt: err or, if err is nil, the
+// refusal of the voter.
 func noLeaderError(err error, refusal string) error {
 	if err == nil {
 		err = errors.New(refusal)
@@ -118,7 +121,7 @@
 	return time.Now().Before(c.pauseUntil)
 }
 
-// noteAnswer notes that a voter answered as the leader.
+// noteAnswer records that a voter responded as the leader, and ends the pause.
 func (c *client) noteAnswer(voter string) {
 	c.hint.Answered(voter)
 	c.mu.Lock()
@@ -126,8 +129,8 @@
 	c.pauseUntil = time.Time{}
 }
 
-// noteRefusal notes that a voter does not lead, or did not answer. If it named no leader all requests pause: hundreds
-// that each ask on would keep the voters from their election.
+// noteRefusal records that a voter is not the leader or did not respond. If the voter named no leader, all requests
+// pause: hundreds of requests that retry at the same time would delay the election.
 func (c *client) noteRefusal(voter, leader string) {
 	c.hint.ForgetVoter(voter)
 	if leader != "" {
@@ -138,7 +141,7 @@
 	c.pauseUntil = time.Now().Add(noLeaderPause)
 }
 
-// askVoter sends a request to one voter, once. With an error the response is empty.
+// askVoter sends a request to one voter, without retries. The response is empty if the error is not nil.
 func (c *client) askVoter(ctx context.Context, r request, voter string) (response, error) {
 	if voter == c.config.name {
 		if got, answered := c.config.answer(r); answered {
@@ -152,8 +155,9 @@
 	return s.ask(ctx, r)
 }
 
-// connect returns the stream to a voter. One request dials at a time, and not again within redialInterval: all that
-// wait would do so together.
+// connect returns the open stream to a voter, or dials the voter. Only one request dials at a time, and a voter is
+// dialed at most once per redialInterval: otherwise all requests that wait for the stream would dial one after the
+// other.
 func (c *client) connect(voter string) (*stream, error) {
 	if s := c.openStream(voter); s != nil {
 		return s, nil
@@ -163,13 +167,13 @@
 	}
 	c.dialing.Lock()
 	defer c.dialing.Unlock()
-	if s := c.openStream(voter); s != nil { // another request dialled meanwhile
+	if s := c.openStream(voter); s != nil { // another request dialed while this one waited for the lock
 		return s, nil
 	}
 	if time.Since(c.dialedAt[voter]) < redialInterval {
 		return nil, ErrNoLeader
 	}
-	c.dialedAt[voter] = time.Now() // also if the dial succeeds: the stream may end at once
+	c.dialedAt[voter] = time.Now() // set for successful dials too, because the stream may end immediately
 	conn, err := c.config.dial(voter)
 	if err != nil {
 		return nil, err
@@ -181,7 +185,7 @@
 	return s, nil
 }
 
-// openStream is the open stream to a voter; nil: there is none.
+// openStream returns the open stream to a voter, or nil if there is none.
 func (c *client) openStream(voter string) *stream {
 	c.mu.Lock()
 	s := c.streams[voter]
--- a/internal/fleet/callstore/doc.go
+++ b/internal/fleet/callstore/doc.go
@@ -1,8 +1,9 @@
-// Package callstore stores the outcome of calls with an idempotency key, so that it survives the loss of the node that
-// ran the call: who owns a call, whether it may have run, and what came of it. docs/TAKEOVER-DESIGN.md says why no call
-// runs twice.
+// Package callstore replicates the state of calls with an idempotency key: the owner of each call, whether the call may
+// have run, and its outcome. The state survives the loss of the node that ran the call. docs/TAKEOVER-DESIGN.md
+// explains why no call runs twice.
 //
-// The ledger is the pure state machine: it has no I/O, clock or goroutines of its own. Voters replicate it by a raft
-// log (see package raftlog). A Service is a process's part: it asks the leader over one stream to each voter (client,
-// stream), answers others if it leads (server, leader), and releases the calls of processes that have failed.
+// The ledger is a deterministic state machine without I/O, clock or goroutines. The voters replicate it through a raft
+// log (see package raftlog). Each process runs a Service, which sends requests to the leader over one stream per voter
+// (client, stream). While its process is the leader, the Service also handles the requests of other processes and
+// releases the calls of processes that have failed (server, leader).
 package callstore
--- a/internal/fleet/callstore/entry_index.go
+++ b/internal/fleet/callstore/entry_index.go
@@ -2,8 +2,8 @@
 
 import "container/heap"
 
-// entryIndex finds the entries that expire next, and those that a process has running. Each entry of the ledger is in
-// one of the two.
+// entryIndex indexes the ledger's entries: running calls by the process that owns them, all others by the time of their
+// last change. Each entry is in exactly one of the two indexes.
 type entryIndex struct {
 	expiring expiryQueue
 	running  map[process]map[*entry]bool
@@ -37,7 +37,8 @@
 	}
 }
 
-// popOlderThan removes an entry that changed before a time, and does not run; nil if there is none.
+// popOlderThan removes and returns the entry that changed least recently, if it changed before oldest, in milliseconds
+// of the ledger's clock. It returns nil if there is none. Running calls are never returned.
 func (x *entryIndex) popOlderThan(oldest int64) *entry {
 	if len(x.expiring) == 0 || x.expiring[0].ChangedAt >= oldest {
 		return nil
@@ -45,7 +46,7 @@
 	return heap.Pop(&x.expiring).(*entry)
 }
 
-// expiryQueue is a heap of entries by their last change. It implements heap.Interface.
+// expiryQueue is a min-heap of entries by the time of their last change. It implements heap.Interface.
 type expiryQueue []*entry
 
 func (q expiryQueue) Len() int { return len(q) }
--- a/internal/fleet/callstore/leader.go
+++ b/internal/fleet/callstore/leader.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	// sweepInterval is how often the leader looks for failed owners, beside each new view.
+	// sweepInterval is the interval at which the leader checks for failed owners, in addition to the check on each new
+	// view of the fleet.
 	sweepInterval = time.Second
-	// unknownMemberGrace is for how long a leader must have been in the fleet before it takes an owner for failed that no
-	// view has named: by then the members have told each other of everybody.
+	// unknownMemberGrace is the duration for which a leader must have been a member before it considers an owner failed
+	// because the view does not list the owner's node. By then gossip has spread all members.
 	unknownMemberGrace = 15 * time.Second
 )
 
-// termClock is the ledger's clock for as long as this process leads: it goes on from where it was, so that voters'
-// clocks need not agree.
+// termClock is the ledger's clock during one term in which this process is the leader. It continues from the ledger's
+// last time, so that the clocks of the voters need not agree.
 type termClock struct {
 	term    uint64
-	base    int64     // the ledger's clock when this process first proposed in the term, in milliseconds
-	started time.Time // the process's clock then
+	base    int64     // ledger's clock, in milliseconds, at the first proposal of this process in the term
+	started time.Time // time of that proposal by the clock of this process
 }
 
 func (c termClock) now() int64 {
 	return c.base + time.Since(c.started).Milliseconds()
 }
 
-// propose appends a command to the log if this process leads, with the ledger's time and the limits. It returns what
-// ledger.Apply did.
+// propose adds the ledger's time and the limits to a command and appends it to the log. It returns the result of
+// ledger.Apply, or ErrNoLeader if this process is not the leader.
 func (s *Service) propose(c command) (any, error) {
 	s.mu.Lock()
 	log, ledger := s.log, s.ledger
@@ -51,7 +52,7 @@
 	return log.Propose(c)
 }
 
-// followViews takes each new view of the fleet, and releases calls by it.
+// followViews receives each new view of the fleet and releases the calls of the processes that have failed in it.
 func (s *Service) followViews(ctx context.Context) {
 	after := uint64(0)
 	for {
@@ -67,7 +68,8 @@
 	}
 }
 
-// sweep releases calls by the last view, at an interval: an owner may have failed before this process led.
+// sweep releases the calls of processes that have failed in the last view, once per sweepInterval. An owner may have
+// failed before this process became the leader, and then no new view follows.
 func (s *Service) sweep(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -81,7 +83,7 @@
 	}
 }
 
-// releaseFailed releases the calls of failed processes, if this process leads.
+// releaseFailed releases the calls of failed processes if this process is the leader.
 func (s *Service) releaseFailed(ctx context.Context) {
 	s.mu.Lock()
 	log, ledger, view, startedAt := s.log, s.ledger, s.view, s.startedAt
@@ -109,9 +111,9 @@
 	}
 }
 
-// hasFailed reports whether a process is given up; known is for how long this process has been in the fleet. A node
-// that has begun a later incarnation has ended the one before it: its directory belongs to one process at a time. An
-// incarnation that the view has not heard of yet has not failed.
+// hasFailed reports whether a process is considered failed, given the duration known for which this process has been a
+// member. A node that has started a later incarnation has ended the one before it, because only one process at a time
+// uses the node's directory. An incarnation that is newer than the one in the view has not failed.
 func hasFailed(view *member.View, p process, known time.Duration) bool {
 	m, found := view.Lookup(p.Name)
 	if !found {
@@ -122,14 +124,14 @@
 	}
 	digits, sameHome := strings.CutPrefix(p.Incarnation, m.Incarnation.Home+"/")
 	if !sameHome {
-		return true // of another directory, which this one has replaced
+		return true // an incarnation of another directory, which the node's present directory has replaced
 	}
 	number, err := strconv.ParseUint(digits, 10, 64)
 	if err != nil {
 		return true
 	}
 	if m.Predecessor && m.State.Present() && number+1 == m.Incarnation.Number {
-		return false // in an upgrade, the predecessor completes its calls
+		return false // during an upgrade the predecessor is still completing its calls
 	}
 	return number < m.Incarnation.Number
 }
--- a/internal/fleet/callstore/leader_test.go
+++ b/internal/fleet/callstore/leader_test.go
@@ -7,7 +7,7 @@
 	"olivebridge/internal/fleet/member"
 )
 
-// TestHasFailed: which processes are given up.
+// TestHasFailed checks which processes are considered failed, by their member's state and incarnation in the view.
 func TestHasFailed(t *testing.T) {
 	v := &member.View{Members: []member.Member{
 		{Name: "alive", Incarnation: member.Incarnation{Home: "h", Number: 2}, State: member.Alive},
@@ -27,7 +27,7 @@
 		{"left", "h/1"}:      true,
 	} {
 		if got := hasFailed(v, p, time.Second); got != want {
-			t.Errorf("%v: failed %v", p, got)
+			t.Errorf("hasFailed(%v) = %v, want the opposite", p, got)
 		}
 	}
 	if stranger := (process{"x", "h/1"}); hasFailed(v, stranger, time.Second) || !hasFailed(v, stranger, time.Minute) {
--- a/internal/fleet/callstore/ledger.go
+++ b/internal/fleet/callstore/ledger.go
@@ -12,25 +12,25 @@
 	"olivebridge/internal/fleet/raftlog"
 )
 
-// maxOutcomeBytes bounds the bodies of all outcomes together, which every voter has in memory. Beyond it outcomes are
-// stored without a body.
+// maxOutcomeBytes is the limit on the total size of all stored bodies, in bytes. Every voter keeps the bodies in
+// memory. An outcome whose body would exceed the limit is stored without the body.
 const maxOutcomeBytes = 32 << 20
 
-// entry is what the ledger stores of a call.
+// entry is the ledger's entry for one call.
 type entry struct {
 	Fingerprint string   `json:"print"`
 	Owner       Owner    `json:"owner"`
 	State       State    `json:"state"`
 	Idempotent  bool     `json:"again,omitempty"`
-	Owners      int      `json:"tries"`   // that may have sent the call
-	ChangedAt   int64    `json:"changed"` // by the ledger's clock
+	Owners      int      `json:"tries"`   // number of owners that may have sent the call
+	ChangedAt   int64    `json:"changed"` // time of the last change by the ledger's clock, in milliseconds
 	Outcome     *Outcome `json:"outcome,omitempty"`
 
 	key       string
-	heapIndex int // in the expiry queue, unless it runs
+	heapIndex int // index in the expiryQueue; unused while the call is running
 }
 
-// bodySize is the size of the outcome's body.
+// bodySize returns the size of the outcome's body in bytes, 0 without an outcome.
 func (e *entry) bodySize() int {
 	if e.Outcome == nil {
 		return 0
@@ -41,19 +41,19 @@
 // ledger is the replicated state machine. It implements raft.FSM.
 type ledger struct {
 	mu      sync.Mutex
-	Clock   int64             `json:"clock"` // milliseconds; it never runs backwards
-	Entries map[string]*entry `json:"pieces"`
+	Clock   int64             `json:"clock"`  // time of the last command in milliseconds; never decreases
+	Entries map[string]*entry `json:"pieces"` // by idempotency key
 
 	index        entryIndex
-	outcomeBytes int // of all outcomes' bodies
+	outcomeBytes int // total size of all stored bodies
 }
 
 func newLedger() *ledger {
 	return &ledger{Entries: map[string]*entry{}, index: newEntryIndex()}
 }
 
-// Apply implements raft.FSM. It returns a BeginResult for a begin, whether it was accepted (bool) for an end, the
-// number of released calls (int) for a release, or an error.
+// Apply implements raft.FSM. It returns a BeginResult for a BeginRequest, a bool for an EndRequest that reports whether
+// it was accepted, the number of released calls as an int for a ReleaseRequest, or an error.
 func (l *ledger) Apply(logged *raft.Log) any {
 	var c command
 	err := json.Unmarshal(logged.Data, &c)
@@ -75,7 +75,7 @@
 	return raftlog.MalformedEntry(logged, nil)
 }
 
-// begin grants the permission to send a call once: to whoever asks first for a call that is new or free.
+// begin grants permission to send a call to the first owner that requests it while the call is new or free.
 func (l *ledger) begin(request BeginRequest, limits Limits) BeginResult {
 	e := l.Entries[request.Key]
 	switch {
@@ -85,10 +85,10 @@
 		e = &entry{Fingerprint: request.Fingerprint, Idempotent: request.Idempotent, key: request.Key}
 	case e.Fingerprint != request.Fingerprint:
 		return BeginResult{KeyConflict: true}
-	case e.Owner == request.Owner && e.State == Running: // repeated, since the response was lost
+	case e.Owner == request.Owner && e.State == Running: // a retry after the response was lost
 		return BeginResult{Granted: true}
 	case e.State == Running && mutant.Active("claim-without-look"):
-	case e.State != Free || e.Owner == request.Owner: // its owner gave it up before the request came here
+	case e.State != Free || e.Owner == request.Owner: // a free call of this owner: its report of Free arrived first
 		return BeginResult{State: e.State, Owner: e.Owner, Outcome: e.Outcome}
 	case e.Owners >= max(request.MaxOwners, 1):
 		return BeginResult{OwnersExhausted: true}
@@ -98,9 +98,10 @@
 	return BeginResult{Granted: true}
 }
 
-// end takes what an owner says of its call, and reports whether it was accepted. A report that comes after the owner
-// was given up is accepted as long as nobody else has had the call: an outcome, or that it did not run. A BeginRequest
-// that was given up before it came here finds that when it comes.
+// end applies an owner's report on its call, and reports whether it was accepted. A report from an owner whose process
+// has been released, whether an outcome or that the call did not run, is accepted as long as no other owner has been
+// granted the call. A report of Free is also stored if the owner's BeginRequest has not arrived yet: begin then rejects
+// that request when it arrives.
 func (l *ledger) end(request EndRequest, limits Limits) bool {
 	e := l.Entries[request.Key]
 	if request.State == Free && l.endUnsent(e, request, limits) {
@@ -112,7 +113,7 @@
 	if e.State != Running && e.State != Unknown {
 		return e.State == request.State
 	}
-	if request.State == Free { // it did not run: that owner does not count
+	if request.State == Free { // the call was not sent, so this owner does not count towards MaxOwners
 		e.Owners--
 	}
 	l.storeOutcome(e, request.Outcome)
@@ -123,7 +124,8 @@
 	return true
 }
 
-// endUnsent frees a call that is free already, or that the ledger does not know; false if it is neither.
+// endUnsent stores a report of Free for a call that is already free, or for a new call if the report has a fingerprint
+// and the ledger has room. It returns false in all other cases.
 func (l *ledger) endUnsent(e *entry, request EndRequest, limits Limits) bool {
 	switch {
 	case e != nil && e.State == Free:
@@ -136,7 +138,7 @@
 	return true
 }
 
-// storeOutcome stores an outcome, which may be nil, without its body if there is no room for that.
+// storeOutcome stores an outcome, which may be nil. It omits the body if that would exceed maxOutcomeBytes.
 func (l *ledger) storeOutcome(e *entry, outcome *Outcome) {
 	if outcome != nil && l.outcomeBytes+len(outcome.Body) > maxOutcomeBytes {
 		outcome = &Outcome{Status: outcome.Status, BodyOmitted: true}
@@ -145,8 +147,9 @@
 	l.outcomeBytes += e.bodySize()
 }
 
-// release takes their calls from failed processes, and returns how many. A call that may have run and is not idempotent
-// becomes unknown. An idempotent one loses its owner: if that returns, its report is not accepted any more.
+// release releases the running calls of failed processes and returns the number of these calls. A call that is not
+// idempotent becomes Unknown, because it may have run. An idempotent call becomes Free and loses its owner, so that a
+// late outcome from that owner is rejected.
 func (l *ledger) release(request ReleaseRequest) (released int) {
 	for _, failed := range request.Processes {
 		for e := range l.index.running[failed] {
@@ -161,7 +164,7 @@
 	return released
 }
 
-// update changes owner and state of an entry, which may be new, and keeps the index.
+// update sets the owner and state of an entry, adds the entry if it is new, and updates the index.
 func (l *ledger) update(e *entry, owner Owner, state State) {
 	if l.Entries[e.key] == e {
 		l.index.remove(e)
@@ -173,7 +176,7 @@
 	l.index.add(e)
 }
 
-// expire drops what did not change for the retention. A call that runs never expires.
+// expire deletes the entries that have not changed for limits.Retention. A running call never expires.
 func (l *ledger) expire(limits Limits) {
 	oldest := l.Clock - limits.Retention.Milliseconds()
 	for {
@@ -186,7 +189,7 @@
 	}
 }
 
-// owners are the processes that have calls running.
+// owners returns the processes that own running calls, in no particular order.
 func (l *ledger) owners() []process {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -197,14 +200,14 @@
 	return all
 }
 
-// now is the ledger's clock.
+// now returns the ledger's clock in milliseconds.
 func (l *ledger) now() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Clock
 }
 
-// countByState is how many calls are in each state.
+// countByState returns the number of calls in each state.
 func (l *ledger) countByState() map[State]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/callstore/ledger_test.go
+++ b/internal/fleet/callstore/ledger_test.go
@@ -14,7 +14,7 @@
 	"olivebridge/internal/fleet/raftlog"
 )
 
-// apply lets a ledger apply a command, as it comes out of the log.
+// apply applies a command to a ledger in its log encoding, with the limits ample unless the command has its own.
 func apply(t interface{ Fatal(...any) }, l *ledger, c command) any {
 	if c.Limits == (Limits{}) {
 		c.Limits = ample
@@ -26,13 +26,13 @@
 	return l.Apply(&raft.Log{Data: data})
 }
 
-// ample limits are large enough for whatever a test stores.
+// ample holds limits that no test reaches.
 var ample = Limits{Retention: time.Hour, MaxEntries: 1000}
 
-// TestCallRunsOnce plays owners, each of which begins calls, sends those that were granted, reports their outcome or
-// fails, with requests that come late, twice and out of order, processes given up though they live, and the ledger
-// restored from a snapshot. A call that is not idempotent is sent once; one that is, at most by as many owners as may
-// have it; an outcome is never changed.
+// TestCallRunsOnce simulates owners that begin calls, send the granted ones, and report their outcome or fail. Requests
+// arrive late, repeatedly and out of order, live processes are released, and the ledger is restored from snapshots.
+// A call that is not idempotent must be sent at most once, an idempotent call by at most MaxOwners owners, and a stored
+// outcome must never change.
 func TestCallRunsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newLedger()
@@ -41,7 +41,7 @@
 		sent := map[string]*sends{}
 		outcomes := map[string]string{}
 		now := int64(0)
-		var earlier []command // that may come once more
+		var earlier []command // commands that may be applied again
 		granted := map[Owner]string{}
 		calls := uint64(0)
 		for range rapid.IntRange(10, 200).Draw(t, "steps") {
@@ -65,7 +65,7 @@
 					continue
 				}
 				o := some[0]
-				for _, other := range some { // the earliest, so that a draw means the same each time
+				for _, other := range some { // the earliest owner, because map order would make replays differ
 					if other.Call < o.Call {
 						o = other
 					}
@@ -75,13 +75,13 @@
 				if state == Answered {
 					end.Outcome = &Outcome{Status: 200, Body: []byte(fmt.Sprint(o))}
 				}
-				if state == Free { // it was never sent, after all
+				if state == Free { // the owner did not send the call
 					sent[granted[o]].total--
 					sent[granted[o]].counted--
 				}
 				delete(granted, o)
 				c = command{Now: now, End: end}
-			case 7: // a node is given up, rightly or not
+			case 7: // a process is released, whether it has failed or not
 				failed := process{fmt.Sprint("n", rapid.IntRange(1, 3).Draw(t, "lost")), "h/1"}
 				c = command{Now: now, Release: &ReleaseRequest{[]process{failed}}}
 			case 8:
@@ -92,7 +92,7 @@
 				if c.Begin == nil && c.End == nil {
 					continue
 				}
-				if c.Begin != nil { // its owner has an answer by now, or has given up: it sends nothing for this one
+				if c.Begin != nil { // the owner has a response or has stopped waiting, so it does not send the call
 					apply(t, l, c)
 					continue
 				}
@@ -120,22 +120,22 @@
 				}
 				if v.State == Answered {
 					if old, seen := outcomes[key]; seen && old != string(v.Outcome.Body) {
-						t.Fatalf("%s had the outcome %s, and now %s", key, old, v.Outcome.Body)
+						t.Fatalf("outcome of %s changed from %s to %s", key, old, v.Outcome.Body)
 					}
 					outcomes[key] = string(v.Outcome.Body)
 				}
 			}
 			for k, o := range sent {
 				if k != "k4" && o.total > 1 || o.counted > most {
-					t.Fatalf("%s was sent by %d owners, %d in all", k, o.total, o.counted)
+					t.Fatalf("call %s: sent by %d owners, %d of them counted towards MaxOwners", k, o.total, o.counted)
 				}
 			}
 		}
 	})
 }
 
-// TestUnsentCallStaysFree: however often nodes give up a call before they send it, the next owner may have it; a begin
-// that was given up is not granted when it comes after the report of that.
+// TestUnsentCallStaysFree checks that owners that end a call without sending it do not count towards MaxOwners: the
+// next owner is still granted the call. A BeginRequest that arrives after its owner's report of Free is not granted.
 func TestUnsentCallStaysFree(t *testing.T) {
 	l := newLedger()
 	for call := range uint64(20) {
@@ -147,7 +147,7 @@
 			apply(t, l, end)
 		}
 		if v := apply(t, l, begin).(BeginResult); v.Granted == late {
-			t.Fatalf("call %d, given up before: %v: %+v", call, late, v)
+			t.Fatalf("call %d, reported as free before begin: %v: got %+v", call, late, v)
 		}
 		if !late {
 			apply(t, l, end)
@@ -155,14 +155,15 @@
 	}
 	next := &BeginRequest{Key: "a", Fingerprint: "p", Owner: Owner{"n2", "h/1", 1}, MaxOwners: 3}
 	if v := apply(t, l, command{Begin: next}).(BeginResult); !v.Granted {
-		t.Errorf("after all: %+v", v)
+		t.Errorf("begin after 20 unsent attempts: got %+v, want Granted", v)
 	}
 }
 
-// TestReleaseFormat: programs of both builds have to read a release; the first called an incarnation a life.
+// TestReleaseFormat checks the JSON encoding of a ReleaseRequest, which earlier builds read and write too. Their name
+// for an incarnation is Life.
 func TestReleaseFormat(t *testing.T) {
 	const form = `{"processes":[{"Name":"n1","Life":"h/1"}]}`
 	if said, err := json.Marshal(ReleaseRequest{[]process{{"n1", "h/1"}}}); err != nil || string(said) != form {
-		t.Errorf("%s, not %s (%v)", said, form, err)
+		t.Errorf("ReleaseRequest encoded as %s, want %s (error %v)", said, form, err)
 	}
 }
--- a/internal/fleet/callstore/owner.go
+++ b/internal/fleet/callstore/owner.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	// beginTimeout bounds Begin. Nothing has run by its end: the client is told to come back.
+	// beginTimeout limits the time for Begin. When it expires the call has not run, and the client is asked to retry.
 	beginTimeout = 400 * time.Millisecond
-	// endTimeout bounds one attempt to report an outcome.
+	// endTimeout limits the time for one attempt to report an outcome.
 	endTimeout = 600 * time.Millisecond
-	// reportBackoff is the first pause before an outcome is reported again; it doubles up to maxReportBackoff.
+	// reportBackoff is the delay before the first retry of a report; the delay doubles up to maxReportBackoff.
 	reportBackoff    = 200 * time.Millisecond
 	maxReportBackoff = time.Second
-	// maxPendingReports bounds the reports that are sent in the background. A call beyond it stays with this process until
-	// that ends, and is unknown then.
+	// maxPendingReports is the limit on reports that are retried in the background. A report beyond the limit is dropped:
+	// the call keeps this process as its owner until the process ends, and then becomes Unknown.
 	maxPendingReports = 20000
-	// handoverGrace is for how long a process reports on calls that it owned when it gave the node's membership away: as
-	// long as members let it.
+	// handoverGrace is the duration for which a process continues to report on its calls after it handed over the node's
+	// membership. Package member lets such a process open streams for the same duration.
 	handoverGrace = 10 * time.Second
 )
 
-// NewOwner returns a new owner for one call of this process; false: it does not hold the node's membership.
+// NewOwner returns a new owner for one call of this process. It returns false if this process does not hold the node's
+// membership.
 func (s *Service) NewOwner() (Owner, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -31,8 +32,8 @@
 	return owner, s.incarnation != ""
 }
 
-// Begin asks the leader for the permission to send a call. An error, which is an ErrNoLeader, says that the call must
-// not be sent.
+// Begin requests permission from the leader to send a call. If it returns an error, which wraps ErrNoLeader, the caller
+// must not send the call.
 func (s *Service) Begin(ctx context.Context, begin BeginRequest) (BeginResult, error) {
 	if begin.MaxOwners == 0 {
 		begin.MaxOwners = s.config.MaxOwners
@@ -44,7 +45,7 @@
 	got, err := s.client.ask(ctx, request{Begin: &begin}, beginTimeout)
 	if err != nil {
 		s.counters.rejected.Add(1)
-		// The request may have been granted all the same. Nothing was sent, so that the call is free.
+		// The leader may have granted the request although no response arrived. The call is not sent, so it is free.
 		s.reportLater(EndRequest{Key: begin.Key, Fingerprint: begin.Fingerprint, Owner: begin.Owner, State: Free})
 		return BeginResult{}, err
 	}
@@ -57,9 +58,9 @@
 	return got.BeginResult, nil
 }
 
-// End reports what became of a call, and waits up to endTimeout until the ledger has it. It returns whether the ledger
-// has accepted it. What could not be reported by then is reported in the background: a call whose owner lives and says
-// nothing would be nobody's to run.
+// End reports the final state of a call to the leader, waits up to endTimeout for the response, and returns whether the
+// ledger accepted the report. If no leader responds in time, End retries the report in the background: while the
+// owner's process lives, no other owner may run a call without a report.
 func (s *Service) End(end EndRequest) bool {
 	switch end.State {
 	case Answered:
@@ -75,7 +76,7 @@
 	return got.EndAccepted
 }
 
-// reportLater reports in the background.
+// reportLater sends a report in the background, or drops it if maxPendingReports are pending.
 func (s *Service) reportLater(end EndRequest) {
 	if s.pendingReports.Add(1) > maxPendingReports {
 		s.pendingReports.Add(-1)
@@ -88,12 +89,12 @@
 	}()
 }
 
-// retryReport reports until a leader has answered, or this process may not speak for the owner any more.
+// retryReport retries a report until the leader responds or this process may no longer report for the owner.
 func (s *Service) retryReport(end EndRequest) {
 	for backoff := reportBackoff; ; backoff = min(2*backoff, maxReportBackoff) {
 		time.Sleep(backoff)
 		if !s.mayReport(end.Owner) {
-			return // the leader releases the call once it finds that the process has failed
+			return // the leader releases the call once it detects that the owner's process has failed
 		}
 		if _, err := s.client.ask(context.Background(), request{End: &end}, endTimeout); err == nil {
 			return
@@ -101,7 +102,8 @@
 	}
 }
 
-// mayReport reports whether this process holds the node's membership in the owner's incarnation, or did until lately.
+// mayReport reports whether this process holds the node's membership in the owner's incarnation, or did so less than
+// handoverGrace ago.
 func (s *Service) mayReport(owner Owner) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/callstore/replicas_test.go
+++ b/internal/fleet/callstore/replicas_test.go
@@ -13,8 +13,9 @@
 	"olivebridge/internal/fleet/raftlog"
 )
 
-// TestReplicasAgree: voters that apply the same log come to the same state, whether they were restored from snapshots
-// or not, and whatever the limits were at each entry; expired entries leave nothing behind.
+// TestReplicasAgree checks that two ledgers that apply the same log have the same state, although one of them is
+// restored from snapshots and the limits change from entry to entry. Expired entries must also leave the index and the
+// byte count.
 func TestReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, other, now := newLedger(), newLedger(), int64(0)
@@ -43,7 +44,7 @@
 			v, _ := json.Marshal(apply(t, one, c))
 			w, _ := json.Marshal(apply(t, other, c))
 			if !bytes.Equal(v, w) {
-				t.Fatalf("%s and %s", v, w)
+				t.Fatalf("replicas returned different results: %s and %s", v, w)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "carried over") == 0 {
 				snap, err := one.Snapshot()
@@ -58,7 +59,7 @@
 			a, _ := json.Marshal(one)
 			b, _ := json.Marshal(other)
 			if !bytes.Equal(a, b) {
-				t.Fatalf("after %d:\n%s\n%s", n, a, b)
+				t.Fatalf("replicas differ after step %d:\n%s\n%s", n, a, b)
 			}
 			indexed, size := len(other.index.expiring), 0
 			for _, all := range other.index.running {
--- a/internal/fleet/callstore/retention_test.go
+++ b/internal/fleet/callstore/retention_test.go
@@ -7,8 +7,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// TestRetentionAndCapacity: no entry is dropped before it expires, also when the ledger is full; a call that runs never
-// is.
+// TestRetentionAndCapacity checks that no entry is dropped before it expires, even if the ledger is full, and that a
+// running call never expires.
 func TestRetentionAndCapacity(t *testing.T) {
 	l, limits := newLedger(), Limits{Retention: 10 * time.Second, MaxEntries: 3}
 	begin := func(now int64, key string, call uint64) BeginResult {
@@ -17,25 +17,25 @@
 	}
 	for i, key := range []string{"a", "b", "c"} {
 		if v := begin(0, key, uint64(i)); !v.Granted {
-			t.Fatalf("%s: %+v", key, v)
+			t.Fatalf("begin %s: got %+v, want Granted", key, v)
 		}
 	}
 	end := &EndRequest{Key: "a", Owner: Owner{"n1", "h/1", 0}, State: Answered, Outcome: &Outcome{Status: 200}}
 	apply(t, l, command{Now: 1000, Limits: limits, End: end})
 	if v := begin(10900, "d", 9); !v.StoreFull {
-		t.Errorf("a fourth, while all are kept: %+v", v)
+		t.Errorf("begin of a fourth call in a full ledger: got %+v, want StoreFull", v)
 	}
 	if v := begin(10900, "a", 10); v.State != Answered || v.Outcome.Status != 200 {
-		t.Errorf("just before its time is over: %+v", v)
+		t.Errorf("begin just before the answered call expires: got %+v, want Answered with status 200", v)
 	}
 	if v := begin(11100, "d", 11); !v.Granted {
-		t.Errorf("once it is over: %+v", v)
+		t.Errorf("begin after the answered call has expired: got %+v, want Granted", v)
 	}
 	if v := begin(99000, "b", 12); v.Granted || v.State != Running {
-		t.Errorf("what runs was forgotten: %+v", v)
+		t.Errorf("begin of a call that is running: got %+v, want Running", v)
 	}
 	if v := apply(t, l, command{Begin: &BeginRequest{Key: "b", Fingerprint: "other"}}).(BeginResult); !v.KeyConflict {
-		t.Errorf("another request under the same key: %+v", v)
+		t.Errorf("begin of another request with the same key: got %+v, want KeyConflict", v)
 	}
 	if _, bad := l.Apply(&raft.Log{Data: []byte("{}")}).(error); !bad {
 		t.Error("an empty entry is taken")
--- a/internal/fleet/callstore/server.go
+++ b/internal/fleet/callstore/server.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// maxConcurrentRequests bounds the requests of one stream that are being answered.
+// maxConcurrentRequests is the limit on requests of one stream that are processed at the same time.
 const maxConcurrentRequests = 512
 
-// ServeCalls answers the requests of a stream from the member called from, until it ends. Requests are answered
-// concurrently; their numbers say which response is whose.
+// ServeCalls handles the requests of a stream from the named member until the stream ends. It handles them concurrently
+// and responds in any order; a response has the number of its request.
 func (s *Service) ServeCalls(conn net.Conn, from string) {
 	requests := json.NewDecoder(conn)
 	responses := &responseWriter{conn: conn, encoder: json.NewEncoder(conn)}
@@ -24,7 +24,7 @@
 			return
 		}
 		if !r.isFrom(from) {
-			return // nobody speaks for another node
+			return // a node may only send requests for its own owners
 		}
 		slots <- struct{}{}
 		open.Go(func() {
@@ -41,7 +41,7 @@
 	encoder *json.Encoder
 }
 
-// write closes the stream if it fails: nothing further would be written to it.
+// write writes one response. It closes the stream on an error, because a response may have been written in part.
 func (w *responseWriter) write(r response) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -51,7 +51,8 @@
 	}
 }
 
-// answer answers a request if this process leads; else it names the leader, if it knows it.
+// answer processes a request if this process is the leader. Otherwise the response has a Refusal and the leader known
+// to this process, if any.
 func (s *Service) answer(r request) response {
 	got := response{Number: r.Number}
 	result, err := s.propose(command{Begin: r.Begin, End: r.End})
@@ -69,7 +70,7 @@
 	return got
 }
 
-// knownLeader is the leader as far as this process knows; "" if it knows of none, or is no voter.
+// knownLeader returns the leader known to this process, or "" if it knows none or is not a voter.
 func (s *Service) knownLeader() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,8 +80,8 @@
 	return s.log.Leader()
 }
 
-// answerLocally answers a request of this process; false: it does not hold the node's membership, and the node's other
-// process may be the voter.
+// answerLocally processes a request of this process. It returns false if this process does not hold the node's
+// membership: the node's other process may then be the voter.
 func (s *Service) answerLocally(r request) (response, bool) {
 	s.mu.Lock()
 	holdsPlace := s.incarnation != ""
--- a/internal/fleet/callstore/service.go
+++ b/internal/fleet/callstore/service.go
@@ -17,60 +17,61 @@
 	"olivebridge/internal/fleet/record"
 )
 
-// The channels of the members' streams that a Service uses.
+// Channels of the streams between members that a Service uses.
 const (
-	VotersChannel = 3 // between voters
-	CallsChannel  = 4 // from owners of calls to the leader
+	VotersChannel = 3 // raft traffic between voters
+	CallsChannel  = 4 // requests from the owners of calls to the leader
 )
 
 // logMessage is the message of the service's log lines.
 const logMessage = "fleet work"
 
-// Config is what a Service is made of.
+// Config configures a Service.
 type Config struct {
-	Name      string // of the node
+	Name      string // node name
 	Voters    raftlog.VoterSet
-	Directory string // of the node; the log is in a directory below it
-	Limits    Limits // that the leader puts into the log
-	MaxOwners int    // that may send one call
+	Directory string // directory of the node; the raft log is in its subdirectory work
+	Limits    Limits // limits that this process adds to commands while it is the leader
+	MaxOwners int    // limit on owners that may send one call
 	// Dial opens a stream to another member.
 	Dial func(name string, channel byte, timeout time.Duration) (net.Conn, error)
-	// NextView waits for a view of the fleet with a number beyond after.
+	// NextView waits for a view of the fleet whose number is greater than after.
 	NextView func(ctx context.Context, after uint64) (*member.View, error)
-	Log      *slog.Logger     // nil: nothing is logged
-	Record   *record.Recorder // nil: nothing is recorded
+	Log      *slog.Logger     // nil disables logging
+	Record   *record.Recorder // nil disables recording
 }
 
-// Service is a process's part in storing calls. Its methods may be called from any goroutine.
+// Service stores calls on behalf of one process, and takes part in replication if the node is a voter. Its methods may
+// be called from any goroutine.
 type Service struct {
 	config      Config
 	participant *raftlog.Participant
 	client      *client
 	counters    counters
 
-	lastCall       atomic.Uint64 // number of the last owner
-	pendingReports atomic.Int64  // EndRequests that are sent in the background
+	lastCall       atomic.Uint64 // Owner.Call of the last owner that NewOwner returned
+	pendingReports atomic.Int64  // number of EndRequests that are retried in the background
 
 	mu                  sync.Mutex
-	incarnation         string // "": this process does not hold the node's membership
-	previousIncarnation string // in which it last held the membership
+	incarnation         string // "" if this process does not hold the node's membership
+	previousIncarnation string // incarnation in which this process last held the membership
 	startedAt           time.Time
 	stoppedAt           time.Time
-	log                 *raftlog.Log // nil: this process is no voter, or its log is not open
-	ledger              *ledger      // with log
+	log                 *raftlog.Log // nil if this process is not a voter or its log is not open
+	ledger              *ledger      // state machine of log; nil if log is nil
 	clock               termClock
-	view                *member.View // nil: none has come since Start
+	view                *member.View // nil if no view was received since Start
 	stop                context.CancelFunc
 	tasks               sync.WaitGroup
 }
 
 type counters struct {
-	begun     atomic.Int64
-	stored    atomic.Int64
-	unknown   atomic.Int64
-	elsewhere atomic.Int64 // begins that were not granted
-	rejected  atomic.Int64 // begins without an answer
-	released  atomic.Int64
+	begun     atomic.Int64 // BeginRequests that were granted
+	stored    atomic.Int64 // calls that ended as Answered
+	unknown   atomic.Int64 // calls that ended as Unknown
+	elsewhere atomic.Int64 // BeginRequests that were not granted
+	rejected  atomic.Int64 // BeginRequests without a response from a leader
+	released  atomic.Int64 // calls that this process released as the leader
 }
 
 // New returns a Service that stores nothing until Start.
@@ -103,7 +104,7 @@
 	return s
 }
 
-// setLog takes the log that this process keeps from now on; nil: none.
+// setLog sets the open log and its state machine, or nil for both when the log closes.
 func (s *Service) setLog(log *raftlog.Log, state raft.FSM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,8 +112,8 @@
 	s.ledger, _ = state.(*ledger)
 }
 
-// Start begins to follow views, to release the calls of failed processes and, on a voter, to replicate the log, for a
-// process that has got the node's membership: home and number are its incarnation. It may be called
+// Start starts receiving views, releasing the calls of failed processes and, on a voter, replicating the log. The
+// caller has acquired the node's membership for this process; home and number are the incarnation. Start may be called
 // again after Stop.
 func (s *Service) Start(home string, number uint64) {
 	s.mu.Lock()
@@ -128,8 +129,8 @@
 	s.participant.Start()
 }
 
-// Stop ends what Start began, and returns once the log is closed. Reports on calls that this process owns go on for
-// handoverGrace.
+// Stop stops all tasks that Start started, and returns after the log is closed. Reports on calls that this process owns
+// continue for handoverGrace.
 func (s *Service) Stop() {
 	s.mu.Lock()
 	if s.stop == nil {
@@ -147,17 +148,17 @@
 	s.tasks.Wait()
 }
 
-// SetVoters takes the voters of a fleet file that was read again.
+// SetVoters sets the voters after the fleet file was reloaded.
 func (s *Service) SetVoters(voters raftlog.VoterSet) {
 	s.participant.SetVoters(voters)
 }
 
-// ServeVoters takes a stream from another voter, and returns once that is closed.
+// ServeVoters serves a stream from another voter, and returns after the stream is closed.
 func (s *Service) ServeVoters(conn net.Conn, from string) {
 	s.participant.ServeStream(conn, from)
 }
 
-// Status is a line for operators.
+// Status returns a one-line summary for operators.
 func (s *Service) Status() string {
 	s.mu.Lock()
 	log, ledger, incarnation := s.log, s.ledger, s.incarnation
@@ -173,7 +174,7 @@
 		count[Running], count[Free], count[Answered], count[Unknown], log.Leader())
 }
 
-// Counters are the counters, for the log.
+// Counters returns the counters as key=value pairs for the log.
 func (s *Service) Counters() string {
 	c := &s.counters
 	return fmt.Sprintf("work_begun=%d work_kept=%d work_unknown=%d work_elsewhere=%d work_refused=%d work_taken_over=%d",
--- a/internal/fleet/callstore/stream.go
+++ b/internal/fleet/callstore/stream.go
@@ -8,11 +8,10 @@
 	"time"
 )
 
-// silenceLimit is for how long a stream may bring no response to a request that was not answered in time, before it is
-// taken for broken.
+// silenceLimit is the duration without any response after which a request timeout closes the stream.
 const silenceLimit = 2 * requestTimeout
 
-// stream carries requests to one voter, many at a time.
+// stream multiplexes concurrent requests over one connection to a voter.
 type stream struct {
 	conn net.Conn
 
@@ -20,13 +19,13 @@
 	encoder *json.Encoder
 
 	mu           sync.Mutex
-	lastNumber   uint64
-	waiting      map[uint64]chan response // by the request's number; each has room for its response
-	lastResponse time.Time
-	err          error // why it is closed; nil: it is open
+	lastNumber   uint64                   // number of the last request
+	waiting      map[uint64]chan response // by request number; each channel has a buffer of one response
+	lastResponse time.Time                // time of the last response, initially the time at which the stream was opened
+	err          error                    // reason why the stream is closed; nil while it is open
 }
 
-// newStream returns a stream over a connection, which it closes in the end.
+// newStream returns a stream over a connection. The stream owns the connection and closes it.
 func newStream(conn net.Conn) *stream {
 	s := &stream{
 		conn:         conn,
@@ -38,7 +37,7 @@
 	return s
 }
 
-// readResponses hands responses to whoever waits for them, until the stream ends.
+// readResponses delivers each response to the request that waits for it, until the connection fails.
 func (s *stream) readResponses() {
 	decoder := json.NewDecoder(s.conn)
 	for {
@@ -67,7 +66,7 @@
 	return s.err != nil
 }
 
-// close closes the stream, and ends every wait on it.
+// close closes the stream. Requests that wait for a response fail with ErrNoLeader; later ones fail with reason.
 func (s *stream) close(reason error) {
 	_ = s.conn.Close()
 	s.mu.Lock()
@@ -81,7 +80,8 @@
 	}
 }
 
-// ask sends one request and waits for its response. After an error the request may have been taken all the same.
+// ask sends one request and waits up to requestTimeout for its response. After an error the voter may still have
+// processed the request.
 func (s *stream) ask(ctx context.Context, r request) (response, error) {
 	number, wait, err := s.register()
 	if err != nil {
@@ -109,7 +109,8 @@
 	}
 }
 
-// register gives a request its number, and the channel on which its response comes; that is closed with the stream.
+// register allocates the number of a request and the channel on which its response arrives. The channel is closed if
+// the stream closes first.
 func (s *stream) register() (uint64, chan response, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +136,8 @@
 	return s.encoder.Encode(r)
 }
 
-// closeIfSilent closes a stream that is cut, or whose other side is stopped: the next request opens a new one.
+// closeIfSilent closes the stream if it has received no response for silenceLimit, because the connection is cut or the
+// remote process is stopped. The next request opens a new stream.
 func (s *stream) closeIfSilent() {
 	s.mu.Lock()
 	silent := time.Since(s.lastResponse) > silenceLimit
--- a/internal/fleet/mutant/doc.go
+++ b/internal/fleet/mutant/doc.go
@@ -1,3 +1,3 @@
-// Package mutant makes a program built with the tag mutant or plant have faults, so that the fleet's tests over real
-// processes can prove that they find them. Without these tags its functions do nothing.
+// Package mutant injects faults into a program that is built with the tag mutant or plant. With them the fleet's tests,
+// which run real processes, prove that they detect each fault. Without these tags the package injects no faults.
 package mutant
--- a/internal/fleet/mutant/enabled.go
+++ b/internal/fleet/mutant/enabled.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// envFaults names the faults of this process, separated by commas.
+	// envFaults is the environment variable with the names of the enabled faults, separated by commas.
 	envFaults = "OLIVEFLEET_PLANT"
-	// envClockError is by how much the wall clock of this process is wrong.
+	// envClockError is the environment variable with the duration that WallClock adds to the time.
 	envClockError = "OLIVEFLEET_WALL"
-	// envDirectory is the directory in which a test sets breakpoints.
+	// envDirectory is the environment variable with the directory of the breakpoint files.
 	envDirectory = "TMPDIR"
 
-	// breakpointTimeout is for how long a process waits at a breakpoint.
+	// breakpointTimeout is the longest pause at a breakpoint.
 	breakpointTimeout = 10 * time.Second
-	// breakpointPoll is how often it looks whether it may go on.
+	// breakpointPoll is the interval at which a process that is paused at a breakpoint checks for the file's removal.
 	breakpointPoll = time.Millisecond
 )
 
-// Active reports whether this process has the fault of a name.
+// Active reports whether the named fault is enabled in this process.
 func Active(name string) bool {
 	return slices.Contains(strings.Split(os.Getenv(envFaults), ","), name)
 }
 
-// WallClock is the wall clock as this process has it: wrong by what envClockError says.
+// WallClock returns the time of the wall clock plus the duration in the variable envClockError, if that is valid.
 func WallClock() time.Time {
 	clockError, err := time.ParseDuration(os.Getenv(envClockError))
 	if err != nil {
@@ -38,8 +38,8 @@
 	return time.Now().Add(clockError)
 }
 
-// Breakpoint lets a test stop this process at a step. The test sets it by the file arm-STEP, which the first process
-// that comes there renames to at-STEP; that waits until the test has removed the file.
+// Breakpoint lets a test pause this process at the named step. The test creates the file arm-STEP. The first process
+// that reaches the step renames the file to at-STEP, and waits until the test removes it or breakpointTimeout expires.
 func Breakpoint(step string) {
 	directory := os.Getenv(envDirectory)
 	reached := filepath.Join(directory, "at-"+step)
--- a/internal/fleet/operations/client.go
+++ b/internal/fleet/operations/client.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// requestTimeout bounds one request to a voter; an operator's call has to have its answer within a second.
+	// requestTimeout limits the time for one request to a voter. An operator's call must be answered within one second.
 	requestTimeout = 400 * time.Millisecond
-	// startTimeout is how long a start waits for what others know of the fleet's suspensions.
+	// startTimeout limits the time for which a starting node waits for the suspensions known to other nodes.
 	startTimeout = 500 * time.Millisecond
-	// maxAskedAtStart bounds the nodes that are asked for that.
+	// maxAskedAtStart is the limit on nodes to which a starting node sends that request.
 	maxAskedAtStart = 8
 )
 
-// errNoLeader says that no voter answered as the leader.
+// errNoLeader reports that no voter responded as the leader.
 var errNoLeader = errors.New("no majority of the voters is there, or none can be reached")
 
-// ask sends a request to the leader, over a stream of its own: there are some a second. It makes at most one
-// attempt more than there are voters; the leader that a voter names is asked next.
+// ask sends a request to the leader, over a new stream: there are only a few requests per second. If a voter responds
+// with the name of the leader, the next attempt goes to that leader. The number of attempts is at most the number of
+// voters plus one.
 func (s *Service) ask(r request) (response, error) {
 	voters := s.participant.Voters().Names
 	voter := s.hint.Leader()
@@ -56,8 +57,8 @@
 	return exchange(conn, r)
 }
 
-// askOthersAtStart asks other nodes which servers are suspended, all at once, and returns the response with the latest
-// version. Nobody answers a node that starts together with the others.
+// askOthersAtStart requests the suspended servers from other nodes in parallel, and returns the response with the
+// latest version. It returns false if no node responds with a version above 0, for example if all nodes start together.
 func (s *Service) askOthersAtStart() (latest response, found bool) {
 	if s.config.Others == nil {
 		return latest, false
@@ -82,7 +83,8 @@
 	return latest, found
 }
 
-// askAtStart asks the node at an address; the response is empty if it does not answer.
+// askAtStart requests the suspended servers from the node at an address. The response is empty if the node does not
+// respond.
 func (s *Service) askAtStart(address string) response {
 	conn, err := s.config.DialAddr(address, NodesChannel, startTimeout)
 	if err != nil {
@@ -95,7 +97,7 @@
 	return got
 }
 
-// exchange sends one request over a connection, and closes that.
+// exchange sends one request over a connection, reads the response and closes the connection.
 func exchange(conn net.Conn, r request) (response, error) {
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(requestTimeout))
--- a/internal/fleet/operations/command.go
+++ b/internal/fleet/operations/command.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// command is an entry of the log, with one of the requests.
+// command is a log entry with exactly one of the requests.
 type command struct {
 	Suspend *ServerRequest     `json:"suspend,omitempty"`
 	Restore *ServerRequest     `json:"restore,omitempty"`
@@ -11,56 +11,57 @@
 	Advance *AdvanceRequest    `json:"move,omitempty"`
 }
 
-// ServerRequest is an operator's call that concerns one server.
+// ServerRequest is an operator's call to suspend or restore one server.
 type ServerRequest struct {
 	Server string `json:"server"`
-	By     string `json:"by"` // the node at which it was made
+	By     string `json:"by"` // node at which the operator made the call
 }
 
 // BeginRoundRequest begins a round.
 type BeginRoundRequest struct {
-	Key     string        `json:"key"`
-	By      string        `json:"by"`
+	Key     string        `json:"key"` // name of the round, chosen by the operator
+	By      string        `json:"by"`  // node at which the operator made the call
 	Servers []string      `json:"servers"`
-	Hold    time.Duration `json:"hold"`
+	Hold    time.Duration `json:"hold"` // duration for which each server stays out of use once it is drained
 }
 
-// StopRoundRequest stops a round before it is done.
+// StopRoundRequest stops a round before it is complete.
 type StopRoundRequest struct {
 	Key    string `json:"key"`
 	Reason string `json:"why"`
 }
 
-// AdvanceRequest takes a round one step further, if it still is where the sender saw it.
+// AdvanceRequest advances a round by one step. It is rejected if the round has left the given position and step.
 type AdvanceRequest struct {
 	Round    uint64 `json:"id"`
 	Position int    `json:"at"`
 	From     Step   `json:"from"`
 }
 
-// Result is what came of a command: a text for operators, or why it was rejected.
+// Result is the result of a command: a text for operators, or the reason for the rejection.
 type Result struct {
 	Text      string `json:"Text"`
-	Rejection string `json:"No"` // "": it was not rejected
+	Rejection string `json:"No"` // "" if the command was not rejected
 }
 
-// request goes from a node to a voter: a report of the node, an operator's command, or the question of a node that
-// starts which servers are suspended, which any node answers.
+// request is a message from a node to a voter. It carries an operator's command if Command is set, or the request of a
+// starting node for the suspended servers if AtStart is set, which any node answers. Otherwise it is a report of the
+// node.
 type request struct {
 	Incarnation string         `json:"life,omitempty"`
-	Version     uint64         `json:"version"`        // of the ledger, that the node has applied
-	OpenCalls   map[string]int `json:"busy,omitempty"` // of this node, by suspended server
+	Version     uint64         `json:"version"`        // ledger version that the node has applied
+	OpenCalls   map[string]int `json:"busy,omitempty"` // number of the node's open calls, by suspended server
 	Command     *command       `json:"do,omitempty"`
 	AtStart     bool           `json:"peek,omitempty"`
 }
 
-// response answers a request.
+// response is the response to a request.
 type response struct {
-	Refusal    string   `json:"refuse,omitempty"` // why the voter did not take the request; "": it did
-	Leader     string   `json:"keeper,omitempty"` // with a rejection, as far as the voter knows
-	Version    uint64   `json:"version"`
+	Refusal    string   `json:"refuse,omitempty"` // reason why the voter did not process the request; "" if it did
+	Leader     string   `json:"keeper,omitempty"` // set with Refusal: the leader known to the voter; "" if none
+	Version    uint64   `json:"version"`          // version of the ledger
 	Suspended  []string `json:"out,omitempty"`
 	Rounds     []Round  `json:"rounds,omitempty"`
-	WaitingFor []string `json:"waits,omitempty"` // nodes that the round waits for
-	Result     Result   `json:"answer"`          // of a command
+	WaitingFor []string `json:"waits,omitempty"` // nodes for which the running round waits
+	Result     Result   `json:"answer"`          // result of a command
 }
--- a/internal/fleet/operations/leader.go
+++ b/internal/fleet/operations/leader.go
@@ -7,10 +7,10 @@
 	"olivebridge/internal/fleet/raftlog"
 )
 
-// advanceInterval is how often the leader looks whether the running round can go on.
+// advanceInterval is the interval at which the leader checks whether the running round can advance.
 const advanceInterval = 100 * time.Millisecond
 
-// StepRecord is the record's event of kind "step": a step that this process, as the leader, has taken.
+// StepRecord is the data of an event of kind "step": this process, as the leader, advanced a round by one step.
 type StepRecord struct {
 	Round    uint64 `json:"round"`
 	Position int    `json:"at"`
@@ -18,7 +18,7 @@
 	From     Step   `json:"from"`
 }
 
-// advanceLoop advances the running round while this process leads.
+// advanceLoop advances the running round while this process is the leader.
 func (s *Service) advanceLoop(stop chan struct{}) {
 	ticker := time.NewTicker(advanceInterval)
 	defer ticker.Stop()
@@ -41,8 +41,8 @@
 	}
 }
 
-// advance takes a round one step further, if all nodes have completed the last one. A leader that sees less than half
-// of the fleet waits.
+// advance advances a round by one step if all nodes have completed the present step. A leader whose view does not hold
+// a majority of the fleet does not advance it.
 func (s *Service) advance(log *raftlog.Log, r Round) {
 	view := s.config.View()
 	var members []Member
@@ -54,7 +54,7 @@
 		return
 	}
 	applied, err := log.Propose(command{Advance: &step})
-	if mutant.Active("step-without-look") { // and comes again
+	if mutant.Active("step-without-look") { // the fault proposes the step a second time
 		_, _ = log.Propose(command{Advance: &step})
 	}
 	if result, ok := applied.(Result); err == nil && ok && result.Rejection == "" {
@@ -64,8 +64,8 @@
 	}
 }
 
-// canAdvance reports whether a step can be taken by the reports that this process has, and notes which nodes it waits
-// for.
+// canAdvance reports whether the round can advance, according to the reports that this process has received. It stores
+// the nodes for which the round waits in s.waitingFor.
 func (s *Service) canAdvance(r Round, step AdvanceRequest, members []Member) bool {
 	now := time.Now()
 	s.mu.Lock()
--- a/internal/fleet/operations/ledger.go
+++ b/internal/fleet/operations/ledger.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// MaxServers bounds the servers of a round.
+	// MaxServers is the limit on servers in one round.
 	MaxServers = 1000
-	// maxRounds is how many rounds the ledger keeps, the last ones.
+	// maxRounds is the number of most recent rounds that the ledger retains.
 	maxRounds = 16
 )
 
 // ledger is the replicated state machine. It implements raft.FSM.
 type ledger struct {
 	mu          sync.Mutex
-	Version     uint64                `json:"version"` // rises with each change of Suspensions
+	Version     uint64                `json:"version"` // increases by one with each change of Suspensions
 	Suspensions map[string]Suspension `json:"out"`     // by server
-	Rounds      []*Round              `json:"rounds"`  // in the order of their beginning
+	Rounds      []*Round              `json:"rounds"`  // oldest first
 	NextRound   uint64                `json:"next"`    // ID of the next round
 }
 
@@ -88,7 +88,7 @@
 	delete(l.Suspensions, server)
 }
 
-// runningRound is the round that runs; nil: none does.
+// runningRound returns the running round, or nil if there is none.
 func (l *ledger) runningRound() *Round {
 	for _, r := range l.Rounds {
 		if r.State == Running {
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// roundByKey is the round of a name; nil: there is none.
+// roundByKey returns the round with the given key, or nil if there is none.
 func (l *ledger) roundByKey(key string) *Round {
 	for _, r := range l.Rounds {
 		if r.Key == key {
@@ -151,15 +151,15 @@
 	return Result{Text: r.String()}
 }
 
-// endSuspension restores a round's present server, if the round has suspended it.
+// endSuspension removes the suspension of a round's present server, if that round has suspended it.
 func (l *ledger) endSuspension(r *Round) {
 	if l.Suspensions[r.Server()].Round == r.ID {
 		l.removeSuspension(r.Server())
 	}
 }
 
-// advance takes a step once: a request that comes second finds that the round is elsewhere by then. A server that an
-// operator has suspended is skipped, and stays suspended.
+// advance advances a round by one step. It rejects a duplicate request, because the round has then left the request's
+// position and step. A server that an operator has suspended is skipped and stays suspended.
 func (l *ledger) advance(request AdvanceRequest) Result {
 	r := l.runningRound()
 	if r == nil || r.ID != request.Round || !r.isAt(request) && !mutant.Active("step-without-look") {
@@ -189,7 +189,7 @@
 	r.Step = Draining
 }
 
-// contents are copies of what nodes and operators are shown.
+// contents returns copies of the parts of the ledger that nodes and operators read.
 func (l *ledger) contents() (version uint64, suspensions map[string]Suspension, rounds []Round) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/operations/ledger_test.go
+++ b/internal/fleet/operations/ledger_test.go
@@ -17,7 +17,7 @@
 	"olivebridge/internal/fleet/raftlog"
 )
 
-// do lets a ledger apply a command, as it comes out of the log.
+// do applies a command to a ledger in its log encoding.
 func do(t interface{ Fatal(...any) }, l *ledger, c command) Result {
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -30,9 +30,9 @@
 	return a
 }
 
-// TestLedgerInvariants: whatever operators call and voters do, late and twice: one round runs at a time and has
-// suspended one server at most, its present one; each server is suspended once in a round; what operators have
-// suspended stays so; and a snapshot is complete.
+// TestLedgerInvariants applies random commands, some of them late or repeated. At most one round must run at a time,
+// and it must have suspended at most one server, its present one. A round must suspend each server at most once,
+// servers that operators have suspended must stay suspended, and a snapshot must be complete.
 func TestLedgerInvariants(t *testing.T) {
 	servers := []string{"a", "b", "c", "d"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -53,7 +53,7 @@
 					rapid.SliceOfNDistinct(rapid.SampledFrom(servers), 0, 4, rapid.ID[string]).Draw(t, "servers"), time.Second}
 			case 3:
 				c.Stop = &StopRoundRequest{fmt.Sprint("r", rapid.IntRange(1, 6).Draw(t, "key")), "why"}
-			case 4: // one that was made before comes again
+			case 4: // an earlier AdvanceRequest arrives again
 				if len(advances) == 0 {
 					continue
 				}
@@ -74,11 +74,11 @@
 			}
 			a := do(t, l, c)
 			if c.Advance != nil && (a.Rejection == "") != (before != nil && *c.Advance == was) {
-				t.Fatalf("%+v is taken though the round is at %+v: %+v", c.Advance, was, a)
+				t.Fatalf("advance %+v of a round at %+v: got %+v, want a rejection only if they differ", c.Advance, was, a)
 			}
 			now, outNow, rounds := l.contents()
 			if (now != version) == maps.Equal(out, outNow) || now < version {
-				t.Fatalf("version %d after %d, out %v after %v", now, version, outNow, out)
+				t.Fatalf("version %d after version %d, but suspensions %v after %v", now, version, outNow, out)
 			}
 			runs, by := 0, 0
 			for _, r := range rounds {
@@ -94,15 +94,15 @@
 					suspendedTimes[fmt.Sprint(o.Round, server)]++
 				}
 				if by++; l.runningRound() == nil || l.runningRound().ID != o.Round || l.runningRound().Server() != server {
-					t.Fatalf("%s is out by round %d: %+v", server, o.Round, l.runningRound())
+					t.Fatalf("server %s is suspended by round %d, but the running round is %+v", server, o.Round, l.runningRound())
 				}
 			}
 			if runs > 1 || by > 1 {
-				t.Fatalf("%d rounds run, %d servers are out by them", runs, by)
+				t.Fatalf("%d rounds are running, %d servers are suspended by rounds, want at most 1 of each", runs, by)
 			}
 			for what, n := range suspendedTimes {
 				if n > 1 {
-					t.Fatalf("%s is out %d times", what, n)
+					t.Fatalf("round and server %s: suspended %d times, want once", what, n)
 				}
 			}
 		}
@@ -112,7 +112,7 @@
 		}
 		again := newLedger()
 		if err := again.Restore(io.NopCloser(bytes.NewReader(snap.(raftlog.Snapshot)))); err != nil || !same(l, again) {
-			t.Fatalf("%v: %+v became %+v", err, l, again)
+			t.Fatalf("restore snapshot: error %v, state before %+v, after %+v", err, l, again)
 		}
 	})
 }
@@ -123,7 +123,8 @@
 	return bytes.Equal(x, y)
 }
 
-// TestRoundSkipsSuspended: a round through three servers, of which an operator has suspended one.
+// TestRoundSkipsSuspended checks that a round through three servers skips the one that an operator has suspended, and
+// that the server stays suspended. It also checks the answers to calls about a running or unknown round.
 func TestRoundSkipsSuspended(t *testing.T) {
 	l := newLedger()
 	do(t, l, command{Suspend: &ServerRequest{"b", "n2"}})
@@ -153,7 +154,7 @@
 	}
 	_, out, rounds := l.contents()
 	if !slices.Equal(drained, []string{"a", "c"}) || len(out) != 1 || out["b"].By != "n2" || rounds[0].State != Done {
-		t.Errorf("out were %v, is %v; %v", drained, out, rounds)
+		t.Errorf("drained %v, want [a c]; suspended %v, want b by n2; rounds %v, want the first done", drained, out, rounds)
 	}
 	do(t, l, command{Begin: &BeginRoundRequest{"s", "n1", []string{"a", "c"}, 0}})
 	do(t, l, command{Advance: &AdvanceRequest{2, 0, Pending}})
@@ -162,7 +163,7 @@
 		t.Error(a)
 	}
 	if _, out, _ := l.contents(); len(out) != 1 {
-		t.Errorf("after the stop %v are out", out)
+		t.Errorf("suspended after the stop: %v, want only b", out)
 	}
 	if a := do(t, l, command{Stop: &StopRoundRequest{"none", ""}}); a.Rejection == "" {
 		t.Error(a)
--- a/internal/fleet/operations/operator.go
+++ b/internal/fleet/operations/operator.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// callTimeout bounds an operator's call over all voters.
+	// callTimeout limits the time for an operator's call, including all attempts at all voters.
 	callTimeout = 900 * time.Millisecond
 	// callRetryInterval is the pause between two attempts of a call.
 	callRetryInterval = 50 * time.Millisecond
-	// maxHold bounds for how long a round holds each server.
+	// maxHold is the upper limit of a round's hold duration.
 	maxHold = time.Hour
 )
 
-// The words of operators' calls.
+// Words of operators' calls.
 const (
 	wordStatus  = "STATUS"
 	wordSuspend = "SUSPEND"
 	wordRestore = "RESTORE"
 	wordRound   = "ROUND"
 	wordStop    = "STOP"
-	wordAll     = "ALL" // all servers, in a round
+	wordAll     = "ALL" // all listed servers, as the servers of a round
 )
 
 var (
@@ -33,8 +33,9 @@
 		"ROUND name hold ALL, ROUND name hold id..., or STOP name")
 )
 
-// Execute carries out an operator's call for the whole fleet, given the words after FLEET, and returns the answer.
-// After an error for want of a leader the call may have been carried out all the same; to make it again does no harm.
+// Execute executes an operator's call for the whole fleet, given the words after FLEET, and returns the answer. If it
+// fails because no leader responded, the call may still have been executed. Calls are idempotent, so that the operator
+// may repeat them.
 func (s *Service) Execute(words []string) (string, error) {
 	s.mu.Lock()
 	control := s.control
@@ -52,7 +53,7 @@
 	return s.execute(c)
 }
 
-// execute sends a command to the leader, again and again until it was answered or the time is up.
+// execute sends a command to the leader and retries until the leader responds or callTimeout expires.
 func (s *Service) execute(c *command) (string, error) {
 	var lastErr error
 	for end := time.Now().Add(callTimeout); time.Now().Before(end); time.Sleep(callRetryInterval) {
@@ -69,7 +70,7 @@
 	return "", fmt.Errorf("it may hold or not, say it again: %w", lastErr)
 }
 
-// parse turns the words of a call into a command.
+// parse converts the words of an operator's call into a command.
 func (s *Service) parse(words []string, control ServerControl) (*command, error) {
 	if len(words) < 2 {
 		return nil, errUsage
--- a/internal/fleet/operations/readiness.go
+++ b/internal/fleet/operations/readiness.go
@@ -7,32 +7,33 @@
 	"olivebridge/internal/fleet/mutant"
 )
 
-// reportLifetime is for how long a node's report counts.
+// reportLifetime is the age above which a node's report is ignored.
 const reportLifetime = 2 * time.Second
 
-// NodeReport is what a node said last.
+// NodeReport is the last report that the leader received from a node.
 type NodeReport struct {
 	Incarnation string
-	Version     uint64         // of the ledger, that it has applied
-	OpenCalls   map[string]int // by suspended server
-	Age         time.Duration
+	Version     uint64         // ledger version that the node has applied
+	OpenCalls   map[string]int // number of the node's open calls, by suspended server
+	Age         time.Duration  // time since the leader received the report
 }
 
-// isFresh reports whether the report still counts.
+// isFresh reports whether the report's age is at most reportLifetime.
 func (r NodeReport) isFresh() bool {
 	return r.Age <= reportLifetime
 }
 
-// Member is a node that may still act, as the leader believes.
+// Member is a node that is present in the leader's view of the fleet.
 type Member struct {
 	Name        string
 	Incarnation string
-	Predecessor bool // the node has another process, which may have calls of which this one does not know
+	Predecessor bool // the node has another process, whose open calls are missing from the node's reports
 }
 
-// CanAdvance reports whether a round may go on with its step, by what all nodes said; if not, which nodes it waits for.
-// The time that it has been seen in its step is inStep. Every node that reports counts, also one that is no member, or
-// not yet: a node that is back at another address serves clients for some seconds before the others know it.
+// CanAdvance reports whether a round may advance from its present step, and otherwise returns the sorted names of the
+// nodes for which it waits. inStep is the time since the leader first saw the round in this step. Fresh reports from
+// nodes that are not members count too: a node that returns at another address serves clients for some seconds before
+// the other members know it.
 func CanAdvance(
 	r Round, members []Member, reports map[string]NodeReport, inStep time.Duration,
 ) (ok bool, waitingFor []string) {
@@ -59,8 +60,8 @@
 	return len(waitingFor) == 0, waitingFor
 }
 
-// isComplete reports whether a node has completed the round's step: it has applied it, and, if a server drains, has no
-// call there.
+// isComplete reports whether a node has completed the round's present step: the node has applied the round's ledger
+// version and, if the step is Draining, has no open calls at the round's present server.
 func (r *Round) isComplete(report NodeReport, hasPredecessor bool) bool {
 	if report.Version < r.Version {
 		return false
--- a/internal/fleet/operations/reporter.go
+++ b/internal/fleet/operations/reporter.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// reportInterval is how often a node reports to the leader, and hears which servers are suspended. It reports again at
-// once when that has changed.
+// reportInterval is the interval at which a node reports to the leader and receives the suspended servers. After it has
+// applied a change, the node reports again immediately.
 const reportInterval = 250 * time.Millisecond
 
-// reportLoop reports to the leader, and applies what it answers.
+// reportLoop reports to the leader and applies the responses.
 func (s *Service) reportLoop(stop chan struct{}) {
 	for {
 		s.counters.requests.Add(1)
@@ -14,7 +14,7 @@
 		if err != nil {
 			s.counters.failedRequests.Add(1)
 		} else if s.applyResponse(got) {
-			continue // the leader is told at once that it was applied
+			continue // report the applied version immediately
 		}
 		select {
 		case <-stop:
@@ -24,7 +24,7 @@
 	}
 }
 
-// report is this node's report.
+// report returns the present report of this node.
 func (s *Service) report() request {
 	version, suspended := s.suspensions.current()
 	s.mu.Lock()
@@ -39,7 +39,7 @@
 	return r
 }
 
-// applyResponse takes the leader's response, and reports whether it has brought other suspensions.
+// applyResponse applies the leader's response, and reports whether it has applied a new version of the suspensions.
 func (s *Service) applyResponse(got response) bool {
 	version, _ := s.suspensions.current()
 	s.mu.Lock()
--- a/internal/fleet/operations/round.go
+++ b/internal/fleet/operations/round.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// Step is how far a round is with its present server.
+// Step is the progress of a round on its present server.
 type Step string
 
-// The steps, in their order.
+// The steps, in the order in which a round takes them.
 const (
-	Pending   Step = "waits"   // nothing was done yet
-	Draining  Step = "leaves"  // it is suspended; nodes are told, and complete their calls there
-	Drained   Step = "empty"   // no node has a call there; it is held out of use
-	Restoring Step = "returns" // it is in use again; nodes are told
+	Pending   Step = "waits"   // the server is not suspended yet
+	Draining  Step = "leaves"  // the server is suspended; nodes apply the suspension and complete their open calls there
+	Drained   Step = "empty"   // no node has open calls at the server; it stays out of use for Round.Hold
+	Restoring Step = "returns" // the server is restored; nodes apply the change
 )
 
-// State is how a round stands.
+// State is the state of a round.
 type State string
 
-// The states.
+// The states of a round.
 const (
 	Running State = "runs"
-	Stopped State = "stopped" // by an operator; the server that was suspended is back in use
+	Stopped State = "stopped" // stopped by an operator; the server that the round had suspended is restored
 	Done    State = "done"
 )
 
-// Suspension is why the whole fleet keeps a server out of use.
+// Suspension is the reason why the whole fleet keeps a server out of use.
 type Suspension struct {
-	Version uint64 `json:"version"`         // of the ledger, since which it is
-	Round   uint64 `json:"round,omitempty"` // that suspended it; 0: an operator did
-	By      string `json:"by"`              // the node at which the operator's call was made
+	Version uint64 `json:"version"`         // ledger version that added the suspension
+	Round   uint64 `json:"round,omitempty"` // ID of the round that suspended the server; 0 if an operator did
+	By      string `json:"by"`              // node at which the operator made the call
 }
 
-// reason is the suspension for operators.
+// reason returns the reason for the suspension, as shown to operators.
 func (s Suspension) reason() string {
 	if s.Round != 0 {
 		return fmt.Sprintf("by round %d", s.Round)
@@ -41,21 +41,21 @@
 	return "by a word at " + s.By
 }
 
-// Round takes some servers out of use for maintenance, one after the other.
+// Round is a maintenance round, which takes servers out of use one after the other.
 type Round struct {
 	ID         uint64        `json:"id"`
-	Key        string        `json:"key"` // the operators' name for it; a second one with the same is not begun
-	By         string        `json:"by"`  // the node at which it was begun
+	Key        string        `json:"key"` // name chosen by the operator; a second round with the same key is not begun
+	By         string        `json:"by"`  // node at which the operator began the round
 	Servers    []string      `json:"servers"`
-	Hold       time.Duration `json:"hold"` // for how long each server is held out once it is drained
-	Position   int           `json:"at"`   // of the present server in Servers
+	Hold       time.Duration `json:"hold"` // duration for which each server stays out of use once it is drained
+	Position   int           `json:"at"`   // index of the present server in Servers
 	Step       Step          `json:"step"`
 	State      State         `json:"state"`
-	Version    uint64        `json:"version"` // of the ledger, at the last step
+	Version    uint64        `json:"version"` // ledger version after the round's last step
 	StopReason string        `json:"why,omitempty"`
 }
 
-// Server is the present server; "" once the round is over.
+// Server returns the present server, or "" after the last server.
 func (r *Round) Server() string {
 	if r.Position < len(r.Servers) {
 		return r.Servers[r.Position]
@@ -63,12 +63,12 @@
 	return ""
 }
 
-// isAt reports whether a round is where the sender of a request saw it.
+// isAt reports whether the round is at the position and step of a request.
 func (r *Round) isAt(request AdvanceRequest) bool {
 	return r.Position == request.Position && r.Step == request.From
 }
 
-// toNextServer ends the round's work on its present server.
+// toNextServer moves the round to its next server. After the last server the round is Done.
 func (r *Round) toNextServer() {
 	r.Position++
 	r.Step = Pending
@@ -77,7 +77,7 @@
 	}
 }
 
-// String is the round for operators.
+// String returns a description of the round for operators.
 func (r *Round) String() string {
 	text := fmt.Sprintf("round %q, begun at %s: ", r.Key, r.By)
 	switch r.State {
--- a/internal/fleet/operations/server.go
+++ b/internal/fleet/operations/server.go
@@ -9,13 +9,13 @@
 	"olivebridge/internal/fleet/raftlog"
 )
 
-// receivedReport is a node's report, at the leader.
+// receivedReport is a node's report with the time at which the leader received it.
 type receivedReport struct {
 	NodeReport
 	receivedAt time.Time
 }
 
-// ServeNodes answers the requests of a stream from the node called from, until it ends.
+// ServeNodes handles the requests of a stream from the named node until the stream ends.
 func (s *Service) ServeNodes(conn net.Conn, from string) {
 	decoder := json.NewDecoder(conn)
 	encoder := json.NewEncoder(conn)
@@ -31,7 +31,8 @@
 	}
 }
 
-// answer answers a node, if this process leads or the node starts; else it names the leader, if it knows it.
+// answer processes a request from the named node. Any process answers a starting node; only the leader processes other
+// requests. Otherwise the response has a Refusal and the leader known to this process, if any.
 func (s *Service) answer(from string, r request) response {
 	if r.AtStart {
 		version, suspended := s.suspensions.current()
@@ -63,7 +64,7 @@
 }
 
 func (s *Service) answerReport(log *raftlog.Log, ledger *ledger, from string, r request) response {
-	if log.VerifyLeader() != nil { // the ledger may be behind that of another leader
+	if log.VerifyLeader() != nil { // another process may lead, with a ledger that has newer entries
 		return response{Refusal: "it does not lead any more"}
 	}
 	got := ledgerResponse(ledger)
@@ -77,7 +78,7 @@
 	return got
 }
 
-// ledgerResponse is a response with what the ledger holds.
+// ledgerResponse returns a response with the contents of the ledger.
 func ledgerResponse(ledger *ledger) response {
 	version, suspensions, rounds := ledger.contents()
 	got := response{Version: version, Rounds: rounds}
--- a/internal/fleet/operations/service.go
+++ b/internal/fleet/operations/service.go
@@ -17,49 +17,51 @@
 	"olivebridge/internal/fleet/record"
 )
 
-// The channels of the members' streams that a Service uses.
+// Channels of the streams between members that a Service uses.
 const (
-	VotersChannel = 5 // between voters
-	NodesChannel  = 6 // from nodes to the leader
+	VotersChannel = 5 // raft traffic between voters
+	NodesChannel  = 6 // requests from nodes to the leader
 )
 
 // logMessage is the message of the service's log lines.
 const logMessage = "fleet rounds"
 
-// ServerControl is what a node does with its servers, in all its processes. Its methods may be called from any
+// ServerControl suspends and restores servers in all processes of this node. Its methods may be called from any
 // goroutine.
 type ServerControl interface {
-	// Suspend takes a server out of use. After an error it may still be in use in some process of the node.
+	// Suspend takes a server out of use. After an error some process of the node may still use the server.
 	Suspend(server string) error
-	// Restore puts it back in use. An error says that no list names it.
+	// Restore returns a server to use. It returns an error if no endpoint list has the server.
 	Restore(server string) error
-	// Suspended are the servers that are suspended, also by an operator's call to this node alone.
+	// Suspended returns the suspended servers, including those that an operator has suspended at this node alone.
 	Suspended() []string
-	// Busy is how many calls this process has open at a server.
+	// Busy returns the number of calls that this process has open at a server.
 	Busy(server string) int
-	// Listed are the servers that take new calls.
+	// Listed returns the servers that accept new calls.
 	Listed() []string
-	// Known reports whether a server was ever listed.
+	// Known reports whether an endpoint list has ever had the server.
 	Known(server string) bool
 }
 
-// Config is what a Service is made of.
+// Config configures a Service.
 type Config struct {
-	Name      string // of the node
+	Name      string // node name
 	Voters    raftlog.VoterSet
-	Directory string // of the node; the log is in a directory below it
+	Directory string // directory of the node; the raft log is in its subdirectory rounds
 	// Dial opens a stream to another member.
 	Dial func(name string, channel byte, timeout time.Duration) (net.Conn, error)
-	// View is the present view of the fleet.
+	// View returns the present view of the fleet.
 	View func() *member.View
-	// Others are addresses of nodes that may be asked, with DialAddr, before this one has the membership. Both may be nil.
+	// Others returns the addresses of other nodes, and DialAddr opens a stream to such an address. A starting node uses
+	// both before it holds its membership. Others may be nil, and then DialAddr is not used.
 	Others   func() []string
 	DialAddr func(addr string, channel byte, timeout time.Duration) (net.Conn, error)
-	Log      *slog.Logger     // nil: nothing is logged
-	Record   *record.Recorder // nil: nothing is recorded
+	Log      *slog.Logger     // nil disables logging
+	Record   *record.Recorder // nil disables recording
 }
 
-// Service is a process's part in operations over the fleet. Its methods may be called from any goroutine.
+// Service executes operators' calls for the fleet on behalf of one process, and takes part in replication if the node
+// is a voter. Its methods may be called from any goroutine.
 type Service struct {
 	config      Config
 	participant *raftlog.Participant
@@ -68,29 +70,30 @@
 	counters    counters
 
 	mu          sync.Mutex
-	control     ServerControl // nil: the node is starting
-	incarnation string        // "": this process does not hold the node's membership
-	stop        chan struct{} // nil: the same
-	log         *raftlog.Log  // nil: this process is no voter, or its log is not open
-	ledger      *ledger       // with log
-	rounds      []Round       // as the leader said last
-	waitingFor  []string      // nodes that the running round waits for
+	control     ServerControl // nil until Attach, while the node is starting
+	incarnation string        // "" if this process does not hold the node's membership
+	stop        chan struct{} // closed by Stop; nil if this process does not hold the node's membership
+	log         *raftlog.Log  // nil if this process is not a voter or its log is not open
+	ledger      *ledger       // state machine of log; nil if log is nil
+	rounds      []Round       // from the leader's last response
+	waitingFor  []string      // nodes for which the running round waits
 	tasks       sync.WaitGroup
 
-	// What follows counts while this process leads.
+	// The following fields are used only while this process is the leader.
 	reports map[string]receivedReport // by node
-	// pendingStep is the step that the running round waits to complete, and pendingSince when this process saw it first.
+	// pendingStep is the next advance of the running round, and pendingSince the time when this process first saw the
+	// round in that step.
 	pendingStep  AdvanceRequest
 	pendingSince time.Time
 }
 
 type counters struct {
-	requests       atomic.Int64 // reports to the leader
-	failedRequests atomic.Int64
-	steps          atomic.Int64
+	requests       atomic.Int64 // reports sent to the leader
+	failedRequests atomic.Int64 // reports without a response from the leader
+	steps          atomic.Int64 // steps by which this process advanced rounds as the leader
 }
 
-// New returns a Service that does nothing until Attach and Start.
+// New returns a Service that is idle until Attach and Start.
 func New(config Config) *Service {
 	if config.Log == nil {
 		config.Log = slog.New(slog.DiscardHandler)
@@ -116,7 +119,7 @@
 	return s
 }
 
-// setLog takes the log that this process keeps from now on; nil: none.
+// setLog sets the open log and its state machine, or nil for both when the log closes.
 func (s *Service) setLog(log *raftlog.Log, state raft.FSM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,25 +127,26 @@
 	s.ledger, _ = state.(*ledger)
 }
 
-// currentLog is the log that this process keeps; nil: none.
+// currentLog returns the open log and its state machine, or nil for both if no log is open.
 func (s *Service) currentLog() (*raftlog.Log, *ledger) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.log, s.ledger
 }
 
-// SetVoters takes the voters of a fleet file that was read again.
+// SetVoters sets the voters after the fleet file was reloaded.
 func (s *Service) SetVoters(voters raftlog.VoterSet) {
 	s.participant.SetVoters(voters)
 }
 
-// ServeVoters takes a stream from another voter, and returns once that is closed.
+// ServeVoters serves a stream from another voter, and returns after the stream is closed.
 func (s *Service) ServeVoters(conn net.Conn, from string) {
 	s.participant.ServeStream(conn, from)
 }
 
-// Attach gives it the node's servers, before there are clients, and suspends what the fleet has suspended: as the node
-// knows that has applied the latest version, or as it was when this node ended.
+// Attach sets the control over the node's servers and suspends the servers that the fleet has suspended. It is called
+// before the node accepts clients. The suspended servers come from the other node with the latest version or, if none
+// responds, from the file that this node wrote before it stopped.
 func (s *Service) Attach(control ServerControl) {
 	s.mu.Lock()
 	s.control = control
@@ -156,8 +160,8 @@
 	}
 }
 
-// Start begins to report to the leader and, on a voter, to replicate the log, for a process that has got the node's
-// membership. It may be called again after Stop.
+// Start starts reporting to the leader and, on a voter, replicating the log. The caller has acquired the node's
+// membership for this process, in the given incarnation. Start may be called again after Stop.
 func (s *Service) Start(incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,7 +173,7 @@
 	s.participant.Start()
 }
 
-// Stop ends what Start began, and returns once the log is closed.
+// Stop stops all tasks that Start started, and returns after the log is closed.
 func (s *Service) Stop() {
 	s.mu.Lock()
 	stop := s.stop
@@ -183,13 +187,13 @@
 	}
 }
 
-// Status is a line for operators, as the leader said last.
+// Status returns a one-line summary for operators, from the leader's last response.
 func (s *Service) Status() string {
 	_, suspended := s.suspensions.current()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	text := fmt.Sprintf("rounds: out by the fleet's word: %v", suspended)
-	for i := len(s.rounds) - 1; i >= 0; i-- { // the newest first
+	for i := len(s.rounds) - 1; i >= 0; i-- { // newest first
 		text += "; " + s.rounds[i].String()
 		if s.rounds[i].State == Running && len(s.waitingFor) > 0 {
 			text += ", waits for " + strings.Join(s.waitingFor, " ")
@@ -198,7 +202,7 @@
 	return text
 }
 
-// Counters are the counters, for the log.
+// Counters returns the counters as key=value pairs for the log.
 func (s *Service) Counters() string {
 	c := &s.counters
 	return fmt.Sprintf("round_asks=%d round_lost=%d round_steps=%d round_applied=%d",
--- a/internal/fleet/operations/service_test.go
+++ b/internal/fleet/operations/service_test.go
@@ -13,7 +13,7 @@
 	"olivebridge/internal/fleet/raftlog"
 )
 
-// fakeControl is a node that knows three servers.
+// fakeControl is a ServerControl with three listed servers.
 type fakeControl struct{ suspended map[string]bool }
 
 func (c *fakeControl) Suspend(s string) error { c.suspended[s] = true; return nil }
@@ -28,8 +28,8 @@
 
 func (c *fakeControl) Known(s string) bool { return slices.Contains(c.Listed(), s) }
 
-// TestOperatorCalls: in a fleet of one, operators' calls and their answers, and that what was suspended is so again
-// after the next start.
+// TestOperatorCalls checks operators' calls and their answers in a fleet of one node, and that suspended servers are
+// suspended again after a restart.
 func TestOperatorCalls(t *testing.T) {
 	dir := t.TempDir()
 	self := member.Member{Name: "n1", State: member.Alive, Incarnation: member.Incarnation{Home: "x", Number: 1}}
@@ -54,20 +54,20 @@
 				return
 			}
 			if time.Now().After(end) {
-				t.Fatalf("%s: %q, %v", what, text, err)
+				t.Fatalf("%s: not so within 20 s; last answer %q, error %v", what, text, err)
 			}
 		}
 	}
 	well := func(_ string, err error) bool { return err == nil }
-	until("a word", well, "SUSPEND", "a")
-	until("a word about one that is out already", well, "SUSPEND", "c")
-	until("both are out", func(text string, _ error) bool { return strings.Contains(text, "word: [a c]") }, "STATUS")
-	until("a round", well, "ROUND", "r", "1ms", "ALL")
-	until("it is done", func(text string, _ error) bool { return strings.Contains(text, "done, 3 servers") }, "STATUS")
-	until("one is back", well, "RESTORE", "c")
-	until("one is out", func(text string, _ error) bool { return strings.Contains(text, "word: [a]") }, "STATUS")
-	if !slices.Equal(d.Suspended(), []string{"a", "c"}) { // c was out at the node's own door before
-		t.Errorf("the node keeps out %v", d.Suspended())
+	until("suspend a", well, "SUSPEND", "a")
+	until("suspend c, which an operator has suspended at this node", well, "SUSPEND", "c")
+	until("a and c suspended", func(text string, _ error) bool { return strings.Contains(text, "word: [a c]") }, "STATUS")
+	until("begin a round", well, "ROUND", "r", "1ms", "ALL")
+	until("round done", func(text string, _ error) bool { return strings.Contains(text, "done, 3 servers") }, "STATUS")
+	until("restore c", well, "RESTORE", "c")
+	until("only a suspended", func(text string, _ error) bool { return strings.Contains(text, "word: [a]") }, "STATUS")
+	if !slices.Equal(d.Suspended(), []string{"a", "c"}) { // an operator had suspended c at this node alone
+		t.Errorf("suspended at the node: %v, want [a c]", d.Suspended())
 	}
 	for words, want := range map[string]string{
 		"":               "FLEET wants",
@@ -79,17 +79,17 @@
 		"JUMP":           "FLEET wants",
 	} {
 		if _, err := s.Execute(strings.Fields(words)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", words, err)
+			t.Errorf("call %q: unexpected error %v", words, err)
 		}
 	}
 	s.Stop()
 	next := &fakeControl{map[string]bool{}}
 	New(config).Attach(next)
 	if !next.suspended["a"] {
-		t.Errorf("after a start it keeps out %v", next.suspended)
+		t.Errorf("suspended after a restart: %v, want a", next.suspended)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "out.json"), []byte(`["a`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	New(config).Attach(&fakeControl{map[string]bool{}}) // what cannot be read is heard again
+	New(config).Attach(&fakeControl{map[string]bool{}}) // an unreadable file is ignored; the leader's response replaces it
 }
--- a/internal/fleet/operations/stored_format_test.go
+++ b/internal/fleet/operations/stored_format_test.go
@@ -13,7 +13,7 @@
 	"olivebridge/internal/fleet/raftlog"
 )
 
-// readStored returns a file as an earlier program wrote it.
+// readStored returns the contents of a testdata file that an earlier build wrote.
 func readStored(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", name))
@@ -23,19 +23,19 @@
 	return data
 }
 
-// readLines returns the lines of such a file.
+// readLines returns the lines of a testdata file that an earlier build wrote.
 func readLines(t *testing.T, name string) [][]byte {
 	t.Helper()
 	return bytes.Split(bytes.TrimSpace(readStored(t, name)), []byte("\n"))
 }
 
-// reencode decodes a line into a value and returns how that is encoded.
+// reencode decodes a line of JSON into a value, and returns the value's JSON encoding. Unknown fields fail the test.
 func reencode(t *testing.T, line []byte, into any) []byte {
 	t.Helper()
 	decoder := json.NewDecoder(bytes.NewReader(line))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
-		t.Fatalf("%s: %v", line, err)
+		t.Fatalf("decode %s: %v", line, err)
 	}
 	data, err := json.Marshal(into)
 	if err != nil {
@@ -44,15 +44,16 @@
 	return data
 }
 
-// TestStoredFormat guards against a change of the bytes of log entries and snapshots: voters of both builds read them.
+// TestStoredFormat checks that the encoding of log entries and snapshots does not change. During an upgrade, voters of
+// two builds read the same log.
 func TestStoredFormat(t *testing.T) {
 	l := newLedger()
 	for _, line := range readLines(t, "entries.jsonl") {
 		if got := reencode(t, line, &command{}); !bytes.Equal(got, line) {
-			t.Errorf("an entry is written as %s, not %s", got, line)
+			t.Errorf("log entry encoded as %s, want %s", got, line)
 		}
 		if err, failed := l.Apply(&raft.Log{Data: line}).(error); failed {
-			t.Errorf("%s: %v", line, err)
+			t.Errorf("apply %s: %v", line, err)
 		}
 	}
 	want := readStored(t, "snapshot.json")
@@ -66,12 +67,13 @@
 			t.Fatal(err)
 		}
 		if got := snapshot.(raftlog.Snapshot); !bytes.Equal(got, want) {
-			t.Errorf("the snapshot is written as %s, not %s", got, want)
+			t.Errorf("snapshot encoded as %s, want %s", got, want)
 		}
 	}
 }
 
-// TestMessageFormat guards against a change of the bytes between nodes, of which some run another build for a while.
+// TestMessageFormat checks that the encoding of messages between nodes does not change. During an upgrade, nodes of two
+// builds exchange messages.
 func TestMessageFormat(t *testing.T) {
 	for _, line := range readLines(t, "messages.jsonl") {
 		var message any = &request{}
@@ -79,18 +81,18 @@
 			message = &response{}
 		}
 		if got := reencode(t, line, message); !bytes.Equal(got, line) {
-			t.Errorf("a message is written as %s, not %s", got, line)
+			t.Errorf("message encoded as %s, want %s", got, line)
 		}
 	}
 }
 
-// TestRecordFormat guards against a change of the record's events, which internal/lab/fleet reads.
+// TestRecordFormat checks that the encoding of recorded events does not change. Package internal/lab/fleet reads them.
 func TestRecordFormat(t *testing.T) {
 	lines := readLines(t, "record.jsonl")
 	events := []any{&SuspensionsRecord{}, &StepRecord{}}
 	for i, line := range lines {
 		if got := reencode(t, line, events[i]); !bytes.Equal(got, line) {
-			t.Errorf("an event is written as %s, not %s", got, line)
+			t.Errorf("event encoded as %s, want %s", got, line)
 		}
 	}
 }
--- a/internal/fleet/operations/suspensions.go
+++ b/internal/fleet/operations/suspensions.go
@@ -12,47 +12,49 @@
 )
 
 const (
-	// suspensionsFile is the file of the node's directory that holds the servers that the fleet has suspended.
+	// suspensionsFile is the name of the file, in the node's directory, that stores the servers suspended by the fleet.
 	suspensionsFile     = "out.json"
 	suspensionsFileMode = 0o600
 )
 
-// SuspensionsRecord is the record's event of kind "out": what a node keeps out of use for the fleet.
+// SuspensionsRecord is the data of an event of kind "out": the node has applied a version of the fleet's suspensions.
 type SuspensionsRecord struct {
 	Version   uint64   `json:"version"`
 	Suspended []string `json:"out"`
 }
 
-// suspensions applies the fleet's suspensions to the servers of this node. One goroutine at a time calls apply.
+// suspensions applies the fleet's suspensions to the servers of this node. Only one goroutine at a time may call apply.
 type suspensions struct {
-	path    string // of the file
+	path    string // path of the suspensions file
 	log     *slog.Logger
 	record  *record.Recorder
-	applied atomic.Int64 // counts calls of apply that succeeded
+	applied atomic.Int64 // number of successful calls of apply
 
-	// suspendedBefore are servers that an operator had suspended at this node alone before the fleet did: they stay
-	// suspended. Only apply uses it.
+	// suspendedBefore holds the servers that an operator had suspended at this node alone before the fleet suspended
+	// them. They stay suspended when the fleet restores them. Only apply uses it.
 	suspendedBefore map[string]bool
 
 	mu      sync.Mutex
-	version uint64   // of the ledger, that was applied last; 0: none
-	servers []string // that are suspended by it
+	version uint64   // ledger version that was applied last; 0 if none
+	servers []string // servers that are suspended on behalf of the fleet
 }
 
 func newSuspensions(path string, log *slog.Logger, recorder *record.Recorder) *suspensions {
 	return &suspensions{path: path, log: log, record: recorder, suspendedBefore: map[string]bool{}}
 }
 
-// current is the version that was applied last, and the servers that are suspended by it.
+// current returns the ledger version that was applied last, and the servers that are suspended on behalf of the fleet.
 func (s *suspensions) current() (version uint64, servers []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version, s.servers
 }
 
-// apply suspends and restores servers, so that those in wanted are suspended, and reports whether it could. If a server
-// cannot be suspended, in another process of the node, it is tried again with the next report, and rounds wait. At the
-// node's start no server was suspended by an operator at this node: what is, the node's other process has handed on.
+// apply suspends the wanted servers, restores those that are no longer wanted, and reports whether it succeeded. It
+// fails if another process of the node cannot suspend a server. The version then counts as not applied: rounds wait for
+// this node, and the response to its next report makes it retry. atStart is set while the node starts. Servers that are
+// suspended then were handed over by the node's other process, and do not count as suspended by an operator at this
+// node.
 func (s *suspensions) apply(control ServerControl, version uint64, wanted []string, atStart bool) bool {
 	suspended, ok := s.suspend(control, wanted, atStart)
 	if !ok {
@@ -76,7 +78,8 @@
 	return true
 }
 
-// suspend suspends the wanted servers that are not suspended yet, and returns all that are suspended then.
+// suspend suspends the wanted servers that are not suspended yet. It returns all servers that are suspended on behalf
+// of the fleet afterwards, and false if a server could not be suspended.
 func (s *suspensions) suspend(control ServerControl, wanted []string, atStart bool) (suspended []string, ok bool) {
 	_, suspended = s.current()
 	before := control.Suspended()
@@ -97,21 +100,20 @@
 	return suspended, true
 }
 
-// restore restores the suspended servers that are not wanted any more, but for those that an operator had suspended
-// before.
+// restore restores the suspended servers that are no longer wanted, except those in suspendedBefore.
 func (s *suspensions) restore(control ServerControl, suspended, wanted []string) {
 	for _, server := range suspended {
 		if slices.Contains(wanted, server) {
 			continue
 		}
 		if !s.suspendedBefore[server] {
-			_ = control.Restore(server) // a server that no list names is not in use anyway
+			_ = control.Restore(server) // fails only for a server that no endpoint list has, which is not in use
 		}
 		delete(s.suspendedBefore, server)
 	}
 }
 
-// store writes the suspended servers to the file.
+// store replaces the suspensions file with the given servers.
 func (s *suspensions) store(servers []string) error {
 	data, err := json.Marshal(servers)
 	if err != nil {
@@ -124,7 +126,7 @@
 	return os.Rename(next, s.path)
 }
 
-// load reads the file.
+// load returns the servers in the suspensions file.
 func (s *suspensions) load() ([]string, error) {
 	data, err := os.ReadFile(s.path)
 	if err != nil {
--- a/internal/fleet/operations/suspensions_test.go
+++ b/internal/fleet/operations/suspensions_test.go
@@ -8,10 +8,11 @@
 	"olivebridge/internal/fleet/raftlog"
 )
 
-// failingControl is a node whose other process cannot suspend a server at first.
+// failingControl is a ServerControl that fails the first calls of Suspend, as if the node's other process could not
+// suspend the server.
 type failingControl struct {
 	fakeControl
-	failures int
+	failures int // number of calls of Suspend that still fail
 }
 
 func (c *failingControl) Suspend(s string) error {
@@ -21,8 +22,8 @@
 	return c.fakeControl.Suspend(s)
 }
 
-// TestSuspendFailure: a version that could not be applied in all processes of the node is not reported as applied; a
-// file that cannot be written is no hindrance.
+// TestSuspendFailure checks that a version that some process of the node failed to apply is not reported as applied,
+// and that a version is applied even if the suspensions file cannot be written.
 func TestSuspendFailure(t *testing.T) {
 	s := New(Config{
 		Name:      "n1",
@@ -34,12 +35,13 @@
 	applied := s.suspensions
 	d.failures = 1
 	if applied.apply(d, 3, []string{"a", "b"}, false) || applied.version != 0 {
-		t.Errorf("it goes by version %d", applied.version)
+		t.Errorf("after a failed Suspend: apply succeeded, or the applied version is %d, want 0", applied.version)
 	}
 	if !applied.apply(d, 3, []string{"a", "b"}, false) || applied.version != 3 || len(applied.suspendedBefore) != 0 {
-		t.Errorf("it goes by version %d, own %v", applied.version, applied.suspendedBefore)
+		t.Errorf("after a retry: apply failed, or version %d, suspended before by an operator %v, want 3 and none",
+			applied.version, applied.suspendedBefore)
 	}
 	if !applied.apply(d, 4, nil, false) || len(d.suspended) != 0 {
-		t.Errorf("out are %v", d.suspended)
+		t.Errorf("after a version without suspensions: apply failed, or suspended %v, want none", d.suspended)
 	}
 }
--- a/internal/fleet/raftlog/entry.go
+++ b/internal/fleet/raftlog/entry.go
@@ -7,11 +7,11 @@
 	"github.com/hashicorp/raft"
 )
 
-// ErrMalformedEntry says that a log entry is no command of the state machine's.
+// ErrMalformedEntry reports that a log entry is not a valid command of the state machine.
 var ErrMalformedEntry = errors.New("not of this form")
 
-// MalformedEntry is what a state machine returns for such an entry; cause, which may be nil, says what is wrong with
-// it.
+// MalformedEntry returns the error that a state machine returns for an invalid entry. It wraps ErrMalformedEntry and
+// cause, which is the decoding error or nil.
 func MalformedEntry(entry *raft.Log, cause error) error {
 	return fmt.Errorf("log entry %d: %w", entry.Index, errors.Join(cause, ErrMalformedEntry))
 }
--- a/internal/fleet/raftlog/leader_hint.go
+++ b/internal/fleet/raftlog/leader_hint.go
@@ -2,22 +2,23 @@
 
 import "sync"
 
-// LeaderHint is a client's guess of who leads a log: the voter that answered last, else one voter after the other. Its
-// methods may be called from any goroutine; the zero value knows of no leader.
+// LeaderHint is a client's estimate of the leader of a log: the last voter that responded as the leader. While there is
+// no estimate, NextVoter rotates over all voters. Its methods may be called from any goroutine. The zero value has no
+// estimate.
 type LeaderHint struct {
 	mu     sync.Mutex
-	leader string // "": unknown
-	turn   int    // of the rotation over all voters
+	leader string // "" if unknown
+	turn   int    // number of calls of NextVoter
 }
 
-// Leader is the voter that answered last; "" if that is unknown.
+// Leader returns the last voter that responded as the leader, or "" if it is unknown.
 func (h *LeaderHint) Leader() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.leader
 }
 
-// NextVoter is the voter to ask while the leader is unknown. There is at least one.
+// NextVoter returns the voter to which the next request is sent while the leader is unknown. voters must not be empty.
 func (h *LeaderHint) NextVoter(voters []string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -26,21 +27,21 @@
 	return voter
 }
 
-// Answered notes that a voter answered as the leader.
+// Answered records that a voter responded as the leader.
 func (h *LeaderHint) Answered(voter string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.leader = voter
 }
 
-// Forget drops the hint.
+// Forget clears the estimate.
 func (h *LeaderHint) Forget() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.leader = ""
 }
 
-// ForgetVoter drops the hint if it names this voter.
+// ForgetVoter clears the estimate if it is the given voter.
 func (h *LeaderHint) ForgetVoter(voter string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/fleet/raftlog/log.go
+++ b/internal/fleet/raftlog/log.go
@@ -16,63 +16,66 @@
 )
 
 const (
-	// electionTimeout is how long a voter waits for a heartbeat before it stands for election.
+	// electionTimeout is the duration without a heartbeat after which a voter starts an election.
 	electionTimeout = 500 * time.Millisecond
-	// leaderLease is how long a leader goes on without contact to a quorum.
+	// leaderLease is the duration without contact to a quorum after which a leader steps down.
 	leaderLease = 250 * time.Millisecond
-	// commitInterval is how often a leader tells idle followers what is committed.
+	// commitInterval is the interval at which a leader sends the commit index to idle followers.
 	commitInterval = 25 * time.Millisecond
-	// applyTimeout bounds the wait until an entry is in the leader's queue.
+	// applyTimeout limits the wait for the leader to enqueue an entry, and for one exchange of the raft transport.
 	applyTimeout = time.Second
-	// transferTimeout bounds the transfer of leadership at a planned end: the node's other process may wait for it.
+	// transferTimeout limits the transfer of leadership during a planned shutdown, because the node's other process may
+	// be waiting for it.
 	transferTimeout = 150 * time.Millisecond
-	// closeTimeout bounds Close. Raft waits for every step that it has begun, each a second or less. A process that ends
-	// must not wait longer; one that hands over may, and its successor opens the log once it has ended.
+	// closeTimeout limits the time for Close. Raft completes every operation in progress, and each takes up to one second.
+	// A process that exits must not wait longer. A process that hands over may continue to close the log in the
+	// background: its successor opens the log after that.
 	closeTimeout = 4 * time.Second
-	// FileLockTimeout is how long the node's other process may hold the log's file.
+	// FileLockTimeout limits the wait for the lock on the log's file, which the node's other process may hold.
 	FileLockTimeout = 100 * time.Millisecond
 
 	// snapshotThreshold is the number of entries after which a snapshot is taken.
 	snapshotThreshold = 1024
-	// trailingEntries is the number of entries that are kept behind a snapshot, for followers that lag.
+	// trailingEntries is the number of entries that are retained after a snapshot, for followers that lag behind.
 	trailingEntries = 256
-	// snapshotsRetained is the number of snapshots on disk.
+	// snapshotsRetained is the number of snapshots retained on disk.
 	snapshotsRetained = 2
-	// connectionsPerVoter bounds the idle connections to each voter.
+	// connectionsPerVoter is the limit on idle connections to each voter.
 	connectionsPerVoter = 3
 
 	directoryMode = 0o700
 	logFile       = "log.db"
 )
 
-// ErrClosed says that this process's log was closed. A command that was proposed may have been committed all the same.
+// ErrClosed reports that this process closed its log. A command that was proposed before may still be committed.
 var ErrClosed = errors.New("the log is closed")
 
 // Log is this process's replica of a raft log. Its methods may be called from any goroutine.
 type Log struct {
-	name      string // of this voter
+	name      string // name of this voter
 	raft      *raft.Raft
 	store     *raftboltdb.BoltStore
 	layer     *StreamLayer
 	transport *raft.NetworkTransport
 	state     *stateMachine
 
-	closed      chan struct{} // closed once the log is shutting down
+	closed      chan struct{} // closed when the log starts to shut down
 	closeOnce   sync.Once
 	removed     chan struct{} // see Removed
 	removedOnce sync.Once
-	maintenance sync.WaitGroup
+	maintenance sync.WaitGroup // maintainMembership
 
 	mu              sync.Mutex
-	configured      VoterSet  // by this process's fleet file
-	configuredSince time.Time // when that was set
+	configured      VoterSet  // voter set in this process's fleet file
+	configuredSince time.Time // time at which configured was set
 }
 
-// Open opens the replica of the voter called name in a directory, with the voters that its fleet file names. Committed
-// entries are applied to fsm. A voter that is new with an edition beyond the first waits until the leader adds it.
+// Open opens the replica of the named voter in a directory. voters is the voter set in the process's fleet file, and
+// committed entries are applied to fsm. A new log is bootstrapped only with the first edition of the voter set; with a
+// later edition it stays empty until the leader adds this voter.
 func Open(directory, name string, voters VoterSet, layer *StreamLayer, fsm raft.FSM) (*Log, error) {
 	if err := os.MkdirAll(directory, directoryMode); err != nil {
-		return nil, fmt.Errorf("the book: %w", err)
+		return nil, fmt.Errorf("open raft log: %w", err)
 	}
 	path := filepath.Join(directory, logFile)
 	store, err := raftboltdb.New(raftboltdb.Options{
@@ -80,7 +83,7 @@
 		BoltOptions: &bbolt.Options{Timeout: FileLockTimeout},
 	})
 	if err != nil {
-		return nil, fmt.Errorf("the book: %s: %w", path, err)
+		return nil, fmt.Errorf("open raft log: %s: %w", path, err)
 	}
 	l := &Log{
 		name:            name,
@@ -94,13 +97,13 @@
 	}
 	if err := l.start(directory, voters); err != nil {
 		_ = store.Close()
-		return nil, fmt.Errorf("the book: %w", err)
+		return nil, fmt.Errorf("open raft log: %w", err)
 	}
 	l.maintenance.Go(l.maintainMembership)
 	return l, nil
 }
 
-// start starts raft, and bootstraps a log that is new and has the first voters.
+// start starts raft. It bootstraps a new log if voters has the first edition.
 func (l *Log) start(directory string, voters VoterSet) error {
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(directory, snapshotsRetained, hclog.NewNullLogger())
 	if err != nil {
@@ -136,7 +139,7 @@
 	config.CommitTimeout = commitInterval
 	config.SnapshotThreshold = snapshotThreshold
 	config.TrailingLogs = trailingEntries
-	config.Logger = hclog.NewNullLogger() // what matters shows in status and counters
+	config.Logger = hclog.NewNullLogger() // the services' status and counters replace raft's log
 	return config
 }
 
@@ -148,30 +151,31 @@
 	return servers
 }
 
-// IsLeader reports whether this process is the leader, as far as it knows. VerifyLeader asks a quorum.
+// IsLeader reports whether this process considers itself the leader. VerifyLeader confirms that with a quorum.
 func (l *Log) IsLeader() bool {
 	return l.raft.State() == raft.Leader
 }
 
-// Term is raft's term, as far as this process knows.
+// Term returns the raft term known to this process.
 func (l *Log) Term() uint64 {
 	return l.raft.CurrentTerm()
 }
 
-// Leader is the name of the leader as far as this process knows; "" if it knows of none.
+// Leader returns the name of the leader known to this process, or "" if it knows none.
 func (l *Log) Leader() string {
 	_, id := l.raft.LeaderWithID()
 	return string(id)
 }
 
-// VerifyLeader asks a quorum, and returns nil if this process still led at some time after the call.
+// VerifyLeader returns nil if a quorum confirms that this process was still the leader at some time after the call
+// began.
 func (l *Log) VerifyLeader() error {
 	return l.await(l.raft.VerifyLeader())
 }
 
-// Propose appends a command, encoded as JSON, and returns what the state machine returned for it once it is committed.
-// If that is an error, or this process does not lead, or the log is closed meanwhile, it returns the error; in the last
-// two cases the command may be committed all the same.
+// Propose appends a command, encoded as JSON, waits until it is committed and applied, and returns the result of the
+// state machine. It returns an error if the state machine returns one, if this process is not the leader, or if the log
+// is closed meanwhile. In the last two cases the command may still be committed.
 func (l *Log) Propose(command any) (any, error) {
 	data, err := json.Marshal(command)
 	if err != nil {
@@ -187,8 +191,8 @@
 	return future.Response(), nil
 }
 
-// await waits for a future or for Close. Raft never answers what is in its queue when it shuts down: without the second
-// a caller would wait for good.
+// await waits until a future completes or Close is called. Raft never completes the futures in its queue when it shuts
+// down, so that a caller that waits for the future alone could block forever.
 func (l *Log) await(future raft.Future) error {
 	done := make(chan error, 1)
 	go func() { done <- future.Error() }()
@@ -200,8 +204,8 @@
 	}
 }
 
-// Close transfers leadership if this process leads, and closes the log and its files. It reports whether that was done
-// within closeTimeout; if not, it goes on in the background.
+// Close transfers leadership if this process is the leader, and closes the log and its files. It returns false if that
+// takes longer than closeTimeout, and then continues in the background.
 func (l *Log) Close() bool {
 	done := make(chan struct{})
 	go func() {
@@ -228,7 +232,8 @@
 	_ = l.store.Close()
 }
 
-// transferLeadership spares the other voters an election timeout.
+// transferLeadership transfers leadership to another voter, so that the voters need not wait for an election timeout.
+// It returns after transferTimeout at the latest.
 func (l *Log) transferLeadership() {
 	transferred := make(chan struct{})
 	go func() {
--- a/internal/fleet/raftlog/log_test.go
+++ b/internal/fleet/raftlog/log_test.go
@@ -11,7 +11,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// sum is a state machine that adds up committed numbers.
+// sum is a state machine that computes the sum of the committed numbers.
 type sum struct {
 	mu    sync.Mutex
 	Total int `json:"total"`
@@ -32,7 +32,7 @@
 
 func (s *sum) Restore(r io.ReadCloser) error { return r.Close() }
 
-// openSingle opens a log with one voter, and waits until that leads.
+// openSingle opens a log with a single voter, and waits until that voter is the leader.
 func openSingle(t *testing.T, dir string, s *sum) *Log {
 	t.Helper()
 	layer := NewStreamLayer("n1", func(string, time.Duration) (net.Conn, error) { return nil, net.ErrClosed })
@@ -42,14 +42,15 @@
 	}
 	for end := time.Now().Add(10 * time.Second); !l.IsLeader(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("there is no leader")
+			t.Fatal("no leader after 10 s")
 		}
 	}
 	return l
 }
 
-// TestCloseAnswersPendingProposals: whoever proposes or verifies while the log is closed has an answer soon, or the
-// process would wait for it for good; and what was committed is there after the next start.
+// TestCloseAnswersPendingProposals checks that calls of Propose and VerifyLeader return soon after the log is closed.
+// Raft never completes such calls, so that the process would otherwise block forever. Committed entries must be present
+// after a restart.
 func TestCloseAnswersPendingProposals(t *testing.T) {
 	for range 5 {
 		dir, s := t.TempDir(), &sum{}
@@ -81,12 +82,12 @@
 		select {
 		case <-done:
 		case <-time.After(20 * time.Second):
-			t.Fatal("some wait still, 20 s after the end")
+			t.Fatal("some proposals are still pending 20 s after Close")
 		}
 		again := &sum{}
 		l = openSingle(t, dir, again)
 		if got, err := l.Propose(0); err != nil || got.(int) < s.Total {
-			t.Errorf("after the next start: %v, %v; %d before", got, err, s.Total)
+			t.Errorf("sum after a restart: got %v, error %v, want at least %d", got, err, s.Total)
 		}
 		l.Close()
 	}
--- a/internal/fleet/raftlog/membership.go
+++ b/internal/fleet/raftlog/membership.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// membershipInterval is how often the leader compares the raft configuration with the agreed voter set. A change takes
-	// one or two messages, so that a voter is replaced within some seconds.
+	// membershipInterval is the interval at which the leader compares the raft configuration with the committed voter
+	// set. A change takes one or two messages, so that a voter is replaced within a few seconds.
 	membershipInterval = 500 * time.Millisecond
-	// reachableTimeout bounds the dial that tests whether a voter is reachable.
+	// reachableTimeout limits the dial that checks whether a voter is reachable.
 	reachableTimeout = 300 * time.Millisecond
-	// removalGrace is for how long a server that is no voter by its fleet file goes on as one: the others may need its
-	// vote until they have changed the configuration.
+	// removalGrace is the duration for which a server continues as a voter after its fleet file no longer lists it. The
+	// other voters may need its vote until they have changed the raft configuration.
 	removalGrace = 15 * time.Second
 )
 
-// SetVoters takes the voter set of this process's fleet file, if its edition is higher than the one before. If this
-// process leads, it brings the raft configuration to that.
+// SetVoters sets the voter set from this process's fleet file, if its edition is higher than the previous one. If this
+// process is the leader, it then proposes the set and changes the raft configuration accordingly.
 func (l *Log) SetVoters(voters VoterSet) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -31,14 +31,14 @@
 	}
 }
 
-// Removed is closed once this process is not a voter any more, by its fleet file and by the raft configuration, or for
-// removalGrace by its fleet file alone.
+// Removed returns a channel that is closed once this process is no longer a voter: neither its fleet file nor the raft
+// configuration lists it, or its fleet file has not listed it for removalGrace.
 func (l *Log) Removed() <-chan struct{} {
 	return l.removed
 }
 
-// maintainMembership brings the raft configuration to the agreed voter set while this process leads, and finds that
-// this process was removed. It runs until Close.
+// maintainMembership changes the raft configuration to the committed voter set while this process is the leader, and
+// closes l.removed once this process is no longer a voter. It runs until Close.
 func (l *Log) maintainMembership() {
 	ticker := time.NewTicker(membershipInterval)
 	defer ticker.Stop()
@@ -67,15 +67,15 @@
 	return !l.isVoter(l.name) || time.Since(since) > removalGrace
 }
 
-// advanceMembership proposes this process's voter set if that is newer than the agreed one; else it takes the next step
-// to the agreed one. What comes of either shows at the next tick.
+// advanceMembership proposes this process's voter set if that is newer than the committed one. Otherwise it applies the
+// next change towards the committed voter set. The next tick retries if either fails.
 func (l *Log) advanceMembership(configured VoterSet) {
 	agreed := l.state.voterSet()
 	if configured.Edition > max(agreed.Edition, firstEdition) {
 		l.proposeVoters(configured)
 		return
 	}
-	if agreed.Edition == 0 { // the log was bootstrapped with the first edition, and has no other
+	if agreed.Edition == 0 { // the log has only the voters with which it was bootstrapped
 		return
 	}
 	l.applyChange(NextChange(l.membership(), agreed.Names, l.isReachable))
@@ -86,10 +86,10 @@
 	if err != nil {
 		return
 	}
-	_ = l.await(l.raft.Apply(entry, applyTimeout)) // proposed again at the next tick
+	_ = l.await(l.raft.Apply(entry, applyTimeout)) // the next tick retries after an error
 }
 
-// membership is the raft configuration, with this process as the leader.
+// membership returns the raft configuration with this process as the leader.
 func (l *Log) membership() Membership {
 	current := Membership{Leader: l.name}
 	for _, server := range l.servers() {
@@ -102,7 +102,7 @@
 	return current
 }
 
-// servers are those of the raft configuration that this process knows.
+// servers returns the servers of the raft configuration known to this process, or nil if it cannot be read.
 func (l *Log) servers() []raft.Server {
 	future := l.raft.GetConfiguration()
 	if future.Error() != nil {
@@ -111,12 +111,12 @@
 	return future.Configuration().Servers
 }
 
-// isVoter reports whether a server has a vote, as far as this process knows.
+// isVoter reports whether a server is a voter in the raft configuration known to this process.
 func (l *Log) isVoter(name string) bool {
 	return slices.Contains(l.membership().Voters, name)
 }
 
-// applyChange applies a change. A failure is left to the next tick.
+// applyChange applies a change to the raft configuration. The next tick retries after an error.
 func (l *Log) applyChange(change Change) {
 	id := raft.ServerID(change.Server)
 	address := raft.ServerAddress(change.Server)
@@ -133,7 +133,7 @@
 	}
 }
 
-// isReachable reports whether a voter's process accepts a stream.
+// isReachable reports whether a voter's process accepts a stream within reachableTimeout.
 func (l *Log) isReachable(name string) bool {
 	conn, err := l.layer.Dial(raft.ServerAddress(name), reachableTimeout)
 	if err != nil {
--- a/internal/fleet/raftlog/membership_change.go
+++ b/internal/fleet/raftlog/membership_change.go
@@ -2,34 +2,35 @@
 
 import "slices"
 
-// ChangeKind is what a Change does with a server.
+// ChangeKind is the kind of a Change.
 type ChangeKind int
 
 // The kinds of changes.
 const (
-	NoChange           ChangeKind = iota // the raft configuration is as wanted, or has to wait for a voter
-	RemoveServer                         // takes a voter or nonvoter out
-	AddNonvoter                          // adds a server that replicates the log and has no vote yet
-	PromoteToVoter                       // gives a nonvoter its vote
-	TransferLeadership                   // makes another voter the leader, since the present one is to go
+	NoChange           ChangeKind = iota // the configuration is the wanted one, or a wanted voter is unreachable
+	RemoveServer                         // removes a voter or nonvoter
+	AddNonvoter                          // adds a server that replicates the log without a vote
+	PromoteToVoter                       // makes a nonvoter a voter
+	TransferLeadership                   // transfers leadership from a leader that is not a wanted voter
 )
 
 // Change is one step from the present raft configuration to the wanted one.
 type Change struct {
 	Kind   ChangeKind
-	Server string // that it concerns; "" with NoChange
+	Server string // affected server, or new leader with TransferLeadership; "" with NoChange
 }
 
-// Membership is the present raft configuration, as the leader sees it.
+// Membership is the present raft configuration known to the leader.
 type Membership struct {
 	Leader    string
-	Voters    []string // with the leader
+	Voters    []string // including the leader
 	Nonvoters []string
 }
 
-// NextChange is the next step to the wanted voters. At no time does the quorum depend on more unreachable voters than
-// it must: extra voters that are unreachable are removed first, a new voter gets its vote only once it is reachable,
-// and an extra voter that is reachable stays until all new ones have their votes. The leader never removes itself.
+// NextChange returns the next change towards the wanted voters. It minimizes the number of unreachable voters on which
+// the quorum depends: unreachable voters that are not wanted are removed first, a new voter gets its vote only once it
+// is reachable, and reachable voters that are not wanted stay until all new voters have their votes. The leader never
+// removes itself.
 func NextChange(current Membership, wanted []string, reachable func(string) bool) Change {
 	if extra, found := current.unreachableExtraVoter(wanted, reachable); found {
 		return Change{Kind: RemoveServer, Server: extra}
@@ -39,7 +40,7 @@
 	}
 	for _, name := range wanted {
 		if !slices.Contains(current.Voters, name) {
-			return Change{} // it is unreachable as yet; nobody else goes meanwhile
+			return Change{} // the new voter is still unreachable; no reachable voter is removed before it has its vote
 		}
 	}
 	for _, name := range slices.Concat(current.Nonvoters, current.Voters) {
@@ -50,7 +51,7 @@
 	return current.nextLeader(wanted, reachable)
 }
 
-// unreachableExtraVoter finds a voter that is not wanted and cannot be reached.
+// unreachableExtraVoter returns a voter other than the leader that is not wanted and is unreachable.
 func (m Membership) unreachableExtraVoter(wanted []string, reachable func(string) bool) (name string, found bool) {
 	for _, voter := range m.Voters {
 		if !slices.Contains(wanted, voter) && voter != m.Leader && !reachable(voter) {
@@ -60,7 +61,7 @@
 	return "", false
 }
 
-// nextAddition adds a wanted server, or gives it the vote once it is reachable.
+// nextAddition returns the change that adds the next wanted server as a nonvoter, or promotes it once it is reachable.
 func (m Membership) nextAddition(wanted []string, reachable func(string) bool) Change {
 	for _, name := range wanted {
 		switch {
@@ -74,7 +75,7 @@
 	return Change{}
 }
 
-// nextLeader finds a successor for a leader that is not wanted.
+// nextLeader returns the change that transfers leadership to a reachable voter if the leader is not a wanted voter.
 func (m Membership) nextLeader(wanted []string, reachable func(string) bool) Change {
 	if slices.Contains(wanted, m.Leader) {
 		return Change{}
--- a/internal/fleet/raftlog/membership_change_test.go
+++ b/internal/fleet/raftlog/membership_change_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestNextChange: wherever enough servers are reachable, the changes end at the wanted voters: the leader never removes
-// itself, no vote goes to an unreachable server, and a wanted server is never removed.
+// TestNextChange checks that repeated changes end, and end at the wanted voters if all of these are reachable. The
+// leader must never remove itself, an unreachable server must never become a voter or the leader, and a wanted server
+// must never be removed.
 func TestNextChange(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -28,35 +29,36 @@
 			switch change.Kind {
 			case NoChange:
 				if server != "" {
-					t.Fatalf("no change, and a server: %+v", change)
+					t.Fatalf("NoChange with a server: %+v", change)
 				}
 				allReachable := !slices.ContainsFunc(wanted, func(w string) bool { return !reachable(w) })
 				for _, name := range names {
 					if slices.Contains(voters, name) != slices.Contains(wanted, name) && allReachable {
-						t.Fatalf("in the end %v, nonvoters %v, want %v, dead %v, led by %s", voters, nonvoters, wanted, dead, leader)
+						t.Fatalf("final voters %v, nonvoters %v, want %v; unreachable %v, leader %s",
+							voters, nonvoters, wanted, dead, leader)
 					}
 				}
 				return
 			case RemoveServer:
 				if server == leader || slices.Contains(wanted, server) {
-					t.Fatalf("%s is removed; led by %s, want %v", server, leader, wanted)
+					t.Fatalf("server %s is removed; leader %s, wanted voters %v", server, leader, wanted)
 				}
 				remove(server)
 			case AddNonvoter:
 				nonvoters = append(nonvoters, server)
 			case PromoteToVoter:
 				if !reachable(server) {
-					t.Fatalf("%+v, voters %v, dead %v", change, voters, dead)
+					t.Fatalf("promotion of an unreachable server: %+v, voters %v, unreachable %v", change, voters, dead)
 				}
 				remove(server)
 				voters = append(voters, server)
 			case TransferLeadership:
 				if !reachable(server) || !slices.Contains(voters, server) {
-					t.Fatalf("%+v, voters %v, dead %v", change, voters, dead)
+					t.Fatalf("transfer to an unreachable server or nonvoter: %+v, voters %v, unreachable %v", change, voters, dead)
 				}
 				leader = server
 			}
 		}
-		t.Fatal("the changes never end")
+		t.Fatal("no end of the changes after 30 steps")
 	})
 }
--- a/internal/fleet/raftlog/membership_test.go
+++ b/internal/fleet/raftlog/membership_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// pipeNetwork connects the voters of one test.
+// pipeNetwork connects the voters of one test by in-memory pipes.
 type pipeNetwork struct {
 	mu     sync.Mutex
 	layers map[string]*StreamLayer
@@ -47,7 +47,7 @@
 	return l
 }
 
-// awaitLeader waits until one of some voters leads.
+// awaitLeader waits until a quorum confirms one of the given voters as the leader, and returns that voter's log.
 func awaitLeader(t *testing.T, all ...*Log) *Log {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -57,7 +57,7 @@
 			}
 		}
 	}
-	t.Fatal("there is no leader")
+	t.Fatal("no leader after 30 s")
 	return nil
 }
 
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestReplaceLostVoter: a voter is lost for good, and another replaces it: from then on the log survives the loss of a
-// second of the first ones. A fleet file of an earlier edition changes nothing back.
+// TestReplaceLostVoter checks that a new voter can replace one that is lost permanently, and that the log then survives
+// the loss of a second of the original voters. A fleet file with an earlier edition must not revert the change.
 func TestReplaceLostVoter(t *testing.T) {
 	p := &pipeNetwork{layers: map[string]*StreamLayer{}}
 	first, second := VoterSet{1, []string{"a", "b", "c"}}, VoterSet{2, []string{"a", "c", "d"}}
@@ -86,10 +86,10 @@
 	p.disconnect("b")
 	logs["b"].Close()
 	sums["d"] = &sum{}
-	logs["d"] = p.open(t, "d", second, sums["d"]) // which waits to be taken in
+	logs["d"] = p.open(t, "d", second, sums["d"]) // stays empty until the leader adds it
 	logs["a"].SetVoters(second)
 	logs["c"].SetVoters(second)
-	await(t, "the new voter has no vote", func() bool {
+	await(t, "voter b was not replaced by voter d within 30 s", func() bool {
 		for _, n := range []string{"a", "c"} {
 			l := logs[n]
 			if l.IsLeader() && l.isVoter("d") && !l.isVoter("b") && len(l.servers()) == 3 {
@@ -99,16 +99,16 @@
 		return false
 	})
 	old := awaitLeader(t, logs["a"], logs["c"])
-	old.SetVoters(VoterSet{1, []string{"a", "b", "c"}}) // an earlier edition is nothing new
+	old.SetVoters(VoterSet{1, []string{"a", "b", "c"}}) // an earlier edition, which must be ignored
 	if got, err := old.Propose(1); err != nil || got != 8 {
-		t.Fatalf("%v, %v", got, err)
+		t.Fatalf("Propose after the replacement: got %v, error %v, want 8", got, err)
 	}
-	await(t, "the new voter does not hear what was agreed on", func() bool {
+	await(t, "the new voter did not apply the committed entries within 30 s", func() bool {
 		sums["d"].mu.Lock()
 		defer sums["d"].mu.Unlock()
 		return sums["d"].Total == 8
 	})
-	name := "a" // the leader is lost, too
+	name := "a" // the leader, which is lost too
 	if old == logs["c"] {
 		name = "c"
 	}
@@ -121,11 +121,12 @@
 		}
 	}
 	if got, err := awaitLeader(t, rest...).Propose(1); err != nil || got != 9 {
-		t.Errorf("with two of the second three: %v, %v", got, err)
+		t.Errorf("Propose with two of the three new voters: got %v, error %v, want 9", got, err)
 	}
 }
 
-// TestRemoveLeader: a leader that is no voter any more transfers its leadership, and is told that it was removed.
+// TestRemoveLeader checks that a leader that is no longer a voter transfers its leadership, and that its Removed
+// channel is closed.
 func TestRemoveLeader(t *testing.T) {
 	p := &pipeNetwork{layers: map[string]*StreamLayer{}}
 	a := p.open(t, "a", VoterSet{1, []string{"a"}}, &sum{})
@@ -140,10 +141,10 @@
 	select {
 	case <-a.Removed():
 	case <-time.After(30 * time.Second):
-		t.Fatal("it is not told that it was removed")
+		t.Fatal("Removed was not closed within 30 s")
 	}
 	if got, err := awaitLeader(t, b).Propose(1); err != nil || got != 6 {
-		t.Errorf("%v, %v", got, err)
+		t.Errorf("Propose at the new leader: got %v, error %v, want 6", got, err)
 	}
-	await(t, "it is a voter still", func() bool { return len(b.servers()) == 1 && b.isVoter("b") })
+	await(t, "the old leader was not removed within 30 s", func() bool { return len(b.servers()) == 1 && b.isVoter("b") })
 }
--- a/internal/fleet/raftlog/participant.go
+++ b/internal/fleet/raftlog/participant.go
@@ -10,35 +10,37 @@
 	"github.com/hashicorp/raft"
 )
 
-// ParticipantConfig says which log a process keeps, and who is told of it.
+// ParticipantConfig configures a Participant.
 type ParticipantConfig struct {
-	Name       string   // of the node
-	Voters     VoterSet // by the fleet file
-	Directory  string   // of the log
-	LogMessage string   // of lines in the process's log
-	Log        *slog.Logger
+	Name       string       // node name
+	Voters     VoterSet     // voter set in the fleet file
+	Directory  string       // directory of the log
+	LogMessage string       // message of the Participant's log lines
+	Log        *slog.Logger // nil disables logging
 	// Dial opens a stream to another voter.
 	Dial Dialer
-	// NewState makes an empty state machine, at each opening of the log.
+	// NewState returns an empty state machine. It is called each time before the log is opened.
 	NewState func() raft.FSM
-	// OnOpen is called when the log is open, OnClose before it is closed: in turns, from one goroutine, with no lock held.
+	// OnOpen is called after the log has been opened, and OnClose before it is closed. The two are called alternately,
+	// from one goroutine, without any lock held.
 	OnOpen  func(*Log, raft.FSM)
 	OnClose func()
 }
 
-// Participant keeps a log open while its process holds the node's membership and the node is a voter.
+// Participant keeps a log open as long as its process holds the node's membership and the node is a voter. Its methods
+// may be called from any goroutine.
 type Participant struct {
 	config ParticipantConfig
 
 	mu     sync.Mutex
 	voters VoterSet
-	stop   chan struct{} // nil: the process does not hold the node's membership
-	layer  *StreamLayer  // nil: it is no voter
-	log    *Log          // nil: it is no voter, or the log is not open yet
+	stop   chan struct{} // closed by Stop; nil if the process does not hold the node's membership
+	layer  *StreamLayer  // nil if the node is not a voter
+	log    *Log          // nil if the node is not a voter or the log is not open yet
 	tasks  sync.WaitGroup
 }
 
-// NewParticipant returns a Participant that does nothing until Start.
+// NewParticipant returns a Participant that is idle until Start.
 func NewParticipant(config ParticipantConfig) *Participant {
 	if config.Log == nil {
 		config.Log = slog.New(slog.DiscardHandler)
@@ -46,8 +48,8 @@
 	return &Participant{config: config, voters: config.Voters}
 }
 
-// Start opens the log if the node is a voter, and keeps it open until Stop. The process has just taken the node's
-// membership. It may be called again after Stop.
+// Start opens the log if the node is a voter, and keeps it open until Stop. The caller has acquired the node's
+// membership for this process. Start may be called again after Stop.
 func (p *Participant) Start() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,7 +57,7 @@
 	p.joinLocked()
 }
 
-// Stop ends what Start began, and returns once the log is closed.
+// Stop closes the log, and returns after it is closed.
 func (p *Participant) Stop() {
 	p.mu.Lock()
 	stop := p.stop
@@ -68,7 +70,7 @@
 	}
 }
 
-// SetVoters takes the voter set of a fleet file that was read again.
+// SetVoters sets the voter set after the fleet file was reloaded. It opens the log if the node has become a voter.
 func (p *Participant) SetVoters(voters VoterSet) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,14 +81,15 @@
 	p.joinLocked()
 }
 
-// Voters is the voter set by this process's fleet file.
+// Voters returns the voter set in this process's fleet file.
 func (p *Participant) Voters() VoterSet {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.voters
 }
 
-// ServeStream takes a stream from another voter, and returns once that is closed.
+// ServeStream serves a stream from another voter, and returns after the stream is closed. It returns immediately if
+// this node is not a voter.
 func (p *Participant) ServeStream(conn net.Conn, _ string) {
 	p.mu.Lock()
 	layer := p.layer
@@ -96,7 +99,8 @@
 	}
 }
 
-// joinLocked begins to keep the log if this process is a voter and does not keep it yet. The caller holds the lock.
+// joinLocked starts a goroutine that opens the log, if this node is a voter and no such goroutine runs. The caller
+// holds p.mu.
 func (p *Participant) joinLocked() {
 	if p.stop == nil || p.layer != nil || !slices.Contains(p.voters.Names, p.config.Name) {
 		return
@@ -107,7 +111,7 @@
 	p.tasks.Go(func() { p.keep(layer, stop) })
 }
 
-// keep opens the log, and closes it once the process stops or is no voter any more.
+// keep opens the log, waits until stop is closed or this process is no longer a voter, and closes the log.
 func (p *Participant) keep(layer *StreamLayer, stop chan struct{}) {
 	state := p.config.NewState()
 	log := p.open(layer, state, stop)
@@ -116,7 +120,7 @@
 	}
 	p.mu.Lock()
 	p.log = log
-	log.SetVoters(p.voters) // which may have changed since it was opened
+	log.SetVoters(p.voters) // the voter set may have changed since the log was opened
 	p.mu.Unlock()
 	p.config.OnOpen(log, state)
 	select {
@@ -128,8 +132,8 @@
 	p.close(log, layer)
 }
 
-// open opens the log, again and again until it can: the node's other process may hold its file. It returns nil once the
-// process stops.
+// open opens the log, and retries until it succeeds: the node's other process may hold the lock on the file. It returns
+// nil once stop is closed.
 func (p *Participant) open(layer *StreamLayer, state raft.FSM, stop chan struct{}) *Log {
 	logged := false
 	for {
@@ -149,11 +153,11 @@
 	}
 }
 
-// close closes the log, and joins again if the process became a voter meanwhile.
+// close closes the log, and opens it again if this node became a voter again meanwhile.
 func (p *Participant) close(log *Log, layer *StreamLayer) {
 	p.mu.Lock()
 	p.log = nil
-	if p.layer == layer { // else Stop, or a later Start, has replaced it
+	if p.layer == layer { // otherwise Stop or a later Start has replaced it
 		p.layer = nil
 	}
 	p.mu.Unlock()
--- a/internal/fleet/raftlog/snapshot.go
+++ b/internal/fleet/raftlog/snapshot.go
@@ -8,7 +8,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// Snapshot is a state machine's state, encoded as JSON.
+// Snapshot is the JSON encoding of a state machine's state. It implements raft.FSMSnapshot.
 type Snapshot []byte
 
 // Persist implements raft.FSMSnapshot.
@@ -23,17 +23,17 @@
 // Release implements raft.FSMSnapshot.
 func (Snapshot) Release() {}
 
-// EncodeSnapshot encodes a state, which must not change during the call.
+// EncodeSnapshot returns a Snapshot of a state. The state must not change during the call.
 func EncodeSnapshot(state any) (raft.FSMSnapshot, error) {
 	data, err := json.Marshal(state)
 	return Snapshot(data), err
 }
 
-// DecodeSnapshot decodes a snapshot into a new state, and closes it. The name of the state is for the error.
+// DecodeSnapshot decodes a snapshot into a state and closes the snapshot. The name of the state appears in the error.
 func DecodeSnapshot(snapshot io.ReadCloser, name string, into any) error {
 	defer func() { _ = snapshot.Close() }()
 	if err := json.NewDecoder(snapshot).Decode(into); err != nil {
-		return fmt.Errorf("snapshot of the %s: %w", name, err)
+		return fmt.Errorf("decode %s snapshot: %w", name, err)
 	}
 	return nil
 }
--- a/internal/fleet/raftlog/state_machine.go
+++ b/internal/fleet/raftlog/state_machine.go
@@ -10,7 +10,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// stateMachine is the service's state machine with the voter set that was agreed on last.
+// stateMachine extends the service's state machine by the last committed voter set.
 type stateMachine struct {
 	raft.FSM
 
@@ -18,7 +18,7 @@
 	voters VoterSet
 }
 
-// voterSet is the voter set that was agreed on last.
+// voterSet returns the last committed voter set.
 func (s *stateMachine) voterSet() VoterSet {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,7 +32,7 @@
 	}
 	voters, err := decodeVoterSet(entry.Data)
 	if err != nil {
-		return fmt.Errorf("log entry %d: roster: %w", entry.Index, err)
+		return fmt.Errorf("log entry %d: decode voter set: %w", entry.Index, err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,7 +51,7 @@
 	return votersSnapshot{FSMSnapshot: inner, voters: s.voterSet()}, nil
 }
 
-// votersSnapshot writes the voter set on a line before the service's snapshot.
+// votersSnapshot is a snapshot with a line that holds the voter set, followed by the service's snapshot.
 type votersSnapshot struct {
 	raft.FSMSnapshot
 	voters VoterSet
@@ -70,12 +70,12 @@
 	return s.FSMSnapshot.Persist(sink)
 }
 
-// Restore implements raft.FSM. Snapshots of programs that could not change voters begin without a voter set.
+// Restore implements raft.FSM. Snapshots from builds that could not change the voters have no voter set.
 func (s *stateMachine) Restore(snapshot io.ReadCloser) error {
 	in := bufio.NewReader(snapshot)
 	voters, err := readVoterSet(in)
 	if err != nil {
-		return errors.Join(fmt.Errorf("snapshot of the roster: %w", err), snapshot.Close())
+		return errors.Join(fmt.Errorf("decode voter set in snapshot: %w", err), snapshot.Close())
 	}
 	s.mu.Lock()
 	s.voters = voters
@@ -83,11 +83,11 @@
 	return s.FSM.Restore(bufferedSnapshot{Reader: in, Closer: snapshot})
 }
 
-// readVoterSet reads the voter set at the beginning of a snapshot, if there is one.
+// readVoterSet reads the voter set at the beginning of a snapshot. It returns the zero VoterSet if there is none.
 func readVoterSet(in *bufio.Reader) (VoterSet, error) {
 	first, err := in.Peek(1)
 	if err != nil || !isVoterSet(first) {
-		return VoterSet{}, nil // without one; the service's state machine finds what is wrong with it
+		return VoterSet{}, nil // no voter set; the service's state machine reports read errors
 	}
 	line, err := in.ReadBytes('\n')
 	if err != nil {
@@ -96,7 +96,7 @@
 	return decodeVoterSet(line)
 }
 
-// bufferedSnapshot is a snapshot of which the beginning was read.
+// bufferedSnapshot is the remainder of a snapshot after the voter set has been read.
 type bufferedSnapshot struct {
 	io.Reader
 	io.Closer
--- a/internal/fleet/raftlog/state_machine_test.go
+++ b/internal/fleet/raftlog/state_machine_test.go
@@ -17,12 +17,13 @@
 func (*sink) Cancel() error { return nil }
 func (*sink) ID() string    { return "" }
 
-// TestVoterSetInSnapshot: a snapshot holds the voter set; one of a program that knew of none is read, too.
+// TestVoterSetInSnapshot checks that a snapshot includes the voter set, and that snapshots from builds without voter
+// sets are still restored.
 func TestVoterSetInSnapshot(t *testing.T) {
 	s := &stateMachine{FSM: &sum{}}
 	line, _ := json.Marshal(VoterSet{3, []string{"x"}})
 	s.Apply(&raft.Log{Data: append([]byte{voterSetMarker}, line...)})
-	s.Apply(&raft.Log{Data: append([]byte{voterSetMarker}, `{"edition":2,"names":["y"]}`...)}) // an earlier one
+	s.Apply(&raft.Log{Data: append([]byte{voterSetMarker}, `{"edition":2,"names":["y"]}`...)}) // an earlier edition
 	snap, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -35,7 +36,7 @@
 		again := &stateMachine{FSM: &sum{}}
 		err := again.Restore(io.NopCloser(bytes.NewBufferString(text)))
 		if err != nil || fmt.Sprint(again.voterSet()) != fmt.Sprint(want) {
-			t.Errorf("%q: %v, %v", text, again.voterSet(), err)
+			t.Errorf("restore %q: unexpected voter set %v, error %v", text, again.voterSet(), err)
 		}
 	}
 	if err := (&stateMachine{FSM: &sum{}}).Restore(io.NopCloser(bytes.NewBufferString("\x01{"))); err == nil {
--- a/internal/fleet/raftlog/stored_format_test.go
+++ b/internal/fleet/raftlog/stored_format_test.go
@@ -11,7 +11,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// readStored returns a file as an earlier program wrote it.
+// readStored returns the contents of a testdata file that an earlier build wrote.
 func readStored(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", name))
@@ -21,17 +21,18 @@
 	return data
 }
 
-// TestStoredFormat guards against a change of the bytes of log entries and snapshots: voters of both builds read them.
+// TestStoredFormat checks that the encoding of log entries and snapshots does not change. During an upgrade, voters of
+// two builds read the same log.
 func TestStoredFormat(t *testing.T) {
 	want := VoterSet{Edition: 3, Names: []string{"n1", "n2", "n4"}}
 	entry, snapshot := readStored(t, "entry.bin"), readStored(t, "snapshot.bin")
 
 	applied := &stateMachine{FSM: &sum{}}
 	if got := applied.Apply(&raft.Log{Data: entry}); got != nil {
-		t.Fatalf("the entry is not applied: %v", got)
+		t.Fatalf("apply the stored entry: got %v, want nil", got)
 	}
 	if got := applied.voterSet(); !reflect.DeepEqual(got, want) {
-		t.Errorf("from the entry: %+v", got)
+		t.Errorf("unexpected voter set from the stored entry: %+v", got)
 	}
 
 	restored := &stateMachine{FSM: &sum{}}
@@ -39,7 +40,7 @@
 		t.Fatal(err)
 	}
 	if got := restored.voterSet(); !reflect.DeepEqual(got, want) {
-		t.Errorf("from the snapshot: %+v", got)
+		t.Errorf("unexpected voter set from the stored snapshot: %+v", got)
 	}
 
 	taken, err := applied.Snapshot()
@@ -51,6 +52,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(written.Bytes(), snapshot) {
-		t.Errorf("the snapshot is written as %q, not %q", written.Bytes(), snapshot)
+		t.Errorf("snapshot encoded as %q, want %q", written.Bytes(), snapshot)
 	}
 }
--- a/internal/fleet/raftlog/stream_layer.go
+++ b/internal/fleet/raftlog/stream_layer.go
@@ -11,16 +11,16 @@
 // Dialer opens a stream to another voter.
 type Dialer func(name string, timeout time.Duration) (net.Conn, error)
 
-// StreamLayer carries raft's messages over streams between members. It implements raft.StreamLayer.
+// StreamLayer transports raft's messages over streams between members. It implements raft.StreamLayer.
 type StreamLayer struct {
-	name      string // of this voter
+	name      string // name of this voter
 	dial      Dialer
 	accepted  chan net.Conn
 	closed    chan struct{}
 	closeOnce sync.Once
 }
 
-// NewStreamLayer returns the layer of the voter called name.
+// NewStreamLayer returns the stream layer of the named voter.
 func NewStreamLayer(name string, dial Dialer) *StreamLayer {
 	return &StreamLayer{
 		name:     name,
@@ -30,7 +30,7 @@
 	}
 }
 
-// memberAddress is a voter's address: members know each other by name.
+// memberAddress is the address of a voter, which is its member name.
 type memberAddress string
 
 // Network implements net.Addr.
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// Serve hands an incoming stream to raft, and returns once raft or the layer has closed it.
+// Serve passes an incoming stream to raft, and returns once raft has closed the stream or the layer is closed.
 func (l *StreamLayer) Serve(conn net.Conn) {
 	observed := &closeNotifier{Conn: conn, closed: make(chan struct{})}
 	select {
@@ -79,7 +79,7 @@
 	}
 }
 
-// closeNotifier is a connection that tells when it is closed.
+// closeNotifier is a connection that closes a channel when it is closed.
 type closeNotifier struct {
 	net.Conn
 	once   sync.Once
--- a/internal/fleet/record/record.go
+++ b/internal/fleet/record/record.go
@@ -1,6 +1,6 @@
-// Package record writes what a process of a fleet believed and did: a line of JSON for each event, with the time of the
-// machine's monotonic clock. All processes of a machine share that clock, so that whoever judges a fleet can compare
-// the records of its processes with what was seen from outside.
+// Package record writes the state changes and actions of a fleet process to a file, as one line of JSON per event with
+// the time of the machine's monotonic clock. All processes of a machine share that clock, so that a test can compare
+// the records of several processes with its own observations.
 package record
 
 import (
@@ -15,7 +15,7 @@
 
 const fileMode = 0o600
 
-// Line is one event. Its kind names the form of the data.
+// Line is one event. Kind determines the type of Data.
 type Line struct {
 	At   int64           `json:"at"` // nanoseconds of CLOCK_MONOTONIC
 	Node string          `json:"node"`
@@ -24,17 +24,17 @@
 	Data json.RawMessage `json:"data,omitempty"`
 }
 
-// Now is the machine's monotonic clock.
+// Now returns the time of the machine's monotonic clock.
 func Now() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
-		return 0 // a kernel without that clock runs no Go
+		return 0 // does not happen: Go itself requires a kernel with this clock
 	}
 	return time.Duration(t.Nano())
 }
 
-// Recorder writes a process's record. A nil Recorder records nothing. Each line is one write, so that the lines of a
-// process that was killed are complete. Its methods may be called from any goroutine.
+// Recorder writes the record of one process. A nil Recorder records nothing. Each line is a single write, so that a
+// process that is killed leaves no partial line. Its methods may be called from any goroutine.
 type Recorder struct {
 	node string
 
@@ -42,7 +42,7 @@
 	file *os.File
 }
 
-// Open opens the record of a node for appending.
+// Open opens the record file of a node for appending, and creates it if it does not exist.
 func Open(path, node string) (*Recorder, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
 	if err != nil {
@@ -51,8 +51,8 @@
 	return &Recorder{node: node, file: file}, nil
 }
 
-// Write records an event that happens now; data may be nil. A process goes on if its record cannot be written: then
-// lines are missing.
+// Write records an event with the present time; data may be nil. Errors are ignored so that the process continues: the
+// record then lacks the line.
 func (r *Recorder) Write(kind string, data any) {
 	if r == nil {
 		return
@@ -62,7 +62,7 @@
 	_ = r.writeLocked(kind, data)
 }
 
-// writeLocked takes the time with the lock held, so that the lines of a file are in order.
+// writeLocked writes one line. The caller holds r.mu, so that the lines of a file are in order of their times.
 func (r *Recorder) writeLocked(kind string, data any) error {
 	line := Line{At: int64(Now()), Node: r.node, PID: os.Getpid(), Kind: kind}
 	if data != nil {
--- a/internal/fleet/record/record_test.go
+++ b/internal/fleet/record/record_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestStoredFormat guards against a change of the record's bytes: a record outlives the program that began it.
+// TestStoredFormat checks that the encoding of a record does not change: later builds read and append to the file.
 func TestStoredFormat(t *testing.T) {
 	stored, err := os.ReadFile(filepath.Join("testdata", "record.jsonl"))
 	if err != nil {
@@ -21,23 +21,23 @@
 	}
 	lines := bytes.Split(bytes.TrimSpace(stored), []byte("\n"))
 	if len(lines) != len(want) {
-		t.Fatalf("%d lines, not %d", len(lines), len(want))
+		t.Fatalf("stored record has %d lines, want %d", len(lines), len(want))
 	}
 	for i, line := range lines {
 		var got Line
 		if err := json.Unmarshal(line, &got); err != nil {
-			t.Fatalf("%s: %v", line, err)
+			t.Fatalf("decode %s: %v", line, err)
 		}
 		if got.At != want[i].At || got.Node != want[i].Node || got.PID != want[i].PID || got.Kind != want[i].Kind ||
 			!bytes.Equal(got.Data, want[i].Data) {
-			t.Errorf("%s is read as %+v", line, got)
+			t.Errorf("unexpected value decoded from %s: %+v", line, got)
 		}
 		written, err := json.Marshal(got)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if !bytes.Equal(written, line) {
-			t.Errorf("%s is written as %s", line, written)
+			t.Errorf("%s encoded again as %s, want no change", line, written)
 		}
 	}
 }
