--- a/internal/fleet/callstore/client.go
+++ b/internal/fleet/callstore/client.go
@@ -83,24 +83,24 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	voter := c.hint.Leader()
-	var got response
+	var resp response
 	var err error
 	for {
 		if voter == "" {
 			voter = c.hint.NextVoter(c.config.voters())
 		}
 		if !c.isPaused() {
-			got, err = c.askVoter(ctx, r, voter)
-			if err == nil && got.Refusal == "" {
+			resp, err = c.askVoter(ctx, r, voter)
+			if err == nil && resp.Refusal == "" {
 				c.noteAnswer(voter)
-				return got, nil
+				return resp, nil
 			}
-			c.noteRefusal(voter, got.Leader)
-			voter = got.Leader
+			c.noteRefusal(voter, resp.Leader)
+			voter = resp.Leader
 		}
 		select {
 		case <-ctx.Done():
-			return got, noLeaderError(err, got.Refusal)
+			return resp, noLeaderError(err, resp.Refusal)
 		case <-time.After(retryInterval):
 		}
 	}
@@ -144,8 +144,8 @@
 // askVoter sends a request to one voter, without retries. The response is empty if the error is not nil.
 func (c *client) askVoter(ctx context.Context, r request, voter string) (response, error) {
 	if voter == c.config.name {
-		if got, answered := c.config.answer(r); answered {
-			return got, nil
+		if resp, answered := c.config.answer(r); answered {
+			return resp, nil
 		}
 	}
 	s, err := c.connect(voter)
--- a/internal/fleet/callstore/command.go
+++ b/internal/fleet/callstore/command.go
@@ -8,7 +8,7 @@
 	Fingerprint string `json:"print"` // fingerprint of the client's request; all requests with one key must have the same
 	Owner       Owner  `json:"owner"`
 	Idempotent  bool   `json:"again,omitempty"` // the call may run more than once
-	MaxOwners   int    `json:"most"`            // limit on owners that may send the call; Begin replaces 0 by the default
+	MaxOwners   int    `json:"most"`            // limit on owners of the call; Begin replaces 0 by Config.MaxOwners
 }
 
 // BeginResult is the result of a BeginRequest. Exactly one of Granted, State, KeyConflict, StoreFull and
--- a/internal/fleet/callstore/entry_index.go
+++ b/internal/fleet/callstore/entry_index.go
@@ -37,10 +37,10 @@
 	}
 }
 
-// popOlderThan removes and returns the entry that changed least recently, if it changed before oldest, in milliseconds
+// popOlderThan removes and returns the entry that changed least recently, if it changed before cutoff, in milliseconds
 // of the ledger's clock. It returns nil if there is none. Running calls are never returned.
-func (x *entryIndex) popOlderThan(oldest int64) *entry {
-	if len(x.expiring) == 0 || x.expiring[0].ChangedAt >= oldest {
+func (x *entryIndex) popOlderThan(cutoff int64) *entry {
+	if len(x.expiring) == 0 || x.expiring[0].ChangedAt >= cutoff {
 		return nil
 	}
 	return heap.Pop(&x.expiring).(*entry)
--- a/internal/fleet/callstore/leader.go
+++ b/internal/fleet/callstore/leader.go
@@ -17,7 +17,7 @@
 	// view of the fleet.
 	sweepInterval = time.Second
 	// unknownMemberGrace is the duration for which a leader must have been a member before it considers an owner failed
-	// because the view does not list the owner's node. By then gossip has spread all members.
+	// because the view does not list the owner's node. By then the leader has received the full member list by gossip.
 	unknownMemberGrace = 15 * time.Second
 )
 
@@ -68,8 +68,8 @@
 	}
 }
 
-// sweep releases the calls of processes that have failed in the last view, once per sweepInterval. An owner may have
-// failed before this process became the leader, and then no new view follows.
+// sweep releases the calls of processes that have failed in the last view, once per sweepInterval. Without it, the
+// calls of an owner that failed before this process became the leader would stay running until the next view.
 func (s *Service) sweep(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -111,13 +111,13 @@
 	}
 }
 
-// hasFailed reports whether a process is considered failed, given the duration known for which this process has been a
+// hasFailed reports whether a process is considered failed. membershipAge is the time since this process became a
 // member. A node that has started a later incarnation has ended the one before it, because only one process at a time
 // uses the node's directory. An incarnation that is newer than the one in the view has not failed.
-func hasFailed(view *member.View, p process, known time.Duration) bool {
+func hasFailed(view *member.View, p process, membershipAge time.Duration) bool {
 	m, found := view.Lookup(p.Name)
 	if !found {
-		return known > unknownMemberGrace
+		return membershipAge > unknownMemberGrace
 	}
 	if m.Incarnation.String() == p.Incarnation {
 		return !m.State.Present()
--- a/internal/fleet/callstore/ledger.go
+++ b/internal/fleet/callstore/ledger.go
@@ -178,9 +178,9 @@
 
 // expire deletes the entries that have not changed for limits.Retention. A running call never expires.
 func (l *ledger) expire(limits Limits) {
-	oldest := l.Clock - limits.Retention.Milliseconds()
+	cutoff := l.Clock - limits.Retention.Milliseconds()
 	for {
-		e := l.index.popOlderThan(oldest)
+		e := l.index.popOlderThan(cutoff)
 		if e == nil {
 			return
 		}
--- a/internal/fleet/callstore/ledger_test.go
+++ b/internal/fleet/callstore/ledger_test.go
@@ -36,7 +36,7 @@
 func TestCallRunsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newLedger()
-		const most = 3
+		const maxOwners = 3
 		type sends struct{ total, counted int }
 		sent := map[string]*sends{}
 		outcomes := map[string]string{}
@@ -54,18 +54,18 @@
 				calls++
 				o := Owner{fmt.Sprint("n", rapid.IntRange(1, 3).Draw(t, "node")), "h/1", calls}
 				c = command{Now: now, Begin: &BeginRequest{
-					Key: key, Fingerprint: key, Owner: o, Idempotent: idempotent, MaxOwners: most,
+					Key: key, Fingerprint: key, Owner: o, Idempotent: idempotent, MaxOwners: maxOwners,
 				}}
 			case 4, 5, 6: // a call ends
-				var some []Owner
+				var owners []Owner
 				for o := range granted {
-					some = append(some, o)
+					owners = append(owners, o)
 				}
-				if len(some) == 0 {
+				if len(owners) == 0 {
 					continue
 				}
-				o := some[0]
-				for _, other := range some { // the earliest owner, because map order would make replays differ
+				o := owners[0]
+				for _, other := range owners { // the earliest owner, because map order would make replays differ
 					if other.Call < o.Call {
 						o = other
 					}
@@ -126,7 +126,7 @@
 				}
 			}
 			for k, o := range sent {
-				if k != "k4" && o.total > 1 || o.counted > most {
+				if k != "k4" && o.total > 1 || o.counted > maxOwners {
 					t.Fatalf("call %s: sent by %d owners, %d of them counted towards MaxOwners", k, o.total, o.counted)
 				}
 			}
@@ -162,8 +162,8 @@
 // TestReleaseFormat checks the JSON encoding of a ReleaseRequest, which earlier builds read and write too. Their name
 // for an incarnation is Life.
 func TestReleaseFormat(t *testing.T) {
-	const form = `{"processes":[{"Name":"n1","Life":"h/1"}]}`
-	if said, err := json.Marshal(ReleaseRequest{[]process{{"n1", "h/1"}}}); err != nil || string(said) != form {
-		t.Errorf("ReleaseRequest encoded as %s, want %s (error %v)", said, form, err)
+	const want = `{"processes":[{"Name":"n1","Life":"h/1"}]}`
+	if got, err := json.Marshal(ReleaseRequest{[]process{{"n1", "h/1"}}}); err != nil || string(got) != want {
+		t.Errorf("ReleaseRequest encoded as %s, want %s (error %v)", got, want, err)
 	}
 }
--- a/internal/fleet/callstore/owner.go
+++ b/internal/fleet/callstore/owner.go
@@ -42,20 +42,20 @@
 		go func() { _, _ = s.client.ask(context.Background(), request{Begin: &begin}, beginTimeout) }()
 		return BeginResult{Granted: true}, nil
 	}
-	got, err := s.client.ask(ctx, request{Begin: &begin}, beginTimeout)
+	resp, err := s.client.ask(ctx, request{Begin: &begin}, beginTimeout)
 	if err != nil {
 		s.counters.rejected.Add(1)
 		// The leader may have granted the request although no response arrived. The call is not sent, so it is free.
 		s.reportLater(EndRequest{Key: begin.Key, Fingerprint: begin.Fingerprint, Owner: begin.Owner, State: Free})
 		return BeginResult{}, err
 	}
-	if got.BeginResult.Granted {
+	if resp.BeginResult.Granted {
 		s.counters.begun.Add(1)
 		s.config.Record.Write("begun", begin)
 	} else {
 		s.counters.elsewhere.Add(1)
 	}
-	return got.BeginResult, nil
+	return resp.BeginResult, nil
 }
 
 // End reports the final state of a call to the leader, waits up to endTimeout for the response, and returns whether the
@@ -68,12 +68,12 @@
 	case Unknown:
 		s.counters.unknown.Add(1)
 	}
-	got, err := s.client.ask(context.Background(), request{End: &end}, endTimeout)
+	resp, err := s.client.ask(context.Background(), request{End: &end}, endTimeout)
 	if err != nil {
 		s.reportLater(end)
 		return false
 	}
-	return got.EndAccepted
+	return resp.EndAccepted
 }
 
 // reportLater sends a report in the background, or drops it if maxPendingReports are pending.
--- a/internal/fleet/callstore/replicas_test.go
+++ b/internal/fleet/callstore/replicas_test.go
@@ -30,8 +30,8 @@
 			case 0, 1:
 				c.Begin = &BeginRequest{Key: key, Fingerprint: key, Owner: owner, Idempotent: key == "k0", MaxOwners: 2}
 			case 2, 3:
-				if p := one.Entries[key]; p != nil {
-					owner = p.Owner
+				if e := one.Entries[key]; e != nil {
+					owner = e.Owner
 				}
 				state := rapid.SampledFrom([]State{Answered, Unknown, Free}).Draw(t, "state")
 				c.End = &EndRequest{Key: key, Fingerprint: key, Owner: owner, State: state}
@@ -65,8 +65,8 @@
 			for _, all := range other.index.running {
 				indexed += len(all)
 			}
-			for _, p := range other.Entries {
-				size += p.bodySize()
+			for _, e := range other.Entries {
+				size += e.bodySize()
 			}
 			if indexed != len(other.Entries) || size != other.outcomeBytes {
 				t.Fatalf("%d entries, %d in the index; %d bytes, %d counted", len(other.Entries), indexed, size, other.outcomeBytes)
--- a/internal/fleet/callstore/server.go
+++ b/internal/fleet/callstore/server.go
@@ -16,8 +16,8 @@
 	requests := json.NewDecoder(conn)
 	responses := &responseWriter{conn: conn, encoder: json.NewEncoder(conn)}
 	slots := make(chan struct{}, maxConcurrentRequests)
-	var open sync.WaitGroup
-	defer open.Wait()
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	for {
 		var r request
 		if err := requests.Decode(&r); err != nil {
@@ -27,7 +27,7 @@
 			return // a node may only send requests for its own owners
 		}
 		slots <- struct{}{}
-		open.Go(func() {
+		inFlight.Go(func() {
 			defer func() { <-slots }()
 			responses.write(s.answer(r))
 		})
@@ -54,20 +54,20 @@
 // answer processes a request if this process is the leader. Otherwise the response has a Refusal and the leader known
 // to this process, if any.
 func (s *Service) answer(r request) response {
-	got := response{Number: r.Number}
+	resp := response{Number: r.Number}
 	result, err := s.propose(command{Begin: r.Begin, End: r.End})
 	if err != nil {
-		got.Refusal = err.Error()
-		got.Leader = s.knownLeader()
-		return got
+		resp.Refusal = err.Error()
+		resp.Leader = s.knownLeader()
+		return resp
 	}
 	switch result := result.(type) {
 	case BeginResult:
-		got.BeginResult = result
+		resp.BeginResult = result
 	case bool:
-		got.EndAccepted = result
+		resp.EndAccepted = result
 	}
-	return got
+	return resp
 }
 
 // knownLeader returns the leader known to this process, or "" if it knows none or is not a voter.
@@ -84,9 +84,9 @@
 // membership: the node's other process may then be the voter.
 func (s *Service) answerLocally(r request) (response, bool) {
 	s.mu.Lock()
-	holdsPlace := s.incarnation != ""
+	holdsMembership := s.incarnation != ""
 	s.mu.Unlock()
-	if !holdsPlace {
+	if !holdsMembership {
 		return response{}, false
 	}
 	return s.answer(r), true
--- a/internal/fleet/callstore/stream.go
+++ b/internal/fleet/callstore/stream.go
@@ -96,11 +96,11 @@
 	timeout := time.NewTimer(requestTimeout)
 	defer timeout.Stop()
 	select {
-	case got, open := <-wait:
+	case resp, open := <-wait:
 		if !open {
 			return response{}, ErrNoLeader
 		}
-		return got, nil
+		return resp, nil
 	case <-timeout.C:
 		s.closeIfSilent()
 		return response{}, ErrNoLeader
--- a/internal/fleet/operations/client.go
+++ b/internal/fleet/operations/client.go
@@ -26,24 +26,24 @@
 func (s *Service) ask(r request) (response, error) {
 	voters := s.participant.Voters().Names
 	voter := s.hint.Leader()
-	var got response
+	var resp response
 	var err error
 	for range len(voters) + 1 {
 		if voter == "" {
 			voter = s.hint.NextVoter(voters)
 		}
-		got, err = s.askVoter(voter, r)
-		if err == nil && got.Refusal == "" {
+		resp, err = s.askVoter(voter, r)
+		if err == nil && resp.Refusal == "" {
 			s.hint.Answered(voter)
-			return got, nil
+			return resp, nil
 		}
-		voter = got.Leader
+		voter = resp.Leader
 		if err != nil {
 			voter = ""
 		}
 	}
 	s.hint.Forget()
-	return got, cmp.Or(err, errNoLeader)
+	return resp, cmp.Or(err, errNoLeader)
 }
 
 func (s *Service) askVoter(voter string, r request) (response, error) {
@@ -72,9 +72,9 @@
 	timeout := time.After(startTimeout)
 	for range addresses {
 		select {
-		case got := <-responses:
-			if got.Version > latest.Version {
-				latest, found = got, true
+		case resp := <-responses:
+			if resp.Version > latest.Version {
+				latest, found = resp, true
 			}
 		case <-timeout:
 			return latest, found
@@ -90,21 +90,21 @@
 	if err != nil {
 		return response{}
 	}
-	got, err := exchange(conn, request{AtStart: true})
+	resp, err := exchange(conn, request{AtStart: true})
 	if err != nil {
 		return response{}
 	}
-	return got
+	return resp
 }
 
 // exchange sends one request over a connection, reads the response and closes the connection.
 func exchange(conn net.Conn, r request) (response, error) {
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(requestTimeout))
-	var got response
+	var resp response
 	if err := json.NewEncoder(conn).Encode(r); err != nil {
-		return got, err
+		return resp, err
 	}
-	err := json.NewDecoder(conn).Decode(&got)
-	return got, err
+	err := json.NewDecoder(conn).Decode(&resp)
+	return resp, err
 }
--- a/internal/fleet/operations/ledger_test.go
+++ b/internal/fleet/operations/ledger_test.go
@@ -23,11 +23,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, is := l.Apply(&raft.Log{Data: data}).(Result)
-	if !is {
+	result, ok := l.Apply(&raft.Log{Data: data}).(Result)
+	if !ok {
 		t.Fatal("no answer")
 	}
-	return a
+	return result
 }
 
 // TestLedgerInvariants applies random commands, some of them late or repeated. At most one round must run at a time,
@@ -40,7 +40,7 @@
 		var advances []AdvanceRequest
 		suspendedTimes := map[string]int{}
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
-			version, out, _ := l.contents()
+			version, suspensions, _ := l.contents()
 			var c command
 			server := rapid.SampledFrom(servers).Draw(t, "server")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
@@ -72,37 +72,41 @@
 			if before != nil {
 				was = AdvanceRequest{before.ID, before.Position, before.Step}
 			}
-			a := do(t, l, c)
-			if c.Advance != nil && (a.Rejection == "") != (before != nil && *c.Advance == was) {
-				t.Fatalf("advance %+v of a round at %+v: got %+v, want a rejection only if they differ", c.Advance, was, a)
+			result := do(t, l, c)
+			if c.Advance != nil && (result.Rejection == "") != (before != nil && *c.Advance == was) {
+				t.Fatalf("advance %+v of a round at %+v: got %+v, want a rejection only if they differ", c.Advance, was, result)
 			}
-			now, outNow, rounds := l.contents()
-			if (now != version) == maps.Equal(out, outNow) || now < version {
-				t.Fatalf("version %d after version %d, but suspensions %v after %v", now, version, outNow, out)
+			newVersion, newSuspensions, rounds := l.contents()
+			if (newVersion != version) == maps.Equal(suspensions, newSuspensions) || newVersion < version {
+				t.Fatalf("version %d after version %d, but suspensions %v after %v",
+					newVersion, version, newSuspensions, suspensions)
 			}
-			runs, by := 0, 0
+			running, suspendedByRounds := 0, 0
 			for _, r := range rounds {
 				if r.State == Running {
-					runs++
+					running++
 				}
 			}
-			for server, o := range outNow {
-				if o.Round == 0 {
+			for server, suspension := range newSuspensions {
+				if suspension.Round == 0 {
 					continue
 				}
-				if _, had := out[server]; !had {
-					suspendedTimes[fmt.Sprint(o.Round, server)]++
+				if _, had := suspensions[server]; !had {
+					suspendedTimes[fmt.Sprint(suspension.Round, server)]++
 				}
-				if by++; l.runningRound() == nil || l.runningRound().ID != o.Round || l.runningRound().Server() != server {
-					t.Fatalf("server %s is suspended by round %d, but the running round is %+v", server, o.Round, l.runningRound())
+				if suspendedByRounds++; l.runningRound() == nil || l.runningRound().ID != suspension.Round ||
+					l.runningRound().Server() != server {
+					t.Fatalf("server %s is suspended by round %d, but the running round is %+v",
+						server, suspension.Round, l.runningRound())
 				}
 			}
-			if runs > 1 || by > 1 {
-				t.Fatalf("%d rounds are running, %d servers are suspended by rounds, want at most 1 of each", runs, by)
+			if running > 1 || suspendedByRounds > 1 {
+				t.Fatalf("%d rounds are running, %d servers are suspended by rounds, want at most 1 of each",
+					running, suspendedByRounds)
 			}
-			for what, n := range suspendedTimes {
+			for roundAndServer, n := range suspendedTimes {
 				if n > 1 {
-					t.Fatalf("round and server %s: suspended %d times, want once", what, n)
+					t.Fatalf("round and server %s: suspended %d times, want once", roundAndServer, n)
 				}
 			}
 		}
@@ -110,9 +114,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again := newLedger()
-		if err := again.Restore(io.NopCloser(bytes.NewReader(snap.(raftlog.Snapshot)))); err != nil || !same(l, again) {
-			t.Fatalf("restore snapshot: error %v, state before %+v, after %+v", err, l, again)
+		restored := newLedger()
+		if err := restored.Restore(io.NopCloser(bytes.NewReader(snap.(raftlog.Snapshot)))); err != nil || !same(l, restored) {
+			t.Fatalf("restore snapshot: error %v, state before %+v, after %+v", err, l, restored)
 		}
 	})
 }
--- a/internal/fleet/operations/operator.go
+++ b/internal/fleet/operations/operator.go
@@ -57,14 +57,14 @@
 func (s *Service) execute(c *command) (string, error) {
 	var lastErr error
 	for end := time.Now().Add(callTimeout); time.Now().Before(end); time.Sleep(callRetryInterval) {
-		got, err := s.ask(request{Command: c})
+		resp, err := s.ask(request{Command: c})
 		switch {
 		case err != nil:
 			lastErr = err
-		case got.Result.Rejection != "":
-			return "", errors.New(got.Result.Rejection)
+		case resp.Result.Rejection != "":
+			return "", errors.New(resp.Result.Rejection)
 		default:
-			return got.Result.Text, nil
+			return resp.Result.Text, nil
 		}
 	}
 	return "", fmt.Errorf("it may hold or not, say it again: %w", lastErr)
--- a/internal/fleet/operations/reporter.go
+++ b/internal/fleet/operations/reporter.go
@@ -10,10 +10,10 @@
 func (s *Service) reportLoop(stop chan struct{}) {
 	for {
 		s.counters.requests.Add(1)
-		got, err := s.ask(s.report())
+		resp, err := s.ask(s.report())
 		if err != nil {
 			s.counters.failedRequests.Add(1)
-		} else if s.applyResponse(got) {
+		} else if s.applyResponse(resp) {
 			continue // report the applied version immediately
 		}
 		select {
@@ -40,17 +40,17 @@
 }
 
 // applyResponse applies the leader's response, and reports whether it has applied a new version of the suspensions.
-func (s *Service) applyResponse(got response) bool {
+func (s *Service) applyResponse(resp response) bool {
 	version, _ := s.suspensions.current()
 	s.mu.Lock()
-	s.rounds = got.Rounds
-	if got.WaitingFor != nil {
-		s.waitingFor = got.WaitingFor
+	s.rounds = resp.Rounds
+	if resp.WaitingFor != nil {
+		s.waitingFor = resp.WaitingFor
 	}
 	control := s.control
 	s.mu.Unlock()
-	if got.Version == version || control == nil {
+	if resp.Version == version || control == nil {
 		return false
 	}
-	return s.suspensions.apply(control, got.Version, got.Suspended, false)
+	return s.suspensions.apply(control, resp.Version, resp.Suspended, false)
 }
--- a/internal/fleet/operations/server.go
+++ b/internal/fleet/operations/server.go
@@ -55,36 +55,36 @@
 	if err != nil {
 		return response{Refusal: err.Error(), Leader: log.Leader()}
 	}
-	got := ledgerResponse(ledger)
-	got.Result, _ = applied.(Result)
+	resp := ledgerResponse(ledger)
+	resp.Result, _ = applied.(Result)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	got.WaitingFor = s.waitingFor
-	return got
+	resp.WaitingFor = s.waitingFor
+	return resp
 }
 
 func (s *Service) answerReport(log *raftlog.Log, ledger *ledger, from string, r request) response {
 	if log.VerifyLeader() != nil { // another process may lead, with a ledger that has newer entries
 		return response{Refusal: "it does not lead any more"}
 	}
-	got := ledgerResponse(ledger)
+	resp := ledgerResponse(ledger)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reports[from] = receivedReport{
 		NodeReport: NodeReport{Incarnation: r.Incarnation, Version: r.Version, OpenCalls: r.OpenCalls},
 		receivedAt: time.Now(),
 	}
-	got.WaitingFor = s.waitingFor
-	return got
+	resp.WaitingFor = s.waitingFor
+	return resp
 }
 
 // ledgerResponse returns a response with the contents of the ledger.
 func ledgerResponse(ledger *ledger) response {
 	version, suspensions, rounds := ledger.contents()
-	got := response{Version: version, Rounds: rounds}
+	resp := response{Version: version, Rounds: rounds}
 	for server := range suspensions {
-		got.Suspended = append(got.Suspended, server)
+		resp.Suspended = append(resp.Suspended, server)
 	}
-	slices.Sort(got.Suspended)
-	return got
+	slices.Sort(resp.Suspended)
+	return resp
 }
--- a/internal/fleet/operations/service_test.go
+++ b/internal/fleet/operations/service_test.go
@@ -40,34 +40,34 @@
 		Directory: dir,
 		View:      func() *member.View { return view },
 	}
-	s, d := New(config), &fakeControl{map[string]bool{"c": true}}
+	s, control := New(config), &fakeControl{map[string]bool{"c": true}}
 	if _, err := s.Execute([]string{"STATUS"}); err == nil || err.Error() != "the node is starting" {
 		t.Error(err)
 	}
-	s.Attach(d)
+	s.Attach(control)
 	s.Start("x/1")
-	until := func(what string, is func(text string, err error) bool, words ...string) {
+	await := func(description string, condition func(text string, err error) bool, words ...string) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 			text, err := s.Execute(words)
-			if is(text, err) {
+			if condition(text, err) {
 				return
 			}
 			if time.Now().After(end) {
-				t.Fatalf("%s: not so within 20 s; last answer %q, error %v", what, text, err)
+				t.Fatalf("%s: not so within 20 s; last answer %q, error %v", description, text, err)
 			}
 		}
 	}
-	well := func(_ string, err error) bool { return err == nil }
-	until("suspend a", well, "SUSPEND", "a")
-	until("suspend c, which an operator has suspended at this node", well, "SUSPEND", "c")
-	until("a and c suspended", func(text string, _ error) bool { return strings.Contains(text, "word: [a c]") }, "STATUS")
-	until("begin a round", well, "ROUND", "r", "1ms", "ALL")
-	until("round done", func(text string, _ error) bool { return strings.Contains(text, "done, 3 servers") }, "STATUS")
-	until("restore c", well, "RESTORE", "c")
-	until("only a suspended", func(text string, _ error) bool { return strings.Contains(text, "word: [a]") }, "STATUS")
-	if !slices.Equal(d.Suspended(), []string{"a", "c"}) { // an operator had suspended c at this node alone
-		t.Errorf("suspended at the node: %v, want [a c]", d.Suspended())
+	succeeds := func(_ string, err error) bool { return err == nil }
+	await("suspend a", succeeds, "SUSPEND", "a")
+	await("suspend c, which an operator has suspended at this node", succeeds, "SUSPEND", "c")
+	await("a and c suspended", func(text string, _ error) bool { return strings.Contains(text, "word: [a c]") }, "STATUS")
+	await("begin a round", succeeds, "ROUND", "r", "1ms", "ALL")
+	await("round done", func(text string, _ error) bool { return strings.Contains(text, "done, 3 servers") }, "STATUS")
+	await("restore c", succeeds, "RESTORE", "c")
+	await("only a suspended", func(text string, _ error) bool { return strings.Contains(text, "word: [a]") }, "STATUS")
+	if !slices.Equal(control.Suspended(), []string{"a", "c"}) { // an operator had suspended c at this node alone
+		t.Errorf("suspended at the node: %v, want [a c]", control.Suspended())
 	}
 	for words, want := range map[string]string{
 		"":               "FLEET wants",
@@ -83,10 +83,10 @@
 		}
 	}
 	s.Stop()
-	next := &fakeControl{map[string]bool{}}
-	New(config).Attach(next)
-	if !next.suspended["a"] {
-		t.Errorf("suspended after a restart: %v, want a", next.suspended)
+	restarted := &fakeControl{map[string]bool{}}
+	New(config).Attach(restarted)
+	if !restarted.suspended["a"] {
+		t.Errorf("suspended after a restart: %v, want a", restarted.suspended)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "out.json"), []byte(`["a`), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/fleet/operations/suspensions_test.go
+++ b/internal/fleet/operations/suspensions_test.go
@@ -30,18 +30,18 @@
 		Voters:    raftlog.VoterSet{Edition: 1, Names: []string{"n1"}},
 		Directory: filepath.Join(t.TempDir(), "none"),
 	})
-	d := &failingControl{fakeControl{map[string]bool{}}, 0}
-	s.Attach(d)
+	control := &failingControl{fakeControl{map[string]bool{}}, 0}
+	s.Attach(control)
 	applied := s.suspensions
-	d.failures = 1
-	if applied.apply(d, 3, []string{"a", "b"}, false) || applied.version != 0 {
+	control.failures = 1
+	if applied.apply(control, 3, []string{"a", "b"}, false) || applied.version != 0 {
 		t.Errorf("after a failed Suspend: apply succeeded, or the applied version is %d, want 0", applied.version)
 	}
-	if !applied.apply(d, 3, []string{"a", "b"}, false) || applied.version != 3 || len(applied.suspendedBefore) != 0 {
+	if !applied.apply(control, 3, []string{"a", "b"}, false) || applied.version != 3 || len(applied.suspendedBefore) != 0 {
 		t.Errorf("after a retry: apply failed, or version %d, suspended before by an operator %v, want 3 and none",
 			applied.version, applied.suspendedBefore)
 	}
-	if !applied.apply(d, 4, nil, false) || len(d.suspended) != 0 {
-		t.Errorf("after a version without suspensions: apply failed, or suspended %v, want none", d.suspended)
+	if !applied.apply(control, 4, nil, false) || len(control.suspended) != 0 {
+		t.Errorf("after a version without suspensions: apply failed, or suspended %v, want none", control.suspended)
 	}
 }
--- a/internal/fleet/raftlog/log.go
+++ b/internal/fleet/raftlog/log.go
@@ -63,7 +63,7 @@
 	closeOnce   sync.Once
 	removed     chan struct{} // see Removed
 	removedOnce sync.Once
-	maintenance sync.WaitGroup // maintainMembership
+	maintenance sync.WaitGroup // waits for maintainMembership
 
 	mu              sync.Mutex
 	configured      VoterSet  // voter set in this process's fleet file
--- a/internal/fleet/raftlog/log_test.go
+++ b/internal/fleet/raftlog/log_test.go
@@ -55,10 +55,10 @@
 	for range 5 {
 		dir, s := t.TempDir(), &sum{}
 		l := openSingle(t, dir, s)
-		var all sync.WaitGroup
+		var pending sync.WaitGroup
 		begun := make(chan bool, 1000)
 		for range 100 {
-			all.Go(func() {
+			pending.Go(func() {
 				for {
 					select {
 					case begun <- true:
@@ -78,14 +78,14 @@
 		}
 		l.Close()
 		done := make(chan bool)
-		go func() { all.Wait(); close(done) }()
+		go func() { pending.Wait(); close(done) }()
 		select {
 		case <-done:
 		case <-time.After(20 * time.Second):
 			t.Fatal("some proposals are still pending 20 s after Close")
 		}
-		again := &sum{}
-		l = openSingle(t, dir, again)
+		reopened := &sum{}
+		l = openSingle(t, dir, reopened)
 		if got, err := l.Propose(0); err != nil || got.(int) < s.Total {
 			t.Errorf("sum after a restart: got %v, error %v, want at least %d", got, err, s.Total)
 		}
--- a/internal/fleet/raftlog/membership.go
+++ b/internal/fleet/raftlog/membership.go
@@ -70,15 +70,15 @@
 // advanceMembership proposes this process's voter set if that is newer than the committed one. Otherwise it applies the
 // next change towards the committed voter set. The next tick retries if either fails.
 func (l *Log) advanceMembership(configured VoterSet) {
-	agreed := l.state.voterSet()
-	if configured.Edition > max(agreed.Edition, firstEdition) {
+	committed := l.state.voterSet()
+	if configured.Edition > max(committed.Edition, firstEdition) {
 		l.proposeVoters(configured)
 		return
 	}
-	if agreed.Edition == 0 { // the log has only the voters with which it was bootstrapped
+	if committed.Edition == 0 { // the log has only the voters with which it was bootstrapped
 		return
 	}
-	l.applyChange(NextChange(l.membership(), agreed.Names, l.isReachable))
+	l.applyChange(NextChange(l.membership(), committed.Names, l.isReachable))
 }
 
 func (l *Log) proposeVoters(voters VoterSet) {
--- a/internal/fleet/raftlog/membership_test.go
+++ b/internal/fleet/raftlog/membership_test.go
@@ -37,9 +37,9 @@
 	delete(p.layers, name)
 }
 
-func (p *pipeNetwork) open(t *testing.T, name string, r VoterSet, s *sum) *Log {
+func (p *pipeNetwork) open(t *testing.T, name string, voters VoterSet, s *sum) *Log {
 	t.Helper()
-	l, err := Open(t.TempDir(), name, r, p.layer(name), s)
+	l, err := Open(t.TempDir(), name, voters, p.layer(name), s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,11 +61,11 @@
 	return nil
 }
 
-func await(t *testing.T, what string, is func() bool) {
+func await(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(30 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what)
+			t.Fatal(failure)
 		}
 	}
 }
--- a/internal/fleet/raftlog/stream_layer.go
+++ b/internal/fleet/raftlog/stream_layer.go
@@ -67,14 +67,14 @@
 
 // Serve passes an incoming stream to raft, and returns once raft has closed the stream or the layer is closed.
 func (l *StreamLayer) Serve(conn net.Conn) {
-	observed := &closeNotifier{Conn: conn, closed: make(chan struct{})}
+	tracked := &closeNotifier{Conn: conn, closed: make(chan struct{})}
 	select {
-	case l.accepted <- observed:
+	case l.accepted <- tracked:
 	case <-l.closed:
 		return
 	}
 	select {
-	case <-observed.closed:
+	case <-tracked.closed:
 	case <-l.closed:
 	}
 }
