--- a/internal/fleet/callstore/leader_test.go
+++ b/internal/fleet/callstore/leader_test.go
@@ -7,7 +7,7 @@
 	"olivebridge/internal/fleet/member"
 )
 
-// TestHasFailed checks which processes are considered failed, by their member's state and incarnation in the view.
+// TestHasFailed checks which processes are considered failed, given the states and incarnations of the members.
 func TestHasFailed(t *testing.T) {
 	v := &member.View{Members: []member.Member{
 		{Name: "alive", Incarnation: member.Incarnation{Home: "h", Number: 2}, State: member.Alive},
--- a/internal/fleet/callstore/ledger_test.go
+++ b/internal/fleet/callstore/ledger_test.go
@@ -14,7 +14,7 @@
 	"olivebridge/internal/fleet/raftlog"
 )
 
-// apply applies a command to a ledger in its log encoding, with the limits ample unless the command has its own.
+// apply applies a command to a ledger in its log encoding. A command without limits gets ampleLimits.
 func apply(t interface{ Fatal(...any) }, l *ledger, c command) any {
 	if c.Limits == (Limits{}) {
 		c.Limits = ample
@@ -26,7 +26,7 @@
 	return l.Apply(&raft.Log{Data: data})
 }
 
-// ample holds limits that no test reaches.
+// ampleLimits holds limits that no test reaches.
 var ample = Limits{Retention: time.Hour, MaxEntries: 1000}
 
 // TestCallRunsOnce simulates owners that begin calls, send the granted ones, and report their outcome or fail. Requests
--- a/internal/fleet/callstore/stream.go
+++ b/internal/fleet/callstore/stream.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// silenceLimit is the duration without any response after which a request timeout closes the stream.
+// silenceLimit is the longest time without any response on a stream. A request that times out after a longer silence
+// closes the stream.
 const silenceLimit = 2 * requestTimeout
 
 // stream multiplexes concurrent requests over one connection to a voter.
--- a/internal/fleet/operations/client.go
+++ b/internal/fleet/operations/client.go
@@ -13,7 +13,7 @@
 	requestTimeout = 400 * time.Millisecond
 	// startTimeout limits the time for which a starting node waits for the suspensions known to other nodes.
 	startTimeout = 500 * time.Millisecond
-	// maxAskedAtStart is the limit on nodes to which a starting node sends that request.
+	// maxAskedAtStart is the limit on nodes from which a starting node requests the suspensions.
 	maxAskedAtStart = 8
 )
 
--- a/internal/fleet/operations/ledger.go
+++ b/internal/fleet/operations/ledger.go
@@ -17,7 +17,7 @@
 const (
 	// MaxServers is the limit on servers in one round.
 	MaxServers = 1000
-	// maxRounds is the number of most recent rounds that the ledger retains.
+	// maxRounds is the limit on rounds in the ledger. The oldest round is dropped when a new one exceeds the limit.
 	maxRounds = 16
 )
 
--- a/internal/fleet/operations/readiness_test.go
+++ b/internal/fleet/operations/readiness_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestCanAdvance checks that a round advances once all nodes have completed its step, and that CanAdvance returns the
-// nodes for which it waitingFor.
+// nodes for which the round waits.
 func TestCanAdvance(t *testing.T) {
 	members := []Member{{"n1", "x/1", false}, {"n2", "y/1", false}}
 	roundIn := func(s Step) Round { return Round{Servers: []string{"a"}, Step: s, Version: 5, Hold: time.Second} }
--- a/internal/fleet/operations/suspensions.go
+++ b/internal/fleet/operations/suspensions.go
@@ -100,7 +100,8 @@
 	return suspended, true
 }
 
-// restore restores the suspended servers that are no longer wanted, except those in suspendedBefore.
+// restore restores the suspended servers that are no longer wanted, except those that an operator had suspended at this
+// node before.
 func (s *suspensions) restore(control ServerControl, suspended, wanted []string) {
 	for _, server := range suspended {
 		if slices.Contains(wanted, server) {
--- a/internal/fleet/raftlog/log.go
+++ b/internal/fleet/raftlog/log.go
@@ -29,7 +29,7 @@
 	transferTimeout = 150 * time.Millisecond
 	// closeTimeout limits the time for Close. Raft completes every operation in progress, and each takes up to one second.
 	// A process that exits must not wait longer. A process that hands over may continue to close the log in the
-	// background: its successor opens the log after that.
+	// background: its successor opens the log when the log is closed.
 	closeTimeout = 4 * time.Second
 	// FileLockTimeout limits the wait for the lock on the log's file, which the node's other process may hold.
 	FileLockTimeout = 100 * time.Millisecond
