--- a/internal/fleet/callstore/client.go
+++ b/internal/fleet/callstore/client.go
@@ -31,9 +31,9 @@
 	name   string          // name of this node
 	voters func() []string // returns the names of the voters, at least one
 	dial   func(voter string) (net.Conn, error)
-	// answer handles a request to this node within this process. It returns false if this process cannot handle
+	// handle processes a request to this node within this process. It returns false if this process cannot process
 	// requests at present.
-	answer func(request) (response, bool)
+	handle func(request) (response, bool)
 }
 
 // client sends requests to the leader. It multiplexes concurrent requests over one stream per voter.
@@ -77,9 +77,9 @@
 	}
 }
 
-// ask sends a request to the leader and retries until the leader responds. After the timeout, or when ctx is done, it
-// returns an error that wraps ErrNoLeader.
-func (c *client) ask(ctx context.Context, r request, timeout time.Duration) (response, error) {
+// sendToLeader sends a request to the leader and retries until the leader responds. After the timeout, or when ctx is
+// done, it returns an error that wraps ErrNoLeader.
+func (c *client) sendToLeader(ctx context.Context, r request, timeout time.Duration) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	voter := c.hint.Leader()
@@ -90,12 +90,12 @@
 			voter = c.hint.NextVoter(c.config.voters())
 		}
 		if !c.isPaused() {
-			resp, err = c.askVoter(ctx, r, voter)
+			resp, err = c.sendToVoter(ctx, r, voter)
 			if err == nil && resp.Refusal == "" {
-				c.noteAnswer(voter)
+				c.recordLeader(voter)
 				return resp, nil
 			}
-			c.noteRefusal(voter, resp.Leader)
+			c.recordRefusal(voter, resp.Leader)
 			voter = resp.Leader
 		}
 		select {
@@ -121,17 +121,17 @@
 	return time.Now().Before(c.pauseUntil)
 }
 
-// noteAnswer records that a voter responded as the leader, and ends the pause.
-func (c *client) noteAnswer(voter string) {
-	c.hint.Answered(voter)
+// recordLeader records that a voter responded as the leader, and ends the pause.
+func (c *client) recordLeader(voter string) {
+	c.hint.SetLeader(voter)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pauseUntil = time.Time{}
 }
 
-// noteRefusal records that a voter is not the leader or did not respond. If the voter named no leader, all requests
+// recordRefusal records that a voter is not the leader or did not respond. If the voter named no leader, all requests
 // pause: hundreds of requests that retry at the same time would delay the election.
-func (c *client) noteRefusal(voter, leader string) {
+func (c *client) recordRefusal(voter, leader string) {
 	c.hint.ForgetVoter(voter)
 	if leader != "" {
 		return
@@ -141,10 +141,10 @@
 	c.pauseUntil = time.Now().Add(noLeaderPause)
 }
 
-// askVoter sends a request to one voter, without retries. The response is empty if the error is not nil.
-func (c *client) askVoter(ctx context.Context, r request, voter string) (response, error) {
+// sendToVoter sends a request to one voter, without retries. The response is empty if the error is not nil.
+func (c *client) sendToVoter(ctx context.Context, r request, voter string) (response, error) {
 	if voter == c.config.name {
-		if resp, answered := c.config.answer(r); answered {
+		if resp, answered := c.config.handle(r); answered {
 			return resp, nil
 		}
 	}
@@ -152,7 +152,7 @@
 	if err != nil {
 		return response{}, err
 	}
-	return s.ask(ctx, r)
+	return s.roundTrip(ctx, r)
 }
 
 // connect returns the open stream to a voter, or dials the voter. Only one request dials at a time, and a voter is
--- a/internal/fleet/callstore/entry_index.go
+++ b/internal/fleet/callstore/entry_index.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// popOlderThan removes and returns the entry that changed least recently, if it changed before cutoff, in milliseconds
-// of the ledger's clock. It returns nil if there is none. Running calls are never returned.
-func (x *entryIndex) popOlderThan(cutoff int64) *entry {
+// popChangedBefore removes and returns the entry that changed least recently, if it changed before cutoff, in
+// milliseconds of the ledger's clock. It returns nil if there is none. Running calls are never returned.
+func (x *entryIndex) popChangedBefore(cutoff int64) *entry {
 	if len(x.expiring) == 0 || x.expiring[0].ChangedAt >= cutoff {
 		return nil
 	}
--- a/internal/fleet/callstore/leader.go
+++ b/internal/fleet/callstore/leader.go
@@ -92,7 +92,7 @@
 		return
 	}
 	var failed []process
-	for _, owner := range ledger.owners() {
+	for _, owner := range ledger.owningProcesses() {
 		if hasFailed(view, owner, time.Since(startedAt)) {
 			failed = append(failed, owner)
 		}
--- a/internal/fleet/callstore/ledger.go
+++ b/internal/fleet/callstore/ledger.go
@@ -180,7 +180,7 @@
 func (l *ledger) expire(limits Limits) {
 	cutoff := l.Clock - limits.Retention.Milliseconds()
 	for {
-		e := l.index.popOlderThan(cutoff)
+		e := l.index.popChangedBefore(cutoff)
 		if e == nil {
 			return
 		}
@@ -189,8 +189,8 @@
 	}
 }
 
-// owners returns the processes that own running calls, in no particular order.
-func (l *ledger) owners() []process {
+// owningProcesses returns the processes that own running calls, in no particular order.
+func (l *ledger) owningProcesses() []process {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var all []process
--- a/internal/fleet/callstore/ledger_test.go
+++ b/internal/fleet/callstore/ledger_test.go
@@ -17,7 +17,7 @@
 // apply applies a command to a ledger in its log encoding. A command without limits gets ampleLimits.
 func apply(t interface{ Fatal(...any) }, l *ledger, c command) any {
 	if c.Limits == (Limits{}) {
-		c.Limits = ample
+		c.Limits = ampleLimits
 	}
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -27,7 +27,7 @@
 }
 
 // ampleLimits holds limits that no test reaches.
-var ample = Limits{Retention: time.Hour, MaxEntries: 1000}
+var ampleLimits = Limits{Retention: time.Hour, MaxEntries: 1000}
 
 // TestCallRunsOnce simulates owners that begin calls, send the granted ones, and report their outcome or fail. Requests
 // arrive late, repeatedly and out of order, live processes are released, and the ledger is restored from snapshots.
--- a/internal/fleet/callstore/owner.go
+++ b/internal/fleet/callstore/owner.go
@@ -39,21 +39,21 @@
 		begin.MaxOwners = s.config.MaxOwners
 	}
 	if mutant.Active("out-before-permission") {
-		go func() { _, _ = s.client.ask(context.Background(), request{Begin: &begin}, beginTimeout) }()
+		go func() { _, _ = s.client.sendToLeader(context.Background(), request{Begin: &begin}, beginTimeout) }()
 		return BeginResult{Granted: true}, nil
 	}
-	resp, err := s.client.ask(ctx, request{Begin: &begin}, beginTimeout)
+	resp, err := s.client.sendToLeader(ctx, request{Begin: &begin}, beginTimeout)
 	if err != nil {
-		s.counters.rejected.Add(1)
+		s.counters.failedBegins.Add(1)
 		// The leader may have granted the request although no response arrived. The call is not sent, so it is free.
-		s.reportLater(EndRequest{Key: begin.Key, Fingerprint: begin.Fingerprint, Owner: begin.Owner, State: Free})
+		s.reportInBackground(EndRequest{Key: begin.Key, Fingerprint: begin.Fingerprint, Owner: begin.Owner, State: Free})
 		return BeginResult{}, err
 	}
 	if resp.BeginResult.Granted {
-		s.counters.begun.Add(1)
+		s.counters.granted.Add(1)
 		s.config.Record.Write("begun", begin)
 	} else {
-		s.counters.elsewhere.Add(1)
+		s.counters.notGranted.Add(1)
 	}
 	return resp.BeginResult, nil
 }
@@ -68,16 +68,16 @@
 	case Unknown:
 		s.counters.unknown.Add(1)
 	}
-	resp, err := s.client.ask(context.Background(), request{End: &end}, endTimeout)
+	resp, err := s.client.sendToLeader(context.Background(), request{End: &end}, endTimeout)
 	if err != nil {
-		s.reportLater(end)
+		s.reportInBackground(end)
 		return false
 	}
 	return resp.EndAccepted
 }
 
-// reportLater sends a report in the background, or drops it if maxPendingReports are pending.
-func (s *Service) reportLater(end EndRequest) {
+// reportInBackground sends a report in the background, or drops it if maxPendingReports are pending.
+func (s *Service) reportInBackground(end EndRequest) {
 	if s.pendingReports.Add(1) > maxPendingReports {
 		s.pendingReports.Add(-1)
 		s.config.Log.Error(logMessage, "reason", "not-told", "key", end.Key)
@@ -96,7 +96,7 @@
 		if !s.mayReport(end.Owner) {
 			return // the leader releases the call once it detects that the owner's process has failed
 		}
-		if _, err := s.client.ask(context.Background(), request{End: &end}, endTimeout); err == nil {
+		if _, err := s.client.sendToLeader(context.Background(), request{End: &end}, endTimeout); err == nil {
 			return
 		}
 	}
--- a/internal/fleet/callstore/server.go
+++ b/internal/fleet/callstore/server.go
@@ -29,7 +29,7 @@
 		slots <- struct{}{}
 		inFlight.Go(func() {
 			defer func() { <-slots }()
-			responses.write(s.answer(r))
+			responses.write(s.handleRequest(r))
 		})
 	}
 }
@@ -51,9 +51,9 @@
 	}
 }
 
-// answer processes a request if this process is the leader. Otherwise the response has a Refusal and the leader known
-// to this process, if any.
-func (s *Service) answer(r request) response {
+// handleRequest processes a request if this process is the leader. Otherwise the response has a Refusal and the leader
+// known to this process, if any.
+func (s *Service) handleRequest(r request) response {
 	resp := response{Number: r.Number}
 	result, err := s.propose(command{Begin: r.Begin, End: r.End})
 	if err != nil {
@@ -80,14 +80,14 @@
 	return s.log.Leader()
 }
 
-// answerLocally processes a request of this process. It returns false if this process does not hold the node's
+// handleLocally processes a request of this process. It returns false if this process does not hold the node's
 // membership: the node's other process may then be the voter.
-func (s *Service) answerLocally(r request) (response, bool) {
+func (s *Service) handleLocally(r request) (response, bool) {
 	s.mu.Lock()
 	holdsMembership := s.incarnation != ""
 	s.mu.Unlock()
 	if !holdsMembership {
 		return response{}, false
 	}
-	return s.answer(r), true
+	return s.handleRequest(r), true
 }
--- a/internal/fleet/callstore/service.go
+++ b/internal/fleet/callstore/service.go
@@ -66,12 +66,12 @@
 }
 
 type counters struct {
-	begun     atomic.Int64 // BeginRequests that were granted
-	stored    atomic.Int64 // calls that ended as Answered
-	unknown   atomic.Int64 // calls that ended as Unknown
-	elsewhere atomic.Int64 // BeginRequests that were not granted
-	rejected  atomic.Int64 // BeginRequests without a response from a leader
-	released  atomic.Int64 // calls that this process released as the leader
+	granted      atomic.Int64 // BeginRequests that were granted
+	stored       atomic.Int64 // calls that ended as Answered
+	unknown      atomic.Int64 // calls that ended as Unknown
+	notGranted   atomic.Int64 // BeginRequests that were not granted
+	failedBegins atomic.Int64 // BeginRequests without a response from a leader
+	released     atomic.Int64 // calls that this process released as the leader
 }
 
 // New returns a Service that stores nothing until Start.
@@ -99,7 +99,7 @@
 		dial: func(name string) (net.Conn, error) {
 			return config.Dial(name, CallsChannel, requestTimeout)
 		},
-		answer: s.answerLocally,
+		handle: s.handleLocally,
 	})
 	return s
 }
@@ -178,5 +178,5 @@
 func (s *Service) Counters() string {
 	c := &s.counters
 	return fmt.Sprintf("work_begun=%d work_kept=%d work_unknown=%d work_elsewhere=%d work_refused=%d work_taken_over=%d",
-		c.begun.Load(), c.stored.Load(), c.unknown.Load(), c.elsewhere.Load(), c.rejected.Load(), c.released.Load())
+		c.granted.Load(), c.stored.Load(), c.unknown.Load(), c.notGranted.Load(), c.failedBegins.Load(), c.released.Load())
 }
--- a/internal/fleet/callstore/stream.go
+++ b/internal/fleet/callstore/stream.go
@@ -21,7 +21,7 @@
 
 	mu           sync.Mutex
 	lastNumber   uint64                   // number of the last request
-	waiting      map[uint64]chan response // by request number; each channel has a buffer of one response
+	pending      map[uint64]chan response // by request number; each channel has a buffer of one response
 	lastResponse time.Time                // time of the last response, initially the time at which the stream was opened
 	err          error                    // reason why the stream is closed; nil while it is open
 }
@@ -31,7 +31,7 @@
 	s := &stream{
 		conn:         conn,
 		encoder:      json.NewEncoder(conn),
-		waiting:      map[uint64]chan response{},
+		pending:      map[uint64]chan response{},
 		lastResponse: time.Now(),
 	}
 	go s.readResponses()
@@ -55,9 +55,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastResponse = time.Now()
-	if wait := s.waiting[r.Number]; wait != nil {
+	if wait := s.pending[r.Number]; wait != nil {
 		wait <- r
-		delete(s.waiting, r.Number)
+		delete(s.pending, r.Number)
 	}
 }
 
@@ -75,15 +75,15 @@
 	if s.err == nil {
 		s.err = reason
 	}
-	for number, wait := range s.waiting {
+	for number, wait := range s.pending {
 		close(wait)
-		delete(s.waiting, number)
+		delete(s.pending, number)
 	}
 }
 
-// ask sends one request and waits up to requestTimeout for its response. After an error the voter may still have
+// roundTrip sends one request and waits up to requestTimeout for its response. After an error the voter may still have
 // processed the request.
-func (s *stream) ask(ctx context.Context, r request) (response, error) {
+func (s *stream) roundTrip(ctx context.Context, r request) (response, error) {
 	number, wait, err := s.register()
 	if err != nil {
 		return response{}, err
@@ -120,14 +120,14 @@
 	}
 	s.lastNumber++
 	wait := make(chan response, 1)
-	s.waiting[s.lastNumber] = wait
+	s.pending[s.lastNumber] = wait
 	return s.lastNumber, wait, nil
 }
 
 func (s *stream) unregister(number uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.waiting, number)
+	delete(s.pending, number)
 }
 
 func (s *stream) write(r request) error {
--- a/internal/fleet/operations/client.go
+++ b/internal/fleet/operations/client.go
@@ -13,17 +13,17 @@
 	requestTimeout = 400 * time.Millisecond
 	// startTimeout limits the time for which a starting node waits for the suspensions known to other nodes.
 	startTimeout = 500 * time.Millisecond
-	// maxAskedAtStart is the limit on nodes from which a starting node requests the suspensions.
-	maxAskedAtStart = 8
+	// maxStartRequests is the limit on nodes from which a starting node requests the suspensions.
+	maxStartRequests = 8
 )
 
 // errNoLeader reports that no voter responded as the leader.
 var errNoLeader = errors.New("no majority of the voters is there, or none can be reached")
 
-// ask sends a request to the leader, over a new stream: there are only a few requests per second. If a voter responds
-// with the name of the leader, the next attempt goes to that leader. The number of attempts is at most the number of
-// voters plus one.
-func (s *Service) ask(r request) (response, error) {
+// sendToLeader sends a request to the leader, over a new stream: there are only a few requests per second. If a voter
+// responds with the name of the leader, the next attempt goes to that leader. The number of attempts is at most the
+// number of voters plus one.
+func (s *Service) sendToLeader(r request) (response, error) {
 	voters := s.participant.Voters().Names
 	voter := s.hint.Leader()
 	var resp response
@@ -32,9 +32,9 @@
 		if voter == "" {
 			voter = s.hint.NextVoter(voters)
 		}
-		resp, err = s.askVoter(voter, r)
+		resp, err = s.sendToVoter(voter, r)
 		if err == nil && resp.Refusal == "" {
-			s.hint.Answered(voter)
+			s.hint.SetLeader(voter)
 			return resp, nil
 		}
 		voter = resp.Leader
@@ -46,9 +46,9 @@
 	return resp, cmp.Or(err, errNoLeader)
 }
 
-func (s *Service) askVoter(voter string, r request) (response, error) {
+func (s *Service) sendToVoter(voter string, r request) (response, error) {
 	if voter == s.config.Name {
-		return s.answer(voter, r), nil
+		return s.handleRequest(voter, r), nil
 	}
 	conn, err := s.config.Dial(voter, NodesChannel, requestTimeout)
 	if err != nil {
@@ -57,17 +57,17 @@
 	return exchange(conn, r)
 }
 
-// askOthersAtStart requests the suspended servers from other nodes in parallel, and returns the response with the
+// fetchSuspensions requests the suspended servers from other nodes in parallel, and returns the response with the
 // latest version. It returns false if no node responds with a version above 0, for example if all nodes start together.
-func (s *Service) askOthersAtStart() (latest response, found bool) {
+func (s *Service) fetchSuspensions() (latest response, found bool) {
 	if s.config.Others == nil {
 		return latest, false
 	}
 	addresses := s.config.Others()
-	addresses = addresses[:min(len(addresses), maxAskedAtStart)]
+	addresses = addresses[:min(len(addresses), maxStartRequests)]
 	responses := make(chan response, len(addresses))
 	for _, address := range addresses {
-		go func() { responses <- s.askAtStart(address) }()
+		go func() { responses <- s.fetchSuspensionsFrom(address) }()
 	}
 	timeout := time.After(startTimeout)
 	for range addresses {
@@ -83,9 +83,9 @@
 	return latest, found
 }
 
-// askAtStart requests the suspended servers from the node at an address. The response is empty if the node does not
-// respond.
-func (s *Service) askAtStart(address string) response {
+// fetchSuspensionsFrom requests the suspended servers from the node at an address. The response is empty if the node
+// does not respond.
+func (s *Service) fetchSuspensionsFrom(address string) response {
 	conn, err := s.config.DialAddr(address, NodesChannel, startTimeout)
 	if err != nil {
 		return response{}
--- a/internal/fleet/operations/ledger_test.go
+++ b/internal/fleet/operations/ledger_test.go
@@ -17,8 +17,8 @@
 	"olivebridge/internal/fleet/raftlog"
 )
 
-// do applies a command to a ledger in its log encoding.
-func do(t interface{ Fatal(...any) }, l *ledger, c command) Result {
+// apply applies a command to a ledger in its log encoding.
+func apply(t interface{ Fatal(...any) }, l *ledger, c command) Result {
 	data, err := json.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 			if before != nil {
 				was = AdvanceRequest{before.ID, before.Position, before.Step}
 			}
-			result := do(t, l, c)
+			result := apply(t, l, c)
 			if c.Advance != nil && (result.Rejection == "") != (before != nil && *c.Advance == was) {
 				t.Fatalf("advance %+v of a round at %+v: got %+v, want a rejection only if they differ", c.Advance, was, result)
 			}
@@ -115,13 +115,14 @@
 			t.Fatal(err)
 		}
 		restored := newLedger()
-		if err := restored.Restore(io.NopCloser(bytes.NewReader(snap.(raftlog.Snapshot)))); err != nil || !same(l, restored) {
+		if err := restored.Restore(io.NopCloser(bytes.NewReader(snap.(raftlog.Snapshot)))); err != nil ||
+			!sameState(l, restored) {
 			t.Fatalf("restore snapshot: error %v, state before %+v, after %+v", err, l, restored)
 		}
 	})
 }
 
-func same(a, b *ledger) bool {
+func sameState(a, b *ledger) bool {
 	x, _ := json.Marshal(a)
 	y, _ := json.Marshal(b)
 	return bytes.Equal(x, y)
@@ -131,14 +132,14 @@
 // that the server stays suspended. It also checks the answers to calls about a running or unknown round.
 func TestRoundSkipsSuspended(t *testing.T) {
 	l := newLedger()
-	do(t, l, command{Suspend: &ServerRequest{"b", "n2"}})
+	apply(t, l, command{Suspend: &ServerRequest{"b", "n2"}})
 	twice := command{Begin: &BeginRoundRequest{"r", "n1", []string{"a", "a"}, 0}}
-	if a := do(t, l, twice); a.Rejection != "a server stands twice" {
+	if a := apply(t, l, twice); a.Rejection != "a server stands twice" {
 		t.Error(a)
 	}
-	do(t, l, command{Begin: &BeginRoundRequest{"r", "n1", []string{"a", "b", "c"}, 0}})
+	apply(t, l, command{Begin: &BeginRoundRequest{"r", "n1", []string{"a", "b", "c"}, 0}})
 	second := command{Begin: &BeginRoundRequest{"q", "n1", []string{"a"}, 0}}
-	if a := do(t, l, second); !strings.HasPrefix(a.Rejection, `another runs: round "r"`) {
+	if a := apply(t, l, second); !strings.HasPrefix(a.Rejection, `another runs: round "r"`) {
 		t.Error(a)
 	}
 	var drained []string
@@ -150,26 +151,26 @@
 		if r.Step == Drained {
 			drained = append(drained, r.Server())
 			restore := command{Restore: &ServerRequest{r.Server(), "n1"}}
-			if a := do(t, l, restore); !strings.Contains(a.Rejection, "stop that first") {
+			if a := apply(t, l, restore); !strings.Contains(a.Rejection, "stop that first") {
 				t.Error(a)
 			}
 		}
-		do(t, l, command{Advance: &AdvanceRequest{r.ID, r.Position, r.Step}})
+		apply(t, l, command{Advance: &AdvanceRequest{r.ID, r.Position, r.Step}})
 	}
 	_, out, rounds := l.contents()
 	if !slices.Equal(drained, []string{"a", "c"}) || len(out) != 1 || out["b"].By != "n2" || rounds[0].State != Done {
 		t.Errorf("drained %v, want [a c]; suspended %v, want b by n2; rounds %v, want the first done", drained, out, rounds)
 	}
-	do(t, l, command{Begin: &BeginRoundRequest{"s", "n1", []string{"a", "c"}, 0}})
-	do(t, l, command{Advance: &AdvanceRequest{2, 0, Pending}})
+	apply(t, l, command{Begin: &BeginRoundRequest{"s", "n1", []string{"a", "c"}, 0}})
+	apply(t, l, command{Advance: &AdvanceRequest{2, 0, Pending}})
 	stop := command{Stop: &StopRoundRequest{"s", "said at n3"}}
-	if a := do(t, l, stop); a.Text != `round "s", begun at n1: stopped after 0 of 2 servers: said at n3` {
+	if a := apply(t, l, stop); a.Text != `round "s", begun at n1: stopped after 0 of 2 servers: said at n3` {
 		t.Error(a)
 	}
 	if _, out, _ := l.contents(); len(out) != 1 {
 		t.Errorf("suspended after the stop: %v, want only b", out)
 	}
-	if a := do(t, l, command{Stop: &StopRoundRequest{"none", ""}}); a.Rejection == "" {
+	if a := apply(t, l, command{Stop: &StopRoundRequest{"none", ""}}); a.Rejection == "" {
 		t.Error(a)
 	}
 }
--- a/internal/fleet/operations/operator.go
+++ b/internal/fleet/operations/operator.go
@@ -57,7 +57,7 @@
 func (s *Service) execute(c *command) (string, error) {
 	var lastErr error
 	for end := time.Now().Add(callTimeout); time.Now().Before(end); time.Sleep(callRetryInterval) {
-		resp, err := s.ask(request{Command: c})
+		resp, err := s.sendToLeader(request{Command: c})
 		switch {
 		case err != nil:
 			lastErr = err
--- a/internal/fleet/operations/readiness_test.go
+++ b/internal/fleet/operations/readiness_test.go
@@ -10,7 +10,7 @@
 // nodes for which the round waits.
 func TestCanAdvance(t *testing.T) {
 	members := []Member{{"n1", "x/1", false}, {"n2", "y/1", false}}
-	roundIn := func(s Step) Round { return Round{Servers: []string{"a"}, Step: s, Version: 5, Hold: time.Second} }
+	round := func(s Step) Round { return Round{Servers: []string{"a"}, Step: s, Version: 5, Hold: time.Second} }
 	reportsWith := func(version uint64, busy int, incarnation string, age time.Duration) map[string]NodeReport {
 		return map[string]NodeReport{
 			"n1": {Incarnation: "x/1", Version: 5},
@@ -25,28 +25,28 @@
 		inStep  time.Duration
 		want    []string
 	}{
-		{"pending", roundIn(Pending), members, nil, 0, nil},
-		{"all drained", roundIn(Draining), members, reportsWith(5, 0, "y/1", 0), 0, nil},
-		{"node with open calls", roundIn(Draining), members, reportsWith(6, 2, "y/1", 0), 0, []string{"n2"}},
-		{"node with an old version", roundIn(Draining), members, reportsWith(4, 0, "y/1", 0), 0, []string{"n2"}},
-		{"expired report", roundIn(Draining), members, reportsWith(5, 0, "y/1", reportLifetime+1), 0, []string{"n2"}},
-		{"report of another incarnation", roundIn(Draining), members, reportsWith(5, 0, "y/0", 0), 0, []string{"n2"}},
-		{"node with a predecessor", roundIn(Draining), []Member{{"n1", "x/1", true}},
+		{"pending", round(Pending), members, nil, 0, nil},
+		{"all drained", round(Draining), members, reportsWith(5, 0, "y/1", 0), 0, nil},
+		{"node with open calls", round(Draining), members, reportsWith(6, 2, "y/1", 0), 0, []string{"n2"}},
+		{"node with an old version", round(Draining), members, reportsWith(4, 0, "y/1", 0), 0, []string{"n2"}},
+		{"expired report", round(Draining), members, reportsWith(5, 0, "y/1", reportLifetime+1), 0, []string{"n2"}},
+		{"report of another incarnation", round(Draining), members, reportsWith(5, 0, "y/0", 0), 0, []string{"n2"}},
+		{"node with a predecessor", round(Draining), []Member{{"n1", "x/1", true}},
 			reportsWith(5, 0, "y/1", 0), 0, []string{"n1"}},
-		{"no reports", roundIn(Draining), members, nil, 0, []string{"n1", "n2"}},
-		{"dead node", roundIn(Draining), members[:1], reportsWith(0, 1, "", reportLifetime+1), 0, nil},
-		{"non-member with open calls", roundIn(Draining), members[:1], reportsWith(5, 1, "y/2", 0), 0, []string{"n2"}},
-		{"open calls while restoring", roundIn(Restoring), members, reportsWith(5, 2, "y/1", 0), 0, nil},
+		{"no reports", round(Draining), members, nil, 0, []string{"n1", "n2"}},
+		{"dead node", round(Draining), members[:1], reportsWith(0, 1, "", reportLifetime+1), 0, nil},
+		{"non-member with open calls", round(Draining), members[:1], reportsWith(5, 1, "y/2", 0), 0, []string{"n2"}},
+		{"open calls while restoring", round(Restoring), members, reportsWith(5, 2, "y/1", 0), 0, nil},
 	} {
 		ok, waitingFor := CanAdvance(c.round, c.members, c.reports, c.inStep)
 		if ok != (len(c.want) == 0) || !slices.Equal(waitingFor, c.want) {
 			t.Errorf("%s: CanAdvance returned %v, waiting for %v", c.name, ok, waitingFor)
 		}
 	}
-	if ok, _ := CanAdvance(roundIn(Drained), members, nil, time.Second-1); ok {
+	if ok, _ := CanAdvance(round(Drained), members, nil, time.Second-1); ok {
 		t.Error("it is not held out for long enough")
 	}
-	if ok, _ := CanAdvance(roundIn(Drained), members, nil, time.Second); !ok {
+	if ok, _ := CanAdvance(round(Drained), members, nil, time.Second); !ok {
 		t.Error("it is held out for too long")
 	}
 }
--- a/internal/fleet/operations/reporter.go
+++ b/internal/fleet/operations/reporter.go
@@ -10,7 +10,7 @@
 func (s *Service) reportLoop(stop chan struct{}) {
 	for {
 		s.counters.requests.Add(1)
-		resp, err := s.ask(s.report())
+		resp, err := s.sendToLeader(s.report())
 		if err != nil {
 			s.counters.failedRequests.Add(1)
 		} else if s.applyResponse(resp) {
--- a/internal/fleet/operations/server.go
+++ b/internal/fleet/operations/server.go
@@ -25,15 +25,15 @@
 			return
 		}
 		_ = conn.SetWriteDeadline(time.Now().Add(requestTimeout))
-		if err := encoder.Encode(s.answer(from, r)); err != nil {
+		if err := encoder.Encode(s.handleRequest(from, r)); err != nil {
 			return
 		}
 	}
 }
 
-// answer processes a request from the named node. Any process answers a starting node; only the leader processes other
-// requests. Otherwise the response has a Refusal and the leader known to this process, if any.
-func (s *Service) answer(from string, r request) response {
+// handleRequest processes a request from the named node. Any process answers a starting node; only the leader processes
+// other requests. Otherwise the response has a Refusal and the leader known to this process, if any.
+func (s *Service) handleRequest(from string, r request) response {
 	if r.AtStart {
 		version, suspended := s.suspensions.current()
 		return response{Version: version, Suspended: suspended}
@@ -45,12 +45,12 @@
 	case !log.IsLeader():
 		return response{Refusal: "another leads, or nobody", Leader: log.Leader()}
 	case r.Command != nil:
-		return s.answerCommand(log, ledger, *r.Command)
+		return s.handleCommand(log, ledger, *r.Command)
 	}
-	return s.answerReport(log, ledger, from, r)
+	return s.handleReport(log, ledger, from, r)
 }
 
-func (s *Service) answerCommand(log *raftlog.Log, ledger *ledger, c command) response {
+func (s *Service) handleCommand(log *raftlog.Log, ledger *ledger, c command) response {
 	applied, err := log.Propose(c)
 	if err != nil {
 		return response{Refusal: err.Error(), Leader: log.Leader()}
@@ -63,7 +63,7 @@
 	return resp
 }
 
-func (s *Service) answerReport(log *raftlog.Log, ledger *ledger, from string, r request) response {
+func (s *Service) handleReport(log *raftlog.Log, ledger *ledger, from string, r request) response {
 	if log.VerifyLeader() != nil { // another process may lead, with a ledger that has newer entries
 		return response{Refusal: "it does not lead any more"}
 	}
--- a/internal/fleet/operations/service.go
+++ b/internal/fleet/operations/service.go
@@ -151,7 +151,7 @@
 	s.mu.Lock()
 	s.control = control
 	s.mu.Unlock()
-	if latest, found := s.askOthersAtStart(); found {
+	if latest, found := s.fetchSuspensions(); found {
 		s.suspensions.apply(control, latest.Version, latest.Suspended, true)
 		return
 	}
--- a/internal/fleet/operations/suspensions.go
+++ b/internal/fleet/operations/suspensions.go
@@ -30,9 +30,9 @@
 	record  *record.Recorder
 	applied atomic.Int64 // number of successful calls of apply
 
-	// suspendedBefore holds the servers that an operator had suspended at this node alone before the fleet suspended
+	// locallySuspended holds the servers that an operator had suspended at this node alone before the fleet suspended
 	// them. They stay suspended when the fleet restores them. Only apply uses it.
-	suspendedBefore map[string]bool
+	locallySuspended map[string]bool
 
 	mu      sync.Mutex
 	version uint64   // ledger version that was applied last; 0 if none
@@ -40,7 +40,7 @@
 }
 
 func newSuspensions(path string, log *slog.Logger, recorder *record.Recorder) *suspensions {
-	return &suspensions{path: path, log: log, record: recorder, suspendedBefore: map[string]bool{}}
+	return &suspensions{path: path, log: log, record: recorder, locallySuspended: map[string]bool{}}
 }
 
 // current returns the ledger version that was applied last, and the servers that are suspended on behalf of the fleet.
@@ -88,11 +88,11 @@
 			continue
 		}
 		if slices.Contains(before, server) && !atStart {
-			s.suspendedBefore[server] = true
+			s.locallySuspended[server] = true
 		}
 		if err := control.Suspend(server); err != nil {
 			s.log.Warn(logMessage, "reason", "not-suspended", "server", server, "why", err.Error())
-			delete(s.suspendedBefore, server)
+			delete(s.locallySuspended, server)
 			return suspended, false
 		}
 		suspended = append(slices.Clone(suspended), server)
@@ -107,10 +107,10 @@
 		if slices.Contains(wanted, server) {
 			continue
 		}
-		if !s.suspendedBefore[server] {
+		if !s.locallySuspended[server] {
 			_ = control.Restore(server) // fails only for a server that no endpoint list has, which is not in use
 		}
-		delete(s.suspendedBefore, server)
+		delete(s.locallySuspended, server)
 	}
 }
 
--- a/internal/fleet/operations/suspensions_test.go
+++ b/internal/fleet/operations/suspensions_test.go
@@ -37,9 +37,10 @@
 	if applied.apply(control, 3, []string{"a", "b"}, false) || applied.version != 0 {
 		t.Errorf("after a failed Suspend: apply succeeded, or the applied version is %d, want 0", applied.version)
 	}
-	if !applied.apply(control, 3, []string{"a", "b"}, false) || applied.version != 3 || len(applied.suspendedBefore) != 0 {
+	if !applied.apply(control, 3, []string{"a", "b"}, false) || applied.version != 3 ||
+		len(applied.locallySuspended) != 0 {
 		t.Errorf("after a retry: apply failed, or version %d, suspended before by an operator %v, want 3 and none",
-			applied.version, applied.suspendedBefore)
+			applied.version, applied.locallySuspended)
 	}
 	if !applied.apply(control, 4, nil, false) || len(control.suspended) != 0 {
 		t.Errorf("after a version without suspensions: apply failed, or suspended %v, want none", control.suspended)
--- a/internal/fleet/raftlog/leader_hint.go
+++ b/internal/fleet/raftlog/leader_hint.go
@@ -6,9 +6,9 @@
 // no estimate, NextVoter rotates over all voters. Its methods may be called from any goroutine. The zero value has no
 // estimate.
 type LeaderHint struct {
-	mu     sync.Mutex
-	leader string // "" if unknown
-	turn   int    // number of calls of NextVoter
+	mu       sync.Mutex
+	leader   string // "" if unknown
+	rotation int    // number of calls of NextVoter
 }
 
 // Leader returns the last voter that responded as the leader, or "" if it is unknown.
@@ -22,13 +22,13 @@
 func (h *LeaderHint) NextVoter(voters []string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	voter := voters[h.turn%len(voters)]
-	h.turn++
+	voter := voters[h.rotation%len(voters)]
+	h.rotation++
 	return voter
 }
 
-// Answered records that a voter responded as the leader.
-func (h *LeaderHint) Answered(voter string) {
+// SetLeader records that a voter responded as the leader.
+func (h *LeaderHint) SetLeader(voter string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.leader = voter
--- a/internal/fleet/raftlog/log_test.go
+++ b/internal/fleet/raftlog/log_test.go
@@ -11,13 +11,13 @@
 	"github.com/hashicorp/raft"
 )
 
-// sum is a state machine that computes the sum of the committed numbers.
-type sum struct {
+// sumMachine is a state machine that computes the sum of the committed numbers.
+type sumMachine struct {
 	mu    sync.Mutex
 	Total int `json:"total"`
 }
 
-func (s *sum) Apply(l *raft.Log) any {
+func (s *sumMachine) Apply(l *raft.Log) any {
 	var n int
 	if err := json.Unmarshal(l.Data, &n); err != nil {
 		return err
@@ -28,12 +28,12 @@
 	return s.Total
 }
 
-func (s *sum) Snapshot() (raft.FSMSnapshot, error) { return Snapshot(`{}`), nil }
+func (s *sumMachine) Snapshot() (raft.FSMSnapshot, error) { return Snapshot(`{}`), nil }
 
-func (s *sum) Restore(r io.ReadCloser) error { return r.Close() }
+func (s *sumMachine) Restore(r io.ReadCloser) error { return r.Close() }
 
 // openSingle opens a log with a single voter, and waits until that voter is the leader.
-func openSingle(t *testing.T, dir string, s *sum) *Log {
+func openSingle(t *testing.T, dir string, s *sumMachine) *Log {
 	t.Helper()
 	layer := NewStreamLayer("n1", func(string, time.Duration) (net.Conn, error) { return nil, net.ErrClosed })
 	l, err := Open(dir, "n1", VoterSet{1, []string{"n1"}}, layer, s)
@@ -53,7 +53,7 @@
 // after a restart.
 func TestCloseAnswersPendingProposals(t *testing.T) {
 	for range 5 {
-		dir, s := t.TempDir(), &sum{}
+		dir, s := t.TempDir(), &sumMachine{}
 		l := openSingle(t, dir, s)
 		var pending sync.WaitGroup
 		begun := make(chan bool, 1000)
@@ -84,7 +84,7 @@
 		case <-time.After(20 * time.Second):
 			t.Fatal("some proposals are still pending 20 s after Close")
 		}
-		reopened := &sum{}
+		reopened := &sumMachine{}
 		l = openSingle(t, dir, reopened)
 		if got, err := l.Propose(0); err != nil || got.(int) < s.Total {
 			t.Errorf("sum after a restart: got %v, error %v, want at least %d", got, err, s.Total)
--- a/internal/fleet/raftlog/membership_test.go
+++ b/internal/fleet/raftlog/membership_test.go
@@ -37,7 +37,7 @@
 	delete(p.layers, name)
 }
 
-func (p *pipeNetwork) open(t *testing.T, name string, voters VoterSet, s *sum) *Log {
+func (p *pipeNetwork) open(t *testing.T, name string, voters VoterSet, s *sumMachine) *Log {
 	t.Helper()
 	l, err := Open(t.TempDir(), name, voters, p.layer(name), s)
 	if err != nil {
@@ -75,9 +75,9 @@
 func TestReplaceLostVoter(t *testing.T) {
 	p := &pipeNetwork{layers: map[string]*StreamLayer{}}
 	first, second := VoterSet{1, []string{"a", "b", "c"}}, VoterSet{2, []string{"a", "c", "d"}}
-	logs, sums := map[string]*Log{}, map[string]*sum{}
+	logs, sums := map[string]*Log{}, map[string]*sumMachine{}
 	for _, n := range first.Names {
-		sums[n] = &sum{}
+		sums[n] = &sumMachine{}
 		logs[n] = p.open(t, n, first, sums[n])
 	}
 	if _, err := awaitLeader(t, logs["a"], logs["b"], logs["c"]).Propose(7); err != nil {
@@ -85,7 +85,7 @@
 	}
 	p.disconnect("b")
 	logs["b"].Close()
-	sums["d"] = &sum{}
+	sums["d"] = &sumMachine{}
 	logs["d"] = p.open(t, "d", second, sums["d"]) // stays empty until the leader adds it
 	logs["a"].SetVoters(second)
 	logs["c"].SetVoters(second)
@@ -129,10 +129,10 @@
 // channel is closed.
 func TestRemoveLeader(t *testing.T) {
 	p := &pipeNetwork{layers: map[string]*StreamLayer{}}
-	a := p.open(t, "a", VoterSet{1, []string{"a"}}, &sum{})
+	a := p.open(t, "a", VoterSet{1, []string{"a"}}, &sumMachine{})
 	awaitLeader(t, a)
 	second := VoterSet{2, []string{"b"}}
-	s := &sum{}
+	s := &sumMachine{}
 	b := p.open(t, "b", second, s)
 	if _, err := a.Propose(5); err != nil {
 		t.Fatal(err)
--- a/internal/fleet/raftlog/participant.go
+++ b/internal/fleet/raftlog/participant.go
@@ -108,11 +108,11 @@
 	layer := NewStreamLayer(p.config.Name, p.config.Dial)
 	stop := p.stop
 	p.layer = layer
-	p.tasks.Go(func() { p.keep(layer, stop) })
+	p.tasks.Go(func() { p.runLog(layer, stop) })
 }
 
-// keep opens the log, waits until stop is closed or this process is no longer a voter, and closes the log.
-func (p *Participant) keep(layer *StreamLayer, stop chan struct{}) {
+// runLog opens the log, waits until stop is closed or this process is no longer a voter, and closes the log.
+func (p *Participant) runLog(layer *StreamLayer, stop chan struct{}) {
 	state := p.config.NewState()
 	log := p.open(layer, state, stop)
 	if log == nil {
--- a/internal/fleet/raftlog/state_machine_test.go
+++ b/internal/fleet/raftlog/state_machine_test.go
@@ -20,7 +20,7 @@
 // TestVoterSetInSnapshot checks that a snapshot includes the voter set, and that snapshots from builds without voter
 // sets are still restored.
 func TestVoterSetInSnapshot(t *testing.T) {
-	s := &stateMachine{FSM: &sum{}}
+	s := &stateMachine{FSM: &sumMachine{}}
 	line, _ := json.Marshal(VoterSet{3, []string{"x"}})
 	s.Apply(&raft.Log{Data: append([]byte{voterSetMarker}, line...)})
 	s.Apply(&raft.Log{Data: append([]byte{voterSetMarker}, `{"edition":2,"names":["y"]}`...)}) // an earlier edition
@@ -33,13 +33,13 @@
 		t.Fatal(err)
 	}
 	for text, want := range map[string]VoterSet{out.String(): {3, []string{"x"}}, `{}`: {}} {
-		again := &stateMachine{FSM: &sum{}}
+		again := &stateMachine{FSM: &sumMachine{}}
 		err := again.Restore(io.NopCloser(bytes.NewBufferString(text)))
 		if err != nil || fmt.Sprint(again.voterSet()) != fmt.Sprint(want) {
 			t.Errorf("restore %q: unexpected voter set %v, error %v", text, again.voterSet(), err)
 		}
 	}
-	if err := (&stateMachine{FSM: &sum{}}).Restore(io.NopCloser(bytes.NewBufferString("\x01{"))); err == nil {
+	if err := (&stateMachine{FSM: &sumMachine{}}).Restore(io.NopCloser(bytes.NewBufferString("\x01{"))); err == nil {
 		t.Error("a snapshot that was cut short is taken")
 	}
 }
--- a/internal/fleet/raftlog/stored_format_test.go
+++ b/internal/fleet/raftlog/stored_format_test.go
@@ -27,7 +27,7 @@
 	want := VoterSet{Edition: 3, Names: []string{"n1", "n2", "n4"}}
 	entry, snapshot := readStored(t, "entry.bin"), readStored(t, "snapshot.bin")
 
-	applied := &stateMachine{FSM: &sum{}}
+	applied := &stateMachine{FSM: &sumMachine{}}
 	if got := applied.Apply(&raft.Log{Data: entry}); got != nil {
 		t.Fatalf("apply the stored entry: got %v, want nil", got)
 	}
@@ -35,7 +35,7 @@
 		t.Errorf("unexpected voter set from the stored entry: %+v", got)
 	}
 
-	restored := &stateMachine{FSM: &sum{}}
+	restored := &stateMachine{FSM: &sumMachine{}}
 	if err := restored.Restore(io.NopCloser(bytes.NewReader(snapshot))); err != nil {
 		t.Fatal(err)
 	}
