--- a/internal/fleet/operations/readiness_test.go
+++ b/internal/fleet/operations/readiness_test.go
@@ -25,7 +25,7 @@
 		inStep  time.Duration
 		want    []string
 	}{
-		{"pending", round(Pending), members, nil, 0, nil},
+		{"round in its first step", round(Pending), members, nil, 0, nil},
 		{"all drained", round(Draining), members, reportsWith(5, 0, "y/1", 0), 0, nil},
 		{"node with open calls", round(Draining), members, reportsWith(6, 2, "y/1", 0), 0, []string{"n2"}},
 		{"node with an old version", round(Draining), members, reportsWith(4, 0, "y/1", 0), 0, []string{"n2"}},
