--- a/internal/fleet/callstore/leader_test.go
+++ b/internal/fleet/callstore/leader_test.go
@@ -30,7 +30,7 @@
 			t.Errorf("hasFailed(%v) = %v, want the opposite", p, got)
 		}
 	}
-	if stranger := (process{"x", "h/1"}); hasFailed(v, stranger, time.Second) || !hasFailed(v, stranger, time.Minute) {
+	if unlisted := (process{"x", "h/1"}); hasFailed(v, unlisted, time.Second) || !hasFailed(v, unlisted, time.Minute) {
 		t.Error("who was never heard of is given up once the members have told each other of everybody, and not before")
 	}
 }
--- a/internal/fleet/callstore/replicas_test.go
+++ b/internal/fleet/callstore/replicas_test.go
@@ -69,7 +69,8 @@
 				size += e.bodySize()
 			}
 			if indexed != len(other.Entries) || size != other.outcomeBytes {
-				t.Fatalf("%d entries, %d in the index; %d bytes, %d counted", len(other.Entries), indexed, size, other.outcomeBytes)
+				t.Fatalf("%d entries, but %d in the index; or %d body bytes, but outcomeBytes %d",
+					len(other.Entries), indexed, size, other.outcomeBytes)
 			}
 		}
 	})
--- a/internal/fleet/operations/ledger_test.go
+++ b/internal/fleet/operations/ledger_test.go
@@ -74,7 +74,8 @@
 			}
 			result := apply(t, l, c)
 			if c.Advance != nil && (result.Rejection == "") != (before != nil && *c.Advance == was) {
-				t.Fatalf("advance %+v of a round at %+v: got %+v, want a rejection only if they differ", c.Advance, was, result)
+				t.Fatalf("advance %+v of a round at %+v: got %+v, want a rejection if and only if they differ",
+					c.Advance, was, result)
 			}
 			newVersion, newSuspensions, rounds := l.contents()
 			if (newVersion != version) == maps.Equal(suspensions, newSuspensions) || newVersion < version {
--- a/internal/fleet/operations/service_test.go
+++ b/internal/fleet/operations/service_test.go
@@ -54,7 +54,7 @@
 				return
 			}
 			if time.Now().After(end) {
-				t.Fatalf("%s: not so within 20 s; last answer %q, error %v", description, text, err)
+				t.Fatalf("%s: condition not met within 20 s; last answer %q, error %v", description, text, err)
 			}
 		}
 	}
--- a/internal/fleet/raftlog/membership_change_test.go
+++ b/internal/fleet/raftlog/membership_change_test.go
@@ -59,6 +59,6 @@
 				leader = server
 			}
 		}
-		t.Fatal("no end of the changes after 30 steps")
+		t.Fatal("the changes have not ended after 30 steps")
 	})
 }
--- a/internal/fleet/raftlog/state_machine_test.go
+++ b/internal/fleet/raftlog/state_machine_test.go
@@ -33,10 +33,10 @@
 		t.Fatal(err)
 	}
 	for text, want := range map[string]VoterSet{out.String(): {3, []string{"x"}}, `{}`: {}} {
-		again := &stateMachine{FSM: &sumMachine{}}
-		err := again.Restore(io.NopCloser(bytes.NewBufferString(text)))
-		if err != nil || fmt.Sprint(again.voterSet()) != fmt.Sprint(want) {
-			t.Errorf("restore %q: unexpected voter set %v, error %v", text, again.voterSet(), err)
+		restored := &stateMachine{FSM: &sumMachine{}}
+		err := restored.Restore(io.NopCloser(bytes.NewBufferString(text)))
+		if err != nil || fmt.Sprint(restored.voterSet()) != fmt.Sprint(want) {
+			t.Errorf("restore %q: unexpected voter set %v, error %v", text, restored.voterSet(), err)
 		}
 	}
 	if err := (&stateMachine{FSM: &sumMachine{}}).Restore(io.NopCloser(bytes.NewBufferString("\x01{"))); err == nil {
