--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -64,9 +64,9 @@
 // initialRetryTokens is the number of retries in the retry budget of a new Balancer.
 const initialRetryTokens = 3
 
-// New returns a Balancer that starts at now and has already started its timer and, if
-// Settings.PollDiscovery is set, its first poll of discovery. The host passes the endpoint list to
-// HandleServers next; a node that stored a list before a restart passes it with UpdateCached. New
+// New returns a Balancer that makes decisions from now on. It sets the tick timer and, if
+// Settings.PollDiscovery is set, calls Host.Watch. The host passes the endpoint list to
+// HandleServers; a node that stored a list before a restart passes it with UpdateCached first. New
 // returns ErrNoClasses if settings has no classes.
 func New(settings Settings, seed uint64, now Time, host Host) (*Balancer, error) {
 	if len(settings.Classes) == 0 {
--- a/balancer/dispatch.go
+++ b/balancer/dispatch.go
@@ -28,7 +28,7 @@
 // again and panics on a violation, because a duplicate effect cannot be undone.
 func (b *Balancer) send(r *request, s *server) {
 	if r.finished || b.now >= r.deadline || !b.mayUse(s) || !b.mayRepeat(r, s, r.attemptCount) {
-		panic("balancer: a send that breaks a rule")
+		panic("balancer: send violates the rules for deadline, endpoint list or idempotency")
 	}
 	b.stopWaiting(r)
 	a := &r.attempts[r.attemptCount]
@@ -43,8 +43,8 @@
 	b.scheduleHedge(r)
 }
 
-// countAttempt adds an attempt to the counts of its server and to the cost charged to the
-// slow-start allowance.
+// countAttempt adds an attempt to the counts of its server and charges its cost to the slow-start
+// allowance.
 func (b *Balancer) countAttempt(r *request, s *server) {
 	if s.load.inFlight == 0 {
 		s.activity.silentSince = b.now // the server was idle before
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -18,12 +18,11 @@
 	firstCheckSpread = checkIntervalUnsettled / 4
 	// restartedLimit is the concurrency limit of a server that has restarted.
 	restartedLimit = 1
-	// maxWeight is the bound of listed weights; weights at or above it are ignored.
+	// maxWeight is the upper bound of listed weights; a weight that reaches it is ignored.
 	maxWeight = 1e9
 )
 
-// listing is the state of a server that past updates of the endpoint list have left, in addition to
-// its current entry.
+// listing is the history of a server in the endpoint list, in addition to its current entry.
 type listing struct {
 	named bool // it is in the last complete list or in an update since then
 	// drainSeen is set if the server was listed as draining. If it is removed afterwards, it must not
@@ -114,7 +113,8 @@
 	s.listing.drainSeen = e.State == Draining || s.listing.drainSeen && e.State == Removed
 }
 
-// addServer adds a server. A server that is listed when the node starts is presumed up.
+// addServer adds a server. A server that is listed when the node starts, or within checkIntervalUp
+// of the start, is presumed up.
 func (b *Balancer) addServer(e Server, kind UpdateKind) *server {
 	s := &server{Server: e}
 	s.load.limit = initialLimit
--- a/balancer/health_check.go
+++ b/balancer/health_check.go
@@ -125,7 +125,8 @@
 	}
 }
 
-// stepCounter counts a pass or a failure. The first result alone sets a server up or down.
+// stepCounter counts a pass or a failure. The first result sets an unknown server up or down at
+// once.
 func (b *Balancer) stepCounter(s *server, passed bool) {
 	h := &s.health
 	switch {
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -7,31 +7,31 @@
 	id     RequestID
 	class  *class
 	tenant *tenant // nil if the request has none
-	// admittedClass holds the settings of its class at arrival. UpdateSettings does not change them,
-	// because they are the guarantees given to the client.
+	// admittedClass holds the settings of the request's class at arrival. UpdateSettings does not
+	// change them, because they are the guarantees given to the client.
 	admittedClass *Class
 	affinityKey   uint64 // 0 if the request has none
 
 	arrivedAt Time
 	deadline  Time
-	waitUntil Time // end of its wait for capacity
+	waitUntil Time // end of the wait for capacity
 
 	work       float64 // expected processing time in seconds
-	limitShare float64 // share of a server's concurrency limit that it may use
+	limitShare float64 // share of a server's concurrency limit that the request may use
 	// draw is a uniform random number in [0, 1). Load shedding, the even share, the spread of hedged
-	// requests and the choice among underserved warming servers all use this one number.
+	// requests and the choice among underserved servers all use this one number.
 	draw float64
-	// expectedFailure is the mean wait of its class or its tenant, whichever is longer, from 0
-	// (answers without delay) to 1 (failures).
+	// expectedFailure is the mean wait of the request's class or tenant, whichever is longer, from 0
+	// (answered at once) to 1 (late or failed).
 	expectedFailure float64
 
 	attemptCount int
 	outstanding  int // number of attempts without an outcome
 
-	finished    bool // it has its final answer or its client has disconnected
-	pending     bool // it is in the queue for capacity
-	streamsBody bool // its body is still being received, see Request.StreamsBody
-	// connectionBroke is set if its last attempt ended with Reset: the request may have crashed the
+	finished    bool // the request has its final answer or its client has disconnected
+	pending     bool // the request is in the queue for capacity
+	streamsBody bool // the body is still being received, see Request.StreamsBody
+	// connectionBroke is set if the last attempt ended with Reset: the request may have crashed the
 	// server.
 	connectionBroke bool
 
@@ -42,9 +42,9 @@
 type attempt struct {
 	server      *server
 	sentAt      Time
-	outstanding bool // it has no outcome yet
-	neverRan    bool // its outcome proves that the server never ran it
-	released    bool // it no longer counts as in flight
+	outstanding bool // the attempt has no outcome yet
+	neverRan    bool // the outcome proves that the server never ran the attempt
+	released    bool // the attempt no longer counts as in flight
 	// silenceExplained is set if a missing answer does not indicate load at the server, because the
 	// attempt was overtaken or its body is still being sent.
 	silenceExplained bool
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -123,8 +123,8 @@
 }
 
 // withinEvenShare reports whether a server stays within its share of the node's recent attempts
-// with one more request. The limit protects a server against a hot key that many nodes send to it
-// while none of them reaches the server's concurrency limit. The tolerance grows with attemptRate,
+// with one more request. This protects a server against a hot key that many nodes send to it while
+// none of them reaches the server's concurrency limit. The tolerance grows with attemptRate,
 // because a node that receives many answers from the server detects the overload from them.
 func (b *Balancer) withinEvenShare(r *request, s *server) bool {
 	sent := b.recentAttempts + assumedAttempts*float64(len(b.servers))
--- a/balancer/server.go
+++ b/balancer/server.go
@@ -1,7 +1,8 @@
 package balancer
 
-// server is the state that a node keeps for one server. Each field of a struct type names the file
-// that declares the type; a few events update fields from other files as well.
+// server is the state that a node keeps for one server. The comment on each part names the file
+// with most of its code; an event that concerns several parts updates them from other files as
+// well.
 type server struct {
 	Server // entry in the endpoint list
 	capacity  float64 // relative: the last listed weight, or the highest one with Settings.LiveWeights
@@ -15,13 +16,13 @@
 
 // activity holds the times of a server's latest signs of life.
 type activity struct {
-	// silentSince is the start of the period without an answer: the latest of the last answer or first
-	// byte, the first attempt sent to the idle server, its readmission and its last ejection by
-	// ejectSilent.
+	// silentSince is the start of the current period without an answer: the time of the last answer or
+	// first byte, of the last work sent to the idle server, of its readmission or of its ejection by
+	// ejectSilent, whichever is latest.
 	silentSince Time
 	succeededAt Time // time of the last successful answer to a request; health checks do not count
-	// newestAnsweredSentAt is the latest send time of all attempts that were answered successfully. An
-	// attempt that was sent well before and is still outstanding was overtaken.
+	// newestAnsweredSentAt is the latest send time of all successfully answered attempts. An attempt
+	// that was sent well before that time and is still outstanding was overtaken.
 	newestAnswered Time
 }
 
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -6,11 +6,11 @@
 )
 
 // ErrNoClasses is returned by New if Settings.Classes is empty.
-var ErrNoClasses = errors.New("balancer: settings have no classes")
+var ErrNoClasses = errors.New("balancer: Settings.Classes is empty, at least 1 class is required")
 
 // ErrClassesChanged is returned by UpdateSettings if the number of classes or tenants changed. The
 // previous settings stay in force.
-var ErrClassesChanged = errors.New("balancer: classes or tenants are more or fewer than before")
+var ErrClassesChanged = errors.New("balancer: number of classes or tenants differs from the settings in force")
 
 // Idempotency states whether a request may run more than once.
 type Idempotency uint8
@@ -48,8 +48,8 @@
 	LateWeightShare float64
 	// Idempotency states whether the Balancer may repeat attempts.
 	Idempotency Idempotency
-	// DedupScope and DedupWindow restrict the retries of an IdempotencyKeyed request to these servers
-	// and this duration since an earlier attempt. A DedupWindow of 0 allows no retry.
+	// DedupScope and DedupWindow restrict the retries of an IdempotencyKeyed request: to the servers
+	// in the scope, and to this duration since an earlier attempt. A DedupWindow of 0 allows no retry.
 	DedupScope  DedupScope
 	DedupWindow time.Duration
 	// Streaming is set if answers are streamed; such requests are not hedged.
@@ -77,7 +77,7 @@
 	// WeightPerWork is set if PriorityWeight applies to each unit of work instead of each request.
 	WeightPerWork bool
 	// OverQuotaWeightShare is the share of its weight that a request beyond its tenant's quota keeps.
-	// The Balancer does not use it, but overQuotaLimitShare.
+	// The Balancer uses overQuotaLimitShare instead.
 	OverQuotaWeightShare float64
 	// LiveWeights is set if the listed weight of a server decreases with its load.
 	LiveWeights bool
@@ -94,7 +94,7 @@
 	ServeRemoved bool
 	// InitialCapacity is the minimum share of its capacity that a server has when it starts.
 	InitialCapacity float64
-	// SlowStart is the maximum duration after its start until a server is warm; 0 means that servers
+	// SlowStart is the maximum duration from a server's start until it is warm; 0 means that servers
 	// are warm at once.
 	SlowStart time.Duration
 	// OverloadFactor is the load at which a warming server fails, as a multiple of its current
@@ -140,10 +140,10 @@
 	return s
 }
 
-// UpdateSettings replaces the settings. Classes and tenants keep their positions, so their
-// statistics stay valid. Requests that were already admitted keep the guarantees of their class at
-// admission. UpdateSettings returns ErrClassesChanged, and changes nothing, if the number of
-// classes or tenants differs.
+// UpdateSettings replaces the settings. Classes and tenants keep their positions, so that their
+// statistics stay valid. Requests that were already admitted keep the guarantees that their class
+// had at admission. If the number of classes or tenants differs, UpdateSettings changes nothing and
+// returns ErrClassesChanged.
 func (b *Balancer) UpdateSettings(now Time, settings Settings) error {
 	if len(settings.Classes) != len(b.classes) || len(settings.Tenants) != len(b.tenants) {
 		return ErrClassesChanged
--- a/balancer/shedding.go
+++ b/balancer/shedding.go
@@ -6,7 +6,7 @@
 // concurrency limit of a single server does not detect. When the median wait is long, requests are
 // shed at random; those of the lowest rank have the highest probability.
 const (
-	// shedWaitPerRate raises the median wait at which shedding starts, per attempt per second and
+	// shedWaitPerRate raises the median wait at which shedding starts, per attempt per second to each
 	// server: a node that receives many answers from each server detects overload earlier through the
 	// concurrency limits.
 	shedWaitPerRate = 0.05
