--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -13,12 +13,12 @@
 	// minLargestLimit is the minimum limit of a server with the largest capacity. The minimum of
 	// smaller servers is proportional to their capacity, but at least 1.
 	minLargestLimit = 1.5
-	// acceptableWait is the maximum mean wait at which a server's limit may grow, as a share of the
-	// latency objective.
+	// acceptableWait is the mean wait, as a share of the latency objective, below which a server's
+	// limit may grow and above which it shrinks.
 	acceptableWait = 0.2
 	// minLimitUse is the minimum share of the limit that must be in use for the limit to grow.
 	limitGrowthUse = 0.6
-	// limitGrowth is the growth of the limit per answer, divided by the limit.
+	// limitGrowth, divided by the limit, is the growth of the limit per answer.
 	limitGrowth = 2
 	// maxLimitGrowth is the maximum growth of the limit per answer.
 	maxLimitGrowth = 1
@@ -26,8 +26,8 @@
 	limitCutFactor = 0.7
 	// readmittedLimitDivisor divides the limit of a server that is readmitted.
 	readmittedLimitDivisor = 2
-	// waitCutSlope is the reduction of the limit by one answer, as a share, per unit of mean wait
-	// above acceptableWait. maxExcessWait is the maximum of that excess.
+	// waitCutSlope is the reduction of the limit per answer, as a share, per unit of mean wait above
+	// acceptableWait. maxExcessWait is the maximum of that excess.
 	waitCutSlope  = 0.3
 	maxExcessWait = 0.5
 	// limitCutPauseDivisor sets the minimum pause between two reductions: the latency objective
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -20,7 +20,8 @@
 //
 // HandleTimer (tick.go) runs at a fixed interval. It sends health checks (health_check.go), ejects
 // servers that stopped answering (outlier.go), releases attempts that later ones have overtaken
-// (hedging.go) and updates slow start (slow_start.go). HandleServers (endpoints.go) receives the endpoint list.
+// (hedging.go) and updates slow start (slow_start.go). HandleServers (endpoints.go) receives the
+// endpoint list.
 //
 // docs/DESIGN.md explains the decisions, docs/CAPACITY.md the values of the constants.
 package balancer
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -5,10 +5,12 @@
 // Outlier detection steps the same counter by the outcomes of requests, because a server may fail,
 // hang or lose requests while its health checks pass.
 const (
-	// minIgnoredPerNode is the minimum of passesIgnoredPeriod after a failed request, per node of the
-	// fleet. It prevents all nodes from retrying the server at the same time.
+	// minPassesIgnoredPerNode, multiplied by the number of nodes, is the minimum of
+	// passesIgnoredPeriod after a failed request. The minimum prevents all nodes from retrying the
+	// server at the same time.
 	restPerNode = time.Second / 8
-	// maxIgnoredPeriod is the maximum of passesIgnoredPeriod, including its doubling.
+	// maxPassesIgnoredPeriod is the maximum of passesIgnoredPeriod, including its minimum and its
+	// doubling.
 	maxDistrust = 8 * checkIntervalDown
 	// silenceLatencies is the duration for which a server with requests in flight may send no answer,
 	// as a multiple of the mean latency.
@@ -42,9 +44,10 @@
 }
 
 // failureWeight returns the number of failures that one failed attempt counts as, from 1 to
-// fallThreshold. It is 1 if no server has answered recently. Otherwise it grows with the time since
-// the last success of this server, because a server that receives few requests from this node has
-// few opportunities to fail.
+// fallThreshold. It is 1 if no server has answered since checkIntervalUnsettled before the attempt
+// was sent. Otherwise it grows with the time since the last success of the attempt's server: while
+// other servers answer, a server that receives few requests from this node has had enough time to
+// succeed.
 func (b *Balancer) failureSteps(a *attempt) float64 {
 	if b.lastSuccessAt <= a.sentAt-Time(checkIntervalUnsettled) {
 		return 1
