--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -25,9 +25,9 @@
 // listing is the history of a server in the endpoint list, in addition to its current entry.
 type listing struct {
 	listed bool // it is in the last complete list or in an update since then
-	// drainSeen is set if the server was listed as draining. If it is removed afterwards, it must not
+	// wasDraining is set if the server was listed as draining. If it is removed afterwards, it must not
 	// be used even if Settings.ServeRemoved is set.
-	drainSeen bool
+	wasDraining bool
 }
 
 // discoveryState is the state of the discovery watch if this node has to poll.
@@ -110,7 +110,7 @@
 	}
 	s.Server = e
 	s.listing.listed = true
-	s.listing.drainSeen = e.State == Draining || s.listing.drainSeen && e.State == Removed
+	s.listing.wasDraining = e.State == Draining || s.listing.wasDraining && e.State == Removed
 }
 
 // addServer adds a server. A server that is listed when the node starts, or within checkIntervalUp
@@ -171,7 +171,7 @@
 	case Ready:
 		return true
 	case Removed:
-		return b.settings.ServeRemoved && !s.listing.drainSeen
+		return b.settings.ServeRemoved && !s.listing.wasDraining
 	default:
 		return false
 	}
--- a/balancer/log.go
+++ b/balancer/log.go
@@ -11,18 +11,18 @@
 
 // logLimiter limits the rate of log lines with a token bucket.
 type logLimiter struct {
-	// freeFrom is the time up to which the tokens are used: each second between freeFrom and now is
-	// one token.
-	freeFrom Time
+	// tokensUsedUntil is the end of the time whose tokens are used: each second from then until now is
+	// one unused token.
+	tokensUsedUntil Time
 }
 
 // allow reports whether a line may be logged at now, and takes a token if so.
 func (l *logLimiter) allow(now Time) bool {
-	l.freeFrom = max(l.freeFrom, now-logBurst*Time(time.Second))
-	if l.freeFrom >= now {
+	l.tokensUsedUntil = max(l.tokensUsedUntil, now-logBurst*Time(time.Second))
+	if l.tokensUsedUntil >= now {
 		return false
 	}
-	l.freeFrom += Time(time.Second)
+	l.tokensUsedUntil += Time(time.Second)
 	return true
 }
 
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -12,9 +12,9 @@
 	// maxPassesIgnoredPeriod is the maximum of passesIgnoredPeriod, including its minimum and its
 	// doubling.
 	maxPassesIgnoredPeriod = 8 * checkIntervalDown
-	// silenceLatencies is the duration for which a server with requests in flight may send no answer,
+	// maxSilenceLatencies is the duration for which a server with requests in flight may send no answer,
 	// as a multiple of the mean latency.
-	silenceLatencies = 4
+	maxSilenceLatencies = 4
 )
 
 // recordHealthOutcome steps the server's counter by the outcome of a request. A failure counts
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -31,9 +31,9 @@
 	finished    bool // the request has its final answer or its client has disconnected
 	pending     bool // the request is in the queue for capacity
 	streamsBody bool // the body is still being received, see Request.StreamsBody
-	// connectionBroke is set if the last attempt ended with Reset: the request may have crashed the
+	// connectionReset is set if the last attempt ended with Reset: the request may have crashed the
 	// server.
-	connectionBroke bool
+	connectionReset bool
 
 	attempts [maxAttempts]attempt
 }
@@ -137,7 +137,7 @@
 		return 0
 	}
 	after := b.random.jitter(time.Duration(retryAfterLatencies * b.meanLatency * float64(time.Second)))
-	if r.connectionBroke {
+	if r.connectionReset {
 		return b.settings.MaxRetryAfter
 	}
 	return min(after, b.settings.MaxRetryAfter)
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -40,12 +40,12 @@
 // retryOrGiveUp retries a request whose attempt has failed, or gives it up. It does not retry after
 // a broken connection, because the request may have crashed the server.
 func (b *Balancer) retryOrGiveUp(r *request, a *attempt, result Result) {
-	r.connectionBroke = result == Reset
+	r.connectionReset = result == Reset
 	free := a.neverRan && r.attemptCount < 2 && result != NotSent
 	switch {
 	case r.outstanding > 0 && !a.neverRan:
 		// another attempt, a hedged request, is still outstanding
-	case !r.connectionBroke && (free || b.retryTokens >= 1):
+	case !r.connectionReset && (free || b.retryTokens >= 1):
 		if !free {
 			b.retryTokens--
 		}
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -14,9 +14,9 @@
 	// maxRetryEntries is the maximum number of entries that a retry examines. It is higher because a
 	// deduplication scope may restrict the retry to servers that are not among the first entries.
 	maxRetryEntries = 48
-	// spillLimitShare is the factor applied to the usable share of a server's limit at each spill. The
+	// spillLimitFactor is the factor applied to the usable share of a server's limit at each spill. The
 	// rest stays free for the server's own keys, because the spilled key is not cached there.
-	spillLimitShare = 0.5
+	spillLimitFactor = 0.5
 
 	// attemptWindow is the time constant over which the attempts to a server are counted.
 	attemptWindow = 10 * time.Second
@@ -64,9 +64,9 @@
 		hash = mix(hash)
 		switch {
 		case inZone && i == maxZoneEntries-1:
-			limitShare = r.limitShare * spillLimitShare // the first entry of the other table counts as the first spill
+			limitShare = r.limitShare * spillLimitFactor // the first entry of the other table counts as the first spill
 		case i < maxSpillEntries:
-			limitShare *= spillLimitShare
+			limitShare *= spillLimitFactor
 		}
 	}
 	return fallback
--- a/balancer/tick.go
+++ b/balancer/tick.go
@@ -25,7 +25,7 @@
 // inspectServers updates every server once per tick. It starts with the first server whose health
 // check was deferred in the last tick.
 func (b *Balancer) inspectServers() {
-	toleratedSilence := Time(silenceLatencies * b.meanLatency * float64(time.Second))
+	toleratedSilence := Time(maxSilenceLatencies * b.meanLatency * float64(time.Second))
 	first := b.firstDeferredCheck
 	b.firstDeferredCheck = 0
 	for i := range b.servers {
