--- a/balancer/tick.go
+++ b/balancer/tick.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// tickInterval is the period of the regular timer.
+// tickInterval is the period of the tick timer.
 const tickInterval = 50 * time.Millisecond
 
-// HandleTimer takes a timer that was set by Host.SetTimer.
+// HandleTimer handles the expiry of a timer that the Balancer set with Host.SetTimer.
 func (b *Balancer) HandleTimer(now Time, timer uint64) {
 	b.now = now
 	if timer != tickTimer {
@@ -22,12 +22,12 @@
 	b.inspectServers()
 }
 
-// inspectServers looks at every server once, beginning with the one whose health
-// check was put off on the last tick.
+// inspectServers updates every server once per tick. It starts with the first server whose health
+// check was deferred in the last tick.
 func (b *Balancer) inspectServers() {
-	toleratedSilence := Time(silenceLatencies * b.meanLatency * float64(time.Second))
-	first := b.checkFrom
-	b.checkFrom = 0
+	toleratedSilence := Time(maxSilenceLatencies * b.meanLatency * float64(time.Second))
+	first := b.firstDeferredCheck
+	b.firstDeferredCheck = 0
 	for i := range b.servers {
 		position := (first + i) % len(b.servers)
 		s := b.servers[position]
@@ -42,7 +42,7 @@
 		}
 		b.presumeUp(s)
 		b.updateMembership(s)
-		if b.tableWeight(s) != s.entry.weight {
+		if b.tableWeight(s) != s.table.weight {
 			b.tables.stale = true
 		}
 	}
