--- a/internal/routing/admission_control.go
+++ b/internal/routing/admission_control.go
@@ -6,25 +6,28 @@
 	"olivebridge/balancer"
 )
 
-// minWarmUpCapacity bounds from below the share of its capacity that a server counts to have at its start, so that the
-// cost of an attempt stays finite.
+// minWarmUpCapacity is the smallest initial capacity, as a share of the full capacity, that warmUpCost computes with.
+// It keeps the cost finite: an initial capacity of 0 would give 0/0 at the start of the server.
 const minWarmUpCapacity = 0.01
 
-// AdmissionControl admits calls and attempts by budgets that the whole fleet shares. Its methods are called from many
-// goroutines and must not block.
+// AdmissionControl admits calls and attempts against quotas and budgets that the whole fleet shares. Its methods are
+// called concurrently and must not block.
 type AdmissionControl interface {
-	// Admit reports whether a tenant's call may go on. If not, retryAfter is when to come back.
+	// Admit reports whether a call of the tenant is admitted. If it is not, retryAfter is the duration for which the
+	// client should wait before a retry.
 	Admit(tenant int) (ok bool, retryAfter time.Duration)
-	// AdmitRetry reports whether an attempt that is not its call's first may leave: a retry or a hedged request.
+	// AdmitRetry reports whether a retry or a hedged request may be sent. It is not called for the first attempt of a
+	// call.
 	AdmitRetry() bool
-	// AdmitWarmUp reports whether an attempt may leave for a server that is warming up. cost is 1 right after the
-	// server's start and falls as it warms up.
+	// AdmitWarmUp reports whether an attempt may be sent to a server in slow start. cost is the amount charged to the
+	// warm-up budget: 1 right after the start of the server, decreasing while the server warms up.
 	AdmitWarmUp(server balancer.ServerID, cost float64) bool
-	// Release tells that an admitted call has its answer, or needs none any more.
+	// Release is called once for each admitted call, when the call has been answered or no longer needs an answer.
 	Release(tenant int)
 }
 
-// admitWarmUp asks the fleet's budget for an attempt that costs so much of it. A cost of 0 needs no asking.
+// admitWarmUp charges cost to the fleet's warm-up budget and reports whether the attempt may be sent. It does not ask
+// the AdmissionControl if cost is 0.
 func (r *Router) admitWarmUp(upstream *Upstream, cost float64) bool {
 	if cost == 0 || r.admission.AdmitWarmUp(upstream.ID, cost) {
 		return true
@@ -33,8 +36,9 @@
 	return false
 }
 
-// warmUpCost is what an attempt costs of the fleet's budget for servers that warm up: the share of its capacity that
-// the server has at its start, divided by the share that it has by now. 0: the server is warm, or there is no budget.
+// warmUpCost returns the cost of an attempt in the fleet's warm-up budget: the initial capacity of the server divided
+// by its current capacity, both as shares of its full capacity. It returns 0 if the server has completed slow start or
+// there is no AdmissionControl.
 func (r *Router) warmUpCost(upstream *Upstream) float64 {
 	if r.admission == nil {
 		return 0
--- a/internal/routing/admit.go
+++ b/internal/routing/admit.go
@@ -6,7 +6,8 @@
 	"olivebridge/balancer"
 )
 
-// admitEvent brings a call: it enters the table, and the Balancer decides what becomes of it.
+// admitEvent adds a received call to the call table and passes it to the Balancer, which decides how to proceed with
+// it.
 type admitEvent struct{ call *openCall }
 
 func (e admitEvent) requestID() balancer.RequestID { return e.call.id }
@@ -15,8 +16,8 @@
 	call := e.call
 	now := r.now()
 	if r.calls.isDuplicate(call) {
-		// Guards against a second effect, and against the first call's answer going to another client. The client is
-		// told of an error and not of a rejection, since the first may run.
+		// Running a duplicate could repeat the side effect of the first call or send its answer to another client. The
+		// verdict is Duplicate, an error, and not Rejected, because the first call may run.
 		call.answered = true
 		call.deliver(Answer{Verdict: Duplicate})
 		return
@@ -24,7 +25,7 @@
 	r.calls.add(call)
 	call.attempts = call.attemptsArray[:0]
 	if call.Class >= 0 && call.Class < len(r.settings.Classes) {
-		call.class = &r.settings.Classes[call.Class] // a reload brings a new list and leaves this one alone
+		call.class = &r.settings.Classes[call.Class] // a reload replaces the slice and does not modify this one
 	}
 	call.deadline = r.balancerTime(call.ReceivedAt.Add(call.maxDuration() - answerMargin))
 	r.balancer.HandleRequest(now, balancer.Request{
--- a/internal/routing/attempt_context.go
+++ b/internal/routing/attempt_context.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// attemptContext is the context of an attempt. It ends when the attempt is cancelled or the node ends. It allocates
-// nothing unless Done is called, and has no timer: the Transport watches the attempt's ExpiresAt.
+// attemptContext is the context.Context of an attempt. It ends when the attempt is cancelled or the Router stops. It
+// allocates nothing unless Done is called and has no timer: the Transport enforces Attempt.ExpiresAt.
 type attemptContext struct {
 	mu          sync.Mutex
-	cause       error         // why it ended; nil: it has not
-	done        chan struct{} // nil until asked for
-	interrupter Interrupter   // of the Transport; nil: none
+	cause       error         // reason for the end of the context; nil while it is active
+	done        chan struct{} // created by the first call of Done
+	interrupter Interrupter   // set by the Transport; nil if none is set
 }
 
 var _ context.Context = (*attemptContext)(nil)
 
-// cancel ends the context with a cause; the first counts.
+// cancel ends the context with cause. Only the first call has an effect.
 func (c *attemptContext) cancel(cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -28,13 +28,13 @@
 	if c.done != nil {
 		close(c.done)
 	}
-	if c.interrupter != nil { // with the lock held: once InterruptOnDone has replaced it, it is not called any more
+	if c.interrupter != nil { // the lock is held, so an interrupter that InterruptOnDone has replaced is never called
 		c.interrupter.Interrupt()
 	}
 }
 
-// InterruptOnDone has the interrupter called when the context ends, in place of the one given before; nil: none. It
-// reports whether the context goes on. Once it has ended, the interrupter is not called.
+// InterruptOnDone replaces the interrupter that is called when the context ends; nil removes it. It reports whether the
+// context is still active. If the context has already ended, the new interrupter is never called.
 func (c *attemptContext) InterruptOnDone(interrupter Interrupter) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,7 +42,7 @@
 	return c.cause == nil
 }
 
-// Deadline implements context.Context: it has none.
+// Deadline implements context.Context. The context has no deadline.
 func (c *attemptContext) Deadline() (time.Time, bool) { return time.Time{}, false }
 
 // Done implements context.Context.
@@ -58,12 +58,12 @@
 	return c.done
 }
 
-// Err implements context.Context. It returns the cause, which context.Cause then returns too.
+// Err implements context.Context. It returns the cause, so context.Cause returns the cause as well.
 func (c *attemptContext) Err() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cause
 }
 
-// Value implements context.Context: it carries none.
+// Value implements context.Context. The context carries no values.
 func (c *attemptContext) Value(any) any { return nil }
--- a/internal/routing/attempt_context_test.go
+++ b/internal/routing/attempt_context_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestAttemptContextKeepsFirstCause: whoever asks for the end of an attempt that has ended finds it, with its first
-// cause.
+// TestAttemptContextKeepsFirstCause checks that Done and Err of an attempt that was cancelled twice report its end with
+// the first cause, even if Done is first called after the end.
 func TestAttemptContextKeepsFirstCause(t *testing.T) {
 	attempt := new(runningAttempt)
 	attempt.cancel(ErrDeadlineExceeded)
--- a/internal/routing/attempt_run.go
+++ b/internal/routing/attempt_run.go
@@ -8,22 +8,24 @@
 	"olivebridge/balancer"
 )
 
-// runningAttempt is an attempt from its start until its outcome is known. It is its own context.
+// runningAttempt is an attempt that has been started, with its outcome once that is known. It is also the
+// context.Context of the attempt.
 type runningAttempt struct {
-	Attempt // never changes once the attempt is started
+	Attempt // immutable once the attempt has started
 	attemptContext
 	router     *Router
 	startedAt  time.Time
-	warmUpCost float64                   // of the fleet's budget; 0: none
-	bodySentAt atomic.Pointer[time.Time] // nil inside: no streamed body has been sent whole
+	warmUpCost float64                   // charged to the fleet's warm-up budget; 0 if nothing is charged
+	bodySentAt atomic.Pointer[time.Time] // holds nil until a streamed body has been sent completely
 
-	// The outcome belongs to the attempt's goroutine until it is posted, then to the goroutine of Run.
+	// The outcome belongs to the attempt's goroutine until outcomeEvent is posted, then to the event loop.
 	result   AttemptResult
 	latency  time.Duration
-	finished bool // the outcome is known to the goroutine of Run
+	finished bool // set when the event loop has processed the outcome
 }
 
-// run is the attempt's goroutine: exactly one outcome comes back.
+// run executes the attempt on the attempt's own goroutine and posts exactly one outcomeEvent. If the event loop has
+// stopped, run releases the reply instead.
 func (a *runningAttempt) run() {
 	defer a.router.tasks.Done()
 	a.roundTrip()
@@ -37,12 +39,12 @@
 	}
 }
 
-// roundTrip lets the transport bring the attempt to its server, unless the fleet's budgets have nothing left for it.
+// roundTrip sends the attempt through the Transport unless the fleet's budgets do not admit it.
 func (a *runningAttempt) roundTrip() {
 	r := a.router
 	defer r.recoverPanic("task")
 	if a.Upstream == nil {
-		a.result.Result = balancer.NotSent // the Balancer and the table disagree
+		a.result.Result = balancer.NotSent // the Balancer chose a server that the upstream table does not contain
 		return
 	}
 	if r.admission != nil && a.Number > 0 && !r.admission.AdmitRetry() {
@@ -51,21 +53,22 @@
 		return
 	}
 	if !r.admitWarmUp(a.Upstream, a.warmUpCost) {
-		a.result.Result = balancer.Rejected // as the server would do: it is left alone for a while, and others are tried
+		a.result.Result = balancer.Rejected // like a server's rejection: it is avoided for a while and others are tried
 		return
 	}
-	a.result.Result = balancer.Reset // holds after a panic: the attempt may have run
+	a.result.Result = balancer.Reset // remains the result after a panic: the attempt may have run
 	a.result = r.transport.RoundTrip(a, a.Attempt)
 }
 
-// bodySent notes that the last byte of a streamed body has left: the server's time begins.
+// bodySent records that the last byte of a streamed body has been sent. The time limit for the server's reply starts
+// then.
 func (a *runningAttempt) bodySent() {
 	now := time.Now()
 	a.bodySentAt.Store(&now)
 	a.router.post(bodySentEvent{a, now})
 }
 
-// bodySentEvent tells the decisions that the last byte of a streamed body has left.
+// bodySentEvent reports to the event loop that the last byte of a streamed body has been sent.
 type bodySentEvent struct {
 	attempt *runningAttempt
 	at      time.Time
@@ -83,8 +86,8 @@
 	r.balancer.HandleBodySent(r.now(), e.attempt.RequestID, e.attempt.Number, timeout)
 }
 
-// confirm asks the decisions whether the attempt may still begin. Once the attempt is cancelled, its time is up or the
-// decisions have ended, it may not.
+// confirm asks the event loop whether the attempt may still be started. It returns false if the attempt is cancelled,
+// its ExpiresAt passes or the event loop stops before the response.
 func (a *runningAttempt) confirm() bool {
 	ctx, stop := context.WithDeadline(a, a.ExpiresAt)
 	defer stop()
@@ -106,10 +109,10 @@
 	}
 }
 
-// confirmEvent asks the decisions whether an attempt may still begin.
+// confirmEvent asks the event loop whether an attempt may still be started.
 type confirmEvent struct {
 	attempt   *runningAttempt
-	confirmed chan<- bool // holds the answer, so that sending never blocks
+	confirmed chan<- bool // buffered, so the event loop does not block on it
 }
 
 func (e confirmEvent) requestID() balancer.RequestID { return e.attempt.RequestID }
--- a/internal/routing/attempt_run_test.go
+++ b/internal/routing/attempt_run_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// TestConfirmEndsWithAttempt: an attempt that asks decisions which do not answer waits no longer than until its time is
-// up, it is cancelled, or the decisions end.
+// TestConfirmEndsWithAttempt checks that confirm returns false when the attempt expires, the attempt is cancelled or
+// the event loop stops, if the event loop does not respond.
 func TestConfirmEndsWithAttempt(t *testing.T) {
 	for name, end := range map[string]func(*runningAttempt){
-		"its time is up": func(a *runningAttempt) { a.ExpiresAt = time.Now() },
-		"it is cancelled": func(a *runningAttempt) {
+		"the attempt expires": func(a *runningAttempt) { a.ExpiresAt = time.Now() },
+		"the attempt is cancelled": func(a *runningAttempt) {
 			time.AfterFunc(10*time.Millisecond, func() { a.cancel(ErrCancelled) })
 		},
-		"the decisions ended": func(a *runningAttempt) { close(a.router.stopped) },
+		"the event loop stops": func(a *runningAttempt) { close(a.router.stopped) },
 	} {
 		for _, waiting := range []int{0, queueLength} {
 			attempt := &runningAttempt{
@@ -25,7 +25,7 @@
 			}
 			end(attempt)
 			if attempt.confirm() {
-				t.Errorf("%s, behind %d events: it may begin", name, waiting)
+				t.Errorf("%s, with %d events queued: confirm returned true, want false", name, waiting)
 			}
 		}
 	}
--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -2,57 +2,61 @@
 
 import "time"
 
-// Call is a client's request, reduced to what the decisions need. The rest of the request stays in Payload as it came
-// and reaches the Transport unread.
+// Call is the request of a client, reduced to the fields on which routing decisions depend. Payload holds the request
+// itself, which the Router passes to the Transport unread and unmodified.
 type Call struct {
-	// ClientRequestID is the id that the client gave. Of two open calls with one id the later is answered Duplicate.
-	// Empty: the call cannot be told from others.
+	// ClientRequestID is the request id that the client sent. A call with the id of an open call is answered with
+	// Duplicate. If the id is empty, the call is never treated as a duplicate.
 	ClientRequestID string
-	// Class is an index into the settings' classes.
+	// Class is the index of the call's class in balancer.Settings.Classes.
 	Class int
-	// Tenant is an index into the settings' tenants. Below 0: none.
+	// Tenant is the index of the call's tenant in balancer.Settings.Tenants. A negative index means no tenant.
 	Tenant int
-	// AffinityKey keeps calls with the same key at the same servers. 0: none.
+	// AffinityKey routes calls with the same key to the same servers. 0 means no affinity.
 	AffinityKey uint64
-	// ClientRetry tells that the client has marked the call as a retry.
+	// ClientRetry reports whether the client marked the call as a retry.
 	ClientRetry bool
-	// ReceivedAt is when the call's last byte came; with StreamsBody, when its head came.
+	// ReceivedAt is the time at which the last byte of the request was received. If StreamsBody is set, it is the time at
+	// which the head of the request was received.
 	ReceivedAt time.Time
-	// Timeout is how long the client waits for its answer, from ReceivedAt or, with StreamsBody, from the last byte on.
+	// Timeout is the duration for which the client waits for the answer. It starts at ReceivedAt or, if StreamsBody is
+	// set, at the last byte of the body.
 	Timeout time.Duration
-	// StreamsBody tells that the last byte is still to come, and that the Transport forwards the body as it comes.
+	// StreamsBody is set if the body is still being received and the Transport forwards it while it arrives.
 	StreamsBody bool
-	// Payload is the request as the Transport sends it.
+	// Payload is the request in the form in which the Transport sends it.
 	Payload any
 }
 
-// Verdict says how a call was answered.
+// Verdict is the kind of answer to a call.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts of a call.
 const (
-	// Served: an upstream server's answer is in Reply.
+	// Served means that Answer.Reply is the reply of an upstream server.
 	Served Verdict = iota
-	// Rejected: the call never ran, and a retry is harmless.
+	// Rejected means that the call never ran, so a retry by the client is safe.
 	Rejected
-	// Failed: the call may have run.
+	// Failed means that the call may have run.
 	Failed
-	// DeadlineExceeded: the call may have run, and its time was up.
+	// DeadlineExceeded means that the call was not answered before its deadline. It may have run.
 	DeadlineExceeded
-	// Duplicate: a call with the same client request id is open and goes on; this one had no attempt.
+	// Duplicate means that another call with the same ClientRequestID is open and continues. No attempt was made for this
+	// call.
 	Duplicate
 )
 
-// String is the verdict's name in logs and records.
+// String returns the name of the verdict in logs and records.
 func (v Verdict) String() string {
 	return [...]string{"served", "reject", "failed", "overdue", "twice"}[v]
 }
 
-// Answer is the one final answer to a call.
+// Answer is the single final answer to a call.
 type Answer struct {
 	Verdict Verdict
-	// RetryAfter is, with Rejected, how long the client should wait before a retry. 0: no advice.
+	// RetryAfter is the duration for which the client should wait before a retry. It is set for Rejected only; 0 means no
+	// advice.
 	RetryAfter time.Duration
-	// Reply is, with Served, the Transport's reply, unchanged.
+	// Reply is the unmodified reply of the Transport. It is set for Served only.
 	Reply any
 }
--- a/internal/routing/call_table.go
+++ b/internal/routing/call_table.go
@@ -9,28 +9,30 @@
 	"olivebridge/balancer"
 )
 
-// maxUploadTime is the longest that a streamed body may take to come: 32 MB at a little over 16 kB a second.
+// maxUploadTime is the maximum duration for which the body of a streamed call may be received. It allows 32 MB at
+// slightly more than 16 kB per second.
 const maxUploadTime = 32 * time.Minute
 
-// openCall is a call in the table. Its fields belong to the goroutine of Run, but for those that say otherwise.
+// openCall is a call that Handle has received, with the state that the call table keeps of it. Its fields belong to the
+// event loop unless their comments say otherwise.
 type openCall struct {
-	Call                      // never changes
-	id     balancer.RequestID // never changes once the call is in the table
-	answer Answer             // written once, before waiter is signalled; then read by the front end
-	waiter *answerWaiter      // of the front end
-	// answered: the answer is given, or nobody waits for one.
+	Call                      // immutable
+	id     balancer.RequestID // immutable once the call is in the table
+	answer Answer             // written once before waiter is signalled, then read by the front end
+	waiter *answerWaiter      // used by the front end to wait for the answer
+	// answered is set once the call has an answer or its client no longer waits for one.
 	answered bool
-	done     atomic.Bool // the same, for the Transport
+	done     atomic.Bool // same meaning as answered, read by the Transport
 	deadline balancer.Time
-	class    *balancer.Class // as the settings had it when the call came; nil: there is no such class
+	class    *balancer.Class // from the settings at admission; nil if Call.Class is out of range
 	attempts []*runningAttempt
-	inFlight int // attempts whose outcome is not known
-	// firstAttempt and attemptsArray save allocations: most calls have no more than two attempts.
+	inFlight int // number of attempts without an outcome
+	// firstAttempt and attemptsArray avoid allocations, since most calls make at most two attempts.
 	firstAttempt  runningAttempt
 	attemptsArray [2]*runningAttempt
 }
 
-// maxDuration is how long after ReceivedAt the call is over at the latest.
+// maxDuration returns the maximum duration from ReceivedAt to the end of the call.
 func (c *openCall) maxDuration() time.Duration {
 	if c.StreamsBody {
 		return c.Timeout + maxUploadTime
@@ -38,20 +40,20 @@
 	return c.Timeout
 }
 
-// finish notes that the call needs no answer any more.
+// finish records that the call no longer needs an answer.
 func (c *openCall) finish() {
 	c.answered = true
 	c.done.Store(true)
 }
 
-// deliver lets the front end go on with an answer.
+// deliver stores the answer and wakes the front end's goroutine.
 func (c *openCall) deliver(answer Answer) {
 	c.answer = answer
 	c.waiter.answered <- struct{}{}
 }
 
-// callTable holds the open calls: those that wait for their answer, and those with attempts in flight. It belongs to
-// the goroutine of Run.
+// callTable holds the open calls: calls without an answer and calls with attempts in flight. It belongs to the event
+// loop.
 type callTable struct {
 	byID             map[balancer.RequestID]*openCall
 	clientRequestIDs map[string]struct{}
@@ -71,7 +73,7 @@
 	return open && call.ClientRequestID != ""
 }
 
-// add enters a call and numbers it.
+// add assigns the next id to a call and inserts the call into the table.
 func (t *callTable) add(call *openCall) {
 	t.clientRequestIDs[call.ClientRequestID] = struct{}{}
 	t.lastID++
@@ -79,7 +81,7 @@
 	t.byID[call.id] = call
 }
 
-// removeIfDone drops a call that is answered and has no attempt in flight.
+// removeIfDone removes a call that has been answered and has no attempt in flight.
 func (t *callTable) removeIfDone(call *openCall) {
 	if call.answered && call.inFlight == 0 && t.byID[call.id] == call {
 		delete(t.byID, call.id)
@@ -87,7 +89,7 @@
 	}
 }
 
-// attemptsInFlight counts the attempts in flight of all calls for which match holds.
+// attemptsInFlight returns the number of attempts in flight, over all calls, for which match returns true.
 func (t *callTable) attemptsInFlight(match func(*runningAttempt) bool) int {
 	count := 0
 	for _, call := range t.byID {
@@ -100,7 +102,7 @@
 	return count
 }
 
-// cancelAll ends the attempts of all calls, in the order of the calls.
+// cancelAll cancels the attempts of all calls in ascending order of call ids.
 func (t *callTable) cancelAll(cause error) {
 	for _, id := range slices.Sorted(maps.Keys(t.byID)) {
 		for _, attempt := range t.byID[id].attempts {
--- a/internal/routing/clock.go
+++ b/internal/routing/clock.go
@@ -6,23 +6,23 @@
 	"olivebridge/balancer"
 )
 
-// now is the Balancer's time: the wall clock at the Router's start, run on by the monotonic clock. So it never goes
-// back, and the starts that servers report compare with it.
+// now returns the current time of the Balancer: the wall clock at the start of the Router plus the monotonic time
+// elapsed since then. It never goes backwards and is comparable with the start times that servers report.
 func (r *Router) now() balancer.Time { return r.balancerTime(time.Now()) }
 
-// balancerTime turns the clock's time into the Balancer's.
+// balancerTime converts a time.Time to the time of the Balancer.
 func (r *Router) balancerTime(t time.Time) balancer.Time {
 	return balancer.Time(r.startedAt.UnixNano()) + balancer.Time(t.Sub(r.startedAt))
 }
 
-// clockTime turns the Balancer's time into the clock's.
+// clockTime converts a time of the Balancer to a time.Time.
 func (r *Router) clockTime(t balancer.Time) time.Time {
 	return r.startedAt.Add(time.Duration(t - balancer.Time(r.startedAt.UnixNano())))
 }
 
-// timerEvent is a timer of the Balancer's.
+// timerEvent reports the expiry of a timer that the Balancer has set.
 type timerEvent struct {
-	ref   uint64 // the Balancer's name for it
+	ref   uint64 // identifier that the Balancer assigned to the timer
 	timer *time.Timer
 }
 
@@ -38,7 +38,7 @@
 	e.timer = time.AfterFunc(delay, func() { r.post(e) })
 }
 
-// stopTimers stops all timers, as the node ends.
+// stopTimers stops all pending timers when Run returns.
 func (r *Router) stopTimers() {
 	for e := range r.timers {
 		e.timer.Stop()
--- a/internal/routing/counters.go
+++ b/internal/routing/counters.go
@@ -8,9 +8,10 @@
 	"olivebridge/balancer"
 )
 
-// Counters count what a node receives, sends and answers. They are safe for concurrent use.
+// Counters counts the calls, attempts, health checks and endpoint lists of a node. Its methods are safe for concurrent
+// use.
 type Counters struct {
-	// Received counts the calls; each ends as one of the next six.
+	// Received counts all calls. Each call that has ended also counts in exactly one of the next six counters.
 	Received         atomic.Int64
 	Served           atomic.Int64
 	Rejected         atomic.Int64
@@ -19,16 +20,16 @@
 	Duplicates       atomic.Int64
 	Disconnected     atomic.Int64
 
-	// These should stay 0.
+	// QueueFull, WatchdogAnswers and Panics are expected to stay 0.
 	QueueFull       atomic.Int64
 	WatchdogAnswers atomic.Int64
 	Panics          atomic.Int64
 
 	Attempts       atomic.Int64
 	Cancelled      atomic.Int64
-	AttemptResults [balancer.NotSent + 1]atomic.Int64 // by balancer.Result
+	AttemptResults [balancer.NotSent + 1]atomic.Int64 // indexed by balancer.Result
 
-	// These are calls and attempts for which an AdmissionControl had nothing left.
+	// The next three count calls and attempts for which a quota or budget of an AdmissionControl was exhausted.
 	RejectedByFleetQuota   atomic.Int64
 	RetriesOverFleetBudget atomic.Int64
 	WarmUpOverFleetBudget  atomic.Int64
@@ -39,7 +40,7 @@
 	WatchFailures      atomic.Int64
 }
 
-// attemptResultNames are the names of balancer.Result in the counters' line.
+// attemptResultNames holds the name of each balancer.Result in the output of Counters.String.
 var attemptResultNames = [balancer.NotSent + 1]string{
 	balancer.OK:            "ok",
 	balancer.Errored:       "errored",
@@ -51,7 +52,7 @@
 	balancer.NotSent:       "moot",
 }
 
-// countEnd counts the end of a call. Without an answer its client has disconnected.
+// countEnd counts a call that has ended. answered is false if the client disconnected before the answer.
 func (c *Counters) countEnd(answer Answer, answered bool) {
 	if !answered {
 		c.Disconnected.Add(1)
@@ -71,14 +72,14 @@
 	return byVerdict[v]
 }
 
-// countResult counts the end of an attempt.
+// countResult counts an attempt that has ended, by its result.
 func (c *Counters) countResult(result balancer.Result) {
 	if int(result) < len(c.AttemptResults) {
 		c.AttemptResults[result].Add(1)
 	}
 }
 
-// String writes the counters as name=value on one line.
+// String returns the counters as name=value pairs on one line.
 func (c *Counters) String() string {
 	var line strings.Builder
 	add := func(name string, counter *atomic.Int64) { fmt.Fprintf(&line, " %s=%d", name, counter.Load()) }
@@ -97,7 +98,7 @@
 	for result, name := range attemptResultNames {
 		add("try_"+name, &c.AttemptResults[result])
 	}
-	if c.overFleetBudget() > 0 { // nodes without fleet budgets do not mention them
+	if c.overFleetBudget() > 0 { // nodes without fleet budgets omit these counters
 		add("over_budget", &c.RejectedByFleetQuota)
 		add("over_retries", &c.RetriesOverFleetBudget)
 		add("over_cold", &c.WarmUpOverFleetBudget)
--- a/internal/routing/counters_test.go
+++ b/internal/routing/counters_test.go
@@ -10,8 +10,8 @@
 	"olivebridge/balancer"
 )
 
-// TestCountersOfEachResult: each end of an attempt counts under the name that the operators' page has, and so does what
-// should not happen.
+// TestCountersOfEachResult checks that each result of an attempt is counted under the name that the operators'
+// documentation lists, and that the counters of abnormal events are included.
 func TestCountersOfEachResult(t *testing.T) {
 	for result, name := range map[balancer.Result]string{
 		balancer.OK:            "ok",
@@ -27,7 +27,7 @@
 		r := startRouter(t, transport, listed(7))
 		r.Handle(t.Context(), newCall(unsafe, time.Second))
 		if want := fmt.Sprintf("try_%s=1", name); !strings.Contains(r.counters.String(), want) {
-			t.Errorf("no %s in %s", want, r.counters)
+			t.Errorf("counters do not contain %s: %s", want, r.counters)
 		}
 	}
 	ctx, disconnect := context.WithCancel(t.Context())
@@ -41,7 +41,7 @@
 	if !strings.Contains(line, "hung_up=1") || !strings.Contains(line, "queue_full=0 guard_answers=0 panics=0") {
 		t.Error(line)
 	}
-	for !strings.Contains(r.counters.String(), " called_off=1") { // its cancellation is an event of its own
+	for !strings.Contains(r.counters.String(), " called_off=1") { // the cancellation is a separate event
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/routing/dedup_window_test.go
+++ b/internal/routing/dedup_window_test.go
@@ -10,7 +10,8 @@
 	"olivebridge/balancer"
 )
 
-// settingsWithDedupWindow have a class whose calls carry an idempotency key, which servers remember for window.
+// settingsWithDedupWindow returns settings with a class of keyed calls, whose idempotency keys servers remember for
+// window.
 func settingsWithDedupWindow(window time.Duration) balancer.Settings {
 	settings := testSettings()
 	class := &settings.Classes[safe]
@@ -20,8 +21,8 @@
 	return settings
 }
 
-// TestDedupWindowAcrossReload: a retry must start within the window that its call's class had as the call came,
-// whatever a reload while the first attempt was in flight has made of it, and within a shorter one of the reload's.
+// TestDedupWindowAcrossReload checks that a retry must start within the deduplication window that the class had when
+// the call arrived, or within the new window if a reload during the first attempt shortened it.
 func TestDedupWindowAcrossReload(t *testing.T) {
 	for _, c := range []struct{ before, after, want time.Duration }{
 		{time.Second, time.Second, time.Second},
@@ -57,7 +58,7 @@
 			first <- true
 			startBefore := <-retry
 			if window := startBefore.Sub(begun); window != c.want {
-				t.Errorf("%v, then %v: it must start within %v, want %v", c.before, c.after, window, c.want)
+				t.Errorf("window %v, after reload %v: retry may start within %v, want %v", c.before, c.after, window, c.want)
 			}
 			stop()
 			synctest.Wait()
--- a/internal/routing/dispatch.go
+++ b/internal/routing/dispatch.go
@@ -6,8 +6,8 @@
 	"olivebridge/balancer"
 )
 
-// Send implements balancer.Host: it makes an attempt for the server that the Balancer chose and starts
-// it. The outcome comes back as an event even if nothing can be sent, since a Host must not call back.
+// Send implements balancer.Host. It creates an attempt at the server that the Balancer chose and starts it. The outcome
+// always arrives as an event, even if nothing can be sent, because a Host must not call back into the Balancer.
 func (r *Router) Send(id balancer.RequestID, to balancer.ServerID, validUntil balancer.Time) {
 	call := r.calls.byID[id]
 	if call == nil {
@@ -23,7 +23,8 @@
 	r.startAttempt(attempt)
 }
 
-// newAttempt makes a call's next attempt. upstream is nil where the Balancer and the table of upstreams disagree.
+// newAttempt creates the next attempt of a call. upstream is nil if the upstream table does not contain the server that
+// the Balancer chose.
 func (r *Router) newAttempt(call *openCall, upstream *Upstream) *runningAttempt {
 	attempt := &call.firstAttempt
 	if len(call.attempts) > 0 {
@@ -52,10 +53,10 @@
 	return attempt
 }
 
-// startBefore is when the window ends in which servers drop duplicates of a call with an idempotency key. It begins
-// with the first of its attempts that may have run, which left no sooner than it was started. The Balancer has asked
-// as it chose the server, but the connection may be up much later. Of the windows before and after a reload the
-// shorter binds. Zero: no window binds the next attempt.
+// startBefore returns the end of the window in which servers drop duplicates of a call with an idempotency key. The
+// window starts at the creation of the first attempt that may have run, because that attempt was not sent earlier. The
+// Balancer checks the window when it chooses the server, but the connection may be established much later. If a reload
+// has changed the window, the shorter of both applies. The zero time means that no window limits the next attempt.
 func (r *Router) startBefore(call *openCall) time.Time {
 	if call.class == nil || call.class.Idempotency != balancer.IdempotencyKeyed {
 		return time.Time{}
@@ -69,7 +70,7 @@
 	return time.Time{}
 }
 
-// startAttempt lets the attempt run on a goroutine of its own, and exactly one outcome comes back.
+// startAttempt runs the attempt on its own goroutine, which posts exactly one outcomeEvent.
 func (r *Router) startAttempt(attempt *runningAttempt) {
 	r.tasks.Add(1)
 	go attempt.run()
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,16 +1,17 @@
-// Package routing takes a client's call through the stages of a node. It knows no HTTP: a front end hands a call to
-// Router.Handle and gets one answer, a Transport brings attempts to upstream servers, and a Watcher follows the list of
-// endpoints.
+// Package routing routes the calls of clients on a node. It does not depend on HTTP: a front end passes a call to
+// Router.Handle and receives one answer, a Transport sends attempts to upstream servers, and a Watcher watches the
+// endpoint list.
 //
-// A call passes these stages, each in its own file:
+// A call passes through these stages, each in its own file:
 //
-//	receive.go     the front end's goroutine enqueues the call and waits for its one answer
-//	admit.go       the call enters the table of open calls, and the Balancer decides what becomes of it
-//	dispatch.go    the Balancer has chosen a server: the attempt is made and started
-//	attempt_run.go the attempt runs on a goroutine of its own until its one outcome is known
-//	respond.go     the outcome ends the attempt; the first final one answers the call
-//	call_table.go  a call that is answered and has no attempt in flight leaves the table
+//	receive.go     the front end's goroutine enqueues the call and waits for its only answer
+//	admit.go       the call is added to the call table, and the Balancer decides how to proceed with it
+//	dispatch.go    an attempt at the server that the Balancer chose is created and started
+//	attempt_run.go the attempt runs on its own goroutine until its only outcome is known
+//	respond.go     the outcome ends the attempt; the first final outcome answers the call
+//	call_table.go  a call that has been answered and has no attempt in flight is removed from the table
 //
-// One goroutine, Router.Run, owns the Balancer and the table of open calls. Everything else reaches it as an event on a
-// channel, so that decisions need no lock. Fields and types that belong to it say so.
+// The event loop, which is the goroutine of Router.Run, owns the Balancer and the call table. All other goroutines
+// communicate with it by events on a channel, so routing decisions need no lock. Comments mark the fields and types
+// that belong to the event loop: only its goroutine may access them.
 package routing
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -7,22 +7,23 @@
 	"olivebridge/balancer"
 )
 
-// Endpoint is one server as discovery lists it.
+// Endpoint is a server in an endpoint list of discovery.
 type Endpoint struct {
 	balancer.Server
-	Name string // as operators know it
-	Addr string // host:port; empty: not listed, the known one stays
+	Name string // name by which operators identify the server
+	Addr string // host:port; if empty, the known address is kept
 }
 
-// EndpointList is a list of endpoints, or of changes to one.
+// EndpointList is a complete endpoint list or a set of changes to one, depending on Kind.
 type EndpointList struct {
 	Kind       balancer.UpdateKind
 	Endpoints  []Endpoint
 	ReceivedAt time.Time
-	Version    int64 // as discovery numbers it
+	Version    int64 // assigned by discovery
 }
 
-// updateEndpoints takes over the addresses of a list, then shows it to the Balancer.
+// updateEndpoints stores the addresses of a list and passes its servers to the Balancer. It then removes the upstreams
+// that the Balancer no longer knows.
 func (r *Router) updateEndpoints(list EndpointList) {
 	servers := r.subset.apply(list.Kind, r.effectiveServers(list))
 	for _, endpoint := range list.Endpoints {
@@ -35,7 +36,7 @@
 	}
 }
 
-// updatedUpstream is the Upstream of a listed endpoint: the known one unless its address has changed.
+// updatedUpstream returns the Upstream of a listed endpoint: the known one unless its address has changed.
 func (r *Router) updatedUpstream(endpoint Endpoint) *Upstream {
 	known := r.upstreams[endpoint.ID]
 	if known == nil {
@@ -49,8 +50,8 @@
 	return known.movedTo(endpoint.Name, endpoint.Addr)
 }
 
-// showServers shows servers to the Balancer. Their starts are noted first: an attempt that finds another start than the
-// one it was decided by asks for confirmation, and that question is handled after this.
+// showServers passes servers to the Balancer. It first stores their start times: an attempt whose server has restarted
+// since the routing decision asks for confirmation, and the event loop handles that confirmEvent after this update.
 func (r *Router) showServers(kind balancer.UpdateKind, servers []balancer.Server, at time.Time) {
 	for _, server := range servers {
 		if upstream := r.upstreams[server.ID]; upstream != nil {
@@ -61,8 +62,8 @@
 	r.updateAccepting(at)
 }
 
-// updateAccepting notes at each upstream whether the Balancer lets new attempts go to it, which depends on more than
-// its entry in the list.
+// updateAccepting records at each upstream whether the Balancer allows new attempts to the server. This
+// depends on state of the Balancer in addition to the entry of the server in the list.
 func (r *Router) updateAccepting(at time.Time) {
 	for id, upstream := range r.upstreams {
 		upstream.SetAccepting(r.balancer.Accepts(id), at)
--- a/internal/routing/endpoints_test.go
+++ b/internal/routing/endpoints_test.go
@@ -8,8 +8,8 @@
 	"olivebridge/balancer"
 )
 
-// TestReadyFromInitialEndpoints: a node that starts with a list is ready from its first moment, also where Run gets no
-// processor yet: the calls wait for it.
+// TestReadyFromInitialEndpoints checks that a node with an initial list is ready immediately, even before Run is
+// scheduled; calls wait for Run.
 func TestReadyFromInitialEndpoints(t *testing.T) {
 	removed := listed(7)
 	removed.Endpoints[0].State = balancer.Removed
@@ -22,12 +22,12 @@
 		"removed servers": {removed, false},
 	} {
 		if r := newRouter(nil, c.initial); r.Ready() != c.ready {
-			t.Errorf("%s: ready %v", name, r.Ready())
+			t.Errorf("%s: unexpected result %v of Ready", name, r.Ready())
 		}
 	}
 }
 
-// TestReadyOnceEndpointsAreKnown: a node that knows no server must not be sent clients yet.
+// TestReadyOnceEndpointsAreKnown checks that a node without a known server is not ready, so it receives no clients yet.
 func TestReadyOnceEndpointsAreKnown(t *testing.T) {
 	lists := make(scriptedWatcher)
 	r := newRouter(nil, listed())
@@ -35,21 +35,21 @@
 	go r.Run(t.Context())
 	for _, list := range []EndpointList{listed(), listed(7)} {
 		lists <- list
-		lists <- EndpointList{Kind: balancer.UpdateDelta} // taken once the one before it is posted
+		lists <- EndpointList{Kind: balancer.UpdateDelta} // received only after the previous list has been posted
 		ready := make(chan bool)
 		r.post(inspectEvent(func(r *Router) { ready <- r.Ready() }))
 		if got := <-ready; got != (len(list.Endpoints) > 0) {
-			t.Errorf("ready: %v with %d servers", got, len(list.Endpoints))
+			t.Errorf("Ready returned %v with %d servers in the list", got, len(list.Endpoints))
 		}
 	}
 }
 
-// TestForgottenServersAreDropped: a server that the Balancer has forgotten is not remembered by the Router either.
+// TestForgottenServersAreDropped checks that the Router removes a server that the Balancer has forgotten.
 func TestForgottenServersAreDropped(t *testing.T) {
 	r := newRouter(nil, listed(7, 8))
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
-	if err := r.Run(ctx); err != nil { // it takes the list and ends; the test does the rest
+	if err := r.Run(ctx); err != nil { // Run reads the initial list and returns; the test then acts as the event loop
 		t.Fatal(err)
 	}
 	r.updateEndpoints(listed(8))
@@ -59,6 +59,6 @@
 	r.balancer.HandleServers(r.now()+balancer.Time(time.Hour), balancer.UpdateDelta, nil)
 	r.updateEndpoints(EndpointList{Kind: balancer.UpdateDelta})
 	if len(r.upstreams) != 1 || r.upstreams[8] == nil {
-		t.Errorf("remembered: %v", r.upstreams)
+		t.Errorf("got upstreams %v, want server 8 only", r.upstreams)
 	}
 }
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -1,10 +1,10 @@
 package routing
 
-// event is something that the goroutine of Run handles.
+// event is a message to the event loop, which calls handle.
 type event interface{ handle(r *Router) }
 
-// post hands an event to the goroutine of Run. It may block, so that goroutine itself never calls it. Once the
-// decisions have ended it reports false.
+// post sends an event to the event loop and returns false if the event loop has stopped. It may block while the queue
+// is full, so the event loop itself must not call it.
 func (r *Router) post(e event) bool {
 	select {
 	case r.events <- e:
@@ -14,8 +14,8 @@
 	}
 }
 
-// postAsync hands over an event without blocking, also where the queue is full. It guards the watchdog's answer, which
-// is due just then.
+// postAsync sends an event without blocking, even if the queue is full. Waiting for room in the queue would delay the
+// watchdog's answer, which is already due when Handle posts its event.
 func (r *Router) postAsync(e event) {
 	select {
 	case r.events <- e:
--- a/internal/routing/health_check.go
+++ b/internal/routing/health_check.go
@@ -7,8 +7,7 @@
 	"olivebridge/balancer"
 )
 
-// CheckHealth implements balancer.Host: the check runs on a goroutine of its own, and its result comes back as an
-// event.
+// CheckHealth implements balancer.Host. The check runs on its own goroutine, and its result arrives as an event.
 func (r *Router) CheckHealth(to balancer.ServerID) {
 	upstream := r.upstreams[to]
 	if upstream == nil {
@@ -25,7 +24,7 @@
 	)
 }
 
-// healthCheckEvent brings the result of an active health check.
+// healthCheckEvent reports the result of an active health check.
 type healthCheckEvent struct{ result balancer.HealthCheckResult }
 
 func (e healthCheckEvent) handle(r *Router) {
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -9,7 +9,7 @@
 	"olivebridge/balancer"
 )
 
-// The classes of testSettings.
+// Indices of the classes of testSettings.
 const (
 	safe   = iota // idempotent
 	unsafe        // not idempotent
@@ -41,7 +41,7 @@
 	}
 }
 
-// transportFunc is a Transport that answers each attempt by a function, and whose health checks succeed.
+// transportFunc is a Transport that calls a function for each attempt. Its health checks always succeed.
 type transportFunc func(context.Context, Attempt) AttemptResult
 
 func (f transportFunc) RoundTrip(ctx context.Context, attempt Attempt) AttemptResult {
@@ -49,7 +49,7 @@
 }
 func (f transportFunc) CheckHealth(context.Context, *Upstream) balancer.Result { return balancer.OK }
 
-// silentWatcher is a Watcher of a list that never changes.
+// silentWatcher is a Watcher that never delivers a list.
 type silentWatcher struct{}
 
 func (silentWatcher) Watch(ctx context.Context, _ func(EndpointList)) error {
@@ -57,7 +57,7 @@
 	return ctx.Err()
 }
 
-// scriptedWatcher delivers the lists that the test sends, and breaks on an error.
+// scriptedWatcher delivers the lists that a test sends and ends with an error that it sends.
 type scriptedWatcher chan any
 
 func (w scriptedWatcher) Watch(ctx context.Context, deliver func(EndpointList)) error {
@@ -74,7 +74,7 @@
 	}
 }
 
-// listed is a full list of ready endpoints.
+// listed returns a full list of ready endpoints.
 func listed(ids ...balancer.ServerID) EndpointList {
 	list := EndpointList{Kind: balancer.UpdateFull, ReceivedAt: time.Now()}
 	for _, id := range ids {
@@ -95,7 +95,7 @@
 	})
 }
 
-// startRouter runs a router until the test ends.
+// startRouter runs a Router until the test ends.
 func startRouter(t *testing.T, transport transportFunc, initial EndpointList) *Router {
 	t.Helper()
 	r := newRouter(transport, initial)
@@ -112,20 +112,20 @@
 }
 
 func newCall(class int, timeout time.Duration) Call {
-	return Call{Class: class, Tenant: -1, ReceivedAt: time.Now(), Timeout: timeout, Payload: "as it came"}
+	return Call{Class: class, Tenant: -1, ReceivedAt: time.Now(), Timeout: timeout, Payload: "request payload"}
 }
 
-// inspectEvent looks at a router from the goroutine of Run.
+// inspectEvent calls a function on the event loop's goroutine.
 type inspectEvent func(*Router)
 
 func (e inspectEvent) handle(r *Router) { e(r) }
 
-// fillQueue leaves no room for another event.
+// fillQueue fills the queue of events.
 func fillQueue(r *Router) {
 	for len(r.events) < queueLength {
 		r.events <- &timerEvent{}
 	}
 }
 
-// sameError reports whether two errors are one and the same; a wrapped one is not.
+// sameError reports whether a and b are the identical error value; a wrapped error does not count.
 func sameError(a, b error) bool { return any(a) == any(b) }
--- a/internal/routing/panic.go
+++ b/internal/routing/panic.go
@@ -8,13 +8,13 @@
 	"olivebridge/balancer"
 )
 
-// callEvent is an event about one call, which fails if handling the event panics.
+// callEvent is an event that concerns one call. The call fails if handling the event panics.
 type callEvent interface {
 	requestID() balancer.RequestID
 }
 
-// handleGuarded keeps a panic over one event from ending the node, and all other calls with it. A call that the event
-// is about fails; one that the fault has reached otherwise is answered by its watchdog.
+// handleGuarded handles an event and recovers from a panic, which would otherwise end the node with all its calls. If
+// the event concerns a call, that call fails. Any other call that the fault affects is answered by its watchdog.
 func (r *Router) handleGuarded(e event) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -27,7 +27,7 @@
 	e.handle(r)
 }
 
-// abandon fails a call whose event panicked and cancels its attempts.
+// abandon fails a call and cancels its attempts after handling one of its events has panicked.
 func (r *Router) abandon(id balancer.RequestID) {
 	call := r.calls.byID[id]
 	if call == nil {
@@ -38,11 +38,12 @@
 		r.Cancel(id, number)
 	}
 	r.calls.removeIfDone(call)
-	defer r.recoverPanic("abandoned call") // the fault may lie in what the Balancer holds of the call
+	defer r.recoverPanic("abandoned call") // the Balancer's state of the call may be faulty
 	r.balancer.HandleDisconnect(r.now(), id)
 }
 
-// spawn runs task beside the decisions. If it panics, onPanic runs, so that whoever waits for an outcome gets one.
+// spawn runs task on a goroutine of its own. If task panics, onPanic is called, so a receiver of the outcome always
+// gets one.
 func (r *Router) spawn(task func(context.Context), onPanic func()) {
 	ctx := r.ctx
 	r.tasks.Add(1)
@@ -60,14 +61,14 @@
 	}()
 }
 
-// recoverPanic keeps a panic from ending the node. It is to be deferred.
-func (r *Router) recoverPanic(in string) {
+// recoverPanic recovers from a panic and logs it, so the node keeps running. It must be deferred.
+func (r *Router) recoverPanic(location string) {
 	if p := recover(); p != nil {
-		r.logPanic(in, p)
+		r.logPanic(location, p)
 	}
 }
 
-func (r *Router) logPanic(in string, value any) {
+func (r *Router) logPanic(location string, value any) {
 	r.counters.Panics.Add(1)
-	r.log.Error("panic", "in", in, "value", fmt.Sprint(value), "stack", string(debug.Stack()))
+	r.log.Error("panic", "in", location, "value", fmt.Sprint(value), "stack", string(debug.Stack()))
 }
--- a/internal/routing/panic_test.go
+++ b/internal/routing/panic_test.go
@@ -8,13 +8,13 @@
 	"olivebridge/balancer"
 )
 
-// panickingEvent is an event that panics over a call, as a fault in a decision would.
+// panickingEvent is an event of a call whose handling panics, as a fault in a routing decision would.
 type panickingEvent struct{ id balancer.RequestID }
 
 func (e panickingEvent) requestID() balancer.RequestID { return e.id }
 func (e panickingEvent) handle(*Router)                { panic("decision") }
 
-// TestPanicInDecision: the call concerned fails at once, and the node goes on.
+// TestPanicInDecision checks that the call of an event that panics fails at once and the node continues to run.
 func TestPanicInDecision(t *testing.T) {
 	sent := make(chan struct{}, 1)
 	r := startRouter(t, func(ctx context.Context, attempt Attempt) AttemptResult {
@@ -35,15 +35,16 @@
 	<-sent
 	r.post(panickingEvent{1})
 	if answer := <-answers; answer.Verdict != Failed {
-		t.Errorf("the call concerned: %+v", answer)
+		t.Errorf("call of the panicking event: got answer %+v, want Failed", answer)
 	}
 	answer, ok := r.Handle(t.Context(), newCall(safe, time.Minute))
 	if !ok || answer.Verdict != Served || r.counters.Panics.Load() != 1 {
-		t.Errorf("the next call: %+v, %v", answer, ok)
+		t.Errorf("next call: got answer %+v, ok %v; want Served after one panic", answer, ok)
 	}
 }
 
-// callsWithoutAttempt are the open calls that wait for capacity, once all calls are open.
+// callsWithoutAttempt waits until the given number of calls are open and some of them wait for capacity, and returns
+// the ids of the waiting calls.
 func callsWithoutAttempt(r *Router, all int) []balancer.RequestID {
 	pending := make(chan []balancer.RequestID)
 	for {
@@ -65,8 +66,8 @@
 	}
 }
 
-// TestAbandonedCallsAreNotSent: calls over which the decisions panicked while they waited for capacity are not sent
-// once there is some. No outcome would come back, and their server would seem full for ever.
+// TestAbandonedCallsAreNotSent checks that a call whose event panicked while the call waited for capacity is not sent
+// once there is capacity. No outcome would be reported for it, so its server would be considered full forever.
 func TestAbandonedCallsAreNotSent(t *testing.T) {
 	const calls = 12
 	sent, release := make(chan bool, 100), make(chan bool)
@@ -88,20 +89,20 @@
 	for _, id := range pending {
 		r.post(panickingEvent{id})
 		if answer := <-answers; answer.Verdict != Failed {
-			t.Errorf("%+v", answer)
+			t.Errorf("waiting call after a panic: got answer %+v, want Failed", answer)
 		}
 	}
 	close(release)
 	for range calls - len(pending) {
 		<-answers
 	}
-	handle() // at the one server that there is
+	handle() // sent to the only server
 	if answer := <-answers; answer.Verdict != Served {
-		t.Errorf("the server has capacity, and the next call: %+v", answer)
+		t.Errorf("next call to a server with capacity: got answer %+v, want Served", answer)
 	}
 }
 
-// faultyParts is a Transport and a Watcher with faults of the program in them.
+// faultyParts is a Transport and a Watcher with methods that panic.
 type faultyParts struct{ watchPanics bool }
 
 func (faultyParts) RoundTrip(context.Context, Attempt) AttemptResult {
@@ -117,8 +118,8 @@
 	return nil
 }
 
-// TestPanicInHealthCheckOrWatch: a fault in a health check or in the watch is a check that failed and a watch that
-// ended, and so is a watch that ends without an error. Both are begun again.
+// TestPanicInHealthCheckOrWatch checks that a panic in a health check counts as a failed check, and that a panic in a
+// watch, or its end without an error, counts as a failed watch. Both are started again.
 func TestPanicInHealthCheckOrWatch(t *testing.T) {
 	for _, watchPanics := range []bool{true, false} {
 		r := newRouter(nil, listed(7))
@@ -133,8 +134,8 @@
 			time.Sleep(time.Millisecond)
 		}
 		answer, ok := r.Handle(t.Context(), newCall(safe, time.Second))
-		if !ok || answer.Verdict != Served && answer.Verdict != Rejected { // its one server fails health checks
-			t.Errorf("%+v, %v", answer, ok)
+		if !ok || answer.Verdict != Served && answer.Verdict != Rejected { // the only server fails its health checks
+			t.Errorf("got answer %+v, ok %v; want Served or Rejected", answer, ok)
 		}
 		stop()
 		if err := <-ended; err != nil {
--- a/internal/routing/receive.go
+++ b/internal/routing/receive.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	// answerMargin is the part of a call's timeout that is left for the answer's way to the client.
+	// answerMargin is the part of a call's timeout that is reserved for sending the answer to the client.
 	answerMargin = 4 * time.Millisecond
-	// watchdogDelay is how long after a call's timeout Handle answers by itself.
+	// watchdogDelay is the duration after a call's timeout at which Handle answers without the event loop.
 	watchdogDelay = 12 * time.Millisecond
-	// enqueueTimeoutDivisor divides a call's timeout into the time that it may wait to be enqueued.
+	// enqueueTimeoutDivisor is the divisor of a call's timeout that gives the time limit for enqueueing the call.
 	enqueueTimeoutDivisor = 4
 )
 
-// Handle runs on the front end's goroutine: it hands a call to the decisions and waits for its one
-// answer. It answers by itself, and so always in time, where the decisions are too busy to take the call, which then
-// has not run, or have not answered when its time is up. When ctx ends, the client has gone and ok is false.
+// Handle processes a call and blocks until its answer is available. It is called on the front end's goroutine. It
+// always answers in time: it rejects a call that it cannot enqueue, which then has not run, and answers
+// DeadlineExceeded if the event loop has not answered by the end of the call's timeout. ok is false if ctx ends, which
+// means that the client has disconnected, or if the Router stops.
 func (r *Router) Handle(ctx context.Context, c Call) (answer Answer, ok bool) {
 	r.counters.Received.Add(1)
 	defer func() { r.counters.countEnd(answer, ok) }()
@@ -38,16 +39,17 @@
 	return r.awaitAnswer(ctx, call)
 }
 
-// enqueueResult says whether the decisions get a call.
+// enqueueResult is the result of enqueueing a call.
 type enqueueResult uint8
 
 const (
 	enqueued     enqueueResult = iota
-	notEnqueued                // the decisions are too busy or have ended: the call never ran
-	disconnected               // the client has gone: the call never ran
+	notEnqueued                // the queue is full or the event loop has stopped: the call never ran
+	disconnected               // the client has disconnected: the call never ran
 )
 
-// enqueue hands a call to the decisions. It waits for a part of the call's timeout while the queue is full.
+// enqueue sends a call to the event loop. While the queue is full, it waits for a fraction of the call's timeout, given
+// by enqueueTimeoutDivisor.
 func (r *Router) enqueue(ctx context.Context, call *openCall) enqueueResult {
 	select {
 	case <-r.stopped:
@@ -64,7 +66,7 @@
 	select {
 	case r.events <- admitEvent{call}:
 		return enqueued
-	case <-timeout.C: // guards against an overfull queue
+	case <-timeout.C: // bounds the wait while the queue is full
 		r.counters.QueueFull.Add(1)
 		return notEnqueued
 	case <-r.stopped:
@@ -74,20 +76,21 @@
 	}
 }
 
-// rejectUnseen answers a call that the decisions never saw.
+// rejectUnseen returns the answer to a call that was not enqueued.
 func (r *Router) rejectUnseen() Answer {
 	return Answer{Verdict: Rejected, RetryAfter: time.Duration(r.maxRetryAfter.Load())}
 }
 
-// rejectOverQuota answers a call whose tenant has nothing left of the fleet's quota.
+// rejectOverQuota returns the answer to a call whose tenant has exhausted its quota in the fleet. It limits retryAfter
+// to MaxRetryAfter of the settings.
 func (r *Router) rejectOverQuota(retryAfter time.Duration) Answer {
 	return Answer{Verdict: Rejected, RetryAfter: min(retryAfter, time.Duration(r.maxRetryAfter.Load()))}
 }
 
-// answerWaiter is what a front end's goroutine waits on for a call's answer. It is pooled, but only by the goroutine
-// that has got the answer: nobody signals it any more then.
+// answerWaiter is the state with which a front end's goroutine waits for the answer to a call. Only the goroutine that
+// has received the answer returns it to the pool, because nothing signals it afterwards.
 type answerWaiter struct {
-	answered chan struct{} // holds one, so that signalling never blocks
+	answered chan struct{} // buffered for one signal, so deliver does not block
 	watchdog *time.Timer
 }
 
@@ -100,7 +103,7 @@
 	return waiter
 }
 
-// awaitAnswer waits for a call's answer until its time is up. The answer may be there already.
+// awaitAnswer waits for the answer to a call until the watchdog fires. The answer may already have been delivered.
 func (r *Router) awaitAnswer(ctx context.Context, call *openCall) (answer Answer, ok bool) {
 	waiter := call.waiter
 	waiter.watchdog.Reset(time.Until(call.ReceivedAt.Add(call.maxDuration() + watchdogDelay)))
@@ -110,12 +113,12 @@
 		waiter.watchdog.Stop()
 		r.waiters.Put(waiter)
 		return answer, true
-	case <-waiter.watchdog.C: // guards against a call that the decisions have lost, in a panic for example
+	case <-waiter.watchdog.C: // the event loop has lost the call, for example in a panic
 		r.counters.WatchdogAnswers.Add(1)
 		answer = Answer{Verdict: DeadlineExceeded}
 		ok = true
 	case <-ctx.Done():
-	case <-r.stopped: // the node ends at once, and the client's connection with it
+	case <-r.stopped: // the node ends now and closes the client's connection
 	}
 	waiter.watchdog.Stop()
 	r.postAsync(disconnectEvent{call})
--- a/internal/routing/receive_test.go
+++ b/internal/routing/receive_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestFullQueueRejects: with the queue full a call is rejected well before its time is up, whatever its class, since it
-// never ran.
+// TestFullQueueRejects checks that a call is rejected before its timeout while the queue is full. This is safe for a
+// call of any class, because the call never ran.
 func TestFullQueueRejects(t *testing.T) {
 	r := newRouter(nil, listed()) // Run is never called
 	fillQueue(r)
@@ -16,25 +16,25 @@
 	answer, ok := r.Handle(t.Context(), call)
 	elapsed := time.Since(call.ReceivedAt)
 	if !ok || answer.Verdict != Rejected || elapsed > call.Timeout {
-		t.Errorf("%+v, %v after %v", answer, ok, elapsed)
+		t.Errorf("got answer %+v, ok %v after %v; want Rejected within the timeout", answer, ok, elapsed)
 	}
 }
 
-// TestWatchdogAnswersLostCall: a call that the decisions never answer gets an answer all the same, and it promises
-// nothing.
+// TestWatchdogAnswersLostCall checks that a call that the event loop never answers gets DeadlineExceeded, which leaves
+// open whether the call ran.
 func TestWatchdogAnswersLostCall(t *testing.T) {
 	r := newRouter(nil, listed())
 	answer, ok := r.Handle(t.Context(), newCall(safe, 30*time.Millisecond))
 	if !ok || answer.Verdict != DeadlineExceeded {
-		t.Errorf("%+v, %v", answer, ok)
+		t.Errorf("got answer %+v, ok %v; want DeadlineExceeded", answer, ok)
 	}
 	if r.counters.WatchdogAnswers.Load() != 1 {
 		t.Error("the watchdog did not count")
 	}
 }
 
-// TestWatchdogBehindAFullQueue: where the decisions hang, the watchdog's answer waits for nothing. It guards against
-// waiting for room in the queue for the event that tells of the disconnect.
+// TestWatchdogBehindAFullQueue checks that the watchdog answers in time while the event loop hangs and the queue is
+// full. It guards against waiting for room in the queue for the disconnectEvent.
 func TestWatchdogBehindAFullQueue(t *testing.T) {
 	r := newRouter(nil, listed())
 	call := newCall(unsafe, 100*time.Millisecond)
@@ -43,7 +43,7 @@
 		answer, _ := r.Handle(t.Context(), call)
 		answers <- answer
 	}()
-	for len(r.events) == 0 { // until the call is enqueued
+	for len(r.events) == 0 { // wait until the call is enqueued
 		time.Sleep(time.Millisecond)
 	}
 	fillQueue(r)
@@ -51,7 +51,7 @@
 	case answer := <-answers:
 		elapsed := time.Since(call.ReceivedAt)
 		if answer.Verdict != DeadlineExceeded || elapsed > call.Timeout+50*time.Millisecond {
-			t.Errorf("%+v after %v", answer, elapsed)
+			t.Errorf("got answer %+v after %v, want DeadlineExceeded at most 50 ms after the timeout", answer, elapsed)
 		}
 	case <-time.After(5 * time.Second):
 		t.Error("no answer")
@@ -59,31 +59,33 @@
 	close(r.stopped)
 }
 
-// TestRejectsOnceStopped: what comes once the decisions have ended never ran, and gets a Retry-After.
+// TestRejectsOnceStopped checks that a call received after the event loop has stopped is rejected with a Retry-After.
+// It never ran.
 func TestRejectsOnceStopped(t *testing.T) {
 	r := newRouter(nil, listed())
 	close(r.stopped)
 	answer, ok := r.Handle(t.Context(), newCall(unsafe, time.Second))
 	if !ok || answer.Verdict != Rejected || answer.RetryAfter <= 0 {
-		t.Errorf("%+v, %v", answer, ok)
+		t.Errorf("got answer %+v, ok %v; want Rejected with a RetryAfter", answer, ok)
 	}
 }
 
-// TestAnswerBeforeWait guards against an answer that is lost because it was given before the front end waited for it:
-// the call then hung until its time was up.
+// TestAnswerBeforeWait checks that an answer delivered before the front end waits for it is not lost: a call with a
+// lost answer would hang until its timeout.
 func TestAnswerBeforeWait(t *testing.T) {
 	r := newRouter(nil, listed())
 	call := &openCall{Call: newCall(safe, time.Minute), waiter: r.newAnswerWaiter()}
 	r.respond(call, Answer{Verdict: Rejected})
-	r.respond(call, Answer{Verdict: Served}) // the second of a race counts for nothing
+	r.respond(call, Answer{Verdict: Served}) // a second answer has no effect
 	answer, ok := r.awaitAnswer(t.Context(), call)
 	if !ok || answer.Verdict != Rejected || len(call.waiter.answered) != 0 {
-		t.Errorf("%+v, %v", answer, ok)
+		t.Errorf("got answer %+v, ok %v; want the first answer, Rejected, signalled once", answer, ok)
 	}
 }
 
-// TestWaitForQueueCapacity: a call that waits for room in the queue is dropped once its client disconnects, rejected
-// with a Retry-After as the decisions end, and enqueued once there is room.
+// TestWaitForQueueCapacity checks the three ends of waiting for room in the queue: the client disconnects and the call
+// is dropped, the event loop stops and the call is rejected with a Retry-After, or there is room and the call is
+// enqueued.
 func TestWaitForQueueCapacity(t *testing.T) {
 	const delay = 10 * time.Millisecond
 	full := func() *Router {
@@ -94,27 +96,27 @@
 	ctx, disconnect := context.WithCancel(t.Context())
 	time.AfterFunc(delay, disconnect)
 	if answer, ok := full().Handle(ctx, newCall(safe, time.Minute)); ok {
-		t.Errorf("a disconnected client got %+v", answer)
+		t.Errorf("disconnected client got answer %+v, want none", answer)
 	}
 
 	r := full()
 	time.AfterFunc(delay, func() { close(r.stopped) })
 	answer, ok := r.Handle(t.Context(), newCall(safe, time.Minute))
 	if !ok || answer.Verdict != Rejected || answer.RetryAfter <= 0 {
-		t.Errorf("as the decisions end: %+v, %v", answer, ok)
+		t.Errorf("event loop stopped: got answer %+v, ok %v; want Rejected with a RetryAfter", answer, ok)
 	}
 
 	r = full()
 	time.AfterFunc(delay, func() { <-r.events })
 	answer, ok = r.Handle(t.Context(), newCall(safe, 200*time.Millisecond))
 	if !ok || answer.Verdict != DeadlineExceeded {
-		t.Errorf("enqueued at last, and never decided: %+v, %v", answer, ok)
+		t.Errorf("enqueued but never handled: got answer %+v, ok %v; want DeadlineExceeded", answer, ok)
 	}
 
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	r = full()
-	<-r.events // room for the question alone
+	<-r.events // makes room for the snapshotEvent only
 	if _, err := r.Snapshot(ctx); !errors.Is(err, context.Canceled) {
 		t.Error(err)
 	}
--- a/internal/routing/reload.go
+++ b/internal/routing/reload.go
@@ -6,11 +6,11 @@
 	"olivebridge/balancer"
 )
 
-// UpdateSettings changes the settings of a running Router. Classes and tenants must stand where they stood. Settings
-// that the Balancer does not take change nothing, and are logged.
+// UpdateSettings changes the settings of a running Router. Classes and tenants must keep their indices. Settings that
+// the Balancer rejects have no effect and are logged.
 func (r *Router) UpdateSettings(settings balancer.Settings) { r.post(settingsEvent{settings}) }
 
-// settingsEvent brings changed settings.
+// settingsEvent applies changed settings.
 type settingsEvent struct{ settings balancer.Settings }
 
 func (e settingsEvent) handle(r *Router) {
--- a/internal/routing/respond.go
+++ b/internal/routing/respond.go
@@ -6,12 +6,12 @@
 	"olivebridge/balancer"
 )
 
-// outcomeEvent tells that an attempt has ended.
+// outcomeEvent reports that an attempt has ended.
 type outcomeEvent struct{ attempt *runningAttempt }
 
 func (e outcomeEvent) requestID() balancer.RequestID { return e.attempt.RequestID }
 
-// handle answers the call before the Balancer hears of the outcome, so that the Balancer knows whether the call is
+// handle answers the call before it passes the outcome to the Balancer, because the outcome states whether the call is
 // done.
 func (e outcomeEvent) handle(r *Router) {
 	attempt := e.attempt
@@ -40,7 +40,8 @@
 	r.balancer.HandleOutcome(r.now(), outcome)
 }
 
-// respond gives a call its one answer. Outcome, disconnect and deadline may race: only the first counts.
+// respond gives a call its only answer. Outcome, disconnect and deadline may race: later answers are dropped and their
+// replies released.
 func (r *Router) respond(call *openCall, answer Answer) {
 	if call.answered {
 		releaseReply(answer.Reply)
@@ -50,12 +51,12 @@
 	call.deliver(answer)
 }
 
-// Reject implements balancer.Host. The answer leaves at once.
+// Reject implements balancer.Host. The answer is delivered immediately.
 func (r *Router) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	r.end(id, Answer{Verdict: Rejected, RetryAfter: retryAfter})
 }
 
-// Fail implements balancer.Host. The answer leaves at once.
+// Fail implements balancer.Host. The answer is delivered immediately.
 func (r *Router) Fail(id balancer.RequestID) {
 	call := r.calls.byID[id]
 	if call == nil {
@@ -68,7 +69,7 @@
 	r.end(id, Answer{Verdict: verdict})
 }
 
-// end answers an open call without a reply.
+// end answers an open call with an answer that has no reply.
 func (r *Router) end(id balancer.RequestID, answer Answer) {
 	call := r.calls.byID[id]
 	if call == nil {
@@ -78,14 +79,14 @@
 	r.calls.removeIfDone(call)
 }
 
-// disconnectEvent tells that nobody waits for a call's answer any more.
+// disconnectEvent reports that the front end no longer waits for the answer to a call.
 type disconnectEvent struct{ call *openCall }
 
 func (e disconnectEvent) requestID() balancer.RequestID { return e.call.id }
 
 func (e disconnectEvent) handle(r *Router) {
 	call := e.call
-	if call.answered { // the answer was on its way
+	if call.answered { // the answer was delivered but not received
 		releaseReply(call.answer.Reply)
 	}
 	if r.calls.byID[call.id] != call {
--- a/internal/routing/respond_test.go
+++ b/internal/routing/respond_test.go
@@ -9,7 +9,7 @@
 	"olivebridge/balancer"
 )
 
-// resultsInOrder answers the first attempt with one result and all further ones with another.
+// resultsInOrder returns the result first for the first attempt and the result later for all others.
 func resultsInOrder(first, later balancer.Result) transportFunc {
 	var mu sync.Mutex
 	attempts := 0
@@ -37,13 +37,13 @@
 	}{
 		"served":                    {safe, resultsInOrder(balancer.OK, 0), two, Served, 1},
 		"no server":                 {unsafe, nil, nil, Rejected, 0},
-		"safe after an error":       {safe, resultsInOrder(balancer.Errored, balancer.OK), two, Served, 2},
-		"unsafe after an error":     {unsafe, resultsInOrder(balancer.Errored, balancer.OK), two, Failed, 1},
-		"unsafe after a reset":      {unsafe, resultsInOrder(balancer.Reset, balancer.OK), two, Failed, 1},
-		"unsafe rejected":           {unsafe, resultsInOrder(balancer.Rejected, balancer.OK), two, Served, 2},
-		"unsafe not connected":      {unsafe, resultsInOrder(balancer.ConnectFailed, balancer.OK), two, Served, 2},
-		"unsafe, connected nowhere": {unsafe, refused, two, Rejected, 2},
-		"a transport that panics":   {unsafe, panics, []balancer.ServerID{7}, Failed, 1},
+		"idempotent, error":       {safe, resultsInOrder(balancer.Errored, balancer.OK), two, Served, 2},
+		"non-idempotent, error":     {unsafe, resultsInOrder(balancer.Errored, balancer.OK), two, Failed, 1},
+		"non-idempotent, reset":      {unsafe, resultsInOrder(balancer.Reset, balancer.OK), two, Failed, 1},
+		"non-idempotent, rejected":           {unsafe, resultsInOrder(balancer.Rejected, balancer.OK), two, Served, 2},
+		"non-idempotent, 1 refused":      {unsafe, resultsInOrder(balancer.ConnectFailed, balancer.OK), two, Served, 2},
+		"non-idempotent, 2 refused": {unsafe, refused, two, Rejected, 2},
+		"the transport panics":   {unsafe, panics, []balancer.ServerID{7}, Failed, 1},
 		"no such class":             {9, nil, []balancer.ServerID{7}, Failed, 0},
 	} {
 		r := startRouter(t, c.transport, listed(c.servers...))
@@ -51,13 +51,13 @@
 		attempts := r.counters.Attempts.Load()
 		if !ok || answer.Verdict != c.want || attempts != c.attempts ||
 			(answer.Reply == "reply") != (c.want == Served) || (answer.RetryAfter > 0) != (c.want == Rejected) {
-			t.Errorf("%s: %+v, %v after %d attempts, want %v after %d", name, answer, ok, attempts, c.want, c.attempts)
+			t.Errorf("%s: got %+v, ok %v after %d attempts; want %v after %d", name, answer, ok, attempts, c.want, c.attempts)
 		}
 	}
 }
 
-// TestAttemptPastItsDeadline: a server that says nothing costs the call its time, no more, and the attempt ends with
-// the cause that tells the transport why.
+// TestAttemptPastItsDeadline checks that a call to a server that never replies is answered at the deadline, and that
+// the context of its attempt ends with the cause ErrDeadlineExceeded.
 func TestAttemptPastItsDeadline(t *testing.T) {
 	cause := make(chan error, 1)
 	r := startRouter(t, func(ctx context.Context, attempt Attempt) AttemptResult {
@@ -71,14 +71,14 @@
 	answer, ok := r.Handle(t.Context(), call)
 	elapsed := time.Since(call.ReceivedAt)
 	if !ok || answer.Verdict != DeadlineExceeded || elapsed < 90*time.Millisecond {
-		t.Errorf("%+v, %v after %v", answer, ok, elapsed)
+		t.Errorf("got answer %+v, ok %v after %v; want DeadlineExceeded after at least 90 ms", answer, ok, elapsed)
 	}
 	if err := <-cause; !sameError(err, ErrDeadlineExceeded) {
 		t.Error(err)
 	}
 }
 
-// TestDisconnectCancelsAttempt: when the client disconnects, its attempt is cancelled.
+// TestDisconnectCancelsAttempt checks that the attempt of a call is cancelled when its client disconnects.
 func TestDisconnectCancelsAttempt(t *testing.T) {
 	ctx, disconnect := context.WithCancel(t.Context())
 	cause := make(chan error, 1)
@@ -96,7 +96,7 @@
 	}
 }
 
-// TestOutcomeDisconnectAndDeadlineRace: every call ends once, and the table is empty afterwards.
+// TestOutcomeDisconnectAndDeadlineRace checks that each call ends exactly once and the call table is empty afterwards.
 func TestOutcomeDisconnectAndDeadlineRace(t *testing.T) {
 	r := startRouter(t, func(_ context.Context, attempt Attempt) AttemptResult {
 		attempt.Payload.(context.CancelFunc)()
@@ -117,10 +117,10 @@
 	c := r.counters
 	ends := c.Served.Load() + c.Rejected.Load() + c.Failed.Load() + c.DeadlineExceeded.Load() + c.Disconnected.Load()
 	if ends != calls {
-		t.Errorf("%d ends of %d calls: %v", ends, calls, c)
+		t.Errorf("counted %d ends of %d calls: %v", ends, calls, c)
 	}
 	open := make(chan int, 1)
-	for left := 1; left > 0; left = <-open { // attempts in flight come back by the transport's end
+	for left := 1; left > 0; left = <-open { // wait for the outcomes of attempts in flight
 		r.post(inspectEvent(func(r *Router) { open <- len(r.calls.byID) }))
 	}
 }
--- a/internal/routing/restart_test.go
+++ b/internal/routing/restart_test.go
@@ -11,9 +11,9 @@
 	"olivebridge/balancer"
 )
 
-// warmUpBudget is an AdmissionControl with a budget for servers that warm up, and for nothing else.
+// warmUpBudget is an AdmissionControl with a limited warm-up budget and no other limits.
 type warmUpBudget struct {
-	limit atomic.Int64 // attempts that it admits
+	limit atomic.Int64 // number of attempts admitted
 	asked atomic.Int64
 }
 
@@ -24,34 +24,34 @@
 	return b.asked.Add(1) <= b.limit.Load()
 }
 
-// halfWindow is half of the overload window, in which a server that has just started is sent one request.
+// halfWindow is half of the overload window. A server that has just started is sent one request in it.
 const halfWindow = 5 * time.Second
 
-// restartCase is a list that comes while attempts wait for their connections.
+// restartCase describes an endpoint list that arrives while attempts wait for their connections.
 type restartCase struct {
-	ageBefore time.Duration // of the server by the first list
-	ageAfter  time.Duration // and by the list that comes
+	ageBefore time.Duration // age of the server in the first list
+	ageAfter  time.Duration // age of the server in the second list
 	addrAfter string
 	calls     int
-	wait      time.Duration // between that list and the connections
-	limit     int64         // of the fleet's budget
-	asked     int64         // how often the budget is to be asked
+	wait      time.Duration // time from the second list to the connections
+	limit     int64         // number of attempts that the budget admits
+	asked     int64         // expected number of requests to the budget
 	served    int
 }
 
-// TestServerRestartsWhileAttemptsWait: attempts wait for their connections while their server restarts, or while half
-// of its overload window ends. Only as many leave then as a server that warms up may be sent, by this node's share and
-// by the fleet's budget; the other calls are rejected.
+// TestServerRestartsWhileAttemptsWait checks attempts that wait for their connections while their server restarts, or
+// while half of its overload window ends. Only as many are sent as this node's share and the fleet's budget allow for a
+// server in slow start; the other calls are rejected.
 func TestServerRestartsWhileAttemptsWait(t *testing.T) {
 	for name, c := range map[string]restartCase{
 		"no restart":                             {2 * time.Hour, 2 * time.Hour, "a:1", 3, halfWindow, 0, 0, 3},
 		"another address":                        {2 * time.Hour, 2 * time.Hour, "a:2", 3, halfWindow, 0, 0, 3},
 		"restart":                                {2 * time.Hour, 0, "a:1", 3, 0, 9, 1, 1},
 		"restart at another address":             {2 * time.Hour, 0, "a:2", 3, 0, 9, 1, 1},
-		"restart, the fleet's budget is used up": {2 * time.Hour, 0, "a:1", 3, 0, 0, 1, 0},
+		"restart, the fleet budget is exhausted":  {2 * time.Hour, 0, "a:1", 3, 0, 0, 1, 0},
 		"warming up, within the half window":     {0, 0, "a:1", 1, 0, 1, 1, 1},
 		"warming up, after the half window":      {0, 0, "a:1", 1, halfWindow, 2, 2, 1},
-		"after it, the budget is used up":        {0, 0, "a:1", 1, halfWindow, 1, 2, 0},
+		"after it, the budget is exhausted":      {0, 0, "a:1", 1, halfWindow, 1, 2, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, c.play)
@@ -104,14 +104,14 @@
 		got[<-verdicts]++
 	}
 	if got[Served] != c.served || got[Rejected] != c.calls-c.served || budget.asked.Load() != c.asked {
-		t.Errorf("%v, and the fleet was asked %d times; want %d served, the others rejected, and %d",
+		t.Errorf("got verdicts %v and %d requests to the budget; want %d served, the others rejected, and %d requests",
 			got, budget.asked.Load(), c.served, c.asked)
 	}
 	stop()
 	synctest.Wait()
 }
 
-// settingsWithSlowStart are such that a server that has just started is sent one request in halfWindow.
+// settingsWithSlowStart returns settings with which a server that has just started is sent one request in halfWindow.
 func settingsWithSlowStart() balancer.Settings {
 	settings := testSettings()
 	settings.SlowStart = time.Hour
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -13,72 +13,72 @@
 	"olivebridge/internal/maintenance"
 )
 
-// queueLength is how many events may wait for the goroutine of Run: more than one core handles within the shortest
-// timeout of a call.
+// queueLength is the maximum number of events that wait for the event loop. It is larger than the number of events that
+// one core handles within the shortest timeout of a call.
 const queueLength = 4096
 
-// Config is what a Router is made from.
+// Config holds the parameters of New.
 type Config struct {
-	// Settings are the Balancer's first settings.
+	// Settings are the initial settings of the Balancer.
 	Settings balancer.Settings
-	// Seed seeds the Balancer's random draws.
+	// Seed is the seed of the Balancer's random numbers.
 	Seed uint64
-	// InitialEndpoints is the list as this node had it last. It may be stale.
+	// InitialEndpoints is the last endpoint list that this node received. It may be stale.
 	InitialEndpoints EndpointList
-	// Transport brings attempts and health checks to upstream servers.
+	// Transport sends attempts and health checks to upstream servers.
 	Transport Transport
-	// Watcher follows the list of endpoints.
+	// Watcher watches the endpoint list.
 	Watcher Watcher
-	// Maintenance keeps the servers that operators have suspended. nil: they cannot suspend any.
+	// Maintenance records the servers that operators have suspended. If nil, operators cannot suspend servers.
 	Maintenance *maintenance.Registry
-	// Admission admits calls by the fleet's budgets. nil: there are none.
+	// Admission admits calls and attempts against the fleet's budgets. If nil, there are no such budgets.
 	Admission AdmissionControl
-	// Subsets says with which servers the node works. nil: with all.
+	// Subsets selects the servers that the node uses. If nil, the node uses all servers.
 	Subsets SubsetSelector
-	// Log must not block.
+	// Log is the logger of the Router. Its handler must not block.
 	Log *slog.Logger
 }
 
-// Router owns a Balancer and is its Host. Its exported methods but Run and those of balancer.Host are safe for
-// concurrent use.
+// Router owns a Balancer and is its balancer.Host. Its exported methods are safe for concurrent use, except Run and the
+// methods of balancer.Host.
 type Router struct {
-	// These never change after New.
+	// These fields are immutable after New.
 	seed             uint64
 	initialEndpoints EndpointList
 	transport        Transport
-	maintenance      *maintenance.Registry // nil: none
-	admission        AdmissionControl      // nil: none
+	maintenance      *maintenance.Registry // nil if operators cannot suspend servers
+	admission        AdmissionControl      // nil if there are no fleet budgets
 	log              *slog.Logger
 	counters         *Counters
 	startedAt        time.Time
 
-	// These are shared between goroutines.
+	// These fields are shared between goroutines.
 	ready         atomic.Bool
-	maxRetryAfter atomic.Int64 // of the settings, a time.Duration
+	maxRetryAfter atomic.Int64 // from the settings, as a time.Duration
 	events        chan event
-	stopped       chan struct{}  // closed once the decisions have ended
-	waiters       sync.Pool      // of *answerWaiter
-	tasks         sync.WaitGroup // attempts and what spawn has started
+	stopped       chan struct{}  // closed when the event loop has stopped
+	waiters       sync.Pool      // holds *answerWaiter
+	tasks         sync.WaitGroup // running attempts and goroutines of spawn
 
 	decisionState
 }
 
-// decisionState belongs to the goroutine of Run.
+// decisionState is the part of a Router that belongs to the event loop.
 type decisionState struct {
-	ctx       context.Context // of Run
+	ctx       context.Context // argument of Run
 	balancer  *balancer.Balancer
 	settings  balancer.Settings
 	subset    subsetState
 	upstreams map[balancer.ServerID]*Upstream
 	calls     callTable
 	watcher   Watcher
-	watch     *watch // nil: none runs
+	watch     *watch // nil if no watch is running
 	timers    map[*timerEvent]struct{}
 }
 
 var _ balancer.Host = (*Router)(nil)
 
-// New makes a Router; Run starts its decisions. Calls may come before: they wait for Run.
+// New creates a Router. Calls that arrive before Run are queued until Run starts the event loop.
 func New(c Config) *Router {
 	r := &Router{
 		seed:             c.Seed,
@@ -107,14 +107,14 @@
 
 func isListed(e Endpoint) bool { return e.State != balancer.Removed }
 
-// Ready reports whether calls can be decided: some endpoints are known.
+// Ready reports whether the Router can route calls, that is, whether it knows any endpoint.
 func (r *Router) Ready() bool { return r.ready.Load() }
 
-// Counters are the node's counters.
+// Counters returns the counters of the node.
 func (r *Router) Counters() *Counters { return r.counters }
 
-// Run makes the decisions until ctx ends, and returns once all that it started has ended too. It is called once. It
-// returns an error only when the Balancer does not take the settings.
+// Run runs the event loop until ctx ends. It returns after all goroutines that it started have ended. It must be called
+// only once. The error is non-nil only if the Balancer rejects the settings.
 func (r *Router) Run(ctx context.Context) error {
 	defer r.tasks.Wait()
 	defer r.stopTimers()
@@ -134,7 +134,7 @@
 	}
 }
 
-// start makes the Balancer and shows it the list that the node had last.
+// start creates the Balancer and passes it the last endpoint list that the node received.
 func (r *Router) start() error {
 	var err error
 	r.balancer, err = balancer.New(r.settings, r.seed, r.now(), r)
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// cancelAttempts ends the attempts of all open calls, as the node ends.
+// cancelAttempts cancels the attempts of all open calls when Run returns.
 func (r *Router) cancelAttempts() { r.calls.cancelAll(errStopped) }
 
 // Log implements balancer.Host.
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -14,7 +14,7 @@
 	"olivebridge/internal/maintenance"
 )
 
-// TestInvalidChangesAreRefused: what the decisions cannot do is returned or logged, and changes nothing.
+// TestInvalidChangesAreRefused checks that an invalid change is returned as an error or logged and has no effect.
 func TestInvalidChangesAreRefused(t *testing.T) {
 	r := newRouter(nil, listed(7))
 	r.maintenance = maintenance.New()
@@ -26,19 +26,19 @@
 	if err := r.Suspend("nobody"); err == nil || err.Error() != `no list has ever named server "nobody"` {
 		t.Error(err)
 	}
-	r.AddUnlistedServer("elsewhere") // listed in the node's other process, not here
+	r.AddUnlistedServer("elsewhere") // listed only by another process of the node
 	if err := r.Suspend("elsewhere"); err != nil {
 		t.Error(err)
 	}
-	r.UpdateSettings(balancer.Settings{}) // which have no classes
+	r.UpdateSettings(balancer.Settings{}) // invalid: no classes
 	classes := make(chan int)
 	r.post(inspectEvent(func(r *Router) {
-		r.CheckHealth(99) // which no list has named
+		r.CheckHealth(99) // in no list
 		r.abandon(99)
 		classes <- len(r.settings.Classes)
 	}))
 	if n := <-classes; n != 2 {
-		t.Errorf("%d classes", n)
+		t.Errorf("got %d classes, want 2", n)
 	}
 	stop()
 	<-ended
@@ -55,7 +55,8 @@
 	}
 }
 
-// TestShutdownLeavesNothing: once Run returns, nothing that it started is left, and no call waits.
+// TestShutdownLeavesNothing checks that after Run returns no attempt and no timer started by it is left and no call
+// waits.
 func TestShutdownLeavesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var attemptEnded atomic.Bool
@@ -83,15 +84,15 @@
 			WatchRunning:     true,
 		}
 		if snapshot, err := r.Snapshot(t.Context()); err != nil || snapshot != want {
-			t.Errorf("%+v, %v", snapshot, err)
+			t.Errorf("got snapshot %+v, error %v", snapshot, err)
 		}
 		stopped := time.Now()
 		stop()
 		if ok := <-answered; ok || time.Since(stopped) > 0 {
-			t.Errorf("answered: %v, after %v", ok, time.Since(stopped))
+			t.Errorf("call pending at shutdown: got ok %v after %v, want false at once", ok, time.Since(stopped))
 		}
 		if err := <-ended; err != nil || !attemptEnded.Load() {
-			t.Errorf("%v, or an attempt is left behind", err)
+			t.Errorf("Run returned %v or did not wait for an attempt", err)
 		}
 		for e := range r.timers {
 			if e.timer.Stop() {
--- a/internal/routing/snapshot.go
+++ b/internal/routing/snapshot.go
@@ -5,22 +5,23 @@
 	"errors"
 )
 
-// Snapshot is what a Router holds at one moment. An idle node holds its upstreams, its watch and its one timer.
+// Snapshot is the state of a Router at one moment. An idle Router has its upstreams, a running watch and one timer.
 type Snapshot struct {
-	Calls            int // in the table
-	ClientRequestIDs int // of the open calls
+	Calls            int // number of calls in the call table
+	ClientRequestIDs int // number of client request ids of open calls
 	AttemptsInFlight int
 	Upstreams        int
 	Timers           int
 	WatchRunning     bool
-	// WarmThroughput is what the Balancer has learnt that warm servers carry, for a successor process.
+	// WarmThroughput is the throughput of warm servers that the Balancer has learnt, as defined by its method
+	// WarmThroughput. A successor process receives it.
 	WarmThroughput float64
 }
 
-// errStopped says that the decisions have ended.
-var errStopped = errors.New("routing: the decisions have ended")
+// errStopped reports that the event loop has stopped.
+var errStopped = errors.New("routing: the event loop has stopped")
 
-// snapshotEvent asks what the Router holds.
+// snapshotEvent requests a Snapshot, which is sent on the channel.
 type snapshotEvent chan<- Snapshot
 
 func (e snapshotEvent) handle(r *Router) {
@@ -38,12 +39,13 @@
 	e <- snapshot
 }
 
-// Snapshot asks the decisions what they hold, between two events. It fails once they have ended, and with ctx.
+// Snapshot returns the state of the Router between two events. It returns an error if the event loop has stopped or ctx
+// ends first.
 func (r *Router) Snapshot(ctx context.Context) (Snapshot, error) {
-	taken := make(chan Snapshot, 1)
-	r.post(snapshotEvent(taken))
+	result := make(chan Snapshot, 1)
+	r.post(snapshotEvent(result))
 	select {
-	case snapshot := <-taken:
+	case snapshot := <-result:
 		return snapshot, nil
 	case <-r.stopped:
 		return Snapshot{}, errStopped
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -2,41 +2,44 @@
 
 import "olivebridge/balancer"
 
-// SubsetSelector says with which of the listed servers the node works. It runs beside the decisions, and its methods
-// must not block.
+// SubsetSelector selects the servers that the node uses from the listed servers. It runs concurrently with the event
+// loop, which calls its methods, so they must not block.
 type SubsetSelector interface {
-	// EndpointsChanged tells of all servers that accept new work, as the decisions are shown them.
+	// EndpointsChanged receives all servers that accept new work, in the state that the Balancer receives.
 	EndpointsChanged([]balancer.Server)
-	// ObserveResult tells how an attempt or a health check ended.
+	// ObserveResult receives the result of an attempt or, if healthCheck is set, of a health check.
 	ObserveResult(server balancer.ServerID, startedAt balancer.Time, result balancer.Result, healthCheck bool)
-	// Subscribe has the selector call apply with each new subset from now on.
+	// Subscribe registers apply, which the selector then calls with each new subset.
 	Subscribe(apply func(Subset))
 }
 
-// Subset is the part of the listed servers that a node works with.
+// Subset is the set of listed servers that a node uses.
 type Subset struct {
-	// Included are the servers that are used. If nil, all are used.
+	// Included is the set of servers that are used. If nil, all servers are used.
 	Included map[balancer.ServerID]bool
-	// Suspected are servers that are left out all the same, since the fleet takes them for failed.
+	// Suspected is the set of servers that are excluded even if they are in Included, because the fleet considers them
+	// failed.
 	Suspected map[balancer.ServerID]bool
-	// ActiveZones is in how many zones nodes work. The servers of a zone without nodes get only what other zones' nodes
-	// send across, and would idle if these counted on a node in each zone. 0: not known; the settings' number holds.
+	// ActiveZones is the number of zones that contain nodes. The servers of a zone without nodes receive only traffic that
+	// nodes of other zones send across. They would be idle if those nodes assumed that each zone contains a node. 0 means
+	// unknown; the number of zones in the settings then applies.
 	ActiveZones int
 }
 
-// excludes reports whether the subset leaves a server out.
+// excludes reports whether the subset excludes a server.
 func (s Subset) excludes(id balancer.ServerID) bool {
 	return s.Included != nil && !s.Included[id] || s.Suspected[id]
 }
 
-// subsetState is what the router knows of subsets. It belongs to the goroutine of Run.
+// subsetState is the state of subset selection in a Router. It belongs to the event loop.
 type subsetState struct {
-	selector SubsetSelector // nil: all servers are used
+	selector SubsetSelector // nil if all servers are used
 	listed   map[balancer.ServerID]balancer.Server
 	current  Subset
 }
 
-// apply takes in what a list would show the Balancer, and marks there the servers outside the subset.
+// apply records the servers of an update, notifies the selector and returns the servers with OutsideSubset set on those
+// that the subset excludes. It modifies its argument.
 func (s *subsetState) apply(kind balancer.UpdateKind, servers []balancer.Server) []balancer.Server {
 	if s.selector == nil {
 		return servers
@@ -66,14 +69,14 @@
 	return ready
 }
 
-// observe tells the selector how an attempt or a health check ended.
+// observe passes the result of an attempt or a health check to the selector.
 func (s *subsetState) observe(upstream *Upstream, result balancer.Result, healthCheck bool) {
 	if s.selector != nil && upstream != nil {
 		s.selector.ObserveResult(upstream.ID, upstream.startTime(), result, healthCheck)
 	}
 }
 
-// settings are those that the Balancer gets.
+// settings returns the settings for the Balancer: the number of zones is limited to the number of active zones.
 func (s *subsetState) settings(settings balancer.Settings) balancer.Settings {
 	if s.current.ActiveZones > 0 {
 		settings.Zones = min(settings.Zones, s.current.ActiveZones)
@@ -81,7 +84,7 @@
 	return settings
 }
 
-// replace makes a subset the current one, and returns the servers whose suspension changes with it.
+// replace sets the current subset and returns the listed servers for which OutsideSubset has changed.
 func (s *subsetState) replace(next Subset) []balancer.Server {
 	previous := s.current
 	s.current = next
@@ -95,7 +98,7 @@
 	return changed
 }
 
-// subsetEvent brings a new subset.
+// subsetEvent replaces the current subset.
 type subsetEvent struct{ subset Subset }
 
 func (e subsetEvent) handle(r *Router) {
--- a/internal/routing/suspend.go
+++ b/internal/routing/suspend.go
@@ -7,10 +7,11 @@
 	"olivebridge/internal/maintenance"
 )
 
-// inFlightTimeout is how long AttemptsInFlight waits for the decisions.
+// inFlightTimeout is the maximum duration for which AttemptsInFlight waits for the event loop.
 const inFlightTimeout = 200 * time.Millisecond
 
-// effectiveServers are the servers of a list as the Balancer is to see them: operators may have suspended some.
+// effectiveServers returns the servers of a list in the state that the Balancer receives, which takes suspensions by
+// operators into account.
 func (r *Router) effectiveServers(list EndpointList) []balancer.Server {
 	if r.maintenance == nil {
 		servers := make([]balancer.Server, 0, len(list.Endpoints))
@@ -26,17 +27,18 @@
 	return r.maintenance.Update(list.Kind, list.Version, named)
 }
 
-// AddUnlistedServer takes a server for listed, as another process of the node has seen it.
+// AddUnlistedServer registers a server that only the list of another process of the node contains.
 func (r *Router) AddUnlistedServer(name string) { r.maintenance.Add(name) }
 
-// Suspend keeps a server out of use. Once it returns, no first byte of a new attempt leaves for the server; the
-// Balancer hears of it a little later, so that no caller waits behind a full queue. It fails with a
-// maintenance.UnknownServerError.
+// Suspend takes a server out of use. After it returns, no new attempt sends its first byte to the server. The Balancer
+// is notified asynchronously, so the caller never waits for room in a full queue. It returns a
+// maintenance.UnknownServerError if no list has contained the server.
 func (r *Router) Suspend(name string) error {
 	return r.changeSuspension(name, r.maintenance.Suspend)
 }
 
-// Restore puts a suspended server back into use. It fails with a maintenance.UnknownServerError.
+// Restore returns a suspended server to use. It returns a maintenance.UnknownServerError if no list has contained the
+// server.
 func (r *Router) Restore(name string) error {
 	return r.changeSuspension(name, r.maintenance.Restore)
 }
@@ -49,8 +51,8 @@
 	return nil
 }
 
-// suspensionEvent shows the Balancer how a server stands now. Such events may overtake each other, since each brings
-// what holds when it is handled.
+// suspensionEvent passes the current state of a server to the Balancer. The order of such events is irrelevant, because
+// each reads the state when it is handled.
 type suspensionEvent struct{ name string }
 
 func (e suspensionEvent) handle(r *Router) {
@@ -62,10 +64,10 @@
 	r.showServers(balancer.UpdateDelta, servers, time.Now())
 }
 
-// inFlightEvent asks how many attempts are in flight at a server.
+// inFlightEvent requests the number of attempts in flight at a server.
 type inFlightEvent struct {
 	name  string
-	count chan<- int // holds the answer, so that sending never blocks
+	count chan<- int // buffered, so the event loop does not block on it
 }
 
 func (e inFlightEvent) handle(r *Router) {
@@ -74,12 +76,12 @@
 	})
 }
 
-// AttemptsInFlight is how many attempts are in flight at a server. Where the decisions do not say in time it is 1,
-// since some may be.
+// AttemptsInFlight returns the number of attempts in flight at a server. It returns 1 if the event loop does not
+// respond within inFlightTimeout, because some attempts may be in flight.
 func (r *Router) AttemptsInFlight(name string) int {
 	count := make(chan int, 1)
 	if !r.post(inFlightEvent{name, count}) {
-		return 0 // the decisions have ended, and with them all attempts
+		return 0 // the event loop has stopped, which ends all attempts
 	}
 	timeout := time.NewTimer(inFlightTimeout)
 	defer timeout.Stop()
--- a/internal/routing/suspend_test.go
+++ b/internal/routing/suspend_test.go
@@ -10,8 +10,8 @@
 	"olivebridge/internal/maintenance"
 )
 
-// TestSuspendWhileAttemptWaits: an attempt that waits for its connection as operators suspend its server must not
-// leave, though it was started before. The grace of the drain rule does not count here.
+// TestSuspendWhileAttemptWaits checks that an attempt is not sent if operators suspend its server while the attempt
+// waits for its connection. The grace period of the drain rule does not apply to a suspension.
 func TestSuspendWhileAttemptWaits(t *testing.T) {
 	waiting, connected := make(chan *Upstream), make(chan bool)
 	initial := listed(7)
@@ -48,7 +48,7 @@
 	}
 	connected <- true
 	if answer := <-answers; answer.Verdict != Rejected {
-		t.Errorf("%v: the attempt left for a suspended server", answer.Verdict)
+		t.Errorf("got verdict %v, want Rejected: the attempt was sent to a suspended server", answer.Verdict)
 	}
 	stop()
 	if err := <-ended; err != nil {
--- a/internal/routing/upstream.go
+++ b/internal/routing/upstream.go
@@ -8,20 +8,20 @@
 	"olivebridge/internal/maintenance"
 )
 
-// Upstream is a server that calls are forwarded to. An attempt keeps the Upstream that it was made with. ID, Name and
-// Addr never change: a new address makes a new Upstream, which shares the rest with the old one. It is safe for
-// concurrent use.
+// Upstream is a server to which calls are forwarded. An attempt keeps the Upstream with which it was created. ID, Name
+// and Addr are immutable: for a changed address a new Upstream is created, which shares all other state with the old
+// one. Its methods are safe for concurrent use.
 type Upstream struct {
 	ID   balancer.ServerID
-	Name string // as operators know it
+	Name string // name by which operators identify the server
 	Addr string // host:port
 
-	drainingSince *atomic.Pointer[time.Time] // nil inside: it accepts new attempts
-	suspension    *maintenance.Suspension    // by operators; nil: they cannot suspend it
-	startedAt     *atomic.Int64              // its last start that the decisions were shown, a balancer.Time
+	drainingSince *atomic.Pointer[time.Time] // holds nil while the server accepts new attempts
+	suspension    *maintenance.Suspension    // by operators; nil if they cannot suspend the server
+	startedAt     *atomic.Int64              // last start time passed to the Balancer, as a balancer.Time
 }
 
-// NewUpstream makes an Upstream that accepts new attempts.
+// NewUpstream creates an Upstream that accepts new attempts.
 func NewUpstream(id balancer.ServerID, name, addr string) *Upstream {
 	return &Upstream{
 		ID:            id,
@@ -32,7 +32,7 @@
 	}
 }
 
-// movedTo is the same server under another address.
+// movedTo returns an Upstream for the same server with another name and address.
 func (u *Upstream) movedTo(name, addr string) *Upstream {
 	moved := *u
 	moved.Name = name
@@ -40,9 +40,10 @@
 	return &moved
 }
 
-// MaySend reports whether the first byte of a new attempt may still leave at now. It guards the drain rule against
-// attempts that waited for a connection while the list changed: grace is how long a draining server may still be sent
-// something new, and half of it is left for the way there. A suspension by operators has no grace.
+// MaySend reports whether the first byte of a new attempt may still be sent at now. It enforces the drain rule for
+// attempts that waited for a connection while the endpoint list changed. grace is the duration for which a draining
+// server may still receive new requests; half of it is reserved for the transmission to the server. A server that
+// operators have suspended has no grace period.
 func (u *Upstream) MaySend(now time.Time, grace time.Duration) bool {
 	if u.suspension.Active() {
 		return false
@@ -51,8 +52,8 @@
 	return since == nil || now.Sub(*since) <= grace/2
 }
 
-// SetAccepting notes whether the server accepts new attempts. Of several times at which it stopped to, the first
-// counts.
+// SetAccepting records whether the server accepts new attempts. If it does not, at is the time at which it stopped; if
+// it stopped before, the earlier time is kept.
 func (u *Upstream) SetAccepting(accepting bool, at time.Time) {
 	if accepting {
 		u.drainingSince.Store(nil)
@@ -61,5 +62,5 @@
 	}
 }
 
-// startTime is when the server last started, as the decisions were shown it.
+// startTime returns the last start time of the server that was passed to the Balancer.
 func (u *Upstream) startTime() balancer.Time { return balancer.Time(u.startedAt.Load()) }
--- a/internal/routing/watch.go
+++ b/internal/routing/watch.go
@@ -7,25 +7,26 @@
 	"olivebridge/balancer"
 )
 
-// ErrDiscoveryRejected is why a watch ended where discovery answered and rejected it. The watch is begun again at once,
-// since the Watcher itself pauses before its next call. After any other end the Balancer says when to begin again.
+// ErrDiscoveryRejected is the error of a watch that ended because discovery rejected a request. The Router restarts the
+// watch at once, because the Watcher itself pauses before its next request. After any other error the Balancer decides
+// when to restart the watch.
 var ErrDiscoveryRejected = errors.New("refused")
 
 var (
-	errWatchEnded    = errors.New("no reason given")
-	errWatchPanicked = errors.New("panic in the watch")
+	errWatchEnded    = errors.New("watch ended without an error")
+	errWatchPanicked = errors.New("watch panicked")
 )
 
-// Watcher follows the list of endpoints until ctx ends or the watch breaks. It hands each list that comes to deliver,
-// which may block, and returns why it stopped. It is called on a goroutine of its own.
+// Watcher watches the endpoint list until ctx ends or the watch fails. It passes each received list to deliver, which
+// may block, and returns the reason for its end. It is called on its own goroutine.
 type Watcher interface {
 	Watch(ctx context.Context, deliver func(EndpointList)) error
 }
 
-// watch is one running watch. What it brings counts only while it is the router's.
+// watch is a running watch. Its events are ignored once it is no longer the current watch of the Router.
 type watch struct{ stop context.CancelFunc }
 
-// Watch implements balancer.Host: it starts a watch unless one runs.
+// Watch implements balancer.Host. It starts a watch unless one is already running.
 func (r *Router) Watch() {
 	if r.watch != nil {
 		return
@@ -46,7 +47,7 @@
 	r.spawn(run, func() { r.post(endpointsEvent{from: w, err: errWatchPanicked}) })
 }
 
-// stopWatch ends the running watch, if there is one.
+// stopWatch stops the current watch, if any.
 func (r *Router) stopWatch() {
 	if r.watch != nil {
 		r.watch.stop()
@@ -54,7 +55,7 @@
 	}
 }
 
-// endpointsEvent brings a list from a watch, or the error with which the watch ended.
+// endpointsEvent reports a list from a watch, or the error with which the watch ended.
 type endpointsEvent struct {
 	from *watch
 	list EndpointList
@@ -63,7 +64,7 @@
 
 func (e endpointsEvent) handle(r *Router) {
 	if e.from != r.watch {
-		return // guards against a list of a replaced watch, posted just before
+		return // posted by a watch just before it was replaced
 	}
 	if e.err != nil {
 		r.handleWatchEnd(e.err)
@@ -78,13 +79,13 @@
 	r.counters.WatchFailures.Add(1)
 	r.log.Warn("upstream group watch ended", "reason", reason.Error())
 	if errors.Is(reason, ErrDiscoveryRejected) {
-		r.Watch() // the watcher has paused already: a second pause would lose its turn among many nodes
+		r.Watch() // the watcher has paused already; a second pause would lose this node's turn among many nodes
 		return
 	}
 	r.balancer.HandleServers(r.now(), balancer.UpdateFailed, nil)
 }
 
-// watcherEvent brings another Watcher.
+// watcherEvent replaces the Watcher.
 type watcherEvent struct{ watcher Watcher }
 
 func (e watcherEvent) handle(r *Router) {
@@ -93,6 +94,6 @@
 	r.balancer.HandleDiscoveryMoved(r.now())
 }
 
-// ReplaceWatcher ends the running watch and begins one by w at once. No list of the old one counts any more, nor does
-// the error with which it ends.
+// ReplaceWatcher stops the current watch and starts one with w at once. Lists of the old watch that arrive later are
+// ignored, and so is the error with which it ends.
 func (r *Router) ReplaceWatcher(w Watcher) { r.post(watcherEvent{w}) }
--- a/internal/routing/watch_test.go
+++ b/internal/routing/watch_test.go
@@ -8,8 +8,8 @@
 	"olivebridge/balancer"
 )
 
-// TestEndpointsFollowWatch: addresses and draining marks follow the lists; a broken watch leaves the last list standing
-// and is begun again.
+// TestEndpointsFollowWatch checks that addresses and draining states follow the lists. If a watch fails, the last list
+// stays in use and the watch is restarted.
 func TestEndpointsFollowWatch(t *testing.T) {
 	lists := make(scriptedWatcher)
 	r := newRouter(nil, listed(7, 8))
@@ -22,7 +22,7 @@
 	}
 	deliver := func(list EndpointList) {
 		lists <- list
-		lists <- EndpointList{Kind: balancer.UpdateDelta} // taken once the one before it is posted
+		lists <- EndpointList{Kind: balancer.UpdateDelta} // received only after the previous list has been posted
 	}
 	const grace = time.Second
 	draining := listed(7)
@@ -39,9 +39,9 @@
 	lists <- errors.New("broken")
 	moved := listed(7)
 	moved.Endpoints[0].Addr = "b:2"
-	deliver(moved) // after the Balancer's backoff the watch has begun again
+	deliver(moved) // received by the watch that the Balancer restarts after its backoff
 	if u := upstream(7); u.Addr != "b:2" || !u.MaySend(at.Add(time.Hour), grace) {
-		t.Errorf("moved: %+v", u)
+		t.Errorf("upstream with a new address: %+v", u)
 	}
 	if u := upstream(8); u.MaySend(at.Add(time.Hour), grace) {
 		t.Error("a server missing from the full list still accepts attempts")
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestReplaceWatcher: another watcher is called at once, also during the backoff after a failure, and nothing of the
-// old one counts any more.
+// TestReplaceWatcher checks that a new Watcher is called at once, even during the backoff after a failure, and that
+// events of the old watch are ignored.
 func TestReplaceWatcher(t *testing.T) {
 	first, second := make(scriptedWatcher), make(scriptedWatcher)
 	r := newRouter(nil, listed())
@@ -63,13 +63,13 @@
 	r.post(inspectEvent(func(r *Router) { running <- r.watch }))
 	old := <-running
 	r.ReplaceWatcher(second)
-	second <- listed(7) // its watch runs
+	second <- listed(7) // received, so its watch is running
 	r.post(endpointsEvent{from: old, list: listed(8)})
-	r.post(endpointsEvent{from: old, err: errors.New("the old one's end")})
+	r.post(endpointsEvent{from: old, err: errors.New("old watch ended")})
 	second <- errors.New("broken")
 	third := make(scriptedWatcher)
 	r.ReplaceWatcher(third)
-	third <- EndpointList{Kind: balancer.UpdateDelta} // without the backoff after a failure: the test would hang
+	third <- EndpointList{Kind: balancer.UpdateDelta} // received only if there is no backoff; otherwise the test hangs
 	upstreams := make(chan int)
 	r.post(inspectEvent(func(r *Router) {
 		if r.upstreams[7] == nil {
@@ -78,6 +78,6 @@
 		upstreams <- len(r.upstreams)
 	}))
 	if n := <-upstreams; n != 1 || r.counters.WatchFailures.Load() > 1 {
-		t.Errorf("%d upstreams, %d failures", n, r.counters.WatchFailures.Load())
+		t.Errorf("got %d upstreams and %d watch failures, want 1 and at most 1", n, r.counters.WatchFailures.Load())
 	}
 }
