--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// The names of the commands.
+// Names of the commands.
 const (
 	Status  = "STATUS"
 	Suspend = "SUSPEND"
 	Restore = "RESTORE"
 	Pause   = "PAUSE"
 	Resume  = "RESUME"
-	// Fleet is a command for the whole fleet, where there is one. The fleet reads its arguments.
+	// Fleet is a command for the whole fleet, on nodes that belong to one. The fleet parses its arguments.
 	Fleet = "FLEET"
 )
 
-// maxLineBytes bounds a command's line, its end included.
+// maxLineBytes is the maximum length of a command line including its line ending.
 const maxLineBytes = 512
 
 var (
@@ -25,14 +25,14 @@
 	errEmptyLine   = errors.New("an empty line")
 )
 
-// Command is one command of an operator's.
+// Command is a command from an operator.
 type Command struct {
 	Name      string
-	ServerID  string // empty: the command concerns no server
-	FleetArgs string // the arguments of FLEET, one space between two
+	ServerID  string // empty if the command does not refer to a server
+	FleetArgs string // arguments of FLEET, separated by single spaces
 }
 
-// UnknownCommandError says that there is no command of its name.
+// UnknownCommandError is the name of a command that does not exist.
 type UnknownCommandError string
 
 // Error implements error.
@@ -40,8 +40,8 @@
 	return fmt.Sprintf("unknown call %.40q; there are STATUS, SUSPEND, RESTORE, PAUSE and RESUME", string(e))
 }
 
-// Parse reads a command's line, without its end. The error is worded for the operator. The command's name is returned
-// even with an error, where the line has one.
+// Parse parses a command line without its line ending. The error text is meant for the operator. The command's name is
+// returned even with an error if the line contains one.
 func Parse(line string) (Command, error) {
 	if strings.ContainsFunc(line, isUnprintable) {
 		return Command{}, errInvalidByte
@@ -70,5 +70,5 @@
 	return command, nil
 }
 
-// isUnprintable reports whether a rune is none of the printable ASCII characters.
+// isUnprintable reports whether r is not a printable ASCII character.
 func isUnprintable(r rune) bool { return r < ' ' || r > '~' }
--- a/internal/admin/doc.go
+++ b/internal/admin/doc.go
@@ -1,3 +1,3 @@
-// Package admin is the operators' listener: a client sends one line with one command and gets one line back, SUCCESS or
-// FAILURE and what there is to say.
+// Package admin implements the listener for operators: a client sends one line with one command and receives one line
+// that starts with SUCCESS or FAILURE and continues with a message.
 package admin
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -15,46 +15,48 @@
 )
 
 const (
-	// MaxConnections bounds the connections whose line is not in. An operator's client sends it at once.
+	// MaxConnections is the maximum number of connections that have not yet sent a complete line. An operator's client
+	// sends its line at once.
 	MaxConnections = 32
-	// lineTimeout is how long a client may take for its line.
+	// lineTimeout is the time limit for receiving the line.
 	lineTimeout = 5 * time.Second
-	// replyTimeout is how long the reply may take to be written.
+	// replyTimeout is the time limit for writing the reply.
 	replyTimeout = time.Second
-	// drainTimeout is how long a client may go on sending once it has its reply.
+	// drainTimeout is the time limit for reading further data from the client after the reply.
 	drainTimeout = replyTimeout / 4
 	// acceptBackoff is the pause after a failed accept.
 	acceptBackoff = 10 * time.Millisecond
 )
 
-// Executor carries out commands. Do returns a text for the operator, or an error that says why the command was not
-// carried out. It is called from many goroutines and must not wait for traffic: a reply is due within 1 s.
+// Executor executes commands. Do returns a message for the operator, or an error that states why the command was not
+// executed. Do is called concurrently and must not wait for traffic: the reply is due within 1 s.
 type Executor interface {
 	Do(Command) (string, error)
 }
 
-// Server takes commands on a listener. When there are too many connections whose line is not in, the oldest is
-// closed, so that silent clients keep nobody out. Its methods are safe for concurrent use.
+// Server executes commands that it receives on a listener. If too many connections have not yet sent a complete line,
+// it closes the oldest of them, so silent clients do not block others. Its methods are safe for concurrent use.
 type Server struct {
 	listener net.Listener
 	executor Executor
 	log      *slog.Logger
 
-	running sync.WaitGroup // the accept loop and the connections
+	running sync.WaitGroup // accept loop and connections
 	mu      sync.Mutex
-	limit   int       // of waiting, 1 to MaxConnections
-	waiting list.List // of net.Conn whose line is not in, the oldest first
+	limit   int       // maximum length of waiting, from 1 to MaxConnections
+	waiting list.List // of net.Conn without a complete line, oldest first
 	closed  bool
 }
 
-// Serve serves commands on a listener until Close.
+// Serve starts a Server that serves commands on a listener until Close.
 func Serve(listener net.Listener, executor Executor, log *slog.Logger) *Server {
 	s := &Server{listener: listener, executor: executor, log: log, limit: MaxConnections}
 	s.running.Go(s.acceptLoop)
 	return s
 }
 
-// SetMaxConnections bounds the connections whose line is not in: to 1 at least and MaxConnections at most.
+// SetMaxConnections sets the maximum number of connections without a complete line. The limit is clamped to the range
+// from 1 to MaxConnections.
 func (s *Server) SetMaxConnections(limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,7 +64,7 @@
 	s.closeOldest(s.limit)
 }
 
-// Close closes the listener, and returns once all connections are served.
+// Close closes the listener and waits until all connections have been served.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -80,7 +82,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // no file descriptor is left, for example, which passes
+		if err != nil { // temporary, for example no free file descriptor
 			s.log.Warn("operators' door", "reason", err.Error())
 			time.Sleep(acceptBackoff)
 			continue
@@ -91,7 +93,8 @@
 	}
 }
 
-// addWaiting enters a new connection and closes the oldest for it if need be. nil: the server is closed.
+// addWaiting adds a new connection to the waiting ones and closes the oldest if the limit requires it. It returns nil
+// if the server is closed.
 func (s *Server) addWaiting(conn net.Conn) *list.Element {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,16 +106,16 @@
 	return s.waiting.PushBack(conn)
 }
 
-// closeOldest closes the oldest connections until no more than limit are left. The lock is held.
+// closeOldest closes the oldest waiting connections until at most limit are left. The lock must be held.
 func (s *Server) closeOldest(limit int) {
 	for s.waiting.Len() > limit {
 		oldest := s.waiting.Front()
 		s.waiting.Remove(oldest)
-		_ = oldest.Value.(net.Conn).Close() // its reader ends with that
+		_ = oldest.Value.(net.Conn).Close() // this also ends the reader of the connection
 	}
 }
 
-// removeWaiting takes a connection from the list, and reports whether it was still there.
+// removeWaiting removes a connection from the waiting ones and reports whether it was among them.
 func (s *Server) removeWaiting(element *list.Element) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,13 +124,13 @@
 	return s.waiting.Len() < before
 }
 
-// serveConn reads one line and replies to it.
+// serveConn reads one line from a connection and replies to it.
 func (s *Server) serveConn(conn net.Conn, element *list.Element) {
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetReadDeadline(time.Now().Add(lineTimeout))
 	line, err := readLine(conn)
 	if !s.removeWaiting(element) {
-		return // closed for a newer one
+		return // closed by closeOldest
 	}
 	reply := s.reply(line, err)
 	_ = conn.SetWriteDeadline(time.Now().Add(replyTimeout))
@@ -135,8 +138,8 @@
 	drain(conn)
 }
 
-// drain reads what a client sent beyond its line, so that closing the connection does not reset it before the reply has
-// arrived.
+// drain reads data that a client sent after its line. Otherwise closing the connection could reset it before the reply
+// has arrived.
 func drain(conn net.Conn) {
 	halfCloser, ok := conn.(interface{ CloseWrite() error })
 	if !ok {
@@ -147,9 +150,9 @@
 	_, _ = conn.Read(make([]byte, maxLineBytes))
 }
 
-// reply carries out a line's command and words the reply. readErr is why there is no line.
+// reply executes the command of a line and returns the reply. readErr is the error if no line could be read.
 func (s *Server) reply(line string, readErr error) (reply string) {
-	defer func() { // guards the node: no one else would recover here
+	defer func() { // otherwise a panic would end the node
 		if p := recover(); p != nil {
 			s.log.Error("panic", "in", "operators' door", "value", fmt.Sprint(p), "stack", string(debug.Stack()))
 			reply = "FAILURE a fault in the program, see its log; it may hold"
@@ -178,7 +181,7 @@
 	return command, text, err
 }
 
-// readLine reads up to the first newline, which is not returned. The error is worded for the operator.
+// readLine returns the first line without its line ending. The error text is meant for the operator.
 func readLine(conn net.Conn) (string, error) {
 	line, err := bufio.NewReaderSize(conn, maxLineBytes).ReadSlice('\n')
 	switch {
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// recorder records the commands that it is given.
+// recorder is an Executor that records its commands.
 type recorder chan Command
 
 func (r recorder) Do(command Command) (string, error) {
@@ -25,7 +25,7 @@
 	return "done", nil
 }
 
-// startServer serves until the test ends.
+// startServer starts a Server that is closed when the test ends.
 func startServer(t *testing.T) (server *Server, addr string, executed recorder) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,7 +48,7 @@
 	return conn.(*net.TCPConn)
 }
 
-// TestCommands: each input gets a reply of one line, and only what is a command to the letter is executed.
+// TestCommands checks that each input gets a reply of one line and that only valid commands are executed.
 func TestCommands(t *testing.T) {
 	_, addr, executed := startServer(t)
 	for _, c := range []struct {
@@ -57,12 +57,12 @@
 	}{
 		{"STATUS\n", "SUCCESS done\n", Command{Name: Status}},
 		{"SUSPEND s-5be2a07c\r\n", "SUCCESS done\n", Command{Suspend, "s-5be2a07c", ""}},
-		{"RESTORE s-1\nPAUSE\n", "SUCCESS done\n", Command{Restore, "s-1", ""}}, // the first of two counts
+		{"RESTORE s-1\nPAUSE\n", "SUCCESS done\n", Command{Restore, "s-1", ""}}, // only the first line is executed
 		{"PAUSE\n", "SUCCESS done\n", Command{Name: Pause}},
 		{" RESUME \n", "SUCCESS done\n", Command{Name: Resume}},
 		{"FLEET ROUND x  1s ALL\n", "SUCCESS done\n", Command{Fleet, "", "ROUND x 1s ALL"}},
 		{"SUSPEND unknown\n", "FAILURE no such server\n", Command{Suspend, "unknown", ""}},
-		{"SUSPEND faulty\n", "FAILURE a fault in the program", Command{Suspend, "faulty", ""}}, // and the server goes on
+		{"SUSPEND faulty\n", "FAILURE a fault in the program", Command{Suspend, "faulty", ""}}, // the server keeps running
 		{"\n", "FAILURE an empty line\n", Command{}},
 		{"STOP\n", "FAILURE unknown call", Command{}},
 		{"pause\n", "FAILURE unknown call", Command{}},
@@ -76,7 +76,7 @@
 		{"GET / HTTP/1.1\r\nHost: x\r\n\r\n", "FAILURE unknown call", Command{}},
 		{strings.Repeat("x", 2*maxLineBytes) + "\n", "FAILURE the line is longer", Command{}},
 	} {
-		for _, chunk := range []int{len(c.in), 1} { // whole, and cut into single bytes
+		for _, chunk := range []int{len(c.in), 1} { // sent whole and as single bytes
 			conn := dial(t, addr)
 			for in := c.in; in != ""; in = in[chunk:] {
 				io.WriteString(conn, in[:chunk])
@@ -84,7 +84,7 @@
 			conn.CloseWrite()
 			reply, _ := io.ReadAll(conn)
 			if !strings.HasPrefix(string(reply), c.out) || strings.Count(string(reply), "\n") != 1 {
-				t.Errorf("%.40q: %q", c.in, reply)
+				t.Errorf("input %.40q: got reply %q", c.in, reply)
 			}
 			var got Command
 			select {
@@ -92,7 +92,7 @@
 			default:
 			}
 			if got != c.done {
-				t.Errorf("%.40q: executed %+v", c.in, got)
+				t.Errorf("input %.40q: executed %+v", c.in, got)
 			}
 			if chunk == 0 {
 				break
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestSilentConnections: connections without a line keep nobody out, and the oldest are closed, also of those that are
-// there when the limit sinks.
+// TestSilentConnections checks that connections without a line do not block a client that sends one, and that the
+// oldest are closed, also if the limit is lowered while they are open.
 func TestSilentConnections(t *testing.T) {
 	for _, limit := range []int{MaxConnections, 4} {
 		server, addr, _ := startServer(t)
@@ -117,13 +117,13 @@
 		io.WriteString(conn, "STATUS\n")
 		reply, err := io.ReadAll(conn)
 		if elapsed := time.Since(begun); err != nil || string(reply) != "SUCCESS done\n" || elapsed > time.Second {
-			t.Errorf("%q, %v after %v", reply, err, elapsed)
+			t.Errorf("got reply %q, error %v after %v; want SUCCESS done within 1 s", reply, err, elapsed)
 		}
 		server.SetMaxConnections(limit)
-		for _, old := range silent[:len(silent)-limit] { // these are closed: only the last ones are left
-			old.SetReadDeadline(time.Now().Add(2 * time.Second)) // under the time for a line
+		for _, old := range silent[:len(silent)-limit] { // all but the newest are closed
+			old.SetReadDeadline(time.Now().Add(2 * time.Second)) // less than lineTimeout
 			if _, err := old.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Fatalf("at most %d: an old connection has %v", limit, err)
+				t.Fatalf("limit %d: reading from an old connection returned %v, want a closed connection", limit, err)
 			}
 		}
 	}
--- a/internal/maintenance/doc.go
+++ b/internal/maintenance/doc.go
@@ -1,4 +1,4 @@
-// Package maintenance keeps which servers operators have suspended. It stands between the lists of endpoints and the
-// Balancer: a suspended server is shown to the Balancer as draining, whatever the lists say, and a restored one as a
-// server that has just started. It does no I/O and reads no clock.
+// Package maintenance records which servers operators have suspended. The Router passes each endpoint list through a
+// Registry before the Balancer receives it: a suspended server is reported to the Balancer as draining, regardless of
+// the lists, and a restored server as one that has just started. The package does no I/O and reads no clock.
 package maintenance
--- a/internal/maintenance/record.go
+++ b/internal/maintenance/record.go
@@ -7,9 +7,9 @@
 	"olivebridge/balancer"
 )
 
-// ListedServer is a balancer.Server in the form in which one process of a node hands it to the next. The JSON names
-// are those that earlier builds write and read, so they stay when a field is renamed. Its fields are those of
-// balancer.Server in name, type and order, which lets the two convert into each other.
+// ListedServer is a balancer.Server in the encoding in which a process of a node passes it to its successor. The JSON
+// names are those that earlier builds write and read, so they must not change when a field is renamed. The fields have
+// the names, types and order of the fields of balancer.Server, which makes the two types convertible.
 type ListedServer struct {
 	ID            balancer.ServerID    `json:"ID"`
 	Cell          uint16               `json:"Cell"`
@@ -21,17 +21,17 @@
 	OutsideSubset bool                 `json:"Aside"`
 }
 
-// Record is what a Registry knows of one server, in the form in which a successor process takes it over.
+// Record is the state of one server in a Registry, in the encoding in which a successor process receives it.
 type Record struct {
 	Name             string        `json:"name"`
 	Addr             string        `json:"addr"`
 	Listed           ListedServer  `json:"said"`
 	Suspended        bool          `json:"held,omitempty"`
 	SuspendedAt      balancer.Time `json:"since,omitempty"`
-	StartedNotBefore balancer.Time `json:"not_before,omitempty"` // it counts as started no earlier; 0: as listed
+	StartedNotBefore balancer.Time `json:"not_before,omitempty"` // lower bound of the start time; 0 if there is none
 }
 
-// Export returns all that is known, in the order of names, and the version of the last list.
+// Export returns the records of all servers, sorted by name, and the version of the last list.
 func (r *Registry) Export() (records []Record, listVersion int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -41,7 +41,7 @@
 	return records, r.listVersion
 }
 
-// Import takes over what another Registry knew.
+// Import stores the records that another Registry exported.
 func (r *Registry) Import(records []Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/maintenance/registry.go
+++ b/internal/maintenance/registry.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// maxEntries bounds the servers remembered, but for those that are listed or suspended. With one server replaced a
-	// second it is over an hour of them.
+	// maxEntries is the number of entries above which removed servers are evicted. Servers that are listed or suspended
+	// are never evicted. With one server replaced per second, the entries cover over an hour.
 	maxEntries = 4096
-	// entriesAfterForgetting is to how many entries the Registry shrinks, so that it seldom has to.
+	// entriesAfterForgetting is the number of entries to which the Registry shrinks when it exceeds maxEntries. The
+	// difference makes shrinking rare.
 	entriesAfterForgetting = maxEntries * 7 / 8
 )
 
-// NamedServer is a listed server with the id that operators know it by.
+// NamedServer is a server of an endpoint list with the name by which operators identify it.
 type NamedServer struct {
 	balancer.Server
 	Name string
-	Addr string // host:port; empty: not listed, the known one stays
+	Addr string // host:port; if empty, the known address is kept
 }
 
-// UnknownServerError says that a server is not in the Registry.
+// UnknownServerError is the name of a server that is not in the Registry.
 type UnknownServerError string
 
 // Error implements error.
@@ -32,30 +33,30 @@
 	return fmt.Sprintf("no list has ever named server %q", string(e))
 }
 
-// Registry knows the servers that are listed, suspended or were removed lately (see maxEntries). It is safe for
-// concurrent use.
+// Registry contains the servers that are listed, are suspended or were removed recently (see maxEntries). It is safe
+// for concurrent use.
 type Registry struct {
 	mu          sync.Mutex
 	entries     map[string]*entry
-	changes     uint64 // of entries so far
-	listVersion int64  // of the last list, as discovery numbers it
+	changes     uint64 // number of changes of entries
+	listVersion int64  // version of the last list, assigned by discovery
 }
 
-// entry is what a Registry knows of one server.
+// entry is the state of one server in a Registry.
 type entry struct {
 	addr             string
-	listed           balancer.Server // as the lists have it; Removed: they name it no more
+	listed           balancer.Server // last listed state; Removed once the lists do not contain the server
 	suspension       *Suspension
-	suspendedAt      balancer.Time // the last time
-	startedNotBefore balancer.Time // since when it counts as started at the earliest; 0: as listed
-	changedAt        uint64        // the Registry's changes then
+	suspendedAt      balancer.Time // time of the last suspension
+	startedNotBefore balancer.Time // lower bound of the start time; 0 if there is none
+	changedAt        uint64        // Registry.changes at the last change
 }
 
-// New makes an empty Registry.
+// New creates an empty Registry.
 func New() *Registry { return &Registry{entries: map[string]*entry{}} }
 
-// Update takes in a list and returns the servers as the Balancer is to be shown them. A server that a full list does
-// not name is removed.
+// Update applies an endpoint list and returns its servers in the state that the Balancer receives. A server that is
+// missing from a full list becomes Removed.
 func (r *Registry) Update(kind balancer.UpdateKind, version int64, list []NamedServer) []balancer.Server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,7 +78,7 @@
 	return effective
 }
 
-// removeUnlisted marks the servers as removed that a full list does not name. The lock is held.
+// removeUnlisted marks the servers that a full list does not contain as Removed. The lock must be held.
 func (r *Registry) removeUnlisted(list []NamedServer) {
 	listed := make(map[string]bool, len(list))
 	for _, server := range list {
@@ -90,7 +91,7 @@
 	}
 }
 
-// entry is a server's entry, made if there is none. The lock is held.
+// entry returns the entry of a server and creates it if necessary. The lock must be held.
 func (r *Registry) entry(name string) *entry {
 	e := r.entries[name]
 	if e == nil {
@@ -100,30 +101,33 @@
 	return e
 }
 
-// markChanged notes that an entry has changed. The lock is held.
+// markChanged records a change of an entry. The lock must be held.
 func (r *Registry) markChanged(e *entry) {
 	r.changes++
 	e.changedAt = r.changes
 }
 
-// effective is the server as the Balancer is to be shown it. A restored server was restarted while it was suspended: it
-// counts as started when it was restored, unless a list had told of the restart by then.
+// effective returns the server in the state that the Balancer receives. A server that was restored is assumed to have
+// restarted while it was suspended: its start time is the time of the restoration unless a list reported the restart
+// before that.
 func (e *entry) effective() balancer.Server {
 	server := e.listed
 	if e.suspension.Active() {
-		server.State = balancer.Draining // Removed would not do: by some settings removed servers are still used
+		server.State = balancer.Draining // not Removed: with some settings removed servers are still used
 		return server
 	}
 	server.StartedAt = max(server.StartedAt, e.startedNotBefore)
 	return server
 }
 
-// Suspend keeps a server out of use from its return on. It is idempotent, and fails with an UnknownServerError.
+// Suspend takes a server out of use before it returns. It is idempotent and returns an UnknownServerError if the
+// Registry does not contain the server.
 func (r *Registry) Suspend(name string, now balancer.Time) error {
 	return r.setSuspended(name, true, now)
 }
 
-// Restore puts a server back into use, however often it was suspended. It fails with an UnknownServerError.
+// Restore returns a server to use, regardless of the number of times it was suspended. It returns an UnknownServerError
+// if the Registry does not contain the server.
 func (r *Registry) Restore(name string, now balancer.Time) error {
 	return r.setSuspended(name, false, now)
 }
@@ -146,14 +150,15 @@
 	return nil
 }
 
-// Add takes a server for listed, as another process of the node has seen it.
+// Add adds a server that only the list of another process of the node contains.
 func (r *Registry) Add(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.entry(name)
 }
 
-// Effective is a server as the Balancer is to be shown it. ok is false if no list of this process has named it.
+// Effective returns a server in the state that the Balancer receives. ok is false if no list of this process has
+// contained the server.
 func (r *Registry) Effective(name string) (server balancer.Server, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -164,9 +169,10 @@
 	return e.effective(), true
 }
 
-// SuspensionOf is a server's Suspension, which stays the same. nil: the server is not known, or r is nil.
+// SuspensionOf returns the Suspension of a server, which is the same for the lifetime of its entry. It returns nil if
+// the server is unknown or r is nil.
 func (r *Registry) SuspensionOf(name string) *Suspension {
-	if r == nil { // a node without an admin listener
+	if r == nil { // the node has no admin listener
 		return nil
 	}
 	r.mu.Lock()
@@ -177,12 +183,12 @@
 	return nil
 }
 
-// SuspendedServers are the names of the servers that are suspended, in order.
+// SuspendedServers returns the sorted names of the suspended servers.
 func (r *Registry) SuspendedServers() []string {
 	return r.names(func(e *entry) bool { return e.suspension.Active() })
 }
 
-// ReadyServers are the names of the servers that the lists have as ready, in order. Some may be suspended.
+// ReadyServers returns the sorted names of the servers that the lists report as ready. Some may be suspended.
 func (r *Registry) ReadyServers() []string {
 	return r.names(func(e *entry) bool { return e.listed.State == balancer.Ready })
 }
@@ -200,8 +206,8 @@
 	return names
 }
 
-// forgetRemoved bounds the memory: of the servers that are removed and not suspended, those that changed longest ago go
-// first. The lock is held.
+// forgetRemoved bounds the memory of the Registry: it deletes servers that are removed and not suspended, starting with
+// the one whose last change is the oldest. The lock must be held.
 func (r *Registry) forgetRemoved() {
 	if len(r.entries) <= maxEntries {
 		return
--- a/internal/maintenance/registry_test.go
+++ b/internal/maintenance/registry_test.go
@@ -13,7 +13,7 @@
 	return NamedServer{Server: server, Name: name, Addr: "a:1"}
 }
 
-// step is a list or an operator's command.
+// step is an endpoint list or an operator's command.
 type step func(*Registry) error
 
 func update(kind balancer.UpdateKind, servers ...NamedServer) step {
@@ -31,10 +31,11 @@
 	return func(r *Registry) error { return r.Restore("a", at) }
 }
 
-// ready is server a as a list has it that names it ready.
+// ready returns server a as a list reports it while it is ready.
 func ready(startedAt balancer.Time) NamedServer { return listedServer("a", balancer.Ready, startedAt) }
 
-// TestEffectiveServer plays lists and commands about server a, and looks at how the Balancer is shown it.
+// TestEffectiveServer applies sequences of lists and commands to server a and checks the state that the Balancer
+// receives.
 func TestEffectiveServer(t *testing.T) {
 	first := update(balancer.UpdateCached, ready(5))
 	removed := update(balancer.UpdateFull)
@@ -50,7 +51,7 @@
 		"suspended, a full list has it ready": {
 			[]step{first, suspend(10), update(balancer.UpdateFull, ready(12))}, balancer.Draining, 12, true,
 		},
-		"suspended, removed and back":  {[]step{first, suspend(10), removed, restarted}, balancer.Draining, 12, true},
+		"suspended, removed, listed":    {[]step{first, suspend(10), removed, restarted}, balancer.Draining, 12, true},
 		"suspended while removed":      {[]step{first, removed, suspend(10)}, balancer.Draining, 5, true},
 		"restored, restart not listed": {[]step{first, suspend(10), restore(20)}, balancer.Ready, 20, false},
 		"restart listed, then restored": {
@@ -59,7 +60,7 @@
 		"restored, then restart listed": {
 			[]step{first, suspend(10), restore(20), restarted}, balancer.Ready, 20, false,
 		},
-		"restarted once more": {
+		"restarted again after restore": {
 			[]step{first, suspend(10), restore(20), update(balancer.UpdateDelta, ready(30))}, balancer.Ready, 30, false,
 		},
 		"suspended twice, restored once": {[]step{first, suspend(10), suspend(15), restore(20)}, balancer.Ready, 20, false},
@@ -69,13 +70,13 @@
 		r := New()
 		for i, step := range c.steps {
 			if err := step(r); err != nil {
-				t.Errorf("%s: step %d: %v", name, i, err)
+				t.Errorf("%s: step %d returned error %v", name, i, err)
 			}
 		}
 		server, ok := r.Effective("a")
 		suspended := r.SuspensionOf("a").Active()
 		if !ok || server.State != c.state || server.StartedAt != c.startedAt || suspended != c.suspended {
-			t.Errorf("%s: shown %v %d, suspended %v", name, server.State, server.StartedAt, suspended)
+			t.Errorf("%s: got state %v, start time %d, suspended %v", name, server.State, server.StartedAt, suspended)
 		}
 	}
 	r := New()
@@ -84,7 +85,8 @@
 	}
 }
 
-// TestForgetsRemovedServers: ever new servers leave no trace beyond the bound, and no suspension is forgotten.
+// TestForgetsRemovedServers checks that replaced servers do not exceed the limit of entries and that no suspension is
+// lost.
 func TestForgetsRemovedServers(t *testing.T) {
 	const (
 		servers = 3 * maxEntries
@@ -104,7 +106,7 @@
 		r.Update(balancer.UpdateFull, 1, list)
 	}
 	if len(r.entries) > maxEntries || !slices.Equal(r.SuspendedServers(), []string{"kept"}) || r.Suspend("s-0", 1) == nil {
-		t.Errorf("%d remembered, suspended %v", len(r.entries), r.SuspendedServers())
+		t.Errorf("got %d entries, suspended %v; want at most maxEntries, [kept]", len(r.entries), r.SuspendedServers())
 	}
 	if err := r.Suspend(fmt.Sprint("s-", servers-9), 1); err != nil {
 		t.Error(err)
