--- a/internal/maintenance/registry_test.go
+++ b/internal/maintenance/registry_test.go
@@ -51,7 +51,7 @@
 		"suspended, a full list has it ready": {
 			[]step{first, suspend(10), update(balancer.UpdateFull, ready(12))}, balancer.Draining, 12, true,
 		},
-		"suspended, removed, listed":    {[]step{first, suspend(10), removed, restarted}, balancer.Draining, 12, true},
+		"suspended, removed, listed":   {[]step{first, suspend(10), removed, restarted}, balancer.Draining, 12, true},
 		"suspended while removed":      {[]step{first, removed, suspend(10)}, balancer.Draining, 5, true},
 		"restored, restart not listed": {[]step{first, suspend(10), restore(20)}, balancer.Ready, 20, false},
 		"restart listed, then restored": {
--- a/internal/routing/draining_test.go
+++ b/internal/routing/draining_test.go
@@ -24,13 +24,13 @@
 		lists   []EndpointList
 		accepts bool
 	}{
-		"removed":                                {true, true, []EndpointList{removed}, true},
-		"missing":                                {true, true, []EndpointList{missing}, true},
-		"drained and removed":                    {true, true, []EndpointList{drained, removed}, false},
-		"drained and missing":                    {true, true, []EndpointList{drained, missing}, false},
-		"drained, missing and back":              {true, true, []EndpointList{drained, missing, back}, true},
-		"missing, then ServeRemoved is set":      {false, true, []EndpointList{missing}, true},
-		"missing, then ServeRemoved is cleared":  {true, false, []EndpointList{missing}, false},
+		"removed":                               {true, true, []EndpointList{removed}, true},
+		"missing":                               {true, true, []EndpointList{missing}, true},
+		"drained and removed":                   {true, true, []EndpointList{drained, removed}, false},
+		"drained and missing":                   {true, true, []EndpointList{drained, missing}, false},
+		"drained, missing and back":             {true, true, []EndpointList{drained, missing, back}, true},
+		"missing, then ServeRemoved is set":     {false, true, []EndpointList{missing}, true},
+		"missing, then ServeRemoved is cleared": {true, false, []EndpointList{missing}, false},
 	} {
 		r := newRouter(nil, listed(7, 8))
 		r.settings.ServeRemoved = c.before
--- a/internal/routing/respond_test.go
+++ b/internal/routing/respond_test.go
@@ -37,13 +37,13 @@
 	}{
 		"served":                    {safe, resultsInOrder(balancer.OK, 0), two, Served, 1},
 		"no server":                 {unsafe, nil, nil, Rejected, 0},
-		"idempotent, error":       {safe, resultsInOrder(balancer.Errored, balancer.OK), two, Served, 2},
+		"idempotent, error":         {safe, resultsInOrder(balancer.Errored, balancer.OK), two, Served, 2},
 		"non-idempotent, error":     {unsafe, resultsInOrder(balancer.Errored, balancer.OK), two, Failed, 1},
-		"non-idempotent, reset":      {unsafe, resultsInOrder(balancer.Reset, balancer.OK), two, Failed, 1},
-		"non-idempotent, rejected":           {unsafe, resultsInOrder(balancer.Rejected, balancer.OK), two, Served, 2},
-		"non-idempotent, 1 refused":      {unsafe, resultsInOrder(balancer.ConnectFailed, balancer.OK), two, Served, 2},
+		"non-idempotent, reset":     {unsafe, resultsInOrder(balancer.Reset, balancer.OK), two, Failed, 1},
+		"non-idempotent, rejected":  {unsafe, resultsInOrder(balancer.Rejected, balancer.OK), two, Served, 2},
+		"non-idempotent, 1 refused": {unsafe, resultsInOrder(balancer.ConnectFailed, balancer.OK), two, Served, 2},
 		"non-idempotent, 2 refused": {unsafe, refused, two, Rejected, 2},
-		"the transport panics":   {unsafe, panics, []balancer.ServerID{7}, Failed, 1},
+		"the transport panics":      {unsafe, panics, []balancer.ServerID{7}, Failed, 1},
 		"no such class":             {9, nil, []balancer.ServerID{7}, Failed, 0},
 	} {
 		r := startRouter(t, c.transport, listed(c.servers...))
--- a/internal/routing/restart_test.go
+++ b/internal/routing/restart_test.go
@@ -48,7 +48,7 @@
 		"another address":                        {2 * time.Hour, 2 * time.Hour, "a:2", 3, halfWindow, 0, 0, 3},
 		"restart":                                {2 * time.Hour, 0, "a:1", 3, 0, 9, 1, 1},
 		"restart at another address":             {2 * time.Hour, 0, "a:2", 3, 0, 9, 1, 1},
-		"restart, the fleet budget is exhausted":  {2 * time.Hour, 0, "a:1", 3, 0, 0, 1, 0},
+		"restart, the fleet budget is exhausted": {2 * time.Hour, 0, "a:1", 3, 0, 0, 1, 0},
 		"warming up, within the half window":     {0, 0, "a:1", 1, 0, 1, 1, 1},
 		"warming up, after the half window":      {0, 0, "a:1", 1, halfWindow, 2, 2, 1},
 		"after it, the budget is exhausted":      {0, 0, "a:1", 1, halfWindow, 1, 2, 0},
