--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// recorder is an Executor that records its commands.
-type recorder chan Command
+// recordingExecutor is an Executor that records its commands.
+type recordingExecutor chan Command
 
-func (r recorder) Do(command Command) (string, error) {
+func (r recordingExecutor) Do(command Command) (string, error) {
 	r <- command
 	if command.ServerID == "faulty" {
 		panic("a fault of the program")
@@ -26,13 +26,13 @@
 }
 
 // startServer starts a Server that is closed when the test ends.
-func startServer(t *testing.T) (server *Server, addr string, executed recorder) {
+func startServer(t *testing.T) (server *Server, addr string, executed recordingExecutor) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	executed = make(recorder, 100)
+	executed = make(recordingExecutor, 100)
 	server = Serve(listener, executed, slog.New(slog.DiscardHandler))
 	t.Cleanup(server.Close)
 	return server, listener.Addr().String(), executed
--- a/internal/maintenance/record.go
+++ b/internal/maintenance/record.go
@@ -36,7 +36,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(r.entries)) {
-		records = append(records, r.entries[name].record(name))
+		records = append(records, r.entries[name].toRecord(name))
 	}
 	return records, r.listVersion
 }
@@ -46,13 +46,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, record := range records {
-		e := r.entry(record.Name)
-		e.restore(record)
+		e := r.getOrCreateEntry(record.Name)
+		e.fromRecord(record)
 		r.markChanged(e)
 	}
 }
 
-func (e *entry) record(name string) Record {
+func (e *entry) toRecord(name string) Record {
 	return Record{
 		Name:             name,
 		Addr:             e.addr,
@@ -63,7 +63,7 @@
 	}
 }
 
-func (e *entry) restore(record Record) {
+func (e *entry) fromRecord(record Record) {
 	e.addr = record.Addr
 	e.listed = balancer.Server(record.Listed)
 	e.suspendedAt = record.SuspendedAt
--- a/internal/maintenance/record_test.go
+++ b/internal/maintenance/record_test.go
@@ -7,9 +7,9 @@
 	"olivebridge/balancer"
 )
 
-// TestRecordKeepsTheFormOfEarlierBuilds checks the compatibility of the hand-over between an old and a new binary: a
+// TestRecordFormatIsBackwardCompatible checks the compatibility of the hand-over between an old and a new binary: a
 // record written by build 78d81e3 is decoded completely and encoded again to the same bytes.
-func TestRecordKeepsTheFormOfEarlierBuilds(t *testing.T) {
+func TestRecordFormatIsBackwardCompatible(t *testing.T) {
 	const written = `{"name":"s-1","addr":"127.0.0.1:9000","said":{"ID":7,"Cell":3,"Zone":2,"Kind":1,` +
 		`"Born":1000000000000000000,"Weight":1.5,"State":2,"Aside":true},"held":true,"since":3,"not_before":4}`
 	want := Record{
--- a/internal/maintenance/registry.go
+++ b/internal/maintenance/registry.go
@@ -13,9 +13,9 @@
 	// maxEntries is the number of entries above which removed servers are evicted. Servers that are listed or suspended
 	// are never evicted. With one server replaced per second, the entries cover over an hour.
 	maxEntries = 4096
-	// entriesAfterForgetting is the number of entries to which the Registry shrinks when it exceeds maxEntries. The
+	// entriesAfterEviction is the number of entries to which the Registry shrinks when it exceeds maxEntries. The
 	// difference makes shrinking rare.
-	entriesAfterForgetting = maxEntries * 7 / 8
+	entriesAfterEviction = maxEntries * 7 / 8
 )
 
 // NamedServer is a server of an endpoint list with the name by which operators identify it.
@@ -66,7 +66,7 @@
 	}
 	effective := make([]balancer.Server, 0, len(list))
 	for _, server := range list {
-		e := r.entry(server.Name)
+		e := r.getOrCreateEntry(server.Name)
 		e.listed = server.Server
 		if server.Addr != "" {
 			e.addr = server.Addr
@@ -74,7 +74,7 @@
 		r.markChanged(e)
 		effective = append(effective, e.effective())
 	}
-	r.forgetRemoved()
+	r.evictRemoved()
 	return effective
 }
 
@@ -91,8 +91,8 @@
 	}
 }
 
-// entry returns the entry of a server and creates it if necessary. The lock must be held.
-func (r *Registry) entry(name string) *entry {
+// getOrCreateEntry returns the entry of a server and creates it if necessary. The lock must be held.
+func (r *Registry) getOrCreateEntry(name string) *entry {
 	e := r.entries[name]
 	if e == nil {
 		e = &entry{suspension: new(Suspension)}
@@ -154,7 +154,7 @@
 func (r *Registry) Add(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.entry(name)
+	r.getOrCreateEntry(name)
 }
 
 // Effective returns a server in the state that the Balancer receives. ok is false if no list of this process has
@@ -206,9 +206,9 @@
 	return names
 }
 
-// forgetRemoved bounds the memory of the Registry: it deletes servers that are removed and not suspended, starting with
+// evictRemoved bounds the memory of the Registry: it deletes servers that are removed and not suspended, starting with
 // the one whose last change is the oldest. The lock must be held.
-func (r *Registry) forgetRemoved() {
+func (r *Registry) evictRemoved() {
 	if len(r.entries) <= maxEntries {
 		return
 	}
@@ -221,7 +221,7 @@
 	slices.SortFunc(removed, func(a, b string) int {
 		return cmp.Compare(r.entries[a].changedAt, r.entries[b].changedAt)
 	})
-	excess := min(len(removed), len(r.entries)-entriesAfterForgetting)
+	excess := min(len(removed), len(r.entries)-entriesAfterEviction)
 	for _, name := range removed[:excess] {
 		delete(r.entries, name)
 	}
--- a/internal/maintenance/registry_test.go
+++ b/internal/maintenance/registry_test.go
@@ -8,7 +8,7 @@
 	"olivebridge/balancer"
 )
 
-func listedServer(name string, state balancer.ServerState, startedAt balancer.Time) NamedServer {
+func namedServer(name string, state balancer.ServerState, startedAt balancer.Time) NamedServer {
 	server := balancer.Server{ID: balancer.ServerID(len(name)), State: state, StartedAt: startedAt, Weight: 1}
 	return NamedServer{Server: server, Name: name, Addr: "a:1"}
 }
@@ -31,15 +31,17 @@
 	return func(r *Registry) error { return r.Restore("a", at) }
 }
 
-// ready returns server a as a list reports it while it is ready.
-func ready(startedAt balancer.Time) NamedServer { return listedServer("a", balancer.Ready, startedAt) }
+// readyServer returns server a as a list reports it while it is ready.
+func readyServer(startedAt balancer.Time) NamedServer {
+	return namedServer("a", balancer.Ready, startedAt)
+}
 
 // TestEffectiveServer applies sequences of lists and commands to server a and checks the state that the Balancer
 // receives.
 func TestEffectiveServer(t *testing.T) {
-	first := update(balancer.UpdateCached, ready(5))
+	first := update(balancer.UpdateCached, readyServer(5))
 	removed := update(balancer.UpdateFull)
-	restarted := update(balancer.UpdateDelta, ready(12))
+	restarted := update(balancer.UpdateDelta, readyServer(12))
 	for name, c := range map[string]struct {
 		steps     []step
 		state     balancer.ServerState
@@ -49,7 +51,7 @@
 		"listed":    {[]step{first}, balancer.Ready, 5, false},
 		"suspended": {[]step{first, suspend(10)}, balancer.Draining, 5, true},
 		"suspended, a full list has it ready": {
-			[]step{first, suspend(10), update(balancer.UpdateFull, ready(12))}, balancer.Draining, 12, true,
+			[]step{first, suspend(10), update(balancer.UpdateFull, readyServer(12))}, balancer.Draining, 12, true,
 		},
 		"suspended, removed, listed":   {[]step{first, suspend(10), removed, restarted}, balancer.Draining, 12, true},
 		"suspended while removed":      {[]step{first, removed, suspend(10)}, balancer.Draining, 5, true},
@@ -61,7 +63,7 @@
 			[]step{first, suspend(10), restore(20), restarted}, balancer.Ready, 20, false,
 		},
 		"restarted again after restore": {
-			[]step{first, suspend(10), restore(20), update(balancer.UpdateDelta, ready(30))}, balancer.Ready, 30, false,
+			[]step{first, suspend(10), restore(20), update(balancer.UpdateDelta, readyServer(30))}, balancer.Ready, 30, false,
 		},
 		"suspended twice, restored once": {[]step{first, suspend(10), suspend(15), restore(20)}, balancer.Ready, 20, false},
 		"restored, never suspended":      {[]step{first, restore(20)}, balancer.Ready, 5, false},
@@ -85,22 +87,22 @@
 	}
 }
 
-// TestForgetsRemovedServers checks that replaced servers do not exceed the limit of entries and that no suspension is
+// TestEvictsRemovedServers checks that replaced servers do not exceed the limit of entries and that no suspension is
 // lost.
-func TestForgetsRemovedServers(t *testing.T) {
+func TestEvictsRemovedServers(t *testing.T) {
 	const (
 		servers = 3 * maxEntries
 		batch   = 100
 	)
 	r := New()
-	r.Update(balancer.UpdateFull, 1, []NamedServer{listedServer("kept", balancer.Ready, 0)})
+	r.Update(balancer.UpdateFull, 1, []NamedServer{namedServer("kept", balancer.Ready, 0)})
 	if err := r.Suspend("kept", 1); err != nil {
 		t.Fatal(err)
 	}
 	for i := 0; i < servers; {
 		var list []NamedServer
 		for range batch {
-			list = append(list, listedServer(fmt.Sprint("s-", i), balancer.Ready, 0))
+			list = append(list, namedServer(fmt.Sprint("s-", i), balancer.Ready, 0))
 			i++
 		}
 		r.Update(balancer.UpdateFull, 1, list)
--- a/internal/routing/admit_test.go
+++ b/internal/routing/admit_test.go
@@ -15,8 +15,8 @@
 	r := startRouter(t, func(context.Context, Attempt) AttemptResult {
 		sent <- true
 		return <-release
-	}, listed(7))
-	call := newCall(unsafe, time.Minute)
+	}, fullList(7))
+	call := newCall(nonIdempotentClass, time.Minute)
 	call.ClientRequestID = "9b"
 	answered := make(chan bool)
 	ctx, disconnect := context.WithCancel(t.Context())
--- a/internal/routing/attempt_run_test.go
+++ b/internal/routing/attempt_run_test.go
@@ -17,7 +17,7 @@
 	} {
 		for _, waiting := range []int{0, queueLength} {
 			attempt := &runningAttempt{
-				router:  newRouter(nil, listed()),
+				router:  newRouter(nil, fullList()),
 				Attempt: Attempt{ExpiresAt: time.Now().Add(time.Hour)},
 			}
 			for range waiting {
--- a/internal/routing/clock.go
+++ b/internal/routing/clock.go
@@ -22,18 +22,18 @@
 
 // timerEvent reports the expiry of a timer that the Balancer has set.
 type timerEvent struct {
-	ref   uint64 // identifier that the Balancer assigned to the timer
-	timer *time.Timer
+	timerID uint64 // identifier that the Balancer assigned to the timer
+	timer   *time.Timer
 }
 
 func (e *timerEvent) handle(r *Router) {
 	delete(r.timers, e)
-	r.balancer.HandleTimer(r.now(), e.ref)
+	r.balancer.HandleTimer(r.now(), e.timerID)
 }
 
 // SetTimer implements balancer.Host.
 func (r *Router) SetTimer(delay time.Duration, timer uint64) {
-	e := &timerEvent{ref: timer}
+	e := &timerEvent{timerID: timer}
 	r.timers[e] = struct{}{}
 	e.timer = time.AfterFunc(delay, func() { r.post(e) })
 }
--- a/internal/routing/counters.go
+++ b/internal/routing/counters.go
@@ -58,10 +58,10 @@
 		c.Disconnected.Add(1)
 		return
 	}
-	c.ofVerdict(answer.Verdict).Add(1)
+	c.verdictCounter(answer.Verdict).Add(1)
 }
 
-func (c *Counters) ofVerdict(v Verdict) *atomic.Int64 {
+func (c *Counters) verdictCounter(v Verdict) *atomic.Int64 {
 	byVerdict := [...]*atomic.Int64{
 		Served:           &c.Served,
 		Rejected:         &c.Rejected,
@@ -98,7 +98,7 @@
 	for result, name := range attemptResultNames {
 		add("try_"+name, &c.AttemptResults[result])
 	}
-	if c.overFleetBudget() > 0 { // nodes without fleet budgets omit these counters
+	if c.fleetBudgetDenials() > 0 { // nodes without fleet budgets omit these counters
 		add("over_budget", &c.RejectedByFleetQuota)
 		add("over_retries", &c.RetriesOverFleetBudget)
 		add("over_cold", &c.WarmUpOverFleetBudget)
@@ -110,6 +110,6 @@
 	return strings.TrimSpace(line.String())
 }
 
-func (c *Counters) overFleetBudget() int64 {
+func (c *Counters) fleetBudgetDenials() int64 {
 	return c.RejectedByFleetQuota.Load() + c.RetriesOverFleetBudget.Load() + c.WarmUpOverFleetBudget.Load()
 }
--- a/internal/routing/counters_test.go
+++ b/internal/routing/counters_test.go
@@ -24,8 +24,8 @@
 		balancer.NotSent:       "moot",
 	} {
 		transport := func(context.Context, Attempt) AttemptResult { return AttemptResult{Result: result} }
-		r := startRouter(t, transport, listed(7))
-		r.Handle(t.Context(), newCall(unsafe, time.Second))
+		r := startRouter(t, transport, fullList(7))
+		r.Handle(t.Context(), newCall(nonIdempotentClass, time.Second))
 		if want := fmt.Sprintf("try_%s=1", name); !strings.Contains(r.counters.String(), want) {
 			t.Errorf("counters do not contain %s: %s", want, r.counters)
 		}
@@ -35,8 +35,8 @@
 		disconnect()
 		<-ctx.Done()
 		return AttemptResult{Result: balancer.Cancelled}
-	}, listed(7))
-	r.Handle(ctx, newCall(safe, time.Minute))
+	}, fullList(7))
+	r.Handle(ctx, newCall(idempotentClass, time.Minute))
 	line := r.counters.String()
 	if !strings.Contains(line, "hung_up=1") || !strings.Contains(line, "queue_full=0 guard_answers=0 panics=0") {
 		t.Error(line)
--- a/internal/routing/dedup_window_test.go
+++ b/internal/routing/dedup_window_test.go
@@ -14,7 +14,7 @@
 // window.
 func settingsWithDedupWindow(window time.Duration) balancer.Settings {
 	settings := testSettings()
-	class := &settings.Classes[safe]
+	class := &settings.Classes[idempotentClass]
 	class.Idempotency = balancer.IdempotencyKeyed
 	class.DedupScope = balancer.DedupFleet
 	class.DedupWindow = window
@@ -43,15 +43,15 @@
 			r := New(Config{
 				Settings:         settingsWithDedupWindow(c.before),
 				Seed:             1,
-				InitialEndpoints: listed(7, 8),
+				InitialEndpoints: fullList(7, 8),
 				Transport:        transportFunc(transport),
-				Watcher:          silentWatcher{},
+				Watcher:          idleWatcher{},
 				Log:              slog.New(slog.DiscardHandler),
 			})
 			ctx, stop := context.WithCancel(t.Context())
 			go r.Run(ctx)
 			begun := time.Now()
-			go r.Handle(ctx, newCall(safe, 10*time.Second))
+			go r.Handle(ctx, newCall(idempotentClass, 10*time.Second))
 			<-first
 			r.UpdateSettings(settingsWithDedupWindow(c.after))
 			synctest.Wait()
--- a/internal/routing/draining_test.go
+++ b/internal/routing/draining_test.go
@@ -11,13 +11,13 @@
 // ServeRemoved set, cleared and changed by a reload.
 func TestDrainingFollowsBalancer(t *testing.T) {
 	delta := func(state balancer.ServerState) EndpointList {
-		list := listed(7)
+		list := fullList(7)
 		list.Kind = balancer.UpdateDelta
 		list.Endpoints[0].State = state
 		return list
 	}
 	drained, removed := delta(balancer.Draining), delta(balancer.Removed)
-	missing, back := listed(8), listed(7)
+	missing, back := fullList(8), fullList(7)
 	for name, c := range map[string]struct {
 		before  bool // ServeRemoved before the reload
 		after   bool // ServeRemoved after the reload, which follows the lists
@@ -32,7 +32,7 @@
 		"missing, then ServeRemoved is set":     {false, true, []EndpointList{missing}, true},
 		"missing, then ServeRemoved is cleared": {true, false, []EndpointList{missing}, false},
 	} {
-		r := newRouter(nil, listed(7, 8))
+		r := newRouter(nil, fullList(7, 8))
 		r.settings.ServeRemoved = c.before
 		lists := make(scriptedWatcher)
 		r.watcher = lists
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -27,17 +27,17 @@
 func (r *Router) updateEndpoints(list EndpointList) {
 	servers := r.subset.apply(list.Kind, r.effectiveServers(list))
 	for _, endpoint := range list.Endpoints {
-		r.upstreams[endpoint.ID] = r.updatedUpstream(endpoint)
+		r.upstreams[endpoint.ID] = r.upstreamFor(endpoint)
 	}
-	r.showServers(list.Kind, servers, list.ReceivedAt)
+	r.forwardServers(list.Kind, servers, list.ReceivedAt)
 	maps.DeleteFunc(r.upstreams, func(id balancer.ServerID, _ *Upstream) bool { return !r.balancer.Knows(id) })
 	if len(r.upstreams) > 0 {
 		r.ready.Store(true)
 	}
 }
 
-// updatedUpstream returns the Upstream of a listed endpoint: the known one unless its address has changed.
-func (r *Router) updatedUpstream(endpoint Endpoint) *Upstream {
+// upstreamFor returns the Upstream of a listed endpoint: the known one unless its address has changed.
+func (r *Router) upstreamFor(endpoint Endpoint) *Upstream {
 	known := r.upstreams[endpoint.ID]
 	if known == nil {
 		upstream := NewUpstream(endpoint.ID, endpoint.Name, endpoint.Addr)
@@ -47,12 +47,13 @@
 	if endpoint.Addr == "" || endpoint.Addr == known.Addr {
 		return known
 	}
-	return known.movedTo(endpoint.Name, endpoint.Addr)
+	return known.withAddress(endpoint.Name, endpoint.Addr)
 }
 
-// showServers passes servers to the Balancer. It first stores their start times: an attempt whose server has restarted
-// since the routing decision asks for confirmation, and the event loop handles that confirmEvent after this update.
-func (r *Router) showServers(kind balancer.UpdateKind, servers []balancer.Server, at time.Time) {
+// forwardServers passes servers to the Balancer. It first stores their start times: an attempt whose server has
+// restarted since the routing decision asks for confirmation, and the event loop handles that confirmEvent after this
+// update.
+func (r *Router) forwardServers(kind balancer.UpdateKind, servers []balancer.Server, at time.Time) {
 	for _, server := range servers {
 		if upstream := r.upstreams[server.ID]; upstream != nil {
 			upstream.startedAt.Store(int64(server.StartedAt))
--- a/internal/routing/endpoints_test.go
+++ b/internal/routing/endpoints_test.go
@@ -11,13 +11,13 @@
 // TestReadyFromInitialEndpoints checks that a node with an initial list is ready immediately, even before Run is
 // scheduled; calls wait for Run.
 func TestReadyFromInitialEndpoints(t *testing.T) {
-	removed := listed(7)
+	removed := fullList(7)
 	removed.Endpoints[0].State = balancer.Removed
 	for name, c := range map[string]struct {
 		initial EndpointList
 		ready   bool
 	}{
-		"a list":          {listed(7), true},
+		"a list":          {fullList(7), true},
 		"an empty list":   {EndpointList{}, false},
 		"removed servers": {removed, false},
 	} {
@@ -30,10 +30,10 @@
 // TestReadyOnceEndpointsAreKnown checks that a node without a known server is not ready, so it receives no clients yet.
 func TestReadyOnceEndpointsAreKnown(t *testing.T) {
 	lists := make(scriptedWatcher)
-	r := newRouter(nil, listed())
+	r := newRouter(nil, fullList())
 	r.watcher = lists
 	go r.Run(t.Context())
-	for _, list := range []EndpointList{listed(), listed(7)} {
+	for _, list := range []EndpointList{fullList(), fullList(7)} {
 		lists <- list
 		lists <- EndpointList{Kind: balancer.UpdateDelta} // received only after the previous list has been posted
 		ready := make(chan bool)
@@ -46,13 +46,13 @@
 
 // TestForgottenServersAreDropped checks that the Router removes a server that the Balancer has forgotten.
 func TestForgottenServersAreDropped(t *testing.T) {
-	r := newRouter(nil, listed(7, 8))
+	r := newRouter(nil, fullList(7, 8))
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	if err := r.Run(ctx); err != nil { // Run reads the initial list and returns; the test then acts as the event loop
 		t.Fatal(err)
 	}
-	r.updateEndpoints(listed(8))
+	r.updateEndpoints(fullList(8))
 	if len(r.upstreams) != 2 {
 		t.Error("a server that was just removed is not known")
 	}
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -11,8 +11,8 @@
 
 // Indices of the classes of testSettings.
 const (
-	safe   = iota // idempotent
-	unsafe        // not idempotent
+	idempotentClass    = iota // idempotent
+	nonIdempotentClass        // not idempotent
 )
 
 func testSettings() balancer.Settings {
@@ -49,10 +49,10 @@
 }
 func (f transportFunc) CheckHealth(context.Context, *Upstream) balancer.Result { return balancer.OK }
 
-// silentWatcher is a Watcher that never delivers a list.
-type silentWatcher struct{}
+// idleWatcher is a Watcher that never delivers a list.
+type idleWatcher struct{}
 
-func (silentWatcher) Watch(ctx context.Context, _ func(EndpointList)) error {
+func (idleWatcher) Watch(ctx context.Context, _ func(EndpointList)) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
@@ -74,8 +74,8 @@
 	}
 }
 
-// listed returns a full list of ready endpoints.
-func listed(ids ...balancer.ServerID) EndpointList {
+// fullList returns a full list of ready endpoints.
+func fullList(ids ...balancer.ServerID) EndpointList {
 	list := EndpointList{Kind: balancer.UpdateFull, ReceivedAt: time.Now()}
 	for _, id := range ids {
 		server := balancer.Server{ID: id, Weight: 1, State: balancer.Ready}
@@ -90,7 +90,7 @@
 		Seed:             1,
 		InitialEndpoints: initial,
 		Transport:        transport,
-		Watcher:          silentWatcher{},
+		Watcher:          idleWatcher{},
 		Log:              slog.New(slog.DiscardHandler),
 	})
 }
--- a/internal/routing/panic.go
+++ b/internal/routing/panic.go
@@ -13,14 +13,14 @@
 	requestID() balancer.RequestID
 }
 
-// handleGuarded handles an event and recovers from a panic, which would otherwise end the node with all its calls. If
-// the event concerns a call, that call fails. Any other call that the fault affects is answered by its watchdog.
-func (r *Router) handleGuarded(e event) {
+// handleWithRecover handles an event and recovers from a panic, which would otherwise end the node with all its calls.
+// If the event concerns a call, that call fails. Any other call that the fault affects is answered by its watchdog.
+func (r *Router) handleWithRecover(e event) {
 	defer func() {
 		if p := recover(); p != nil {
 			r.logPanic(fmt.Sprintf("%T", e), p)
-			if about, ok := e.(callEvent); ok {
-				r.abandon(about.requestID())
+			if concerned, ok := e.(callEvent); ok {
+				r.abandon(concerned.requestID())
 			}
 		}
 	}()
--- a/internal/routing/panic_test.go
+++ b/internal/routing/panic_test.go
@@ -24,8 +24,8 @@
 			return AttemptResult{Result: balancer.Cancelled}
 		}
 		return AttemptResult{Result: balancer.OK}
-	}, listed(7))
-	first := newCall(safe, time.Minute)
+	}, fullList(7))
+	first := newCall(idempotentClass, time.Minute)
 	first.Payload = "first"
 	answers := make(chan Answer)
 	go func() {
@@ -37,7 +37,7 @@
 	if answer := <-answers; answer.Verdict != Failed {
 		t.Errorf("call of the panicking event: got answer %+v, want Failed", answer)
 	}
-	answer, ok := r.Handle(t.Context(), newCall(safe, time.Minute))
+	answer, ok := r.Handle(t.Context(), newCall(idempotentClass, time.Minute))
 	if !ok || answer.Verdict != Served || r.counters.Panics.Load() != 1 {
 		t.Errorf("next call: got answer %+v, ok %v; want Served after one panic", answer, ok)
 	}
@@ -75,10 +75,10 @@
 		sent <- true
 		<-release
 		return AttemptResult{Result: balancer.OK}
-	}, listed(7))
+	}, fullList(7))
 	answers := make(chan Answer, 100)
 	handle := func() {
-		answer, _ := r.Handle(t.Context(), newCall(safe, time.Minute))
+		answer, _ := r.Handle(t.Context(), newCall(idempotentClass, time.Minute))
 		answers <- answer
 	}
 	for range calls {
@@ -102,16 +102,16 @@
 	}
 }
 
-// faultyParts is a Transport and a Watcher with methods that panic.
-type faultyParts struct{ watchPanics bool }
+// panickingComponents is a Transport and a Watcher with methods that panic.
+type panickingComponents struct{ watchPanics bool }
 
-func (faultyParts) RoundTrip(context.Context, Attempt) AttemptResult {
+func (panickingComponents) RoundTrip(context.Context, Attempt) AttemptResult {
 	return AttemptResult{Result: balancer.OK}
 }
 
-func (faultyParts) CheckHealth(context.Context, *Upstream) balancer.Result { panic("probe") }
+func (panickingComponents) CheckHealth(context.Context, *Upstream) balancer.Result { panic("probe") }
 
-func (p faultyParts) Watch(context.Context, func(EndpointList)) error {
+func (p panickingComponents) Watch(context.Context, func(EndpointList)) error {
 	if p.watchPanics {
 		panic("watch")
 	}
@@ -122,18 +122,18 @@
 // watch, or its end without an error, counts as a failed watch. Both are started again.
 func TestPanicInHealthCheckOrWatch(t *testing.T) {
 	for _, watchPanics := range []bool{true, false} {
-		r := newRouter(nil, listed(7))
+		r := newRouter(nil, fullList(7))
 		r.settings.HealthChecks = true
 		r.settings.PollInterval = time.Millisecond
-		r.transport = faultyParts{}
-		r.watcher = faultyParts{watchPanics}
+		r.transport = panickingComponents{}
+		r.watcher = panickingComponents{watchPanics}
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan error)
 		go func() { ended <- r.Run(ctx) }()
 		for r.counters.HealthChecksFailed.Load() == 0 || r.counters.WatchFailures.Load() < 1 {
 			time.Sleep(time.Millisecond)
 		}
-		answer, ok := r.Handle(t.Context(), newCall(safe, time.Second))
+		answer, ok := r.Handle(t.Context(), newCall(idempotentClass, time.Second))
 		if !ok || answer.Verdict != Served && answer.Verdict != Rejected { // the only server fails its health checks
 			t.Errorf("got answer %+v, ok %v; want Served or Rejected", answer, ok)
 		}
--- a/internal/routing/receive.go
+++ b/internal/routing/receive.go
@@ -32,7 +32,7 @@
 	call := &openCall{Call: c, waiter: r.newAnswerWaiter()}
 	switch r.enqueue(ctx, call) {
 	case notEnqueued:
-		return r.rejectUnseen(), true
+		return r.rejectNotEnqueued(), true
 	case disconnected:
 		return Answer{}, false
 	}
@@ -76,8 +76,8 @@
 	}
 }
 
-// rejectUnseen returns the answer to a call that was not enqueued.
-func (r *Router) rejectUnseen() Answer {
+// rejectNotEnqueued returns the answer to a call that was not enqueued.
+func (r *Router) rejectNotEnqueued() Answer {
 	return Answer{Verdict: Rejected, RetryAfter: time.Duration(r.maxRetryAfter.Load())}
 }
 
--- a/internal/routing/receive_test.go
+++ b/internal/routing/receive_test.go
@@ -10,9 +10,9 @@
 // TestFullQueueRejects checks that a call is rejected before its timeout while the queue is full. This is safe for a
 // call of any class, because the call never ran.
 func TestFullQueueRejects(t *testing.T) {
-	r := newRouter(nil, listed()) // Run is never called
+	r := newRouter(nil, fullList()) // Run is never called
 	fillQueue(r)
-	call := newCall(unsafe, 200*time.Millisecond)
+	call := newCall(nonIdempotentClass, 200*time.Millisecond)
 	answer, ok := r.Handle(t.Context(), call)
 	elapsed := time.Since(call.ReceivedAt)
 	if !ok || answer.Verdict != Rejected || elapsed > call.Timeout {
@@ -23,8 +23,8 @@
 // TestWatchdogAnswersLostCall checks that a call that the event loop never answers gets DeadlineExceeded, which leaves
 // open whether the call ran.
 func TestWatchdogAnswersLostCall(t *testing.T) {
-	r := newRouter(nil, listed())
-	answer, ok := r.Handle(t.Context(), newCall(safe, 30*time.Millisecond))
+	r := newRouter(nil, fullList())
+	answer, ok := r.Handle(t.Context(), newCall(idempotentClass, 30*time.Millisecond))
 	if !ok || answer.Verdict != DeadlineExceeded {
 		t.Errorf("got answer %+v, ok %v; want DeadlineExceeded", answer, ok)
 	}
@@ -33,11 +33,11 @@
 	}
 }
 
-// TestWatchdogBehindAFullQueue checks that the watchdog answers in time while the event loop hangs and the queue is
+// TestWatchdogWithFullQueue checks that the watchdog answers in time while the event loop hangs and the queue is
 // full. It guards against waiting for room in the queue for the disconnectEvent.
-func TestWatchdogBehindAFullQueue(t *testing.T) {
-	r := newRouter(nil, listed())
-	call := newCall(unsafe, 100*time.Millisecond)
+func TestWatchdogWithFullQueue(t *testing.T) {
+	r := newRouter(nil, fullList())
+	call := newCall(nonIdempotentClass, 100*time.Millisecond)
 	answers := make(chan Answer, 1)
 	go func() {
 		answer, _ := r.Handle(t.Context(), call)
@@ -62,9 +62,9 @@
 // TestRejectsOnceStopped checks that a call received after the event loop has stopped is rejected with a Retry-After.
 // It never ran.
 func TestRejectsOnceStopped(t *testing.T) {
-	r := newRouter(nil, listed())
+	r := newRouter(nil, fullList())
 	close(r.stopped)
-	answer, ok := r.Handle(t.Context(), newCall(unsafe, time.Second))
+	answer, ok := r.Handle(t.Context(), newCall(nonIdempotentClass, time.Second))
 	if !ok || answer.Verdict != Rejected || answer.RetryAfter <= 0 {
 		t.Errorf("got answer %+v, ok %v; want Rejected with a RetryAfter", answer, ok)
 	}
@@ -73,8 +73,8 @@
 // TestAnswerBeforeWait checks that an answer delivered before the front end waits for it is not lost: a call with a
 // lost answer would hang until its timeout.
 func TestAnswerBeforeWait(t *testing.T) {
-	r := newRouter(nil, listed())
-	call := &openCall{Call: newCall(safe, time.Minute), waiter: r.newAnswerWaiter()}
+	r := newRouter(nil, fullList())
+	call := &openCall{Call: newCall(idempotentClass, time.Minute), waiter: r.newAnswerWaiter()}
 	r.respond(call, Answer{Verdict: Rejected})
 	r.respond(call, Answer{Verdict: Served}) // a second answer has no effect
 	answer, ok := r.awaitAnswer(t.Context(), call)
@@ -89,26 +89,26 @@
 func TestWaitForQueueCapacity(t *testing.T) {
 	const delay = 10 * time.Millisecond
 	full := func() *Router {
-		r := newRouter(nil, listed())
+		r := newRouter(nil, fullList())
 		fillQueue(r)
 		return r
 	}
 	ctx, disconnect := context.WithCancel(t.Context())
 	time.AfterFunc(delay, disconnect)
-	if answer, ok := full().Handle(ctx, newCall(safe, time.Minute)); ok {
+	if answer, ok := full().Handle(ctx, newCall(idempotentClass, time.Minute)); ok {
 		t.Errorf("disconnected client got answer %+v, want none", answer)
 	}
 
 	r := full()
 	time.AfterFunc(delay, func() { close(r.stopped) })
-	answer, ok := r.Handle(t.Context(), newCall(safe, time.Minute))
+	answer, ok := r.Handle(t.Context(), newCall(idempotentClass, time.Minute))
 	if !ok || answer.Verdict != Rejected || answer.RetryAfter <= 0 {
 		t.Errorf("event loop stopped: got answer %+v, ok %v; want Rejected with a RetryAfter", answer, ok)
 	}
 
 	r = full()
 	time.AfterFunc(delay, func() { <-r.events })
-	answer, ok = r.Handle(t.Context(), newCall(safe, 200*time.Millisecond))
+	answer, ok = r.Handle(t.Context(), newCall(idempotentClass, 200*time.Millisecond))
 	if !ok || answer.Verdict != DeadlineExceeded {
 		t.Errorf("enqueued but never handled: got answer %+v, ok %v; want DeadlineExceeded", answer, ok)
 	}
--- a/internal/routing/respond.go
+++ b/internal/routing/respond.go
@@ -53,7 +53,7 @@
 
 // Reject implements balancer.Host. The answer is delivered immediately.
 func (r *Router) Reject(id balancer.RequestID, retryAfter time.Duration) {
-	r.end(id, Answer{Verdict: Rejected, RetryAfter: retryAfter})
+	r.respondWithoutReply(id, Answer{Verdict: Rejected, RetryAfter: retryAfter})
 }
 
 // Fail implements balancer.Host. The answer is delivered immediately.
@@ -66,11 +66,11 @@
 	if r.now() >= call.deadline {
 		verdict = DeadlineExceeded
 	}
-	r.end(id, Answer{Verdict: verdict})
+	r.respondWithoutReply(id, Answer{Verdict: verdict})
 }
 
-// end answers an open call with an answer that has no reply.
-func (r *Router) end(id balancer.RequestID, answer Answer) {
+// respondWithoutReply answers an open call with an answer that has no reply.
+func (r *Router) respondWithoutReply(id balancer.RequestID, answer Answer) {
 	call := r.calls.byID[id]
 	if call == nil {
 		return
--- a/internal/routing/respond_test.go
+++ b/internal/routing/respond_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestAnswers(t *testing.T) {
+func TestVerdictByAttemptResult(t *testing.T) {
 	panics := func(context.Context, Attempt) AttemptResult { panic("transport") }
 	refused := resultsInOrder(balancer.ConnectFailed, balancer.ConnectFailed)
 	two := []balancer.ServerID{7, 8}
@@ -35,18 +35,18 @@
 		want      Verdict
 		attempts  int64
 	}{
-		"served":                    {safe, resultsInOrder(balancer.OK, 0), two, Served, 1},
-		"no server":                 {unsafe, nil, nil, Rejected, 0},
-		"idempotent, error":         {safe, resultsInOrder(balancer.Errored, balancer.OK), two, Served, 2},
-		"non-idempotent, error":     {unsafe, resultsInOrder(balancer.Errored, balancer.OK), two, Failed, 1},
-		"non-idempotent, reset":     {unsafe, resultsInOrder(balancer.Reset, balancer.OK), two, Failed, 1},
-		"non-idempotent, rejected":  {unsafe, resultsInOrder(balancer.Rejected, balancer.OK), two, Served, 2},
-		"non-idempotent, 1 refused": {unsafe, resultsInOrder(balancer.ConnectFailed, balancer.OK), two, Served, 2},
-		"non-idempotent, 2 refused": {unsafe, refused, two, Rejected, 2},
-		"the transport panics":      {unsafe, panics, []balancer.ServerID{7}, Failed, 1},
-		"no such class":             {9, nil, []balancer.ServerID{7}, Failed, 0},
+		"served":                   {idempotentClass, resultsInOrder(balancer.OK, 0), two, Served, 1},
+		"no server":                {nonIdempotentClass, nil, nil, Rejected, 0},
+		"idempotent, error":        {idempotentClass, resultsInOrder(balancer.Errored, balancer.OK), two, Served, 2},
+		"non-idempotent, error":    {nonIdempotentClass, resultsInOrder(balancer.Errored, balancer.OK), two, Failed, 1},
+		"non-idempotent, reset":    {nonIdempotentClass, resultsInOrder(balancer.Reset, balancer.OK), two, Failed, 1},
+		"non-idempotent, rejected": {nonIdempotentClass, resultsInOrder(balancer.Rejected, balancer.OK), two, Served, 2},
+		"one server refuses":       {nonIdempotentClass, resultsInOrder(balancer.ConnectFailed, balancer.OK), two, Served, 2},
+		"every server refuses":     {nonIdempotentClass, refused, two, Rejected, 2},
+		"the transport panics":     {nonIdempotentClass, panics, []balancer.ServerID{7}, Failed, 1},
+		"no such class":            {9, nil, []balancer.ServerID{7}, Failed, 0},
 	} {
-		r := startRouter(t, c.transport, listed(c.servers...))
+		r := startRouter(t, c.transport, fullList(c.servers...))
 		answer, ok := r.Handle(t.Context(), newCall(c.class, time.Minute))
 		attempts := r.counters.Attempts.Load()
 		if !ok || answer.Verdict != c.want || attempts != c.attempts ||
@@ -66,8 +66,8 @@
 		<-ctx.Done()
 		cause <- context.Cause(ctx)
 		return AttemptResult{Result: balancer.TimedOut}
-	}, listed(7))
-	call := newCall(unsafe, 100*time.Millisecond)
+	}, fullList(7))
+	call := newCall(nonIdempotentClass, 100*time.Millisecond)
 	answer, ok := r.Handle(t.Context(), call)
 	elapsed := time.Since(call.ReceivedAt)
 	if !ok || answer.Verdict != DeadlineExceeded || elapsed < 90*time.Millisecond {
@@ -87,8 +87,8 @@
 		<-ctx.Done()
 		cause <- context.Cause(ctx)
 		return AttemptResult{Result: balancer.Cancelled}
-	}, listed(7))
-	if _, ok := r.Handle(ctx, newCall(safe, time.Minute)); ok {
+	}, fullList(7))
+	if _, ok := r.Handle(ctx, newCall(idempotentClass, time.Minute)); ok {
 		t.Error("a disconnected client was answered")
 	}
 	if err := <-cause; !sameError(err, ErrCancelled) {
@@ -101,7 +101,7 @@
 	r := startRouter(t, func(_ context.Context, attempt Attempt) AttemptResult {
 		attempt.Payload.(context.CancelFunc)()
 		return AttemptResult{Result: balancer.OK}
-	}, listed(7, 8, 9))
+	}, fullList(7, 8, 9))
 	var all sync.WaitGroup
 	const calls = 300
 	for i := range calls {
--- a/internal/routing/restart_test.go
+++ b/internal/routing/restart_test.go
@@ -54,18 +54,18 @@
 		"after it, the budget is exhausted":      {0, 0, "a:1", 1, halfWindow, 1, 2, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, c.play)
+			synctest.Test(t, c.run)
 		})
 	}
 }
 
-func (c restartCase) play(t *testing.T) {
+func (c restartCase) run(t *testing.T) {
 	lists, budget, connected := make(scriptedWatcher), new(warmUpBudget), make(chan bool)
 	budget.limit.Store(c.limit)
 	start := time.Now()
-	before := listed(7)
+	before := fullList(7)
 	before.Endpoints[0].StartedAt = balancer.Time(start.Add(-c.ageBefore).UnixNano())
-	after := listed(7)
+	after := fullList(7)
 	after.Kind = balancer.UpdateDelta
 	after.Endpoints[0].Addr = c.addrAfter
 	after.Endpoints[0].StartedAt = balancer.Time(start.Add(-c.ageAfter).UnixNano())
@@ -90,7 +90,7 @@
 	verdicts := make(chan Verdict, c.calls)
 	for range c.calls {
 		go func() {
-			answer, _ := r.Handle(ctx, newCall(safe, 20*time.Second))
+			answer, _ := r.Handle(ctx, newCall(idempotentClass, 20*time.Second))
 			verdicts <- answer.Verdict
 		}()
 	}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -60,11 +60,11 @@
 	waiters       sync.Pool      // holds *answerWaiter
 	tasks         sync.WaitGroup // running attempts and goroutines of spawn
 
-	decisionState
+	eventLoopState
 }
 
-// decisionState is the part of a Router that belongs to the event loop.
-type decisionState struct {
+// eventLoopState is the part of a Router that belongs to the event loop.
+type eventLoopState struct {
 	ctx       context.Context // argument of Run
 	balancer  *balancer.Balancer
 	settings  balancer.Settings
@@ -79,29 +79,29 @@
 var _ balancer.Host = (*Router)(nil)
 
 // New creates a Router. Calls that arrive before Run are queued until Run starts the event loop.
-func New(c Config) *Router {
+func New(config Config) *Router {
 	r := &Router{
-		seed:             c.Seed,
-		initialEndpoints: c.InitialEndpoints,
-		transport:        c.Transport,
-		maintenance:      c.Maintenance,
-		admission:        c.Admission,
-		log:              c.Log,
+		seed:             config.Seed,
+		initialEndpoints: config.InitialEndpoints,
+		transport:        config.Transport,
+		maintenance:      config.Maintenance,
+		admission:        config.Admission,
+		log:              config.Log,
 		counters:         new(Counters),
 		startedAt:        time.Now(),
 		events:           make(chan event, queueLength),
 		stopped:          make(chan struct{}),
-		decisionState: decisionState{
-			settings:  c.Settings,
-			subset:    subsetState{selector: c.Subsets},
+		eventLoopState: eventLoopState{
+			settings:  config.Settings,
+			subset:    subsetState{selector: config.Subsets},
 			upstreams: map[balancer.ServerID]*Upstream{},
 			calls:     newCallTable(),
-			watcher:   c.Watcher,
+			watcher:   config.Watcher,
 			timers:    map[*timerEvent]struct{}{},
 		},
 	}
-	r.maxRetryAfter.Store(int64(c.Settings.MaxRetryAfter))
-	r.ready.Store(slices.ContainsFunc(c.InitialEndpoints.Endpoints, isListed))
+	r.maxRetryAfter.Store(int64(config.Settings.MaxRetryAfter))
+	r.ready.Store(slices.ContainsFunc(config.InitialEndpoints.Endpoints, isListed))
 	return r
 }
 
@@ -127,7 +127,7 @@
 	for {
 		select {
 		case e := <-r.events:
-			r.handleGuarded(e)
+			r.handleWithRecover(e)
 		case <-ctx.Done():
 			return nil
 		}
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -14,9 +14,9 @@
 	"olivebridge/internal/maintenance"
 )
 
-// TestInvalidChangesAreRefused checks that an invalid change is returned as an error or logged and has no effect.
-func TestInvalidChangesAreRefused(t *testing.T) {
-	r := newRouter(nil, listed(7))
+// TestInvalidChangesAreRejected checks that an invalid change is returned as an error or logged and has no effect.
+func TestInvalidChangesAreRejected(t *testing.T) {
+	r := newRouter(nil, fullList(7))
 	r.maintenance = maintenance.New()
 	var logged bytes.Buffer
 	r.log = slog.New(slog.NewTextHandler(&logged, nil))
@@ -45,7 +45,7 @@
 	if !strings.Contains(logged.String(), "settings not taken") {
 		t.Error(logged.String())
 	}
-	r = newRouter(nil, listed())
+	r = newRouter(nil, fullList())
 	r.settings = balancer.Settings{}
 	if err := r.Run(t.Context()); err == nil {
 		t.Error("decisions without a class")
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestShutdownLeavesNothing checks that after Run returns no attempt and no timer started by it is left and no call
+// TestRunLeavesNothingRunning checks that after Run returns no attempt and no timer started by it is left and no call
 // waits.
-func TestShutdownLeavesNothing(t *testing.T) {
+func TestRunLeavesNothingRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var attemptEnded atomic.Bool
 		r := newRouter(func(ctx context.Context, _ Attempt) AttemptResult {
@@ -65,13 +65,13 @@
 			time.Sleep(time.Millisecond)
 			attemptEnded.Store(true)
 			return AttemptResult{Result: balancer.Cancelled}
-		}, listed(7))
+		}, fullList(7))
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan error)
 		go func() { ended <- r.Run(ctx) }()
 		answered := make(chan bool)
 		go func() {
-			_, ok := r.Handle(t.Context(), newCall(safe, time.Minute))
+			_, ok := r.Handle(t.Context(), newCall(idempotentClass, time.Minute))
 			answered <- ok
 		}()
 		synctest.Wait()
--- a/internal/routing/suspend.go
+++ b/internal/routing/suspend.go
@@ -61,7 +61,7 @@
 		return
 	}
 	servers := r.subset.apply(balancer.UpdateDelta, []balancer.Server{server})
-	r.showServers(balancer.UpdateDelta, servers, time.Now())
+	r.forwardServers(balancer.UpdateDelta, servers, time.Now())
 }
 
 // inFlightEvent requests the number of attempts in flight at a server.
--- a/internal/routing/suspend_test.go
+++ b/internal/routing/suspend_test.go
@@ -14,7 +14,7 @@
 // waits for its connection. The grace period of the drain rule does not apply to a suspension.
 func TestSuspendWhileAttemptWaits(t *testing.T) {
 	waiting, connected := make(chan *Upstream), make(chan bool)
-	initial := listed(7)
+	initial := fullList(7)
 	initial.Endpoints[0].Name = "s-7"
 	transport := func(_ context.Context, attempt Attempt) AttemptResult {
 		waiting <- attempt.Upstream
@@ -29,7 +29,7 @@
 		Seed:             1,
 		InitialEndpoints: initial,
 		Transport:        transportFunc(transport),
-		Watcher:          silentWatcher{},
+		Watcher:          idleWatcher{},
 		Maintenance:      maintenance.New(),
 		Log:              slog.New(slog.DiscardHandler),
 	})
@@ -38,7 +38,7 @@
 	go func() { ended <- r.Run(ctx) }()
 	answers := make(chan Answer)
 	go func() {
-		call := Call{ClientRequestID: "9b", Class: unsafe, ReceivedAt: time.Now(), Timeout: 10 * time.Second}
+		call := Call{ClientRequestID: "9b", Class: nonIdempotentClass, ReceivedAt: time.Now(), Timeout: 10 * time.Second}
 		answer, _ := r.Handle(t.Context(), call)
 		answers <- answer
 	}()
--- a/internal/routing/upstream.go
+++ b/internal/routing/upstream.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// movedTo returns an Upstream for the same server with another name and address.
-func (u *Upstream) movedTo(name, addr string) *Upstream {
+// withAddress returns an Upstream for the same server with another name and address.
+func (u *Upstream) withAddress(name, addr string) *Upstream {
 	moved := *u
 	moved.Name = name
 	moved.Addr = addr
--- a/internal/routing/watch_test.go
+++ b/internal/routing/watch_test.go
@@ -12,7 +12,7 @@
 // stays in use and the watch is restarted.
 func TestEndpointsFollowWatch(t *testing.T) {
 	lists := make(scriptedWatcher)
-	r := newRouter(nil, listed(7, 8))
+	r := newRouter(nil, fullList(7, 8))
 	r.watcher = lists
 	go r.Run(t.Context())
 	upstream := func(id balancer.ServerID) Upstream {
@@ -25,7 +25,7 @@
 		lists <- EndpointList{Kind: balancer.UpdateDelta} // received only after the previous list has been posted
 	}
 	const grace = time.Second
-	draining := listed(7)
+	draining := fullList(7)
 	draining.Kind = balancer.UpdateDelta
 	draining.Endpoints[0].State = balancer.Draining
 	at := draining.ReceivedAt
@@ -37,7 +37,7 @@
 		t.Error("a change of one server changed another")
 	}
 	lists <- errors.New("broken")
-	moved := listed(7)
+	moved := fullList(7)
 	moved.Endpoints[0].Addr = "b:2"
 	deliver(moved) // received by the watch that the Balancer restarts after its backoff
 	if u := upstream(7); u.Addr != "b:2" || !u.MaySend(at.Add(time.Hour), grace) {
@@ -55,7 +55,7 @@
 // events of the old watch are ignored.
 func TestReplaceWatcher(t *testing.T) {
 	first, second := make(scriptedWatcher), make(scriptedWatcher)
-	r := newRouter(nil, listed())
+	r := newRouter(nil, fullList())
 	r.watcher = first
 	go r.Run(t.Context())
 	first <- EndpointList{Kind: balancer.UpdateDelta}
@@ -63,8 +63,8 @@
 	r.post(inspectEvent(func(r *Router) { running <- r.watch }))
 	old := <-running
 	r.ReplaceWatcher(second)
-	second <- listed(7) // received, so its watch is running
-	r.post(endpointsEvent{from: old, list: listed(8)})
+	second <- fullList(7) // received, so its watch is running
+	r.post(endpointsEvent{from: old, list: fullList(8)})
 	r.post(endpointsEvent{from: old, err: errors.New("old watch ended")})
 	second <- errors.New("broken")
 	third := make(scriptedWatcher)
