--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -32,7 +32,7 @@
 	FleetArgs string // arguments of FLEET, separated by single spaces
 }
 
-// UnknownCommandError is the name of a command that does not exist.
+// UnknownCommandError is the name of a requested command that does not exist.
 type UnknownCommandError string
 
 // Error implements error.
--- a/internal/maintenance/registry.go
+++ b/internal/maintenance/registry.go
@@ -25,7 +25,7 @@
 	Addr string // host:port; if empty, the known address is kept
 }
 
-// UnknownServerError is the name of a server that is not in the Registry.
+// UnknownServerError is the name of a requested server that the Registry does not contain.
 type UnknownServerError string
 
 // Error implements error.
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -63,8 +63,8 @@
 	r.updateAccepting(at)
 }
 
-// updateAccepting records at each upstream whether the Balancer allows new attempts to the server. This
-// depends on state of the Balancer in addition to the entry of the server in the list.
+// updateAccepting records at each upstream whether the Balancer allows new attempts to the server. This depends on
+// state of the Balancer in addition to the entry of the server in the list.
 func (r *Router) updateAccepting(at time.Time) {
 	for id, upstream := range r.upstreams {
 		upstream.SetAccepting(r.balancer.Accepts(id), at)
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -11,8 +11,8 @@
 
 // Indices of the classes of testSettings.
 const (
-	idempotentClass    = iota // idempotent
-	nonIdempotentClass        // not idempotent
+	idempotentClass    = iota
+	nonIdempotentClass
 )
 
 func testSettings() balancer.Settings {
--- a/internal/routing/receive.go
+++ b/internal/routing/receive.go
@@ -103,7 +103,8 @@
 	return waiter
 }
 
-// awaitAnswer waits for the answer to a call until the watchdog fires. The answer may already have been delivered.
+// awaitAnswer waits for the answer to a call until the watchdog fires, ctx ends or the Router stops. The answer may
+// already have been delivered.
 func (r *Router) awaitAnswer(ctx context.Context, call *openCall) (answer Answer, ok bool) {
 	waiter := call.waiter
 	waiter.watchdog.Reset(time.Until(call.ReceivedAt.Add(call.maxDuration() + watchdogDelay)))
--- a/internal/routing/suspend.go
+++ b/internal/routing/suspend.go
@@ -32,13 +32,13 @@
 
 // Suspend takes a server out of use. After it returns, no new attempt sends its first byte to the server. The Balancer
 // is notified asynchronously, so the caller never waits for room in a full queue. It returns a
-// maintenance.UnknownServerError if no list has contained the server.
+// maintenance.UnknownServerError if the server is not in the maintenance registry.
 func (r *Router) Suspend(name string) error {
 	return r.changeSuspension(name, r.maintenance.Suspend)
 }
 
-// Restore returns a suspended server to use. It returns a maintenance.UnknownServerError if no list has contained the
-// server.
+// Restore returns a suspended server to use. It returns a maintenance.UnknownServerError if the server is not in the
+// maintenance registry.
 func (r *Router) Restore(name string) error {
 	return r.changeSuspension(name, r.maintenance.Restore)
 }
--- a/internal/routing/watch.go
+++ b/internal/routing/watch.go
@@ -79,7 +79,7 @@
 	r.counters.WatchFailures.Add(1)
 	r.log.Warn("upstream group watch ended", "reason", reason.Error())
 	if errors.Is(reason, ErrDiscoveryRejected) {
-		r.Watch() // the watcher has paused already; a second pause would lose this node's turn among many nodes
+		r.Watch() // the watcher has paused already; with a second pause the node would lose its turn among many nodes
 		return
 	}
 	r.balancer.HandleServers(r.now(), balancer.UpdateFailed, nil)
