--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -11,7 +11,7 @@
 
 // Indices of the classes of testSettings.
 const (
-	idempotentClass    = iota
+	idempotentClass = iota
 	nonIdempotentClass
 )
 
