--- a/cmd/olivefleet/call_store.go
+++ b/cmd/olivefleet/call_store.go
@@ -94,7 +94,7 @@
 	}
 	switch result.State {
 	case callstore.Answered:
-		return transport.CallClaim{State: transport.CallAnswered, Response: responseOf(result.Outcome)}
+		return transport.CallClaim{State: transport.CallAnswered, Response: storedResponse(result.Outcome)}
 	case callstore.Unknown:
 		return transport.CallClaim{State: transport.CallOutcomeUnknown}
 	case callstore.Free: // this very call was given up before
@@ -103,8 +103,8 @@
 	return transport.CallClaim{State: transport.CallRunning}
 }
 
-// responseOf returns a stored response; nil: the outcome has none.
-func responseOf(outcome *callstore.Outcome) *transport.StoredResponse {
+// storedResponse returns a stored response; nil: the outcome has none.
+func storedResponse(outcome *callstore.Outcome) *transport.StoredResponse {
 	if outcome == nil {
 		return nil
 	}
--- a/cmd/olivefleet/fleet_node.go
+++ b/cmd/olivefleet/fleet_node.go
@@ -65,22 +65,22 @@
 	return f, nil
 }
 
-func newMemberConfig(c *protocol.Config, m fleetfile.Member, log *slog.Logger) (member.Config, error) {
+func newMemberConfig(c *protocol.Config, file fleetfile.Member, log *slog.Logger) (member.Config, error) {
 	config := member.Config{
 		Name:      c.Name,
-		Zone:      m.Zone,
-		Fleet:     m.Fleet,
-		Join:      m.Join,
-		Directory: m.Directory,
+		Zone:      file.Zone,
+		Fleet:     file.Fleet,
+		Join:      file.Join,
+		Directory: file.Directory,
 		Log:       log,
-		Listen:    netip.MustParseAddrPort(m.Listen), // the file was checked
-		Advertise: netip.MustParseAddrPort(m.Advertise),
+		Listen:    netip.MustParseAddrPort(file.Listen), // the file was checked
+		Advertise: netip.MustParseAddrPort(file.Advertise),
 	}
-	if m.Record == "" {
+	if file.Record == "" {
 		return config, nil
 	}
 	var err error
-	config.Record, err = record.Open(m.Record, c.Name)
+	config.Record, err = record.Open(file.Record, c.Name)
 	return config, err
 }
 
@@ -94,17 +94,17 @@
 
 // addService has a service start and stop with the node's membership, after those added before.
 func addService(config *member.Config, start func(member.Incarnation), stop func()) {
-	startOthers := config.OnJoin
-	stopOthers := config.OnLeave
+	startPrevious := config.OnJoin
+	stopPrevious := config.OnLeave
 	config.OnJoin = func(i member.Incarnation) {
-		if startOthers != nil {
-			startOthers(i)
+		if startPrevious != nil {
+			startPrevious(i)
 		}
 		start(i)
 	}
 	config.OnLeave = func() {
-		if stopOthers != nil {
-			stopOthers()
+		if stopPrevious != nil {
+			stopPrevious()
 		}
 		stop()
 	}
--- a/cmd/olivefleet/quotas.go
+++ b/cmd/olivefleet/quotas.go
@@ -44,7 +44,7 @@
 		Record:    m.Record,
 		Voters:    raftlog.VoterSet{Edition: book.Edition, Names: book.Voters},
 		Terms:     budget.Terms{Lease: book.LeaseTime, Reserve: book.Reserve, Seats: book.Seats},
-		Quotas:    quotasOf(f.file.Budgets, c.LongestDeadline),
+		Quotas:    newQuotas(f.file.Budgets, c.LongestDeadline),
 		Dial:      f.dial,
 	})
 	f.quotas = q
@@ -78,15 +78,15 @@
 	return q, nil
 }
 
-func quotasOf(budgets []fleetfile.Budget, longestDeadline time.Duration) []budget.Quota {
+func newQuotas(budgets []fleetfile.Budget, longestDeadline time.Duration) []budget.Quota {
 	var quotas []budget.Quota
 	for _, b := range budgets {
-		quotas = append(quotas, quotaOf(b, longestDeadline))
+		quotas = append(quotas, newQuota(b, longestDeadline))
 	}
 	return quotas
 }
 
-func quotaOf(b fleetfile.Budget, longestDeadline time.Duration) budget.Quota {
+func newQuota(b fleetfile.Budget, longestDeadline time.Duration) budget.Quota {
 	quota := budget.Quota{Name: b.Name, Kind: budget.Kind(b.Kind), Amount: b.Rate, Burst: b.Burst}
 	switch quota.Kind {
 	case budget.InUse:
--- a/cmd/olivefleet/reload.go
+++ b/cmd/olivefleet/reload.go
@@ -16,8 +16,8 @@
 	if err != nil {
 		return err
 	}
-	if what := f.file.ImmutableChange(next); what != "" {
-		return fmt.Errorf("fleet file %s: %s cannot change in a running node", path, what)
+	if change := f.file.ImmutableChange(next); change != "" {
+		return fmt.Errorf("fleet file %s: %s cannot change in a running node", path, change)
 	}
 	f.file = next
 	if f.calls != nil {
@@ -28,7 +28,7 @@
 	}
 	if f.quotas != nil {
 		f.quotas.service.SetVoters(raftlog.VoterSet{Edition: next.Book.Edition, Names: next.Book.Voters})
-		f.quotas.service.SetQuotas(quotasOf(next.Budgets, c.LongestDeadline))
+		f.quotas.service.SetQuotas(newQuotas(next.Budgets, c.LongestDeadline))
 	}
 	return nil
 }
--- a/internal/fleet/fleetfile/check_budgets.go
+++ b/internal/fleet/fleetfile/check_budgets.go
@@ -28,98 +28,98 @@
 	names := map[string]bool{}
 	subjects := map[string]bool{} // uses and tenants
 	for i := range f.Budgets {
-		b := &f.Budgets[i]
-		c.checkSubject(b)
-		subject := b.Use + " " + b.Tenant
-		if names[b.Name] || subjects[subject] {
-			c.fail("budget", "%q: its name, its tenant or its use stands twice", b.Name)
+		budget := &f.Budgets[i]
+		c.checkSubject(budget)
+		subject := budget.Use + " " + budget.Tenant
+		if names[budget.Name] || subjects[subject] {
+			c.fail("budget", "%q: its name, its tenant or its use stands twice", budget.Name)
 		}
-		names[b.Name] = true
+		names[budget.Name] = true
 		subjects[subject] = true
-		c.checkAmount(b, f.Book.Seats)
+		c.checkAmount(budget, f.Book.Seats)
 	}
 }
 
-func (c *checker) checkBudgetTerms(b *Book) {
-	b.Edition = c.checkVoters("book", b.Voters, b.Edition)
-	b.LeaseTime = c.checkDuration("book.lease", b.Lease, minLease, maxLease)
-	if !within(b.Reserve, 0, maxReserve) {
-		c.fail("book.reserve", "%g is not from 0 to %g", b.Reserve, maxReserve)
+func (c *checker) checkBudgetTerms(book *Book) {
+	book.Edition = c.checkVoters("book", book.Voters, book.Edition)
+	book.LeaseTime = c.checkDuration("book.lease", book.Lease, minLease, maxLease)
+	if !inRange(book.Reserve, 0, maxReserve) {
+		c.fail("book.reserve", "%g is not from 0 to %g", book.Reserve, maxReserve)
 	}
-	c.checkRange("book.seats", b.Seats, 1, maxSeats)
+	c.checkRange("book.seats", book.Seats, 1, maxSeats)
 }
 
-// within reports whether a number is between two bounds. NaN is not.
-func within(value, least, most float64) bool { return value >= least && value <= most }
+// inRange reports whether a number is between two bounds. NaN is not.
+func inRange(value, minValue, maxValue float64) bool { return value >= minValue && value <= maxValue }
 
 // checkSubject checks a budget's name, and what it limits.
-func (c *checker) checkSubject(b *Budget) {
-	c.checkWord("budget.name", b.Name)
+func (c *checker) checkSubject(budget *Budget) {
+	c.checkWord("budget.name", budget.Name)
 	switch {
-	case b.Use == "":
-		c.checkWord("budget.tenant", b.Tenant)
-	case b.Use != Retries && b.Use != ColdPeers:
-		c.fail("budget.use", "%q: there are %q and %q", b.Use, Retries, ColdPeers)
-	case b.Tenant != "":
-		c.fail("budget.tenant", "%q is for %s, of whatever tenant", b.Name, b.Use)
-	case b.Kind != "" && b.Kind != kindRate:
-		c.fail("budget.kind", "%q is for %s, which have a rate", b.Name, b.Use)
+	case budget.Use == "":
+		c.checkWord("budget.tenant", budget.Tenant)
+	case budget.Use != Retries && budget.Use != ColdPeers:
+		c.fail("budget.use", "%q: there are %q and %q", budget.Use, Retries, ColdPeers)
+	case budget.Tenant != "":
+		c.fail("budget.tenant", "%q is for %s, of whatever tenant", budget.Name, budget.Use)
+	case budget.Kind != "" && budget.Kind != kindRate:
+		c.fail("budget.kind", "%q is for %s, which have a rate", budget.Name, budget.Use)
 	}
 }
 
 // checkAmount checks what a budget's kind has, and that it has nothing else.
-func (c *checker) checkAmount(b *Budget, seats int) {
-	if b.Kind == "" {
-		b.Kind = kindRate
+func (c *checker) checkAmount(budget *Budget, seats int) {
+	if budget.Kind == "" {
+		budget.Kind = kindRate
 	}
-	switch b.Kind {
+	switch budget.Kind {
 	case kindRate:
-		c.checkKeysOfKind(b, "rate", "burst")
-		c.checkRate(b, seats)
+		c.checkKeysOfKind(budget, "rate", "burst")
+		c.checkRate(budget, seats)
 	case kindInUse:
-		c.checkKeysOfKind(b, "most")
-		c.checkRange("budget.most", b.Most, 0, maxAmount)
+		c.checkKeysOfKind(budget, "most")
+		c.checkRange("budget.most", budget.Most, 0, maxAmount)
 	case kindCount:
-		c.checkKeysOfKind(b, "count", "period")
-		c.checkCount(b)
+		c.checkKeysOfKind(budget, "count", "period")
+		c.checkCount(budget)
 	default:
-		c.fail("budget.kind", "%q is none of rate, in-use and count", b.Kind)
+		c.fail("budget.kind", "%q is none of rate, in-use and count", budget.Kind)
 	}
 }
 
 // checkKeysOfKind checks that a budget has no other amounts than those of its kind.
-func (c *checker) checkKeysOfKind(b *Budget, keys ...string) {
+func (c *checker) checkKeysOfKind(budget *Budget, keys ...string) {
 	for _, amount := range []struct {
 		key string
 		set bool
 	}{
-		{"rate", b.Rate != 0},
-		{"burst", b.Burst != 0},
-		{"most", b.Most != 0},
-		{"count", b.Count != 0},
-		{"period", b.Period != ""},
+		{"rate", budget.Rate != 0},
+		{"burst", budget.Burst != 0},
+		{"most", budget.Most != 0},
+		{"count", budget.Count != 0},
+		{"period", budget.Period != ""},
 	} {
 		if amount.set && !slices.Contains(keys, amount.key) {
-			c.fail("budget."+amount.key, "%q is of the kind %s, which has none", b.Name, b.Kind)
+			c.fail("budget."+amount.key, "%q is of the kind %s, which has none", budget.Name, budget.Kind)
 		}
 	}
 }
 
-func (c *checker) checkRate(b *Budget, seats int) {
-	if !within(b.Rate, 0, maxAmount) {
-		c.fail("budget.rate", "%g is not from 0 to %d", b.Rate, maxAmount)
+func (c *checker) checkRate(budget *Budget, seats int) {
+	if !inRange(budget.Rate, 0, maxAmount) {
+		c.fail("budget.rate", "%g is not from 0 to %d", budget.Rate, maxAmount)
 	}
 	minBurst := float64(seats) + 1 // each seat needs one unit of its own
-	if !within(b.Burst, minBurst, maxAmount) {
-		c.fail("budget.burst", "%g is not from %g, one more than seats, to %d", b.Burst, minBurst, maxAmount)
+	if !inRange(budget.Burst, minBurst, maxAmount) {
+		c.fail("budget.burst", "%g is not from %g, one more than seats, to %d", budget.Burst, minBurst, maxAmount)
 	}
 }
 
-func (c *checker) checkCount(b *Budget) {
-	c.checkRange("budget.count", b.Count, 0, maxAmount)
-	period, err := time.ParseDuration(b.Period)
+func (c *checker) checkCount(budget *Budget) {
+	c.checkRange("budget.count", budget.Count, 0, maxAmount)
+	period, err := time.ParseDuration(budget.Period)
 	if err != nil || period < minPeriod {
-		c.fail("budget.period", "not a time of a minute or more: %q", b.Period)
+		c.fail("budget.period", "not a time of a minute or more: %q", budget.Period)
 	}
-	b.PeriodTime = period
+	budget.PeriodTime = period
 }
--- a/internal/fleet/fleetfile/check_choices.go
+++ b/internal/fleet/fleetfile/check_choices.go
@@ -3,12 +3,12 @@
 // The bounds of choices, and what is meant where nothing is set. With one copy a server's only node may fail, and
 // nobody is left that knows it. One witness alone may be wrong, or cut off.
 const (
-	minCopies    = 2
-	maxCopies    = 1000
-	maxLeast     = 100000
-	defaultLeast = 64
-	minWitnesses = 2
-	maxWitnesses = 20
+	minCopies         = 2
+	maxCopies         = 1000
+	maxMinServers     = 100000
+	defaultMinServers = 64
+	minWitnesses      = 2
+	maxWitnesses      = 20
 )
 
 // checkChoices checks subsets and witnesses.
@@ -23,8 +23,8 @@
 		return
 	}
 	c.checkRange("choices.copies", choices.Copies, minCopies, maxCopies)
-	c.checkRange("choices.least", choices.Least, 0, maxLeast)
+	c.checkRange("choices.least", choices.Least, 0, maxMinServers)
 	if !c.has("choices.least") {
-		choices.Least = defaultLeast
+		choices.Least = defaultMinServers
 	}
 }
--- a/internal/fleet/fleetfile/check_work.go
+++ b/internal/fleet/fleetfile/check_work.go
@@ -17,19 +17,19 @@
 )
 
 // checkWork checks which requests survive the loss of a node.
-func (c *checker) checkWork(w *Work) {
+func (c *checker) checkWork(work *Work) {
 	if !c.has("work") {
 		return
 	}
-	if len(w.Classes) == 0 {
+	if len(work.Classes) == 0 {
 		c.fail("work.classes", "missing")
 	}
-	c.checkNames("work.classes", w.Classes)
-	w.Edition = c.checkVoters("work", w.Voters, w.Edition)
-	w.Window = cmp.Or(w.Window, defaultWindow)
-	w.Most = cmp.Or(w.Most, defaultMaxKept)
-	w.Tries = cmp.Or(w.Tries, defaultMaxTries)
-	w.WindowTime = c.checkDuration("work.window", w.Window, minWindow, maxWindow)
-	c.checkRange("work.most", w.Most, 1, maxKept)
-	c.checkRange("work.tries", w.Tries, 1, maxTries)
+	c.checkNames("work.classes", work.Classes)
+	work.Edition = c.checkVoters("work", work.Voters, work.Edition)
+	work.Window = cmp.Or(work.Window, defaultWindow)
+	work.Most = cmp.Or(work.Most, defaultMaxKept)
+	work.Tries = cmp.Or(work.Tries, defaultMaxTries)
+	work.WindowTime = c.checkDuration("work.window", work.Window, minWindow, maxWindow)
+	c.checkRange("work.most", work.Most, 1, maxKept)
+	c.checkRange("work.tries", work.Tries, 1, maxTries)
 }
--- a/internal/fleet/fleetfile/checker.go
+++ b/internal/fleet/fleetfile/checker.go
@@ -104,17 +104,17 @@
 }
 
 // checkRange checks a number between two bounds.
-func (c *checker) checkRange(key string, value, least, most int) {
-	if value < least || value > most {
-		c.fail(key, "%d is not from %d to %d", value, least, most)
+func (c *checker) checkRange(key string, value, minValue, maxValue int) {
+	if value < minValue || value > maxValue {
+		c.fail(key, "%d is not from %d to %d", value, minValue, maxValue)
 	}
 }
 
 // checkDuration reads a time between two bounds.
-func (c *checker) checkDuration(key, text string, least, most time.Duration) time.Duration {
+func (c *checker) checkDuration(key, text string, minValue, maxValue time.Duration) time.Duration {
 	value, err := time.ParseDuration(text)
-	if err != nil || value < least || value > most {
-		c.fail(key, "not a time from %v to %v: %q", least, most, text)
+	if err != nil || value < minValue || value > maxValue {
+		c.fail(key, "not a time from %v to %v: %q", minValue, maxValue, text)
 	}
 	return value
 }
--- a/internal/fleet/member/accept_streams.go
+++ b/internal/fleet/member/accept_streams.go
@@ -31,9 +31,9 @@
 		}
 		select {
 		case t.handshakes <- struct{}{}:
-			t.running.Go(func() { t.handshake(conn) })
+			t.tasks.Go(func() { t.handshake(conn) })
 		default:
-			t.traffic.flood.Add(1)
+			t.traffic.overLimit.Add(1)
 			_ = conn.Close()
 		}
 	}
@@ -43,7 +43,7 @@
 func (t *transport) handshake(conn net.Conn) {
 	done := sync.OnceFunc(func() { <-t.handshakes })
 	defer done()
-	s := t.wrap(conn)
+	s := t.newStream(conn)
 	s.accepted = true
 	if err := s.readFirstFrame(handshakeTimeout); err != nil {
 		t.traffic.foreign.Add(1)
--- a/internal/fleet/member/agent.go
+++ b/internal/fleet/member/agent.go
@@ -11,8 +11,8 @@
 const (
 	// agentTick is the interval of an agent's loop.
 	agentTick = 100 * time.Millisecond
-	// processPause is from which time between two ticks on the process is said to have been paused.
-	processPause = time.Second
+	// minProcessPause is from which time between two ticks on the process is said to have been paused.
+	minProcessPause = time.Second
 	// addrsWriteInterval is how often the members' addresses are written, if there is a new view.
 	addrsWriteInterval = 2 * time.Second
 	// receptionInterval is how often the record is given the state of what was received.
@@ -36,8 +36,8 @@
 	tasks     sync.WaitGroup
 
 	// These two are owned by the agent's loop.
-	isolated   bool                 // nobody was heard for isolationTimeout
-	rejoinedAt map[string]time.Time // the last attempt to join each missing address
+	isolated    bool                 // nobody was heard for isolationTimeout
+	lastRejoins map[string]time.Time // the last attempt to join each missing address
 
 	mu           sync.Mutex
 	settled      bool // see Claim
@@ -61,7 +61,7 @@
 		announcedDepartures: map[string]bool{},
 		suspectedNumbers:    map[string]uint32{},
 		latestNumbers:       map[string]uint32{},
-		rejoinedAt:          map[string]time.Time{},
+		lastRejoins:         map[string]time.Time{},
 		knownAddrs:          readKnownAddrs(s.config.Directory),
 	}
 	a.massFailures = newMassFailureDetector(a)
@@ -94,8 +94,8 @@
 	})
 }
 
-// schedule is when the steps of an agent's loop were last taken.
-type schedule struct {
+// stepTimes is when the steps of an agent's loop were last taken.
+type stepTimes struct {
 	began            time.Time
 	tick             time.Time
 	rejoin           time.Time
@@ -108,7 +108,7 @@
 func (a *agent) run() {
 	ticker := time.NewTicker(agentTick)
 	defer ticker.Stop()
-	last := &schedule{began: time.Now(), tick: time.Now()}
+	last := &stepTimes{began: time.Now(), tick: time.Now()}
 	for {
 		select {
 		case <-a.stop:
@@ -120,11 +120,11 @@
 }
 
 // tick takes the steps of the loop that are due.
-func (a *agent) tick(now time.Time, last *schedule) {
+func (a *agent) tick(now time.Time, last *stepTimes) {
 	a.checkPause(now.Sub(last.tick))
 	last.tick = now
 	a.service.tick()
-	a.settle(now, last.began)
+	a.updateClaim(now, last.began)
 	a.checkIsolation(now, last.began)
 	a.massFailures.check(now)
 	if now.Sub(last.rejoin) >= rejoinInterval {
@@ -146,7 +146,7 @@
 
 // checkPause reports that the process was paused, if so much time passed between two ticks.
 func (a *agent) checkPause(gap time.Duration) {
-	if gap <= processPause {
+	if gap <= minProcessPause {
 		return
 	}
 	a.service.counters.pauses.Add(1)
--- a/internal/fleet/member/announce.go
+++ b/internal/fleet/member/announce.go
@@ -3,40 +3,40 @@
 import "time"
 
 const (
-	// settleTime is after how long among others, and without a conflict, a claim to a name is settled.
-	settleTime = 5 * time.Second
+	// claimSettleDelay is after how long among others, and without a conflict, a claim to a name is settled.
+	claimSettleDelay = 5 * time.Second
 	// broadcastTimeout is how long others may take to be told of a change of this member.
 	broadcastTimeout = 500 * time.Millisecond
 )
 
-// settle settles the claim to the node's name once its time has come, ends the time of the predecessor, and tells
+// updateClaim settles the claim to the node's name once its time has come, ends the time of the predecessor, and tells
 // others.
-func (a *agent) settle(now, began time.Time) {
-	if a.predecessorEnds(now, began) {
+func (a *agent) updateClaim(now, began time.Time) {
+	if a.expirePredecessor(now, began) {
 		a.service.apply(a.selfAlive())
 		a.advertiseSelf()
 	}
-	if a.claimSettles(now, began) {
+	if a.settleClaim(now, began) {
 		a.advertiseSelf()
 	}
 }
 
-// predecessorEnds reports whether the predecessor's time ends now.
-func (a *agent) predecessorEnds(now, began time.Time) bool {
+// expirePredecessor reports whether the predecessor's time ends now.
+func (a *agent) expirePredecessor(now, began time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.predecessor || now.Sub(began) < predecessorTime {
+	if !a.predecessor || now.Sub(began) < predecessorGracePeriod {
 		return false
 	}
 	a.predecessor = false
 	return true
 }
 
-// claimSettles reports whether the claim to the name settles now.
-func (a *agent) claimSettles(now, began time.Time) bool {
+// settleClaim reports whether the claim to the name settles now.
+func (a *agent) settleClaim(now, began time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.settled || a.leaving || now.Sub(began) < settleTime || now.Sub(a.lastConflict) < settleTime {
+	if a.settled || a.leaving || now.Sub(began) < claimSettleDelay || now.Sub(a.lastConflict) < claimSettleDelay {
 		return false
 	}
 	if a.list.NumMembers() <= 1 {
--- a/internal/fleet/member/atomic_file.go
+++ b/internal/fleet/member/atomic_file.go
@@ -14,11 +14,11 @@
 	if err != nil {
 		return err
 	}
-	next := path + ".new"
-	if err := writeAndSync(next, append(data, '\n')); err != nil {
+	tempPath := path + ".new"
+	if err := writeAndSync(tempPath, append(data, '\n')); err != nil {
 		return err
 	}
-	if err := os.Rename(next, path); err != nil {
+	if err := os.Rename(tempPath, path); err != nil {
 		return err
 	}
 	dir, err := os.Open(filepath.Dir(path))
--- a/internal/fleet/member/delegate.go
+++ b/internal/fleet/member/delegate.go
@@ -89,14 +89,14 @@
 
 // NotifyAlive implements memberlist.AliveDelegate: what cannot be a member of this fleet is rejected.
 func (a *agent) NotifyAlive(node *memberlist.Node) error {
-	err := a.acceptable(node)
+	err := a.validateNode(node)
 	if err != nil {
 		a.service.counters.rejected.Add(1)
 	}
 	return err
 }
 
-func (a *agent) acceptable(node *memberlist.Node) error {
+func (a *agent) validateNode(node *memberlist.Node) error {
 	if _, err := decodeMetadata(node.Meta); err != nil {
 		return err
 	}
@@ -149,7 +149,7 @@
 	_, suspected := a.suspectedNumbers[node.Name]
 	delete(a.suspectedNumbers, node.Name)
 	a.mu.Unlock()
-	event := Event{Kind: EventDead, Name: node.Name, HeardRecently: a.transport.heardRecently(node.Name)}
+	event := Event{Kind: EventDead, Name: node.Name, ReceivedRecently: a.transport.receivedRecently(node.Name)}
 	announced := m.Leaving && !suspected
 	if observed && selfDeclared || !observed && announced {
 		event.Kind = EventLeft
@@ -170,9 +170,9 @@
 	if err != nil {
 		return
 	}
-	own, first := a.noteConflict()
+	own, first := a.recordConflict()
 	if !Prevails(own, m.claim()) {
-		a.service.stepBack(a, m.claim(), addressOf(other))
+		a.service.concedeName(a, m.claim(), addressOf(other))
 		return
 	}
 	if first && m.Home != a.incarnation.Home {
@@ -182,11 +182,11 @@
 	}
 }
 
-// noteConflict returns this process's claim, and whether it is the first conflict for settleTime.
-func (a *agent) noteConflict() (own Claim, first bool) {
+// recordConflict returns this process's claim, and whether it is the first conflict for settleTime.
+func (a *agent) recordConflict() (own Claim, first bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	first = time.Since(a.lastConflict) > settleTime
+	first = time.Since(a.lastConflict) > claimSettleDelay
 	a.lastConflict = time.Now()
 	return Claim{a.incarnation, a.settled}, first
 }
--- a/internal/fleet/member/dial.go
+++ b/internal/fleet/member/dial.go
@@ -24,10 +24,10 @@
 	s.mu.Lock()
 	a := s.agent
 	view := s.table.View()
-	yielded := s.released
+	releasedAt := s.releasedAt
 	s.mu.Unlock()
-	mayFinish := !yielded.IsZero() && time.Since(yielded) <= predecessorTime
-	if a == nil && !mayFinish {
+	inGracePeriod := !releasedAt.IsZero() && time.Since(releasedAt) <= predecessorGracePeriod
+	if a == nil && !inGracePeriod {
 		return nil, ErrNoMembership
 	}
 	m, known := view.Lookup(name)
--- a/internal/fleet/member/event.go
+++ b/internal/fleet/member/event.go
@@ -22,6 +22,6 @@
 	Incarnation Incarnation
 	Leaving     bool // of EventAlive: it is shutting down as planned
 	Predecessor bool // of EventAlive: see Member
-	// HeardRecently reports of EventDead and EventLeft that this process had a message of the member itself just before.
-	HeardRecently bool
+	// ReceivedRecently reports of EventDead and EventLeft that this process had a message of the member itself just before.
+	ReceivedRecently bool
 }
--- a/internal/fleet/member/incarnation_file.go
+++ b/internal/fleet/member/incarnation_file.go
@@ -13,8 +13,8 @@
 const (
 	// incarnationFile is the file in a node's directory that holds its Incarnation.
 	incarnationFile = "life.json"
-	// incarnationFileForm is the version of that file.
-	incarnationFileForm = 1
+	// incarnationFileVersion is the version of that file.
+	incarnationFileVersion = 1
 	// homeBytes is how many random bytes make a home.
 	homeBytes = 8
 	// privateDir and privateFile are the permissions of what a node stores.
@@ -24,10 +24,10 @@
 
 // incarnationRecord is the content of incarnationFile.
 type incarnationRecord struct {
-	Form   int    `json:"form"`
-	Name   string `json:"name"` // of the node whose directory this is
-	Home   string `json:"home"`
-	Number uint64 `json:"number"`
+	Version int    `json:"form"`
+	Name    string `json:"name"` // of the node whose directory this is
+	Home    string `json:"home"`
+	Number  uint64 `json:"number"`
 }
 
 // beginIncarnation counts one more start in a directory, on disk before anybody learns of it. An empty directory
@@ -53,7 +53,7 @@
 func readIncarnation(path, name string) (incarnationRecord, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
-		return incarnationRecord{Form: incarnationFileForm, Name: name, Home: newHome()}, nil
+		return incarnationRecord{Version: incarnationFileVersion, Name: name, Home: newHome()}, nil
 	}
 	if err != nil {
 		return incarnationRecord{}, err
@@ -63,9 +63,9 @@
 		return incarnationRecord{},
 			fmt.Errorf("%s cannot be read as the incarnation of a node; move it away to begin anew", path)
 	}
-	if record.Form != incarnationFileForm {
+	if record.Version != incarnationFileVersion {
 		return incarnationRecord{},
-			fmt.Errorf("%s has form %d, this program knows %d", path, record.Form, incarnationFileForm)
+			fmt.Errorf("%s has form %d, this program knows %d", path, record.Version, incarnationFileVersion)
 	}
 	if record.Name != name {
 		return incarnationRecord{}, fmt.Errorf("%s is of node %q, this one is %q", path, record.Name, name)
--- a/internal/fleet/member/inject.go
+++ b/internal/fleet/member/inject.go
@@ -27,10 +27,10 @@
 
 // declareDead makes memberlist declare a member dead that nobody reached: it tells others, also those that start later,
 // and the member itself, which refutes it if it is alive after all.
-func (a *agent) declareDead(name string, of Incarnation) {
+func (a *agent) declareDead(name string, incarnation Incarnation) {
 	a.mu.Lock()
-	least := uint32(of.Number)*numbersPerIncarnation + numbersPerIncarnation/2
-	number := max(least, a.latestNumbers[name]+1)
+	minNumber := uint32(incarnation.Number)*numbersPerIncarnation + numbersPerIncarnation/2
+	number := max(minNumber, a.latestNumbers[name]+1)
 	a.mu.Unlock()
 	if err := a.injectMessage(deadMessage, number, name); err != nil {
 		a.service.counters.rejected.Add(1)
--- a/internal/fleet/member/isolation.go
+++ b/internal/fleet/member/isolation.go
@@ -10,7 +10,7 @@
 // would declare them dead one by one, and ever more slowly, since it takes the lack of answers for a fault of its own.
 // Once somebody is heard again, all members count that memberlist has not dropped.
 func (a *agent) checkIsolation(now, began time.Time) {
-	lastHeard := a.transport.lastHeard()
+	lastHeard := a.transport.lastReceived()
 	if lastHeard.Before(began) {
 		lastHeard = began
 	}
--- a/internal/fleet/member/mass_failure.go
+++ b/internal/fleet/member/mass_failure.go
@@ -11,17 +11,17 @@
 // the witnesses that it asks can reach. The rules stand here; massFailureDetector carries them out.
 
 const (
-	// recentFailure is how long ago a member may have been found silent to be a reason to probe a sample.
-	recentFailure = 3 * time.Second
+	// recentFailureWindow is how long ago a member may have been found silent to be a reason to probe a sample.
+	recentFailureWindow = 3 * time.Second
 	// sampleSize is how many members a sample has.
 	sampleSize = 8
 	// sampleInterval is the least time between two samples.
 	sampleInterval = time.Second
 	// minSilent is how many members of a sample have to be silent for a mass failure.
 	minSilent = 2
-	// silentPart is which part of a sample has to be silent for one: one in silentPart. With one packet in ten lost
+	// minSilentDivisor is which part of a sample has to be silent for one: one in silentPart. With one packet in ten lost
 	// that happens by chance now and then, and probing all changes nothing.
-	silentPart = 4
+	minSilentDivisor = 4
 	// maxWitnesses is how many members are asked for a witness report. One that reached a member is enough for it to
 	// stay.
 	maxWitnesses = 3
@@ -30,13 +30,13 @@
 // HasRecentFailure reports whether any member has fallen silent just now.
 func (v *View) HasRecentFailure(now time.Duration) bool {
 	return slices.ContainsFunc(v.Members, func(m Member) bool {
-		return (m.State == Suspect || m.State == Dead) && now-m.Since <= recentFailure
+		return (m.State == Suspect || m.State == Dead) && now-m.Since <= recentFailureWindow
 	})
 }
 
 // IsMassFailure reports whether so many members of a sample are silent that all should be probed.
 func IsMassFailure(silent, sampled int) bool {
-	return silent >= minSilent && silent*silentPart >= sampled
+	return silent >= minSilent && silent*minSilentDivisor >= sampled
 }
 
 // ConfirmedFailures returns the members that nobody reached: they are silent here and in each of the witness reports,
--- a/internal/fleet/member/mass_failure_detector.go
+++ b/internal/fleet/member/mass_failure_detector.go
@@ -35,7 +35,7 @@
 type massFailureDetector struct {
 	agent      *agent
 	ready      atomic.Bool // the agent runs, and other members may be probed
-	running    atomic.Bool // a sample, or the probe of all that follows it, is under way
+	sampling   atomic.Bool // a sample, or the probe of all that follows it, is under way
 	lastSample time.Time   // owned by the agent's loop
 
 	probing sync.Mutex // held for a round of probes: there is one at a time
@@ -51,51 +51,51 @@
 
 // check starts a sample where a member has failed just now. The agent's loop calls it.
 func (d *massFailureDetector) check(now time.Time) {
-	d.restoreHeard()
+	d.restoreReachable()
 	service := d.agent.service
 	if now.Sub(d.lastSample) < sampleInterval || !service.View().HasRecentFailure(service.now()) {
 		return
 	}
-	if !d.running.CompareAndSwap(false, true) {
+	if !d.sampling.CompareAndSwap(false, true) {
 		return
 	}
 	d.lastSample = now
 	d.agent.tasks.Go(func() {
-		defer d.running.Store(false)
+		defer d.sampling.Store(false)
 		d.probeSample(now)
 	})
 }
 
-// restoreHeard takes back the death of members that were heard since they were declared dead: memberlist may have had
+// restoreReachable takes back the death of members that were heard since they were declared dead: memberlist may have had
 // later news of them, and would not report it again.
-func (d *massFailureDetector) restoreHeard() {
-	heard := d.takeHeard()
-	if len(heard) == 0 {
+func (d *massFailureDetector) restoreReachable() {
+	reachable := d.removeReachable()
+	if len(reachable) == 0 {
 		return
 	}
 	for _, node := range d.agent.list.Members() { // one that memberlist has dropped as well comes back by itself
-		if slices.Contains(heard, node.Name) {
+		if slices.Contains(reachable, node.Name) {
 			d.agent.applyNode(node)
 		}
 	}
 }
 
-// takeHeard removes from declaredDead the members that were heard since, and returns them.
-func (d *massFailureDetector) takeHeard() (heard []string) {
+// removeReachable removes from declaredDead the members that were heard since, and returns them.
+func (d *massFailureDetector) removeReachable() (reachable []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for name, since := range d.declaredDead {
-		if d.agent.transport.heardAt(name).After(since) {
-			heard = append(heard, name)
+		if d.agent.transport.lastReceivedFrom(name).After(since) {
+			reachable = append(reachable, name)
 			delete(d.declaredDead, name)
 		}
 	}
-	return heard
+	return reachable
 }
 
 // probeSample probes a few members, and then all if there is a mass failure.
 func (d *massFailureDetector) probeSample(now time.Time) {
-	names := d.others()
+	names := d.otherMembers()
 	rand.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	sample := names[:min(sampleSize, len(names))]
 	silent := d.probe(sample, now, 1)
@@ -108,8 +108,8 @@
 // probeAll probes all members, asks some of those that answered as witnesses, and declares dead whom nobody reached.
 func (d *massFailureDetector) probeAll() {
 	began := time.Now()
-	before := d.agent.service.View()
-	names := d.others()
+	viewBefore := d.agent.service.View()
+	names := d.otherMembers()
 	silent := d.probe(names, began, probeAttempts)
 	answered := slices.DeleteFunc(slices.Clone(names), func(name string) bool { return slices.Contains(silent, name) })
 	d.rememberSilent(silent)
@@ -124,27 +124,27 @@
 	record.Write("roll", massProbeRecord{Probed: len(names), Silent: silent, Failed: failed})
 	now := time.Now()
 	for _, name := range failed {
-		if !d.agent.transport.heardAt(name).After(began) {
-			d.declareDead(name, before, now)
+		if !d.agent.transport.lastReceivedFrom(name).After(began) {
+			d.declareDead(name, viewBefore, now)
 		}
 	}
 }
 
 // declareDead declares a member dead, in the incarnation that it had before it was probed: a later one was not.
-func (d *massFailureDetector) declareDead(name string, before *View, now time.Time) {
+func (d *massFailureDetector) declareDead(name string, viewBefore *View, now time.Time) {
 	d.mu.Lock()
 	d.declaredDead[name] = now
 	d.mu.Unlock()
 	service := d.agent.service
 	service.counters.massProbeDeaths.Add(1)
-	m, _ := before.Lookup(name)
+	m, _ := viewBefore.Lookup(name)
 	service.apply(Event{Kind: EventSuspect, Name: name, Incarnation: m.Incarnation})
 	service.apply(Event{Kind: EventDead, Name: name, Incarnation: m.Incarnation})
 	d.agent.declareDead(name, m.Incarnation)
 }
 
-// others returns the members that are present, but for this one.
-func (d *massFailureDetector) others() (names []string) {
+// otherMembers returns the members that are present, but for this one.
+func (d *massFailureDetector) otherMembers() (names []string) {
 	service := d.agent.service
 	for _, m := range service.View().Present() {
 		if m.Name != service.config.Name {
@@ -202,7 +202,7 @@
 // reaches reports whether a member answers a probe, or was heard since a time.
 func (d *massFailureDetector) reaches(name string, addr net.Addr, since time.Time, attempts int) bool {
 	for i := range attempts {
-		if d.agent.transport.heardAt(name).After(since) {
+		if d.agent.transport.lastReceivedFrom(name).After(since) {
 			return true
 		}
 		if _, err := d.agent.list.Ping(name, addr); err == nil {
@@ -217,5 +217,5 @@
 		case <-time.After(probeAttemptInterval - probeTimeout):
 		}
 	}
-	return d.agent.transport.heardAt(name).After(since)
+	return d.agent.transport.lastReceivedFrom(name).After(since)
 }
--- a/internal/fleet/member/mass_failure_test.go
+++ b/internal/fleet/member/mass_failure_test.go
@@ -46,26 +46,26 @@
 		Member{Name: "n2", State: Dead, Since: second},
 		Member{Name: "n3", State: Left, Since: 9 * second},
 	)
-	if !v.HasRecentFailure(second+recentFailure) || v.HasRecentFailure(second+recentFailure+1) {
+	if !v.HasRecentFailure(second+recentFailureWindow) || v.HasRecentFailure(second+recentFailureWindow+1) {
 		t.Error("a failure is recent for the wrong time, or a planned end is one")
 	}
 }
 
 // A probe of one incarnation says nothing of the next, whatever directory that has.
 func TestEventsOfAnotherIncarnationAreStale(t *testing.T) {
-	b := NewTable(Member{Name: "n1"}, 0)
-	b.Apply(second, aliveEvent("n2", 2))
+	table := NewTable(Member{Name: "n1"}, 0)
+	table.Apply(second, aliveEvent("n2", 2))
 	next := aliveEvent("n2", 1)
 	next.Incarnation.Home = "another"
 	for _, e := range []Event{aliveEvent("n2", 3), next} {
 		before := aliveEvent("n2", 2).Incarnation
-		if m, _ := b.View().Lookup("n2"); m.Incarnation != before {
+		if m, _ := table.View().Lookup("n2"); m.Incarnation != before {
 			before = m.Incarnation
 		}
-		b.Apply(2*second, e)
-		b.Apply(2*second, Event{Kind: EventSuspect, Name: "n2", Incarnation: before})
-		b.Apply(2*second, Event{Kind: EventDead, Name: "n2", Incarnation: before})
-		if m, _ := b.View().Lookup("n2"); m.State != Alive || m.Incarnation != e.Incarnation {
+		table.Apply(2*second, e)
+		table.Apply(2*second, Event{Kind: EventSuspect, Name: "n2", Incarnation: before})
+		table.Apply(2*second, Event{Kind: EventDead, Name: "n2", Incarnation: before})
+		if m, _ := table.View().Lookup("n2"); m.State != Alive || m.Incarnation != e.Incarnation {
 			t.Errorf("%s in %v", m.State, m.Incarnation)
 		}
 	}
@@ -75,48 +75,48 @@
 // dead.
 func TestMassFailure(t *testing.T) {
 	dir := t.TempDir()
-	at := freeAddr(t)
-	var all []*Service
+	firstAddr := freeAddr(t)
+	var services []*Service
 	for i := range 12 {
-		own := at
+		addr := firstAddr
 		if i > 0 {
-			own = freeAddr(t)
+			addr = freeAddr(t)
 		}
-		all = append(all, newService(t, fmt.Sprintf("n%d", i), fmt.Sprintf("%s/%d", dir, i), own, at))
-		joinFleet(t, all[i])
+		services = append(services, newService(t, fmt.Sprintf("n%d", i), fmt.Sprintf("%s/%d", dir, i), addr, firstAddr))
+		joinFleet(t, services[i])
 	}
-	for _, s := range all {
-		awaitView(t, s, "all", func(v *View) bool { return len(v.Present()) == len(all) })
+	for _, s := range services {
+		awaitView(t, s, "all", func(view *View) bool { return len(view.Present()) == len(services) })
 	}
-	rest, failed := all[:2], all[2:]
+	survivors, failed := services[:2], services[2:]
 	for _, s := range failed {
 		s.currentAgent().close() // without a message, all at one time
 	}
-	for _, s := range rest {
-		awaitView(t, s, "two", func(v *View) bool { return len(v.Present()) == 2 })
+	for _, s := range survivors {
+		awaitView(t, s, "two", func(view *View) bool { return len(view.Present()) == 2 })
 	}
-	probes := rest[0].counters.massProbes.Load() + rest[1].counters.massProbes.Load()
-	deaths := rest[0].counters.massProbeDeaths.Load() + rest[1].counters.massProbeDeaths.Load()
+	probes := survivors[0].counters.massProbes.Load() + survivors[1].counters.massProbes.Load()
+	deaths := survivors[0].counters.massProbeDeaths.Load() + survivors[1].counters.massProbeDeaths.Load()
 	if probes == 0 || deaths == 0 {
 		t.Errorf("%d probes of all members, %d deaths by them", probes, deaths)
 	}
-	late := newService(t, "late", dir+"/late", freeAddr(t), at)
-	joinFleet(t, late)
-	v := awaitView(t, late, "the two", func(v *View) bool { return len(v.Present()) >= 3 })
-	if len(v.Present()) != 3 {
-		t.Errorf("the newcomer has dead members: %s", v)
+	newcomer := newService(t, "late", dir+"/late", freeAddr(t), firstAddr)
+	joinFleet(t, newcomer)
+	view := awaitView(t, newcomer, "the two", func(view *View) bool { return len(view.Present()) >= 3 })
+	if len(view.Present()) != 3 {
+		t.Errorf("the newcomer has dead members: %s", view)
 	}
 	// One that was declared dead and is alive after all refutes it.
-	back := newService(t, "n5", dir+"/5", failed[3].config.Listen, at)
-	joinFleet(t, back)
-	awaitView(t, rest[0], "one is back", hasState("n5", Alive))
-	before := back.currentAgent().incarnation
-	rest[0].currentAgent().declareDead("n5", before)
-	rest[0].apply(Event{Kind: EventSuspect, Name: "n5"})
-	rest[0].apply(Event{Kind: EventDead, Name: "n5"})
-	awaitView(t, rest[1], "it refutes its death, and others learn of it", hasState("n5", Alive))
-	v = awaitView(t, rest[0], "it refutes its death", hasState("n5", Alive))
-	if m, _ := v.Lookup("n5"); m.Incarnation != before {
+	restarted := newService(t, "n5", dir+"/5", failed[3].config.Listen, firstAddr)
+	joinFleet(t, restarted)
+	awaitView(t, survivors[0], "one is back", hasState("n5", Alive))
+	before := restarted.currentAgent().incarnation
+	survivors[0].currentAgent().declareDead("n5", before)
+	survivors[0].apply(Event{Kind: EventSuspect, Name: "n5"})
+	survivors[0].apply(Event{Kind: EventDead, Name: "n5"})
+	awaitView(t, survivors[1], "it refutes its death, and others learn of it", hasState("n5", Alive))
+	view = awaitView(t, survivors[0], "it refutes its death", hasState("n5", Alive))
+	if m, _ := view.Lookup("n5"); m.Incarnation != before {
 		t.Errorf("incarnation %v, not %v", m.Incarnation, before)
 	}
 }
--- a/internal/fleet/member/membership.go
+++ b/internal/fleet/member/membership.go
@@ -14,9 +14,9 @@
 const (
 	// joinRetryInterval is the time between two attempts to take a membership that the node's other process holds.
 	joinRetryInterval = 20 * time.Millisecond
-	// predecessorTime is for how long a process that has released the membership may still report how its work ended:
+	// predecessorGracePeriod is for how long a process that has released the membership may still report how its work ended:
 	// above the deadlines of requests. Others are told for as long that it may.
-	predecessorTime = 10 * time.Second
+	predecessorGracePeriod = 10 * time.Second
 	// conflictBackoff is how long a process that lost a conflict leaves the name alone before it tries again: others
 	// need to have forgotten it by then.
 	conflictBackoff = 15 * time.Second
@@ -25,10 +25,10 @@
 // Join takes the node's membership, in a new incarnation. With wait, it keeps trying in the background while
 // the node's other process holds it, and returns no error. See node.Fleet.
 func (s *Service) Join(wait bool) error {
-	s.transition.Lock()
-	defer s.transition.Unlock()
+	s.transitionMu.Lock()
+	defer s.transitionMu.Unlock()
 	s.mu.Lock()
-	s.succeeds = wait
+	s.hasPredecessor = wait
 	busy := s.closed || s.agent != nil || s.cancelRetry != nil
 	s.mu.Unlock()
 	if busy {
@@ -47,12 +47,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.absentReason = err.Error()
-	s.retryAfter(joinRetryInterval)
+	s.startRetries(joinRetryInterval)
 	return nil
 }
 
-// retryAfter tries to take the membership, each time after a pause, until it is taken. It is called with mu held.
-func (s *Service) retryAfter(pause time.Duration) {
+// startRetries tries to take the membership, each time after a pause, until it is taken. It is called with mu held.
+func (s *Service) startRetries(pause time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancelRetry = cancel
 	s.retries.Go(func() {
@@ -72,8 +72,8 @@
 
 // retryOnce reports whether no further attempt is needed.
 func (s *Service) retryOnce(ctx context.Context) bool {
-	s.transition.Lock()
-	defer s.transition.Unlock()
+	s.transitionMu.Lock()
+	defer s.transitionMu.Unlock()
 	if ctx.Err() != nil {
 		return true
 	}
@@ -124,7 +124,7 @@
 // startAgent takes this member into the table, and starts its agent.
 func (s *Service) startAgent(t *transport, incarnation Incarnation) (*agent, error) {
 	s.mu.Lock()
-	predecessor := s.succeeds
+	predecessor := s.hasPredecessor
 	s.mu.Unlock()
 	m := s.self(incarnation)
 	s.apply(Event{
@@ -144,9 +144,9 @@
 		return
 	}
 	s.mu.Lock()
-	s.released = time.Now()
+	s.releasedAt = time.Now()
 	s.mu.Unlock()
-	s.giveUp("yielded", "the node's other process has it")
+	s.endMembership("yielded", "the node's other process has it")
 }
 
 // AnnounceLeave tells the others that this node is shutting down as planned.
@@ -171,14 +171,14 @@
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.giveUp("closed", "closed")
+	s.endMembership("closed", "closed")
 	s.retries.Wait()
 }
 
-// giveUp gives the membership up. The code is for log and record, the reason for operators.
-func (s *Service) giveUp(code, reason string) {
-	s.transition.Lock()
-	defer s.transition.Unlock()
+// endMembership gives the membership up. The code is for log and record, the reason for operators.
+func (s *Service) endMembership(code, reason string) {
+	s.transitionMu.Lock()
+	defer s.transitionMu.Unlock()
 	s.mu.Lock()
 	a := s.agent
 	if s.cancelRetry != nil {
@@ -189,7 +189,7 @@
 	if a == nil {
 		return
 	}
-	defer s.forgetAgent(a, reason)
+	defer s.clearAgent(a, reason)
 	if s.config.OnLeave != nil {
 		s.config.OnLeave()
 	}
@@ -198,8 +198,8 @@
 	s.config.Record.Write(code, nil)
 }
 
-// forgetAgent notes that this process does not have the membership any more, unless another agent does by now.
-func (s *Service) forgetAgent(a *agent, reason string) {
+// clearAgent notes that this process does not have the membership any more, unless another agent does by now.
+func (s *Service) clearAgent(a *agent, reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.agent == a {
@@ -208,8 +208,8 @@
 	}
 }
 
-// stepBack gives the name up to another process whose claim prevails. memberlist calls it, by NotifyConflict.
-func (s *Service) stepBack(a *agent, other Claim, addr string) {
+// concedeName gives the name up to another process whose claim prevails. memberlist calls it, by NotifyConflict.
+func (s *Service) concedeName(a *agent, other Claim, addr string) {
 	s.mu.Lock()
 	if s.agent != a {
 		s.mu.Unlock()
@@ -217,9 +217,9 @@
 	}
 	s.agent = nil
 	s.absentReason = fmt.Sprintf("%s is used by another process, at %s, with the better claim", s.config.Name, addr)
-	s.counters.steppedBack.Add(1)
+	s.counters.conflictsLost.Add(1)
 	if other.Home != a.incarnation.Home && !s.closed {
-		s.retryAfter(conflictBackoff)
+		s.startRetries(conflictBackoff)
 	} // else the node's own later incarnation has the name, for good
 	s.mu.Unlock()
 	s.config.Log.Error("fleet place", "reason", "stepped-back", "why", s.absentReason)
--- a/internal/fleet/member/receive_packets.go
+++ b/internal/fleet/member/receive_packets.go
@@ -20,14 +20,14 @@
 
 // packetLimiter is a token bucket of maxPacketsPerSecond tokens, filled at that rate.
 type packetLimiter struct {
-	tokens float64
-	at     time.Time // when tokens were counted
+	tokens    float64
+	updatedAt time.Time // when tokens were counted
 }
 
 // allow reports whether a packet may be taken now.
 func (l *packetLimiter) allow(now time.Time) bool {
-	l.tokens = min(l.tokens+maxPacketsPerSecond*now.Sub(l.at).Seconds(), maxPacketsPerSecond)
-	l.at = now
+	l.tokens = min(l.tokens+maxPacketsPerSecond*now.Sub(l.updatedAt).Seconds(), maxPacketsPerSecond)
+	l.updatedAt = now
 	if l.tokens < 1 {
 		return false
 	}
@@ -51,15 +51,15 @@
 		t.traffic.packetsIn.Add(1)
 		t.traffic.bytesIn.Add(int64(n))
 		if !t.limiter.allow(now) {
-			t.traffic.flood.Add(1)
+			t.traffic.overLimit.Add(1)
 			continue
 		}
-		t.takePacket(buf[:n], net.UDPAddrFromAddrPort(from), now)
+		t.receivePacket(buf[:n], net.UDPAddrFromAddrPort(from), now)
 	}
 }
 
-// takePacket decodes a packet, whose bytes are overwritten after the call, and passes its payload on.
-func (t *transport) takePacket(packet []byte, from net.Addr, now time.Time) {
+// receivePacket decodes a packet, whose bytes are overwritten after the call, and passes its payload on.
+func (t *transport) receivePacket(packet []byte, from net.Addr, now time.Time) {
 	sender, number, payload, err := decodePacket(t.fleet, packet)
 	if err != nil || len(payload) == 0 {
 		t.traffic.foreign.Add(1)
@@ -71,6 +71,6 @@
 	select {
 	case t.packets <- &memberlist.Packet{Buf: payload, From: from, Timestamp: now}:
 	default: // memberlist does not keep up: as if lost
-		t.traffic.flood.Add(1)
+		t.traffic.overLimit.Add(1)
 	}
 }
--- a/internal/fleet/member/reception.go
+++ b/internal/fleet/member/reception.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	// recentlyHeard is for how long after it was heard a member is hard to believe dead: below what memberlist takes to
+	// recentReceptionWindow is for how long after it was heard a member is hard to believe dead: below what memberlist takes to
 	// declare one dead that is silent.
-	recentlyHeard = time.Second
+	recentReceptionWindow = time.Second
 	// maxNumberGap is from which gap between two packets' numbers on the sender is taken to have restarted.
 	maxNumberGap = 1 << 16
 )
 
 // reception is what was received from one sender.
 type reception struct {
-	last       time.Time // when a packet or frame came last
-	next       uint32    // number that the next packet should have
-	started    bool      // a packet has come, and next counts
-	received   int64     // packets
-	missing    int64     // numbers that never came, or not yet
-	duplicates int64     // packets that came late, or twice
+	lastReceived time.Time // when a packet or frame came last
+	nextNumber   uint32    // number that the next packet should have
+	started      bool      // a packet has come, and next counts
+	received     int64     // packets
+	missing      int64     // numbers that never came, or not yet
+	duplicates   int64     // packets that came late, or twice
 }
 
-// takePacket counts a packet by its number.
-func (r *reception) takePacket(number uint32) {
+// countPacket counts a packet by its number.
+func (r *reception) countPacket(number uint32) {
 	r.received++
-	gap := int32(number - r.next)
+	gap := int32(number - r.nextNumber)
 	switch {
 	case !r.started, gap > maxNumberGap, gap < -maxNumberGap: // a sender that has restarted
 		r.started = true
-		r.next = number + 1
+		r.nextNumber = number + 1
 	case gap >= 0:
 		r.missing += int64(gap)
-		r.next = number + 1
+		r.nextNumber = number + 1
 	default:
 		r.duplicates++
 	}
@@ -44,18 +44,18 @@
 func (t *transport) recordPacket(sender string, number uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.receptionOf(sender).takePacket(number)
+	t.touchReception(sender).countPacket(number)
 }
 
 // recordStreamFrame notes that a frame of a sender was read from a stream.
 func (t *transport) recordStreamFrame(sender string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.receptionOf(sender)
+	t.touchReception(sender)
 }
 
-// receptionOf returns what was received from a sender, which is heard now. It is called with mu held.
-func (t *transport) receptionOf(sender string) *reception {
+// touchReception returns what was received from a sender, which is heard now. It is called with mu held.
+func (t *transport) touchReception(sender string) *reception {
 	r := t.receptions[sender]
 	if r == nil {
 		if len(t.receptions) >= 2*MaxMembers { // names that nobody has any more
@@ -64,32 +64,32 @@
 		r = &reception{}
 		t.receptions[sender] = r
 	}
-	r.last = time.Now()
+	r.lastReceived = time.Now()
 	return r
 }
 
-// heardRecently reports whether a member was heard just now.
-func (t *transport) heardRecently(name string) bool {
-	return time.Since(t.heardAt(name)) < recentlyHeard
+// receivedRecently reports whether a member was heard just now.
+func (t *transport) receivedRecently(name string) bool {
+	return time.Since(t.lastReceivedFrom(name)) < recentReceptionWindow
 }
 
-// heardAt returns when a member was heard last; zero: never.
-func (t *transport) heardAt(name string) time.Time {
+// lastReceivedFrom returns when a member was heard last; zero: never.
+func (t *transport) lastReceivedFrom(name string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.receptions[name]; r != nil {
-		return r.last
+		return r.lastReceived
 	}
 	return time.Time{}
 }
 
-// lastHeard returns when anybody was heard last; zero: never.
-func (t *transport) lastHeard() (last time.Time) {
+// lastReceived returns when anybody was heard last; zero: never.
+func (t *transport) lastReceived() (last time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.receptions {
-		if r.last.After(last) {
-			last = r.last
+		if r.lastReceived.After(last) {
+			last = r.lastReceived
 		}
 	}
 	return last
@@ -112,7 +112,7 @@
 	reports := make(map[string]ReceptionReport, len(t.receptions))
 	for name, r := range t.receptions {
 		reports[name] = ReceptionReport{
-			At:         monotonic - int64(now.Sub(r.last)),
+			At:         monotonic - int64(now.Sub(r.lastReceived)),
 			Received:   r.received,
 			Missing:    r.missing,
 			Duplicates: r.duplicates,
--- a/internal/fleet/member/rejoin.go
+++ b/internal/fleet/member/rejoin.go
@@ -9,8 +9,8 @@
 const (
 	// rejoinInterval is the least time between two attempts to join a missing address.
 	rejoinInterval = 500 * time.Millisecond
-	// rejoinSameInterval is the least time between two attempts to join the same one.
-	rejoinSameInterval = 3 * time.Second
+	// rejoinAddrInterval is the least time between two attempts to join the same one.
+	rejoinAddrInterval = 3 * time.Second
 )
 
 // rejoin tries to join one address that is missing: the sides of a network partition have declared each other dead,
@@ -20,7 +20,7 @@
 	if addr == "" || !a.joining.CompareAndSwap(false, true) {
 		return
 	}
-	a.rejoinedAt[addr] = now
+	a.lastRejoins[addr] = now
 	a.tasks.Go(func() {
 		defer a.joining.Store(false)
 		if joined, _ := a.list.Join([]string{addr}); joined > 0 {
@@ -46,13 +46,13 @@
 	missing = slices.Concat(missing, config.Join, a.knownAddrs)
 	pause := rejoinPause(view)
 	missing = slices.DeleteFunc(missing, func(addr string) bool {
-		return known[addr] || now.Sub(a.rejoinedAt[addr]) < pause
+		return known[addr] || now.Sub(a.lastRejoins[addr]) < pause
 	})
 	if len(missing) == 0 {
 		return ""
 	}
 	rand.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
-	return slices.MinFunc(missing, func(x, y string) int { return a.rejoinedAt[x].Compare(a.rejoinedAt[y]) })
+	return slices.MinFunc(missing, func(x, y string) int { return a.lastRejoins[x].Compare(a.lastRejoins[y]) })
 }
 
 // rejoinPause is the least time between two attempts to join the same address. It is short while nobody is known.
@@ -60,5 +60,5 @@
 	if len(view.Present()) == 1 {
 		return rejoinInterval
 	}
-	return rejoinSameInterval
+	return rejoinAddrInterval
 }
--- a/internal/fleet/member/service.go
+++ b/internal/fleet/member/service.go
@@ -15,20 +15,20 @@
 	traffic  traffic
 	counters counters
 
-	// transition is held while the membership is taken or given up. memberlist, which calls back with a lock of its own
+	// transitionMu is held while the membership is taken or given up. memberlist, which calls back with a lock of its own
 	// held, is called with transition held, and never with mu: mu is taken within memberlist's lock.
-	transition sync.Mutex
+	transitionMu sync.Mutex
 
-	mu           sync.Mutex
-	table        *Table
-	changed      chan struct{}      // closed with the next view
-	agent        *agent             // nil: this process does not have the membership
-	absentReason string             // why not
-	cancelRetry  context.CancelFunc // ends the attempts to take the membership; nil: there are none
-	retries      sync.WaitGroup     // goroutines of those attempts
-	closed       bool
-	released     time.Time // when this process released the membership to the node's other one; zero: never
-	succeeds     bool      // it gets the membership from a predecessor that may still be finishing its work
+	mu             sync.Mutex
+	table          *Table
+	changed        chan struct{}      // closed with the next view
+	agent          *agent             // nil: this process does not have the membership
+	absentReason   string             // why not
+	cancelRetry    context.CancelFunc // ends the attempts to take the membership; nil: there are none
+	retries        sync.WaitGroup     // goroutines of those attempts
+	closed         bool
+	releasedAt     time.Time // when this process released the membership to the node's other one; zero: never
+	hasPredecessor bool      // it gets the membership from a predecessor that may still be finishing its work
 }
 
 // New makes a service, which does nothing until Join.
@@ -76,14 +76,14 @@
 }
 
 // apply takes an event into the table, and publishes a new view.
-func (s *Service) apply(e Event) {
+func (s *Service) apply(event Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before, _ := s.table.View().Lookup(e.Name)
-	if !s.table.Apply(s.now(), e) {
+	before, _ := s.table.View().Lookup(event.Name)
+	if !s.table.Apply(s.now(), event) {
 		return
 	}
-	after, _ := s.table.View().Lookup(e.Name)
+	after, _ := s.table.View().Lookup(event.Name)
 	switch after.State {
 	case Suspect:
 		s.counters.suspicions.Add(1)
--- a/internal/fleet/member/service_test.go
+++ b/internal/fleet/member/service_test.go
@@ -21,20 +21,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		at := netip.MustParseAddrPort(l.Addr().String())
-		u, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
+		addr := netip.MustParseAddrPort(l.Addr().String())
+		u, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 		l.Close()
 		if err == nil {
 			u.Close()
-			return at
+			return addr
 		}
 	}
 }
 
 // newService makes a service that joins others.
-func newService(t *testing.T, name, dir string, at netip.AddrPort, join ...netip.AddrPort) *Service {
+func newService(t *testing.T, name, dir string, addr netip.AddrPort, join ...netip.AddrPort) *Service {
 	t.Helper()
-	c := Config{Name: name, Zone: "east", Fleet: "test", Listen: at, Advertise: at, Directory: dir}
+	c := Config{Name: name, Zone: "east", Fleet: "test", Listen: addr, Advertise: addr, Directory: dir}
 	for _, a := range join {
 		c.Join = append(c.Join, a.String())
 	}
@@ -51,16 +51,16 @@
 }
 
 // awaitView waits for a view that is as wanted.
-func awaitView(t *testing.T, s *Service, what string, is func(v *View) bool) *View {
+func awaitView(t *testing.T, s *Service, description string, condition func(v *View) bool) *View {
 	t.Helper()
 	ctx, stop := context.WithTimeout(t.Context(), 30*time.Second)
 	defer stop()
 	for after := uint64(0); ; {
 		v, err := s.Next(ctx, after)
 		if err != nil {
-			t.Fatalf("%s: %v; %s; %s", what, err, s.Status(), s.Counters())
+			t.Fatalf("%s: %v; %s; %s", description, err, s.Status(), s.Counters())
 		}
-		if is(v) {
+		if condition(v) {
 			return v
 		}
 		after = v.Number
@@ -92,19 +92,19 @@
 	awaitView(t, n1, "it has left", hasState("n2", Left))
 	n3.Close()
 	awaitView(t, n1, "it has failed", hasState("n3", Dead))
-	again := newService(t, "n3", dir+"/3", c, a)
-	joinFleet(t, again)
+	restarted := newService(t, "n3", dir+"/3", c, a)
+	joinFleet(t, restarted)
 	v := awaitView(t, n1, "its next incarnation", hasState("n3", Alive))
 	if m, _ := v.Lookup("n3"); m.Incarnation.Number != 2 {
 		t.Errorf("incarnation %v", m.Incarnation)
 	}
-	if said := n1.Status(); !strings.Contains(said, "n2 left") || !strings.Contains(n1.Counters(), "deaths=1 ") {
-		t.Errorf("%s; %s", said, n1.Counters())
+	if status := n1.Status(); !strings.Contains(status, "n2 left") || !strings.Contains(n1.Counters(), "deaths=1 ") {
+		t.Errorf("%s; %s", status, n1.Counters())
 	}
 }
 
 // In an upgrade the membership goes from one process to the other, and no view has the node gone or twice.
-func TestUpgradeHandsMembershipOver(t *testing.T) {
+func TestUpgradeTransfersMembership(t *testing.T) {
 	a, b := freeAddr(t), freeAddr(t)
 	dir := t.TempDir()
 	n1, predecessor := newService(t, "n1", dir+"/1", a), newService(t, "n2", dir+"/2", b, a)
@@ -126,8 +126,8 @@
 		}
 		return m.Incarnation.Number == 2
 	})
-	if said := predecessor.Status(); !strings.HasPrefix(said, "no place") {
-		t.Error(said)
+	if status := predecessor.Status(); !strings.HasPrefix(status, "no place") {
+		t.Error(status)
 	}
 }
 
@@ -140,7 +140,7 @@
 	joinFleet(t, n2)
 	v := awaitView(t, n1, "two", hasState("n2", Alive))
 	settled, _ := v.Lookup("n2")
-	time.Sleep(settleTime + time.Second) // its claim settles by time alone
+	time.Sleep(claimSettleDelay + time.Second) // its claim settles by time alone
 	twin := newService(t, "n2", dir+"/3", c, a)
 	joinFleet(t, twin)
 	for deadline := time.Now().Add(20 * time.Second); !strings.Contains(twin.Status(), "is used by another process"); {
--- a/internal/fleet/member/status.go
+++ b/internal/fleet/member/status.go
@@ -12,7 +12,7 @@
 	deaths          atomic.Int64
 	rejoins         atomic.Int64
 	conflicts       atomic.Int64 // two addresses claimed one name
-	steppedBack     atomic.Int64 // conflicts that this process lost
+	conflictsLost   atomic.Int64 // conflicts that this process lost
 	pauses          atomic.Int64 // of this process
 	isolations      atomic.Int64 // nobody at all was heard
 	massProbes      atomic.Int64 // all members were probed
@@ -51,6 +51,6 @@
 	return fmt.Sprintf("views=%d suspicions=%d deaths=%d rejoins=%d strangers=%d stepped_back=%d pauses=%d cut_off=%d "+
 		"roll_calls=%d lost_by_call=%d rejected=%d no_room=%d older_lives=%d %s",
 		c.views.Load(), c.suspicions.Load(), c.deaths.Load(), c.rejoins.Load(), c.conflicts.Load(),
-		c.steppedBack.Load(), c.pauses.Load(), c.isolations.Load(), c.massProbes.Load(), c.massProbeDeaths.Load(),
+		c.conflictsLost.Load(), c.pauses.Load(), c.isolations.Load(), c.massProbes.Load(), c.massProbeDeaths.Load(),
 		c.rejected.Load(), rejectedMembers, staleEvents, &s.traffic)
 }
--- a/internal/fleet/member/stored_forms_test.go
+++ b/internal/fleet/member/stored_forms_test.go
@@ -22,8 +22,8 @@
 	return data
 }
 
-// equalBytes fails unless a value is written as the earlier build wrote it.
-func equalBytes(t *testing.T, name string, got []byte) {
+// requireTestdata fails unless a value is written as the earlier build wrote it.
+func requireTestdata(t *testing.T, name string, got []byte) {
 	t.Helper()
 	if want := readTestdata(t, name); !bytes.Equal(got, want) {
 		t.Errorf("%s: wrote %q, want %q", name, got, want)
@@ -31,8 +31,8 @@
 }
 
 // A changed packet header would cut nodes of two builds off from each other.
-func TestPacketKeepsItsBytes(t *testing.T) {
-	equalBytes(t, "packet", encodePacket("calder", "n1", 7, []byte("payload")))
+func TestPacketEncodingIsStable(t *testing.T) {
+	requireTestdata(t, "packet", encodePacket("calder", "n1", 7, []byte("payload")))
 	sender, number, payload, err := decodePacket("calder", readTestdata(t, "packet"))
 	if err != nil || sender != "n1" || number != 7 || string(payload) != "payload" {
 		t.Errorf("%q, %d, %q, %v", sender, number, payload, err)
@@ -40,26 +40,26 @@
 }
 
 // Changed metadata would make other builds reject this node.
-func TestMetadataKeepsItsBytes(t *testing.T) {
+func TestMetadataEncodingIsStable(t *testing.T) {
 	want := metadata{Zone: "derby", Home: "0123456789abcdef", Number: 3, Settled: true, Leaving: true, Predecessor: true}
 	text, err := json.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	equalBytes(t, "metadata.json", text)
+	requireTestdata(t, "metadata.json", text)
 	if got, err := decodeMetadata(readTestdata(t, "metadata.json")); err != nil || got != want {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
 
 // Messages about a member are read and written as the memberlist library has them.
-func TestSWIMMessageKeepsItsBytes(t *testing.T) {
+func TestSWIMMessageEncodingIsStable(t *testing.T) {
 	var text []byte
 	message := swimMessage{Incarnation: 8192, Node: "n2", From: "n1"}
 	if err := codec.NewEncoderBytes(&text, &codec.MsgpackHandle{}).Encode(&message); err != nil {
 		t.Fatal(err)
 	}
-	equalBytes(t, "suspect.msgpack", append([]byte{suspectMessage}, text...))
+	requireTestdata(t, "suspect.msgpack", append([]byte{suspectMessage}, text...))
 	var got []swimMessage
 	forEachSWIMMessage(readTestdata(t, "suspect.msgpack"), func(r swimMessage) { got = append(got, r) })
 	message.kind = suspectMessage
@@ -69,10 +69,10 @@
 }
 
 // A node that could not read its directory after an upgrade would start as a stranger.
-func TestDirectoryKeepsItsBytes(t *testing.T) {
+func TestDirectoryFileFormatsAreStable(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, incarnationFile)
-	record := incarnationRecord{Form: incarnationFileForm, Name: "n1", Home: "0123456789abcdef", Number: 4}
+	record := incarnationRecord{Version: incarnationFileVersion, Name: "n1", Home: "0123456789abcdef", Number: 4}
 	if err := writeFileAtomically(path, record); err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	equalBytes(t, incarnationFile, written)
+	requireTestdata(t, incarnationFile, written)
 	if err := os.WriteFile(path, readTestdata(t, incarnationFile), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -95,14 +95,14 @@
 	if written, err = os.ReadFile(filepath.Join(dir, knownAddrsFile)); err != nil {
 		t.Fatal(err)
 	}
-	equalBytes(t, knownAddrsFile, written)
+	requireTestdata(t, knownAddrsFile, written)
 	if got := readKnownAddrs("testdata"); !reflect.DeepEqual(got, []string{"127.0.0.2:7946", "[::1]:7946"}) {
 		t.Errorf("%v", got)
 	}
 }
 
 // Records are judged by builds other than the one that wrote them.
-func TestRecordKeepsItsBytes(t *testing.T) {
+func TestRecordEncodingIsStable(t *testing.T) {
 	view := View{Number: 9, Self: "n1", Members: []Member{{
 		Name: "n1", Zone: "derby", Addr: "127.0.0.1:7946", Incarnation: Incarnation{Home: "0123456789abcdef", Number: 4},
 		State: Leaving, Predecessor: true, Since: time.Second,
@@ -111,7 +111,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	equalBytes(t, "view.json", text)
+	requireTestdata(t, "view.json", text)
 	var got View
 	if err := json.Unmarshal(readTestdata(t, "view.json"), &got); err != nil || !reflect.DeepEqual(got, view) {
 		t.Errorf("%+v, %v", got, err)
@@ -120,7 +120,7 @@
 	if text, err = json.Marshal(reports); err != nil {
 		t.Fatal(err)
 	}
-	equalBytes(t, "heard.json", text)
+	requireTestdata(t, "heard.json", text)
 	if text, err = json.Marshal(massProbeRecord{Probed: 3, Silent: []string{"n2"}}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/member/stream.go
+++ b/internal/fleet/member/stream.go
@@ -26,17 +26,17 @@
 // lengths that it reads, so it is given nothing that was not checked.
 type stream struct {
 	net.Conn
-	channel   byte // what the stream is for, which every frame repeats
-	fleet     string
-	self      string              // name of this node
-	onHeard   func(sender string) // is called for each frame
-	onForeign func()              // is called for a frame of another fleet, or a corrupt one
-	accepted  bool                // the other side opened the stream, and its first frame says for which channel
-	unread    []byte              // of the last frame
-	readBytes int
-	sender    string // of the last frame
-	nextOut   uint32 // number of the next frame to write
-	nextIn    uint32 // number of the next frame to read
+	channel         byte // what the stream is for, which every frame repeats
+	fleet           string
+	self            string              // name of this node
+	onFrame         func(sender string) // is called for each frame
+	onForeign       func()              // is called for a frame of another fleet, or a corrupt one
+	accepted        bool                // the other side opened the stream, and its first frame says for which channel
+	unread          []byte              // of the last frame
+	readBytes       int
+	sender          string // of the last frame
+	nextWriteNumber uint32 // number of the next frame to write
+	nextReadNumber  uint32 // number of the next frame to read
 }
 
 // Write implements net.Conn.
@@ -54,8 +54,8 @@
 }
 
 func (s *stream) writeFrame(payload []byte) error {
-	packet := encodePacket(s.fleet, s.self, s.nextOut, payload)
-	s.nextOut++
+	packet := encodePacket(s.fleet, s.self, s.nextWriteNumber, payload)
+	s.nextWriteNumber++
 	frame := make([]byte, 0, frameHeader+len(packet))
 	frame = binary.BigEndian.AppendUint32(frame, uint32(s.channel)<<channelShift|uint32(len(packet)))
 	_, err := s.Conn.Write(append(frame, packet...))
@@ -87,14 +87,14 @@
 	s.unread = nil
 	nameEnd := int(packet[nameOffset]) + packetHeader
 	number := binary.BigEndian.Uint32(packet[numberOffset:])
-	if !validHeader(s.fleet, packet) || nameEnd > length || number != s.nextIn {
+	if !validHeader(s.fleet, packet) || nameEnd > length || number != s.nextReadNumber {
 		s.onForeign()
 		return errForeignPacket
 	}
-	s.nextIn++
+	s.nextReadNumber++
 	s.unread = packet[nameEnd:]
 	s.sender = string(packet[packetHeader:nameEnd])
-	s.onHeard(s.sender)
+	s.onFrame(s.sender)
 	return nil
 }
 
@@ -107,7 +107,7 @@
 	channel := header[0]
 	header[0] = 0
 	length := int(binary.BigEndian.Uint32(header[:]))
-	if s.nextIn == 0 && s.accepted {
+	if s.nextReadNumber == 0 && s.accepted {
 		s.channel = channel
 	}
 	if s.channel == memberlistChannel { // whose exchanges are bounded
--- a/internal/fleet/member/table.go
+++ b/internal/fleet/member/table.go
@@ -53,7 +53,7 @@
 		unconfirmedDepartures: map[string]unconfirmedDeparture{},
 		mutant:                mutant.Active,
 	}
-	self.enter(Alive, now)
+	self.setState(Alive, now)
 	t.members[self.Name] = &self
 	t.publish()
 	return t
@@ -79,20 +79,20 @@
 }
 
 // Apply takes an event, and reports whether there is a new view.
-func (t *Table) Apply(now time.Duration, e Event) bool {
-	m := t.members[e.Name]
+func (t *Table) Apply(now time.Duration, event Event) bool {
+	m := t.members[event.Name]
 	switch {
-	case m != nil && ofEarlierIncarnation(m, e):
+	case m != nil && isStaleEvent(m, event):
 		t.staleEvents++
 		return false
-	case m == nil && (e.Kind != EventAlive || !t.makeRoom()):
+	case m == nil && (event.Kind != EventAlive || !t.makeRoom()):
 		return false
 	case m == nil:
-		m = &Member{Name: e.Name, Since: now}
-		t.members[e.Name] = m
+		m = &Member{Name: event.Name, Since: now}
+		t.members[event.Name] = m
 	}
 	before := *m
-	t.update(m, now, e)
+	t.update(m, now, event)
 	if *m == before {
 		return false
 	}
@@ -100,41 +100,41 @@
 	return true
 }
 
-// ofEarlierIncarnation reports whether an event is of an incarnation of which a later one is known.
-func ofEarlierIncarnation(m *Member, e Event) bool {
-	if e.Incarnation.Home == "" {
+// isStaleEvent reports whether an event is of an incarnation of which a later one is known.
+func isStaleEvent(m *Member, event Event) bool {
+	if event.Incarnation.Home == "" {
 		return false
 	}
-	if e.Kind != EventAlive { // what is learned of one incarnation says nothing of another
-		return e.Incarnation != m.Incarnation
+	if event.Kind != EventAlive { // what is learned of one incarnation says nothing of another
+		return event.Incarnation != m.Incarnation
 	}
-	return e.Incarnation.Home == m.Incarnation.Home && e.Incarnation.Number < m.Incarnation.Number
+	return event.Incarnation.Home == m.Incarnation.Home && event.Incarnation.Number < m.Incarnation.Number
 }
 
 // update changes a member by an event.
-func (t *Table) update(m *Member, now time.Duration, e Event) {
-	if e.Kind == EventAlive {
+func (t *Table) update(m *Member, now time.Duration, event Event) {
+	if event.Kind == EventAlive {
 		delete(t.unconfirmedDepartures, m.Name)
-		t.describe(m, now, e)
+		t.updateDescription(m, now, event)
 	}
-	state := t.nextState(m, now, e)
+	state := t.nextState(m, now, event)
 	if m.Name == t.self && (!state.Present() || state == Suspect) {
 		delete(t.unconfirmedDepartures, m.Name)
 		return // this process is alive, whatever others believe
 	}
 	if state != m.State {
-		m.enter(state, now)
+		m.setState(state, now)
 	}
 }
 
-// describe takes a member's description from an event.
-func (t *Table) describe(m *Member, now time.Duration, e Event) {
-	restarted := m.Incarnation != e.Incarnation
-	m.Zone = e.Zone
-	m.Addr = e.Addr
-	m.Predecessor = e.Predecessor
+// updateDescription takes a member's description from an event.
+func (t *Table) updateDescription(m *Member, now time.Duration, event Event) {
+	restarted := m.Incarnation != event.Incarnation
+	m.Zone = event.Zone
+	m.Addr = event.Addr
+	m.Predecessor = event.Predecessor
 	if m.Incarnation.Home == "" || !t.mutant("old-incarnation") {
-		m.Incarnation = e.Incarnation
+		m.Incarnation = event.Incarnation
 	}
 	if restarted {
 		m.Since = now
@@ -142,10 +142,10 @@
 }
 
 // nextState returns the state of a member after an event.
-func (t *Table) nextState(m *Member, now time.Duration, e Event) State {
-	switch e.Kind {
+func (t *Table) nextState(m *Member, now time.Duration, event Event) State {
+	switch event.Kind {
 	case EventAlive:
-		if e.Leaving {
+		if event.Leaving {
 			return Leaving
 		}
 		return Alive
@@ -154,15 +154,15 @@
 			return Suspect
 		}
 	case EventRefuted:
-		_, doubted := t.unconfirmedDepartures[m.Name]
-		if m.State == Suspect && !doubted {
+		_, unconfirmed := t.unconfirmedDepartures[m.Name]
+		if m.State == Suspect && !unconfirmed {
 			return Alive
 		}
 	case EventDead:
-		expected := !e.HeardRecently && m.State != Alive
+		expected := !event.ReceivedRecently && m.State != Alive
 		return t.stateAfterDeparture(m, now, Dead, expected)
 	case EventLeft: // a member that has not announced it may have done so in its last incarnation
-		expected := m.State == Leaving || !e.HeardRecently
+		expected := m.State == Leaving || !event.ReceivedRecently
 		return t.stateAfterDeparture(m, now, Left, expected)
 	}
 	return m.State
@@ -170,18 +170,18 @@
 
 // stateAfterDeparture returns the state of a member that was said to be gone. An end that was expected is believed at
 // once, any other only after departureConfirmDelay.
-func (t *Table) stateAfterDeparture(m *Member, now time.Duration, end State, expected bool) State {
+func (t *Table) stateAfterDeparture(m *Member, now time.Duration, departure State, expected bool) State {
 	switch {
-	case !m.State.Present(), end == Dead && t.mutant("dead-kept"):
+	case !m.State.Present(), departure == Dead && t.mutant("dead-kept"):
 		return m.State
-	case end == Left && t.mutant("leave-told-as-death"):
+	case departure == Left && t.mutant("leave-told-as-death"):
 		return Dead
 	case expected:
 		delete(t.unconfirmedDepartures, m.Name)
-		return end
+		return departure
 	}
-	if _, doubted := t.unconfirmedDepartures[m.Name]; !doubted {
-		t.unconfirmedDepartures[m.Name] = unconfirmedDeparture{since: now, state: end}
+	if _, unconfirmed := t.unconfirmedDepartures[m.Name]; !unconfirmed {
+		t.unconfirmedDepartures[m.Name] = unconfirmedDeparture{since: now, state: departure}
 	}
 	return Suspect
 }
@@ -193,7 +193,7 @@
 	}
 	var oldest *Member
 	for _, m := range t.members {
-		if !m.State.Present() && (oldest == nil || compareAge(m, oldest) < 0) {
+		if !m.State.Present() && (oldest == nil || compareLastChange(m, oldest) < 0) {
 			oldest = m
 		}
 	}
@@ -205,8 +205,8 @@
 	return true
 }
 
-// compareAge orders members by the time of their last change, and then by name.
-func compareAge(a, b *Member) int {
+// compareLastChange orders members by the time of their last change, and then by name.
+func compareLastChange(a, b *Member) int {
 	return cmp.Or(cmp.Compare(a.Since, b.Since), cmp.Compare(a.Name, b.Name))
 }
 
@@ -228,15 +228,15 @@
 // expire applies the passing of time to one member, and reports whether that changed it.
 func (t *Table) expire(name string, now time.Duration) bool {
 	m := t.members[name]
-	end, doubted := t.unconfirmedDepartures[name]
+	departure, unconfirmed := t.unconfirmedDepartures[name]
 	switch {
 	case !m.State.Present() && now-m.Since > tombstoneTime:
 		delete(t.members, name)
-	case m.State.Present() && doubted && now-end.since > departureConfirmDelay:
-		m.enter(end.state, now)
+	case m.State.Present() && unconfirmed && now-departure.since > departureConfirmDelay:
+		m.setState(departure.state, now)
 		delete(t.unconfirmedDepartures, name)
-	case m.State == Suspect && !doubted && now-m.Since > suspicionTimeout:
-		m.enter(Alive, now)
+	case m.State == Suspect && !unconfirmed && now-m.Since > suspicionTimeout:
+		m.setState(Alive, now)
 	default:
 		return false
 	}
--- a/internal/fleet/member/table_test.go
+++ b/internal/fleet/member/table_test.go
@@ -21,21 +21,21 @@
 // applyEvents applies events a second apart to a table, and returns what it has of n2.
 func applyEvents(t *testing.T, events ...Event) Member {
 	t.Helper()
-	b := NewTable(Member{Name: "n1", Incarnation: incarnationNumber(1)}, 0)
+	table := NewTable(Member{Name: "n1", Incarnation: incarnationNumber(1)}, 0)
 	for i, e := range events {
-		b.Apply(time.Duration(i+1)*second, e)
-		b.Tick(time.Duration(i+1)*second + second/2)
+		table.Apply(time.Duration(i+1)*second, e)
+		table.Tick(time.Duration(i+1)*second + second/2)
 	}
-	b.Tick(time.Duration(len(events)+2) * second)
-	m, _ := b.View().Lookup("n2")
+	table.Tick(time.Duration(len(events)+2) * second)
+	m, _ := table.View().Lookup("n2")
 	return m
 }
 
 func TestStateAfterEvents(t *testing.T) {
 	leaving := aliveEvent("n2", 1)
 	leaving.Leaving = true
-	died, departed := Event{Kind: EventDead, Name: "n2"}, Event{Kind: EventLeft, Name: "n2"}
-	fresh := func(e Event) Event { e.HeardRecently = true; return e }
+	died, left := Event{Kind: EventDead, Name: "n2"}, Event{Kind: EventLeft, Name: "n2"}
+	receivedRecently := func(e Event) Event { e.ReceivedRecently = true; return e }
 	suspected, cleared := Event{Kind: EventSuspect, Name: "n2"}, Event{Kind: EventRefuted, Name: "n2"}
 	for _, c := range []struct {
 		name   string
@@ -47,20 +47,20 @@
 		{"suspect", []Event{aliveEvent("n2", 1), suspected}, Suspect, 1},
 		{"suspicion refuted", []Event{aliveEvent("n2", 1), suspected, cleared}, Alive, 1},
 		{"dead after a suspicion", []Event{aliveEvent("n2", 1), suspected, died}, Dead, 1},
-		{"left as announced", []Event{aliveEvent("n2", 1), leaving, departed}, Left, 1},
-		{"left as announced, heard to the last", []Event{aliveEvent("n2", 1), leaving, fresh(departed)}, Left, 1},
+		{"left as announced", []Event{aliveEvent("n2", 1), leaving, left}, Left, 1},
+		{"left as announced, heard to the last", []Event{aliveEvent("n2", 1), leaving, receivedRecently(left)}, Left, 1},
 		{"dead while leaving", []Event{aliveEvent("n2", 1), leaving, died}, Dead, 1},
 		{"silent while leaving", []Event{aliveEvent("n2", 1), leaving, suspected}, Leaving, 1},
 		{"restarted", []Event{aliveEvent("n2", 1), aliveEvent("n2", 2)}, Alive, 2},
 		{"alive again after death", []Event{aliveEvent("n2", 1), died, aliveEvent("n2", 2)}, Alive, 2},
 		{"late event of the last incarnation", []Event{aliveEvent("n2", 2), aliveEvent("n2", 1)}, Alive, 2},
 		{"death of the last incarnation, while this one is heard",
-			[]Event{aliveEvent("n2", 2), fresh(died), aliveEvent("n2", 2)}, Alive, 2},
+			[]Event{aliveEvent("n2", 2), receivedRecently(died), aliveEvent("n2", 2)}, Alive, 2},
 		{"death without a suspicion, refuted", []Event{aliveEvent("n2", 2), died, aliveEvent("n2", 2)}, Alive, 2},
-		{"death while it is heard, not refuted", []Event{aliveEvent("n2", 2), fresh(died)}, Dead, 2},
-		{"left without an announcement", []Event{aliveEvent("n2", 2), fresh(departed)}, Left, 2},
+		{"death while it is heard, not refuted", []Event{aliveEvent("n2", 2), receivedRecently(died)}, Dead, 2},
+		{"left without an announcement", []Event{aliveEvent("n2", 2), receivedRecently(left)}, Left, 2},
 		{"unknown member", []Event{died}, "", 0},
-		{"left after death", []Event{aliveEvent("n2", 1), suspected, died, departed}, Dead, 1},
+		{"left after death", []Event{aliveEvent("n2", 1), suspected, died, left}, Dead, 1},
 	} {
 		if m := applyEvents(t, c.events...); m.State != c.state || m.Incarnation.Number != c.number {
 			t.Errorf("%s: %s in incarnation %d", c.name, m.State, m.Incarnation.Number)
@@ -71,54 +71,54 @@
 // A restarted member must not count as dead by gossip of its last incarnation: an unexpected death is held back for
 // departureConfirmDelay, and no longer.
 func TestUnexpectedDeathIsDelayed(t *testing.T) {
-	b := NewTable(Member{Name: "n1"}, 0)
-	b.Apply(second, aliveEvent("n2", 1))
-	b.Apply(2*second, Event{Kind: EventDead, Name: "n2", HeardRecently: true})
+	table := NewTable(Member{Name: "n1"}, 0)
+	table.Apply(second, aliveEvent("n2", 1))
+	table.Apply(2*second, Event{Kind: EventDead, Name: "n2", ReceivedRecently: true})
 	for at, want := range map[time.Duration]State{2 * second: Suspect, 2*second + departureConfirmDelay: Suspect} {
-		b.Tick(at)
-		if m, _ := b.View().Lookup("n2"); m.State != want {
+		table.Tick(at)
+		if m, _ := table.View().Lookup("n2"); m.State != want {
 			t.Errorf("%v: %s", at, m.State)
 		}
 	}
-	b.Apply(2*second+departureConfirmDelay, Event{Kind: EventRefuted, Name: "n2"}) // no message of the member itself
-	b.Tick(2*second + departureConfirmDelay + 1)
-	if m, _ := b.View().Lookup("n2"); m.State != Dead {
+	table.Apply(2*second+departureConfirmDelay, Event{Kind: EventRefuted, Name: "n2"}) // no message of the member itself
+	table.Tick(2*second + departureConfirmDelay + 1)
+	if m, _ := table.View().Lookup("n2"); m.State != Dead {
 		t.Errorf("in the end: %s", m.State)
 	}
 }
 
 func TestTombstonesAndSuspicionsExpire(t *testing.T) {
-	b := NewTable(Member{Name: "n1"}, 0)
-	b.Apply(second, aliveEvent("n2", 1))
-	b.Apply(second, aliveEvent("n3", 1))
-	b.Apply(2*second, Event{Kind: EventSuspect, Name: "n2"})
-	b.Apply(2*second, Event{Kind: EventDead, Name: "n2"})
-	b.Apply(2*second, Event{Kind: EventSuspect, Name: "n3"})
-	b.Tick(2*second + suspicionTimeout + 1)
-	if m, _ := b.View().Lookup("n3"); m.State != Alive {
+	table := NewTable(Member{Name: "n1"}, 0)
+	table.Apply(second, aliveEvent("n2", 1))
+	table.Apply(second, aliveEvent("n3", 1))
+	table.Apply(2*second, Event{Kind: EventSuspect, Name: "n2"})
+	table.Apply(2*second, Event{Kind: EventDead, Name: "n2"})
+	table.Apply(2*second, Event{Kind: EventSuspect, Name: "n3"})
+	table.Tick(2*second + suspicionTimeout + 1)
+	if m, _ := table.View().Lookup("n3"); m.State != Alive {
 		t.Errorf("a suspicion that came to nothing: %s", m.State)
 	}
-	if _, known := b.View().Lookup("n2"); !known {
+	if _, known := table.View().Lookup("n2"); !known {
 		t.Error("a tombstone is dropped at once")
 	}
-	b.Tick(2*second + tombstoneTime + 1)
-	if _, known := b.View().Lookup("n2"); known {
+	table.Tick(2*second + tombstoneTime + 1)
+	if _, known := table.View().Lookup("n2"); known {
 		t.Error("a tombstone is never dropped")
 	}
 }
 
 func TestTableIsBounded(t *testing.T) {
-	b := NewTable(Member{Name: "n0"}, 0)
+	table := NewTable(Member{Name: "n0"}, 0)
 	for i := range MaxMembers + 5 {
-		b.Apply(second, aliveEvent(fmt.Sprintf("m%04d", i), 1))
+		table.Apply(second, aliveEvent(fmt.Sprintf("m%04d", i), 1))
 	}
-	if n := len(b.View().Members); n != MaxMembers || b.RejectedMembers() != 6 {
-		t.Errorf("%d members, %d refused", n, b.RejectedMembers())
+	if n := len(table.View().Members); n != MaxMembers || table.RejectedMembers() != 6 {
+		t.Errorf("%d members, %d refused", n, table.RejectedMembers())
 	}
-	b.Apply(2*second, Event{Kind: EventSuspect, Name: "m0007"})
-	b.Apply(2*second, Event{Kind: EventDead, Name: "m0007"})
-	b.Apply(3*second, aliveEvent("late", 1))
-	if _, known := b.View().Lookup("late"); !known {
+	table.Apply(2*second, Event{Kind: EventSuspect, Name: "m0007"})
+	table.Apply(2*second, Event{Kind: EventDead, Name: "m0007"})
+	table.Apply(3*second, aliveEvent("late", 1))
+	if _, known := table.View().Lookup("late"); !known {
 		t.Error("tombstones keep a live member out")
 	}
 }
@@ -127,30 +127,30 @@
 // later incarnation never gives way to an earlier one, and this process is in its own view.
 func TestTableInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewTable(Member{Name: "n1"}, 0)
+		table := NewTable(Member{Name: "n1"}, 0)
 		now := time.Duration(0)
 		incarnations := map[string]uint64{}
 		for range rapid.IntRange(1, 80).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 30000).Draw(t, "ms")) * time.Millisecond
-			before := b.View()
+			before := table.View()
 			text := fmt.Sprint(before.Members)
 			name := rapid.SampledFrom([]string{"n1", "n2", "n3"}).Draw(t, "who")
-			e := aliveEvent(name, uint64(rapid.IntRange(1, 4).Draw(t, "incarnation")))
-			e.Kind = EventKind(rapid.IntRange(int(EventAlive), int(EventLeft)).Draw(t, "kind"))
-			e.Leaving, e.HeardRecently = rapid.Bool().Draw(t, "leaving"), rapid.Bool().Draw(t, "fresh")
-			changed := b.Apply(now, e)
+			event := aliveEvent(name, uint64(rapid.IntRange(1, 4).Draw(t, "incarnation")))
+			event.Kind = EventKind(rapid.IntRange(int(EventAlive), int(EventLeft)).Draw(t, "kind"))
+			event.Leaving, event.ReceivedRecently = rapid.Bool().Draw(t, "leaving"), rapid.Bool().Draw(t, "fresh")
+			changed := table.Apply(now, event)
 			if rapid.Bool().Draw(t, "tick") {
-				changed = b.Tick(now) || changed
+				changed = table.Tick(now) || changed
 			}
-			v := b.View()
-			if changed == (v.Number == before.Number) || fmt.Sprint(before.Members) != text {
-				t.Fatalf("view %d after %d, changed %v", v.Number, before.Number, changed)
+			view := table.View()
+			if changed == (view.Number == before.Number) || fmt.Sprint(before.Members) != text {
+				t.Fatalf("view %d after %d, changed %v", view.Number, before.Number, changed)
 			}
-			if !slices.IsSortedFunc(v.Members, func(a, b Member) int { return strings.Compare(a.Name, b.Name) }) {
-				t.Fatalf("not in order: %v", v)
+			if !slices.IsSortedFunc(view.Members, func(a, table Member) int { return strings.Compare(a.Name, table.Name) }) {
+				t.Fatalf("not in order: %v", view)
 			}
-			for i, m := range v.Members {
-				if i > 0 && v.Members[i-1].Name == m.Name {
+			for i, m := range view.Members {
+				if i > 0 && view.Members[i-1].Name == m.Name {
 					t.Fatalf("%s stands twice", m.Name)
 				}
 				if m.Incarnation.Number < incarnations[m.Name] && m.State.Present() {
@@ -159,12 +159,12 @@
 				incarnations[m.Name] = m.Incarnation.Number
 			}
 			for name := range incarnations {
-				if _, known := v.Lookup(name); !known {
+				if _, known := view.Lookup(name); !known {
 					delete(incarnations, name) // forgotten
 				}
 			}
-			if self, known := v.Lookup("n1"); !known || !self.State.Present() || self.State == Suspect {
-				t.Fatalf("it is not present in its own view: %v", v)
+			if self, known := view.Lookup("n1"); !known || !self.State.Present() || self.State == Suspect {
+				t.Fatalf("it is not present in its own view: %v", view)
 			}
 		}
 	})
--- a/internal/fleet/member/traffic.go
+++ b/internal/fleet/member/traffic.go
@@ -16,8 +16,8 @@
 	streamsOut atomic.Int64
 	// foreign counts packets and frames of another fleet or corrupt, streams that break before their first frame, and
 	// streams of a channel that nobody serves; a foreign first frame counts twice.
-	foreign atomic.Int64
-	flood   atomic.Int64 // beyond maxPacketsPerSecond, packetQueue or maxHandshakes
+	foreign   atomic.Int64
+	overLimit atomic.Int64 // beyond maxPacketsPerSecond, packetQueue or maxHandshakes
 }
 
 // String returns the counters for the log.
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("packets_in=%d packets_out=%d bytes_in=%d bytes_out=%d streams_in=%d streams_out=%d "+
 		"foreign=%d flood=%d",
 		t.packetsIn.Load(), t.packetsOut.Load(), t.bytesIn.Load(), t.bytesOut.Load(),
-		t.streamsIn.Load(), t.streamsOut.Load(), t.foreign.Load(), t.flood.Load())
+		t.streamsIn.Load(), t.streamsOut.Load(), t.foreign.Load(), t.overLimit.Load())
 }
 
 // countedConn counts a connection's bytes.
--- a/internal/fleet/member/transport.go
+++ b/internal/fleet/member/transport.go
@@ -43,7 +43,7 @@
 	closing     bool                  // no channel is served any more
 
 	closed     atomic.Bool
-	running    sync.WaitGroup
+	tasks      sync.WaitGroup
 	handshakes chan struct{} // holds one for each handshake under way
 }
 
@@ -69,7 +69,7 @@
 		local:       c.Listen,
 		advertise:   c.Advertise,
 		traffic:     t,
-		limiter:     packetLimiter{tokens: maxPacketsPerSecond, at: time.Now()},
+		limiter:     packetLimiter{tokens: maxPacketsPerSecond, updatedAt: time.Now()},
 		packets:     make(chan *memberlist.Packet, packetQueue),
 		streams:     make(chan net.Conn),
 		channels:    c.Channels,
@@ -93,8 +93,8 @@
 
 // start begins to take packets and connections; observe and serveWitness are set by then.
 func (t *transport) start() {
-	t.running.Go(t.readPackets)
-	t.running.Go(t.acceptStreams)
+	t.tasks.Go(t.readPackets)
+	t.tasks.Go(t.acceptStreams)
 }
 
 // FinalAdvertiseAddr implements memberlist.Transport.
@@ -148,18 +148,18 @@
 		return nil, err
 	}
 	t.traffic.streamsOut.Add(1)
-	s := t.wrap(conn)
+	s := t.newStream(conn)
 	s.channel = channel
 	return s, nil
 }
 
-// wrap makes a stream of a connection.
-func (t *transport) wrap(conn net.Conn) *stream {
+// newStream makes a stream of a connection.
+func (t *transport) newStream(conn net.Conn) *stream {
 	return &stream{
 		Conn:      countedConn{conn, t.traffic},
 		fleet:     t.fleet,
 		self:      t.self,
-		onHeard:   t.recordStreamFrame,
+		onFrame:   t.recordStreamFrame,
 		onForeign: func() { t.traffic.foreign.Add(1) },
 	}
 }
@@ -176,6 +176,6 @@
 		_ = s.Close()
 	}
 	t.mu.Unlock()
-	t.running.Wait()
+	t.tasks.Wait()
 	return err
 }
--- a/internal/fleet/member/view.go
+++ b/internal/fleet/member/view.go
@@ -47,8 +47,8 @@
 	Since time.Duration `json:"since"`
 }
 
-// enter changes the state.
-func (m *Member) enter(state State, now time.Duration) {
+// setState changes the state.
+func (m *Member) setState(state State, now time.Duration) {
 	m.State = state
 	m.Since = now
 }
--- a/internal/fleet/member/witness.go
+++ b/internal/fleet/member/witness.go
@@ -102,7 +102,7 @@
 		at, found := d.silentAt[name]
 		switch {
 		case name == d.agent.service.config.Name:
-		case d.agent.transport.heardAt(name).After(now.Add(-probeResultTTL)):
+		case d.agent.transport.lastReceivedFrom(name).After(now.Add(-probeResultTTL)):
 		case found && now.Sub(at) < probeResultTTL:
 			silent = append(silent, name)
 		default:
