--- a/internal/fleet/member/accept_streams.go
+++ b/internal/fleet/member/accept_streams.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// maxHandshakes bounds the connections of which the first frame has not come yet.
+	// maxHandshakes is the maximum number of accepted connections whose first frame has not arrived yet.
 	maxHandshakes = 64
-	// handshakeTimeout is how long a connection may take to send it, and memberlist to take the stream.
+	// handshakeTimeout limits the wait for a connection's first frame, and then the wait for memberlist to receive the
+	// stream.
 	handshakeTimeout = 2 * time.Second
-	// acceptErrorPause is the wait after an error of the listener.
+	// acceptErrorPause is the delay before the next Accept after an error of the listener.
 	acceptErrorPause = 10 * time.Millisecond
 )
 
-// acceptStreams accepts connections until the transport is shut down.
+// acceptStreams accepts connections until the transport is shut down. It closes connections beyond maxHandshakes.
 func (t *transport) acceptStreams() {
 	for {
 		conn, err := t.tcp.Accept()
@@ -25,7 +26,7 @@
 				_ = conn.Close()
 			}
 			return
-		case err != nil: // want of file descriptors, which passes
+		case err != nil: // temporary, for example no free file descriptor
 			time.Sleep(acceptErrorPause)
 			continue
 		}
@@ -39,7 +40,8 @@
 	}
 }
 
-// handshake waits for a connection's first frame, and passes the stream on to whoever serves its channel.
+// handshake reads the first frame of a connection, then passes the stream to memberlist or to the function that serves
+// its channel.
 func (t *transport) handshake(conn net.Conn) {
 	done := sync.OnceFunc(func() { <-t.handshakes })
 	defer done()
@@ -65,7 +67,8 @@
 	}
 }
 
-// serve has a stream served by its channel's function, until that returns or the transport is shut down.
+// serve runs the function that serves the stream's channel, and closes the stream when the function returns. Shutdown
+// closes the stream while the function runs.
 func (t *transport) serve(s *stream) {
 	defer func() { _ = s.Close() }()
 	handle := t.channels[s.channel]
@@ -83,7 +86,7 @@
 	handle(s, s.sender)
 }
 
-// track has a stream closed with the transport. It reports false if that is shut down.
+// track registers a stream that Shutdown has to close. It returns false if the transport is already shut down.
 func (t *transport) track(s *stream) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,6 +97,7 @@
 	return true
 }
 
+// untrack removes a stream that serve closes.
 func (t *transport) untrack(s *stream) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/fleet/member/agent.go
+++ b/internal/fleet/member/agent.go
@@ -9,48 +9,50 @@
 )
 
 const (
-	// agentTick is the interval of an agent's loop.
+	// agentTick is the interval at which the loop of an agent runs.
 	agentTick = 100 * time.Millisecond
-	// minProcessPause is from which time between two ticks on the process is said to have been paused.
+	// minProcessPause is the gap between two ticks above which the process counts as having been paused.
 	minProcessPause = time.Second
-	// addrsWriteInterval is how often the members' addresses are written, if there is a new view.
+	// addrsWriteInterval is the minimum time between two writes of the members' addresses. They are written only if the
+	// view has changed.
 	addrsWriteInterval = 2 * time.Second
-	// receptionInterval is how often the record is given the state of what was received.
+	// receptionInterval is the interval at which the reception reports are written to the record.
 	receptionInterval = time.Second
 )
 
-// agent runs memberlist for one incarnation of the node, for as long as this process has the node's membership of the
-// fleet. It implements memberlist's delegates, whose methods are called by memberlist's goroutines.
+// agent runs memberlist for one incarnation of the node, while this process holds the node's membership of the fleet.
+// It implements memberlist's delegate interfaces, whose methods are called by memberlist's goroutines.
 type agent struct {
 	service      *Service
 	incarnation  Incarnation
 	list         *memberlist.Memberlist
 	transport    *transport
 	massFailures *massFailureDetector
-	broadcasts   memberlist.TransmitLimitedQueue // messages of Service.Broadcast
-	knownAddrs   []string                        // of members that were present before this incarnation
-	joining      atomic.Bool                     // an attempt to join is under way
+	broadcasts   memberlist.TransmitLimitedQueue // queued messages of Service.Broadcast
+	knownAddrs   []string                        // member addresses stored by earlier incarnations
+	joining      atomic.Bool                     // set while an attempt to join runs
 
 	stop      chan struct{} // closed by close
 	closeOnce sync.Once
 	tasks     sync.WaitGroup
 
-	// These two are owned by the agent's loop.
-	isolated    bool                 // nobody was heard for isolationTimeout
-	lastRejoins map[string]time.Time // the last attempt to join each missing address
+	// The next two fields are owned by the agent's loop.
+	isolated    bool                 // nothing was received from any member for isolationTimeout
+	lastRejoins map[string]time.Time // time of the last attempt to join, by missing address
 
 	mu           sync.Mutex
-	settled      bool // see Claim
-	leaving      bool // the node is shutting down as planned
-	predecessor  bool // for predecessorTime: the node's other process may still be finishing its work
+	settled      bool // see Claim.Settled
+	leaving      bool // a planned shutdown of the node has begun
+	predecessor  bool // the node's previous process may still be finishing requests
 	lastConflict time.Time
-	// announcedDepartures are the members that are said to be gone, and whether they said so themselves.
+	// announcedDepartures has the members that a message reported as gone: true if the member itself sent the report,
+	// false if another member declared it dead.
 	announcedDepartures map[string]bool
-	suspectedNumbers    map[string]uint32 // memberlist's incarnation number that is suspected, by member
-	latestNumbers       map[string]uint32 // the latest of these numbers that others have sent, by member
+	suspectedNumbers    map[string]uint32 // suspected incarnation number of memberlist, by member
+	latestNumbers       map[string]uint32 // highest such number seen in a message, by member
 }
 
-// newAgent starts an agent on a transport that is open. It owns the transport from then on, but if it fails.
+// newAgent starts an agent on an open transport. The agent then owns the transport; after an error the caller does.
 func newAgent(s *Service, t *transport, incarnation Incarnation, predecessor bool) (*agent, error) {
 	a := &agent{
 		service:             s,
@@ -84,7 +86,7 @@
 	return a, nil
 }
 
-// close ends the agent without a message to others.
+// close stops the agent without notifying other members.
 func (a *agent) close() {
 	a.closeOnce.Do(func() {
 		close(a.stop)
@@ -94,17 +96,17 @@
 	})
 }
 
-// stepTimes is when the steps of an agent's loop were last taken.
+// stepTimes has the times at which an agent's loop last ran each of its steps.
 type stepTimes struct {
-	began            time.Time
+	began            time.Time // start of the loop
 	tick             time.Time
 	rejoin           time.Time
 	receptionRecord  time.Time
 	knownAddrsFile   time.Time
-	knownAddrsOfView uint64 // number of the view whose addresses the file has
+	knownAddrsOfView uint64 // number of the view whose addresses were last written
 }
 
-// run is the agent's loop.
+// run calls tick every agentTick until the agent is closed.
 func (a *agent) run() {
 	ticker := time.NewTicker(agentTick)
 	defer ticker.Stop()
@@ -119,7 +121,7 @@
 	}
 }
 
-// tick takes the steps of the loop that are due.
+// tick runs those steps of the loop that are due.
 func (a *agent) tick(now time.Time, last *stepTimes) {
 	a.checkPause(now.Sub(last.tick))
 	last.tick = now
@@ -144,7 +146,7 @@
 	}
 }
 
-// checkPause reports that the process was paused, if so much time passed between two ticks.
+// checkPause logs, counts and records a pause of the process if the gap between two ticks exceeds minProcessPause.
 func (a *agent) checkPause(gap time.Duration) {
 	if gap <= minProcessPause {
 		return
@@ -154,6 +156,7 @@
 	a.service.config.Record.Write("paused", gap)
 }
 
+// storeKnownAddrs writes the addresses of a view's members. It only logs an error.
 func (a *agent) storeKnownAddrs(view *View) {
 	err := writeKnownAddrs(a.service.config.Directory, view)
 	if err != nil {
--- a/internal/fleet/member/announce.go
+++ b/internal/fleet/member/announce.go
@@ -3,14 +3,15 @@
 import "time"
 
 const (
-	// claimSettleDelay is after how long among others, and without a conflict, a claim to a name is settled.
+	// claimSettleDelay is the time after which a claim to a name is settled if another member is present. It is counted
+	// from the start of the agent and again from each conflict.
 	claimSettleDelay = 5 * time.Second
-	// broadcastTimeout is how long others may take to be told of a change of this member.
+	// broadcastTimeout limits the wait for memberlist to send a change of this member to other members.
 	broadcastTimeout = 500 * time.Millisecond
 )
 
-// updateClaim settles the claim to the node's name once its time has come, ends the time of the predecessor, and tells
-// others.
+// updateClaim settles the claim to the node's name after claimSettleDelay, clears the predecessor flag after
+// predecessorGracePeriod, and sends either change to other members.
 func (a *agent) updateClaim(now, began time.Time) {
 	if a.expirePredecessor(now, began) {
 		a.service.apply(a.selfAlive())
@@ -21,7 +22,8 @@
 	}
 }
 
-// expirePredecessor reports whether the predecessor's time ends now.
+// expirePredecessor clears the predecessor flag once predecessorGracePeriod has passed, and reports whether this call
+// cleared it.
 func (a *agent) expirePredecessor(now, began time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -32,7 +34,8 @@
 	return true
 }
 
-// settleClaim reports whether the claim to the name settles now.
+// settleClaim marks the claim to the name as settled once claimSettleDelay has passed, and reports whether this call
+// did so. A node that is leaving or sees no other member does not settle its claim.
 func (a *agent) settleClaim(now, began time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -46,20 +49,20 @@
 	return true
 }
 
-// selfAlive returns the event that describes this member.
+// selfAlive returns the EventAlive that describes this member.
 func (a *agent) selfAlive() Event {
 	m := a.service.self(a.incarnation)
 	return Event{Kind: EventAlive, Name: m.Name, Zone: m.Zone, Addr: m.Addr, Incarnation: m.Incarnation}
 }
 
-// advertiseSelf has others told of a change of this member, without waiting for it.
+// advertiseSelf sends this member's changed metadata to other members in the background.
 func (a *agent) advertiseSelf() {
 	a.tasks.Go(func() {
-		_ = a.list.UpdateNode(broadcastTimeout) // a time-out says that not all have been told yet
+		_ = a.list.UpdateNode(broadcastTimeout) // a timeout means that some members have not received it yet
 	})
 }
 
-// announceLeaving tells others that this node is shutting down as planned.
+// announceLeaving notifies other members that a planned shutdown of this node has begun.
 func (a *agent) announceLeaving() {
 	a.mu.Lock()
 	a.leaving = true
@@ -70,7 +73,7 @@
 	a.advertiseSelf()
 }
 
-// announceLeft tells others that this node has left.
+// announceLeft notifies other members that this node has left.
 func (a *agent) announceLeft() {
-	_ = a.list.Leave(broadcastTimeout) // a time-out says that not all have been told; the rest find out
+	_ = a.list.Leave(broadcastTimeout) // after a timeout, members not notified detect it by probes
 }
--- a/internal/fleet/member/atomic_file.go
+++ b/internal/fleet/member/atomic_file.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 )
 
-// writeFileAtomically writes a value as JSON so that a reader finds all of the old file or all of the new one, after a
-// loss of power, too.
+// writeFileAtomically replaces a file with a value encoded as JSON. A reader gets either the complete old content or
+// the complete new content, even after a power failure.
 func writeFileAtomically(path string, value any) error {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -28,6 +28,7 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
+// writeAndSync writes a file and flushes it to disk.
 func writeAndSync(path string, data []byte) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, privateFile)
 	if err != nil {
--- a/internal/fleet/member/broadcast.go
+++ b/internal/fleet/member/broadcast.go
@@ -3,14 +3,15 @@
 import "github.com/hashicorp/memberlist"
 
 const (
-	// MaxMessage bounds a message of Service.Broadcast, in bytes: it fits into a packet beside what memberlist says.
+	// MaxMessage is the maximum length of a message of Service.Broadcast, in bytes. Such a message fits into one packet
+	// together with memberlist's own messages.
 	MaxMessage = 1200
-	// retransmitMultiplier is how often each member passes a message on, times the logarithm of their number: since
-	// all do, few times are enough.
+	// retransmitMultiplier, multiplied by the logarithm of the number of members, is the number of times that each member
+	// sends a message. A low value suffices because every member forwards the message.
 	retransmitMultiplier = 2
 )
 
-// latestMessage is a message in the queue of gossip. It replaces the one before of the same sender.
+// latestMessage is a message in the gossip queue. It replaces the previous queued message from the same sender.
 type latestMessage struct {
 	from    string
 	payload []byte
@@ -33,9 +34,9 @@
 // Finished implements memberlist.Broadcast.
 func (latestMessage) Finished() {}
 
-// Broadcast gossips a message to all members, in place of the last one from the same sender. It travels with
-// memberlist's own packets, as long as whoever receives it broadcasts it again. A message beyond MaxMessage is
-// dropped, and so is one of a process that does not have the node's membership.
+// Broadcast gossips a message to all members and replaces the queued message from the same sender. The message is sent
+// in memberlist's own packets; it spreads as long as each receiver calls Broadcast with it again. It is dropped if it
+// is longer than MaxMessage or if this process does not hold the node's membership.
 func (s *Service) Broadcast(from string, message []byte) {
 	a := s.currentAgent()
 	if a != nil && len(message) <= MaxMessage {
--- a/internal/fleet/member/delegate.go
+++ b/internal/fleet/member/delegate.go
@@ -12,11 +12,13 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// observe takes what a packet says of members, on its way in or out.
+// observe updates the suspicions from the messages about members in a packet, which was received or is about to be
+// sent.
 func (a *agent) observe(packet []byte, _ bool) {
 	forEachSWIMMessage(packet, a.observeMessage)
 }
 
+// observeMessage updates the suspicions from one message, and ignores messages about this node.
 func (a *agent) observeMessage(m swimMessage) {
 	if m.Node == a.service.config.Name {
 		return
@@ -27,11 +29,11 @@
 	}
 }
 
-// trackSuspicion takes a message into the agent's state, and returns the event that it makes, if any.
+// trackSuspicion updates the agent's state from a message and returns the kind of event that follows from it, if any.
 func (a *agent) trackSuspicion(m swimMessage) (kind EventKind, changed bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.latestNumbers) > 2*MaxMembers { // names that nobody has any more
+	if len(a.latestNumbers) > 2*MaxMembers { // drop names of nodes that no longer exist
 		clear(a.latestNumbers)
 	}
 	a.latestNumbers[m.Node] = max(a.latestNumbers[m.Node], m.Incarnation)
@@ -65,7 +67,7 @@
 		Leaving:     a.leaving,
 		Predecessor: a.predecessor,
 	}
-	encoded, _ := json.Marshal(m) // strings, numbers and booleans always can be
+	encoded, _ := json.Marshal(m) // strings, numbers and booleans always encode
 	return encoded
 }
 
@@ -81,13 +83,13 @@
 	return a.broadcasts.GetBroadcasts(overhead, limit)
 }
 
-// LocalState implements memberlist.Delegate: full state exchanges carry nothing of this package.
+// LocalState implements memberlist.Delegate. This package adds nothing to memberlist's full state exchanges.
 func (a *agent) LocalState(bool) []byte { return nil }
 
 // MergeRemoteState implements memberlist.Delegate.
 func (a *agent) MergeRemoteState([]byte, bool) {}
 
-// NotifyAlive implements memberlist.AliveDelegate: what cannot be a member of this fleet is rejected.
+// NotifyAlive implements memberlist.AliveDelegate. It rejects and counts nodes that validateNode does not accept.
 func (a *agent) NotifyAlive(node *memberlist.Node) error {
 	err := a.validateNode(node)
 	if err != nil {
@@ -96,16 +98,17 @@
 	return err
 }
 
+// validateNode returns an error for invalid metadata, an invalid name or a new node beyond MaxMembers.
 func (a *agent) validateNode(node *memberlist.Node) error {
 	if _, err := decodeMetadata(node.Meta); err != nil {
 		return err
 	}
 	if node.Name == "" || len(node.Name) > maxNodeName {
-		return errors.New("no name")
+		return errors.New("node name is missing or too long")
 	}
 	view := a.service.View()
 	if _, known := view.Lookup(node.Name); !known && len(view.Present()) >= MaxMembers {
-		return fmt.Errorf("the fleet has %d members", MaxMembers)
+		return fmt.Errorf("the fleet already has %d members, which is the limit", MaxMembers)
 	}
 	return nil
 }
@@ -116,7 +119,7 @@
 // NotifyUpdate implements memberlist.EventDelegate.
 func (a *agent) NotifyUpdate(node *memberlist.Node) { a.applyNode(node) }
 
-// applyNode takes a member as memberlist has it.
+// applyNode applies an EventAlive with memberlist's description of a member.
 func (a *agent) applyNode(node *memberlist.Node) {
 	m, err := decodeMetadata(node.Meta)
 	if err != nil || node.Name == a.service.config.Name {
@@ -137,8 +140,9 @@
 	})
 }
 
-// NotifyLeave implements memberlist.EventDelegate: a member has left, or was declared dead. Which of the two was
-// observed in a message; where it came otherwise, a member that announced it and was never suspected has left.
+// NotifyLeave implements memberlist.EventDelegate. memberlist calls it for a member that has left and for one that was
+// declared dead. If the message that caused the call was observed, it tells which; otherwise a member that announced a
+// planned shutdown and was not suspected has left.
 func (a *agent) NotifyLeave(node *memberlist.Node) {
 	if node.Name == a.service.config.Name {
 		return
@@ -157,14 +161,14 @@
 	a.service.apply(event)
 }
 
-// NotifyConflict implements memberlist.ConflictDelegate: two addresses claim one name.
+// NotifyConflict implements memberlist.ConflictDelegate. memberlist calls it when two addresses claim one name.
 func (a *agent) NotifyConflict(existing, other *memberlist.Node) {
 	if bytes.Equal(existing.Meta, other.Meta) {
-		return // one member at a new address, of which not all have been told yet
+		return // one member at a new address that some members do not know yet
 	}
 	a.service.counters.conflicts.Add(1)
 	if existing.Name != a.service.config.Name {
-		return // the two processes settle it
+		return // the two processes involved resolve the conflict
 	}
 	m, err := decodeMetadata(other.Meta)
 	if err != nil {
@@ -182,7 +186,8 @@
 	}
 }
 
-// recordConflict returns this process's claim, and whether it is the first conflict for settleTime.
+// recordConflict records the time of a conflict. It returns the claim of this process, and whether the last conflict is
+// more than claimSettleDelay ago.
 func (a *agent) recordConflict() (own Claim, first bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fleet/member/event.go
+++ b/internal/fleet/member/event.go
@@ -1,27 +1,29 @@
 package member
 
-// EventKind is what was learned of a member.
+// EventKind is the kind of an Event.
 type EventKind int
 
 // The kinds of events.
 const (
-	EventAlive   EventKind = iota // it is alive, as the event describes it
-	EventSuspect                  // it does not answer probes
-	EventRefuted                  // it has refuted a suspicion
-	EventDead                     // it was declared dead
-	EventLeft                     // it has said that it left
+	EventAlive   EventKind = iota // the member is alive; the event has its description
+	EventSuspect                  // the member does not answer probes
+	EventRefuted                  // the member has refuted a suspicion
+	EventDead                     // the member was declared dead
+	EventLeft                     // the member has announced that it left
 )
 
-// Event is one thing learned of a member.
+// Event is a change of one member that memberlist reported or a probe found.
 type Event struct {
 	Kind EventKind
 	Name string
-	Zone string // of EventAlive
-	Addr string // of EventAlive
-	// Incarnation may be zero but for EventAlive: then the event is of whatever incarnation is known.
+	Zone string // set for EventAlive
+	Addr string // set for EventAlive
+	// Incarnation is required for EventAlive. For other kinds, zero means the incarnation that the table has, whichever it
+	// is.
 	Incarnation Incarnation
-	Leaving     bool // of EventAlive: it is shutting down as planned
-	Predecessor bool // of EventAlive: see Member
-	// ReceivedRecently reports of EventDead and EventLeft that this process had a message of the member itself just before.
+	Leaving     bool // set for EventAlive: a planned shutdown has begun
+	Predecessor bool // set for EventAlive: see Member.Predecessor
+	// ReceivedRecently is set for EventDead and EventLeft: this process received a packet or frame of the member itself
+	// within recentReceptionWindow.
 	ReceivedRecently bool
 }
--- a/internal/fleet/member/incarnation_file.go
+++ b/internal/fleet/member/incarnation_file.go
@@ -13,11 +13,11 @@
 const (
 	// incarnationFile is the file in a node's directory that holds its Incarnation.
 	incarnationFile = "life.json"
-	// incarnationFileVersion is the version of that file.
+	// incarnationFileVersion is the format version of that file.
 	incarnationFileVersion = 1
-	// homeBytes is how many random bytes make a home.
+	// homeBytes is the number of random bytes in a home.
 	homeBytes = 8
-	// privateDir and privateFile are the permissions of what a node stores.
+	// privateDir and privateFile are the permissions of the directory and of the files that a node stores.
 	privateDir  = 0o700
 	privateFile = 0o600
 )
@@ -25,14 +25,14 @@
 // incarnationRecord is the content of incarnationFile.
 type incarnationRecord struct {
 	Version int    `json:"form"`
-	Name    string `json:"name"` // of the node whose directory this is
+	Name    string `json:"name"` // name of the node that owns the directory
 	Home    string `json:"home"`
 	Number  uint64 `json:"number"`
 }
 
-// beginIncarnation counts one more start in a directory, on disk before anybody learns of it. An empty directory
-// becomes a new home. The directory of another node is an error: two nodes would take each other's incarnations for
-// their own.
+// beginIncarnation increments the number of starts stored in a directory and returns the new incarnation, which is on
+// disk before it is used. An empty directory gets a new home. The directory of another node is an error: two nodes that
+// share a directory would take each other's incarnations for their own.
 func beginIncarnation(dir, name string) (Incarnation, error) {
 	if err := os.MkdirAll(dir, privateDir); err != nil {
 		return Incarnation{}, fmt.Errorf("directory: %w", err)
@@ -49,7 +49,8 @@
 	return Incarnation{record.Home, record.Number}, nil
 }
 
-// readIncarnation reads the file of the last incarnation. If there is none, it draws a new home.
+// readIncarnation reads the file of the last incarnation. If the file does not exist, it returns a record with a new
+// home.
 func readIncarnation(path, name string) (incarnationRecord, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -73,8 +74,9 @@
 	return record, nil
 }
 
+// newHome returns a random home in hexadecimal digits.
 func newHome() string {
 	id := make([]byte, homeBytes)
-	_, _ = rand.Read(id) // which never fails
+	_, _ = rand.Read(id) // crypto/rand never returns an error
 	return hex.EncodeToString(id)
 }
--- a/internal/fleet/member/inject.go
+++ b/internal/fleet/member/inject.go
@@ -9,24 +9,25 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// numbersPerIncarnation is how many of memberlist's own incarnation numbers one incarnation of a node has room for:
-// memberlist uses one for each refutation of a suspicion, from the first on, and one for each mass failure in which
-// nobody reached the node, from the middle on. What is left of its 32 bits is enough for half a million starts.
+// numbersPerIncarnation is the number of memberlist's own incarnation numbers reserved for one incarnation of a node.
+// memberlist uses one number for each refutation of a suspicion, starting with the first of the range. declareDead uses
+// one for each mass failure in which no member reached the node, starting in the middle of the range. memberlist's
+// numbers have 32 bits, which leaves room for half a million starts of a node.
 const numbersPerIncarnation = 1 << 13
 
-// errAgentClosed is returned where a message comes too late for memberlist.
-var errAgentClosed = errors.New("this place is over")
+// errAgentClosed is returned by injectMessage once the agent is closed.
+var errAgentClosed = errors.New("the agent is closed")
 
-// raiseOwnNumber makes memberlist begin above all numbers that the node's past incarnations may have used, which others
-// still gossip: memberlist refutes whatever it hears of itself with a greater number, so it is sent a suspicion before
-// it has met anybody.
+// raiseOwnNumber makes memberlist start above all of its incarnation numbers that past incarnations of the node may
+// have used and other members may still gossip. It injects a suspicion of this node before any other member is known,
+// because memberlist refutes a suspicion of its own node with a greater number.
 func (a *agent) raiseOwnNumber() error {
 	number := uint32(a.incarnation.Number) * numbersPerIncarnation
 	return a.injectMessage(suspectMessage, number, a.service.config.Name)
 }
 
-// declareDead makes memberlist declare a member dead that nobody reached: it tells others, also those that start later,
-// and the member itself, which refutes it if it is alive after all.
+// declareDead makes memberlist declare a member dead that no process reached. memberlist sends the declaration to other
+// members, including those that start later, and to the member itself, which refutes it if it is still alive.
 func (a *agent) declareDead(name string, incarnation Incarnation) {
 	a.mu.Lock()
 	minNumber := uint32(incarnation.Number)*numbersPerIncarnation + numbersPerIncarnation/2
@@ -37,12 +38,12 @@
 	}
 }
 
-// injectMessage gives memberlist a message about a member, as if this node had sent it.
+// injectMessage passes a message about a member to memberlist, with this node as the sender.
 func (a *agent) injectMessage(kind byte, number uint32, name string) error {
 	message := swimMessage{Incarnation: number, Node: name, From: a.service.config.Name}
 	var body []byte
 	if err := codec.NewEncoderBytes(&body, &codec.MsgpackHandle{}).Encode(&message); err != nil {
-		return fmt.Errorf("a message about %s: %w", name, err)
+		return fmt.Errorf("encoding a message about %s: %w", name, err)
 	}
 	packet := &memberlist.Packet{
 		Buf:       append([]byte{kind}, body...),
--- a/internal/fleet/member/isolation.go
+++ b/internal/fleet/member/isolation.go
@@ -2,13 +2,15 @@
 
 import "time"
 
-// isolationTimeout is how long nobody at all may be heard: a process with others is probed by some of them, and
-// answered, in every second; the time is above what the loss of three packets in ten makes likely.
+// isolationTimeout is the time without a packet or frame from any member after which this process counts as isolated.
+// In a fleet with other members, some of them probe this process and answer its probes every second. The timeout
+// exceeds the silence that a loss of three packets in ten makes likely.
 const isolationTimeout = 6 * time.Second
 
-// checkIsolation finds that nobody at all is heard any more: then all others are gone from here, at once. memberlist
-// would declare them dead one by one, and ever more slowly, since it takes the lack of answers for a fault of its own.
-// Once somebody is heard again, all members count that memberlist has not dropped.
+// checkIsolation declares all other members dead at once if nothing was received from any of them for isolationTimeout.
+// memberlist would declare them dead one by one and ever more slowly, because it attributes missing answers to a fault
+// of its own process. When a packet or frame from any member arrives again, checkIsolation marks as alive all members
+// that memberlist has not dropped.
 func (a *agent) checkIsolation(now, began time.Time) {
 	lastHeard := a.transport.lastReceived()
 	if lastHeard.Before(began) {
@@ -27,6 +29,7 @@
 	}
 }
 
+// declareOthersDead counts and logs the isolation, and declares all other members dead in the view of this process.
 func (a *agent) declareOthersDead() {
 	a.service.counters.isolations.Add(1)
 	a.service.config.Log.Warn("fleet place", "reason", "cut-off")
--- a/internal/fleet/member/known_addrs.go
+++ b/internal/fleet/member/known_addrs.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// knownAddrsFile is the file in a node's directory that holds the addresses of members that were known last, so
-	// that a start needs none of the addresses to join.
+	// knownAddrsFile is the file in a node's directory that holds the addresses of the last known members. With it a node
+	// can rejoin the fleet while none of the configured addresses to join is reachable.
 	knownAddrsFile = "members.json"
-	// maxKnownAddrs bounds the addresses in that file.
+	// maxKnownAddrs is the maximum number of addresses in that file.
 	maxKnownAddrs = 64
 )
 
-// readKnownAddrs reads the addresses. A file that cannot be read counts as missing.
+// readKnownAddrs reads the stored addresses. It skips invalid addresses, and treats a file that cannot be read as
+// missing.
 func readKnownAddrs(dir string) (addrs []string) {
 	data, err := os.ReadFile(filepath.Join(dir, knownAddrsFile))
 	if err != nil || json.Unmarshal(data, &addrs) != nil {
@@ -30,7 +31,8 @@
 	return valid
 }
 
-// writeKnownAddrs writes the addresses of the members that are present. A node that is cut off keeps what it knew.
+// writeKnownAddrs stores the addresses of the other members that are present. If there are none, as on an isolated
+// node, it keeps the stored addresses.
 func writeKnownAddrs(dir string, view *View) error {
 	var addrs []string
 	for _, m := range view.Present() {
--- a/internal/fleet/member/mass_failure.go
+++ b/internal/fleet/member/mass_failure.go
@@ -5,43 +5,46 @@
 	"time"
 )
 
-// SWIM probes one member after the other, and more slowly the fewer answer, so that after the loss of most members the
-// rest need long to find out. Whoever learns of a silent member therefore probes a sample of the others at once, and
-// where several of those are silent, too, it probes all of them. A member is dead that neither this process nor any of
-// the witnesses that it asks can reach. The rules stand here; massFailureDetector carries them out.
+// SWIM probes one member after another, and more slowly the fewer members answer. After the loss of most members, the
+// remaining ones therefore need a long time to detect all failures. To detect them sooner, a process that learns of a
+// silent member probes a sample of the other members at once. If several members of the sample are silent, it probes
+// all members. A member is dead if neither this process nor any of the witnesses that it asks can reach the member.
+// This file contains the rules, and massFailureDetector applies them.
 
 const (
-	// recentFailureWindow is how long ago a member may have been found silent to be a reason to probe a sample.
+	// recentFailureWindow is the time after a member became suspect or dead during which samples are probed.
 	recentFailureWindow = 3 * time.Second
-	// sampleSize is how many members a sample has.
+	// sampleSize is the number of members in a sample.
 	sampleSize = 8
-	// sampleInterval is the least time between two samples.
+	// sampleInterval is the minimum time between two samples.
 	sampleInterval = time.Second
-	// minSilent is how many members of a sample have to be silent for a mass failure.
+	// minSilent is the minimum number of silent members of a sample that indicates a mass failure.
 	minSilent = 2
-	// minSilentDivisor is which part of a sample has to be silent for one: one in silentPart. With one packet in ten lost
-	// that happens by chance now and then, and probing all changes nothing.
+	// minSilentDivisor is the divisor of the minimum fraction of silent members: at least 1/minSilentDivisor of a sample
+	// has to be silent. At a loss of one packet in ten, this occasionally happens by chance; probing all members then
+	// changes nothing.
 	minSilentDivisor = 4
-	// maxWitnesses is how many members are asked for a witness report. One that reached a member is enough for it to
-	// stay.
+	// maxWitnesses is the maximum number of members that are asked for a witness report. A member that one witness reached
+	// is not declared dead.
 	maxWitnesses = 3
 )
 
-// HasRecentFailure reports whether any member has fallen silent just now.
+// HasRecentFailure reports whether a member became suspect or dead at most recentFailureWindow before now, a time of
+// the table.
 func (v *View) HasRecentFailure(now time.Duration) bool {
 	return slices.ContainsFunc(v.Members, func(m Member) bool {
 		return (m.State == Suspect || m.State == Dead) && now-m.Since <= recentFailureWindow
 	})
 }
 
-// IsMassFailure reports whether so many members of a sample are silent that all should be probed.
+// IsMassFailure reports whether enough members of a sample are silent that all members should be probed.
 func IsMassFailure(silent, sampled int) bool {
 	return silent >= minSilent && silent*minSilentDivisor >= sampled
 }
 
-// ConfirmedFailures returns the members that nobody reached: they are silent here and in each of the witness reports,
-// which list silent members and of which there has to be one. A process that is cut off from many members, and not
-// from all, learns from the reports that they are alive.
+// ConfirmedFailures returns the members that no process reached: they are silent for this process and listed as silent
+// in each witness report. Without any report there are none. A process that is cut off from many members, but not from
+// all, learns from the reports that those members are alive.
 func ConfirmedFailures(silent []string, reports [][]string) []string {
 	if len(reports) == 0 {
 		return nil
--- a/internal/fleet/member/mass_failure_detector.go
+++ b/internal/fleet/member/mass_failure_detector.go
@@ -13,43 +13,45 @@
 )
 
 const (
-	// probeAttempts is how often a silent member is probed in one round: a process that was paused for 1 s from just
-	// before the first probe on answers the last.
+	// probeAttempts is the maximum number of probes sent to a silent member in one round. If a process pauses for 1 s just
+	// before the first probe, it still answers the last one.
 	probeAttempts = 4
-	// probeAttemptInterval is the time from one such probe to the next; each waits for probeTimeout.
+	// probeAttemptInterval is the time between the starts of two such probes. It includes the wait of probeTimeout for an
+	// answer.
 	probeAttemptInterval = 400 * time.Millisecond
-	// maxConcurrentProbes bounds the members that are probed at one time: 300 members take 2.8 s.
+	// maxConcurrentProbes is the maximum number of members that are probed at the same time. With this limit, a round of
+	// probes of 300 silent members takes 2.8 s.
 	maxConcurrentProbes = 256
-	// probeResultTTL is how long the result of a round is given to others without another round.
+	// probeResultTTL is the time for which the result of a round answers witness requests without another round.
 	probeResultTTL = time.Second
 )
 
-// massProbeRecord is a line of the record: what a probe of all members found.
+// massProbeRecord is the record entry with the result of a probe of all members.
 type massProbeRecord struct {
 	Probed int      `json:"asked"`
 	Failed []string `json:"lost"`
 	Silent []string `json:"silent"`
 }
 
-// massFailureDetector probes all members at once after the loss of many. See mass_failure.go.
+// massFailureDetector probes all members at once after the loss of many members. The rules are in mass_failure.go.
 type massFailureDetector struct {
 	agent      *agent
-	ready      atomic.Bool // the agent runs, and other members may be probed
-	sampling   atomic.Bool // a sample, or the probe of all that follows it, is under way
-	lastSample time.Time   // owned by the agent's loop
+	ready      atomic.Bool // set once memberlist runs and members can be probed
+	sampling   atomic.Bool // set while a sample, or the probe of all members after it, runs
+	lastSample time.Time   // start of the last sample; owned by the agent's loop
 
-	probing sync.Mutex // held for a round of probes: there is one at a time
+	probing sync.Mutex // held during a round of probes, so that only one round runs
 
 	mu           sync.Mutex
-	silentAt     map[string]time.Time // silent members, by the end of the round that found them so
-	declaredDead map[string]time.Time // members that were declared dead, and when
+	silentAt     map[string]time.Time // end of the last round that found a member silent, by member
+	declaredDead map[string]time.Time // time of the declaration, by member declared dead
 }
 
 func newMassFailureDetector(a *agent) *massFailureDetector {
 	return &massFailureDetector{agent: a, silentAt: map[string]time.Time{}, declaredDead: map[string]time.Time{}}
 }
 
-// check starts a sample where a member has failed just now. The agent's loop calls it.
+// check starts a sample if a member has failed recently and sampleInterval has passed. The agent's loop calls it.
 func (d *massFailureDetector) check(now time.Time) {
 	d.restoreReachable()
 	service := d.agent.service
@@ -66,21 +68,22 @@
 	})
 }
 
-// restoreReachable takes back the death of members that were heard since they were declared dead: memberlist may have had
-// later news of them, and would not report it again.
+// restoreReachable marks members as alive again from which a packet or frame arrived after this process declared them
+// dead. If memberlist had later information about such a member than the declaration, it does not report the member
+// again.
 func (d *massFailureDetector) restoreReachable() {
 	reachable := d.removeReachable()
 	if len(reachable) == 0 {
 		return
 	}
-	for _, node := range d.agent.list.Members() { // one that memberlist has dropped as well comes back by itself
+	for _, node := range d.agent.list.Members() { // memberlist reports the return of members that it dropped
 		if slices.Contains(reachable, node.Name) {
 			d.agent.applyNode(node)
 		}
 	}
 }
 
-// removeReachable removes from declaredDead the members that were heard since, and returns them.
+// removeReachable removes from declaredDead the members from which a packet or frame arrived since, and returns them.
 func (d *massFailureDetector) removeReachable() (reachable []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -93,7 +96,7 @@
 	return reachable
 }
 
-// probeSample probes a few members, and then all if there is a mass failure.
+// probeSample probes a random sample of members, and then all members if the sample indicates a mass failure.
 func (d *massFailureDetector) probeSample(now time.Time) {
 	names := d.otherMembers()
 	rand.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
@@ -105,7 +108,8 @@
 	}
 }
 
-// probeAll probes all members, asks some of those that answered as witnesses, and declares dead whom nobody reached.
+// probeAll probes all members, asks some of those that answered for witness reports, and declares the members dead that
+// no process reached.
 func (d *massFailureDetector) probeAll() {
 	began := time.Now()
 	viewBefore := d.agent.service.View()
@@ -130,7 +134,8 @@
 	}
 }
 
-// declareDead declares a member dead, in the incarnation that it had before it was probed: a later one was not.
+// declareDead declares a member dead in the incarnation that it had before the probes, since a later one was not
+// probed.
 func (d *massFailureDetector) declareDead(name string, viewBefore *View, now time.Time) {
 	d.mu.Lock()
 	d.declaredDead[name] = now
@@ -143,7 +148,7 @@
 	d.agent.declareDead(name, m.Incarnation)
 }
 
-// otherMembers returns the members that are present, but for this one.
+// otherMembers returns the names of the present members, except this node.
 func (d *massFailureDetector) otherMembers() (names []string) {
 	service := d.agent.service
 	for _, m := range service.View().Present() {
@@ -154,7 +159,8 @@
 	return names
 }
 
-// probe probes members, all at once and some times each, and returns those that were not heard since a time, sorted.
+// probe probes members concurrently, up to the given number of attempts each. It returns, sorted, those that did not
+// answer and from which nothing was received since the given time.
 func (d *massFailureDetector) probe(names []string, since time.Time, attempts int) []string {
 	d.probing.Lock()
 	defer d.probing.Unlock()
@@ -167,7 +173,7 @@
 		m, known := view.Lookup(name)
 		addr, err := netip.ParseAddrPort(m.Addr)
 		if !known || !m.State.Present() || err != nil {
-			silent = append(silent, name) // declared dead here already
+			silent = append(silent, name) // already declared dead in the view
 			continue
 		}
 		slots <- struct{}{}
@@ -186,7 +192,7 @@
 	return silent
 }
 
-// rememberSilent stores the result of a round with all its attempts.
+// rememberSilent stores which members a round of probeAttempts attempts found silent.
 func (d *massFailureDetector) rememberSilent(silent []string) {
 	now := time.Now()
 	d.mu.Lock()
@@ -199,7 +205,7 @@
 	}
 }
 
-// reaches reports whether a member answers a probe, or was heard since a time.
+// reaches reports whether a member answers a probe, or a packet or frame of the member arrived since the given time.
 func (d *massFailureDetector) reaches(name string, addr net.Addr, since time.Time, attempts int) bool {
 	for i := range attempts {
 		if d.agent.transport.lastReceivedFrom(name).After(since) {
@@ -213,7 +219,7 @@
 		}
 		select {
 		case <-d.agent.stop:
-			return true // an agent that ends declares nobody dead
+			return true // a closing agent declares no member dead
 		case <-time.After(probeAttemptInterval - probeTimeout):
 		}
 	}
--- a/internal/fleet/member/membership.go
+++ b/internal/fleet/member/membership.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	// joinRetryInterval is the time between two attempts to take a membership that the node's other process holds.
+	// joinRetryInterval is the time between two attempts to acquire a membership that the node's other process holds.
 	joinRetryInterval = 20 * time.Millisecond
-	// predecessorGracePeriod is for how long a process that has released the membership may still report how its work ended:
-	// above the deadlines of requests. Others are told for as long that it may.
+	// predecessorGracePeriod is the time for which a process that has released the membership may still report the
+	// outcomes of its requests. It exceeds the deadlines of requests. The successor advertises its predecessor for the
+	// same time.
 	predecessorGracePeriod = 10 * time.Second
-	// conflictBackoff is how long a process that lost a conflict leaves the name alone before it tries again: others
-	// need to have forgotten it by then.
+	// conflictBackoff is the time for which a process that lost a name conflict waits before it claims the name again.
+	// Other members have to have dropped its earlier claim by then.
 	conflictBackoff = 15 * time.Second
 )
 
-// Join takes the node's membership, in a new incarnation. With wait, it keeps trying in the background while
-// the node's other process holds it, and returns no error. See node.Fleet.
+// Join acquires the node's membership in a new incarnation. With wait, it returns nil after an error and retries in the
+// background, because the node's other process may still hold the membership. See node.Fleet.
 func (s *Service) Join(wait bool) error {
 	s.transitionMu.Lock()
 	defer s.transitionMu.Unlock()
@@ -51,7 +52,8 @@
 	return nil
 }
 
-// startRetries tries to take the membership, each time after a pause, until it is taken. It is called with mu held.
+// startRetries tries to acquire the membership in the background, with a pause before each attempt, until an attempt
+// succeeds or cancelRetry is called. The caller holds mu.
 func (s *Service) startRetries(pause time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancelRetry = cancel
@@ -70,7 +72,8 @@
 	})
 }
 
-// retryOnce reports whether no further attempt is needed.
+// retryOnce tries once to acquire the membership, and reports whether no further attempt is needed: it succeeded or was
+// canceled.
 func (s *Service) retryOnce(ctx context.Context) bool {
 	s.transitionMu.Lock()
 	defer s.transitionMu.Unlock()
@@ -88,7 +91,8 @@
 	return true
 }
 
-// beginMembership begins an incarnation, whoever had the membership before. It is called with transition held.
+// beginMembership acquires the membership in a new incarnation, whichever process held it before. The caller holds
+// transitionMu.
 func (s *Service) beginMembership() error {
 	t, err := openTransport(s.config, &s.traffic)
 	if errors.Is(err, syscall.EADDRINUSE) {
@@ -121,7 +125,7 @@
 	return nil
 }
 
-// startAgent takes this member into the table, and starts its agent.
+// startAgent adds this member to the table and starts its agent.
 func (s *Service) startAgent(t *transport, incarnation Incarnation) (*agent, error) {
 	s.mu.Lock()
 	predecessor := s.hasPredecessor
@@ -138,7 +142,7 @@
 	return newAgent(s, t, incarnation, predecessor)
 }
 
-// Release gives the membership to the node's other process.
+// Release frees the membership for the node's other process, and notifies no other node.
 func (s *Service) Release() {
 	if mutant.Active("upgrade-twice") {
 		return
@@ -149,7 +153,7 @@
 	s.endMembership("yielded", "the node's other process has it")
 }
 
-// AnnounceLeave tells the others that this node is shutting down as planned.
+// AnnounceLeave notifies other members that a planned shutdown of this node has begun.
 func (s *Service) AnnounceLeave() {
 	if a := s.currentAgent(); a != nil {
 		a.announceLeaving()
@@ -157,7 +161,7 @@
 	}
 }
 
-// Leave tells the others that this node has left, and closes the service.
+// Leave notifies other members that this node has left, and closes the service.
 func (s *Service) Leave() {
 	if a := s.currentAgent(); a != nil {
 		a.announceLeft()
@@ -166,7 +170,7 @@
 	s.Close()
 }
 
-// Close gives the membership up without a message to others.
+// Close gives up the membership without notifying other members.
 func (s *Service) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -175,7 +179,8 @@
 	s.retries.Wait()
 }
 
-// endMembership gives the membership up. The code is for log and record, the reason for operators.
+// endMembership gives up the membership, or stops the attempts to acquire it. The code is written to log and record,
+// and the reason is shown to operators.
 func (s *Service) endMembership(code, reason string) {
 	s.transitionMu.Lock()
 	defer s.transitionMu.Unlock()
@@ -198,7 +203,7 @@
 	s.config.Record.Write(code, nil)
 }
 
-// clearAgent notes that this process does not have the membership any more, unless another agent does by now.
+// clearAgent records that this process no longer holds the membership, unless another agent has replaced a.
 func (s *Service) clearAgent(a *agent, reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -208,7 +213,7 @@
 	}
 }
 
-// concedeName gives the name up to another process whose claim prevails. memberlist calls it, by NotifyConflict.
+// concedeName gives up the name to another process, whose claim prevails. memberlist calls it through NotifyConflict.
 func (s *Service) concedeName(a *agent, other Claim, addr string) {
 	s.mu.Lock()
 	if s.agent != a {
@@ -220,11 +225,11 @@
 	s.counters.conflictsLost.Add(1)
 	if other.Home != a.incarnation.Home && !s.closed {
 		s.startRetries(conflictBackoff)
-	} // else the node's own later incarnation has the name, for good
+	} // otherwise a later incarnation of this node holds the name permanently
 	s.mu.Unlock()
 	s.config.Log.Error("fleet place", "reason", "stepped-back", "why", s.absentReason)
 	s.config.Record.Write("stepped-back", addr)
-	go func() { // memberlist waits for this call, and would never shut down within it
+	go func() { // memberlist waits for its callback to return, so a shutdown within it would deadlock
 		if s.config.OnLeave != nil {
 			s.config.OnLeave()
 		}
--- a/internal/fleet/member/partition.go
+++ b/internal/fleet/member/partition.go
@@ -1,16 +1,16 @@
 package member
 
-// Partition is what a process can conclude from its own view of a network partition. A failure and a partition look
-// alike from one side, so both count.
+// Partition is the conclusion about a network partition that a process can draw from its own view. Failed members and
+// members on the other side of a partition look alike, so both count as Dead.
 type Partition struct {
-	Present  int  // members that may still act, this one included
-	Known    int  // those and the dead; a member that left as planned is no loss
-	Majority bool // more than half of Known is Present: no other side can say that
-	Isolated bool // nobody else is Present, though others are known
-	Suspect  int  // of Present, those that are silent
+	Present  int  // number of members that may still act, this one included
+	Known    int  // number of present and dead members; a member that left as planned is not counted
+	Majority bool // Present is more than half of Known, which holds on one side of a partition at most
+	Isolated bool // no other member is present, although others are known
+	Suspect  int  // number of present members that are suspect
 }
 
-// Partition counts who is present and who is dead.
+// Partition counts the present and the dead members of the view.
 func (v *View) Partition() Partition {
 	var p Partition
 	for _, m := range v.Members {
--- a/internal/fleet/member/receive_packets.go
+++ b/internal/fleet/member/receive_packets.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// maxPacketsPerSecond bounds what a process takes in: in a fleet of 300 a member gets some 30 packets a second, in a
-	// storm of joins some hundreds.
+	// maxPacketsPerSecond is the maximum rate of packets that a process accepts. In a fleet of 300, a member receives
+	// about 30 packets a second, and some hundreds a second while many nodes join at once.
 	maxPacketsPerSecond = 2000
-	// maxDatagram is the longest datagram, in bytes.
+	// maxDatagram is the maximum length of a datagram, in bytes.
 	maxDatagram = 64 << 10
-	// readErrorPause is the wait after an error of the UDP socket.
+	// readErrorPause is the delay before the next read after an error of the UDP socket.
 	readErrorPause = time.Millisecond
 )
 
-// packetLimiter is a token bucket of maxPacketsPerSecond tokens, filled at that rate.
+// packetLimiter is a token bucket of maxPacketsPerSecond tokens, which is refilled at that rate.
 type packetLimiter struct {
 	tokens    float64
-	updatedAt time.Time // when tokens were counted
+	updatedAt time.Time // time of the last refill
 }
 
-// allow reports whether a packet may be taken now.
+// allow takes a token for a packet, and reports whether there was one.
 func (l *packetLimiter) allow(now time.Time) bool {
 	l.tokens = min(l.tokens+maxPacketsPerSecond*now.Sub(l.updatedAt).Seconds(), maxPacketsPerSecond)
 	l.updatedAt = now
@@ -35,7 +35,7 @@
 	return true
 }
 
-// readPackets passes packets on to memberlist until the transport is shut down.
+// readPackets passes packets to memberlist until the transport is shut down.
 func (t *transport) readPackets() {
 	buf := make([]byte, maxDatagram)
 	for {
@@ -44,7 +44,7 @@
 		switch {
 		case t.closed.Load():
 			return
-		case err != nil: // of an earlier write, as a rule: nobody listened there
+		case err != nil: // usually of an earlier write to an address where no process listens
 			time.Sleep(readErrorPause)
 			continue
 		}
@@ -58,7 +58,8 @@
 	}
 }
 
-// receivePacket decodes a packet, whose bytes are overwritten after the call, and passes its payload on.
+// receivePacket decodes a packet and passes its payload to memberlist. The caller overwrites the packet's bytes after
+// the call.
 func (t *transport) receivePacket(packet []byte, from net.Addr, now time.Time) {
 	sender, number, payload, err := decodePacket(t.fleet, packet)
 	if err != nil || len(payload) == 0 {
@@ -70,7 +71,7 @@
 	t.observe(payload, false)
 	select {
 	case t.packets <- &memberlist.Packet{Buf: payload, From: from, Timestamp: now}:
-	default: // memberlist does not keep up: as if lost
+	default: // memberlist is too slow: drop the packet
 		t.traffic.overLimit.Add(1)
 	}
 }
--- a/internal/fleet/member/reception.go
+++ b/internal/fleet/member/reception.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// recentReceptionWindow is for how long after it was heard a member is hard to believe dead: below what memberlist takes to
-	// declare one dead that is silent.
+	// recentReceptionWindow is the time after a packet or frame from a member for which a report of the member's death is
+	// doubted. It is shorter than the time that memberlist needs to declare a silent member dead.
 	recentReceptionWindow = time.Second
-	// maxNumberGap is from which gap between two packets' numbers on the sender is taken to have restarted.
+	// maxNumberGap is the gap between the numbers of two packets above which the sender is assumed to have restarted.
 	maxNumberGap = 1 << 16
 )
 
-// reception is what was received from one sender.
+// reception has what was received from one sender.
 type reception struct {
-	lastReceived time.Time // when a packet or frame came last
-	nextNumber   uint32    // number that the next packet should have
-	started      bool      // a packet has come, and next counts
-	received     int64     // packets
-	missing      int64     // numbers that never came, or not yet
-	duplicates   int64     // packets that came late, or twice
+	lastReceived time.Time // time of the last packet or frame
+	nextNumber   uint32    // expected number of the next packet
+	started      bool      // a packet has arrived, so nextNumber is valid
+	received     int64     // number of packets
+	missing      int64     // count of packet numbers that were skipped, whether lost or late
+	duplicates   int64     // number of packets that arrived late or twice
 }
 
 // countPacket counts a packet by its number.
@@ -29,7 +29,7 @@
 	r.received++
 	gap := int32(number - r.nextNumber)
 	switch {
-	case !r.started, gap > maxNumberGap, gap < -maxNumberGap: // a sender that has restarted
+	case !r.started, gap > maxNumberGap, gap < -maxNumberGap: // the first packet, or one after a restart of the sender
 		r.started = true
 		r.nextNumber = number + 1
 	case gap >= 0:
@@ -40,25 +40,26 @@
 	}
 }
 
-// recordPacket notes a packet of a sender.
+// recordPacket records that a packet from a sender was received.
 func (t *transport) recordPacket(sender string, number uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.touchReception(sender).countPacket(number)
 }
 
-// recordStreamFrame notes that a frame of a sender was read from a stream.
+// recordStreamFrame records that a frame from a sender was read from a stream.
 func (t *transport) recordStreamFrame(sender string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.touchReception(sender)
 }
 
-// touchReception returns what was received from a sender, which is heard now. It is called with mu held.
+// touchReception returns the reception of a sender after it has set its last reception time to now. The caller holds
+// mu.
 func (t *transport) touchReception(sender string) *reception {
 	r := t.receptions[sender]
 	if r == nil {
-		if len(t.receptions) >= 2*MaxMembers { // names that nobody has any more
+		if len(t.receptions) >= 2*MaxMembers { // drop names of nodes that no longer exist
 			clear(t.receptions)
 		}
 		r = &reception{}
@@ -68,12 +69,12 @@
 	return r
 }
 
-// receivedRecently reports whether a member was heard just now.
+// receivedRecently reports whether a packet or frame from a member was received within recentReceptionWindow.
 func (t *transport) receivedRecently(name string) bool {
 	return time.Since(t.lastReceivedFrom(name)) < recentReceptionWindow
 }
 
-// lastReceivedFrom returns when a member was heard last; zero: never.
+// lastReceivedFrom returns the time of the last packet or frame from a member; zero: there was none.
 func (t *transport) lastReceivedFrom(name string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -83,7 +84,7 @@
 	return time.Time{}
 }
 
-// lastReceived returns when anybody was heard last; zero: never.
+// lastReceived returns the time of the last packet or frame from any member; zero: there was none.
 func (t *transport) lastReceived() (last time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,15 +96,15 @@
 	return last
 }
 
-// ReceptionReport is what a process has received from one sender, in its record.
+// ReceptionReport is the record entry of what a process has received from one sender.
 type ReceptionReport struct {
-	At         int64 `json:"at"` // when it was heard last, as record.Line has times
+	At         int64 `json:"at"` // time of the last packet or frame, on the clock of record.Line
 	Received   int64 `json:"got"`
 	Missing    int64 `json:"missed"`
 	Duplicates int64 `json:"again"`
 }
 
-// receptionReports returns the reports of all senders, by name.
+// receptionReports returns a report for each sender, by the sender's name.
 func (t *transport) receptionReports() map[string]ReceptionReport {
 	now := time.Now()
 	monotonic := int64(record.Now())
--- a/internal/fleet/member/rejoin.go
+++ b/internal/fleet/member/rejoin.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	// rejoinInterval is the least time between two attempts to join a missing address.
+	// rejoinInterval is the minimum time between two attempts to join any missing address.
 	rejoinInterval = 500 * time.Millisecond
-	// rejoinAddrInterval is the least time between two attempts to join the same one.
+	// rejoinAddrInterval is the minimum time between two attempts to join the same address.
 	rejoinAddrInterval = 3 * time.Second
 )
 
-// rejoin tries to join one address that is missing: the sides of a network partition have declared each other dead,
-// and would never ask again; and a node that starts may find none of the addresses to join.
+// rejoin tries to join one missing address. Without rejoin, the two sides of a network partition, which have declared
+// each other dead, would never contact each other again. It also covers a node that starts while none of the addresses
+// to join is reachable.
 func (a *agent) rejoin(now time.Time) {
 	addr := a.missingAddr(now)
 	if addr == "" || !a.joining.CompareAndSwap(false, true) {
@@ -29,8 +30,8 @@
 	})
 }
 
-// missingAddr returns the address of a member that is dead, or one to join at which no member is known, that was not
-// tried for the longest time; "": there is none whose time has come.
+// missingAddr returns the address to try next: the address of a dead member, or an address to join at which no member
+// is known, whichever was not tried for the longest time. It returns "" if no such address is due.
 func (a *agent) missingAddr(now time.Time) string {
 	config := &a.service.config
 	view := a.service.View()
@@ -55,7 +56,8 @@
 	return slices.MinFunc(missing, func(x, y string) int { return a.lastRejoins[x].Compare(a.lastRejoins[y]) })
 }
 
-// rejoinPause is the least time between two attempts to join the same address. It is short while nobody is known.
+// rejoinPause returns the minimum time between two attempts to join the same address. It is shorter while no other
+// member is present.
 func rejoinPause(view *View) time.Duration {
 	if len(view.Present()) == 1 {
 		return rejoinInterval
--- a/internal/fleet/member/ring.go
+++ b/internal/fleet/member/ring.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Ring returns the members that take new work, in the order of a hash ring that is the same for all nodes with this
-// view.
+// Ring returns the names of the members that accept new work, ordered by their positions on a hash ring. All nodes with
+// the same view get the same order.
 func (v *View) Ring() []string {
 	var names []string
 	for _, m := range v.Members {
@@ -23,8 +23,8 @@
 	return names
 }
 
-// Successor returns who comes after a name on the ring, which need not be in the view any more; "": there is nobody
-// else.
+// Successor returns the next member after a name on the ring. The name need not be in the view any more. It returns ""
+// if there is no other member.
 func (v *View) Successor(name string) string {
 	ring := v.Ring()
 	position := xxhash.Sum64String(name)
--- a/internal/fleet/member/service.go
+++ b/internal/fleet/member/service.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// Service is a process's membership of its fleet. At any time this process has the node's membership, or the
-// node's other process does, or neither. Its methods are safe for concurrent use.
+// Service manages the membership of a process in its fleet. At any time the node's membership is held by this process,
+// by the node's other process, or by neither. Its methods are safe for concurrent use.
 type Service struct {
 	config   Config
-	start    time.Time // origin of the table's time
+	start    time.Time // origin of the table's clock
 	traffic  traffic
 	counters counters
 
-	// transitionMu is held while the membership is taken or given up. memberlist, which calls back with a lock of its own
-	// held, is called with transition held, and never with mu: mu is taken within memberlist's lock.
+	// transitionMu is held while the membership is acquired or given up. memberlist holds a lock of its own during its
+	// callbacks, and the callbacks lock mu. A caller of memberlist may therefore hold transitionMu but never mu.
 	transitionMu sync.Mutex
 
 	mu             sync.Mutex
 	table          *Table
-	changed        chan struct{}      // closed with the next view
-	agent          *agent             // nil: this process does not have the membership
-	absentReason   string             // why not
-	cancelRetry    context.CancelFunc // ends the attempts to take the membership; nil: there are none
-	retries        sync.WaitGroup     // goroutines of those attempts
+	changed        chan struct{}      // closed when the next view is published
+	agent          *agent             // nil: this process does not hold the membership
+	absentReason   string             // reason for a nil agent, shown to operators
+	cancelRetry    context.CancelFunc // stops the attempts to acquire the membership; nil: there are none
+	retries        sync.WaitGroup     // goroutines that make those attempts
 	closed         bool
-	releasedAt     time.Time // when this process released the membership to the node's other one; zero: never
-	hasPredecessor bool      // it gets the membership from a predecessor that may still be finishing its work
+	releasedAt     time.Time // time of the last Release; zero: never
+	hasPredecessor bool      // a predecessor may still be finishing requests when this process joins
 }
 
-// New makes a service, which does nothing until Join.
+// New returns a service that does nothing until Join.
 func New(c Config) *Service {
 	if c.Log == nil {
 		c.Log = slog.New(slog.DiscardHandler)
@@ -41,12 +41,12 @@
 	return s
 }
 
-// self describes this node.
+// self returns this node as a member in an incarnation.
 func (s *Service) self(i Incarnation) Member {
 	return Member{Name: s.config.Name, Zone: s.config.Zone, Addr: s.config.Advertise.String(), Incarnation: i}
 }
 
-// now is the table's time.
+// now returns the time on the table's clock.
 func (s *Service) now() time.Duration { return time.Since(s.start) }
 
 // View returns the newest view.
@@ -56,8 +56,8 @@
 	return s.table.View()
 }
 
-// Next waits for a view later than the one of a number, and returns the newest: views come in order, and a slow reader
-// misses those between. The error is that of the context.
+// Next waits for a view with a number greater than after, and returns the newest view. Views are returned in order; a
+// slow caller misses the views in between. The error is that of the context.
 func (s *Service) Next(ctx context.Context, after uint64) (*View, error) {
 	for {
 		s.mu.Lock()
@@ -75,7 +75,7 @@
 	}
 }
 
-// apply takes an event into the table, and publishes a new view.
+// apply applies an event to the table and publishes a new view if the event changes a member.
 func (s *Service) apply(event Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +95,7 @@
 	s.publish()
 }
 
-// changeReason is the reason code of a change of a member.
+// changeReason returns the reason attribute of the log line for a change of a member.
 func changeReason(before, after Member) string {
 	switch {
 	case before.Name == "":
@@ -112,7 +112,7 @@
 	return string(after.State)
 }
 
-// publish wakes whoever waits for a view. It is called with mu held.
+// publish records the new view and wakes the callers of Next. The caller holds mu.
 func (s *Service) publish() {
 	s.counters.views.Add(1)
 	s.config.Record.Write("view", s.table.View())
@@ -120,7 +120,7 @@
 	s.changed = make(chan struct{})
 }
 
-// tick lets time pass for the table.
+// tick applies the timeouts of the table.
 func (s *Service) tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/member/status.go
+++ b/internal/fleet/member/status.go
@@ -5,22 +5,22 @@
 	"sync/atomic"
 )
 
-// counters count events of a Service, since its start.
+// counters counts the events of a Service since its start.
 type counters struct {
 	views           atomic.Int64
 	suspicions      atomic.Int64
 	deaths          atomic.Int64
 	rejoins         atomic.Int64
-	conflicts       atomic.Int64 // two addresses claimed one name
-	conflictsLost   atomic.Int64 // conflicts that this process lost
-	pauses          atomic.Int64 // of this process
-	isolations      atomic.Int64 // nobody at all was heard
-	massProbes      atomic.Int64 // all members were probed
-	massProbeDeaths atomic.Int64 // members that were declared dead after that
-	rejected        atomic.Int64 // messages and members
+	conflicts       atomic.Int64 // cases of two addresses that claim one name
+	conflictsLost   atomic.Int64 // conflicts that this process lost, and gave the name up
+	pauses          atomic.Int64 // pauses of this process
+	isolations      atomic.Int64 // times without a packet or frame from any member for isolationTimeout
+	massProbes      atomic.Int64 // probes of all members
+	massProbeDeaths atomic.Int64 // members that were declared dead after such probes
+	rejected        atomic.Int64 // rejected members, witness requests and injected messages
 }
 
-// Status describes the view for operators.
+// Status returns a description of the view for operators.
 func (s *Service) Status() string {
 	s.mu.Lock()
 	view := s.table.View()
@@ -41,7 +41,7 @@
 	return text
 }
 
-// Counters returns the counters for the log.
+// Counters returns the counters as text for the log.
 func (s *Service) Counters() string {
 	c := &s.counters
 	s.mu.Lock()
--- a/internal/fleet/member/stream.go
+++ b/internal/fleet/member/stream.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	// memberlistChannel is the channel of memberlist's own streams; other packages of the fleet have channels of their
-	// own.
+	// memberlistChannel is the channel of memberlist's own streams. Other packages of the fleet use other channels.
 	memberlistChannel = 0
-	// maxFrame bounds the payload of a frame of a stream, in bytes.
+	// maxFrame is the maximum length of the payload of a frame, in bytes.
 	maxFrame = 64 << 10
-	// maxMemberlistStream bounds what is read of one of memberlist's streams, in bytes: 1,024 members take about 300 KB.
+	// maxMemberlistStream is the maximum number of bytes that are read from one stream of memberlist. The state of 1,024
+	// members takes about 300 KB.
 	maxMemberlistStream = 4 << 20
-	// frameHeader is the length of what stands before each frame: one byte of channel, three of the frame's length.
+	// frameHeader is the length of the header before each frame, in bytes: one byte for the channel and three for the
+	// length of the frame.
 	frameHeader = 4
-	// channelShift is where the channel stands in a frame's header.
+	// channelShift is the position of the channel in a frame's header, in bits.
 	channelShift = 24
 )
 
-// stream is a connection between members that carries frames, each a packet with its header: memberlist trusts the
-// lengths that it reads, so it is given nothing that was not checked.
+// stream is a connection between members that carries frames. Each frame is a packet with its own header. memberlist
+// trusts the lengths that it reads, so it receives only data that a stream has checked.
 type stream struct {
 	net.Conn
-	channel         byte // what the stream is for, which every frame repeats
+	channel         byte // purpose of the stream, repeated in every frame
 	fleet           string
 	self            string              // name of this node
-	onFrame         func(sender string) // is called for each frame
-	onForeign       func()              // is called for a frame of another fleet, or a corrupt one
-	accepted        bool                // the other side opened the stream, and its first frame says for which channel
-	unread          []byte              // of the last frame
-	readBytes       int
-	sender          string // of the last frame
-	nextWriteNumber uint32 // number of the next frame to write
-	nextReadNumber  uint32 // number of the next frame to read
+	onFrame         func(sender string) // called for each valid frame
+	onForeign       func()              // called for a frame that is corrupt or belongs to another fleet
+	accepted        bool                // the other side opened the stream; its first frame determines the channel
+	unread          []byte              // rest of the last frame's payload
+	readBytes       int                 // frame bytes read from a stream of memberlist
+	sender          string              // sender of the last frame
+	nextWriteNumber uint32              // number of the next frame to write
+	nextReadNumber  uint32              // number of the next frame to read
 }
 
 // Write implements net.Conn.
@@ -53,6 +54,7 @@
 	return written, nil
 }
 
+// writeFrame writes a payload as one frame.
 func (s *stream) writeFrame(payload []byte) error {
 	packet := encodePacket(s.fleet, s.self, s.nextWriteNumber, payload)
 	s.nextWriteNumber++
@@ -74,7 +76,7 @@
 	return n, nil
 }
 
-// readFrame reads the next frame. Frames come in order, from the first.
+// readFrame reads and checks the next frame. Frames are numbered from 0 and have to arrive in order.
 func (s *stream) readFrame() error {
 	length, err := s.readFrameHeader()
 	if err != nil {
@@ -110,19 +112,19 @@
 	if s.nextReadNumber == 0 && s.accepted {
 		s.channel = channel
 	}
-	if s.channel == memberlistChannel { // whose exchanges are bounded
+	if s.channel == memberlistChannel { // limited by maxMemberlistStream
 		s.readBytes += length
 	}
 	tooLong := length > maxFrame+packetHeader+maxHeaderName || s.readBytes > maxMemberlistStream
 	if channel != s.channel || length < packetHeader || tooLong {
 		s.onForeign()
-		return 0, fmt.Errorf("a piece of %d bytes: %w", length, errForeignPacket)
+		return 0, fmt.Errorf("frame of %d bytes: %w", length, errForeignPacket)
 	}
 	return length, nil
 }
 
-// readFirstFrame waits for the first frame of a stream that was accepted, so that memberlist gets no connection that
-// says nothing, or nothing of this fleet.
+// readFirstFrame waits for the first frame of an accepted stream. memberlist thus receives no connection that sends
+// nothing, or nothing of this fleet.
 func (s *stream) readFirstFrame(timeout time.Duration) error {
 	_ = s.SetReadDeadline(time.Now().Add(timeout))
 	defer func() { _ = s.SetReadDeadline(time.Time{}) }()
--- a/internal/fleet/member/swim_message.go
+++ b/internal/fleet/member/swim_message.go
@@ -6,10 +6,11 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// memberlist reports joins, updates and ends, and nothing between: a suspicion shows only in the messages that members
-// send each other, and so does the difference between a member that says it has left and one that others declared
-// dead. So packets are observed on their way in and out. What cannot be decoded here is skipped: memberlist decides,
-// and this only adds to what it reports. The numbers are those of its protocol, versions 2 to 5.
+// memberlist reports joins, updates and departures of members. It does not report suspicions, and it does not report
+// whether a departed member announced that it left or was declared dead by others. This information is only in the
+// messages between members, so packets are observed when they are received and when they are sent. Messages that cannot
+// be decoded here are skipped, because memberlist determines the membership and this package only adds detail to its
+// reports. The constants are the message types of memberlist's protocol, versions 2 to 5.
 const (
 	suspectMessage  = 3
 	aliveMessage    = 4
@@ -18,15 +19,15 @@
 	crcMessage      = 12
 )
 
-// crcHeader is the length of a crcMessage's type and checksum.
+// crcHeader is the length in bytes of the type and checksum of a crcMessage.
 const crcHeader = 5
 
 // swimMessage is memberlist's message about a member. The fields have the names that memberlist gives them in msgpack.
 type swimMessage struct {
-	kind        byte   // one of the message numbers; the byte before the encoded message
+	kind        byte   // message type, which is the byte before the encoded message
 	Incarnation uint32 // memberlist's own incarnation number
 	Node        string
-	From        string // who says so; not of aliveMessage
+	From        string // member that reports it; empty for aliveMessage
 }
 
 // forEachSWIMMessage calls visit for each message about a member in a packet.
@@ -49,7 +50,8 @@
 	}
 }
 
-// forEachInCompound takes a compound message apart: type, number of parts, the length of each in two bytes, the parts.
+// forEachInCompound calls visit for each message about a member in a compound message. It consists of its type, the
+// number of parts, the length of each part in two bytes, and the parts.
 func forEachInCompound(packet []byte, visit func(swimMessage)) {
 	count := int(packet[1])
 	lengths := packet[2:]
--- a/internal/fleet/member/table.go
+++ b/internal/fleet/member/table.go
@@ -10,42 +10,42 @@
 )
 
 const (
-	// MaxMembers bounds a view, tombstones included. Fleets have 300 nodes at most; a member costs about 300 bytes in
-	// a view and as much in memberlist.
+	// MaxMembers is the maximum number of members in a view, tombstones included. Fleets have at most 300 nodes; a member
+	// takes about 300 bytes in a view and as much in memberlist.
 	MaxMembers = 1024
-	// tombstoneTime is how long a member that is gone stays in the view: longer than any lease, window or hand-over of
-	// the packages that rely on it.
+	// tombstoneTime is the time for which a member that is gone stays in the view. It exceeds every lease, window and
+	// hand-over of the packages that rely on the view.
 	tombstoneTime = 10 * time.Minute
-	// suspicionTimeout is after how long a suspicion that was neither confirmed nor refuted is dropped: above what
-	// memberlist needs to confirm one in the largest fleet.
+	// suspicionTimeout is the time after which a suspicion is dropped that was neither confirmed nor refuted. It exceeds
+	// the time that memberlist needs to confirm a suspicion in the largest fleet.
 	suspicionTimeout = 15 * time.Second
-	// departureConfirmDelay is how long an end is held back that contradicts what is known: of a member that was heard
-	// just now, or that nobody suspected. A node that was cut off has declared all others dead and gossips that when it
-	// is back, and a node that restarts meets news of its last incarnation; both are refuted within two gossip
-	// intervals.
+	// departureConfirmDelay is the delay before a reported departure takes effect that contradicts the table: a packet or
+	// frame of the member has just arrived, or the member was not suspected. A node that was cut off has declared all
+	// others dead, and gossips this when it is connected again. A node that restarts receives gossip about its last
+	// incarnation. Both reports are refuted within two gossip intervals.
 	departureConfirmDelay = 1200 * time.Millisecond
 )
 
-// unconfirmedDeparture is an end that is not believed yet.
+// unconfirmedDeparture is a reported departure that has not taken effect yet.
 type unconfirmedDeparture struct {
 	since time.Duration
 	state State // Dead or Left
 }
 
-// Table is the membership table: it turns events into views, and alone decides what is believed of a member. Its
-// methods take the time since any fixed origin, which must not run backwards. It is not safe for concurrent use.
+// Table is the membership table. It turns events into views, and it alone determines the state of each member. Its
+// methods take the time since an arbitrary fixed origin, which must not decrease. It is not safe for concurrent use.
 type Table struct {
 	self                  string // name of this node
-	viewNumber            uint64 // of the newest view
+	viewNumber            uint64 // number of the newest view
 	members               map[string]*Member
 	rejectedMembers       int
 	staleEvents           int
 	unconfirmedDepartures map[string]unconfirmedDeparture // by member
 	view                  *View
-	mutant                func(string) bool // see package mutant
+	mutant                func(string) bool // reports whether a mutant is active, see package mutant
 }
 
-// NewTable makes the table of a node, which is in its own view from the start.
+// NewTable returns the table of a node. The node is in its own view from the start.
 func NewTable(self Member, now time.Duration) *Table {
 	t := &Table{
 		self:                  self.Name,
@@ -62,12 +62,13 @@
 // View returns the newest view.
 func (t *Table) View() *View { return t.view }
 
-// RejectedMembers counts members for which the view had no room.
+// RejectedMembers returns the number of times that a new member was rejected because the view was full.
 func (t *Table) RejectedMembers() int { return t.rejectedMembers }
 
-// StaleEvents counts events of incarnations that are over.
+// StaleEvents returns the number of events that were dropped because they concern a superseded incarnation.
 func (t *Table) StaleEvents() int { return t.staleEvents }
 
+// publish replaces the newest view with one of the current members.
 func (t *Table) publish() {
 	t.viewNumber++
 	v := &View{Number: t.viewNumber, Self: t.self, Members: make([]Member, 0, len(t.members))}
@@ -78,7 +79,7 @@
 	t.view = v
 }
 
-// Apply takes an event, and reports whether there is a new view.
+// Apply applies an event, and reports whether there is a new view.
 func (t *Table) Apply(now time.Duration, event Event) bool {
 	m := t.members[event.Name]
 	switch {
@@ -100,18 +101,19 @@
 	return true
 }
 
-// isStaleEvent reports whether an event is of an incarnation of which a later one is known.
+// isStaleEvent reports whether an event concerns another incarnation than the one in the table, or, for EventAlive, an
+// earlier one of the same home.
 func isStaleEvent(m *Member, event Event) bool {
 	if event.Incarnation.Home == "" {
 		return false
 	}
-	if event.Kind != EventAlive { // what is learned of one incarnation says nothing of another
+	if event.Kind != EventAlive { // a failure of one incarnation does not apply to another
 		return event.Incarnation != m.Incarnation
 	}
 	return event.Incarnation.Home == m.Incarnation.Home && event.Incarnation.Number < m.Incarnation.Number
 }
 
-// update changes a member by an event.
+// update applies an event to a member.
 func (t *Table) update(m *Member, now time.Duration, event Event) {
 	if event.Kind == EventAlive {
 		delete(t.unconfirmedDepartures, m.Name)
@@ -120,14 +122,14 @@
 	state := t.nextState(m, now, event)
 	if m.Name == t.self && (!state.Present() || state == Suspect) {
 		delete(t.unconfirmedDepartures, m.Name)
-		return // this process is alive, whatever others believe
+		return // this process is alive, whatever other members report
 	}
 	if state != m.State {
 		m.setState(state, now)
 	}
 }
 
-// updateDescription takes a member's description from an event.
+// updateDescription copies the description of a member from an event.
 func (t *Table) updateDescription(m *Member, now time.Duration, event Event) {
 	restarted := m.Incarnation != event.Incarnation
 	m.Zone = event.Zone
@@ -150,7 +152,7 @@
 		}
 		return Alive
 	case EventSuspect:
-		if m.State == Alive { // a member that leaves is silent soon anyway
+		if m.State == Alive { // a leaving member soon stops answering anyway
 			return Suspect
 		}
 	case EventRefuted:
@@ -161,14 +163,14 @@
 	case EventDead:
 		expected := !event.ReceivedRecently && m.State != Alive
 		return t.stateAfterDeparture(m, now, Dead, expected)
-	case EventLeft: // a member that has not announced it may have done so in its last incarnation
+	case EventLeft: // without an announcement, its last incarnation may have left
 		expected := m.State == Leaving || !event.ReceivedRecently
 		return t.stateAfterDeparture(m, now, Left, expected)
 	}
 	return m.State
 }
 
-// stateAfterDeparture returns the state of a member that was said to be gone. An end that was expected is believed at
+// stateAfterDeparture returns the state of a member that was reported as gone. An expected departure takes effect at
 // once, any other only after departureConfirmDelay.
 func (t *Table) stateAfterDeparture(m *Member, now time.Duration, departure State, expected bool) State {
 	switch {
@@ -186,7 +188,8 @@
 	return Suspect
 }
 
-// makeRoom makes room for one more member by dropping the oldest tombstone. It reports false if there is none.
+// makeRoom makes room for one more member, if necessary by dropping the oldest tombstone. It returns false if the table
+// is full and has no tombstone.
 func (t *Table) makeRoom() bool {
 	if len(t.members) < MaxMembers {
 		return true
@@ -210,8 +213,8 @@
 	return cmp.Or(cmp.Compare(a.Since, b.Since), cmp.Compare(a.Name, b.Name))
 }
 
-// Tick drops old tombstones, believes doubted ends whose time has come, and drops suspicions that came to nothing. It
-// reports whether there is a new view.
+// Tick drops old tombstones, applies the unconfirmed departures whose delay has passed, and drops suspicions that were
+// not confirmed in time. It reports whether there is a new view.
 func (t *Table) Tick(now time.Duration) bool {
 	changed := false
 	for name := range t.members {
@@ -225,7 +228,7 @@
 	return changed
 }
 
-// expire applies the passing of time to one member, and reports whether that changed it.
+// expire applies these timeouts to one member, and reports whether that changed the table.
 func (t *Table) expire(name string, now time.Duration) bool {
 	m := t.members[name]
 	departure, unconfirmed := t.unconfirmedDepartures[name]
--- a/internal/fleet/member/traffic.go
+++ b/internal/fleet/member/traffic.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// traffic counts what a process sends and receives, since its start.
+// traffic counts the packets, streams and bytes that a process sends and receives, since its start.
 type traffic struct {
 	packetsIn  atomic.Int64
 	packetsOut atomic.Int64
@@ -14,10 +14,10 @@
 	bytesOut   atomic.Int64
 	streamsIn  atomic.Int64
 	streamsOut atomic.Int64
-	// foreign counts packets and frames of another fleet or corrupt, streams that break before their first frame, and
-	// streams of a channel that nobody serves; a foreign first frame counts twice.
+	// foreign counts packets and frames that are corrupt or belong to another fleet, streams that break before their first
+	// frame, and streams of a channel without a function to serve it. A foreign first frame counts twice.
 	foreign   atomic.Int64
-	overLimit atomic.Int64 // beyond maxPacketsPerSecond, packetQueue or maxHandshakes
+	overLimit atomic.Int64 // packets beyond maxPacketsPerSecond or packetQueue, and connections beyond maxHandshakes
 }
 
 // String returns the counters for the log.
@@ -28,7 +28,7 @@
 		t.streamsIn.Load(), t.streamsOut.Load(), t.foreign.Load(), t.overLimit.Load())
 }
 
-// countedConn counts a connection's bytes.
+// countedConn counts the bytes of a connection in traffic.
 type countedConn struct {
 	net.Conn
 	traffic *traffic
--- a/internal/fleet/member/transport.go
+++ b/internal/fleet/member/transport.go
@@ -12,9 +12,10 @@
 )
 
 const (
-	// socketBuffer is the receive buffer asked of the kernel, in bytes; a burst of joins fits in half.
+	// socketBuffer is the size of the receive buffer requested from the kernel, in bytes. The packets of many nodes that
+	// join at once fit into half of it.
 	socketBuffer = 256 << 10
-	// packetQueue is how many packets wait for memberlist.
+	// packetQueue is the maximum number of packets that wait for memberlist.
 	packetQueue = 256
 )
 
@@ -31,25 +32,25 @@
 	limiter   packetLimiter // owned by readPackets
 
 	packets      chan *memberlist.Packet
-	streams      chan net.Conn // memberlist's own
+	streams      chan net.Conn // streams of memberlistChannel
 	channels     map[byte]func(net.Conn, string)
-	observe      func(payload []byte, out bool) // is given each of memberlist's packets
+	observe      func(payload []byte, out bool) // called with each packet of memberlist
 	serveWitness func(conn net.Conn)            // serves witnessChannel
 
 	mu          sync.Mutex
 	receptions  map[string]*reception // by sender
-	nextNumbers map[string]uint32     // of the next packet, by address
-	openStreams map[*stream]bool      // that channels serve
-	closing     bool                  // no channel is served any more
+	nextNumbers map[string]uint32     // number of the next packet, by address
+	openStreams map[*stream]bool      // streams that functions of channels serve
+	closing     bool                  // Shutdown has begun, so no further stream is served
 
 	closed     atomic.Bool
 	tasks      sync.WaitGroup
-	handshakes chan struct{} // holds one for each handshake under way
+	handshakes chan struct{} // semaphore with one entry for each running handshake
 }
 
 var _ memberlist.Transport = (*transport)(nil)
 
-// openTransport listens on the node's address. It takes nothing in until start.
+// openTransport listens on the node's address. The transport receives nothing before start.
 func openTransport(c Config, t *traffic) (*transport, error) {
 	tcp, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(c.Listen))
 	if err != nil {
@@ -60,7 +61,7 @@
 		_ = tcp.Close()
 		return nil, err
 	}
-	_ = udp.SetReadBuffer(socketBuffer) // the kernel may allow less
+	_ = udp.SetReadBuffer(socketBuffer) // best effort: the kernel may allow less
 	return &transport{
 		fleet:       c.Fleet,
 		self:        c.Name,
@@ -80,7 +81,8 @@
 	}, nil
 }
 
-// dialOnlyTransport opens streams to others, and does nothing else: the node's other process has its addresses.
+// dialOnlyTransport returns a transport that only opens streams, because the node's other process listens on the node's
+// addresses.
 func dialOnlyTransport(c Config, t *traffic) *transport {
 	return &transport{
 		fleet:      c.Fleet,
@@ -91,7 +93,7 @@
 	}
 }
 
-// start begins to take packets and connections; observe and serveWitness are set by then.
+// start starts to receive packets and connections. The caller has set observe and serveWitness.
 func (t *transport) start() {
 	t.tasks.Go(t.readPackets)
 	t.tasks.Go(t.acceptStreams)
@@ -116,11 +118,11 @@
 	return time.Now(), err
 }
 
-// nextNumber numbers a packet to an address.
+// nextNumber returns the number of the next packet to an address.
 func (t *transport) nextNumber(addr string) uint32 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.nextNumbers) > 4*MaxMembers { // addresses that are gone; receivers see a restart
+	if len(t.nextNumbers) > 4*MaxMembers { // drop addresses no longer used; receivers assume a restart
 		clear(t.nextNumbers)
 	}
 	number := t.nextNumbers[addr]
@@ -134,13 +136,13 @@
 // StreamCh implements memberlist.Transport.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// DialTimeout implements memberlist.Transport. The connection comes from the process's own address, by which others,
-// and whatever stands between, know it.
+// DialTimeout implements memberlist.Transport. The connection's source is the process's own IP address, by which other
+// members, and devices on the path, identify the process.
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	return t.dial(addr, memberlistChannel, timeout)
 }
 
-// dial opens a stream of a channel.
+// dial opens a stream to a channel of the node at an address.
 func (t *transport) dial(addr string, channel byte, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: t.local.Addr().AsSlice()}}
 	conn, err := dialer.Dial("tcp", addr)
@@ -153,7 +155,7 @@
 	return s, nil
 }
 
-// newStream makes a stream of a connection.
+// newStream returns a stream on a connection.
 func (t *transport) newStream(conn net.Conn) *stream {
 	return &stream{
 		Conn:      countedConn{conn, t.traffic},
@@ -164,7 +166,7 @@
 	}
 }
 
-// Shutdown implements memberlist.Transport. Streams that channels serve are closed.
+// Shutdown implements memberlist.Transport. It also closes the streams that functions of channels serve.
 func (t *transport) Shutdown() error {
 	if t.closed.Swap(true) {
 		return nil
--- a/internal/fleet/member/view.go
+++ b/internal/fleet/member/view.go
@@ -6,61 +6,61 @@
 	"time"
 )
 
-// State is what is believed of a member.
+// State is the state of a member in the view of one process.
 type State string
 
-// The states. A member that has Left or is Dead stays in the view for a while as a tombstone, so that whoever holds
-// work or budget of it can tell the two apart.
+// The states of a member. A member that has Left or is Dead stays in the view for tombstoneTime as a tombstone, so that
+// a package that holds work or quota of the member can distinguish the two.
 const (
 	Alive   State = "alive"
-	Suspect State = "suspect" // silent, and not yet declared dead: it still counts
-	Leaving State = "leaving" // it is shutting down as planned, and takes no new work
-	Left    State = "left"    // it has shut down as planned
-	Dead    State = "dead"    // it has failed, or is cut off from here
+	Suspect State = "suspect" // does not answer probes, but is not declared dead and still counts
+	Leaving State = "leaving" // a planned shutdown has begun; it accepts no new work
+	Left    State = "left"    // has shut down as planned
+	Dead    State = "dead"    // has failed, or is cut off from this process
 )
 
 // Present reports whether a member in this state may still act.
 func (s State) Present() bool { return s == Alive || s == Suspect || s == Leaving }
 
-// Incarnation is one run of a node's program: the directory that gives the node its identity, and how many times it
-// has started there. Incarnations of one home are ordered; those of two homes under one name belong to different
-// nodes. Files, logs and messages call it life.
+// Incarnation is one run of a node's program, identified by the home of the node's directory and the number of starts
+// in that directory. Incarnations with the same home are ordered. Incarnations of one name with different homes belong
+// to different nodes. The key for it in files, logs and messages is "life".
 type Incarnation struct {
-	Home   string `json:"home"`   // 16 hexadecimal digits, drawn once for a directory
-	Number uint64 `json:"number"` // from 1
+	Home   string `json:"home"`   // random ID of a directory, 16 hexadecimal digits
+	Number uint64 `json:"number"` // number of starts in the directory, from 1
 }
 
-// String returns home and number, as logs have them.
+// String returns home and number in the format of the logs.
 func (i Incarnation) String() string { return fmt.Sprintf("%s/%d", i.Home, i.Number) }
 
-// Member is one node, as it is believed to be.
+// Member is one node in a view.
 type Member struct {
 	Name        string      `json:"name"`
 	Zone        string      `json:"zone,omitempty"` // empty: the node has none
-	Addr        string      `json:"addr"`           // IP and port where others reach it
+	Addr        string      `json:"addr"`           // IP address and port at which other nodes reach the member
 	Incarnation Incarnation `json:"life"`
 	State       State       `json:"state"`
-	// Predecessor reports that the process of the incarnation before this one may still be finishing its work, as
-	// during an upgrade.
+	// Predecessor reports that the process of the previous incarnation may still be finishing its requests, as during an
+	// upgrade.
 	Predecessor bool `json:"elder,omitempty"`
-	// Since is when the state began, in the time that Table.Apply was given.
+	// Since is the time at which the state began, on the clock of Table.Apply.
 	Since time.Duration `json:"since"`
 }
 
-// setState changes the state.
+// setState sets the state and the time at which it began.
 func (m *Member) setState(state State, now time.Duration) {
 	m.State = state
 	m.Since = now
 }
 
-// View is who is in the fleet, as one process believes at one time. It is immutable.
+// View is the set of a fleet's members as one process sees it at one time. It is immutable.
 type View struct {
-	Number  uint64   `json:"number"`  // of this process, from 1; a later view has a greater one
-	Self    string   `json:"self"`    // name of the node whose view it is
+	Number  uint64   `json:"number"`  // counts the views of this process from 1
+	Self    string   `json:"self"`    // name of the node that has this view
 	Members []Member `json:"members"` // sorted by name, tombstones included
 }
 
-// Lookup returns the member of a name.
+// Lookup returns the member with a name.
 func (v *View) Lookup(name string) (Member, bool) {
 	for _, m := range v.Members {
 		if m.Name == name {
@@ -81,7 +81,7 @@
 	return present
 }
 
-// String describes the view for operators.
+// String returns a description of the view for operators.
 func (v *View) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "view %d, %d here:", v.Number, len(v.Present()))
--- a/internal/fleet/member/witness.go
+++ b/internal/fleet/member/witness.go
@@ -9,20 +9,21 @@
 	"time"
 )
 
-// A witness report is asked for over a stream of witnessChannel: the request is a JSON list of names, the answer a
-// JSON list of those that the witness does not reach either. The stream ends with the answer.
+// A witness report is requested over a stream of witnessChannel. The request is a JSON list of member names, and the
+// answer is a JSON list of those that the witness does not reach either. The stream ends after the answer.
 
 const (
-	// witnessChannel is the channel of the streams that witness reports take.
+	// witnessChannel is the channel of the streams for witness reports.
 	witnessChannel = 250
-	// witnessTimeout is how long a witness may take: a round of probes of its own, for as many as may have failed.
+	// witnessTimeout limits the time for a witness report. The witness may need a round of its own probes of all the
+	// members that may have failed.
 	witnessTimeout = 6 * time.Second
-	// maxWitnessMessage bounds a request and a report, in bytes of JSON.
+	// maxWitnessMessage is the maximum length of a request or report, in bytes of JSON.
 	maxWitnessMessage = MaxMembers * 70
 )
 
-// askWitnesses asks some of the members that answered which of the silent ones they do not reach, either. A witness
-// that gives no report is left out.
+// askWitnesses asks up to maxWitnesses of the members that answered which of the silent members they do not reach
+// either. It leaves out witnesses that return no report.
 func (d *massFailureDetector) askWitnesses(silent, answered []string) (reports [][]string) {
 	service := d.agent.service
 	view := service.View()
@@ -49,13 +50,14 @@
 	return reports
 }
 
-// rotateFrom returns sorted names from the first beyond one's own on, so that not all nodes ask the same witnesses.
+// rotateFrom returns the sorted names, starting with the first one after the node's own, so that different nodes ask
+// different witnesses.
 func rotateFrom(names []string, own string) []string {
 	i, _ := slices.BinarySearch(names, own)
 	return slices.Concat(names[i:], names[:i])
 }
 
-// askWitness asks the member at an address.
+// askWitness requests a witness report from the member at an address.
 func (d *massFailureDetector) askWitness(addr string, silent []string) (report []string, err error) {
 	conn, err := d.agent.transport.dial(addr, witnessChannel, streamTimeout)
 	if err != nil {
@@ -70,7 +72,7 @@
 	return report, err
 }
 
-// serveWitness gives this member's own report.
+// serveWitness answers a request for a witness report.
 func (d *massFailureDetector) serveWitness(conn net.Conn) {
 	if !d.ready.Load() {
 		return
@@ -89,11 +91,11 @@
 		d.rememberSilent(silent)
 		report = append(report, silent...)
 	}
-	_ = json.NewEncoder(conn).Encode(report) // whoever asked learns of a failure by the end of the stream
+	_ = json.NewEncoder(conn).Encode(report) // after an error the requester finds the stream ended
 }
 
-// recentResults splits names into those that were found silent just now and those of which nothing is known. The ones
-// that were heard just now are in neither.
+// recentResults splits names into the members found silent within probeResultTTL, and the unknown ones that have to be
+// probed. This node, and members from which something was received within probeResultTTL, are in neither.
 func (d *massFailureDetector) recentResults(names []string, now time.Time) (silent, unknown []string) {
 	silent = []string{}
 	d.mu.Lock()
