--- a/internal/fleet/fleetfile/check_budgets.go
+++ b/internal/fleet/fleetfile/check_budgets.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// The bounds of budgets and their terms.
+// Limits of budgets and of their terms.
 const (
-	minLease   = 500 * time.Millisecond // with eight requests in it, and an election of the leader within
+	minLease   = 500 * time.Millisecond // time for eight requests and for an election of the leader
 	maxLease   = time.Minute
 	maxReserve = 0.5
 	maxSeats   = 1024
 	maxBudgets = 64
-	maxAmount  = 10000000 // beyond it a unit is lost in rounding
+	maxAmount  = 10000000 // larger amounts lose units in rounding
 	minPeriod  = time.Minute
 )
 
-// checkBudgets checks the budgets, and the terms that they need.
+// checkBudgets checks the budgets, and the terms in table book that budgets need.
 func (c *checker) checkBudgets(f *File) {
 	if len(f.Budgets) == 0 {
 		return
@@ -26,13 +26,13 @@
 	}
 	c.checkBudgetTerms(&f.Book)
 	names := map[string]bool{}
-	subjects := map[string]bool{} // uses and tenants
+	subjects := map[string]bool{} // uses and tenants seen so far
 	for i := range f.Budgets {
 		budget := &f.Budgets[i]
 		c.checkSubject(budget)
 		subject := budget.Use + " " + budget.Tenant
 		if names[budget.Name] || subjects[subject] {
-			c.fail("budget", "%q: its name, its tenant or its use stands twice", budget.Name)
+			c.fail("budget", "%q: another budget has the same name, tenant or use", budget.Name)
 		}
 		names[budget.Name] = true
 		subjects[subject] = true
@@ -40,6 +40,7 @@
 	}
 }
 
+// checkBudgetTerms checks table book and parses its lease.
 func (c *checker) checkBudgetTerms(book *Book) {
 	book.Edition = c.checkVoters("book", book.Voters, book.Edition)
 	book.LeaseTime = c.checkDuration("book.lease", book.Lease, minLease, maxLease)
@@ -49,10 +50,10 @@
 	c.checkRange("book.seats", book.Seats, 1, maxSeats)
 }
 
-// inRange reports whether a number is between two bounds. NaN is not.
+// inRange reports whether a number lies between two inclusive bounds. It returns false for NaN.
 func inRange(value, minValue, maxValue float64) bool { return value >= minValue && value <= maxValue }
 
-// checkSubject checks a budget's name, and what it limits.
+// checkSubject checks the name of a budget, and whose requests the budget limits.
 func (c *checker) checkSubject(budget *Budget) {
 	c.checkWord("budget.name", budget.Name)
 	switch {
@@ -61,13 +62,13 @@
 	case budget.Use != Retries && budget.Use != ColdPeers:
 		c.fail("budget.use", "%q: there are %q and %q", budget.Use, Retries, ColdPeers)
 	case budget.Tenant != "":
-		c.fail("budget.tenant", "%q is for %s, of whatever tenant", budget.Name, budget.Use)
+		c.fail("budget.tenant", "%q is for %s of all tenants, so it cannot name one", budget.Name, budget.Use)
 	case budget.Kind != "" && budget.Kind != kindRate:
 		c.fail("budget.kind", "%q is for %s, which have a rate", budget.Name, budget.Use)
 	}
 }
 
-// checkAmount checks what a budget's kind has, and that it has nothing else.
+// checkAmount checks that a budget has valid values for the keys of its kind, and no keys of other kinds.
 func (c *checker) checkAmount(budget *Budget, seats int) {
 	if budget.Kind == "" {
 		budget.Kind = kindRate
@@ -87,7 +88,7 @@
 	}
 }
 
-// checkKeysOfKind checks that a budget has no other amounts than those of its kind.
+// checkKeysOfKind checks that a budget has no amounts other than those of its kind.
 func (c *checker) checkKeysOfKind(budget *Budget, keys ...string) {
 	for _, amount := range []struct {
 		key string
@@ -100,21 +101,23 @@
 		{"period", budget.Period != ""},
 	} {
 		if amount.set && !slices.Contains(keys, amount.key) {
-			c.fail("budget."+amount.key, "%q is of the kind %s, which has none", budget.Name, budget.Kind)
+			c.fail("budget."+amount.key, "%q is of the kind %s, which does not have this key", budget.Name, budget.Kind)
 		}
 	}
 }
 
+// checkRate checks the rate and burst of a budget.
 func (c *checker) checkRate(budget *Budget, seats int) {
 	if !inRange(budget.Rate, 0, maxAmount) {
 		c.fail("budget.rate", "%g is not from 0 to %d", budget.Rate, maxAmount)
 	}
-	minBurst := float64(seats) + 1 // each seat needs one unit of its own
+	minBurst := float64(seats) + 1 // one unit for each seat, and one more
 	if !inRange(budget.Burst, minBurst, maxAmount) {
 		c.fail("budget.burst", "%g is not from %g, one more than seats, to %d", budget.Burst, minBurst, maxAmount)
 	}
 }
 
+// checkCount checks the count of a budget and parses its period.
 func (c *checker) checkCount(budget *Budget) {
 	c.checkRange("budget.count", budget.Count, 0, maxAmount)
 	period, err := time.ParseDuration(budget.Period)
--- a/internal/fleet/fleetfile/check_choices.go
+++ b/internal/fleet/fleetfile/check_choices.go
@@ -1,7 +1,7 @@
 package fleetfile
 
-// The bounds of choices, and what is meant where nothing is set. With one copy a server's only node may fail, and
-// nobody is left that knows it. One witness alone may be wrong, or cut off.
+// Limits and defaults of table choices. With one copy, only one node would work with a server, and no other node would
+// know the server after a failure of that node. A single witness may be wrong or cut off.
 const (
 	minCopies         = 2
 	maxCopies         = 1000
@@ -11,7 +11,7 @@
 	maxWitnesses      = 20
 )
 
-// checkChoices checks subsets and witnesses.
+// checkChoices checks the settings of subsets and witnesses.
 func (c *checker) checkChoices(choices *Choices) {
 	if !c.has("choices") {
 		return
--- a/internal/fleet/fleetfile/check_work.go
+++ b/internal/fleet/fleetfile/check_work.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The bounds of kept requests, and what is meant where nothing is set.
+// Limits and defaults of table work, for the requests that survive the loss of a node.
 const (
 	minWindow       = 10 * time.Second
 	maxWindow       = 7 * 24 * time.Hour
@@ -16,7 +16,8 @@
 	defaultMaxTries = 3
 )
 
-// checkWork checks which requests survive the loss of a node.
+// checkWork checks table work, which selects the requests that survive the loss of a node, and sets the defaults of the
+// table.
 func (c *checker) checkWork(work *Work) {
 	if !c.has("work") {
 		return
--- a/internal/fleet/fleetfile/checker.go
+++ b/internal/fleet/fleetfile/checker.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// MaxJoin is how many addresses to join may be named. Three of any zone are enough.
+	// MaxJoin is the maximum number of addresses to join. Three addresses, in any zone, are enough.
 	MaxJoin = 64
-	// maxName bounds names and zones, which go with messages, in bytes.
+	// maxName is the maximum length of names and zones in bytes. They are sent with messages.
 	maxName = 64
-	// maxVoters bounds the voters of a log.
+	// maxVoters is the maximum number of voters of a raft log.
 	maxVoters = 5
 )
 
-// checker checks a file that was decoded, sets what is missing, and keeps the first error.
+// checker validates a decoded file, sets the defaults of missing keys, and keeps the first error.
 type checker struct {
 	file  string
-	lines map[string]int // of keys and tables
+	lines map[string]int // line of each key and table
 	err   error
 }
 
-// checkFile checks all tables.
+// checkFile checks all tables of a file.
 func (c *checker) checkFile(f *File) {
 	c.checkMember(&f.Member)
 	c.checkBudgets(f)
@@ -36,25 +36,27 @@
 	}
 }
 
-// has reports whether the file has a key or table.
+// has reports whether the file contains a key or table.
 func (c *checker) has(key string) bool {
 	_, has := c.lines[key]
 	return has
 }
 
-// fail reports an error at a key, unless there was one before.
+// fail records an error at a key, unless an earlier error is recorded. The line is that of the key, or that of its
+// table if the key is missing.
 func (c *checker) fail(key, format string, args ...any) {
 	if c.err != nil {
 		return
 	}
 	line, ok := c.lines[key]
-	if !ok { // it is missing: its table is where it should stand
+	if !ok { // the key is missing
 		table, _, _ := strings.Cut(key, ".")
 		line = c.lines[table]
 	}
 	c.err = &Error{c.file, line, key, fmt.Sprintf(format, args...)}
 }
 
+// checkMember checks table member and sets the default of its key advertise.
 func (c *checker) checkMember(m *Member) {
 	c.checkWord("member.fleet", m.Fleet)
 	c.checkOptionalWord("member.zone", m.Zone)
@@ -77,7 +79,8 @@
 	}
 }
 
-// checkVoters checks the names of the voters of a table's log, and returns their edition.
+// checkVoters checks the names of the voters of a table's log and their edition, which is 1 if missing. It returns the
+// edition.
 func (c *checker) checkVoters(table string, names []string, edition int) int {
 	key := table + ".keepers"
 	if !c.has(table + ".edition") {
@@ -93,7 +96,7 @@
 	return edition
 }
 
-// checkNames checks a list of names of which each stands once.
+// checkNames checks a list of names without duplicates.
 func (c *checker) checkNames(key string, names []string) {
 	for i, name := range names {
 		c.checkWord(key, name)
@@ -103,14 +106,14 @@
 	}
 }
 
-// checkRange checks a number between two bounds.
+// checkRange checks that a number lies between two inclusive bounds.
 func (c *checker) checkRange(key string, value, minValue, maxValue int) {
 	if value < minValue || value > maxValue {
 		c.fail(key, "%d is not from %d to %d", value, minValue, maxValue)
 	}
 }
 
-// checkDuration reads a time between two bounds.
+// checkDuration parses a duration and checks that it lies between two inclusive bounds.
 func (c *checker) checkDuration(key, text string, minValue, maxValue time.Duration) time.Duration {
 	value, err := time.ParseDuration(text)
 	if err != nil || value < minValue || value > maxValue {
@@ -119,7 +122,7 @@
 	return value
 }
 
-// checkWord checks a word of printable ASCII.
+// checkWord checks a word of printable ASCII that must not be empty.
 func (c *checker) checkWord(key, word string) {
 	if word == "" {
 		c.fail(key, "missing")
@@ -128,7 +131,7 @@
 	c.checkOptionalWord(key, word)
 }
 
-// checkOptionalWord checks a word that may be empty.
+// checkOptionalWord checks a word of printable ASCII that may be empty.
 func (c *checker) checkOptionalWord(key, word string) {
 	unprintable := func(r rune) bool { return r <= ' ' || r > '~' }
 	switch {
@@ -139,7 +142,7 @@
 	}
 }
 
-// checkAddress checks an IP address with a port, at which others can reach a node. Names of hosts are not resolved.
+// checkAddress checks an IP address and port at which other nodes can reach a node. Host names are not resolved.
 func (c *checker) checkAddress(key, text string) {
 	if text == "" {
 		c.fail(key, "missing")
@@ -150,7 +153,7 @@
 	case err != nil:
 		c.fail(key, "not IP:port: %q", text)
 	case addr.Port() == 0:
-		c.fail(key, "port 0, where others would not find it: %q", text)
+		c.fail(key, "port 0, which other nodes cannot reach: %q", text)
 	case addr.Addr().IsUnspecified():
 		c.fail(key, "%s is no address of its own", addr.Addr())
 	}
--- a/internal/fleet/fleetfile/config.go
+++ b/internal/fleet/fleetfile/config.go
@@ -1,90 +1,92 @@
-// Package fleetfile reads the file that configures a node's part in its fleet. A file is valid as a whole or rejected;
-// what is wrong is reported by file, line and key.
+// Package fleetfile reads the file that configures the part of a node in its fleet. It accepts a file as a whole or
+// rejects it with an error that names the file, the line and the key.
 package fleetfile
 
 import "time"
 
-// File is the configuration of a node's part in its fleet. The names of the types and fields of its tables show in the
-// TOML decoder's error texts, which operators know: they stay.
+// File is the configuration of the part of a node in its fleet. The names of the types and fields of its tables appear
+// in error texts of the TOML decoder, which operators know. They must not change.
 type File struct {
-	// Member is the node's membership.
+	// Member configures the node's membership.
 	Member Member `toml:"member"`
-	// Book is the terms of budgets; without budgets it is not checked.
+	// Book has the terms of budgets. It is not checked if there are no budgets.
 	Book Book `toml:"book"`
-	// Budgets are quotas of the whole fleet.
+	// Budgets are the quotas of the whole fleet.
 	Budgets []Budget `toml:"budget"`
-	// Choices are the subsets of large upstream groups; zero: every node works with every server.
+	// Choices configures the subsets of large upstream groups; zero: every node works with every server.
 	Choices Choices `toml:"choices"`
-	// Work is which requests survive the loss of a node; zero: none.
+	// Work selects the requests that survive the loss of a node; zero: none.
 	Work Work `toml:"work"`
-	// Operators is who keeps operators' work over the whole fleet; zero: each node's admin listener is for itself.
+	// Operators configures commands of operators to the whole fleet; zero: the admin listener of each node controls that
+	// node only.
 	Operators Operators `toml:"operators"`
 }
 
-// Member is the node's membership.
+// Member configures the node's membership.
 type Member struct {
 	// Fleet is the fleet's name. Messages of other fleets are dropped.
 	Fleet string `toml:"fleet"`
-	// Listen is the node's own address, for UDP and TCP.
+	// Listen is the node's local address, for UDP and TCP.
 	Listen string `toml:"listen"`
-	// Advertise is where others reach the node; "": at Listen.
+	// Advertise is the address at which other nodes reach the node; "": Listen.
 	Advertise string `toml:"advertise"`
-	// Join has the addresses of other nodes. The node's own is skipped.
+	// Join has the addresses of other nodes. The node's own address is skipped.
 	Join []string `toml:"join"`
-	// Zone is where the node runs; it may be empty.
+	// Zone is the zone in which the node runs; it may be empty.
 	Zone string `toml:"zone"`
-	// Directory is an absolute path for what must last over restarts. No other node has it.
+	// Directory is an absolute path for data that is kept over restarts. No other node may use it.
 	Directory string `toml:"directory"`
-	// Record is a file that is given what the process believes and does; "": none.
+	// Record is the path of a file to which the node's views and events are written; "": none.
 	Record string `toml:"record"`
 }
 
-// Book is the terms of budgets. All nodes of a fleet have the same.
+// Book has the terms of budgets. It is the same on all nodes of a fleet.
 type Book struct {
-	// Voters are the names of the nodes that keep the ledger: one, three or five.
+	// Voters are the names of the nodes that replicate the ledger of the budgets: one, three or five.
 	Voters []string `toml:"keepers"`
-	// Edition is the edition of Voters, greater by one with each change of them; missing: 1.
+	// Edition is the version of Voters. It has to grow with each change of Voters; missing: 1.
 	Edition int `toml:"edition"`
-	// Lease is for how long a grant may be used, as text.
+	// Lease is the duration for which a grant may be used, as text.
 	Lease string `toml:"lease"`
-	// Reserve is the part of every quota that is never lent, from 0 to 0.5.
+	// Reserve is the fraction of each quota that is never granted as a lease, from 0 to 0.5.
 	Reserve float64 `toml:"reserve"`
-	// Seats is into how many parts the reserve is divided: the most nodes that there will be.
+	// Seats is the number of parts into which the reserve is divided, which is the maximum number of nodes.
 	Seats int `toml:"seats"`
 
-	// LeaseTime is Lease.
+	// LeaseTime is the parsed Lease.
 	LeaseTime time.Duration `toml:"-"`
 }
 
-// Budget is a quota that all nodes together may use.
+// Budget is a quota that all nodes of the fleet share.
 type Budget struct {
-	// Name is the budget's name, which no other has.
+	// Name is the name of the budget, unique in the file.
 	Name string `toml:"name"`
-	// Tenant is whose requests it limits; "" with Use.
+	// Tenant is the tenant whose requests the budget limits; "" if Use is set.
 	Tenant string `toml:"tenant"`
-	// Use is what it limits of all tenants: Retries or ColdPeers; "": it limits one tenant's requests.
+	// Use selects attempts of all tenants that the budget limits: Retries or ColdPeers; "": the budget limits the requests
+	// of one tenant.
 	Use string `toml:"use"`
-	// Kind is what it counts: "rate", "in-use" or "count"; "": "rate".
+	// Kind is the kind of limit: "rate", "in-use" or "count"; "": "rate".
 	Kind string `toml:"kind"`
-	// Rate is, of a rate, requests a second.
+	// Rate is the number of requests a second, for the kind rate.
 	Rate float64 `toml:"rate"`
-	// Burst is, of a rate, requests beyond that, one more than there are seats at least.
+	// Burst is the number of requests allowed beyond Rate, for the kind rate. It is at least the number of seats plus one.
 	Burst float64 `toml:"burst"`
-	// Most is, of in-use, requests at one time.
+	// Most is the maximum number of requests at one time, for the kind in-use.
 	Most int `toml:"most"`
-	// Count is, of a count, requests in a period.
+	// Count is the number of requests in a period, for the kind count.
 	Count int `toml:"count"`
-	// Period is, of a count, the length of a period, as text. Periods begin at 00:00 UTC of 1970.
+	// Period is the length of a period as text, for the kind count. Periods begin at 00:00 UTC of 1970.
 	Period string `toml:"period"`
 
-	// PeriodTime is Period.
+	// PeriodTime is the parsed Period.
 	PeriodTime time.Duration `toml:"-"`
 }
 
 // The values of Budget.Use.
 const (
-	Retries   = "retries"    // attempts that are not their request's first
-	ColdPeers = "cold-peers" // attempts to each server that has just started
+	Retries   = "retries"    // all attempts of a request except the first
+	ColdPeers = "cold-peers" // attempts to servers that have just started, limited per server
 )
 
 // The values of Budget.Kind.
@@ -94,41 +96,42 @@
 	kindCount = "count"
 )
 
-// Choices says with how many servers of a large upstream group a node works. All nodes of a fleet have the same.
+// Choices configures the subset of a large upstream group's servers with which a node works. It is the same on all
+// nodes of a fleet.
 type Choices struct {
-	// Copies is how many nodes work with each server; 0: all.
+	// Copies is the number of nodes that work with each server; 0: all nodes.
 	Copies int `toml:"copies"`
-	// Least is the least number of servers that a node works with; missing: 64.
+	// Least is the minimum number of servers with which a node works; missing: 64.
 	Least int `toml:"least"`
-	// Witnesses is how many other nodes have to report a server for it to be avoided for a while; 0: nodes tell each
-	// other nothing of servers.
+	// Witnesses is the number of other nodes that have to report a server before this node avoids it for some time; 0:
+	// nodes do not exchange reports about servers.
 	Witnesses int `toml:"witnesses"`
 }
 
-// Work says which requests survive the loss of a node. All nodes of a fleet have the same.
+// Work selects the requests that survive the loss of a node. It is the same on all nodes of a fleet.
 type Work struct {
-	// Classes are the names of the classes of requests; none: no request does.
+	// Classes are the names of the classes whose requests survive; none: no request does.
 	Classes []string `toml:"classes"`
-	// Voters are the names of the nodes that keep the log: one, three or five.
+	// Voters are the names of the nodes that replicate the log of requests: one, three or five.
 	Voters []string `toml:"keepers"`
-	// Edition is the edition of Voters, greater by one with each change of them; missing: 1.
+	// Edition is the version of Voters. It has to grow with each change of Voters; missing: 1.
 	Edition int `toml:"edition"`
-	// Window is for how long a request is kept after its last change, as text; "": an hour.
+	// Window is the duration for which a request is stored after its last change, as text; "": an hour.
 	Window string `toml:"window"`
-	// Most is how many requests are kept at one time; 0: 100,000.
+	// Most is the maximum number of requests stored at one time; 0: 100,000.
 	Most int `toml:"most"`
-	// Tries is how many nodes may forward a request, where none of the earlier has; 0: 3.
+	// Tries is the maximum number of nodes that may forward a request, each only if no earlier one has forwarded it; 0: 3.
 	Tries int `toml:"tries"`
 
-	// WindowTime is Window.
+	// WindowTime is the parsed Window.
 	WindowTime time.Duration `toml:"-"`
 }
 
-// Operators says who keeps operators' work over the whole fleet. All nodes of a fleet have the same.
+// Operators configures commands of operators to the whole fleet. It is the same on all nodes of a fleet.
 type Operators struct {
-	// Voters are the names of the nodes that keep the log: one, three or five; none: each node's admin listener is for
-	// itself.
+	// Voters are the names of the nodes that replicate the log of commands: one, three or five; none: the admin listener
+	// of each node controls that node only.
 	Voters []string `toml:"keepers"`
-	// Edition is the edition of Voters, greater by one with each change of them; missing: 1.
+	// Edition is the version of Voters. It has to grow with each change of Voters; missing: 1.
 	Edition int `toml:"edition"`
 }
--- a/internal/fleet/fleetfile/fleetfile_test.go
+++ b/internal/fleet/fleetfile/fleetfile_test.go
@@ -20,19 +20,19 @@
 func TestParse(t *testing.T) {
 	f, err := Parse("f.toml", []byte(good))
 	if err != nil || f.Member.Advertise != "127.0.0.1:7946" || f.Member.Zone != "derby" || len(f.Member.Join) != 2 {
-		t.Errorf("%+v, %v", f, err)
+		t.Errorf("got file %+v, error %v", f, err)
 	}
 }
 
-// Without the table a node works with all servers.
+// Without table choices a node works with all servers.
 func TestChoicesTable(t *testing.T) {
 	f, err := Parse("f.toml", []byte(good+"[choices]\ncopies = 8\n"))
 	if err != nil || f.Choices != (Choices{8, 64, 0}) {
-		t.Errorf("%+v, %v", f, err)
+		t.Errorf("got file %+v, error %v", f, err)
 	}
 	f, err = Parse("f.toml", []byte(good+"[choices]\nwitnesses = 3\n"))
 	if err != nil || f.Choices.Copies != 0 || f.Choices.Witnesses != 3 {
-		t.Errorf("%+v, %v", f, err)
+		t.Errorf("got file %+v, error %v", f, err)
 	}
 	_, err = Parse("f.toml", []byte(good+"[choices]\nwitnesses = 1\n"))
 	if err == nil || !strings.Contains(err.Error(), "choices.witnesses: 1 is not from 2") {
@@ -40,7 +40,7 @@
 	}
 	plain, _ := Parse("f.toml", []byte(good))
 	if plain.Choices != (Choices{}) || plain.ImmutableChange(f) != "choices" {
-		t.Errorf("%+v, %q", plain.Choices, plain.ImmutableChange(f))
+		t.Errorf("got choices %+v and immutable change %q", plain.Choices, plain.ImmutableChange(f))
 	}
 	for text, want := range map[string]string{
 		"[choices]\nleast = 10\n":             "line 8: choices.copies: 0 is not from 2 to 1000",
@@ -50,17 +50,17 @@
 		"[choices]\ncopies = \"many\"\n":      "line 9: choices.copies: ",
 	} {
 		if _, err := Parse("f.toml", []byte(good+text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("parsing %q: got error %v", text, err)
 		}
 	}
 }
 
-// Missing keys of kept requests have their defaults.
+// Missing keys of table work get their defaults.
 func TestWorkTable(t *testing.T) {
 	const table = "[work]\nclasses = [\"order\"]\nkeepers = [\"n1\"]\n"
 	f, err := Parse("f.toml", []byte(good+table))
 	if err != nil || f.Work.WindowTime != time.Hour || f.Work.Most != 100000 || f.Work.Tries != 3 {
-		t.Errorf("%+v, %v", f, err)
+		t.Errorf("got file %+v, error %v", f, err)
 	}
 	plain, _ := Parse("f.toml", []byte(good))
 	if plain.ImmutableChange(f) != "work" {
@@ -75,12 +75,12 @@
 		table + "tries = 11\n":                                   "line 11: work.tries: 11 is not",
 	} {
 		if _, err := Parse("f.toml", []byte(good+text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("parsing %q: got error %v", text, err)
 		}
 	}
 }
 
-// Each error has file, line, key and reason, in one line.
+// Each error is one line with the file, the line number, the key and the reason.
 func TestErrors(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`fleet = "calder"`, ``, "line 2: member.fleet: missing"},
@@ -103,12 +103,12 @@
 		_, err := Parse("f.toml", []byte(strings.Replace(good, c.old, c.new, 1)))
 		var reported *Error
 		if !errors.As(err, &reported) {
-			t.Errorf("%s: %v", c.want, err)
+			t.Errorf("want error %s: got %v", c.want, err)
 			continue
 		}
 		text := err.Error()
 		if !strings.HasPrefix(text, "fleet file f.toml, "+c.want) || strings.Contains(text, "\n") {
-			t.Errorf("%s: %v", c.want, err)
+			t.Errorf("want error %s: got %v", c.want, err)
 		}
 	}
 	const missing = "fleet file /no/where.toml: no such file or directory"
@@ -133,7 +133,7 @@
 func TestBudgetTables(t *testing.T) {
 	f, err := Parse("f.toml", []byte(good+budgets))
 	if err != nil || len(f.Budgets) != 1 || f.Budgets[0].Kind != "rate" || f.Book.LeaseTime.Seconds() != 2 {
-		t.Fatalf("%+v, %v", f, err)
+		t.Fatalf("got file %+v, error %v", f, err)
 	}
 	for _, c := range []struct{ old, new, want string }{
 		{`"n1", "n2", "n3"`, `"n1", "n2"`, "line 9: book.keepers: 2 names"},
@@ -155,12 +155,12 @@
 	} {
 		_, err := Parse("f.toml", []byte(strings.Replace(good+budgets, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v", c.want, err)
+			t.Errorf("want error %s: got %v", c.want, err)
 		}
 	}
 }
 
-// An older file must not take voters back: they change with a higher edition, and not otherwise.
+// An older file must not restore earlier voters: voters change only with a higher edition.
 func TestVotersNeedAnEdition(t *testing.T) {
 	with := func(text string) *File {
 		t.Helper()
@@ -178,7 +178,7 @@
 		"": "operators",
 	} {
 		if got := first.ImmutableChange(with(text)); got != want {
-			t.Errorf("%q: %q", text, got)
+			t.Errorf("next file with %q: got immutable change %q", text, got)
 		}
 	}
 	if _, err := Parse("f.toml", []byte(good+"[operators]\nkeepers = [\"a\"]\nedition = 0\n")); err == nil ||
@@ -187,7 +187,7 @@
 	}
 }
 
-// The example that is shipped is valid.
+// The example file that is shipped must be valid.
 func TestShippedExample(t *testing.T) {
 	data, err := os.ReadFile("../../../deploy/fleet.toml")
 	if err != nil {
@@ -202,7 +202,7 @@
 	f.Add([]byte(good))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if _, err := Parse("f.toml", data); err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("more than a line: %q", err)
+			t.Errorf("error text has more than one line: %q", err)
 		}
 	})
 }
--- a/internal/fleet/fleetfile/immutable.go
+++ b/internal/fleet/fleetfile/immutable.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// ImmutableChange names the first thing that differs in another file and cannot change while a node runs; "": nothing
-// does.
+// ImmutableChange returns the name of the first setting that differs in next and cannot change while a node runs; "":
+// there is none.
 func (f *File) ImmutableChange(next *File) string {
 	switch {
 	case !reflect.DeepEqual(f.Member, next.Member):
@@ -31,6 +31,7 @@
 	return immutableBudgetChange(f.Budgets, next.Budgets)
 }
 
+// immutableBudgetChange is ImmutableChange for the list of budgets.
 func immutableBudgetChange(budgets, next []Budget) string {
 	if len(budgets) != len(next) {
 		return "the list of budgets"
@@ -43,7 +44,7 @@
 	return ""
 }
 
-// voters are the nodes that keep a log, with their edition.
+// voters are the nodes that replicate a log, with the edition of the list.
 type voters struct {
 	names   []string
 	edition int
@@ -53,12 +54,12 @@
 func (w Work) voters() voters      { return voters{w.Voters, w.Edition} }
 func (o Operators) voters() voters { return voters{o.Voters, o.Edition} }
 
-// changesWithoutEdition reports whether the next voters are older, or differ in the same edition.
+// changesWithoutEdition reports whether the next voters have a lower edition, or differ within the same edition.
 func (v voters) changesWithoutEdition(next voters) bool {
 	return next.edition < v.edition || next.edition == v.edition && !slices.Equal(v.names, next.names)
 }
 
-// budgetTerms are a Book without its voters.
+// budgetTerms are the fields of a Book other than its voters.
 type budgetTerms struct {
 	lease   time.Duration
 	reserve float64
@@ -67,13 +68,14 @@
 
 func (b Book) terms() budgetTerms { return budgetTerms{b.LeaseTime, b.Reserve, b.Seats} }
 
+// withoutVoters returns the work table without its voters and their edition.
 func (w Work) withoutVoters() Work {
 	w.Voters = nil
 	w.Edition = 0
 	return w
 }
 
-// budgetIdentity is what cannot change of a budget.
+// budgetIdentity has the fields of a budget that cannot change while a node runs.
 type budgetIdentity struct {
 	name   string
 	tenant string
--- a/internal/fleet/fleetfile/parse.go
+++ b/internal/fleet/fleetfile/parse.go
@@ -11,11 +11,11 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Error is what is wrong with a file: the first thing that was found.
+// Error is the first error that was found in a file.
 type Error struct {
 	File   string
-	Line   int    // 0: the file itself
-	Key    string // "": the file itself
+	Line   int    // from 1; 0: the error concerns the whole file
+	Key    string // "": the error concerns no single key
 	Reason string
 }
 
@@ -31,7 +31,7 @@
 	return text + ": " + e.Reason
 }
 
-// Load reads a file. The error is an *Error.
+// Load reads and checks the file at a path. The error is an *Error.
 func Load(path string) (*File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return Parse(path, data)
 }
 
-// Parse reads the content of a file. The error is an *Error.
+// Parse decodes and checks the content of a file. The path is only used in errors. The error is an *Error.
 func Parse(path string, data []byte) (*File, error) {
 	f := &File{}
 	decoder := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields()
@@ -59,7 +59,7 @@
 	return f, nil
 }
 
-// decodeError makes an Error of what the TOML decoder found.
+// decodeError converts an error of the TOML decoder to an Error.
 func decodeError(path string, err error) *Error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
@@ -76,7 +76,7 @@
 	return &Error{File: path, Reason: strings.TrimPrefix(err.Error(), "toml: ")}
 }
 
-// keyLines returns the line of each key, with its table before it, and of each table.
+// keyLines returns the lines of all tables and keys. The name of a key is preceded by the name of its table.
 func keyLines(data []byte) map[string]int {
 	lines := map[string]int{}
 	parser := unstable.Parser{}
@@ -96,7 +96,7 @@
 	return lines
 }
 
-// keyOf returns the key of an expression, and its line.
+// keyOf returns the key of an expression and the line of the key.
 func keyOf(expression *unstable.Node, data []byte) (key string, line int) {
 	var parts []string
 	for k := expression.Key(); k.Next(); {
--- a/internal/fleet/member/mass_failure_test.go
+++ b/internal/fleet/member/mass_failure_test.go
@@ -12,7 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// A member that anybody reached is never declared dead, and none at all without a witness report.
+// A member that this process or any witness reached must not be declared dead. Without a witness report no member may
+// be.
 func TestConfirmedFailures(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -26,7 +27,8 @@
 				reached = reached || !slices.Contains(report, name)
 			}
 			if slices.Contains(failed, name) == reached {
-				t.Fatalf("%s reached: %v; failed %v of %v by %v", name, reached, failed, silent, reports)
+				t.Fatalf("member %s reached: %v; got failures %v for silent members %v and reports %v",
+					name, reached, failed, silent, reports)
 			}
 		}
 	})
@@ -38,7 +40,7 @@
 		want       bool
 	}{{0, 0, false}, {1, 1, false}, {1, 8, false}, {2, 2, true}, {2, 8, true}, {2, 9, false}, {8, 8, true}} {
 		if got := IsMassFailure(c.silent, c.of); got != c.want {
-			t.Errorf("%d of %d: %v", c.silent, c.of, got)
+			t.Errorf("%d silent members of %d: got mass failure %v", c.silent, c.of, got)
 		}
 	}
 	v := viewOf(
@@ -51,7 +53,7 @@
 	}
 }
 
-// A probe of one incarnation says nothing of the next, whatever directory that has.
+// A probe of one incarnation must not change the state of the next one, in the same directory or in another.
 func TestEventsOfAnotherIncarnationAreStale(t *testing.T) {
 	table := NewTable(Member{Name: "n1"}, 0)
 	table.Apply(second, aliveEvent("n2", 2))
@@ -66,13 +68,13 @@
 		table.Apply(2*second, Event{Kind: EventSuspect, Name: "n2", Incarnation: before})
 		table.Apply(2*second, Event{Kind: EventDead, Name: "n2", Incarnation: before})
 		if m, _ := table.View().Lookup("n2"); m.State != Alive || m.Incarnation != e.Incarnation {
-			t.Errorf("%s in %v", m.State, m.Incarnation)
+			t.Errorf("got state %s in incarnation %v, want alive in the new incarnation", m.State, m.Incarnation)
 		}
 	}
 }
 
-// Where most members fail at one time, the rest probe all of them, and a node that joins later hears nothing of the
-// dead.
+// If most members fail at the same time, the remaining ones probe all members, and a node that joins later must not
+// receive the dead ones.
 func TestMassFailure(t *testing.T) {
 	dir := t.TempDir()
 	firstAddr := freeAddr(t)
@@ -90,7 +92,7 @@
 	}
 	survivors, failed := services[:2], services[2:]
 	for _, s := range failed {
-		s.currentAgent().close() // without a message, all at one time
+		s.currentAgent().close() // all at once, without notifying other members
 	}
 	for _, s := range survivors {
 		awaitView(t, s, "two", func(view *View) bool { return len(view.Present()) == 2 })
@@ -98,30 +100,30 @@
 	probes := survivors[0].counters.massProbes.Load() + survivors[1].counters.massProbes.Load()
 	deaths := survivors[0].counters.massProbeDeaths.Load() + survivors[1].counters.massProbeDeaths.Load()
 	if probes == 0 || deaths == 0 {
-		t.Errorf("%d probes of all members, %d deaths by them", probes, deaths)
+		t.Errorf("got %d probes of all members and %d deaths from them, want at least one of each", probes, deaths)
 	}
 	newcomer := newService(t, "late", dir+"/late", freeAddr(t), firstAddr)
 	joinFleet(t, newcomer)
-	view := awaitView(t, newcomer, "the two", func(view *View) bool { return len(view.Present()) >= 3 })
+	view := awaitView(t, newcomer, "the two survivors", func(view *View) bool { return len(view.Present()) >= 3 })
 	if len(view.Present()) != 3 {
-		t.Errorf("the newcomer has dead members: %s", view)
+		t.Errorf("the newcomer has dead members in its view: %s", view)
 	}
-	// One that was declared dead and is alive after all refutes it.
+	// A live member that was declared dead refutes the declaration.
 	restarted := newService(t, "n5", dir+"/5", failed[3].config.Listen, firstAddr)
 	joinFleet(t, restarted)
-	awaitView(t, survivors[0], "one is back", hasState("n5", Alive))
+	awaitView(t, survivors[0], "n5 is alive again", hasState("n5", Alive))
 	before := restarted.currentAgent().incarnation
 	survivors[0].currentAgent().declareDead("n5", before)
 	survivors[0].apply(Event{Kind: EventSuspect, Name: "n5"})
 	survivors[0].apply(Event{Kind: EventDead, Name: "n5"})
-	awaitView(t, survivors[1], "it refutes its death, and others learn of it", hasState("n5", Alive))
-	view = awaitView(t, survivors[0], "it refutes its death", hasState("n5", Alive))
+	awaitView(t, survivors[1], "the other survivor receives the refutation of n5", hasState("n5", Alive))
+	view = awaitView(t, survivors[0], "n5 refutes its death", hasState("n5", Alive))
 	if m, _ := view.Lookup("n5"); m.Incarnation != before {
-		t.Errorf("incarnation %v, not %v", m.Incarnation, before)
+		t.Errorf("got incarnation %v, want %v", m.Incarnation, before)
 	}
 }
 
-// A malformed request for a witness report is counted, and a good one is answered.
+// A malformed request for a witness report must be counted, and a valid one must be answered.
 func TestWitnessReport(t *testing.T) {
 	a, b := freeAddr(t), freeAddr(t)
 	n1, n2 := newService(t, "n1", t.TempDir(), a), newService(t, "n2", t.TempDir(), b, a)
@@ -131,7 +133,7 @@
 	awaitView(t, n2, "two", hasState("n1", Alive))
 	report, err := n2.currentAgent().massFailures.askWitness(a.String(), []string{"n1", "n2", "nobody"})
 	if err != nil || !slices.Equal(report, []string{"nobody"}) {
-		t.Errorf("%v, %v", report, err)
+		t.Errorf("got report %v and error %v, want the report [nobody]", report, err)
 	}
 	c, err := n2.currentAgent().transport.dial(a.String(), witnessChannel, time.Second)
 	if err != nil {
@@ -139,7 +141,7 @@
 	}
 	fmt.Fprint(c, `{"not": "names"`+strings.Repeat(" ", 10))
 	c.(*stream).Conn.(countedConn).Conn.(*net.TCPConn).CloseWrite()
-	c.Read(make([]byte, 1)) // until it is closed
+	c.Read(make([]byte, 1)) // blocks until the other side closes the connection
 	c.Close()
 	if n1.counters.rejected.Load() != 1 {
 		t.Error(n1.Counters())
--- a/internal/fleet/member/service_test.go
+++ b/internal/fleet/member/service_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// freeAddr returns an address on which nobody listens.
+// freeAddr returns an address at which no process listens.
 func freeAddr(t *testing.T) netip.AddrPort {
 	t.Helper()
 	for {
@@ -31,7 +31,7 @@
 	}
 }
 
-// newService makes a service that joins others.
+// newService returns a service that joins the given addresses and is closed after the test.
 func newService(t *testing.T, name, dir string, addr netip.AddrPort, join ...netip.AddrPort) *Service {
 	t.Helper()
 	c := Config{Name: name, Zone: "east", Fleet: "test", Listen: addr, Advertise: addr, Directory: dir}
@@ -50,7 +50,7 @@
 	}
 }
 
-// awaitView waits for a view that is as wanted.
+// awaitView waits for a view that meets a condition, and fails the test after 30 s.
 func awaitView(t *testing.T, s *Service, description string, condition func(v *View) bool) *View {
 	t.Helper()
 	ctx, stop := context.WithTimeout(t.Context(), 30*time.Second)
@@ -74,7 +74,7 @@
 	}
 }
 
-// A planned leave is told from a failure, and a failed node's next incarnation is taken.
+// A planned leave must be distinguished from a failure, and the next incarnation of a failed node must be accepted.
 func TestLeaveFailureAndRestart(t *testing.T) {
 	a, b, c := freeAddr(t), freeAddr(t), freeAddr(t)
 	dir := t.TempDir()
@@ -87,23 +87,23 @@
 		awaitView(t, s, "three", func(v *View) bool { return len(v.Present()) == 3 })
 	}
 	n2.AnnounceLeave()
-	awaitView(t, n1, "it announces that it leaves", hasState("n2", Leaving))
+	awaitView(t, n1, "n2 announces that it leaves", hasState("n2", Leaving))
 	n2.Leave()
-	awaitView(t, n1, "it has left", hasState("n2", Left))
+	awaitView(t, n1, "n2 has left", hasState("n2", Left))
 	n3.Close()
-	awaitView(t, n1, "it has failed", hasState("n3", Dead))
+	awaitView(t, n1, "n3 has failed", hasState("n3", Dead))
 	restarted := newService(t, "n3", dir+"/3", c, a)
 	joinFleet(t, restarted)
-	v := awaitView(t, n1, "its next incarnation", hasState("n3", Alive))
+	v := awaitView(t, n1, "the next incarnation of n3", hasState("n3", Alive))
 	if m, _ := v.Lookup("n3"); m.Incarnation.Number != 2 {
-		t.Errorf("incarnation %v", m.Incarnation)
+		t.Errorf("got incarnation %v, want number 2", m.Incarnation)
 	}
 	if status := n1.Status(); !strings.Contains(status, "n2 left") || !strings.Contains(n1.Counters(), "deaths=1 ") {
-		t.Errorf("%s; %s", status, n1.Counters())
+		t.Errorf("got status %s and counters %s, want n2 left and deaths=1", status, n1.Counters())
 	}
 }
 
-// In an upgrade the membership goes from one process to the other, and no view has the node gone or twice.
+// In an upgrade one process passes the membership to the other. No view may miss the node or contain it twice.
 func TestUpgradeTransfersMembership(t *testing.T) {
 	a, b := freeAddr(t), freeAddr(t)
 	dir := t.TempDir()
@@ -113,16 +113,16 @@
 	awaitView(t, n1, "two", hasState("n2", Alive))
 	next := newService(t, "n2", dir+"/2", b, a)
 	if err := next.Join(false); err == nil || !strings.Contains(err.Error(), "is in use") {
-		t.Errorf("without waiting: %v", err)
+		t.Errorf("Join without waiting: got error %v, want an address in use", err)
 	}
 	if err := next.Join(true); err != nil {
 		t.Fatal(err)
 	}
 	predecessor.Release()
-	awaitView(t, n1, "its next incarnation", func(v *View) bool {
+	awaitView(t, n1, "the next incarnation of n2", func(v *View) bool {
 		m, _ := v.Lookup("n2")
 		if len(v.Members) != 2 || !m.State.Present() {
-			t.Errorf("meanwhile %s", v)
+			t.Errorf("view during the upgrade: %s", v)
 		}
 		return m.Incarnation.Number == 2
 	})
@@ -131,7 +131,8 @@
 	}
 }
 
-// Of two nodes under one name the settled one stays, and the other steps back and states why.
+// If two nodes use one name, the node with the settled claim keeps the name, and the other gives it up and reports the
+// reason.
 func TestNameConflict(t *testing.T) {
 	a, b, c := freeAddr(t), freeAddr(t), freeAddr(t)
 	dir := t.TempDir()
@@ -140,21 +141,21 @@
 	joinFleet(t, n2)
 	v := awaitView(t, n1, "two", hasState("n2", Alive))
 	settled, _ := v.Lookup("n2")
-	time.Sleep(claimSettleDelay + time.Second) // its claim settles by time alone
+	time.Sleep(claimSettleDelay + time.Second) // n2's claim settles after claimSettleDelay
 	twin := newService(t, "n2", dir+"/3", c, a)
 	joinFleet(t, twin)
 	for deadline := time.Now().Add(20 * time.Second); !strings.Contains(twin.Status(), "is used by another process"); {
 		if time.Now().After(deadline) {
-			t.Fatalf("it does not step back: %s", twin.Status())
+			t.Fatalf("the newcomer does not give up the name: %s", twin.Status())
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	if m, _ := n1.View().Lookup("n2"); m.Incarnation != settled.Incarnation || !m.State.Present() {
-		t.Errorf("the settled one is %s in %v", m.State, m.Incarnation)
+		t.Errorf("the settled member is %s in incarnation %v", m.State, m.Incarnation)
 	}
 }
 
-// Packets and streams of another fleet, and corrupt ones, change nothing and are counted.
+// Packets and streams that are corrupt or belong to another fleet must be counted and must not change the view.
 func TestForeignPacketsAreDropped(t *testing.T) {
 	a := freeAddr(t)
 	n1 := newService(t, "n1", t.TempDir(), a)
@@ -180,7 +181,7 @@
 		}
 		c.Write(p)
 		c.(*net.TCPConn).CloseWrite()
-		c.Read(make([]byte, 1)) // until it is closed
+		c.Read(make([]byte, 1)) // blocks until the other side closes the connection
 		c.Close()
 	}
 	for deadline := time.Now().Add(10 * time.Second); n1.traffic.foreign.Load() < 10; time.Sleep(time.Millisecond) {
@@ -189,11 +190,11 @@
 		}
 	}
 	if n1.View().Number != before || n1.traffic.streamsIn.Load() != 0 {
-		t.Errorf("%s; %s", n1.Status(), n1.Counters())
+		t.Errorf("got a new view or a stream: status %s, counters %s", n1.Status(), n1.Counters())
 	}
 }
 
-// A directory that cannot be used is one clear error, and its files stay as they are.
+// A directory that cannot be used must result in one clear error, and its files must stay unchanged.
 func TestDirectoryErrors(t *testing.T) {
 	good := filepath.Join(t.TempDir(), "good")
 	if l, err := beginIncarnation(good, "n1"); err != nil || l.Number != 1 {
@@ -224,7 +225,7 @@
 	} {
 		_, err := beginIncarnation(dir, "n1")
 		if err == nil || !strings.HasPrefix(err.Error(), "directory: ") || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("want an error that contains %s: got %v", want, err)
 		}
 	}
 	if l, err := beginIncarnation(good, "n1"); err != nil || l.Number != 2 {
@@ -235,7 +236,7 @@
 	}
 }
 
-// A slow reader gets the newest view, and one that waits in vain ends with its context.
+// A slow caller of Next gets the newest view, and a wait without a new view ends with the error of the context.
 func TestNextView(t *testing.T) {
 	n1 := newService(t, "n1", t.TempDir(), freeAddr(t))
 	for i := range 5 {
@@ -262,13 +263,13 @@
 	f.Fuzz(func(t *testing.T, p []byte) {
 		forEachSWIMMessage(p, func(swimMessage) {})
 		if sender, _, payload, err := decodePacket("test", p); err == nil && len(sender)+len(payload)+packetHeader != len(p) {
-			t.Errorf("%q, %d bytes", sender, len(payload))
+			t.Errorf("sender %q and %d bytes of payload do not add up to the packet", sender, len(payload))
 		}
 		decodeMetadata(p)
 	})
 }
 
-// Two nodes that start while all addresses to join are down find each other by the addresses that they stored.
+// Two nodes that start while all configured addresses to join are down must find each other by their stored addresses.
 func TestRestartByKnownAddresses(t *testing.T) {
 	a, b, c := freeAddr(t), freeAddr(t), freeAddr(t)
 	dir := t.TempDir()
@@ -283,7 +284,7 @@
 	stored := func(dir string) bool { return len(readKnownAddrs(dir)) >= 2 }
 	for deadline := time.Now().Add(20 * time.Second); !stored(dir+"/2") || !stored(dir+"/3"); {
 		if time.Now().After(deadline) {
-			t.Fatal("the addresses are not stored")
+			t.Fatal("the addresses of members are not stored")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -293,11 +294,11 @@
 	n2, n3 = newService(t, "n2", dir+"/2", b, a), newService(t, "n3", dir+"/3", c, a)
 	joinFleet(t, n2)
 	joinFleet(t, n3)
-	awaitView(t, n2, "the other", hasState("n3", Alive))
+	awaitView(t, n2, "the other node", hasState("n3", Alive))
 	if err := os.WriteFile(dir+"/2/"+knownAddrsFile, []byte(`["x", "127.0.0.1:1"`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if got := readKnownAddrs(dir + "/2"); len(got) != 0 {
-		t.Errorf("a file that was cut short gives %v", got)
+		t.Errorf("got addresses %v from a truncated file, want none", got)
 	}
 }
--- a/internal/fleet/member/stored_forms_test.go
+++ b/internal/fleet/member/stored_forms_test.go
@@ -12,7 +12,7 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// readTestdata returns a file that an earlier build wrote.
+// readTestdata returns the content of a file that an earlier build wrote.
 func readTestdata(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", name))
@@ -22,7 +22,7 @@
 	return data
 }
 
-// requireTestdata fails unless a value is written as the earlier build wrote it.
+// requireTestdata fails the test unless the bytes are those that the earlier build wrote.
 func requireTestdata(t *testing.T, name string, got []byte) {
 	t.Helper()
 	if want := readTestdata(t, name); !bytes.Equal(got, want) {
@@ -30,16 +30,16 @@
 	}
 }
 
-// A changed packet header would cut nodes of two builds off from each other.
+// A changed packet header would prevent communication between nodes of two builds.
 func TestPacketEncodingIsStable(t *testing.T) {
 	requireTestdata(t, "packet", encodePacket("calder", "n1", 7, []byte("payload")))
 	sender, number, payload, err := decodePacket("calder", readTestdata(t, "packet"))
 	if err != nil || sender != "n1" || number != 7 || string(payload) != "payload" {
-		t.Errorf("%q, %d, %q, %v", sender, number, payload, err)
+		t.Errorf("got sender %q, number %d, payload %q, error %v", sender, number, payload, err)
 	}
 }
 
-// Changed metadata would make other builds reject this node.
+// Changed metadata would make nodes of other builds reject this node.
 func TestMetadataEncodingIsStable(t *testing.T) {
 	want := metadata{Zone: "derby", Home: "0123456789abcdef", Number: 3, Settled: true, Leaving: true, Predecessor: true}
 	text, err := json.Marshal(want)
@@ -48,11 +48,11 @@
 	}
 	requireTestdata(t, "metadata.json", text)
 	if got, err := decodeMetadata(readTestdata(t, "metadata.json")); err != nil || got != want {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("got metadata %+v, error %v", got, err)
 	}
 }
 
-// Messages about a member are read and written as the memberlist library has them.
+// Messages about a member are read and written in the format of the memberlist library.
 func TestSWIMMessageEncodingIsStable(t *testing.T) {
 	var text []byte
 	message := swimMessage{Incarnation: 8192, Node: "n2", From: "n1"}
@@ -68,7 +68,7 @@
 	}
 }
 
-// A node that could not read its directory after an upgrade would start as a stranger.
+// A node that could not read its directory after an upgrade would start with a new home and count as another node.
 func TestDirectoryFileFormatsAreStable(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, incarnationFile)
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	if got, err := beginIncarnation(dir, "n1"); err != nil || got != (Incarnation{Home: "0123456789abcdef", Number: 5}) {
-		t.Errorf("%v, %v", got, err)
+		t.Errorf("got incarnation %v, error %v", got, err)
 	}
 	view := &View{Self: "n1", Members: []Member{{Name: "n1", Addr: "127.0.0.1:1", State: Alive},
 		{Name: "n2", Addr: "127.0.0.2:7946", State: Alive}, {Name: "n3", Addr: "[::1]:7946", State: Suspect}}}
@@ -101,7 +101,7 @@
 	}
 }
 
-// Records are judged by builds other than the one that wrote them.
+// Records are checked by other builds than the one that wrote them.
 func TestRecordEncodingIsStable(t *testing.T) {
 	view := View{Number: 9, Self: "n1", Members: []Member{{
 		Name: "n1", Zone: "derby", Addr: "127.0.0.1:7946", Incarnation: Incarnation{Home: "0123456789abcdef", Number: 4},
@@ -114,7 +114,7 @@
 	requireTestdata(t, "view.json", text)
 	var got View
 	if err := json.Unmarshal(readTestdata(t, "view.json"), &got); err != nil || !reflect.DeepEqual(got, view) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("got view %+v, error %v", got, err)
 	}
 	reports := map[string]ReceptionReport{"n2": {At: 5, Received: 7, Missing: 1, Duplicates: 2}}
 	if text, err = json.Marshal(reports); err != nil {
--- a/internal/fleet/member/table_test.go
+++ b/internal/fleet/member/table_test.go
@@ -18,7 +18,7 @@
 	return Event{Kind: EventAlive, Name: name, Zone: "east", Addr: name + ":1", Incarnation: incarnationNumber(n)}
 }
 
-// applyEvents applies events a second apart to a table, and returns what it has of n2.
+// applyEvents applies events to a table at intervals of a second, and returns the table's entry for n2.
 func applyEvents(t *testing.T, events ...Event) Member {
 	t.Helper()
 	table := NewTable(Member{Name: "n1", Incarnation: incarnationNumber(1)}, 0)
@@ -48,28 +48,29 @@
 		{"suspicion refuted", []Event{aliveEvent("n2", 1), suspected, cleared}, Alive, 1},
 		{"dead after a suspicion", []Event{aliveEvent("n2", 1), suspected, died}, Dead, 1},
 		{"left as announced", []Event{aliveEvent("n2", 1), leaving, left}, Left, 1},
-		{"left as announced, heard to the last", []Event{aliveEvent("n2", 1), leaving, receivedRecently(left)}, Left, 1},
+		{"left as announced, just after a message of its own",
+			[]Event{aliveEvent("n2", 1), leaving, receivedRecently(left)}, Left, 1},
 		{"dead while leaving", []Event{aliveEvent("n2", 1), leaving, died}, Dead, 1},
 		{"silent while leaving", []Event{aliveEvent("n2", 1), leaving, suspected}, Leaving, 1},
 		{"restarted", []Event{aliveEvent("n2", 1), aliveEvent("n2", 2)}, Alive, 2},
 		{"alive again after death", []Event{aliveEvent("n2", 1), died, aliveEvent("n2", 2)}, Alive, 2},
-		{"late event of the last incarnation", []Event{aliveEvent("n2", 2), aliveEvent("n2", 1)}, Alive, 2},
-		{"death of the last incarnation, while this one is heard",
+		{"late event of the previous incarnation", []Event{aliveEvent("n2", 2), aliveEvent("n2", 1)}, Alive, 2},
+		{"death of the previous incarnation, while messages of this one arrive",
 			[]Event{aliveEvent("n2", 2), receivedRecently(died), aliveEvent("n2", 2)}, Alive, 2},
 		{"death without a suspicion, refuted", []Event{aliveEvent("n2", 2), died, aliveEvent("n2", 2)}, Alive, 2},
-		{"death while it is heard, not refuted", []Event{aliveEvent("n2", 2), receivedRecently(died)}, Dead, 2},
+		{"death just after a message of its own, not refuted", []Event{aliveEvent("n2", 2), receivedRecently(died)}, Dead, 2},
 		{"left without an announcement", []Event{aliveEvent("n2", 2), receivedRecently(left)}, Left, 2},
 		{"unknown member", []Event{died}, "", 0},
 		{"left after death", []Event{aliveEvent("n2", 1), suspected, died, left}, Dead, 1},
 	} {
 		if m := applyEvents(t, c.events...); m.State != c.state || m.Incarnation.Number != c.number {
-			t.Errorf("%s: %s in incarnation %d", c.name, m.State, m.Incarnation.Number)
+			t.Errorf("%s: got state %s in incarnation %d", c.name, m.State, m.Incarnation.Number)
 		}
 	}
 }
 
-// A restarted member must not count as dead by gossip of its last incarnation: an unexpected death is held back for
-// departureConfirmDelay, and no longer.
+// A restarted member must not count as dead because of gossip about its previous incarnation. An unexpected death is
+// therefore delayed, by no more than departureConfirmDelay.
 func TestUnexpectedDeathIsDelayed(t *testing.T) {
 	table := NewTable(Member{Name: "n1"}, 0)
 	table.Apply(second, aliveEvent("n2", 1))
@@ -77,13 +78,14 @@
 	for at, want := range map[time.Duration]State{2 * second: Suspect, 2*second + departureConfirmDelay: Suspect} {
 		table.Tick(at)
 		if m, _ := table.View().Lookup("n2"); m.State != want {
-			t.Errorf("%v: %s", at, m.State)
+			t.Errorf("at %v: got state %s", at, m.State)
 		}
 	}
-	table.Apply(2*second+departureConfirmDelay, Event{Kind: EventRefuted, Name: "n2"}) // no message of the member itself
+	// The refutation is not a message received from the member itself.
+	table.Apply(2*second+departureConfirmDelay, Event{Kind: EventRefuted, Name: "n2"})
 	table.Tick(2*second + departureConfirmDelay + 1)
 	if m, _ := table.View().Lookup("n2"); m.State != Dead {
-		t.Errorf("in the end: %s", m.State)
+		t.Errorf("after departureConfirmDelay: got state %s, want dead", m.State)
 	}
 }
 
@@ -96,7 +98,7 @@
 	table.Apply(2*second, Event{Kind: EventSuspect, Name: "n3"})
 	table.Tick(2*second + suspicionTimeout + 1)
 	if m, _ := table.View().Lookup("n3"); m.State != Alive {
-		t.Errorf("a suspicion that came to nothing: %s", m.State)
+		t.Errorf("after an unconfirmed suspicion: got state %s, want alive", m.State)
 	}
 	if _, known := table.View().Lookup("n2"); !known {
 		t.Error("a tombstone is dropped at once")
@@ -113,7 +115,7 @@
 		table.Apply(second, aliveEvent(fmt.Sprintf("m%04d", i), 1))
 	}
 	if n := len(table.View().Members); n != MaxMembers || table.RejectedMembers() != 6 {
-		t.Errorf("%d members, %d refused", n, table.RejectedMembers())
+		t.Errorf("got %d members and %d rejections", n, table.RejectedMembers())
 	}
 	table.Apply(2*second, Event{Kind: EventSuspect, Name: "m0007"})
 	table.Apply(2*second, Event{Kind: EventDead, Name: "m0007"})
@@ -123,8 +125,8 @@
 	}
 }
 
-// Whatever events come, in whatever order: views are numbered without a gap and never change, each name stands once, a
-// later incarnation never gives way to an earlier one, and this process is in its own view.
+// Properties that must hold for any sequence of events: views are immutable and numbered without gaps, each name occurs
+// once, a later incarnation is never replaced by an earlier one, and this process is present in its own view.
 func TestTableInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable(Member{Name: "n1"}, 0)
@@ -144,33 +146,34 @@
 			}
 			view := table.View()
 			if changed == (view.Number == before.Number) || fmt.Sprint(before.Members) != text {
-				t.Fatalf("view %d after %d, changed %v", view.Number, before.Number, changed)
+				t.Fatalf("got view %d after view %d, or the earlier view was modified; changed %v",
+					view.Number, before.Number, changed)
 			}
 			if !slices.IsSortedFunc(view.Members, func(a, table Member) int { return strings.Compare(a.Name, table.Name) }) {
-				t.Fatalf("not in order: %v", view)
+				t.Fatalf("members are not sorted: %v", view)
 			}
 			for i, m := range view.Members {
 				if i > 0 && view.Members[i-1].Name == m.Name {
-					t.Fatalf("%s stands twice", m.Name)
+					t.Fatalf("name %s occurs twice", m.Name)
 				}
 				if m.Incarnation.Number < incarnations[m.Name] && m.State.Present() {
-					t.Fatalf("%s goes back to incarnation %d from %d", m.Name, m.Incarnation.Number, incarnations[m.Name])
+					t.Fatalf("%s returned to incarnation %d from %d", m.Name, m.Incarnation.Number, incarnations[m.Name])
 				}
 				incarnations[m.Name] = m.Incarnation.Number
 			}
 			for name := range incarnations {
 				if _, known := view.Lookup(name); !known {
-					delete(incarnations, name) // forgotten
+					delete(incarnations, name) // its tombstone was dropped
 				}
 			}
 			if self, known := view.Lookup("n1"); !known || !self.State.Present() || self.State == Suspect {
-				t.Fatalf("it is not present in its own view: %v", view)
+				t.Fatalf("this process is not present in its own view: %v", view)
 			}
 		}
 	})
 }
 
-// If both of two claims prevailed, or neither, a name would have two holders, or none.
+// If both of two claims prevailed, or neither did, two processes would hold one name, or none would.
 func TestOneClaimPrevails(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		claim := func(who string) Claim {
@@ -179,7 +182,7 @@
 		}
 		a, b := claim("a"), claim("b")
 		if a.Incarnation != b.Incarnation && Prevails(a, b) == Prevails(b, a) {
-			t.Fatalf("%v and %v: %v, %v", a, b, Prevails(a, b), Prevails(b, a))
+			t.Fatalf("claims %v and %v: got Prevails %v and, reversed, %v", a, b, Prevails(a, b), Prevails(b, a))
 		}
 	})
 	if Prevails(Claim{Incarnation{"aa", 9}, false}, Claim{Incarnation{"bb", 1}, true}) {
@@ -202,14 +205,14 @@
 	}
 	for i, name := range ring {
 		if successor := v.Successor(name); successor != ring[(i+1)%len(ring)] {
-			t.Errorf("after %s comes %s", name, successor)
+			t.Errorf("successor of %s: got %s", name, successor)
 		}
 	}
 	if successor := v.Successor("n3"); !slices.Contains(ring, successor) {
-		t.Errorf("the successor of one that is gone: %q", successor)
+		t.Errorf("the successor of a dead member is not on the ring: %q", successor)
 	}
 	if successor := viewOf(Member{Name: "n1", State: Alive}).Successor("n1"); successor != "" {
-		t.Errorf("one that is alone has a successor %q", successor)
+		t.Errorf("a single member has the successor %q", successor)
 	}
 }
 
@@ -226,7 +229,7 @@
 		{viewOf(m(Alive), m(Left), m(Left)), Partition{Present: 1, Known: 1, Majority: true}},
 	} {
 		if got := c.v.Partition(); got != c.want {
-			t.Errorf("%v: %+v", c.v.Members, got)
+			t.Errorf("members %v: got partition %+v", c.v.Members, got)
 		}
 	}
 }
