--- a/cmd/olivefleet/call_store.go
+++ b/cmd/olivefleet/call_store.go
@@ -15,16 +15,19 @@
 	"olivebridge/internal/transport"
 )
 
-// callStore stores calls with an idempotency key in the fleet. It implements transport.IdempotencyStore.
+// callStore stores the outcomes of calls with an idempotency key in the fleet. It implements
+// transport.IdempotencyStore.
 type callStore struct {
 	service *callstore.Service
-	// idempotent has the classes whose calls are stored, by position, and whether they may run more than once.
+	// idempotent has an entry for each class whose calls are stored, by the position of the class. The value is whether a
+	// call of the class may run more than once.
 	idempotent map[int]bool
 }
 
 var _ transport.IdempotencyStore = (*callStore)(nil)
 
-// addCallStore makes the service that stores calls.
+// addCallStore creates the service that stores calls. It returns an error if the configuration lacks one of the classes
+// in the fleet file.
 func (f *fleetNode) addCallStore(c *protocol.Config, m *member.Config) error {
 	work := f.file.Work
 	s := &callStore{idempotent: map[int]bool{}}
@@ -97,13 +100,13 @@
 		return transport.CallClaim{State: transport.CallAnswered, Response: storedResponse(result.Outcome)}
 	case callstore.Unknown:
 		return transport.CallClaim{State: transport.CallOutcomeUnknown}
-	case callstore.Free: // this very call was given up before
+	case callstore.Free: // the same owner has already ended the call as not run
 		return transport.CallClaim{State: transport.CallStoreUnavailable}
 	}
 	return transport.CallClaim{State: transport.CallRunning}
 }
 
-// storedResponse returns a stored response; nil: the outcome has none.
+// storedResponse converts the outcome of a call to a response; nil: the outcome has none.
 func storedResponse(outcome *callstore.Outcome) *transport.StoredResponse {
 	if outcome == nil {
 		return nil
@@ -116,7 +119,7 @@
 	}
 }
 
-// finish stores how a call ended.
+// finish stores the final state of a call, with its response if the call was answered.
 func (s *callStore) finish(
 	key string, owner callstore.Owner, state transport.CallState, response *transport.StoredResponse,
 ) {
--- a/cmd/olivefleet/fleet_node.go
+++ b/cmd/olivefleet/fleet_node.go
@@ -20,20 +20,20 @@
 	"olivebridge/internal/transport"
 )
 
-// fleetNode is the node's membership in its fleet, with the services that the fleet file asks for.
+// fleetNode is the node's membership in its fleet, with the services that the fleet file configures.
 type fleetNode struct {
 	file       *fleetfile.File
 	membership *member.Service
 	subsets    *choices.Service
 	quotas     *quotaAdmission     // nil: the fleet has no quotas
-	calls      *callStore          // nil: no call is stored
-	operations *operations.Service // nil: operators' commands are for one node each
-	signals    *signals.Service    // nil: nodes tell each other nothing of servers
+	calls      *callStore          // nil: calls are not stored
+	operations *operations.Service // nil: the fleet has no commands of operators
+	signals    *signals.Service    // nil: nodes do not exchange reports about servers
 }
 
 var _ node.Fleet = (*fleetNode)(nil)
 
-// newFleetNode reads the fleet file and makes the node's services, none of which runs before Join.
+// newFleetNode reads the fleet file and creates the node's services. None of them runs before Join.
 func newFleetNode(c *protocol.Config, log *slog.Logger) (node.Fleet, error) {
 	file, err := fleetfile.Load(os.Getenv(protocol.EnvFleet))
 	if err != nil {
@@ -65,6 +65,7 @@
 	return f, nil
 }
 
+// newMemberConfig returns the configuration of the membership, and opens the record if the fleet file names one.
 func newMemberConfig(c *protocol.Config, file fleetfile.Member, log *slog.Logger) (member.Config, error) {
 	config := member.Config{
 		Name:      c.Name,
@@ -73,7 +74,7 @@
 		Join:      file.Join,
 		Directory: file.Directory,
 		Log:       log,
-		Listen:    netip.MustParseAddrPort(file.Listen), // the file was checked
+		Listen:    netip.MustParseAddrPort(file.Listen), // fleetfile has checked both addresses
 		Advertise: netip.MustParseAddrPort(file.Advertise),
 	}
 	if file.Record == "" {
@@ -84,7 +85,7 @@
 	return config, err
 }
 
-// addChannel has a channel of the members' streams served.
+// addChannel registers the function that serves a channel of the streams between members.
 func addChannel(config *member.Config, channel byte, serve func(conn net.Conn, from string)) {
 	if config.Channels == nil {
 		config.Channels = map[byte]func(net.Conn, string){}
@@ -92,7 +93,8 @@
 	config.Channels[channel] = serve
 }
 
-// addService has a service start and stop with the node's membership, after those added before.
+// addService makes a service start after this process has acquired the node's membership and stop before it gives the
+// membership up. A service starts and stops after those that were added before it.
 func addService(config *member.Config, start func(member.Incarnation), stop func()) {
 	startPrevious := config.OnJoin
 	stopPrevious := config.OnLeave
@@ -110,7 +112,7 @@
 	}
 }
 
-// dial opens a stream to another member. The services are made before the membership is.
+// dial opens a stream to another member. It is a method because the services are created before the membership.
 func (f *fleetNode) dial(name string, channel byte, timeout time.Duration) (net.Conn, error) {
 	return f.membership.Dial(name, channel, timeout)
 }
--- a/cmd/olivefleet/main.go
+++ b/cmd/olivefleet/main.go
@@ -1,5 +1,5 @@
-// Command olivefleet is one load-balancing node that belongs to a fleet: the same node as olivebridge, which becomes
-// this program where its environment names a fleet file.
+// Command olivefleet runs one load-balancing node that belongs to a fleet. It is the same node as olivebridge, which
+// executes this program if its environment names a fleet file.
 package main
 
 import (
--- a/cmd/olivefleet/quotas.go
+++ b/cmd/olivefleet/quotas.go
@@ -14,13 +14,13 @@
 	"olivebridge/internal/routing"
 )
 
-// noQuota stands for the position of a quota that there is none of.
+// noQuota is used in place of a quota's position if there is no quota.
 const noQuota = -1
 
-// inUseMargin is how much longer than its client waits a request may be in use at a server.
+// inUseMargin is the time for which a request may be in use at a server after its client's deadline.
 const inUseMargin = 2 * time.Second
 
-// quotaAdmission admits requests and attempts by the fleet's quotas. It implements routing.AdmissionControl.
+// quotaAdmission admits requests and attempts according to the fleet's quotas. It implements routing.AdmissionControl.
 type quotaAdmission struct {
 	service   *budget.Service
 	tenants   []int // the position of each tenant's quota, or noQuota
@@ -30,7 +30,7 @@
 
 var _ routing.AdmissionControl = (*quotaAdmission)(nil)
 
-// addQuotas makes the service that keeps the fleet's quotas.
+// addQuotas creates the service that enforces the fleet's quotas.
 func (f *fleetNode) addQuotas(c *protocol.Config, m *member.Config) error {
 	q, err := newQuotaAdmission(c, f.file.Budgets)
 	if err != nil {
@@ -54,7 +54,8 @@
 	return nil
 }
 
-// newQuotaAdmission finds which quota is for whom.
+// newQuotaAdmission maps tenants and uses to the positions of their quotas. It returns an error for a tenant that the
+// configuration lacks.
 func newQuotaAdmission(c *protocol.Config, budgets []fleetfile.Budget) (*quotaAdmission, error) {
 	q := &quotaAdmission{retries: noQuota, slowStart: noQuota}
 	for range c.NameIndex.Tenants {
@@ -78,6 +79,7 @@
 	return q, nil
 }
 
+// newQuotas converts budgets of the fleet file to quotas.
 func newQuotas(budgets []fleetfile.Budget, longestDeadline time.Duration) []budget.Quota {
 	var quotas []budget.Quota
 	for _, b := range budgets {
@@ -86,6 +88,8 @@
 	return quotas
 }
 
+// newQuota converts a budget of the fleet file to a quota. A request of an in-use quota is held for at most
+// longestDeadline plus inUseMargin.
 func newQuota(b fleetfile.Budget, longestDeadline time.Duration) budget.Quota {
 	quota := budget.Quota{Name: b.Name, Kind: budget.Kind(b.Kind), Amount: b.Rate, Burst: b.Burst}
 	switch quota.Kind {
@@ -99,8 +103,8 @@
 	return quota
 }
 
-// quotaOfTenant returns the position of a tenant's quota. A request without a tenant has none, and a tenant may have
-// none.
+// quotaOfTenant returns the position of a tenant's quota. It returns noQuota for a request without a tenant and for a
+// tenant without a quota.
 func (q *quotaAdmission) quotaOfTenant(tenant int) int {
 	if tenant < 0 {
 		return noQuota
--- a/cmd/olivefleet/reload.go
+++ b/cmd/olivefleet/reload.go
@@ -9,7 +9,7 @@
 	"olivebridge/internal/protocol"
 )
 
-// Reload implements node.Fleet: voters and the amounts of quotas may change in a running node, and nothing else.
+// Reload implements node.Fleet. In a running node only voters and the amounts of quotas may change.
 func (f *fleetNode) Reload(c *protocol.Config) error {
 	path := os.Getenv(protocol.EnvFleet)
 	next, err := fleetfile.Load(path)
--- a/cmd/olivefleet/services.go
+++ b/cmd/olivefleet/services.go
@@ -13,7 +13,7 @@
 	"olivebridge/internal/protocol"
 )
 
-// newSubsets makes the service that selects with which servers this node works.
+// newSubsets creates the service that selects the servers with which this node works.
 func (f *fleetNode) newSubsets(c *protocol.Config, m *member.Config) *choices.Service {
 	return choices.New(choices.Config{
 		Name:    c.Name,
@@ -26,7 +26,7 @@
 	})
 }
 
-// addOperations makes the service for operators' commands to the whole fleet.
+// addOperations creates the service for commands of operators to the whole fleet.
 func (f *fleetNode) addOperations(name string, m *member.Config) {
 	operators := f.file.Operators
 	f.operations = operations.New(operations.Config{
@@ -47,7 +47,7 @@
 	addChannel(m, operations.NodesChannel, f.operations.ServeNodes)
 }
 
-// addSignals makes the service by which nodes tell each other of servers that fail.
+// addSignals creates the service by which nodes report failing servers to each other.
 func (f *fleetNode) addSignals(name string, m *member.Config) {
 	f.signals = signals.New(signals.Config{
 		Name:      name,
