--- a/internal/fleet/member/isolation.go
+++ b/internal/fleet/member/isolation.go
@@ -12,11 +12,11 @@
 // of its own process. When a packet or frame from any member arrives again, checkIsolation marks as alive all members
 // that memberlist has not dropped.
 func (a *agent) checkIsolation(now, began time.Time) {
-	lastHeard := a.transport.lastReceived()
-	if lastHeard.Before(began) {
-		lastHeard = began
+	lastReceived := a.transport.lastReceived()
+	if lastReceived.Before(began) {
+		lastReceived = began
 	}
-	silent := now.Sub(lastHeard) > isolationTimeout
+	silent := now.Sub(lastReceived) > isolationTimeout
 	switch {
 	case silent && !a.isolated:
 		a.isolated = true
--- a/internal/fleet/member/mass_failure_test.go
+++ b/internal/fleet/member/mass_failure_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// A member that this process or any witness reached must not be declared dead. Without a witness report no member may
-// be.
+// ConfirmedFailures must not return a member that this process or a witness reached, and must return no member without
+// a witness report.
 func TestConfirmedFailures(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/fleet/member/service_test.go
+++ b/internal/fleet/member/service_test.go
@@ -142,11 +142,11 @@
 	v := awaitView(t, n1, "two", hasState("n2", Alive))
 	settled, _ := v.Lookup("n2")
 	time.Sleep(claimSettleDelay + time.Second) // n2's claim settles after claimSettleDelay
-	twin := newService(t, "n2", dir+"/3", c, a)
-	joinFleet(t, twin)
-	for deadline := time.Now().Add(20 * time.Second); !strings.Contains(twin.Status(), "is used by another process"); {
+	newcomer := newService(t, "n2", dir+"/3", c, a)
+	joinFleet(t, newcomer)
+	for deadline := time.Now().Add(20 * time.Second); !strings.Contains(newcomer.Status(), "is used by another process"); {
 		if time.Now().After(deadline) {
-			t.Fatalf("the newcomer does not give up the name: %s", twin.Status())
+			t.Fatalf("the newcomer does not give up the name: %s", newcomer.Status())
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/internal/fleet/member/stored_forms_test.go
+++ b/internal/fleet/member/stored_forms_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// Messages about a member are read and written in the format of the memberlist library.
+// A message about a member must keep the encoding of the memberlist library.
 func TestSWIMMessageEncodingIsStable(t *testing.T) {
 	var text []byte
 	message := swimMessage{Incarnation: 8192, Node: "n2", From: "n1"}
--- a/internal/fleet/member/transport.go
+++ b/internal/fleet/member/transport.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// start starts to receive packets and connections. The caller has set observe and serveWitness.
+// start begins to receive packets and connections. The caller must have set observe and serveWitness.
 func (t *transport) start() {
 	t.tasks.Go(t.readPackets)
 	t.tasks.Go(t.acceptStreams)
