--- a/internal/fleet/member/rejoin.go
+++ b/internal/fleet/member/rejoin.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	// rejoinInterval is the least time between two attempts to join a missing address.
+	// rejoinInterval is the minimum time between two attempts to join any missing address.
 	rejoinInterval = 500 * time.Millisecond
-	// rejoinSameInterval is the least time between two attempts to join the same one.
-	rejoinSameInterval = 3 * time.Second
+	// rejoinAddrInterval is the minimum time between two attempts to join the same address.
+	rejoinAddrInterval = 3 * time.Second
 )
 
-// rejoin tries to join one address that is missing: the sides of a network partition have declared each other dead,
-// and would never ask again; and a node that starts may find none of the addresses to join.
+// rejoin tries to join one missing address. Without rejoin, the two sides of a network partition, which have declared
+// each other dead, would never contact each other again. It also covers a node that starts while none of the addresses
+// to join is reachable.
 func (a *agent) rejoin(now time.Time) {
 	addr := a.missingAddr(now)
 	if addr == "" || !a.joining.CompareAndSwap(false, true) {
 		return
 	}
-	a.rejoinedAt[addr] = now
+	a.lastRejoins[addr] = now
 	a.tasks.Go(func() {
 		defer a.joining.Store(false)
 		if joined, _ := a.list.Join([]string{addr}); joined > 0 {
@@ -29,8 +30,8 @@
 	})
 }
 
-// missingAddr returns the address of a member that is dead, or one to join at which no member is known, that was not
-// tried for the longest time; "": there is none whose time has come.
+// missingAddr returns the address to try next: the address of a dead member, or an address to join at which no member
+// is known, whichever was not tried for the longest time. It returns "" if no such address is due.
 func (a *agent) missingAddr(now time.Time) string {
 	config := &a.service.config
 	view := a.service.View()
@@ -46,19 +47,20 @@
 	missing = slices.Concat(missing, config.Join, a.knownAddrs)
 	pause := rejoinPause(view)
 	missing = slices.DeleteFunc(missing, func(addr string) bool {
-		return known[addr] || now.Sub(a.rejoinedAt[addr]) < pause
+		return known[addr] || now.Sub(a.lastRejoins[addr]) < pause
 	})
 	if len(missing) == 0 {
 		return ""
 	}
 	rand.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
-	return slices.MinFunc(missing, func(x, y string) int { return a.rejoinedAt[x].Compare(a.rejoinedAt[y]) })
+	return slices.MinFunc(missing, func(x, y string) int { return a.lastRejoins[x].Compare(a.lastRejoins[y]) })
 }
 
-// rejoinPause is the least time between two attempts to join the same address. It is short while nobody is known.
+// rejoinPause returns the minimum time between two attempts to join the same address. It is shorter while no other
+// member is present.
 func rejoinPause(view *View) time.Duration {
 	if len(view.Present()) == 1 {
 		return rejoinInterval
 	}
-	return rejoinSameInterval
+	return rejoinAddrInterval
 }
