--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,3 +1,4 @@
-// Package wire is the codec of the simulator's wire: frames of events in (Frame, Event), frames of actions out (Reply).
-// It makes no decisions. The simulator's own terms end here: the package speaks in the terms of the balancer.
+// Package wire encodes and decodes the simulator's binary protocol: Frame and Event decode batches of events, and Reply
+// encodes the actions that answer a batch. The package makes no decisions. It translates the simulator's terms into
+// those of package balancer, so that no other package needs them.
 package wire
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -8,53 +8,53 @@
 	"olivebridge/balancer"
 )
 
-// Event is one record of a batch; its methods read the fields of its code. It is valid until the next Read of its
-// frame.
+// Event is one event record of a batch. Each of its methods decodes the fields of the event codes that the method's
+// comment names. An Event is valid until the next Read of its frame.
 type Event struct {
 	frame    *Frame
-	position int
+	position int // index of the record in the batch
 	record   []byte
 }
 
-// Code returns the event's code, maybe an unknown one.
+// Code returns the event's code, which is not validated.
 func (e Event) Code() EventCode { return EventCode(e.record[codeOffset]) }
 
-// Instance returns the number of the instance concerned.
+// Instance returns the number of the instance that the event is for.
 func (e Event) Instance() uint32 { return byteOrder.Uint32(e.record[instanceOffset:]) }
 
-// ID returns the request's id; of all events but EventStart, EventEndpoints, EventHealthCheck and EventPeerMessage.
+// ID returns the request ID of an EventRequest, EventFirstByte, EventOutcome or EventDisconnect.
 func (e Event) ID() balancer.RequestID {
 	return balancer.RequestID(byteOrder.Uint64(e.record[requestIDOffset:]))
 }
 
-// Ref returns the reference that the timer of an EventTimer was set with.
+// Ref returns the reference with which Reply.SetTimer set the timer of an EventTimer.
 func (e Event) Ref() uint64 { return byteOrder.Uint64(e.record[timerRefOffset:]) }
 
-// Seed returns the seed of an EventStart.
+// Seed returns the random seed of an EventStart.
 func (e Event) Seed() uint64 { return byteOrder.Uint64(e.record[startSeedOffset:]) }
 
-// Attempt returns the number of an EventFirstByte's attempt.
+// Attempt returns the number of the attempt, from 0, of an EventFirstByte.
 func (e Event) Attempt() int { return int(byteOrder.Uint16(e.record[firstByteAttemptOffset:])) }
 
-// UpdateKind returns the kind of an EventEndpoints.
+// UpdateKind returns the kind of update of an EventEndpoints. An unknown kind is an error.
 func (e Event) UpdateKind() (balancer.UpdateKind, error) {
 	kind := balancer.UpdateKind(e.record[endpointsKindOffset])
 	if kind > balancer.UpdateFailed {
-		return 0, e.errorf("unknown kind of list %d", kind)
+		return 0, e.errorf("unknown kind of endpoint list update: %d", kind)
 	}
 	return kind, nil
 }
 
-// Settings returns the settings of an EventStart, as settings.DecodeText takes them.
+// Settings returns the settings of an EventStart, in the format of settings.DecodeText.
 func (e Event) Settings() ([]byte, error) { return e.tail(startSettingsOffset, 1) }
 
-// PeerMessage returns the sender of an EventPeerMessage, and its bytes.
+// PeerMessage returns the number of the sending instance and the data of an EventPeerMessage.
 func (e Event) PeerMessage() (sender int, data []byte, err error) {
 	data, err = e.tail(peerMessageDataOffset, 1)
 	return int(byteOrder.Uint16(e.record[peerMessageSenderOffset:])), data, err
 }
 
-// Endpoints returns the list of an EventEndpoints. It is overwritten by the next call on the frame.
+// Endpoints returns the entries of an EventEndpoints. The next call for an event of the same frame overwrites them.
 func (e Event) Endpoints() ([]balancer.Server, error) {
 	data, err := e.tail(endpointsListOffset, endpointSize)
 	if err != nil {
@@ -72,7 +72,7 @@
 			Zone:      data[endpointZoneOffset],
 		}
 		if server.State > balancer.Draining {
-			return nil, e.errorf("unknown availability %d", server.State)
+			return nil, e.errorf("unknown endpoint state %d", server.State)
 		}
 		endpoints = append(endpoints, server)
 	}
@@ -80,7 +80,7 @@
 	return endpoints, nil
 }
 
-// The bits of a request's options.
+// Bits of the options field of an EventRequest.
 const (
 	optionHasExpectedWork = 1
 	optionClientRetry     = 2
@@ -103,9 +103,9 @@
 	return r
 }
 
-// Outcome returns how the attempt of an EventOutcome ended.
+// Outcome returns the outcome of the attempt of an EventOutcome. An unknown result code is an error.
 func (e Event) Outcome() (balancer.Outcome, error) {
-	result, err := e.result(byteOrder.Uint16(e.record[outcomeResultOffset:]))
+	result, err := e.decodeResult(byteOrder.Uint16(e.record[outcomeResultOffset:]))
 	return balancer.Outcome{
 		ID:          e.ID(),
 		Latency:     getDuration(e.record[outcomeLatencyOffset:]),
@@ -117,9 +117,9 @@
 	}, err
 }
 
-// HealthCheck returns the result of an EventHealthCheck.
+// HealthCheck returns the result of an EventHealthCheck. An unknown result code is an error.
 func (e Event) HealthCheck() (balancer.HealthCheckResult, error) {
-	result, err := e.result(byteOrder.Uint16(e.record[healthCheckResultOffset:]))
+	result, err := e.decodeResult(byteOrder.Uint16(e.record[healthCheckResultOffset:]))
 	return balancer.HealthCheckResult{
 		Server:  getServer(e.record[healthCheckServerOffset:]),
 		Latency: getDuration(e.record[healthCheckLatencyOffset:]),
@@ -128,43 +128,47 @@
 	}, err
 }
 
-// Outcome codes are the results in order, in steps: firstOutcome is balancer.OK.
+// Outcome codes number the values of balancer.Result in their order, from firstOutcome for balancer.OK in steps of
+// outcomeStep.
 const (
 	firstOutcome = 10
 	lastOutcome  = 80
 	outcomeStep  = 10
 )
 
-func (e Event) result(code uint16) (balancer.Result, error) {
+// decodeResult decodes an outcome code.
+func (e Event) decodeResult(code uint16) (balancer.Result, error) {
 	if code < firstOutcome || code > lastOutcome || code%outcomeStep != 0 {
-		return 0, e.errorf("unknown outcome %d", code)
+		return 0, e.errorf("unknown outcome code %d", code)
 	}
 	return balancer.Result((code - firstOutcome) / outcomeStep), nil
 }
 
-// tail returns the items of a size that a record refers to: their offset in the tail and their count stand at a
-// position of the record.
+// tail returns the part of the frame's tail that the record refers to. At the given position, the record holds the
+// part's offset in the tail and its number of items, 4 bytes each; an item has size bytes.
 func (e Event) tail(position, size int) ([]byte, error) {
 	tail := e.frame.tail()
 	start := uint64(byteOrder.Uint32(e.record[position:]))
 	length := uint64(byteOrder.Uint32(e.record[position+4:])) * uint64(size)
 	if start+length > uint64(len(tail)) {
-		return nil, e.errorf("%d bytes at %d lie outside the tail of %d", length, start, len(tail))
+		return nil, e.errorf("%d bytes at offset %d exceed the tail of %d bytes", length, start, len(tail))
 	}
 	return tail[start : start+length], nil
 }
 
+// errorf returns an error that names the batch and the index of the record.
 func (e Event) errorf(format string, args ...any) error {
 	return fmt.Errorf("batch %d, record %d: %s", e.frame.Number, e.position, fmt.Sprintf(format, args...))
 }
 
-// maxDuration bounds a time, so that sums with it do not overflow.
+// maxDuration, in nanoseconds, bounds decoded durations so that a sum of one with a time does not overflow.
 const maxDuration = 1 << 62
 
 func getDuration(b []byte) time.Duration {
 	return time.Duration(min(byteOrder.Uint64(b), maxDuration))
 }
 
+// getLoad decodes a load report: the number of its values in one byte, then the values, 4 bytes each.
 func getLoad(b []byte) balancer.LoadReport {
 	var load balancer.LoadReport
 	load.N = min(int(b[0]), balancer.MaxLoadValues)
--- a/internal/wire/layout.go
+++ b/internal/wire/layout.go
@@ -7,7 +7,7 @@
 	"olivebridge/balancer"
 )
 
-// Sizes of the fixed parts of a frame, in bytes.
+// Sizes of the header of a batch, the header of a reply, and the records, in bytes.
 const (
 	headerSize      = 20
 	replyHeaderSize = 12
@@ -16,29 +16,29 @@
 	endpointSize    = 23
 )
 
-// EventCode says what an event is about.
+// EventCode is the kind of an event.
 type EventCode uint8
 
-// The events. In the simulator's words: begin, view, request, first_byte, returned, hangup, wakeup, sampled, mail,
-// shutdown.
+// The event codes. The simulator's names for them are, in this order: begin, view, request, first_byte, returned,
+// hangup, wakeup, sampled, mail, shutdown.
 const (
-	EventStart       EventCode = 16 // an instance starts, with settings and a seed
-	EventEndpoints   EventCode = 17 // an endpoint list, or its changes
+	EventStart       EventCode = 16 // an instance starts, with the given settings and random seed
+	EventEndpoints   EventCode = 17 // an update of the endpoint list
 	EventRequest     EventCode = 18 // a request has arrived
-	EventFirstByte   EventCode = 19 // an attempt's answer has begun
-	EventOutcome     EventCode = 20 // an attempt has ended
-	EventDisconnect  EventCode = 21 // the client has gone away
+	EventFirstByte   EventCode = 19 // the first byte of an answer has arrived
+	EventOutcome     EventCode = 20 // an attempt has an outcome
+	EventDisconnect  EventCode = 21 // the client of a request has disconnected
 	EventTimer       EventCode = 22 // a timer has expired
-	EventHealthCheck EventCode = 23 // a health check has ended
+	EventHealthCheck EventCode = 23 // a health check has a result
 	EventPeerMessage EventCode = 24 // another instance has sent a message
 	EventStop        EventCode = 25 // an instance is killed
 )
 
-// actionCode says what an action does.
+// actionCode is the kind of an action.
 type actionCode uint8
 
-// The actions. In the simulator's words: inspect, arm, close_idle, end_failed, refuse, assign, trace, give_in,
-// write_peer, stream_changes, resolve, revoke.
+// The action codes. The simulator's names for them are, in this order: inspect, arm, close_idle, end_failed, refuse,
+// assign, trace, give_in, write_peer, stream_changes, resolve, revoke.
 const (
 	actionCheckHealth     actionCode = 16
 	actionSetTimer        actionCode = 17
@@ -54,7 +54,7 @@
 	actionCancel          actionCode = 27
 )
 
-// Offsets of the fields of a batch's header and of a reply's, in bytes.
+// Offsets of the fields in the headers of batches and replies, in bytes.
 const (
 	batchSizeOffset   = 0
 	batchCountOffset  = 4
@@ -66,15 +66,16 @@
 	replyBatchOffset = 8
 )
 
-// Offsets of the fields that every record has, and of those that most records about a request have, in bytes.
+// Offsets of the fields that are common to all event and action records, and of the request ID in those records that
+// have one, in bytes.
 const (
 	codeOffset      = 0
 	instanceOffset  = 1
 	requestIDOffset = 5
 )
 
-// Offsets of the fields of event records, in bytes. A text or list is referred to by its offset in the tail, 4 bytes,
-// and its length, 4 bytes.
+// Offsets of the fields of event records, in bytes. For a text or a list, the record holds the offset in the tail, 4
+// bytes, and the length, 4 bytes: in bytes for a text, in entries for a list.
 const (
 	startSeedOffset     = 5
 	startSettingsOffset = 13
@@ -129,7 +130,7 @@
 
 	rejectAfterOffset = 13
 
-	serverOffset = 5 // of the actions that are about a server alone
+	serverOffset = 5 // of actions whose only field is a server
 
 	setTimerAfterOffset = 5
 	setTimerRefOffset   = 13
@@ -139,15 +140,15 @@
 	peerMessageToOffset   = 5
 	peerMessageTextOffset = 9
 
-	textOffset = 5 // of the actions that have a text alone
+	textOffset = 5 // of actions whose only field is a text
 )
 
-// AllInstances addresses a message to every instance of the tier.
+// AllInstances as the receiver of SendPeerMessage addresses every instance of the load balancer.
 const AllInstances = math.MaxUint32
 
 var byteOrder = binary.LittleEndian
 
-// A server is four bytes of address, the first byte first, and a port.
+// A server is encoded as its IPv4 address, 4 bytes in network order, and its port, 2 bytes in little-endian order.
 
 func getServer(b []byte) balancer.ServerID {
 	addr := binary.BigEndian.Uint32(b)
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -7,78 +7,84 @@
 	"olivebridge/balancer"
 )
 
-// Reply collects the actions of one batch. Its buffers are reused after Write.
+// Reply collects the actions that answer one batch. Write writes and removes them, and keeps the buffers for the next
+// batch. Each of the other methods adds one action of an instance.
 type Reply struct {
-	records []byte // the frame's header and the action records; empty: no action yet
-	tail    []byte
-	count   uint32 // of actions
+	records []byte // the header and the action records; empty: no action yet
+	tail    []byte // the texts to which the records refer
+	count   uint32 // the number of actions
 }
 
-// Send sends an attempt, to be abandoned at a time; 0: when the client gives up.
+// Send adds the start of an attempt at a server, which the simulator abandons at abandonAt; 0: at the client's
+// deadline.
 func (r *Reply) Send(instance uint32, id balancer.RequestID, to balancer.ServerID, abandonAt balancer.Time) {
-	record := r.addRequest(actionSend, instance, id)
+	record := r.addRequestRecord(actionSend, instance, id)
 	putServer(record[sendServerOffset:], to)
 	byteOrder.PutUint64(record[sendAbandonAtOffset:], uint64(abandonAt))
 }
 
-// Cancel cancels an attempt.
+// Cancel adds the cancellation of an attempt.
 func (r *Reply) Cancel(instance uint32, id balancer.RequestID, attempt int) {
-	record := r.addRequest(actionCancel, instance, id)
+	record := r.addRequestRecord(actionCancel, instance, id)
 	byteOrder.PutUint16(record[cancelAttemptOffset:], uint16(attempt))
 }
 
-// Reject rejects a request; the client may come again after a while, 0: at once.
+// Reject adds the rejection of a request, which the client may send again after the given delay; 0: immediately.
 func (r *Reply) Reject(instance uint32, id balancer.RequestID, after time.Duration) {
-	record := r.addRequest(actionReject, instance, id)
+	record := r.addRequestRecord(actionReject, instance, id)
 	byteOrder.PutUint64(record[rejectAfterOffset:], uint64(after))
 }
 
-// Fail fails a request.
-func (r *Reply) Fail(instance uint32, id balancer.RequestID) { r.addRequest(actionFail, instance, id) }
+// Fail adds the failure of a request.
+func (r *Reply) Fail(instance uint32, id balancer.RequestID) {
+	r.addRequestRecord(actionFail, instance, id)
+}
 
-// CheckHealth starts a health check.
+// CheckHealth adds the start of a health check.
 func (r *Reply) CheckHealth(instance uint32, server balancer.ServerID) {
-	putServer(r.add(actionCheckHealth, instance)[serverOffset:], server)
+	putServer(r.addRecord(actionCheckHealth, instance)[serverOffset:], server)
 }
 
-// CloseIdle closes the idle connections to a server.
+// CloseIdle adds the closing of the idle connections to a server.
 func (r *Reply) CloseIdle(instance uint32, server balancer.ServerID) {
-	putServer(r.add(actionCloseIdle, instance)[serverOffset:], server)
+	putServer(r.addRecord(actionCloseIdle, instance)[serverOffset:], server)
 }
 
-// SetTimer sets a timer, whose EventTimer has the reference.
+// SetTimer adds a timer that expires after the given delay. Its EventTimer returns the reference as Ref.
 func (r *Reply) SetTimer(instance uint32, after time.Duration, ref uint64) {
-	record := r.add(actionSetTimer, instance)
+	record := r.addRecord(actionSetTimer, instance)
 	byteOrder.PutUint64(record[setTimerAfterOffset:], uint64(after))
 	byteOrder.PutUint64(record[setTimerRefOffset:], ref)
 }
 
-// Watch starts or ends the watch on the endpoint list.
+// Watch adds the start (on) or the end of the watch on the endpoint list.
 func (r *Reply) Watch(instance uint32, on bool) {
-	record := r.add(actionWatch, instance)
+	record := r.addRecord(actionWatch, instance)
 	if on {
 		record[watchOnOffset] = 1
 	}
 }
 
-// FetchEndpoints asks for the whole endpoint list once.
-func (r *Reply) FetchEndpoints(instance uint32) { r.add(actionFetchEndpoints, instance) }
+// FetchEndpoints adds a single fetch of the complete endpoint list.
+func (r *Reply) FetchEndpoints(instance uint32) { r.addRecord(actionFetchEndpoints, instance) }
 
-// SendPeerMessage sends a message to one instance, or to AllInstances.
+// SendPeerMessage adds a message to one instance or to AllInstances.
 func (r *Reply) SendPeerMessage(instance, to uint32, data string) {
-	record := r.addText(actionSendPeerMessage, instance, peerMessageTextOffset, data)
+	record := r.addTextRecord(actionSendPeerMessage, instance, peerMessageTextOffset, data)
 	byteOrder.PutUint32(record[peerMessageToOffset:], to)
 }
 
-// Log adds a line to the simulator's report.
-func (r *Reply) Log(instance uint32, line string) { r.addText(actionLog, instance, textOffset, line) }
+// Log adds a line for the simulator's report.
+func (r *Reply) Log(instance uint32, line string) {
+	r.addTextRecord(actionLog, instance, textOffset, line)
+}
 
-// ReportFault says that the decision code has failed, and why.
+// ReportFault adds the report that the decision code of an instance has failed, with the reason.
 func (r *Reply) ReportFault(instance uint32, reason string) {
-	r.addText(actionReportFault, instance, textOffset, reason)
+	r.addTextRecord(actionReportFault, instance, textOffset, reason)
 }
 
-// Write writes the reply to the batch of a number, and empties it.
+// Write writes the actions as the reply to the batch with the given number, and removes them.
 func (r *Reply) Write(w io.Writer, batch uint32) error {
 	r.reserveHeader()
 	r.records = append(r.records, r.tail...)
@@ -92,15 +98,15 @@
 	return err
 }
 
-// reserveHeader puts the frame's header, still empty, before the first record.
+// reserveHeader reserves the space of the header before the first record. Write fills the header in.
 func (r *Reply) reserveHeader() {
 	if len(r.records) == 0 {
 		r.records = append(r.records, make([]byte, replyHeaderSize)...)
 	}
 }
 
-// add appends a record that has no fields yet but its code and instance.
-func (r *Reply) add(code actionCode, instance uint32) []byte {
+// addRecord appends an action record with the code and the instance set, and returns it. All other bytes are zero.
+func (r *Reply) addRecord(code actionCode, instance uint32) []byte {
 	r.reserveHeader()
 	start := len(r.records)
 	var zero [actionSize]byte
@@ -112,15 +118,17 @@
 	return record
 }
 
-func (r *Reply) addRequest(code actionCode, instance uint32, id balancer.RequestID) []byte {
-	record := r.add(code, instance)
+// addRequestRecord appends an action record with the ID of a request.
+func (r *Reply) addRequestRecord(code actionCode, instance uint32, id balancer.RequestID) []byte {
+	record := r.addRecord(code, instance)
 	byteOrder.PutUint64(record[requestIDOffset:], uint64(id))
 	return record
 }
 
-// addText appends a record that refers to a text, by its offset in the tail and its length at a position.
-func (r *Reply) addText(code actionCode, instance uint32, position int, text string) []byte {
-	record := r.add(code, instance)
+// addTextRecord appends a text to the tail, and an action record that holds the text's offset in the tail and its
+// length at the given position.
+func (r *Reply) addTextRecord(code actionCode, instance uint32, position int, text string) []byte {
+	record := r.addRecord(code, instance)
 	byteOrder.PutUint32(record[position:], uint32(len(r.tail)))
 	byteOrder.PutUint32(record[position+4:], uint32(len(text)))
 	r.tail = append(r.tail, text...)
