--- a/cmd/drill/adapter.go
+++ b/cmd/drill/adapter.go
@@ -9,10 +9,10 @@
 	"olivebridge/internal/wire"
 )
 
-// inputBufferSize is in bytes.
+// inputBufferSize is the size of the buffer of standard input, in bytes.
 const inputBufferSize = 64 << 10
 
-// run answers batches until the input ends.
+// run handles batches and writes a reply to each until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	a := newAdapter()
 	reader := bufio.NewReaderSize(in, inputBufferSize)
@@ -30,17 +30,19 @@
 	}
 }
 
-// adapter holds the instances of one process. They share the buffers of the wire and nothing else.
+// adapter holds the instances of the process. They share the buffers of the current batch and of its reply, and no
+// other state.
 type adapter struct {
 	batch     wire.Frame
 	reply     wire.Reply
-	instances map[uint32]*instance
+	instances map[uint32]*instance // by number
 }
 
 func newAdapter() *adapter {
 	return &adapter{instances: map[uint32]*instance{}}
 }
 
+// handleBatch passes the events of the current batch to their instances and writes the reply.
 func (a *adapter) handleBatch(out io.Writer) error {
 	for i := range a.batch.Count {
 		if err := a.handle(a.batch.Event(i)); err != nil {
@@ -53,13 +55,14 @@
 	return nil
 }
 
-// handle gives one event to its instance.
+// handle passes one event to its instance. A panic becomes a fault of the instance.
 func (a *adapter) handle(event wire.Event) error {
 	number := event.Instance()
 	return a.recoverPanic(number, func() error { return a.dispatch(number, event) })
 }
 
-// guard reports a panic as a fault of one instance, which ignores all further events.
+// recoverPanic calls handle and reports a panic as a fault of the numbered instance. The instance is replaced by one
+// without a balancer, which ignores all further events.
 func (a *adapter) recoverPanic(number uint32, handle func() error) error {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -70,6 +73,8 @@
 	return handle()
 }
 
+// dispatch starts or stops the numbered instance, or passes the event to it. An event of an unknown code or for an
+// unknown instance is an error.
 func (a *adapter) dispatch(number uint32, event wire.Event) error {
 	if event.Code() == wire.EventStart {
 		return a.start(number, event)
@@ -89,7 +94,8 @@
 	return err
 }
 
-// start begins an instance, in place of the one that had its number. Settings that cannot be used are its fault.
+// start starts an instance and replaces one with the same number. Invalid settings are reported as a fault of the
+// instance; an error is returned only for a malformed event.
 func (a *adapter) start(number uint32, event wire.Event) error {
 	text, err := event.Settings()
 	if err != nil {
--- a/cmd/drill/adapter_test.go
+++ b/cmd/drill/adapter_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-const sample = `classes.count=1
+// sampleSettings is the text of valid settings.
+const sampleSettings = `classes.count=1
 classes.0.aim=1000000000
 classes.0.deadline=2000000000
 classes.0.gain=3.0
@@ -30,93 +31,98 @@
 worth_by=request
 `
 
-var le = binary.LittleEndian
+var byteOrder = binary.LittleEndian
 
-// batch builds a frame of records whose first bytes are given, with one tail.
-func batch(number uint32, now uint64, tail []byte, records ...[]byte) []byte {
+// encodeBatch encodes a frame of event records and one tail. Each record is extended by zero bytes to its full size.
+func encodeBatch(number uint32, now uint64, tail []byte, records ...[]byte) []byte {
 	var body []byte
 	for _, r := range records {
 		body = append(body, append(r, make([]byte, 56-len(r))...)...)
 	}
 	body = append(body, tail...)
-	head := le.AppendUint32(nil, uint32(len(body)))
-	head = le.AppendUint32(head, uint32(len(records)))
-	head = le.AppendUint64(head, now)
-	return append(le.AppendUint32(head, number), body...)
+	head := byteOrder.AppendUint32(nil, uint32(len(body)))
+	head = byteOrder.AppendUint32(head, uint32(len(records)))
+	head = byteOrder.AppendUint64(head, now)
+	return append(byteOrder.AppendUint32(head, number), body...)
 }
 
-func record(code byte, who uint32, fields ...[]byte) []byte {
-	return append(le.AppendUint32([]byte{code}, who), bytes.Join(fields, nil)...)
+// encodeRecord encodes the first bytes of an event record.
+func encodeRecord(code byte, instance uint32, fields ...[]byte) []byte {
+	return append(byteOrder.AppendUint32([]byte{code}, instance), bytes.Join(fields, nil)...)
 }
 
-func u32(v ...uint32) (b []byte) {
-	for _, x := range v {
-		b = le.AppendUint32(b, x)
+func encodeUint32s(values ...uint32) (b []byte) {
+	for _, value := range values {
+		b = byteOrder.AppendUint32(b, value)
 	}
 	return b
 }
 
-func begin(who uint32, text string) []byte {
-	return record(16, who, make([]byte, 8), u32(0, uint32(len(text))))
+// startEvent encodes an EventStart whose settings are the given text, at the start of the tail.
+func startEvent(instance uint32, text string) []byte {
+	return encodeRecord(16, instance, make([]byte, 8), encodeUint32s(0, uint32(len(text))))
 }
 
-func request(who uint32, id uint64) []byte {
-	return record(18, who, le.AppendUint64(nil, id), le.AppendUint64(nil, 1e9), make([]byte, 27))
+// requestEvent encodes an EventRequest with a timeout of 1 s.
+func requestEvent(instance uint32, id uint64) []byte {
+	return encodeRecord(18, instance, byteOrder.AppendUint64(nil, id), byteOrder.AppendUint64(nil, 1e9), make([]byte, 27))
 }
 
-// codes lists the action codes of each reply.
-func codes(t *testing.T, out []byte) (all [][]byte) {
+// actionCodes returns the action codes of each reply in the output.
+func actionCodes(t *testing.T, out []byte) (all [][]byte) {
 	t.Helper()
 	for len(out) > 0 {
-		size, count := le.Uint32(out), le.Uint32(out[4:])
-		var c []byte
+		size, count := byteOrder.Uint32(out), byteOrder.Uint32(out[4:])
+		var actions []byte
 		for i := range count {
-			c = append(c, out[12+32*i])
+			actions = append(actions, out[12+32*i])
 		}
-		all = append(all, c)
+		all = append(all, actions)
 		out = out[12+size:]
 	}
 	return all
 }
 
-// TestConversation: each batch gets one reply, and instances start, decide and stop apart from each other.
-func TestConversation(t *testing.T) {
+// TestReplyPerBatch: each batch gets one reply, and instances start, send requests and stop independently of each
+// other.
+func TestReplyPerBatch(t *testing.T) {
 	list := append(make([]byte, 10), 10, 0, 0, 1, 80, 0, 0, 0, 0x80, 0x3f, 1, 0, 0)
-	text := []byte(sample)
+	text := []byte(sampleSettings)
 	tail := slices.Concat(text, list)
-	view := record(17, 1, []byte{2}, u32(1, uint32(len(text)), 1))
+	endpoints := encodeRecord(17, 1, []byte{2}, encodeUint32s(1, uint32(len(text)), 1))
 	in := bytes.Join([][]byte{
-		batch(1, 1e9, nil),
-		batch(2, 1e9, tail, begin(1, sample), view),
-		batch(3, 2e9, nil, request(1, 7)),
-		batch(4, 2e9, tail, record(25, 1), begin(1, sample), view, request(1, 8)),
-		batch(5, 3e9, nil, record(24, 1, make([]byte, 10)), record(21, 1, make([]byte, 8))),
+		encodeBatch(1, 1e9, nil),
+		encodeBatch(2, 1e9, tail, startEvent(1, sampleSettings), endpoints),
+		encodeBatch(3, 2e9, nil, requestEvent(1, 7)),
+		encodeBatch(4, 2e9, tail, encodeRecord(25, 1), startEvent(1, sampleSettings), endpoints, requestEvent(1, 8)),
+		encodeBatch(5, 3e9, nil, encodeRecord(24, 1, make([]byte, 10)), encodeRecord(21, 1, make([]byte, 8))),
 	}, nil)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
-	got := codes(t, out.Bytes())
+	got := actionCodes(t, out.Bytes())
 	if len(got) != 5 || len(got[0]) != 0 || !bytes.Contains(got[2], []byte{21}) || !bytes.Contains(got[3], []byte{21}) {
-		t.Errorf("replies %v", got)
+		t.Errorf("action codes by reply: %v; want 5 replies, with an attempt (21) in the third and the fourth", got)
 	}
 }
 
-// TestBadSettingsAreAFault: settings that cannot be used are the fault of their instance, not of the process.
-func TestBadSettingsAreAFault(t *testing.T) {
-	bad := strings.Replace(sample, "contract.fall", "contract.fell", 1)
-	in := append(batch(1, 1, []byte(bad), begin(4, bad)), batch(2, 2, nil, request(4, 1))...)
+// TestInvalidSettingsReportFault: invalid settings are reported as a fault of their instance and do not end the
+// process.
+func TestInvalidSettingsReportFault(t *testing.T) {
+	bad := strings.Replace(sampleSettings, "contract.fall", "contract.fell", 1)
+	in := append(encodeBatch(1, 1, []byte(bad), startEvent(4, bad)), encodeBatch(2, 2, nil, requestEvent(4, 1))...)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Contains(out.Bytes(), []byte("contract.fall: missing")) || codes(t, out.Bytes())[0][0] != 23 {
-		t.Errorf("reply %q", out.Bytes())
+	if !bytes.Contains(out.Bytes(), []byte("contract.fall: missing")) || actionCodes(t, out.Bytes())[0][0] != 23 {
+		t.Errorf("reply %q, want a fault (23) with the reason", out.Bytes())
 	}
 }
 
-// TestPanicIsAFault: a panic in one instance is reported as its fault, and ends no other.
-func TestPanicIsAFault(t *testing.T) {
+// TestPanicReportsFault: a panic in one instance is reported as its fault and does not end other instances.
+func TestPanicReportsFault(t *testing.T) {
 	a := newAdapter()
 	if err := a.recoverPanic(9, func() error { panic("index out of range") }); err != nil {
 		t.Fatal(err)
@@ -125,24 +131,25 @@
 	if err := a.reply.Write(&out, 1); err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Contains(out.Bytes(), []byte("index out of range")) || codes(t, out.Bytes())[0][0] != 23 {
-		t.Errorf("reply %q", out.Bytes())
+	if !bytes.Contains(out.Bytes(), []byte("index out of range")) || actionCodes(t, out.Bytes())[0][0] != 23 {
+		t.Errorf("reply %q, want a fault (23) with the reason", out.Bytes())
 	}
 }
 
-// TestMalformedInputIsAnError: input that breaks the wire's form is one clear error that names the batch.
+// TestMalformedInputIsAnError: input that violates the protocol causes an error of one line that names the batch.
 func TestMalformedInputIsAnError(t *testing.T) {
 	for name, in := range map[string][]byte{
-		"unknown instance":   batch(1, 1, nil, request(3, 1)),
-		"unknown event code": append(batch(1, 1, []byte(sample), begin(1, sample)), batch(2, 1, nil, record(99, 1))...),
-		"truncated":          batch(1, 1, nil, request(3, 1))[:30],
-		"bad outcome": append(batch(1, 1, []byte(sample), begin(1, sample)),
-			batch(2, 1, nil, record(20, 1, make([]byte, 16), []byte{11, 0}))...),
+		"unknown instance": encodeBatch(1, 1, nil, requestEvent(3, 1)),
+		"unknown event code": append(encodeBatch(1, 1, []byte(sampleSettings), startEvent(1, sampleSettings)),
+			encodeBatch(2, 1, nil, encodeRecord(99, 1))...),
+		"truncated": encodeBatch(1, 1, nil, requestEvent(3, 1))[:30],
+		"bad outcome": append(encodeBatch(1, 1, []byte(sampleSettings), startEvent(1, sampleSettings)),
+			encodeBatch(2, 1, nil, encodeRecord(20, 1, make([]byte, 16), []byte{11, 0}))...),
 	} {
 		var out bytes.Buffer
 		err := run(bytes.NewReader(in), &out)
 		if err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), "batch") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want one line that names the batch", name, err)
 		}
 	}
 }
--- a/cmd/drill/instance.go
+++ b/cmd/drill/instance.go
@@ -8,16 +8,16 @@
 	"olivebridge/internal/wire"
 )
 
-// instance hosts one balancer on the wire. It implements balancer.Host.
+// instance hosts one balancer and adds the balancer's actions to the reply. It implements balancer.Host.
 type instance struct {
 	number   uint32
 	reply    *wire.Reply
-	balancer *balancer.Balancer // nil: it had a fault, and ignores events
+	balancer *balancer.Balancer // nil: the instance had a fault and ignores events
 }
 
 var _ balancer.Host = (*instance)(nil)
 
-// start makes the instance's balancer.
+// start creates the instance's balancer from settings in the format of settings.DecodeText.
 func (i *instance) start(text []byte, seed uint64, now balancer.Time) error {
 	decoded, err := settings.DecodeText(text)
 	if err != nil {
@@ -27,8 +27,8 @@
 	return err
 }
 
-// handle gives an event to the balancer, and reports whether there is such an event. A malformed event is an error even
-// where it would be ignored.
+// handle passes an event to the balancer and reports whether its code is known. A malformed event is an error even if
+// the instance ignores events.
 func (i *instance) handle(now balancer.Time, event wire.Event) (known bool, err error) {
 	switch event.Code() {
 	case wire.EventEndpoints:
@@ -37,7 +37,7 @@
 		return true, i.handleOutcome(now, event)
 	case wire.EventHealthCheck:
 		return true, i.handleHealthCheck(now, event)
-	case wire.EventPeerMessage: // instances send each other nothing
+	case wire.EventPeerMessage: // instances send no messages to each other
 		_, _, err := event.PeerMessage()
 		return true, err
 	case wire.EventRequest, wire.EventFirstByte, wire.EventDisconnect, wire.EventTimer:
@@ -49,7 +49,7 @@
 	return false, nil
 }
 
-// handleSimple handles the events that cannot be malformed.
+// handleSimple handles the events whose fields need no validation.
 func (i *instance) handleSimple(now balancer.Time, event wire.Event) {
 	switch event.Code() {
 	case wire.EventRequest:
@@ -100,7 +100,8 @@
 	return nil
 }
 
-// Send implements balancer.Host. On the wire an attempt begins when it is sent, and ends with the client's deadline.
+// Send implements balancer.Host. In the simulator, an attempt begins when it is sent, so its decision cannot expire,
+// and it is abandoned at the client's deadline.
 func (i *instance) Send(id balancer.RequestID, to balancer.ServerID, _ balancer.Time) {
 	i.reply.Send(i.number, id, to, 0)
 }
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,5 @@
-// Command drill is the simulator adapter: it hosts instances of the balancer on the simulator's wire, which has batches
-// of events on standard input and one reply to each on standard output.
+// Command drill is the simulator adapter: it hosts instances of the balancer for the simulator. It reads batches of
+// events from standard input and writes one reply to each batch to standard output, in the protocol of package wire.
 package main
 
 import (
@@ -8,7 +8,8 @@
 	"runtime/debug"
 )
 
-// gcPercent trades memory, of which the adapter uses little, for processor time, which the simulator counts.
+// gcPercent is above the default of 100 to save processor time, which the simulator counts, at the cost of memory, of
+// which the adapter uses little.
 const gcPercent = 400
 
 func main() {
