--- a/balancer/concurrency_limit_test.go
+++ b/balancer/concurrency_limit_test.go
@@ -21,8 +21,8 @@
 }
 
 // TestRejectingServerIsTriedAgain: a rejection excludes a server for no longer than the check interval of a server that
-// is Down, however long the latency objective is. Otherwise, few servers that each reject one request because of a full
-// queue would leave no server for any class.
+// is Down, however long the latency objective is. Otherwise, if each of a few servers rejected one request because of a
+// full queue, no server would be left for any class.
 func TestRejectingServerIsTriedAgain(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = time.Minute, 2*time.Minute
--- a/balancer/hedging_test.go
+++ b/balancer/hedging_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestOvertakenAttemptIsReleased: an attempt that much later attempts overtook is stuck for a reason of its own. It
-// does not count against the concurrency limit and its end is no sign of overload. An idempotent request is sent to
-// another server while that server can still answer it in time.
+// TestOvertakenAttemptIsReleased: an attempt is overtaken once its server has answered attempts that were sent much
+// later. Only this attempt is stuck, not its server: it does not count against the concurrency limit, and its end is no
+// sign of overload. An idempotent request is sent to another server while it can still be answered in time.
 func TestOvertakenAttemptIsReleased(t *testing.T) {
 	for class, want := range []int{2, 1} { // the number of attempts: class 0 is idempotent, class 1 is not
 		h := newHarness(t, testSettings(), 1, testServers(2)...)
@@ -54,7 +54,7 @@
 		class   int
 		tokens  float64
 		hedging bool
-		want    int // attempts
+		want    int // the number of attempts
 	}{
 		"idempotent":              {0, 1, true, 2},
 		"non-idempotent":          {1, 1, true, 1},
@@ -74,7 +74,7 @@
 		sent := h.requests[id].attempts
 		sameServer := len(sent) == 2 && sent[0].server == sent[1].server
 		if len(sent) != c.want || sameServer || h.b.hedgeTokens >= 1 != (c.want == 1 && c.tokens == 1) {
-			t.Errorf("%s: attempts %v and %v hedge tokens left are not as expected", name, sent, h.b.hedgeTokens)
+			t.Errorf("%s: got attempts %v and %v hedge tokens left", name, sent, h.b.hedgeTokens)
 		}
 		if h.respond(id, len(sent)-1, OK); slices.Contains(h.actions, fmt.Sprint("cancel ", id, 0)) {
 			t.Errorf("%s: the other attempt was cancelled by the answer", name)
--- a/balancer/many_nodes_test.go
+++ b/balancer/many_nodes_test.go
@@ -44,7 +44,7 @@
 }
 
 // TestHotKeyOfManyNodes guards against an overload that no single node can see: each node sends two requests a second
-// to the server of a hot key, which is far below its own limits, but 80 nodes together fill the server.
+// to the server of a hot key, which is below every limit of the node, but 80 nodes together fill the server.
 func TestHotKeyOfManyNodes(t *testing.T) {
 	for _, d := range []time.Duration{2 * time.Second, 12 * time.Second} {
 		sent, all := runNodes(t, 16, d)
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -50,7 +50,7 @@
 		if err := h.b.UpdateSettings(h.now, set); err != nil {
 			t.Fatal(err)
 		}
-		h.respond(id, 0, Errored) // it may have run
+		h.respond(id, 0, Errored) // the attempt may have run
 		if n := len(h.requests[id].attempts); n != c.wantAttempts {
 			t.Errorf("%s: %d attempts, want %d", name, n, c.wantAttempts)
 		}
@@ -85,7 +85,7 @@
 			t.Fatal(err)
 		}
 		h.now += c.wait
-		h.respond(id, 0, Errored) // it may have run
+		h.respond(id, 0, Errored) // the attempt may have run
 		if n := len(h.requests[id].attempts); n != c.wantAttempts {
 			t.Errorf("window %d ms, then %d ms: %d attempts after %d ms, want %d",
 				c.oldWindow/ms, c.newWindow/ms, n, c.wait/ms, c.wantAttempts)
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -26,8 +26,8 @@
 				}
 			}
 		}
-		// An overload window of 1 s overlaps three half windows. At most 0.8 of OverloadFactor 3 times a warmth of 0.25
-		// times 10 s of work a second, in requests of 0.25 s.
+		// An overload window of 1 s overlaps three half windows. The bound is 0.8 times an OverloadFactor of 3 times a
+		// warmth of 0.25 times 10 s of work a second, divided by the 0.25 s of work of a request.
 		if allowed := int(0.8 * 3 * 0.25 * 10 / 0.25); sent < 4 || sent > allowed {
 			t.Errorf("%d nodes sent %d requests in an overload window, want 4 to %d", nodes, sent, allowed)
 		}
