--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -78,7 +78,7 @@
 		t.Errorf("%d servers in the list and %d in the index by ID, want at most 10 and equal numbers",
 			n, len(h.b.serversByID))
 	}
-	if first := h.requests[busy].attempts[0].server; !h.b.Knows(first) {
+	if first := h.requests[busy].attempts[0].server; !h.b.HasServer(first) {
 		t.Error("a removed server with a request in flight was dropped")
 	}
 }
--- a/balancer/maglev_test.go
+++ b/balancer/maglev_test.go
@@ -24,7 +24,7 @@
 	}
 	moved := func() (n int) {
 		for i, s := range h.b.tables.all {
-			if s != before[i] && before[i].entry.weight > 0 {
+			if s != before[i] && before[i].table.weight > 0 {
 				n++
 			}
 		}
@@ -69,7 +69,7 @@
 	credit, next := map[*server]int{}, map[*server]uint64{}
 	for _, s := range b.servers {
 		if include(s) {
-			largest = max(largest, s.entry.weight)
+			largest = max(largest, s.table.weight)
 		}
 	}
 	for filled, m := 0, uint64(size); filled < size; {
@@ -77,7 +77,7 @@
 			if !include(s) || filled == size {
 				continue
 			}
-			if credit[s] += s.entry.weight; credit[s] < largest {
+			if credit[s] += s.table.weight; credit[s] < largest {
 				continue
 			}
 			credit[s] -= largest
@@ -98,14 +98,14 @@
 		b := newWeightedBalancer(servers, 1)
 		b.buildTables()
 		b.buildTables() // fills the tables again, over the previous entries
-		all := referenceTable(b, len(b.tables.all), func(s *server) bool { return s.entry.weight > 0 })
+		all := referenceTable(b, len(b.tables.all), func(s *server) bool { return s.table.weight > 0 })
 		if !slices.Equal(b.tables.all, all) {
 			t.Errorf("%d servers: the table differs from the paper's", servers)
 		}
 		if b.tables.zoneKeyShare == 0 {
 			continue
 		}
-		inZone := func(s *server) bool { return s.entry.weight > 0 && s.Zone == 0 }
+		inZone := func(s *server) bool { return s.table.weight > 0 && s.Zone == 0 }
 		if own := referenceTable(b, len(b.tables.zone), inZone); !slices.Equal(b.tables.zone, own) {
 			t.Errorf("%d servers: the table of the zone differs from the paper's", servers)
 		}
@@ -129,7 +129,7 @@
 			b.buildTables()
 			both = min(both, time.Since(startedAt))
 			startedAt = time.Now()
-			referenceTable(b, len(b.tables.all), func(s *server) bool { return s.entry.weight > 0 })
+			referenceTable(b, len(b.tables.all), func(s *server) bool { return s.table.weight > 0 })
 			reference = min(reference, time.Since(startedAt))
 		}
 		if t.Logf("zone factor %.2f: both tables %v, one reference table %v", zoneFactor, both, reference); both > reference {
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -19,7 +19,7 @@
 			s.StartedAt, s.load.limit = h.now, 1000
 			for range 100 {
 				h.b.now += 10 * ms
-				r := &request{class: &h.b.classes[0], work: 0.25}
+				r := &request{class: &h.b.classes[0], expectedWork: 0.25}
 				if h.b.admitsSlowStart(s, r) {
 					s.slowStart.spent += h.b.slowStartCost(r)
 					sent++
--- a/internal/fleet/operations/reporter.go
+++ b/internal/fleet/operations/reporter.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// reportInterval is how often a node reports to the leader, and hears which servers are suspended. It reports again at
-// once when that has changed.
+// reportInterval is the interval at which a node reports to the leader and receives the suspended servers. After it has
+// applied a change, the node reports again immediately.
 const reportInterval = 250 * time.Millisecond
 
-// reportLoop reports to the leader, and applies what it answers.
+// reportLoop reports to the leader and applies the responses.
 func (s *Service) reportLoop(stop chan struct{}) {
 	for {
 		s.counters.requests.Add(1)
-		got, err := s.ask(s.report())
+		resp, err := s.sendToLeader(s.report())
 		if err != nil {
 			s.counters.failedRequests.Add(1)
-		} else if s.applyResponse(got) {
-			continue // the leader is told at once that it was applied
+		} else if s.applyResponse(resp) {
+			continue // report the applied version immediately
 		}
 		select {
 		case <-stop:
@@ -24,7 +24,7 @@
 	}
 }
 
-// report is this node's report.
+// report returns the present report of this node.
 func (s *Service) report() request {
 	version, suspended := s.suspensions.current()
 	s.mu.Lock()
@@ -39,18 +39,18 @@
 	return r
 }
 
-// applyResponse takes the leader's response, and reports whether it has brought other suspensions.
-func (s *Service) applyResponse(got response) bool {
+// applyResponse applies the leader's response, and reports whether it has applied a new version of the suspensions.
+func (s *Service) applyResponse(resp response) bool {
 	version, _ := s.suspensions.current()
 	s.mu.Lock()
-	s.rounds = got.Rounds
-	if got.WaitingFor != nil {
-		s.waitingFor = got.WaitingFor
+	s.rounds = resp.Rounds
+	if resp.WaitingFor != nil {
+		s.waitingFor = resp.WaitingFor
 	}
 	control := s.control
 	s.mu.Unlock()
-	if got.Version == version || control == nil {
+	if resp.Version == version || control == nil {
 		return false
 	}
-	return s.suspensions.apply(control, got.Version, got.Suspended, false)
+	return s.suspensions.apply(control, resp.Version, resp.Suspended, false)
 }
--- a/internal/fleet/operations/service_test.go
+++ b/internal/fleet/operations/service_test.go
@@ -13,7 +13,7 @@
 	"olivebridge/internal/fleet/raftlog"
 )
 
-// fakeControl is a node that knows three servers.
+// fakeControl is a ServerControl with three listed servers.
 type fakeControl struct{ suspended map[string]bool }
 
 func (c *fakeControl) Suspend(s string) error { c.suspended[s] = true; return nil }
@@ -28,8 +28,8 @@
 
 func (c *fakeControl) Known(s string) bool { return slices.Contains(c.Listed(), s) }
 
-// TestOperatorCalls: in a fleet of one, operators' calls and their answers, and that what was suspended is so again
-// after the next start.
+// TestOperatorCalls checks operators' calls and their answers in a fleet of one node, and that suspended servers are
+// suspended again after a restart.
 func TestOperatorCalls(t *testing.T) {
 	dir := t.TempDir()
 	self := member.Member{Name: "n1", State: member.Alive, Incarnation: member.Incarnation{Home: "x", Number: 1}}
@@ -40,34 +40,34 @@
 		Directory: dir,
 		View:      func() *member.View { return view },
 	}
-	s, d := New(config), &fakeControl{map[string]bool{"c": true}}
+	s, control := New(config), &fakeControl{map[string]bool{"c": true}}
 	if _, err := s.Execute([]string{"STATUS"}); err == nil || err.Error() != "the node is starting" {
 		t.Error(err)
 	}
-	s.Attach(d)
+	s.Attach(control)
 	s.Start("x/1")
-	until := func(what string, is func(text string, err error) bool, words ...string) {
+	await := func(description string, condition func(text string, err error) bool, words ...string) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 			text, err := s.Execute(words)
-			if is(text, err) {
+			if condition(text, err) {
 				return
 			}
 			if time.Now().After(end) {
-				t.Fatalf("%s: %q, %v", what, text, err)
+				t.Fatalf("%s: condition not met within 20 s; last answer %q, error %v", description, text, err)
 			}
 		}
 	}
-	well := func(_ string, err error) bool { return err == nil }
-	until("a word", well, "SUSPEND", "a")
-	until("a word about one that is out already", well, "SUSPEND", "c")
-	until("both are out", func(text string, _ error) bool { return strings.Contains(text, "word: [a c]") }, "STATUS")
-	until("a round", well, "ROUND", "r", "1ms", "ALL")
-	until("it is done", func(text string, _ error) bool { return strings.Contains(text, "done, 3 servers") }, "STATUS")
-	until("one is back", well, "RESTORE", "c")
-	until("one is out", func(text string, _ error) bool { return strings.Contains(text, "word: [a]") }, "STATUS")
-	if !slices.Equal(d.Suspended(), []string{"a", "c"}) { // c was out at the node's own door before
-		t.Errorf("the node keeps out %v", d.Suspended())
+	succeeds := func(_ string, err error) bool { return err == nil }
+	await("suspend a", succeeds, "SUSPEND", "a")
+	await("suspend c, which an operator has suspended at this node", succeeds, "SUSPEND", "c")
+	await("a and c suspended", func(text string, _ error) bool { return strings.Contains(text, "word: [a c]") }, "STATUS")
+	await("begin a round", succeeds, "ROUND", "r", "1ms", "ALL")
+	await("round done", func(text string, _ error) bool { return strings.Contains(text, "done, 3 servers") }, "STATUS")
+	await("restore c", succeeds, "RESTORE", "c")
+	await("only a suspended", func(text string, _ error) bool { return strings.Contains(text, "word: [a]") }, "STATUS")
+	if !slices.Equal(control.Suspended(), []string{"a", "c"}) { // an operator had suspended c at this node alone
+		t.Errorf("suspended at the node: %v, want [a c]", control.Suspended())
 	}
 	for words, want := range map[string]string{
 		"":               "FLEET wants",
@@ -79,17 +79,17 @@
 		"JUMP":           "FLEET wants",
 	} {
 		if _, err := s.Execute(strings.Fields(words)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", words, err)
+			t.Errorf("call %q: unexpected error %v", words, err)
 		}
 	}
 	s.Stop()
-	next := &fakeControl{map[string]bool{}}
-	New(config).Attach(next)
-	if !next.suspended["a"] {
-		t.Errorf("after a start it keeps out %v", next.suspended)
+	restarted := &fakeControl{map[string]bool{}}
+	New(config).Attach(restarted)
+	if !restarted.suspended["a"] {
+		t.Errorf("suspended after a restart: %v, want a", restarted.suspended)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "out.json"), []byte(`["a`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	New(config).Attach(&fakeControl{map[string]bool{}}) // what cannot be read is heard again
+	New(config).Attach(&fakeControl{map[string]bool{}}) // an unreadable file is ignored; the leader's response replaces it
 }
