--- a/internal/transport/buffer_pool.go
+++ b/internal/transport/buffer_pool.go
@@ -3,29 +3,32 @@
 import "sync"
 
 const (
-	// minBufferSize is the size of the smallest class of buffers, in bytes; each further class is twice as large.
+	// minBufferSize is the buffer size of the smallest class, in bytes, before headMargin. Each further class is twice as
+	// large.
 	minBufferSize = 1 << 10
-	// headMargin is added to each class, so that a body of a power of two with its head needs no buffer twice as large.
+	// headMargin is the space for a message head that is added to each class, in bytes. Without it, a body whose length is
+	// a power of two would need, together with its head, a buffer twice as large.
 	headMargin = 1 << 10
-	// bufferClasses is how many classes there are. Larger buffers are left to the garbage collector.
+	// bufferClassCount is the number of classes. Larger buffers are not pooled but left to the garbage collector.
 	bufferClasses = 7
-	// unpooledClass is the class of those.
+	// unpooledClass is the class of buffers that are too large to be pooled.
 	unpooledClass = -1
 )
 
-// bufferPool holds buffers that are used again. A buffer has one owner: who took it, or whom that one has handed it
-// to. The owner alone gives it back, once, and only when nobody reads or writes it any more; one who cannot tell
-// drops it, and it is garbage. What is given back too early serves someone else's bytes.
+// bufferPool keeps buffers for reuse. Each buffer has one owner: the caller of get, or the code to which the owner has
+// passed the buffer. Only the owner may return the buffer with put, once, after the last read and write. An owner that
+// cannot tell whether the buffer is still in use drops it for the garbage collector: a buffer returned too early would
+// be overwritten with the bytes of another message.
 type bufferPool struct{ classes [bufferClasses]sync.Pool }
 
-// pooledBuffer is bytes out of a bufferPool.
+// pooledBuffer is a buffer of a bufferPool.
 type pooledBuffer struct {
-	bytes []byte // as many as were asked for, or more
+	bytes []byte // at least as long as requested
 	class int
 	pool  *bufferPool
 }
 
-// get returns a buffer of at least n bytes, of any content.
+// get returns a buffer of at least n bytes with arbitrary content.
 func (p *bufferPool) get(n int) *pooledBuffer {
 	for class := range p.classes {
 		size := minBufferSize<<class + headMargin
@@ -40,7 +43,7 @@
 	return &pooledBuffer{bytes: make([]byte, n), class: unpooledClass, pool: p}
 }
 
-// put takes a buffer back from its owner; nil is none.
+// put returns a buffer to the pool. Only its owner may call it; nil is ignored.
 func (p *bufferPool) put(b *pooledBuffer) {
 	if b != nil && b.class != unpooledClass {
 		p.classes[b.class].Put(b)
--- a/internal/transport/buffer_pool_test.go
+++ b/internal/transport/buffer_pool_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestBuffersHaveOneOwner guards against a buffer with two owners: what its owner writes stays until it is put back.
+// TestBuffersHaveOneOwner guards against a buffer with two owners: the bytes that an owner writes must stay unchanged
+// until it puts the buffer back.
 func TestBuffersHaveOneOwner(t *testing.T) {
 	var home bufferPool
 	var all sync.WaitGroup
@@ -19,7 +20,7 @@
 				b := home.get(size)
 				copy(b.bytes, mark[:size])
 				if len(b.bytes) < size || strings.Trim(string(b.bytes[:size]), string(mark[:1])) != "" {
-					t.Errorf("%d bytes of %d are another's", len(b.bytes), size)
+					t.Errorf("buffer of %d bytes, want %d, or it contains bytes of another owner", len(b.bytes), size)
 				}
 				home.put(b)
 			}
--- a/internal/transport/client_conn.go
+++ b/internal/transport/client_conn.go
@@ -8,54 +8,58 @@
 	"time"
 )
 
-// clientConn is a client connection. http.Server reads and writes it.
+// clientConn is a client connection of a Frontend. http.Server reads from it and writes to it.
 type clientConn struct {
 	Conn
 	conns *clientConns
 	log   *connLog
 
-	// The fields down to lingerUntil are guarded by the lock of conns.
+	// conns.mu guards the fields from state to lingerUntil.
 
 	state clientState
-	// list is the list of conns that holds the connection, at element; nil: none does.
+	// list is the list of conns that contains the connection, as element; nil if the connection is in none.
 	list    *list.List
 	element *list.Element
-	// requestStart is when the connection was accepted, or the first byte of the current request was read.
+	// requestStartedAt is the time when the connection was accepted or, later, when the first byte of the current request
+	// was read.
 	requestStart time.Time
-	// lastRead is when bytes were last read.
+	// lastReadAt is the time when bytes were last read.
 	lastRead time.Time
-	// responses counts the requests that were answered.
+	// responseCount is the number of requests that have been answered.
 	responses int
-	// streaming: a message too long to be buffered is on its way.
+	// streaming reports whether the connection carries a message that is too long to be buffered.
 	streaming bool
-	// framing follows the requests in the bytes that are read.
+	// framing parses the boundaries of requests in the bytes that are read.
 	framing requestFraming
-	// lingerUntil is when lingering ends at the latest.
+	// lingerUntil is the latest time at which lingering ends.
 	lingerUntil time.Time
 
-	// For Read, of which one runs at a time. The functions are kept here, since a method value allocates.
+	// The following fields belong to Read, which is not called concurrently. They hold the two functions because creating
+	// a method value allocates.
 
 	readBuf    []byte
 	beforeRead func() error
 	afterRead  func(n int)
 
-	// responseWritten: bytes were written since the current request began, or to the one before it.
+	// responseWritten reports whether bytes have been written since the current request began or, before its first byte,
+	// for the previous request.
 	responseWritten atomic.Bool
 	deadlines       connDeadlines
 }
 
-// checkReadable returns the error of a read that may not go on. The lock is held.
+// checkReadable returns the error with which a read must fail because the close is decided; nil if reading may
+// continue. The caller must hold conns.mu.
 func (c *clientConn) checkReadable() error {
 	switch {
 	case !c.state.closing():
 		return nil
 	case c.conns.handOff != nil:
-		return io.EOF // http.Server would answer any other error, to a client that belongs to another process by now
+		return io.EOF // http.Server answers any other error, but the client belongs to another process now
 	}
 	return net.ErrClosed
 }
 
-// noteRead notes that n bytes were read. The lock is held.
+// noteRead records that n bytes were read. The caller must hold conns.mu.
 func (c *clientConn) noteRead(n int) {
 	if c.state.beginRequest() {
 		c.requestStart = time.Now()
@@ -67,21 +71,21 @@
 	c.state.noteRead(c.furtherStarted())
 }
 
-// furtherStarted reports whether a request behind the current one has started. The lock is held.
+// laterRequestStarted reports whether a request after the current one has started. The caller must hold conns.mu.
 func (c *clientConn) furtherStarted() bool { return c.framing.started > c.responses+1 }
 
-// finishRequest notes that the current request has been answered. The lock is held.
+// finishRequest records that the current request has been answered. The caller must hold conns.mu.
 func (c *clientConn) finishRequest() {
 	c.responses++
 	c.state.finishRequest(c.furtherStarted())
-	if !c.state.idle() { // the request before it has used up none of its time
+	if !c.state.idle() { // the time spent on the previous request does not count for a pipelined one
 		c.requestStart = time.Now()
 		c.lastRead = c.requestStart
 	}
 }
 
-// completeRequest notes that the current request has been read to its end, and reports whether it may be forwarded.
-// The connection may have been closed for standing still just before, though the last bytes had come.
+// completeRequest records that the current request has been read completely, and reports whether it may be forwarded.
+// It may not if the connection was closed as stalled just before, even though the last bytes had arrived.
 func (c *clientConn) completeRequest() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
@@ -89,64 +93,65 @@
 	return !c.state.closing()
 }
 
-// noteUnreadPipelined notes that bytes wait behind a request that is open.
+// noteUnreadPipelined records that unread bytes follow the open request.
 func (c *clientConn) noteUnreadPipelined() {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	c.state.noteUnread()
 }
 
-// isClosing reports whether the close is decided.
+// isClosing reports whether the close of the connection is decided.
 func (c *clientConn) isClosing() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	return c.state.closing()
 }
 
-// requestArrived reports whether all of the current request has come.
+// requestArrived reports whether all bytes of the current request have been read.
 func (c *clientConn) requestArrived() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	return c.state.request == requestComplete || c.framing.complete(c.responses+1)
 }
 
-// requestStarted is when the first byte of the current request was read.
+// requestStartTime returns the time when the first byte of the current request was read.
 func (c *clientConn) requestStarted() time.Time {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	return c.requestStart
 }
 
-// wasPipelined reports whether the current request began to come while the one before it was open.
+// wasPipelined reports whether bytes of the current request arrived while the previous request was open.
 func (c *clientConn) wasPipelined() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	return c.state.pipelined
 }
 
-// hasPipelinedRequest reports whether a further request, or a part of it, has been read behind the current one,
-// whose end is beyond doubt. No more is read while that one is open: see watchForClose.
+// hasPipelinedRequest reports whether bytes of a further request have been read after the current one, whose end is
+// unambiguous. No more bytes are read while the current request is open: see watchForClose.
 func (c *clientConn) hasPipelinedRequest() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	return c.state.nextStarted && !c.framing.ambiguousAt(c.responses+1)
 }
 
-// framingAmbiguous reports whether the head of the current request leaves any doubt about where the request ends.
+// framingAmbiguous reports whether the end of the current request is ambiguous, judging from the heads read so far.
 func (c *clientConn) framingAmbiguous() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	return c.framing.ambiguousAt(c.responses + 1)
 }
 
-// mustCloseAfterRequest reports whether the framing of the current request's body ends the connection.
+// mustCloseAfterRequest reports whether the framing of the current request's body requires closing the connection after
+// the response.
 func (c *clientConn) mustCloseAfterRequest() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	return c.framing.isLast(c.responses + 1)
 }
 
-// moveTo moves the connection to the end of a list, or with nil out of any. The lock is held.
+// moveTo moves the connection to the end of l, or removes it from its list if l is nil. The caller must hold conns.mu.
 func (c *clientConn) moveTo(l *list.List) {
 	if c.list != nil {
 		c.list.Remove(c.element)
@@ -170,8 +175,8 @@
 	return n, err
 }
 
-// CloseWrite implements Conn. It does nothing once the close is decided: another process may go on with the
-// connection.
+// CloseWrite implements Conn. It does nothing once the close is decided, because another process may have taken over
+// the connection.
 func (c *clientConn) CloseWrite() error {
 	if c.isClosing() {
 		return net.ErrClosed
@@ -179,9 +184,9 @@
 	return c.Conn.CloseWrite()
 }
 
-// Close implements net.Conn, and lets the last response arrive first: see linger. A connection that is being handed
-// off is closed by whoever sends it: http.Server, whose read finds it closing, would close the descriptor under the
-// sending.
+// Close implements net.Conn. It lets the last response arrive before it closes the connection: see linger. It does not
+// close a connection that is being handed off; the sender does. Otherwise http.Server, whose read fails because the
+// close is decided, would close the descriptor while it is being sent.
 func (c *clientConn) Close() error {
 	c.conns.mu.Lock()
 	reason := reasonNodeClosed
@@ -198,7 +203,7 @@
 	return c.closeNow(reason)
 }
 
-// closeNow closes the connection without lingering, for a reason unless an earlier one is known.
+// closeNow closes the connection without lingering. It logs reason unless an earlier reason was set.
 func (c *clientConn) closeNow(reason closeReason) error {
 	c.log.logEnd(reason)
 	return c.Conn.Close()
--- a/internal/transport/client_conns.go
+++ b/internal/transport/client_conns.go
@@ -13,44 +13,45 @@
 	"time"
 )
 
-// clientConns is the listener of a Frontend, and owns the state of its client connections.
+// clientConns is the listener of a Frontend and owns the state of its client connections.
 //
-// http.Server could close idle connections itself, but takes one for idle until a request's head has been read: it may
-// close one whose request it goes on to serve, and the client sends that request again. Here a connection is idle only
-// while no byte of a request has been read, and once its close is decided no byte is read any more.
+// http.Server could close idle connections itself, but it treats a connection as idle until the head of a request has
+// been read. It may therefore close a connection and still serve the request that was being read, and the client sends
+// that request again. In clientConns a connection is idle only while no byte of a request has been read, and once its
+// close is decided no further byte is read.
 type clientConns struct {
 	net.Listener
 	log *slog.Logger
 
 	mu sync.Mutex
-	// changed is signaled when a connection may have made room, or has ended.
+	// changed is signaled when a connection may have become evictable or has ended.
 	changed sync.Cond
 
-	// The limits: see ClientLimits.
+	// The limits of ClientLimits, in connections.
 
 	maxOpen     int
 	maxIdle     int
 	maxOverflow int
 
 	open map[*clientConn]bool
-	// silent are the connections that nothing was ever read from, the oldest first.
+	// silent contains the connections from which nothing has been read, oldest first.
 	silent list.List
-	// idle are the connections between two requests, the longest idle first.
+	// idle contains the connections between two requests, longest idle first.
 	idle list.List
-	// lingering are the connections that wait for their last response to arrive, the longest first.
+	// lingering contains the connections that wait for their last response to arrive, longest lingering first.
 	lingering list.List
-	// streaming counts the connections with a message too long to be buffered.
+	// streaming is the number of connections that carry a message too long to be buffered.
 	streaming int
 
-	// listenerClosed: nothing is accepted any more.
+	// listenerClosed reports whether the listener is closed.
 	listenerClosed bool
-	// draining: connections are closed as they fall idle.
+	// draining reports whether connections are closed as soon as they are idle.
 	draining bool
-	// drainEnded: the time of the graceful shutdown is over, and nothing lingers any more.
+	// drainEnded reports whether the time of the graceful shutdown has elapsed. No connection lingers from then on.
 	drainEnded bool
-	// handOff sends an idle connection to another process of the node; nil: it is closed instead.
+	// handOff sends an idle connection to another process of the node; if nil, the connection is closed instead.
 	handOff func(syscall.Conn) error
-	// aborted: nothing is read or written any more. It is set under mu.
+	// aborted reports whether all reads and writes fail. It is set while mu is held.
 	aborted atomic.Bool
 }
 
@@ -61,8 +62,7 @@
 	return cs
 }
 
-// Accept implements net.Listener. It fails for good only with the listener: a connection that cannot be added is
-// skipped.
+// Accept implements net.Listener. It skips connections that add rejects and fails only with an error of the listener.
 func (cs *clientConns) Accept() (net.Conn, error) {
 	for {
 		conn, err := cs.Listener.Accept()
@@ -84,8 +84,9 @@
 	return cs.Listener.Close()
 }
 
-// classifyAcceptError marks errors of accept(2) that are those of the one connection, or of a moment's shortage, as
-// temporary: http.Server then accepts again after a pause. By itself it does so for a shortage of descriptors alone.
+// classifyAcceptError marks those errors of accept(2) as temporary that concern a single connection or a momentary
+// shortage. http.Server accepts again, after a pause, only after a temporary error; without the mark, it would do so
+// only after a shortage of descriptors.
 func classifyAcceptError(err error) error {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
@@ -100,7 +101,7 @@
 	return err
 }
 
-// temporaryError is a net.Error after which accepting goes on.
+// temporaryError is a net.Error that is temporary: http.Server continues to accept after it.
 type temporaryError struct{ error }
 
 // Timeout implements net.Error.
@@ -109,13 +110,14 @@
 // Temporary implements net.Error.
 func (temporaryError) Temporary() bool { return true }
 
-// errClientGone says that a connection has no other side any more.
+// errNoRemoteAddr reports a connection whose remote side has gone.
 var errClientGone = errors.New("client: it has gone")
 
-// add takes up a connection that was accepted, here or by another process. It closes one that it cannot take.
+// add registers a connection that was accepted by this process or by another. If it returns an error, it has closed
+// conn.
 func (cs *clientConns) add(conn net.Conn) (*clientConn, error) {
 	addr := conn.RemoteAddr()
-	if addr == nil { // handed over after its client had reset it
+	if addr == nil { // the client reset the connection before it was handed over
 		_ = conn.Close()
 		return nil, errClientGone
 	}
@@ -141,7 +143,7 @@
 	return c, nil
 }
 
-// remove forgets a connection that has ended.
+// remove unregisters a connection that has ended.
 func (cs *clientConns) remove(c *clientConn) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -151,8 +153,8 @@
 	cs.changed.Broadcast()
 }
 
-// connState is the http.Server's hook. http.Server calls it with StateIdle when a connection has carried its
-// response.
+// connState is the ConnState hook of http.Server, which calls it with StateIdle when the response to a request has been
+// written.
 func (cs *clientConns) connState(conn net.Conn, s http.ConnState) {
 	c, ok := conn.(*clientConn)
 	if !ok || s != http.StateIdle {
@@ -168,7 +170,8 @@
 	cs.changed.Broadcast()
 }
 
-// addIdle keeps a connection that has fallen idle, or closes one that may not be kept. The lock is held.
+// addIdle adds a connection that has become idle to the idle list, or closes connections that must not stay open. The
+// caller must hold mu.
 func (cs *clientConns) addIdle(c *clientConn) {
 	c.moveTo(&cs.idle)
 	switch {
@@ -183,8 +186,8 @@
 	}
 }
 
-// closeConns closes connections on which no byte of a request was read, or hands them off. The lock is held, but
-// for the closing itself.
+// closeConns closes or hands off connections on which no byte of a request was read. The caller must hold mu, which
+// closeConns releases during the closing itself.
 func (cs *clientConns) closeConns(reason closeReason, conns ...*clientConn) {
 	handOff := cs.handOff
 	for _, c := range conns {
@@ -202,7 +205,8 @@
 	}
 }
 
-// startStreaming notes a message too long to be buffered on a connection, until that has carried its response.
+// startStreaming records that the connection carries a message too long to be buffered. It applies until the response
+// has been written.
 func (c *clientConn) startStreaming() {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
@@ -212,7 +216,8 @@
 	}
 }
 
-// endStreaming notes that no such message is on a connection any more. The lock is held.
+// endStreaming records that the connection no longer carries a message too long to be buffered. The caller must hold
+// mu.
 func (cs *clientConns) endStreaming(c *clientConn) {
 	if c.streaming {
 		c.streaming = false
@@ -220,14 +225,14 @@
 	}
 }
 
-// count is how many connections are open.
+// count returns the number of open connections.
 func (cs *clientConns) count() int {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	return len(cs.open)
 }
 
-// String counts the client connections by what they do, on one line.
+// String returns the number of connections in each state, on one line.
 func (cs *clientConns) String() string {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/internal/transport/client_conns_test.go
+++ b/internal/transport/client_conns_test.go
@@ -33,43 +33,44 @@
 	b, one := make([]byte, 1), callHead+"Content-Length: 0\r\n\r\n"
 	begun, decided, early := accept("ab"), accept("ab"), accept(one+one)
 	begun.Read(b)
-	early.Read(make([]byte, 2*len(one))) // its next request is read along with the one before
+	early.Read(make([]byte, 2*len(one))) // reads its next request along with the current one
 	early.completeRequest()
 	for _, accepted := range []*clientConn{decided, early} {
 		c.connState(accepted, http.StateIdle)
 	}
-	decided.state.close = connClosing // as startDraining does, just before it closes
+	decided.state.close = connClosing // startDraining sets this just before it closes
 	if n, err := decided.Read(b); n != 0 || !errors.Is(err, net.ErrClosed) || !hasUnread(decided.Conn) {
-		t.Errorf("%d bytes, %v after the end was decided; or they were taken, and their client is told so", n, err)
+		t.Errorf("read %d bytes, %v after the close was decided; want 0, net.ErrClosed and the bytes left unread", n, err)
 	}
 	decided.state.close = connOpen
 	c.startDraining()
 	if c.open[decided] || !c.open[begun] || !c.open[early] {
-		t.Errorf("open: %v", c.open)
+		t.Errorf("open connections %v, want the two with a started request", c.open)
 	}
 	c.connState(begun, http.StateIdle)
 	early.completeRequest()
 	c.connState(early, http.StateIdle)
 	if left := c.waitDrained(t.Context(), t.Context()); left != 0 {
-		t.Errorf("%d left", left)
+		t.Errorf("%d connections left after draining, want 0", left)
 	}
 }
 
-// TestUnsupportedConnection: a connection that cannot be read under a lock is not taken, since a close could cross its
-// request.
+// TestUnsupportedConnection: a connection that cannot be read under a lock is rejected, since a close could coincide
+// with the arrival of a request.
 func TestUnsupportedConnection(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	dialer := Dialer(func(context.Context, string) (net.Conn, error) { return near, nil })
 	if c, err := dialer.dial(t.Context(), ""); err == nil {
-		t.Errorf("%T was taken", c)
+		t.Errorf("dial accepted a %T", c)
 	}
 	if _, err := near.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
-		t.Errorf("it is left open: %v", err)
+		t.Errorf("write to the rejected connection: %v, want io.ErrClosedPipe", err)
 	}
 }
 
-// failingListener is a listener that fails before it accepts the connections of another.
+// failingListener first returns the results of the functions in first, then accepts the connections of another
+// listener.
 type failingListener struct {
 	net.Listener
 	first chan func() (net.Conn, error)
@@ -84,8 +85,8 @@
 	}
 }
 
-// TestAcceptGoesOn: neither an error of accept(2) that is not the listener's nor a connection that cannot be added
-// ends the frontend.
+// TestAcceptContinuesAfterErrors: the frontend continues to accept after an error of accept(2) that does not concern
+// the listener itself, and after a connection that cannot be added.
 func TestAcceptGoesOn(t *testing.T) {
 	fails := []error{syscall.EPROTO, syscall.ENOBUFS, syscall.ENOMEM, syscall.EHOSTUNREACH, syscall.EMFILE}
 	first := make(chan func() (net.Conn, error), len(fails)+1)
@@ -99,14 +100,14 @@
 		f.clients.Listener = failingListener{f.clients.Listener, first}
 	})
 	if resp, _ := dialClient(t, addr).roundTrip(t, readyRequest); resp.StatusCode != 200 {
-		t.Errorf("status %d", resp.StatusCode)
+		t.Errorf("status %d, want 200", resp.StatusCode)
 	}
 	for _, err := range fails {
 		log.waitFor("http: Accept error", err.Error(), "retrying")
 	}
 }
 
-// TestListenerError: an error that is the listener's own ends the frontend, with its name.
+// TestListenerError: an error of the listener itself ends Serve, which returns it with the prefix of the frontend.
 func TestListenerError(t *testing.T) {
 	one := make(chan func() (net.Conn, error), 1)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/transport/client_deadlines.go
+++ b/internal/transport/client_deadlines.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// connDeadlines are the deadlines that http.Server sets on a client connection. It sets nine for one request and
-// waits for few of them, and each costs a timer: a read deadline is applied to the connection only when a read is
-// to wait.
+// connDeadlines holds the deadlines that http.Server sets on a client connection. http.Server sets nine deadlines per
+// request and waits for few of them, but each deadline set on the connection costs a timer. A read deadline is
+// therefore set on the connection only while a read waits there.
 type connDeadlines struct {
 	mu sync.Mutex
-	// read is the read deadline that was set; zero: none.
+	// read is the read deadline that http.Server set; zero if there is none.
 	read time.Time
-	// applied is the read deadline that the connection has.
+	// applied is the read deadline that is set on the connection.
 	applied time.Time
-	// reading: a read waits at the connection.
+	// reading reports whether a read waits on the connection.
 	reading bool
-	// write is the write deadline that the connection has.
+	// write is the write deadline that is set on the connection.
 	write time.Time
 
-	// waiting: a read waits until it is time to look whether the client has left.
+	// waiting reports whether a read is blocked in waitForClientCheck.
 	waiting bool
-	// checkDue: the client is to be checked for a disconnect.
+	// checkDue reports whether that read must check now whether the client has disconnected.
 	checkDue   bool
 	checkTimer *time.Timer
-	// wake tells the waiting read that something has changed. It holds one signal.
+	// wake wakes the read that is blocked in waitForClientCheck. It buffers one signal.
 	wake chan struct{}
 }
 
@@ -34,19 +34,19 @@
 	d.wake = make(chan struct{}, 1)
 }
 
-// signal has the waiting read look at what has changed. The lock is held.
+// signal wakes the read that is blocked in waitForClientCheck, if there is one. The caller must hold mu.
 func (d *connDeadlines) signal() {
 	if !d.waiting {
 		return
 	}
 	select {
 	case d.wake <- struct{}{}:
-	default: // it is signaled already
+	default: // a signal is pending already
 	}
 }
 
-// waitForClientCheck waits until it is time to look whether the client has left, and reports whether the read
-// deadline still allows that.
+// waitForClientCheck blocks until it is time to check whether the client has disconnected. It returns false if the read
+// deadline expired first.
 func (c *clientConn) waitForClientCheck() bool {
 	d := &c.deadlines
 	d.checkTimer.Reset(watchDelay)
@@ -70,7 +70,7 @@
 	return !expired(d.read)
 }
 
-// checkClientNow ends the wait of waitForClientCheck.
+// checkClientNow makes waitForClientCheck return.
 func (c *clientConn) checkClientNow() {
 	c.deadlines.mu.Lock()
 	defer c.deadlines.mu.Unlock()
@@ -78,10 +78,10 @@
 	c.deadlines.signal()
 }
 
-// expired reports whether a deadline is over.
+// expired reports whether a deadline has passed; a zero deadline never does.
 func expired(deadline time.Time) bool { return !deadline.IsZero() && !time.Now().Before(deadline) }
 
-// setReading notes that a read begins to wait at the connection, or has ended.
+// setReading records whether a read waits on the connection.
 func (c *clientConn) setReading(reading bool) error {
 	c.deadlines.mu.Lock()
 	defer c.deadlines.mu.Unlock()
@@ -89,7 +89,7 @@
 	return c.applyReadDeadline()
 }
 
-// applyReadDeadline tells the connection of the read deadline while a read waits. The lock of deadlines is held.
+// applyReadDeadline sets the read deadline on the connection if a read waits there. The caller must hold deadlines.mu.
 func (c *clientConn) applyReadDeadline() error {
 	d := &c.deadlines
 	if !d.reading || d.read.Equal(d.applied) {
@@ -108,7 +108,8 @@
 	return c.applyReadDeadline()
 }
 
-// SetWriteDeadline implements net.Conn. A deadline that is hardly later than the last one is skipped.
+// SetWriteDeadline implements net.Conn. It ignores a deadline that is less than writeTimeout/4 later than the current
+// one.
 func (c *clientConn) SetWriteDeadline(t time.Time) error {
 	c.deadlines.mu.Lock()
 	defer c.deadlines.mu.Unlock()
--- a/internal/transport/client_drain.go
+++ b/internal/transport/client_drain.go
@@ -2,14 +2,15 @@
 
 import "context"
 
-// isDraining reports whether connections are closed as they fall idle.
+// isDraining reports whether connections are closed as soon as they are idle.
 func (cs *clientConns) isDraining() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	return cs.draining
 }
 
-// startDraining closes every idle connection. The others are closed with their response, until stopDraining.
+// startDraining closes every idle connection. Until stopDraining, each other connection is closed with its next
+// response.
 func (cs *clientConns) startDraining() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -18,16 +19,16 @@
 	cs.closeIdle()
 }
 
-// stopDraining lets connections be kept again.
+// stopDraining ends draining: idle connections are kept open again.
 func (cs *clientConns) stopDraining() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	cs.draining = false
 }
 
-// waitDrained closes connections as they fall idle, until none is open or the time for calls is over, and returns
-// how many are left. While messages too long to be buffered are on their way it waits until the time for streams is
-// over.
+// waitDrained closes connections as they become idle, until none is open or the context calls ends, and returns the
+// number of connections that are still open. If messages too long to be buffered are in progress when calls ends, it
+// waits for them until the context streams ends.
 func (cs *clientConns) waitDrained(calls, streams context.Context) int {
 	wake := func() {
 		cs.mu.Lock()
@@ -47,7 +48,7 @@
 	return len(cs.open)
 }
 
-// closeIdle closes the idle connections and reports whether there were any. The lock is held.
+// closeIdle closes all idle connections and reports whether there were any. The caller must hold mu.
 func (cs *clientConns) closeIdle() bool {
 	var conns []*clientConn
 	for c := range cs.open {
@@ -61,14 +62,15 @@
 	return len(conns) > 0
 }
 
-// hasNextRequest reports whether bytes of the next request wait behind a response. That request is served, and its
-// connection closed with it: a close over unread bytes is a reset, which might take the response with it. The lock
-// is held.
+// hasNextRequest reports whether unread bytes of the next request follow a response. That request is served and the
+// connection closed with its response, because a close with unread bytes resets the connection, which can lose the
+// previous response. The caller must hold mu.
 func (cs *clientConns) hasNextRequest(c *clientConn) bool {
 	return cs.handOff == nil && c.responseWritten.Load() && hasUnread(c.Conn)
 }
 
-// abort stops all reads and writes, on connections still to come as well. Closing them is left to http.Server.
+// abort makes all reads and writes fail, also on connections that are accepted later. http.Server closes the
+// connections.
 func (cs *clientConns) abort() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/internal/transport/client_left_test.go
+++ b/internal/transport/client_left_test.go
@@ -15,34 +15,34 @@
 	"olivebridge/internal/routing"
 )
 
-// leftAfter is how soon after its client's leaving no attempt of a call is sent any more.
+// noAttemptAfter is the time after a disconnect of the client from which no attempt of its call may be sent.
 const leftAfter = 100 * time.Millisecond
 
-// TestClientLeft: whatever a call waits for, and however its client leaves, no attempt is sent 0.1 s later, also
-// where the client has sent something behind its request, which hides its leaving from whoever looks at the next
-// byte alone.
+// TestNoAttemptAfterClientLeft: no attempt is sent 0.1 s after the client has disconnected, regardless of the step that
+// the call waits for and of the kind of disconnect. This includes clients that have sent bytes after their request,
+// which hide the disconnect from a check of the next byte alone.
 func TestClientLeft(t *testing.T) {
 	const whole = callHead + "Content-Length: 0\r\n\r\n"
 	upload := callHead + "Content-Length: 100000\r\n\r\n" + strings.Repeat("x", 100000)
 	const failed = "HTTP/1.1 500 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 	for name, c := range map[string]struct {
 		raw    string
-		before string // what the first try's peer answers; "": there is no first try, "-": nothing
-		late   bool   // it is the connection that is waited for, and else the decision
+		before string // response of the first attempt's server; "" if there is no first attempt, "-" for no response
+		late   bool   // waits for the connection instead of the decision
 	}{
-		"for room":                        {whole, "", false},
-		"for a connection":                {whole, "", true},
-		"between two tries":               {whole, failed, false},
-		"for a further try's connection":  {whole, failed, true},
-		"for an answer, as a copy is due": {whole, "-", false},
-		"for a copy's connection":         {whole, "-", true},
-		"for room, to bring a body":       {upload, "", false},
-		"for a connection, to bring one":  {upload, "", true},
-		"for room, to bring half of one":  {upload[:len(upload)/2], "", false},
+		"waits for the decision":                   {whole, "", false},
+		"waits for a connection":                   {whole, "", true},
+		"between two attempts":                     {whole, failed, false},
+		"retry waits for a connection":             {whole, failed, true},
+		"waits while a hedged request is due":      {whole, "-", false},
+		"hedged request waits for a connection":    {whole, "-", true},
+		"upload waits for the decision":            {upload, "", false},
+		"upload waits for a connection":            {upload, "", true},
+		"incomplete upload waits for the decision": {upload[:len(upload)/2], "", false},
 	} {
 		for _, behind := range []string{"", "x", whole} {
 			for _, reset := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s, %d bytes behind, reset %v", name, len(behind), reset), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s, %d further bytes, reset %v", name, len(behind), reset), func(t *testing.T) {
 					t.Parallel()
 					taken, goOn, ended := make(chan bool), make(chan bool), make(chan balancer.Result)
 					first := startServer(t, func(conn net.Conn) {
@@ -55,7 +55,7 @@
 					})
 					last := startServer(t, func(conn net.Conn) {
 						if n, _ := conn.Read(make([]byte, 1)); n > 0 {
-							t.Error("an attempt was sent")
+							t.Error("an attempt was sent after the client disconnected")
 						}
 					})
 					transport, _ := newTestTransport(time.Minute)
@@ -65,7 +65,7 @@
 								taken <- true
 							}
 							<-goOn
-							ctx = context.WithoutCancel(ctx) // a connection may be up just then
+							ctx = context.WithoutCancel(ctx) // the connection may succeed at the same moment
 						}
 						return dialTCP(ctx, addr)
 					}
@@ -100,7 +100,7 @@
 					time.Sleep(leftAfter)
 					close(goOn)
 					if r := <-ended; r != balancer.NotSent {
-						t.Errorf("the attempt ended with %d", r)
+						t.Errorf("result of the attempt: %d, want NotSent", r)
 					}
 					transport.Close()
 				})
@@ -109,12 +109,12 @@
 	}
 }
 
-// TestClientLeftBehindUnreadBytes: a call ends when its client leaves, whatever the client has sent behind it, and
-// though nobody looks.
+// TestClientLeftBehindUnreadBytes: a call ends when its client disconnects, regardless of further bytes that the client
+// has sent and although no attempt checks for a disconnect.
 func TestClientLeftBehindUnreadBytes(t *testing.T) {
 	const whole = callHead + "Content-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct{ along, behind string }{
-		"read along": {whole, ""}, "unread": {"", whole}, "both": {whole[:50], whole[50:] + whole},
+		"further bytes read": {whole, ""}, "unread": {"", whole}, "both": {whole[:50], whole[50:] + whole},
 	} {
 		for _, reset := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, reset %v", name, reset), func(t *testing.T) {
@@ -140,31 +140,32 @@
 				select {
 				case <-ended:
 				case <-time.After(10 * time.Second):
-					t.Error("its leaving is not noticed")
+					t.Error("the disconnect was not noticed within 10 s")
 				}
 			})
 		}
 	}
 }
 
-// seesUnreadPipelined reports whether bytes behind the request that is open have been seen.
+// seesUnreadPipelined reports whether unread bytes after the open request have been noticed.
 func (c *clientConn) seesUnreadPipelined() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	return c.state.nextUnread
 }
 
-// TestClientLeftDuringStalledResponse: a client that leaves in the middle of a long response whose server stands still
-// holds no descriptors any longer, whatever it has sent; the response to one that stays is waited for.
+// TestClientLeftDuringStalledResponse: if a client disconnects in the middle of a long response whose server has
+// stalled, its descriptors are released, regardless of the bytes that it has sent. For a client that stays, the
+// frontend waits for the rest of the response.
 func TestClientLeftDuringStalledResponse(t *testing.T) {
 	const whole = callHead + "Content-Length: 0\r\n\r\n"
 	half := strings.Repeat("x", 100<<10)
 	sized := func(head string) string { return head + "Content-Length: 204800\r\n\r\n" + half }
 	for name, c := range map[string]struct{ raw, behind, coding string }{
-		"a call":                {whole, "", sized("")},
-		"in chunks":             {whole, "", "Transfer-Encoding: chunked\r\n\r\n32000\r\n" + half},
-		"with a request behind": {whole, whole, sized("")},
-		"ahead of a body's end": {sized(callHead), half[:100], sized("")},
+		"call with a sized response": {whole, "", sized("")},
+		"chunked response":           {whole, "", "Transfer-Encoding: chunked\r\n\r\n32000\r\n" + half},
+		"pipelined request":          {whole, whole, sized("")},
+		"incomplete request body":    {sized(callHead), half[:100], sized("")},
 	} {
 		for way, end := range map[string]func(*net.TCPConn){
 			"closes": func(*net.TCPConn) {},
@@ -203,13 +204,13 @@
 					time.Sleep(3 * clientCheckInterval)
 					close(goOn)
 					if n, err := io.Copy(io.Discard, resp.Body); n != int64(len(half)) || err != nil {
-						t.Errorf("%d bytes, %v", n, err)
+						t.Errorf("read %d more bytes, %v; want the rest of the response", n, err)
 					}
 					return
 				}
 				end(client.Conn.(*net.TCPConn))
 				client.Close()
-				// well before the server is given up as stalled
+				// well before the server is considered stalled
 				waitFor(t, func() bool { return transport.Conns() == 0 && front.ClientConns() == 0 })
 				log.waitFor("side=peer", "reason=called-off")
 				<-ended
@@ -218,8 +219,8 @@
 	}
 }
 
-// TestClientLeftBeforeWatch: that a client left before its connection is watched is found by an attempt that is not
-// sent at once, and its call is told then.
+// TestClientLeftBeforeWatch: an attempt that is not sent immediately detects a client that disconnected before its
+// connection is watched, and the detection cancels the call.
 func TestClientLeftBeforeWatch(t *testing.T) {
 	var c *testClient
 	found := make(chan [2]bool)
@@ -237,7 +238,7 @@
 	c = dialClient(t, addr)
 	io.WriteString(c, callHead+"Content-Length: 0\r\n\r\n")
 	if got := <-found; got != [2]bool{true, true} {
-		t.Errorf("stays, and a first try at once: %v", got)
+		t.Errorf("client present, and no check for an immediate first attempt: %v, want both true", got)
 	}
 	<-found
 }
--- a/internal/transport/client_limits.go
+++ b/internal/transport/client_limits.go
@@ -6,32 +6,33 @@
 )
 
 const (
-	// silentGrace is how long a new connection may send nothing once room is needed. One that sends at once has been
-	// read by then, or has bytes waiting to be.
+	// silentGrace is the time for which a new connection may send nothing when the limit is reached. The bytes of a client
+	// that sends at once have been read by then or wait to be read.
 	silentGrace = 100 * time.Millisecond
-	// stalledGrace is how long an incomplete request may stand still once room is needed. The one that has stood still
-	// for the longest goes first, so that a request that comes in pieces outlives those that have stopped half way.
+	// stalledGrace is the time for which an incomplete request may receive no bytes when the limit is reached. The longest
+	// stalled request is evicted first, so a request that arrives in pieces outlives requests that have stopped.
 	stalledGrace = 300 * time.Millisecond
-	// maxPeeks bounds how many connections are looked at for one that can be evicted.
+	// maxPeeks is the maximum number of connections that are checked in the search for an evictable one.
 	maxPeeks = 16
 )
 
-// DefaultOverflow is the MaxOverflow of ClientLimits that leave it at zero.
+// DefaultOverflow is the MaxOverflow, in connections, of ClientLimits that leave it at zero.
 const DefaultOverflow = 32
 
-// ClientLimits bound the client connections of a node, in connections.
+// ClientLimits limits the client connections of a node. All limits are numbers of connections.
 type ClientLimits struct {
-	// MaxOpen bounds all of them. Below 1 it counts as 1.
+	// MaxOpen is the maximum number of open connections. Values below 1 count as 1.
 	MaxOpen int
-	// MaxIdle bounds those between two requests; 0: none is kept. Beyond it the longest idle is closed: clients may
-	// hold only so many connections to a node, and whoever sends one request and keeps the connection takes one from
-	// the others.
+	// MaxIdle is the maximum number of connections between two requests; 0 means that none is kept. Beyond it the longest
+	// idle connection is closed: the number of connections that clients may hold to a node is limited, and each client
+	// that sends one request and keeps its connection leaves one fewer to the others.
 	MaxIdle int
-	// MaxOverflow is how many beyond MaxOpen are accepted to have their calls rejected; 0: DefaultOverflow.
+	// MaxOverflow is the number of connections beyond MaxOpen that are accepted so that their calls can be rejected; 0
+	// means DefaultOverflow.
 	MaxOverflow int
 }
 
-// setLimits changes the limits, and closes idle connections that they have no room for.
+// setLimits changes the limits and closes the idle connections that exceed them.
 func (cs *clientConns) setLimits(limits ClientLimits) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -44,8 +45,8 @@
 	cs.changed.Broadcast()
 }
 
-// surplusIdle are the longest idle connections that the limits have no room for, but for those with something to be
-// read. The lock is held.
+// surplusIdle returns the longest idle connections that exceed the limits, except those with unread bytes. The caller
+// must hold mu.
 func (cs *clientConns) surplusIdle() []*clientConn {
 	surplus := max(len(cs.open)-cs.maxOpen, cs.idle.Len()-cs.maxIdle)
 	var conns []*clientConn
@@ -57,9 +58,9 @@
 	return conns
 }
 
-// makeRoom evicts connections until a new one fits. Where none can be evicted, some more are accepted, so that
-// their calls are rejected soon: what a client has sent on a connection in the listener's queue counts as accepted,
-// too. Beyond those makeRoom waits.
+// makeRoom evicts connections until fewer than maxOpen are open. If none can be evicted, it permits maxOverflow
+// connections beyond maxOpen so that their calls are rejected promptly: bytes that a client sends on a connection in
+// the listener's queue count as accepted, too. Beyond these, makeRoom blocks.
 func (cs *clientConns) makeRoom() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -71,16 +72,17 @@
 		case len(cs.open) < cs.maxOpen+cs.maxOverflow:
 			return
 		default:
-			wake := time.AfterFunc(silentGrace/2, cs.changed.Broadcast) // a silent one may have used up its grace
+			wake := time.AfterFunc(silentGrace/2, cs.changed.Broadcast) // the grace of a silent connection may have expired
 			cs.changed.Wait()
 			wake.Stop()
 		}
 	}
 }
 
-// evictionCandidate finds the connection whose close costs least: one that lingers, one that never sent anything, the
-// longest idle one, or one whose request has stalled; nil if there is none. One with bytes to be read is no candidate:
-// they may be a complete request. The lock is held.
+// evictionCandidate returns the connection whose close costs least, and the reason for closing it: a lingering
+// connection, a silent one, the longest idle one, or one whose request has stalled, in this order; nil if there is
+// none. Connections with unread bytes are not candidates, because the bytes may be a complete request. The caller must
+// hold mu.
 func (cs *clientConns) evictionCandidate(now time.Time) (closeReason, *clientConn) {
 	if e := cs.lingering.Front(); e != nil {
 		return reasonEvicted, e.Value.(*clientConn)
@@ -97,8 +99,8 @@
 	return reasonNone, nil
 }
 
-// longestSilent is the oldest connection that nothing has come from within the grace; nil if there is none. The
-// lock is held.
+// longestSilent returns the oldest connection from which no byte arrived within silentGrace; nil if there is none. The
+// caller must hold mu.
 func (cs *clientConns) longestSilent(now time.Time) *clientConn {
 	peeks := 0
 	for e := cs.silent.Front(); e != nil && peeks < maxPeeks; e = e.Next() {
@@ -114,7 +116,7 @@
 	return nil
 }
 
-// longestIdle is the longest idle connection that has nothing to be read; nil if there is none. The lock is held.
+// longestIdle returns the longest idle connection without unread bytes; nil if there is none. The caller must hold mu.
 func (cs *clientConns) longestIdle() *clientConn {
 	peeks := 0
 	for e := cs.idle.Front(); e != nil && peeks < maxPeeks; e = e.Next() {
@@ -126,11 +128,11 @@
 	return nil
 }
 
-// longestStalled is the connection whose incomplete request has stood still for the longest, beyond the grace; nil if
-// there is none. The lock is held.
+// longestStalled returns the connection whose incomplete request has received no bytes for the longest time, and at
+// least for stalledGrace; nil if there is none. The caller must hold mu.
 func (cs *clientConns) longestStalled(now time.Time) *clientConn {
 	var longest *clientConn
-	for c := range cs.open { // the longest, so that the choice does not depend on the map's order
+	for c := range cs.open { // choosing the longest keeps the result independent of map order
 		stalled := c.state.request == readingRequest && !c.state.closing() && now.Sub(c.lastRead) >= stalledGrace
 		if stalled && (longest == nil || c.lastRead.Before(longest.lastRead)) && !hasUnread(c.Conn) {
 			longest = c
@@ -139,8 +141,8 @@
 	return longest
 }
 
-// overloaded reports whether calls must be rejected to keep the limit. Requests that have stopped half way do not
-// count: a complete one among them is served.
+// overloaded reports whether calls must be rejected because more than maxOpen connections have a complete request.
+// Incomplete requests do not count, so a complete request is served even if the others have stalled.
 func (cs *clientConns) overloaded() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/internal/transport/client_limits_test.go
+++ b/internal/transport/client_limits_test.go
@@ -14,21 +14,21 @@
 	"olivebridge/internal/protocol"
 )
 
-// TestOverloadedRejects: with no idle client connection to close, a call beyond the limit is rejected at once
-// instead of waiting unseen in the listener's queue.
+// TestOverloadedRejects: if no idle client connection can be closed, a call beyond the limit is rejected immediately
+// instead of waiting in the listener's queue.
 func TestOverloadedRejects(t *testing.T) {
 	addr, front, first, release := newFrontendWithOpenCall(t, 1)
 	resp, _ := dialClient(t, addr).roundTrip(t, callHead+"Content-Length: 2\r\n\r\nhi")
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "0.500" || !resp.Close || front.Shed() != 1 {
-		t.Errorf("%d %v, %d shed", resp.StatusCode, resp.Header, front.Shed())
+		t.Errorf("status %d, header %v, %d shed; want 503, 0.500, close, 1", resp.StatusCode, resp.Header, front.Shed())
 	}
 	close(release)
 	if resp, err := http.ReadResponse(first.in, nil); err != nil || resp.StatusCode != 502 {
-		t.Errorf("the first: %v", err)
+		t.Errorf("response to the first call: error %v, want status 502", err)
 	}
 }
 
-// evictingBody is a body that has come to its end, but is read only once its connection was evicted as stalled.
+// evictingBody is a complete request body. It is read only after the connection was evicted as stalled.
 type evictingBody struct {
 	io.Reader
 	accepted *clientConn
@@ -44,8 +44,8 @@
 	return b.Reader.Read(p)
 }
 
-// TestStalledEvictionWhileReading: a request whose connection was evicted as stalled before the node had done
-// reading it is not forwarded, since its client sends it again.
+// TestStalledEvictionWhileReading: a request whose connection was evicted as stalled before the node finished reading
+// it is not forwarded, since the client sends it again.
 func TestStalledEvictionWhileReading(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,38 +66,38 @@
 	accepted := conn.(*clientConn)
 	accepted.Read(make([]byte, 1))
 	if accepted.isClosing() {
-		t.Fatal("it was closed")
+		t.Fatal("the connection is closing")
 	}
 	r := &http.Request{Method: "POST", ProtoMajor: 1, ProtoMinor: 1, ContentLength: 4, URL: &url.URL{}, Host: "a",
 		Header: http.Header{"X-Call-Id": {"1"}, "X-Call-Class": {"book"}, "X-Caller": {"acme"}, "X-Budget": {"1"}},
 		Body:   io.NopCloser(evictingBody{strings.NewReader("paid"), accepted})}
 	defer func() {
 		if p, _ := recover().(error); !errors.Is(p, http.ErrAbortHandler) {
-			t.Errorf("it is forwarded: %v", p)
+			t.Errorf("panic value %v, want http.ErrAbortHandler: the request would be forwarded", p)
 		}
 	}()
 	_, status, err := f.parseRequest(r, accepted, "/api")
-	t.Errorf("%d, %v", status, err)
+	t.Errorf("parseRequest returned status %d, error %v; want a panic", status, err)
 }
 
-// TestClientLimitEvictsLongestIdle: one connection beyond the limit closes the longest idle one.
+// TestClientLimitEvictsLongestIdle: the first connection beyond the limit causes the close of the longest idle one.
 func TestClientLimitEvictsLongestIdle(t *testing.T) {
 	addr, front, log := newTestFrontend(t, 2, nil)
 	first, second := front.dialIdle(t, addr, 1), front.dialIdle(t, addr, 2)
 	third := dialClient(t, addr)
 	if _, err := first.in.ReadByte(); err != io.EOF {
-		t.Errorf("the first: %v", err)
+		t.Errorf("read from the longest idle connection: %v, want EOF", err)
 	}
 	log.waitFor("side=client", "addr="+first.LocalAddr().String(), "reason=evicted")
 	for _, c := range []*testClient{third, second} {
 		if resp, _ := c.roundTrip(t, readyRequest); resp.StatusCode != 200 {
-			t.Errorf("status %d", resp.StatusCode)
+			t.Errorf("status %d, want 200", resp.StatusCode)
 		}
 	}
 }
 
-// TestEvictionOrder: clients that connect and send nothing make room for those that send; one whose request waits
-// to be read keeps its connection.
+// TestEvictionOrder: clients that connect and send nothing are evicted in favor of clients that send; a connection
+// whose request waits to be read is kept.
 func TestEvictionOrder(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -133,23 +133,23 @@
 		c.mu.Lock()
 		reason, accepted := c.evictionCandidate(want.at)
 		if reason != want.reason || reason != reasonNone && accepted != want.accepted {
-			t.Errorf("%q, want %q", reason, want.reason)
+			t.Errorf("eviction reason %q, want %q", reason, want.reason)
 		}
 		if accepted != nil && want.at != fresh {
 			c.closeConns(reason, accepted)
 		}
 		c.mu.Unlock()
 	}
-	coming := accept("e") // one that began long ago and comes on is not ended for being slow
+	coming := accept("e") // a slow request that still makes progress is not evicted as stalled
 	coming.Read(make([]byte, 1))
 	c.mu.Lock()
 	coming.requestStart = fresh.Add(-time.Hour)
 	if reason, _ := c.evictionCandidate(time.Now()); reason != "" {
-		t.Errorf("%q, and its request comes on", reason)
+		t.Errorf("eviction reason %q for a request that makes progress, want none", reason)
 	}
 	c.mu.Unlock()
 	coming.Close()
-	// as many silent ones as may be open must not stop Accept
+	// As many silent connections as may be open must not block Accept.
 	for range 4 + DefaultOverflow {
 		accept("")
 	}
@@ -157,12 +157,12 @@
 	log.waitFor("reason=silent", ends[2].LocalAddr().String())
 }
 
-// TestLoweredClientLimits: where the limits are lowered, the longest idle clients are closed at once, and none that
-// has sent something, which is answered as ever.
+// TestLoweredClientLimits: when the limits are lowered, the longest idle connections are closed immediately, except
+// those with unread bytes, whose requests are served as usual.
 func TestLoweredClientLimits(t *testing.T) {
 	for name, limits := range map[string]ClientLimits{
-		"on all":       {MaxOpen: 3, MaxIdle: 9},
-		"on idle ones": {MaxOpen: 9, MaxIdle: 2},
+		"limit of open connections": {MaxOpen: 3, MaxIdle: 9},
+		"limit of idle connections": {MaxOpen: 9, MaxIdle: 2},
 	} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -182,7 +182,7 @@
 			accepted := conn.(*clientConn)
 			io.WriteString(clients[len(conns)], "G")
 			accepted.Read(make([]byte, 9))
-			if conns = append(conns, accepted); len(conns) != 2 { // that one's request is open
+			if conns = append(conns, accepted); len(conns) != 2 { // the second connection's request stays open
 				c.connState(accepted, http.StateIdle)
 			}
 		}
@@ -194,7 +194,7 @@
 			open := c.open[accepted]
 			c.mu.Unlock()
 			if closed := i >= 2 && i < 5; open == closed {
-				t.Errorf("%s: connection %d is open: %v", name, i, open)
+				t.Errorf("%s: connection %d: open = %v", name, i, open)
 			} else if closed {
 				log.waitFor("addr="+clients[i].LocalAddr().String(), "reason=evicted")
 			}
@@ -202,8 +202,8 @@
 	}
 }
 
-// TestIdleLimit: clients that send one request and keep their connection must not use up what clients may hold to a
-// node.
+// TestIdleLimit: clients that send one request and keep their connection must not use up the connections that clients
+// may hold to a node.
 func TestIdleLimit(t *testing.T) {
 	addr, front, log := newTestFrontend(t, 10, nil)
 	front.SetClientLimits(ClientLimits{MaxOpen: 10, MaxIdle: 2})
--- a/internal/transport/client_read.go
+++ b/internal/transport/client_read.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// watchDelay is how long a call may be open before its client connection is watched for a disconnect. Most calls
-// are answered by then. Until then an attempt that is not sent at once looks first: see hasDisconnected.
+// watchDelay is the time for which a call is open before its client connection is watched for a disconnect. Most calls
+// are answered within it. Before that, an attempt that is not sent immediately checks for a disconnect itself: see
+// hasDisconnected.
 const watchDelay = 10 * time.Millisecond
 
-// Read implements net.Conn. Bytes are taken under the lock of conns, so that a close is decided either before them
-// or after: a request whose bytes were taken counts as taken, and a close would lose it. One that is still unread
-// at a close is sent again by its client, which the kernel tells by a reset.
+// Read implements net.Conn. It reads bytes while it holds conns.mu, so a close is decided either before or after the
+// read: a request whose bytes were read counts as accepted, and a close would lose it. A request that is still unread
+// when the connection closes makes the kernel send a reset, after which the client sends the request again.
 func (c *clientConn) Read(b []byte) (int, error) {
-	if len(b) == 1 { // http.Server reads one byte while a call is open, and hardly ever else
+	if len(b) == 1 { // http.Server reads a single byte while a call is open, and rarely otherwise
 		if !c.waitForClientCheck() {
 			return 0, os.ErrDeadlineExceeded
 		}
@@ -27,8 +28,9 @@
 	return c.readGated(b[:c.readLimit(len(b))])
 }
 
-// readLimit is how many of n bytes a read may take. While connections are drained it takes none behind the current
-// request: a client that always sends the next one ahead would have to be answered for ever.
+// readLimit returns the number of bytes, at most n, that a read may return. During draining a read returns no bytes
+// after the current request: otherwise a client that always pipelines its next request would have to be answered
+// forever.
 func (c *clientConn) readLimit(n int) int {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
@@ -38,9 +40,9 @@
 	return n
 }
 
-// watchForClose waits, while a call is open, until its client has disconnected. Bytes behind the call's request say
-// nothing of that. They are left to be read in their turn, since every request that is read must be answered,
-// however soon the connection is to be closed.
+// watchForClose blocks, while a call is open, until its client disconnects. Bytes after the call's request do not show
+// a disconnect. They stay unread until it is their turn, because every request that has been read must be answered,
+// even if the connection is about to be closed.
 func (c *clientConn) watchForClose() error {
 	for {
 		if _, err := c.readGated(nil); err != nil {
@@ -57,7 +59,7 @@
 	}
 }
 
-// readGated reads under the lock of conns, unless the close is decided.
+// readUnlessClosing reads while it holds conns.mu, unless the close is decided.
 func (c *clientConn) readGated(b []byte) (int, error) {
 	if err := c.setReading(true); err != nil {
 		return 0, err
@@ -65,15 +67,15 @@
 	c.readBuf = b
 	n, err := c.ReadGate(b, &c.conns.mu, c.beforeRead, c.afterRead)
 	_ = c.setReading(false)
-	if err != nil && !c.isClosing() { // else the client has no part in it
+	if err != nil && !c.isClosing() { // otherwise this side caused the error
 		c.log.noteReadError(err, reasonClientClosed, reasonClientReset)
 	}
 	return n, err
 }
 
-// hasDisconnected implements disconnectChecker. It finds a client that disconnected behind bytes that nobody reads
-// yet, too: those of a long body whose call still waits, or of a further request. http.Server notices at once, unless
-// it still reads the body.
+// hasDisconnected implements disconnectChecker. It also detects a disconnect after unread bytes: those of a long body
+// whose call still waits, or those of a further request. It makes http.Server notice the disconnect at once, unless
+// http.Server is still reading the body.
 func (c *clientConn) hasDisconnected() bool {
 	n, err := c.Peek()
 	if errors.Is(err, syscall.EAGAIN) || n > 0 && !c.HasEnded() {
--- a/internal/transport/client_response.go
+++ b/internal/transport/client_response.go
@@ -11,7 +11,7 @@
 	"olivebridge/internal/routing"
 )
 
-// writeAnswer writes the one final response to a call.
+// writeAnswer writes the only final response to a call.
 func (f *Frontend) writeAnswer(w http.ResponseWriter, c *clientConn, a routing.Answer) {
 	h := w.Header()
 	if a.Verdict == routing.Served {
@@ -35,15 +35,15 @@
 	}
 }
 
-// writeUploadAnswer writes the response to a call whose body may still be coming.
+// writeUploadAnswer writes the response to a call whose body may still be arriving.
 func (f *Frontend) writeUploadAnswer(w http.ResponseWriter, r *http.Request, m *requestMessage, a routing.Answer) {
 	c := m.upload.conn
 	err := m.upload.finish()
 	m.release()
-	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout)) // net/http counts from the request's head
+	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout)) // net/http counts from the end of the request's head
 	switch {
 	case errors.Is(err, errBodyTooLarge):
-		if d, ok := a.Reply.(routing.Releaser); ok { // it came ahead of the body's end
+		if d, ok := a.Reply.(routing.Releaser); ok { // the response preceded the end of the body
 			d.Release()
 		}
 		f.writeError(w, r, http.StatusRequestEntityTooLarge, errors.New("body: too large"))
@@ -58,8 +58,8 @@
 	f.writeAnswer(w, c, a)
 }
 
-// writeError answers a request that deserves no attempt. What was read along behind it is served, unless someone could
-// find the end of this one elsewhere; whatever else waits on the connection is not worth reading.
+// writeError answers a request for which no attempt is made. A request that was read after it is served, unless the end
+// of this one is ambiguous; bytes that are still unread are not served.
 func (f *Frontend) writeError(w http.ResponseWriter, r *http.Request, status int, err error) {
 	f.malformed.Add(1)
 	c := r.Context().Value(clientConnKey{}).(*clientConn)
@@ -73,9 +73,10 @@
 	http.Error(w, err.Error(), status)
 }
 
-// discardBodyBeforePipelined reads and discards the rest of a body if a further request was read behind it and the end
-// of this one is unambiguous: others read no body behind a GET, and a tunnel's bytes behind a method that the platform
-// does not know. It reports whether the connection can go on to that request.
+// discardBodyBeforePipelined reads and discards the rest of a body if a further request was read after it and the end
+// of this one is unambiguous. It is ambiguous for a GET with a body, since some servers read no body after a GET, and
+// for a method unknown to the platform, after which the bytes of a tunnel may follow. The result reports whether the
+// connection can continue with the further request.
 func discardBodyBeforePipelined(r *http.Request, c *clientConn) bool {
 	unambiguous := r.Method == http.MethodPost || r.Method == http.MethodGet && r.ContentLength == 0
 	if !unambiguous || !c.hasPipelinedRequest() {
@@ -85,34 +86,34 @@
 	return err == nil
 }
 
-// closeIfRequired has the connection closed after this response while the node drains, or if the framing of the
-// request's body ends the connection.
+// closeIfRequired makes the connection close after this response if the node is draining or the framing of the
+// request's body requires it.
 func (f *Frontend) closeIfRequired(w http.ResponseWriter, c *clientConn) {
 	if f.clients.isDraining() || c.mustCloseAfterRequest() {
 		closeAfterResponse(w, c)
 	}
 }
 
-// closeAfterResponse closes a connection with the response at hand, or with a later one, since every request that
-// was read is answered.
+// closeAfterResponse makes the connection close after the current response or, if further requests have been read,
+// after a later one, because every request that has been read is answered.
 func closeAfterResponse(w http.ResponseWriter, c *clientConn) {
 	if !c.hasPipelinedRequest() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// writeResponse writes a server's response.
+// writeResponse writes the response of a server.
 func (f *Frontend) writeResponse(w http.ResponseWriter, c *clientConn, p *response) {
 	if p.stream != nil {
 		f.streamResponse(w, c, p)
 		return
 	}
-	_, _ = w.Write(p.body) // an error is the client's disconnect, which the connection's log line tells
+	_, _ = w.Write(p.body) // an error is a client disconnect, which the connection's log line reports
 	p.freeBuffer()
 }
 
-// streamResponse passes a long response on as it comes. One that breaks aborts the client's connection, so that the
-// client can tell.
+// streamResponse forwards a long response while it arrives. If the response fails midway, streamResponse aborts the
+// client connection so that the client detects the failure.
 func (f *Frontend) streamResponse(w http.ResponseWriter, c *clientConn, p *response) {
 	c.startStreaming()
 	p.stream.client = c
@@ -127,8 +128,8 @@
 	reason = f.copyStream(w, c, p)
 }
 
-// copyStream copies a long response to a client. It returns why the server's connection must be closed; reasonNone:
-// the response is complete.
+// copyStream copies a long response to a client. It returns the reason for which the connection to the server must be
+// closed; reasonNone if the response is complete.
 func (f *Frontend) copyStream(w http.ResponseWriter, c *clientConn, p *response) closeReason {
 	buf := f.buffers.get(streamBufferSize)
 	defer f.buffers.put(buf)
@@ -151,7 +152,7 @@
 		case c.hasDisconnected():
 			return reasonCancelled
 		default:
-			flush() // the client gets what the server has sent
+			flush() // forwards the bytes that the server has sent
 			return p.stream.failureReason()
 		}
 	}
--- a/internal/transport/client_state.go
+++ b/internal/transport/client_state.go
@@ -1,45 +1,47 @@
 package transport
 
-// requestPhase is how far the current request of a client connection has come.
+// requestPhase is the progress of the current request of a client connection.
 type requestPhase uint8
 
 const (
-	// noRequest: no byte of an unanswered request has been read.
+	// noRequest means that no byte of an unanswered request has been read.
 	noRequest requestPhase = iota
-	// readingRequest: a byte of the request has been read, but not all of it.
+	// readingRequest means that some bytes of the request have been read, but not all.
 	readingRequest
-	// requestComplete: all of the request has been read.
+	// requestComplete means that all bytes of the request have been read.
 	requestComplete
 )
 
-// closePhase is how far the close of a client connection has come.
+// closePhase is the progress of closing a client connection.
 type closePhase uint8
 
 const (
-	// connOpen: the connection is in use.
+	// connOpen means that the connection is in use.
 	connOpen closePhase = iota
-	// connClosing: the close is decided, and no byte is read any more.
+	// connClosing means that the close is decided. No further byte is read.
 	connClosing
-	// connLingering: the close is decided, and waits for the last response to arrive.
+	// connLingering means that the close is decided but waits for the last response to arrive.
 	connLingering
 )
 
-// clientState is the state of a client connection. The lock of clientConns guards it, and it changes by its
-// transitions alone.
+// clientState is the state of a client connection. clientConns.mu guards it, and only its methods change it.
 type clientState struct {
 	request requestPhase
 	close   closePhase
-	// nextStarted: a byte of the request behind the current one has been read. That request must be answered, too.
+	// nextStarted reports whether a byte of the request after the current one has been read. That request must be
+	// answered, too.
 	nextStarted bool
-	// nextUnread: bytes of the request behind the current one wait to be read.
+	// nextUnread reports whether unread bytes of the request after the current one are waiting.
 	nextUnread bool
-	// pipelined: one of these two held for the current request while the one before it was open.
+	// pipelined reports whether nextStarted or nextUnread was set for the current request while the previous request was
+	// open.
 	pipelined bool
-	// handedOff: another process takes the connection over. It stays open here until it has been sent there.
+	// handedOff reports whether another process takes over the connection. The connection stays open in this process until
+	// it has been sent.
 	handedOff bool
 }
 
-// beginRequest notes a byte of a request and reports whether it is the first one.
+// beginRequest records that a byte of a request was read, and reports whether it is the first byte of that request.
 func (s *clientState) beginRequest() bool {
 	if s.request != noRequest {
 		return false
@@ -48,21 +50,21 @@
 	return true
 }
 
-// noteRead notes that bytes were read, with which a further request may have started.
+// noteRead records that bytes were read. laterStarted reports whether a request after the current one has started.
 func (s *clientState) noteRead(furtherStarted bool) {
 	if furtherStarted || s.request == requestComplete {
 		s.nextStarted = true
 	}
 }
 
-// noteUnread notes that bytes wait behind the current request.
+// noteUnread records that unread bytes follow the current request.
 func (s *clientState) noteUnread() { s.nextUnread = true }
 
-// completeRequest notes that the current request has been read to its end.
+// completeRequest records that the current request has been read completely.
 func (s *clientState) completeRequest() { s.request = requestComplete }
 
-// finishRequest notes that the current request has been answered. The next one takes its place if a byte of it has
-// been read; furtherStarted tells whether one behind that has started, too.
+// finishRequest records that the current request has been answered. The next request becomes the current one if a byte
+// of it has been read; laterStarted reports whether a request after that one has started.
 func (s *clientState) finishRequest(furtherStarted bool) {
 	s.pipelined = s.nextStarted || s.nextUnread
 	s.request = noRequest
@@ -73,24 +75,24 @@
 	s.nextUnread = false
 }
 
-// decideClose notes that the connection is about to be closed, or to be handed off to another process.
+// decideClose records that the connection is about to be closed or, if handOff is set, handed off to another process.
 func (s *clientState) decideClose(handOff bool) {
 	s.abort()
 	s.handedOff = handOff
 }
 
-// abort notes that the connection is about to be closed, whatever was decided before.
+// abort records that the connection is about to be closed, unless a close was decided before.
 func (s *clientState) abort() {
 	if s.close == connOpen {
 		s.close = connClosing
 	}
 }
 
-// startLingering notes that the close waits for the last response to arrive.
+// startLingering records that the close waits for the last response to arrive.
 func (s *clientState) startLingering() { s.close = connLingering }
 
 // idle reports whether no byte of an unanswered request has been read.
 func (s *clientState) idle() bool { return s.request == noRequest }
 
-// closing reports whether the close is decided.
+// closing reports whether the close of the connection is decided.
 func (s *clientState) closing() bool { return s.close != connOpen }
--- a/internal/transport/client_state_test.go
+++ b/internal/transport/client_state_test.go
@@ -6,47 +6,47 @@
 func TestClientStateRequests(t *testing.T) {
 	var s clientState
 	if !s.idle() || !s.beginRequest() || s.beginRequest() {
-		t.Errorf("the first byte of a request is not the first one: %+v", s)
+		t.Errorf("beginRequest must report true exactly once, on an idle connection: %+v", s)
 	}
 	s.noteRead(false)
 	if s.idle() || s.nextStarted || s.request != readingRequest {
-		t.Errorf("while a request is read: %+v", s)
+		t.Errorf("state while a request is being read: %+v", s)
 	}
 	s.completeRequest()
-	s.noteRead(false) // behind a complete request any byte is one of the next
+	s.noteRead(false) // any byte after a complete request belongs to the next one
 	if !s.nextStarted || s.request != requestComplete {
-		t.Errorf("behind a complete request: %+v", s)
+		t.Errorf("state after bytes that follow a complete request: %+v", s)
 	}
 	s.finishRequest(false)
 	if s.idle() || s.request != readingRequest || s.nextStarted || !s.pipelined {
-		t.Errorf("a pipelined request has its turn: %+v", s)
+		t.Errorf("state when a pipelined request becomes current: %+v", s)
 	}
 	s.finishRequest(false)
 	if !s.idle() || s.pipelined {
-		t.Errorf("nothing was read behind the last request: %+v", s)
+		t.Errorf("state after the last request, with nothing read after it: %+v", s)
 	}
 	s.beginRequest()
 	s.noteUnread()
 	s.finishRequest(false)
 	if !s.idle() || !s.pipelined || s.nextUnread {
-		t.Errorf("bytes waited behind the request: %+v", s)
+		t.Errorf("state after a request with unread bytes after it: %+v", s)
 	}
 }
 
-// TestClientStateClose: a decided close stays decided, and a connection that lingers goes on to do so.
+// TestClientStateClose: a decided close cannot be revoked, and a connection that lingers continues to linger.
 func TestClientStateClose(t *testing.T) {
 	var s clientState
 	if s.closing() {
-		t.Error("a new connection is closing")
+		t.Error("a new connection reports that it is closing")
 	}
 	s.decideClose(true)
 	if !s.closing() || s.close != connClosing || !s.handedOff {
-		t.Errorf("after a hand-off: %+v", s)
+		t.Errorf("state after a decided hand-off: %+v", s)
 	}
 	s.startLingering()
 	s.decideClose(false)
 	s.abort()
 	if s.close != connLingering || s.handedOff {
-		t.Errorf("a close ends the lingering in the state, too: %+v", s)
+		t.Errorf("a further close must keep connLingering and clear handedOff: %+v", s)
 	}
 }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -7,30 +7,30 @@
 	"sync"
 )
 
-// Conn is what frontends and upstream transports ask of a connection beyond net.Conn. TCP connections are wrapped to
-// provide it; a simulated network brings connections with it.
+// Conn is the interface of connections that frontends and upstream transports require, in addition to net.Conn.
+// wrapConn implements it for TCP connections; simulated networks implement it themselves.
 type Conn interface {
 	net.Conn
-	// CloseWrite ends the sending: the other side reads to the end and may still answer.
+	// CloseWrite closes the sending side. The remote side reads until EOF and may still send.
 	CloseWrite() error
-	// ReadGate reads like Read, but takes the bytes under a lock: each time bytes or an end may be there to be taken,
-	// it locks mu and calls open. On nil it takes them, calls took with their number if there are any, and unlocks;
-	// any error of open's is returned, and nothing is taken. One call runs at a time. Where b is empty, it takes
-	// nothing, and nil says that bytes are there.
+	// ReadUnderLock reads like Read, but while it holds mu: whenever bytes or EOF may be available, it locks mu and calls
+	// open. If open returns nil, it reads, calls took with the number of bytes if that is positive, and unlocks mu. If
+	// open returns an error, it reads nothing and returns that error. If b is empty, it reads nothing and returns a nil
+	// error when bytes are available. It must not be called concurrently.
 	ReadGate(b []byte, mu sync.Locker, open func() error, took func(n int)) (int, error)
-	// Peek says what there is to read and takes nothing. n > 0: bytes wait; 0 and nil: the other side has closed;
-	// syscall.EAGAIN: nothing is there; any other error: the connection is broken.
+	// Peek checks for readable data without reading it. n > 0 means that bytes are available; 0 and nil, that the remote
+	// side has closed; syscall.EAGAIN, that nothing is available; any other error, that the connection is broken.
 	Peek() (n int, err error)
-	// HasEnded reports whether the other side has closed or broken the connection, though bytes that it sent before may
-	// still wait to be read. It is false where that cannot be told.
+	// HasEnded reports whether the remote side has closed or broken the connection, even if bytes that it sent before are
+	// still unread. It returns false if the state is unknown.
 	HasEnded() bool
 }
 
-// Dialer opens connections to addresses of the form host:port, until ctx ends. What it returns is a Conn or a
-// *net.TCPConn. A nil Dialer dials TCP.
+// Dialer opens a connection to an address of the form host:port; ctx limits the dialing. The connection must be a Conn
+// or a *net.TCPConn. A nil Dialer dials TCP.
 type Dialer func(ctx context.Context, addr string) (net.Conn, error)
 
-// dial opens a connection.
+// dial opens a connection and wraps it as a Conn.
 func (d Dialer) dial(ctx context.Context, addr string) (Conn, error) {
 	if d == nil {
 		d = dialTCP
@@ -46,7 +46,7 @@
 	return c, err
 }
 
-// wrapConn gives a connection what Conn asks.
+// wrapConn converts a connection to a Conn, or returns an error if its type is not supported.
 func wrapConn(conn net.Conn) (Conn, error) {
 	switch c := conn.(type) {
 	case Conn:
@@ -57,14 +57,14 @@
 	return nil, fmt.Errorf("connection: %T can neither be peeked at nor read under a lock", conn)
 }
 
-// hasUnread reports whether bytes wait to be read from a connection.
+// hasUnread reports whether unread bytes are available on a connection.
 func hasUnread(c Conn) bool {
 	n, _ := c.Peek()
 	return n > 0
 }
 
-// disconnectChecker tells whether the client that a message belongs to is still there.
+// disconnectChecker checks the client to which a message belongs.
 type disconnectChecker interface {
-	// hasDisconnected reports whether the client has closed or broken its connection by now.
+	// hasDisconnected reports whether the client has closed or broken its connection.
 	hasDisconnected() bool
 }
--- a/internal/transport/conn_log.go
+++ b/internal/transport/conn_log.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// closeReason is the reason code of the log line that a connection leaves when it ends. docs/ONCALL.md lists them all.
+// closeReason is the reason code in the log line of a connection that has ended. docs/ONCALL.md lists all codes.
 type closeReason string
 
-// The reasons why connections end.
+// The reasons for which connections end.
 const (
-	reasonNone         closeReason = "" // unknown so far
+	reasonNone         closeReason = "" // not known yet
 	reasonCancelled    closeReason = "called-off"
 	reasonClientClosed closeReason = "client-closed"
 	reasonClientGone   closeReason = "client-gone"
@@ -37,13 +37,13 @@
 	reasonTimeout      closeReason = "try-timeout"
 )
 
-// connLog writes the one log line of a connection when it ends. The first reason that is set is the one logged.
+// connLog writes the only log line of a connection, when the connection ends. It logs the first reason that was set.
 type connLog struct {
 	log      *slog.Logger
 	side     string // client, peer or discovery
 	addr     string
 	openedAt time.Time
-	onEnd    func() // called once, behind the line
+	onEnd    func() // called once, after the line is written
 
 	mu     sync.Mutex
 	reason closeReason
@@ -54,7 +54,7 @@
 	return &connLog{log: log, side: side, addr: addr, openedAt: time.Now(), onEnd: onEnd}
 }
 
-// setReason notes why the connection is about to end.
+// setReason sets the reason for which the connection is about to end, unless one is set already.
 func (l *connLog) setReason(reason closeReason) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,8 +63,8 @@
 	}
 }
 
-// noteReadError notes what a failed read says of the other side: it closed, or the connection broke. An expired
-// deadline says nothing, nor does a close on this side.
+// noteReadError sets the reason according to the error of a read: closed if the remote side closed the connection,
+// broke if the connection broke. A nil error, an expired deadline and a close on this side set no reason.
 func (l *connLog) noteReadError(err error, closed, broke closeReason) {
 	switch {
 	case err == nil:
@@ -77,7 +77,7 @@
 	}
 }
 
-// logEnd writes the line, once, with a reason unless an earlier one is known.
+// logEnd writes the log line, once, with reason unless an earlier one was set.
 func (l *connLog) logEnd(reason closeReason) {
 	l.setReason(reason)
 	l.once.Do(func() {
--- a/internal/transport/conn_log_test.go
+++ b/internal/transport/conn_log_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// TestCloseReasonsDocumented: every reason is a constant, and stands on the on-call page.
+// TestCloseReasonsDocumented: every close reason is a constant and is listed on the on-call page.
 func TestCloseReasonsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/ONCALL.md")
 	if err != nil {
@@ -39,15 +39,15 @@
 			}
 		}
 		if m := literal.Find(code); m != nil {
-			t.Errorf("%s: a reason that is no constant: %s", name, m)
+			t.Errorf("%s: close reason is not a constant: %s", name, m)
 		}
 	}
 	if found < 19 {
-		t.Errorf("only %d reasons found in the code", found)
+		t.Errorf("found %d close reasons in the code, want at least 19", found)
 	}
 }
 
-// TestCloseReasons covers reasons that no other test does.
+// TestCloseReasons covers close reasons that no other test covers.
 func TestCloseReasons(t *testing.T) {
 	long, _ := startScriptedServer(t, "HTTP/1.1 500 X\r\nContent-Length: 100000\r\n\r\n")
 	transport, log := newTestTransport(time.Second)
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -4,6 +4,7 @@
 // writes the response. An UpstreamTransport sends the handler's attempts and health checks to servers over pooled
 // connections. An EndpointWatcher follows the endpoint list at the discovery service.
 //
-// A request is sent to a server at most once per attempt: nothing below the handler retries. What an attempt ended
-// with is told by how many of its bytes were written, so that the handler knows whether the server can have run it.
+// An attempt sends its request to one server, at most once; only the handler retries. The result of an attempt depends
+// on the number of request bytes that were written, which shows the handler whether the server can have executed the
+// request.
 package transport
--- a/internal/transport/drain.go
+++ b/internal/transport/drain.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// The times of a graceful shutdown, from its beginning; see Frontend.Drain.
+// The durations of a graceful shutdown, measured from its start; see Frontend.Drain.
 const (
-	// drainAcceptIdle is how long idle connections are kept: new ones keep coming for up to 0.4 s.
+	// drainAcceptIdle is the time for which idle connections are kept: clients open new ones for up to 0.4 s.
 	drainAcceptIdle = 500 * time.Millisecond
-	// drainFullBudget is how long after the start of a shutdown a call may begin and still take its full timeout.
+	// drainFullBudget is the time after the start of a shutdown within which a call may begin and still use its full
+	// timeout.
 	drainFullBudget = 700 * time.Millisecond
-	// drainStopAccept is when the frontend stops accepting: after drainFullBudget, so that the last connection of such
-	// a call is accepted.
+	// drainStopAccept is the time after which the frontend stops accepting. It is later than drainFullBudget, so the last
+	// connection with such a call is accepted.
 	drainStopAccept = 800 * time.Millisecond
-	// drainMargin is waited beyond the longest deadline, so that no open call is ever cut off.
+	// drainMargin is the waiting time beyond the longest deadline, so no open call is ever cut off.
 	drainMargin = 2 * time.Second
-	// drainStreamMargin is waited beyond that for messages too long to be buffered.
+	// drainStreamMargin is the additional waiting time for messages too long to be buffered.
 	drainStreamMargin = time.Minute
 )
 
-// Drain shuts the frontend down gracefully. Clients still arrive for a while, so it goes on accepting; then it
-// closes client connections as they fall idle, stops accepting, and waits for open calls, which may take
-// maxCallTime. Abort cuts it short. Drain blocks until the frontend has ended.
+// Drain shuts the frontend down gracefully. Because clients still connect for a while, the frontend first continues to
+// accept. Then it closes client connections as they become idle, stops accepting, and waits for open calls, each of
+// which may take maxCallTime. Drain blocks until the frontend has ended; Abort ends it early.
 func (f *Frontend) Drain(maxCallTime time.Duration) {
 	f.drain.beginShutdown(false)
 	f.drain.setCallTime(maxCallTime)
@@ -36,7 +37,7 @@
 	f.awaitDrained(calls, streams)
 }
 
-// awaitDrained waits for the open connections and then closes the server.
+// awaitDrained waits for the open connections to end and then closes the server.
 func (f *Frontend) awaitDrained(calls, streams context.Context) {
 	left := f.clients.waitDrained(calls, streams)
 	if left > 0 && f.aborted.Err() == nil {
@@ -45,7 +46,8 @@
 	_ = f.server.Close()
 }
 
-// shutdownContexts end when a graceful shutdown waits no longer for calls, and for messages too long to be buffered.
+// shutdownContexts returns the contexts that limit the waiting of a graceful shutdown: calls for calls, streams for
+// messages too long to be buffered. The caller must call stop.
 func (f *Frontend) shutdownContexts(maxCallTime time.Duration) (calls, streams context.Context, stop func()) {
 	streams, stopStreams := context.WithTimeout(f.aborted, maxCallTime+drainMargin+drainStreamMargin)
 	calls, stopCalls := context.WithTimeout(streams, maxCallTime+drainMargin)
@@ -56,14 +58,14 @@
 	return calls, streams, stop
 }
 
-// sleep waits until the time is over or ctx ends.
+// sleep blocks for the duration d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	ctx, stop := context.WithTimeout(ctx, d)
 	defer stop()
 	<-ctx.Done()
 }
 
-// Abort ends the frontend and all its client connections at once. Nothing further is read, and what is open gets no
+// Abort ends the frontend and all its client connections immediately. Nothing further is read, and open requests get no
 // response.
 func (f *Frontend) Abort() {
 	f.drain.beginShutdown(false)
@@ -72,9 +74,9 @@
 	f.abort()
 }
 
-// Pause takes the frontend out of service: it is not ready from now on, and closes connections that are idle, or
-// with their next response, once new ones have ceased. A call that comes nevertheless is served. A second Pause
-// changes nothing.
+// Pause takes the frontend out of service: its readiness check fails immediately. After drainAcceptIdle, when new
+// connections have ceased, it closes connections that are idle, and others with their next response. A call that
+// arrives nevertheless is served. A second Pause has no effect.
 func (f *Frontend) Pause() {
 	d := &f.drain
 	d.mu.Lock()
@@ -87,13 +89,13 @@
 	d.pauseTimer = time.AfterFunc(drainAcceptIdle, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if d.pauseTimer != nil { // else a Resume came first
+		if d.pauseTimer != nil { // otherwise Resume was called before
 			f.clients.startDraining()
 		}
 	})
 }
 
-// Resume ends a pause. A shutdown goes on.
+// Resume ends a pause. It does not end a shutdown.
 func (f *Frontend) Resume() {
 	d := &f.drain
 	d.mu.Lock()
@@ -112,44 +114,45 @@
 	return f.drain.paused
 }
 
-// Draining reports whether the frontend shuts down.
+// Draining reports whether the frontend is shutting down.
 func (f *Frontend) Draining() bool { return f.drain.isShuttingDown() }
 
-// drainState is whether a frontend sends its clients away: for good at its shutdown, or for a while as operators ask.
+// drainState records whether a frontend is removing its clients: permanently in a shutdown, or temporarily in a pause
+// that operators requested.
 type drainState struct {
 	mu sync.Mutex
-	// shuttingDown: the frontend ends.
+	// shuttingDown reports whether the frontend is shutting down.
 	shuttingDown bool
-	// handedOff: another process of the node takes its clients over.
+	// handedOff reports whether another process of the node takes over the clients.
 	handedOff bool
-	// paused: operators have taken the node out of service.
+	// paused reports whether operators have taken the node out of service.
 	paused bool
-	// pauseTimer is when a pause starts to close connections; nil: none is due.
+	// pauseTimer starts the closing of connections in a pause; nil if no start is pending.
 	pauseTimer *time.Timer
 
-	// maxCallTime is how long a call may take at the shutdown.
+	// maxCallTime is the maximum duration of a call during the shutdown.
 	maxCallTime time.Duration
-	// fullBudgetUntil is until when a call may still begin and take as long; zero: there is no shutdown.
+	// fullBudgetUntil is the time until which a call may begin and still take maxCallTime; zero if there is no shutdown.
 	fullBudgetUntil time.Time
 }
 
-// rejectsClients reports whether the node is not ready for clients. It is ready where another process goes on with
-// them.
+// rejectsClients reports whether the node is not ready for clients. It stays ready during a shutdown in which another
+// process takes over the clients.
 func (d *drainState) rejectsClients() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.shuttingDown && !d.handedOff || d.paused
 }
 
-// isShuttingDown reports whether the frontend ends.
+// isShuttingDown reports whether the frontend is shutting down.
 func (d *drainState) isShuttingDown() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.shuttingDown
 }
 
-// beginShutdown notes the shutdown, which closes connections by itself: a pause that is due is dropped. With handedOff
-// another process has the clients from now on.
+// beginShutdown records the start of a shutdown and cancels the pending start of a pause, since the shutdown closes
+// connections itself. handedOff reports whether another process takes over the clients from now on.
 func (d *drainState) beginShutdown(handedOff bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -158,7 +161,7 @@
 	d.stopPauseTimer()
 }
 
-// stopPauseTimer drops a pause that is due. The lock is held.
+// stopPauseTimer cancels the pending start of a pause. The caller must hold mu.
 func (d *drainState) stopPauseTimer() {
 	if d.pauseTimer != nil {
 		d.pauseTimer.Stop()
@@ -166,7 +169,8 @@
 	}
 }
 
-// setCallTime sets how long a call may take that begins soon; a later one has so much less.
+// setCallTime sets the maximum duration of calls that begin within drainFullBudget. For each later call it is reduced
+// by the time since then.
 func (d *drainState) setCallTime(maxCallTime time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -174,8 +178,8 @@
 	d.fullBudgetUntil = time.Now().Add(drainFullBudget)
 }
 
-// admits reports whether a call may begin that is to be answered within its budget. At the shutdown a pipelined one
-// may have its turn when there is no time left for it.
+// admits reports whether a call with this budget may begin. During a shutdown it may not if too little time is left to
+// answer it within its budget, which happens to pipelined calls that wait for their turn.
 func (d *drainState) admits(budget time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/transport/drain_test.go
+++ b/internal/transport/drain_test.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// TestAbort: after Abort no response is written, however soon it is there.
+// TestAbort: after Abort no response is written, even if it is ready immediately after.
 func TestAbort(t *testing.T) {
 	_, front, c, release := newFrontendWithOpenCall(t, 10)
 	front.clients.abort()
 	close(release)
 	if b, err := io.ReadAll(c); len(b) > 0 {
-		t.Errorf("%q, %v", b, err)
+		t.Errorf("read %q, %v after Abort; want no bytes", b, err)
 	}
 	front.Abort()
 }
 
-// TestDrainWaitsForOpenCall: a call that is still open when the frontend has stopped accepting keeps its time, and its
+// TestDrainWaitsForOpenCall: a call that is still open when the frontend stops accepting keeps its time limit, and its
 // response closes its connection.
 func TestDrainWaitsForOpenCall(t *testing.T) {
 	addr, front, c, release := newFrontendWithOpenCall(t, 10)
@@ -37,13 +37,13 @@
 	}
 	close(release)
 	if resp, err := http.ReadResponse(c.in, nil); err != nil || resp.StatusCode != 502 || !resp.Close {
-		t.Errorf("%+v, %v", resp, err)
+		t.Errorf("response %+v, %v; want status 502 and close", resp, err)
 	}
 	<-drained
 }
 
-// TestUploadCompletesDuringDrain: a body that goes on coming during a graceful shutdown is read to its end, and
-// answered, though it takes longer than any call may.
+// TestUploadCompletesDuringDrain: a body that continues to arrive during a graceful shutdown is read completely and
+// answered, even if that takes longer than the maximum duration of a call.
 func TestUploadCompletesDuringDrain(t *testing.T) {
 	p := startServer(t, func(conn net.Conn) {
 		if r, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
@@ -67,11 +67,11 @@
 	}()
 	select {
 	case <-drained:
-		t.Error("it was cut")
+		t.Error("Drain ended before the upload was complete")
 	case <-time.After(4 * calls):
 	}
 	if resp, _ := c.roundTrip(t, half); resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("status %d, close: %v", resp.StatusCode, resp.Close)
+		t.Errorf("status %d, close: %v; want 200 and close", resp.StatusCode, resp.Close)
 	}
 	<-drained
 }
--- a/internal/transport/frontend.go
+++ b/internal/transport/frontend.go
@@ -16,59 +16,60 @@
 	"olivebridge/internal/routing"
 )
 
-// How long a client may take. One that sends nothing usable must get an error or a close within 3 s of connecting,
-// and holds a descriptor for as long.
+// Timeouts of client connections. A client that sends nothing usable must get an error or a close within 3 s of
+// connecting, and holds a descriptor until then.
 const (
-	// headTimeout is for a request's head. Some clients take two seconds.
+	// headTimeout limits reading the head of a request. Some clients take two seconds.
 	headTimeout = 2600 * time.Millisecond
-	// requestTimeout is for a request with its body, beyond what the length of the body allows it.
+	// requestTimeout limits reading a request with its body, in addition to the time that the length of the body allows.
 	requestTimeout = bodyStallTimeout
-	// idleTimeout is between two requests. Clients may hold only so many connections to a node, and some send one request
-	// and keep theirs: a longer time leaves the others none.
+	// idleTimeout limits the time between two requests. The number of connections that clients may hold to a node is
+	// limited, and some clients send one request and keep their connection: a longer timeout would leave none to the
+	// others.
 	idleTimeout = 2100 * time.Millisecond
-	// writeTimeout is for a response.
+	// writeTimeout limits writing a response.
 	writeTimeout = 30 * time.Second
 )
 
-// maxRequestHead bounds a request's head, in bytes.
+// maxRequestHead is the maximum size of the head of a request, in bytes.
 const maxRequestHead = 32 << 10
 
-// shedRetryAfter is when a client is to come back whose call was shed for want of descriptors.
+// shedRetryAfter is the Retry-After of calls that are shed.
 const shedRetryAfter = 500 * time.Millisecond
 
-// clientConnKey finds a request's client connection in its context.
+// clientConnKey is the key of the client connection in the context of a request.
 type clientConnKey struct{}
 
-// CallHandler decides on calls: routing's first stage.
+// CallHandler decides on calls and forwards them. The router implements it.
 type CallHandler interface {
-	// Handle handles a call and returns its answer, from the goroutine of the client connection. ok is false if the
-	// client left before there was one.
+	// Handle handles a call and returns its answer. The goroutine of the client connection calls it. ok is false if the
+	// client disconnected before there was an answer.
 	Handle(ctx context.Context, c routing.Call) (a routing.Answer, ok bool)
-	// Ready reports whether the node may be sent clients.
+	// Ready reports whether the node is ready for clients.
 	Ready() bool
 }
 
-// FrontendConfig is what a Frontend is made from.
+// FrontendConfig is the configuration of a Frontend.
 type FrontendConfig struct {
-	// Listener accepts the client connections. The frontend closes it when it shuts down.
+	// Listener accepts the client connections. The frontend closes it at shutdown.
 	Listener net.Listener
-	// Names are the wire names and request classes that calls are parsed by. SetNames changes them later.
+	// Names contains the wire names and request classes for parsing calls. SetNames changes them later.
 	Names protocol.NameIndex
 	// Handler decides on each call and forwards it.
 	Handler CallHandler
-	// ClientLimits bound the client connections. SetClientLimits changes them later.
+	// ClientLimits limits the client connections. SetClientLimits changes the limits later.
 	ClientLimits ClientLimits
-	// IdempotencyStore records calls with an idempotency key; nil: none is recorded.
+	// IdempotencyStore records calls with an idempotency key; if nil, no call is recorded.
 	IdempotencyStore IdempotencyStore
-	// Log gets one line for each connection that ends, and each fault.
+	// Log receives one line for each connection that ends and for each fault.
 	Log *slog.Logger
 }
 
-// Frontend is the HTTP server that client connections reach.
+// Frontend is the HTTP server for client connections.
 type Frontend struct {
 	names       atomic.Pointer[protocol.NameIndex]
 	handler     CallHandler
-	idempotency IdempotencyStore // nil: no call is recorded
+	idempotency IdempotencyStore // nil if no call is recorded
 	log         *slog.Logger
 
 	server  *http.Server
@@ -77,19 +78,19 @@
 	buffers bufferPool
 
 	drain drainState
-	// serveEnded is closed when nothing is accepted any more.
+	// serveEnded is closed when Serve has stopped accepting.
 	serveEnded chan struct{}
-	// aborted ends with Abort.
+	// aborted is a context that Abort cancels.
 	aborted context.Context
 	abort   context.CancelFunc
 
-	// malformed counts the requests answered with a 4xx by the frontend itself.
+	// malformed is the number of requests that the frontend itself answered with a 4xx.
 	malformed atomic.Int64
-	// shed counts the calls rejected for want of descriptors, or of time at the shutdown.
+	// shed is the number of calls rejected because of too few descriptors or, at shutdown, too little time.
 	shed atomic.Int64
 }
 
-// NewFrontend makes a Frontend, which serves nothing until Serve.
+// NewFrontend returns a Frontend that serves nothing until Serve is called.
 func NewFrontend(c FrontendConfig) *Frontend {
 	f := &Frontend{
 		handler:     c.Handler,
@@ -113,13 +114,13 @@
 		WriteTimeout:      writeTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxRequestHead,
-		// net/http would answer 200 to OPTIONS requests that no server has seen.
+		// net/http would answer 200 to OPTIONS requests without a server seeing them.
 		DisableGeneralOptionsHandler: true,
 	}
 	return f
 }
 
-// Serve accepts client connections until Drain, HandOver or Abort. An error is one of the listener.
+// Serve accepts client connections until Drain, HandOver or Abort is called. An error is an error of the listener.
 func (f *Frontend) Serve() error {
 	defer close(f.serveEnded)
 	err := f.server.Serve(f.clients)
@@ -129,22 +130,22 @@
 	return fmt.Errorf("front: %w", err)
 }
 
-// SetNames changes the names that calls are parsed by.
+// SetNames changes the wire names and request classes for parsing calls.
 func (f *Frontend) SetNames(names protocol.NameIndex) { f.names.Store(&names) }
 
-// SetClientLimits changes the limits of client connections, and closes idle ones beyond them.
+// SetClientLimits changes the limits of client connections and closes idle connections that exceed them.
 func (f *Frontend) SetClientLimits(limits ClientLimits) { f.clients.setLimits(limits) }
 
-// ClientStats counts the client connections by what they do, as name=value on one line.
+// ClientStats returns the number of client connections in each state, as name=value pairs on one line.
 func (f *Frontend) ClientStats() string { return f.clients.String() }
 
-// ClientConns counts the client connections.
+// ClientConns returns the number of open client connections.
 func (f *Frontend) ClientConns() int { return f.clients.count() }
 
-// Shed counts the calls rejected for want of descriptors, or of time at the shutdown.
+// Shed returns the number of calls rejected because of too few descriptors or, at shutdown, too little time.
 func (f *Frontend) Shed() int64 { return f.shed.Load() }
 
-// Malformed counts the requests answered with a 4xx by the frontend itself.
+// Malformed returns the number of requests that the frontend itself answered with a 4xx.
 func (f *Frontend) Malformed() int64 { return f.malformed.Load() }
 
 // ServeHTTP implements http.Handler.
@@ -157,7 +158,7 @@
 		return
 	}
 	if c.isClosing() {
-		panic(http.ErrAbortHandler) // its client sees the close, and sends the request again
+		panic(http.ErrAbortHandler) // the client notices the close and sends the request again
 	}
 	call, status, err := f.parseRequest(r, c, target)
 	if err != nil {
@@ -167,8 +168,7 @@
 	f.serveCall(w, r, c, call, target)
 }
 
-// recoverPanic answers a call whose handling panicked: without an answer the connection would end, and the call be
-// lost.
+// recoverPanic answers a call whose handling panicked. Without an answer the connection would end and the call be lost.
 func (f *Frontend) recoverPanic(w http.ResponseWriter) {
 	p := recover()
 	if p == nil {
@@ -181,14 +181,15 @@
 	w.WriteHeader(http.StatusInternalServerError)
 }
 
-// serveCall has a call handled, and answers it.
+// serveCall passes a call to the handler and writes its answer.
 func (f *Frontend) serveCall(w http.ResponseWriter, r *http.Request, c *clientConn, call routing.Call, target string) {
 	m := call.Payload.(*requestMessage)
 	if m.upload == nil {
-		// The request has come in time. net/http would take the end of that time for a disconnect.
+		// The request has arrived in time. net/http would treat an expired read deadline as a disconnect.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	}
-	// Guards the descriptors: no attempt, and room for the next call. Guards a shutdown, which would cut the call off.
+	// Rejecting the call saves descriptors: it needs no attempt and makes room for the next call. During a shutdown, a
+	// call that began too late would be cut off.
 	if f.clients.overloaded() || !f.drain.admits(call.Timeout) {
 		f.shed.Add(1)
 		closeAfterResponse(w, c)
@@ -209,15 +210,15 @@
 	}
 }
 
-// handleBuffered has a call handled of which all is here.
+// handleBuffered passes a call whose request has been read completely to the handler and writes the answer.
 func (f *Frontend) handleBuffered(w http.ResponseWriter, r *http.Request, c *clientConn, call routing.Call) {
 	a := f.handle(r.Context(), call)
 	call.Payload.(*requestMessage).release()
 	f.writeAnswer(w, c, a)
 }
 
-// handle has a call handled. One whose client left gets an answer, too: nobody should read it, but net/http must
-// not make it an empty 200.
+// handle passes a call to the handler. It also returns an answer if the client has disconnected: nobody is expected to
+// read it, but without one net/http would send an empty 200.
 func (f *Frontend) handle(ctx context.Context, call routing.Call) routing.Answer {
 	a, ok := f.handler.Handle(ctx, call)
 	if !ok {
@@ -226,10 +227,10 @@
 	return a
 }
 
-// serveReadiness says whether the node may be sent clients.
+// serveReadiness answers a readiness check.
 func (f *Frontend) serveReadiness(w http.ResponseWriter, r *http.Request, c *clientConn) {
 	switch {
-	case r.Method != http.MethodGet && r.Method != http.MethodHead: // a 200 would pass for the answer to a call
+	case r.Method != http.MethodGet && r.Method != http.MethodHead: // a 200 could be mistaken for the answer to a call
 		f.writeError(w, r, http.StatusMethodNotAllowed,
 			&protocol.MethodError{Method: r.Method, Allow: http.MethodGet})
 	case f.drain.rejectsClients() || !f.handler.Ready():
--- a/internal/transport/frontend_helpers_test.go
+++ b/internal/transport/frontend_helpers_test.go
@@ -15,7 +15,7 @@
 	"olivebridge/internal/routing"
 )
 
-// handlerFunc is a CallHandler that is ready.
+// handlerFunc is a CallHandler that is always ready.
 type handlerFunc func(ctx context.Context, c routing.Call) (routing.Answer, bool)
 
 // Handle implements CallHandler.
@@ -26,7 +26,7 @@
 // Ready implements CallHandler.
 func (f handlerFunc) Ready() bool { return true }
 
-// newTestFrontend is a frontend at a new listener that serves until the test ends.
+// newTestFrontend returns a frontend with a new listener that serves until the test ends.
 func newTestFrontend(t *testing.T, maxConns int, f handlerFunc,
 	change ...func(*Frontend)) (addr string, front *Frontend, log logLines) {
 	t.Helper()
@@ -38,7 +38,7 @@
 	return l.Addr().String(), front, log
 }
 
-// newTestFrontendOn is such a frontend at a listener.
+// newTestFrontendOn is newTestFrontend with a given listener.
 func newTestFrontendOn(t *testing.T, l net.Listener, maxConns int, f handlerFunc,
 	change ...func(*Frontend)) (front *Frontend, log logLines) {
 	t.Helper()
@@ -58,16 +58,16 @@
 	return front, log
 }
 
-// newFrontendOverTransport is a frontend whose calls a transport sends to one server; results gets that of each
-// attempt.
+// newFrontendOverTransport returns a frontend whose calls are sent to one server by a transport; results receives the
+// result of each attempt.
 func newFrontendOverTransport(t *testing.T, p *routing.Upstream, maxConns int) (addr string, front *Frontend,
 	transport *UpstreamTransport, log logLines, results chan balancer.Result) {
 	t.Helper()
 	transport, log = newTestTransport(time.Second)
 	results = make(chan balancer.Result, 10)
 	addr, front, _ = newTestFrontend(t, maxConns, func(_ context.Context, c routing.Call) (routing.Answer, bool) {
-		// As in a node, an attempt's context is not its client's: net/http ends that as soon as a body's reading is cut
-		// short.
+		// As in a node, the context of an attempt is not that of its client, which net/http cancels as soon as the reading of
+		// a body is cut off.
 		r := transport.RoundTrip(t.Context(), routing.Attempt{
 			Upstream:    p,
 			ExpiresAt:   time.Now().Add(time.Minute),
@@ -84,7 +84,7 @@
 	return addr, front, transport, log, results
 }
 
-// newFrontendWithOpenCall is a frontend at which one call is open until release is closed.
+// newFrontendWithOpenCall returns a frontend with one open call, which ends when release is closed.
 func newFrontendWithOpenCall(t *testing.T, maxConns int) (addr string, front *Frontend, c *testClient,
 	release chan bool) {
 	t.Helper()
@@ -100,13 +100,13 @@
 	return addr, front, c, release
 }
 
-// testClient is a client connection that sends what the test tells it to.
+// testClient is a client connection on which a test sends raw bytes.
 type testClient struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-// dialClient connects to an address.
+// dialClient connects to an address and closes the connection when the test ends.
 func dialClient(t *testing.T, addr string) *testClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -120,7 +120,7 @@
 // roundTrip sends raw bytes and reads one response.
 func (c *testClient) roundTrip(t *testing.T, raw string) (*http.Response, string) {
 	t.Helper()
-	go io.WriteString(c, raw) // an early answer must not wait for all of it
+	go io.WriteString(c, raw) // an early response must be read before all bytes are sent
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -132,14 +132,14 @@
 	return resp, string(body)
 }
 
-// callHead is the head of a call, but for what its body needs.
+// callHead is the head of a call without the header fields for its body and the empty line.
 const callHead = "POST /api?user=%41 HTTP/1.1\r\nHost: h\r\nX-Call-Id: 9b\r\nX-Call-Class: book\r\nX-Budget: 0.5\r\n"
 
-// readyRequest asks whether the node is ready.
+// readyRequest is a readiness check.
 const readyRequest = "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// dialIdle sends a request on a new connection and waits until it counts as idle, which is shortly after its
-// response; n connections do then.
+// dialIdle sends a request on a new connection and waits until n connections are idle. A connection becomes idle
+// shortly after its response.
 func (f *Frontend) dialIdle(t *testing.T, addr string, n int) *testClient {
 	t.Helper()
 	c := dialClient(t, addr)
@@ -152,7 +152,7 @@
 	return c
 }
 
-// hasLingering reports whether any client connection does.
+// hasLingering reports whether any client connection lingers.
 func (f *Frontend) hasLingering() bool {
 	f.clients.mu.Lock()
 	defer f.clients.mu.Unlock()
--- a/internal/transport/frontend_test.go
+++ b/internal/transport/frontend_test.go
@@ -12,19 +12,19 @@
 	"olivebridge/internal/routing"
 )
 
-// TestSlowClients: a client that does not send a complete request in time is closed; one whose call takes longer than
-// that is not.
+// TestSlowClients: the connection of a client that does not send a complete request in time is closed; that of a client
+// whose call takes longer than the timeouts is not.
 func TestSlowClients(t *testing.T) {
 	addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
 		select {
-		case <-time.After(250 * time.Millisecond): // above the timeouts
+		case <-time.After(250 * time.Millisecond): // longer than the timeouts
 			return routing.Answer{Verdict: routing.Failed}, true
 		case <-ctx.Done():
 			return routing.Answer{}, false
 		}
 	}, func(f *Frontend) {
 		if f.server.ReadHeaderTimeout >= 3*time.Second || f.server.ReadTimeout >= 3*time.Second {
-			t.Error("the timeouts are too long for what a bad client is owed")
+			t.Error("the timeouts must be below 3 s, within which a bad client must get an error or a close")
 		}
 		f.server.ReadHeaderTimeout, f.server.ReadTimeout = 100*time.Millisecond, 100*time.Millisecond
 	})
@@ -36,7 +36,7 @@
 		}
 	}
 	if resp, _ := dialClient(t, addr).roundTrip(t, callHead+"Content-Length: 2\r\n\r\nhi"); resp.StatusCode != 502 {
-		t.Errorf("status %d", resp.StatusCode)
+		t.Errorf("status %d, want 502", resp.StatusCode)
 	}
 }
 
@@ -59,18 +59,18 @@
 		{routing.Answer{Verdict: routing.Rejected, RetryAfter: 250 * time.Millisecond}, 503, "0.250"},
 		{routing.Answer{Verdict: routing.Rejected}, 503, ""}, {routing.Answer{Verdict: routing.Failed}, 502, ""},
 		{routing.Answer{Verdict: routing.DeadlineExceeded}, 504, ""}, {routing.Answer{Verdict: routing.Duplicate}, 409, ""},
-		{routing.Answer{Verdict: 9}, 500, ""}, // a panic must not end the connection: the call would be lost
+		{routing.Answer{Verdict: 9}, 500, ""}, // a panic must not close the connection: the call would be lost
 	} {
 		a = test.answer
 		resp, body := c.roundTrip(t, callHead+"Content-Length: 0\r\n\r\n")
 		if resp.StatusCode != test.status || resp.Header.Get("Retry-After") != test.after ||
 			(body == "\x00b") != (test.status == 200) ||
 			(resp.Header.Get("X-Hit") != "") != (test.status == 200) {
-			t.Errorf("%+v: %d %q %v", test.answer, resp.StatusCode, body, resp.Header)
+			t.Errorf("%+v: status %d, body %q, header %v", test.answer, resp.StatusCode, body, resp.Header)
 		}
 	}
 	if resp, _ := c.roundTrip(t, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
-		t.Errorf("ready: %d", resp.StatusCode)
+		t.Errorf("readiness check: status %d, want 200", resp.StatusCode)
 	}
 }
 
@@ -90,8 +90,8 @@
 	log.waitFor("side=client", "reason=client-closed")
 }
 
-// TestFrontendStats: the counters tell what client connections do, and a shutdown that takes too long logs what it
-// cut.
+// TestFrontendStats: ClientStats counts the connections in each state, and a shutdown that exceeds its time logs the
+// number of connections that it cut off.
 func TestFrontendStats(t *testing.T) {
 	addr, front, c, release := newFrontendWithOpenCall(t, 10)
 	defer close(release)
@@ -103,19 +103,19 @@
 		time.Sleep(time.Millisecond)
 	}
 	if got := front.ClientStats(); got != want {
-		t.Errorf("%s, want %s", got, want)
+		t.Errorf("client stats %s, want %s", got, want)
 	}
 	log := make(logLines, 100)
 	front.log = log.logger()
 	go front.Drain(100*time.Millisecond - drainMargin)
 	log.waitFor("client connections were open at the end", "left=")
 	if _, err := http.ReadResponse(c.in, nil); err == nil {
-		t.Error("a call that was cut got an answer")
+		t.Error("a call that was cut off got a response")
 	}
 	near, far := net.Pipe()
 	front.adopted.Close()
-	front.Adopt(near) // which comes too late
+	front.Adopt(near) // after the frontend has shut down
 	if _, err := far.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("a connection that comes too late is left open: %v", err)
+		t.Errorf("a connection adopted after the shutdown is still open: read returned %v, want EOF", err)
 	}
 }
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// HandOver shuts the frontend down while another process of the node takes its clients over, on the same listener.
-// It accepts nothing more, hands off each connection on which no byte of a request was read, and closes the others
-// with their response: no client finds its connection refused, reset or unread. A connection that handOff cannot
-// send is closed as at any graceful shutdown. Calls may take maxCallTime.
+// HandOver shuts the frontend down while another process of the node takes over its clients on the same listener. The
+// frontend accepts no further connections, passes each connection on which no byte of a request was read to handOff,
+// and closes the others with their response, so no connection of a client is refused, reset or left unread. A
+// connection for which handOff fails is closed as in any graceful shutdown. Each open call may take maxCallTime.
 func (f *Frontend) HandOver(maxCallTime time.Duration, handOff func(syscall.Conn) error) {
 	f.drain.beginShutdown(true)
 	f.drain.setCallTime(maxCallTime)
@@ -18,14 +18,14 @@
 	defer stop()
 	_ = f.clients.Close()
 	select {
-	case <-f.serveEnded: // what was accepted last counts as open by now
+	case <-f.serveEnded: // every connection that was accepted is registered as open now
 	case <-calls.Done():
 	}
 	f.clients.startHandOff(handOff)
 	f.awaitDrained(calls, streams)
 }
 
-// startHandOff has idle connections handed off from now on, in place of being closed.
+// startHandOff makes idle connections be handed off from now on, instead of closed.
 func (cs *clientConns) startHandOff(handOff func(syscall.Conn) error) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -35,7 +35,7 @@
 	cs.closeIdle()
 }
 
-// handOffTo hands off a connection whose close is decided.
+// handOffTo passes a connection whose close is decided to handOff.
 func (c *clientConn) handOffTo(handOff func(syscall.Conn) error) {
 	tcp, ok := c.Conn.(*tcpConn)
 	if !ok || handOff(tcp.TCPConn) != nil {
@@ -44,8 +44,8 @@
 	c.log.setReason(reasonHandedOver)
 }
 
-// Adopt takes over a client connection that another process of the node has handed off. It closes the connection if
-// the frontend has shut down.
+// Adopt takes over a client connection that another process of the node has handed off. It closes the connection if the
+// frontend has shut down.
 func (f *Frontend) Adopt(conn net.Conn) {
 	select {
 	case f.adopted.conns <- conn:
@@ -54,13 +54,13 @@
 	}
 }
 
-// ServeAdopted serves what Adopt brings until the frontend shuts down.
+// ServeAdopted serves the connections passed to Adopt until the frontend shuts down.
 func (f *Frontend) ServeAdopted() error {
 	_ = f.server.Serve(f.adopted)
 	return nil
 }
 
-// adoptedListener is a listener of connections that were accepted by another process.
+// adoptedListener is a net.Listener whose connections were accepted by another process.
 type adoptedListener struct {
 	clients *clientConns
 	conns   chan net.Conn
--- a/internal/transport/handover_test.go
+++ b/internal/transport/handover_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// TestHandOffWhileBytesArrive: a connection whose client sends just as it is handed off stays open until it has
-// been sent to the other process, though what reads it here is told of its end, and closes it.
+// TestHandOffWhileBytesArrive: a connection whose client sends bytes during the hand-off stays open until it has been
+// sent to the other process, although its reader in this process gets EOF and closes it.
 func TestHandOffWhileBytesArrive(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	read, closed := make(chan error, 1), make(chan error, 1)
-	go func() { // as http.Server does
+	go func() { // as http.Server reads and closes
 		_, err := accepted.Read(make([]byte, 100))
 		read <- err
 		closed <- accepted.Close()
@@ -40,7 +40,7 @@
 			t.Error(err)
 		}
 		if err := <-read; !errors.Is(err, io.EOF) {
-			t.Errorf("it is read: %v", err)
+			t.Errorf("read during the hand-off: error %v, want EOF", err)
 		}
 		if err := <-closed; err != nil {
 			t.Error(err)
@@ -52,15 +52,15 @@
 		return err
 	})
 	if given != 1 {
-		t.Error("it was closed before it was handed off")
+		t.Error("the connection was closed before it was handed off")
 	}
 	if n := all.count(); n != 0 {
-		t.Errorf("%d are open after all were handed off", n)
+		t.Errorf("%d connections are open after the hand-off, want 0", n)
 	}
 }
 
-// TestAdoptResetConnection: a connection that is handed off after its client has reset it is skipped, and the next
-// one is served. The kernel knows no address of such a connection's other side.
+// TestAdoptResetConnection: a connection whose client reset it before the hand-off is skipped, and the next connection
+// is served. The kernel reports no remote address for a connection that was reset.
 func TestAdoptResetConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -86,7 +86,7 @@
 			client.(*net.TCPConn).SetLinger(0)
 			client.Close()
 			here.SetReadDeadline(time.Now().Add(10 * time.Second))
-			here.Read(make([]byte, 1)) // until the reset is here
+			here.Read(make([]byte, 1)) // waits for the reset to arrive
 		}
 		here.Close()
 		conn, err := net.FileConn(f)
@@ -97,7 +97,7 @@
 	}
 	reset := handed(true)
 	if reset.RemoteAddr() != nil {
-		t.Fatalf("the kernel still knows %v", reset.RemoteAddr())
+		t.Fatalf("remote address %v after a reset, want none", reset.RemoteAddr())
 	}
 	all := newClientConns(l, ClientLimits{MaxOpen: 10, MaxIdle: 10}, slog.New(slog.DiscardHandler))
 	a := &adoptedListener{clients: all, conns: make(chan net.Conn, 2), closed: make(chan struct{})}
@@ -108,12 +108,12 @@
 		t.Error(conn, err)
 	}
 	if n := all.count(); n != 1 {
-		t.Errorf("%d are open", n)
+		t.Errorf("%d connections are open, want 1", n)
 	}
 }
 
-// TestNoDelaySet: small writes are not held back on a connection, wherever it comes from: what a kernel still held
-// would be lost with a reset.
+// TestNoDelaySet: TCP_NODELAY is set on every connection, whether dialed or handed over: a reset would discard bytes
+// that the kernel delays.
 func TestNoDelaySet(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -136,7 +136,7 @@
 	}
 	defer f.Close()
 	if err := syscall.SetsockoptInt(int(f.Fd()), syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 0); err != nil {
-		t.Fatal(err) // as another program's may be
+		t.Fatal(err) // a connection from another program may lack the option
 	}
 	handed, err := net.FileConn(f)
 	if err != nil {
@@ -152,7 +152,7 @@
 		if err2 := raw.Control(func(fd uintptr) {
 			at, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
 		}); err != nil || err2 != nil || at == 0 {
-			t.Errorf("%s: %d, %v, %v", name, at, err, err2)
+			t.Errorf("%s: TCP_NODELAY = %d, errors %v, %v; want it set", name, at, err, err2)
 		}
 	}
 }
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -16,7 +16,7 @@
 	"olivebridge/internal/routing"
 )
 
-// logLines is a log that a test can wait on.
+// logLines is the destination of a log. Tests can wait for its lines.
 type logLines chan string
 
 // Write implements io.Writer.
@@ -25,10 +25,10 @@
 	return len(b), nil
 }
 
-// logger is a logger that writes to the lines.
+// logger returns a logger that writes to l.
 func (l logLines) logger() *slog.Logger { return slog.New(slog.NewTextHandler(l, nil)) }
 
-// waitFor waits for a line that holds all the words.
+// waitFor waits for a line that contains all words and returns it.
 func (l logLines) waitFor(words ...string) string {
 next:
 	for line := range l {
@@ -42,7 +42,7 @@
 	return ""
 }
 
-// startServer is a server that has a function serve each connection.
+// startServer starts a server that calls serve for each connection. It stops when the test ends.
 func startServer(t *testing.T, serve func(net.Conn)) *routing.Upstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,8 +65,8 @@
 	return routing.NewUpstream(1, "s-1", l.Addr().String())
 }
 
-// startScriptedServer is a server that reads complete requests, sends their bytes to requests, and writes the next
-// of the responses; "" closes the connection, and so does one that contains "cut".
+// startScriptedServer starts a server that reads complete requests, sends their raw bytes to requests, and writes the
+// next of the responses. After a response that is empty or contains "cut" it closes the connection.
 func startScriptedServer(t *testing.T, responses ...string) (server *routing.Upstream, requests chan string) {
 	t.Helper()
 	requests = make(chan string, 100)
@@ -98,7 +98,7 @@
 // okResponse is a response with a body of two bytes.
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
-// newTestTransport is a transport with at most ten connections, which are used again at once.
+// newTestTransport returns a transport with at most ten connections, which can be reused immediately.
 func newTestTransport(connectTimeout time.Duration) (*UpstreamTransport, logLines) {
 	l := make(logLines, 1000)
 	transport := NewUpstreamTransport(UpstreamConfig{
@@ -108,16 +108,16 @@
 		MaxConns:          10,
 		Log:               l.logger(),
 	})
-	transport.pool.reuseDelay = 0 // or the next attempt would find the connection unsettled
+	transport.pool.reuseDelay = 0 // otherwise the next attempt could not reuse the connection yet
 	return transport, l
 }
 
-// newAttempt is an attempt of a call with the ID 9b.
+// newAttempt returns an attempt of a call with the ID 9b.
 func newAttempt(p *routing.Upstream, method, body string) routing.Attempt {
 	return newAttemptWithID(p, method, "9b", body)
 }
 
-// newAttemptWithID is an attempt that ends in a minute.
+// newAttemptWithID returns an attempt that expires in a minute.
 func newAttemptWithID(p *routing.Upstream, method, id, body string) routing.Attempt {
 	const target = "/api?user=a%2Fb&x=%7e"
 	header := http.Header{"X-Call-Id": {id}}
@@ -126,7 +126,7 @@
 	return routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(time.Minute), Payload: m}
 }
 
-// pipeConn is a Conn that nothing waits on unless it is read.
+// pipeConn is a Conn on which nothing but Read waits for data.
 type pipeConn struct{ net.Conn }
 
 // CloseWrite implements Conn.
@@ -140,15 +140,15 @@
 
 // ReadGate implements Conn.
 func (pipeConn) ReadGate([]byte, sync.Locker, func() error, func(int)) (int, error) {
-	panic("not a client's")
+	panic("not implemented: only client connections are read under a lock")
 }
 
-// waitFor waits until something holds.
+// waitFor waits until holds returns true, at most for 10 s.
 func waitFor(t *testing.T, holds func() bool) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("it does not come to that")
+			t.Fatal("the condition did not hold within 10 s")
 		}
 	}
 }
--- a/internal/transport/linger.go
+++ b/internal/transport/linger.go
@@ -6,31 +6,34 @@
 	"time"
 )
 
-// How long a connection may linger once its close is decided. A client on a slow path still gets to write the longest
-// body that is known, 60 MB, and then reads why it was rejected.
+// Limits of lingering, the time between the decision to close a connection and the close. A client on a slow path can
+// still write the longest known body, 60 MB, and then read why it was rejected.
 const (
-	// lingerTimeout bounds the whole lingering.
+	// lingerTimeout limits the total lingering time.
 	lingerTimeout = 5 * time.Second
-	// lingerStallTimeout bounds the time without a byte: who holds the connection open has had its response.
+	// lingerStallTimeout limits the time without a byte: a client that then holds the connection open has had its
+	// response.
 	lingerStallTimeout = time.Second
-	// lingerDrainTimeout bounds the whole lingering while the node closes connections, since it has to end in time.
+	// lingerDrainTimeout limits the total lingering time during draining, which has to end in time.
 	lingerDrainTimeout = 300 * time.Millisecond
-	// lingerUnreadTimeout is for a response to arrive where a request behind it stays unread.
+	// lingerUnreadTimeout is the time for the response to arrive if a later request remains unread.
 	lingerUnreadTimeout = 250 * time.Millisecond
-	// lingerPollInterval is between two looks meanwhile.
+	// lingerPollInterval is the interval between two checks during lingerUnreadTimeout.
 	lingerPollInterval = 10 * time.Millisecond
-	// maxLingerBytes are read and discarded.
+	// maxLingerBytes is the maximum number of bytes that are read and discarded.
 	maxLingerBytes = 64 << 20
-	// lingerBufferSize is what is read of them at a time.
+	// lingerBufferSize is the maximum number of bytes discarded per read.
 	lingerBufferSize = 16 << 10
 )
 
-// linger keeps a connection whose close is decided for as long as its last response needs to arrive. A close over
-// unread bytes is a reset, which takes a response still under way with it, as do bytes that come after the close.
+// linger delays the close of a connection until its last response has had time to arrive. A close with unread bytes
+// resets the connection, as do bytes that arrive after the close, and a reset discards a response that is still in
+// transit.
 //
-// What is left of a request that has its response is read and discarded, behind the end of the sending, until the
-// client closes, too. Bytes of a request behind a complete one are not read: their reset proves to the client that
-// it may send that request again; it only waits a moment.
+// If the answered request has not been read completely, linger closes the sending side, then reads and discards the
+// rest until the client closes, too. Bytes of a request after a complete one are not read: the reset that they cause
+// proves to the client that it may send that request again. In this case linger only waits for up to
+// lingerUnreadTimeout.
 func (c *clientConn) linger() {
 	discard, until := c.startLingering()
 	switch {
@@ -44,9 +47,10 @@
 	}
 }
 
-// startLingering says until when the connection may linger, and whether to discard the rest of a request. The time
-// is zero where it may not: no response was written, or the time of the shutdown is over. A second close ends the
-// lingering.
+// startLingering returns the time until which the connection may linger, and whether to discard the rest of a request.
+// The time is zero if the connection must not linger: no response was written, nothing needs to be waited for, the
+// frontend was aborted, the time of the shutdown has elapsed, or the connection lingers already, in which case the
+// second close ends the lingering.
 func (c *clientConn) startLingering() (discard bool, until time.Time) {
 	cs := c.conns
 	cs.mu.Lock()
@@ -57,7 +61,7 @@
 	}
 	discard = c.state.request == readingRequest
 	n, err := c.Peek()
-	if n == 0 && (!discard || !errors.Is(err, syscall.EAGAIN)) { // its client has closed, or nothing is unread
+	if n == 0 && (!discard || !errors.Is(err, syscall.EAGAIN)) { // the client has closed, or nothing is unread
 		return false, time.Time{}
 	}
 	c.state.startLingering()
@@ -70,7 +74,7 @@
 	return discard, c.lingerUntil
 }
 
-// lingerTimeout is how long the rest of a request is discarded at most. The lock is held.
+// lingerTimeout returns the maximum time for discarding the rest of a request. The caller must hold mu.
 func (cs *clientConns) lingerTimeout() time.Duration {
 	if cs.draining {
 		return lingerDrainTimeout
@@ -78,7 +82,7 @@
 	return lingerTimeout
 }
 
-// shortenLingering has lingering connections end as they must while the node closes connections. The lock is held.
+// shortenLingering reduces the remaining time of lingering connections to lingerDrainTimeout. The caller must hold mu.
 func (cs *clientConns) shortenLingering() {
 	for e := cs.lingering.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
@@ -90,7 +94,8 @@
 	}
 }
 
-// discardUntilClosed ends the sending, and reads and discards what comes.
+// discardUntilClosed closes the sending side, then reads and discards bytes until the client closes or a limit is
+// reached.
 func (c *clientConn) discardUntilClosed() {
 	if c.Conn.CloseWrite() != nil {
 		return
@@ -105,7 +110,7 @@
 	}
 }
 
-// extendDiscardDeadline gives the next read of discardUntilClosed its time, and reports whether there is any left.
+// extendDiscardDeadline sets the deadline of the next read of discardUntilClosed, and reports whether any time is left.
 func (c *clientConn) extendDiscardDeadline() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
--- a/internal/transport/linger_test.go
+++ b/internal/transport/linger_test.go
@@ -19,8 +19,8 @@
 	"olivebridge/internal/routing"
 )
 
-// TestResponseBeforeBodyEnd: a client that writes all it has before it reads anything gets the complete response,
-// however early that came. A close over what is unread would reset its connection.
+// TestResponseBeforeBodyEnd: a client that writes its whole request before it reads anything gets the complete
+// response, however early the response was sent. A close with unread bytes would reset the connection.
 func TestResponseBeforeBodyEnd(t *testing.T) {
 	const mb = 1 << 20
 	sized := func(n int) string { return fmt.Sprintf("Content-Length: %d\r\n\r\n", n) }
@@ -28,25 +28,25 @@
 	chunks := strings.Repeat("100000\r\n"+strings.Repeat("x", mb)+"\r\n", 60)
 	for name, c := range map[string]struct {
 		head   string
-		bytes  int // more than sockets hold, behind the head
+		bytes  int // sent after head, more than the socket buffers hold
 		rest   string
 		status int
 	}{
-		"a body beyond all bounds": {callHead + sized(60*mb), 60 * mb, "", 413},
-		"the same in chunks":       {callHead + "Transfer-Encoding: chunked\r\n\r\n", 0, chunks, 413},
-		"an unknown class":         {strings.Replace(callHead, "book", "gift", 1) + sized(60*mb), 60 * mb, "", 400},
-		"a GET with a long body":   {get + sized(20*mb), 20 * mb, "", 400},
-		"the same, in chunks":      {get + "Transfer-Encoding: chunked\r\n\r\n", 0, chunks, 400},
-		"a method that is wrong":   {strings.Replace(callHead, "POST", "PUT", 1) + sized(20*mb), 20 * mb, "", 405},
-		"an old version":           {strings.Replace(callHead, "1.1", "1.0", 1) + sized(20*mb), 20 * mb, "", 505},
-		"a flood without a line":   {"", 20 * mb, "", 431},
-		"a flood of lines":         {"", 0, strings.Repeat("noise\r\n", 4*mb), 400},
-		"too many connections":     {callHead + sized(20*mb), 20 * mb, "", 503},
-		"a peer that answers":      {callHead + sized(20*mb), 20 * mb, "", 200},
+		"a sized body over the limit":   {callHead + sized(60*mb), 60 * mb, "", 413},
+		"a chunked body over the limit": {callHead + "Transfer-Encoding: chunked\r\n\r\n", 0, chunks, 413},
+		"an unknown class":              {strings.Replace(callHead, "book", "gift", 1) + sized(60*mb), 60 * mb, "", 400},
+		"a GET with a long body":        {get + sized(20*mb), 20 * mb, "", 400},
+		"a GET with a chunked body":     {get + "Transfer-Encoding: chunked\r\n\r\n", 0, chunks, 400},
+		"a wrong method":                {strings.Replace(callHead, "POST", "PUT", 1) + sized(20*mb), 20 * mb, "", 405},
+		"an old version":                {strings.Replace(callHead, "1.1", "1.0", 1) + sized(20*mb), 20 * mb, "", 505},
+		"a flood without line ends":     {"", 20 * mb, "", 431},
+		"a flood of lines":              {"", 0, strings.Repeat("noise\r\n", 4*mb), 400},
+		"too many connections":          {callHead + sized(20*mb), 20 * mb, "", 503},
+		"a server that answers early":   {callHead + sized(20*mb), 20 * mb, "", 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := startServer(t, func(conn net.Conn) {
-				if c.status == 200 { // ahead of the body
+				if c.status == 200 { // before it reads the body
 					io.WriteString(conn, okResponse)
 				}
 				io.Copy(io.Discard, conn)
@@ -70,7 +70,7 @@
 			io.WriteString(conn, c.head)
 			for block := strings.Repeat("x", mb); c.bytes > 0; c.bytes -= mb {
 				if _, err := io.WriteString(conn, block); err != nil {
-					t.Fatalf("%d bytes before the end: %v", c.bytes, err)
+					t.Fatalf("write failed with %d bytes left: %v", c.bytes, err)
 				}
 			}
 			if _, err := io.WriteString(conn, c.rest); err != nil {
@@ -81,10 +81,10 @@
 				t.Fatal(err)
 			}
 			if _, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != c.status || !resp.Close {
-				t.Errorf("status %d, close: %v, %v", resp.StatusCode, resp.Close, err)
+				t.Errorf("status %d, close: %v, error %v", resp.StatusCode, resp.Close, err)
 			}
 			if b, err := io.ReadAll(conn.in); len(b) > 0 || err != nil {
-				t.Errorf("behind it: %q, %v", b, err)
+				t.Errorf("after the response: read %q, %v; want EOF", b, err)
 			}
 			conn.Close()
 			waitFor(t, func() bool { return !front.hasLingering() })
@@ -92,12 +92,12 @@
 	}
 }
 
-// sendRejectedUpload sends a request that is rejected, and goes on sending a little for as long as it can.
+// sendRejectedUpload sends a request that is rejected, and then continues to send single bytes until a write fails.
 func sendRejectedUpload(t *testing.T, c *testClient) (ended chan error) {
 	t.Helper()
 	ended = make(chan error, 1)
 	if resp, _ := c.roundTrip(t, callHead+"Content-Length: 60000000\r\n\r\nx"); resp.StatusCode != 413 {
-		t.Fatalf("status %d", resp.StatusCode)
+		t.Fatalf("status %d, want 413", resp.StatusCode)
 	}
 	go func() {
 		for {
@@ -111,29 +111,29 @@
 	return ended
 }
 
-// TestLingeringEvictedFirst: a connection that lingers counts as open, and is the first to be evicted.
+// TestLingeringEvictedFirst: a lingering connection counts as open and is evicted first.
 func TestLingeringEvictedFirst(t *testing.T) {
 	addr, front, _ := newTestFrontend(t, 2, nil)
 	idle := front.dialIdle(t, addr, 1)
 	ended := sendRejectedUpload(t, dialClient(t, addr))
 	waitFor(t, front.hasLingering)
 	if n := front.ClientConns(); n != 2 {
-		t.Errorf("%d are open", n)
+		t.Errorf("%d connections are open, want 2", n)
 	}
 	begun := time.Now()
 	for _, c := range []*testClient{dialClient(t, addr), idle} {
 		if resp, _ := c.roundTrip(t, readyRequest); resp.StatusCode != 200 {
-			t.Errorf("status %d", resp.StatusCode)
+			t.Errorf("status %d, want 200", resp.StatusCode)
 		}
 	}
 	if <-ended; time.Since(begun) > lingerTimeout-time.Second {
-		t.Error("it lingered to its end")
+		t.Error("the connection lingered until its timeout, want an eviction")
 	}
 }
 
-// TestLingeringEndsInTime: a client that neither closes nor falls silent delays neither the close of its connection
-// nor a shutdown. It runs on a virtual clock: on a busy machine the sum of many short waits would pass for a long
-// one.
+// TestLingeringEndsInTime: a client that neither closes its connection nor stops sending delays neither the close of
+// the connection nor a shutdown. The test runs on a virtual clock, since on a busy machine many short waits can add up
+// to a long one.
 func TestLingeringEndsInTime(t *testing.T) {
 	for name, drain := range map[string]bool{"alone": false, "at a planned end": true} {
 		t.Run(name, func(t *testing.T) {
@@ -159,7 +159,7 @@
 					most = drainStopAccept + lingerDrainTimeout
 				}
 				<-ended
-				most += 600 * time.Millisecond // net/http closes 0.5 s after such an answer
+				most += 600 * time.Millisecond // net/http closes 0.5 s after such a response
 				if took := time.Since(begun); took > most || front.ClientConns() > 0 {
 					t.Errorf("%d connections are open after %v, want none after %v", front.ClientConns(), took, most)
 				}
@@ -168,8 +168,8 @@
 	}
 }
 
-// TestCloseOverUnreadRequest: where the next request is there unread, the response before it arrives all the same,
-// and the request is reset unread, or served: never read and discarded.
+// TestCloseOverUnreadRequest: if the next request is unread when the connection closes, the response before it still
+// arrives, and the request is either reset unread or served. It is never read and discarded.
 func TestCloseOverUnreadRequest(t *testing.T) {
 	for name, leave := range map[string]bool{"behind the last answer": false, "on a connection that is idle": true} {
 		t.Run(name, func(t *testing.T) {
@@ -189,7 +189,7 @@
 			accepted := conn.(*clientConn)
 			io.ReadFull(accepted, make([]byte, 3))
 			accepted.completeRequest()
-			answer := 1 << 20 // more than the client's side holds
+			answer := 1 << 20 // more than the receive buffer of the client holds
 			accepted.Conn.(*tcpConn).SetWriteBuffer(2 * answer)
 			if n, err := accepted.Write(make([]byte, answer)); n != answer || err != nil {
 				t.Fatal(n, err)
@@ -201,11 +201,11 @@
 				all.connState(accepted, http.StateIdle)
 				all.startDraining()
 				if accepted.isClosing() {
-					t.Error("its close is decided over a request that is there")
+					t.Error("the close is decided although a request is unread")
 				}
 				next := make([]byte, 3)
 				if _, err := io.ReadFull(accepted, next); string(next) != "two" {
-					t.Errorf("%q, %v", next, err)
+					t.Errorf("read %q, %v; want the next request", next, err)
 				}
 				accepted.completeRequest()
 				accepted.Write([]byte("x"))
@@ -214,7 +214,7 @@
 			go func() { closed <- accepted.Close() }()
 			n, err := io.Copy(io.Discard, c)
 			if n != int64(answer) || (err == nil) != leave {
-				t.Errorf("%d bytes of %d, %v", n, answer, err)
+				t.Errorf("client read %d bytes of %d, error %v", n, answer, err)
 			}
 			<-closed
 		})
--- a/internal/transport/pipelined_test.go
+++ b/internal/transport/pipelined_test.go
@@ -15,8 +15,8 @@
 	"olivebridge/internal/routing"
 )
 
-// startPipelined is a client that has written several requests at once, the first of which is at a server that
-// answers it, and then any other, at each release.
+// startPipelined returns a client that has written raw, several requests at once. The first of them has reached a
+// server, which answers one request for each value received from release.
 func startPipelined(t *testing.T, raw string) (c *testClient, front *Frontend, atPeer chan string, release chan bool) {
 	t.Helper()
 	atPeer, release = make(chan string, 1000), make(chan bool)
@@ -40,26 +40,26 @@
 	c = dialClient(t, addr)
 	io.WriteString(c, raw)
 	if id := <-atPeer; id != "1b" {
-		t.Fatalf("%s is first at the peer", id)
+		t.Fatalf("first request at the server has ID %s, want 1b", id)
 	}
 	return c, front, atPeer, release
 }
 
-// numberedRequest is the nth request, with a body of so many bytes.
+// numberedRequest returns the nth request, with a body of the given number of bytes.
 func numberedRequest(n, body int) string {
 	head := strings.Replace(callHead, "9b", fmt.Sprintf("%db", n), 1)
 	return head + fmt.Sprintf("Content-Length: %d\r\n\r\n", body) + strings.Repeat("x", body)
 }
 
-// chunkedRequest is the nth request, with a body as it is in chunks.
+// chunkedRequest returns the nth request with a chunked body, given in its encoded form.
 func chunkedRequest(n int, body string) string {
 	const sized, chunked = "Content-Length: 0\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n"
 	return strings.Replace(numberedRequest(n, 0), sized, chunked+body, 1)
 }
 
-// TestPipelinedWhileDraining: whatever was read along with a request gets its response, though the node begins to
-// drain, or to make room, while that one is at its server; the last response says that the connection is closed,
-// and it is.
+// TestPipelinedWhileDraining: every request that was read along with an earlier one is answered, even if the node
+// begins to drain or to evict connections while the earlier one is at its server. The last response announces the close
+// of the connection, which then follows.
 func TestPipelinedWhileDraining(t *testing.T) {
 	inChunks := chunkedRequest(2, "1\r\nx\r\n00A\r\n0\r\n\r\n0\r\n\r\n\r\n0\r\n\r\n")
 	half := len(inChunks) - 9 // in the middle of a chunk
@@ -69,29 +69,29 @@
 	burst := strings.Repeat(third, 100)
 	for name, c := range map[string]struct {
 		raw   string
-		later string // what comes once the node leaves
-		want  int    // answers
+		later string // sent after the node begins to drain
+		want  int    // number of responses
 	}{
-		"two":                  {first + second, "", 2},
-		"three":                {first + numberedRequest(2, 3) + third, "", 3},
-		"behind a body":        {numberedRequest(1, 500) + second, "", 2},
-		"the first in a burst": {first + second, strings.Repeat(third, 10), 2},
-		"half a head":          {first + second[:50], second[50:], 2},
-		"half a body":          {first + halfBody, "xxxx", 2},
-		"half one, and on":     {first + second[:50], second[50:] + burst, 2},
-		"half a body, and on":  {first + halfBody, "xxxx" + burst, 2},
-		"one in chunks behind": {first + inChunks, "", 2},
-		"behind one in chunks": {first + inChunks + numberedRequest(3, 3), "", 3},
-		"half one in chunks":   {first + inChunks[:half], inChunks[half:], 2},
-		"half of it, and on":   {first + inChunks[:half], inChunks[half:] + burst, 2},
+		"two":                                  {first + second, "", 2},
+		"three":                                {first + numberedRequest(2, 3) + third, "", 3},
+		"after a body":                         {numberedRequest(1, 500) + second, "", 2},
+		"first of a burst":                     {first + second, strings.Repeat(third, 10), 2},
+		"half a head":                          {first + second[:50], second[50:], 2},
+		"half a body":                          {first + halfBody, "xxxx", 2},
+		"half a head, then a burst":            {first + second[:50], second[50:] + burst, 2},
+		"half a body, then a burst":            {first + halfBody, "xxxx" + burst, 2},
+		"chunked request last":                 {first + inChunks, "", 2},
+		"after a chunked request":              {first + inChunks + numberedRequest(3, 3), "", 3},
+		"half a chunked request":               {first + inChunks[:half], inChunks[half:], 2},
+		"half a chunked request, then a burst": {first + inChunks[:half], inChunks[half:] + burst, 2},
 	} {
 		for way, leave := range map[string]func(*Frontend){
 			"leaves":     func(f *Frontend) { f.clients.startDraining() },
 			"drains":     func(f *Frontend) { go f.Drain(time.Minute) },
 			"makes room": func(f *Frontend) { f.SetClientLimits(ClientLimits{MaxOpen: 1}) },
 		} {
-			if way != "leaves" && (c.later != "" || name == "behind a body") {
-				continue // to make room ends no connection that goes on, and to drain takes long
+			if way != "leaves" && (c.later != "" || name == "after a body") {
+				continue // eviction keeps connections with open requests, and Drain takes long
 			}
 			ends := way != "makes room" || strings.HasSuffix(c.raw, inChunks)
 			t.Run(name+", "+way, func(t *testing.T) {
@@ -106,22 +106,22 @@
 				for n := 1; n <= c.want; n++ {
 					resp, err := http.ReadResponse(conn.in, nil)
 					if err != nil {
-						t.Fatalf("answer %d: %v", n, err)
+						t.Fatalf("response %d: %v", n, err)
 					}
 					body, err := io.ReadAll(resp.Body)
 					if want := fmt.Sprintf("%db", n); resp.StatusCode != 200 || string(body) != want || err != nil {
-						t.Errorf("answer %d: status %d, %q, %v", n, resp.StatusCode, body, err)
+						t.Errorf("response %d: status %d, body %q, error %v", n, resp.StatusCode, body, err)
 					}
 					if resp.Close != (n == c.want && ends) {
-						t.Errorf("answer %d: close: %v", n, resp.Close)
+						t.Errorf("response %d: close = %v", n, resp.Close)
 					}
 				}
 				if !ends {
 					return
 				}
 				b, err := io.ReadAll(conn.in)
-				if len(b) > 0 || err != nil && !strings.Contains(c.later, "3b") { // what is unread is reset
-					t.Errorf("behind the last: %q, %v", b, err)
+				if len(b) > 0 || err != nil && !strings.Contains(c.later, "3b") { // unread requests are reset
+					t.Errorf("after the last response: read %q, %v; want EOF", b, err)
 				}
 				waitFor(t, func() bool { return front.ClientConns() == 0 })
 			})
@@ -129,9 +129,9 @@
 	}
 }
 
-// TestPipelinedBehindRejected: what was read along behind a malformed request is served, unless someone could find
-// another end to that one than the node did: then its response closes the connection, and nothing behind it is
-// taken.
+// TestPipelinedBehindRejected: a request that was read along with an earlier, malformed one is served, unless another
+// implementation could find the end of the malformed one elsewhere than the node did. In that case the response to the
+// malformed request closes the connection, and no later request is served.
 func TestPipelinedBehindRejected(t *testing.T) {
 	two := func(old, new string) string { return strings.Replace(numberedRequest(2, 0), old, new, 1) }
 	asGet := func(request string) string {
@@ -144,28 +144,28 @@
 		status int
 		on     bool
 	}{
-		"an unknown class":              {two("book", "gift"), 400, true},
-		"a bad budget, and a body":      {strings.Replace(numberedRequest(2, 9), "0.5", "soon", 1), 400, true},
-		"no id":                         {two("X-Call-Id", "X-Id"), 400, true},
-		"a POST that must be a GET":     {two("book", "status"), 405, true},
-		"a GET that must be a POST":     {"GET" + two("POST", "")[:len(two("POST", ""))-2] + "\r\n", 405, true},
-		"no question of readiness":      {two("/api?user=%41", protocol.PathReady), 405, true},
-		"in chunks":                     {strings.Replace(inChunks, "book", "gift", 1), 400, true},
-		"a body that was not asked for": {strings.Replace(numberedRequest(2, 9), "Host: h", expect, 1), 400, true},
+		"an unknown class":             {two("book", "gift"), 400, true},
+		"a bad budget, and a body":     {strings.Replace(numberedRequest(2, 9), "0.5", "soon", 1), 400, true},
+		"no id":                        {two("X-Call-Id", "X-Id"), 400, true},
+		"a POST that must be a GET":    {two("book", "status"), 405, true},
+		"a GET that must be a POST":    {"GET" + two("POST", "")[:len(two("POST", ""))-2] + "\r\n", 405, true},
+		"a POST to the readiness path": {two("/api?user=%41", protocol.PathReady), 405, true},
+		"a chunked body":               {strings.Replace(inChunks, "book", "gift", 1), 400, true},
+		"a body after Expect":          {strings.Replace(numberedRequest(2, 9), "Host: h", expect, 1), 400, true},
 
 		"two lengths":        {two("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length"), 400, false},
 		"a folded line":      {two("Host: h", "Host: h\r\nA: b\r\n c"), 400, false},
 		"a bare line feed":   {two("Host: h\r", "Host: h"), 400, false},
-		"one at readiness":   {strings.Replace(two("/api", protocol.PathReady+"?"), "Host: h\r", "Host: h", 1), 405, false},
-		"another length":     {two("Host: h", "Host: h\r\nContent_Length: 5"), 400, false},
+		"ready, bare LF":     {strings.Replace(two("/api", protocol.PathReady+"?"), "Host: h\r", "Host: h", 1), 405, false},
+		"a second length":    {two("Host: h", "Host: h\r\nContent_Length: 5"), 400, false},
 		"an odd target":      {two("/api", "//api"), 400, false},
 		"an old version":     {two("1.1\r\n", "1.0\r\nConnection: keep-alive\r\n"), 505, false},
 		"a GET with a body":  {asGet(numberedRequest(2, 9)), 400, false},
-		"the same, no class": {strings.NewReplacer("POST", "GET", "book", "gift").Replace(numberedRequest(2, 9)), 400, false},
-		"with a long body":   {asGet(numberedRequest(2, 70000)), 400, false},
+		"a GET, no class":    {strings.NewReplacer("POST", "GET", "book", "gift").Replace(numberedRequest(2, 9)), 400, false},
+		"a GET, long body":   {asGet(numberedRequest(2, 70000)), 400, false},
 		"a tunnel":           {two("POST", "CONNECT"), 405, false},
-		"chunks that break":  {chunkedRequest(2, "1\r\nxx\r\n0\r\n\r\n"), 400, false},
-		"a bare chunk":       {strings.Replace(chunkedRequest(2, "1\nx\r\n0\r\n\r\n"), "book", "gift", 1), 400, false},
+		"malformed chunks":   {chunkedRequest(2, "1\r\nxx\r\n0\r\n\r\n"), 400, false},
+		"bare LF in a chunk": {strings.Replace(chunkedRequest(2, "1\nx\r\n0\r\n\r\n"), "book", "gift", 1), 400, false},
 		"a trailer":          {strings.Replace(chunkedRequest(2, "0\r\nA: b\r\n\r\n"), "book", "gift", 1), 400, false},
 	} {
 		for way, leave := range map[string]func(*Frontend){
@@ -188,27 +188,27 @@
 						resp, err = http.ReadResponse(conn.in, nil)
 					}
 					if err != nil {
-						t.Fatalf("answer %d: %v", n+1, err)
+						t.Fatalf("response %d: %v", n+1, err)
 					}
 					io.Copy(io.Discard, resp.Body)
 					if last := n+1 == len(want); resp.StatusCode != status || resp.Close != (last && (way != "" || !c.on)) {
-						t.Errorf("answer %d: status %d, want %d; close: %v", n+1, resp.StatusCode, status, resp.Close)
+						t.Errorf("response %d: status %d, want %d; close = %v", n+1, resp.StatusCode, status, resp.Close)
 					}
 				}
 				if c.on {
 					if id := <-atPeer; id != "3b" {
-						t.Errorf("%s is next at the peer", id)
+						t.Errorf("next request at the server has ID %s, want 3b", id)
 					}
 				} else if b, err := io.ReadAll(conn.in); len(b) > 0 || err != nil || len(atPeer) > 0 {
-					t.Errorf("behind it: %q, %v; %d tries", b, err, len(atPeer))
+					t.Errorf("after the response: read %q, %v; %d more requests at the server; want EOF and none", b, err, len(atPeer))
 				}
 			})
 		}
 	}
 }
 
-// TestNoTimeLeftForPipelined: a graceful shutdown has a time, and a chain of pipelined calls has not got it for
-// itself: one that is not sure to be answered by then is rejected at its turn.
+// TestPipelinedRejectedWithoutTimeLeft: the time of a graceful shutdown is limited, and a chain of pipelined calls
+// cannot use all of it. A call that may not be answered in time is rejected when its turn comes.
 func TestNoTimeLeftForPipelined(t *testing.T) {
 	conn, front, atPeer, release := startPipelined(t, numberedRequest(1, 0)+numberedRequest(2, 0)+numberedRequest(3, 0))
 	ended := make(chan bool)
@@ -217,24 +217,24 @@
 		close(ended)
 	}()
 	waitFor(t, func() bool { return !front.drain.admits(time.Millisecond) })
-	release <- true // and no other
+	release <- true // only once
 	for n, want := range []int{200, 503, 503} {
 		resp, err := http.ReadResponse(conn.in, nil)
 		if err != nil {
-			t.Fatalf("answer %d: %v", n+1, err)
+			t.Fatalf("response %d: %v", n+1, err)
 		}
 		io.Copy(io.Discard, resp.Body)
 		if resp.StatusCode != want || (resp.Header.Get("Retry-After") != "") != (want == 503) || resp.Close != (n == 2) {
-			t.Errorf("answer %d: status %d, %v, close: %v", n+1, resp.StatusCode, resp.Header, resp.Close)
+			t.Errorf("response %d: status %d, header %v, close = %v", n+1, resp.StatusCode, resp.Header, resp.Close)
 		}
 	}
 	if <-ended; len(atPeer) > 0 || front.ClientConns() > 0 {
-		t.Errorf("%d more tries, %d connections left", len(atPeer), front.ClientConns())
+		t.Errorf("%d more requests at the server, %d connections left; want none", len(atPeer), front.ClientConns())
 	}
 }
 
-// TestPipelinedBehindLongBody: a call that is rejected before its long body was read to the end does not keep a
-// request behind it from being answered, where all of that body has come.
+// TestPipelinedBehindLongBody: if a call is rejected before its long body was read completely, the next request is
+// still answered, provided that all of the body has arrived.
 func TestPipelinedBehindLongBody(t *testing.T) {
 	addr, front, _ := newTestFrontend(t, 10, func(_ context.Context, c routing.Call) (routing.Answer, bool) {
 		if c.ClientRequestID == "2b" {
@@ -245,7 +245,7 @@
 	c := dialClient(t, addr)
 	body := strings.Repeat("x", protocol.MaxBufferedBody)
 	io.WriteString(c, chunkedRequest(1, fmt.Sprintf("%x\r\n%s", len(body), body)))
-	waitFor(t, func() bool { // all of that is read
+	waitFor(t, func() bool { // the whole first chunk has been read
 		front.clients.mu.Lock()
 		defer front.clients.mu.Unlock()
 		for accepted := range front.clients.open {
@@ -257,12 +257,12 @@
 	for n, want := range []int{503, 200} {
 		resp, err := http.ReadResponse(c.in, nil)
 		if err != nil || resp.StatusCode != want || resp.Close {
-			t.Fatalf("answer %d: %+v, %v", n+1, resp, err)
+			t.Fatalf("response %d: %+v, %v", n+1, resp, err)
 		}
 	}
 }
 
-// TestPipelined: a request read along with the one before it is open, so that its connection must not be closed as
+// TestPipelined: a request that was read along with the previous one is open, so its connection must not be closed as
 // idle.
 func TestPipelined(t *testing.T) {
 	taken, release := make(chan bool), make(chan bool)
@@ -286,8 +286,8 @@
 	}
 }
 
-// TestPipelinedRequestTimeout: a request that began to come behind a long call has as much time for its body as any
-// other, whether it was read along with that or waits to be read.
+// TestPipelinedRequestTimeout: a request that began to arrive during a long call has as much time for its body as any
+// other, whether it was read along with the call or is still unread.
 func TestPipelinedRequestTimeout(t *testing.T) {
 	for name, along := range map[string]bool{"read along": true, "unread": false} {
 		t.Run(name, func(t *testing.T) { pipelinedInTime(t, along) })
@@ -312,7 +312,7 @@
 	if !along {
 		io.WriteString(c, half)
 	}
-	for begun := false; !begun; { // the call is as long as a body may take
+	for begun := false; !begun; { // makes the call last as long as a body may take
 		front.clients.mu.Lock()
 		if begun = accepted.state.nextStarted == along && accepted.state.nextUnread != along; begun {
 			accepted.requestStart = accepted.requestStart.Add(-requestTimeout)
--- a/internal/transport/request.go
+++ b/internal/transport/request.go
@@ -11,22 +11,22 @@
 	"olivebridge/internal/routing"
 )
 
-// errBodyTooLarge says that a body has more bytes than maxRequestBody.
+// errBodyTooLarge reports a body of more than maxRequestBody bytes.
 var errBodyTooLarge = errors.New("too large")
 
-// ambiguousRequestError is a fault in a request for which others may find its end elsewhere than the node does.
+// ambiguousRequestError is an error in a request whose end other implementations may find elsewhere than the node does.
 type ambiguousRequestError struct{ error }
 
-// ambiguousRequest makes an ambiguousRequestError with a message.
+// ambiguousRequest returns an ambiguousRequestError with a message.
 func ambiguousRequest(message string) error { return ambiguousRequestError{errors.New(message)} }
 
-// parseRequest reads a call from a request. Its payload is a requestMessage, held by the caller. An error comes
-// with the 4xx or 505 that the request deserves.
+// parseRequest parses the call in a request. The call's payload is a requestMessage on which the caller holds a
+// reference. With an error it returns the status to answer, a 4xx or 505.
 func (f *Frontend) parseRequest(r *http.Request, c *clientConn, target string) (routing.Call, int, error) {
-	if !r.ProtoAtLeast(1, 1) { // net/http ignores a Transfer-Encoding there
+	if !r.ProtoAtLeast(1, 1) { // net/http ignores Transfer-Encoding in such requests
 		return routing.Call{}, http.StatusHTTPVersionNotSupported, ambiguousRequest("version: below HTTP/1.1")
 	}
-	if c.framingAmbiguous() { // guards the servers: the body may hide another request
+	if c.framingAmbiguous() { // protects the servers: the body may hide another request
 		return routing.Call{}, http.StatusBadRequest,
 			ambiguousRequest("framing: two lengths, a folded line, or one that ends without a carriage return")
 	}
@@ -45,32 +45,32 @@
 	case err != nil:
 		return call, http.StatusBadRequest, fmt.Errorf("body: %w", err)
 	case (len(m.body) > 0 || m.upload != nil) && r.Method == http.MethodGet:
-		// Guards the servers: one that reads no body takes it for a request.
+		// Protects the servers: a server that reads no body after a GET takes the body for a request.
 		return call, http.StatusBadRequest, ambiguousRequest("body: none belongs to a GET")
 	}
 	call.ReceivedAt = time.Now()
 	call.StreamsBody = m.upload != nil
 	if !call.StreamsBody && !c.completeRequest() {
 		m.release()
-		panic(http.ErrAbortHandler) // its client sees the close, and sends the request again
+		panic(http.ErrAbortHandler) // the client notices the close and sends the request again
 	}
 	m.client = c
 	call.Payload = m
-	if !c.wasPipelined() { // else its client may have left long ago
+	if !c.wasPipelined() { // otherwise the client may have disconnected long ago
 		m.arrived = call.ReceivedAt
 	}
 	return call, 0, nil
 }
 
-// requestBody is a request whose body is still to be read.
+// requestBody is a request whose body has not been read yet.
 type requestBody struct {
 	*http.Request
 	target string
-	length int64 // -1: not announced
+	length int64 // announced length of the body in bytes; -1 if unknown
 	conn   *clientConn
 }
 
-// readMessage reads a request's body, or the first part of one that is too long to be buffered.
+// readMessage reads the body of a request, or only its first part if it is too long to be buffered.
 func (f *Frontend) readMessage(r requestBody) (*requestMessage, error) {
 	switch {
 	case r.length > maxRequestBody:
@@ -96,7 +96,7 @@
 	return m, nil
 }
 
-// pacedReader reads a body whose length is not announced at the pace that its bytes allow it.
+// pacedReader reads a body of unknown length and extends the read deadline as bytes arrive.
 type pacedReader struct {
 	body      io.Reader
 	conn      *clientConn
@@ -113,7 +113,7 @@
 	return n, err
 }
 
-// noEOF keeps the end of a connection from being taken for that of a message.
+// noEOF replaces io.EOF by io.ErrUnexpectedEOF: the end of a connection must not pass for the end of a message.
 func noEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/transport/request_framing.go
+++ b/internal/transport/request_framing.go
@@ -6,67 +6,71 @@
 	"strings"
 )
 
-// maxLengthDigits is above what net/http takes for a length.
+// maxLengthDigits is the maximum number of digits kept of a Content-Length, more than the largest length that net/http
+// accepts has.
 const maxLengthDigits = 20
 
-// requestFraming follows the requests on a client connection, in the raw bytes. Where Transfer-Encoding stands
-// beside Content-Length, net/http takes the latter out and goes by the former; whoever goes by the latter finds
-// another request in the body. A handler cannot see that: only the bytes tell. Requests are counted from 1.
+// requestFraming parses the boundaries of requests in the raw bytes of a client connection. If a head has both
+// Transfer-Encoding and Content-Length, net/http removes Content-Length and uses Transfer-Encoding; a server that uses
+// Content-Length instead finds another request in the body. A handler cannot detect this from the parsed request, only
+// the raw bytes show it. Requests are numbered from 1.
 type requestFraming struct {
-	// started counts the requests of which a byte has come. The last one is followed.
+	// startedCount is the number of requests of which a byte has been read. The last of them is being parsed.
 	started int
-	// stopped: nothing further is followed, nor served: the connection ends with the last one started.
+	// stopped reports whether parsing has stopped. Later requests are neither parsed nor served: the connection closes
+	// after the last request that has started.
 	stopped bool
-	// ambiguous: the head of the last one has a Content-Length and a Transfer-Encoding, or two lengths, or a folded line,
-	// which can hide one.
+	// ambiguous reports whether the head of the last request has a Content-Length and a Transfer-Encoding, two lengths, or
+	// a folded line, which can hide one of them.
 	ambiguous bool
-	// firstBareLF is the first request of whose head a line ended without a carriage return: some servers read another
-	// head then; 0: none.
+	// firstBareLF is the number of the first request with a head line that ends without a carriage return, which some
+	// servers parse as a different head; 0 if there is none.
 	firstBareLF int
 
-	// line is how the current line begins, in lower case.
+	// linePrefix contains the beginning of the current line, in lower case.
 	line [len("transfer-encoding:")]byte
-	// lineLen is how many bytes of it have come; at its length the rest does not matter.
+	// linePrefixLen is the number of bytes in linePrefix. When it is full, the rest of the line is ignored.
 	lineLen int
-	// afterCR: the last byte was a carriage return.
+	// afterCR reports whether the last byte was a carriage return.
 	afterCR bool
-	// inHead: the head has not ended yet.
+	// inHead reports whether the head of a request is being parsed.
 	inHead bool
-	// inValue: the next bytes are those of a Content-Length, whose digits are collected.
+	// inContentLength reports whether the value of a Content-Length is being parsed. digits collects its digits.
 	inValue bool
 	digits  []byte
-	// hasContentLength and hasTransferEncoding: the head has such a field.
+	// hasContentLength and hasTransferEncoding report whether the head contains the field.
 	hasContentLength    bool
 	hasTransferEncoding bool
 
-	// bodyLeft is how many bytes of a body, or of a chunk, are still to come.
+	// bodyLeft is the number of bytes of the body, or of the current chunk, that have not been read.
 	bodyLeft int64
-	// chunked: the body is in chunks.
+	// chunked reports whether the body is chunked.
 	chunked bool
-	// inBody: a body in chunks has not ended yet.
+	// inBody reports whether a chunked body is being parsed.
 	inBody bool
-	// chunkEndDue: the line that ends a chunk is due, or the body.
+	// chunkEndDue reports whether the next line is the empty one that ends a chunk or the body.
 	chunkEndDue bool
-	// lastChunk: the last chunk has come.
+	// lastChunk reports whether the size line of the last chunk has been parsed.
 	lastChunk bool
 }
 
-// complete reports whether all of the nth request has come.
+// complete reports whether the nth request has been read completely.
 func (f *requestFraming) complete(n int) bool {
 	bodyEnded := !f.inHead && !f.inBody && f.bodyLeft == 0
 	return f.started > n || f.started == n && bodyEnded && !f.stopped
 }
 
-// ambiguousAt reports whether the head of the nth request leaves any doubt about where it ends.
+// isAmbiguous reports whether the end of the nth request is ambiguous, judging from the heads up to its own.
 func (f *requestFraming) ambiguousAt(n int) bool {
 	return f.ambiguous && f.started <= n || f.firstBareLF > 0 && f.firstBareLF <= n
 }
 
-// isLast reports whether the connection ends with the nth request, unless another has started behind it.
+// isLast reports whether the connection must close after the nth request: parsing has stopped or the body is chunked,
+// and no later request has started.
 func (f *requestFraming) isLast(n int) bool { return f.started <= n && (f.stopped || f.chunked) }
 
-// bytesNeeded is how many bytes, of so many at most, can be read for the request that has started, and surely for no
-// further one.
+// bytesNeeded returns the number of bytes, at most limit, that can be read for the request that has started without
+// reading a byte of a later one. It returns limit if parsing has stopped or no request is incomplete.
 func (f *requestFraming) bytesNeeded(limit int) int {
 	switch {
 	case f.stopped:
@@ -79,7 +83,7 @@
 	return limit
 }
 
-// feed takes in what was read from the connection.
+// feed parses bytes that were read from the connection.
 func (f *requestFraming) feed(b []byte) {
 	for len(b) > 0 && !f.stopped {
 		switch {
@@ -99,7 +103,7 @@
 	}
 }
 
-// skipLine takes in the rest of a line of which only the end matters, and returns the bytes behind it.
+// skipLine skips the rest of a line whose content does not matter, and returns the bytes after the line.
 func (f *requestFraming) skipLine(b []byte) []byte {
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
@@ -113,9 +117,9 @@
 	return b[end+1:]
 }
 
-// feedHeadByte takes in a byte of a head.
+// feedHeadByte parses a byte of a head.
 func (f *requestFraming) feedHeadByte(c byte) {
-	if !f.inHead && c != '\r' && c != '\n' { // empty lines ahead of a request are no part of it
+	if !f.inHead && c != '\r' && c != '\n' { // empty lines before a request are not part of it
 		f.inHead = true
 		f.started++
 	}
@@ -135,14 +139,14 @@
 	}
 }
 
-// feedLengthByte takes in a byte of a Content-Length.
+// feedLengthByte parses a byte of the value of a Content-Length.
 func (f *requestFraming) feedLengthByte(c byte) {
 	if c >= '0' && c <= '9' && len(f.digits) < maxLengthDigits {
 		f.digits = append(f.digits, c)
 	}
 }
 
-// feedNameByte takes in a byte of a field's name, or of what else a line begins with.
+// feedNameByte parses a byte of a field name, or of another beginning of a line.
 func (f *requestFraming) feedNameByte(c byte) {
 	if 'A' <= c && c <= 'Z' {
 		c += 'a' - 'A'
@@ -155,7 +159,7 @@
 	}
 }
 
-// fieldName takes in the name of a field, with its colon.
+// parseFieldName processes the name of a field; name includes the colon.
 func (f *requestFraming) fieldName(name []byte) {
 	switch string(name) {
 	case "content-length:":
@@ -173,13 +177,13 @@
 	}
 }
 
-// stopAmbiguous follows nothing further, since the end of the request is in doubt.
+// stopAmbiguous stops parsing because the end of the request is ambiguous.
 func (f *requestFraming) stopAmbiguous() {
 	f.ambiguous = true
 	f.stopped = true
 }
 
-// endLine takes in the end of a line of the head; the empty one ends the head.
+// endLine processes the end of a line of the head. An empty line ends the head.
 func (f *requestFraming) endLine() {
 	empty := f.lineLen == 0 || f.lineLen == 1 && f.line[0] == '\r'
 	f.lineLen = 0
@@ -188,7 +192,7 @@
 		return
 	}
 	if f.hasContentLength {
-		f.bodyLeft, _ = strconv.ParseInt(string(f.digits), 10, 64) // net/http rejects what is no number
+		f.bodyLeft, _ = strconv.ParseInt(string(f.digits), 10, 64) // net/http rejects an invalid number
 	}
 	f.chunked = f.hasTransferEncoding
 	f.inBody = f.hasTransferEncoding
@@ -197,9 +201,9 @@
 	f.inHead = false
 }
 
-// feedChunkByte takes in a byte of a body in chunks, outside of the chunks' bytes. It accepts only what nobody reads
-// otherwise, which is less than net/http does: a chunk with an extension or a bare line feed, or a trailer, makes the
-// request the last one.
+// feedChunkByte parses a byte of a chunked body outside of the chunks' data. It accepts only framing that all
+// implementations parse alike, which is less than net/http accepts: a chunk with an extension or a bare line feed, or a
+// trailer, makes the request the last one.
 func (f *requestFraming) feedChunkByte(c byte) {
 	switch {
 	case c == '\n':
@@ -212,7 +216,7 @@
 	}
 }
 
-// endChunkLine takes in the end of a line between chunks.
+// endChunkLine processes the end of a line between chunks.
 func (f *requestFraming) endChunkLine() {
 	line, ok := strings.CutSuffix(string(f.line[:f.lineLen]), "\r")
 	f.lineLen = 0
--- a/internal/transport/request_framing_test.go
+++ b/internal/transport/request_framing_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestFraming: a head with a Content-Length beside a Transfer-Encoding is found wherever the reads are cut, also
-// behind other requests, and no body is taken for a head.
+// TestRequestFraming: a head with both Content-Length and Transfer-Encoding is detected regardless of the boundaries of
+// reads, also after other requests, and a body is never parsed as a head.
 func TestFraming(t *testing.T) {
 	both := "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for raw, ambiguous := range map[string]bool{
@@ -28,21 +28,21 @@
 			var f requestFraming
 			f.feed([]byte(raw[:cut]))
 			if f.feed([]byte(raw[cut:])); f.ambiguous != ambiguous {
-				t.Errorf("%q cut at %d: ambiguous: %v", raw, cut, f.ambiguous)
+				t.Errorf("%q cut at %d: ambiguous = %v", raw, cut, f.ambiguous)
 			}
 		}
 	}
 }
 
-// TestChunkedFraming: a body in chunks is followed to where net/http finds its end, wherever the reads are cut, or the
-// request counts as the last one. What is read of no more than it needs never goes beyond that end.
+// TestChunkedFraming: regardless of the boundaries of reads, requestFraming either finds the same end of a chunked body
+// as net/http or counts the request as the last one. Reads of bytesNeeded bytes never go beyond that end.
 func TestChunkedFraming(t *testing.T) {
 	const first = "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
 	const second = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 	for body, plain := range map[string]bool{
 		"0\r\n\r\n": true, "00\r\n\r\n": true, "2\r\n\r\n\r\n0\r\n\r\n": true,
 		"0A\r\n0\r\n\r\n\nxxxx\r\n1\r\nx\r\n0\r\n\r\n": true,
-		// lawful, but not followed
+		// Valid, but not parsed.
 		"1;a=b\r\nx\r\n0\r\n\r\n": false, "0\r\nA: b\r\n\r\n": false, "1 \r\nx\r\n0\r\n\r\n": false,
 		"1\nx\r\n0\r\n\r\n": false, "1\r\nx\n0\r\n\r\n": false, "0\n\r\n": false, "0\r\n\n": false,
 		"1\r\nxx\r\n0\r\n\r\n": false,
@@ -53,14 +53,14 @@
 		if in := bufio.NewReader(strings.NewReader(raw)); plain {
 			r, _ := http.ReadRequest(in)
 			if _, err := io.Copy(io.Discard, r.Body); err != nil || in.Buffered() != len(second) {
-				t.Errorf("%q: net/http finds %d bytes behind it, %v", body, in.Buffered(), err)
+				t.Errorf("%q: net/http leaves %d bytes after the body, %v", body, in.Buffered(), err)
 			}
 		}
 		for cut := range len(raw) {
 			var f requestFraming
 			f.feed([]byte(raw[:cut]))
 			if f.feed([]byte(raw[cut:])); f.stopped == plain || f.isLast(1) == plain || f.complete(2) != plain {
-				t.Errorf("%q cut at %d: %+v", body, cut, f)
+				t.Errorf("%q cut at %d: framing %+v", body, cut, f)
 			}
 		}
 		var f requestFraming
@@ -72,7 +72,7 @@
 			read += n
 		}
 		if plain && read != len(first+body) {
-			t.Errorf("%q: %d bytes read of %d", body, read, len(first+body))
+			t.Errorf("%q: read %d bytes, want %d", body, read, len(first+body))
 		}
 	}
 }
--- a/internal/transport/request_head.go
+++ b/internal/transport/request_head.go
@@ -9,8 +9,8 @@
 	"olivebridge/internal/protocol"
 )
 
-// checkRequestHead says what is wrong with the head of a request that net/http has taken. It guards the servers
-// against heads that the node and they would read in different ways.
+// checkRequestHead returns an error if the head of a request, which net/http has accepted, is invalid. It protects the
+// servers against heads that they might parse differently from the node.
 func checkRequestHead(r *http.Request, target string) error {
 	if err := checkTarget(target); err != nil {
 		return err
@@ -29,11 +29,11 @@
 	return nil
 }
 
-// notInHost reports whether a character may not stand in a host.
+// invalidInHost reports whether a character is invalid in a host.
 func notInHost(c rune) bool { return !isUnreserved(c) && !strings.ContainsRune("[:]", c) }
 
-// checkUnderscores rejects a name that many servers, which read "_" as "-", take for a second value of a protected
-// header field.
+// checkUnderscores rejects the name of a header field that becomes the name of a protected field when "_" is read as
+// "-". Many servers do so and would see a second value of that field.
 func checkUnderscores(name string) error {
 	if !strings.Contains(name, "_") {
 		return nil
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// originForm is a target as servers get it: of one that names its host, too, the path and query. net/http has the
-// host by then.
+// originForm returns the target in the form that servers receive: path and query. From a target in absolute form it
+// removes scheme and host; net/http has stored the host already.
 func originForm(target string) string {
 	const scheme = "http://"
 	if len(target) < len(scheme) || !strings.EqualFold(target[:len(scheme)], scheme) {
@@ -64,8 +64,9 @@
 	return path
 }
 
-// checkTarget takes a path strictly as RFC 3986 has it: a target is forwarded as it came, and servers differ in
-// what they make of the rest. A query may hold what browsers leave unescaped in it.
+// checkTarget returns an error if the path does not conform strictly to RFC 3986: a target is forwarded unchanged, and
+// servers differ in their treatment of other characters. The query may also contain the characters that browsers leave
+// unescaped in it.
 func checkTarget(target string) error {
 	if !strings.HasPrefix(target, "/") || strings.HasPrefix(target, "//") {
 		return fmt.Errorf("target: begins with no slash, or with two: %.80q", target)
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// isUnreserved reports whether a character is an unreserved one of RFC 3986.
+// isUnreserved reports whether a character is unreserved according to RFC 3986.
 func isUnreserved(c rune) bool {
 	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' ||
 		c == '-' || c == '.' || c == '_' || c == '~'
@@ -95,8 +96,8 @@
 	return '0' <= c && c <= '9' || 'a' <= c && c <= 'f' || 'A' <= c && c <= 'F'
 }
 
-// checkConnectionOptions rejects connection options that would take from a request what its server needs: whatever
-// Connection names is forwarded no further than to this node.
+// checkConnectionOptions rejects connection options that would remove header fields that the server needs: the node
+// does not forward the fields that Connection names.
 func checkConnectionOptions(lists []string) error {
 	for _, list := range lists {
 		for option := range strings.SplitSeq(list, ",") {
@@ -108,11 +109,11 @@
 	return nil
 }
 
-// isProtectedHeader reports whether a header field, in canonical form, says where a request goes, where it ends, or
-// what it is to the platform.
+// isProtectedHeader reports whether a header field, given in canonical form, determines the destination of a request,
+// its end, or its meaning to the platform.
 func isProtectedHeader(name string) bool {
 	return protocol.IsPlatformHeader(name) || name == "Host" || name == "Content-Length" || name == "Transfer-Encoding"
 }
 
-// canonicalHeader is a header field's name in canonical form.
+// canonicalHeader returns the name of a header field in canonical form.
 func canonicalHeader(name string) string { return textproto.CanonicalMIMEHeaderKey(name) }
--- a/internal/transport/request_head_test.go
+++ b/internal/transport/request_head_test.go
@@ -13,8 +13,8 @@
 	"olivebridge/internal/routing"
 )
 
-// serveRaw sends raw requests, each on a connection of its own, to a frontend whose handler serves them all. It
-// returns the response, and what the server would get.
+// serveRaw returns a function that sends a raw request on a new connection to a frontend whose handler serves every
+// call. The function returns the response and the bytes that a server would receive; "" if the call was not handled.
 func serveRaw(t *testing.T) func(raw string) (resp *http.Response, peer string) {
 	got := make(chan string, 1)
 	addr, _, _ := newTestFrontend(t, 100, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// TestMalformedRequests: a malformed request gets a plain 4xx and no attempt.
+// TestMalformedRequests: a malformed request gets a 4xx or 505 and no attempt.
 func TestMalformedRequests(t *testing.T) {
 	addr, front, _ := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
 		body := bytes.Clone(c.Payload.(*requestMessage).body)
@@ -75,22 +75,22 @@
 	bad := 0
 	for _, c := range cases {
 		resp, _ := dialClient(t, addr).roundTrip(t, c.raw)
-		if c.want == 0 { // net/http's own answer
+		if c.want == 0 { // answered by net/http itself
 			c.want = 400
 		} else if c.want != 200 {
 			bad++
 		}
 		if resp.StatusCode != c.want || !resp.Close && (c.want != 200 || strings.Contains(c.raw, "chunked")) {
-			t.Errorf("%.190q: status %d, want %d; close: %v", c.raw, resp.StatusCode, c.want, resp.Close)
+			t.Errorf("%.190q: status %d, want %d; close = %v", c.raw, resp.StatusCode, c.want, resp.Close)
 		}
 	}
 	if front.Malformed() != int64(bad) {
-		t.Errorf("%d counted as malformed of %d", front.Malformed(), bad)
+		t.Errorf("%d requests counted as malformed, want %d", front.Malformed(), bad)
 	}
 }
 
-// TestConnectionOptions: a client must not make the node take from an attempt what its server needs, nor give it a
-// second value for that under another name.
+// TestConnectionOptions: a client must not make the node remove header fields that a server needs from an attempt, nor
+// add a second value of such a field under another name.
 func TestConnectionOptions(t *testing.T) {
 	send := serveRaw(t)
 	for line, want := range map[string]int{
@@ -114,15 +114,15 @@
 	}
 }
 
-// TestMethods: the class decides the method, since it decides what the node may do with a call: a POST is never
-// sent twice, and a GET carries nothing.
+// TestMethods: the class of a call determines its method, because it determines the permitted handling: a POST is never
+// sent twice, and a GET has no body.
 func TestMethods(t *testing.T) {
 	send := serveRaw(t)
 	class := func(method, class, rest string) string {
 		return method + " /api?user=7f HTTP/1.1\r\nHost: h\r\nX-Call-Id: 9b\r\n" +
 			"X-Call-Class: " + class + "\r\nX-Budget: 0.5\r\n" + rest
 	}
-	long := strings.Repeat("x", 70000) // it would go on as it comes
+	long := strings.Repeat("x", 70000) // too long to be buffered
 	const empty, body = "\r\n", "Content-Length: 2\r\n\r\nhi"
 	const chunk = "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"
 	for raw, want := range map[string]struct {
@@ -158,8 +158,8 @@
 	}
 }
 
-// TestStrictRequestHeads: what is not strictly HTTP/1.1, or reads in two ways, gets an error and no attempt; what
-// is odd but lawful reaches the server as it came.
+// TestStrictRequestHeads: a request that is not strictly HTTP/1.1, or that can be parsed in two ways, gets an error and
+// no attempt; an unusual but valid request reaches the server unchanged.
 func TestStrictRequestHeads(t *testing.T) {
 	send := serveRaw(t)
 	const rest = " HTTP/1.1\r\nHost: h\r\nX-Call-Id: 9b\r\nX-Call-Class: status\r\nX-Budget: 0.5\r\n\r\n"
@@ -170,7 +170,7 @@
 		"/api?users=a&user=b", "/a/../b/./c", "/api?user=a+b&y=user", "/a//b"} {
 		resp, peer := send("GET " + target + rest)
 		if resp.StatusCode != 200 || !strings.HasPrefix(peer, "GET "+target+" HTTP/1.1\r\n") {
-			t.Errorf("%s: status %d, to the server: %q", target, resp.StatusCode, peer)
+			t.Errorf("%s: status %d, want 200; to the server: %q", target, resp.StatusCode, peer)
 		}
 	}
 	for _, target := range []string{"/api#x", "/api?user=7f#x", "/#", "/api?a=\x01", "/a\x7f", "/a\x00",
@@ -180,7 +180,7 @@
 		"http://h//api", "h:80", "/a b", "/a\tb", "", " /api", "/api?user=a&user=b", "/api?user=a&%75ser=b",
 		"/api?user&user=b"} {
 		if resp, peer := send("GET " + target + rest); resp.StatusCode != 400 || peer != "" {
-			t.Errorf("%q: status %d, to the server: %q", target, resp.StatusCode, peer)
+			t.Errorf("%q: status %d, want 400; to the server: %q", target, resp.StatusCode, peer)
 		}
 	}
 	for _, raw := range []string{line("A: b"), line("a_b: c"), line("A: b\r\nA: c"), line("A:"),
@@ -188,7 +188,7 @@
 		host("Host: h.example:8080\r\n"), host("host: [::1]:80\r\n"),
 		line("Accept: */*\r\nUser-Agent: x/1 (y; z)\r\nX-Call-Info: a=1,b=2")} {
 		if resp, peer := send(raw); resp.StatusCode != 200 || peer == "" {
-			t.Errorf("%q: status %d", raw, resp.StatusCode)
+			t.Errorf("%q: status %d, want 200", raw, resp.StatusCode)
 		}
 	}
 	for _, raw := range []string{line("A : b"), line(": b"), line("A b: c"), line("A\x00: b"),
@@ -211,12 +211,12 @@
 		"\r\n\r\nGET /api" + rest, "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n",
 		"GET /" + strings.Repeat("a", 40<<10) + rest} {
 		if resp, peer := send(raw); resp.StatusCode < 400 || peer != "" {
-			t.Errorf("%.300q: status %d, to the server: %q", raw, resp.StatusCode, peer)
+			t.Errorf("%.300q: status %d, want at least 400; to the server: %q", raw, resp.StatusCode, peer)
 		}
 	}
 }
 
-// TestAbsoluteFormTargets: what a target that names its host asks of a server.
+// TestAbsoluteFormTargets: originForm reduces a target in absolute form to its path and query, and keeps other targets.
 func TestAbsoluteFormTargets(t *testing.T) {
 	for target, want := range map[string]string{
 		"/api?a=b":       "/api?a=b",
@@ -227,7 +227,7 @@
 		"*":              "*",
 	} {
 		if got := originForm(target); got != want {
-			t.Errorf("%s: %s, want %s", target, got, want)
+			t.Errorf("originForm(%s) = %s, want %s", target, got, want)
 		}
 	}
 }
--- a/internal/transport/request_message.go
+++ b/internal/transport/request_message.go
@@ -12,52 +12,54 @@
 	"olivebridge/internal/protocol"
 )
 
-// immediateSend is how long after its call has come a first attempt is sent without a look at the client.
+// immediateSendWindow is the time after the arrival of a call within which its first attempt is sent without checking
+// whether the client has disconnected.
 const immediateSend = 250 * time.Microsecond
 
-// maxBudgetLine is room for the longest line with a budget, and the empty line.
+// maxBudgetLine is the length in bytes of the longest budget line, together with the empty line.
 const maxBudgetLine = len(protocol.HeaderTimeout) + len(": 3600.000\r\n\r\n")
 
-// requestMessage is a client's request as it is sent to servers; it is a call's payload. A buffer holds its head,
-// room for one attempt's head with the budget in it, and right behind that the body: an attempt is sent by one
-// write, and no body is copied.
+// requestMessage is the request of a client in the form in which it is sent to servers. It is the payload of a call.
+// Its buffer contains the head, space for the head of one attempt with the budget in it, and directly after that the
+// body: an attempt is sent with one write, and no body is copied.
 //
-// The frontend and every attempt hold the message while they use it, and the last one gives the buffer back. Nobody
-// can hold it again then, so an attempt that begins too late is never sent, and one that hangs keeps the buffer
-// from all others.
+// The frontend and every attempt hold a reference to the message while they use it; the last release returns the buffer
+// to its pool. After that the message cannot be retained again, so an attempt that begins too late is never sent, and
+// an attempt that hangs keeps the buffer from being reused.
 type requestMessage struct {
 	method string
-	// head is the request line and the header, but for the budget's line and the empty one.
+	// head contains the request line and the header, without the budget line and the empty line.
 	head []byte
-	// headRoom is room for both, and the head again; the body follows it.
+	// headRoom is space for head, the budget line and the empty line of one attempt. The body follows it.
 	headRoom []byte
 	body     []byte
-	// upload is the body where it is too long to be buffered; nil: body holds it all.
+	// upload is the body if it is too long to be buffered; if nil, body contains all of it.
 	upload *upload
 
-	buf     *pooledBuffer // that head, headRoom and body are parts of
-	buffers *bufferPool   // that buf is given back to
-	// holders counts who uses the message.
+	buf     *pooledBuffer // contains head, headRoom and body
+	buffers *bufferPool   // the pool of buf
+	// refCount is the number of users of the message.
 	holders atomic.Int32
-	// roomTaken: an attempt that writes uses headRoom.
+	// headRoomInUse reports whether an attempt that is being written uses headRoom.
 	roomTaken atomic.Bool
 
-	// client is the client connection; nil: a disconnect does not end the call.
+	// client is the client connection; if nil, a disconnect does not end the call.
 	client disconnectChecker
-	// arrived is when the call came; zero: some time ago.
+	// arrivedAt is the arrival time of the call; zero if the call was pipelined and may have arrived long ago.
 	arrived time.Time
 }
 
-// newMessage makes a message, held by its caller, of the header fields that are end to end. The body, of so many
-// bytes, is still to be read into it. One that is too long to be buffered, or of unknown length (-1), has no room.
+// newMessage returns a message with the end-to-end header fields, to which the caller holds a reference. announced is
+// the length of the body, which the caller must still read into the message. The message has no space for a body that
+// is too long to be buffered or has unknown length (-1).
 func newMessage(buffers *bufferPool, method, target, host string, header http.Header, announced int64) *requestMessage {
 	bodyLen := int(announced)
 	if announced < 0 || announced > protocol.MaxBufferedBody {
 		bodyLen = 0
 	}
-	var few [24]string // so that the names of most headers need no allocation
+	var few [24]string // avoids allocating the names of most headers
 	names, fieldsSize := endToEndNames(few[:0], header)
-	const requestLine = 80 // with the Host and Content-Length lines, but for their values
+	const requestLine = 80 // including the Host and Content-Length lines, without their values
 	headSize := len(method) + len(target) + len(host) + requestLine + fieldsSize
 	m := &requestMessage{method: method, buffers: buffers, buf: buffers.get(2*headSize + maxBudgetLine + bodyLen)}
 	m.holders.Store(1)
@@ -91,8 +93,8 @@
 	return m
 }
 
-// endToEndNames appends the names of the header fields that go on to servers, sorted, and returns how many bytes their
-// lines take.
+// endToEndNames appends the names of the header fields that are forwarded to servers, sorted, and returns the number of
+// bytes of their lines.
 func endToEndNames(names []string, header http.Header) (sorted []string, size int) {
 	options := connectionOptions(header["Connection"])
 	for name, values := range header {
@@ -108,8 +110,8 @@
 	return names, size
 }
 
-// readBody reads the body that the message's head announces. Room for it was made once: growing buffers of many
-// calls at a time would take much of a small machine's memory.
+// readBody reads the body whose length the head announces, into the space that newMessage reserved: buffers that grow,
+// for many calls at once, would use much of a small machine's memory.
 func (m *requestMessage) readBody(r io.Reader, c *clientConn) error {
 	body := m.body
 	for received := 0; received < len(body); {
@@ -123,20 +125,21 @@
 		}
 		c.allowNextBytes(int64(received))
 	}
-	_, err := r.Read(m.headRoom[:1]) // the end of the body frees its connection
+	_, err := r.Read(m.headRoom[:1]) // lets net/http watch the connection again
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
 	return err
 }
 
-// clientLeft reports whether the client is found to have left before an attempt is sent. It guards the servers against
-// attempts for nobody, which a client connection that is not watched yet would let pass.
+// clientLeft checks before an attempt is sent whether the client has disconnected. It saves the servers attempts
+// without a recipient, because a client connection is not watched yet at the beginning of a call.
 func (m *requestMessage) clientLeft(attempt int, now time.Time) bool {
 	return m.client != nil && (attempt > 0 || now.Sub(m.arrived) > immediateSend) && m.client.hasDisconnected()
 }
 
-// hold keeps the buffer for one more user, unless the last one has released it.
+// retain adds a reference to the message and reports whether it succeeded. It fails once the last reference is
+// released.
 func (m *requestMessage) hold() bool {
 	for {
 		n := m.holders.Load()
@@ -149,15 +152,16 @@
 	}
 }
 
-// release ends a user's hold.
+// release removes a reference to the message.
 func (m *requestMessage) release() {
 	if m.holders.Add(-1) == 0 {
 		m.buffers.put(m.buf)
 	}
 }
 
-// compose returns the bytes of an attempt, with the budget left unless that is 0. They hold until releaseRoom is
-// called with ownsRoom. The room is for one attempt at a time: another that is written meanwhile gets a copy.
+// compose returns the bytes of an attempt, with the remaining budget unless that is 0. The bytes are valid until
+// releaseRoom is called with ownsRoom. headRoom serves one attempt at a time: an attempt that is composed meanwhile
+// gets a copy.
 func (m *requestMessage) compose(budget time.Duration) (b []byte, ownsRoom bool) {
 	room := m.headRoom
 	ownsRoom = m.roomTaken.CompareAndSwap(false, true)
@@ -181,7 +185,7 @@
 	return room[start : len(room)+len(m.body)], ownsRoom
 }
 
-// releaseRoom ends the use of the room by an attempt that owns it.
+// releaseRoom ends the use of headRoom by an attempt that owns it.
 func (m *requestMessage) releaseRoom(ownsRoom bool) {
 	if ownsRoom {
 		m.roomTaken.Store(false)
--- a/internal/transport/request_message_test.go
+++ b/internal/transport/request_message_test.go
@@ -8,25 +8,26 @@
 	"olivebridge/internal/protocol"
 )
 
-// TestMessageHeld: the buffer is put back only once nobody holds the message, and nobody holds it after that.
+// TestMessageReferenceCount: the buffer is put back only after the last reference is released, and the message cannot
+// be retained after that.
 func TestMessageHeld(t *testing.T) {
 	var home bufferPool
 	m := newMessage(&home, "POST", "/", "h", http.Header{}, 3)
 	if !m.hold() {
-		t.Fatal("a message in use cannot be held")
+		t.Fatal("retain failed on a message in use")
 	}
-	m.release() // the front's
+	m.release() // the reference of the frontend
 	if m.holders.Load() != 1 || !m.hold() {
-		t.Error("an attempt is left without its message")
+		t.Error("a message with a reference must have the count 1 and can be retained")
 	}
 	m.release()
 	m.release()
 	if m.hold() {
-		t.Error("a message that nobody held any more is held again")
+		t.Error("retain succeeded after the last release")
 	}
 }
 
-// TestConcurrentAttemptsCompose: attempts that are written at one time do not disturb each other, and each has its own
+// TestConcurrentAttemptsCompose: attempts that are written concurrently do not disturb each other, and each has its own
 // budget.
 func TestConcurrentAttemptsCompose(t *testing.T) {
 	m := newMessage(new(bufferPool), "POST", "/", "h", http.Header{"X-Call-Id": {"9b"}, protocol.HeaderTimeout: {"9"}}, 4)
@@ -37,11 +38,11 @@
 	first, own := m.compose(90 * time.Second)
 	second, copied := m.compose(time.Second)
 	if string(first) != want("X-Budget: 90.000\r\n") || string(second) != want("X-Budget: 1.000\r\n") || !own || copied {
-		t.Errorf("%q, %q, %v, %v", first, second, own, copied)
+		t.Errorf("first %q, second %q, ownsRoom %v, %v", first, second, own, copied)
 	}
 	m.releaseRoom(copied)
 	m.releaseRoom(own)
 	if third, own := m.compose(0); string(third) != want("") || !own {
-		t.Errorf("%q, %v", third, own)
+		t.Errorf("third %q, ownsRoom %v", third, own)
 	}
 }
--- a/internal/transport/tcp_conn.go
+++ b/internal/transport/tcp_conn.go
@@ -10,32 +10,32 @@
 	"syscall"
 )
 
-// tcpConn is a Conn over TCP. What net.TCPConn does not offer is asked of the kernel, here alone.
+// tcpConn is a Conn over TCP. All system calls for features that net.TCPConn lacks are in this type.
 type tcpConn struct {
 	*net.TCPConn
 	raw syscall.RawConn
-	// stateKnown: the kernel tells the connection's state.
+	// stateKnown reports whether the kernel reports the state of the connection.
 	stateKnown bool
 
-	// The arguments and results of the one ReadGate that runs. They are kept here, since it is called for every request
-	// and would allocate each of them.
+	// The arguments and results of ReadUnderLock, which is not called concurrently. They are fields because it is called
+	// for every request and would allocate each of them.
 
 	b          []byte
 	mu         sync.Locker
 	beforeTake func() error
 	afterTake  func(n int)
-	takeFunc   func(fd uintptr) bool // takeGated
+	takeFunc   func(fd uintptr) bool // the method value tryRead
 	n          int
-	gateErr    error // of beforeTake
-	readErr    error // of the kernel
+	gateErr    error // error of beforeRead
+	readErr    error // error of the system call
 
-	// The results of Peek, which is called as often.
+	// The results of Peek, which is called for every request, too.
 
 	peekMu   sync.Mutex
-	peekFunc func(fd uintptr) // peekAt
+	peekFunc func(fd uintptr) // the method value peekAt
 	peekBuf  [1]byte
 	peeked   int
-	peekErr  error // of the kernel
+	peekErr  error // error of the system call
 }
 
 func newTCPConn(c *net.TCPConn) (*tcpConn, error) {
@@ -50,20 +50,20 @@
 	return t, nil
 }
 
-// tcpState is the state of a connection, as TCP_INFO has it (include/net/tcp_states.h).
+// tcpState is the state of a TCP connection as in TCP_INFO (include/net/tcp_states.h).
 type tcpState int
 
 const (
 	tcpUnknown     tcpState = 0
 	tcpEstablished tcpState = 1
-	tcpClosed      tcpState = 7 // reset, too
+	tcpClosed      tcpState = 7 // also after a reset
 	tcpCloseWait   tcpState = 8
 )
 
-// tcpStateMask selects the connection's state, the first byte of what TCP_INFO gives.
+// tcpStateMask selects the state of the connection, the first byte of TCP_INFO.
 const tcpStateMask = 0xff
 
-// state asks the kernel for the connection's state.
+// state returns the state of the connection according to the kernel; tcpUnknown if the kernel does not report it.
 func (t *tcpConn) state() tcpState {
 	state := tcpUnknown
 	_ = t.raw.Control(func(fd uintptr) {
@@ -75,8 +75,8 @@
 	return state
 }
 
-// HasEnded implements Conn. If TCP_INFO did not say ESTABLISHED when the connection was wrapped, it is always false: an
-// emulated socket API may not report the state.
+// HasEnded implements Conn. It is always false if TCP_INFO did not report ESTABLISHED when the connection was wrapped,
+// since an emulated socket API may not report the state.
 func (t *tcpConn) HasEnded() bool {
 	if !t.stateKnown {
 		return false
@@ -85,8 +85,8 @@
 	return state == tcpCloseWait || state == tcpClosed
 }
 
-// dialTCP is the Dialer of nodes on sockets. Keep-alive probes are off: a connection that falls silent is noticed
-// by its attempts, and earlier.
+// dialTCP is the Dialer of nodes that use sockets. Keep-alive probes are off because attempts notice a silent
+// connection earlier.
 func dialTCP(ctx context.Context, addr string) (net.Conn, error) {
 	d := net.Dialer{KeepAlive: -1}
 	return d.DialContext(ctx, "tcp", addr)
@@ -116,7 +116,7 @@
 	return min(t.n, len(b)), nil
 }
 
-// takeGated takes what there is to read, and says whether the read is done.
+// tryRead reads the available bytes and reports whether ReadUnderLock is done.
 func (t *tcpConn) takeGated(fd uintptr) (done bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -148,7 +148,7 @@
 	return t.peeked, t.peekErr
 }
 
-// lookAhead is Peek within a call on the raw connection.
+// peekInCallback is Peek for use within a callback of the raw connection.
 func (t *tcpConn) lookAhead(fd uintptr) (n int, err error) {
 	t.peekMu.Lock()
 	defer t.peekMu.Unlock()
@@ -156,7 +156,7 @@
 	return t.peeked, t.peekErr
 }
 
-// peekAt asks the kernel for a byte, and leaves it there. The lock of peeks is held.
+// peekAt peeks at one byte without reading it. The caller must hold peekMu.
 func (t *tcpConn) peekAt(fd uintptr) {
 	t.peeked, _, t.peekErr = syscall.Recvfrom(int(fd), t.peekBuf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 }
