--- a/internal/lab/network/network_test.go
+++ b/internal/lab/network/network_test.go
@@ -274,7 +274,7 @@
 		"read":  func(p *port) error { _, err := p.Read(make([]byte, 1)); return err },
 		"write": func(p *port) error { _, err := p.Write(make([]byte, 2*window)); return err },
 		"gate": func(p *port) error {
-			_, err := p.ReadGate(make([]byte, 1), &sync.Mutex{}, func() error { return nil }, nil)
+			_, err := p.ReadUnderLock(make([]byte, 1), &sync.Mutex{}, func() error { return nil }, nil)
 			return err
 		},
 	}
@@ -353,11 +353,11 @@
 					t.Error("told of nothing")
 				}
 			}
-			if n, err := p.ReadGate(nil, &mu, open, took); n != 0 || err != nil || asked != 1 {
+			if n, err := p.ReadUnderLock(nil, &mu, open, took); n != 0 || err != nil || asked != 1 {
 				t.Errorf("without room: read %d, %v; asked %d times", n, err, asked)
 			}
 			asked = 0
-			n, err := p.ReadGate(b, &mu, open, took)
+			n, err := p.ReadUnderLock(b, &mu, open, took)
 			if string(b[:n]) != "first" || err != nil || asked != 1 {
 				t.Errorf("read %q, %v; asked %d times", b[:n], err, asked)
 			}
@@ -367,7 +367,7 @@
 				gone = true
 				mu.Unlock()
 			}()
-			if n, err := p.ReadGate(b, &mu, open, took); n != 0 || err != errGone || asked != 2 {
+			if n, err := p.ReadUnderLock(b, &mu, open, took); n != 0 || err != errGone || asked != 2 {
 				t.Errorf("closed: read %q, %v; asked %d times", b[:n], err, asked)
 			}
 			if n, _ := p.Peek(); n != 6 {
@@ -375,9 +375,9 @@
 			}
 			gone = false
 			time.Sleep(20 * ms)
-			p.ReadGate(b, &mu, open, took)
+			p.ReadUnderLock(b, &mu, open, took)
 			for i, room := range [][]byte{b, nil} {
-				if n, err := p.ReadGate(room, &mu, open, took); n != 0 || err != io.EOF || asked != 4+i {
+				if n, err := p.ReadUnderLock(room, &mu, open, took); n != 0 || err != io.EOF || asked != 4+i {
 					t.Errorf("end: read %d, %v; asked %d times", n, err, asked)
 				}
 			}
--- a/internal/lab/network/port.go
+++ b/internal/lab/network/port.go
@@ -93,11 +93,11 @@
 	return p.take(b)
 }
 
-// ReadGate reads like Read, but takes the bytes under a lock: each time bytes or
+// ReadUnderLock reads like Read, but takes the bytes under a lock: each time bytes or
 // an end are there to be taken, it locks mu and asks open; if that agrees it
 // takes them, and tells took of bytes, before it unlocks mu. With no room for bytes
 // it takes none, and nil says that some are there.
-func (p *port) ReadGate(b []byte, mu sync.Locker, open func() error, took func(n int)) (int, error) {
+func (p *port) ReadUnderLock(b []byte, mu sync.Locker, open func() error, took func(n int)) (int, error) {
 	for {
 		p.mu.Lock()
 		err := p.await()
--- a/internal/node/memory_network_test.go
+++ b/internal/node/memory_network_test.go
@@ -182,10 +182,10 @@
 }
 
 func (c *memoryConn) Read(b []byte) (int, error) {
-	return c.ReadGate(b, &sync.Mutex{}, func() error { return nil }, func(int) {})
+	return c.ReadUnderLock(b, &sync.Mutex{}, func() error { return nil }, func(int) {})
 }
 
-func (c *memoryConn) ReadGate(b []byte, mu sync.Locker, open func() error, took func(int)) (int, error) {
+func (c *memoryConn) ReadUnderLock(b []byte, mu sync.Locker, open func() error, took func(int)) (int, error) {
 	for {
 		if n, err := c.take(b, mu, open, took); !errors.Is(err, syscall.EAGAIN) {
 			return n, err
--- a/internal/transport/buffer_pool.go
+++ b/internal/transport/buffer_pool.go
@@ -10,7 +10,7 @@
 	// a power of two would need, together with its head, a buffer twice as large.
 	headMargin = 1 << 10
 	// bufferClassCount is the number of classes. Larger buffers are not pooled but left to the garbage collector.
-	bufferClasses = 7
+	bufferClassCount = 7
 	// unpooledClass is the class of buffers that are too large to be pooled.
 	unpooledClass = -1
 )
@@ -19,7 +19,7 @@
 // passed the buffer. Only the owner may return the buffer with put, once, after the last read and write. An owner that
 // cannot tell whether the buffer is still in use drops it for the garbage collector: a buffer returned too early would
 // be overwritten with the bytes of another message.
-type bufferPool struct{ classes [bufferClasses]sync.Pool }
+type bufferPool struct{ classes [bufferClassCount]sync.Pool }
 
 // pooledBuffer is a buffer of a bufferPool.
 type pooledBuffer struct {
--- a/internal/transport/client_conn.go
+++ b/internal/transport/client_conn.go
@@ -22,11 +22,11 @@
 	element *list.Element
 	// requestStartedAt is the time when the connection was accepted or, later, when the first byte of the current request
 	// was read.
-	requestStart time.Time
+	requestStartedAt time.Time
 	// lastReadAt is the time when bytes were last read.
-	lastRead time.Time
+	lastReadAt time.Time
 	// responseCount is the number of requests that have been answered.
-	responses int
+	responseCount int
 	// streaming reports whether the connection carries a message that is too long to be buffered.
 	streaming bool
 	// framing parses the boundaries of requests in the bytes that are read.
@@ -62,25 +62,25 @@
 // noteRead records that n bytes were read. The caller must hold conns.mu.
 func (c *clientConn) noteRead(n int) {
 	if c.state.beginRequest() {
-		c.requestStart = time.Now()
+		c.requestStartedAt = time.Now()
 		c.responseWritten.Store(false)
 	}
 	c.moveTo(nil)
-	c.lastRead = time.Now()
+	c.lastReadAt = time.Now()
 	c.framing.feed(c.readBuf[:n])
-	c.state.noteRead(c.furtherStarted())
+	c.state.noteRead(c.laterRequestStarted())
 }
 
 // laterRequestStarted reports whether a request after the current one has started. The caller must hold conns.mu.
-func (c *clientConn) furtherStarted() bool { return c.framing.started > c.responses+1 }
+func (c *clientConn) laterRequestStarted() bool { return c.framing.startedCount > c.responseCount+1 }
 
 // finishRequest records that the current request has been answered. The caller must hold conns.mu.
 func (c *clientConn) finishRequest() {
-	c.responses++
-	c.state.finishRequest(c.furtherStarted())
+	c.responseCount++
+	c.state.finishRequest(c.laterRequestStarted())
 	if !c.state.idle() { // the time spent on the previous request does not count for a pipelined one
-		c.requestStart = time.Now()
-		c.lastRead = c.requestStart
+		c.requestStartedAt = time.Now()
+		c.lastReadAt = c.requestStartedAt
 	}
 }
 
@@ -111,14 +111,14 @@
 func (c *clientConn) requestArrived() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
-	return c.state.request == requestComplete || c.framing.complete(c.responses+1)
+	return c.state.request == requestComplete || c.framing.complete(c.responseCount+1)
 }
 
 // requestStartTime returns the time when the first byte of the current request was read.
-func (c *clientConn) requestStarted() time.Time {
+func (c *clientConn) requestStartTime() time.Time {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
-	return c.requestStart
+	return c.requestStartedAt
 }
 
 // wasPipelined reports whether bytes of the current request arrived while the previous request was open.
@@ -133,14 +133,14 @@
 func (c *clientConn) hasPipelinedRequest() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
-	return c.state.nextStarted && !c.framing.ambiguousAt(c.responses+1)
+	return c.state.nextStarted && !c.framing.isAmbiguous(c.responseCount+1)
 }
 
 // framingAmbiguous reports whether the end of the current request is ambiguous, judging from the heads read so far.
 func (c *clientConn) framingAmbiguous() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
-	return c.framing.ambiguousAt(c.responses + 1)
+	return c.framing.isAmbiguous(c.responseCount + 1)
 }
 
 // mustCloseAfterRequest reports whether the framing of the current request's body requires closing the connection after
@@ -148,7 +148,7 @@
 func (c *clientConn) mustCloseAfterRequest() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
-	return c.framing.isLast(c.responses + 1)
+	return c.framing.isLast(c.responseCount + 1)
 }
 
 // moveTo moves the connection to the end of l, or removes it from its list if l is nil. The caller must hold conns.mu.
--- a/internal/transport/client_conns.go
+++ b/internal/transport/client_conns.go
@@ -111,7 +111,7 @@
 func (temporaryError) Temporary() bool { return true }
 
 // errNoRemoteAddr reports a connection whose remote side has gone.
-var errClientGone = errors.New("client: it has gone")
+var errNoRemoteAddr = errors.New("client: connection has no remote address")
 
 // add registers a connection that was accepted by this process or by another. If it returns an error, it has closed
 // conn.
@@ -119,7 +119,7 @@
 	addr := conn.RemoteAddr()
 	if addr == nil { // the client reset the connection before it was handed over
 		_ = conn.Close()
-		return nil, errClientGone
+		return nil, errNoRemoteAddr
 	}
 	cs.makeRoom()
 	wrapped, err := wrapConn(conn)
@@ -127,7 +127,7 @@
 		_ = conn.Close()
 		return nil, fmt.Errorf("client: %w", err)
 	}
-	c := &clientConn{Conn: wrapped, conns: cs, requestStart: time.Now()}
+	c := &clientConn{Conn: wrapped, conns: cs, requestStartedAt: time.Now()}
 	c.deadlines.init()
 	c.beforeRead = c.checkReadable
 	c.afterRead = c.noteRead
--- a/internal/transport/client_conns_test.go
+++ b/internal/transport/client_conns_test.go
@@ -20,37 +20,37 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newClientConns(l, ClientLimits{MaxOpen: 5, MaxIdle: 5}, slog.New(slog.DiscardHandler))
-	defer c.Close()
+	conns := newClientConns(l, ClientLimits{MaxOpen: 5, MaxIdle: 5}, slog.New(slog.DiscardHandler))
+	defer conns.Close()
 	accept := func(raw string) *clientConn {
 		io.WriteString(dialClient(t, l.Addr().String()), raw)
-		conn, err := c.Accept()
+		conn, err := conns.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		return conn.(*clientConn)
 	}
 	b, one := make([]byte, 1), callHead+"Content-Length: 0\r\n\r\n"
-	begun, decided, early := accept("ab"), accept("ab"), accept(one+one)
-	begun.Read(b)
-	early.Read(make([]byte, 2*len(one))) // reads its next request along with the current one
-	early.completeRequest()
-	for _, accepted := range []*clientConn{decided, early} {
-		c.connState(accepted, http.StateIdle)
+	reading, closing, pipelining := accept("ab"), accept("ab"), accept(one+one)
+	reading.Read(b)
+	pipelining.Read(make([]byte, 2*len(one))) // reads its next request along with the current one
+	pipelining.completeRequest()
+	for _, accepted := range []*clientConn{closing, pipelining} {
+		conns.connState(accepted, http.StateIdle)
 	}
-	decided.state.close = connClosing // startDraining sets this just before it closes
-	if n, err := decided.Read(b); n != 0 || !errors.Is(err, net.ErrClosed) || !hasUnread(decided.Conn) {
+	closing.state.close = connClosing // startDraining sets this just before it closes
+	if n, err := closing.Read(b); n != 0 || !errors.Is(err, net.ErrClosed) || !hasUnread(closing.Conn) {
 		t.Errorf("read %d bytes, %v after the close was decided; want 0, net.ErrClosed and the bytes left unread", n, err)
 	}
-	decided.state.close = connOpen
-	c.startDraining()
-	if c.open[decided] || !c.open[begun] || !c.open[early] {
-		t.Errorf("open connections %v, want the two with a started request", c.open)
+	closing.state.close = connOpen
+	conns.startDraining()
+	if conns.open[closing] || !conns.open[reading] || !conns.open[pipelining] {
+		t.Errorf("open connections %v, want the two with a started request", conns.open)
 	}
-	c.connState(begun, http.StateIdle)
-	early.completeRequest()
-	c.connState(early, http.StateIdle)
-	if left := c.waitDrained(t.Context(), t.Context()); left != 0 {
+	conns.connState(reading, http.StateIdle)
+	pipelining.completeRequest()
+	conns.connState(pipelining, http.StateIdle)
+	if left := conns.waitDrained(t.Context(), t.Context()); left != 0 {
 		t.Errorf("%d connections left after draining, want 0", left)
 	}
 }
@@ -73,12 +73,12 @@
 // listener.
 type failingListener struct {
 	net.Listener
-	first chan func() (net.Conn, error)
+	results chan func() (net.Conn, error)
 }
 
 func (f failingListener) Accept() (net.Conn, error) {
 	select {
-	case one := <-f.first:
+	case one := <-f.results:
 		return one()
 	default:
 		return f.Listener.Accept()
@@ -87,29 +87,29 @@
 
 // TestAcceptContinuesAfterErrors: the frontend continues to accept after an error of accept(2) that does not concern
 // the listener itself, and after a connection that cannot be added.
-func TestAcceptGoesOn(t *testing.T) {
-	fails := []error{syscall.EPROTO, syscall.ENOBUFS, syscall.ENOMEM, syscall.EHOSTUNREACH, syscall.EMFILE}
-	first := make(chan func() (net.Conn, error), len(fails)+1)
-	for _, err := range fails {
-		first <- func() (net.Conn, error) {
+func TestAcceptContinuesAfterErrors(t *testing.T) {
+	acceptErrors := []error{syscall.EPROTO, syscall.ENOBUFS, syscall.ENOMEM, syscall.EHOSTUNREACH, syscall.EMFILE}
+	results := make(chan func() (net.Conn, error), len(acceptErrors)+1)
+	for _, err := range acceptErrors {
+		results <- func() (net.Conn, error) {
 			return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", err)}
 		}
 	}
-	first <- func() (net.Conn, error) { near, _ := net.Pipe(); return near, nil }
+	results <- func() (net.Conn, error) { near, _ := net.Pipe(); return near, nil }
 	addr, _, log := newTestFrontend(t, 10, nil, func(f *Frontend) {
-		f.clients.Listener = failingListener{f.clients.Listener, first}
+		f.clients.Listener = failingListener{f.clients.Listener, results}
 	})
 	if resp, _ := dialClient(t, addr).roundTrip(t, readyRequest); resp.StatusCode != 200 {
 		t.Errorf("status %d, want 200", resp.StatusCode)
 	}
-	for _, err := range fails {
+	for _, err := range acceptErrors {
 		log.waitFor("http: Accept error", err.Error(), "retrying")
 	}
 }
 
 // TestListenerError: an error of the listener itself ends Serve, which returns it with the prefix of the frontend.
 func TestListenerError(t *testing.T) {
-	one := make(chan func() (net.Conn, error), 1)
+	results := make(chan func() (net.Conn, error), 1)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -117,11 +117,11 @@
 	defer l.Close()
 	log := make(logLines, 10)
 	front := NewFrontend(FrontendConfig{
-		Listener:     failingListener{l, one},
+		Listener:     failingListener{l, results},
 		ClientLimits: ClientLimits{MaxOpen: 1},
 		Log:          log.logger(),
 	})
-	one <- func() (net.Conn, error) { return nil, syscall.EINVAL }
+	results <- func() (net.Conn, error) { return nil, syscall.EINVAL }
 	if err := front.Serve(); !errors.Is(err, syscall.EINVAL) || !strings.HasPrefix(err.Error(), "front: ") {
 		t.Error(err)
 	}
--- a/internal/transport/client_left_test.go
+++ b/internal/transport/client_left_test.go
@@ -16,19 +16,19 @@
 )
 
 // noAttemptAfter is the time after a disconnect of the client from which no attempt of its call may be sent.
-const leftAfter = 100 * time.Millisecond
+const noAttemptAfter = 100 * time.Millisecond
 
 // TestNoAttemptAfterClientLeft: no attempt is sent 0.1 s after the client has disconnected, regardless of the step that
 // the call waits for and of the kind of disconnect. This includes clients that have sent bytes after their request,
 // which hide the disconnect from a check of the next byte alone.
-func TestClientLeft(t *testing.T) {
+func TestNoAttemptAfterClientLeft(t *testing.T) {
 	const whole = callHead + "Content-Length: 0\r\n\r\n"
 	upload := callHead + "Content-Length: 100000\r\n\r\n" + strings.Repeat("x", 100000)
 	const failed = "HTTP/1.1 500 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 	for name, c := range map[string]struct {
-		raw    string
-		before string // response of the first attempt's server; "" if there is no first attempt, "-" for no response
-		late   bool   // waits for the connection instead of the decision
+		raw           string
+		firstResponse string // response of the first attempt's server; "" if there is no first attempt, "-" for no response
+		waitsForConn  bool   // waits for the connection instead of the decision
 	}{
 		"waits for the decision":                   {whole, "", false},
 		"waits for a connection":                   {whole, "", true},
@@ -40,65 +40,65 @@
 		"upload waits for a connection":            {upload, "", true},
 		"incomplete upload waits for the decision": {upload[:len(upload)/2], "", false},
 	} {
-		for _, behind := range []string{"", "x", whole} {
+		for _, further := range []string{"", "x", whole} {
 			for _, reset := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s, %d further bytes, reset %v", name, len(behind), reset), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s, %d further bytes, reset %v", name, len(further), reset), func(t *testing.T) {
 					t.Parallel()
-					taken, goOn, ended := make(chan bool), make(chan bool), make(chan balancer.Result)
-					first := startServer(t, func(conn net.Conn) {
+					reached, proceed, ended := make(chan bool), make(chan bool), make(chan balancer.Result)
+					firstServer := startServer(t, func(conn net.Conn) {
 						in := bufio.NewReader(conn)
 						in.ReadByte()
-						if taken <- true; c.before != "-" {
-							io.WriteString(conn, c.before)
+						if reached <- true; c.firstResponse != "-" {
+							io.WriteString(conn, c.firstResponse)
 						}
 						io.Copy(io.Discard, in)
 					})
-					last := startServer(t, func(conn net.Conn) {
+					lastServer := startServer(t, func(conn net.Conn) {
 						if n, _ := conn.Read(make([]byte, 1)); n > 0 {
 							t.Error("an attempt was sent after the client disconnected")
 						}
 					})
 					transport, _ := newTestTransport(time.Minute)
 					transport.pool.dial = func(ctx context.Context, addr string) (net.Conn, error) {
-						if c.late && addr == last.Addr {
-							if c.before != "-" && c.before != failed {
-								taken <- true
+						if c.waitsForConn && addr == lastServer.Addr {
+							if c.firstResponse != "-" && c.firstResponse != failed {
+								reached <- true
 							}
-							<-goOn
+							<-proceed
 							ctx = context.WithoutCancel(ctx) // the connection may succeed at the same moment
 						}
 						return dialTCP(ctx, addr)
 					}
 					addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
-						try := routing.Attempt{Upstream: first, ExpiresAt: time.Now().Add(time.Minute), Payload: call.Payload,
+						attempt := routing.Attempt{Upstream: firstServer, ExpiresAt: time.Now().Add(time.Minute), Payload: call.Payload,
 							BodyTimeout: time.Minute, OnBodySent: func() {}}
-						if c.before == "-" {
-							go transport.RoundTrip(context.WithoutCancel(ctx), try)
-							try.Number++
-						} else if c.before != "" {
-							transport.RoundTrip(ctx, try)
-							try.Number++
+						if c.firstResponse == "-" {
+							go transport.RoundTrip(context.WithoutCancel(ctx), attempt)
+							attempt.Number++
+						} else if c.firstResponse != "" {
+							transport.RoundTrip(ctx, attempt)
+							attempt.Number++
 						}
-						try.Upstream = last
-						if !c.late {
-							if c.before == "" {
-								taken <- true
+						attempt.Upstream = lastServer
+						if !c.waitsForConn {
+							if c.firstResponse == "" {
+								reached <- true
 							}
-							<-goOn
+							<-proceed
 						}
-						ended <- transport.RoundTrip(ctx, try).Result
+						ended <- transport.RoundTrip(ctx, attempt).Result
 						return routing.Answer{}, false
 					})
 					client := dialClient(t, addr)
 					io.WriteString(client, c.raw)
-					<-taken
-					io.WriteString(client, behind)
+					<-reached
+					io.WriteString(client, further)
 					if reset {
 						client.Conn.(*net.TCPConn).SetLinger(0)
 					}
 					client.Close()
-					time.Sleep(leftAfter)
-					close(goOn)
+					time.Sleep(noAttemptAfter)
+					close(proceed)
 					if r := <-ended; r != balancer.NotSent {
 						t.Errorf("result of the attempt: %d, want NotSent", r)
 					}
@@ -119,16 +119,16 @@
 		for _, reset := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, reset %v", name, reset), func(t *testing.T) {
 				t.Parallel()
-				taken, ended := make(chan *clientConn, 3), make(chan bool, 3)
+				handling, ended := make(chan *clientConn, 3), make(chan bool, 3)
 				addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
-					taken <- call.Payload.(*requestMessage).client.(*clientConn)
+					handling <- call.Payload.(*requestMessage).client.(*clientConn)
 					<-ctx.Done()
 					ended <- true
 					return routing.Answer{}, false
 				})
 				client := dialClient(t, addr)
 				io.WriteString(client, whole+c.along)
-				accepted := <-taken
+				accepted := <-handling
 				io.WriteString(client, c.behind)
 				if c.behind != "" {
 					waitFor(t, accepted.seesUnreadPipelined)
@@ -174,24 +174,24 @@
 		} {
 			t.Run(name+", "+way, func(t *testing.T) {
 				t.Parallel()
-				stands, goOn, ended := make(chan bool), make(chan bool), make(chan error, 1)
-				p := startServer(t, func(conn net.Conn) {
+				stalled, proceed, ended := make(chan bool), make(chan bool), make(chan error, 1)
+				server := startServer(t, func(conn net.Conn) {
 					if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 						return
 					}
 					io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+c.coding)
-					stands <- true
+					stalled <- true
 					if end == nil {
-						<-goOn
+						<-proceed
 						io.WriteString(conn, half+"\r\n0\r\n\r\n")
 					}
 					_, err := io.Copy(io.Discard, conn)
 					ended <- err
 				})
-				addr, front, transport, log, _ := newFrontendOverTransport(t, p, 10)
+				addr, front, transport, log, _ := newFrontendOverTransport(t, server, 10)
 				client := dialClient(t, addr)
 				io.WriteString(client, c.raw)
-				<-stands
+				<-stalled
 				resp, err := http.ReadResponse(client.in, nil)
 				if err != nil {
 					t.Fatal(err)
@@ -202,7 +202,7 @@
 				io.WriteString(client, c.behind)
 				if end == nil {
 					time.Sleep(3 * clientCheckInterval)
-					close(goOn)
+					close(proceed)
 					if n, err := io.Copy(io.Discard, resp.Body); n != int64(len(half)) || err != nil {
 						t.Errorf("read %d more bytes, %v; want the rest of the response", n, err)
 					}
@@ -226,11 +226,11 @@
 	found := make(chan [2]bool)
 	addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
 		m := call.Payload.(*requestMessage)
-		stays := !m.clientLeft(1, time.Now())
+		present := !m.clientLeft(1, time.Now())
 		c.Close()
 		for !m.clientLeft(1, time.Now()) {
 		}
-		found <- [2]bool{stays, !m.clientLeft(0, m.arrived)}
+		found <- [2]bool{present, !m.clientLeft(0, m.arrivedAt)}
 		<-ctx.Done()
 		close(found)
 		return routing.Answer{}, false
--- a/internal/transport/client_limits.go
+++ b/internal/transport/client_limits.go
@@ -106,7 +106,7 @@
 	for e := cs.silent.Front(); e != nil && peeks < maxPeeks; e = e.Next() {
 		peeks++
 		c := e.Value.(*clientConn)
-		if now.Sub(c.requestStart) < silentGrace {
+		if now.Sub(c.requestStartedAt) < silentGrace {
 			return nil
 		}
 		if !hasUnread(c.Conn) {
@@ -133,8 +133,8 @@
 func (cs *clientConns) longestStalled(now time.Time) *clientConn {
 	var longest *clientConn
 	for c := range cs.open { // choosing the longest keeps the result independent of map order
-		stalled := c.state.request == readingRequest && !c.state.closing() && now.Sub(c.lastRead) >= stalledGrace
-		if stalled && (longest == nil || c.lastRead.Before(longest.lastRead)) && !hasUnread(c.Conn) {
+		stalled := c.state.request == readingRequest && !c.state.closing() && now.Sub(c.lastReadAt) >= stalledGrace
+		if stalled && (longest == nil || c.lastReadAt.Before(longest.lastReadAt)) && !hasUnread(c.Conn) {
 			longest = c
 		}
 	}
--- a/internal/transport/client_limits_test.go
+++ b/internal/transport/client_limits_test.go
@@ -17,13 +17,13 @@
 // TestOverloadedRejects: if no idle client connection can be closed, a call beyond the limit is rejected immediately
 // instead of waiting in the listener's queue.
 func TestOverloadedRejects(t *testing.T) {
-	addr, front, first, release := newFrontendWithOpenCall(t, 1)
+	addr, front, firstClient, release := newFrontendWithOpenCall(t, 1)
 	resp, _ := dialClient(t, addr).roundTrip(t, callHead+"Content-Length: 2\r\n\r\nhi")
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "0.500" || !resp.Close || front.Shed() != 1 {
 		t.Errorf("status %d, header %v, %d shed; want 503, 0.500, close, 1", resp.StatusCode, resp.Header, front.Shed())
 	}
 	close(release)
-	if resp, err := http.ReadResponse(first.in, nil); err != nil || resp.StatusCode != 502 {
+	if resp, err := http.ReadResponse(firstClient.in, nil); err != nil || resp.StatusCode != 502 {
 		t.Errorf("response to the first call: error %v, want status 502", err)
 	}
 }
@@ -37,7 +37,7 @@
 func (b evictingBody) Read(p []byte) (int, error) {
 	b.accepted.conns.mu.Lock()
 	defer b.accepted.conns.mu.Unlock()
-	b.accepted.lastRead = time.Now().Add(-time.Hour)
+	b.accepted.lastReadAt = time.Now().Add(-time.Hour)
 	if reason, accepted := b.accepted.conns.evictionCandidate(time.Now()); accepted == b.accepted {
 		b.accepted.conns.closeConns(reason, accepted)
 	}
@@ -104,23 +104,23 @@
 		t.Fatal(err)
 	}
 	log := make(logLines, 100)
-	c := newClientConns(l, ClientLimits{MaxOpen: 4, MaxIdle: 4}, log.logger())
-	defer c.Close()
+	conns := newClientConns(l, ClientLimits{MaxOpen: 4, MaxIdle: 4}, log.logger())
+	defer conns.Close()
 	var ends []*testClient
 	accept := func(raw string) *clientConn {
 		end := dialClient(t, l.Addr().String())
 		io.WriteString(end, raw)
 		ends = append(ends, end)
-		conn, err := c.Accept()
+		conn, err := conns.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		return conn.(*clientConn)
 	}
-	idle, waiting, silent, slow := accept("a"), accept("b"), accept(""), accept("c")
+	idle, waiting, silent, stalled := accept("a"), accept("b"), accept(""), accept("c")
 	idle.Read(make([]byte, 1))
-	c.connState(idle, http.StateIdle)
-	slow.Read(make([]byte, 1))
+	conns.connState(idle, http.StateIdle)
+	stalled.Read(make([]byte, 1))
 	for !hasUnread(waiting.Conn) {
 	}
 	fresh := time.Now()
@@ -129,26 +129,26 @@
 		accepted *clientConn
 		at       time.Time
 	}{{"evicted", idle, fresh}, {"silent", silent, fresh.Add(time.Hour)}, {"evicted", idle, fresh.Add(time.Hour)},
-		{"slow", slow, fresh.Add(time.Hour)}, {"", nil, fresh.Add(time.Hour)}} {
-		c.mu.Lock()
-		reason, accepted := c.evictionCandidate(want.at)
+		{"slow", stalled, fresh.Add(time.Hour)}, {"", nil, fresh.Add(time.Hour)}} {
+		conns.mu.Lock()
+		reason, accepted := conns.evictionCandidate(want.at)
 		if reason != want.reason || reason != reasonNone && accepted != want.accepted {
 			t.Errorf("eviction reason %q, want %q", reason, want.reason)
 		}
 		if accepted != nil && want.at != fresh {
-			c.closeConns(reason, accepted)
+			conns.closeConns(reason, accepted)
 		}
-		c.mu.Unlock()
+		conns.mu.Unlock()
 	}
-	coming := accept("e") // a slow request that still makes progress is not evicted as stalled
-	coming.Read(make([]byte, 1))
-	c.mu.Lock()
-	coming.requestStart = fresh.Add(-time.Hour)
-	if reason, _ := c.evictionCandidate(time.Now()); reason != "" {
+	progressing := accept("e") // a slow request that still makes progress is not evicted as stalled
+	progressing.Read(make([]byte, 1))
+	conns.mu.Lock()
+	progressing.requestStartedAt = fresh.Add(-time.Hour)
+	if reason, _ := conns.evictionCandidate(time.Now()); reason != "" {
 		t.Errorf("eviction reason %q for a request that makes progress, want none", reason)
 	}
-	c.mu.Unlock()
-	coming.Close()
+	conns.mu.Unlock()
+	progressing.Close()
 	// As many silent connections as may be open must not block Accept.
 	for range 4 + DefaultOverflow {
 		accept("")
@@ -169,13 +169,13 @@
 			t.Fatal(err)
 		}
 		log := make(logLines, 100)
-		c := newClientConns(l, ClientLimits{MaxOpen: 9, MaxIdle: 9}, log.logger())
-		defer c.Close()
+		frontendConns := newClientConns(l, ClientLimits{MaxOpen: 9, MaxIdle: 9}, log.logger())
+		defer frontendConns.Close()
 		var clients []*testClient
 		var conns []*clientConn
 		for range 6 {
 			clients = append(clients, dialClient(t, l.Addr().String()))
-			conn, err := c.Accept()
+			conn, err := frontendConns.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -183,16 +183,16 @@
 			io.WriteString(clients[len(conns)], "G")
 			accepted.Read(make([]byte, 9))
 			if conns = append(conns, accepted); len(conns) != 2 { // the second connection's request stays open
-				c.connState(accepted, http.StateIdle)
+				frontendConns.connState(accepted, http.StateIdle)
 			}
 		}
 		io.WriteString(clients[0], "G")
 		waitFor(t, func() bool { return hasUnread(conns[0].Conn) })
-		c.setLimits(limits)
+		frontendConns.setLimits(limits)
 		for i, accepted := range conns {
-			c.mu.Lock()
-			open := c.open[accepted]
-			c.mu.Unlock()
+			frontendConns.mu.Lock()
+			open := frontendConns.open[accepted]
+			frontendConns.mu.Unlock()
 			if closed := i >= 2 && i < 5; open == closed {
 				t.Errorf("%s: connection %d: open = %v", name, i, open)
 			} else if closed {
--- a/internal/transport/client_read.go
+++ b/internal/transport/client_read.go
@@ -25,7 +25,7 @@
 			return 0, c.watchForClose()
 		}
 	}
-	return c.readGated(b[:c.readLimit(len(b))])
+	return c.readUnlessClosing(b[:c.readLimit(len(b))])
 }
 
 // readLimit returns the number of bytes, at most n, that a read may return. During draining a read returns no bytes
@@ -45,7 +45,7 @@
 // even if the connection is about to be closed.
 func (c *clientConn) watchForClose() error {
 	for {
-		if _, err := c.readGated(nil); err != nil {
+		if _, err := c.readUnlessClosing(nil); err != nil {
 			return err
 		}
 		c.noteUnreadPipelined()
@@ -60,12 +60,12 @@
 }
 
 // readUnlessClosing reads while it holds conns.mu, unless the close is decided.
-func (c *clientConn) readGated(b []byte) (int, error) {
+func (c *clientConn) readUnlessClosing(b []byte) (int, error) {
 	if err := c.setReading(true); err != nil {
 		return 0, err
 	}
 	c.readBuf = b
-	n, err := c.ReadGate(b, &c.conns.mu, c.beforeRead, c.afterRead)
+	n, err := c.ReadUnderLock(b, &c.conns.mu, c.beforeRead, c.afterRead)
 	_ = c.setReading(false)
 	if err != nil && !c.isClosing() { // otherwise this side caused the error
 		c.log.noteReadError(err, reasonClientClosed, reasonClientReset)
--- a/internal/transport/client_state.go
+++ b/internal/transport/client_state.go
@@ -51,8 +51,8 @@
 }
 
 // noteRead records that bytes were read. laterStarted reports whether a request after the current one has started.
-func (s *clientState) noteRead(furtherStarted bool) {
-	if furtherStarted || s.request == requestComplete {
+func (s *clientState) noteRead(laterStarted bool) {
+	if laterStarted || s.request == requestComplete {
 		s.nextStarted = true
 	}
 }
@@ -65,13 +65,13 @@
 
 // finishRequest records that the current request has been answered. The next request becomes the current one if a byte
 // of it has been read; laterStarted reports whether a request after that one has started.
-func (s *clientState) finishRequest(furtherStarted bool) {
+func (s *clientState) finishRequest(laterStarted bool) {
 	s.pipelined = s.nextStarted || s.nextUnread
 	s.request = noRequest
 	if s.nextStarted {
 		s.request = readingRequest
 	}
-	s.nextStarted = furtherStarted
+	s.nextStarted = laterStarted
 	s.nextUnread = false
 }
 
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -17,7 +17,7 @@
 	// open. If open returns nil, it reads, calls took with the number of bytes if that is positive, and unlocks mu. If
 	// open returns an error, it reads nothing and returns that error. If b is empty, it reads nothing and returns a nil
 	// error when bytes are available. It must not be called concurrently.
-	ReadGate(b []byte, mu sync.Locker, open func() error, took func(n int)) (int, error)
+	ReadUnderLock(b []byte, mu sync.Locker, open func() error, took func(n int)) (int, error)
 	// Peek checks for readable data without reading it. n > 0 means that bytes are available; 0 and nil, that the remote
 	// side has closed; syscall.EAGAIN, that nothing is available; any other error, that the connection is broken.
 	Peek() (n int, err error)
@@ -54,7 +54,7 @@
 	case *net.TCPConn:
 		return newTCPConn(c)
 	}
-	return nil, fmt.Errorf("connection: %T can neither be peeked at nor read under a lock", conn)
+	return nil, fmt.Errorf("connection: %T supports neither Peek nor ReadUnderLock", conn)
 }
 
 // hasUnread reports whether unread bytes are available on a connection.
--- a/internal/transport/drain_test.go
+++ b/internal/transport/drain_test.go
@@ -45,13 +45,13 @@
 // TestUploadCompletesDuringDrain: a body that continues to arrive during a graceful shutdown is read completely and
 // answered, even if that takes longer than the maximum duration of a call.
 func TestUploadCompletesDuringDrain(t *testing.T) {
-	p := startServer(t, func(conn net.Conn) {
+	server := startServer(t, func(conn net.Conn) {
 		if r, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
 			io.Copy(io.Discard, r.Body)
 			io.WriteString(conn, okResponse)
 		}
 	})
-	addr, front, _, _, _ := newFrontendOverTransport(t, p, 10)
+	addr, front, _, _, _ := newFrontendOverTransport(t, server, 10)
 	c := dialClient(t, addr)
 	half := strings.Repeat("x", 100<<10)
 	io.WriteString(c, callHead+fmt.Sprintf("Content-Length: %d\r\n\r\n", 2*len(half))+half)
--- a/internal/transport/frontend_helpers_test.go
+++ b/internal/transport/frontend_helpers_test.go
@@ -60,7 +60,7 @@
 
 // newFrontendOverTransport returns a frontend whose calls are sent to one server by a transport; results receives the
 // result of each attempt.
-func newFrontendOverTransport(t *testing.T, p *routing.Upstream, maxConns int) (addr string, front *Frontend,
+func newFrontendOverTransport(t *testing.T, server *routing.Upstream, maxConns int) (addr string, front *Frontend,
 	transport *UpstreamTransport, log logLines, results chan balancer.Result) {
 	t.Helper()
 	transport, log = newTestTransport(time.Second)
@@ -69,7 +69,7 @@
 		// As in a node, the context of an attempt is not that of its client, which net/http cancels as soon as the reading of
 		// a body is cut off.
 		r := transport.RoundTrip(t.Context(), routing.Attempt{
-			Upstream:    p,
+			Upstream:    server,
 			ExpiresAt:   time.Now().Add(time.Minute),
 			Payload:     c.Payload,
 			BodyTimeout: time.Minute,
@@ -88,15 +88,15 @@
 func newFrontendWithOpenCall(t *testing.T, maxConns int) (addr string, front *Frontend, c *testClient,
 	release chan bool) {
 	t.Helper()
-	taken, release := make(chan bool), make(chan bool)
+	handling, release := make(chan bool), make(chan bool)
 	addr, front, _ = newTestFrontend(t, maxConns, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
-		taken <- true
+		handling <- true
 		<-release
 		return routing.Answer{Verdict: routing.Failed}, true
 	})
 	c = dialClient(t, addr)
 	io.WriteString(c, callHead+"Content-Length: 0\r\n\r\n")
-	<-taken
+	<-handling
 	return addr, front, c, release
 }
 
--- a/internal/transport/frontend_test.go
+++ b/internal/transport/frontend_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestResponsesOnTheWire(t *testing.T) {
+func TestAnswersOnTheWire(t *testing.T) {
 	var a routing.Answer
 	addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
 		if a.Verdict == 9 {
@@ -74,19 +74,19 @@
 	}
 }
 
-func TestClientGone(t *testing.T) {
-	taken, gone := make(chan bool), make(chan bool)
+func TestClientDisconnectCancelsCall(t *testing.T) {
+	handling, cancelled := make(chan bool), make(chan bool)
 	addr, _, log := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
-		taken <- true
+		handling <- true
 		<-ctx.Done()
-		close(gone)
+		close(cancelled)
 		return routing.Answer{}, false
 	})
 	c := dialClient(t, addr)
 	io.WriteString(c, callHead+"Content-Length: 0\r\n\r\n")
-	<-taken
+	<-handling
 	c.Close()
-	<-gone
+	<-cancelled
 	log.waitFor("side=client", "reason=client-closed")
 }
 
--- a/internal/transport/handover_test.go
+++ b/internal/transport/handover_test.go
@@ -23,8 +23,8 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	all := newClientConns(l, ClientLimits{MaxOpen: 10, MaxIdle: 10}, slog.New(slog.DiscardHandler))
-	accepted, err := all.Accept()
+	conns := newClientConns(l, ClientLimits{MaxOpen: 10, MaxIdle: 10}, slog.New(slog.DiscardHandler))
+	accepted, err := conns.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,8 +34,8 @@
 		read <- err
 		closed <- accepted.Close()
 	}()
-	given := 0
-	all.startHandOff(func(conn syscall.Conn) error {
+	handedOff := 0
+	conns.startHandOff(func(conn syscall.Conn) error {
 		if _, err := client.Write([]byte("GET")); err != nil {
 			t.Error(err)
 		}
@@ -47,14 +47,14 @@
 		}
 		raw, err := conn.SyscallConn()
 		if err == nil {
-			err = raw.Control(func(uintptr) { given++ })
+			err = raw.Control(func(uintptr) { handedOff++ })
 		}
 		return err
 	})
-	if given != 1 {
+	if handedOff != 1 {
 		t.Error("the connection was closed before it was handed off")
 	}
-	if n := all.count(); n != 0 {
+	if n := conns.count(); n != 0 {
 		t.Errorf("%d connections are open after the hand-off, want 0", n)
 	}
 }
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	handed := func(gone bool) net.Conn {
+	newHandedOver := func(gone bool) net.Conn {
 		client, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -95,19 +95,19 @@
 		}
 		return conn
 	}
-	reset := handed(true)
+	reset := newHandedOver(true)
 	if reset.RemoteAddr() != nil {
 		t.Fatalf("remote address %v after a reset, want none", reset.RemoteAddr())
 	}
-	all := newClientConns(l, ClientLimits{MaxOpen: 10, MaxIdle: 10}, slog.New(slog.DiscardHandler))
-	a := &adoptedListener{clients: all, conns: make(chan net.Conn, 2), closed: make(chan struct{})}
+	conns := newClientConns(l, ClientLimits{MaxOpen: 10, MaxIdle: 10}, slog.New(slog.DiscardHandler))
+	a := &adoptedListener{clients: conns, conns: make(chan net.Conn, 2), closed: make(chan struct{})}
 	a.conns <- reset
-	a.conns <- handed(false)
+	a.conns <- newHandedOver(false)
 	conn, err := a.Accept()
 	if err != nil || conn.RemoteAddr() == nil {
 		t.Error(conn, err)
 	}
-	if n := all.count(); n != 1 {
+	if n := conns.count(); n != 1 {
 		t.Errorf("%d connections are open, want 1", n)
 	}
 }
@@ -138,21 +138,21 @@
 	if err := syscall.SetsockoptInt(int(f.Fd()), syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 0); err != nil {
 		t.Fatal(err) // a connection from another program may lack the option
 	}
-	handed, err := net.FileConn(f)
+	handedOver, err := net.FileConn(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer handed.Close()
-	for name, conn := range map[string]net.Conn{"dialed": dialed, "handed over": handed} {
+	defer handedOver.Close()
+	for name, conn := range map[string]net.Conn{"dialed": dialed, "handed over": handedOver} {
 		raw, err := conn.(*net.TCPConn).SyscallConn()
 		if err != nil {
 			t.Fatal(err)
 		}
-		at := 0
-		if err2 := raw.Control(func(fd uintptr) {
-			at, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
-		}); err != nil || err2 != nil || at == 0 {
-			t.Errorf("%s: TCP_NODELAY = %d, errors %v, %v; want it set", name, at, err, err2)
+		noDelay := 0
+		if controlErr := raw.Control(func(fd uintptr) {
+			noDelay, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
+		}); err != nil || controlErr != nil || noDelay == 0 {
+			t.Errorf("%s: TCP_NODELAY = %d, errors %v, %v; want it set", name, noDelay, err, controlErr)
 		}
 	}
 }
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -138,8 +138,8 @@
 // HasEnded implements Conn.
 func (pipeConn) HasEnded() bool { return false }
 
-// ReadGate implements Conn.
-func (pipeConn) ReadGate([]byte, sync.Locker, func() error, func(int)) (int, error) {
+// ReadUnderLock implements Conn.
+func (pipeConn) ReadUnderLock([]byte, sync.Locker, func() error, func(int)) (int, error) {
 	panic("not implemented: only client connections are read under a lock")
 }
 
--- a/internal/transport/linger_test.go
+++ b/internal/transport/linger_test.go
@@ -45,24 +45,24 @@
 		"a server that answers early":   {callHead + sized(20*mb), 20 * mb, "", 200},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := startServer(t, func(conn net.Conn) {
+			server := startServer(t, func(conn net.Conn) {
 				if c.status == 200 { // before it reads the body
 					io.WriteString(conn, okResponse)
 				}
 				io.Copy(io.Discard, conn)
 			})
-			addr, front, _, _, _ := newFrontendOverTransport(t, p, 10)
+			addr, front, _, _, _ := newFrontendOverTransport(t, server, 10)
 			if c.status == 503 {
-				taken, release := make(chan bool), make(chan bool)
+				handling, release := make(chan bool), make(chan bool)
 				addr, front, _ = newTestFrontend(t, 2, func(context.Context, routing.Call) (routing.Answer, bool) {
-					taken <- true
+					handling <- true
 					<-release
 					return routing.Answer{}, true
 				})
 				defer close(release)
 				for range 2 {
 					io.WriteString(dialClient(t, addr), callHead+sized(0))
-					<-taken
+					<-handling
 				}
 				front.SetClientLimits(ClientLimits{MaxOpen: 1})
 			}
@@ -120,13 +120,13 @@
 	if n := front.ClientConns(); n != 2 {
 		t.Errorf("%d connections are open, want 2", n)
 	}
-	begun := time.Now()
+	start := time.Now()
 	for _, c := range []*testClient{dialClient(t, addr), idle} {
 		if resp, _ := c.roundTrip(t, readyRequest); resp.StatusCode != 200 {
 			t.Errorf("status %d, want 200", resp.StatusCode)
 		}
 	}
-	if <-ended; time.Since(begun) > lingerTimeout-time.Second {
+	if <-ended; time.Since(start) > lingerTimeout-time.Second {
 		t.Error("the connection lingered until its timeout, want an eviction")
 	}
 }
@@ -135,7 +135,7 @@
 // the connection nor a shutdown. The test runs on a virtual clock, since on a busy machine many short waits can add up
 // to a long one.
 func TestLingeringEndsInTime(t *testing.T) {
-	for name, drain := range map[string]bool{"alone": false, "at a planned end": true} {
+	for name, drain := range map[string]bool{"alone": false, "during a shutdown": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				lab := loop.New(synctest.Wait)
@@ -146,22 +146,22 @@
 					t.Fatal(err)
 				}
 				front, _ := newTestFrontendOn(t, l, 10, nil)
-				begun := time.Now()
+				start := time.Now()
 				conn, err := net.Host("client").Dial(t.Context(), l.Addr().String())
 				if err != nil {
 					t.Fatal(err)
 				}
 				ended := sendRejectedUpload(t, &testClient{conn, bufio.NewReader(conn)})
 				waitFor(t, front.hasLingering)
-				most := lingerTimeout
+				limit := lingerTimeout
 				if drain {
 					front.Drain(time.Second)
-					most = drainStopAccept + lingerDrainTimeout
+					limit = drainStopAccept + lingerDrainTimeout
 				}
 				<-ended
-				most += 600 * time.Millisecond // net/http closes 0.5 s after such a response
-				if took := time.Since(begun); took > most || front.ClientConns() > 0 {
-					t.Errorf("%d connections are open after %v, want none after %v", front.ClientConns(), took, most)
+				limit += 600 * time.Millisecond // net/http closes 0.5 s after such a response
+				if took := time.Since(start); took > limit || front.ClientConns() > 0 {
+					t.Errorf("%d connections are open after %v, want none after %v", front.ClientConns(), took, limit)
 				}
 			})
 		})
@@ -171,35 +171,35 @@
 // TestCloseOverUnreadRequest: if the next request is unread when the connection closes, the response before it still
 // arrives, and the request is either reset unread or served. It is never read and discarded.
 func TestCloseOverUnreadRequest(t *testing.T) {
-	for name, leave := range map[string]bool{"behind the last answer": false, "on a connection that is idle": true} {
+	for name, draining := range map[string]bool{"after the last response": false, "on an idle connection": true} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			all := newClientConns(l, ClientLimits{MaxOpen: 5, MaxIdle: 5}, slog.New(slog.DiscardHandler))
-			defer all.Close()
+			conns := newClientConns(l, ClientLimits{MaxOpen: 5, MaxIdle: 5}, slog.New(slog.DiscardHandler))
+			defer conns.Close()
 			c := dialClient(t, l.Addr().String())
 			c.Conn.(*net.TCPConn).SetReadBuffer(64 << 10)
 			io.WriteString(c, "one")
-			conn, err := all.Accept()
+			conn, err := conns.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
 			accepted := conn.(*clientConn)
 			io.ReadFull(accepted, make([]byte, 3))
 			accepted.completeRequest()
-			answer := 1 << 20 // more than the receive buffer of the client holds
-			accepted.Conn.(*tcpConn).SetWriteBuffer(2 * answer)
-			if n, err := accepted.Write(make([]byte, answer)); n != answer || err != nil {
+			responseLen := 1 << 20 // more than the receive buffer of the client holds
+			accepted.Conn.(*tcpConn).SetWriteBuffer(2 * responseLen)
+			if n, err := accepted.Write(make([]byte, responseLen)); n != responseLen || err != nil {
 				t.Fatal(n, err)
 			}
 			io.WriteString(c, "two")
 			waitFor(t, func() bool { return hasUnread(accepted.Conn) })
 			closed := make(chan error)
-			if leave {
-				all.connState(accepted, http.StateIdle)
-				all.startDraining()
+			if draining {
+				conns.connState(accepted, http.StateIdle)
+				conns.startDraining()
 				if accepted.isClosing() {
 					t.Error("the close is decided although a request is unread")
 				}
@@ -209,12 +209,12 @@
 				}
 				accepted.completeRequest()
 				accepted.Write([]byte("x"))
-				answer++
+				responseLen++
 			}
 			go func() { closed <- accepted.Close() }()
 			n, err := io.Copy(io.Discard, c)
-			if n != int64(answer) || (err == nil) != leave {
-				t.Errorf("client read %d bytes of %d, error %v", n, answer, err)
+			if n != int64(responseLen) || (err == nil) != draining {
+				t.Errorf("client read %d bytes of %d, error %v", n, responseLen, err)
 			}
 			<-closed
 		})
--- a/internal/transport/pipelined_test.go
+++ b/internal/transport/pipelined_test.go
@@ -15,34 +15,35 @@
 	"olivebridge/internal/routing"
 )
 
-// startPipelined returns a client that has written raw, several requests at once. The first of them has reached a
+// startPipelinedClient returns a client that has written raw, several requests at once. The first of them has reached a
 // server, which answers one request for each value received from release.
-func startPipelined(t *testing.T, raw string) (c *testClient, front *Frontend, atPeer chan string, release chan bool) {
+func startPipelinedClient(t *testing.T, raw string) (c *testClient, front *Frontend, received chan string,
+	release chan bool) {
 	t.Helper()
-	atPeer, release = make(chan string, 1000), make(chan bool)
-	p := startServer(t, func(conn net.Conn) {
+	received, release = make(chan string, 1000), make(chan bool)
+	server := startServer(t, func(conn net.Conn) {
 		for in := bufio.NewReader(conn); ; {
 			r, err := http.ReadRequest(in)
 			if err != nil {
 				return
 			}
 			io.Copy(io.Discard, r.Body)
-			atPeer <- r.Header.Get("X-Call-Id")
+			received <- r.Header.Get("X-Call-Id")
 			<-release
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"+r.Header.Get("X-Call-Id"))
 		}
 	})
-	addr, front, _, _, results := newFrontendOverTransport(t, p, 10)
+	addr, front, _, _, results := newFrontendOverTransport(t, server, 10)
 	go func() {
 		for range results {
 		}
 	}()
 	c = dialClient(t, addr)
 	io.WriteString(c, raw)
-	if id := <-atPeer; id != "1b" {
+	if id := <-received; id != "1b" {
 		t.Fatalf("first request at the server has ID %s, want 1b", id)
 	}
-	return c, front, atPeer, release
+	return c, front, received, release
 }
 
 // numberedRequest returns the nth request, with a body of the given number of bytes.
@@ -85,7 +86,7 @@
 		"half a chunked request":               {first + inChunks[:half], inChunks[half:], 2},
 		"half a chunked request, then a burst": {first + inChunks[:half], inChunks[half:] + burst, 2},
 	} {
-		for way, leave := range map[string]func(*Frontend){
+		for way, act := range map[string]func(*Frontend){
 			"leaves":     func(f *Frontend) { f.clients.startDraining() },
 			"drains":     func(f *Frontend) { go f.Drain(time.Minute) },
 			"makes room": func(f *Frontend) { f.SetClientLimits(ClientLimits{MaxOpen: 1}) },
@@ -93,11 +94,11 @@
 			if way != "leaves" && (c.later != "" || name == "after a body") {
 				continue // eviction keeps connections with open requests, and Drain takes long
 			}
-			ends := way != "makes room" || strings.HasSuffix(c.raw, inChunks)
+			closes := way != "makes room" || strings.HasSuffix(c.raw, inChunks)
 			t.Run(name+", "+way, func(t *testing.T) {
 				t.Parallel()
-				conn, front, _, release := startPipelined(t, c.raw)
-				leave(front)
+				conn, front, _, release := startPipelinedClient(t, c.raw)
+				act(front)
 				if way == "drains" {
 					waitFor(t, front.clients.isDraining)
 				}
@@ -112,11 +113,11 @@
 					if want := fmt.Sprintf("%db", n); resp.StatusCode != 200 || string(body) != want || err != nil {
 						t.Errorf("response %d: status %d, body %q, error %v", n, resp.StatusCode, body, err)
 					}
-					if resp.Close != (n == c.want && ends) {
+					if resp.Close != (n == c.want && closes) {
 						t.Errorf("response %d: close = %v", n, resp.Close)
 					}
 				}
-				if !ends {
+				if !closes {
 					return
 				}
 				b, err := io.ReadAll(conn.in)
@@ -133,52 +134,52 @@
 // implementation could find the end of the malformed one elsewhere than the node did. In that case the response to the
 // malformed request closes the connection, and no later request is served.
 func TestPipelinedBehindRejected(t *testing.T) {
-	two := func(old, new string) string { return strings.Replace(numberedRequest(2, 0), old, new, 1) }
+	second := func(old, new string) string { return strings.Replace(numberedRequest(2, 0), old, new, 1) }
 	asGet := func(request string) string {
 		return strings.NewReplacer("POST", "GET", "book", "status").Replace(request)
 	}
 	const expect = "Host: h\r\nExpect: 100-continue\r\nX-Budget: 1"
 	inChunks := chunkedRequest(2, "1\r\nx\r\n0\r\n\r\n")
 	for name, c := range map[string]struct {
-		raw    string
-		status int
-		on     bool
+		raw       string
+		status    int
+		continues bool
 	}{
-		"an unknown class":             {two("book", "gift"), 400, true},
+		"an unknown class":             {second("book", "gift"), 400, true},
 		"a bad budget, and a body":     {strings.Replace(numberedRequest(2, 9), "0.5", "soon", 1), 400, true},
-		"no id":                        {two("X-Call-Id", "X-Id"), 400, true},
-		"a POST that must be a GET":    {two("book", "status"), 405, true},
-		"a GET that must be a POST":    {"GET" + two("POST", "")[:len(two("POST", ""))-2] + "\r\n", 405, true},
-		"a POST to the readiness path": {two("/api?user=%41", protocol.PathReady), 405, true},
+		"no id":                        {second("X-Call-Id", "X-Id"), 400, true},
+		"a POST that must be a GET":    {second("book", "status"), 405, true},
+		"a GET that must be a POST":    {"GET" + second("POST", "")[:len(second("POST", ""))-2] + "\r\n", 405, true},
+		"a POST to the readiness path": {second("/api?user=%41", protocol.PathReady), 405, true},
 		"a chunked body":               {strings.Replace(inChunks, "book", "gift", 1), 400, true},
 		"a body after Expect":          {strings.Replace(numberedRequest(2, 9), "Host: h", expect, 1), 400, true},
 
-		"two lengths":        {two("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length"), 400, false},
-		"a folded line":      {two("Host: h", "Host: h\r\nA: b\r\n c"), 400, false},
-		"a bare line feed":   {two("Host: h\r", "Host: h"), 400, false},
-		"ready, bare LF":     {strings.Replace(two("/api", protocol.PathReady+"?"), "Host: h\r", "Host: h", 1), 405, false},
-		"a second length":    {two("Host: h", "Host: h\r\nContent_Length: 5"), 400, false},
-		"an odd target":      {two("/api", "//api"), 400, false},
-		"an old version":     {two("1.1\r\n", "1.0\r\nConnection: keep-alive\r\n"), 505, false},
+		"two lengths":        {second("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length"), 400, false},
+		"a folded line":      {second("Host: h", "Host: h\r\nA: b\r\n c"), 400, false},
+		"a bare line feed":   {second("Host: h\r", "Host: h"), 400, false},
+		"ready, bare LF":     {strings.Replace(second("/api", protocol.PathReady+"?"), "Host: h\r", "Host: h", 1), 405, false},
+		"a second length":    {second("Host: h", "Host: h\r\nContent_Length: 5"), 400, false},
+		"an odd target":      {second("/api", "//api"), 400, false},
+		"an old version":     {second("1.1\r\n", "1.0\r\nConnection: keep-alive\r\n"), 505, false},
 		"a GET with a body":  {asGet(numberedRequest(2, 9)), 400, false},
 		"a GET, no class":    {strings.NewReplacer("POST", "GET", "book", "gift").Replace(numberedRequest(2, 9)), 400, false},
 		"a GET, long body":   {asGet(numberedRequest(2, 70000)), 400, false},
-		"a tunnel":           {two("POST", "CONNECT"), 405, false},
+		"a tunnel":           {second("POST", "CONNECT"), 405, false},
 		"malformed chunks":   {chunkedRequest(2, "1\r\nxx\r\n0\r\n\r\n"), 400, false},
 		"bare LF in a chunk": {strings.Replace(chunkedRequest(2, "1\nx\r\n0\r\n\r\n"), "book", "gift", 1), 400, false},
 		"a trailer":          {strings.Replace(chunkedRequest(2, "0\r\nA: b\r\n\r\n"), "book", "gift", 1), 400, false},
 	} {
-		for way, leave := range map[string]func(*Frontend){
+		for way, startDraining := range map[string]func(*Frontend){
 			"":          func(*Frontend) {},
 			", leaving": func(f *Frontend) { f.clients.startDraining() },
 		} {
 			t.Run(name+way, func(t *testing.T) {
 				t.Parallel()
-				conn, front, atPeer, release := startPipelined(t, numberedRequest(1, 0)+c.raw+numberedRequest(3, 0))
-				leave(front)
+				conn, front, received, release := startPipelinedClient(t, numberedRequest(1, 0)+c.raw+numberedRequest(3, 0))
+				startDraining(front)
 				close(release)
 				want := []int{200, c.status}
-				if c.on {
+				if c.continues {
 					want = append(want, 200)
 				}
 				for n, status := range want {
@@ -191,16 +192,16 @@
 						t.Fatalf("response %d: %v", n+1, err)
 					}
 					io.Copy(io.Discard, resp.Body)
-					if last := n+1 == len(want); resp.StatusCode != status || resp.Close != (last && (way != "" || !c.on)) {
+					if last := n+1 == len(want); resp.StatusCode != status || resp.Close != (last && (way != "" || !c.continues)) {
 						t.Errorf("response %d: status %d, want %d; close = %v", n+1, resp.StatusCode, status, resp.Close)
 					}
 				}
-				if c.on {
-					if id := <-atPeer; id != "3b" {
+				if c.continues {
+					if id := <-received; id != "3b" {
 						t.Errorf("next request at the server has ID %s, want 3b", id)
 					}
-				} else if b, err := io.ReadAll(conn.in); len(b) > 0 || err != nil || len(atPeer) > 0 {
-					t.Errorf("after the response: read %q, %v; %d more requests at the server; want EOF and none", b, err, len(atPeer))
+				} else if b, err := io.ReadAll(conn.in); len(b) > 0 || err != nil || len(received) > 0 {
+					t.Errorf("after the response: read %q, %v; %d requests at the server; want EOF, 0", b, err, len(received))
 				}
 			})
 		}
@@ -209,8 +210,9 @@
 
 // TestPipelinedRejectedWithoutTimeLeft: the time of a graceful shutdown is limited, and a chain of pipelined calls
 // cannot use all of it. A call that may not be answered in time is rejected when its turn comes.
-func TestNoTimeLeftForPipelined(t *testing.T) {
-	conn, front, atPeer, release := startPipelined(t, numberedRequest(1, 0)+numberedRequest(2, 0)+numberedRequest(3, 0))
+func TestPipelinedRejectedWithoutTimeLeft(t *testing.T) {
+	conn, front, received, release := startPipelinedClient(t,
+		numberedRequest(1, 0)+numberedRequest(2, 0)+numberedRequest(3, 0))
 	ended := make(chan bool)
 	go func() {
 		front.Drain(0)
@@ -228,8 +230,8 @@
 			t.Errorf("response %d: status %d, header %v, close = %v", n+1, resp.StatusCode, resp.Header, resp.Close)
 		}
 	}
-	if <-ended; len(atPeer) > 0 || front.ClientConns() > 0 {
-		t.Errorf("%d more requests at the server, %d connections left; want none", len(atPeer), front.ClientConns())
+	if <-ended; len(received) > 0 || front.ClientConns() > 0 {
+		t.Errorf("%d more requests at the server, %d connections left; want none", len(received), front.ClientConns())
 	}
 }
 
@@ -265,18 +267,18 @@
 // TestPipelined: a request that was read along with the previous one is open, so its connection must not be closed as
 // idle.
 func TestPipelined(t *testing.T) {
-	taken, release := make(chan bool), make(chan bool)
+	handling, release := make(chan bool), make(chan bool)
 	addr, front, _ := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
-		taken <- true
+		handling <- true
 		<-release
 		return routing.Answer{Verdict: routing.Failed}, true
 	})
 	c := dialClient(t, addr)
 	one := callHead + "Content-Length: 0\r\n\r\n"
 	io.WriteString(c, one+one)
-	<-taken
+	<-handling
 	release <- true
-	<-taken
+	<-handling
 	front.clients.startDraining()
 	release <- true
 	for range 2 {
@@ -290,32 +292,32 @@
 // other, whether it was read along with the call or is still unread.
 func TestPipelinedRequestTimeout(t *testing.T) {
 	for name, along := range map[string]bool{"read along": true, "unread": false} {
-		t.Run(name, func(t *testing.T) { pipelinedInTime(t, along) })
+		t.Run(name, func(t *testing.T) { checkPipelinedRequestTimeout(t, along) })
 	}
 }
 
-func pipelinedInTime(t *testing.T, along bool) {
+func checkPipelinedRequestTimeout(t *testing.T, readAlong bool) {
 	const half = callHead + "Content-Length: 10\r\n\r\nhalf "
-	taken, release := make(chan *clientConn, 2), make(chan bool, 2)
+	handling, release := make(chan *clientConn, 2), make(chan bool, 2)
 	addr, front, _ := newTestFrontend(t, 10, func(_ context.Context, c routing.Call) (routing.Answer, bool) {
-		taken <- c.Payload.(*requestMessage).client.(*clientConn)
+		handling <- c.Payload.(*requestMessage).client.(*clientConn)
 		<-release
 		return routing.Answer{Verdict: routing.Failed}, true
 	})
 	c := dialClient(t, addr)
 	raw := callHead + "Content-Length: 0\r\n\r\n"
-	if along {
+	if readAlong {
 		raw += half
 	}
 	io.WriteString(c, raw)
-	accepted := <-taken
-	if !along {
+	accepted := <-handling
+	if !readAlong {
 		io.WriteString(c, half)
 	}
-	for begun := false; !begun; { // makes the call last as long as a body may take
+	for arrived := false; !arrived; { // makes the call last as long as a body may take
 		front.clients.mu.Lock()
-		if begun = accepted.state.nextStarted == along && accepted.state.nextUnread != along; begun {
-			accepted.requestStart = accepted.requestStart.Add(-requestTimeout)
+		if arrived = accepted.state.nextStarted == readAlong && accepted.state.nextUnread != readAlong; arrived {
+			accepted.requestStartedAt = accepted.requestStartedAt.Add(-requestTimeout)
 		}
 		front.clients.mu.Unlock()
 	}
--- a/internal/transport/request.go
+++ b/internal/transport/request.go
@@ -57,7 +57,7 @@
 	m.client = c
 	call.Payload = m
 	if !c.wasPipelined() { // otherwise the client may have disconnected long ago
-		m.arrived = call.ReceivedAt
+		m.arrivedAt = call.ReceivedAt
 	}
 	return call, 0, nil
 }
--- a/internal/transport/request_framing.go
+++ b/internal/transport/request_framing.go
@@ -16,7 +16,7 @@
 // the raw bytes show it. Requests are numbered from 1.
 type requestFraming struct {
 	// startedCount is the number of requests of which a byte has been read. The last of them is being parsed.
-	started int
+	startedCount int
 	// stopped reports whether parsing has stopped. Later requests are neither parsed nor served: the connection closes
 	// after the last request that has started.
 	stopped bool
@@ -28,16 +28,16 @@
 	firstBareLF int
 
 	// linePrefix contains the beginning of the current line, in lower case.
-	line [len("transfer-encoding:")]byte
+	linePrefix [len("transfer-encoding:")]byte
 	// linePrefixLen is the number of bytes in linePrefix. When it is full, the rest of the line is ignored.
-	lineLen int
+	linePrefixLen int
 	// afterCR reports whether the last byte was a carriage return.
 	afterCR bool
 	// inHead reports whether the head of a request is being parsed.
 	inHead bool
 	// inContentLength reports whether the value of a Content-Length is being parsed. digits collects its digits.
-	inValue bool
-	digits  []byte
+	inContentLength bool
+	digits          []byte
 	// hasContentLength and hasTransferEncoding report whether the head contains the field.
 	hasContentLength    bool
 	hasTransferEncoding bool
@@ -57,17 +57,17 @@
 // complete reports whether the nth request has been read completely.
 func (f *requestFraming) complete(n int) bool {
 	bodyEnded := !f.inHead && !f.inBody && f.bodyLeft == 0
-	return f.started > n || f.started == n && bodyEnded && !f.stopped
+	return f.startedCount > n || f.startedCount == n && bodyEnded && !f.stopped
 }
 
 // isAmbiguous reports whether the end of the nth request is ambiguous, judging from the heads up to its own.
-func (f *requestFraming) ambiguousAt(n int) bool {
-	return f.ambiguous && f.started <= n || f.firstBareLF > 0 && f.firstBareLF <= n
+func (f *requestFraming) isAmbiguous(n int) bool {
+	return f.ambiguous && f.startedCount <= n || f.firstBareLF > 0 && f.firstBareLF <= n
 }
 
 // isLast reports whether the connection must close after the nth request: parsing has stopped or the body is chunked,
 // and no later request has started.
-func (f *requestFraming) isLast(n int) bool { return f.started <= n && (f.stopped || f.chunked) }
+func (f *requestFraming) isLast(n int) bool { return f.startedCount <= n && (f.stopped || f.chunked) }
 
 // bytesNeeded returns the number of bytes, at most limit, that can be read for the request that has started without
 // reading a byte of a later one. It returns limit if parsing has stopped or no request is incomplete.
@@ -94,7 +94,7 @@
 		case f.inBody:
 			f.feedChunkByte(b[0])
 			b = b[1:]
-		case f.lineLen == len(f.line) && !f.inValue:
+		case f.linePrefixLen == len(f.linePrefix) && !f.inContentLength:
 			b = f.skipLine(b)
 		default:
 			f.feedHeadByte(b[0])
@@ -121,20 +121,20 @@
 func (f *requestFraming) feedHeadByte(c byte) {
 	if !f.inHead && c != '\r' && c != '\n' { // empty lines before a request are not part of it
 		f.inHead = true
-		f.started++
+		f.startedCount++
 	}
 	if f.firstBareLF == 0 && c == '\n' && !f.afterCR {
-		f.firstBareLF = max(f.started, 1)
+		f.firstBareLF = max(f.startedCount, 1)
 	}
 	f.afterCR = c == '\r'
 	switch {
 	case c == '\n':
 		f.endLine()
-	case f.lineLen == 0 && (c == ' ' || c == '\t'): // a folded line
+	case f.linePrefixLen == 0 && (c == ' ' || c == '\t'): // a folded line
 		f.stopAmbiguous()
-	case f.inValue:
+	case f.inContentLength:
 		f.feedLengthByte(c)
-	case f.lineLen < len(f.line):
+	case f.linePrefixLen < len(f.linePrefix):
 		f.feedNameByte(c)
 	}
 }
@@ -151,23 +151,23 @@
 	if 'A' <= c && c <= 'Z' {
 		c += 'a' - 'A'
 	}
-	f.line[f.lineLen] = c
-	f.lineLen++
+	f.linePrefix[f.linePrefixLen] = c
+	f.linePrefixLen++
 	if c == ':' {
-		f.fieldName(f.line[:f.lineLen])
-		f.lineLen = len(f.line)
+		f.parseFieldName(f.linePrefix[:f.linePrefixLen])
+		f.linePrefixLen = len(f.linePrefix)
 	}
 }
 
 // parseFieldName processes the name of a field; name includes the colon.
-func (f *requestFraming) fieldName(name []byte) {
+func (f *requestFraming) parseFieldName(name []byte) {
 	switch string(name) {
 	case "content-length:":
 		if f.hasContentLength {
 			f.stopAmbiguous()
 		}
 		f.hasContentLength = true
-		f.inValue = true
+		f.inContentLength = true
 		f.digits = f.digits[:0]
 	case "transfer-encoding:":
 		f.hasTransferEncoding = true
@@ -185,9 +185,9 @@
 
 // endLine processes the end of a line of the head. An empty line ends the head.
 func (f *requestFraming) endLine() {
-	empty := f.lineLen == 0 || f.lineLen == 1 && f.line[0] == '\r'
-	f.lineLen = 0
-	f.inValue = false
+	empty := f.linePrefixLen == 0 || f.linePrefixLen == 1 && f.linePrefix[0] == '\r'
+	f.linePrefixLen = 0
+	f.inContentLength = false
 	if !empty {
 		return
 	}
@@ -208,18 +208,18 @@
 	switch {
 	case c == '\n':
 		f.endChunkLine()
-	case f.lineLen == len(f.line):
+	case f.linePrefixLen == len(f.linePrefix):
 		f.stopped = true
 	default:
-		f.line[f.lineLen] = c
-		f.lineLen++
+		f.linePrefix[f.linePrefixLen] = c
+		f.linePrefixLen++
 	}
 }
 
 // endChunkLine processes the end of a line between chunks.
 func (f *requestFraming) endChunkLine() {
-	line, ok := strings.CutSuffix(string(f.line[:f.lineLen]), "\r")
-	f.lineLen = 0
+	line, ok := strings.CutSuffix(string(f.linePrefix[:f.linePrefixLen]), "\r")
+	f.linePrefixLen = 0
 	if f.chunkEndDue {
 		f.stopped = !ok || line != ""
 		f.chunkEndDue = false
--- a/internal/transport/request_framing_test.go
+++ b/internal/transport/request_framing_test.go
@@ -11,7 +11,7 @@
 
 // TestRequestFraming: a head with both Content-Length and Transfer-Encoding is detected regardless of the boundaries of
 // reads, also after other requests, and a body is never parsed as a head.
-func TestFraming(t *testing.T) {
+func TestRequestFraming(t *testing.T) {
 	both := "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for raw, ambiguous := range map[string]bool{
 		"GET / HTTP/1.1\r\n\r\n":                     false,
--- a/internal/transport/request_head.go
+++ b/internal/transport/request_head.go
@@ -15,7 +15,7 @@
 	if err := checkTarget(target); err != nil {
 		return err
 	}
-	if r.Host == "" || strings.ContainsFunc(r.Host, notInHost) {
+	if r.Host == "" || strings.ContainsFunc(r.Host, invalidInHost) {
 		return fmt.Errorf("host: missing or malformed: %.80q", r.Host)
 	}
 	if err := checkConnectionOptions(r.Header["Connection"]); err != nil {
@@ -30,7 +30,7 @@
 }
 
 // invalidInHost reports whether a character is invalid in a host.
-func notInHost(c rune) bool { return !isUnreserved(c) && !strings.ContainsRune("[:]", c) }
+func invalidInHost(c rune) bool { return !isUnreserved(c) && !strings.ContainsRune("[:]", c) }
 
 // checkUnderscores rejects the name of a header field that becomes the name of a protected field when "_" is read as
 // "-". Many servers do so and would see a second value of that field.
--- a/internal/transport/request_head_test.go
+++ b/internal/transport/request_head_test.go
@@ -15,12 +15,12 @@
 
 // serveRaw returns a function that sends a raw request on a new connection to a frontend whose handler serves every
 // call. The function returns the response and the bytes that a server would receive; "" if the call was not handled.
-func serveRaw(t *testing.T) func(raw string) (resp *http.Response, peer string) {
-	got := make(chan string, 1)
+func serveRaw(t *testing.T) func(raw string) (resp *http.Response, toServer string) {
+	received := make(chan string, 1)
 	addr, _, _ := newTestFrontend(t, 100, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
 		m := c.Payload.(*requestMessage)
 		b, own := m.compose(c.Timeout)
-		got <- string(b)
+		received <- string(b)
 		m.releaseRoom(own)
 		return routing.Answer{Verdict: routing.Served, Reply: &response{}}, true
 	})
@@ -35,8 +35,8 @@
 		}
 		io.Copy(io.Discard, resp.Body)
 		select {
-		case peer := <-got:
-			return resp, peer
+		case toServer := <-received:
+			return resp, toServer
 		default:
 			return resp, ""
 		}
@@ -72,20 +72,20 @@
 		{callHead + "Content-Length: 2\r\n" + body(3), 0}, {callHead + "Content-Length: -1\r\n\r\n", 0},
 		{callHead + "Content-Length:\r\n 2\r\n\r\nhi", 400},
 	}
-	bad := 0
+	malformed := 0
 	for _, c := range cases {
 		resp, _ := dialClient(t, addr).roundTrip(t, c.raw)
 		if c.want == 0 { // answered by net/http itself
 			c.want = 400
 		} else if c.want != 200 {
-			bad++
+			malformed++
 		}
 		if resp.StatusCode != c.want || !resp.Close && (c.want != 200 || strings.Contains(c.raw, "chunked")) {
 			t.Errorf("%.190q: status %d, want %d; close = %v", c.raw, resp.StatusCode, c.want, resp.Close)
 		}
 	}
-	if front.Malformed() != int64(bad) {
-		t.Errorf("%d requests counted as malformed, want %d", front.Malformed(), bad)
+	if front.Malformed() != int64(malformed) {
+		t.Errorf("%d requests counted as malformed, want %d", front.Malformed(), malformed)
 	}
 }
 
@@ -103,13 +103,13 @@
 		"Transfer_Encoding: chunked":                              400,
 		"Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nX_Other: 1": 200, "Connection: Upgrade\r\nUpgrade: h2c": 200,
 	} {
-		resp, peer := send(callHead + line + "\r\nContent-Length: 2\r\n\r\nhi")
-		if resp.StatusCode != want || (peer != "") != (want == 200) {
-			t.Errorf("%q: status %d, want %d; to the server: %q", line, resp.StatusCode, want, peer)
+		resp, toServer := send(callHead + line + "\r\nContent-Length: 2\r\n\r\nhi")
+		if resp.StatusCode != want || (toServer != "") != (want == 200) {
+			t.Errorf("%q: status %d, want %d; to the server: %q", line, resp.StatusCode, want, toServer)
 		}
-		hops := strings.Contains(peer, "X-Hop") || strings.Contains(peer, "h2c")
-		if want == 200 && (!strings.Contains(peer, protocol.HeaderCallID) || hops) {
-			t.Errorf("%q: to the server: %q", line, peer)
+		hops := strings.Contains(toServer, "X-Hop") || strings.Contains(toServer, "h2c")
+		if want == 200 && (!strings.Contains(toServer, protocol.HeaderCallID) || hops) {
+			t.Errorf("%q: to the server: %q", line, toServer)
 		}
 	}
 }
@@ -148,12 +148,12 @@
 		"GET /health/%72eady HTTP/1.1\r\nHost: h\r\n\r\n":                                          {400, ""},
 		class("CONNECT", "status", empty):                                                          {405, "GET"},
 	} {
-		resp, peer := send(raw)
+		resp, toServer := send(raw)
 		if resp.StatusCode != want.status || resp.Header.Get("Allow") != want.allow ||
-			(peer != "") != (want.status == 200 && !strings.Contains(raw, protocol.PathReady)) ||
+			(toServer != "") != (want.status == 200 && !strings.Contains(raw, protocol.PathReady)) ||
 			resp.Close != (want.status != 200 || strings.Contains(raw, "chunked")) {
 			t.Errorf("%.300q: status %d, allow %q, want %v; to the server: %.300q",
-				raw, resp.StatusCode, resp.Header.Get("Allow"), want, peer)
+				raw, resp.StatusCode, resp.Header.Get("Allow"), want, toServer)
 		}
 	}
 }
@@ -168,9 +168,9 @@
 	for _, target := range []string{"/api?user=a%2Fb&x=%7e", "/", "/?", "/a?x[]=1|2", "/a;b=1/c,d?x;y=z&user=7f",
 		"/a!$&'()*+,;=:@-._~", "/api/%C3%A9?q=a/b?c",
 		"/api?users=a&user=b", "/a/../b/./c", "/api?user=a+b&y=user", "/a//b"} {
-		resp, peer := send("GET " + target + rest)
-		if resp.StatusCode != 200 || !strings.HasPrefix(peer, "GET "+target+" HTTP/1.1\r\n") {
-			t.Errorf("%s: status %d, want 200; to the server: %q", target, resp.StatusCode, peer)
+		resp, toServer := send("GET " + target + rest)
+		if resp.StatusCode != 200 || !strings.HasPrefix(toServer, "GET "+target+" HTTP/1.1\r\n") {
+			t.Errorf("%s: status %d, want 200; to the server: %q", target, resp.StatusCode, toServer)
 		}
 	}
 	for _, target := range []string{"/api#x", "/api?user=7f#x", "/#", "/api?a=\x01", "/a\x7f", "/a\x00",
@@ -179,15 +179,15 @@
 		"/a[1]", "//api", "api", "*", "?user=7f",
 		"http://h//api", "h:80", "/a b", "/a\tb", "", " /api", "/api?user=a&user=b", "/api?user=a&%75ser=b",
 		"/api?user&user=b"} {
-		if resp, peer := send("GET " + target + rest); resp.StatusCode != 400 || peer != "" {
-			t.Errorf("%q: status %d, want 400; to the server: %q", target, resp.StatusCode, peer)
+		if resp, toServer := send("GET " + target + rest); resp.StatusCode != 400 || toServer != "" {
+			t.Errorf("%q: status %d, want 400; to the server: %q", target, resp.StatusCode, toServer)
 		}
 	}
 	for _, raw := range []string{line("A: b"), line("a_b: c"), line("A: b\r\nA: c"), line("A:"),
 		line("A: \xe9"), line("Expect: 100-continue"),
 		host("Host: h.example:8080\r\n"), host("host: [::1]:80\r\n"),
 		line("Accept: */*\r\nUser-Agent: x/1 (y; z)\r\nX-Call-Info: a=1,b=2")} {
-		if resp, peer := send(raw); resp.StatusCode != 200 || peer == "" {
+		if resp, toServer := send(raw); resp.StatusCode != 200 || toServer == "" {
 			t.Errorf("%q: status %d, want 200", raw, resp.StatusCode)
 		}
 	}
@@ -210,8 +210,8 @@
 		strings.Replace("GET /api"+rest, "HTTP/1.1", "http/1.1", 1), "G@T /api" + rest,
 		"\r\n\r\nGET /api" + rest, "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n",
 		"GET /" + strings.Repeat("a", 40<<10) + rest} {
-		if resp, peer := send(raw); resp.StatusCode < 400 || peer != "" {
-			t.Errorf("%.300q: status %d, want at least 400; to the server: %q", raw, resp.StatusCode, peer)
+		if resp, toServer := send(raw); resp.StatusCode < 400 || toServer != "" {
+			t.Errorf("%.300q: status %d, want at least 400; to the server: %q", raw, resp.StatusCode, toServer)
 		}
 	}
 }
--- a/internal/transport/request_message.go
+++ b/internal/transport/request_message.go
@@ -14,7 +14,7 @@
 
 // immediateSendWindow is the time after the arrival of a call within which its first attempt is sent without checking
 // whether the client has disconnected.
-const immediateSend = 250 * time.Microsecond
+const immediateSendWindow = 250 * time.Microsecond
 
 // maxBudgetLine is the length in bytes of the longest budget line, together with the empty line.
 const maxBudgetLine = len(protocol.HeaderTimeout) + len(": 3600.000\r\n\r\n")
@@ -39,14 +39,14 @@
 	buf     *pooledBuffer // contains head, headRoom and body
 	buffers *bufferPool   // the pool of buf
 	// refCount is the number of users of the message.
-	holders atomic.Int32
+	refCount atomic.Int32
 	// headRoomInUse reports whether an attempt that is being written uses headRoom.
-	roomTaken atomic.Bool
+	headRoomInUse atomic.Bool
 
 	// client is the client connection; if nil, a disconnect does not end the call.
 	client disconnectChecker
 	// arrivedAt is the arrival time of the call; zero if the call was pipelined and may have arrived long ago.
-	arrived time.Time
+	arrivedAt time.Time
 }
 
 // newMessage returns a message with the end-to-end header fields, to which the caller holds a reference. announced is
@@ -62,7 +62,7 @@
 	const requestLine = 80 // including the Host and Content-Length lines, without their values
 	headSize := len(method) + len(target) + len(host) + requestLine + fieldsSize
 	m := &requestMessage{method: method, buffers: buffers, buf: buffers.get(2*headSize + maxBudgetLine + bodyLen)}
-	m.holders.Store(1)
+	m.refCount.Store(1)
 	h := m.buf.bytes[:0]
 	h = append(h, method...)
 	h = append(h, ' ')
@@ -135,18 +135,18 @@
 // clientLeft checks before an attempt is sent whether the client has disconnected. It saves the servers attempts
 // without a recipient, because a client connection is not watched yet at the beginning of a call.
 func (m *requestMessage) clientLeft(attempt int, now time.Time) bool {
-	return m.client != nil && (attempt > 0 || now.Sub(m.arrived) > immediateSend) && m.client.hasDisconnected()
+	return m.client != nil && (attempt > 0 || now.Sub(m.arrivedAt) > immediateSendWindow) && m.client.hasDisconnected()
 }
 
 // retain adds a reference to the message and reports whether it succeeded. It fails once the last reference is
 // released.
-func (m *requestMessage) hold() bool {
+func (m *requestMessage) retain() bool {
 	for {
-		n := m.holders.Load()
+		n := m.refCount.Load()
 		if n == 0 {
 			return false
 		}
-		if m.holders.CompareAndSwap(n, n+1) {
+		if m.refCount.CompareAndSwap(n, n+1) {
 			return true
 		}
 	}
@@ -154,7 +154,7 @@
 
 // release removes a reference to the message.
 func (m *requestMessage) release() {
-	if m.holders.Add(-1) == 0 {
+	if m.refCount.Add(-1) == 0 {
 		m.buffers.put(m.buf)
 	}
 }
@@ -164,7 +164,7 @@
 // gets a copy.
 func (m *requestMessage) compose(budget time.Duration) (b []byte, ownsRoom bool) {
 	room := m.headRoom
-	ownsRoom = m.roomTaken.CompareAndSwap(false, true)
+	ownsRoom = m.headRoomInUse.CompareAndSwap(false, true)
 	if !ownsRoom {
 		withBody := make([]byte, len(m.headRoom), len(m.headRoom)+len(m.body))
 		withBody = append(withBody, m.body...)
@@ -188,6 +188,6 @@
 // releaseRoom ends the use of headRoom by an attempt that owns it.
 func (m *requestMessage) releaseRoom(ownsRoom bool) {
 	if ownsRoom {
-		m.roomTaken.Store(false)
+		m.headRoomInUse.Store(false)
 	}
 }
--- a/internal/transport/request_message_test.go
+++ b/internal/transport/request_message_test.go
@@ -10,19 +10,19 @@
 
 // TestMessageReferenceCount: the buffer is put back only after the last reference is released, and the message cannot
 // be retained after that.
-func TestMessageHeld(t *testing.T) {
-	var home bufferPool
-	m := newMessage(&home, "POST", "/", "h", http.Header{}, 3)
-	if !m.hold() {
+func TestMessageReferenceCount(t *testing.T) {
+	var pool bufferPool
+	m := newMessage(&pool, "POST", "/", "h", http.Header{}, 3)
+	if !m.retain() {
 		t.Fatal("retain failed on a message in use")
 	}
 	m.release() // the reference of the frontend
-	if m.holders.Load() != 1 || !m.hold() {
+	if m.refCount.Load() != 1 || !m.retain() {
 		t.Error("a message with a reference must have the count 1 and can be retained")
 	}
 	m.release()
 	m.release()
-	if m.hold() {
+	if m.retain() {
 		t.Error("retain succeeded after the last release")
 	}
 }
--- a/internal/transport/tcp_conn.go
+++ b/internal/transport/tcp_conn.go
@@ -20,14 +20,14 @@
 	// The arguments and results of ReadUnderLock, which is not called concurrently. They are fields because it is called
 	// for every request and would allocate each of them.
 
-	b          []byte
-	mu         sync.Locker
-	beforeTake func() error
-	afterTake  func(n int)
-	takeFunc   func(fd uintptr) bool // the method value tryRead
-	n          int
-	gateErr    error // error of beforeRead
-	readErr    error // error of the system call
+	b             []byte
+	mu            sync.Locker
+	beforeRead    func() error
+	afterRead     func(n int)
+	tryReadFunc   func(fd uintptr) bool // the method value tryRead
+	n             int
+	beforeReadErr error // error of beforeRead
+	readErr       error // error of the system call
 
 	// The results of Peek, which is called for every request, too.
 
@@ -44,7 +44,7 @@
 		return nil, fmt.Errorf("connection: %w", err)
 	}
 	t := &tcpConn{TCPConn: c, raw: raw}
-	t.takeFunc = t.takeGated
+	t.tryReadFunc = t.tryRead
 	t.peekFunc = t.peekAt
 	t.stateKnown = t.state() == tcpEstablished
 	return t, nil
@@ -92,20 +92,20 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// ReadGate implements Conn.
-func (t *tcpConn) ReadGate(b []byte, mu sync.Locker, open func() error, took func(n int)) (int, error) {
+// ReadUnderLock implements Conn.
+func (t *tcpConn) ReadUnderLock(b []byte, mu sync.Locker, open func() error, took func(n int)) (int, error) {
 	t.b = b
 	t.mu = mu
-	t.beforeTake = open
-	t.afterTake = took
+	t.beforeRead = open
+	t.afterRead = took
 	t.n = 0
-	t.gateErr = nil
+	t.beforeReadErr = nil
 	t.readErr = nil
-	err := t.raw.Read(t.takeFunc)
+	err := t.raw.Read(t.tryReadFunc)
 	t.b = nil
 	switch {
-	case t.gateErr != nil:
-		return 0, t.gateErr
+	case t.beforeReadErr != nil:
+		return 0, t.beforeReadErr
 	case err != nil:
 		return 0, err
 	case t.readErr != nil:
@@ -117,15 +117,15 @@
 }
 
 // tryRead reads the available bytes and reports whether ReadUnderLock is done.
-func (t *tcpConn) takeGated(fd uintptr) (done bool) {
+func (t *tcpConn) tryRead(fd uintptr) (done bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.gateErr = t.beforeTake()
-	if t.gateErr != nil {
+	t.beforeReadErr = t.beforeRead()
+	if t.beforeReadErr != nil {
 		return true
 	}
 	if len(t.b) == 0 {
-		t.n, t.readErr = t.lookAhead(fd)
+		t.n, t.readErr = t.peekInCallback(fd)
 		return !errors.Is(t.readErr, syscall.EAGAIN)
 	}
 	t.n, t.readErr = syscall.Read(int(fd), t.b)
@@ -133,7 +133,7 @@
 		t.n, t.readErr = syscall.Read(int(fd), t.b)
 	}
 	if t.n > 0 {
-		t.afterTake(t.n)
+		t.afterRead(t.n)
 	}
 	return !errors.Is(t.readErr, syscall.EAGAIN)
 }
@@ -149,7 +149,7 @@
 }
 
 // peekInCallback is Peek for use within a callback of the raw connection.
-func (t *tcpConn) lookAhead(fd uintptr) (n int, err error) {
+func (t *tcpConn) peekInCallback(fd uintptr) (n int, err error) {
 	t.peekMu.Lock()
 	defer t.peekMu.Unlock()
 	t.peekAt(fd)
--- a/internal/transport/transfer_pace.go
+++ b/internal/transport/transfer_pace.go
@@ -35,6 +35,6 @@
 // have come.
 func (c *clientConn) allowNextBytes(received int64) {
 	now := time.Now()
-	p := transferPace{bytes: received, waited: now.Sub(c.requestStarted())}
+	p := transferPace{bytes: received, waited: now.Sub(c.requestStartTime())}
 	_ = c.SetReadDeadline(now.Add(p.timeLeft(bodyStallTimeout)))
 }
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -67,7 +67,7 @@
 		first:      first,
 		length:     r.length,
 		done:       make(chan struct{}),
-		clientPace: transferPace{bytes: int64(len(first)), waited: time.Since(r.conn.requestStarted())},
+		clientPace: transferPace{bytes: int64(len(first)), waited: time.Since(r.conn.requestStartTime())},
 	}
 	return m
 }
--- a/internal/transport/upload_pace_test.go
+++ b/internal/transport/upload_pace_test.go
@@ -18,8 +18,8 @@
 // memoryConn is a client's connection of which a byte is taken only as it is read.
 type memoryConn struct{ pipeConn }
 
-// ReadGate implements Conn.
-func (c memoryConn) ReadGate(b []byte, _ sync.Locker, _ func() error, _ func(int)) (int, error) {
+// ReadUnderLock implements Conn.
+func (c memoryConn) ReadUnderLock(b []byte, _ sync.Locker, _ func() error, _ func(int)) (int, error) {
 	return c.Read(b)
 }
 
@@ -115,10 +115,10 @@
 	log := slog.New(slog.DiscardHandler)
 	client, near := net.Pipe()
 	accepted := &clientConn{
-		Conn:         memoryConn{pipeConn{near}},
-		conns:        newClientConns(nil, ClientLimits{}, log),
-		requestStart: time.Now(),
-		log:          newConnLog(log, "client", "", func() {}),
+		Conn:             memoryConn{pipeConn{near}},
+		conns:            newClientConns(nil, ClientLimits{}, log),
+		requestStartedAt: time.Now(),
+		log:              newConnLog(log, "client", "", func() {}),
 	}
 	accepted.deadlines.init()
 	r := &http.Request{Method: "POST", Body: io.NopCloser(io.LimitReader(accepted, length))}
--- a/internal/transport/upstream_transport.go
+++ b/internal/transport/upstream_transport.go
@@ -84,7 +84,7 @@
 // response is there.
 func (t *UpstreamTransport) RoundTrip(ctx context.Context, attempt routing.Attempt) routing.AttemptResult {
 	m, ok := attempt.Payload.(*requestMessage)
-	if !ok || !m.hold() { // its frontend has released it: the call is over
+	if !ok || !m.retain() { // its frontend has released it: the call is over
 		return routing.AttemptResult{Result: balancer.NotSent}
 	}
 	defer m.release()
