--- a/internal/transport/client_conn.go
+++ b/internal/transport/client_conn.go
@@ -20,8 +20,8 @@
 	// list is the list of conns that contains the connection, as element; nil if the connection is in none.
 	list    *list.List
 	element *list.Element
-	// requestStartedAt is the time when the connection was accepted or, later, when the first byte of the current request
-	// was read.
+	// requestStartedAt is the time when the first byte of the current request was read or, for a pipelined one, when the
+	// previous request was answered; the time when the connection was accepted if there was no request yet.
 	requestStartedAt time.Time
 	// lastReadAt is the time when bytes were last read.
 	lastReadAt time.Time
@@ -41,8 +41,8 @@
 	beforeRead func() error
 	afterRead  func(n int)
 
-	// responseWritten reports whether bytes have been written since the current request began or, before its first byte,
-	// for the previous request.
+	// responseWritten reports whether response bytes have been written for the current request or, while none has begun,
+	// for the previous one.
 	responseWritten atomic.Bool
 	deadlines       connDeadlines
 }
@@ -114,7 +114,7 @@
 	return c.state.request == requestComplete || c.framing.complete(c.responseCount+1)
 }
 
-// requestStartTime returns the time when the first byte of the current request was read.
+// requestStartTime returns the start time of the current request: see requestStartedAt.
 func (c *clientConn) requestStartTime() time.Time {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
@@ -136,7 +136,7 @@
 	return c.state.nextStarted && !c.framing.isAmbiguous(c.responseCount+1)
 }
 
-// framingAmbiguous reports whether the end of the current request is ambiguous, judging from the heads read so far.
+// framingAmbiguous reports whether the end of the current request is ambiguous, judging from the heads up to its own.
 func (c *clientConn) framingAmbiguous() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
--- a/internal/transport/client_left_test.go
+++ b/internal/transport/client_left_test.go
@@ -113,7 +113,7 @@
 // has sent and although no attempt checks for a disconnect.
 func TestClientLeftBehindUnreadBytes(t *testing.T) {
 	const whole = callHead + "Content-Length: 0\r\n\r\n"
-	for name, c := range map[string]struct{ along, behind string }{
+	for name, c := range map[string]struct{ readAlong, sentLater string }{
 		"further bytes read": {whole, ""}, "unread": {"", whole}, "both": {whole[:50], whole[50:] + whole},
 	} {
 		for _, reset := range []bool{false, true} {
@@ -127,10 +127,10 @@
 					return routing.Answer{}, false
 				})
 				client := dialClient(t, addr)
-				io.WriteString(client, whole+c.along)
+				io.WriteString(client, whole+c.readAlong)
 				accepted := <-handling
-				io.WriteString(client, c.behind)
-				if c.behind != "" {
+				io.WriteString(client, c.sentLater)
+				if c.sentLater != "" {
 					waitFor(t, accepted.seesUnreadPipelined)
 				}
 				if reset {
@@ -161,7 +161,7 @@
 	const whole = callHead + "Content-Length: 0\r\n\r\n"
 	half := strings.Repeat("x", 100<<10)
 	sized := func(head string) string { return head + "Content-Length: 204800\r\n\r\n" + half }
-	for name, c := range map[string]struct{ raw, behind, coding string }{
+	for name, c := range map[string]struct{ raw, sentLater, response string }{
 		"call with a sized response": {whole, "", sized("")},
 		"chunked response":           {whole, "", "Transfer-Encoding: chunked\r\n\r\n32000\r\n" + half},
 		"pipelined request":          {whole, whole, sized("")},
@@ -179,7 +179,7 @@
 					if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 						return
 					}
-					io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+c.coding)
+					io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+c.response)
 					stalled <- true
 					if end == nil {
 						<-proceed
@@ -199,7 +199,7 @@
 				if _, err := io.CopyN(io.Discard, resp.Body, int64(len(half))); err != nil {
 					t.Fatal(err)
 				}
-				io.WriteString(client, c.behind)
+				io.WriteString(client, c.sentLater)
 				if end == nil {
 					time.Sleep(3 * clientCheckInterval)
 					close(proceed)
--- a/internal/transport/frontend.go
+++ b/internal/transport/frontend.go
@@ -40,7 +40,7 @@
 // clientConnKey is the key of the client connection in the context of a request.
 type clientConnKey struct{}
 
-// CallHandler decides on calls and forwards them. The router implements it.
+// CallHandler decides on calls and forwards them. It is the first stage of routing; routing.Router implements it.
 type CallHandler interface {
 	// Handle handles a call and returns its answer. The goroutine of the client connection calls it. ok is false if the
 	// client disconnected before there was an answer.
--- a/internal/transport/pipelined_test.go
+++ b/internal/transport/pipelined_test.go
@@ -87,19 +87,19 @@
 		"half a chunked request, then a burst": {first + inChunks[:half], inChunks[half:] + burst, 2},
 	} {
 		for way, act := range map[string]func(*Frontend){
-			"leaves":     func(f *Frontend) { f.clients.startDraining() },
-			"drains":     func(f *Frontend) { go f.Drain(time.Minute) },
-			"makes room": func(f *Frontend) { f.SetClientLimits(ClientLimits{MaxOpen: 1}) },
+			"starts draining":  func(f *Frontend) { f.clients.startDraining() },
+			"shuts down":       func(f *Frontend) { go f.Drain(time.Minute) },
+			"lowers the limit": func(f *Frontend) { f.SetClientLimits(ClientLimits{MaxOpen: 1}) },
 		} {
-			if way != "leaves" && (c.later != "" || name == "after a body") {
+			if way != "starts draining" && (c.later != "" || name == "after a body") {
 				continue // eviction keeps connections with open requests, and Drain takes long
 			}
-			closes := way != "makes room" || strings.HasSuffix(c.raw, inChunks)
+			closes := way != "lowers the limit" || strings.HasSuffix(c.raw, inChunks)
 			t.Run(name+", "+way, func(t *testing.T) {
 				t.Parallel()
 				conn, front, _, release := startPipelinedClient(t, c.raw)
 				act(front)
-				if way == "drains" {
+				if way == "shuts down" {
 					waitFor(t, front.clients.isDraining)
 				}
 				io.WriteString(conn, c.later)
@@ -170,8 +170,8 @@
 		"a trailer":         {strings.Replace(chunkedRequest(2, "0\r\nA: b\r\n\r\n"), "book", "gift", 1), 400, false},
 	} {
 		for way, startDraining := range map[string]func(*Frontend){
-			"":          func(*Frontend) {},
-			", leaving": func(f *Frontend) { f.clients.startDraining() },
+			"":           func(*Frontend) {},
+			", draining": func(f *Frontend) { f.clients.startDraining() },
 		} {
 			t.Run(name+way, func(t *testing.T) {
 				t.Parallel()
