--- a/internal/transport/request_framing.go
+++ b/internal/transport/request_framing.go
@@ -15,7 +15,7 @@
 // Content-Length instead finds another request in the body. A handler cannot detect this from the parsed request, only
 // the raw bytes show it. Requests are numbered from 1.
 type requestFraming struct {
-	// startedCount is the number of requests of which a byte has been read. The last of them is being parsed.
+	// startedCount is the number of requests that have started: at least one byte was read. The last one is being parsed.
 	startedCount int
 	// stopped reports whether parsing has stopped. Later requests are neither parsed nor served: the connection closes
 	// after the last request that has started.
