--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// mayRepeat reports whether the numbered attempt of a request may go to a server
-// without a second effect. Each earlier attempt that is outstanding or may have run
-// restricts it.
+// mayRepeat reports whether the numbered attempt of a request may go to server s without the risk
+// of a second effect. Every earlier attempt that is outstanding or may have run restricts the
+// choice.
 func (b *Balancer) mayRepeat(r *request, s *server, attempt int) bool {
 	for i := range attempt {
 		earlier := &r.attempts[i]
@@ -17,30 +17,31 @@
 		if earlier.outstanding && !b.settings.Hedging {
 			return false
 		}
-		if !b.repeatIsHarmless(r, earlier, s) {
+		if !b.repeatAllowed(r, earlier, s) {
 			return false
 		}
 	}
 	return true
 }
 
-// repeatIsHarmless reports whether a server may be sent a request that an
-// earlier attempt may have run. The class binds as it was on arrival; a
-// deduplication window that settings have shortened since binds at once.
-func (b *Balancer) repeatIsHarmless(r *request, earlier *attempt, s *server) bool {
+// repeatAllowed reports whether server s may receive a request that an earlier attempt may have
+// run. The idempotency of the class at arrival applies, but a deduplication window that
+// UpdateSettings has shortened since then applies at once.
+func (b *Balancer) repeatAllowed(r *request, earlier *attempt, s *server) bool {
 	switch r.admittedClass.Idempotency {
 	case Idempotent:
 		return true
 	case IdempotencyKeyed:
 		window := min(r.admittedClass.DedupWindow, r.class.DedupWindow)
-		return b.now < earlier.sentAt+Time(window) && r.admittedClass.sharesDuplicates(earlier.server, s)
+		return b.now < earlier.sentAt+Time(window) && r.admittedClass.sharesDeduplication(earlier.server, s)
 	default:
 		return false
 	}
 }
 
-// sharesDuplicates reports whether one server drops what the other has run.
-func (c *Class) sharesDuplicates(one, other *server) bool {
+// sharesDeduplication reports whether each of the two servers drops requests that the other has
+// run.
+func (c *Class) sharesDeduplication(one, other *server) bool {
 	switch c.DedupScope {
 	case DedupFleet:
 		return true
@@ -51,12 +52,12 @@
 	}
 }
 
-// clientMayRetry reports whether the client may send the request again without
-// a second effect, which is what a rejection promises.
+// clientMayRetry reports whether the client may send the request again without a second effect. A
+// rejection promises this.
 func (r *request) clientMayRetry() bool {
 	c := r.admittedClass
 	if c.Idempotency == Idempotent || c.Idempotency == IdempotencyKeyed && c.DedupScope == DedupFleet {
 		return true
 	}
-	return !slices.ContainsFunc(r.made(), func(a attempt) bool { return !a.neverRan })
+	return !slices.ContainsFunc(r.sentAttempts(), func(a attempt) bool { return !a.neverRan })
 }
--- a/balancer/log.go
+++ b/balancer/log.go
@@ -5,26 +5,28 @@
 	"time"
 )
 
-// logBurst is how many lines may be logged at once; then one each second.
+// logBurst is the number of lines that may be logged at once; after such a burst, one line per
+// second is allowed.
 const logBurst = 20
 
-// logLimiter bounds the rate of log lines.
+// logLimiter limits the rate of log lines with a token bucket.
 type logLimiter struct {
-	// freeFrom is the instant from which one line is free for each second.
-	freeFrom Time
+	// tokensUsedUntil is the end of the time whose tokens are used: each second from then until now is
+	// one unused token.
+	tokensUsedUntil Time
 }
 
-// allow reports whether a line may be logged at now, and counts it.
+// allow reports whether a line may be logged at now, and takes a token if so.
 func (l *logLimiter) allow(now Time) bool {
-	l.freeFrom = max(l.freeFrom, now-logBurst*Time(time.Second))
-	if l.freeFrom >= now {
+	l.tokensUsedUntil = max(l.tokensUsedUntil, now-logBurst*Time(time.Second))
+	if l.tokensUsedUntil >= now {
 		return false
 	}
-	l.freeFrom += Time(time.Second)
+	l.tokensUsedUntil += Time(time.Second)
 	return true
 }
 
-// logf writes a line for the operators, unless too many were written lately.
+// logf writes a log line for operators. It drops the line if the rate limit is exceeded.
 func (b *Balancer) logf(format string, args ...any) {
 	if b.logLimit.allow(b.now) {
 		b.host.Log(fmt.Sprintf(format, args...))
--- a/internal/fleet/raftlog/log_test.go
+++ b/internal/fleet/raftlog/log_test.go
@@ -11,13 +11,13 @@
 	"github.com/hashicorp/raft"
 )
 
-// sum is a state machine that adds up committed numbers.
-type sum struct {
+// sumMachine is a state machine that computes the sum of the committed numbers.
+type sumMachine struct {
 	mu    sync.Mutex
 	Total int `json:"total"`
 }
 
-func (s *sum) Apply(l *raft.Log) any {
+func (s *sumMachine) Apply(l *raft.Log) any {
 	var n int
 	if err := json.Unmarshal(l.Data, &n); err != nil {
 		return err
@@ -28,12 +28,12 @@
 	return s.Total
 }
 
-func (s *sum) Snapshot() (raft.FSMSnapshot, error) { return Snapshot(`{}`), nil }
+func (s *sumMachine) Snapshot() (raft.FSMSnapshot, error) { return Snapshot(`{}`), nil }
 
-func (s *sum) Restore(r io.ReadCloser) error { return r.Close() }
+func (s *sumMachine) Restore(r io.ReadCloser) error { return r.Close() }
 
-// openSingle opens a log with one voter, and waits until that leads.
-func openSingle(t *testing.T, dir string, s *sum) *Log {
+// openSingle opens a log with a single voter, and waits until that voter is the leader.
+func openSingle(t *testing.T, dir string, s *sumMachine) *Log {
 	t.Helper()
 	layer := NewStreamLayer("n1", func(string, time.Duration) (net.Conn, error) { return nil, net.ErrClosed })
 	l, err := Open(dir, "n1", VoterSet{1, []string{"n1"}}, layer, s)
@@ -42,22 +42,23 @@
 	}
 	for end := time.Now().Add(10 * time.Second); !l.IsLeader(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("there is no leader")
+			t.Fatal("no leader after 10 s")
 		}
 	}
 	return l
 }
 
-// TestCloseAnswersPendingProposals: whoever proposes or verifies while the log is closed has an answer soon, or the
-// process would wait for it for good; and what was committed is there after the next start.
+// TestCloseAnswersPendingProposals checks that calls of Propose and VerifyLeader return soon after the log is closed.
+// Raft never completes such calls, so that the process would otherwise block forever. Committed entries must be present
+// after a restart.
 func TestCloseAnswersPendingProposals(t *testing.T) {
 	for range 5 {
-		dir, s := t.TempDir(), &sum{}
+		dir, s := t.TempDir(), &sumMachine{}
 		l := openSingle(t, dir, s)
-		var all sync.WaitGroup
+		var pending sync.WaitGroup
 		begun := make(chan bool, 1000)
 		for range 100 {
-			all.Go(func() {
+			pending.Go(func() {
 				for {
 					select {
 					case begun <- true:
@@ -77,16 +78,16 @@
 		}
 		l.Close()
 		done := make(chan bool)
-		go func() { all.Wait(); close(done) }()
+		go func() { pending.Wait(); close(done) }()
 		select {
 		case <-done:
 		case <-time.After(20 * time.Second):
-			t.Fatal("some wait still, 20 s after the end")
+			t.Fatal("some proposals are still pending 20 s after Close")
 		}
-		again := &sum{}
-		l = openSingle(t, dir, again)
+		reopened := &sumMachine{}
+		l = openSingle(t, dir, reopened)
 		if got, err := l.Propose(0); err != nil || got.(int) < s.Total {
-			t.Errorf("after the next start: %v, %v; %d before", got, err, s.Total)
+			t.Errorf("sum after a restart: got %v, error %v, want at least %d", got, err, s.Total)
 		}
 		l.Close()
 	}
