--- a/internal/transport/endpoint_poll.go
+++ b/internal/transport/endpoint_poll.go
@@ -11,32 +11,34 @@
 	"olivebridge/internal/routing"
 )
 
-// errOlderVersion is a list that is older than the version it was asked from.
-var errOlderVersion = errors.New("older than the one held")
+// errOlderVersion reports an endpoint list whose version is older than the version in the request.
+var errOlderVersion = errors.New("endpoint list is older than the requested version")
 
-// errNoAnswer ends a watch none of whose requests has brought anything yet.
-var errNoAnswer = errors.New("upstream group: no answer")
+// errNoResponse ends a watch if none of its requests has received a response yet.
+var errNoResponse = errors.New("upstream group: no response from discovery")
 
-// poll asks discovery for what is newer than the version held, in as many requests as it takes: a change counts as
-// known to the node soon after it was due. Discovery may hold the first request for so long.
+// poll requests the changes since the version held from discovery and returns the first valid list. The node is
+// expected to know a change soon after the change is due, so poll sends as many requests as necessary. Discovery may
+// hold the first request for hold.
 //
-// A request that broke is repeated at once, on a new connection; one that discovery refused, which may be
-// overloaded, after a pause. Beside a late request others are sent, which are not held, since a silent connection
-// never tells that it is broken. Once discovery has refused one, the backoff is the only pause behind all that
-// bring nothing. The first good list counts, but none of an older version: whether discovery has gone back, or that
-// answer alone is stale, its complete list tells. After a fault no request is held for long.
+// A request whose connection broke is retried at once on a new connection. A request that discovery rejected is retried
+// after a pause, since discovery may be overloaded. If a response is late, poll sends further requests in parallel,
+// which discovery does not hold: a silent connection does not report that it is broken. Once discovery has rejected a
+// request, the backoff is the pause after every failed request. A list of an older version does not count: poll then
+// requests the complete list, which shows whether discovery has returned to an older version or only that response was
+// stale. After a failed request, poll allows no hold longer than defaultPollWait.
 func (w *EndpointWatcher) poll(ctx context.Context, hold time.Duration) (routing.EndpointList, int64, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	first := w.jitter(w.backoff)
 	p := &pollState{
-		watcher: w,
-		hold:    hold,
-		since:   w.version,
-		results: make(chan pollResult, w.maxExtra+1),
-		timer:   time.NewTimer(first),
-		due:     time.Now().Add(first),
-		err:     errNoAnswer,
+		watcher:       w,
+		hold:          hold,
+		sinceVersion:  w.version,
+		results:       make(chan pollResult, w.maxExtra+1),
+		timer:         time.NewTimer(first),
+		nextRequestAt: time.Now().Add(first),
+		err:           errNoResponse,
 	}
 	defer p.timer.Stop()
 	for {
@@ -44,57 +46,62 @@
 		case <-ctx.Done():
 			return routing.EndpointList{}, 0, ctx.Err()
 		case <-p.timer.C:
-			if p.exhausted() && !p.receiving() { // the silence may last, and a change is due soon
+			if p.exhausted() && !p.receiving() { // the silence may last, and a change is due soon: the next poll must start
 				return routing.EndpointList{}, 0, p.failure()
 			}
 			p.sendNext(ctx)
 		case result := <-p.results:
-			if group, version, done := p.take(result); done {
+			if group, version, done := p.handleResult(result); done {
 				return group, version, p.err
 			}
 		}
 	}
 }
 
-// pollState is the state of one poll.
+// pollState is the state of one call of poll.
 type pollState struct {
 	watcher *EndpointWatcher
-	hold    time.Duration // of the next request that is sent alone
-	since   int64         // the version that requests ask from; -1: for the complete list
-	results chan pollResult
-	timer   *time.Timer // sends the next request
-	due     time.Time   // when it does
-	// started counts the requests sent.
-	started int
-	// inFlight counts those that have brought nothing yet.
+	// hold is the hold duration of the next request that is sent while no other one is in flight.
+	hold time.Duration
+	// sinceVersion is the version after which requests ask for changes; -1: they ask for the complete list.
+	sinceVersion int64
+	results      chan pollResult
+	// timer fires when the next request is to be sent.
+	timer *time.Timer
+	// nextRequestAt is the time at which timer fires.
+	nextRequestAt time.Time
+	// requestsSent is the number of requests sent.
+	requestsSent int
+	// inFlight is the number of requests that have neither returned a list nor failed yet.
 	inFlight int
-	// retryPause is the next pause after a request that broke.
+	// retryPause is the next pause after a request whose connection broke.
 	retryPause time.Duration
-	// rejection is the last error of discovery's; nil: it has refused none.
+	// rejection is the last error with which discovery rejected a request; nil: it has rejected none.
 	rejection error
 	// err is the last error of any request.
 	err error
 }
 
-// exhausted reports whether no further request may be sent.
-func (p *pollState) exhausted() bool { return p.started > p.watcher.maxExtra }
+// exhausted reports whether the limit of requests is reached.
+func (p *pollState) exhausted() bool { return p.requestsSent > p.watcher.maxExtra }
 
-// receiving reports whether bytes of an answer have come lately.
+// receiving reports whether bytes of a response arrived within the last parallelAfter.
 func (p *pollState) receiving() bool {
 	last := time.Unix(0, p.watcher.lastBytes.Load())
 	return time.Since(last) <= p.watcher.parallelAfter
 }
 
-// failure is the error of a poll that brought nothing.
+// failure returns the error of a poll that received no list: the last rejection, if any, or the last error.
 func (p *pollState) failure() error { return cmp.Or(p.rejection, p.err) }
 
-// schedule sends the next request after a pause.
+// schedule sets the timer of the next request to expire after pause.
 func (p *pollState) schedule(pause time.Duration) {
-	p.due = time.Now().Add(pause)
+	p.nextRequestAt = time.Now().Add(pause)
 	p.timer.Reset(pause)
 }
 
-// sendNext sends a further request, or waits for an answer that is coming.
+// sendNext sends a further request. Once the limit is reached, it only extends the wait for a response that is
+// arriving.
 func (p *pollState) sendNext(ctx context.Context) {
 	w := p.watcher
 	if p.exhausted() {
@@ -109,31 +116,32 @@
 		wait = 0
 		late = w.parallelAfter
 	}
-	p.started++
+	p.requestsSent++
 	p.inFlight++
-	if w.backoff > 0 && (!p.exhausted() || p.rejection != nil) { // after the last request the balancer's own pause follows
+	// ^After the last request no longer wait is needed, since the router pauses before the next watch.
+	if w.backoff > 0 && (!p.exhausted() || p.rejection != nil) {
 		late = max(late, w.rejectedAfter)
 	}
 	p.schedule(late)
-	since := p.since
-	w.requests.Go(func() { p.results <- w.pollOnce(ctx, client, since, wait) })
+	sinceVersion := p.sinceVersion
+	w.requests.Go(func() { p.results <- w.pollOnce(ctx, client, sinceVersion, wait) })
 }
 
-// take takes the result of a request, and schedules the next one unless the poll is done: with a list, or with an
-// error in p.err.
-func (p *pollState) take(result pollResult) (group routing.EndpointList, version int64, done bool) {
+// handleResult processes the result of a request. It schedules the next request unless the poll is done: done is true
+// if there is a list, or if p.err ends the poll.
+func (p *pollState) handleResult(result pollResult) (group routing.EndpointList, version int64, done bool) {
 	w := p.watcher
 	p.inFlight--
 	group, version, p.err = w.parseList(result)
 	if errors.Is(p.err, errOlderVersion) {
-		p.since = -1
+		p.sinceVersion = -1
 	}
 	p.hold = min(p.hold, defaultPollWait)
 	if p.err == nil || errors.Is(p.err, syscall.ECONNREFUSED) {
 		return group, version, true
 	}
-	refused := errors.Is(p.err, routing.ErrDiscoveryRejected)
-	if refused {
+	rejected := errors.Is(p.err, routing.ErrDiscoveryRejected)
+	if rejected {
 		p.rejection = p.err
 		w.backoff = max(w.backoff, w.lateAfter)
 	}
@@ -141,31 +149,31 @@
 		p.err = p.failure()
 		return group, version, true
 	}
-	p.scheduleRetry(refused)
+	p.scheduleRetry(rejected)
 	return group, version, false
 }
 
-// scheduleRetry schedules the next request after one that brought nothing.
-func (p *pollState) scheduleRetry(refused bool) {
+// scheduleRetry schedules the next request after one that failed. rejected tells whether discovery rejected it.
+func (p *pollState) scheduleRetry(rejected bool) {
 	w := p.watcher
-	pause := &p.retryPause // a request may get through a fault that breaks most of them
-	longest := w.lateAfter
+	pause := &p.retryPause // short: a fault that breaks most requests may let one through
+	maxPause := w.lateAfter
 	if w.backoff > 0 {
 		pause = &w.backoff
-		longest = maxPollBackoff
+		maxPause = maxPollBackoff
 	}
-	in := w.jitter(*pause)
+	delay := w.jitter(*pause)
 	switch {
 	case p.exhausted():
-	case refused && p.inFlight > 0: // the one in flight may have its turn
+	case rejected && p.inFlight > 0: // discovery may still serve the one in flight
 		p.schedule(w.rejectedAfter)
-	case p.inFlight == 0 || in < time.Until(p.due):
-		p.schedule(in)
+	case p.inFlight == 0 || delay < time.Until(p.nextRequestAt):
+		p.schedule(delay)
 	}
-	*pause = min(max(2**pause, minPollRetryPause), longest)
+	*pause = min(max(2**pause, minPollRetryPause), maxPause)
 }
 
-// parseList reads what a request brought.
+// parseList parses the response in the result of a request. It rejects a list that is older than the requested version.
 func (w *EndpointWatcher) parseList(result pollResult) (routing.EndpointList, int64, error) {
 	if result.err != nil {
 		return routing.EndpointList{}, 0, result.err
@@ -173,8 +181,8 @@
 	group, version, err := w.names.ParseEndpoints(result.data)
 	group.ReceivedAt = time.Now()
 	group.Version = version
-	if err == nil && version < result.since {
-		err = fmt.Errorf("upstream group: %w: version %d after %d", errOlderVersion, version, result.since)
+	if err == nil && version < result.sinceVersion {
+		err = fmt.Errorf("upstream group: %w: version %d, requested after %d", errOlderVersion, version, result.sinceVersion)
 	}
 	return group, version, err
 }
--- a/internal/transport/endpoint_watcher.go
+++ b/internal/transport/endpoint_watcher.go
@@ -20,82 +20,83 @@
 )
 
 const (
-	// defaultPollWait is how long discovery may hold a request. A request that has fallen silent tells nothing until
-	// then, and a change counts as known to the node 2 s after it was due, so the hold stays short.
+	// defaultPollWait is the default duration for which discovery may hold a request. A request on a silent connection
+	// reports nothing until then, and the node is expected to know a change 2 s after it is due, so the hold is short.
 	defaultPollWait = 800 * time.Millisecond
-	// pollWaitPerNode is the time between two requests of all nodes together: discovery serves them one at a time,
-	// needs up to 0.35 s for each, and refuses what is more.
+	// pollWaitPerNode is the interval between two requests of all nodes together. Discovery serves requests one at a time,
+	// needs up to 0.35 s for each, and rejects the excess.
 	pollWaitPerNode = 400 * time.Millisecond
-	// maxPollWait is the longest hold, however many nodes there are.
+	// maxPollWait limits the duration of a hold, regardless of the number of nodes.
 	maxPollWait = 2400 * time.Millisecond
-	// pollLateAfter is how much later an answer may come before another request is sent beside it, and after how long a
-	// refused one is repeated, the first time.
+	// pollLateAfter is the delay beyond the hold after which a response is late and a parallel request is sent. It is also
+	// the first pause before a rejected request is retried.
 	pollLateAfter = 200 * time.Millisecond
-	// maxPollBackoff is the longest pause once a request was refused: pauses double up to this, and go on in the next
-	// watch. Many nodes would keep discovery crowded with shorter ones; five of these fit into the time in which a change
-	// is due.
+	// maxPollBackoff limits the pause after a rejected request. Pauses double up to this limit, and the next watch
+	// continues with the pause reached. Shorter pauses of many nodes would keep discovery overloaded; five pauses of this
+	// length fit into the time in which a change is due.
 	maxPollBackoff = 850 * time.Millisecond
-	// parallelPollAfter is how long a request that is not held may take before yet another is sent.
+	// parallelPollAfter is the duration after which a further request is sent if a request without hold has no response.
 	parallelPollAfter = 450 * time.Millisecond
-	// rejectedPollAfter is how long a request may take once discovery has refused one before another is sent beside it.
-	// A discovery with more requests than it can serve lets one wait for up to 2 s, and refuses it along with the next
-	// that its node sends meanwhile, so that a node that polls often would never be served.
+	// rejectedPollAfter replaces pollLateAfter and parallelPollAfter once discovery has rejected a request. An overloaded
+	// discovery queues a request for up to 2 s, and rejects it together with the next request that the same node sends
+	// meanwhile. A node that polls more often would never be served.
 	rejectedPollAfter = 2200 * time.Millisecond
-	// pollReadTimeout is how much later than its hold the end of an answer may come. Other requests are sent long
-	// before; it is for answers that trickle, and leaves more than half of the time in which a change is due.
+	// pollReadTimeout is the duration beyond its hold within which a response must be complete. Parallel requests are sent
+	// long before. The timeout ends responses that arrive a few bytes at a time, and leaves more than half of the time in
+	// which a change is due.
 	pollReadTimeout = 2400 * time.Millisecond
-	// maxExtraPolls is how many requests may follow one that brings nothing before the watch ends. After a rejection the
-	// next watch starts with the backoff that was due.
+	// maxExtraPolls is the number of requests that may follow a failed one before the watch ends. After a rejection the
+	// next watch starts with the current backoff.
 	maxExtraPolls = 12
-	// minPollRetryPause is the pause before a broken request is repeated, from the second in a row on; it doubles up
-	// to pollLateAfter. Without it all requests might break in one moment of a fault, which would end the watch.
+	// minPollRetryPause is the pause before a broken request is retried, from the second consecutive one on; it doubles up
+	// to pollLateAfter. Without a pause, all requests could break within a short fault, which would end the watch.
 	minPollRetryPause = 25 * time.Millisecond
-	// watchConnectTimeout is how long a connection to discovery may take to come up.
+	// watchConnectTimeout limits the time to connect to discovery.
 	watchConnectTimeout = time.Second
-	// maxListBytes bounds the bytes of an endpoint list.
+	// maxListBytes is the maximum size of an endpoint list.
 	maxListBytes = 8 << 20
 )
 
-// MaxWatchRequests is how many requests a watch has in flight at most, each on a connection of its own.
+// MaxWatchRequests is the maximum number of requests that a watch has in flight, each on its own connection.
 const MaxWatchRequests = 1 + maxExtraPolls
 
-// EndpointWatcher follows the endpoint list at the discovery service by long polls. It implements routing.Watcher. One
-// Watch runs at a time.
+// EndpointWatcher watches the endpoint list of the discovery service by long polling. It implements routing.Watcher.
+// Only one Watch may run at a time.
 type EndpointWatcher struct {
 	addr  string
 	names protocol.NameIndex
-	// version is that of the list held; -1: none is.
+	// version is the version of the endpoint list held; -1: there is none.
 	version int64
 
-	// client sends one request at a time, on a kept connection.
+	// client sends one request at a time, on a persistent connection.
 	client *http.Client
-	// newParallelClient makes a client for a request beside that one, which has its connection to itself.
+	// newParallelClient returns a client for one request in parallel to those of client, on its own connection.
 	newParallelClient func() *http.Client
 
-	// The times of polls; see the constants.
+	// Times of polls: see the constants with these defaults.
 
 	wait          time.Duration
 	lateAfter     time.Duration
 	parallelAfter time.Duration
 	rejectedAfter time.Duration
 	readTimeout   time.Duration
-	// maxExtra is how many requests may follow one that brings nothing.
+	// maxExtra is the number of requests that may follow a failed one.
 	maxExtra int
 
-	// backoff is the pause before the next request, where discovery has refused one since it last told a list; 0: it has
-	// not.
+	// backoff is the pause before the next request after a rejection by discovery; 0: discovery has rejected none since
+	// the last list.
 	backoff time.Duration
-	// rng draws the jitter of pauses, each node's its own.
+	// rng draws the jitter of pauses. Its seed differs between nodes.
 	rng rand.PCG
 
-	// requests waits for those in flight.
+	// requests tracks the goroutines of requests in flight.
 	requests sync.WaitGroup
-	// lastBytes is when bytes of an answer last came, in Unix nanoseconds.
+	// lastBytes is the time at which bytes of a response last arrived, in Unix nanoseconds.
 	lastBytes atomic.Int64
 }
 
-// NewEndpointWatcher makes a watcher that goes on from a known version, or from none if that is negative. A nil dialer
-// dials TCP.
+// NewEndpointWatcher returns a watcher that requests the changes since version, or first the complete list if version
+// is negative. A nil dial dials TCP.
 func NewEndpointWatcher(addr string, names protocol.NameIndex, version int64, dial Dialer,
 	log *slog.Logger) *EndpointWatcher {
 	connect := func(ctx context.Context, _, addr string) (net.Conn, error) {
@@ -107,7 +108,8 @@
 		}
 		return &upstreamConn{Conn: conn, log: newConnLog(log, "discovery", addr, func() {})}, nil
 	}
-	// http.Transport may give a connection that falls idle, or one that comes up, to a request that is being given up.
+	// A parallel request needs its own client: a shared http.Transport may assign a connection that becomes idle, or a new
+	// one, to a request that is being cancelled.
 	newClient := func(once bool) *http.Client {
 		return &http.Client{
 			Transport:     &http.Transport{DialContext: connect, DisableCompression: true, DisableKeepAlives: once},
@@ -129,26 +131,26 @@
 	}
 }
 
-// ForFleetSize sets how long discovery may hold a request by how many nodes poll it, and returns the watcher. The
-// seed, another one at each of them, keeps their pauses apart.
+// ForFleetSize sets the duration for which discovery may hold a request from the number of nodes that poll it, and
+// returns the watcher. The seed must differ between nodes, so that their pauses differ.
 func (w *EndpointWatcher) ForFleetSize(nodes int, seed uint64) *EndpointWatcher {
 	w.wait = min(time.Duration(max(nodes, 1))*pollWaitPerNode, maxPollWait)
 	w.rng.Seed(seed, 0)
 	return w
 }
 
-// Watch implements routing.Watcher: each answer is followed at once by the next poll. It calls onList from its own
-// goroutine. It returns an error once no request of a poll has brought a list, and closes its connections then.
+// Watch implements routing.Watcher. It sends the next poll as soon as one has returned a list. It calls onList from the
+// calling goroutine. It returns an error once all requests of a poll have failed, after closing its connections.
 func (w *EndpointWatcher) Watch(ctx context.Context, onList func(routing.EndpointList)) error {
 	defer func() {
-		w.requests.Wait()               // http.Transport goes on dialing for a request that has not noticed its end
-		w.client.CloseIdleConnections() // and what is still dialed, for a request that was given up
+		w.requests.Wait()               // http.Transport keeps dialing for a request until that notices its cancellation
+		w.client.CloseIdleConnections() // also ends dialing for requests that were cancelled
 	}()
-	hold := min(w.wait, defaultPollWait) // a change may be due by the first
+	hold := min(w.wait, defaultPollWait) // a change may be due at the first request already
 	for {
 		group, version, err := w.poll(ctx, hold)
 		if !errors.Is(err, routing.ErrDiscoveryRejected) {
-			w.backoff = 0 // a list has come, or the balancer waits before the next watch
+			w.backoff = 0 // there is a list, or the router pauses before the next watch
 		}
 		if err != nil {
 			return err
@@ -159,41 +161,41 @@
 	}
 }
 
-// jitter spreads d over three quarters to five quarters of itself.
+// jitter returns a random duration between 3/4 and 5/4 of d.
 func (w *EndpointWatcher) jitter(d time.Duration) time.Duration {
 	lowest := d * 3 / 4
 	spread := uint64(d/2 + 1)
 	return lowest + time.Duration(w.rng.Uint64()%spread)
 }
 
-// pollResult is what one request to discovery brought.
+// pollResult is the result of one request to discovery.
 type pollResult struct {
-	since int64 // the version it asked from
-	data  []byte
-	err   error
+	sinceVersion int64 // the version in the request; negative: it asked for the complete list
+	data         []byte
+	err          error
 }
 
-// pollOnce sends one request: for what is newer than a version, or for the complete list.
-func (w *EndpointWatcher) pollOnce(ctx context.Context, client *http.Client, since int64,
+// pollOnce sends one request for the changes since a version, or for the complete list if that is negative.
+func (w *EndpointWatcher) pollOnce(ctx context.Context, client *http.Client, sinceVersion int64,
 	wait time.Duration) pollResult {
 	if client != w.client {
 		defer client.CloseIdleConnections()
 	}
-	data, err := w.fetch(ctx, client, since, wait)
+	data, err := w.fetch(ctx, client, sinceVersion, wait)
 	if err != nil {
 		err = fmt.Errorf("upstream group: %w", err)
 	}
-	return pollResult{since, data, err}
+	return pollResult{sinceVersion, data, err}
 }
 
-// fetch sends one request and reads the bytes of its answer.
-func (w *EndpointWatcher) fetch(ctx context.Context, client *http.Client, since int64,
+// fetch sends one request and returns the body of the response.
+func (w *EndpointWatcher) fetch(ctx context.Context, client *http.Client, sinceVersion int64,
 	wait time.Duration) ([]byte, error) {
 	ctx, stop := context.WithTimeout(ctx, wait+w.readTimeout)
 	defer stop()
 	u := url.URL{Scheme: "http", Host: w.addr, Path: protocol.PathEndpoints}
-	if since >= 0 {
-		u.RawQuery = "after=" + strconv.FormatInt(since, 10) +
+	if sinceVersion >= 0 {
+		u.RawQuery = "after=" + strconv.FormatInt(sinceVersion, 10) +
 			"&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
@@ -211,15 +213,15 @@
 	body := timestampReader{resp.Body, &w.lastBytes}
 	data, err := io.ReadAll(io.LimitReader(body, maxListBytes+1))
 	if err == nil && len(data) > maxListBytes {
-		err = fmt.Errorf("a list longer than %d bytes", maxListBytes)
+		err = fmt.Errorf("endpoint list: longer than %d bytes", maxListBytes)
 	}
 	return data, err
 }
 
-// timestampReader notes when something is read.
+// timestampReader records the time of the last read that returned bytes.
 type timestampReader struct {
 	io.Reader
-	at *atomic.Int64 // in Unix nanoseconds
+	at *atomic.Int64 // time of that read, in Unix nanoseconds
 }
 
 // Read implements io.Reader.
--- a/internal/transport/endpoint_watcher_test.go
+++ b/internal/transport/endpoint_watcher_test.go
@@ -183,9 +183,9 @@
 	}
 }
 
-// TestWatchOutlastsABurst: eight requests in a row break, as in a short fault at discovery, and the watch goes on
+// TestWatchSurvivesErrorBurst: eight requests in a row break, as in a short fault at discovery, and the watch goes on
 // until a list has come.
-func TestWatchOutlastsABurst(t *testing.T) {
+func TestWatchSurvivesErrorBurst(t *testing.T) {
 	var calls atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) <= 8 {
--- a/internal/transport/frontend.go
+++ b/internal/transport/frontend.go
@@ -195,7 +195,7 @@
 		f.writeAnswer(w, c, routing.Answer{Verdict: routing.Rejected, RetryAfter: shedRetryAfter})
 		return
 	}
-	keyed, err := f.keyedCall(r, call, target)
+	keyed, err := f.parseKeyedCall(r, call, target)
 	switch {
 	case err != nil:
 		f.writeError(w, r, http.StatusBadRequest, err)
--- a/internal/transport/idempotency.go
+++ b/internal/transport/idempotency.go
@@ -14,82 +14,85 @@
 )
 
 const (
-	// headerIdempotencyKey is that of the IETF's draft on idempotency keys.
+	// headerIdempotencyKey is the field of the IETF draft on the Idempotency-Key header.
 	headerIdempotencyKey = "Idempotency-Key"
-	// headerWorkState tells a client how its call stands where there is no response to give.
-	headerWorkState = "Work-State"
+	// headerCallState reports the state of a keyed call that this node did not run, in particular if it has no response to
+	// return.
+	headerCallState = "Work-State"
 )
 
 const (
-	// maxKeyLen bounds a client's key, in bytes.
+	// maxKeyLen is the maximum length of a client's key, in bytes.
 	maxKeyLen = 255
-	// maxStoredBody bounds the body of a response that is stored, in bytes.
+	// maxStoredBody is the maximum size of a response body that is stored, in bytes.
 	maxStoredBody = 16 << 10
-	// fingerprintSize is how many bytes of a request's hash are its fingerprint.
+	// fingerprintSize is the number of bytes of a request's hash that form its fingerprint.
 	fingerprintSize = 16
-	// storeRetryAfter is when to ask again for a call that runs elsewhere.
+	// storeRetryAfter is the delay after which a client may ask again for a call that another node runs, or whose state
+	// the store cannot tell.
 	storeRetryAfter = 100 * time.Millisecond
 )
 
-// IdempotencyStore records calls beyond the loss of this node: each is run at most once, whichever nodes it is sent
-// to. It is called from the goroutines of client connections.
+// IdempotencyStore records keyed calls so that the records survive the loss of this node. Each call is run at most
+// once, no matter which nodes receive it. The goroutines of client connections use the store concurrently.
 type IdempotencyStore interface {
-	// Covers reports whether calls of a class are recorded, where their clients give them a key.
+	// Covers reports whether calls of a class are recorded if their clients send an idempotency key.
 	Covers(class int) bool
-	// Begin asks whether this node may run a call. It returns at once where nobody can say.
+	// Begin asks whether this node may run a call. It returns without delay if the store is unavailable.
 	Begin(ctx context.Context, call KeyedCall) CallClaim
 }
 
-// KeyedCall is a call to which its client has given an idempotency key.
+// KeyedCall identifies a call for which the client has sent an idempotency key.
 type KeyedCall struct {
-	// Key is the caller's name and its key.
+	// Key is the tenant's name and the key that the tenant's client sent.
 	Key string
-	// Fingerprint is that of the request; another request under the same key is rejected.
+	// Fingerprint identifies the request; a different request with the same key is rejected.
 	Fingerprint string
 	// Class is the index of the call's class.
 	Class int
 }
 
-// CallState says how a keyed call stands.
+// CallState is the state of a keyed call.
 type CallState uint8
 
 const (
-	// CallGranted says that it may be run here, and nowhere else.
+	// CallGranted means that this node, and no other, may run the call.
 	CallGranted CallState = iota
-	// CallRunning says that it runs elsewhere.
+	// CallRunning means that another node runs the call.
 	CallRunning
-	// CallAnswered says that it has run; the claim's Response is its response.
+	// CallAnswered means that the call has run; CallClaim.Response is its response.
 	CallAnswered
-	// CallOutcomeUnknown says that it may have run, and is never run again.
+	// CallOutcomeUnknown means that the call may have run. It is never run again.
 	CallOutcomeUnknown
-	// CallKeyConflict says that the key is another request's.
+	// CallKeyConflict means that the key belongs to a different request.
 	CallKeyConflict
-	// CallStoreUnavailable says that nobody can tell, and it was not run.
+	// CallStoreUnavailable means that the state is unknown, and that this request did not run the call.
 	CallStoreUnavailable
-	// CallNotRun says that it surely has not run. It is for Finish only.
+	// CallNotRun means that the call certainly has not run. It is only passed to Finish.
 	CallNotRun
 )
 
-// StoredResponse is the response to a keyed call as the store records it.
+// StoredResponse is the response to a keyed call in the form in which the store records it.
 type StoredResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Truncated: the body was too long to be stored, and Body is empty.
+	// Truncated is true if the body was too long to be stored; Body is empty then.
 	Truncated bool
 }
 
-// CallClaim is what a store says of a call.
+// CallClaim is the result of IdempotencyStore.Begin.
 type CallClaim struct {
 	State CallState
-	// Response is that of an answered call; nil: it is not known.
+	// Response is the response to an answered call; nil: the response is not known.
 	Response *StoredResponse
-	// Finish is to be called once with what became of a granted call, before its client is answered.
+	// Finish must be called exactly once with the outcome of a granted call, before the client is answered.
 	Finish func(s CallState, r *StoredResponse)
 }
 
-// keyedCall reads the idempotency key of a request; nil: it is not recorded. An error deserves a 400.
-func (f *Frontend) keyedCall(r *http.Request, call routing.Call, target string) (*KeyedCall, error) {
+// parseKeyedCall returns the idempotency key of a request; nil: the call is not recorded. On an error the request is
+// answered with status 400.
+func (f *Frontend) parseKeyedCall(r *http.Request, call routing.Call, target string) (*KeyedCall, error) {
 	if f.idempotency == nil || !f.idempotency.Covers(call.Class) {
 		return nil, nil
 	}
@@ -97,7 +100,7 @@
 	if len(values) == 0 {
 		return nil, nil
 	}
-	key := strings.Trim(values[0], `"`) // the draft's is a quoted string; a bare word is taken, too
+	key := strings.Trim(values[0], `"`) // the draft requires a quoted string; a value without quotes is accepted as well
 	m := call.Payload.(*requestMessage)
 	switch {
 	case len(values) > 1:
@@ -111,10 +114,10 @@
 	return &KeyedCall{Key: caller + " " + key, Fingerprint: fingerprint(r, target, m.body), Class: call.Class}, nil
 }
 
-// notPrintable reports whether a character is none of printable ASCII.
+// notPrintable reports whether c is outside printable ASCII.
 func notPrintable(c rune) bool { return c < ' ' || c > '~' }
 
-// fingerprint is a hash of what makes two requests the same one.
+// fingerprint returns a hash of the parts of a request that identify it: method, target, class, tenant and body.
 func fingerprint(r *http.Request, target string, body []byte) string {
 	h := sha256.New()
 	parts := []string{r.Method, target, r.Header.Get(protocol.HeaderClass), r.Header.Get(protocol.HeaderTenant)}
@@ -126,7 +129,8 @@
 	return fmt.Sprintf("%x", h.Sum(nil)[:fingerprintSize])
 }
 
-// handleKeyed has a keyed call handled. It goes on also if its client leaves, who may ask any node for its response.
+// handleKeyed handles a keyed call. The call continues if its client disconnects, since the client may request the
+// response from any node.
 func (f *Frontend) handleKeyed(w http.ResponseWriter, r *http.Request, c *clientConn, call routing.Call,
 	keyed KeyedCall) {
 	m := call.Payload.(*requestMessage)
@@ -136,26 +140,26 @@
 		f.writeClaim(w, c, claim)
 		return
 	}
-	m.client = nil // a disconnect does not end it
+	m.client = nil // a disconnect does not end the call
 	a := f.handle(context.WithoutCancel(r.Context()), call)
 	claim.Finish(callOutcome(a))
 	m.release()
 	f.writeAnswer(w, c, a)
 }
 
-// callOutcome is what an answer says of its call.
+// callOutcome returns the state of a call after an answer, and its response if there is one.
 func callOutcome(a routing.Answer) (CallState, *StoredResponse) {
 	switch a.Verdict {
 	case routing.Served:
-		return CallAnswered, storedResponse(a.Reply.(*response))
+		return CallAnswered, newStoredResponse(a.Reply.(*response))
 	case routing.Rejected, routing.Duplicate:
 		return CallNotRun, nil
 	}
 	return CallOutcomeUnknown, nil
 }
 
-// storedResponse is a response as the store records it.
-func storedResponse(p *response) *StoredResponse {
+// newStoredResponse returns the form of p that the store records.
+func newStoredResponse(p *response) *StoredResponse {
 	stored := &StoredResponse{
 		Status:    http.StatusOK,
 		Header:    http.Header{},
@@ -170,7 +174,7 @@
 	return stored
 }
 
-// writeClaim answers a call that was not run here.
+// writeClaim writes the response to a keyed call that this node did not run.
 func (f *Frontend) writeClaim(w http.ResponseWriter, c *clientConn, claim CallClaim) {
 	h := w.Header()
 	f.closeIfRequired(w, c)
@@ -178,11 +182,11 @@
 	case CallAnswered:
 		writeStoredResponse(w, claim.Response)
 	case CallRunning:
-		h.Set(headerWorkState, "running")
+		h.Set(headerCallState, "running")
 		h.Set("Retry-After", protocol.FormatSeconds(storeRetryAfter))
 		w.WriteHeader(http.StatusConflict)
 	case CallOutcomeUnknown:
-		h.Set(headerWorkState, "unknown")
+		h.Set(headerCallState, "unknown")
 		w.WriteHeader(http.StatusBadGateway)
 	case CallKeyConflict:
 		http.Error(w, headerIdempotencyKey+": it is another request's", http.StatusUnprocessableEntity)
@@ -192,18 +196,19 @@
 	}
 }
 
-// writeStoredResponse writes a stored response, or says that there was one which is not stored.
+// writeStoredResponse writes a stored response. If the response itself is not stored, it reports only that the call was
+// answered.
 func writeStoredResponse(w http.ResponseWriter, stored *StoredResponse) {
 	h := w.Header()
 	if stored == nil || stored.Truncated {
-		h.Set(headerWorkState, "answered")
+		h.Set(headerCallState, "answered")
 		w.WriteHeader(http.StatusBadGateway)
 		return
 	}
 	for name, values := range stored.Header {
 		h[name] = values
 	}
-	h.Set(headerWorkState, "kept")
+	h.Set(headerCallState, "kept")
 	w.WriteHeader(stored.Status)
-	_, _ = w.Write(stored.Body) // an error is the client's disconnect, which the connection's log line tells
+	_, _ = w.Write(stored.Body) // an error means that the client has disconnected, which the connection's log line reports
 }
--- a/internal/transport/idempotency_test.go
+++ b/internal/transport/idempotency_test.go
@@ -14,11 +14,11 @@
 
 // scriptedStore is an IdempotencyStore that answers as a test says.
 type scriptedStore struct {
-	mu       sync.Mutex
-	claim    CallClaim
-	calls    []KeyedCall
-	states   []CallState
-	response *StoredResponse
+	mu             sync.Mutex
+	claim          CallClaim
+	calls          []KeyedCall
+	finishedStates []CallState
+	response       *StoredResponse
 }
 
 // Covers implements IdempotencyStore.
@@ -33,7 +33,7 @@
 	says.Finish = func(s CallState, o *StoredResponse) {
 		store.mu.Lock()
 		defer store.mu.Unlock()
-		store.states, store.response = append(store.states, s), o
+		store.finishedStates, store.response = append(store.finishedStates, s), o
 	}
 	return says
 }
@@ -95,11 +95,11 @@
 		{`""`, CallClaim{}, 0, 400, "", "Idempotency-Key: not 1 to 255 printable characters\n", ""},
 		{strings.Repeat("k", 256), CallClaim{}, 0, 400, "", "Idempotency-Key: not 1 to 255 printable characters\n", ""},
 	} {
-		store.claim, store.states, store.calls, verdict = c.says, nil, nil, c.verdict
+		store.claim, store.finishedStates, store.calls, verdict = c.says, nil, nil, c.verdict
 		before := taken
 		status, state, body := ask(c.key, "pay")
 		ended := ""
-		for _, s := range store.states {
+		for _, s := range store.finishedStates {
 			ended += fmt.Sprint(s)
 		}
 		lets := c.ended != ""
--- a/internal/transport/request.go
+++ b/internal/transport/request.go
@@ -106,7 +106,7 @@
 // Read implements io.Reader.
 func (p *pacedReader) Read(b []byte) (int, error) {
 	if p.bytesRead > 0 {
-		p.conn.allowNextBytes(p.bytesRead)
+		p.conn.extendReadDeadline(p.bytesRead)
 	}
 	n, err := p.body.Read(b)
 	p.bytesRead += int64(n)
--- a/internal/transport/request_message.go
+++ b/internal/transport/request_message.go
@@ -121,7 +121,7 @@
 		if err != nil {
 			return noEOF(err)
 		}
-		c.allowNextBytes(int64(received))
+		c.extendReadDeadline(int64(received))
 	}
 	_, err := r.Read(m.headRoom[:1]) // the end of the body frees its connection
 	if errors.Is(err, io.EOF) {
--- a/internal/transport/response.go
+++ b/internal/transport/response.go
@@ -6,19 +6,20 @@
 	"strings"
 )
 
-// response is a server's response to an attempt that succeeded. Whoever is given it owns its buffer.
+// response is the response of a server to a successful attempt. Its holder owns the buffer and the stream.
 type response struct {
-	fields []headerField // end to end only
-	// body is all of the body, or the first part of a long one.
+	fields []headerField // end-to-end fields only
+	// body is the complete body, or the first part of a long one.
 	body []byte
-	// stream is the rest of a long body; nil: there is none.
+	// stream is the remainder of a long body; nil: body is complete.
 	stream *responseStream
-	buf    *pooledBuffer // that body is a part of; nil: none
-	// contentLength is the value of the client's Content-Length.
+	// buf is the buffer that holds body; nil: body is not from a buffer pool.
+	buf *pooledBuffer
+	// contentLength is the value of the Content-Length field sent to the client.
 	contentLength [1]string
 }
 
-// copyHeader puts the header fields into a header, which refers to them from then on.
+// copyHeader copies the header fields into h, which refers to the memory of p afterwards.
 func (p *response) copyHeader(h http.Header) {
 	for i := range p.fields {
 		f := &p.fields[i]
@@ -33,13 +34,13 @@
 		p.contentLength[0] = strconv.Itoa(len(p.body))
 	case p.stream.length >= 0:
 		p.contentLength[0] = strconv.FormatInt(p.stream.length, 10)
-	default: // net/http sends it in chunks
+	default: // net/http sends the body in chunks
 		return
 	}
 	h["Content-Length"] = p.contentLength[:]
 }
 
-// freeBuffer gives the buffer back; the body must not be used any more.
+// freeBuffer returns the buffer to its pool; the body must not be used afterwards.
 func (p *response) freeBuffer() {
 	if p.buf != nil {
 		p.buf.pool.put(p.buf)
@@ -48,20 +49,21 @@
 	}
 }
 
-// Release implements routing.Releaser: nobody takes the response.
+// Release implements routing.Releaser. It is called if the response is not used.
 func (p *response) Release() {
 	if p.stream != nil {
 		p.stream.finish(reasonCancelled)
 	}
 }
 
-// headerField is a line of a head. Its value is an array so that a header can refer to it.
+// headerField is one line of a header. Its value is an array, so that an http.Header can refer to it without an
+// allocation.
 type headerField struct {
 	name  string // in canonical form
 	value [1]string
 }
 
-// isHopByHop reports whether a header field, in canonical form, concerns one connection only.
+// isHopByHop reports whether a header field, named in canonical form, applies to a single connection only.
 func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Content-Length", "Expect", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
@@ -71,7 +73,8 @@
 	return false
 }
 
-// connectionOptions are the header fields that Connection names: they concern one connection only, too.
+// connectionOptions returns the header fields named by Connection fields, in canonical form. These fields also apply to
+// a single connection only.
 func connectionOptions(lists []string) []string {
 	var names []string
 	for _, list := range lists {
--- a/internal/transport/response_head.go
+++ b/internal/transport/response_head.go
@@ -6,27 +6,27 @@
 	"strings"
 )
 
-// responseHead is the head of a server's response. Its strings are parts of the bytes that came.
+// responseHead is the parsed head of a server's response. Its strings share the memory of the received bytes.
 type responseHead struct {
 	status int
 	fields []headerField
-	// length is what Content-Length says; -1: there is none.
+	// length is the value of Content-Length; -1: there is none.
 	length  int64
 	chunked bool
-	// closeAfter: the server closes the connection with this response.
+	// closeAfter is true if the server closes the connection after this response.
 	closeAfter bool
 	http10     bool
 }
 
-// parseResponseHead reads a head, the empty line included. It takes what RFC 9112 has and nothing that two readers
-// could take for two things: two lengths, a folded line, a name that is no token. It guards calls against being
-// served with what no server made for them.
+// parseResponseHead parses a head, which ends with the empty line. It accepts only what RFC 9112 allows, and rejects
+// everything that two parsers could read differently: two lengths, a folded line, a field name that is not a token.
+// Otherwise a client could receive a response that no server sent.
 func parseResponseHead(head string) (h responseHead, err error) {
 	line, rest, _ := strings.Cut(head, "\n")
 	if err := h.parseStatusLine(strings.TrimSuffix(line, "\r")); err != nil {
 		return h, err
 	}
-	h.closeAfter = h.http10 // unless it is told to keep the connection
+	h.closeAfter = h.http10 // HTTP/1.0 closes unless Connection says keep-alive
 	h.length = -1
 	h.fields = make([]headerField, 0, strings.Count(rest, "\n"))
 	closes := false
@@ -55,19 +55,19 @@
 		}
 		h.fields = append(h.fields, field)
 	}
-	return h, malformedResponse("no end of the head")
+	return h, malformedResponse("head without an empty line at its end")
 }
 
-// parseStatusLine reads the first line.
+// parseStatusLine parses the status line.
 func (h *responseHead) parseStatusLine(line string) error {
 	version, status, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(status, " ")
 	if version != "HTTP/1.1" && version != "HTTP/1.0" || len(code) != len("200") {
-		return malformedResponse("first line")
+		return malformedResponse("status line: invalid version or status code")
 	}
 	for _, c := range []byte(code) {
 		if c < '0' || c > '9' {
-			return malformedResponse("status")
+			return malformedResponse("status line: status code is not a number")
 		}
 		h.status = h.status*10 + int(c-'0')
 	}
@@ -75,39 +75,41 @@
 	return nil
 }
 
-// parseHeaderLine reads a line of the header, and brings its name into canonical form.
+// parseHeaderLine parses one line of a header and returns its name in canonical form.
 func parseHeaderLine(line string) (headerField, error) {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || !isToken(name) {
-		return headerField{}, malformedResponse("a line that is none, or a folded one")
+		return headerField{}, malformedResponse("header line without a valid field name")
 	}
 	value = strings.Trim(value, " \t")
 	if strings.ContainsFunc(value, isControl) {
-		return headerField{}, malformedResponse("a control character in a value")
+		return headerField{}, malformedResponse("header field value with a control character")
 	}
 	return headerField{canonicalHeader(name), [1]string{value}}, nil
 }
 
-// parseContentLength reads a Content-Length, of which there may be one, and no Transfer-Encoding beside it.
+// parseContentLength parses the value of a Content-Length field. A head may have only one, and no Transfer-Encoding
+// beside it.
 func (h *responseHead) parseContentLength(value string) error {
 	n, err := strconv.ParseUint(value, 10, 63)
 	if h.length >= 0 || h.chunked || err != nil {
-		return malformedResponse("two lengths, or one that is none")
+		return malformedResponse("Content-Length: invalid, repeated or beside Transfer-Encoding")
 	}
 	h.length = int64(n)
 	return nil
 }
 
-// parseTransferEncoding reads a Transfer-Encoding, of which there may be one, and no Content-Length beside it.
+// parseTransferEncoding parses the value of a Transfer-Encoding field. A head may have only one, and no Content-Length
+// beside it.
 func (h *responseHead) parseTransferEncoding(value string) error {
 	if h.length >= 0 || h.chunked || h.http10 || !strings.EqualFold(value, "chunked") {
-		return malformedResponse("two lengths, or an unknown coding")
+		return malformedResponse("Transfer-Encoding: unknown coding, repeated, beside Content-Length or in HTTP/1.0")
 	}
 	h.chunked = true
 	return nil
 }
 
-// parseConnection reads the options of a Connection field, and reports whether close is among them.
+// parseConnection parses the options of a Connection field, and reports whether close is one of them.
 func (h *responseHead) parseConnection(value string) (closes bool) {
 	for option := range strings.SplitSeq(value, ",") {
 		option = strings.TrimSpace(option)
@@ -121,7 +123,7 @@
 	return closes
 }
 
-// values are those of a header field, in canonical form.
+// values returns the values of the header field with this name in canonical form.
 func (h *responseHead) values(name string) []string {
 	var all []string
 	for i := range h.fields {
@@ -132,8 +134,8 @@
 	return all
 }
 
-// first is the first value of a header field, in canonical form; empty if there is none.
-func (h *responseHead) first(name string) string {
+// firstValue returns the first value of the header field with this name in canonical form; empty if there is none.
+func (h *responseHead) firstValue(name string) string {
 	for i := range h.fields {
 		if h.fields[i].name == name {
 			return h.fields[i].value[0]
@@ -142,20 +144,20 @@
 	return ""
 }
 
-// endToEnd drops the fields that concern one connection only.
-func (h *responseHead) endToEnd() []headerField {
+// endToEndFields removes the fields that apply to a single connection only, and returns the others.
+func (h *responseHead) endToEndFields() []headerField {
 	options := connectionOptions(h.values("Connection"))
 	return slices.DeleteFunc(h.fields, func(f headerField) bool {
 		return isHopByHop(f.name) || slices.Contains(options, f.name)
 	})
 }
 
-// isToken reports whether a name is one that a header field may have.
+// isToken reports whether name is a token, which header field names must be.
 func isToken(name string) bool {
 	return name != "" && !strings.ContainsFunc(name, func(c rune) bool {
 		return !isUnreserved(c) && !strings.ContainsRune("!#$%&'*+^`|", c)
 	})
 }
 
-// isControl reports whether a character may not stand in a header field's value.
+// isControl reports whether c is a control character that a header field's value must not contain.
 func isControl(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
--- a/internal/transport/response_stream.go
+++ b/internal/transport/response_stream.go
@@ -13,44 +13,46 @@
 )
 
 const (
-	// maxResponseBody is the longest body that a server may send, in bytes; one of several GB is no response.
+	// maxResponseBody is the maximum size of a response body, in bytes. A body of several GB is not a valid response.
 	maxResponseBody = 64 << 20
-	// clientCheckInterval is how long a server may let a long response stand still before a look whether its client is
-	// there, and the time between two such looks. A write would tell, but there is nothing to write.
+	// clientCheckInterval is the duration for which a server may send no byte of a long response before the node checks
+	// whether the client is still connected, and the interval between two checks. A failed write would also show that the
+	// client has left, but there is nothing to write.
 	clientCheckInterval = 50 * time.Millisecond
-	// firstPartWait is how long the first part of a response of unknown length may wait for the rest. Most are
-	// complete by then, and an attempt whose response is malformed can be retried.
+	// firstPartWait is the duration for which the first part of a response of unknown length waits for the rest. Most
+	// responses are complete within it, and an attempt whose malformed response is found before anything was sent to the
+	// client can be retried.
 	firstPartWait = 20 * time.Millisecond
-	// minFirstPart is the first size of the buffer for that part, in bytes.
-	minFirstPart = 512
+	// minFirstPartBuffer is the initial size of the buffer for the first part, in bytes.
+	minFirstPartBuffer = 512
 )
 
-// responseStream is the rest of a long response of which the first part has been read. It holds the server's
-// connection: whoever has it calls finish, once.
+// responseStream is the remainder of a long response whose first part has been read. It holds the connection to the
+// server: its holder must call finish exactly once.
 type responseStream struct {
 	transport *UpstreamTransport
 	conn      *upstreamConn
 	reader    *bufio.Reader
 	body      io.Reader
-	// length is that of the whole body; -1: unknown.
+	// length is the length of the whole body; -1: unknown.
 	length int64
-	// remaining is what is left of a known length, or of what a response may have.
+	// remaining is the number of bytes still to be read. For a body of unknown length it is the number still allowed.
 	remaining int64
-	// closeAfter: the connection ends with the response.
+	// closeAfter is true if the connection closes after the response.
 	closeAfter bool
 
-	transferPace // of what is read here
+	transferPace // pace of the server
 
-	// client is whom the response is passed to; nil: nobody who could leave.
+	// client is the connection that receives the response; nil: there is no client that could disconnect.
 	client disconnectChecker
 	mu     sync.Mutex
-	// waiting: a read waits.
+	// waiting is true while a read waits.
 	waiting bool
-	// clientCheck looks at the client meanwhile.
+	// clientCheck is the timer of the next check of the client while a read waits.
 	clientCheck *time.Timer
 }
 
-// Read implements io.Reader; io.EOF means that the response is complete.
+// Read implements io.Reader. io.EOF means that the response is complete.
 func (s *responseStream) Read(b []byte) (int, error) {
 	if s.remaining == 0 {
 		if s.length < 0 {
@@ -72,12 +74,12 @@
 		err = io.ErrUnexpectedEOF
 	}
 	if n > 0 && err == io.EOF {
-		err = nil // the next read returns it
+		err = nil // the next read returns io.EOF
 	}
 	return n, err
 }
 
-// setWaiting notes that a read begins to wait, or has ended. Meanwhile the client is checked.
+// setWaiting records the start or the end of a read. The client is checked while a read waits.
 func (s *responseStream) setWaiting(waiting bool) {
 	if s.client == nil {
 		return
@@ -95,8 +97,8 @@
 	}
 }
 
-// checkClient ends a read that waits for the response of a client that has left. The lock keeps it from any later
-// use of the connection.
+// checkClient interrupts a read that waits for the response if the client has disconnected. It holds mu, so that it
+// cannot interrupt a later use of the connection.
 func (s *responseStream) checkClient() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,20 +111,21 @@
 	}
 }
 
-// hasBuffered reports whether more can be read without waiting.
+// hasBuffered reports whether more bytes can be read without waiting.
 func (s *responseStream) hasBuffered() bool { return s.reader.Buffered() > 0 }
 
-// failureReason says why the connection ends after a read has failed.
+// failureReason returns the close reason for the connection after a failed read.
 func (s *responseStream) failureReason() closeReason {
-	if s.conn.readErr == nil { // the bytes are there, and no response
+	if s.conn.readErr == nil { // no read has failed: the bytes received are no valid response
 		return reasonMalformed
 	}
 	return reasonReset
 }
 
-// finish gives the connection back after a complete response, or closes it for a reason.
+// finish ends the use of the connection. With reasonNone, after a complete response, it returns the connection to the
+// pool if that can be reused; otherwise it closes the connection for the reason.
 func (s *responseStream) finish(reason closeReason) {
-	surplus := s.hasBuffered()
+	extraBytes := s.hasBuffered()
 	s.reader.Reset(nil)
 	s.transport.readers.Put(s.reader)
 	switch {
@@ -130,23 +133,24 @@
 		s.conn.closeFor(reason)
 	case s.closeAfter:
 		s.conn.closeFor(reasonServerAsked)
-	case surplus:
+	case extraBytes:
 		s.conn.closeFor(reasonExtraBytes)
 	default:
 		s.transport.putConn(s.conn)
 	}
 }
 
-// readFirstPart reads the first part of a body of unknown length: all of it, if it is short and comes soon.
+// readFirstPart reads the first part of a body of unknown length. complete is true if this is the whole body, because
+// that is short and arrives soon.
 func readFirstPart(conn *upstreamConn, reader *bufio.Reader, body io.Reader,
 	until time.Time) (first []byte, complete bool, err error) {
 	hold := time.Now().Add(firstPartWait)
 	for len(first) <= protocol.MaxBufferedBody {
-		if reader.Buffered() == 0 && conn.waitsInVain(reader, hold, until) {
+		if reader.Buffered() == 0 && conn.isSilentUntil(reader, hold, until) {
 			return first, false, nil
 		}
 		if len(first) == cap(first) {
-			larger := make([]byte, 0, max(2*cap(first), minFirstPart))
+			larger := make([]byte, 0, max(2*cap(first), minFirstPartBuffer))
 			first = append(larger, first...)
 		}
 		n, err := body.Read(first[len(first):cap(first)])
@@ -161,9 +165,9 @@
 	return first, false, nil
 }
 
-// waitsInVain waits until hold for bytes of a response that is given up at until, and reports whether none have
-// come. It does not wait where the response is given up before.
-func (c *upstreamConn) waitsInVain(reader *bufio.Reader, hold, until time.Time) bool {
+// isSilentUntil waits until hold for bytes of a response whose deadline is until, and reports whether none have
+// arrived. It returns false without waiting if the deadline of the response is not after hold.
+func (c *upstreamConn) isSilentUntil(reader *bufio.Reader, hold, until time.Time) bool {
 	end := c.responseDeadline(until)
 	if !end.IsZero() && !hold.Before(end) {
 		return false
@@ -171,22 +175,23 @@
 	_ = c.SetReadDeadline(hold)
 	_, err := reader.Peek(1)
 	_ = c.SetReadDeadline(end)
-	if !errors.Is(err, os.ErrDeadlineExceeded) || time.Now().Before(hold) { // by then it was interrupted
+	// A deadline that expires before hold was set by Interrupt.
+	if !errors.Is(err, os.ErrDeadlineExceeded) || time.Now().Before(hold) {
 		return false
 	}
-	c.readErr = nil // nothing was lost by it
+	c.readErr = nil // the expired deadline lost no bytes
 	return true
 }
 
-// chunkedBody reads chunks, and the trailer behind them.
+// chunkedBody reads a body in chunks and skips the trailer after the last one.
 type chunkedBody struct {
 	chunks io.Reader
 	reader *bufio.Reader
-	err    error // of an earlier read
+	err    error // error of an earlier read, which every later read returns
 }
 
-// Read implements io.Reader. It takes no more than is there: the reader of chunks would wait in the middle of one
-// until b is full, and hold back what a slow server has sent.
+// Read implements io.Reader. It reads only the bytes that are buffered. Otherwise the chunked reader would wait in the
+// middle of a chunk until b is full, and delay the bytes that a slow server has already sent.
 func (c *chunkedBody) Read(b []byte) (int, error) {
 	if c.err != nil {
 		return 0, c.err
@@ -204,7 +209,7 @@
 	return n, err
 }
 
-// skipTrailer reads the lines behind the last chunk.
+// skipTrailer discards the trailer lines after the last chunk.
 func skipTrailer(reader *bufio.Reader) error {
 	for room := maxResponseHead; room > 0; {
 		line, err := reader.ReadSlice('\n')
--- a/internal/transport/response_stream_test.go
+++ b/internal/transport/response_stream_test.go
@@ -146,9 +146,9 @@
 	}
 }
 
-// TestTricklingAnswers: a long response that comes slower than any known is given up once its server was waited for
+// TestSlowStreamedResponse: a long response that comes slower than any known is given up once its server was waited for
 // as long as one that stands still; the time that a slow client takes does not count.
-func TestTricklingAnswers(t *testing.T) {
+func TestSlowStreamedResponse(t *testing.T) {
 	const all = 300000
 	for name, c := range map[string]struct {
 		part  int           // bytes that the peer gives at a time, with a pause behind
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -16,55 +16,57 @@
 )
 
 const (
-	// maxRequestBody is the longest body that a client may send, in bytes.
+	// maxRequestBody is the maximum size of a request body, in bytes.
 	maxRequestBody = 32 << 20
-	// streamBufferSize holds what is on its way of one long message, each way, in bytes.
+	// streamBufferSize is the size of the buffer of one long message in each direction, in bytes.
 	streamBufferSize = 32 << 10
-	// chunkOverhead is room for the framing of one chunk.
+	// chunkOverhead is the room for the framing of one chunk, in bytes.
 	chunkOverhead = 64
 )
 
-// expiredDeadline is a deadline that ends any read or write at once.
+// expiredDeadline is a deadline in the past, which ends any read or write at once.
 var expiredDeadline = time.Unix(1, 0)
 
-// upload is a body too long to be buffered: it is streamed as it comes, to one server, once. The attempt that
-// claims it reads it; the frontend waits until that has ended.
+// upload is a request body too long to be buffered. It is streamed as it arrives, to one server and only once. The
+// attempt that claims it reads it, and the frontend waits until that attempt has ended.
 type upload struct {
 	conn       *clientConn
 	body       io.Reader
-	first      []byte // what was read ahead
-	length     int64  // of the whole body; -1: unknown, it is sent in chunks
+	firstPart  []byte // bytes that were read before the upload started
+	length     int64  // of the whole body; -1: unknown, and the body is sent in chunks
 	clientPace transferPace
 	serverPace transferPace
 
 	mu sync.Mutex
-	// claimed: an attempt reads the body.
+	// claimed is true once an attempt reads the body.
 	claimed bool
-	// closed: no attempt may claim it any more.
+	// closed is true once no attempt may claim the body any more.
 	closed bool
 
-	// done is closed when that attempt has ended.
+	// done is closed when sending the body has ended.
 	done chan struct{}
-	// clientErr is why the body is incomplete by the client's fault; nil: it is not. It is set before done is closed.
+	// clientErr is the error that made the body incomplete, if the client caused it; nil: the client did not. It is set
+	// before done is closed.
 	clientErr error
-	// bodyRead: all of it has been read from the client.
+	// bodyRead is true once the whole body has been read from the client.
 	bodyRead atomic.Bool
-	// bodySent: its last byte has been written.
+	// bodySent is true once the last byte of the body has been written to the server.
 	bodySent atomic.Bool
-	// stopped: the rest is not wanted. That it does not come is not the client's fault.
+	// stopped is true once the rest of the body is not wanted. The client is not blamed for a rest that is missing
+	// afterwards.
 	stopped atomic.Bool
-	// responseUntil is when the server's response is given up, in Unix nanoseconds; 0: not yet known.
+	// responseUntil is the deadline of the server's response, in Unix nanoseconds; 0: not yet known.
 	responseUntil atomic.Int64
 }
 
-// newUploadMessage makes the message of a request whose body is too long to be buffered, and of which the first
-// part may have been read.
+// newUploadMessage returns the message of a request whose body is too long to be buffered. first is the part of the
+// body that has already been read.
 func (f *Frontend) newUploadMessage(r requestBody, first []byte) *requestMessage {
 	m := newMessage(&f.buffers, r.Method, r.target, r.Host, r.Header, r.length)
 	m.upload = &upload{
 		conn:       r.conn,
 		body:       r.Body,
-		first:      first,
+		firstPart:  first,
 		length:     r.length,
 		done:       make(chan struct{}),
 		clientPace: transferPace{bytes: int64(len(first)), waited: time.Since(r.conn.requestStarted())},
@@ -72,7 +74,7 @@
 	return m
 }
 
-// claim lets one attempt read the body, and reports whether it is this one.
+// claim reserves the body for the calling attempt, and reports whether that attempt may read it.
 func (u *upload) claim() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -83,8 +85,8 @@
 	return true
 }
 
-// finish keeps attempts from claiming the body from now on, waits for one that reads it, and returns the client's
-// error.
+// finish prevents further attempts from claiming the body, stops an attempt that reads it, waits for its end, and
+// returns the client's error.
 func (u *upload) finish() error {
 	u.mu.Lock()
 	u.closed = true
@@ -97,9 +99,9 @@
 	return u.clientErr
 }
 
-// stopReading ends the reading of the body, unless all of it has been read, and waits for that. Behind the body no
-// read is ended, since net/http watches for a disconnect there: a server may answer before the write of the last
-// byte returns here.
+// stopReading stops reading the body, unless the whole body has been read, and waits for the end of send. It does not
+// interrupt reads after the end of the body, since net/http reads there to detect a disconnect. This matters because a
+// server may answer before the write of the last byte returns.
 func (u *upload) stopReading() {
 	if !u.bodyRead.Load() {
 		u.stopped.Store(true)
@@ -107,19 +109,19 @@
 	}
 	<-u.done
 	if u.bodyRead.Load() {
-		_ = u.conn.SetReadDeadline(time.Time{}) // net/http watches for a disconnect
+		_ = u.conn.SetReadDeadline(time.Time{}) // net/http reads to detect a disconnect
 	}
 }
 
-// send writes the head and the body to a server, from a goroutine of its own, and notes the client's error if the
-// body ends early.
+// send writes the head and the body to a server, in its own goroutine, and sets clientErr if the body ends early
+// because of the client.
 func (u *upload) send(ctx context.Context, conn *upstreamConn, head []byte, attempt routing.Attempt) {
 	defer close(u.done)
 	defer conn.recoverUploadPanic()
 	out := bufio.NewWriterSize(conn, streamBufferSize+chunkOverhead)
 	_, _ = out.Write(head) // the first flush returns the error
 	buf := make([]byte, streamBufferSize)
-	part := u.first
+	part := u.firstPart
 	var err error
 	for {
 		if u.clientPace.bytes > maxRequestBody {
@@ -129,7 +131,7 @@
 		u.bodyRead.Store(last)
 		writeErr := u.writePart(conn, out, part, last)
 		switch {
-		case writeErr != nil || ctx.Err() != nil && !last: // who reads the response finds out
+		case writeErr != nil || ctx.Err() != nil && !last: // the goroutine that reads the response reports the failure
 			conn.Interrupt()
 			return
 		case last:
@@ -147,7 +149,7 @@
 	}
 }
 
-// finishSending starts the wait for the response, once the last byte of the body has been written.
+// finishSending starts the timeout of the response after the last byte of the body has been written.
 func (u *upload) finishSending(ctx context.Context, conn *upstreamConn, attempt routing.Attempt) {
 	_ = u.conn.SetReadDeadline(time.Time{})
 	u.conn.completeRequest()
@@ -155,13 +157,13 @@
 	until := time.Now().Add(attempt.BodyTimeout)
 	u.responseUntil.Store(until.UnixNano())
 	_ = conn.SetDeadline(until)
-	if ctx.Err() != nil { // the deadline must not undo an interruption
+	if ctx.Err() != nil { // the new deadline must not undo an interruption
 		conn.Interrupt()
 	}
 	attempt.OnBodySent()
 }
 
-// recoverUploadPanic keeps a panic in the goroutine that sends an upload from ending the node.
+// recoverUploadPanic prevents a panic in the goroutine that sends an upload from ending the process.
 func (c *upstreamConn) recoverUploadPanic() {
 	if p := recover(); p != nil {
 		c.log.log.Error("panic", "in", "upload", "value", fmt.Sprint(p), "stack", string(debug.Stack()))
@@ -169,11 +171,11 @@
 	}
 }
 
-// readNext waits for the client's next bytes, as long as it keeps its pace.
+// readNext waits for the client's next bytes, as long as the client keeps the minimum pace.
 func (u *upload) readNext(buf []byte) ([]byte, error) {
 	started := time.Now()
 	_ = u.conn.SetReadDeadline(started.Add(u.clientPace.timeLeft(bodyStallTimeout)))
-	if u.stopped.Load() { // the deadline must not undo that: what is not wanted is not waited for
+	if u.stopped.Load() { // the new deadline must not undo stopReading: the rest of the body is not waited for
 		_ = u.conn.SetReadDeadline(expiredDeadline)
 	}
 	n, err := u.body.Read(buf)
@@ -181,8 +183,9 @@
 	return buf[:n], err
 }
 
-// writePart writes a part of the body, and its end, as long as the server takes it at its pace: one that is silent
-// in the middle would hold the call for ever. The flush returns the error of any write.
+// writePart writes a part of the body, and with last also the end of the body, as long as the server keeps the minimum
+// pace. Otherwise a server that stops reading in the middle would hold the call forever. The flush returns the error of
+// any write.
 func (u *upload) writePart(conn *upstreamConn, out *bufio.Writer, part []byte, last bool) error {
 	started := time.Now()
 	_ = conn.SetWriteDeadline(started.Add(u.serverPace.timeLeft(streamStallTimeout)))
@@ -202,7 +205,7 @@
 	return err
 }
 
-// exchangeUpload sends a call to a server whose body is still coming, and waits for the response.
+// exchangeUpload sends a call whose body is still arriving, and waits for the response.
 func (t *UpstreamTransport) exchangeUpload(ctx context.Context, attempt routing.Attempt, m *requestMessage,
 	conn *upstreamConn) routing.AttemptResult {
 	u := m.upload
@@ -223,7 +226,7 @@
 	if res.Reply != nil || u.bodySent.Load() || res.Result == balancer.Rejected {
 		return res
 	}
-	// The last byte was never written, which proves that the server never ran it.
+	// The last byte was never written, which proves that the server never ran the call.
 	if u.clientErr != nil || ctx.Err() != nil {
 		return routing.AttemptResult{Result: balancer.NotSent}
 	}
--- a/internal/transport/upload_test.go
+++ b/internal/transport/upload_test.go
@@ -21,8 +21,8 @@
 // Read implements io.Reader.
 func (panickingBody) Read([]byte) (int, error) { panic("body") }
 
-// TestPanicInAnUpload: a panic while a long body goes on fails its call, and does not end the node.
-func TestPanicInAnUpload(t *testing.T) {
+// TestUploadPanic: a panic while a long body goes on fails its call, and does not end the node.
+func TestUploadPanic(t *testing.T) {
 	p := startServer(t, func(conn net.Conn) { io.Copy(io.Discard, conn) })
 	transport, log := newTestTransport(time.Second)
 	addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
--- a/internal/transport/upstream_conn.go
+++ b/internal/transport/upstream_conn.go
@@ -11,21 +11,22 @@
 	"olivebridge/internal/routing"
 )
 
-// upstreamConn is a connection to a server, or to the discovery service. One attempt at a time uses it.
+// upstreamConn is a connection to a server or to the discovery service. At most one attempt uses it at a time.
 type upstreamConn struct {
 	Conn
 	log    *connLog
-	server *routing.Upstream // nil: discovery
-	// idleSince is when it fell idle.
+	server *routing.Upstream // nil: the discovery service
+	// idleSince is the time at which the connection became idle.
 	idleSince time.Time
-	// readErr is the error of a failed read: what came before it is incomplete. nil: none has failed.
+	// readErr is the error of a failed read; nil: none has failed. A response read before the error is incomplete.
 	readErr error
-	// upload is the body that it carries, or carried last; nil: none.
+	// upload is the streamed request body that the connection carries or carried last; nil: none.
 	upload *upload
 }
 
-// Read implements net.Conn. An error stays as it was first returned: the system tells a reset once, and an orderly end
-// from then on, which would make a cut response without length a complete one.
+// Read implements net.Conn. Every read after a failed one returns the same error, except after an expired deadline. The
+// operating system reports a reset only once and end of file afterwards, which would make a truncated response without
+// a length look complete.
 func (c *upstreamConn) Read(b []byte) (int, error) {
 	if c.readErr != nil && !errors.Is(c.readErr, os.ErrDeadlineExceeded) {
 		return 0, c.readErr
@@ -44,17 +45,17 @@
 	return c.Conn.Close()
 }
 
-// closeFor closes the connection for a reason, unless an earlier one is known.
+// closeFor closes the connection and logs the reason, unless an earlier reason is set.
 func (c *upstreamConn) closeFor(reason closeReason) {
 	c.log.setReason(reason)
 	_ = c.Close()
 }
 
-// Interrupt implements routing.Interrupter: it ends what is being read or written.
+// Interrupt implements routing.Interrupter. It ends any read or write in progress.
 func (c *upstreamConn) Interrupt() { _ = c.SetDeadline(expiredDeadline) }
 
-// staleReason says why an idle connection cannot carry an attempt; reasonNone: it can. Whatever there is to read
-// belongs to no request that is still to be sent.
+// staleReason returns the reason why an idle connection cannot carry another attempt, or reasonNone if it can. Bytes
+// that wait to be read cannot belong to a request that has not been sent yet.
 func (c *upstreamConn) staleReason() closeReason {
 	n, err := c.Peek()
 	switch {
@@ -69,8 +70,8 @@
 	}
 }
 
-// responseDeadline is when the response to an attempt on the connection is given up: at until, but that of an upload
-// counts from its last byte; zero: that has not been written.
+// responseDeadline returns the time at which the wait for the response ends. This is until, except for an upload: its
+// deadline counts from the last byte of the body, and is zero until that byte has been written.
 func (c *upstreamConn) responseDeadline(until time.Time) time.Time {
 	if c.upload == nil {
 		return until
@@ -78,17 +79,18 @@
 	if nanoseconds := c.upload.responseUntil.Load(); nanoseconds != 0 {
 		return time.Unix(0, nanoseconds)
 	}
-	return time.Time{} // its pace is the client's, and watched there
+	return time.Time{} // no deadline: upload.send limits the pace of the client
 }
 
-// failureResult closes a connection that brought no complete response, and says what that means for its attempt, which
-// was written to its end and so may have run. cause is why the attempt was given up; nil: it was not.
+// failureResult closes a connection that returned no complete response, and returns the result of its attempt. The
+// request was written completely, so the server may have run it. cause is the reason why the attempt was cancelled;
+// nil: it was not cancelled.
 func (c *upstreamConn) failureResult(err, cause error) balancer.Result {
 	switch {
 	case errors.Is(err, errResponseTooLarge):
 		c.closeFor(reasonOversize)
 		return balancer.Errored
-	case c.readErr == nil: // the bytes are there, and no response
+	case c.readErr == nil: // no read has failed: the bytes received are no valid response
 		c.closeFor(reasonMalformed)
 		return balancer.Errored
 	}
@@ -103,7 +105,7 @@
 	}
 }
 
-// cancelCause says why an attempt is given up; nil: it is not.
+// cancelCause returns the reason why an attempt is cancelled or has expired; nil: neither.
 func cancelCause(ctx context.Context, until, now time.Time) error {
 	switch {
 	case ctx.Err() != nil:
@@ -114,8 +116,8 @@
 	return nil
 }
 
-// cancelReason is the reason why the connection of an attempt ends that was given up for a cause; otherwise: it was
-// not.
+// cancelReason returns the close reason for the connection of an attempt that was cancelled for cause. A nil cause
+// means that the attempt was not cancelled: cancelReason then returns otherwise.
 func cancelReason(cause error, otherwise closeReason) closeReason {
 	switch {
 	case cause == nil:
@@ -129,31 +131,32 @@
 
 // cancelWatch interrupts a connection when a context ends.
 type cancelWatch struct {
-	attempt       attemptContext // nil: the context is not an attempt's
-	stopAfterFunc func() bool    // ends the watch of any other context
+	attempt       attemptContext // nil: the context is not an attemptContext
+	stopAfterFunc func() bool    // ends the watch of any other kind of context
 }
 
-// attemptContext is an attempt's context, which needs no goroutine to tell its end.
+// attemptContext is the context of an attempt. It reports its end without a goroutine.
 type attemptContext interface {
-	// InterruptOnDone has i interrupted when the context ends; nil: nobody any more. It reports whether the context
-	// goes on.
-	InterruptOnDone(i routing.Interrupter) (goesOn bool)
+	// InterruptOnDone makes the context interrupt i when it ends; nil removes the registration. It reports whether the
+	// context is still active.
+	InterruptOnDone(i routing.Interrupter) (active bool)
 }
 
-// watchCancel has a connection interrupted when a context ends, until the watch is stopped.
+// watchCancel interrupts the connection when ctx ends, until the watch is stopped.
 func watchCancel(ctx context.Context, c *upstreamConn) cancelWatch {
 	attempt, ok := ctx.(attemptContext)
 	if !ok {
 		return cancelWatch{stopAfterFunc: context.AfterFunc(ctx, c.Interrupt)}
 	}
-	if !attempt.InterruptOnDone(c) { // it ended just before
+	if !attempt.InterruptOnDone(c) { // the context has already ended
 		c.Interrupt()
 	}
 	return cancelWatch{attempt: attempt}
 }
 
-// stop ends the watch, and reports whether the context had not ended. Nothing is interrupted any more then.
-func (w cancelWatch) stop() (undisturbed bool) {
+// stop ends the watch and reports whether the context is still active. The connection is not interrupted after stop has
+// returned.
+func (w cancelWatch) stop() (notCancelled bool) {
 	if w.attempt != nil {
 		return w.attempt.InterruptOnDone(nil)
 	}
--- a/internal/transport/upstream_pool.go
+++ b/internal/transport/upstream_pool.go
@@ -13,48 +13,50 @@
 )
 
 const (
-	// reuseDelay is how long a connection rests before it carries another attempt. A second response is known to come
-	// some milliseconds late: it is there by then, and shows, and would else be served to whoever is next.
+	// reuseDelay is the minimum time for which a connection is idle before it carries another attempt. Faulty servers send
+	// a second response some milliseconds after the first. After this delay its bytes have arrived and are detected;
+	// without the delay they would be returned to the next request.
 	reuseDelay = 10 * time.Millisecond
-	// shortageLogInterval is how often at most the log tells that connections cannot be opened.
+	// shortageLogInterval is the minimum interval between log lines about connections that cannot be opened.
 	shortageLogInterval = time.Second
-	// sweepsPerIdleTimeout is how often idle connections are swept within their idle timeout.
+	// sweepsPerIdleTimeout is the number of sweeps of idle connections within one idle timeout.
 	sweepsPerIdleTimeout = 8
 )
 
-// errConnLimit says that this node may open no further connection, for want of descriptors or as it ends.
-var errConnLimit = errors.New("no room for a connection")
+// errConnLimit reports that this node may open no further connection: the limit set by its file descriptors is reached,
+// or the pool is closed.
+var errConnLimit = errors.New("connection limit reached or pool closed")
 
-// upstreamPool holds the connections to servers. The one in http.Transport gives a connection out again before it
-// looks for bytes behind the response, and takes these for the next response.
+// upstreamPool holds the connections to servers. The pool of http.Transport is not used, since it reuses a connection
+// before it checks for bytes after the response, and would treat these as the next response.
 //
-// Connections belong to a server, not to its address: one to a server that has left the upstream group must not
-// carry an attempt for its successor at that address.
+// Connections belong to a server, not to its address: a connection to a server that has left the upstream group must
+// not carry an attempt for its successor at the same address.
 type upstreamPool struct {
 	reuseDelay time.Duration
 	log        *slog.Logger
 	dial       Dialer
 
 	mu sync.Mutex
-	// connectTimeout is how long a connection may take to come up.
+	// connectTimeout limits the time to open a connection.
 	connectTimeout time.Duration
-	// idleTimeout is how long a connection may be idle.
+	// idleTimeout limits the time for which a connection is idle.
 	idleTimeout time.Duration
-	// maxConns bounds open.
+	// maxConns limits open.
 	maxConns int
-	// open counts the connections, those being opened included.
+	// open is the number of connections, including those being opened.
 	open int
-	// idle are the idle connections, the longest idle first. The sweep drops empty lists.
+	// idle holds the idle connections of each server, the longest idle first. A sweep removes empty lists.
 	idle map[*routing.Upstream][]*upstreamConn
-	// sweeper is the sweep that is due; nil: none is.
+	// sweeper is the timer of the next sweep; nil: none is scheduled.
 	sweeper *time.Timer
-	// closed: no connection is opened or kept any more.
+	// closed is true once no connection is opened or kept any more.
 	closed bool
-	// lastShortageLog is when the last line of noteLocalShortage was written.
+	// lastShortageLog is the time of the last log line of logLocalShortage.
 	lastShortageLog time.Time
 }
 
-// configure changes the limits, which hold from the next connection on.
+// configure changes the limits. They apply from the next connection on.
 func (p *upstreamPool) configure(connectTimeout, idleTimeout time.Duration, maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,9 +65,9 @@
 	p.maxConns = maxConns
 }
 
-// get returns an idle connection, or a new one, which must be up by until.
+// get returns an idle connection, or a new one if there is none. A new one must be established before until.
 func (p *upstreamPool) get(ctx context.Context, server *routing.Upstream, until time.Time) (*upstreamConn, error) {
-	for c := p.take(server); c != nil; c = p.take(server) {
+	for c := p.takeIdle(server); c != nil; c = p.takeIdle(server) {
 		reason := c.staleReason()
 		if reason == reasonNone {
 			return c, nil
@@ -96,9 +98,10 @@
 	return &upstreamConn{Conn: conn, server: server, log: newConnLog(p.log, "peer", server.Addr, p.releaseConn)}, nil
 }
 
-// take takes the last used idle connection to a server that has settled, and has not been idle for too long; nil if
-// there is none. The sweep may be late for that, or still go by the timeout before a reload.
-func (p *upstreamPool) take(server *routing.Upstream) *upstreamConn {
+// takeIdle removes and returns the most recently used idle connection to a server that has been idle for at least
+// reuseDelay and less than idleTimeout; nil if there is none. It checks the timeout itself, since a sweep may be late
+// or may still be scheduled by the timeout before a reload.
+func (p *upstreamPool) takeIdle(server *routing.Upstream) *upstreamConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[server]
@@ -114,14 +117,14 @@
 	return nil
 }
 
-// put takes a connection back that carries nothing any more.
+// put returns to the pool a connection that carries no attempt any more. A closed pool closes it.
 func (p *upstreamPool) put(c *upstreamConn) {
 	if !p.putIdle(c) {
 		c.closeFor(reasonIdle)
 	}
 }
 
-// putIdle keeps an idle connection, and reports whether the pool still does so.
+// putIdle adds c to the idle connections, and reports false if the pool is closed.
 func (p *upstreamPool) putIdle(c *upstreamConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,7 +139,8 @@
 	return true
 }
 
-// reserveConn counts a connection to be opened and says how long that may take. At the limit an idle one makes room.
+// reserveConn counts a connection to be opened, and returns the time limit for opening it. At the limit of connections
+// it evicts an idle connection first; ok is false if there is none or the pool is closed.
 func (p *upstreamPool) reserveConn() (timeout time.Duration, ok bool) {
 	for {
 		p.mu.Lock()
@@ -156,22 +160,22 @@
 	}
 }
 
-// releaseConn counts a connection that has ended.
+// releaseConn removes a connection that has ended, or could not be opened, from the number of open connections.
 func (p *upstreamPool) releaseConn() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 }
 
-// count is how many connections there are, those being opened included.
+// count returns the number of connections, including those being opened.
 func (p *upstreamPool) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// evict closes the connection that has been idle for the longest, to whichever server, and reports whether there
-// was one: a further handshake costs less than a failed attempt.
+// evict closes the connection that has been idle for the longest time, to any server, and reports whether there was
+// one. Another handshake costs less than a failed attempt.
 func (p *upstreamPool) evict() bool {
 	p.mu.Lock()
 	var oldest *upstreamConn
@@ -191,14 +195,15 @@
 	return true
 }
 
-// scheduleSweep has the pool swept. The lock is held.
+// scheduleSweep schedules the next sweep. The caller holds mu.
 func (p *upstreamPool) scheduleSweep() {
 	p.sweeper = time.AfterFunc(p.idleTimeout/sweepsPerIdleTimeout, p.sweep)
 }
 
-// sweep closes connections that have been idle for too long, or were closed by their server, as long as any is idle.
+// sweep closes idle connections that have exceeded the idle timeout or were closed by their server. It schedules the
+// next sweep as long as any connection is idle.
 func (p *upstreamPool) sweep() {
-	p.closeMatching(func(c *upstreamConn) closeReason { // the lock is held
+	p.closeMatching(func(c *upstreamConn) closeReason { // called with mu held
 		if reason := c.staleReason(); reason != reasonNone || time.Since(c.idleSince) < p.idleTimeout {
 			return reason
 		}
@@ -212,7 +217,7 @@
 	}
 }
 
-// close closes the idle connections, and from then on whatever is put back.
+// close closes the idle connections. Connections returned to the pool afterwards are closed as well.
 func (p *upstreamPool) close() {
 	p.mu.Lock()
 	p.closed = true
@@ -223,15 +228,15 @@
 	p.closeMatching(func(*upstreamConn) closeReason { return reasonIdle })
 }
 
-// closeMatching closes each idle connection for which match gives a reason. It calls match under the lock.
+// closeMatching closes each idle connection for which match returns a reason. It calls match with mu held.
 func (p *upstreamPool) closeMatching(match func(*upstreamConn) closeReason) {
-	ended := map[*upstreamConn]closeReason{}
+	reasons := map[*upstreamConn]closeReason{}
 	p.mu.Lock()
 	for server, list := range p.idle {
 		list = slices.DeleteFunc(list, func(c *upstreamConn) bool {
 			reason := match(c)
 			if reason != reasonNone {
-				ended[c] = reason
+				reasons[c] = reason
 			}
 			return reason != reasonNone
 		})
@@ -241,13 +246,13 @@
 		}
 	}
 	p.mu.Unlock()
-	for c, reason := range ended {
+	for c, reason := range reasons {
 		c.closeFor(reason)
 	}
 }
 
-// isLocalShortage reports whether this node is why there is no connection, and not the server: descriptors, ports or
-// memory are short.
+// isLocalShortage reports whether a connection failed because of this node, not of the server: file descriptors, ports
+// or memory are exhausted, or the connection limit is reached.
 func isLocalShortage(err error) bool {
 	for _, errno := range [...]syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL,
 		syscall.ENOBUFS, syscall.ENOMEM} {
@@ -258,9 +263,9 @@
 	return errors.Is(err, errConnLimit)
 }
 
-// noteLocalShortage reports whether an error is a shortage of this node, and logs it. It guards sound servers, all of
-// which would seem to fail together.
-func (p *upstreamPool) noteLocalShortage(err error, now time.Time) bool {
+// logLocalShortage reports whether err is a shortage of this node, and logs it. Without this distinction all healthy
+// servers would seem to fail at once.
+func (p *upstreamPool) logLocalShortage(err error, now time.Time) bool {
 	if !isLocalShortage(err) {
 		return false
 	}
--- a/internal/transport/upstream_pool_test.go
+++ b/internal/transport/upstream_pool_test.go
@@ -151,11 +151,11 @@
 	short := long
 	short.ServerIdleTimeout = 1
 	transport.Configure(short)
-	if c := transport.pool.take(p); c != nil {
+	if c := transport.pool.takeIdle(p); c != nil {
 		t.Error("given out beyond its time")
 	}
 	transport.Configure(long)
-	if c := transport.pool.take(p); c == nil {
+	if c := transport.pool.takeIdle(p); c == nil {
 		t.Error("not given out within its time")
 	}
 }
--- a/internal/transport/upstream_response.go
+++ b/internal/transport/upstream_response.go
@@ -14,31 +14,35 @@
 	"olivebridge/internal/protocol"
 )
 
-// errMalformedResponse marks a response that breaks HTTP/1.1 or its own framing. The server may have run its
-// attempt, and its connection is of no further use.
+// errMalformedResponse reports a response that violates HTTP/1.1 or its own framing. The server may have run the
+// attempt, and the connection cannot be used again.
 var errMalformedResponse = errors.New("malformed response")
 
-// errResponseTooLarge is a malformed response that exceeds what a response may have.
-var errResponseTooLarge = fmt.Errorf("%w: too long", errMalformedResponse)
+// errResponseTooLarge is an errMalformedResponse for a response that exceeds a size limit.
+var errResponseTooLarge = fmt.Errorf("%w: size limit exceeded", errMalformedResponse)
 
-// malformedResponse is an errMalformedResponse that says what is wrong.
-func malformedResponse(what string) error { return fmt.Errorf("%w: %s", errMalformedResponse, what) }
+// malformedResponse returns an errMalformedResponse with a description of the violation.
+func malformedResponse(violation string) error {
+	return fmt.Errorf("%w: %s", errMalformedResponse, violation)
+}
 
-// maxResponseHead bounds the bytes of a response's head, together with the 1xx responses ahead of it.
+// maxResponseHead limits the bytes of a response's head, including the 1xx responses before it.
 const maxResponseHead = 32 << 10
 
 // upstreamResponse is a server's response.
 type upstreamResponse struct {
 	responseHead
-	// body is all of the body, or the first part of a long one.
+	// body is the complete body, or the first part of a long one.
 	body []byte
-	buf  *pooledBuffer // that body is a part of; nil: none
-	// stream is the rest of a long body; nil: there is none.
+	// buf is the buffer that holds body; nil: body is not from a buffer pool.
+	buf *pooledBuffer
+	// stream is the remainder of a long body; nil: body is complete.
 	stream *responseStream
 }
 
-// readResponse reads the one response to a request, with its body in a buffer of the pool; of one that is long, or of
-// unknown length and slow to come, the first part. Any error but errMalformedResponse is one of reading.
+// readResponse reads the final response to a request, with its body in a buffer of the pool. Of a body that is long, or
+// of unknown length and slow to arrive, it reads only the first part. Any error other than errMalformedResponse is a
+// read error.
 func readResponse(conn *upstreamConn, reader *bufio.Reader, buffers *bufferPool,
 	until time.Time) (r upstreamResponse, err error) {
 	for room := maxResponseHead; ; {
@@ -52,20 +56,20 @@
 		}
 		switch {
 		case r.status == http.StatusSwitchingProtocols || r.status < http.StatusContinue:
-			return r, malformedResponse("status")
+			return r, malformedResponse("status code not allowed")
 		case r.status >= http.StatusOK:
 			return r, r.readBody(conn, reader, buffers, until)
 		case r.length > 0 || r.chunked:
-			return r, malformedResponse("a body in a 1xx response")
+			return r, malformedResponse("1xx response with a body")
 		}
 	}
 }
 
-// readBody reads what follows the head.
+// readBody reads the body after the head.
 func (r *upstreamResponse) readBody(conn *upstreamConn, reader *bufio.Reader, buffers *bufferPool,
 	until time.Time) (err error) {
 	switch {
-	case r.status == http.StatusNoContent || r.status == http.StatusNotModified: // have none
+	case r.status == http.StatusNoContent || r.status == http.StatusNotModified: // no body by definition
 	case r.chunked:
 		body := &chunkedBody{chunks: httputil.NewChunkedReader(reader), reader: reader}
 		err = r.readUnknownLength(conn, reader, body, until)
@@ -84,15 +88,15 @@
 		r.body = r.buf.bytes[:r.length]
 		_, err = io.ReadFull(reader, r.body)
 	case r.length == 0:
-	case strings.EqualFold(r.first("Connection"), "close"):
+	case strings.EqualFold(r.firstValue("Connection"), "close"):
 		err = r.readUnknownLength(conn, reader, reader, until)
-	default: // the end of the connection would be no sign that the body is complete
-		err = malformedResponse("no length")
+	default: // the end of the connection would not prove that the body is complete
+		err = malformedResponse("body without a length on a connection that stays open")
 	}
 	return err
 }
 
-// readUnknownLength reads the first part of a body whose length is not announced.
+// readUnknownLength reads the first part of a body without an announced length.
 func (r *upstreamResponse) readUnknownLength(conn *upstreamConn, reader *bufio.Reader, body io.Reader,
 	until time.Time) error {
 	first, complete, err := readFirstPart(conn, reader, body, until)
@@ -109,8 +113,8 @@
 	return err
 }
 
-// readResponseHead reads the bytes of a head, the empty line included; they hold until the next read. It gives up
-// at the first byte that cannot be one's: noise need not have an end.
+// readResponseHead reads the bytes of a head including the empty line. They are valid until the next read. It fails at
+// the first byte that cannot belong to a head: invalid data may have no end.
 func readResponseHead(reader *bufio.Reader, room int) ([]byte, error) {
 	const (
 		start = "HTTP/1."
@@ -120,7 +124,7 @@
 		return nil, err
 	}
 	buffered, _ := reader.Peek(reader.Buffered())
-	if bytes.HasPrefix(buffered, []byte(start)) { // most heads come in one piece
+	if bytes.HasPrefix(buffered, []byte(start)) { // most heads arrive in one piece
 		size := bytes.Index(buffered, []byte(end)) + len(end)
 		if size >= len(end) && size <= room {
 			_, _ = reader.Discard(size)
@@ -135,15 +139,15 @@
 		}
 		head = append(head, b)
 		if b != start[len(head)-1] {
-			return nil, malformedResponse("no head")
+			return nil, malformedResponse("head does not start with the HTTP version")
 		}
 	}
 	return readHeadLines(reader, head, room)
 }
 
-// readHeadLines reads on from within the first line of a head to the empty line.
+// readHeadLines reads the remaining lines of a head, from the middle of the first line to the empty line.
 func readHeadLines(reader *bufio.Reader, head []byte, room int) ([]byte, error) {
-	inLine := true // the next bytes go on with a line
+	inLine := true // the next bytes continue a line
 	for {
 		part, err := reader.ReadSlice('\n')
 		head = append(head, part...)
--- a/internal/transport/upstream_response_test.go
+++ b/internal/transport/upstream_response_test.go
@@ -14,21 +14,21 @@
 	"olivebridge/balancer"
 )
 
-// announcedConn is a connection that tells when a read of it begins: whatever came before has been taken by then.
-type announcedConn struct {
+// readSignalConn is a connection that tells when a read of it begins: whatever came before has been taken by then.
+type readSignalConn struct {
 	Conn
 	reads chan struct{}
 }
 
 // Read implements net.Conn.
-func (a announcedConn) Read(b []byte) (int, error) {
+func (a readSignalConn) Read(b []byte) (int, error) {
 	a.reads <- struct{}{}
 	return a.Conn.Read(b)
 }
 
-// tryCutResponse sends an attempt to a server that sends the bytes of a response, and closes the connection when the
+// newCutResponseAttempt sends an attempt to a server that sends the bytes of a response, and closes the connection when the
 // transport has taken them and waits for more: by a reset, or in order.
-func tryCutResponse(t *testing.T, given string, reset bool) (try func() balancer.Result) {
+func newCutResponseAttempt(t *testing.T, given string, reset bool) (try func() balancer.Result) {
 	t.Helper()
 	reads := make(chan struct{}, 100)
 	p := startServer(t, func(conn net.Conn) {
@@ -56,7 +56,7 @@
 				return nil, err
 			}
 			c, err := wrapConn(conn)
-			return announcedConn{c, reads}, err
+			return readSignalConn{c, reads}, err
 		},
 	})
 	return func() balancer.Result {
@@ -102,7 +102,7 @@
 		"a failure without length": {"HTTP/1.1 500 X\r\nConnection: close\r\n\r\nno", balancer.Errored},
 	} {
 		for reset, want := range map[bool]balancer.Result{true: balancer.Reset, false: c.inOrder} {
-			if got := tryCutResponse(t, c.given, reset)(); got != want {
+			if got := newCutResponseAttempt(t, c.given, reset)(); got != want {
 				t.Errorf("%s, reset %v: result %d, want %d", name, reset, got, want)
 			}
 		}
--- a/internal/transport/upstream_transport.go
+++ b/internal/transport/upstream_transport.go
@@ -15,44 +15,46 @@
 )
 
 const (
-	// minFairConnectTime is the time after which a connection that is not up counts against its server, though it may take
-	// longer by the settings: some round trips over the widest network.
-	minFairConnectTime = 100 * time.Millisecond
-	// healthCheckConnectTimeouts is how long a health check may take, in connect timeouts.
+	// minConclusiveConnectTime is the minimum time that a connect attempt ended by the call's deadline must have had to
+	// count as a failure of the server, even if ConnectTimeout is longer. It covers some round trips over the network with
+	// the highest latency.
+	minConclusiveConnectTime = 100 * time.Millisecond
+	// healthCheckConnectTimeouts is the time limit of a health check, as a multiple of ConnectTimeout.
 	healthCheckConnectTimeouts = 4
-	// idleTimeoutTenths is the part of the servers' idle timeout after which an idle connection is closed, in tenths: a
-	// request that crosses the server's close is reset.
+	// idleTimeoutTenths is the fraction of ServerIdleTimeout, in tenths, after which an idle connection is closed. A
+	// request sent while the server closes the connection would be reset.
 	idleTimeoutTenths = 7
 )
 
-// UpstreamConfig is what an UpstreamTransport is made from.
+// UpstreamConfig configures an UpstreamTransport.
 type UpstreamConfig struct {
-	// ConnectTimeout is how long a connection may take to come up; 0: none ever does.
+	// ConnectTimeout limits the time to open a connection; 0: no connection can be opened.
 	ConnectTimeout time.Duration
-	// ServerIdleTimeout is the time after which servers close an idle connection; 0: none is used again.
+	// ServerIdleTimeout is the duration after which servers close an idle connection; 0: no connection is reused.
 	ServerIdleTimeout time.Duration
-	// DrainGrace is how long after its draining began a server is still sent first bytes; 0: not at all.
+	// DrainGrace is the grace period of a draining server, during which attempts may still be sent to it: see
+	// routing.Upstream.MaySend. 0: no attempt is sent to it.
 	DrainGrace time.Duration
-	// MaxConns bounds the connections to all servers together; 0: none is opened.
+	// MaxConns limits the number of connections to all servers together; 0: none is opened.
 	MaxConns int
-	// Log gets one line for each connection that ends, and for a shortage. Configure does not change it.
+	// Log receives one line for each connection that ends, and lines about local shortages. Configure does not change it.
 	Log *slog.Logger
 	// Dial opens connections; nil: TCP. Configure does not change it.
 	Dial Dialer
 }
 
 // UpstreamTransport sends attempts and health checks to servers over pooled connections. It implements
-// routing.Transport, and its methods may be called from any goroutine.
+// routing.Transport. Its methods are safe for concurrent use.
 type UpstreamTransport struct {
 	config atomic.Pointer[UpstreamConfig]
 	pool   *upstreamPool
-	// readers are buffered readers: a connection needs one only while it carries an attempt.
+	// readers holds *bufio.Reader values. A connection needs a reader only while it carries an attempt.
 	readers sync.Pool
-	// buffers are for the responses' bodies.
+	// buffers holds the buffers of response bodies.
 	buffers bufferPool
 }
 
-// NewUpstreamTransport makes an UpstreamTransport.
+// NewUpstreamTransport returns an UpstreamTransport with the configuration c.
 func NewUpstreamTransport(c UpstreamConfig) *UpstreamTransport {
 	t := &UpstreamTransport{
 		pool: &upstreamPool{
@@ -67,24 +69,23 @@
 	return t
 }
 
-// Configure changes a transport in use, but for its log and dialer.
+// Configure replaces the configuration of a transport in use, except for Log and Dial.
 func (t *UpstreamTransport) Configure(c UpstreamConfig) {
 	t.config.Store(&c)
 	t.pool.configure(c.ConnectTimeout, c.ServerIdleTimeout*idleTimeoutTenths/10, c.MaxConns)
 }
 
-// Close ends the transport. Idle connections are closed at once, the others with their attempts; no attempt is sent
-// any more.
+// Close closes idle connections at once, and the others when their attempts end. No attempt is sent afterwards.
 func (t *UpstreamTransport) Close() { t.pool.close() }
 
-// Conns counts the connections to servers, those being opened included.
+// Conns returns the number of connections to servers, including those being opened.
 func (t *UpstreamTransport) Conns() int { return t.pool.count() }
 
-// RoundTrip implements routing.Transport. It blocks until the attempt has ended, or the first part of a long
-// response is there.
+// RoundTrip implements routing.Transport. It blocks until the attempt has ended or the first part of a long response
+// has been read.
 func (t *UpstreamTransport) RoundTrip(ctx context.Context, attempt routing.Attempt) routing.AttemptResult {
 	m, ok := attempt.Payload.(*requestMessage)
-	if !ok || !m.hold() { // its frontend has released it: the call is over
+	if !ok || !m.hold() { // the frontend has released the message: the call is over
 		return routing.AttemptResult{Result: balancer.NotSent}
 	}
 	defer m.release()
@@ -103,8 +104,8 @@
 	return r.Result
 }
 
-// exchange sends one message to a server, at most once, and waits for the response. With withBudget the server is told
-// the time left.
+// exchange sends one message to a server at most once and waits for the response. withBudget adds the header with the
+// time left.
 func (t *UpstreamTransport) exchange(ctx context.Context, attempt routing.Attempt, m *requestMessage,
 	withBudget bool) routing.AttemptResult {
 	conn, now, res := t.connect(ctx, &attempt, m)
@@ -121,7 +122,7 @@
 		budget = max(attempt.ExpiresAt.Sub(now), 1)
 	}
 	request, ownsRoom := m.compose(budget)
-	n, _ := conn.Write(request) // how much was written tells more than the error
+	n, _ := conn.Write(request) // the number of bytes written is more conclusive than the error
 	m.releaseRoom(ownsRoom)
 	if n < len(request) {
 		watch.stop()
@@ -130,22 +131,22 @@
 	return t.receive(ctx, attempt, conn, watch)
 }
 
-// connect returns a connection on which an attempt may begin, and when that was found; or nil, and what the attempt
-// ended with. An attempt whose call is over by the time that its connection is up is never sent: a hedged request
-// may find that the first one has been answered, a retry that the window of its class is over.
+// connect returns a connection for an attempt and the time of its last check, or a nil connection and the result of the
+// attempt. An attempt whose call is over when the connection is established is never sent: the call of a hedged request
+// may have been answered, or the deduplication window of a retry's class may be over.
 func (t *UpstreamTransport) connect(ctx context.Context, attempt *routing.Attempt,
 	m *requestMessage) (*upstreamConn, time.Time, balancer.Result) {
-	fair := time.Until(attempt.ExpiresAt) >= minFairConnectTime
+	conclusive := time.Until(attempt.ExpiresAt) >= minConclusiveConnectTime
 	conn, err := t.pool.get(ctx, attempt.Upstream, attempt.ExpiresAt)
-	stands := err != nil || attempt.StillValid(time.Now())
+	stillValid := err != nil || attempt.StillValid(time.Now())
 	now := time.Now() // StillValid may have waited for the goroutine of Router.Run
 	cause := cancelCause(ctx, attempt.ExpiresAt, now)
 	switch {
-	case err != nil && (ctx.Err() != nil || cause != nil && !fair || t.pool.noteLocalShortage(err, now)):
-		return nil, now, balancer.NotSent // the server has no part in it
+	case err != nil && (ctx.Err() != nil || cause != nil && !conclusive || t.pool.logLocalShortage(err, now)):
+		return nil, now, balancer.NotSent // not a failure of the server
 	case err != nil:
 		return nil, now, balancer.ConnectFailed
-	case cause != nil || !stands || !attempt.MayStart(now) || m.clientLeft(attempt.Number, now):
+	case cause != nil || !stillValid || !attempt.MayStart(now) || m.clientLeft(attempt.Number, now):
 		t.pool.put(conn)
 		return nil, now, balancer.NotSent
 	case !attempt.Upstream.MaySend(now, t.config.Load().DrainGrace):
@@ -155,21 +156,21 @@
 	return conn, now, balancer.OK
 }
 
-// receive reads the response to an attempt, or the first part of a long one.
+// receive reads the response to an attempt, or the first part of a long response.
 func (t *UpstreamTransport) receive(ctx context.Context, attempt routing.Attempt, conn *upstreamConn,
 	watch cancelWatch) routing.AttemptResult {
 	reader := t.readers.Get().(*bufio.Reader)
 	reader.Reset(conn)
 	r, err := readResponse(conn, reader, &t.buffers, attempt.ExpiresAt)
-	undisturbed := watch.stop()
+	notCancelled := watch.stop()
 	result := protocol.ClassifyResponse(r.status, r.values(protocol.HeaderRejected))
-	if err == nil && r.stream != nil && result == balancer.OK && undisturbed {
+	if err == nil && r.stream != nil && result == balancer.OK && notCancelled {
 		r.stream.transport = t
 		r.stream.closeAfter = r.closeAfter
-		streamed := &response{fields: r.endToEnd(), body: r.body, stream: r.stream}
+		streamed := &response{fields: r.endToEndFields(), body: r.body, stream: r.stream}
 		return routing.AttemptResult{Result: balancer.OK, Reply: streamed}
 	}
-	surplus := reader.Buffered() > 0
+	extraBytes := reader.Buffered() > 0
 	reader.Reset(nil)
 	t.readers.Put(reader)
 	switch {
@@ -179,18 +180,18 @@
 	case r.stream != nil && result == balancer.OK:
 		conn.closeFor(reasonCancelled)
 		return routing.AttemptResult{Result: balancer.Cancelled}
-	case r.stream != nil: // nobody reads the rest of a failure
+	case r.stream != nil: // the rest of a failed response is not read
 		conn.closeFor(reasonOversize)
-	case surplus: // guards the next call: it may be taken for its response
+	case extraBytes: // these bytes could be taken for the response to the next call
 		conn.closeFor(reasonExtraBytes)
 	case r.closeAfter:
 		conn.closeFor(reasonServerAsked)
-	case !undisturbed:
+	case !notCancelled:
 		conn.closeFor(reasonCancelled)
 	default:
 		t.putConn(conn)
 	}
-	p := &response{fields: r.endToEnd(), body: r.body, buf: r.buf}
+	p := &response{fields: r.endToEndFields(), body: r.body, buf: r.buf}
 	if result != balancer.OK {
 		p.freeBuffer()
 		return routing.AttemptResult{Result: result}
@@ -198,18 +199,19 @@
 	return routing.AttemptResult{Result: balancer.OK, Reply: p}
 }
 
-// putConn puts a connection back that carries nothing, unless its request is still being sent.
+// putConn returns a connection to the pool after a complete response. It closes the connection if the request body is
+// still being sent.
 func (t *UpstreamTransport) putConn(c *upstreamConn) {
 	if c.upload != nil && !c.upload.bodySent.Load() {
-		c.closeFor(reasonServerAsked) // by answering early
+		c.closeFor(reasonServerAsked) // the server answered before the end of the request
 		return
 	}
 	c.upload = nil
 	t.pool.put(c)
 }
 
-// notWritten closes a connection on which the last byte of a request was never written, which proves that the
-// server never ran it. cause is why the attempt was given up; nil: it was not.
+// notWritten closes a connection on which the last byte of a request was never written, which proves that the server
+// never ran the request. cause is the reason why the attempt was cancelled; nil: it was not cancelled.
 func (c *upstreamConn) notWritten(cause error) routing.AttemptResult {
 	c.closeFor(cancelReason(cause, reasonReset))
 	if cause != nil {
--- a/internal/transport/upstream_transport_test.go
+++ b/internal/transport/upstream_transport_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-var budgetOfAMinute = regexp.MustCompile(`X-Budget: (5\d\.\d{3}|60\.000)`)
+var minuteBudget = regexp.MustCompile(`X-Budget: (5\d\.\d{3}|60\.000)`)
 
-func TestBytesOnTheWire(t *testing.T) {
+func TestRequestBytes(t *testing.T) {
 	for _, c := range []struct{ method, body, framing string }{
 		{"GET", "", ""}, {"POST", "\x00book\xff", "Content-Length: 6\r\n"}, {"POST", "", "Content-Length: 0\r\n"}} {
 		p, got := startScriptedServer(t, okResponse)
@@ -47,7 +47,7 @@
 		want := c.method + " /api?user=a%2Fb&x=%7e HTTP/1.1\r\nHost: api.internal\r\n" + c.framing +
 			"X-Call-Id: 9b\r\nX-Budget: LEFT\r\n\r\n" + c.body
 		// What is left of a minute depends on how busy the machine is.
-		if wire := budgetOfAMinute.ReplaceAllString(<-got, "X-Budget: LEFT"); wire != want {
+		if wire := minuteBudget.ReplaceAllString(<-got, "X-Budget: LEFT"); wire != want {
 			t.Errorf("on the wire:\n%q\nwant\n%q", wire, want)
 		}
 	}
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestNotConnected: a connection that is refused, or late, proves that the attempt never ran.
-func TestNotConnected(t *testing.T) {
+// TestConnectFailed: a connection that is refused, or late, proves that the attempt never ran.
+func TestConnectFailed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -144,8 +144,8 @@
 		calls  bool
 		result balancer.Result
 	}{
-		{minFairConnectTime + 20*time.Millisecond, false, balancer.ConnectFailed},
-		{minFairConnectTime / 2, false, balancer.NotSent},
+		{minConclusiveConnectTime + 20*time.Millisecond, false, balancer.ConnectFailed},
+		{minConclusiveConnectTime / 2, false, balancer.NotSent},
 		{time.Minute, true, balancer.NotSent},
 	} {
 		ctx, callOff := context.WithCancelCause(t.Context())
@@ -281,7 +281,7 @@
 	p, _ := startScriptedServer(t, okResponse, okResponse)
 	transport, _ := newTestTransport(time.Second)
 	transport.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
-	c := transport.pool.take(p)
+	c := transport.pool.takeIdle(p)
 	transport.Close()
 	if transport.pool.put(c); transport.Conns() != 0 {
 		t.Errorf("%d connections are left", transport.Conns())
