--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -14,7 +14,7 @@
 	"olivebridge/internal/routing"
 )
 
-// BenchmarkFront sends one request after the other over a socket, through the frontend, and reads its response.
+// BenchmarkFront sends requests one after the other through the frontend over a socket and reads each response.
 func BenchmarkFront(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-// skipResponse reads a response with a body of two bytes.
+// skipResponse reads a response whose body has two bytes.
 func skipResponse(b *testing.B, in *bufio.Reader) {
 	for n := 3; n > 2; {
 		line, err := in.ReadSlice('\n')
@@ -55,7 +55,7 @@
 	in.Discard(2)
 }
 
-// BenchmarkRoundTrip sends one attempt after the other to a server, over a pooled connection.
+// BenchmarkRoundTrip sends attempts one after the other to a server over a pooled connection.
 func BenchmarkRoundTrip(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/transport/endpoint_list_test.go
+++ b/internal/transport/endpoint_list_test.go
@@ -15,37 +15,38 @@
 	"olivebridge/internal/routing"
 )
 
-// TestInvalidEndpointLists: what discovery may answer to a watch from version 41, what is polled then, and which list
-// counts. A cut list never does, however it is framed; one of an older version only where nothing newer was asked
-// for.
+// TestInvalidEndpointLists: a watch at version 41 receives responses of which most are unusable. The test checks
+// the version in each request and the list that the watch accepts. A truncated list is never accepted, whatever its
+// framing. A list of an older version is accepted only in response to a request for the complete list.
 func TestInvalidEndpointLists(t *testing.T) {
-	const changes, whole = `{"version":%d,"full":false,"servers":[]}`, `{"version":%d,"full":true,"servers":[]}`
-	cut := func(head, body string) string { // written raw, then reset
+	const delta, full = `{"version":%d,"full":false,"servers":[]}`, `{"version":%d,"full":true,"servers":[]}`
+	cut := func(head, body string) string { // written as raw bytes, then the connection is reset
 		return "HTTP/1.1 200 OK\r\n" + head + "\r\n" + body
 	}
-	list := fmt.Sprintf(changes, 42)
+	list := fmt.Sprintf(delta, 42)
 	const indented = "\n{\n\t\"version\" : 42,\n\t\"full\" : false,\n\t\"servers\" : [\n\t]\n}\n"
 	for name, c := range map[string]struct {
 		answers []string
-		again   string // the version asked from in the second call
-		told    string
+		// secondVersion is the version in the second request; empty: the request asks for the complete list.
+		secondVersion string
+		accepted      string
 	}{
-		"older changes":               {[]string{fmt.Sprintf(changes, 40), fmt.Sprintf(whole, 42)}, "", "42 of kind 1"},
-		"older whole list, stale":     {[]string{fmt.Sprintf(whole, 40), fmt.Sprintf(whole, 42)}, "", "42 of kind 1"},
-		"numbered anew":               {[]string{fmt.Sprintf(whole, 3), fmt.Sprintf(whole, 3)}, "", "3 of kind 1"},
-		"the same":                    {[]string{fmt.Sprintf(changes, 41)}, "", "41 of kind 0"},
-		"a whole list":                {[]string{fmt.Sprintf(whole, 42)}, "", "42 of kind 1"},
-		"indented":                    {[]string{indented}, "", "42 of kind 0"},
-		"half, with length":           {[]string{cut("Content-Length: 40\r\n", list[:20]), list}, "41", "42 of kind 0"},
-		"half, without length":        {[]string{cut("", list[:20]), list}, "41", "42 of kind 0"},
-		"all, without length, reset":  {[]string{cut("", list), list}, "41", "42 of kind 0"},
-		"reset before the head's end": {[]string{cut("", "")[:15], list}, "41", "42 of kind 0"},
+		"older delta":                {[]string{fmt.Sprintf(delta, 40), fmt.Sprintf(full, 42)}, "", "version 42, kind 1"},
+		"stale full list":            {[]string{fmt.Sprintf(full, 40), fmt.Sprintf(full, 42)}, "", "version 42, kind 1"},
+		"versions restarted":         {[]string{fmt.Sprintf(full, 3), fmt.Sprintf(full, 3)}, "", "version 3, kind 1"},
+		"same version":               {[]string{fmt.Sprintf(delta, 41)}, "", "version 41, kind 0"},
+		"full list":                  {[]string{fmt.Sprintf(full, 42)}, "", "version 42, kind 1"},
+		"indented":                   {[]string{indented}, "", "version 42, kind 0"},
+		"truncated, length":          {[]string{cut("Content-Length: 40\r\n", list[:20]), list}, "41", "version 42, kind 0"},
+		"truncated, no length":       {[]string{cut("", list[:20]), list}, "41", "version 42, kind 0"},
+		"complete, no length, reset": {[]string{cut("", list), list}, "41", "version 42, kind 0"},
+		"reset within the head":      {[]string{cut("", "")[:15], list}, "41", "version 42, kind 0"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			asked := make(chan string, 20)
+			requested := make(chan string, 20)
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				asked <- r.FormValue("after")
-				a := c.answers[min(len(asked), len(c.answers))-1]
+				requested <- r.FormValue("after")
+				a := c.answers[min(len(requested), len(c.answers))-1]
 				if strings.HasPrefix(a, "HTTP") {
 					conn, _, err := w.(http.Hijacker).Hijack()
 					if err != nil {
@@ -62,20 +63,20 @@
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
 			w := NewEndpointWatcher(s.Listener.Addr().String(), protocol.NameIndex{}, 41, nil, slog.New(slog.DiscardHandler))
-			var told []string
+			var accepted []string
 			w.Watch(ctx, func(g routing.EndpointList) {
-				told = append(told, fmt.Sprintf("%d of kind %d", g.Version, g.Kind))
+				accepted = append(accepted, fmt.Sprintf("version %d, kind %d", g.Version, g.Kind))
 				stop()
 			})
-			if !slices.Equal(told, []string{c.told}) {
-				t.Errorf("told %v, want %v", told, c.told)
+			if !slices.Equal(accepted, []string{c.accepted}) {
+				t.Errorf("accepted lists %v, want %v", accepted, c.accepted)
 			}
-			from := []string{<-asked}
-			for len(asked) > 0 {
-				from = append(from, <-asked)
+			versions := []string{<-requested}
+			for len(requested) > 0 {
+				versions = append(versions, <-requested)
 			}
-			if want := []string{"41", c.again}[:len(c.answers)]; !slices.Equal(from, want) {
-				t.Errorf("asked from %q, want %q", from, want)
+			if want := []string{"41", c.secondVersion}[:len(c.answers)]; !slices.Equal(versions, want) {
+				t.Errorf("requested changes since %q, want since %q", versions, want)
 			}
 		})
 	}
--- a/internal/transport/endpoint_watcher_test.go
+++ b/internal/transport/endpoint_watcher_test.go
@@ -20,16 +20,16 @@
 	"olivebridge/internal/routing"
 )
 
-// TestWatch: each request names the version held; one with a faulty answer is repeated, once, and leaves the
-// version, so that nothing is skipped.
+// TestWatch: each request contains the version held. A request with an invalid response is retried once and does not
+// change the version, so that no change is skipped.
 func TestWatch(t *testing.T) {
-	asked := make(chan string, 11)
+	requests := make(chan string, 11)
 	answers := []string{`{"version":41,"full":true,"servers":[]}`, `{"version":43,"full":false,"servers":[]}`,
 		"cut", `{"version":44,"full":false,"servers":[{"id":""}]}`, "", "cut",
 		`{"version":45,"full":false,"servers":[]}`, "", "cut", "cut", ""}
 	next := 0
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.RequestURI
+		requests <- r.RequestURI
 		a := answers[next]
 		if next++; a == "" {
 			w.WriteHeader(503)
@@ -40,38 +40,38 @@
 	w := NewEndpointWatcher(s.Listener.Addr().String(), protocol.NameIndex{}, -1, nil, slog.New(slog.DiscardHandler))
 	w.maxExtra, w.lateAfter = 1, time.Millisecond
 	var kinds []balancer.UpdateKind
-	for range 4 { // what is no JSON, a malformed list, or a 503, each time the second in a row
+	for range 4 { // each Watch ends after two invalid responses: no JSON, a malformed list or a 503
 		if err := w.Watch(t.Context(), func(g routing.EndpointList) { kinds = append(kinds, g.Kind) }); err == nil {
-			t.Error("no error")
+			t.Error("Watch returned no error after two invalid responses")
 		}
 	}
 	want := []balancer.UpdateKind{balancer.UpdateFull, balancer.UpdateDelta, balancer.UpdateDelta}
 	if !slices.Equal(kinds, want) {
-		t.Errorf("told %v", kinds)
+		t.Errorf("received lists of kinds %v", kinds)
 	}
 	for _, version := range []string{"", "41", "43", "43", "43", "43", "43", "45", "45", "45", "45"} {
 		want := "/registry/instances"
 		if version != "" {
 			want += "?after=" + version + "&wait_ms=800"
 		}
-		if got := <-asked; got != want {
-			t.Errorf("asked %s, want %s", got, want)
+		if got := <-requests; got != want {
+			t.Errorf("requested %s, want %s", got, want)
 		}
 	}
 }
 
-// TestMaxWatchRequests: how many requests one poll sends at most, http.Transport's own repeat on a kept connection
-// included. It guards against a layer that adds one.
+// TestMaxWatchRequests checks the maximum number of requests of one poll, including the retry by http.Transport on a
+// reused connection. It guards against another layer that adds requests.
 func TestMaxWatchRequests(t *testing.T) {
-	var asked atomic.Int64
+	var requests atomic.Int64
 	p := startServer(t, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
 		for {
 			if _, err := http.ReadRequest(in); err != nil {
 				return
 			}
-			if asked.Add(1) > 1 {
-				return // all but the first answer break
+			if requests.Add(1) > 1 {
+				return // every response but the first fails
 			}
 			const list = `{"version":1,"full":true,"servers":[]}`
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
@@ -80,35 +80,37 @@
 	w := NewEndpointWatcher(p.Addr, protocol.NameIndex{}, -1, nil, slog.New(slog.DiscardHandler))
 	w.lateAfter = time.Millisecond
 	lists := 0
-	const most = 1 + maxExtraPolls + 1 // calls, and one that is sent again on the connection kept
+	// Requests of the poll, and the one that http.Transport retries on the reused connection.
+	const maxRequests = 1 + maxExtraPolls + 1
 	err := w.Watch(t.Context(), func(routing.EndpointList) { lists++ })
-	if err == nil || lists != 1 || asked.Load()-1 != most {
-		t.Errorf("%v: %d lists, then %d requests, and %d should be the most", err, lists, asked.Load()-1, most)
+	if err == nil || lists != 1 || requests.Load()-1 != maxRequests {
+		t.Errorf("%v: %d lists, want 1, then %d requests, want %d", err, lists, requests.Load()-1, maxRequests)
 	}
 }
 
-// TestSilentDiscovery: a request that is never answered gets others beside it, but not for ever.
+// TestSilentDiscovery: while a request has no response, the watcher sends parallel requests, but only a limited number
+// of them.
 func TestSilentDiscovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var dialed atomic.Int64
-		began := time.Now()
+		started := time.Now()
 		w := NewEndpointWatcher("d:1", protocol.NameIndex{}, 1, func(context.Context, string) (net.Conn, error) {
 			dialed.Add(1)
 			near, far := net.Pipe()
 			go io.Copy(io.Discard, far)
 			return pipeConn{near}, nil
 		}, slog.New(slog.DiscardHandler))
-		const last = defaultPollWait + pollLateAfter + (maxExtraPolls-1)*parallelPollAfter // when the last call goes out
+		const last = defaultPollWait + pollLateAfter + (maxExtraPolls-1)*parallelPollAfter // when the last request is sent
 		err := w.Watch(t.Context(), nil)
-		if took := time.Since(began); err == nil || dialed.Load() != 1+maxExtraPolls || took > last+pollReadTimeout {
-			t.Errorf("%v after %d requests in %v, want %d in at most %v",
+		if took := time.Since(started); err == nil || dialed.Load() != 1+maxExtraPolls || took > last+pollReadTimeout {
+			t.Errorf("error %v after %d requests in %v, want an error after %d requests in at most %v",
 				err, dialed.Load(), took, 1+maxExtraPolls, last+pollReadTimeout)
 		}
 	})
 }
 
-// lateCancelTransport is a transport whose requests notice their end a moment late, as a goroutine may on a busy
-// machine.
+// lateCancelTransport is a transport whose requests notice their cancellation with a delay, as a goroutine may on a
+// busy machine.
 type lateCancelTransport struct {
 	*http.Transport
 	late time.Duration
@@ -121,8 +123,8 @@
 	return n.Transport.RoundTrip(r.WithContext(ctx))
 }
 
-// TestWatchStopsDialing guards against dialing that goes on in http.Transport, also for a request that notices its
-// end late.
+// TestWatchStopsDialing guards against dialing that continues in http.Transport after the watch was cancelled, also for
+// a request that notices its cancellation late.
 func TestWatchStopsDialing(t *testing.T) {
 	for _, late := range []time.Duration{0, 10 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
@@ -130,9 +132,9 @@
 			dialed := make(chan time.Duration)
 			w := NewEndpointWatcher("d:1", protocol.NameIndex{}, 1, func(ctx context.Context, _ string) (net.Conn, error) {
 				stop()
-				began := time.Now()
+				started := time.Now()
 				<-ctx.Done()
-				dialed <- time.Since(began)
+				dialed <- time.Since(started)
 				return nil, ctx.Err()
 			}, slog.New(slog.DiscardHandler))
 			if late > 0 {
@@ -140,18 +142,18 @@
 			}
 			go w.Watch(ctx, func(routing.EndpointList) {})
 			if d := <-dialed; d > late {
-				t.Errorf("dialing went on for %v after an end that the call notices %v late", d, late)
+				t.Errorf("dialing continued for %v after a cancellation noticed %v late", d, late)
 			}
 		})
 	}
 }
 
-// TestLatePollGetsParallelPoll: beside a request that has fallen silent another is sent, which is not held, and its
-// answer counts.
+// TestLatePollGetsParallelPoll: if a request has no response, the watcher sends a parallel request without a hold and
+// accepts its response.
 func TestLatePollGetsParallelPoll(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
-		case r.FormValue("after") == "2": // the test is over
+		case r.FormValue("after") == "2": // end of the test
 			w.WriteHeader(503)
 		case r.FormValue("wait_ms") == "0":
 			io.WriteString(w, `{"version":2,"full":true,"servers":[]}`)
@@ -164,11 +166,12 @@
 	w.wait, w.lateAfter, w.readTimeout = 20*time.Millisecond, time.Millisecond, time.Minute
 	lists := 0
 	if err := w.Watch(t.Context(), func(routing.EndpointList) { lists++ }); err == nil || lists != 1 || w.version != 2 {
-		t.Errorf("%v, %d lists, version %d; want the one of the second call", err, lists, w.version)
+		t.Errorf("error %v, %d lists, version %d; want an error, 1 list and version 2", err, lists, w.version)
 	}
 }
 
-// TestPollWaitByFleetSize: however many nodes poll, discovery gets no more requests from all of them, up to a bound.
+// TestPollWaitByFleetSize: the hold grows with the number of nodes, up to a limit, so that all nodes together send
+// discovery no more requests.
 func TestPollWaitByFleetSize(t *testing.T) {
 	for nodes, want := range map[int]time.Duration{
 		0:   pollWaitPerNode,
@@ -178,13 +181,13 @@
 		300: maxPollWait,
 	} {
 		if w := new(EndpointWatcher).ForFleetSize(nodes, 1); w.wait != want {
-			t.Errorf("%d nodes: held for %v, want %v", nodes, w.wait, want)
+			t.Errorf("%d nodes: hold of %v, want %v", nodes, w.wait, want)
 		}
 	}
 }
 
-// TestWatchSurvivesErrorBurst: eight requests in a row break, as in a short fault at discovery, and the watch goes on
-// until a list has come.
+// TestWatchSurvivesErrorBurst: eight consecutive requests fail, as in a short fault at discovery. The watch continues
+// until it receives a list.
 func TestWatchSurvivesErrorBurst(t *testing.T) {
 	var calls atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -201,38 +204,38 @@
 	defer server.Close()
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	told := 0
+	lists := 0
 	l := make(logLines, 1000)
 	w := NewEndpointWatcher(server.Listener.Addr().String(), protocol.NameIndex{}, 1, nil, l.logger())
 	err := w.Watch(ctx, func(routing.EndpointList) {
-		told++
+		lists++
 		stop()
 	})
-	if told != 1 || err == nil {
-		t.Errorf("%d lists after %d calls: %v", told, calls.Load(), err)
+	if lists != 1 || err == nil {
+		t.Errorf("%d lists after %d requests: %v; want 1 list and an error", lists, calls.Load(), err)
 	}
 }
 
-// TestOverloadedDiscovery: a request that waits for its turn at a discovery that has just refused one is left there:
-// whatever else its node sends meanwhile is refused, and the request in its turn with it.
+// TestOverloadedDiscovery: discovery has just rejected a request, and the next one waits in its queue. The watcher must
+// send no parallel request meanwhile: discovery would reject that and the queued request with it.
 func TestOverloadedDiscovery(t *testing.T) {
 	var calls atomic.Int64
-	waits, more := make(chan struct{}), make(chan struct{})
+	queued, extra := make(chan struct{}), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); n {
 		case 1:
 			w.WriteHeader(http.StatusServiceUnavailable)
-		case 2: // its turn comes once another would long have gone out beside a call that is late
-			close(waits)
+		case 2: // served only after the time at which a parallel request to a late one would have been sent
+			close(queued)
 			select {
-			case <-more:
+			case <-extra:
 				w.WriteHeader(http.StatusServiceUnavailable)
 			case <-time.After(defaultPollWait + pollLateAfter + 250*time.Millisecond):
 				w.Write([]byte(`{"version":2,"full":false,"servers":[]}`))
 			}
 		default:
 			if n == 3 {
-				close(more)
+				close(extra)
 			}
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
@@ -240,14 +243,14 @@
 	defer server.Close()
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	told, l := 0, make(logLines, 1000)
+	lists, l := 0, make(logLines, 1000)
 	w := NewEndpointWatcher(server.Listener.Addr().String(), protocol.NameIndex{}, 1, nil, l.logger()).ForFleetSize(30, 1)
 	w.Watch(ctx, func(routing.EndpointList) {
-		told++
+		lists++
 		stop()
 	})
-	<-waits
-	if told != 1 || calls.Load() > 3 { // the question behind the answer may be on its way
-		t.Errorf("%d lists after %d calls", told, calls.Load())
+	<-queued
+	if lists != 1 || calls.Load() > 3 { // the request after the list may already be sent
+		t.Errorf("%d lists after %d requests, want 1 list and at most 3 requests", lists, calls.Load())
 	}
 }
--- a/internal/transport/idempotency_test.go
+++ b/internal/transport/idempotency_test.go
@@ -12,7 +12,7 @@
 	"olivebridge/internal/routing"
 )
 
-// scriptedStore is an IdempotencyStore that answers as a test says.
+// scriptedStore is an IdempotencyStore whose Begin returns the claim set by the test.
 type scriptedStore struct {
 	mu             sync.Mutex
 	claim          CallClaim
@@ -25,33 +25,33 @@
 func (store *scriptedStore) Covers(class int) bool { return class == 0 }
 
 // Begin implements IdempotencyStore.
-func (store *scriptedStore) Begin(_ context.Context, w KeyedCall) CallClaim {
+func (store *scriptedStore) Begin(_ context.Context, call KeyedCall) CallClaim {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	store.calls = append(store.calls, w)
-	says := store.claim
-	says.Finish = func(s CallState, o *StoredResponse) {
+	store.calls = append(store.calls, call)
+	claim := store.claim
+	claim.Finish = func(s CallState, r *StoredResponse) {
 		store.mu.Lock()
 		defer store.mu.Unlock()
-		store.finishedStates, store.response = append(store.finishedStates, s), o
+		store.finishedStates, store.response = append(store.finishedStates, s), r
 	}
-	return says
+	return claim
 }
 
-// TestIdempotencyKeys: what a client that gives its call a key gets, as the call stands; what the store is told;
-// and that no call is run but what the store has granted.
+// TestIdempotencyKeys checks the response to a call with an idempotency key in each state of the call, and the data
+// passed to the store. A call is run only if the store has granted it.
 func TestIdempotencyKeys(t *testing.T) {
-	store, taken := &scriptedStore{}, 0
+	store, handled := &scriptedStore{}, 0
 	verdict := routing.Served
 	addr, _, _ := newTestFrontend(t, 10, func(context.Context, routing.Call) (routing.Answer, bool) {
-		taken++
+		handled++
 		if verdict == routing.Served {
 			reply := &response{body: []byte("done"), fields: []headerField{{"X-Ref", [1]string{"7"}}}}
 			return routing.Answer{Verdict: verdict, Reply: reply}, true
 		}
 		return routing.Answer{Verdict: verdict}, true
 	}, func(f *Frontend) { f.idempotency = store })
-	ask := func(key, body string) (int, string, string) {
+	send := func(key, body string) (int, string, string) {
 		t.Helper()
 		r, err := http.NewRequest("POST", "http://"+addr+"/api", strings.NewReader(body))
 		if err != nil {
@@ -70,15 +70,15 @@
 		return resp.StatusCode, resp.Header.Get("Work-State"), string(data)
 	}
 	truncated := &StoredResponse{Status: 200, Truncated: true}
-	outcome := &StoredResponse{Status: 200, Header: http.Header{"X-Ref": {"7"}}, Body: []byte("before")}
+	stored := &StoredResponse{Status: 200, Header: http.Header{"X-Ref": {"7"}}, Body: []byte("before")}
 	for _, c := range []struct {
-		key     string
-		says    CallClaim
-		verdict routing.Verdict
-		status  int
-		state   string
-		body    string
-		ended   string
+		key      string
+		result   CallClaim
+		verdict  routing.Verdict
+		status   int
+		state    string
+		body     string
+		finished string
 	}{
 		{`"k1"`, CallClaim{}, routing.Served, 200, "", "done", fmt.Sprint(CallAnswered)},
 		{`k1`, CallClaim{}, routing.Rejected, 503, "", "", fmt.Sprint(CallNotRun)},
@@ -87,7 +87,7 @@
 		{`k1`, CallClaim{}, routing.DeadlineExceeded, 504, "", "", fmt.Sprint(CallOutcomeUnknown)},
 		{`k1`, CallClaim{State: CallRunning}, 0, 409, "running", "", ""},
 		{`k1`, CallClaim{State: CallOutcomeUnknown}, 0, 502, "unknown", "", ""},
-		{`k1`, CallClaim{State: CallAnswered, Response: outcome}, 0, 200, "kept", "before", ""},
+		{`k1`, CallClaim{State: CallAnswered, Response: stored}, 0, 200, "kept", "before", ""},
 		{`k1`, CallClaim{State: CallAnswered, Response: truncated}, 0, 502, "answered", "", ""},
 		{`k1`, CallClaim{State: CallKeyConflict}, 0, 422, "", "Idempotency-Key: it is another request's\n", ""},
 		{`k1`, CallClaim{State: CallStoreUnavailable}, 0, 503, "", "", ""},
@@ -95,31 +95,33 @@
 		{`""`, CallClaim{}, 0, 400, "", "Idempotency-Key: not 1 to 255 printable characters\n", ""},
 		{strings.Repeat("k", 256), CallClaim{}, 0, 400, "", "Idempotency-Key: not 1 to 255 printable characters\n", ""},
 	} {
-		store.claim, store.finishedStates, store.calls, verdict = c.says, nil, nil, c.verdict
-		before := taken
-		status, state, body := ask(c.key, "pay")
-		ended := ""
+		store.claim, store.finishedStates, store.calls, verdict = c.result, nil, nil, c.verdict
+		before := handled
+		status, state, body := send(c.key, "pay")
+		finished := ""
 		for _, s := range store.finishedStates {
-			ended += fmt.Sprint(s)
+			finished += fmt.Sprint(s)
 		}
-		lets := c.ended != ""
-		if status != c.status || state != c.state || body != c.body || ended != c.ended || (taken > before) != lets {
-			t.Errorf("%.10s %+v, %v: status %d, state %q, body %q, ended %q, taken %v",
-				c.key, c.says, c.verdict, status, state, body, ended, taken > before)
+		wantHandled := c.finished != ""
+		if status != c.status || state != c.state || body != c.body || finished != c.finished ||
+			(handled > before) != wantHandled {
+			t.Errorf("key %.10s, claim %+v, verdict %v: status %d, state %q, body %q, finished %q, handled %v",
+				c.key, c.result, c.verdict, status, state, body, finished, handled > before)
 		}
 	}
 	store.claim, store.calls, verdict = CallClaim{}, nil, routing.Served
-	ask("k1", "pay")
-	ask("k1", "pay more")
-	ask(`"k1"`, "pay")
-	if w := store.calls; len(w) != 3 || w[0] != w[2] || w[0].Fingerprint == w[1].Fingerprint || w[0].Key != "acme k1" {
-		t.Errorf("the calls are %+v", store.calls)
+	send("k1", "pay")
+	send("k1", "pay more")
+	send(`"k1"`, "pay")
+	if calls := store.calls; len(calls) != 3 || calls[0] != calls[2] ||
+		calls[0].Fingerprint == calls[1].Fingerprint || calls[0].Key != "acme k1" {
+		t.Errorf("the store received the calls %+v", store.calls)
 	}
 	if store.response == nil || string(store.response.Body) != "done" || store.response.Header.Get("X-Ref") != "7" {
-		t.Errorf("stored: %+v", store.response)
+		t.Errorf("stored response: %+v", store.response)
 	}
 	store.calls = nil
-	if status, _, _ := ask("", "pay"); status != 200 || len(store.calls) != 0 {
-		t.Errorf("without a key: %d, %+v", status, store.calls)
+	if status, _, _ := send("", "pay"); status != 200 || len(store.calls) != 0 {
+		t.Errorf("without a key: status %d, stored calls %+v; want 200 and none", status, store.calls)
 	}
 }
--- a/internal/transport/late_connection_test.go
+++ b/internal/transport/late_connection_test.go
@@ -22,13 +22,13 @@
 type staticEndpoints struct{}
 
 // Watch implements routing.Watcher.
-func (staticEndpoints) Watch(ctx context.Context, told func(routing.EndpointList)) error {
+func (staticEndpoints) Watch(ctx context.Context, deliver func(routing.EndpointList)) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-// newRouter is a router that runs over a transport and servers of one zone that have just started, each of which
-// serves its connections by a function.
+// newRouter starts a router over a transport and a number of servers in one zone. The servers have just started, and
+// each runs serve for its connections.
 func newRouter(t *testing.T, transport *UpstreamTransport, set balancer.Settings, servers int,
 	serve func(net.Conn)) *routing.Router {
 	t.Helper()
@@ -65,43 +65,43 @@
 	return r
 }
 
-// TestLateConnectionAfterDedupWindow: a retry of a class with a dedup window must not be sent once that is over,
-// counted from the first attempt that may have run, though it was decided in time and its connection came up later.
-// No retry is bound where nothing can have run.
+// TestLateConnectionAfterDedupWindow: a retry of a class with a deduplication window is decided in time, but its
+// connection is established late. The retry must not be sent after the window, which starts with the first attempt that
+// may have run. If no attempt may have run, the window does not restrict the retry.
 func TestLateConnectionAfterDedupWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
-	token := balancer.Class{Idempotency: balancer.IdempotencyKeyed, DedupScope: balancer.DedupZone, DedupWindow: window}
-	long, pure := token, token
-	long.DedupWindow, pure.Idempotency = time.Minute, balancer.Idempotent
+	keyed := balancer.Class{Idempotency: balancer.IdempotencyKeyed, DedupScope: balancer.DedupZone, DedupWindow: window}
+	long, idempotent := keyed, keyed
+	long.DedupWindow, idempotent.Idempotency = time.Minute, balancer.Idempotent
 	refused := errors.New("refused")
 	for name, c := range map[string]struct {
-		class balancer.Class
-		late  int64 // the connection that comes up after the window
-		first error // of the first connection
-		want  routing.Verdict
-		reach int64 // requests that reach peers
+		class       balancer.Class
+		lateDial    int64 // index of the connection that is established after the window
+		firstError  error // error of the first connection
+		want        routing.Verdict
+		wantReached int64 // number of requests that reach a server
 	}{
-		"the second, and the first has failed":   {token, 2, nil, routing.Failed, 1},
-		"the second, in a long window":           {long, 2, nil, routing.Served, 2},
-		"the second, of a class that may repeat": {pure, 2, nil, routing.Served, 2},
-		"the second, and the first never ran":    {token, 2, refused, routing.Served, 1},
-		"the first, and nothing has left before": {token, 1, nil, routing.Failed, 1},
+		"second is late, first attempt failed": {keyed, 2, nil, routing.Failed, 1},
+		"second is late, long window":          {long, 2, nil, routing.Served, 2},
+		"second is late, idempotent class":     {idempotent, 2, nil, routing.Served, 2},
+		"second is late, first never ran":      {keyed, 2, refused, routing.Served, 1},
+		"first is late, no earlier attempt":    {keyed, 1, nil, routing.Failed, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var dials, reached atomic.Int64
-			begun := make(chan time.Time, 1)
+			firstDial := make(chan time.Time, 1)
 			transport, _ := newTestTransport(time.Minute)
 			transport.pool.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 				n := dials.Add(1)
 				if n == 1 {
-					begun <- time.Now()
+					firstDial <- time.Now()
 				}
-				if n == c.late {
-					at := <-begun
+				if n == c.lateDial {
+					at := <-firstDial
 					time.Sleep(time.Until(at.Add(window + 20*time.Millisecond)))
 				}
-				if n == 1 && c.first != nil {
+				if n == 1 && c.firstError != nil {
 					return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 				}
 				return dialTCP(ctx, addr)
@@ -112,53 +112,54 @@
 						return
 					}
 					answer := okResponse
-					if reached.Add(1) == 1 && c.first == nil {
+					if reached.Add(1) == 1 && c.firstError == nil {
 						answer = "HTTP/1.1 500 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 					}
 					io.WriteString(conn, answer)
 				}
 			})
-			try := newAttempt(nil, "GET", "")
+			attempt := newAttempt(nil, "GET", "")
 			a, _ := r.Handle(t.Context(), routing.Call{
 				ClientRequestID: "9b",
 				Tenant:          -1,
 				ReceivedAt:      time.Now(),
 				Timeout:         20 * time.Second,
-				Payload:         try.Payload,
+				Payload:         attempt.Payload,
 			})
-			if a.Verdict != c.want || reached.Load() != c.reach {
-				t.Errorf("%v, and %d requests reached a server; want %v and %d", a.Verdict, reached.Load(), c.want, c.reach)
+			if a.Verdict != c.want || reached.Load() != c.wantReached {
+				t.Errorf("verdict %v, %d requests reached a server; want %v and %d",
+					a.Verdict, reached.Load(), c.want, c.wantReached)
 			}
 		})
 	}
 }
 
-// TestLateConnectionToWarmingServer: a call's connection comes up after the half of the overload window for which
-// its warming server had an allowance. Where that of the present half has been spent meanwhile, no byte of the call
-// is sent and it is rejected at once.
+// TestLateConnectionToWarmingServer: the overload window is divided into halves, and the warming server of a call has
+// an allowance for each. The call's connection is established in a later half. If the allowance of that half is already
+// used up, no byte of the call is sent and the call is rejected at once.
 func TestLateConnectionToWarmingServer(t *testing.T) {
 	const half = time.Second
-	whole := callHead + "Content-Length: 0\r\n\r\n"
+	complete := callHead + "Content-Length: 0\r\n\r\n"
 	upload := callHead + "Content-Length: 100000\r\n\r\n" + strings.Repeat("x", 100000)
 	for name, c := range map[string]struct {
 		raw    string
-		spent  bool
+		usedUp bool
 		status int
 	}{
-		"spent":              {whole, true, 503},
-		"spent, an upload":   {upload, true, 503},
-		"in hand":            {whole, false, 200},
-		"in hand, an upload": {upload, false, 200},
+		"used up":                      {complete, true, 503},
+		"used up, with upload":         {upload, true, 503},
+		"still available":              {complete, false, 200},
+		"still available, with upload": {upload, false, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var dials, reached atomic.Int64
-			opened, up := make(chan bool), make(chan bool)
+			dialing, establish := make(chan bool), make(chan bool)
 			transport, _ := newTestTransport(time.Minute)
 			transport.pool.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 				if dials.Add(1) == 1 {
-					close(opened)
-					<-up
+					close(dialing)
+					<-establish
 				}
 				return dialTCP(ctx, addr)
 			}
@@ -170,7 +171,7 @@
 				SlowStart:       time.Hour,
 				OverloadFactor:  2.5,
 				WarmThroughput:  2,
-				OverloadWindow:  2 * half, // one call in each half
+				OverloadWindow:  2 * half, // allows one call in each half
 			}, 1, func(conn net.Conn) {
 				for in := bufio.NewReader(conn); ; {
 					req, err := http.ReadRequest(in)
@@ -182,26 +183,26 @@
 					io.WriteString(conn, okResponse)
 				}
 			})
-			patient := func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
+			handle := func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
 				call.ClientRequestID, call.Tenant, call.Timeout = "", -1, 20*time.Second
 				return r.Handle(ctx, call)
 			}
 			go func() {
-				defer close(up)
-				if <-opened; !c.spent {
+				defer close(establish)
+				if <-dialing; !c.usedUp {
 					time.Sleep(half)
 					return
 				}
 				other := routing.Call{ReceivedAt: time.Now(), Payload: newAttempt(nil, "GET", "").Payload}
-				if a, _ := patient(t.Context(), other); a.Verdict != routing.Served { // it waits for the next half
-					t.Errorf("the call that spends it is %v", a.Verdict)
+				if a, _ := handle(t.Context(), other); a.Verdict != routing.Served { // waits for the next half
+					t.Errorf("the call that uses up the allowance has the verdict %v, want served", a.Verdict)
 				}
 			}()
-			addr, _, _ := newTestFrontend(t, 10, patient)
+			addr, _, _ := newTestFrontend(t, 10, handle)
 			resp, _ := dialClient(t, addr).roundTrip(t, c.raw)
 			retryAfter := resp.Header.Get("Retry-After")
 			if resp.StatusCode != c.status || (retryAfter != "") != (c.status == 503) || reached.Load() != 1 {
-				t.Errorf("%s, to retry after %q s, and %d requests reached the server",
+				t.Errorf("status %s, Retry-After %q, %d requests reached the server",
 					resp.Status, retryAfter, reached.Load())
 			}
 		})
--- a/internal/transport/response_stream_test.go
+++ b/internal/transport/response_stream_test.go
@@ -16,69 +16,69 @@
 	"olivebridge/internal/routing"
 )
 
-// TestLargeResponses: a response too long to be buffered comes in parts, to its end, and its connection is used
-// again; one that breaks, or is released unread, closes it.
+// TestLargeResponses: a response too long to be buffered is read completely in parts, and its connection is used again.
+// A response that breaks, or is released unread, closes its connection.
 func TestLargeResponses(t *testing.T) {
 	big := strings.Repeat("x", 200<<10)
 	sized := "HTTP/1.1 200 OK\r\nContent-Length: 204800\r\n\r\n"
 	chunks := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for name, c := range map[string]struct {
-		raw   string
-		whole bool
-		n     int
-		ends  string
+		raw      string
+		complete bool
+		length   int
+		reason   string
 	}{
-		"sized":         {sized + big, true, len(big), ""},
-		"chunked":       {chunks + "32000;x=y\r\n" + big + "\r\n0\r\nA: b\r\n\r\n", true, len(big), ""},
-		"with its end":  {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + big + "cut", true, len(big) + 3, "peer-closed"},
-		"cut short":     {sized + big[10:], false, 0, "peer-closed"},
-		"a bad chunk":   {chunks + "32000\r\n" + big + "\r\nzz\r\n", false, 0, "reset"},
-		"no last chunk": {chunks + "32000\r\n" + big + "\r\ncut", false, 0, "peer-closed"},
+		"sized":           {sized + big, true, len(big), ""},
+		"chunked":         {chunks + "32000;x=y\r\n" + big + "\r\n0\r\nA: b\r\n\r\n", true, len(big), ""},
+		"ended by close":  {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + big + "cut", true, len(big) + 3, "peer-closed"},
+		"truncated body":  {sized + big[10:], false, 0, "peer-closed"},
+		"malformed chunk": {chunks + "32000\r\n" + big + "\r\nzz\r\n", false, 0, "reset"},
+		"no last chunk":   {chunks + "32000\r\n" + big + "\r\ncut", false, 0, "peer-closed"},
 	} {
-		p, _ := startScriptedServer(t, c.raw+map[bool]string{false: "cut"}[c.whole])
+		p, _ := startScriptedServer(t, c.raw+map[bool]string{false: "cut"}[c.complete])
 		transport, l := newTestTransport(time.Second)
 		r := transport.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
 		if r.Result != balancer.OK || r.Reply.(*response).stream == nil {
-			t.Fatalf("%s: result %d", name, r.Result)
+			t.Fatalf("%s: result %d, want OK and a stream", name, r.Result)
 		}
 		s := r.Reply.(*response)
 		data, err := io.ReadAll(s.stream)
-		if whole := err == nil; whole != c.whole || whole && len(s.body)+len(data) != c.n {
-			t.Errorf("%s: %d bytes, %v", name, len(s.body)+len(data), err)
+		if complete := err == nil; complete != c.complete || complete && len(s.body)+len(data) != c.length {
+			t.Errorf("%s: read %d bytes, error %v", name, len(s.body)+len(data), err)
 		}
 		if err != nil {
 			s.stream.finish("reset")
 		} else {
 			s.stream.finish("")
 		}
-		if c.ends != "" {
-			l.waitFor("connection ended", "reason="+c.ends)
+		if c.reason != "" {
+			l.waitFor("connection ended", "reason="+c.reason)
 		} else if transport.Conns() != 1 {
-			t.Errorf("%s: its connection is not kept", name)
+			t.Errorf("%s: the connection was not returned to the pool", name)
 		}
 	}
-	halves := make(chan bool)
+	closeServer := make(chan bool)
 	slow := startServer(t, func(conn net.Conn) {
 		http.ReadRequest(bufio.NewReader(conn))
 		io.WriteString(conn, chunks+"20000\r\n"+big[:1000])
-		<-halves
+		<-closeServer
 	})
 	transport, _ := newTestTransport(time.Second)
 	r := transport.RoundTrip(t.Context(), newAttempt(slow, "GET", ""))
-	if s := r.Reply.(*response); len(s.body) != 1000 { // what a chunk in the making has so far is there for the client
-		t.Errorf("%d bytes of a chunk that is still coming", len(s.body))
+	if s := r.Reply.(*response); len(s.body) != 1000 { // part of an incomplete chunk, which the client receives
+		t.Errorf("read %d bytes of an incomplete chunk, want 1000", len(s.body))
 	}
-	close(halves)
+	close(closeServer)
 	p, _ := startScriptedServer(t, sized+big)
 	transport, l := newTestTransport(time.Second)
 	transport.RoundTrip(t.Context(), newAttempt(p, "GET", "")).Reply.(routing.Releaser).Release()
 	l.waitFor("connection ended", "reason=called-off")
 	if transport.Conns() != 0 {
-		t.Error("a released response holds its connection")
+		t.Error("a released response keeps its connection open")
 	}
 }
 
-// TestBrokenLongResponses: a client can tell that a long response is incomplete, and the connection that brought it
+// TestBrokenLongResponses: a client can detect that a long response is incomplete, and the connection to the server
 // carries nothing more.
 func TestBrokenLongResponses(t *testing.T) {
 	big := strings.Repeat("x", 200<<10)
@@ -89,14 +89,14 @@
 	endless := strings.Repeat("a: b\r\n", maxResponseHead)
 	for name, c := range map[string]struct {
 		raw, reason string
-		whole       bool
+		complete    bool
 	}{
-		"cut short":               {sized + big, "peer-closed", false},
-		"no last chunk":           {chunks + chunk, "peer-closed", false},
-		"a chunk that is none":    {chunks + chunk + "zz\r\n", "spoilt", false},
-		"an endless trailer":      {chunks + chunk + "0\r\n" + endless, "spoilt", false},
-		"a trailer cut short":     {chunks + chunk + "0\r\na: b\r\n", "peer-closed", false},
-		"in two fields of a name": {strings.Replace(chunks, "\r\n\r\n", fields, 1) + chunk + "0\r\n\r\n", "peer-asked", true},
+		"truncated body":         {sized + big, "peer-closed", false},
+		"no last chunk":          {chunks + chunk, "peer-closed", false},
+		"malformed chunk":        {chunks + chunk + "zz\r\n", "spoilt", false},
+		"trailer too long":       {chunks + chunk + "0\r\n" + endless, "spoilt", false},
+		"truncated trailer":      {chunks + chunk + "0\r\na: b\r\n", "peer-closed", false},
+		"two fields of one name": {strings.Replace(chunks, "\r\n\r\n", fields, 1) + chunk + "0\r\n\r\n", "peer-asked", true},
 	} {
 		p := startServer(t, func(conn net.Conn) {
 			http.ReadRequest(bufio.NewReader(conn))
@@ -111,25 +111,25 @@
 		if err != nil {
 			t.Fatal(name, err)
 		}
-		got, err := io.Copy(io.Discard, resp.Body)
-		if resp.StatusCode != 200 || (err == nil) != c.whole || got < 150<<10 {
-			t.Errorf("%s: status %d, %d bytes, %v", name, resp.StatusCode, got, err)
+		received, err := io.Copy(io.Discard, resp.Body)
+		if resp.StatusCode != 200 || (err == nil) != c.complete || received < 150<<10 {
+			t.Errorf("%s: status %d, read %d bytes, error %v", name, resp.StatusCode, received, err)
 		}
-		if c.whole && strings.Contains(name, "fields") && len(resp.Header["A"]) != 2 {
-			t.Errorf("%s: %v", name, resp.Header)
+		if c.complete && strings.Contains(name, "fields") && len(resp.Header["A"]) != 2 {
+			t.Errorf("%s: header %v, want two fields A", name, resp.Header)
 		}
 		line := log.waitFor("side=peer")
-		closed := strings.Contains(line, "reason=peer-closed") // its close may come along
+		closed := strings.Contains(line, "reason=peer-closed") // the server's close may arrive at the same time
 		if !strings.Contains(line, "reason="+c.reason) && !closed {
-			t.Errorf("%s: %s", name, line)
+			t.Errorf("%s: unexpected close reason in %s", name, line)
 		}
 		if n := transport.Conns(); n != 0 {
-			t.Errorf("%s: %d connections are left", name, n)
+			t.Errorf("%s: %d connections are open, want none", name, n)
 		}
 	}
-	p := startServer(t, func(conn net.Conn) { // one whose client has left
+	p := startServer(t, func(conn net.Conn) { // its client disconnects
 		http.ReadRequest(bufio.NewReader(conn))
-		io.WriteString(conn, strings.Replace(sized, "300000", "60000000", 1)) // more than sockets hold
+		io.WriteString(conn, strings.Replace(sized, "300000", "60000000", 1)) // more than the socket buffers hold
 		for err := error(nil); err == nil; {
 			_, err = io.WriteString(conn, big)
 		}
@@ -146,19 +146,19 @@
 	}
 }
 
-// TestSlowStreamedResponse: a long response that comes slower than any known is given up once its server was waited for
-// as long as one that stands still; the time that a slow client takes does not count.
+// TestSlowStreamedResponse: a long response below the minimum rate is given up once the node has waited for the server
+// as long as for a stalled one. The time that a slow client needs does not count.
 func TestSlowStreamedResponse(t *testing.T) {
 	const all = 300000
 	for name, c := range map[string]struct {
-		part  int           // bytes that the peer gives at a time, with a pause behind
-		pause time.Duration // of the client between two reads
-		whole bool
-	}{"trickling": {1, 0, false}, "taken slowly": {all, 10 * time.Millisecond, true}} {
+		part     int           // number of bytes that the server sends before each pause
+		pause    time.Duration // pause of the client between two reads
+		complete bool
+	}{"slow server": {1, 0, false}, "slow client": {all, 10 * time.Millisecond, true}} {
 		p := startServer(t, func(conn net.Conn) {
 			http.ReadRequest(bufio.NewReader(conn))
 			io.WriteString(conn, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", all))
-			for range 3000 { // it ends by itself, as nothing else would end it
+			for range 3000 { // limited, since nothing else would end the loop
 				io.WriteString(conn, strings.Repeat("x", c.part))
 				time.Sleep(time.Millisecond)
 			}
@@ -168,16 +168,17 @@
 		if r.Result != balancer.OK {
 			t.Fatal(name, r.Result)
 		}
-		rest, got, err := r.Reply.(*response).stream, 0, error(nil)
-		rest.waited = streamStallTimeout - 50*time.Millisecond // as after a long wait
+		stream, got, err := r.Reply.(*response).stream, 0, error(nil)
+		stream.waited = streamStallTimeout - 50*time.Millisecond // as after a long wait
 		for b, n := make([]byte, streamBufferSize), 0; err == nil; time.Sleep(c.pause) {
-			n, err = rest.Read(b)
+			n, err = stream.Read(b)
 			got += n
 		}
-		if errors.Is(err, io.EOF) != c.whole || !c.whole && !errors.Is(err, os.ErrDeadlineExceeded) || c.whole && got != all {
-			t.Errorf("%s: %d bytes, then %v", name, got, err)
+		if errors.Is(err, io.EOF) != c.complete || !c.complete && !errors.Is(err, os.ErrDeadlineExceeded) ||
+			c.complete && got != all {
+			t.Errorf("%s: read %d bytes, then error %v", name, got, err)
 		}
-		rest.finish("reset")
+		stream.finish("reset")
 		transport.Close()
 	}
 }
--- a/internal/transport/upload_pace_test.go
+++ b/internal/transport/upload_pace_test.go
@@ -15,7 +15,7 @@
 	"olivebridge/internal/routing"
 )
 
-// memoryConn is a client's connection of which a byte is taken only as it is read.
+// memoryConn is a client connection without buffers: a byte is accepted only when it is read.
 type memoryConn struct{ pipeConn }
 
 // ReadGate implements Conn.
@@ -23,42 +23,42 @@
 	return c.Read(b)
 }
 
-// pacing is how one side of a body goes on: so many bytes at a time, with a pause behind.
+// pacing describes how one side transfers a body: a number of bytes at a time, each followed by a pause.
 type pacing struct {
 	bytes int
 	pause time.Duration
 }
 
-// TestUploadPace: the time for which a body waits for its server does not count against its client, ahead of the
-// first byte or between two parts. A side that trickles, or stands still, is found out, whatever the other one
-// does.
+// TestUploadPace: the time that a body spends waiting for its server does not count against its client, neither before
+// the first byte nor between two parts. A side that stalls or sends only a few bytes at a time is detected, whatever
+// the other side does.
 func TestUploadPace(t *testing.T) {
-	const client, peer = "the client's fault", "the peer's fault"
-	const slightlyLater = bodyStallTimeout + 10*time.Millisecond
+	const client, server = "client too slow", "server too slow"
+	const stallDetection = bodyStallTimeout + 10*time.Millisecond
 	atOnce := pacing{streamBufferSize, 0}
-	trickle := pacing{1, time.Second}
+	singleBytes := pacing{1, time.Second}
 	slow := pacing{streamBufferSize, 1200 * time.Millisecond}
-	steady := pacing{streamBufferSize / 2, 450 * time.Millisecond}
+	allowedRate := pacing{streamBufferSize / 2, 450 * time.Millisecond}
 	stalled := pacing{streamBufferSize, time.Minute}
 	tooSlow := pacing{8 << 10, 400 * time.Millisecond}
 	slowServer := pacing{8 << 10, 100 * time.Millisecond}
 	for name, c := range map[string]struct {
-		waits        time.Duration // until the try begins
-		sends, takes pacing
-		fault        string
-		within       time.Duration // of the try
+		delay          time.Duration // until the attempt begins
+		sends, accepts pacing
+		fault          string
+		maxDuration    time.Duration // maximum duration of the attempt
 	}{
-		"at once":                               {0, atOnce, atOnce, "", 0},
-		"a late connection":                     {time.Minute, atOnce, atOnce, "", 0},
-		"a peer that is slow between parts":     {0, atOnce, slow, "", 154 * time.Second},
-		"a client at its pace, late":            {time.Minute, steady, atOnce, "", 116 * time.Second},
-		"a client that stands still":            {0, stalled, atOnce, client, bodyStallTimeout},
-		"one that stands still, late":           {time.Minute, stalled, atOnce, client, bodyStallTimeout},
-		"a client that trickles":                {0, trickle, atOnce, client, slightlyLater},
-		"one that trickles, late":               {time.Minute, trickle, atOnce, client, slightlyLater},
-		"a client too slow, and so is its peer": {0, tooSlow, slowServer, client, 22 * time.Second},
-		"a peer that stands still":              {0, atOnce, pacing{streamBufferSize, time.Hour}, peer, streamStallTimeout},
-		"a peer that trickles":                  {0, atOnce, pacing{2 << 10, 100 * time.Millisecond}, peer, 82 * time.Second},
+		"without pauses":                   {0, atOnce, atOnce, "", 0},
+		"connection established late":      {time.Minute, atOnce, atOnce, "", 0},
+		"server slow between parts":        {0, atOnce, slow, "", 154 * time.Second},
+		"client at allowed rate, late":     {time.Minute, allowedRate, atOnce, "", 116 * time.Second},
+		"stalled client":                   {0, stalled, atOnce, client, bodyStallTimeout},
+		"stalled client, late":             {time.Minute, stalled, atOnce, client, bodyStallTimeout},
+		"client sends single bytes":        {0, singleBytes, atOnce, client, stallDetection},
+		"client sends single bytes, late":  {time.Minute, singleBytes, atOnce, client, stallDetection},
+		"client and server too slow":       {0, tooSlow, slowServer, client, 22 * time.Second},
+		"stalled server":                   {0, atOnce, pacing{streamBufferSize, time.Hour}, server, streamStallTimeout},
+		"server reads few bytes at a time": {0, atOnce, pacing{2 << 10, 100 * time.Millisecond}, server, 82 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -67,51 +67,51 @@
 				u, out, in, far := newMemoryUpload(4 << 20)
 				defer far.Close()
 				defer in.Close()
-				time.Sleep(c.waits)
+				time.Sleep(c.delay)
 				sides.Go(func() {
 					for err := error(nil); err == nil; time.Sleep(c.sends.pause) {
 						_, err = in.Write(make([]byte, c.sends.bytes))
 					}
 				})
 				sides.Go(func() {
-					for err := error(nil); err == nil; time.Sleep(c.takes.pause) {
-						_, err = io.ReadFull(far, make([]byte, c.takes.bytes))
+					for err := error(nil); err == nil; time.Sleep(c.accepts.pause) {
+						_, err = io.ReadFull(far, make([]byte, c.accepts.bytes))
 					}
 				})
-				begun := time.Now()
+				started := time.Now()
 				u.send(t.Context(), out, []byte(callHead), routing.Attempt{OnBodySent: func() {}})
 				late := errors.Is(u.clientErr, os.ErrDeadlineExceeded)
 				if u.bodySent.Load() != (c.fault == "") || late != (c.fault == client) || u.clientErr != nil && !late {
-					t.Errorf("whole: %v, refused: %v", u.bodySent.Load(), u.clientErr)
+					t.Errorf("body sent: %v, client error: %v", u.bodySent.Load(), u.clientErr)
 				}
-				if took := time.Since(begun); took > c.within {
-					t.Errorf("it took %v", took)
+				if took := time.Since(started); took > c.maxDuration {
+					t.Errorf("the attempt took %v, longer than allowed", took)
 				}
 			})
 		})
 	}
 }
 
-// TestStopReadingBetweenParts: a response that comes ahead of the body's end, just as the next part is about to be
-// waited for, does not wait for a client that stands still.
+// TestStopReadingBetweenParts: a response arrives before the end of the body, just before the node waits for the next
+// part. It must not be delayed by a client that has stalled.
 func TestStopReadingBetweenParts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u, _, in, far := newMemoryUpload(4 << 20)
 		defer far.Close()
 		defer in.Close()
-		close(u.done) // so that stopReading waits for nobody
+		close(u.done) // stopReading has no sender to wait for
 		u.stopReading()
-		begun := time.Now()
+		started := time.Now()
 		part, err := u.readNext(make([]byte, 1))
-		if len(part) > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(begun) > 0 {
-			t.Errorf("%d bytes, %v after %v", len(part), err, time.Since(begun))
+		if len(part) > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(started) > 0 {
+			t.Errorf("read %d bytes, error %v after %v; want an expired deadline at once", len(part), err, time.Since(started))
 		}
 	})
 }
 
-// newMemoryUpload is a body of so many bytes that is to be sent to out, with the far ends of its client's
-// connection and of its server's.
-func newMemoryUpload(length int64) (u *upload, out *upstreamConn, client, peer net.Conn) {
+// newMemoryUpload returns an upload of length bytes that is to be sent to out, and the far ends of the connections of
+// the client and of the server.
+func newMemoryUpload(length int64) (u *upload, out *upstreamConn, client, server net.Conn) {
 	log := slog.New(slog.DiscardHandler)
 	client, near := net.Pipe()
 	accepted := &clientConn{
@@ -123,6 +123,6 @@
 	accepted.deadlines.init()
 	r := &http.Request{Method: "POST", Body: io.NopCloser(io.LimitReader(accepted, length))}
 	u = new(Frontend).newUploadMessage(requestBody{Request: r, target: "/", length: length, conn: accepted}, nil).upload
-	to, peer := net.Pipe()
-	return u, &upstreamConn{Conn: pipeConn{to}, log: newConnLog(log, "peer", "", func() {})}, client, peer
+	to, server := net.Pipe()
+	return u, &upstreamConn{Conn: pipeConn{to}, log: newConnLog(log, "peer", "", func() {})}, client, server
 }
--- a/internal/transport/upload_test.go
+++ b/internal/transport/upload_test.go
@@ -21,7 +21,7 @@
 // Read implements io.Reader.
 func (panickingBody) Read([]byte) (int, error) { panic("body") }
 
-// TestUploadPanic: a panic while a long body goes on fails its call, and does not end the node.
+// TestUploadPanic: a panic while a long body is sent fails its call and does not end the process.
 func TestUploadPanic(t *testing.T) {
 	p := startServer(t, func(conn net.Conn) { io.Copy(io.Discard, conn) })
 	transport, log := newTestTransport(time.Second)
@@ -34,18 +34,18 @@
 			OnBodySent: func() {},
 		})
 		if r.Result != balancer.ConnectFailed {
-			t.Errorf("result %d of what was never complete", r.Result)
+			t.Errorf("result %d of an incomplete upload, want connect failed", r.Result)
 		}
 		return routing.Answer{Verdict: routing.Rejected, RetryAfter: time.Second}, true
 	})
 	if resp, _ := dialClient(t, addr).roundTrip(t, callHead+"Content-Length: 100000\r\n\r\n"); resp.StatusCode != 503 {
-		t.Errorf("status %d", resp.StatusCode)
+		t.Errorf("response status %d", resp.StatusCode)
 	}
 	log.waitFor("msg=panic", "in=upload")
 }
 
-// TestInterruptedUploads: a long body that does not come to its end, on either side, ends in a response and in a
-// proof that it never ran, unless its server has answered.
+// TestInterruptedUploads: a long body is interrupted on either side. The client receives a response, and the result of
+// the attempt proves that the server never ran the call, unless the server has answered.
 func TestInterruptedUploads(t *testing.T) {
 	const sized = "Content-Length: 1000000\r\n\r\n"
 	const chunks = "Transfer-Encoding: chunked\r\n\r\n"
@@ -58,7 +58,7 @@
 			_, err = io.WriteString(client, part)
 		}
 	}
-	reads := func(n int, answer string) func(net.Conn) {
+	readAndAnswer := func(n int, answer string) func(net.Conn) {
 		return func(conn net.Conn) {
 			in := bufio.NewReader(conn)
 			for line := ""; line != "\r\n"; {
@@ -75,25 +75,25 @@
 	const failed = "HTTP/1.1 503 X\r\nX: 1\r\nContent-Length: 0\r\n\r\n"
 	const rejected = "HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
-		peer   func(net.Conn)
-		raw    string
-		then   func(*testClient) // once the raw bytes are out; nil: nothing
-		status int
-		result balancer.Result
+		server   func(net.Conn)
+		request  string
+		sendMore func(*testClient) // called after the request is written; nil: nothing follows
+		status   int
+		result   balancer.Result
 	}{
-		"the peer answers early": {reads(1000, early), sized + some, nil, 200, balancer.OK},
-		"the peer turns it away": {reads(1000, rejected), sized + some, nil, 503, balancer.Rejected},
-		"the peer fails early":   {reads(1000, failed), sized + some, nil, 503, balancer.ConnectFailed},
-		"the peer closes":        {reads(1000, ""), sized + some, nil, 503, balancer.ConnectFailed},
-		"chunks that are none":   {reads(1<<20, early), chunks + badChunk, nil, 400, balancer.NotSent},
-		"beyond all bounds":      {discard, chunks, sendEndless, 413, balancer.NotSent},
+		"server answers early":    {readAndAnswer(1000, early), sized + some, nil, 200, balancer.OK},
+		"server rejects the call": {readAndAnswer(1000, rejected), sized + some, nil, 503, balancer.Rejected},
+		"server fails early":      {readAndAnswer(1000, failed), sized + some, nil, 503, balancer.ConnectFailed},
+		"server closes early":     {readAndAnswer(1000, ""), sized + some, nil, 503, balancer.ConnectFailed},
+		"malformed chunks":        {readAndAnswer(1<<20, early), chunks + badChunk, nil, 400, balancer.NotSent},
+		"body too long":           {discard, chunks, sendEndless, 413, balancer.NotSent},
 	} {
-		addr, _, transport, _, results := newFrontendOverTransport(t, startServer(t, c.peer), 10)
+		addr, _, transport, _, results := newFrontendOverTransport(t, startServer(t, c.server), 10)
 		conn := dialClient(t, addr)
 		go func() {
-			io.WriteString(conn, callHead+c.raw)
-			if c.then != nil {
-				c.then(conn)
+			io.WriteString(conn, callHead+c.request)
+			if c.sendMore != nil {
+				c.sendMore(conn)
 			}
 		}()
 		resp, err := http.ReadResponse(conn.in, nil)
@@ -106,39 +106,44 @@
 				name, resp.StatusCode, r, c.status, c.result, resp.Close)
 		}
 		conn.Close()
-		for transport.Conns() > 0 { // what it used is let go
+		for transport.Conns() > 0 { // until the call's connection is released
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// TestUploadSentOnce: a second attempt of a long body is never sent, and one whose call has ended before its
-// connection was up reads none of it.
+// TestUploadSentOnce: a long body is never sent by a second attempt. An attempt whose call ended before its connection
+// was established reads none of the body.
 func TestUploadSentOnce(t *testing.T) {
 	p := startServer(t, func(conn net.Conn) { io.Copy(io.Discard, conn) })
 	transport, _ := newTestTransport(time.Second)
 	addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
 		ended, stop := context.WithCancelCause(ctx)
-		try := routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(time.Minute), Payload: c.Payload, OnBodySent: func() {}}
+		attempt := routing.Attempt{
+			Upstream:   p,
+			ExpiresAt:  time.Now().Add(time.Minute),
+			Payload:    c.Payload,
+			OnBodySent: func() {},
+		}
 		time.AfterFunc(20*time.Millisecond, func() { stop(routing.ErrCancelled) })
 		for i, want := range []balancer.Result{balancer.NotSent, balancer.NotSent} {
-			if r := transport.RoundTrip(ended, try); r.Result != want {
-				t.Errorf("attempt %d: %d", i, r.Result)
+			if r := transport.RoundTrip(ended, attempt); r.Result != want {
+				t.Errorf("attempt %d: result %d, want not sent", i, r.Result)
 			}
 		}
-		if r := transport.RoundTrip(ctx, try); r.Result != balancer.NotSent { // it has a connection, and no body
-			t.Errorf("once more: %d", r.Result)
+		if r := transport.RoundTrip(ctx, attempt); r.Result != balancer.NotSent { // has a connection, but the body is closed
+			t.Errorf("attempt after these: result %d, want not sent", r.Result)
 		}
 		return routing.Answer{Verdict: routing.Failed}, true
 	})
 	raw := callHead + "Content-Length: 1000000\r\n\r\n" + strings.Repeat("x", 80<<10)
 	if resp, _ := dialClient(t, addr).roundTrip(t, raw); resp.StatusCode != 502 {
-		t.Errorf("status %d", resp.StatusCode)
+		t.Errorf("response status %d", resp.StatusCode)
 	}
 }
 
-// slowWriteConn is a connection whose write of a body's last bytes returns only once a response has been read and
-// has had time to end the reading of the body.
+// slowWriteConn is a connection whose write of the last bytes of a body returns only after a response was read and
+// could stop the reading of the body.
 type slowWriteConn struct {
 	Conn
 	last     string
@@ -166,8 +171,8 @@
 	return n, err
 }
 
-// TestResponseBeforeWriteReturns: a server answers a long body as its last byte comes, before the write of that has
-// returned here. Its client has not left, and gets the response.
+// TestResponseBeforeWriteReturns: a server answers a long body on receiving its last byte, before the write of that
+// byte has returned on the node. The client is still connected and must receive the response.
 func TestResponseBeforeWriteReturns(t *testing.T) {
 	body := strings.Repeat("x", 100000) + "end"
 	for last, raw := range map[string]string{
@@ -185,8 +190,8 @@
 		})
 		addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, call routing.Call) (routing.Answer, bool) {
 			transport, _ := newTestTransport(time.Minute)
-			transport.pool.dial = func(dialing context.Context, addr string) (net.Conn, error) {
-				conn, err := Dialer(nil).dial(dialing, addr)
+			transport.pool.dial = func(dialContext context.Context, addr string) (net.Conn, error) {
+				conn, err := Dialer(nil).dial(dialContext, addr)
 				return &slowWriteConn{conn, last, make(chan bool, 9), ctx.Done()}, err
 			}
 			r := transport.RoundTrip(ctx, routing.Attempt{
--- a/internal/transport/upstream_pool_test.go
+++ b/internal/transport/upstream_pool_test.go
@@ -20,8 +20,8 @@
 	"olivebridge/internal/routing"
 )
 
-// TestSurplusBytesRetireConnection: with bytes behind its response a connection carries no other attempt, however
-// late they come. http.Transport fails this.
+// TestSurplusBytesRetireConnection: if bytes follow the response, the connection carries no other attempt, however late
+// the bytes arrive. The pool of http.Transport fails this test.
 func TestSurplusBytesRetireConnection(t *testing.T) {
 	p := startServer(t, func(conn net.Conn) {
 		for in := bufio.NewReader(conn); ; {
@@ -46,77 +46,78 @@
 				id := fmt.Sprintf("%d-%d", i, j)
 				r := transport.RoundTrip(t.Context(), newAttemptWithID(p, "GET", id, ""))
 				if r.Result != balancer.OK || string(r.Reply.(*response).body) != id {
-					t.Errorf("%s: %+v", id, r)
+					t.Errorf("attempt %s: %+v, want its own response", id, r)
 				}
 			}
 		})
 	}
 	all.Wait()
-	// late: the bytes come while the connection is idle
+	// late sends the bytes while the connection is idle.
 	late := startServer(t, func(conn net.Conn) { io.WriteString(conn, okResponse); io.Copy(io.Discard, conn) })
 	c, err := transport.pool.get(t.Context(), late, time.Now().Add(time.Minute))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Read(make([]byte, 1)) // all of it is there
+	c.Read(make([]byte, 1)) // all the bytes have arrived
 	c.idleSince = time.Now().Add(-reuseDelay)
 	transport.pool.mu.Lock()
 	transport.pool.idle[late] = []*upstreamConn{c}
 	transport.pool.mu.Unlock()
-	if again, err := transport.pool.get(t.Context(), late, time.Now().Add(time.Minute)); err != nil || again == c {
-		t.Errorf("%v: the same connection: %v", err, again == c)
+	if second, err := transport.pool.get(t.Context(), late, time.Now().Add(time.Minute)); err != nil || second == c {
+		t.Errorf("error %v, connection reused: %v; want a new connection", err, second == c)
 	}
 }
 
-// TestLateSecondResponse: a second response is known to come some milliseconds behind the first, so no request may
-// reach a connection sooner than that: the response would be taken for its own.
+// TestLateSecondResponse: faulty servers send a second response some milliseconds after the first. No request may be
+// sent on a connection before that time, or the second response would be taken for the request's own.
 func TestLateSecondResponse(t *testing.T) {
 	const late = 10 * time.Millisecond
-	again := make(chan time.Duration, 1000)
+	intervals := make(chan time.Duration, 1000)
 	p := startServer(t, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
-		for answered := (time.Time{}); ; {
+		for lastResponse := (time.Time{}); ; {
 			if _, err := http.ReadRequest(in); err != nil {
 				return
 			}
-			if !answered.IsZero() {
-				again <- time.Since(answered)
+			if !lastResponse.IsZero() {
+				intervals <- time.Since(lastResponse)
 			}
-			answered = time.Now()
+			lastResponse = time.Now()
 			io.WriteString(conn, okResponse)
 		}
 	})
 	transport, _ := newTestTransport(time.Second)
 	transport.pool.reuseDelay = reuseDelay
-	for len(again) < 10 {
+	for len(intervals) < 10 {
 		if r := transport.RoundTrip(t.Context(), newAttempt(p, "GET", "")); r.Result != balancer.OK {
 			t.Fatal(r.Result)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	transport.Close()
-	for range len(again) {
-		if after := <-again; after < late {
-			t.Errorf("a request came %v after the answer before it", after)
+	for range len(intervals) {
+		if after := <-intervals; after < late {
+			t.Errorf("a request arrived only %v after the previous response", after)
 		}
 	}
 }
 
-// TestPooledConnectionsArePerServer: a connection to a server that has left must not carry an attempt for its successor
-// at the same address.
+// TestPooledConnectionsArePerServer: a connection to a server that has left the upstream group must not carry an
+// attempt for its successor at the same address.
 func TestPooledConnectionsArePerServer(t *testing.T) {
 	p, _ := startScriptedServer(t, okResponse, okResponse)
 	transport, _ := newTestTransport(time.Second)
-	for _, peer := range []*routing.Upstream{p, routing.NewUpstream(2, "s-2", p.Addr)} {
-		r := transport.RoundTrip(t.Context(), newAttempt(peer, "GET", ""))
-		if r.Result != balancer.OK || len(transport.pool.idle[peer]) != 1 {
-			t.Errorf("%s: result %d, idle %v", peer.Name, r.Result, transport.pool.idle)
+	for _, server := range []*routing.Upstream{p, routing.NewUpstream(2, "s-2", p.Addr)} {
+		r := transport.RoundTrip(t.Context(), newAttempt(server, "GET", ""))
+		if r.Result != balancer.OK || len(transport.pool.idle[server]) != 1 {
+			t.Errorf("server %s: result %d, idle connections %v; want OK and 1 of this server",
+				server.Name, r.Result, transport.pool.idle)
 		}
 	}
 }
 
-// TestIdleConnections: idle connections are closed safely before the server would close them: a request that
-// crosses its close is lost.
+// TestIdleConnections: idle connections are closed well before the server's idle timeout. A request sent while the
+// server closes the connection is lost.
 func TestIdleConnections(t *testing.T) {
 	p, _ := startScriptedServer(t, okResponse)
 	l := make(logLines, 10)
@@ -127,22 +128,22 @@
 		Log:               l.logger(),
 	})
 	if transport.pool.idleTimeout >= 40*time.Millisecond {
-		t.Errorf("idle for %v of 50 ms", transport.pool.idleTimeout)
+		t.Errorf("idle timeout %v for a server's timeout of 50 ms, want less than 40 ms", transport.pool.idleTimeout)
 	}
 	transport.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
 	l.waitFor("side=peer", "reason=idle")
-	for transport.Conns() > 0 { // the line comes just before it counts
+	for transport.Conns() > 0 { // the line is logged before the connection is subtracted
 		runtime.Gosched()
 	}
 	transport.pool.mu.Lock()
 	defer transport.pool.mu.Unlock()
 	if len(transport.pool.idle) != 0 {
-		t.Errorf("idle after the last ended: %v", transport.pool.idle)
+		t.Errorf("idle connections after the last one ended: %v, want none", transport.pool.idle)
 	}
 }
 
-// TestIdleTimeShortened: a connection that has been idle for longer than a reload allows carries no attempt, though
-// the sweep that would close it is still to come.
+// TestIdleTimeShortened: a connection that has been idle for longer than the timeout set by a reload carries no
+// attempt, even before the sweep that closes it.
 func TestIdleTimeShortened(t *testing.T) {
 	p, _ := startScriptedServer(t, okResponse)
 	transport, _ := newTestTransport(time.Second)
@@ -152,38 +153,39 @@
 	short.ServerIdleTimeout = 1
 	transport.Configure(short)
 	if c := transport.pool.takeIdle(p); c != nil {
-		t.Error("given out beyond its time")
+		t.Error("an idle connection was reused after the shortened timeout")
 	}
 	transport.Configure(long)
 	if c := transport.pool.takeIdle(p); c == nil {
-		t.Error("not given out within its time")
+		t.Error("an idle connection was not reused within the timeout")
 	}
 }
 
-// TestUpstreamConnLimit: at the limit an attempt is not sent, which is known, unless an idle connection makes room.
+// TestUpstreamConnLimit: at the connection limit an attempt has the result NotSent, unless an idle connection can be
+// evicted.
 func TestUpstreamConnLimit(t *testing.T) {
 	p, _ := startScriptedServer(t, okResponse, okResponse)
 	transport, log := newTestTransport(time.Second)
 	transport.pool.open = 10
 	r := transport.RoundTrip(t.Context(), newAttempt(p, "GET", ""))
 	if r.Result != balancer.NotSent || transport.pool.open != 10 {
-		t.Errorf("result %d, %d connections", r.Result, transport.pool.open)
+		t.Errorf("result %d with %d connections open", r.Result, transport.pool.open)
 	}
-	transport.pool.open = 9 // the next is the last, and makes room for another peer's once it is idle
+	transport.pool.open = 9 // the next one is the last; it is evicted for another server once it is idle
 	other, _ := startScriptedServer(t, okResponse)
-	for _, peer := range []*routing.Upstream{p, other} {
-		r := transport.RoundTrip(t.Context(), newAttempt(peer, "GET", ""))
+	for _, server := range []*routing.Upstream{p, other} {
+		r := transport.RoundTrip(t.Context(), newAttempt(server, "GET", ""))
 		if r.Result != balancer.OK || transport.pool.open != 10 {
-			t.Errorf("result %d, %d connections", r.Result, transport.pool.open)
+			t.Errorf("result %d with %d connections open", r.Result, transport.pool.open)
 		}
 	}
 	log.waitFor("side=peer", "addr="+p.Addr, "reason=idle")
 }
 
-// TestIdleConnectionReuse: within the limit, attempts find the connections of those before them. A pool too small
-// for the load costs a handshake an attempt.
+// TestIdleConnectionReuse: within the limit, attempts reuse the connections of earlier attempts. A pool too small for
+// the load would need one handshake per attempt.
 func TestIdleConnectionReuse(t *testing.T) {
-	const most, load = 8, 6
+	const maxConns, load = 8, 6
 	var opened atomic.Int64
 	arrived, release := make(chan bool), make(chan bool)
 	p := startServer(t, func(conn net.Conn) {
@@ -201,14 +203,14 @@
 	transport := NewUpstreamTransport(UpstreamConfig{
 		ConnectTimeout:    time.Second,
 		ServerIdleTimeout: time.Minute,
-		MaxConns:          most,
+		MaxConns:          maxConns,
 		Log:               l.logger(),
 	})
 	transport.pool.reuseDelay = 0
 	for range 2 {
-		var tries sync.WaitGroup
+		var attempts sync.WaitGroup
 		for range load {
-			tries.Go(func() { transport.RoundTrip(t.Context(), newAttempt(p, "GET", "")) })
+			attempts.Go(func() { transport.RoundTrip(t.Context(), newAttempt(p, "GET", "")) })
 		}
 		for range load {
 			<-arrived
@@ -216,14 +218,15 @@
 		for range load {
 			release <- true
 		}
-		tries.Wait()
+		attempts.Wait()
 	}
 	if n := opened.Load(); n != load {
-		t.Errorf("%d connections for %d attempts at a time", n, load)
+		t.Errorf("%d connections were opened for %d concurrent attempts", n, load)
 	}
 }
 
-// TestLocalShortageDoesNotBlameServer: where this node lacks what a connection takes, it says nothing of the server.
+// TestLocalShortageDoesNotBlameServer: if this node lacks the resources for a connection, the attempt does not count as
+// a failure of the server.
 func TestLocalShortageDoesNotBlameServer(t *testing.T) {
 	for _, err := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM} {
 		log := make(logLines, 10)
@@ -237,14 +240,14 @@
 		p := routing.NewUpstream(1, "s-1", "a:1")
 		for range 3 {
 			if r := transport.RoundTrip(t.Context(), newAttempt(p, "POST", "book")); r.Result != balancer.NotSent {
-				t.Errorf("%v: attempt: %d", err, r.Result)
+				t.Errorf("%v: result %d of the attempt, want not sent", err, r.Result)
 			}
 			if r := transport.CheckHealth(t.Context(), p); r != balancer.NotSent {
-				t.Errorf("%v: health check: %d", err, r)
+				t.Errorf("%v: result %d of the health check, want not sent", err, r)
 			}
 		}
 		if line := log.waitFor("no connection to peers"); !strings.Contains(line, err.Error()) || len(log) > 0 {
-			t.Errorf("%s, and %d more within a second", line, len(log))
+			t.Errorf("logged %q and %d more lines within a second, want one line with the error", line, len(log))
 		}
 	}
 }
--- a/internal/transport/upstream_response_test.go
+++ b/internal/transport/upstream_response_test.go
@@ -14,7 +14,8 @@
 	"olivebridge/balancer"
 )
 
-// readSignalConn is a connection that tells when a read of it begins: whatever came before has been taken by then.
+// readSignalConn is a connection that signals the start of each read. All bytes that arrived before have then been
+// read.
 type readSignalConn struct {
 	Conn
 	reads chan struct{}
@@ -26,9 +27,10 @@
 	return a.Conn.Read(b)
 }
 
-// newCutResponseAttempt sends an attempt to a server that sends the bytes of a response, and closes the connection when the
-// transport has taken them and waits for more: by a reset, or in order.
-func newCutResponseAttempt(t *testing.T, given string, reset bool) (try func() balancer.Result) {
+// newCutResponseAttempt returns a function that sends an attempt to a server. The server sends the bytes of a response
+// and closes the connection as soon as the transport has read them and waits for more, either by a reset or in an
+// orderly way.
+func newCutResponseAttempt(t *testing.T, sent string, reset bool) (attempt func() balancer.Result) {
 	t.Helper()
 	reads := make(chan struct{}, 100)
 	p := startServer(t, func(conn net.Conn) {
@@ -36,8 +38,8 @@
 			return
 		}
 		<-reads
-		if given != "" {
-			io.WriteString(conn, given)
+		if sent != "" {
+			io.WriteString(conn, sent)
 			<-reads
 		}
 		if reset {
@@ -64,59 +66,59 @@
 		if r.Reply == nil || r.Reply.(*response).stream == nil {
 			return r.Result
 		}
-		rest := r.Reply.(*response).stream
-		_, err := io.Copy(io.Discard, rest)
-		rest.finish("called-off")
-		if err != nil { // a client that is passed this can tell
+		stream := r.Reply.(*response).stream
+		_, err := io.Copy(io.Discard, stream)
+		stream.finish("called-off")
+		if err != nil { // the client also detects that the response is incomplete
 			return balancer.Reset
 		}
 		return r.Result
 	}
 }
 
-// TestCutResponses: a response that its server cuts is never taken for a complete one, wherever the cut falls, and
-// its attempt may have run. A reset is no end, also of a response without length, which only an orderly close of
-// the connection completes.
+// TestCutResponses: a response that its server truncates is never taken for a complete one, wherever it is truncated,
+// and the result says that the attempt may have run. A reset does not end a response either, even one without a length,
+// which only an orderly close of the connection completes.
 func TestCutResponses(t *testing.T) {
 	const open = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 	const sized = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"
 	const chunks = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for name, c := range map[string]struct {
-		given   string
-		inOrder balancer.Result // what an orderly end makes of it
+		sent    string
+		orderly balancer.Result // result after an orderly close
 	}{
-		"before it":                {"", balancer.Reset},
-		"in its first line":        {"HTTP/1.1 20", balancer.Reset},
-		"in its head":              {"HTTP/1.1 200 OK\r\nContent-Le", balancer.Reset},
-		"behind its head":          {sized, balancer.Reset},
-		"in its body":              {sized + "part", balancer.Reset},
+		"before the response":      {"", balancer.Reset},
+		"in the status line":       {"HTTP/1.1 20", balancer.Reset},
+		"in the head":              {"HTTP/1.1 200 OK\r\nContent-Le", balancer.Reset},
+		"after the head":           {sized, balancer.Reset},
+		"in the body":              {sized + "part", balancer.Reset},
 		"in a rejection":           {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 4\r\n\r\nno", balancer.Reset},
-		"behind a head ahead":      {"HTTP/1.1 103 X\r\n\r\n", balancer.Reset},
+		"after a 103 response":     {"HTTP/1.1 103 X\r\n\r\n", balancer.Reset},
 		"in a chunk":               {chunks + "9\r\npart", balancer.Reset},
 		"between chunks":           {chunks + "4\r\npart\r\n", balancer.Reset},
-		"behind the last chunk":    {chunks + "4\r\npart\r\n0\r\n", balancer.Reset},
+		"after the last chunk":     {chunks + "4\r\npart\r\n0\r\n", balancer.Reset},
 		"without length, no body":  {open, balancer.OK},
 		"without length, in body":  {open + "part", balancer.OK},
-		"1.0, without length":      {"HTTP/1.0 200 OK\r\nConnection: close\r\n\r\npart", balancer.OK},
-		"a rejection, no length":   {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nConnection: close\r\n\r\nno", balancer.Rejected},
-		"a failure without length": {"HTTP/1.1 500 X\r\nConnection: close\r\n\r\nno", balancer.Errored},
+		"HTTP/1.0, without length": {"HTTP/1.0 200 OK\r\nConnection: close\r\n\r\npart", balancer.OK},
+		"rejection without length": {"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nConnection: close\r\n\r\nno", balancer.Rejected},
+		"failure without length":   {"HTTP/1.1 500 X\r\nConnection: close\r\n\r\nno", balancer.Errored},
 	} {
-		for reset, want := range map[bool]balancer.Result{true: balancer.Reset, false: c.inOrder} {
-			if got := newCutResponseAttempt(t, c.given, reset)(); got != want {
+		for reset, want := range map[bool]balancer.Result{true: balancer.Reset, false: c.orderly} {
+			if got := newCutResponseAttempt(t, c.sent, reset)(); got != want {
 				t.Errorf("%s, reset %v: result %d, want %d", name, reset, got, want)
 			}
 		}
 	}
 }
 
-// TestResetIsSticky: the system tells a reset once; who reads on must not find an orderly close.
+// TestResetIsSticky: the operating system reports a reset only once. Further reads must not return an orderly close.
 func TestResetIsSticky(t *testing.T) {
-	peer := startServer(t, func(conn net.Conn) {
+	server := startServer(t, func(conn net.Conn) {
 		io.ReadFull(conn, make([]byte, 1))
 		conn.(*net.TCPConn).SetLinger(0)
 	})
 	transport, _ := newTestTransport(time.Second)
-	c, err := transport.pool.get(t.Context(), peer, time.Now().Add(time.Minute))
+	c, err := transport.pool.get(t.Context(), server, time.Now().Add(time.Minute))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,7 +126,7 @@
 	c.Write([]byte{0})
 	for range 3 {
 		if n, err := c.Read(make([]byte, 1)); n != 0 || !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("read %d bytes, %v", n, err)
+			t.Errorf("read %d bytes, error %v; want a reset", n, err)
 		}
 	}
 }
