--- a/internal/transport/endpoint_watcher.go
+++ b/internal/transport/endpoint_watcher.go
@@ -29,7 +29,7 @@
 	// maxPollWait limits the duration of a hold, regardless of the number of nodes.
 	maxPollWait = 2400 * time.Millisecond
 	// pollLateAfter is the delay beyond the hold after which a response is late and a parallel request is sent. It is also
-	// the first pause before a rejected request is retried.
+	// the first pause before the retry of a rejected request.
 	pollLateAfter = 200 * time.Millisecond
 	// maxPollBackoff limits the pause after a rejected request. Pauses double up to this limit, and the next watch
 	// continues with the pause reached. Shorter pauses of many nodes would keep discovery overloaded; five pauses of this
--- a/internal/transport/response_stream.go
+++ b/internal/transport/response_stream.go
@@ -143,10 +143,10 @@
 // readFirstPart reads the first part of a body of unknown length. complete is true if this is the whole body, because
 // that is short and arrives soon.
 func readFirstPart(conn *upstreamConn, reader *bufio.Reader, body io.Reader,
-	until time.Time) (first []byte, complete bool, err error) {
-	hold := time.Now().Add(firstPartWait)
+	deadline time.Time) (first []byte, complete bool, err error) {
+	waitEnd := time.Now().Add(firstPartWait)
 	for len(first) <= protocol.MaxBufferedBody {
-		if reader.Buffered() == 0 && conn.isSilentUntil(reader, hold, until) {
+		if reader.Buffered() == 0 && conn.isSilentUntil(reader, waitEnd, deadline) {
 			return first, false, nil
 		}
 		if len(first) == cap(first) {
@@ -165,18 +165,18 @@
 	return first, false, nil
 }
 
-// isSilentUntil waits until hold for bytes of a response whose deadline is until, and reports whether none have
-// arrived. It returns false without waiting if the deadline of the response is not after hold.
-func (c *upstreamConn) isSilentUntil(reader *bufio.Reader, hold, until time.Time) bool {
-	end := c.responseDeadline(until)
-	if !end.IsZero() && !hold.Before(end) {
+// isSilentUntil waits until waitEnd for bytes of a response with the given deadline, and reports whether none have
+// arrived. It returns false without waiting if the deadline of the response is not after waitEnd.
+func (c *upstreamConn) isSilentUntil(reader *bufio.Reader, waitEnd, deadline time.Time) bool {
+	end := c.responseDeadline(deadline)
+	if !end.IsZero() && !waitEnd.Before(end) {
 		return false
 	}
-	_ = c.SetReadDeadline(hold)
+	_ = c.SetReadDeadline(waitEnd)
 	_, err := reader.Peek(1)
 	_ = c.SetReadDeadline(end)
-	// A deadline that expires before hold was set by Interrupt.
-	if !errors.Is(err, os.ErrDeadlineExceeded) || time.Now().Before(hold) {
+	// A deadline that expires before waitEnd was set by Interrupt.
+	if !errors.Is(err, os.ErrDeadlineExceeded) || time.Now().Before(waitEnd) {
 		return false
 	}
 	c.readErr = nil // the expired deadline lost no bytes
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -55,8 +55,8 @@
 	// stopped is true once the rest of the body is not wanted. The client is not blamed for a rest that is missing
 	// afterwards.
 	stopped atomic.Bool
-	// responseUntil is the deadline of the server's response, in Unix nanoseconds; 0: not yet known.
-	responseUntil atomic.Int64
+	// responseDeadline is the deadline of the server's response, in Unix nanoseconds; 0: not yet known.
+	responseDeadline atomic.Int64
 }
 
 // newUploadMessage returns the message of a request whose body is too long to be buffered. first is the part of the
@@ -154,9 +154,9 @@
 	_ = u.conn.SetReadDeadline(time.Time{})
 	u.conn.completeRequest()
 	u.bodySent.Store(true)
-	until := time.Now().Add(attempt.BodyTimeout)
-	u.responseUntil.Store(until.UnixNano())
-	_ = conn.SetDeadline(until)
+	deadline := time.Now().Add(attempt.BodyTimeout)
+	u.responseDeadline.Store(deadline.UnixNano())
+	_ = conn.SetDeadline(deadline)
 	if ctx.Err() != nil { // the new deadline must not undo an interruption
 		conn.Interrupt()
 	}
--- a/internal/transport/upstream_conn.go
+++ b/internal/transport/upstream_conn.go
@@ -70,13 +70,14 @@
 	}
 }
 
-// responseDeadline returns the time at which the wait for the response ends. This is until, except for an upload: its
-// deadline counts from the last byte of the body, and is zero until that byte has been written.
-func (c *upstreamConn) responseDeadline(until time.Time) time.Time {
+// responseDeadline returns the time at which the wait for the response ends. For an attempt without an upload this is
+// deadline. The deadline of an upload counts from the last byte of its body, and is zero until that byte has been
+// written.
+func (c *upstreamConn) responseDeadline(deadline time.Time) time.Time {
 	if c.upload == nil {
-		return until
+		return deadline
 	}
-	if nanoseconds := c.upload.responseUntil.Load(); nanoseconds != 0 {
+	if nanoseconds := c.upload.responseDeadline.Load(); nanoseconds != 0 {
 		return time.Unix(0, nanoseconds)
 	}
 	return time.Time{} // no deadline: upload.send limits the pace of the client
@@ -106,11 +107,11 @@
 }
 
 // cancelCause returns the reason why an attempt is cancelled or has expired; nil: neither.
-func cancelCause(ctx context.Context, until, now time.Time) error {
+func cancelCause(ctx context.Context, deadline, now time.Time) error {
 	switch {
 	case ctx.Err() != nil:
 		return context.Cause(ctx)
-	case !until.IsZero() && !now.Before(until):
+	case !deadline.IsZero() && !now.Before(deadline):
 		return routing.ErrDeadlineExceeded
 	}
 	return nil
--- a/internal/transport/upstream_pool.go
+++ b/internal/transport/upstream_pool.go
@@ -65,8 +65,8 @@
 	p.maxConns = maxConns
 }
 
-// get returns an idle connection, or a new one if there is none. A new one must be established before until.
-func (p *upstreamPool) get(ctx context.Context, server *routing.Upstream, until time.Time) (*upstreamConn, error) {
+// get returns an idle connection, or a new one if there is none. The deadline applies to establishing a new one.
+func (p *upstreamPool) get(ctx context.Context, server *routing.Upstream, deadline time.Time) (*upstreamConn, error) {
 	for c := p.takeIdle(server); c != nil; c = p.takeIdle(server) {
 		reason := c.staleReason()
 		if reason == reasonNone {
@@ -75,7 +75,7 @@
 		c.closeFor(reason)
 	}
 	for {
-		c, err := p.connect(ctx, server, until)
+		c, err := p.connect(ctx, server, deadline)
 		if err == nil || ctx.Err() != nil || !isLocalShortage(err) || !p.evict() {
 			return c, err
 		}
@@ -83,12 +83,13 @@
 }
 
 // connect opens a new connection.
-func (p *upstreamPool) connect(ctx context.Context, server *routing.Upstream, until time.Time) (*upstreamConn, error) {
+func (p *upstreamPool) connect(ctx context.Context, server *routing.Upstream,
+	deadline time.Time) (*upstreamConn, error) {
 	timeout, ok := p.reserveConn()
 	if !ok {
 		return nil, errConnLimit
 	}
-	ctx, stop := context.WithTimeout(ctx, min(timeout, time.Until(until)))
+	ctx, stop := context.WithTimeout(ctx, min(timeout, time.Until(deadline)))
 	defer stop()
 	conn, err := p.dial.dial(ctx, server.Addr)
 	if err != nil {
--- a/internal/transport/upstream_response.go
+++ b/internal/transport/upstream_response.go
@@ -44,7 +44,7 @@
 // of unknown length and slow to arrive, it reads only the first part. Any error other than errMalformedResponse is a
 // read error.
 func readResponse(conn *upstreamConn, reader *bufio.Reader, buffers *bufferPool,
-	until time.Time) (r upstreamResponse, err error) {
+	deadline time.Time) (r upstreamResponse, err error) {
 	for room := maxResponseHead; ; {
 		head, err := readResponseHead(reader, room)
 		if err != nil {
@@ -58,7 +58,7 @@
 		case r.status == http.StatusSwitchingProtocols || r.status < http.StatusContinue:
 			return r, malformedResponse("status code not allowed")
 		case r.status >= http.StatusOK:
-			return r, r.readBody(conn, reader, buffers, until)
+			return r, r.readBody(conn, reader, buffers, deadline)
 		case r.length > 0 || r.chunked:
 			return r, malformedResponse("1xx response with a body")
 		}
@@ -67,12 +67,12 @@
 
 // readBody reads the body after the head.
 func (r *upstreamResponse) readBody(conn *upstreamConn, reader *bufio.Reader, buffers *bufferPool,
-	until time.Time) (err error) {
+	deadline time.Time) (err error) {
 	switch {
 	case r.status == http.StatusNoContent || r.status == http.StatusNotModified: // no body by definition
 	case r.chunked:
 		body := &chunkedBody{chunks: httputil.NewChunkedReader(reader), reader: reader}
-		err = r.readUnknownLength(conn, reader, body, until)
+		err = r.readUnknownLength(conn, reader, body, deadline)
 	case r.length > maxResponseBody:
 		err = errResponseTooLarge
 	case r.length > protocol.MaxBufferedBody:
@@ -89,7 +89,7 @@
 		_, err = io.ReadFull(reader, r.body)
 	case r.length == 0:
 	case strings.EqualFold(r.firstValue("Connection"), "close"):
-		err = r.readUnknownLength(conn, reader, reader, until)
+		err = r.readUnknownLength(conn, reader, reader, deadline)
 	default: // the end of the connection would not prove that the body is complete
 		err = malformedResponse("body without a length on a connection that stays open")
 	}
@@ -98,8 +98,8 @@
 
 // readUnknownLength reads the first part of a body without an announced length.
 func (r *upstreamResponse) readUnknownLength(conn *upstreamConn, reader *bufio.Reader, body io.Reader,
-	until time.Time) error {
-	first, complete, err := readFirstPart(conn, reader, body, until)
+	deadline time.Time) error {
+	first, complete, err := readFirstPart(conn, reader, body, deadline)
 	r.body = first
 	if err == nil && !complete {
 		r.stream = &responseStream{
--- a/internal/transport/upstream_transport.go
+++ b/internal/transport/upstream_transport.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// minConclusiveConnectTime is the minimum time that a connect attempt ended by the call's deadline must have had to
-	// count as a failure of the server, even if ConnectTimeout is longer. It covers some round trips over the network with
-	// the highest latency.
+	// minConclusiveConnectTime is the minimum duration after which a connect attempt that the call's deadline ends counts
+	// as a failure of the server, even if ConnectTimeout is longer. It covers some round trips over the network with the
+	// highest latency.
 	minConclusiveConnectTime = 100 * time.Millisecond
 	// healthCheckConnectTimeouts is the time limit of a health check, as a multiple of ConnectTimeout.
 	healthCheckConnectTimeouts = 4
@@ -93,10 +93,10 @@
 }
 
 // CheckHealth implements routing.Transport. It blocks until the health check has ended.
-func (t *UpstreamTransport) CheckHealth(ctx context.Context, p *routing.Upstream) balancer.Result {
+func (t *UpstreamTransport) CheckHealth(ctx context.Context, server *routing.Upstream) balancer.Result {
 	timeout := healthCheckConnectTimeouts * t.config.Load().ConnectTimeout
-	attempt := routing.Attempt{Upstream: p, ExpiresAt: time.Now().Add(timeout)}
-	m := newMessage(&t.buffers, http.MethodGet, protocol.PathHealthCheck, p.Addr, nil, 0)
+	attempt := routing.Attempt{Upstream: server, ExpiresAt: time.Now().Add(timeout)}
+	m := newMessage(&t.buffers, http.MethodGet, protocol.PathHealthCheck, server.Addr, nil, 0)
 	r := t.exchange(ctx, attempt, m, false)
 	if d, ok := r.Reply.(routing.Releaser); ok {
 		d.Release()
