--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -82,10 +82,10 @@
 		Log:               slog.New(slog.DiscardHandler),
 	})
 	transport.pool.reuseDelay = 0
-	t := newAttempt(routing.NewUpstream(1, "s-1", l.Addr().String()), "GET", "")
+	attempt := newAttempt(routing.NewUpstream(1, "s-1", l.Addr().String()), "GET", "")
 	b.ReportAllocs()
 	for b.Loop() {
-		if r := transport.RoundTrip(context.Background(), t); r.Result != balancer.OK {
+		if r := transport.RoundTrip(context.Background(), attempt); r.Result != balancer.OK {
 			b.Fatal(r)
 		}
 	}
--- a/internal/transport/endpoint_list_test.go
+++ b/internal/transport/endpoint_list_test.go
@@ -26,7 +26,7 @@
 	list := fmt.Sprintf(delta, 42)
 	const indented = "\n{\n\t\"version\" : 42,\n\t\"full\" : false,\n\t\"servers\" : [\n\t]\n}\n"
 	for name, c := range map[string]struct {
-		answers []string
+		responses []string
 		// secondVersion is the version in the second request; empty: the request asks for the complete list.
 		secondVersion string
 		accepted      string
@@ -46,7 +46,7 @@
 			requested := make(chan string, 20)
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				requested <- r.FormValue("after")
-				a := c.answers[min(len(requested), len(c.answers))-1]
+				a := c.responses[min(len(requested), len(c.responses))-1]
 				if strings.HasPrefix(a, "HTTP") {
 					conn, _, err := w.(http.Hijacker).Hijack()
 					if err != nil {
@@ -75,7 +75,7 @@
 			for len(requested) > 0 {
 				versions = append(versions, <-requested)
 			}
-			if want := []string{"41", c.secondVersion}[:len(c.answers)]; !slices.Equal(versions, want) {
+			if want := []string{"41", c.secondVersion}[:len(c.responses)]; !slices.Equal(versions, want) {
 				t.Errorf("requested changes since %q, want since %q", versions, want)
 			}
 		})
--- a/internal/transport/endpoint_poll.go
+++ b/internal/transport/endpoint_poll.go
@@ -118,7 +118,7 @@
 	}
 	p.requestsSent++
 	p.inFlight++
-	// ^After the last request no longer wait is needed, since the router pauses before the next watch.
+	// After the last request no longer wait is needed, since the router pauses before the next watch.
 	if w.backoff > 0 && (!p.exhausted() || p.rejection != nil) {
 		late = max(late, w.rejectedAfter)
 	}
@@ -156,7 +156,7 @@
 // scheduleRetry schedules the next request after one that failed. rejected tells whether discovery rejected it.
 func (p *pollState) scheduleRetry(rejected bool) {
 	w := p.watcher
-	pause := &p.retryPause // short: a fault that breaks most requests may let one through
+	pause := &p.retryPause // this pause is short, since a fault that breaks most requests may let one through
 	maxPause := w.lateAfter
 	if w.backoff > 0 {
 		pause = &w.backoff
--- a/internal/transport/endpoint_watcher.go
+++ b/internal/transport/endpoint_watcher.go
@@ -53,7 +53,7 @@
 	minPollRetryPause = 25 * time.Millisecond
 	// watchConnectTimeout limits the time to connect to discovery.
 	watchConnectTimeout = time.Second
-	// maxListBytes is the maximum size of an endpoint list.
+	// maxListBytes is the maximum size of an endpoint list, in bytes.
 	maxListBytes = 8 << 20
 )
 
--- a/internal/transport/endpoint_watcher_test.go
+++ b/internal/transport/endpoint_watcher_test.go
@@ -24,13 +24,13 @@
 // change the version, so that no change is skipped.
 func TestWatch(t *testing.T) {
 	requests := make(chan string, 11)
-	answers := []string{`{"version":41,"full":true,"servers":[]}`, `{"version":43,"full":false,"servers":[]}`,
+	responses := []string{`{"version":41,"full":true,"servers":[]}`, `{"version":43,"full":false,"servers":[]}`,
 		"cut", `{"version":44,"full":false,"servers":[{"id":""}]}`, "", "cut",
 		`{"version":45,"full":false,"servers":[]}`, "", "cut", "cut", ""}
 	next := 0
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		requests <- r.RequestURI
-		a := answers[next]
+		a := responses[next]
 		if next++; a == "" {
 			w.WriteHeader(503)
 		}
--- a/internal/transport/upload_test.go
+++ b/internal/transport/upload_test.go
@@ -118,7 +118,7 @@
 	p := startServer(t, func(conn net.Conn) { io.Copy(io.Discard, conn) })
 	transport, _ := newTestTransport(time.Second)
 	addr, _, _ := newTestFrontend(t, 10, func(ctx context.Context, c routing.Call) (routing.Answer, bool) {
-		ended, stop := context.WithCancelCause(ctx)
+		cancelled, stop := context.WithCancelCause(ctx)
 		attempt := routing.Attempt{
 			Upstream:   p,
 			ExpiresAt:  time.Now().Add(time.Minute),
@@ -127,7 +127,7 @@
 		}
 		time.AfterFunc(20*time.Millisecond, func() { stop(routing.ErrCancelled) })
 		for i, want := range []balancer.Result{balancer.NotSent, balancer.NotSent} {
-			if r := transport.RoundTrip(ended, attempt); r.Result != want {
+			if r := transport.RoundTrip(cancelled, attempt); r.Result != want {
 				t.Errorf("attempt %d: result %d, want not sent", i, r.Result)
 			}
 		}
