--- a/internal/fleet/member/incarnation_file.go
+++ b/internal/fleet/member/incarnation_file.go
@@ -13,26 +13,26 @@
 const (
 	// incarnationFile is the file in a node's directory that holds its Incarnation.
 	incarnationFile = "life.json"
-	// incarnationFileForm is the version of that file.
-	incarnationFileForm = 1
-	// homeBytes is how many random bytes make a home.
+	// incarnationFileVersion is the format version of that file.
+	incarnationFileVersion = 1
+	// homeBytes is the number of random bytes in a home.
 	homeBytes = 8
-	// privateDir and privateFile are the permissions of what a node stores.
+	// privateDir and privateFile are the permissions of the directory and of the files that a node stores.
 	privateDir  = 0o700
 	privateFile = 0o600
 )
 
 // incarnationRecord is the content of incarnationFile.
 type incarnationRecord struct {
-	Form   int    `json:"form"`
-	Name   string `json:"name"` // of the node whose directory this is
-	Home   string `json:"home"`
-	Number uint64 `json:"number"`
+	Version int    `json:"form"`
+	Name    string `json:"name"` // name of the node that owns the directory
+	Home    string `json:"home"`
+	Number  uint64 `json:"number"`
 }
 
-// beginIncarnation counts one more start in a directory, on disk before anybody learns of it. An empty directory
-// becomes a new home. The directory of another node is an error: two nodes would take each other's incarnations for
-// their own.
+// beginIncarnation increments the number of starts stored in a directory and returns the new incarnation, which is on
+// disk before it is used. An empty directory gets a new home. The directory of another node is an error: two nodes that
+// share a directory would take each other's incarnations for their own.
 func beginIncarnation(dir, name string) (Incarnation, error) {
 	if err := os.MkdirAll(dir, privateDir); err != nil {
 		return Incarnation{}, fmt.Errorf("directory: %w", err)
@@ -49,11 +49,12 @@
 	return Incarnation{record.Home, record.Number}, nil
 }
 
-// readIncarnation reads the file of the last incarnation. If there is none, it draws a new home.
+// readIncarnation reads the file of the last incarnation. If the file does not exist, it returns a record with a new
+// home.
 func readIncarnation(path, name string) (incarnationRecord, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
-		return incarnationRecord{Form: incarnationFileForm, Name: name, Home: newHome()}, nil
+		return incarnationRecord{Version: incarnationFileVersion, Name: name, Home: newHome()}, nil
 	}
 	if err != nil {
 		return incarnationRecord{}, err
@@ -63,9 +64,9 @@
 		return incarnationRecord{},
 			fmt.Errorf("%s cannot be read as the incarnation of a node; move it away to begin anew", path)
 	}
-	if record.Form != incarnationFileForm {
+	if record.Version != incarnationFileVersion {
 		return incarnationRecord{},
-			fmt.Errorf("%s has form %d, this program knows %d", path, record.Form, incarnationFileForm)
+			fmt.Errorf("%s has form %d, this program knows %d", path, record.Version, incarnationFileVersion)
 	}
 	if record.Name != name {
 		return incarnationRecord{}, fmt.Errorf("%s is of node %q, this one is %q", path, record.Name, name)
@@ -73,8 +74,9 @@
 	return record, nil
 }
 
+// newHome returns a random home in hexadecimal digits.
 func newHome() string {
 	id := make([]byte, homeBytes)
-	_, _ = rand.Read(id) // which never fails
+	_, _ = rand.Read(id) // crypto/rand never returns an error
 	return hex.EncodeToString(id)
 }
