--- a/cmd/olivelab/fleet.go
+++ b/cmd/olivelab/fleet.go
@@ -125,10 +125,10 @@
 
 func (r *rig) check() error {
 	switch {
-	case r.nodes < 1 || r.nodes > fleet.MostNodes:
-		return fmt.Errorf("--nodes %d: not from 1 to %d", r.nodes, fleet.MostNodes)
-	case r.peers != 0 && (r.peers < 2 || r.peers > fleet.MostPeers):
-		return fmt.Errorf("--peers %d: not from 2 to %d", r.peers, fleet.MostPeers)
+	case r.nodes < 1 || r.nodes > fleet.MaxNodes:
+		return fmt.Errorf("--nodes %d: not from 1 to %d", r.nodes, fleet.MaxNodes)
+	case r.peers != 0 && (r.peers < 2 || r.peers > fleet.MaxPeers):
+		return fmt.Errorf("--peers %d: not from 2 to %d", r.peers, fleet.MaxPeers)
 	case r.length < time.Second || r.length > 10*time.Minute:
 		return fmt.Errorf("--for %v: not from 1s to 10m", r.length)
 	case r.atOnce < 1 || r.atOnce > 64:
@@ -236,7 +236,7 @@
 		}
 		if r.hard == "list" {
 			for _, one := range r.subject.Cases {
-				fmt.Fprintf(c.OutOrStdout(), "%-12s %d processes, %v: %s\n", one.Name, one.Nodes, one.Length, one.Does)
+				fmt.Fprintf(c.OutOrStdout(), "%-12s %d processes, %v: %s\n", one.Name, one.Nodes, one.Length, one.Description)
 			}
 			return nil
 		}
--- a/internal/lab/fleet/account.go
+++ b/internal/lab/fleet/account.go
@@ -15,15 +15,16 @@
 	"olivebridge/internal/lab/live"
 )
 
-// OperatorCall is one call of an operator's, and what was answered; "": nobody did.
+// OperatorCall is one command that an operator sent to a node, with the answer; Answer is empty if none arrived.
 type OperatorCall struct {
-	At     time.Duration // when the answer was in, by the monotonic clock
+	At     time.Duration // monotonic time at which the answer arrived
 	Node   string
 	Line   string
 	Answer string
 }
 
-// What happens to a node's processes, and to the network between them. Others are for people alone.
+// The events of processes, and of the network between them, that the judges evaluate. All other events only appear in
+// the output.
 const (
 	eventStarted         = "started"
 	eventServes          = "serves"
@@ -43,66 +44,66 @@
 	eventClockWrong      = "clock wrong"
 )
 
-// Event is one thing that was done to a process, or that it was seen to do, by the machine's monotonic clock.
+// Event is one thing that the rig did to a process or to the network, or that it observed of a process.
 type Event struct {
-	At    time.Duration `json:"at"`
+	At    time.Duration `json:"at"` // monotonic time
 	Node  string        `json:"node,omitempty"`
 	What  string        `json:"what"`
 	PID   int           `json:"pid,omitempty"`
-	From  []string      `json:"from,omitempty"` // of cuts and impairments
-	To    []string      `json:"to,omitempty"`   // likewise
+	From  []string      `json:"from,omitempty"` // senders that a cut or an impairment affects
+	To    []string      `json:"to,omitempty"`   // receivers that it affects
 	Ails  *fault.Ails   `json:"ails,omitempty"`
-	Ended bool          `json:"ended,omitempty"` // of a cut or an impairment: its end
-	Wrong time.Duration `json:"wrong,omitempty"` // by which a node's wall clock is wrong from its next start on
-	Share float64       `json:"share,omitempty"` // of the amounts of budgets that all fleet files say from now on
+	Ended bool          `json:"ended,omitempty"` // the cut or the impairment ends
+	Wrong time.Duration `json:"wrong,omitempty"` // offset of the node's wall clock from its next start on
+	Share float64       `json:"share,omitempty"` // fraction of the budget amounts that all fleet files set from now on
 }
 
-// Account is all that is known of a run from outside, and what its processes recorded.
+// Account is everything that was observed of a run from outside, together with the records of its processes.
 type Account struct {
 	Names         []string
-	Begin         time.Duration // when clients were sent, by the monotonic clock
+	Begin         time.Duration // monotonic time at which the clients started
 	End           time.Duration
 	Events        []Event
-	Lines         []record.Line  // of all processes, in order
-	Arrivals      []Arrival      // attempts that came to peers, in order
-	NotRun        []string       // attempts that peers answered without having run them
-	Peers         []PeerEvent    // what happened to peers and others of the world, in order
-	Falls         int            // cold peers that were pushed over
-	ClientCalls   []ClientCall   // of the scenario's own clients
-	OperatorCalls []OperatorCall // by operators
-	ProbeCounts   []ProbeCount   // how many probes had come to all peers
+	Lines         []record.Line  // records of all processes, ordered by time
+	Arrivals      []Arrival      // attempts at peers, ordered by time
+	NotRun        []string       // IDs of the attempts that peers answered without running them
+	Peers         []PeerEvent    // events of peers and of other parts of the world, ordered by time
+	Falls         int            // the number of cold peers that failed under load
+	ClientCalls   []ClientCall   // made by the scenario's own clients
+	OperatorCalls []OperatorCall // made by operators
+	ProbeCounts   []ProbeCount   // cumulative counts of the health checks at all peers
 	Traffic       Traffic
 	CPU           map[string]time.Duration
 	RSS           map[string]int64
-	Broken        []string // what the run itself found: crashes, refusals, rules of clients and peers
+	Broken        []string // violations that the run itself found: crashes, refusals, broken rules of clients and peers
 	RunError      error
-	WallOffset    time.Duration // the wall clock less the monotonic one
+	WallOffset    time.Duration // wall clock minus monotonic clock
 	Tally         live.Tally
-	Periods       int // of the wall clock, of countPeriod each, that the run was in
+	Periods       int // the number of wall clock periods of length countPeriod that the run touched
 }
 
-// Arrival is an attempt that came to a peer, or that one is done with.
+// Arrival is the arrival of an attempt at a peer, or its end there.
 type Arrival struct {
 	At   time.Duration // by the monotonic clock
 	Peer string
 	Call string
-	Done bool // the peer is done with it
+	Done bool // the peer has finished the attempt
 }
 
-// PeerEvent is one thing that happened to a peer, or to another part of the world.
+// PeerEvent is one event of a peer or of another part of the world.
 type PeerEvent struct {
 	At   time.Duration // by the monotonic clock
 	Who  string
 	What string
 }
 
-// ProbeCount is how many probes had come to peers at some time.
+// ProbeCount is the number of health checks that had arrived at all peers by a point in time.
 type ProbeCount struct {
 	At     time.Duration // by the monotonic clock
 	Probes int
 }
 
-// String is for people.
+// String returns the event as the command's output and the page show it.
 func (e Event) String() string {
 	switch {
 	case e.What == eventClockWrong:
@@ -120,13 +121,13 @@
 }
 
 const (
-	// recordSuffix ends the names of the processes' records.
+	// recordSuffix is the file name suffix of the processes' records.
 	recordSuffix = ".jsonl"
-	// maxRecordLine bounds a line of a record.
+	// maxRecordLine is the maximum length of a record's line, in bytes.
 	maxRecordLine = 4 << 20
 )
 
-// readRecords reads what the processes recorded, in order.
+// readRecords reads the records of all processes in a directory and returns their lines ordered by time.
 func readRecords(directory string) ([]record.Line, error) {
 	paths, err := filepath.Glob(filepath.Join(directory, "*"+recordSuffix))
 	if err != nil {
@@ -144,7 +145,8 @@
 	return all, nil
 }
 
-// readRecord reads the record of one node. Lines of a stranger that uses its name have a mark behind it.
+// readRecord reads one record file. In the record of a stranger, a process that uses a node's name, it appends
+// strangerMark to the node's name in each line.
 func readRecord(path string) ([]record.Line, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/lab/fleet/amounts.go
+++ b/internal/lab/fleet/amounts.go
@@ -11,29 +11,29 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// The other kinds of budget that the rig's processes share: units at one time, and in a period.
+// The limits of the budgets on calls in flight and on calls per period that the rig's processes share.
 const (
-	inUseMost   = 12
-	countWhole  = 2500
+	maxInUse    = 12
+	countLimit  = 2500
 	countPeriod = time.Hour
 )
 
-// inUseFile and countFile are what the fleet files say of such a budget.
-func inUseFile(s FileValues) string {
-	return bookFile(s, 0) + fmt.Sprintf("[[budget]]\nname = %q\ntenant = \"acme\"\nkind = \"in-use\"\nmost = %d\n",
-		budgetName, int(inUseMost*s.AmountShare))
+// inUseTables returns the tables of the fleet files for a budget on calls in flight.
+func inUseTables(s FileValues) string {
+	return ledgerTable(s, 0) + fmt.Sprintf("[[budget]]\nname = %q\ntenant = \"acme\"\nkind = \"in-use\"\nmost = %d\n",
+		budgetName, int(maxInUse*s.AmountShare))
 }
 
-func countFile(s FileValues) string {
-	return bookFile(s, 0.04) +
+func countTables(s FileValues) string {
+	return ledgerTable(s, 0.04) +
 		fmt.Sprintf("[[budget]]\nname = %q\ntenant = \"acme\"\nkind = \"count\"\ncount = %d\nperiod = %q\n",
-			budgetName, int(countWhole*s.AmountShare), countPeriod)
+			budgetName, int(countLimit*s.AmountShare), countPeriod)
 }
 
-// inUseQuietScript is budgetQuietScript with calls that take long enough for some to be in use at one time.
+// inUseQuietScript returns budgetQuietScript with calls that take longer, so that several are in flight at one time.
 func inUseQuietScript(seed uint64, nodes int, length time.Duration) *fault.Script {
 	s := budgetQuietScript(seed, nodes, length)
-	class := &s.World.Classes[0] // that clients call
+	class := &s.World.Classes[0] // the class that clients call
 	class.Work *= 5
 	class.Spread = 0.2
 	class.Aim *= 5
@@ -41,8 +41,8 @@
 	return s
 }
 
-// drawnIn makes scripts with the faults of one kind of script in the quiet script of another.
-func drawnIn(quiet quietScriptMaker, draw scriptMaker) scriptMaker {
+// withDrawnFaults returns a function that adds the faults of a drawn script to a script without faults.
+func withDrawnFaults(quiet quietScriptMaker, draw scriptMaker) scriptMaker {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 		drawn, err := draw(seed, nodes, length)
 		if err != nil {
@@ -50,7 +50,7 @@
 		}
 		s := quiet(seed, nodes, length)
 		s.Faults = append(s.Faults, drawn.Faults...)
-		for i := range s.Faults { // whose calls may take longer
+		for i := range s.Faults { // calls may take longer in s, which raises the minimum length of some faults
 			f := &s.Faults[i]
 			f.For = max(f.For, fault.Least(f.Kind, &s.World))
 			if f.Ends() > s.Length {
@@ -61,21 +61,21 @@
 	}
 }
 
-// The budget for retries that the rig's processes share, where peers turn so many requests away that they want several
-// times as many.
+// The budget for retries that the rig's processes share. Peers reject enough requests to create a demand for retries of
+// several times the budget.
 const (
 	retriesRate   = 20.0
 	retriesBurst  = 12.0
 	rejectedShare = 0.4
 )
 
-func retriesFile(s FileValues) string {
-	return bookFile(s, 0.04) +
+func retriesTables(s FileValues) string {
+	return ledgerTable(s, 0.04) +
 		fmt.Sprintf("[[budget]]\nname = \"retries\"\nuse = \"retries\"\nrate = %.1f\nburst = %.1f\n",
 			retriesRate*s.AmountShare, retriesBurst*s.AmountShare)
 }
 
-// retriesQuietScript is one in which peers turn requests away nearly all of the time.
+// retriesQuietScript returns a script in which peers reject requests during all but its first and last second.
 func retriesQuietScript(seed uint64, nodes int, length time.Duration) *fault.Script {
 	s := budgetQuietScript(seed, nodes, length)
 	var peers []string
@@ -89,7 +89,7 @@
 	return s
 }
 
-// JudgeRetries counts the tries that came to peers and were not their call's first.
+// JudgeRetries checks the number of attempts that arrived at peers and were not the first of their call.
 func JudgeRetries(a *Account) *Amount {
 	m := newAmount(a, "retries", int(retriesRate))
 	seen := map[string]bool{}
@@ -103,29 +103,29 @@
 		}
 		seen[c.Call] = true
 	}
-	m.Most = len(more)
+	m.Max = len(more)
 	var at, wide time.Duration
-	m.Over, at, wide = greatestPart(more, allowances(a).rate(retriesRate, retriesBurst))
+	m.Over, at, wide = maxRatio(more, allowances(a).unitsAllowed(retriesRate, retriesBurst))
 	if m.Over > 1 {
 		what := fmt.Sprintf("in %v, %.3f times the retries that are allowed came to peers", wide, m.Over)
 		m.Broken = append(m.Broken, Violation{Rule: "over", At: at - a.Begin, What: what})
 	}
 	from := a.Begin + 8*time.Second
 	to := a.End - 2*time.Second
-	m.Use = counted(more, from, to) / (retriesRate * (to - from).Seconds())
-	m.empty(a)
+	m.Use = countBetween(more, from, to) / (retriesRate * (to - from).Seconds())
+	m.checkUsed(a)
 	return m
 }
 
-// Amount is what came of a budget of these kinds.
+// Amount is the result of a run with a budget on calls in flight, on calls per period or on retries.
 type Amount struct {
 	Kind    string      `json:"kind"`
 	Nodes   int         `json:"nodes"`
 	Seconds float64     `json:"seconds"`
-	Whole   int         `json:"whole"`
-	Most    int         `json:"most"` // units that peers saw: at one time, or in all
-	Over    float64     `json:"over"` // that, of the whole
-	Use     float64     `json:"use"`  // of in-use the mean, once the book is kept; of a count what was used in the end
+	Limit   int         `json:"whole"`
+	Max     int         `json:"most"` // maximum number of calls in flight, or total of calls or retries
+	Over    float64     `json:"over"` // Max / Limit; of retries, the maximum ratio to the number allowed in a window
+	Use     float64     `json:"use"`  // used fraction: the mean once there is a leader, or of a count the total
 	Asked   int         `json:"asked"`
 	Broken  []Violation `json:"broken"`
 }
@@ -135,7 +135,7 @@
 		Kind:    kind,
 		Nodes:   len(a.Names),
 		Seconds: (a.End - a.Begin).Seconds(),
-		Whole:   whole,
+		Limit:   whole,
 		Asked:   a.Tally.Asked,
 		Broken:  []Violation{},
 	}
@@ -145,20 +145,20 @@
 	if a.RunError != nil {
 		m.Broken = append(m.Broken, Violation{"rig", 0, a.RunError.Error()})
 	}
-	wrongClocks(a, func(rule string, at time.Duration, format string, args ...any) {
+	checkClocks(a, func(rule string, at time.Duration, format string, args ...any) {
 		m.Broken = append(m.Broken, Violation{rule, at - a.Begin, fmt.Sprintf(format, args...)})
 	})
 	return m
 }
 
-// peersWork is the longest that a peer works on a call here: beyond the deadline of the class that is asked for. Of one
-// whose node has died no end is seen.
-const peersWork = 2 * time.Second
+// maxPeerWork is the maximum duration of a call at a peer: more than the deadline of the class that clients call. The
+// end of a call whose node has died is not observed, so the call is counted for this long.
+const maxPeerWork = 2 * time.Second
 
-// JudgeInUse counts the calls that peers held at one time.
+// JudgeInUse checks the number of calls that all peers together had in flight at one time.
 func JudgeInUse(a *Account) *Amount {
-	m := newAmount(a, "in-use", inUseMost)
-	held := map[string][]time.Duration{} // since when, of each try
+	m := newAmount(a, "in-use", maxInUse)
+	held := map[string][]time.Duration{} // arrival times of the attempts in flight, by call
 	var began []Arrival
 	now, area := 0, 0.0
 	last, from := a.Begin, a.Begin+8*time.Second
@@ -170,7 +170,7 @@
 			area += float64(now) * (c.At - max(last, from)).Seconds()
 		}
 		last = c.At
-		for len(began) > 0 && began[0].At < c.At-peersWork {
+		for len(began) > 0 && began[0].At < c.At-maxPeerWork {
 			if old := held[began[0].Call]; len(old) > 0 && old[0] == began[0].At {
 				held[began[0].Call] = old[1:]
 				now--
@@ -186,60 +186,63 @@
 			held[c.Call] = old[1:]
 			now--
 		}
-		if m.Most = max(m.Most, now); now > inUseMost && len(m.Broken) < 20 {
-			m.Broken = append(m.Broken, Violation{"over", c.At - a.Begin, fmt.Sprintf("peers hold %d of %d", now, inUseMost)})
+		if m.Max = max(m.Max, now); now > maxInUse && len(m.Broken) < 20 {
+			m.Broken = append(m.Broken, Violation{"over", c.At - a.Begin,
+				fmt.Sprintf("peers hold %d calls, more than %d", now, maxInUse)})
 		}
 	}
-	m.Over = float64(m.Most) / inUseMost
+	m.Over = float64(m.Max) / maxInUse
 	if span := (last - from).Seconds(); span > 0 {
-		m.Use = area / span / inUseMost
+		m.Use = area / span / maxInUse
 	}
-	m.empty(a)
+	m.checkUsed(a)
 	return m
 }
 
-// JudgeCount counts the calls that came to peers in all. A run that goes over the end of a period has two of them.
+// JudgeCount checks the total number of calls that arrived at peers, and the history of the ledger. A run over the end
+// of a period may use the limit once in each of the two periods.
 func JudgeCount(a *Account) *Amount {
-	m := newAmount(a, "count", countWhole)
+	m := newAmount(a, "count", countLimit)
 	came := firstArrivals(a)
-	m.Most = len(came)
-	m.Over = float64(m.Most) / countWhole
+	m.Max = len(came)
+	m.Over = float64(m.Max) / countLimit
 	m.Use = min(m.Over, 1)
-	if m.Most > countWhole*a.Periods {
-		m.Broken = append(m.Broken, Violation{"over", came[countWhole*a.Periods] - a.Begin,
-			fmt.Sprintf("%d calls came to peers, of %d in each of %d periods", m.Most, countWhole, a.Periods)})
+	if m.Max > countLimit*a.Periods {
+		m.Broken = append(m.Broken, Violation{"over", came[countLimit*a.Periods] - a.Begin,
+			fmt.Sprintf("%d calls came to peers, of %d in each of %d periods", m.Max, countLimit, a.Periods)})
 	}
 	if countHistory(a) == porcupine.Illegal {
-		m.Broken = append(m.Broken, Violation{"history", a.End - a.Begin, "what the ledger gave fits no order of the asks"})
+		m.Broken = append(m.Broken, Violation{"history", a.End - a.Begin,
+			"the grants of the ledger fit no order of the requests"})
 	}
-	m.empty(a)
+	m.checkUsed(a)
 	return m
 }
 
-func (m *Amount) empty(a *Account) {
-	if m.Most == 0 {
+func (m *Amount) checkUsed(a *Account) {
+	if m.Max == 0 {
 		m.Broken = append(m.Broken, Violation{"use", a.End - a.Begin, "nothing came to any peer"})
 	}
 }
 
-// Verdict are the rules that did not hold.
+// Verdict returns the rules that the run broke.
 func (m *Amount) Verdict() []Violation { return m.Broken }
 
-// Text is the result for people.
+// Text returns the result for the command's output.
 func (m *Amount) Text(*Account) string {
 	var t strings.Builder
 	what := map[string]string{"in-use": "at one time", "count": "in all", "retries": "retries a second"}[m.Kind]
 	fmt.Fprintf(&t, "%d processes share %d %s, for %.0f s: peers saw at most %d, %.3f of the whole; used %.3f\n",
-		m.Nodes, m.Whole, what, m.Seconds, m.Most, m.Over, m.Use)
+		m.Nodes, m.Limit, what, m.Seconds, m.Max, m.Over, m.Use)
 	for _, one := range m.Broken {
 		fmt.Fprintf(&t, "  %s\n", one)
 	}
 	return t.String()
 }
 
-// Line is the result in one line.
+// Line returns the result in one line.
 func (m *Amount) Line(s *fault.Script) string {
 	return fmt.Sprintf("seed %d: %s; most %d, over %.3f, use %.3f; %s",
-		s.Seed, strings.Join(s.Kinds(), " "), m.Most, m.Over, m.Use,
+		s.Seed, strings.Join(s.Kinds(), " "), m.Max, m.Over, m.Use,
 		verdict(m.Broken))
 }
--- a/internal/lab/fleet/budget.go
+++ b/internal/lab/fleet/budget.go
@@ -9,39 +9,40 @@
 	"olivebridge/internal/lab/fault"
 )
 
-// The budget that the rig's processes share: of the one tenant whose clients there are.
+// The budget on the rate of calls that the rig's processes share. It belongs to the only tenant whose clients send
+// calls.
 const (
-	budgetName  = "acme-quota"
-	budgetRate  = 120.0
-	budgetBurst = 60.0
-	budgetLease = 2 * time.Second
-	demandTimes = 2.0 // the budget
+	budgetName   = "acme-quota"
+	budgetRate   = 120.0
+	budgetBurst  = 60.0
+	budgetLease  = 2 * time.Second
+	demandFactor = 2.0 // demand of the clients, as a multiple of budgetRate
 )
 
-// Budget is what came of a budget in a run.
+// Budget is the result of a run with a budget on the rate of calls.
 type Budget struct {
-	Nodes    int     `json:"nodes"`
-	Seconds  float64 `json:"seconds"`
-	Over     float64 `json:"over"`      // greatest part of what a window allows that came to peers
-	ShareSum float64 `json:"share_sum"` // greatest sum of parts usable at one instant, of the whole
-	Use      float64 `json:"use"`       // least part of the whole that was used, in calm
-	UseAfter float64 `json:"use_after"` // the same, from 10 s after a change on
-	Idle     float64 `json:"idle_after_death_s"`
-	Fair     float64 `json:"fair"` // greatest distance of a part from its demand's, 5 s after a change
-	Newcomer float64 `json:"newcomer_s"`
-	Fixed    float64 `json:"fixed_use"` // use after the death, had each name a fixed part
-	// The same with today's way: each node takes the whole divided by the number of nodes that it was told at its start.
-	ToldUse   float64     `json:"told_use"`  // the least that the nodes that are there may use
-	ToldOver  float64     `json:"told_over"` // and the most
-	Arrivals  int         `json:"arrivals"`
-	Asked     int         `json:"asked"`
-	Handovers int         `json:"keepers"` // terms in which somebody kept the book
-	Each      []int       `json:"each_s"`  // what came to peers in each second
-	Lent      []int       `json:"lent_s"`  // what could be used at its end, in percent of the whole
-	Broken    []Violation `json:"broken"`
+	Nodes          int     `json:"nodes"`
+	Seconds        float64 `json:"seconds"`
+	Over           float64 `json:"over"`      // maximum ratio of the arrivals in a window to the number allowed
+	ShareSum       float64 `json:"share_sum"` // maximum sum of the shares usable at one instant, of the budget
+	Use            float64 `json:"use"`       // minimum used fraction of the budget while nothing changed
+	UseAfter       float64 `json:"use_after"` // the same from 10 s after a change on
+	IdleAfterDeath float64 `json:"idle_after_death_s"`
+	ShareError     float64 `json:"fair"` // maximum of |share of the budget - share of the demand|, 5 s after a change
+	NewcomerWait   float64 `json:"newcomer_s"`
+	FixedShareUse  float64 `json:"fixed_use"` // use after a death if each node had a fixed share
+	// The use if each node took the budget divided by the number of nodes that was configured at its start.
+	StaticCountUse    float64     `json:"told_use"`  // minimum fraction of the budget that the running nodes could use
+	StaticCountOver   float64     `json:"told_over"` // maximum of the same
+	Arrivals          int         `json:"arrivals"`
+	Asked             int         `json:"asked"`
+	LeaderTerms       int         `json:"keepers"` // the number of terms that had a leader of the ledger
+	ArrivalsPerSecond []int       `json:"each_s"`  // calls that first arrived at peers in each second
+	UsablePercent     []int       `json:"lent_s"`  // usable at the end of each second, in percent of the budget
+	Broken            []Violation `json:"broken"`
 }
 
-// JudgeBudget holds a run against the budget, by what peers received first.
+// JudgeBudget checks a run against the budget, by the first arrivals of calls at peers.
 func JudgeBudget(a *Account) *Budget {
 	b := &Budget{
 		Nodes:   len(a.Names),
@@ -54,20 +55,20 @@
 	b.Arrivals = len(came)
 	b.Asked = a.Tally.Asked
 	allowed := allowances(a)
-	over, overAt, window := greatestPart(came, allowed.rate(budgetRate, budgetBurst))
+	over, overAt, window := maxRatio(came, allowed.unitsAllowed(budgetRate, budgetBurst))
 	b.Over = over
 	if over > 1 {
 		report("over", overAt, "in %v, %.3f times what is allowed came to peers", window, over)
 	}
 	checkLeases(a, report)
-	b.Lent = make([]int, int(b.Seconds))
-	sum, sumAt := shareSum(a, allowed, b.Lent)
+	b.UsablePercent = make([]int, int(b.Seconds))
+	sum, sumAt := shareSum(a, allowed, b.UsablePercent)
 	b.ShareSum = sum
 	if sum > 1+roundingError {
-		report("share", sumAt, "the parts that could be used add up to %.4f of the whole", sum)
+		report("share", sumAt, "the usable shares add up to %.4f of the budget", sum)
 	}
 	for t := a.Begin; t+time.Second <= a.End; t += time.Second {
-		b.Each = append(b.Each, int(counted(came, t, t+time.Second)))
+		b.ArrivalsPerSecond = append(b.ArrivalsPerSecond, int(countBetween(came, t, t+time.Second)))
 	}
 	b.measureUse(a, came)
 	b.measureShares(a)
@@ -78,46 +79,48 @@
 	return b
 }
 
-// roundingError is by how much the sum of parts may be more than the whole.
+// roundingError is the rounding error that the sum of the shares may have, as a fraction of the budget.
 const roundingError = 1e-9
 
-// checkReplaced holds the use against its bound where lost voters were replaced.
+// checkReplaced checks the minimum use of a run in which lost voters were replaced.
 func (b *Budget) checkReplaced(a *Account, report reporter) {
 	replaced := slices.ContainsFunc(a.Events, func(e Event) bool { return e.What == eventVoters })
-	if replaced && b.UseAfter < leastReplaced {
-		report("book", a.End, "of the whole %.3f was used from 10 s after a change on, though lost voters were replaced",
+	if replaced && b.UseAfter < minUseAfterReplacement {
+		report("book", a.End,
+			"only %.3f of the budget was used from 10 s after a change on, although lost voters were replaced",
 			b.UseAfter)
 	}
 }
 
-// leastReplaced is the least part of the whole that has to be used where voters that are lost are replaced: far beyond
-// the reserve, which is all that is left without a majority of them.
-const leastReplaced = 0.5
+// minUseAfterReplacement is the minimum fraction of the budget that has to be used if lost voters are replaced. It is
+// far above the reserve, which is all that remains usable without a majority of voters.
+const minUseAfterReplacement = 0.5
 
-// Verdict are the rules that did not hold.
+// Verdict returns the rules that the run broke.
 func (b *Budget) Verdict() []Violation { return b.Broken }
 
-// Text is the result for people.
+// Text returns the result for the command's output.
 func (b *Budget) Text(*Account) string {
 	var t strings.Builder
 	fmt.Fprintf(&t, "%d processes share %.0f a second and a burst of %.0f, under %.1f times as much demand, "+
-		"for %.0f s; %d terms of leaders\n", b.Nodes, budgetRate, budgetBurst, demandTimes, b.Seconds, b.Handovers)
+		"for %.0f s; %d terms of leaders\n", b.Nodes, budgetRate, budgetBurst, demandFactor, b.Seconds, b.LeaderTerms)
 	fmt.Fprintf(&t, "to peers came at most %.3f of what any window allows; "+
 		"parts usable at one time add up to %.4f at most\n", b.Over, b.ShareSum)
 	fmt.Fprintf(&t, "used at least %.3f in calm, %.3f from 10 s after a change; "+
 		"with a fixed part for each name %.3f while one is dead; by the number told at the start %.3f to %.3f\n",
-		b.Use, b.UseAfter, b.Fixed, b.ToldUse, b.ToldOver)
+		b.Use, b.UseAfter, b.FixedShareUse, b.StaticCountUse, b.StaticCountOver)
 	fmt.Fprintf(&t, "a dead process's part is in use again after %.2f s; a newcomer has a part after %.2f s; "+
-		"parts are within %.3f of their demand's 5 s after a change\n", b.Idle, b.Newcomer, b.Fair)
+		"parts are within %.3f of their demand's 5 s after a change\n", b.IdleAfterDeath, b.NewcomerWait, b.ShareError)
 	for _, one := range b.Broken {
 		fmt.Fprintf(&t, "  %s\n", one)
 	}
 	return t.String()
 }
 
-// Line is the result in one line.
+// Line returns the result in one line.
 func (b *Budget) Line(s *fault.Script) string {
 	return fmt.Sprintf("seed %d: %s; "+
 		"over %.3f, share_sum %.4f, use %.3f, after changes %.3f, idle %.2f s, newcomer %.2f s; %s",
-		s.Seed, strings.Join(s.Kinds(), " "), b.Over, b.ShareSum, b.Use, b.UseAfter, b.Idle, b.Newcomer, verdict(b.Broken))
+		s.Seed, strings.Join(s.Kinds(), " "), b.Over, b.ShareSum, b.Use, b.UseAfter,
+		b.IdleAfterDeath, b.NewcomerWait, verdict(b.Broken))
 }
--- a/internal/lab/fleet/budget_allowance.go
+++ b/internal/lab/fleet/budget_allowance.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// settled is how long it takes until all that was lent of an old amount has ended, once the last process has read its
-// file: a lease, and the tenth of a second in which the processes hear of it. A process that stands still then reads it
-// later, and has its part of the reserve until then.
-const settled = budgetLease*102/100 + 100*time.Millisecond
+// oldAmountTime is the duration after which no lease of an old amount is left, once the last process has read its fleet
+// file: one lease plus 2 % for clock drift, and 100 ms until the processes know the new amount. A process that was
+// stopped meanwhile reads its file later and keeps its part of the reserve until then.
+const oldAmountTime = budgetLease*102/100 + 100*time.Millisecond
 
-// Allowance is which share of a budget's amount is allowed when: of two that follow each other the greater, until the
-// old one is settled.
+// Allowance lists the changes of a budget's amount in a run, ordered by time. Within oldAmountTime after a change, the
+// greater of the old and the new amount is allowed.
 type Allowance []Event
 
 func allowances(a *Account) (all Allowance) {
@@ -23,17 +23,17 @@
 	return all
 }
 
-// at is the share at an instant.
-func (all Allowance) at(t time.Duration) float64 { return all.most(t, t) }
+// shareAt returns the fraction of the original amount that is allowed at an instant.
+func (all Allowance) shareAt(t time.Duration) float64 { return all.maxShare(t, t) }
 
-// most is the greatest share between two instants.
-func (all Allowance) most(from, to time.Duration) float64 {
+// maxShare returns the maximum of that fraction between two instants.
+func (all Allowance) maxShare(from, to time.Duration) float64 {
 	share, most := 1.0, 0.0
 	for _, e := range all {
 		if e.At > to {
 			break
 		}
-		if e.At+settled > from { // the one before it was in force still
+		if e.At+oldAmountTime > from { // the previous share still applies
 			most = max(most, share)
 		}
 		share = e.Share
@@ -41,21 +41,22 @@
 	return max(most, share)
 }
 
-// rate is what a rate allows between two instants.
-func (all Allowance) rate(rate, burst float64) func(from, to time.Duration) float64 {
+// unitsAllowed returns the function that computes the number of units that a rate and a burst allow between two
+// instants.
+func (all Allowance) unitsAllowed(rate, burst float64) func(from, to time.Duration) float64 {
 	return func(from, to time.Duration) float64 {
 		steps := []time.Duration{to}
-		for _, e := range all { // a new share begins at once if it is greater, and else once the old one is settled
-			for _, step := range []time.Duration{e.At, e.At + settled} {
+		for _, e := range all { // a greater share applies at once, a smaller one after oldAmountTime
+			for _, step := range []time.Duration{e.At, e.At + oldAmountTime} {
 				if step > from && step < to {
 					steps = append(steps, step)
 				}
 			}
 		}
 		slices.Sort(steps)
-		units := burst * all.most(from, to)
+		units := burst * all.maxShare(from, to)
 		for _, step := range steps {
-			units += rate * all.at((from+step)/2) * (step - from).Seconds()
+			units += rate * all.shareAt((from+step)/2) * (step - from).Seconds()
 			from = step
 		}
 		return units
--- a/internal/lab/fleet/budget_script.go
+++ b/internal/lab/fleet/budget_script.go
@@ -9,22 +9,22 @@
 	"olivebridge/internal/lab/live"
 )
 
-// bookFile is the table of the fleet files for the replicated ledger of budgets.
-func bookFile(s FileValues, reserve float64) string {
+// ledgerTable returns the table of the fleet files that configures the replicated ledger of budgets.
+func ledgerTable(s FileValues, reserve float64) string {
 	return fmt.Sprintf("\n[book]\n%slease = %q\nreserve = %.2f\nseats = %d\n\n",
 		s.votersTable(), budgetLease, reserve, s.Nodes)
 }
 
-// BudgetFile is the tables of the fleet files for the budget.
-func BudgetFile(s FileValues) string {
-	return bookFile(s, 0.04) +
+// BudgetTables returns the tables of the fleet files that configure the budget and its ledger.
+func BudgetTables(s FileValues) string {
+	return ledgerTable(s, 0.04) +
 		fmt.Sprintf("[[budget]]\nname = %q\ntenant = \"acme\"\nrate = %.1f\nburst = %.1f\n",
 			budgetName, budgetRate*s.AmountShare, budgetBurst*s.AmountShare)
 }
 
-// budgetQuietScript is a script without faults in which one tenant asks for more than the budget.
+// budgetQuietScript returns a script without faults in which one tenant demands demandFactor times the budget.
 func budgetQuietScript(seed uint64, nodes int, length time.Duration) *fault.Script {
-	s := live.Sample(6, nodes, budgetRate*demandTimes)
+	s := live.Sample(6, nodes, budgetRate*demandFactor)
 	s.Seed = seed
 	s.Length = figure.Span(length)
 	w := &s.World
@@ -35,12 +35,12 @@
 		client := &w.Clients[i]
 		client.Name = fmt.Sprintf("crowd-%d", i)
 		client.Tenant = w.Tenants[0].Name
-		client.Retries = 0 // a rejected client does not retry, so that the demand is what it is
-		client.Fresh = 1   // each call goes to any node, so that no group of connections moves as one
+		client.Retries = 0 // a rejected call is not retried, which keeps the demand constant
+		client.Fresh = 1   // a new connection for each call spreads calls evenly over the nodes
 		client.Keep = 0
 		client.Mix = map[string]float64{"status": 1}
 	}
-	for i := range w.Peers { // which are no bottleneck
+	for i := range w.Peers { // enough capacity for the whole demand
 		w.Peers[i].Cores = 8
 		w.Peers[i].Slots = 8
 	}
@@ -49,11 +49,11 @@
 	return s
 }
 
-// BudgetDemoScript is the script that shows a budget: one process is killed, and starts again; which, and when, is
-// drawn.
+// BudgetDemoScript returns the script that demonstrates a budget: one process is killed and started again. The seed
+// selects the process and the times.
 func BudgetDemoScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	if nodes < 2 || length < 20*time.Second {
-		return nil, fmt.Errorf("%d nodes and %v: at least 2 and 20s are wanted", nodes, length)
+		return nil, fmt.Errorf("%d nodes and a length of %v: at least 2 nodes and 20s are required", nodes, length)
 	}
 	s := budgetQuietScript(seed, nodes, length)
 	g := figure.Stream(seed, "drama")
@@ -64,7 +64,8 @@
 	return s, s.Check()
 }
 
-// BudgetRandomScript is the script of a seed: faults of all kinds while the budget is asked for.
+// BudgetRandomScript returns a script with faults of all kinds, drawn by the seed, while clients demand more than the
+// budget.
 func BudgetRandomScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	drawn, err := RandomScript(seed, nodes, length)
 	if err != nil {
--- a/internal/lab/fleet/budget_shares.go
+++ b/internal/lab/fleet/budget_shares.go
@@ -11,15 +11,15 @@
 	"olivebridge/internal/fleet/budget"
 )
 
-// holding is what a process recorded of its share of the budget.
+// holding is the share of the budget that a process recorded.
 type holding struct {
 	at    time.Duration
 	node  string
 	pid   int
-	share *budget.Holding // nil: it holds none
+	share *budget.Holding // nil if the process holds no share
 }
 
-// holdings are those of all processes, in order.
+// holdings returns the recorded holdings of all processes, ordered by time.
 func holdings(a *Account) []holding {
 	var all []holding
 	for _, line := range a.Lines {
@@ -36,18 +36,19 @@
 	return all
 }
 
-// processID names one process of a node.
+// processID returns a key that is unique to one process of a node.
 func processID(node string, pid int) string {
 	return fmt.Sprintf("%s %d", node, pid)
 }
 
-// grantKey names one grant to a node.
+// grantKey identifies one grant to a node.
 type grantKey struct {
 	node  string
 	grant uint64
 }
 
-// checkLeases holds each share's end at its holder against its end at the leader, by the one clock of the machine.
+// checkLeases checks that no holder uses a share beyond the end that the leader recorded for it. All processes read the
+// same monotonic clock of the machine.
 func checkLeases(a *Account, report reporter) {
 	ends := map[grantKey]time.Duration{}
 	for _, line := range a.Lines {
@@ -62,28 +63,28 @@
 		}
 		end, known := ends[grantKey{strings.TrimSuffix(h.node, strangerMark), h.share.Grant}]
 		if own := time.Duration(h.share.Ends); known && own > end {
-			report("lease", h.at, "%s holds a part %.3fs longer than the leader counts it", h.node, (own - end).Seconds())
+			report("lease", h.at, "%s holds a share %.3fs longer than the leader counts it", h.node, (own - end).Seconds())
 		}
 	}
 }
 
-// usable is what one process may use, as it said last.
+// usable is the share that one process may use, by its last record.
 type usable struct {
 	lent    float64
-	until   time.Duration // of what is lent
+	until   time.Duration // end of the lease of lent
 	reserve float64
 }
 
-// usableChange is an instant at which what a process may use changes.
+// usableChange is a change, at one instant, of the share that a process may use.
 type usableChange struct {
 	at      time.Duration
 	process string
-	usable  *usable // from then on; nil: what is lent to it ends
+	usable  *usable // the new share; nil if only the lease of the current share ends
 }
 
-// shareSum is the greatest sum of all that processes could use at one instant, as a part of the whole: of those that
-// were stopped, were cut off or ended later than they knew, too. What was killed uses nothing. It notes the sum in
-// percent at the end of each second.
+// shareSum returns the maximum sum of the shares that all processes could use at one instant, as a fraction of the
+// budget, and that instant. Shares of processes that were stopped or cut off count until their leases end; a killed or
+// ended process uses nothing. It stores the sum at the end of each second in eachSecond, in percent of the budget.
 func shareSum(a *Account, allowed Allowance, eachSecond []int) (most float64, when time.Duration) {
 	now := map[string]*usable{}
 	for _, change := range usableChanges(a) {
@@ -100,14 +101,14 @@
 		if second := int((change.at - a.Begin).Seconds()); change.at >= a.Begin && second < len(eachSecond) {
 			eachSecond[second] = int(math.Round(100 * sum / budgetRate))
 		}
-		if part := sum / (budgetRate * allowed.at(change.at)); part > most && change.at <= a.End {
+		if part := sum / (budgetRate * allowed.shareAt(change.at)); part > most && change.at <= a.End {
 			most, when = part, change.at
 		}
 	}
 	return most, when
 }
 
-// usableChanges are those of all processes, in order.
+// usableChanges returns the changes of all processes, ordered by time.
 func usableChanges(a *Account) []usableChange {
 	var all []usableChange
 	for _, h := range holdings(a) {
@@ -135,17 +136,17 @@
 	return all
 }
 
-// measureShares measures how fair the shares are, and how soon a newcomer has one.
+// measureShares measures how well the shares follow the demand, and how long new processes wait for a share.
 func (b *Budget) measureShares(a *Account) {
 	for _, line := range a.Lines {
 		if line.Kind == "keeps" {
-			b.Handovers++
+			b.LeaderTerms++
 		}
 	}
 	all := holdings(a)
 	b.measureNewcomers(a, all)
 	for i, e := range a.Events {
-		at := e.At + fairAfterChange
+		at := e.At + shareSettleTime
 		changesSoon := i+1 < len(a.Events) && a.Events[i+1].At < at+budgetLease/8
 		if at <= a.End && e.At >= a.Begin && !changesSoon {
 			b.measureFairness(all, at)
@@ -153,10 +154,11 @@
 	}
 }
 
-// fairAfterChange is how long after a change the shares have to be fair.
-const fairAfterChange = 5 * time.Second
+// shareSettleTime is the duration after a change until the shares have to follow the demand.
+const shareSettleTime = 5 * time.Second
 
-// measureNewcomers measures how long processes that took their node's place waited for a share.
+// measureNewcomers measures the time from the start of a process that takes over its node's name until it holds a
+// share.
 func (b *Budget) measureNewcomers(a *Account, all []holding) {
 	began := map[string]time.Duration{}
 	next := 0
@@ -174,13 +176,14 @@
 			}
 			delete(began, process)
 			if since > a.Begin {
-				b.Newcomer = max(b.Newcomer, (time.Duration(line.At) - since).Seconds())
+				b.NewcomerWait = max(b.NewcomerWait, (time.Duration(line.At) - since).Seconds())
 			}
 		}
 	}
 }
 
-// measureFairness measures by how much the shares are not in the ratio of their demands at an instant.
+// measureFairness measures, at an instant, the difference between each node's fraction of the shares and its fraction
+// of the demand.
 func (b *Budget) measureFairness(all []holding, at time.Duration) {
 	latest := map[string]*budget.Holding{}
 	for _, h := range all {
@@ -197,6 +200,6 @@
 		return
 	}
 	for _, share := range latest {
-		b.Fair = max(b.Fair, math.Abs(share.Amount/amount-share.Demand/demand))
+		b.ShareError = max(b.ShareError, math.Abs(share.Amount/amount-share.Demand/demand))
 	}
 }
--- a/internal/lab/fleet/budget_test.go
+++ b/internal/lab/fleet/budget_test.go
@@ -29,26 +29,26 @@
 	s := time.Second
 	all := Allowance{{At: 10 * s, Share: 0.5}, {At: 20 * s, Share: 2}, {At: 21 * s, Share: 1}}
 	for at, want := range map[time.Duration]float64{
-		0:                  1,
-		10*s - 1:           1,
-		10 * s:             1,
-		10*s + settled - 1: 1,
-		10*s + settled:     0.5,
-		20 * s:             2,
-		21 * s:             2,
-		21*s + settled:     1,
+		0:                        1,
+		10*s - 1:                 1,
+		10 * s:                   1,
+		10*s + oldAmountTime - 1: 1,
+		10*s + oldAmountTime:     0.5,
+		20 * s:                   2,
+		21 * s:                   2,
+		21*s + oldAmountTime:     1,
 	} {
-		if got := all.at(at); got != want {
+		if got := all.shareAt(at); got != want {
 			t.Errorf("at %v: %v, want %v", at, got, want)
 		}
 	}
-	rate := all.rate(100, 10)
+	rate := all.unitsAllowed(100, 10)
 	for _, c := range []struct {
 		from, to time.Duration
 		want     float64
 	}{
-		{0, 10 * s, 1010}, {13 * s, 15 * s, 105}, {10 * s, 10*s + settled + 2*s, 10 + 100*settled.Seconds() + 100},
-		{19 * s, 21*s + settled + s, 20 + 50 + 200*(1+settled.Seconds()) + 100},
+		{0, 10 * s, 1010}, {13 * s, 15 * s, 105}, {10 * s, 10*s + oldAmountTime + 2*s, 10 + 100*oldAmountTime.Seconds() + 100},
+		{19 * s, 21*s + oldAmountTime + s, 20 + 50 + 200*(1+oldAmountTime.Seconds()) + 100},
 	} {
 		if got := rate(c.from, c.to); math.Abs(got-c.want) > 0.001 {
 			t.Errorf("%v to %v: %.3f, want %.3f", c.from, c.to, got, c.want)
@@ -104,16 +104,16 @@
 // TestAmountJudges: of units at one time and of a count no more than the whole may come to peers.
 func TestAmountJudges(t *testing.T) {
 	x := newRunBuilder(t)
-	for i := range inUseMost + 1 {
+	for i := range maxInUse + 1 {
 		x.a.Arrivals = append(x.a.Arrivals, Arrival{At: at(20 + float64(i)/100), Call: time.Duration(i).String()})
 	}
-	if m := JudgeInUse(x.a); m.Most != inUseMost+1 || len(m.Broken) != 1 || m.Broken[0].Rule != "over" {
+	if m := JudgeInUse(x.a); m.Max != maxInUse+1 || len(m.Broken) != 1 || m.Broken[0].Rule != "over" {
 		t.Errorf("%+v", m)
 	}
-	x.a.Arrivals[inUseMost].At = at(20.03) // by then one is done with
+	x.a.Arrivals[maxInUse].At = at(20.03) // by then one is done with
 	x.a.Arrivals = slices.Insert(x.a.Arrivals, 3, Arrival{At: at(20.025), Call: x.a.Arrivals[0].Call, Done: true})
 	slices.SortStableFunc(x.a.Arrivals, func(a, b Arrival) int { return int(a.At - b.At) })
-	if m := JudgeInUse(x.a); m.Most != inUseMost || len(m.Broken) != 0 {
+	if m := JudgeInUse(x.a); m.Max != maxInUse || len(m.Broken) != 0 {
 		t.Errorf("%+v", m)
 	}
 	x = newRunBuilder(t)
@@ -135,20 +135,20 @@
 		want porcupine.CheckResult
 	}{
 		{"one after the other", []budget.CountRecord{
-			{Request: budget.CountRequest{Period: 1, Need: 100}, Granted: got(100, countWhole-100), Answered: true},
-			{Request: budget.CountRequest{Period: 1, Need: 50}, Granted: got(50, countWhole-150), Answered: true},
+			{Request: budget.CountRequest{Period: 1, Need: 100}, Granted: got(100, countLimit-100), Answered: true},
+			{Request: budget.CountRequest{Period: 1, Need: 50}, Granted: got(50, countLimit-150), Answered: true},
 		}, porcupine.Ok},
 		{"given twice", []budget.CountRecord{
-			{Request: budget.CountRequest{Period: 1, Need: 100}, Granted: got(100, countWhole-100), Answered: true},
-			{Request: budget.CountRequest{Period: 1, Need: 50}, Granted: got(50, countWhole-50), Answered: true},
+			{Request: budget.CountRequest{Period: 1, Need: 100}, Granted: got(100, countLimit-100), Answered: true},
+			{Request: budget.CountRequest{Period: 1, Need: 50}, Granted: got(50, countLimit-50), Answered: true},
 		}, porcupine.Illegal},
 		{"a lost answer", []budget.CountRecord{
 			{Request: budget.CountRequest{Period: 1, Need: 100}},
-			{Request: budget.CountRequest{Period: 1, Need: 50}, Granted: got(50, countWhole-150), Answered: true},
+			{Request: budget.CountRequest{Period: 1, Need: 50}, Granted: got(50, countLimit-150), Answered: true},
 		}, porcupine.Ok},
 		{"a lost ask", []budget.CountRecord{
 			{Request: budget.CountRequest{Period: 1, Need: 100}},
-			{Request: budget.CountRequest{Period: 1, Need: 50}, Granted: got(50, countWhole-50), Answered: true},
+			{Request: budget.CountRequest{Period: 1, Need: 50}, Granted: got(50, countLimit-50), Answered: true},
 		}, porcupine.Ok},
 	} {
 		x := newRunBuilder(t)
--- a/internal/lab/fleet/budget_use.go
+++ b/internal/lab/fleet/budget_use.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// windows are those over which arrivals are counted.
+// windows are the lengths of the windows over which arrivals are counted.
 var windows = []time.Duration{
 	100 * time.Millisecond,
 	250 * time.Millisecond,
@@ -16,7 +16,7 @@
 	10 * time.Second,
 }
 
-// firstArrivals are the instants at which each call first came to a peer, in order.
+// firstArrivals returns the times at which each call first arrived at a peer, in ascending order.
 func firstArrivals(a *Account) (all []time.Duration) {
 	seen := map[string]bool{}
 	for _, c := range a.Arrivals {
@@ -29,8 +29,9 @@
 	return all
 }
 
-// greatestPart is the greatest part of what any window allows, with the end and the length of that window.
-func greatestPart(
+// maxRatio returns the maximum ratio of the arrivals in any window to the number allowed in it, and the end and the
+// length of that window.
+func maxRatio(
 	came []time.Duration, allowed func(from, to time.Duration) float64,
 ) (most float64, at, window time.Duration) {
 	for _, w := range windows {
@@ -50,44 +51,46 @@
 const (
 	// useWindow is the window over which use is measured.
 	useWindow = 2 * time.Second
-	// useStep is the distance between two windows.
+	// useStep is the distance between the begins of two successive windows.
 	useStep = 100 * time.Millisecond
-	// useFrom is when that begins, after the clients: a leader has to be elected by then, and to have waited for a lease.
-	useFrom = 8 * time.Second
-	// useAfterChange is from when on after a change the whole is to be used again.
-	useAfterChange = 10 * time.Second
-	// quietBefore is by how much the time before the run counts as a change before its begin.
-	quietBefore = 5 * time.Second
+	// useWarmUp is the time from the start of the clients to the first window. It covers the election of a leader and its
+	// wait for one lease.
+	useWarmUp = 8 * time.Second
+	// useRecovery is the time after a change from which the whole budget has to be used again.
+	useRecovery = 10 * time.Second
+	// changeBeforeBegin is the time before the run's begin at which a first change is assumed.
+	changeBeforeBegin = 5 * time.Second
 
-	// idleWindow is the window over which the part of a dead process is found in use again, idleStep the distance between
-	// two, and idleUse what of the whole has to be used in it.
+	// idleWindow is the window over which the share of a dead process is found to be in use again, idleStep the distance
+	// between the begins of two windows, and minIdleUse the fraction of the budget that has to be used in a window.
 	idleWindow = time.Second
 	idleStep   = 50 * time.Millisecond
-	idleUse    = 0.9
+	minIdleUse = 0.9
 )
 
-// measureUse measures how much of the whole was used, and how long a death left its part idle.
-func (b *Budget) measureUse(a *Account, came []time.Duration) {
+// measureUse measures the fraction of the budget that was used, and the time for which the share of a dead process
+// stayed idle.
+func (b *Budget) measureUse(a *Account, arrivals []time.Duration) {
 	b.Use = 1
 	b.UseAfter = 1
-	changes := changesOf(a)
-	for t := a.Begin + useFrom; t+useWindow <= a.End; t += useStep {
-		b.measureWindow(a, came, changes, t)
+	changes := changeTimes(a)
+	for t := a.Begin + useWarmUp; t+useWindow <= a.End; t += useStep {
+		b.measureWindow(a, arrivals, changes, t)
 	}
 	deaths := 0
 	for i, e := range a.Events {
 		if e.What == eventKilled {
 			deaths++
-			b.measureIdle(a, came, i)
+			b.measureIdle(a, arrivals, i)
 		}
 	}
-	b.Fixed = 1 - float64(min(deaths, 1))/float64(len(a.Names))
+	b.FixedShareUse = 1 - float64(min(deaths, 1))/float64(len(a.Names))
 	b.measureFixedShares(a)
 }
 
-// changesOf are the instants of all events of a run, after one before it.
-func changesOf(a *Account) []time.Duration {
-	changes := []time.Duration{a.Begin - quietBefore}
+// changeTimes returns the times of all events of a run, after one assumed change before its begin.
+func changeTimes(a *Account) []time.Duration {
+	changes := []time.Duration{a.Begin - changeBeforeBegin}
 	for _, e := range a.Events {
 		if e.At > a.Begin {
 			changes = append(changes, e.At)
@@ -96,11 +99,11 @@
 	return changes
 }
 
-// measureWindow measures the use in the window from an instant on, unless something changes in it or has changed of
-// late.
-func (b *Budget) measureWindow(a *Account, came, changes []time.Duration, from time.Duration) {
-	used := counted(came, from, from+useWindow) / (budgetRate * useWindow.Seconds())
-	last, next := a.Begin-quietBefore, a.End
+// measureWindow measures the use in the window that begins at from, unless a change falls into it or into the
+// useRecovery before it.
+func (b *Budget) measureWindow(a *Account, arrivals, changes []time.Duration, from time.Duration) {
+	used := countBetween(arrivals, from, from+useWindow) / (budgetRate * useWindow.Seconds())
+	last, next := a.Begin-changeBeforeBegin, a.End
 	for _, change := range changes {
 		if change <= from {
 			last = change
@@ -112,33 +115,34 @@
 	case next < from+useWindow:
 	case last < a.Begin:
 		b.Use = min(b.Use, used)
-	case from-last >= useAfterChange:
+	case from-last >= useRecovery:
 		b.UseAfter = min(b.UseAfter, used)
 	}
 }
 
-// measureIdle measures how long a death, the event of an index, left its part idle, until the next event.
-func (b *Budget) measureIdle(a *Account, came []time.Duration, index int) {
+// measureIdle measures the time for which a death, given by its index in the events, left a share idle. The search ends
+// at the next event.
+func (b *Budget) measureIdle(a *Account, arrivals []time.Duration, index int) {
 	death := a.Events[index].At
 	end := a.End
 	for _, later := range a.Events[index+1:] {
 		end = min(end, later.At)
 	}
 	for t := death; t+idleWindow <= end; t += idleStep {
-		if counted(came, t, t+idleWindow) >= idleUse*budgetRate {
-			b.Idle = max(b.Idle, (t - death).Seconds())
+		if countBetween(arrivals, t, t+idleWindow) >= minIdleUse*budgetRate {
+			b.IdleAfterDeath = max(b.IdleAfterDeath, (t - death).Seconds())
 			return
 		}
 	}
 }
 
-// measureFixedShares measures what would be used if each node took its part by the number of those that were there when
-// clients came.
+// measureFixedShares measures the use if each node took the budget divided by the number of nodes that ran when the
+// clients started.
 func (b *Budget) measureFixedShares(a *Account) {
 	present := map[string]bool{}
 	atBegin := 0
-	b.ToldUse = 1
-	b.ToldOver = 1
+	b.StaticCountUse = 1
+	b.StaticCountOver = 1
 	for _, e := range a.Events {
 		if e.At > a.Begin && atBegin == 0 {
 			atBegin = len(present)
@@ -151,14 +155,14 @@
 		}
 		if atBegin > 0 {
 			part := float64(len(present)) / float64(atBegin)
-			b.ToldUse = min(b.ToldUse, part)
-			b.ToldOver = max(b.ToldOver, part)
+			b.StaticCountUse = min(b.StaticCountUse, part)
+			b.StaticCountOver = max(b.StaticCountOver, part)
 		}
 	}
 }
 
-// counted is how many instants are from one on and before another; they are in order.
-func counted(came []time.Duration, from, to time.Duration) float64 {
+// countBetween returns the number of times in [from, to). The times are in ascending order.
+func countBetween(came []time.Duration, from, to time.Duration) float64 {
 	i, _ := slices.BinarySearch(came, from)
 	j, _ := slices.BinarySearch(came, to)
 	return float64(j - i)
--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -12,11 +12,11 @@
 
 // Case is a hard case: a script that is written down, but for what its seed draws.
 type Case struct {
-	Name   string
-	Does   string
-	Nodes  int
-	Length time.Duration
-	faults func(c *caseMaker)
+	Name        string
+	Description string
+	Nodes       int
+	Length      time.Duration
+	faults      func(c *caseMaker)
 }
 
 // caseMaker puts the faults of a case together.
--- a/internal/lab/fleet/choices.go
+++ b/internal/lab/fleet/choices.go
@@ -12,39 +12,40 @@
 	"olivebridge/internal/lab/live"
 )
 
-// What the fleet is asked for while its choices are looked at: much for each peer, since what falls on it by chance
-// alone is far from even where it is little.
+// The load during runs that examine the choices of servers. It is high for each peer, because at a low load the random
+// differences between peers are large.
 const (
-	choicesEach = 50.0   // requests a second for each peer
-	choicesMost = 2000.0 // in all, which is what the machine carries beside the processes
-	choicesKeys = 20000
+	requestsPerPeer = 50.0   // requests per second and peer
+	maxRequestRate  = 2000.0 // requests per second in total, which the machine can generate beside the processes
+	choicesKeys     = 20000
 )
 
-// MostPeers is the most stand-in peers of a run: each has a loopback address.
-const MostPeers = 400
+// MaxPeers is the maximum number of stand-in peers of a run. Each has its own loopback address.
+const MaxPeers = 400
 
-// The windows in which loads are looked at.
+// The windows over which loads are measured.
 const (
-	// calmWindow is the length of windows once things have settled, anyWindow of all.
-	calmWindow = 5 * time.Second
-	anyWindow  = 2 * time.Second
-	windowStep = 250 * time.Millisecond
-	// settlesAfter is how long things take to settle after a change, and after the first clients.
-	settlesAfter = 5 * time.Second
-	// warmFor is how long a peer takes to warm up after a fault.
-	warmFor = 12 * time.Second
-	// starvedFrom is how many attempts a peer has to get on average in a window for none to say anything: by chance alone
-	// one window of 3,000 then has none.
-	starvedFrom = 8.0
-	// calmBusiest and calmIdlest bound what a peer gets by its weight, as parts of the mean or of what chance alone gives.
-	calmBusiest = 1.15
-	calmIdlest  = 0.85
+	// settledWindow is the length of the windows without a recent change, anyWindow that of windows at any time.
+	settledWindow = 5 * time.Second
+	anyWindow     = 2 * time.Second
+	windowStep    = 250 * time.Millisecond
+	// settleTime is the time until loads are settled after a change, and after the start of the clients.
+	settleTime = 5 * time.Second
+	// warmUpTime is the time that a peer needs to warm up after a fault.
+	warmUpTime = 12 * time.Second
+	// minStarvedMean is the mean number of attempts per peer in a window from which on a peer without any attempt counts
+	// as starved. With 8 attempts on average, chance alone leaves one peer in 3,000 without an attempt.
+	minStarvedMean = 8.0
+	// maxSettledRatio and minSettledRatio bound the ratio of a peer's weighted load to the mean in settled windows, or to
+	// the ratio of a random choice if that differs more.
+	maxSettledRatio = 1.15
+	minSettledRatio = 0.85
 )
 
-// choicesQuietScript is a script without faults of so many peers, alike, that are asked evenly.
+// choicesQuietScript returns a script without faults with the given number of identical peers and an even load.
 func choicesQuietScript(peers int) quietScriptMaker {
 	return func(seed uint64, nodes int, length time.Duration) *fault.Script {
-		s := live.Sample(peers, nodes, min(choicesEach*float64(peers), choicesMost))
+		s := live.Sample(peers, nodes, min(requestsPerPeer*float64(peers), maxRequestRate))
 		s.Seed = seed
 		s.Length = figure.Span(length)
 		for i := range s.World.Clients {
@@ -62,7 +63,7 @@
 	}
 }
 
-// choicesDemoScript is the script that shows choices: one process is killed, and starts again.
+// choicesDemoScript returns the script that demonstrates choices: one process is killed and started again.
 func choicesDemoScript(peers int) scriptMaker {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 		drama, err := BudgetDemoScript(seed, nodes, length)
@@ -75,8 +76,8 @@
 	}
 }
 
-// choicesRandomScript is the script of a seed: nodes and peers die, stand still, are slow or cut off, several at one
-// time.
+// choicesRandomScript returns a script, drawn by the seed, in which nodes and peers die, stop, are slow or are cut off,
+// several at one time.
 func choicesRandomScript(peers int) scriptMaker {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 		s := choicesQuietScript(peers)(seed, nodes, length)
@@ -85,7 +86,7 @@
 		}
 		slow := one("slow", 3, 2, 8)
 		slow.Factor = fault.Range{Lo: 2, Hi: 6}
-		tail := figure.Span(settle)
+		tail := figure.Span(settleTail)
 		s.DrawFaults([]fault.KindRanges{one("death", 8, 2, 8), slow, one("stall", 3, 1, 4), one("node-kill", 8, 2, 10),
 			one("node-restart", 4, 2.5, 8), one("fleet-stop", 4, 1, 6), one("fleet-split", 4, 2, 10)},
 			fault.FaultPlan{Count: fault.Counts{Lo: 1, Hi: 3}, Lead: fault.Between(6, 8),
@@ -96,7 +97,8 @@
 	}
 }
 
-// ChoicesScenario is how what all processes choose adds up on so many peers. With copies each works with some of them.
+// ChoicesScenario examines how the choices of all processes add up on the peers. If copies is positive, each peer is in
+// the subsets of that many processes, and least is the minimum size of a subset.
 func ChoicesScenario(peers, copies, least int) Scenario {
 	more := ""
 	if copies > 0 {
@@ -112,44 +114,43 @@
 	}
 }
 
-// Choices is how what all processes chose fell on the peers.
+// Choices is the result of a run that examines the distribution of attempts over the peers.
 type Choices struct {
 	Nodes   int     `json:"nodes"`
 	Peers   int     `json:"peers"`
 	Seconds float64 `json:"seconds"`
 	Tries   int     `json:"tries"`
-	// Of what came to a peer, by its weight, the greatest and least part of the mean: in the worst calmWindow once things
-	// have settled, and in the worst anyWindow of all.
+	// The maximum and minimum ratio of a peer's weighted load to the mean, first in settled windows, then in all windows.
 	Busiest    float64 `json:"busiest_over_mean"`
 	Idlest     float64 `json:"idlest_over_mean"`
 	BusiestAny float64 `json:"busiest_over_mean_any"`
 	IdlestAny  float64 `json:"idlest_over_mean_any"`
-	// The same, had each try gone to any peer by chance alone: less than that no choice reaches that does not know of the
-	// others'.
-	Chance    Chance      `json:"chance"`
-	ChanceAny Chance      `json:"chance_any"`
-	Starved   []string    `json:"starved"` // peers without a try for anyWindow while they were sound; at most 20 are told
-	Probes    float64     `json:"probes_s"`
-	CPU       float64     `json:"cpu_share"` // of a core, of a process
-	Each      []int       `json:"each_s"`    // tries in each second
-	Broken    []Violation `json:"broken"`
+	// The same ratios if each attempt went to a random peer. Without knowledge of the other processes' choices, no policy
+	// does better.
+	Chance         Chance      `json:"chance"`
+	ChanceAny      Chance      `json:"chance_any"`
+	Starved        []string    `json:"starved"` // at most maxStarved healthy peers without an attempt for anyWindow
+	Probes         float64     `json:"probes_s"`
+	CPU            float64     `json:"cpu_share"` // of a process, as a fraction of a core
+	TriesPerSecond []int       `json:"each_s"`    // attempts in each second
+	Broken         []Violation `json:"broken"`
 }
 
-// Chance is what chance alone gives.
+// Chance is the range of load ratios under a random choice of peers.
 type Chance struct {
 	Busiest float64 `json:"busiest"`
 	Idlest  float64 `json:"idlest"`
 }
 
-// peerLoads are what came to peers, looked at in windows.
+// peerLoads evaluates the loads of peers in windows.
 type peerLoads struct {
 	account  *Account
 	script   *fault.Script
-	index    map[string]int    // of each peer in arrivals
-	arrivals [][]time.Duration // by peer
+	index    map[string]int    // of each peer's entry in arrivals
+	arrivals [][]time.Duration // of each peer, ordered by time
 }
 
-// JudgeChoices looks at how a run's attempts fell on the peers.
+// JudgeChoices checks the distribution of a run's attempts over the peers.
 func JudgeChoices(s *fault.Script, a *Account) *Choices {
 	c := &Choices{
 		Nodes:   len(a.Names),
@@ -160,30 +161,30 @@
 	}
 	report := newReporter(&c.Broken, a.Begin)
 	reportRun(a, report)
-	loads := c.count(s, a)
-	calm := loads.look(calmWindow, true)
+	loads := c.countTries(s, a)
+	calm := loads.measure(settledWindow, true)
 	c.Busiest = calm.busiest.ratio
 	c.Idlest = calm.idlest.ratio
-	c.Chance = loads.chance(calm)
-	all := loads.look(anyWindow, false)
+	c.Chance = loads.simulateChance(calm)
+	all := loads.measure(anyWindow, false)
 	c.BusiestAny = all.busiest.ratio
 	c.IdlestAny = all.idlest.ratio
-	c.ChanceAny = loads.chance(all)
+	c.ChanceAny = loads.simulateChance(all)
 	c.Probes = probeRate(a)
-	c.CPU = loads.cpu()
+	c.CPU = loads.cpuShare()
 	if c.Tries == 0 {
 		report("use", a.End, "nothing came to any peer")
 	}
 	for _, starved := range all.starved {
 		c.Starved = append(c.Starved, starved.peer)
-		report("starved", starved.at, "%s is sound, and nothing came to it for %v", starved.peer, anyWindow)
+		report("starved", starved.at, "%s is healthy, but no attempt arrived there for %v", starved.peer, anyWindow)
 	}
-	c.checkCalm(calm, report)
+	c.checkSettled(calm, report)
 	return c
 }
 
-// count counts the attempts that came to peers.
-func (c *Choices) count(s *fault.Script, a *Account) *peerLoads {
+// countTries counts the attempts at peers.
+func (c *Choices) countTries(s *fault.Script, a *Account) *peerLoads {
 	loads := &peerLoads{
 		account:  a,
 		script:   s,
@@ -193,7 +194,7 @@
 	for i, p := range s.World.Peers {
 		loads.index[p.Name] = i
 	}
-	c.Each = make([]int, int(c.Seconds))
+	c.TriesPerSecond = make([]int, int(c.Seconds))
 	for _, arrival := range a.Arrivals {
 		i, known := loads.index[arrival.Peer]
 		if !known || arrival.Done || arrival.At < a.Begin || arrival.At >= a.End {
@@ -201,51 +202,51 @@
 		}
 		loads.arrivals[i] = append(loads.arrivals[i], arrival.At)
 		c.Tries++
-		if second := int((arrival.At - a.Begin).Seconds()); second < len(c.Each) {
-			c.Each[second]++
+		if second := int((arrival.At - a.Begin).Seconds()); second < len(c.TriesPerSecond) {
+			c.TriesPerSecond[second]++
 		}
 	}
 	return loads
 }
 
-// checkCalm holds the busiest and the idlest peer against the bounds, once things have settled.
-func (c *Choices) checkCalm(calm *windowLoads, report reporter) {
+// checkSettled checks the busiest and the idlest peer of the settled windows against the bounds.
+func (c *Choices) checkSettled(calm *windowLoads, report reporter) {
 	if calm.windows == 0 {
 		return
 	}
-	if c.Busiest > max(calmBusiest, c.Chance.Busiest*calmBusiest) {
+	if c.Busiest > max(maxSettledRatio, c.Chance.Busiest*maxSettledRatio) {
 		report("busiest", calm.busiest.at, "%.3f of the mean came to %s in %v, %.3f by chance alone",
-			c.Busiest, calm.busiest.peer, calmWindow, c.Chance.Busiest)
+			c.Busiest, calm.busiest.peer, settledWindow, c.Chance.Busiest)
 	}
-	if c.Idlest < min(calmIdlest, c.Chance.Idlest*calmIdlest) {
+	if c.Idlest < min(minSettledRatio, c.Chance.Idlest*minSettledRatio) {
 		report("idlest", calm.idlest.at, "%.3f of the mean came to %s in %v, %.3f by chance alone",
-			c.Idlest, calm.idlest.peer, calmWindow, c.Chance.Idlest)
+			c.Idlest, calm.idlest.peer, settledWindow, c.Chance.Idlest)
 	}
 }
 
-// peerLoad is what came to a peer in one window.
+// peerLoad is the load of a peer in one window.
 type peerLoad struct {
 	peer  string
-	at    time.Duration // when the window began
-	ratio float64       // of what came to it by its weight, to the mean
+	at    time.Duration // begin of the window
+	ratio float64       // of its weighted load to the mean
 }
 
-// windowLoads is what windows of one length show.
+// windowLoads is the evaluation of all windows of one length.
 type windowLoads struct {
-	windows int
-	mean    float64 // attempts for a peer in one
-	busiest peerLoad
-	idlest  peerLoad
-	starved []peerLoad // the first window of each peer that got nothing
-	sound   int        // peers, at least
+	windows      int
+	mean         float64 // attempts per peer and window
+	busiest      peerLoad
+	idlest       peerLoad
+	starved      []peerLoad // the first window in which each starved peer had no attempt
+	healthyPeers int        // minimum number of healthy peers in any window
 }
 
-// look goes through the windows: all, or those in which things have settled.
-func (u *peerLoads) look(length time.Duration, settled bool) *windowLoads {
-	w := &windowLoads{sound: len(u.arrivals), idlest: peerLoad{ratio: math.Inf(1)}}
-	for t := u.account.Begin + settlesAfter; t+length <= u.account.End; t += windowStep {
-		if !settled || !u.changed(t-settlesAfter, t+length) {
-			u.lookAt(w, t, length)
+// measure evaluates all windows of a length, or only the settled ones.
+func (u *peerLoads) measure(length time.Duration, settled bool) *windowLoads {
+	w := &windowLoads{healthyPeers: len(u.arrivals), idlest: peerLoad{ratio: math.Inf(1)}}
+	for t := u.account.Begin + settleTime; t+length <= u.account.End; t += windowStep {
+		if !settled || !u.hasChange(t-settleTime, t+length) {
+			u.measureWindow(w, t, length)
 		}
 	}
 	if w.windows == 0 {
@@ -256,9 +257,9 @@
 	return w
 }
 
-// lookAt looks at one window, unless nothing came to peers in it.
-func (u *peerLoads) lookAt(w *windowLoads, begin, length time.Duration) {
-	loads, mean := u.soundLoads(begin, length)
+// measureWindow evaluates one window, unless it has no attempts or fewer than two healthy peers.
+func (u *peerLoads) measureWindow(w *windowLoads, begin, length time.Duration) {
+	loads, mean := u.healthyLoads(begin, length)
 	sum := 0.0
 	for _, load := range loads {
 		sum += load.count
@@ -268,7 +269,7 @@
 	}
 	perPeer := sum / float64(len(loads))
 	w.windows++
-	w.sound = min(w.sound, len(loads))
+	w.healthyPeers = min(w.healthyPeers, len(loads))
 	w.mean += perPeer
 	for _, load := range loads {
 		one := peerLoad{peer: load.peer, at: begin, ratio: load.weighted / mean}
@@ -278,13 +279,13 @@
 		if one.ratio < w.idlest.ratio {
 			w.idlest = one
 		}
-		if load.count == 0 && perPeer >= starvedFrom {
+		if load.count == 0 && perPeer >= minStarvedMean {
 			w.noteStarved(one)
 		}
 	}
 }
 
-// maxStarved bounds the peers that are told to have got nothing.
+// maxStarved is the maximum number of starved peers that are reported.
 const maxStarved = 20
 
 func (w *windowLoads) noteStarved(load peerLoad) {
@@ -294,30 +295,30 @@
 	}
 }
 
-// soundLoad is what came to a sound peer in a window.
-type soundLoad struct {
+// healthyLoad is the load of a healthy peer in a window.
+type healthyLoad struct {
 	peer     string
 	count    float64
-	weighted float64 // by its weight
+	weighted float64 // count divided by the peer's weight
 }
 
-// soundLoads are those of all peers that had nothing to suffer, and the mean by weight.
-func (u *peerLoads) soundLoads(begin, length time.Duration) (loads []soundLoad, mean float64) {
+// healthyLoads returns the loads of all peers without a fault in a window, and the mean load per unit of weight.
+func (u *peerLoads) healthyLoads(begin, length time.Duration) (loads []healthyLoad, mean float64) {
 	sum, weight := 0.0, 0.0
 	for i, p := range u.script.World.Peers {
-		if u.touched(p.Name, begin, begin+length) {
+		if u.wasFaulty(p.Name, begin, begin+length) {
 			continue
 		}
-		count := counted(u.arrivals[i], begin, begin+length)
-		loads = append(loads, soundLoad{peer: p.Name, count: count, weighted: count / p.Weight})
+		count := countBetween(u.arrivals[i], begin, begin+length)
+		loads = append(loads, healthyLoad{peer: p.Name, count: count, weighted: count / p.Weight})
 		sum += count
 		weight += p.Weight
 	}
 	return loads, sum / weight
 }
 
-// changed reports whether anything was done to a process or a peer between two instants.
-func (u *peerLoads) changed(from, to time.Duration) bool {
+// hasChange reports whether any event or fault affected a process or a peer between two instants.
+func (u *peerLoads) hasChange(from, to time.Duration) bool {
 	for _, e := range u.account.Events {
 		if e.At > from && e.At < to && e.At > u.account.Begin {
 			return true
@@ -332,11 +333,11 @@
 	return false
 }
 
-// touched reports whether a peer had something to suffer between two instants, or was not yet warm after it.
-func (u *peerLoads) touched(peer string, from, to time.Duration) bool {
+// wasFaulty reports whether a fault affected a peer between two instants, or ended less than warmUpTime before them.
+func (u *peerLoads) wasFaulty(peer string, from, to time.Duration) bool {
 	for _, f := range u.script.Faults {
 		begin := u.account.Begin + f.At.D()
-		end := u.account.Begin + f.Ends().D() + warmFor
+		end := u.account.Begin + f.Ends().D() + warmUpTime
 		if slices.Contains(f.Peers, peer) && begin < to && end > from {
 			return true
 		}
@@ -344,20 +345,20 @@
 	return false
 }
 
-// chance plays as many windows as lie beside each other in what was looked at, each with as many attempts, that fall by
-// chance.
-func (u *peerLoads) chance(w *windowLoads) Chance {
+// simulateChance simulates a random choice in as many windows as the evaluated ones contain without overlap, each with
+// the mean number of attempts.
+func (u *peerLoads) simulateChance(w *windowLoads) Chance {
 	chance := Chance{Idlest: 1}
 	if w.windows == 0 {
 		return chance
 	}
 	random := figure.Stream(u.script.Seed, "choices by chance")
 	apart := max(w.windows*int(windowStep)/int(anyWindow), 1)
-	attempts := int(w.mean * float64(w.sound))
+	attempts := int(w.mean * float64(w.healthyPeers))
 	for range apart {
-		counts := make([]int, w.sound)
+		counts := make([]int, w.healthyPeers)
 		for range attempts {
-			counts[random.IntN(w.sound)]++
+			counts[random.IntN(w.healthyPeers)]++
 		}
 		chance.Busiest = max(chance.Busiest, float64(slices.Max(counts))/w.mean)
 		chance.Idlest = min(chance.Idlest, float64(slices.Min(counts))/w.mean)
@@ -365,7 +366,7 @@
 	return chance
 }
 
-// probeRate is how many health checks came to all peers a second.
+// probeRate returns the number of health checks per second at all peers together.
 func probeRate(a *Account) float64 {
 	var counts []ProbeCount
 	for _, count := range a.ProbeCounts {
@@ -380,8 +381,8 @@
 	return float64(last.Probes-first.Probes) / (last.At - first.At).Seconds()
 }
 
-// cpu is what a process used of a core.
-func (u *peerLoads) cpu() float64 {
+// cpuShare returns the mean CPU use of a process, as a fraction of a core.
+func (u *peerLoads) cpuShare() float64 {
 	var sum time.Duration
 	for _, d := range u.account.CPU {
 		sum += d
@@ -389,16 +390,16 @@
 	return sum.Seconds() / (u.account.End - u.account.Begin).Seconds() / float64(max(len(u.account.Names), 1))
 }
 
-// Verdict are the rules that did not hold.
+// Verdict returns the rules that the run broke.
 func (c *Choices) Verdict() []Violation { return c.Broken }
 
-// Text is the result for people.
+// Text returns the result for the command's output.
 func (c *Choices) Text(*Account) string {
 	var t strings.Builder
 	fmt.Fprintf(&t, "%d processes chose among %d peers, for %.0f s: %d tries\n", c.Nodes, c.Peers, c.Seconds, c.Tries)
 	fmt.Fprintf(&t, "settled, in %v: to the busiest peer came %.3f of the mean, "+
 		"to the idlest %.3f (by chance alone %.3f and %.3f)\n",
-		calmWindow, c.Busiest, c.Idlest, c.Chance.Busiest, c.Chance.Idlest)
+		settledWindow, c.Busiest, c.Idlest, c.Chance.Busiest, c.Chance.Idlest)
 	fmt.Fprintf(&t, "in any %v: %.3f and %.3f (%.3f and %.3f); starved %d\n",
 		anyWindow, c.BusiestAny, c.IdlestAny, c.ChanceAny.Busiest, c.ChanceAny.Idlest, len(c.Starved))
 	fmt.Fprintf(&t, "%.1f probes a second came to all peers; a process uses %.1f%% of a core\n", c.Probes, 100*c.CPU)
@@ -408,7 +409,7 @@
 	return t.String()
 }
 
-// Line is the result in one line.
+// Line returns the result in one line.
 func (c *Choices) Line(s *fault.Script) string {
 	return fmt.Sprintf("seed %d: %s; busiest %.3f, idlest %.3f (chance %.3f, %.3f), any %.3f, %.3f, starved %d; %s",
 		s.Seed, strings.Join(s.Kinds(), " "), c.Busiest, c.Idlest, c.Chance.Busiest, c.Chance.Idlest,
--- a/internal/lab/fleet/cold.go
+++ b/internal/lab/fleet/cold.go
@@ -13,43 +13,43 @@
 // The budget for tries to each cold peer that the rig's processes share: as many a second to one at its start, and more
 // as it warms. What each guesses for itself comes to 8 a second here, of 40 that a warm peer gets.
 const (
-	coldRate  = 5.0
-	coldSpare = 2 // units of burst beyond one for each process
+	coldRate       = 5.0
+	coldExtraBurst = 2 // units of burst beyond one for each process
 )
 
 // coldBurst is the burst of the budget.
 func coldBurst(nodes int) float64 {
-	return float64(nodes + coldSpare)
+	return float64(nodes + coldExtraBurst)
 }
 
-// coldFile are the tables of the fleet files for it.
-func coldFile(s FileValues) string {
-	return bookFile(s, 0.04) +
+// coldTables are the tables of the fleet files for it.
+func coldTables(s FileValues) string {
+	return ledgerTable(s, 0.04) +
 		fmt.Sprintf("[[budget]]\nname = \"cold\"\nuse = \"cold-peers\"\nrate = %.1f\nburst = %.1f\n",
 			coldRate*s.AmountShare, coldBurst(s.Nodes))
 }
 
-// coldLead is when the first peer may die: a leader has been elected by then, and processes have learnt what warm peers
+// firstColdDeath is when the first peer may die: a leader has been elected by then, and processes have learnt what warm peers
 // carry.
-const coldLead = 10 * time.Second
+const firstColdDeath = 10 * time.Second
 
-// coldAway is for how long a peer is gone.
-const coldAway = time.Second
+// coldDowntime is for how long a peer is gone.
+const coldDowntime = time.Second
 
 // addDeaths lets peers die and come back cold, one each six seconds.
 func addDeaths(s *fault.Script) {
 	g := figure.Stream(s.Seed, "deaths")
-	for at := coldLead; at+coldAway+4*time.Second <= s.Length.D(); at += 6 * time.Second {
+	for at := firstColdDeath; at+coldDowntime+4*time.Second <= s.Length.D(); at += 6 * time.Second {
 		death := at + time.Duration(g.Float64()*float64(time.Second))
 		peer := s.World.Peers[g.IntN(len(s.World.Peers))].Name
 		s.Faults = append(s.Faults, fault.Fault{
-			Kind: "death", At: figure.Span(death), For: figure.Span(coldAway), Peers: []string{peer},
+			Kind: "death", At: figure.Span(death), For: figure.Span(coldDowntime), Peers: []string{peer},
 		})
 	}
 }
 
-// coldWith makes scripts of some kind in which peers die, too.
-func coldWith(make scriptMaker) scriptMaker {
+// withDeaths makes scripts of some kind in which peers die, too.
+func withDeaths(make scriptMaker) scriptMaker {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 		s, err := make(seed, nodes, length)
 		if err != nil {
@@ -62,14 +62,14 @@
 
 // ColdScenario is what all processes send to cold peers. Without the budget each guesses its part.
 func ColdScenario(shared bool) Scenario {
-	more := coldFile
+	more := coldTables
 	if !shared {
 		more = func(FileValues) string { return "" }
 	}
 	return Scenario{
 		Name:         "cold",
-		DemoScript:   coldWith(BudgetDemoScript),
-		RandomScript: coldWith(BudgetRandomScript),
+		DemoScript:   withDeaths(BudgetDemoScript),
+		RandomScript: withDeaths(BudgetRandomScript),
 		QuietScript:  budgetQuietScript,
 		Cases:        BudgetCases(),
 		ExtraTables:  more,
@@ -89,24 +89,24 @@
 	Broken  []Violation `json:"broken"`
 }
 
-// coldTime is one time for which a peer was cold, from when its start was listed.
-type coldTime struct {
-	peer string
-	born time.Duration // its start
-	from time.Duration // that was listed then; 0: it was not
-	till time.Duration
+// coldPeriod is one time for which a peer was cold, from when its start was listed.
+type coldPeriod struct {
+	peer    string
+	started time.Duration // its start
+	from    time.Duration // that was listed then; 0: it was not
+	to      time.Duration
 }
 
 // listGrace is how long a list is on its way to the processes: what one that has not got it sends, it sends to a warm
 // peer.
 const listGrace = 300 * time.Millisecond
 
-// coldTimes are all of a run. A start that is not listed before the peer ends again is none.
-func coldTimes(s *fault.Script, a *Account) (all []coldTime) {
-	open := map[string]*coldTime{}
+// coldPeriods are all of a run. A start that is not listed before the peer ends again is none.
+func coldPeriods(s *fault.Script, a *Account) (all []coldPeriod) {
+	open := map[string]*coldPeriod{}
 	shut := func(peer string, at time.Duration) {
 		if c := open[peer]; c != nil && c.from > 0 && at > c.from {
-			all = append(all, coldTime{peer, c.born, c.from, min(at, c.born+s.World.Contract.Cold.D())})
+			all = append(all, coldPeriod{peer, c.started, c.from, min(at, c.started+s.World.Contract.Cold.D())})
 		}
 		delete(open, peer)
 	}
@@ -114,7 +114,7 @@
 		switch c := open[e.Who]; {
 		case e.What == "started cold":
 			shut(e.Who, e.At)
-			open[e.Who] = &coldTime{peer: e.Who, born: e.At}
+			open[e.Who] = &coldPeriod{peer: e.Who, started: e.At}
 		case e.What == eventEnded:
 			shut(e.Who, e.At)
 		case e.What == "listed Ready" && c != nil && c.from == 0:
@@ -124,14 +124,14 @@
 	for _, p := range s.World.Peers {
 		shut(p.Name, a.End)
 	}
-	slices.SortFunc(all, func(x, y coldTime) int { return int(x.from - y.from) })
+	slices.SortFunc(all, func(x, y coldPeriod) int { return int(x.from - y.from) })
 	return all
 }
 
 // cost is what a try to the peer costs at an instant.
-func (c coldTime) cost(s *fault.Script, at time.Duration) float64 {
+func (c coldPeriod) cost(s *fault.Script, at time.Duration) float64 {
 	least := s.World.Contract.ColdShare
-	return least / (least + (1-least)*float64(at-c.born)/float64(s.World.Contract.Cold))
+	return least / (least + (1-least)*float64(at-c.started)/float64(s.World.Contract.Cold))
 }
 
 // JudgeCold counts what came to cold peers, and holds it against the budget if that is shared.
@@ -139,11 +139,11 @@
 	base := newAmount(a, "cold", int(coldRate))
 	c := &Cold{Nodes: base.Nodes, Seconds: base.Seconds, Falls: a.Falls, Broken: base.Broken}
 	used, allowed := 0.0, 0.0
-	for _, cold := range coldTimes(s, a) {
+	for _, cold := range coldPeriods(s, a) {
 		c.Starts++
 		at, costs := cold.arrivals(s, a)
 		c.Tries += len(at)
-		part, when, window := costly(at, costs, coldBurst(len(a.Names)))
+		part, when, window := maxCostRatio(at, costs, coldBurst(len(a.Names)))
 		if part > c.Over {
 			c.Over = part
 			if shared && part > 1 {
@@ -151,8 +151,8 @@
 				c.Broken = append(c.Broken, Violation{Rule: "over", At: when - a.Begin, What: what})
 			}
 		}
-		begin, end := cold.born+coldUseFrom, cold.born+coldUseTo
-		if cold.from <= begin && cold.till >= end {
+		begin, end := cold.started+coldUseFrom, cold.started+coldUseTo
+		if cold.from <= begin && cold.to >= end {
 			allowed += coldRate * (end - begin).Seconds()
 			used += costsBetween(at, costs, begin, end)
 		}
@@ -173,10 +173,10 @@
 )
 
 // arrivals are the attempts that came to the peer while it was cold, and what each costs.
-func (c coldTime) arrivals(s *fault.Script, a *Account) (at []time.Duration, costs []float64) {
+func (c coldPeriod) arrivals(s *fault.Script, a *Account) (at []time.Duration, costs []float64) {
 	for _, arrival := range a.Arrivals {
 		toPeer := !arrival.Done && arrival.Peer == c.peer
-		if toPeer && arrival.At >= c.from && arrival.At < c.till && arrival.At <= a.End {
+		if toPeer && arrival.At >= c.from && arrival.At < c.to && arrival.At <= a.End {
 			at = append(at, arrival.At)
 			costs = append(costs, c.cost(s, arrival.At))
 		}
@@ -194,8 +194,8 @@
 	return sum
 }
 
-// costly is the greatest part of what any window allows.
-func costly(came []time.Duration, costs []float64, burst float64) (most float64, at, wide time.Duration) {
+// maxCostRatio is the greatest part of what any window allows.
+func maxCostRatio(came []time.Duration, costs []float64, burst float64) (most float64, at, wide time.Duration) {
 	for _, w := range windows {
 		from, sum := 0, 0.0
 		for i, t := range came {
--- a/internal/lab/fleet/doc.go
+++ b/internal/lab/fleet/doc.go
@@ -1,4 +1,4 @@
-// Package fleet tests a fleet of real processes: it starts the program many times over, relays what the processes send
-// each other (relay, link), breaks the network between them and what they stand on as a script says (rig), and judges
-// from outside, and by their records, what they made of it (members, budget, takeover, rounds, ...).
+// Package fleet tests a fleet of real processes. The rig starts several processes of the program, forwards the messages
+// between them through relays, injects the faults of a script into the processes, their directories and the network
+// between them, and judges a run by its external effects and by the records of the processes.
 package fleet
--- a/internal/lab/fleet/fleet_files.go
+++ b/internal/lab/fleet/fleet_files.go
@@ -153,7 +153,7 @@
 			return g.rewrites, err
 		}
 	}
-	g.note(e)
+	g.addEvent(e)
 	return g.rewrites, nil
 }
 
--- a/internal/lab/fleet/history.go
+++ b/internal/lab/fleet/history.go
@@ -45,12 +45,12 @@
 		Init: func() []any { return []any{int64(0)} },
 		Step: func(state, input, _ any) []any {
 			spent, c := state.(int64), input.(budget.CountRecord)
-			units := budget.StockSize(c.Request.Need, countWhole-spent)
+			units := budget.StockSize(c.Request.Need, countLimit-spent)
 			after := max(spent+units-max(c.Request.Returned, 0), 0)
 			switch {
 			case !c.Answered:
 				return []any{spent, after}
-			case units != c.Granted.Units || countWhole-after != c.Granted.Remaining:
+			case units != c.Granted.Units || countLimit-after != c.Granted.Remaining:
 				return nil
 			}
 			return []any{after}
--- a/internal/lab/fleet/members.go
+++ b/internal/lab/fleet/members.go
@@ -9,44 +9,45 @@
 )
 
 const (
-	// agreeWithin is how long all views may take to agree once nothing happens any more: the 10 s that are stated for the
-	// healing of a split, which is the slowest, and 2 s for a machine that is busy with many rigs.
-	agreeWithin = 12 * time.Second
-	// goneWithin is how long a process that was killed may stay in a view: the 6 s that are stated, and 1 s for the
-	// machine.
-	goneWithin = 7 * time.Second
-	// briefStop is how long a process may be stopped without being called dead.
+	// agreeTimeout is the maximum time until all views agree after the last event: the documented 10 s for healing a
+	// split, which takes longest, and 2 s because the machine may run several rigs at once.
+	agreeTimeout = 12 * time.Second
+	// removalTimeout is the maximum time for which a killed process may stay in a view: the documented 6 s, and 1 s
+	// because the machine may be busy.
+	removalTimeout = 7 * time.Second
+	// briefStop is the maximum duration of a stop after which a process must not have been declared dead.
 	briefStop = time.Second
-	// calmFor is for how long nothing may have happened before a belief is held against a process.
-	calmFor = 15 * time.Second
-	// quietFor is for how long nothing may have been cut, impaired or stopped before a planned end that all have to hear
-	// of.
-	quietFor = 4 * time.Second
-	// inFlightTime is how long a message that was sent before a cut may take to be heard after it: a process that a busy
-	// machine keeps waiting reads late. Over a cut that is not made messages are heard for as long as it lasts.
+	// undisturbedTime is the time without any event that has to pass before a wrong view counts as a violation.
+	undisturbedTime = 15 * time.Second
+	// leaveQuietTime is the time without a cut, an impairment or a stop before a planned end after which all processes
+	// have to know of the leave.
+	leaveQuietTime = 4 * time.Second
+	// inFlightTime is the maximum time from a cut until a message sent before it is received, since a process on a busy
+	// machine may read late. If a cut is not made, messages arrive for as long as it lasts.
 	inFlightTime = 1500 * time.Millisecond
-	// massCheckTakes is how long a check of many silent members may last: two rounds, and what a busy machine takes.
-	massCheckTakes = 4 * time.Second
-	// stopTakes is how long a process that was just stopped may still be seen to finish a line.
-	stopTakes = 100 * time.Millisecond
+	// massCheckTime is the maximum duration of a check of many silent members: two rounds, and a margin for a busy
+	// machine.
+	massCheckTime = 4 * time.Second
+	// stopGrace is the time after a stop in which a process may still finish a line of its record.
+	stopGrace = 100 * time.Millisecond
 )
 
-// Rules are those that a run of members is held to.
+// Rules returns the names of the rules that a run of the members scenario is checked against.
 func Rules() []string {
 	return []string{"agree", "false", "told", "life", "twice", "order", "kept", "rig", "world"}
 }
 
-// Members is what came of a run.
+// Members is the result of a run of the members scenario.
 type Members struct {
 	Nodes       int         `json:"nodes"`
 	Seconds     float64     `json:"seconds"`
-	Agree       Times       `json:"agree_s"`  // from a change until all views agree
-	Detect      Times       `json:"detect_s"` // from a kill until a view has it
+	Agree       Times       `json:"agree_s"`  // time from a change until all views agree
+	Detect      Times       `json:"detect_s"` // time from a kill until a view shows it
 	Changes     int         `json:"changes"`
-	Unsettled   int         `json:"unsettled"`    // changes that the next one came before
-	BriefDeaths int         `json:"brief_deaths"` // processes called dead that stood still for 1 s at most
+	Unsettled   int         `json:"unsettled"`    // changes before whose agreement the next one happened
+	BriefDeaths int         `json:"brief_deaths"` // processes declared dead after a stop of at most 1 s
 	FalseDeaths int         `json:"false_deaths"`
-	Flaps       int         `json:"flaps"` // suspicions of processes that were well
+	Flaps       int         `json:"flaps"` // suspicions of healthy processes
 	Bytes       float64     `json:"bytes_s"`
 	CPU         float64     `json:"cpu_share"`
 	RSS         float64     `json:"rss_mb"`
@@ -54,7 +55,7 @@
 	Broken      []Violation `json:"broken"`
 }
 
-// Times are some lengths of time, in seconds.
+// Times summarizes a set of durations, in seconds.
 type Times struct {
 	Count  int     `json:"count"`
 	Median float64 `json:"median"`
@@ -73,52 +74,52 @@
 	}
 }
 
-// judge goes through the events and the records of a run in the order of time.
+// judge checks the events and the records of a run in the order of time.
 type judge struct {
 	account *Account
 	result  *Members
-	report  reporter                   // to the result
-	truth   *timeline                  // how things are with the nodes
-	nodes   map[string]*nodeHistory    // by name, also of strangers; see node
-	observe func(at time.Duration)     // called before each line of the records; nil: not
-	cutAt   map[nodePair]time.Duration // since when messages between two nodes are cut
-
-	changedAt          time.Duration // of the last event that views have to follow; 0: there was none
-	disturbedAt        time.Duration // when anything was last cut, impaired or stopped
-	impairedAt         time.Duration // when an impairment last began or ended
-	viewsAgree         bool          // since the last change
-	reportedDifference bool          // that they did not agree in time
-	differedAtChange   bool          // they did not agree when the change happened
+	report  reporter                   // adds a violation to result
+	truth   *timeline                  // actual state of the nodes
+	nodes   map[string]*nodeHistory    // by name, including strangers; read through node
+	observe func(at time.Duration)     // called before each line of the records; may be nil
+	cutAt   map[nodePair]time.Duration // begin of the cut between two nodes
+
+	changedAt          time.Duration // time of the last event that changes the correct views; 0 before the first one
+	disturbedAt        time.Duration // time of the last cut, impairment or stop, or of the end of one
+	impairedAt         time.Duration // time at which an impairment last began or ended
+	viewsAgree         bool          // all views have agreed since the last change
+	reportedDifference bool          // the difference after the last change was reported
+	differedAtChange   bool          // the views did not agree at the time of the change
 }
 
-// nodeHistory is what the judge notes of one node.
+// nodeHistory is the judge's state of one node.
 type nodeHistory struct {
-	view        *belief            // of the process that holds the node's place; nil: none
-	holder      int                // PID of that process; 0: none
-	incarnation member.Incarnation // the last; see hasStarted
+	view        *belief            // of the process that holds the node's name; nil if there is none
+	holder      int                // PID of that process; 0 if there is none
+	incarnation member.Incarnation // the newest one; valid if hasStarted
 	hasStarted  bool
 
-	killed        bool // and not started since
+	killed        bool // and not started again since
 	killedAt      time.Duration
-	killSeenBy    map[string]bool // viewers that have seen it, or that were reported
-	leftAsPlanned bool            // at its last end
-	endedAt       time.Duration   // 0: not, or one cannot say whether it said so before
+	killSeenBy    map[string]bool // viewers that saw the death, or were reported for not seeing it
+	leftAsPlanned bool            // the last process ended after a planned leave
+	endedAt       time.Duration   // 0 if it runs, or was killed during a leave that it may have announced
 
 	stopped           bool
 	stoppedAt         time.Duration
 	resumedAt         time.Duration
-	wasStoppedBriefly bool          // the last time
-	settledAt         time.Duration // until when its views are excused, since it was stopped
-	undisturbedSince  time.Duration // since when it was not stopped or cut off
-	touchedAt         time.Duration // when anything last happened to it, or to the network
-	strangerUntil     time.Duration // until when a stranger that was killed may be taken for it
+	wasStoppedBriefly bool          // the last stop was at most briefStop long
+	settledAt         time.Duration // end of the time after a stop in which its views are not judged
+	undisturbedSince  time.Duration // begin of the time in which it was not stopped or cut off
+	touchedAt         time.Duration // time of the last event of the node or of the network
+	strangerUntil     time.Duration // end of the time in which others may take a killed stranger for it
 }
 
-// belief is a process's newest view.
+// belief is the newest view of a process.
 type belief struct {
 	pid     int
 	view    member.View
-	members map[string]member.Member // of the view, by name
+	members map[string]member.Member // members of the view, by name
 }
 
 func newBelief(pid int, view member.View) *belief {
@@ -129,7 +130,7 @@
 	return b
 }
 
-// JudgeMembers holds a run against the rules, and measures it.
+// JudgeMembers checks a run against the rules and measures it.
 func JudgeMembers(a *Account) *Members {
 	j := newJudge(a)
 	j.play()
@@ -153,7 +154,7 @@
 	}
 }
 
-// node is the history of a node.
+// node returns the history of a node, which it creates at the first call.
 func (j *judge) node(name string) *nodeHistory {
 	n := j.nodes[name]
 	if n == nil {
@@ -163,11 +164,11 @@
 	return n
 }
 
-// play goes through the run.
+// play processes all events and records of the run.
 func (j *judge) play() {
 	a := j.account
 	reportRun(a, j.report)
-	wrongClocks(a, j.report)
+	checkClocks(a, j.report)
 	for _, line := range a.Lines {
 		at := time.Duration(line.At)
 		if at > a.End {
@@ -182,13 +183,14 @@
 	j.advance(a.End)
 }
 
-// What is lost by chance may differ from its expected value by five standard deviations, and a few for small numbers.
+// The number of messages lost by chance may differ from its expected value by five standard deviations, and by
+// lossSlack more, since a small expected value makes the deviation small.
 const (
 	lossDeviations = 5
 	lossSlack      = 5
 )
 
-// finish measures what the events and records do not show.
+// finish computes the figures that no single event or record shows, and checks the number of lost messages.
 func (j *judge) finish() {
 	result := j.result
 	result.Agree.summarize()
@@ -204,7 +206,7 @@
 	traffic := j.account.Traffic
 	tolerance := lossDeviations*math.Sqrt(traffic.ExpectedLost) + lossSlack
 	if math.Abs(float64(traffic.Lost)-traffic.ExpectedLost) > tolerance {
-		j.report("rig", j.account.End, "%.0f messages were to get lost by chance, and %d were",
+		j.report("rig", j.account.End, "%.0f messages should be lost by chance, but %d were",
 			traffic.ExpectedLost, traffic.Lost)
 	}
 }
--- a/internal/lab/fleet/members_agreement.go
+++ b/internal/lab/fleet/members_agreement.go
@@ -7,21 +7,22 @@
 	"olivebridge/internal/fleet/member"
 )
 
-// checkOverdue finds views that should have followed a change by now.
+// checkOverdue reports views that do not yet follow the last change although agreeTimeout has passed.
 func (j *judge) checkOverdue(at time.Duration) {
 	j.checkDeadRemoved(at)
-	if j.viewsAgree || j.reportedDifference || !j.truth.isSymmetric() || j.changedAt == 0 || at-j.changedAt < agreeWithin {
+	if j.viewsAgree || j.reportedDifference || !j.truth.isSymmetric() || j.changedAt == 0 ||
+		at-j.changedAt < agreeTimeout {
 		return
 	}
 	j.reportedDifference = true
 	j.report("agree", at, "%.1fs after the last change: %s", (at - j.changedAt).Seconds(), j.difference())
 }
 
-// checkDeadRemoved finds views that still have a node that was killed.
+// checkDeadRemoved reports views that still contain a killed node.
 func (j *judge) checkDeadRemoved(at time.Duration) {
 	for _, name := range j.account.Names {
 		n := j.node(name)
-		if !n.killed || at-n.killedAt < goneWithin {
+		if !n.killed || at-n.killedAt < removalTimeout {
 			continue
 		}
 		for _, viewer := range j.account.Names {
@@ -30,27 +31,28 @@
 	}
 }
 
-// checkDeadRemovedBy is that of one viewer. One that was disturbed has as long from then on.
+// checkDeadRemovedBy is checkDeadRemoved for one viewer. If the viewer was disturbed after the kill, removalTimeout
+// begins at the end of the disturbance.
 func (j *judge) checkDeadRemovedBy(at time.Duration, viewer, name string, killed *nodeHistory) {
 	v := j.node(viewer)
 	from := max(killed.killedAt, v.undisturbedSince, j.impairedAt)
-	if killed.killSeenBy[viewer] || !j.truth.nodes[viewer].canBelieve() || v.view == nil || at-from < goneWithin ||
+	if killed.killSeenBy[viewer] || !j.truth.nodes[viewer].canBelieve() || v.view == nil || at-from < removalTimeout ||
 		j.truth.heavyLosses > 0 {
 		return
 	}
 	if m, _ := v.view.view.Lookup(name); m.State.Present() && m.Incarnation == killed.incarnation {
-		j.report("kept", at, "%s has %s as %s, which was killed %.1fs ago",
+		j.report("kept", at, "%s still has %s as %s, %.1fs after its kill",
 			viewer, name, m.State, (at - killed.killedAt).Seconds())
 		killed.killSeenBy[viewer] = true
 	}
 }
 
-// reaches reports whether messages get from one node to another, over others if need be.
+// reaches reports whether messages get from one node to another, directly or through other nodes.
 func (j *judge) reaches(from, to string) bool {
 	return j.truth.reachableFrom(from)[to]
 }
 
-// checkAgreement notes when all views have come to agree, and finds that they agree no more though nothing has
+// checkAgreement measures when all views agree after a change, and reports views that differ later although nothing has
 // happened.
 func (j *judge) checkAgreement(at time.Duration) {
 	if !j.truth.isSymmetric() || j.changedAt == 0 {
@@ -63,14 +65,14 @@
 		if j.differedAtChange {
 			j.result.Agree.add(at - j.changedAt)
 		}
-	case difference != "" && j.viewsAgree && at-j.disturbedAt > calmFor && at-j.changedAt > calmFor:
+	case difference != "" && j.viewsAgree && at-j.disturbedAt > undisturbedTime && at-j.changedAt > undisturbedTime:
 		j.report("false", at, "views agreed, nothing happened, and then %s", difference)
 		j.viewsAgree = false
 		j.reportedDifference = true
 	}
 }
 
-// difference is where a view is not as it should be; "": all are.
+// difference describes the first view that differs from the correct one. It is empty if all views are correct.
 func (j *judge) difference() string {
 	for _, viewer := range j.account.Names {
 		if !j.truth.nodes[viewer].canBelieve() {
@@ -93,7 +95,8 @@
 	return ""
 }
 
-// memberDifference is how a member of a view is not as it should be; "": it is, or one cannot say.
+// memberDifference describes how a viewer's entry of another node differs from the correct one. It is empty if the
+// entry is correct, or if the correct one is not certain.
 func (j *judge) memberDifference(viewer, other string, m member.Member, known bool) string {
 	actual := j.truth.nodes[other]
 	if !actual.isCertain() || actual.running && !actual.serving {
@@ -103,11 +106,11 @@
 	should := actual.running && !actual.stopped && j.reaches(viewer, other)
 	switch {
 	case here && !should:
-		return fmt.Sprintf("%s has %s as %s, which is not there", viewer, other, m.State)
+		return fmt.Sprintf("%s has %s as %s, but it is not reachable", viewer, other, m.State)
 	case !here && should:
-		return fmt.Sprintf("%s has not got %s, which is there", viewer, other)
+		return fmt.Sprintf("%s does not have %s, which is reachable", viewer, other)
 	case here && m.Incarnation != j.node(other).incarnation:
-		return fmt.Sprintf("%s has incarnation %v of %s, which is in %v",
+		return fmt.Sprintf("%s has incarnation %v of %s, whose incarnation is %v",
 			viewer, m.Incarnation, other, j.node(other).incarnation)
 	}
 	return ""
--- a/internal/lab/fleet/members_events.go
+++ b/internal/lab/fleet/members_events.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// advance lets time go on to an instant: it applies the events until then, and finds views that should have followed.
+// advance applies the events up to an instant and reports views that do not follow them in time.
 func (j *judge) advance(at time.Duration) {
 	for j.truth.next < len(j.truth.events) && j.truth.events[j.truth.next].At <= at {
 		e := j.truth.events[j.truth.next]
@@ -13,7 +13,7 @@
 	j.checkOverdue(at)
 }
 
-// changesNothing reports whether views have nothing to follow in an event.
+// changesNothing reports whether an event leaves the correct views as they are.
 func changesNothing(what string) bool {
 	switch what {
 	case "upgrade", "upgraded", "directory full", "directory unwritable", "directory foreign", "directory torn",
@@ -49,13 +49,13 @@
 	j.noteChange(e)
 }
 
-// apply notes what happened to the node.
+// apply updates the history by an event of the node.
 func (n *nodeHistory) apply(e Event, wasLeaving bool) {
 	switch e.What {
 	case eventKilled:
 		n.leftAsPlanned = false
 		n.endedAt = e.At
-		if wasLeaving { // it may have said that it had left
+		if wasLeaving { // it may have announced its leave before the kill
 			n.endedAt = 0
 		}
 		n.killed = true
@@ -72,7 +72,7 @@
 		n.killed = false
 		n.view = nil
 	case eventStrangerKilled:
-		n.strangerUntil = e.At + calmFor // the last that was heard of it is reported for a while
+		n.strangerUntil = e.At + undisturbedTime // records still contain its last messages for a while
 	case eventStopped:
 		n.stopped = true
 		n.stoppedAt = e.At
@@ -81,7 +81,7 @@
 		n.stopped = false
 		n.stoppedAt = 0
 		n.resumedAt = e.At
-		n.settledAt = e.At + calmFor
+		n.settledAt = e.At + undisturbedTime
 		n.undisturbedSince = e.At
 	}
 }
@@ -104,7 +104,7 @@
 	}
 }
 
-// noteChange notes that views have something to follow from now on.
+// noteChange restarts the wait for agreement after an event that changes the correct views.
 func (j *judge) noteChange(e Event) {
 	if e.What != eventServes && e.What != eventTerminated && j.changedAt > 0 {
 		j.result.Changes++
@@ -113,7 +113,7 @@
 		}
 	}
 	j.restartAgreement(e.At, j.difference() != "")
-	if e.Node == "" { // what is cut apart finds out at times of its own
+	if e.Node == "" { // the nodes detect a cut at different times
 		for _, name := range j.account.Names {
 			j.node(name).undisturbedSince = e.At
 		}
@@ -125,7 +125,7 @@
 	j.checkAgreement(e.At)
 }
 
-// restartAgreement begins the time in which the views have to agree.
+// restartAgreement restarts the time in which the views have to agree.
 func (j *judge) restartAgreement(at time.Duration, differ bool) {
 	j.changedAt = at
 	j.viewsAgree = false
--- a/internal/lab/fleet/members_records.go
+++ b/internal/lab/fleet/members_records.go
@@ -8,10 +8,10 @@
 	"olivebridge/internal/fleet/record"
 )
 
-// applyRecord holds a line of a process's record against what is true.
+// applyRecord checks a line of a process's record against the actual state.
 func (j *judge) applyRecord(at time.Duration, line record.Line) {
-	if n := j.node(line.Node); n.stopped && at > n.stoppedAt+stopTakes && n.holder == line.PID {
-		j.report("rig", at, "%s was stopped, and went on believing", line.Node)
+	if n := j.node(line.Node); n.stopped && at > n.stoppedAt+stopGrace && n.holder == line.PID {
+		j.report("rig", at, "%s was stopped, but went on writing its record", line.Node)
 	}
 	switch line.Kind {
 	case "took":
@@ -22,7 +22,7 @@
 	case "view":
 		var view member.View
 		if err := json.Unmarshal(line.Data, &view); err != nil {
-			j.report("rig", at, "%s: a view that cannot be read: %v", line.Node, err)
+			j.report("rig", at, "%s: cannot parse view: %v", line.Node, err)
 			return
 		}
 		j.applyView(at, line, view)
@@ -41,59 +41,60 @@
 	}
 }
 
-// applyIncarnation notes that a process has taken its node's place.
+// applyIncarnation handles the start of a process that holds its node's name from now on.
 func (j *judge) applyIncarnation(at time.Duration, line record.Line, incarnation member.Incarnation) {
 	n := j.node(line.Node)
 	before, again := n.incarnation, n.hasStarted
 	if again && before.Home == incarnation.Home && incarnation.Number <= before.Number {
-		j.report("life", at, "%s begins incarnation %v after %v", line.Node, incarnation, before)
+		j.report("life", at, "%s starts incarnation %v after %v", line.Node, incarnation, before)
 	}
 	n.incarnation = incarnation
 	n.hasStarted = true
 	n.holder = line.PID
 	n.view = nil
-	if again && j.changedAt > 0 { // in an upgrade, nothing but the incarnation changes: that has to get around, too
+	if again && j.changedAt > 0 { // after an upgrade the others still have to learn the new incarnation
 		j.restartAgreement(at, true)
 	}
 }
 
-// checkMassFailure holds a process's check of many silent members against what was true for as long as it may have
-// lasted: whoever was well all the time, and was reached by anybody whom the process reaches, is none of the lost. That
-// holds in any cut.
+// checkMassFailure checks the result of a process's check of many silent members against the actual state during that
+// check. A node that was healthy all the time, and that the checker reaches directly or through other nodes, must not
+// be among the lost. That holds during any cut.
 func (j *judge) checkMassFailure(at time.Duration, checker string, lost []string) {
 	for _, name := range lost {
 		n := j.truth.nodes[name]
 		if n == nil || j.truth.nodes[checker] == nil || j.truth.impairments > 0 {
 			continue
 		}
-		if at-j.node(name).touchedAt < massCheckTakes || at-j.node(checker).touchedAt < massCheckTakes {
+		if at-j.node(name).touchedAt < massCheckTime || at-j.node(checker).touchedAt < massCheckTime {
 			continue
 		}
 		if n.canBelieve() && !n.hasStranger && j.reaches(checker, name) {
 			j.result.FalseDeaths++
-			j.report("false", at, "%s calls the roll, and gives up %s, which others reach", checker, name)
+			j.report("false", at, "%s declares %s dead after a check of many members, but other nodes reach it", checker, name)
 		}
 	}
 }
 
-// checkHeard holds what a process heard from others against the cuts: it finds cuts that the rig did not make.
+// checkHeard checks the messages that a process received against the cuts: it reports a cut that the rig did not make.
 func (j *judge) checkHeard(at time.Duration, node string, reports map[string]member.ReceptionReport) {
 	for sender, heard := range reports {
 		if j.truth.nodes[sender] == nil || j.truth.nodes[sender].hasStranger || at < j.node(sender).strangerUntil {
-			continue // a stranger under its name, which is not cut off, is heard as it
+			continue // messages of a stranger under the same name, which is not cut off, count as the node's
 		}
 		cutAt, cut := j.cutAt[nodePair{sender, node}]
 		if !cut || j.truth.impairments > 0 || j.node(node).resumedAt >= cutAt {
 			continue
 		}
 		if last := time.Duration(heard.At); last > cutAt+inFlightTime && last <= at {
-			j.report("rig", at, "%s was cut off from %s, and heard it %.1fs later", node, sender, (last - cutAt).Seconds())
+			j.report("rig", at, "%s was cut off from %s, but received a message from it %.1fs later",
+				node, sender, (last - cutAt).Seconds())
 			delete(j.cutAt, nodePair{sender, node})
 		}
 	}
 }
 
-// applyView takes a process's new view.
+// applyView checks a process's new view and stores it.
 func (j *judge) applyView(at time.Duration, line record.Line, view member.View) {
 	if j.truth.nodes[line.Node] == nil { // a stranger's own view
 		return
@@ -103,7 +104,7 @@
 		j.report("order", at, "%s has view %d after %d", line.Node, view.Number, n.view.view.Number)
 	}
 	if n.holder != 0 && n.holder != line.PID {
-		return // a process that has yielded the place, or has not got it yet
+		return // a process that does not hold the node's name any more, or not yet
 	}
 	before := n.view
 	if before == nil {
@@ -116,14 +117,14 @@
 	j.checkAgreement(at)
 }
 
-// checkMember holds one member of a view, as it was and is, against what is true.
+// checkMember checks the new state of one member of a view against its previous state and against the actual one.
 func (j *judge) checkMember(at time.Duration, viewer string, was, is member.Member) {
 	if j.truth.nodes[is.Name] == nil {
-		j.report("twice", at, "%s has a member %q, which is no node", viewer, is.Name)
+		j.report("twice", at, "%s has a member %q, which is not a node", viewer, is.Name)
 		return
 	}
 	if was.Incarnation.Home == is.Incarnation.Home && was.Incarnation.Number > is.Incarnation.Number {
-		j.report("life", at, "%s takes incarnation %v of %s for newer than %v",
+		j.report("life", at, "%s accepts incarnation %v of %s after the newer %v",
 			viewer, is.Incarnation, is.Name, was.Incarnation)
 	}
 	if was.State == is.State || is.Name == viewer {
@@ -134,7 +135,7 @@
 	j.checkState(at, viewer, is)
 }
 
-// measureDetection measures how long a viewer took to see that a node was killed.
+// measureDetection measures the time that a viewer took to detect that a node was killed.
 func (j *judge) measureDetection(at time.Duration, viewer string, is member.Member) {
 	n := j.node(is.Name)
 	if !n.killed || is.State.Present() || n.killSeenBy[viewer] || n.killedAt < j.node(viewer).undisturbedSince {
@@ -144,22 +145,22 @@
 	j.result.Detect.add(at - n.killedAt)
 }
 
-// checkBriefStop finds that a node is called dead that was stopped for a short time.
+// checkBriefStop reports that a node was declared dead after a stop of at most briefStop.
 func (j *judge) checkBriefStop(at time.Duration, viewer string, is member.Member) {
 	n := j.node(is.Name)
 	actual := j.truth.nodes[is.Name]
-	if is.State != member.Dead || !n.wasStoppedBriefly || at-n.resumedAt >= calmFor || !j.truth.isIntact() {
+	if is.State != member.Dead || !n.wasStoppedBriefly || at-n.resumedAt >= undisturbedTime || !j.truth.isIntact() {
 		return
 	}
 	if actual.running && !actual.leaving && is.Incarnation == n.incarnation &&
 		j.node(viewer).undisturbedSince <= n.resumedAt {
 		j.result.BriefDeaths++
-		j.report("false", at, "%s calls %s dead, which stood still for 1 s at most", viewer, is.Name)
+		j.report("false", at, "%s declares %s dead, which was stopped for 1 s at most", viewer, is.Name)
 	}
 }
 
-// checkState holds a member's new state against what is true. Only what a process believes of another while both have
-// been well for a while is held against it.
+// checkState checks a member's new state against the actual one. A wrong state counts against the viewer only if both
+// have been undisturbed for undisturbedTime.
 func (j *judge) checkState(at time.Duration, viewer string, is member.Member) {
 	switch is.State {
 	case member.Suspect:
@@ -173,8 +174,8 @@
 	}
 }
 
-// isWell reports whether a member runs, in the incarnation that a viewer believes, and reaches it, and both have not
-// been disturbed of late.
+// isWell reports whether a member runs in the incarnation that a viewer knows, no stranger uses its name, the viewer
+// reaches it, and neither of the two was stopped within undisturbedTime.
 func (j *judge) isWell(at time.Duration, viewer string, is member.Member) bool {
 	n := j.node(is.Name)
 	actual := j.truth.nodes[is.Name]
@@ -188,14 +189,14 @@
 	actual := j.truth.nodes[is.Name]
 	if j.isWell(at, viewer, is) && actual.serving && n.holderHasView() {
 		j.result.FalseDeaths++
-		if at-j.disturbedAt > calmFor && j.truth.heavyLosses == 0 {
-			j.report("false", at, "%s calls %s dead, which is well", viewer, is.Name)
+		if at-j.disturbedAt > undisturbedTime && j.truth.heavyLosses == 0 {
+			j.report("false", at, "%s declares %s dead, which is healthy", viewer, is.Name)
 		}
 		return
 	}
-	heardOfLeave := n.endedAt-j.disturbedAt > quietFor && at >= j.node(viewer).settledAt
+	heardOfLeave := n.endedAt-j.disturbedAt > leaveQuietTime && at >= j.node(viewer).settledAt
 	if n.leftAsPlanned && !actual.running && heardOfLeave {
-		j.report("told", at, "%s calls %s dead, which left as planned", viewer, is.Name)
+		j.report("told", at, "%s declares %s dead, which left as planned", viewer, is.Name)
 	}
 }
 
@@ -203,14 +204,15 @@
 	n := j.node(is.Name)
 	actual := j.truth.nodes[is.Name]
 	switch {
-	case j.isWell(at, viewer, is) && at-j.disturbedAt > calmFor:
-		j.report("told", at, "%s says that %s has left, which is well", viewer, is.Name)
+	case j.isWell(at, viewer, is) && at-j.disturbedAt > undisturbedTime:
+		j.report("told", at, "%s says that %s has left, but it is healthy", viewer, is.Name)
 	case !n.leftAsPlanned && !actual.running && n.endedAt > 0:
-		j.report("told", at, "%s says that %s left as planned, which was killed", viewer, is.Name)
+		j.report("told", at, "%s says that %s left as planned, but it was killed", viewer, is.Name)
 	}
 }
 
-// holderHasView reports whether the node's process has been there for long enough that others may know its incarnation.
+// holderHasView reports whether the process that holds the node's name has recorded a view, so that others may know its
+// incarnation.
 func (n *nodeHistory) holderHasView() bool {
 	return n.view != nil && n.holder == n.view.pid
 }
--- a/internal/lab/fleet/members_test.go
+++ b/internal/lab/fleet/members_test.go
@@ -233,7 +233,7 @@
 		}
 		for _, f := range s.Faults {
 			kinds[f.Kind] = true
-			if f.Ends().D() > 32*time.Second-settle {
+			if f.Ends().D() > 32*time.Second-settleTail {
 				t.Errorf("seed %d: %s lasts until %v", seed, f.Kind, f.Ends().D())
 			}
 		}
--- a/internal/lab/fleet/members_text.go
+++ b/internal/lab/fleet/members_text.go
@@ -7,17 +7,18 @@
 	"olivebridge/internal/lab/fault"
 )
 
-// Verdict are the rules that did not hold.
+// Verdict returns the rules that the run broke.
 func (m *Members) Verdict() []Violation { return m.Broken }
 
-// Line is the result in one line.
+// Line returns the result in one line.
 func (m *Members) Line(s *fault.Script) string {
 	return fmt.Sprintf("seed %d: %s; agree %.2f/%.2f s of %d, detect %.2f/%.2f s of %d, %d false deaths, %d flaps; %s",
 		s.Seed, strings.Join(s.Kinds(), " "), m.Agree.Median, m.Agree.Worst, m.Agree.Count, m.Detect.Median,
 		m.Detect.Worst, m.Detect.Count, m.FalseDeaths, m.Flaps, verdict(m.Broken))
 }
 
-// Text is the result for people: what was true at the end beside what each believed, and the figures.
+// Text returns the result for the command's output: the actual state of each node at the end, its view, and the
+// figures.
 func (m *Members) Text(a *Account) string {
 	var b strings.Builder
 	j := final(a)
@@ -53,7 +54,7 @@
 	return b.String()
 }
 
-// final is the judge at the end of a run.
+// final returns the judge in its state at the end of a run.
 func final(a *Account) *judge {
 	copied := *a
 	j := newJudge(&copied)
--- a/internal/lab/fleet/page.go
+++ b/internal/lab/fleet/page.go
@@ -10,9 +10,9 @@
 
 // The page's measures, in pixels.
 const (
-	laneHigh  = 34
-	pageWide  = 1100
-	labelWide = 60
+	laneHeight = 34
+	plotWidth  = 1100
+	labelWidth = 60
 )
 
 // segment is a stretch of a lane.
@@ -44,18 +44,18 @@
 	p := page{
 		Title:   fmt.Sprintf("seed %d, %d processes", r.Script.Seed, len(a.Names)),
 		Verdict: verdict(r.Outcome.Verdict()),
-		Wide:    pageWide + labelWide,
-		High:    laneHigh*len(a.Names) + 30,
+		Wide:    plotWidth + labelWidth,
+		High:    laneHeight*len(a.Names) + 30,
 		Text:    r.Outcome.Text(a),
 	}
 	d := &drawing{p: &p, a: a, open: map[string]*segment{}}
 	j := newJudge(a)
-	j.observe = func(at time.Duration) { d.look(j, at) }
+	j.observe = func(at time.Duration) { d.drawInstant(j, at) }
 	j.play()
-	d.look(j, a.End)
+	d.drawInstant(j, a.End)
 	d.end()
 	for i, n := range a.Names {
-		p.Lanes = append(p.Lanes, lane{n, float64(laneHigh*i + 18)})
+		p.Lanes = append(p.Lanes, lane{n, float64(laneHeight*i + 18)})
 	}
 	span := (a.End - a.Begin).Seconds()
 	step := 1.0
@@ -63,7 +63,7 @@
 		step *= 2
 	}
 	for t := 0.0; t <= span; t += step {
-		tick := segment{X: labelWide + t/span*pageWide, Y: float64(p.High - 8), Title: fmt.Sprintf("%.0f s", t)}
+		tick := segment{X: labelWidth + t/span*plotWidth, Y: float64(p.High - 8), Title: fmt.Sprintf("%.0f s", t)}
 		p.Ticks = append(p.Ticks, tick)
 	}
 	for _, e := range a.Events {
@@ -83,13 +83,13 @@
 
 func (d *drawing) x(at time.Duration) float64 {
 	at = max(min(at, d.a.End), d.a.Begin)
-	return labelWide + float64(at-d.a.Begin)/float64(d.a.End-d.a.Begin)*pageWide
+	return labelWidth + float64(at-d.a.Begin)/float64(d.a.End-d.a.Begin)*plotWidth
 }
 
-// look draws how things stand at a time.
-func (d *drawing) look(j *judge, at time.Duration) {
+// drawInstant draws how things stand at a time.
+func (d *drawing) drawInstant(j *judge, at time.Duration) {
 	for i, name := range d.a.Names {
-		y := float64(laneHigh * i)
+		y := float64(laneHeight * i)
 		n := j.truth.nodes[name]
 		class, title := "down", name+" does not run"
 		switch {
@@ -97,7 +97,7 @@
 			class, title = "still", name+" stands still"
 		case n.running && n.leaving:
 			class, title = "leaving", name+" is ending"
-		case n.running && len(j.truth.reachableFrom(name)) < running(j.truth.truth):
+		case n.running && len(j.truth.reachableFrom(name)) < runningCount(j.truth.truth):
 			class, title = "cut", name+" is cut off from some"
 		case n.running && n.hasStranger:
 			class, title = "twin", "a stranger lives under the name of "+name
@@ -105,11 +105,11 @@
 			class, title = "up", name+" runs"
 		}
 		d.draw("life "+name, class, title, at, y+4, 14)
-		d.believe(j, name, at, y+20)
+		d.drawBeliefs(j, name, at, y+20)
 	}
 }
 
-func running(t *truth) (n int) {
+func runningCount(t *truth) (n int) {
 	for _, l := range t.nodes {
 		if l.running && !l.stopped {
 			n++
@@ -118,8 +118,8 @@
 	return n
 }
 
-// believe draws what the others believe of a node: right, wrong, or some of them wrong.
-func (d *drawing) believe(j *judge, name string, at time.Duration, y float64) {
+// drawBeliefs draws what the others believe of a node: right, wrong, or some of them wrong.
+func (d *drawing) drawBeliefs(j *judge, name string, at time.Duration, y float64) {
 	o := j.truth.nodes[name]
 	var right, wrong []string
 	for _, viewer := range d.a.Names {
--- a/internal/lab/fleet/relay.go
+++ b/internal/lab/fleet/relay.go
@@ -60,8 +60,8 @@
 
 // NewRelays opens the relays of some nodes. The seed gives their random draws.
 func NewRelays(names []string, seed uint64) (*Relays, error) {
-	if len(names) == 0 || len(names) > MostNodes {
-		return nil, fmt.Errorf("%d processes, not from 1 to %d", len(names), MostNodes)
+	if len(names) == 0 || len(names) > MaxNodes {
+		return nil, fmt.Errorf("%d processes, not from 1 to %d", len(names), MaxNodes)
 	}
 	r := &Relays{
 		names:  names,
--- a/internal/lab/fleet/result.go
+++ b/internal/lab/fleet/result.go
@@ -9,8 +9,8 @@
 	"olivebridge/internal/lab/fault"
 )
 
-// MostNodes is the most processes of a run.
-const MostNodes = maxSlots / slotsPerNode
+// MaxNodes is the most processes of a run.
+const MaxNodes = maxSlots / slotsPerNode
 
 // Result is a run with what the judge made of it.
 type Result struct {
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -45,15 +45,15 @@
 	rewrites    int                      // of all fleet files
 
 	// Seen by the run's callbacks, which come one at a time.
-	came   []Arrival
-	spared []string
+	arrivals []Arrival
+	notRun   []string
 
 	mu             sync.Mutex
 	adminAddresses map[string]string // of each node's newest process
 	events         []Event
 	cpu            map[string]time.Duration
 	rss            map[string]int64
-	probed         []ProbeCount
+	probeCounts    []ProbeCount
 	peers          []PeerEvent
 	falls          map[string]int
 }
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	defer g.relays.Close()
-	run, err := g.startProcesses(ctx, s)
+	run, err := g.startRun(ctx, s)
 	if err != nil {
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 	firstPeriod := countPeriodNow()
 	clientCalls := g.startClients(ctx, run, s)
 	operatorCalls := g.startOperators(ctx, s)
-	g.progress(run, s.Length.D())
+	g.reportProgress(run, s.Length.D())
 	a.End = record.Now()
 	a.ClientCalls = <-clientCalls
 	a.OperatorCalls = <-operatorCalls
@@ -127,7 +127,7 @@
 	return int(time.Now().Unix() / int64(countPeriod.Seconds()))
 }
 
-func (g *rig) startProcesses(ctx context.Context, s *fault.Script) (*live.Run, error) {
+func (g *rig) startRun(ctx context.Context, s *fault.Script) (*live.Run, error) {
 	return live.Start(ctx, s, live.Options{
 		Node:  g.options.Node,
 		Dir:   g.options.Dir,
@@ -135,12 +135,12 @@
 		Watch: g,
 		Fleet: g,
 		Came: func(peer, call string) {
-			g.came = append(g.came, Arrival{At: record.Now(), Peer: peer, Call: call})
+			g.arrivals = append(g.arrivals, Arrival{At: record.Now(), Peer: peer, Call: call})
 		},
 		Done: func(peer, call string) {
-			g.came = append(g.came, Arrival{At: record.Now(), Peer: peer, Call: call, Done: true})
+			g.arrivals = append(g.arrivals, Arrival{At: record.Now(), Peer: peer, Call: call, Done: true})
 		},
-		Spared: func(_, call string) { g.spared = append(g.spared, call) },
+		Spared: func(_, call string) { g.notRun = append(g.notRun, call) },
 	})
 }
 
@@ -176,9 +176,9 @@
 	a.CPU = g.cpu
 	a.RSS = g.rss
 	a.Traffic = g.relays.TotalTraffic()
-	a.Arrivals = g.came
-	a.ProbeCounts = g.probed
-	a.NotRun = g.spared
+	a.Arrivals = g.arrivals
+	a.ProbeCounts = g.probeCounts
+	a.NotRun = g.notRun
 	a.Peers = g.peers
 	for _, falls := range g.falls {
 		a.Falls += falls
@@ -188,8 +188,8 @@
 // progressInterval is how often progress is told.
 const progressInterval = 100 * time.Millisecond
 
-// progress tells how it goes until the script is over. What happens then, the planned end of all, is not judged.
-func (g *rig) progress(run *live.Run, length time.Duration) {
+// reportProgress tells how it goes until the script is over. What happens then, the planned end of all, is not judged.
+func (g *rig) reportProgress(run *live.Run, length time.Duration) {
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	told := 0
@@ -219,8 +219,8 @@
 	return g.adminAddresses[node]
 }
 
-// note notes an event that happens now.
-func (g *rig) note(e Event) {
+// addEvent notes an event that happens now.
+func (g *rig) addEvent(e Event) {
 	e.At = record.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -228,7 +228,7 @@
 }
 
 // Tell implements live.Fleet.
-func (g *rig) Tell(node, what string, pid int) { g.note(Event{Node: node, What: what, PID: pid}) }
+func (g *rig) Tell(node, what string, pid int) { g.addEvent(Event{Node: node, What: what, PID: pid}) }
 
 // Request implements sample.Sink.
 func (g *rig) Request(sample.Request) {}
@@ -249,7 +249,7 @@
 		probes += p.Probes
 		g.falls[p.Name] = p.Falls
 	}
-	g.probed = append(g.probed, ProbeCount{record.Now(), probes})
+	g.probeCounts = append(g.probeCounts, ProbeCount{record.Now(), probes})
 	for _, n := range r.Nodes {
 		g.cpu[n.Name] = n.CPU
 		g.rss[n.Name] = max(g.rss[n.Name], n.Resident)
--- a/internal/lab/fleet/rig_faults.go
+++ b/internal/lab/fleet/rig_faults.go
@@ -13,14 +13,14 @@
 // Move implements live.Fleet.
 func (g *rig) Move(node string) {
 	g.moved[node] = !g.moved[node]
-	g.note(Event{Node: node, What: "moves"})
+	g.addEvent(Event{Node: node, What: "moves"})
 }
 
 // Clock implements live.Fleet. Only programs that were built for mutants can be told a wrong time: their records show
 // it, so that the judge finds where it was not.
 func (g *rig) Clock(node string, by time.Duration) {
 	g.clockErrors[node] = by
-	g.note(Event{Node: node, What: eventClockWrong, Wrong: by})
+	g.addEvent(Event{Node: node, What: eventClockWrong, Wrong: by})
 }
 
 // Arm implements live.Fleet. Only programs that were built for mutants can be met.
@@ -52,12 +52,12 @@
 func (g *rig) Cut(from, to func(string) bool) func() {
 	heal := g.relays.Cut(from, to)
 	e := Event{What: eventCut, From: g.namesOf(from), To: g.namesOf(to)}
-	g.note(e)
+	g.addEvent(e)
 	return func() {
 		heal()
 		e.Ended = true
 		e.What = eventCutHealed
-		g.note(e)
+		g.addEvent(e)
 	}
 }
 
@@ -65,12 +65,12 @@
 func (g *rig) Ail(from, to func(string) bool, a fault.Ails) func() {
 	heal := g.relays.Impair(from, to, a)
 	e := Event{What: eventImpaired, From: g.namesOf(from), To: g.namesOf(to), Ails: &a}
-	g.note(e)
+	g.addEvent(e)
 	return func() {
 		heal()
 		e.Ended = true
 		e.What = eventImpairmentOver
-		g.note(e)
+		g.addEvent(e)
 	}
 }
 
--- a/internal/lab/fleet/rounds.go
+++ b/internal/lab/fleet/rounds.go
@@ -165,7 +165,7 @@
 			break
 		}
 		now.apply(e)
-		if e.At > from-calmFor && (!now.isIntact() || slices.ContainsFunc(a.Names, isAway)) {
+		if e.At > from-undisturbedTime && (!now.isIntact() || slices.ContainsFunc(a.Names, isAway)) {
 			return true
 		}
 	}
--- a/internal/lab/fleet/rounds_script.go
+++ b/internal/lab/fleet/rounds_script.go
@@ -36,7 +36,7 @@
 	}
 	s := roundsQuietScript(seed, nodes, length)
 	g := figure.Stream(seed, "drama")
-	for at := 5 * time.Second; at+settle <= length; at += 4 * time.Second {
+	for at := 5 * time.Second; at+settleTail <= length; at += 4 * time.Second {
 		down := figure.Span(figure.Seconds(figure.Uniform(g, 0.6, 2.5)))
 		node := s.World.Nodes[g.IntN(nodes)].Name
 		s.Faults = append(s.Faults, fault.Fault{
@@ -51,7 +51,7 @@
 	return Scenario{
 		Name:         "rounds",
 		DemoScript:   roundsDemoScript,
-		RandomScript: drawnIn(roundsQuietScript, RandomScript),
+		RandomScript: withDrawnFaults(roundsQuietScript, RandomScript),
 		QuietScript:  roundsQuietScript,
 		Cases:        []Case{upgradesCase(), votersCase()},
 		ExtraTables:  func(v FileValues) string { return "\n[operators]\n" + v.votersTable() },
--- a/internal/lab/fleet/scenario.go
+++ b/internal/lab/fleet/scenario.go
@@ -59,7 +59,7 @@
 		RandomScript: BudgetRandomScript,
 		QuietScript:  budgetQuietScript,
 		Cases:        append(BudgetCases(), amountsCase()),
-		ExtraTables:  BudgetFile,
+		ExtraTables:  BudgetTables,
 		Judge:        func(_ *fault.Script, a *Account) Outcome { return JudgeBudget(a) },
 	}
 }
@@ -67,11 +67,11 @@
 func inUseScenario() Scenario {
 	return Scenario{
 		Name:         "in-use",
-		DemoScript:   drawnIn(inUseQuietScript, BudgetDemoScript),
-		RandomScript: drawnIn(inUseQuietScript, RandomScript),
+		DemoScript:   withDrawnFaults(inUseQuietScript, BudgetDemoScript),
+		RandomScript: withDrawnFaults(inUseQuietScript, RandomScript),
 		QuietScript:  inUseQuietScript,
 		Cases:        append(BudgetCases(), restartsCase()),
-		ExtraTables:  inUseFile,
+		ExtraTables:  inUseTables,
 		Judge:        func(_ *fault.Script, a *Account) Outcome { return JudgeInUse(a) },
 	}
 }
@@ -79,11 +79,11 @@
 func countScenario() Scenario {
 	return Scenario{
 		Name:         "count",
-		DemoScript:   drawnIn(budgetQuietScript, BudgetDemoScript),
-		RandomScript: drawnIn(budgetQuietScript, RandomScript),
+		DemoScript:   withDrawnFaults(budgetQuietScript, BudgetDemoScript),
+		RandomScript: withDrawnFaults(budgetQuietScript, RandomScript),
 		QuietScript:  budgetQuietScript,
 		Cases:        BudgetCases(),
-		ExtraTables:  countFile,
+		ExtraTables:  countTables,
 		Judge:        func(_ *fault.Script, a *Account) Outcome { return JudgeCount(a) },
 	}
 }
@@ -91,11 +91,11 @@
 func retriesScenario() Scenario {
 	return Scenario{
 		Name:         "retries",
-		DemoScript:   drawnIn(retriesQuietScript, BudgetDemoScript),
-		RandomScript: drawnIn(retriesQuietScript, RandomScript),
+		DemoScript:   withDrawnFaults(retriesQuietScript, BudgetDemoScript),
+		RandomScript: withDrawnFaults(retriesQuietScript, RandomScript),
 		QuietScript:  retriesQuietScript,
 		Cases:        BudgetCases(),
-		ExtraTables:  retriesFile,
+		ExtraTables:  retriesTables,
 		Judge:        func(_ *fault.Script, a *Account) Outcome { return JudgeRetries(a) },
 	}
 }
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -9,8 +9,8 @@
 	"olivebridge/internal/lab/live"
 )
 
-// settle is how long a script goes on after its last fault, so that what it did can be seen to be over.
-const settle = 13 * time.Second
+// settleTail is how long a script goes on after its last fault, so that what it did can be seen to be over.
+const settleTail = 13 * time.Second
 
 // quietScript is a script without faults, of some nodes that are asked a little.
 func quietScript(seed uint64, nodes int, length time.Duration) *fault.Script {
@@ -37,7 +37,7 @@
 	g := figure.Stream(seed, "drama")
 	whom := g.Perm(nodes)
 	at := func(part float64) figure.Span {
-		return figure.Span(float64(length-settle+5*time.Second) * (part + 0.02*g.Float64()))
+		return figure.Span(float64(length-settleTail+5*time.Second) * (part + 0.02*g.Float64()))
 	}
 	name := func(i int) []string { return []string{s.World.Nodes[whom[i]].Name} }
 	span := func(from, to figure.Span) figure.Span { return to - from }
@@ -53,8 +53,8 @@
 	return s, s.Check()
 }
 
-// ranges are what the faults of seeds are drawn from.
-func ranges() []fault.KindRanges {
+// faultRanges are what the faults of seeds are drawn from.
+func faultRanges() []fault.KindRanges {
 	one := func(name string, weight, lo, hi float64) fault.KindRanges {
 		return fault.KindRanges{Name: name, Weight: weight, Part: fault.Range{Lo: 0.2, Hi: 0.45}, For: fault.Between(lo, hi)}
 	}
@@ -81,8 +81,8 @@
 // RandomScript is the script of a seed: faults of all kinds, several at one time.
 func RandomScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	s := quietScript(seed, nodes, length)
-	tail := figure.Span(settle)
-	s.DrawFaults(ranges(), fault.FaultPlan{Count: fault.Counts{Lo: 2, Hi: 5}, Lead: fault.Between(2, 4),
+	tail := figure.Span(settleTail)
+	s.DrawFaults(faultRanges(), fault.FaultPlan{Count: fault.Counts{Lo: 2, Hi: 5}, Lead: fault.Between(2, 4),
 		Tail: fault.Spans{Lo: tail, Hi: tail}, Overlap: 0.4})
 	// A fault that would last to the end leaves no time to see that it is over, so it is cut short; a restart, which takes
 	// its time, is left out.
--- a/internal/lab/fleet/signals.go
+++ b/internal/lab/fleet/signals.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// signalsEach is how often a peer is asked by all processes together: each process meets each peer once in two seconds
+	// signalRequestsPerPeer is how often a peer is asked by all processes together: each process meets each peer once in two seconds
 	// where there are ten, so that what one learns alone comes late.
-	signalsEach = 5.0
+	signalRequestsPerPeer = 5.0
 	// signalWitnesses is on how many others' word a peer is left alone.
 	signalWitnesses = 2
-	// signalOld is for how long after its end a fault of a peer may be told of.
-	signalOld = 8 * time.Second
-	// signalsFrom is when the first peer may fail.
-	signalsFrom = 8 * time.Second
-	// signalsFault is for how long they fail.
-	signalsFault = 7 * time.Second
+	// signalMaxAge is for how long after its end a fault of a peer may be told of.
+	signalMaxAge = 8 * time.Second
+	// firstSignalFault is when the first peer may fail.
+	firstSignalFault = 8 * time.Second
+	// signalFaultLength is for how long they fail.
+	signalFaultLength = 7 * time.Second
 )
 
 // SignalWitnesses is that number where processes tell each other of peers; else 0.
@@ -41,7 +41,7 @@
 	return func(seed uint64, nodes int, length time.Duration) *fault.Script {
 		s := choicesQuietScript(peers)(seed, nodes, length)
 		for i := range s.World.Clients {
-			s.World.Clients[i].Rate *= signalsEach / choicesEach
+			s.World.Clients[i].Rate *= signalRequestsPerPeer / requestsPerPeer
 		}
 		return s
 	}
@@ -55,14 +55,14 @@
 		}
 		s := signalsQuietScript(peers)(seed, nodes, length)
 		g := figure.Stream(seed, "drama")
-		for i, at := 0, signalsFrom; at+9*time.Second <= length; i, at = i+1, at+17*time.Second {
+		for i, at := 0, firstSignalFault; at+9*time.Second <= length; i, at = i+1, at+17*time.Second {
 			var some []string
 			for _, p := range g.Perm(peers)[:max(peers/10, 1)] {
 				some = append(some, s.World.Peers[p].Name)
 			}
 			kind := []string{"death", "stall"}[i%2]
 			s.Faults = append(s.Faults, fault.Fault{
-				Kind: kind, At: figure.Span(at), For: figure.Span(signalsFault), Peers: some,
+				Kind: kind, At: figure.Span(at), For: figure.Span(signalFaultLength), Peers: some,
 			})
 		}
 		return s, s.Check()
@@ -96,25 +96,25 @@
 
 // Signals is what came of it.
 type Signals struct {
-	Nodes    int         `json:"nodes"`
-	Peers    int         `json:"peers"`
-	Seconds  float64     `json:"seconds"`
-	Dead     Times       `json:"dead_used_s"`   // from a peer's death to the last try to it, over all processes
-	DeadEach float64     `json:"dead_tries"`    // tries to a dead peer, the mean
-	Silent   Times       `json:"silent_used_s"` // the same of peers that fell silent, until the last try had failed
-	Quiet    float64     `json:"silent_tries"`
-	Back     Times       `json:"back_s"`    // from a dead peer's start to its first try
-	WrongOut int         `json:"wrong_out"` // sound peers that a process ejected, and fewer others had failed with them
-	ByChance int         `json:"by_chance"` // sound peers that it ejected since others had failed: a busy machine
-	Probes   float64     `json:"probes_s"`  // that came to all peers
-	Doubts   int         `json:"doubts"`    // times that a process changed whom it leaves alone
-	Broken   []Violation `json:"broken"`
+	Nodes              int         `json:"nodes"`
+	Peers              int         `json:"peers"`
+	Seconds            float64     `json:"seconds"`
+	Dead               Times       `json:"dead_used_s"`   // from a peer's death to the last try to it, over all processes
+	DeadTries          float64     `json:"dead_tries"`    // tries to a dead peer, the mean
+	Silent             Times       `json:"silent_used_s"` // the same of peers that fell silent, until the last try had failed
+	SilentTries        float64     `json:"silent_tries"`
+	Back               Times       `json:"back_s"`    // from a dead peer's start to its first try
+	WrongEjections     int         `json:"wrong_out"` // sound peers that a process ejected, and fewer others had failed with them
+	WitnessedEjections int         `json:"by_chance"` // sound peers that it ejected since others had failed: a busy machine
+	Probes             float64     `json:"probes_s"`  // that came to all peers
+	Doubts             int         `json:"doubts"`    // times that a process changed whom it leaves alone
+	Broken             []Violation `json:"broken"`
 }
 
-// ailing reports whether a peer had something to suffer just before an instant.
-func ailing(s *fault.Script, a *Account, peer string, at time.Duration) bool {
+// hasFault reports whether a peer had something to suffer just before an instant.
+func hasFault(s *fault.Script, a *Account, peer string, at time.Duration) bool {
 	return slices.ContainsFunc(s.Faults, func(f fault.Fault) bool {
-		return slices.Contains(f.Peers, peer) && at >= a.Begin+f.At.D() && at <= a.Begin+f.Ends().D()+signalOld
+		return slices.Contains(f.Peers, peer) && at >= a.Begin+f.At.D() && at <= a.Begin+f.Ends().D()+signalMaxAge
 	})
 }
 
@@ -128,7 +128,7 @@
 func witnesses(failures []peerFailure, node string, at time.Duration) int {
 	others := map[string]bool{}
 	for _, failure := range failures {
-		if failure.node != node && failure.at <= at && failure.at > at-signalOld {
+		if failure.node != node && failure.at <= at && failure.at > at-signalMaxAge {
 			others[failure.node] = true
 		}
 	}
@@ -139,7 +139,7 @@
 func JudgeSignals(s *fault.Script, a *Account) *Signals {
 	base := newAmount(a, "signals", 0)
 	m := &Signals{Nodes: base.Nodes, Peers: len(s.World.Peers), Seconds: base.Seconds, Broken: base.Broken}
-	w := &signalsWalk{
+	w := &signalsJudge{
 		script:   s,
 		account:  a,
 		result:   m,
@@ -157,7 +157,7 @@
 			w.apply(at, line)
 		}
 	}
-	m.used(s, a, w.attempts)
+	m.measureUse(s, a, w.attempts)
 	m.Probes = probeRate(a)
 	return m
 }
@@ -165,8 +165,8 @@
 // ejection is a peer that a node ejected.
 type ejection struct{ node, peer string }
 
-// signalsWalk goes through the records of a run.
-type signalsWalk struct {
+// signalsJudge goes through the records of a run.
+type signalsJudge struct {
 	script   *fault.Script
 	account  *Account
 	result   *Signals
@@ -177,7 +177,7 @@
 	wrong    map[ejection]bool          // that were reported
 }
 
-func (w *signalsWalk) apply(at time.Duration, line record.Line) {
+func (w *signalsJudge) apply(at time.Duration, line record.Line) {
 	switch line.Kind {
 	case "failed":
 		var failure choices.FailureRecord
@@ -202,27 +202,27 @@
 }
 
 // checkEjection finds that a node ejected a peer that was sound.
-func (w *signalsWalk) checkEjection(at time.Duration, node, peer string) {
+func (w *signalsJudge) checkEjection(at time.Duration, node, peer string) {
 	one := ejection{node: node, peer: peer}
-	if ailing(w.script, w.account, peer, at) || w.wrong[one] {
+	if hasFault(w.script, w.account, peer, at) || w.wrong[one] {
 		return
 	}
 	if witnesses(w.failures[peer], node, at) >= signalWitnesses {
-		w.result.ByChance++
+		w.result.WitnessedEjections++
 		return
 	}
 	w.wrong[one] = true
-	w.result.WrongOut++
+	w.result.WrongEjections++
 	w.report("wrong", at, "%s leaves %q alone, which is sound", node, peer)
 }
 
-// used measures for how long peers that had failed were sent to.
-func (m *Signals) used(s *fault.Script, a *Account, failed map[string][]time.Duration) {
+// measureUse measures for how long peers that had failed were sent to.
+func (m *Signals) measureUse(s *fault.Script, a *Account, failed map[string][]time.Duration) {
 	dead, silent := 0, 0
-	came := map[string][]time.Duration{}
+	arrivals := map[string][]time.Duration{}
 	for _, c := range a.Arrivals {
 		if !c.Done {
-			came[c.Peer] = append(came[c.Peer], c.At)
+			arrivals[c.Peer] = append(arrivals[c.Peer], c.At)
 		}
 	}
 	for _, f := range s.Faults {
@@ -230,26 +230,26 @@
 		for _, p := range f.Peers {
 			switch f.Kind {
 			case "death":
-				m.DeadEach += between(failed[p], from, to, &m.Dead)
+				m.DeadTries += countFailures(failed[p], from, to, &m.Dead)
 				dead++
-				if i, _ := slices.BinarySearch(came[p], to); i < len(came[p]) && to < a.End {
-					m.Back.add(came[p][i] - to)
+				if i, _ := slices.BinarySearch(arrivals[p], to); i < len(arrivals[p]) && to < a.End {
+					m.Back.add(arrivals[p][i] - to)
 				}
 			case "stall":
-				m.Quiet += between(failed[p], from, to, &m.Silent)
+				m.SilentTries += countFailures(failed[p], from, to, &m.Silent)
 				silent++
 			}
 		}
 	}
-	m.DeadEach /= float64(max(dead, 1))
-	m.Quiet /= float64(max(silent, 1))
+	m.DeadTries /= float64(max(dead, 1))
+	m.SilentTries /= float64(max(silent, 1))
 	m.Dead.summarize()
 	m.Silent.summarize()
 	m.Back.summarize()
 }
 
-// between counts the instants within a time, and adds how long it took until the last.
-func between(all []time.Duration, from, to time.Duration, last *Times) float64 {
+// countFailures counts the instants within a time, and adds how long it took until the last.
+func countFailures(all []time.Duration, from, to time.Duration, last *Times) float64 {
 	i, _ := slices.BinarySearch(all, from)
 	j, _ := slices.BinarySearch(all, to)
 	if j > i {
@@ -269,11 +269,11 @@
 	fmt.Fprintf(&t, "%d processes in front of %d peers, for %.0f s\n", m.Nodes, m.Peers, m.Seconds)
 	fmt.Fprintf(&t, "a dead peer was tried %.1f times, the last time after %.2f s (median of %d), %.2f s at worst; "+
 		"it was used again %.2f s after its start (median), %.2f s at worst\n",
-		m.DeadEach, m.Dead.Median, m.Dead.Count, m.Dead.Worst, m.Back.Median, m.Back.Worst)
+		m.DeadTries, m.Dead.Median, m.Dead.Count, m.Dead.Worst, m.Back.Median, m.Back.Worst)
 	fmt.Fprintf(&t, "%.1f tries failed with a silent one, the last after %.2f s (median of %d), %.2f s at worst\n",
-		m.Quiet, m.Silent.Median, m.Silent.Count, m.Silent.Worst)
+		m.SilentTries, m.Silent.Median, m.Silent.Count, m.Silent.Worst)
 	fmt.Fprintf(&t, "sound peers left alone on others' word: %d without reason, %d since others had failed with them; "+
-		"doubts changed %d times; %.1f probes a second came to all peers\n", m.WrongOut, m.ByChance, m.Doubts, m.Probes)
+		"doubts changed %d times; %.1f probes a second came to all peers\n", m.WrongEjections, m.WitnessedEjections, m.Doubts, m.Probes)
 	for _, one := range m.Broken {
 		fmt.Fprintf(&t, "  %s\n", one)
 	}
@@ -283,6 +283,6 @@
 // Line is the result in one line.
 func (m *Signals) Line(s *fault.Script) string {
 	return fmt.Sprintf("seed %d: %s; dead %.2f/%.2f s, %.1f tries, silent %.2f/%.2f s, %.1f tries, wrong_out %d; %s",
-		s.Seed, strings.Join(s.Kinds(), " "), m.Dead.Median, m.Dead.Worst, m.DeadEach, m.Silent.Median, m.Silent.Worst,
-		m.Quiet, m.WrongOut, verdict(m.Broken))
+		s.Seed, strings.Join(s.Kinds(), " "), m.Dead.Median, m.Dead.Worst, m.DeadTries, m.Silent.Median, m.Silent.Worst,
+		m.SilentTries, m.WrongEjections, verdict(m.Broken))
 }
--- a/internal/lab/fleet/takeover.go
+++ b/internal/lab/fleet/takeover.go
@@ -60,7 +60,7 @@
 			t.Kills++
 		}
 	}
-	notMet(a, report)
+	checkStepsMet(a, report)
 	runs := runsByKey(a)
 	for _, call := range a.ClientCalls {
 		t.checkOutcome(call, runs[call.Key], report)
--- a/internal/lab/fleet/takeover_clients.go
+++ b/internal/lab/fleet/takeover_clients.go
@@ -72,7 +72,7 @@
 	defer ticker.Stop()
 	var open sync.WaitGroup
 	begin := time.Now()
-	for n := 0; time.Since(begin) < c.script.Length.D()-settle+time.Second; n++ {
+	for n := 0; time.Since(begin) < c.script.Length.D()-settleTail+time.Second; n++ {
 		select {
 		case <-ctx.Done():
 			open.Wait()
--- a/internal/lab/fleet/takeover_script.go
+++ b/internal/lab/fleet/takeover_script.go
@@ -32,7 +32,7 @@
 	}
 	s := takeoverQuietScript(seed, nodes, length)
 	g := figure.Stream(seed, "drama")
-	for at := 5 * time.Second; at+settle <= length; at += 5 * time.Second {
+	for at := 5 * time.Second; at+settleTail <= length; at += 5 * time.Second {
 		down := figure.Span(figure.Seconds(figure.Uniform(g, 0.6, 4)))
 		node := s.World.Nodes[g.IntN(nodes)].Name
 		s.Faults = append(s.Faults, fault.Fault{
