--- a/internal/lab/fleet/budget_test.go
+++ b/internal/lab/fleet/budget_test.go
@@ -47,7 +47,8 @@
 		from, to time.Duration
 		want     float64
 	}{
-		{0, 10 * s, 1010}, {13 * s, 15 * s, 105}, {10 * s, 10*s + oldAmountTime + 2*s, 10 + 100*oldAmountTime.Seconds() + 100},
+		{0, 10 * s, 1010}, {13 * s, 15 * s, 105},
+		{10 * s, 10*s + oldAmountTime + 2*s, 10 + 100*oldAmountTime.Seconds() + 100},
 		{19 * s, 21*s + oldAmountTime + s, 20 + 50 + 200*(1+oldAmountTime.Seconds()) + 100},
 	} {
 		if got := rate(c.from, c.to); math.Abs(got-c.want) > 0.001 {
--- a/internal/lab/fleet/budget_use.go
+++ b/internal/lab/fleet/budget_use.go
@@ -51,18 +51,18 @@
 const (
 	// useWindow is the window over which use is measured.
 	useWindow = 2 * time.Second
-	// useStep is the distance between the begins of two successive windows.
+	// useStep is the distance between the starts of two successive windows.
 	useStep = 100 * time.Millisecond
 	// useWarmUp is the time from the start of the clients to the first window. It covers the election of a leader and its
 	// wait for one lease.
 	useWarmUp = 8 * time.Second
 	// useRecovery is the time after a change from which the whole budget has to be used again.
 	useRecovery = 10 * time.Second
-	// changeBeforeBegin is the time before the run's begin at which a first change is assumed.
+	// changeBeforeBegin is the time before the start of the run at which a first change is assumed.
 	changeBeforeBegin = 5 * time.Second
 
 	// idleWindow is the window over which the share of a dead process is found to be in use again, idleStep the distance
-	// between the begins of two windows, and minIdleUse the fraction of the budget that has to be used in a window.
+	// between the starts of two windows, and minIdleUse the fraction of the budget that has to be used in a window.
 	idleWindow = time.Second
 	idleStep   = 50 * time.Millisecond
 	minIdleUse = 0.9
@@ -88,7 +88,7 @@
 	b.measureFixedShares(a)
 }
 
-// changeTimes returns the times of all events of a run, after one assumed change before its begin.
+// changeTimes returns the times of all events of a run, after one assumed change before its start.
 func changeTimes(a *Account) []time.Duration {
 	changes := []time.Duration{a.Begin - changeBeforeBegin}
 	for _, e := range a.Events {
--- a/internal/lab/fleet/clocks.go
+++ b/internal/lab/fleet/clocks.go
@@ -10,11 +10,11 @@
 	"olivebridge/internal/lab/fault"
 )
 
-// clockSlack is how far a process's wall clock may be from what it is to be: it is read a moment before it is recorded.
+// clockSlack is the tolerance for a process's wall clock, since the clock is read shortly before it is recorded.
 const clockSlack = 5 * time.Second
 
-// checkClocks finds wall clocks that are not as wrong as the rig made them: a program that was not built for mutants
-// has them right.
+// checkClocks reports wall clocks whose error is not the one that the rig set. A program that was not built for mutants
+// always has the correct time.
 func checkClocks(a *Account, report reporter) {
 	for _, l := range a.Lines {
 		var wall int64
@@ -23,13 +23,13 @@
 		}
 		wrong := time.Duration(wall-l.At) - a.WallOffset
 		if due := a.clockError(l); (wrong - due).Abs() > clockSlack {
-			report("rig", time.Duration(l.At), "the wall clock of %s was to be wrong by %v, and is by %v",
+			report("rig", time.Duration(l.At), "the wall clock of %s should be wrong by %v, but is wrong by %v",
 				l.Node, due, wrong.Round(time.Second))
 		}
 	}
 }
 
-// clockError is by how much the wall clock of a line's process is to be wrong.
+// clockError returns the error that the rig set for the wall clock of a line's process.
 func (a *Account) clockError(l record.Line) (by time.Duration) {
 	for _, e := range a.Events {
 		if e.What == eventClockWrong && e.Node == l.Node && e.At <= time.Duration(l.At) {
@@ -39,7 +39,7 @@
 	return by
 }
 
-// checkStepsMet finds steps at which a process was to be met, and was not.
+// checkStepsMet reports steps at which a fault should have met a process but did not.
 func checkStepsMet(a *Account, report reporter) {
 	for _, e := range a.Events {
 		if strings.HasPrefix(e.What, "not met ") {
@@ -48,7 +48,7 @@
 	}
 }
 
-// ForMutants reports whether a script can be played with programs alone that were built for mutants.
+// ForMutants reports whether a script needs programs that were built for mutants.
 func ForMutants(s *fault.Script) bool {
 	return slices.ContainsFunc(s.Faults, func(f fault.Fault) bool {
 		return f.Kind == "fleet-clock" || strings.Contains(f.Kind, "-at-")
--- a/internal/lab/fleet/cold.go
+++ b/internal/lab/fleet/cold.go
@@ -10,33 +10,34 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// The budget for tries to each cold peer that the rig's processes share: as many a second to one at its start, and more
-// as it warms. What each guesses for itself comes to 8 a second here, of 40 that a warm peer gets.
+// The budget on attempts at each cold peer that the rig's processes share: its rate applies to a peer that has just
+// started, and grows as the peer warms up. Without the budget the processes together send 8 attempts per second here,
+// of the 40 that a warm peer gets.
 const (
 	coldRate       = 5.0
-	coldExtraBurst = 2 // units of burst beyond one for each process
+	coldExtraBurst = 2 // burst units in addition to one for each process
 )
 
-// coldBurst is the burst of the budget.
+// coldBurst returns the burst of the budget, in attempts.
 func coldBurst(nodes int) float64 {
 	return float64(nodes + coldExtraBurst)
 }
 
-// coldTables are the tables of the fleet files for it.
+// coldTables returns the tables of the fleet files for the budget on attempts at cold peers.
 func coldTables(s FileValues) string {
 	return ledgerTable(s, 0.04) +
 		fmt.Sprintf("[[budget]]\nname = \"cold\"\nuse = \"cold-peers\"\nrate = %.1f\nburst = %.1f\n",
 			coldRate*s.AmountShare, coldBurst(s.Nodes))
 }
 
-// firstColdDeath is when the first peer may die: a leader has been elected by then, and processes have learnt what warm peers
-// carry.
+// firstColdDeath is the time from the start of the script to the first death of a peer. By then a leader has been elected,
+// and the processes have learnt the capacity of warm peers.
 const firstColdDeath = 10 * time.Second
 
-// coldDowntime is for how long a peer is gone.
+// coldDowntime is the time from a peer's death to its restart.
 const coldDowntime = time.Second
 
-// addDeaths lets peers die and come back cold, one each six seconds.
+// addDeaths adds a death of a peer with a cold restart about every 6 s.
 func addDeaths(s *fault.Script) {
 	g := figure.Stream(s.Seed, "deaths")
 	for at := firstColdDeath; at+coldDowntime+4*time.Second <= s.Length.D(); at += 6 * time.Second {
@@ -48,7 +49,7 @@
 	}
 }
 
-// withDeaths makes scripts of some kind in which peers die, too.
+// withDeaths returns a function that adds deaths of peers to the scripts of another one.
 func withDeaths(make scriptMaker) scriptMaker {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 		s, err := make(seed, nodes, length)
@@ -60,7 +61,8 @@
 	}
 }
 
-// ColdScenario is what all processes send to cold peers. Without the budget each guesses its part.
+// ColdScenario examines the attempts of all processes at cold peers. If shared is false there is no budget, and each
+// process estimates its part.
 func ColdScenario(shared bool) Scenario {
 	more := coldTables
 	if !shared {
@@ -77,31 +79,32 @@
 	}
 }
 
-// Cold is what came of it.
+// Cold is the result of a run that examines cold peers.
 type Cold struct {
 	Nodes   int         `json:"nodes"`
 	Seconds float64     `json:"seconds"`
-	Starts  int         `json:"starts"` // of peers, cold
-	Over    float64     `json:"over"`   // greatest part of what any window allows that came to a cold peer, by cost
-	Use     float64     `json:"use"`    // of what was allowed, the mean from 2 to 8 s after starts
-	Tries   int         `json:"tries"`  // that came to cold peers
-	Falls   int         `json:"falls"`  // of them, pushed over
+	Starts  int         `json:"starts"` // the number of cold starts of peers
+	Over    float64     `json:"over"`   // maximum ratio of the cost of attempts in a window to the allowed cost
+	Use     float64     `json:"use"`    // mean used fraction of the allowed cost, from 2 to 8 s after a start
+	Tries   int         `json:"tries"`  // attempts at cold peers
+	Falls   int         `json:"falls"`  // the number of peers that failed under load
 	Broken  []Violation `json:"broken"`
 }
 
-// coldPeriod is one time for which a peer was cold, from when its start was listed.
+// coldPeriod is the period in which a peer was cold, from when the endpoint list showed its start.
 type coldPeriod struct {
 	peer    string
-	started time.Duration // its start
-	from    time.Duration // that was listed then; 0: it was not
+	started time.Duration // time of the peer's start
+	from    time.Duration // listing of the start, plus listGrace; 0 if it was not listed
 	to      time.Duration
 }
 
-// listGrace is how long a list is on its way to the processes: what one that has not got it sends, it sends to a warm
-// peer.
+// listGrace is the time until a new endpoint list has reached the processes. A process that does not have it yet still
+// treats the peer as warm.
 const listGrace = 300 * time.Millisecond
 
-// coldPeriods are all of a run. A start that is not listed before the peer ends again is none.
+// coldPeriods returns the cold periods of all peers in a run. A start that is not listed before the peer ends again is
+// ignored.
 func coldPeriods(s *fault.Script, a *Account) (all []coldPeriod) {
 	open := map[string]*coldPeriod{}
 	shut := func(peer string, at time.Duration) {
@@ -128,13 +131,13 @@
 	return all
 }
 
-// cost is what a try to the peer costs at an instant.
+// cost returns the cost of an attempt at the peer at an instant: 1 at its start, and less as it warms up.
 func (c coldPeriod) cost(s *fault.Script, at time.Duration) float64 {
 	least := s.World.Contract.ColdShare
 	return least / (least + (1-least)*float64(at-c.started)/float64(s.World.Contract.Cold))
 }
 
-// JudgeCold counts what came to cold peers, and holds it against the budget if that is shared.
+// JudgeCold evaluates the attempts at cold peers, and checks them against the budget if it is shared.
 func JudgeCold(s *fault.Script, a *Account, shared bool) *Cold {
 	base := newAmount(a, "cold", int(coldRate))
 	c := &Cold{Nodes: base.Nodes, Seconds: base.Seconds, Falls: a.Falls, Broken: base.Broken}
@@ -172,7 +175,7 @@
 	coldUseTo   = 8 * time.Second
 )
 
-// arrivals are the attempts that came to the peer while it was cold, and what each costs.
+// arrivals returns the times and the costs of the attempts that arrived at the peer while it was cold.
 func (c coldPeriod) arrivals(s *fault.Script, a *Account) (at []time.Duration, costs []float64) {
 	for _, arrival := range a.Arrivals {
 		toPeer := !arrival.Done && arrival.Peer == c.peer
@@ -184,7 +187,7 @@
 	return at, costs
 }
 
-// costsBetween is what the attempts of a time cost together.
+// costsBetween returns the sum of the costs of the attempts in [from, to).
 func costsBetween(at []time.Duration, costs []float64, from, to time.Duration) (sum float64) {
 	for i := range at {
 		if at[i] >= from && at[i] < to {
@@ -194,7 +197,8 @@
 	return sum
 }
 
-// maxCostRatio is the greatest part of what any window allows.
+// maxCostRatio returns the maximum ratio of the cost of the arrivals in any window to the cost allowed in it, and the
+// end and the length of that window.
 func maxCostRatio(came []time.Duration, costs []float64, burst float64) (most float64, at, wide time.Duration) {
 	for _, w := range windows {
 		from, sum := 0, 0.0
@@ -212,10 +216,10 @@
 	return most, at, wide
 }
 
-// Verdict are the rules that did not hold.
+// Verdict returns the rules that the run broke.
 func (c *Cold) Verdict() []Violation { return c.Broken }
 
-// Text is the result for people.
+// Text returns the result for the command's output.
 func (c *Cold) Text(*Account) string {
 	var t strings.Builder
 	fmt.Fprintf(&t, "%d processes share %.0f tries a second to each cold peer, and a burst of %.0f, for %.0f s, "+
@@ -228,7 +232,7 @@
 	return t.String()
 }
 
-// Line is the result in one line.
+// Line returns the result in one line.
 func (c *Cold) Line(s *fault.Script) string {
 	return fmt.Sprintf("seed %d: %s; %d starts, over %.3f, use %.3f, %d fell; %s",
 		s.Seed, strings.Join(s.Kinds(), " "), c.Starts, c.Over, c.Use, c.Falls, verdict(c.Broken))
--- a/internal/lab/fleet/history.go
+++ b/internal/lab/fleet/history.go
@@ -10,12 +10,12 @@
 	"olivebridge/internal/fleet/budget"
 )
 
-// historyWithin bounds the search for an order in which a history makes sense.
+// historyWithin is the time limit of the search for a valid order of a history.
 const historyWithin = 20 * time.Second
 
-// countHistory holds what all processes asked the ledger for, and got, against a model of one ledger: there must be an
-// order, in which each ask falls between its beginning and its answer, that gives each what it got. An ask of which no
-// answer came may have been taken, or not.
+// countHistory checks the requests of all processes to the ledger, and the answers, against a model of a single ledger.
+// The history is valid if there is an order in which each request takes effect between its begin and its answer, and
+// the model gives the same answers. A request without an answer may or may not have taken effect.
 func countHistory(a *Account) porcupine.CheckResult {
 	var ops []porcupine.Operation
 	for _, l := range a.Lines {
--- a/internal/lab/fleet/result.go
+++ b/internal/lab/fleet/result.go
@@ -9,24 +9,25 @@
 	"olivebridge/internal/lab/fault"
 )
 
-// MaxNodes is the most processes of a run.
+// MaxNodes is the maximum number of processes in a run.
 const MaxNodes = maxSlots / slotsPerNode
 
-// Result is a run with what the judge made of it.
+// Result is a run with the outcome that the judge determined.
 type Result struct {
 	Script  *fault.Script
 	Account *Account
 	Outcome Outcome
 }
 
-// Outcome is what a judge made of a run.
+// Outcome is a judge's evaluation of a run.
 type Outcome interface {
 	Verdict() []Violation
-	Text(a *Account) string      // for people
+	Text(a *Account) string      // for the command's output
 	Line(s *fault.Script) string // the same in one line
 }
 
-// Keep writes what a run left to a folder: script, records, logs and page.
+// Keep stores a run in the folder to, which it replaces: script, records, logs and page. The folder from contains the
+// files that the processes wrote.
 func (r *Result) Keep(to, from string) error {
 	if err := os.RemoveAll(to); err != nil {
 		return err
@@ -51,7 +52,8 @@
 	return nil
 }
 
-// copyFiles copies a folder, and passes over what is no plain file: sockets, and what stood in a process's way.
+// copyFiles copies a folder. It skips entries that are not regular files: sockets, and the obstacles of faults such as
+// fleet-full.
 func copyFiles(to, from string) error {
 	return filepath.WalkDir(from, func(path string, e os.DirEntry, err error) error {
 		if err != nil {
--- a/internal/lab/fleet/rounds.go
+++ b/internal/lab/fleet/rounds.go
@@ -12,40 +12,40 @@
 )
 
 const (
-	// roundStart is when the operators begin their round.
+	// roundStart is the time from the start of the script until the operators start their round.
 	roundStart = 4 * time.Second
-	// roundHold is for how long each server is held out.
+	// roundHold is the time for which each server is kept out of service.
 	roundHold = 300 * time.Millisecond
 	// roundName is the round's name.
 	roundName = "kernel"
-	// suspendedPeer is the index of the peer that the operators suspend themselves before.
+	// suspendedPeer is the index of the peer that the operators suspend before the round.
 	suspendedPeer = 5
-	// operatorInterval is how often operators ask how the round stands.
+	// operatorInterval is the interval at which operators ask for the round's status.
 	operatorInterval = 500 * time.Millisecond
-	// operatorTimeout is how long an answer may take: a second is owed.
+	// operatorTimeout is the time limit of an operator's call. The documented limit is 1 s.
 	operatorTimeout = 1500 * time.Millisecond
-	// inFlightMargin is how long after its node's death a call may still come to a peer that the rig plays.
+	// inFlightMargin is the time after a node's death in which a call that it had sent may still arrive at a peer.
 	inFlightMargin = 250 * time.Millisecond
 )
 
-// Rounds is what came of operators' calls.
+// Rounds is the result of a run with commands of operators.
 type Rounds struct {
 	Nodes      int         `json:"nodes"`
 	Seconds    float64     `json:"seconds"`
 	Steps      int         `json:"steps"`
-	Drivers    int         `json:"drivers"` // processes that took steps
-	Took       float64     `json:"took_s"`  // from the round's beginning to its last step; 0: it was not done
-	Checked    int         `json:"quiet"`   // times that a server was out at all nodes, which was looked at
-	Skipped    int         `json:"skipped"` // of them, those in which some process was cut off or stood still
-	LateCalls  int         `json:"late"`    // tries that came to a server all the same
-	OpenCalls  int         `json:"held"`    // calls that it had in hand when it counted as empty
-	Calls      int         `json:"calls"`   // of operators
-	Unanswered int         `json:"silent"`  // of them, those that nobody answered
-	Undecided  int         `json:"unsure"`  // and those that were to be said again
+	Drivers    int         `json:"drivers"` // the number of processes that took steps
+	Took       float64     `json:"took_s"`  // time from the first step to the last one; 0 if there was no step
+	Checked    int         `json:"quiet"`   // the number of times that a server was out of service at all nodes
+	Skipped    int         `json:"skipped"` // of those, the ones not judged since a process was cut off or stopped
+	LateCalls  int         `json:"late"`    // attempts that arrived at a server out of service
+	OpenCalls  int         `json:"held"`    // calls in flight at a server that counted as drained
+	Calls      int         `json:"calls"`   // the number of operators' calls
+	Unanswered int         `json:"silent"`  // of those, the ones without an answer
+	Undecided  int         `json:"unsure"`  // of those, the ones answered with a request to repeat them
 	Broken     []Violation `json:"broken"`
 }
 
-// JudgeRounds holds a run against what operators may count on.
+// JudgeRounds checks a run against the guarantees that operators have.
 func JudgeRounds(s *fault.Script, a *Account) *Rounds {
 	base := newAmount(a, "rounds", 0)
 	m := &Rounds{Nodes: base.Nodes, Seconds: base.Seconds, Broken: base.Broken}
@@ -55,7 +55,7 @@
 	return m
 }
 
-// checkSteps looks at the steps that were taken, and at what came to servers while they were out of use.
+// checkSteps checks the steps of the round, and the calls at servers that are out of service.
 func (m *Rounds) checkSteps(s *fault.Script, a *Account, report reporter) {
 	taken := map[operations.StepRecord]time.Duration{}
 	drivers := map[string]bool{}
@@ -68,7 +68,7 @@
 		}
 		at := time.Duration(line.At)
 		if _, twice := taken[step]; twice {
-			report("once", at, "%s takes step %s of server %s a second time", line.Node, step.From, step.Server)
+			report("once", at, "%s takes step %s of server %s for the second time", line.Node, step.From, step.Server)
 		}
 		taken[step] = at
 		drivers[fmt.Sprint(line.Node, line.PID)] = true
@@ -80,7 +80,7 @@
 		switch step.From {
 		case operations.Pending:
 			if suspended != "" && step.Server != s.World.Peers[suspendedPeer].Name {
-				report("one", at, "%s leaves while %s is out", step.Server, suspended)
+				report("one", at, "%s is taken out of service while %s is out of service", step.Server, suspended)
 			}
 			suspended = step.Server
 		case operations.Drained:
@@ -94,7 +94,7 @@
 	}
 }
 
-// checkAllDrained looks at each server from when it counted as drained until it was restored.
+// checkAllDrained checks each server from the time at which it counted as drained until it was restored.
 func (m *Rounds) checkAllDrained(a *Account, taken map[operations.StepRecord]time.Duration, report reporter) {
 	for step, at := range taken {
 		if step.From != operations.Draining {
@@ -109,8 +109,8 @@
 	}
 }
 
-// checkDrained finds calls that were open at a server, or came to it, between two instants in which all nodes had said
-// that they have none there.
+// checkDrained reports calls that were in flight at a server, or arrived there, between two instants in which all nodes
+// had reported that they have none there.
 func (m *Rounds) checkDrained(a *Account, server string, from, to time.Duration, report reporter) {
 	m.Checked++
 	if wasDisturbed(a, from, to) {
@@ -119,19 +119,20 @@
 	}
 	if open := openCallsAt(a, server, from); open > 0 {
 		m.OpenCalls += open
-		report("busy", from, "%s counts as empty, and has %d calls in hand", server, open)
+		report("busy", from, "%s counts as drained, but has %d calls in flight", server, open)
 	}
 	for _, arrival := range a.Arrivals {
 		if arrival.Peer == server && !arrival.Done && arrival.At > from && arrival.At < to {
 			m.LateCalls++
-			report("out", arrival.At, "a try comes to %s, which was out at all nodes for %.3fs",
+			report("out", arrival.At, "an attempt arrives at %s, which has been out of service at all nodes for %.3fs",
 				server, (arrival.At - from).Seconds())
 		}
 	}
 }
 
-// openCallsAt is how many calls a server had open at an instant. Of those whose node may have died meanwhile no end is
-// seen: they are not counted.
+// openCallsAt returns the number of calls in flight at a server at an instant. The end of a call is not observed if its
+// node has died since, so a call is not counted if it arrived before the death of any node, or less than inFlightMargin
+// after it.
 func openCallsAt(a *Account, server string, at time.Duration) (count int) {
 	open := map[string]time.Duration{}
 	for _, arrival := range a.Arrivals {
@@ -155,8 +156,8 @@
 	return count
 }
 
-// wasDisturbed reports whether some process was cut off or stopped just before the end of a time: it was given up, and
-// may live.
+// wasDisturbed reports whether some process was cut off or stopped, or had a stranger under its name, shortly before or
+// during a time. The others may have declared it dead although it runs.
 func wasDisturbed(a *Account, from, to time.Duration) bool {
 	now := newTruth(a.Names)
 	isAway := func(name string) bool { return now.nodes[name].stopped || now.nodes[name].hasStranger }
@@ -172,7 +173,7 @@
 	return !now.isIntact()
 }
 
-// checkAnswers looks at what operators were answered.
+// checkAnswers checks the answers to operators.
 func (m *Rounds) checkAnswers(s *fault.Script, a *Account, report reporter) {
 	begun := 0
 	for _, call := range a.OperatorCalls {
@@ -187,44 +188,45 @@
 		}
 	}
 	if begun > 1 {
-		report("once", a.End, "%d rounds were begun under one name", begun)
+		report("once", a.End, "%d rounds were started under one name", begun)
 	}
 	last := a.OperatorCalls[max(len(a.OperatorCalls)-len(s.World.Nodes), 0):]
 	m.checkLastAnswers(s, a, last, report)
 }
 
-// beganRound reports whether a call has begun a round that there was not.
+// beganRound reports whether a call started a round that did not exist before.
 func (c OperatorCall) beganRound() bool {
 	return strings.HasPrefix(c.Line, "FLEET ROUND") && strings.HasPrefix(c.Answer, answerSuccess) &&
 		!strings.Contains(c.Answer, "before")
 }
 
-// checkLastAnswers holds how the round stood at the end, as each node said, against how it has to.
+// checkLastAnswers checks the status of the round that each node reported at the end.
 func (m *Rounds) checkLastAnswers(s *fault.Script, a *Account, last []OperatorCall, report reporter) {
 	header := fmt.Sprintf("round %q, begun at ", roundName)
 	suspended := s.World.Peers[suspendedPeer].Name
 	answered := 0
 	for _, call := range last {
 		if call.Answer == "" {
-			continue // a process that ends or is dead
+			continue // the process is ending or dead
 		}
 		answered++
 		if _, rest, found := strings.Cut(call.Answer, header); !found || !strings.Contains(rest, "done, ") {
-			report("done", call.At, "at the end %s says: %.200s", call.Node, call.Answer)
+			report("done", call.At, "the last status at %s does not show a finished round: %.200s", call.Node, call.Answer)
 		}
 		if !strings.Contains(call.Answer, "out by the fleet's word: ["+suspended+"]") {
-			report("word", call.At, "%s does not have %s out alone: %.200s", call.Node, suspended, call.Answer)
+			report("word", call.At, "the status at %s does not show %s as the only suspended server: %.200s",
+				call.Node, suspended, call.Answer)
 		}
 	}
 	if answered == 0 {
-		report("done", a.End, "nobody says how it stands")
+		report("done", a.End, "no node answered with a status at the end")
 	}
 }
 
-// Verdict are the rules that did not hold.
+// Verdict returns the rules that the run broke.
 func (m *Rounds) Verdict() []Violation { return m.Broken }
 
-// Text is the result for people.
+// Text returns the result for the command's output.
 func (m *Rounds) Text(*Account) string {
 	var t strings.Builder
 	fmt.Fprintf(&t, "%d processes, %.0f s: a round of %d steps took %.2f s, taken by %d processes\n",
@@ -239,7 +241,7 @@
 	return t.String()
 }
 
-// Line is the result in one line.
+// Line returns the result in one line.
 func (m *Rounds) Line(s *fault.Script) string {
 	return fmt.Sprintf("seed %d: %s; %d steps by %d, %.1f s, out %d (%d not judged), late %d; %s",
 		s.Seed, strings.Join(s.Kinds(), " "), m.Steps, m.Drivers, m.Took, m.Checked, m.Skipped, m.LateCalls,
--- a/internal/lab/fleet/rounds_script.go
+++ b/internal/lab/fleet/rounds_script.go
@@ -14,14 +14,14 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// roundsQuietScript is a script without faults of six peers, with calls that take longer than it takes all nodes to
-// hear of a step.
+// roundsQuietScript returns a script without faults with six peers, and with calls that take longer than the
+// distribution of a step to all nodes.
 func roundsQuietScript(seed uint64, nodes int, length time.Duration) *fault.Script {
 	s := budgetQuietScript(seed, nodes, length)
 	for i := range s.World.Clients {
 		s.World.Clients[i].Rate /= 4
 	}
-	class := &s.World.Classes[0] // that clients call
+	class := &s.World.Classes[0] // the class that clients call
 	class.Work *= 30
 	class.Spread = 0.2
 	class.Aim *= 20
@@ -29,10 +29,11 @@
 	return s
 }
 
-// roundsDemoScript kills one process after the other, the voters among them, while the round goes on.
+// roundsDemoScript returns the script that demonstrates a round: one process after the other is killed during the
+// round, voters included.
 func roundsDemoScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	if nodes < 4 || length < 25*time.Second {
-		return nil, fmt.Errorf("%d nodes and %v: at least 4 and 25s are wanted", nodes, length)
+		return nil, fmt.Errorf("%d nodes and a length of %v: at least 4 nodes and 25s are required", nodes, length)
 	}
 	s := roundsQuietScript(seed, nodes, length)
 	g := figure.Stream(seed, "drama")
@@ -46,7 +47,7 @@
 	return s, s.Check()
 }
 
-// RoundsScenario is operators' calls for the whole fleet.
+// RoundsScenario examines operators' commands that apply to the whole fleet.
 func RoundsScenario() Scenario {
 	return Scenario{
 		Name:         "rounds",
@@ -60,13 +61,13 @@
 	}
 }
 
-// The words of operators' calls, and how the answer to one begins that was carried out.
+// The operators' status command, and the prefix of the answer to a command that succeeded.
 const (
 	callStatus    = "FLEET STATUS"
 	answerSuccess = "SUCCESS"
 )
 
-// operators call nodes that are drawn, one after the other.
+// operators send commands to randomly drawn nodes, one after the other.
 type operators struct {
 	script    *fault.Script
 	addresses func(node string) string
@@ -75,8 +76,8 @@
 	calls     []OperatorCall
 }
 
-// playOperators suspends one server, begins a round through all, and asks any node how it stands until the script is
-// over.
+// playOperators suspends one server, starts a round through all servers, and asks randomly drawn nodes for the status
+// until the script is over. At the end it asks each node once.
 func playOperators(ctx context.Context, addresses func(node string) string, s *fault.Script) []OperatorCall {
 	o := &operators{
 		script:    s,
@@ -88,7 +89,7 @@
 	o.callUntilDone(ctx, "FLEET SUSPEND "+s.World.Peers[suspendedPeer].Name)
 	beginRound := fmt.Sprintf("FLEET ROUND %s %s ALL", roundName, roundHold)
 	o.callUntilDone(ctx, beginRound)
-	o.callUntilDone(ctx, beginRound) // which begins no second
+	o.callUntilDone(ctx, beginRound) // must not start a second round
 	for time.Since(o.begin) < s.Length.D()-2*operatorTimeout && ctx.Err() == nil {
 		o.callAny(ctx, callStatus)
 		time.Sleep(operatorInterval)
@@ -99,14 +100,14 @@
 	return o.calls
 }
 
-// callUntilDone makes a call again and again until it was carried out or the script is over.
+// callUntilDone repeats a command until it succeeds or the script is over.
 func (o *operators) callUntilDone(ctx context.Context, line string) {
 	for !o.callAny(ctx, line) && ctx.Err() == nil && time.Since(o.begin) < o.script.Length.D() {
 		time.Sleep(operatorInterval)
 	}
 }
 
-// callAny calls a node that is drawn, and reports whether the call was carried out.
+// callAny sends a command to a randomly drawn node, and reports whether it succeeded.
 func (o *operators) callAny(ctx context.Context, line string) bool {
 	nodes := o.script.World.Nodes
 	answer := o.call(ctx, nodes[o.random.IntN(len(nodes))].Name, line)
@@ -119,7 +120,7 @@
 	return answer
 }
 
-// callOperator sends one line to an admin listener, and returns the answer; "": there was none.
+// callOperator sends one line to an admin listener and returns the answer. It returns "" if there is none.
 func callOperator(ctx context.Context, address, line string) string {
 	dialer := net.Dialer{Timeout: operatorTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
--- a/internal/lab/fleet/signals.go
+++ b/internal/lab/fleet/signals.go
@@ -15,20 +15,22 @@
 )
 
 const (
-	// signalRequestsPerPeer is how often a peer is asked by all processes together: each process meets each peer once in two seconds
-	// where there are ten, so that what one learns alone comes late.
+	// signalRequestsPerPeer is the rate at which all processes together send to a peer, in requests per second. Each of
+	// ten processes then sends to a peer once in 2 s, so that a process alone detects a fault late.
 	signalRequestsPerPeer = 5.0
-	// signalWitnesses is on how many others' word a peer is left alone.
+	// signalWitnesses is the number of other nodes that have to report failures of a peer before a node ejects it.
 	signalWitnesses = 2
-	// signalMaxAge is for how long after its end a fault of a peer may be told of.
+	// signalMaxAge is the time after the end of a peer's fault in which nodes may still report failures of it. A node
+	// counts as a witness of an ejection if it had a failure within this time.
 	signalMaxAge = 8 * time.Second
-	// firstSignalFault is when the first peer may fail.
+	// firstSignalFault is the time from the start of the script to the first fault of a peer.
 	firstSignalFault = 8 * time.Second
-	// signalFaultLength is for how long they fail.
+	// signalFaultLength is the duration of a fault.
 	signalFaultLength = 7 * time.Second
 )
 
-// SignalWitnesses is that number where processes tell each other of peers; else 0.
+// SignalWitnesses returns the number of witnesses that an ejection needs, or 0 if processes do not share their
+// observations of peers.
 func SignalWitnesses(tell bool) int {
 	if tell {
 		return signalWitnesses
@@ -36,7 +38,7 @@
 	return 0
 }
 
-// signalsQuietScript is choicesQuietScript with few calls.
+// signalsQuietScript returns choicesQuietScript with fewer calls.
 func signalsQuietScript(peers int) quietScriptMaker {
 	return func(seed uint64, nodes int, length time.Duration) *fault.Script {
 		s := choicesQuietScript(peers)(seed, nodes, length)
@@ -47,11 +49,11 @@
 	}
 }
 
-// signalsDemoScript lets peers die and fall silent, one in ten at a time.
+// signalsDemoScript returns the script that demonstrates signals: one in ten peers at a time dies or stops answering.
 func signalsDemoScript(peers int) scriptMaker {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 		if length < 25*time.Second {
-			return nil, fmt.Errorf("%v: at least 25s are wanted", length)
+			return nil, fmt.Errorf("a length of %v: at least 25s are required", length)
 		}
 		s := signalsQuietScript(peers)(seed, nodes, length)
 		g := figure.Stream(seed, "drama")
@@ -69,7 +71,7 @@
 	}
 }
 
-// SignalsScenario is what processes tell each other of so many peers; 0 witnesses: they tell nothing.
+// SignalsScenario examines the signals that processes send each other about peers. With 0 witnesses they send none.
 func SignalsScenario(peers, witnesses int) Scenario {
 	more := func(FileValues) string { return "" }
 	if witnesses > 0 {
@@ -94,37 +96,37 @@
 	}
 }
 
-// Signals is what came of it.
+// Signals is the result of a run that examines signals.
 type Signals struct {
 	Nodes              int         `json:"nodes"`
 	Peers              int         `json:"peers"`
 	Seconds            float64     `json:"seconds"`
-	Dead               Times       `json:"dead_used_s"`   // from a peer's death to the last try to it, over all processes
-	DeadTries          float64     `json:"dead_tries"`    // tries to a dead peer, the mean
-	Silent             Times       `json:"silent_used_s"` // the same of peers that fell silent, until the last try had failed
+	DeadUse            Times       `json:"dead_used_s"`   // time from a peer's death to the last attempt by any process
+	DeadTries          float64     `json:"dead_tries"`    // mean number of failed attempts at a dead peer
+	SilentUse          Times       `json:"silent_used_s"` // the same for a silent peer, until the last attempt failed
 	SilentTries        float64     `json:"silent_tries"`
-	Back               Times       `json:"back_s"`    // from a dead peer's start to its first try
-	WrongEjections     int         `json:"wrong_out"` // sound peers that a process ejected, and fewer others had failed with them
-	WitnessedEjections int         `json:"by_chance"` // sound peers that it ejected since others had failed: a busy machine
-	Probes             float64     `json:"probes_s"`  // that came to all peers
-	Doubts             int         `json:"doubts"`    // times that a process changed whom it leaves alone
+	ReuseTime          Times       `json:"back_s"`    // time from a dead peer's restart to the first attempt there
+	WrongEjections     int         `json:"wrong_out"` // ejections of healthy peers without enough witnesses
+	WitnessedEjections int         `json:"by_chance"` // the same with enough witnesses, due to a busy machine
+	Probes             float64     `json:"probes_s"`  // health checks per second at all peers
+	Doubts             int         `json:"doubts"`    // the number of changes of a process's set of ejected peers
 	Broken             []Violation `json:"broken"`
 }
 
-// hasFault reports whether a peer had something to suffer just before an instant.
+// hasFault reports whether a peer had a fault at an instant or at most signalMaxAge before it.
 func hasFault(s *fault.Script, a *Account, peer string, at time.Duration) bool {
 	return slices.ContainsFunc(s.Faults, func(f fault.Fault) bool {
 		return slices.Contains(f.Peers, peer) && at >= a.Begin+f.At.D() && at <= a.Begin+f.Ends().D()+signalMaxAge
 	})
 }
 
-// peerFailure is an attempt or a health check of a node that failed.
+// peerFailure is a failed attempt or health check of a node at a peer.
 type peerFailure struct {
 	node string
 	at   time.Duration
 }
 
-// witnesses is how many other nodes had failed with a peer not long before an instant.
+// witnesses returns the number of other nodes that had a failure at a peer within signalMaxAge before an instant.
 func witnesses(failures []peerFailure, node string, at time.Duration) int {
 	others := map[string]bool{}
 	for _, failure := range failures {
@@ -135,7 +137,7 @@
 	return len(others)
 }
 
-// JudgeSignals looks at which peers the processes went on sending to, and which they ejected.
+// JudgeSignals checks which peers the processes ejected, and measures how long they continued to send to failed peers.
 func JudgeSignals(s *fault.Script, a *Account) *Signals {
 	base := newAmount(a, "signals", 0)
 	m := &Signals{Nodes: base.Nodes, Peers: len(s.World.Peers), Seconds: base.Seconds, Broken: base.Broken}
@@ -146,7 +148,7 @@
 		names:    map[uint64]string{},
 		attempts: map[string][]time.Duration{},
 		failures: map[string][]peerFailure{},
-		wrong:    map[ejection]bool{},
+		reported: map[ejection]bool{},
 		report:   newReporter(&m.Broken, a.Begin),
 	}
 	for _, p := range s.World.Peers {
@@ -162,19 +164,19 @@
 	return m
 }
 
-// ejection is a peer that a node ejected.
+// ejection identifies a node and a peer that it ejected.
 type ejection struct{ node, peer string }
 
-// signalsJudge goes through the records of a run.
+// signalsJudge processes the records of a run.
 type signalsJudge struct {
 	script   *fault.Script
 	account  *Account
 	result   *Signals
 	report   reporter
-	names    map[uint64]string          // of peers, by ID
-	attempts map[string][]time.Duration // that failed, by peer
-	failures map[string][]peerFailure   // the same with health checks
-	wrong    map[ejection]bool          // that were reported
+	names    map[uint64]string          // names of peers, by ID
+	attempts map[string][]time.Duration // times of the failed attempts, by peer
+	failures map[string][]peerFailure   // failed attempts and health checks, by peer
+	reported map[ejection]bool          // ejections that were reported
 }
 
 func (w *signalsJudge) apply(at time.Duration, line record.Line) {
@@ -201,22 +203,22 @@
 	}
 }
 
-// checkEjection finds that a node ejected a peer that was sound.
+// checkEjection reports the ejection of a healthy peer.
 func (w *signalsJudge) checkEjection(at time.Duration, node, peer string) {
 	one := ejection{node: node, peer: peer}
-	if hasFault(w.script, w.account, peer, at) || w.wrong[one] {
+	if hasFault(w.script, w.account, peer, at) || w.reported[one] {
 		return
 	}
 	if witnesses(w.failures[peer], node, at) >= signalWitnesses {
 		w.result.WitnessedEjections++
 		return
 	}
-	w.wrong[one] = true
+	w.reported[one] = true
 	w.result.WrongEjections++
-	w.report("wrong", at, "%s leaves %q alone, which is sound", node, peer)
+	w.report("wrong", at, "%s ejects %q, which is healthy", node, peer)
 }
 
-// measureUse measures for how long peers that had failed were sent to.
+// measureUse measures how long processes continued to send to peers that had failed.
 func (m *Signals) measureUse(s *fault.Script, a *Account, failed map[string][]time.Duration) {
 	dead, silent := 0, 0
 	arrivals := map[string][]time.Duration{}
@@ -230,25 +232,25 @@
 		for _, p := range f.Peers {
 			switch f.Kind {
 			case "death":
-				m.DeadTries += countFailures(failed[p], from, to, &m.Dead)
+				m.DeadTries += countFailures(failed[p], from, to, &m.DeadUse)
 				dead++
 				if i, _ := slices.BinarySearch(arrivals[p], to); i < len(arrivals[p]) && to < a.End {
-					m.Back.add(arrivals[p][i] - to)
+					m.ReuseTime.add(arrivals[p][i] - to)
 				}
 			case "stall":
-				m.SilentTries += countFailures(failed[p], from, to, &m.Silent)
+				m.SilentTries += countFailures(failed[p], from, to, &m.SilentUse)
 				silent++
 			}
 		}
 	}
 	m.DeadTries /= float64(max(dead, 1))
 	m.SilentTries /= float64(max(silent, 1))
-	m.Dead.summarize()
-	m.Silent.summarize()
-	m.Back.summarize()
+	m.DeadUse.summarize()
+	m.SilentUse.summarize()
+	m.ReuseTime.summarize()
 }
 
-// countFailures counts the instants within a time, and adds how long it took until the last.
+// countFailures returns the number of times within [from, to), and adds the duration until the last of them to last.
 func countFailures(all []time.Duration, from, to time.Duration, last *Times) float64 {
 	i, _ := slices.BinarySearch(all, from)
 	j, _ := slices.BinarySearch(all, to)
@@ -260,29 +262,31 @@
 	return float64(j - i)
 }
 
-// Verdict are the rules that did not hold.
+// Verdict returns the rules that the run broke.
 func (m *Signals) Verdict() []Violation { return m.Broken }
 
-// Text is the result for people.
+// Text returns the result for the command's output.
 func (m *Signals) Text(*Account) string {
 	var t strings.Builder
 	fmt.Fprintf(&t, "%d processes in front of %d peers, for %.0f s\n", m.Nodes, m.Peers, m.Seconds)
 	fmt.Fprintf(&t, "a dead peer was tried %.1f times, the last time after %.2f s (median of %d), %.2f s at worst; "+
 		"it was used again %.2f s after its start (median), %.2f s at worst\n",
-		m.DeadTries, m.Dead.Median, m.Dead.Count, m.Dead.Worst, m.Back.Median, m.Back.Worst)
+		m.DeadTries, m.DeadUse.Median, m.DeadUse.Count, m.DeadUse.Worst, m.ReuseTime.Median, m.ReuseTime.Worst)
 	fmt.Fprintf(&t, "%.1f tries failed with a silent one, the last after %.2f s (median of %d), %.2f s at worst\n",
-		m.SilentTries, m.Silent.Median, m.Silent.Count, m.Silent.Worst)
+		m.SilentTries, m.SilentUse.Median, m.SilentUse.Count, m.SilentUse.Worst)
 	fmt.Fprintf(&t, "sound peers left alone on others' word: %d without reason, %d since others had failed with them; "+
-		"doubts changed %d times; %.1f probes a second came to all peers\n", m.WrongEjections, m.WitnessedEjections, m.Doubts, m.Probes)
+		"doubts changed %d times; %.1f probes a second came to all peers\n",
+		m.WrongEjections, m.WitnessedEjections, m.Doubts, m.Probes)
 	for _, one := range m.Broken {
 		fmt.Fprintf(&t, "  %s\n", one)
 	}
 	return t.String()
 }
 
-// Line is the result in one line.
+// Line returns the result in one line.
 func (m *Signals) Line(s *fault.Script) string {
 	return fmt.Sprintf("seed %d: %s; dead %.2f/%.2f s, %.1f tries, silent %.2f/%.2f s, %.1f tries, wrong_out %d; %s",
-		s.Seed, strings.Join(s.Kinds(), " "), m.Dead.Median, m.Dead.Worst, m.DeadTries, m.Silent.Median, m.Silent.Worst,
+		s.Seed, strings.Join(s.Kinds(), " "), m.DeadUse.Median, m.DeadUse.Worst, m.DeadTries,
+		m.SilentUse.Median, m.SilentUse.Worst,
 		m.SilentTries, m.WrongEjections, verdict(m.Broken))
 }
--- a/internal/lab/fleet/takeover.go
+++ b/internal/lab/fleet/takeover.go
@@ -9,35 +9,35 @@
 	"olivebridge/internal/lab/fault"
 )
 
-// The calls of this scenario's clients: of a class that is not idempotent, each under a key.
+// The calls of this scenario's clients. Their class is not idempotent, and each call has its own key.
 const (
-	clientCallRate  = 100.0            // a second
-	clientCallClass = "order"          // of live.Sample
-	clientCallTime  = 12 * time.Second // for which a client retries: beyond detection, an election and the sweep
-	attemptTimeout  = 2 * time.Second  // of one attempt
-	attemptPause    = 40 * time.Millisecond
+	clientCallRate  = 100.0            // calls per second
+	clientCallClass = "order"          // a class of live.Sample
+	clientCallTime  = 12 * time.Second // limit of all attempts: exceeds failure detection, an election and a sweep
+	attemptTimeout  = 2 * time.Second  // time limit of one attempt
+	retryPause      = 40 * time.Millisecond
 	callRetention   = "10m"
 )
 
-// Takeover is what came of calls that were stored.
+// Takeover is the result of a run with stored calls.
 type Takeover struct {
 	Nodes         int         `json:"nodes"`
 	Seconds       float64     `json:"seconds"`
-	Calls         int         `json:"taken"` // pieces of work that clients asked for
+	Calls         int         `json:"taken"` // the number of calls by clients
 	Answered      int         `json:"answered"`
 	Unknown       int         `json:"unknown"`
-	Lost          int         `json:"lost"`       // clients kept asking, and got nothing by their time
-	Twice         int         `json:"twice"`      // keys whose effect ran more than once
-	NotSent       int         `json:"not_out"`    // of Unknown, those of which nothing had come to any peer
-	TakenOver     int         `json:"taken_over"` // answered only after the first node was lost, or had refused
-	TakeoverTime  Times       `json:"takeover_s"` // of those, from the beginning to the outcome
-	FirstAttempts Times       `json:"first_s"`    // how long a first question took that brought the outcome
+	Lost          int         `json:"lost"`       // calls without a final answer within clientCallTime
+	RunTwice      int         `json:"twice"`      // calls that may have run more than once
+	NotSent       int         `json:"not_out"`    // of Unknown, the calls of which no attempt arrived at a peer
+	TakenOver     int         `json:"taken_over"` // calls answered after a first attempt that failed or was rejected
+	TakeoverTime  Times       `json:"takeover_s"` // duration of those calls
+	FirstAttempts Times       `json:"first_s"`    // duration of calls whose first attempt returned the outcome
 	Kills         int         `json:"kills"`
 	Broken        []Violation `json:"broken"`
 }
 
-// JudgeTakeover counts what ran, by what came to peers, and what clients got. Rules are held against the run only if
-// strict: the nodes store calls, and clients retry.
+// JudgeTakeover compares the attempts that ran at peers with the answers that clients received. It applies the rules of
+// this scenario only if strict is set, that is, if the nodes store calls and clients retry.
 func JudgeTakeover(a *Account, strict bool) *Takeover {
 	t := &Takeover{
 		Nodes:   len(a.Names),
@@ -69,25 +69,25 @@
 	t.TakeoverTime.summarize()
 	t.FirstAttempts.summarize()
 	if t.Calls == 0 {
-		t.Broken = append(t.Broken, Violation{Rule: "use", At: a.End - a.Begin, What: "nobody asked for work"})
+		t.Broken = append(t.Broken, Violation{Rule: "use", At: a.End - a.Begin, What: "no client made a call"})
 	}
 	return t
 }
 
-// checkOutcome holds what a client got against what ran.
+// checkOutcome checks the answer to a client against the attempts that may have run.
 func (t *Takeover) checkOutcome(call ClientCall, ran keyRuns, report reporter) {
 	switch call.Status {
 	case http.StatusOK:
 		t.Answered++
 		if !strings.Contains(call.Body, "call="+call.Key+".") {
-			report("outcome", call.Ended, "%s got the outcome of other work: %.60q", call.Key, call.Body)
+			report("outcome", call.Ended, "%s got the outcome of another call: %.60q", call.Key, call.Body)
 		}
 		if ran.count == 0 {
-			report("outcome", call.Ended, "%s got an outcome, and nothing of it came to any peer", call.Key)
+			report("outcome", call.Ended, "%s got an outcome, but none of its attempts arrived at a peer", call.Key)
 		}
 	case 0:
 		t.Lost++
-		report("lost", call.Ended, "%s got nothing in %.1fs, asked %d times, and heard last: %s",
+		report("lost", call.Ended, "%s got no final answer within %.1fs and %d attempts; last answers: %s",
 			call.Key, (call.Ended - call.Began).Seconds(), call.Attempts, call.LastAnswers)
 	default:
 		t.Unknown++
@@ -96,12 +96,12 @@
 		}
 	}
 	if ran.count > 1 {
-		t.Twice++
-		report("twice", ran.last, "%s came to peers %d times that may all have run", call.Key, ran.count)
+		t.RunTwice++
+		report("twice", ran.last, "%s had %d attempts at peers that may all have run", call.Key, ran.count)
 	}
 }
 
-// measure measures how long a client waited for its outcome.
+// measure measures the time that a client waited for its outcome.
 func (t *Takeover) measure(call ClientCall) {
 	if call.Status != http.StatusOK {
 		return
@@ -115,13 +115,14 @@
 	}
 }
 
-// keyRuns is how often the call of a key may have run.
+// keyRuns is the number of attempts under one key that may have run.
 type keyRuns struct {
 	count int
-	last  time.Duration // when it came to a peer last
+	last  time.Duration // time of the last arrival at a peer
 }
 
-// runsByKey counts the attempts of each key that came complete to peers, but for those that peers say they did not run.
+// runsByKey returns, for each key, the number of attempts that arrived complete at peers, without those that peers
+// reported as not run.
 func runsByKey(a *Account) map[string]keyRuns {
 	runs := map[string]keyRuns{}
 	for _, arrival := range a.Arrivals {
@@ -137,16 +138,16 @@
 	return runs
 }
 
-// keyOf is the key of one attempt's ID.
+// keyOf returns the key of a call, given the ID of one of its attempts.
 func keyOf(call string) string {
 	key, _, _ := strings.Cut(call, ".")
 	return key
 }
 
-// Verdict are the rules that did not hold.
+// Verdict returns the rules that the run broke.
 func (t *Takeover) Verdict() []Violation { return t.Broken }
 
-// Text is the result for people.
+// Text returns the result for the command's output.
 func (t *Takeover) Text(*Account) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d processes, %d kills, %.0f s: "+
@@ -154,7 +155,7 @@
 		t.Nodes, t.Kills, t.Seconds, t.Calls, t.Answered, t.Unknown, t.Lost)
 	fmt.Fprintf(&b, "ran twice %d; of the unknown nothing had come to a peer of %d; "+
 		"%d had their outcome at a later question, after %.2f s (median), %.2f s at worst\n",
-		t.Twice, t.NotSent, t.TakenOver, t.TakeoverTime.Median, t.TakeoverTime.Worst)
+		t.RunTwice, t.NotSent, t.TakenOver, t.TakeoverTime.Median, t.TakeoverTime.Worst)
 	fmt.Fprintf(&b, "a first question took %.1f ms (median), %.1f ms at worst\n",
 		1000*t.FirstAttempts.Median, 1000*t.FirstAttempts.Worst)
 	for _, one := range t.Broken {
@@ -163,9 +164,9 @@
 	return b.String()
 }
 
-// Line is the result in one line.
+// Line returns the result in one line.
 func (t *Takeover) Line(s *fault.Script) string {
 	return fmt.Sprintf("seed %d: %s; taken %d, answered %d, unknown %d (%d not out), lost %d, twice %d, later %d; %s",
-		s.Seed, strings.Join(s.Kinds(), " "), t.Calls, t.Answered, t.Unknown, t.NotSent, t.Lost, t.Twice, t.TakenOver,
+		s.Seed, strings.Join(s.Kinds(), " "), t.Calls, t.Answered, t.Unknown, t.NotSent, t.Lost, t.RunTwice, t.TakenOver,
 		verdict(t.Broken))
 }
--- a/internal/lab/fleet/takeover_clients.go
+++ b/internal/lab/fleet/takeover_clients.go
@@ -19,47 +19,48 @@
 )
 
 const (
-	// idleConnections bounds the idle connections of all clients to each node.
+	// idleConnections is the maximum number of idle connections of all clients to a node.
 	idleConnections = 64
-	// idleTimeout is for how long they are kept.
+	// idleTimeout is the time after which an idle connection is closed.
 	idleTimeout = time.Second
-	// maxAnswer bounds the body of an answer that is read.
+	// maxAnswer is the maximum number of bytes that are read of a response body.
 	maxAnswer = 1 << 20
-	// lastAnswersLength is about how much of ClientCall.LastAnswers is kept.
+	// lastAnswersLength is the approximate maximum length of the earlier text in ClientCall.LastAnswers, in bytes.
 	lastAnswersLength = 60
 
 	headerState = "Work-State"
-	// stateUnknown is the state of a call that may have run, and whose outcome nobody knows.
+	// stateUnknown is the value of the header for a call that may have run, but whose outcome is unknown.
 	stateUnknown = "unknown"
 )
 
-// ClientCall is one call, as its client saw it.
+// ClientCall is one call with the result that its client observed.
 type ClientCall struct {
 	Key          string
-	Began        time.Duration // by the monotonic clock
+	Began        time.Duration // monotonic time
 	Ended        time.Duration
 	Attempts     int
-	Status       int    // of the final answer; 0: there was none in time
-	State        string // Work-State of that
+	Status       int    // status code of the final answer; 0 if there was none in time
+	State        string // its Work-State header
 	Body         string
-	LastAnswers  string        // what the last attempts were answered, for people
-	FirstAttempt time.Duration // how long the first attempt took, if that brought the outcome; else 0
+	LastAnswers  string        // the answers to the last attempts, for the output
+	FirstAttempt time.Duration // duration of the first attempt if it returned the outcome, else 0
 }
 
-// clientLoad is clients that make calls at a steady rate, and retry.
+// clientLoad generates calls at a constant rate and retries them.
 type clientLoad struct {
-	nodes  map[string]string // addresses, by name
+	nodes  map[string]string // addresses of the nodes, by name
 	retry  bool
 	script *fault.Script
 
 	client *http.Client
-	names  []string // of nodes, sorted
+	names  []string // names of the nodes, sorted
 
 	mu    sync.Mutex
 	calls []ClientCall
 }
 
-// run begins calls as long as a client that begins still has its time, and returns when all have ended.
+// run starts calls as long as a new one can use its full clientCallTime before the script ends, and returns when all
+// have ended.
 func (c *clientLoad) run(ctx context.Context) []ClientCall {
 	c.names = slices.Sorted(maps.Keys(c.nodes))
 	c.client = &http.Client{
@@ -92,7 +93,8 @@
 	return c.calls
 }
 
-// call makes a call to one node after the other, in an order, until its outcome is known or its time is up.
+// call sends attempts to the nodes in the given order, round robin, until the outcome is known or clientCallTime has
+// passed.
 func (c *clientLoad) call(ctx context.Context, key string, order []int) ClientCall {
 	call := ClientCall{Key: key, Began: record.Now()}
 	call.Ended = call.Began
@@ -110,7 +112,7 @@
 			return call
 		}
 		select {
-		case <-time.After(max(got.retryAfter, attemptPause)):
+		case <-time.After(max(got.retryAfter, retryPause)):
 		case <-ctx.Done():
 		}
 		call.Ended = record.Now()
@@ -118,7 +120,7 @@
 	return call
 }
 
-// noteAnswer notes an answer for people.
+// noteAnswer updates LastAnswers with the result of an attempt. An error replaces the earlier text.
 func (c *ClientCall) noteAnswer(node string, got answer, err error) {
 	if err != nil {
 		c.LastAnswers = fmt.Sprintf("%s: %.40v", node, err)
@@ -128,7 +130,7 @@
 	c.LastAnswers = fmt.Sprintf("%s from %s: %d %s", earlier, node, got.status, got.state)
 }
 
-// finish notes the final answer.
+// finish stores the final answer.
 func (c *ClientCall) finish(got answer) {
 	c.Status = got.status
 	c.State = got.state
@@ -138,21 +140,21 @@
 	}
 }
 
-// answer is what came of one attempt.
+// answer is the response to one attempt.
 type answer struct {
 	status     int
-	state      string // Work-State; "": none
+	state      string // Work-State header; "" if absent
 	body       string
-	retryAfter time.Duration // 0: none
+	retryAfter time.Duration // 0 if absent
 }
 
-// isFinal reports whether a client does not retry after an answer.
+// isFinal reports whether a client accepts an answer and does not retry.
 func (a answer) isFinal() bool {
 	return a.status == http.StatusOK || a.status == http.StatusBadGateway && a.state == stateUnknown
 }
 
-// sendAttempt sends one attempt to a node. Each has an ID of its own, by which the node tells attempts apart; the
-// call's is the key.
+// sendAttempt sends one attempt to a node. Each attempt has its own ID, by which the node distinguishes attempts; the
+// key identifies the call.
 func (c *clientLoad) sendAttempt(ctx context.Context, address, key string, attempt int) (answer, error) {
 	request, err := newAttempt(ctx, address, key, attempt)
 	if err != nil {
@@ -173,7 +175,7 @@
 
 func newAttempt(ctx context.Context, address, key string, attempt int) (*http.Request, error) {
 	text := "pay " + key
-	body := io.NopCloser(strings.NewReader(text)) // which net/http cannot read again: it sends the request once
+	body := io.NopCloser(strings.NewReader(text)) // net/http cannot rewind this reader, so it never resends the request
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/api?user="+key, body)
 	if err != nil {
 		return nil, err
--- a/internal/lab/fleet/takeover_script.go
+++ b/internal/lab/fleet/takeover_script.go
@@ -9,26 +9,27 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// takeoverQuietScript is a script without faults whose own clients ask for little.
+// takeoverQuietScript returns a script without faults in which the simulated clients generate little load.
 func takeoverQuietScript(seed uint64, nodes int, length time.Duration) *fault.Script {
 	s := quietScript(seed, nodes, length)
 	for i := range s.World.Tenants {
 		s.World.Tenants[i].Quota = 0
 	}
-	for i := range s.World.Peers { // which are no bottleneck
+	for i := range s.World.Peers { // enough capacity for all calls
 		s.World.Peers[i].Cores = 8
 		s.World.Peers[i].Slots = 8
 	}
-	for i := range s.World.Clients { // the calls of the scenario's own clients are those that are looked at
+	for i := range s.World.Clients { // only the calls of the scenario's own clients are judged
 		s.World.Clients[i].Mix = map[string]float64{"status": 1}
 	}
 	return s
 }
 
-// takeoverDemoScript is the script that shows it: one process after the other is killed, and starts again.
+// takeoverDemoScript returns the script that demonstrates a takeover: one process after the other is killed and started
+// again.
 func takeoverDemoScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	if nodes < 3 || length < 20*time.Second {
-		return nil, fmt.Errorf("%d nodes and %v: at least 3 and 20s are wanted", nodes, length)
+		return nil, fmt.Errorf("%d nodes and a length of %v: at least 3 nodes and 20s are required", nodes, length)
 	}
 	s := takeoverQuietScript(seed, nodes, length)
 	g := figure.Stream(seed, "drama")
@@ -42,7 +43,8 @@
 	return s, s.Check()
 }
 
-// takeoverRandomScript is the script of a seed: faults of all kinds, of processes and of the network between them.
+// takeoverRandomScript returns a script, drawn by the seed, with faults of all kinds of the processes and of the
+// network between them.
 func takeoverRandomScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	drawn, err := RandomScript(seed, nodes, length)
 	if err != nil {
@@ -53,8 +55,8 @@
 	return s, s.Check()
 }
 
-// TakeoverScenario is whether a call survives its node, and runs once. Without store the nodes store no calls; without
-// retry clients do not call again.
+// TakeoverScenario examines whether a call survives the death of its node and runs only once. If store is false, the
+// nodes store no calls; if retry is false, clients do not retry.
 func TakeoverScenario(store, retry bool) Scenario {
 	return Scenario{
 		Name:         "takeover",
--- a/internal/lab/fleet/truth.go
+++ b/internal/lab/fleet/truth.go
@@ -1,34 +1,34 @@
 package fleet
 
-// statedLoss is the share of messages that may be lost without a false death. Beyond it false deaths are counted, and
-// the views have to agree again when it is over.
+// statedLoss is the documented fraction of lost messages up to which a healthy process is never declared dead. Beyond
+// it false deaths are only counted, and the views have to agree again after the loss has ended.
 const statedLoss = 0.1
 
-// truth is how things are with the nodes at one time, as the rig knows from what it did.
+// truth is the actual state of the nodes and of the network at one time. The rig knows it, as it caused it.
 type truth struct {
 	names       []string
 	nodes       map[string]*nodeState
 	cuts        map[nodePair]int           // in force
 	impairments int                        // in force
-	heavyLosses int                        // of them, those that lose more than statedLoss
-	reachable   map[string]map[string]bool // results of reachableFrom since the last event
+	heavyLosses int                        // of those, the ones that lose more than statedLoss
+	reachable   map[string]map[string]bool // cached results of reachableFrom, cleared at each event
 }
 
 // nodePair is an ordered pair of nodes.
 type nodePair struct{ from, to string }
 
-// reversed is the way back.
+// reversed returns the pair of the opposite direction.
 func (p nodePair) reversed() nodePair {
 	return nodePair{from: p.to, to: p.from}
 }
 
-// nodeState is how things are with one node.
+// nodeState is the actual state of one node.
 type nodeState struct {
-	running     bool // a process runs that may take part
-	serving     bool // and has said that it serves
-	leaving     bool // it was told to end
+	running     bool // a process runs under the node's name
+	serving     bool // the process has reported that it serves
+	leaving     bool // the process was sent SIGTERM
 	stopped     bool
-	hasStranger bool // a stranger uses its name
+	hasStranger bool // another process uses the node's name
 }
 
 func newTruth(names []string) *truth {
@@ -39,7 +39,7 @@
 	return t
 }
 
-// apply applies an event.
+// apply updates the state by an event.
 func (t *truth) apply(e Event) {
 	t.reachable = map[string]map[string]bool{}
 	switch {
@@ -52,7 +52,7 @@
 	}
 }
 
-// change is by how much an event changes the number of cuts or impairments in force.
+// change returns the difference that an event makes to the number of active cuts or impairments.
 func (e Event) change() int {
 	if e.Ended {
 		return -1
@@ -98,13 +98,13 @@
 	}
 }
 
-// isOpen reports whether messages go from one node to another.
+// isOpen reports whether messages from one node to another are forwarded.
 func (t *truth) isOpen(from, to string) bool {
 	return t.cuts[nodePair{from, to}] == 0
 }
 
-// isSymmetric reports whether one can say what the nodes ought to believe: nothing is lost by chance, and nothing is
-// cut one way only.
+// isSymmetric reports whether the correct views are known: no message is lost by chance, and each cut applies to both
+// directions.
 func (t *truth) isSymmetric() bool {
 	if t.impairments > 0 {
 		return false
@@ -117,7 +117,7 @@
 	return true
 }
 
-// isIntact reports whether nothing at all is cut or impaired.
+// isIntact reports whether there is no cut and no impairment.
 func (t *truth) isIntact() bool {
 	if t.impairments > 0 {
 		return false
@@ -130,7 +130,8 @@
 	return true
 }
 
-// reachableFrom is the nodes that a node can reach, over others if need be, itself included.
+// reachableFrom returns the set of nodes that a node can reach, directly or through other nodes. It contains the node
+// itself.
 func (t *truth) reachableFrom(name string) map[string]bool {
 	if reached := t.reachable[name]; reached != nil {
 		return reached
@@ -158,17 +159,17 @@
 	return n.running && !n.stopped
 }
 
-// isCertain reports whether one can say whether the node is there: it is not just about to end.
+// isCertain reports whether the correct view of the node is known: during a leave it is not.
 func (n *nodeState) isCertain() bool {
 	return !n.leaving
 }
 
-// canBelieve reports whether the node's process can believe anything now.
+// canBelieve reports whether the node's process can update its view.
 func (n *nodeState) canBelieve() bool {
 	return n.running && n.serving && !n.stopped && !n.leaving
 }
 
-// timeline goes through the events of a run in the order of time.
+// timeline applies the events of a run in the order of time.
 type timeline struct {
 	*truth
 	events []Event
--- a/internal/lab/fleet/violations.go
+++ b/internal/lab/fleet/violations.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// maxViolations bounds the violations that a result lists.
+// maxViolations is the maximum number of violations in a result.
 const maxViolations = 20
 
-// Violation says that a run broke a rule.
+// Violation is a broken rule of a run.
 type Violation struct {
 	Rule string        `json:"rule"`
-	At   time.Duration `json:"at"` // since the script's beginning
+	At   time.Duration `json:"at"` // time since the start of the script
 	What string        `json:"what"`
 }
 
-// String is the violation for people.
+// String returns the violation as one line of output.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s at %.2fs: %s", v.Rule, v.At.Seconds(), v.What)
 }
 
-// reporter notes that a rule was broken at an instant of the monotonic clock.
+// reporter records that a rule was broken at a monotonic time.
 type reporter func(rule string, at time.Duration, format string, args ...any)
 
-// newReporter returns a reporter that appends to a result's violations, as long as there are not too many.
+// newReporter returns a reporter that appends to violations until there are maxViolations.
 func newReporter(violations *[]Violation, begin time.Duration) reporter {
 	return func(rule string, at time.Duration, format string, args ...any) {
 		if len(*violations) < maxViolations {
@@ -33,7 +33,7 @@
 	}
 }
 
-// reportRun notes what the run itself found: violations of clients and peers, and why it broke off.
+// reportRun reports what the run itself found: broken rules of clients and peers, and the error that ended it early.
 func reportRun(a *Account, report reporter) {
 	for _, broken := range a.Broken {
 		report("world", a.Begin, "%s", broken)
@@ -43,7 +43,7 @@
 	}
 }
 
-// verdict is what some violations come to, in a few words.
+// verdict summarizes violations in one line: "held", or the first violation.
 func verdict(violations []Violation) string {
 	if len(violations) == 0 {
 		return "held"
