--- a/internal/lab/fleet/budget.go
+++ b/internal/lab/fleet/budget.go
@@ -104,13 +104,14 @@
 	var t strings.Builder
 	fmt.Fprintf(&t, "%d processes share %.0f a second and a burst of %.0f, under %.1f times as much demand, "+
 		"for %.0f s; %d terms of leaders\n", b.Nodes, budgetRate, budgetBurst, demandFactor, b.Seconds, b.LeaderTerms)
-	fmt.Fprintf(&t, "to peers came at most %.3f of what any window allows; "+
-		"parts usable at one time add up to %.4f at most\n", b.Over, b.ShareSum)
-	fmt.Fprintf(&t, "used at least %.3f in calm, %.3f from 10 s after a change; "+
-		"with a fixed part for each name %.3f while one is dead; by the number told at the start %.3f to %.3f\n",
+	fmt.Fprintf(&t, "at most %.3f of the calls allowed in any window arrived at peers; "+
+		"the shares usable at one time add up to at most %.4f\n", b.Over, b.ShareSum)
+	fmt.Fprintf(&t, "used at least %.3f without a change, %.3f from 10 s after a change; "+
+		"with a fixed share per node %.3f while one is dead; divided by the configured number of nodes %.3f to %.3f\n",
 		b.Use, b.UseAfter, b.FixedShareUse, b.StaticCountUse, b.StaticCountOver)
-	fmt.Fprintf(&t, "a dead process's part is in use again after %.2f s; a newcomer has a part after %.2f s; "+
-		"parts are within %.3f of their demand's 5 s after a change\n", b.IdleAfterDeath, b.NewcomerWait, b.ShareError)
+	fmt.Fprintf(&t, "a dead process's share is in use again after %.2f s; a new process has a share after %.2f s; "+
+		"shares differ from those of the demand by at most %.3f, 5 s after a change\n",
+		b.IdleAfterDeath, b.NewcomerWait, b.ShareError)
 	for _, one := range b.Broken {
 		fmt.Fprintf(&t, "  %s\n", one)
 	}
--- a/internal/lab/fleet/budget_script.go
+++ b/internal/lab/fleet/budget_script.go
@@ -53,7 +53,7 @@
 // selects the process and the times.
 func BudgetDemoScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	if nodes < 2 || length < 20*time.Second {
-		return nil, fmt.Errorf("%d nodes and a length of %v: at least 2 nodes and 20s are required", nodes, length)
+		return nil, fmt.Errorf("%d nodes and %v: at least 2 and 20s are wanted", nodes, length)
 	}
 	s := budgetQuietScript(seed, nodes, length)
 	g := figure.Stream(seed, "drama")
--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -10,7 +10,7 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// Case is a hard case: a script that is written down, but for what its seed draws.
+// Case is a hard case: a fixed script, apart from the parameters that its seed determines.
 type Case struct {
 	Name        string
 	Description string
@@ -19,7 +19,7 @@
 	faults      func(c *caseMaker)
 }
 
-// caseMaker puts the faults of a case together.
+// caseMaker assembles the faults of a case.
 type caseMaker struct {
 	s     *fault.Script
 	names []string
@@ -32,7 +32,7 @@
 	return &c.s.Faults[len(c.s.Faults)-1]
 }
 
-// MemberCases are those of membership.
+// MemberCases returns the cases of the members scenario.
 func MemberCases() []Case {
 	return []Case{
 		{"splits", "five nodes split two to three and healed, ten times", 5, 180 * time.Second, func(c *caseMaker) {
@@ -40,41 +40,43 @@
 				c.add("fleet-split", 4+16*float64(i), 6, c.names[i%5], c.names[(i+2)%5])
 			}
 		}},
-		{"one-way", "one is not heard by the others, then one hears nothing, then both",
+		{"one-way", "one process cannot send to the others, then one cannot receive, then both at once",
 			5, 75 * time.Second, func(c *caseMaker) {
 				c.add("fleet-mute", 4, 8, c.names[1])
 				c.add("fleet-deaf", 24, 8, c.names[2])
 				c.add("fleet-mute", 44, 8, c.names[3])
 				c.add("fleet-deaf", 46, 8, c.names[4])
 			}},
-		{"loss-10", "a tenth of all messages get lost for a minute", 5, 80 * time.Second, func(c *caseMaker) {
+		{"loss-10", "one in ten messages is lost for a minute", 5, 80 * time.Second, func(c *caseMaker) {
 			c.add("fleet-lossy", 4, 60, c.names...).Share = 0.1
 		}},
-		{"loss-30", "three in ten get lost for a minute", 5, 80 * time.Second, func(c *caseMaker) {
+		{"loss-30", "three in ten messages are lost for a minute", 5, 80 * time.Second, func(c *caseMaker) {
 			c.add("fleet-lossy", 4, 60, c.names...).Share = 0.3
 		}},
-		{"stops", "processes stand still for 1, 3 and 30 s", 5, 80 * time.Second, func(c *caseMaker) {
+		{"stops", "processes are stopped for 1, 3 and 30 s", 5, 80 * time.Second, func(c *caseMaker) {
 			c.add("fleet-stop", 5, 0.95, c.names[1])
 			c.add("fleet-stop", 12, 3, c.names[2])
 			c.add("fleet-stop", 30, 30, c.names[3])
 		}},
-		{"half", "half of twenty are killed at once, and back at once", 20, 45 * time.Second, func(c *caseMaker) {
-			c.add("node-kill", 5, 4, c.names[10:]...)
-			c.add("node-kill", 22, 9, c.names[:10]...)
-		}},
-		{"all", "all are killed at once, and start together", 5, 40 * time.Second, func(c *caseMaker) {
+		{"half", "half of twenty processes are killed at once, and started again at once",
+			20, 45 * time.Second, func(c *caseMaker) {
+				c.add("node-kill", 5, 4, c.names[10:]...)
+				c.add("node-kill", 22, 9, c.names[:10]...)
+			}},
+		{"all", "all processes are killed at once and start together", 5, 40 * time.Second, func(c *caseMaker) {
 			c.add("node-kill", 6, 2, c.names...)
 		}},
-		{"joined-dead", "two start while all addresses that they join are dead", 5, 50 * time.Second, func(c *caseMaker) {
-			c.add("node-kill", 12, 24, c.names[:3]...)
-			c.add("node-kill", 18, 2, c.names[3:]...)
-		}},
-		{"moves", "one after the other is back at another address", 5, 70 * time.Second, func(c *caseMaker) {
+		{"joined-dead", "two processes start while all their join addresses are dead",
+			5, 50 * time.Second, func(c *caseMaker) {
+				c.add("node-kill", 12, 24, c.names[:3]...)
+				c.add("node-kill", 18, 2, c.names[3:]...)
+			}},
+		{"moves", "one process after the other returns at another address", 5, 70 * time.Second, func(c *caseMaker) {
 			for i, n := range c.names {
 				c.add("fleet-move", 4+10*float64(i), 1, n)
 			}
 		}},
-		{"upgrades", "one after the other is upgraded, five times", 5, 70 * time.Second, func(c *caseMaker) {
+		{"upgrades", "one process after the other is upgraded, five times", 5, 70 * time.Second, func(c *caseMaker) {
 			for i := range 25 {
 				c.add("fleet-upgrade", 4+2*float64(i), 0, c.names[i%5])
 			}
@@ -85,17 +87,18 @@
 			}
 			c.add("node-restart", 40, 30, c.names[3:]...)
 		}},
-		{"apart", "eight of ten are cut apart from each other, two reach all; one of those is killed, then one of the eight",
+		{"apart", "eight of ten cannot reach each other, two reach all; one of the two is killed, then one of the eight",
 			10, 60 * time.Second,
 			func(c *caseMaker) {
 				c.add("fleet-apart", 6, 30, c.names[:8]...)
 				c.add("node-kill", 10, 10, c.names[8])
 				c.add("node-kill", 22, 10, c.names[2])
 			}},
-		{"clock", "one after the other has a wall clock that is an hour ahead", 5, 60 * time.Second, func(c *caseMaker) {
-			c.add("fleet-clock", 6, 12, c.names[0])
-			c.add("fleet-clock", 24, 12, c.names[3])
-		}},
+		{"clock", "one process after the other has a wall clock that is an hour ahead",
+			5, 60 * time.Second, func(c *caseMaker) {
+				c.add("fleet-clock", 6, 12, c.names[0])
+				c.add("fleet-clock", 24, 12, c.names[3])
+			}},
 		{"most-killed", "forty-seven of fifty are killed at once, and start one after the other",
 			50, 75 * time.Second, func(c *caseMaker) {
 				for i, n := range c.names[3:] {
@@ -105,10 +108,10 @@
 	}
 }
 
-// BudgetCases are those of budgets.
+// BudgetCases returns the cases of the budget scenarios.
 func BudgetCases() []Case {
 	return []Case{
-		{"lease-end", "holders stand still until just about the end of their lease, 25 times",
+		{"lease-end", "holders are stopped until about the end of their lease, 25 times",
 			3, 110 * time.Second, func(c *caseMaker) {
 				g := figure.Stream(c.seed, "lease-end")
 				for i := range 25 {
@@ -130,24 +133,24 @@
 			}
 			c.add("node-kill", 40, 30, c.names[3:]...)
 		}},
-		{"cut-off", "one is cut off from the book, but not from peers; then one way, and the other",
+		{"cut-off", "one process is cut off from the ledger, but not from peers; then in one direction, then in the other",
 			5, 70 * time.Second, func(c *caseMaker) {
 				c.add("fleet-split", 10, 8, c.names[4])
 				c.add("fleet-mute", 26, 8, c.names[4])
 				c.add("fleet-deaf", 42, 8, c.names[4])
 			}},
 		{"clock",
-			"a voter, and one that is none, have wall clocks that are an hour ahead, while the other voters die in turn",
+			"a voter and a node that is no voter have wall clocks an hour ahead, while the other voters die in turn",
 			5, 70 * time.Second,
 			func(c *caseMaker) {
 				c.add("fleet-clock", 6, 56, c.names[0])
 				c.add("fleet-clock", 8, 50, c.names[3])
-				for i := range 8 { // so that the wrong one keeps the book for a while
+				for i := range 8 { // makes the voter with the wrong clock the leader for a while
 					c.add("node-kill", 20+4.5*float64(i), 1.5, c.names[1+i%2])
 				}
 			}},
 		votersCase(),
-		{"upgrades", "one after the other is upgraded, four times", 5, 60 * time.Second, func(c *caseMaker) {
+		{"upgrades", "one process after the other is upgraded, four times", 5, 60 * time.Second, func(c *caseMaker) {
 			for i := range 20 {
 				c.add("fleet-upgrade", 6+2*float64(i), 0, c.names[i%5])
 			}
@@ -155,9 +158,9 @@
 	}
 }
 
-// votersCase replaces one voter that is lost for good, and then loses another of the first three, and replaces that.
+// votersCase replaces a voter that does not come back, then a second one, and then one that is healthy.
 func votersCase() Case {
-	return Case{"new-keepers", "a voter is lost for good and replaced, then the next, then one goes that is well",
+	return Case{"new-keepers", "a voter is lost for good and replaced, then the next one, then a healthy one is replaced",
 		6, 100 * time.Second,
 		func(c *caseMaker) {
 			n := c.names
@@ -170,7 +173,7 @@
 		}}
 }
 
-// upgradesCase upgrades one process after the other, and ends some as planned, with work open.
+// upgradesCase upgrades one process after the other, and then ends some as planned, all with calls in flight.
 func upgradesCase() Case {
 	return Case{"upgrades",
 		"one process after the other is upgraded, three times; then each ends as planned and starts again",
@@ -185,10 +188,10 @@
 		}}
 }
 
-// stepsCase meets processes at each step of a kept call, and kills them, has them stand still for longer than it takes
-// to be given up, and cuts them off.
+// stepsCase kills processes, stops them for longer than it takes to be declared dead, and cuts them off, each at every
+// step of a stored call.
 func stepsCase() Case {
-	return Case{"steps", "one process after the other is killed, stopped or cut off just as a kept call is at a step",
+	return Case{"steps", "one process after the other is killed, stopped or cut off at a step of a stored call",
 		5, 115 * time.Second,
 		func(c *caseMaker) {
 			i := 0
@@ -201,11 +204,10 @@
 		}}
 }
 
-// restartsCase has processes die and be back at once, while peers are slow and go on with what the dead had asked of
-// them.
+// restartsCase kills processes that are started again at once, while slow peers continue the calls of the killed ones.
 func restartsCase() Case {
 	return Case{"restarts",
-		"one after the other is killed and back at once, while slow peers go on with what it had asked",
+		"one after the other is killed and started again at once, while slow peers continue its calls",
 		5, 60 * time.Second,
 		func(c *caseMaker) {
 			var peers []string
@@ -216,14 +218,15 @@
 			f := c.add("slow", 5, 50)
 			f.Peers, f.Factor = peers, 8
 			for i := range 10 {
-				c.add("node-kill", 10+4.2*float64(i), 0.2, c.names[3+i%2]) // which keep no book, or nothing would be lent
+				c.add("node-kill", 10+4.2*float64(i), 0.2, c.names[3+i%2]) // no voter: leases need a leader
 			}
 		}}
 }
 
-// amountsCase changes the amounts of budgets, which only the judge of rates knows of.
+// amountsCase changes the amounts of budgets. Only the judge of rates takes that into account.
 func amountsCase() Case {
-	return Case{"amounts", "the fleet files say less, more and less again, also as a voter dies or one stands still",
+	return Case{"amounts",
+		"the fleet files set less, more and less again, also while a voter is dead or a process is stopped",
 		5, 80 * time.Second,
 		func(c *caseMaker) {
 			c.add("fleet-amounts", 10, 10).Share = 0.3
@@ -236,7 +239,7 @@
 		}}
 }
 
-// CaseNamed finds one of some cases.
+// CaseNamed returns the case of a name, or an error that lists the names.
 func CaseNamed(all []Case, name string) (Case, error) {
 	i := slices.IndexFunc(all, func(c Case) bool { return c.Name == name })
 	if i >= 0 {
@@ -249,7 +252,7 @@
 	return Case{}, fmt.Errorf("no case %q; there are %v", name, names)
 }
 
-// Script makes the script of a case, in a world that its subject makes.
+// Script returns the case's script, with the world that the given function creates.
 func (c Case) Script(seed uint64, world func(uint64, int, time.Duration) *fault.Script) (*fault.Script, error) {
 	m := &caseMaker{s: world(seed, c.Nodes, c.Length), seed: seed}
 	for _, n := range m.s.World.Nodes {
--- a/internal/lab/fleet/choices.go
+++ b/internal/lab/fleet/choices.go
@@ -215,11 +215,11 @@
 		return
 	}
 	if c.Busiest > max(maxSettledRatio, c.Chance.Busiest*maxSettledRatio) {
-		report("busiest", calm.busiest.at, "%.3f of the mean came to %s in %v, %.3f by chance alone",
+		report("busiest", calm.busiest.at, "%.3f of the mean arrived at %s in %v, %.3f with a random choice",
 			c.Busiest, calm.busiest.peer, settledWindow, c.Chance.Busiest)
 	}
 	if c.Idlest < min(minSettledRatio, c.Chance.Idlest*minSettledRatio) {
-		report("idlest", calm.idlest.at, "%.3f of the mean came to %s in %v, %.3f by chance alone",
+		report("idlest", calm.idlest.at, "%.3f of the mean arrived at %s in %v, %.3f with a random choice",
 			c.Idlest, calm.idlest.peer, settledWindow, c.Chance.Idlest)
 	}
 }
@@ -227,7 +227,7 @@
 // peerLoad is the load of a peer in one window.
 type peerLoad struct {
 	peer  string
-	at    time.Duration // begin of the window
+	at    time.Duration // start of the window
 	ratio float64       // of its weighted load to the mean
 }
 
@@ -397,10 +397,10 @@
 func (c *Choices) Text(*Account) string {
 	var t strings.Builder
 	fmt.Fprintf(&t, "%d processes chose among %d peers, for %.0f s: %d tries\n", c.Nodes, c.Peers, c.Seconds, c.Tries)
-	fmt.Fprintf(&t, "settled, in %v: to the busiest peer came %.3f of the mean, "+
-		"to the idlest %.3f (by chance alone %.3f and %.3f)\n",
+	fmt.Fprintf(&t, "in settled windows of %v the busiest peer received %.3f of the mean, "+
+		"the idlest %.3f (with a random choice %.3f and %.3f)\n",
 		settledWindow, c.Busiest, c.Idlest, c.Chance.Busiest, c.Chance.Idlest)
-	fmt.Fprintf(&t, "in any %v: %.3f and %.3f (%.3f and %.3f); starved %d\n",
+	fmt.Fprintf(&t, "in all windows of %v: %.3f and %.3f (%.3f and %.3f); starved %d\n",
 		anyWindow, c.BusiestAny, c.IdlestAny, c.ChanceAny.Busiest, c.ChanceAny.Idlest, len(c.Starved))
 	fmt.Fprintf(&t, "%.1f probes a second came to all peers; a process uses %.1f%% of a core\n", c.Probes, 100*c.CPU)
 	for _, one := range c.Broken {
--- a/internal/lab/fleet/cold.go
+++ b/internal/lab/fleet/cold.go
@@ -30,8 +30,8 @@
 			coldRate*s.AmountShare, coldBurst(s.Nodes))
 }
 
-// firstColdDeath is the time from the start of the script to the first death of a peer. By then a leader has been elected,
-// and the processes have learnt the capacity of warm peers.
+// firstColdDeath is the time from the start of the script to the first death of a peer. By then a leader has been
+// elected, and the processes have learnt the capacity of warm peers.
 const firstColdDeath = 10 * time.Second
 
 // coldDowntime is the time from a peer's death to its restart.
@@ -224,8 +224,8 @@
 	var t strings.Builder
 	fmt.Fprintf(&t, "%d processes share %.0f tries a second to each cold peer, and a burst of %.0f, for %.0f s, "+
 		"in which peers started %d times and %d fell\n", c.Nodes, coldRate, coldBurst(c.Nodes), c.Seconds, c.Starts, c.Falls)
-	fmt.Fprintf(&t, "to a cold peer came at most %.3f of what any window allows; "+
-		"of what was allowed %.3f was used from 2 to 8 s after a start\n", c.Over, c.Use)
+	fmt.Fprintf(&t, "at most %.3f of the cost allowed in any window arrived at a cold peer; "+
+		"%.3f of the allowed cost was used from 2 to 8 s after a start\n", c.Over, c.Use)
 	for _, one := range c.Broken {
 		fmt.Fprintf(&t, "  %s\n", one)
 	}
--- a/internal/lab/fleet/fleet_files.go
+++ b/internal/lab/fleet/fleet_files.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// addressesToJoin is how many addresses a process is told to join.
+	// addressesToJoin is the maximum number of join addresses in a fleet file.
 	addressesToJoin = 3
-	// firstAdminPort is the admin port of the first process; each later one has the next.
+	// firstAdminPort is the base of the admin ports: the n-th started process uses firstAdminPort+n.
 	firstAdminPort = 10000
-	// strangerMark ends the name of the directory and of the record of a stranger that uses a node's name.
+	// strangerMark is the suffix of the directory and of the record of a stranger, a process that uses a node's name.
 	strangerMark = "~"
 
 	directoryMode = 0o700
 	fileMode      = 0o600
 )
 
-// The environment of programs that were built with faults; see package mutant.
+// The environment variables of programs that were built with faults; see package mutant.
 const (
 	envFaults     = "OLIVEFLEET_PLANT"
 	envClockError = "OLIVEFLEET_WALL"
 )
 
-// FileValues are the values of the fleet files that a script changes.
+// FileValues are the values of the fleet files that a script can change.
 type FileValues struct {
 	Nodes       int
-	AmountShare float64  // of the amounts of budgets
-	Voters      []string // of every log
-	Edition     int      // of the voters
+	AmountShare float64  // fraction of the budgets' amounts
+	Voters      []string // names of the voters of each raft log
+	Edition     int      // edition of the set of voters
 }
 
-// votersTable are the voters as lines of a table of a fleet file.
+// votersTable returns the lines of a table that name the voters and their edition.
 func (s FileValues) votersTable() string {
 	var names []string
 	for _, name := range s.Voters {
@@ -45,10 +45,10 @@
 	return fmt.Sprintf("keepers = [%s]\nedition = %d\n", strings.Join(names, ", "), s.Edition)
 }
 
-// maxVoters is the number of voters at first, if there are as many nodes.
+// maxVoters is the maximum number of voters at the start of a run.
 const maxVoters = 3
 
-// firstValues are the values at first: an odd number of voters.
+// firstValues returns the values at the start of a run. The number of voters is odd.
 func firstValues(names []string) FileValues {
 	odd := len(names) - 1 + len(names)%2
 	return FileValues{
@@ -59,7 +59,7 @@
 	}
 }
 
-// Env implements live.Fleet: it writes the fleet file of a node's next process.
+// Env implements live.Fleet. It writes the fleet file of a node's next process.
 func (g *rig) Env(node string, twin bool) ([]string, error) {
 	g.starts++
 	slot, own := g.slot(node, twin)
@@ -88,7 +88,7 @@
 	return env, nil
 }
 
-// slot is the relays' slot of a node's next process, and the name of its directory.
+// slot returns the relay slot of a node's next process, and the name of its directory.
 func (g *rig) slot(node string, twin bool) (slot int, own string) {
 	index := slices.Index(g.names, node)
 	switch {
@@ -100,7 +100,7 @@
 	return index, node
 }
 
-// memberTable is the first table of a fleet file.
+// memberTable returns the [member] table of a fleet file.
 func (g *rig) memberTable(node string, slot int, own string) string {
 	var join []string
 	for k := range min(addressesToJoin, len(g.names)) {
@@ -123,7 +123,7 @@
 	g.adminAddresses[node] = address
 }
 
-// writeFile writes a fleet file at once or not at all: a process may read it just now.
+// writeFile replaces a fleet file atomically, since a process may be reading it.
 func (g *rig) writeFile(path, text string) error {
 	next := path + ".new"
 	if err := os.WriteFile(next, []byte(text+g.options.ExtraTables(g.values)), fileMode); err != nil {
@@ -145,7 +145,7 @@
 	return g.rewriteFiles(Event{What: eventVoters, To: names})
 }
 
-// rewriteFiles writes all fleet files anew, and returns how often that was done.
+// rewriteFiles rewrites all fleet files, and returns the number of rewrites so far.
 func (g *rig) rewriteFiles(e Event) (int, error) {
 	g.rewrites++
 	for path, text := range g.files {
@@ -157,7 +157,7 @@
 	return g.rewrites, nil
 }
 
-// stateDirectory is the directory of a node, as its fleet file names it.
+// stateDirectory returns the state directory of a process, as its fleet file names it.
 func (g *rig) stateDirectory(own string) string {
 	return filepath.Join(g.options.Dir, own, "state")
 }
--- a/internal/lab/fleet/history.go
+++ b/internal/lab/fleet/history.go
@@ -14,7 +14,7 @@
 const historyWithin = 20 * time.Second
 
 // countHistory checks the requests of all processes to the ledger, and the answers, against a model of a single ledger.
-// The history is valid if there is an order in which each request takes effect between its begin and its answer, and
+// The history is valid if there is an order in which each request takes effect between its start and its answer, and
 // the model gives the same answers. A request without an answer may or may not have taken effect.
 func countHistory(a *Account) porcupine.CheckResult {
 	var ops []porcupine.Operation
--- a/internal/lab/fleet/link.go
+++ b/internal/lab/fleet/link.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	// reorderDelay is by how much a packet is late that others are to overtake: several of a member's own intervals.
+	// reorderDelay is the delay of a packet that others are meant to overtake: several sending intervals of a member.
 	reorderDelay = 60 * time.Millisecond
-	// retransmitDelay is by how much a piece of a stream is late that was lost.
+	// retransmitDelay is the delay of a lost piece of a stream.
 	retransmitDelay = 200 * time.Millisecond
 )
 
-// errReset says that a fault resets a stream.
+// errReset is the error of a stream that a fault resets.
 var errReset = errors.New("reset by the rig")
 
 // linkKey is an ordered pair of nodes, by index.
 type linkKey struct{ from, to int }
 
-// reversed is the way back.
+// reversed returns the key of the opposite direction.
 func (k linkKey) reversed() linkKey {
 	return linkKey{from: k.to, to: k.from}
 }
 
-// link is what goes from one node to another, as faults have made it.
+// link is the state of one direction between two nodes, with the faults in effect.
 type link struct {
-	cuts        int          // in force
-	impairments []fault.Ails // in force
+	cuts        int          // number of active cuts
+	impairments []fault.Ails // active impairments
 	traffic     Traffic
 }
 
-// Traffic is what links have forwarded, and what not.
+// Traffic counts the packets, bytes and streams that links have forwarded, lost, duplicated, delayed or reset.
 type Traffic struct {
 	Packets      int64
 	Dropped      int64
@@ -41,7 +41,7 @@
 	Bytes        int64
 	Streams      int64
 	Resets       int64
-	Lost         int64   // of Dropped, by chance
+	Lost         int64   // those of Dropped that were lost by chance
 	ExpectedLost float64 // the expected value of Lost
 }
 
@@ -57,7 +57,7 @@
 	t.ExpectedLost += other.ExpectedLost
 }
 
-// linkLocked is a link, which is made if there is none. The caller holds the lock.
+// linkLocked returns a link, which it creates at the first call. The caller holds r.mu.
 func (r *Relays) linkLocked(key linkKey) *link {
 	l := r.links[key]
 	if l == nil {
@@ -67,7 +67,7 @@
 	return l
 }
 
-// changeLinks changes every link from some nodes to others.
+// changeLinks applies a change to every link from a node selected by from to a node selected by to.
 func (r *Relays) changeLinks(from, to func(name string) bool, change func(*link)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,8 +80,8 @@
 	}
 }
 
-// Cut forwards nothing from some nodes to others until it is healed. Bytes on a stream wait, as they would on a network
-// that has fallen silent.
+// Cut stops all forwarding from some nodes to others until heal is called. Bytes of a stream wait meanwhile, as on a
+// network that does not respond.
 func (r *Relays) Cut(from, to func(name string) bool) (heal func()) {
 	if r.cutsIgnored {
 		return func() {}
@@ -90,7 +90,7 @@
 	return func() { r.changeLinks(from, to, func(l *link) { l.cuts-- }) }
 }
 
-// Impair loses, delays, duplicates or resets some of what goes from some nodes to others, until it is healed.
+// Impair loses, delays, duplicates or resets part of the traffic from some nodes to others until heal is called.
 func (r *Relays) Impair(from, to func(name string) bool, impairment fault.Ails) (heal func()) {
 	r.changeLinks(from, to, func(l *link) { l.impairments = append(l.impairments, impairment) })
 	return func() {
@@ -98,7 +98,7 @@
 	}
 }
 
-// remove removes one impairment.
+// remove removes one impairment that equals the given one.
 func (l *link) remove(impairment fault.Ails) {
 	for i := range l.impairments {
 		if l.impairments[i] == impairment {
@@ -108,7 +108,7 @@
 	}
 }
 
-// TotalTraffic is the traffic of all links.
+// TotalTraffic returns the sum of the traffic of all links.
 func (r *Relays) TotalTraffic() Traffic {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -119,7 +119,7 @@
 	return total
 }
 
-// isOpen reports whether nothing cuts a link.
+// isOpen reports whether a link has no active cut.
 func (r *Relays) isOpen(key linkKey) bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -127,14 +127,15 @@
 	return l == nil || l.cuts == 0
 }
 
-// countStream counts a stream that was begun over a link.
+// countStream counts a new stream over a link.
 func (r *Relays) countStream(key linkKey) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.linkLocked(key).traffic.Streams++
 }
 
-// packetFate draws what becomes of a packet: how often it is forwarded, 0 if it is lost, and after which delay.
+// packetFate decides at random how a packet is forwarded: the number of copies, 0 if the packet is lost, and their
+// delay.
 func (r *Relays) packetFate(key linkKey, size int) (copies int, delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -168,7 +169,7 @@
 	return copies, delay
 }
 
-// pieceFate draws what becomes of a piece of a stream: after which delay it is forwarded, or errReset.
+// pieceFate decides at random how a piece of a stream is forwarded: its delay, or errReset.
 func (r *Relays) pieceFate(key linkKey, size int) (delay time.Duration, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/fleet/members.go
+++ b/internal/lab/fleet/members.go
@@ -82,7 +82,7 @@
 	truth   *timeline                  // actual state of the nodes
 	nodes   map[string]*nodeHistory    // by name, including strangers; read through node
 	observe func(at time.Duration)     // called before each line of the records; may be nil
-	cutAt   map[nodePair]time.Duration // begin of the cut between two nodes
+	cutAt   map[nodePair]time.Duration // start of the cut between two nodes
 
 	changedAt          time.Duration // time of the last event that changes the correct views; 0 before the first one
 	disturbedAt        time.Duration // time of the last cut, impairment or stop, or of the end of one
@@ -110,7 +110,7 @@
 	resumedAt         time.Duration
 	wasStoppedBriefly bool          // the last stop was at most briefStop long
 	settledAt         time.Duration // end of the time after a stop in which its views are not judged
-	undisturbedSince  time.Duration // begin of the time in which it was not stopped or cut off
+	undisturbedSince  time.Duration // start of the time in which it was not stopped or cut off
 	touchedAt         time.Duration // time of the last event of the node or of the network
 	strangerUntil     time.Duration // end of the time in which others may take a killed stranger for it
 }
--- a/internal/lab/fleet/members_text.go
+++ b/internal/lab/fleet/members_text.go
@@ -28,7 +28,7 @@
 		is := "does not run"
 		switch {
 		case n.running && n.stopped:
-			is = "stands still"
+			is = "is stopped"
 		case n.running && n.leaving:
 			is = "is ending"
 		case n.running:
@@ -36,17 +36,17 @@
 		}
 		fmt.Fprintf(&b, "  %-6s %-13s", name, is)
 		if v := j.node(name).view; v != nil && n.running {
-			fmt.Fprintf(&b, " believes in %s", v.view.String())
+			fmt.Fprintf(&b, " with the view %s", v.view.String())
 		}
 		fmt.Fprintln(&b)
 	}
-	fmt.Fprintf(&b, "%d processes, %.0f s, %d changes, %d of which another came before all agreed\n",
+	fmt.Fprintf(&b, "%d processes, %.0f s, %d changes, %d of them followed by another before all views agreed\n",
 		m.Nodes, m.Seconds, m.Changes, m.Unsettled)
 	fmt.Fprintf(&b, "all views agree %.2f s after a change (median of %d), %.2f s at worst\n",
 		m.Agree.Median, m.Agree.Count, m.Agree.Worst)
 	fmt.Fprintf(&b, "a kill is seen by a process after %.2f s (median of %d), %.2f s at worst\n",
 		m.Detect.Median, m.Detect.Count, m.Detect.Worst)
-	fmt.Fprintf(&b, "false deaths %d, suspicions of the well %d\n", m.FalseDeaths, m.Flaps)
+	fmt.Fprintf(&b, "false deaths %d, suspicions of healthy processes %d\n", m.FalseDeaths, m.Flaps)
 	fmt.Fprintf(&b, "a process sends %.0f bytes a second, uses %.2f%% of a core and %.1f MB\n", m.Bytes, 100*m.CPU, m.RSS)
 	for _, one := range m.Broken {
 		fmt.Fprintf(&b, "  %s\n", one)
--- a/internal/lab/fleet/page.go
+++ b/internal/lab/fleet/page.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// The page's measures, in pixels.
+// The dimensions of the page, in pixels.
 const (
 	laneHeight = 34
 	plotWidth  = 1100
 	labelWidth = 60
 )
 
-// segment is a stretch of a lane.
+// segment is a section of a lane with one state.
 type segment struct {
 	X, Y, W, H float64
 	Class      string
@@ -37,8 +37,8 @@
 	Text           string
 }
 
-// WriteHTML draws the run: for each process its life and what was done to it, and below what the others believe of it,
-// against what is true.
+// WriteHTML writes a page with a lane for each process: the upper bar shows its actual state, and the lower bar whether
+// the other processes' views of it are correct.
 func (r *Result) WriteHTML(w io.Writer) error {
 	a := r.Account
 	p := page{
@@ -74,7 +74,7 @@
 	return pageTemplate.Execute(w, &p)
 }
 
-// drawing draws while the judge walks.
+// drawing collects segments while the judge processes the run.
 type drawing struct {
 	p    *page
 	a    *Account
@@ -86,7 +86,7 @@
 	return labelWidth + float64(at-d.a.Begin)/float64(d.a.End-d.a.Begin)*plotWidth
 }
 
-// drawInstant draws how things stand at a time.
+// drawInstant draws the actual state and the views at an instant.
 func (d *drawing) drawInstant(j *judge, at time.Duration) {
 	for i, name := range d.a.Names {
 		y := float64(laneHeight * i)
@@ -94,13 +94,13 @@
 		class, title := "down", name+" does not run"
 		switch {
 		case n.running && n.stopped:
-			class, title = "still", name+" stands still"
+			class, title = "still", name+" is stopped"
 		case n.running && n.leaving:
 			class, title = "leaving", name+" is ending"
 		case n.running && len(j.truth.reachableFrom(name)) < runningCount(j.truth.truth):
 			class, title = "cut", name+" is cut off from some"
 		case n.running && n.hasStranger:
-			class, title = "twin", "a stranger lives under the name of "+name
+			class, title = "twin", "a stranger uses the name of "+name
 		case n.running:
 			class, title = "up", name+" runs"
 		}
@@ -118,7 +118,7 @@
 	return n
 }
 
-// drawBeliefs draws what the others believe of a node: right, wrong, or some of them wrong.
+// drawBeliefs draws the other processes' views of a node: all correct, some correct, or none.
 func (d *drawing) drawBeliefs(j *judge, name string, at time.Duration, y float64) {
 	o := j.truth.nodes[name]
 	var right, wrong []string
@@ -143,11 +143,11 @@
 	case len(wrong) > 0:
 		class = "wrong"
 	}
-	title := fmt.Sprintf("of %s, right: %s; not yet: %s", name, strings.Join(right, " "), strings.Join(wrong, " "))
+	title := fmt.Sprintf("views of %s, correct: %s; not yet: %s", name, strings.Join(right, " "), strings.Join(wrong, " "))
 	d.draw("belief "+name, class, title, at, y, 8)
 }
 
-// draw goes on with a stretch, or begins another.
+// draw continues the open segment of a key if the class is the same, and else starts another.
 func (d *drawing) draw(key, class, title string, at time.Duration, y, high float64) {
 	x := d.x(at)
 	s := d.open[key]
@@ -175,22 +175,22 @@
 .right{fill:#c9e5c8}.mixed{fill:#f0c060}.wrong{fill:#cc3b3b}
 span{display:inline-block;padding:2px 8px;margin-right:6px}
 </style><h1>{{.Title}}</h1><p><b>{{.Verdict}}</b></p>
-<p>Upper bar, what is true:
+<p>Upper bar, the actual state:
 <svg width="700" height="16"><rect class="up" width="12" height="12"/><text x="16" y="11">runs</text>
 <rect class="down" x="70" width="12" height="12"/><text x="86" y="11">does not run</text>
-<rect class="still" x="190" width="12" height="12"/><text x="206" y="11">stands still</text>
+<rect class="still" x="190" width="12" height="12"/><text x="206" y="11">is stopped</text>
 <rect class="cut" x="300" width="12" height="12"/><text x="316" y="11">cut off from some</text>
 <rect class="leaving" x="450" width="12" height="12"/><text x="466" y="11">ending</text>
-<rect class="twin" x="530" width="12" height="12"/><text x="546" y="11">a stranger has its name</text></svg><br>
-Lower bar, what the others believe of it:
-<svg width="500" height="16"><rect class="right" width="12" height="12"/><text x="16" y="11">all are right</text>
-<rect class="mixed" x="110" width="12" height="12"/><text x="126" y="11">some are right</text>
-<rect class="wrong" x="240" width="12" height="12"/><text x="256" y="11">none is right yet</text></svg></p>
+<rect class="twin" x="530" width="12" height="12"/><text x="546" y="11">a stranger uses its name</text></svg><br>
+Lower bar, the other processes' views of it:
+<svg width="500" height="16"><rect class="right" width="12" height="12"/><text x="16" y="11">all are correct</text>
+<rect class="mixed" x="110" width="12" height="12"/><text x="126" y="11">some are correct</text>
+<rect class="wrong" x="240" width="12" height="12"/><text x="256" y="11">none is correct yet</text></svg></p>
 <svg width="{{.Wide}}" height="{{.High}}" font-size="12">
 {{range .Lanes}}<text x="4" y="{{.Y}}">{{.Name}}</text>{{end}}
 {{range .Segments}}<rect class="{{.Class}}" x="{{.X}}" y="{{.Y}}" width="{{.W}}" height="{{.H}}">{{/* join */ -}}
 <title>{{.Title}}</title></rect>{{end}}
 {{range .Ticks}}<text x="{{.X}}" y="{{.Y}}">{{.Title}}</text>{{end}}
-</svg><pre>{{.Text}}</pre><h2>What happened</h2><pre>{{range .Events}}{{.}}
+</svg><pre>{{.Text}}</pre><h2>List of events</h2><pre>{{range .Events}}{{.}}
 {{end}}</pre></html>
 `))
--- a/internal/lab/fleet/relay.go
+++ b/internal/lab/fleet/relay.go
@@ -11,57 +11,58 @@
 )
 
 const (
-	// fleetPort is where every process listens for the others, each on an address of its own.
+	// fleetPort is the port on which every process listens for the others. Each process has its own address.
 	fleetPort = 7946
-	// slotsPerNode is how many addresses there are for each node: two that it moves between, and one for a stranger that
-	// uses its name.
+	// slotsPerNode is the number of addresses per node: two between which the node moves, and one for a stranger, another
+	// process that uses its name.
 	slotsPerNode = 3
-	// maxSlots is how many addresses of a block are used.
+	// maxSlots is the number of addresses of a block that may be used.
 	maxSlots = 250
-	// blocks is how many blocks of addresses rigs that run at one time may choose from.
+	// blocks is the number of address blocks from which rigs that run at the same time choose one each.
 	blocks = 250
-	// blockAttempts and blockStride are how a rig looks for a free block, from one that its process ID gives.
+	// blockAttempts is the number of blocks that a rig tries until it finds a free one. The first one follows from its
+	// process ID, and blockStride is the distance to the next.
 	blockAttempts = 200
 	blockStride   = 7
-	// relayStream distinguishes the relays' random draws from others of the same seed.
+	// relayStream separates the random numbers of the relays from others drawn with the same seed.
 	relayStream = 0x6f6c697665
 )
 
-// Relays forward what the processes send each other. Each address of a process has a relay, whose address is what
-// others are told of the process. A relay knows the sender by its address, so that each ordered pair of nodes has a
-// link of its own.
+// Relays forward the traffic between the processes. Each address of a process has a relay, and the other processes only
+// know the relay's address. A relay identifies the sender by its address, so that each ordered pair of nodes has its
+// own link.
 type Relays struct {
-	processBlock string // the first three numbers of the processes' own addresses
-	relayBlock   string // and of the relays'
+	processBlock string // first three numbers of the processes' addresses
+	relayBlock   string // first three numbers of the relays' addresses
 	names        []string
-	cutsIgnored  bool // the rig has a fault on purpose: it makes no cuts
+	cutsIgnored  bool // the rig is a mutant that makes no cuts
 
 	mu    sync.RWMutex
 	links map[linkKey]*link
 
-	drawing sync.Mutex // held while a number is drawn
+	drawing sync.Mutex // guards random
 	random  *rand.Rand
 
 	relays  []*relay
 	closed  atomic.Bool
 	running sync.WaitGroup
-	streams sync.Map // of net.Conn, those that are open
+	streams sync.Map // set of the open connections (net.Conn)
 }
 
-// relay is one address.
+// relay forwards the traffic to one address.
 type relay struct {
 	relays  *Relays
-	node    int // that it stands for; see Relays.nodeOf
+	node    int // index of the node behind it; see Relays.nodeOf
 	slot    int
 	udp     *net.UDPConn
 	tcp     *net.TCPListener
-	process netip.AddrPort // of the process behind it
+	process netip.AddrPort // address of the process behind it
 }
 
-// NewRelays opens the relays of some nodes. The seed gives their random draws.
+// NewRelays opens the relays of the given nodes. The seed determines their random decisions.
 func NewRelays(names []string, seed uint64) (*Relays, error) {
 	if len(names) == 0 || len(names) > MaxNodes {
-		return nil, fmt.Errorf("%d processes, not from 1 to %d", len(names), MaxNodes)
+		return nil, fmt.Errorf("%d processes, but there must be from 1 to %d", len(names), MaxNodes)
 	}
 	r := &Relays{
 		names:  names,
@@ -77,10 +78,10 @@
 			return r, nil
 		}
 	}
-	return nil, fmt.Errorf("no addresses for relays: %w", err)
+	return nil, fmt.Errorf("no free addresses for the relays: %w", err)
 }
 
-// open opens and starts all relays, or none.
+// open opens and starts all relays. If one fails, it closes all of them.
 func (r *Relays) open() error {
 	for slot := range slotsPerNode * len(r.names) {
 		one, err := r.listen(slot)
@@ -139,8 +140,8 @@
 	r.running.Wait()
 }
 
-// nodeOf is the index of the node that a slot belongs to. A stranger's slot belongs to no node, and has an index of its
-// own beyond theirs.
+// nodeOf returns the index of the node that a slot belongs to. The slot of a stranger belongs to no node; its own
+// number serves as index, which is greater than that of any node.
 func (r *Relays) nodeOf(slot int) int {
 	if nodes := len(r.names); slot < 2*nodes {
 		return slot % nodes
@@ -148,17 +149,17 @@
 	return slot
 }
 
-// ProcessAddress is where the process in a slot listens.
+// ProcessAddress returns the address on which the process in a slot listens.
 func (r *Relays) ProcessAddress(slot int) string {
 	return fmt.Sprintf("%s.%d:%d", r.processBlock, slot+1, fleetPort)
 }
 
-// RelayAddress is where others reach the process in a slot.
+// RelayAddress returns the address at which the other processes reach the process in a slot.
 func (r *Relays) RelayAddress(slot int) string {
 	return fmt.Sprintf("%s.%d:%d", r.relayBlock, slot+1, fleetPort)
 }
 
-// sender is the index of the node whose process has an address; false: none has.
+// sender returns the index of the node whose process has an address, and false if no process has it.
 func (r *Relays) sender(address netip.Addr) (int, bool) {
 	b := address.Unmap().As4()
 	block := fmt.Sprintf("%d.%d.%d", b[0], b[1], b[2])
@@ -169,7 +170,8 @@
 	return r.nodeOf(host - 1), true
 }
 
-// chance draws whether something of a probability happens. Nothing is drawn for a probability of 0.
+// chance decides at random whether an event of the given probability happens. It draws no random number if the
+// probability is 0.
 func (r *Relays) chance(probability float64) bool {
 	if probability <= 0 {
 		return false
--- a/internal/lab/fleet/relay_packets.go
+++ b/internal/lab/fleet/relay_packets.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// maxPacket is the greatest size of a packet.
+	// maxPacket is the maximum size of a packet, in bytes.
 	maxPacket = 64 << 10
-	// readErrorPause is the pause after a read of packets failed.
+	// readErrorPause is the pause after a failed read of a packet.
 	readErrorPause = time.Millisecond
 )
 
@@ -20,7 +20,7 @@
 		if r.relays.closed.Load() {
 			return
 		}
-		if err != nil { // a packet found before that no process listens
+		if err != nil { // an earlier packet was sent while no process listened
 			time.Sleep(readErrorPause)
 			continue
 		}
@@ -36,7 +36,7 @@
 	}
 }
 
-// sendPacket sends a packet to the process, which may be down.
+// sendPacket sends copies of a packet to the process after a delay. It ignores errors, since the process may be down.
 func (r *relay) sendPacket(packet []byte, copies int, delay time.Duration) {
 	send := func() {
 		for range copies {
--- a/internal/lab/fleet/relay_streams.go
+++ b/internal/lab/fleet/relay_streams.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// acceptErrorPause is the pause after a stream could not be accepted.
+	// acceptErrorPause is the pause after a failed accept.
 	acceptErrorPause = 10 * time.Millisecond
-	// dialTimeout bounds the dial to the process.
+	// dialTimeout is the time limit of the dial to the process.
 	dialTimeout = time.Second
-	// cutPollInterval is how often a stream looks whether its link is open again.
+	// cutPollInterval is the interval at which a stream checks whether its link is open again.
 	cutPollInterval = 5 * time.Millisecond
-	// cutTimeout is for how long a stream waits for that: longer than any process does.
+	// cutTimeout is the maximum time for which a stream waits for its link to open: longer than any process waits.
 	cutTimeout = 30 * time.Second
-	// pieceSize is the greatest size of a piece of a stream, to which faults happen.
+	// pieceSize is the maximum size of a piece of a stream, in bytes. Faults affect single pieces.
 	pieceSize = 32 << 10
 )
 
@@ -50,7 +50,7 @@
 	}
 }
 
-// forwardStream forwards one stream. If its link is cut when it begins, the process hears nothing of it until that is
+// forwardStream forwards one stream. If its link is cut at the start, it connects to the process only after the cut has
 // healed.
 func (r *relay) forwardStream(near net.Conn, sender int) {
 	there := linkKey{from: sender, to: r.node}
@@ -98,7 +98,7 @@
 	}
 }
 
-// copyPiece writes a piece of a stream; false: the stream has ended.
+// copyPiece writes a piece of a stream. It returns false if the stream has ended.
 func (r *Relays) copyPiece(to, from net.Conn, key linkKey, piece []byte) bool {
 	delay, err := r.pieceFate(key, len(piece))
 	if err != nil {
@@ -114,7 +114,8 @@
 	return err == nil
 }
 
-// endStream ends a stream as the other side of it has ended.
+// endStream ends a stream in the way in which its other side ended: at EOF it closes the write side, else it resets the
+// connection.
 func endStream(conn net.Conn, err error) {
 	if tcp, ok := conn.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
 		_ = tcp.CloseWrite()
@@ -131,7 +132,7 @@
 	_ = conn.Close()
 }
 
-// awaitOpen waits until nothing cuts a link; false: the relays were closed, or cutTimeout is over.
+// awaitOpen waits until a link has no active cut. It returns false if the relays were closed or cutTimeout has passed.
 func (r *Relays) awaitOpen(key linkKey) bool {
 	polls := int(cutTimeout / cutPollInterval)
 	for n := 0; ; n++ {
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -13,43 +13,43 @@
 	"olivebridge/internal/lab/sample"
 )
 
-// Options say how a script is played.
+// Options are the parameters of a run.
 type Options struct {
-	Node       string            // the node's program, with olivefleet beside it
-	Dir        string            // for everything that the processes write
-	Log        io.Writer         // what goes wrong with the run itself; may be nil
-	Progress   func(line string) // may be nil
-	Mutant     string            // of which all processes are, if they were built for mutants; "": none
-	IgnoreCuts bool              // the rig is a mutant: it makes no cuts
-	// ExtraTables are tables of the fleet files besides [member]; nil: none.
+	Node       string            // path of the node's program; olivefleet is in the same directory
+	Dir        string            // directory for everything that the processes write
+	Log        io.Writer         // receives errors of the run itself; may be nil
+	Progress   func(line string) // receives a line for each event; may be nil
+	Mutant     string            // of all processes, which must be built for mutants; "" if none
+	IgnoreCuts bool              // the rig is a mutant that makes no cuts
+	// ExtraTables returns the tables of the fleet files besides [member]. It may be nil.
 	ExtraTables func(FileValues) string
-	// Clients call the nodes, given their addresses by name, until the script is over; nil: there are none.
+	// Clients calls the nodes, given their addresses by name, until the script is over. It may be nil.
 	Clients func(ctx context.Context, nodes map[string]string, s *fault.Script) []ClientCall
-	// Operators call the nodes' admin listeners until the script is over; nil: there are none.
+	// Operators calls the nodes' admin listeners until the script is over. It may be nil.
 	Operators func(ctx context.Context, addresses func(node string) string, s *fault.Script) []OperatorCall
 }
 
-// rig is what stands around the processes of one run. Its exported methods implement live.Fleet and sample.Sink.
+// rig is the environment of the processes of one run. Its exported methods implement live.Fleet and sample.Sink.
 type rig struct {
 	options Options
-	names   []string // of the nodes
+	names   []string // names of the nodes
 	zones   map[string]string
 	relays  *Relays
 
-	// As the script was played so far.
-	moved       map[string]bool          // nodes that are at their second address
-	clockErrors map[string]time.Duration // by how much a node's wall clock is wrong
-	starts      int                      // of processes
-	files       map[string]string        // fleet files, by path, without what Options.More says
-	values      FileValues               // of all fleet files
-	rewrites    int                      // of all fleet files
+	// The state of the script so far.
+	moved       map[string]bool          // nodes that use their second address
+	clockErrors map[string]time.Duration // errors of the nodes' wall clocks
+	starts      int                      // the number of process starts
+	files       map[string]string        // fleet files by path, without Options.ExtraTables
+	values      FileValues               // values that all fleet files share
+	rewrites    int                      // the number of times that all fleet files were rewritten
 
-	// Seen by the run's callbacks, which come one at a time.
+	// Observations of the run's callbacks, which are called one at a time.
 	arrivals []Arrival
 	notRun   []string
 
 	mu             sync.Mutex
-	adminAddresses map[string]string // of each node's newest process
+	adminAddresses map[string]string // admin address of each node's newest process
 	events         []Event
 	cpu            map[string]time.Duration
 	rss            map[string]int64
@@ -89,7 +89,7 @@
 	return g, nil
 }
 
-// Play plays a script to its end.
+// Play plays a script to its end and returns the account of the run.
 func Play(ctx context.Context, s *fault.Script, options Options) (*Account, error) {
 	g, err := newRig(s, options)
 	if err != nil {
@@ -122,7 +122,7 @@
 	return a, err
 }
 
-// countPeriodNow is the number of the present period of countPeriod, by the wall clock.
+// countPeriodNow returns the number of the current period of length countPeriod by the wall clock.
 func countPeriodNow() int {
 	return int(time.Now().Unix() / int64(countPeriod.Seconds()))
 }
@@ -144,8 +144,8 @@
 	})
 }
 
-// startClients starts the clients of the options. What they saw comes on the channel once they are done; nothing if
-// there are none.
+// startClients starts the clients of the options. The channel delivers their calls once they have finished; it is
+// closed if there are no clients.
 func (g *rig) startClients(ctx context.Context, run *live.Run, s *fault.Script) chan []ClientCall {
 	calls := make(chan []ClientCall, 1)
 	if g.options.Clients == nil {
@@ -156,7 +156,7 @@
 	return calls
 }
 
-// startOperators starts the operators of the options, as startClients does clients.
+// startOperators starts the operators of the options. The channel delivers their calls as that of startClients does.
 func (g *rig) startOperators(ctx context.Context, s *fault.Script) chan []OperatorCall {
 	calls := make(chan []OperatorCall, 1)
 	if g.options.Operators == nil {
@@ -167,7 +167,7 @@
 	return calls
 }
 
-// fillAccount adds what the run and the rig saw, once all processes have ended.
+// fillAccount adds the observations of the run and of the rig to the account, once all processes have ended.
 func (g *rig) fillAccount(a *Account, run *live.Run) {
 	a.Broken = run.Broken()
 	a.RunError = run.Machine()
@@ -185,10 +185,11 @@
 	}
 }
 
-// progressInterval is how often progress is told.
+// progressInterval is the interval at which new events are reported.
 const progressInterval = 100 * time.Millisecond
 
-// reportProgress tells how it goes until the script is over. What happens then, the planned end of all, is not judged.
+// reportProgress reports new events until the script is over. The planned end of all processes after that is not
+// judged.
 func (g *rig) reportProgress(run *live.Run, length time.Duration) {
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
@@ -212,14 +213,14 @@
 	}
 }
 
-// adminAddress is where operators call a node.
+// adminAddress returns the admin address of a node's newest process.
 func (g *rig) adminAddress(node string) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.adminAddresses[node]
 }
 
-// addEvent notes an event that happens now.
+// addEvent records an event that happens now.
 func (g *rig) addEvent(e Event) {
 	e.At = record.Now()
 	g.mu.Lock()
--- a/internal/lab/fleet/rig_faults.go
+++ b/internal/lab/fleet/rig_faults.go
@@ -16,14 +16,14 @@
 	g.addEvent(Event{Node: node, What: "moves"})
 }
 
-// Clock implements live.Fleet. Only programs that were built for mutants can be told a wrong time: their records show
-// it, so that the judge finds where it was not.
+// Clock implements live.Fleet. Only programs that were built for mutants accept a wrong clock. Their records contain
+// the clock's reading, so that the judge detects programs that ignored it.
 func (g *rig) Clock(node string, by time.Duration) {
 	g.clockErrors[node] = by
 	g.addEvent(Event{Node: node, What: eventClockWrong, Wrong: by})
 }
 
-// Arm implements live.Fleet. Only programs that were built for mutants can be met.
+// Arm implements live.Fleet. Only programs that were built for mutants stop at a step.
 func (g *rig) Arm(node, step string) (met func() bool, goOn func(), err error) {
 	arm := filepath.Join(g.options.Dir, node, "arm-"+step)
 	at := filepath.Join(g.options.Dir, node, "at-"+step)
@@ -38,7 +38,7 @@
 	return met, goOn, os.WriteFile(arm, nil, fileMode)
 }
 
-// namesOf are the nodes that a fault concerns.
+// namesOf returns the names of the nodes that a fault selects.
 func (g *rig) namesOf(of func(string) bool) (names []string) {
 	for _, n := range g.names {
 		if of(n) {
@@ -74,10 +74,11 @@
 	}
 }
 
-// incarnationFile is the file of a node's directory that holds its incarnation.
+// incarnationFile is the name of the file in a node's directory that contains its incarnation.
 const incarnationFile = "life.json"
 
-// Spoil implements live.Fleet. A superuser may write anywhere, so what stands in the way is no mode of a file.
+// Spoil implements live.Fleet. A superuser may write to any file regardless of its mode, so the faults do not use file
+// modes.
 func (g *rig) Spoil(node string, how fault.Spoilt) (mend func(), err error) {
 	file := filepath.Join(g.stateDirectory(node), incarnationFile)
 	next := file + ".new"
@@ -102,7 +103,7 @@
 	case fault.Emptied:
 		return func() {}, os.RemoveAll(g.stateDirectory(node))
 	default:
-		err = fmt.Errorf("unknown: %q", how)
+		err = fmt.Errorf("unknown directory fault: %q", how)
 	}
 	return mend, err
 }
--- a/internal/lab/fleet/rounds.go
+++ b/internal/lab/fleet/rounds.go
@@ -231,9 +231,9 @@
 	var t strings.Builder
 	fmt.Fprintf(&t, "%d processes, %.0f s: a round of %d steps took %.2f s, taken by %d processes\n",
 		m.Nodes, m.Seconds, m.Steps, m.Took, m.Drivers)
-	fmt.Fprintf(&t, "%d times a server was out at all nodes (%d not judged, since a process was cut off or stood still): "+
-		"it had %d calls in hand, and %d tries came to it\n", m.Checked, m.Skipped, m.OpenCalls, m.LateCalls)
-	fmt.Fprintf(&t, "operators called %d times, were not answered %d times, and told to call again %d times\n",
+	fmt.Fprintf(&t, "%d times a server was out at all nodes (%d not judged, since a process was cut off or stopped): "+
+		"it had %d calls in flight, and %d attempts arrived at it\n", m.Checked, m.Skipped, m.OpenCalls, m.LateCalls)
+	fmt.Fprintf(&t, "operators called %d times, were not answered %d times, and were asked to repeat the call %d times\n",
 		m.Calls, m.Unanswered, m.Undecided)
 	for _, one := range m.Broken {
 		fmt.Fprintf(&t, "  %s\n", one)
--- a/internal/lab/fleet/rounds_script.go
+++ b/internal/lab/fleet/rounds_script.go
@@ -33,7 +33,7 @@
 // round, voters included.
 func roundsDemoScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	if nodes < 4 || length < 25*time.Second {
-		return nil, fmt.Errorf("%d nodes and a length of %v: at least 4 nodes and 25s are required", nodes, length)
+		return nil, fmt.Errorf("%d nodes and %v: at least 4 and 25s are wanted", nodes, length)
 	}
 	s := roundsQuietScript(seed, nodes, length)
 	g := figure.Stream(seed, "drama")
--- a/internal/lab/fleet/scenario.go
+++ b/internal/lab/fleet/scenario.go
@@ -8,27 +8,27 @@
 	"olivebridge/internal/lab/fault"
 )
 
-// scriptMaker makes a script of a seed, for some nodes and some length.
+// scriptMaker returns the script of a seed for a number of nodes and a length.
 type scriptMaker func(seed uint64, nodes int, length time.Duration) (*fault.Script, error)
 
-// quietScriptMaker makes a script without faults.
+// quietScriptMaker returns a script without faults.
 type quietScriptMaker func(seed uint64, nodes int, length time.Duration) *fault.Script
 
-// Scenario is what a fleet is played for: one ability of it, with the scripts that try it and the judge of a run.
+// Scenario tests one ability of a fleet: it contains the scripts that exercise the ability and the judge of a run.
 type Scenario struct {
 	Name         string
-	DemoScript   scriptMaker // shows the ability, with few faults
+	DemoScript   scriptMaker // demonstrates the ability with few faults
 	RandomScript scriptMaker // has faults of all kinds
 	QuietScript  quietScriptMaker
 	Cases        []Case
-	ExtraTables  func(FileValues) string // of the fleet files
+	ExtraTables  func(FileValues) string // tables of the fleet files besides [member]
 	Judge        func(s *fault.Script, a *Account) Outcome
-	// Clients and Operators are those of Options; nil: there are none.
+	// Clients and Operators are those of Options. Both may be nil.
 	Clients   func(ctx context.Context, nodes map[string]string, s *fault.Script) []ClientCall
 	Operators func(ctx context.Context, addresses func(node string) string, s *fault.Script) []OperatorCall
 }
 
-// Scenarios are all that there are, by name.
+// Scenarios returns all scenarios by name.
 func Scenarios() map[string]Scenario {
 	scenarios := map[string]Scenario{}
 	for _, s := range []Scenario{
@@ -100,7 +100,7 @@
 	}
 }
 
-// Play plays a script for the scenario, and judges the run.
+// Play plays a script for the scenario and judges the run.
 func (s Scenario) Play(ctx context.Context, script *fault.Script, options Options) (*Result, error) {
 	options.Clients = s.Clients
 	options.Operators = s.Operators
@@ -112,10 +112,10 @@
 	return &Result{Script: script, Account: a, Outcome: s.Judge(script, a)}, nil
 }
 
-// ignoredCuts is the mutant of the rig itself; all others are of the processes.
+// ignoredCuts is the only mutant of the rig itself. All others are mutants of the processes.
 const ignoredCuts = "cut-not-made"
 
-// Mutants are the names of all mutants.
+// Mutants returns the names of all mutants.
 func Mutants() []string {
 	return []string{
 		"dead-kept", "leave-told-as-death", "old-incarnation", "upgrade-twice", "lost-unwitnessed", ignoredCuts,
@@ -126,10 +126,10 @@
 	}
 }
 
-// IsMutant reports whether there is one of that name.
+// IsMutant reports whether there is a mutant of that name.
 func IsMutant(name string) bool { return slices.Contains(Mutants(), name) }
 
-// Mutate makes the processes, or the rig, a mutant; "": none.
+// Mutate turns the processes, or the rig, into a mutant; "" is none.
 func Mutate(options *Options, name string) {
 	if name == ignoredCuts {
 		options.IgnoreCuts = true
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -9,10 +9,10 @@
 	"olivebridge/internal/lab/live"
 )
 
-// settleTail is how long a script goes on after its last fault, so that what it did can be seen to be over.
+// settleTail is the time from the last fault to the end of a script, in which the fleet has to recover from all faults.
 const settleTail = 13 * time.Second
 
-// quietScript is a script without faults, of some nodes that are asked a little.
+// quietScript returns a script without faults and with a low load.
 func quietScript(seed uint64, nodes int, length time.Duration) *fault.Script {
 	s := live.Sample(3, nodes, 10+2*float64(nodes))
 	s.Seed = seed
@@ -23,13 +23,13 @@
 	return s
 }
 
-// DemoScript is the script that shows membership: of some nodes one is killed and comes back, one stands still, one is
-// cut off; which, and when, is drawn.
+// DemoScript returns the script that demonstrates membership: one node is killed and started again, one is stopped, and
+// one is cut off. The seed selects the nodes and the times.
 func DemoScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	s := quietScript(seed, nodes, length)
 	if nodes < 4 {
 		return nil, fmt.Errorf("%d nodes: at least 4 are wanted, "+
-			"for one to be killed, one stopped, one cut off and one left", nodes)
+			"so that one is killed, one stopped, one cut off and one unaffected", nodes)
 	}
 	if length < 25*time.Second {
 		return nil, fmt.Errorf("%v: at least 25s are wanted", length)
@@ -53,7 +53,7 @@
 	return s, s.Check()
 }
 
-// faultRanges are what the faults of seeds are drawn from.
+// faultRanges returns the kinds of faults, and the ranges of their parameters, from which RandomScript draws.
 func faultRanges() []fault.KindRanges {
 	one := func(name string, weight, lo, hi float64) fault.KindRanges {
 		return fault.KindRanges{Name: name, Weight: weight, Part: fault.Range{Lo: 0.2, Hi: 0.45}, For: fault.Between(lo, hi)}
@@ -78,14 +78,14 @@
 	}
 }
 
-// RandomScript is the script of a seed: faults of all kinds, several at one time.
+// RandomScript returns a script with faults of all kinds, several at one time, drawn by the seed.
 func RandomScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	s := quietScript(seed, nodes, length)
 	tail := figure.Span(settleTail)
 	s.DrawFaults(faultRanges(), fault.FaultPlan{Count: fault.Counts{Lo: 2, Hi: 5}, Lead: fault.Between(2, 4),
 		Tail: fault.Spans{Lo: tail, Hi: tail}, Overlap: 0.4})
-	// A fault that would last to the end leaves no time to see that it is over, so it is cut short; a restart, which takes
-	// its time, is left out.
+	// A fault that would last into the tail is shortened, so that there is time to check the recovery. A restart cannot be
+	// shortened and is removed, as is a fault that would be shorter than 1 s.
 	last := s.Length - tail
 	kept := s.Faults[:0]
 	for _, f := range s.Faults {
--- a/internal/lab/fleet/signals.go
+++ b/internal/lab/fleet/signals.go
@@ -53,7 +53,7 @@
 func signalsDemoScript(peers int) scriptMaker {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 		if length < 25*time.Second {
-			return nil, fmt.Errorf("a length of %v: at least 25s are required", length)
+			return nil, fmt.Errorf("%v: at least 25s are wanted", length)
 		}
 		s := signalsQuietScript(peers)(seed, nodes, length)
 		g := figure.Stream(seed, "drama")
@@ -274,8 +274,8 @@
 		m.DeadTries, m.DeadUse.Median, m.DeadUse.Count, m.DeadUse.Worst, m.ReuseTime.Median, m.ReuseTime.Worst)
 	fmt.Fprintf(&t, "%.1f tries failed with a silent one, the last after %.2f s (median of %d), %.2f s at worst\n",
 		m.SilentTries, m.SilentUse.Median, m.SilentUse.Count, m.SilentUse.Worst)
-	fmt.Fprintf(&t, "sound peers left alone on others' word: %d without reason, %d since others had failed with them; "+
-		"doubts changed %d times; %.1f probes a second came to all peers\n",
+	fmt.Fprintf(&t, "ejections of healthy peers: %d without enough witnesses, %d with enough; "+
+		"the ejected peers changed %d times; %.1f probes a second arrived at all peers\n",
 		m.WrongEjections, m.WitnessedEjections, m.Doubts, m.Probes)
 	for _, one := range m.Broken {
 		fmt.Fprintf(&t, "  %s\n", one)
--- a/internal/lab/fleet/takeover.go
+++ b/internal/lab/fleet/takeover.go
@@ -151,12 +151,12 @@
 func (t *Takeover) Text(*Account) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d processes, %d kills, %.0f s: "+
-		"clients asked for %d pieces of work, got %d outcomes, %d unknown, %d nothing\n",
+		"clients made %d calls, got %d outcomes, %d unknown, %d without an answer\n",
 		t.Nodes, t.Kills, t.Seconds, t.Calls, t.Answered, t.Unknown, t.Lost)
-	fmt.Fprintf(&b, "ran twice %d; of the unknown nothing had come to a peer of %d; "+
-		"%d had their outcome at a later question, after %.2f s (median), %.2f s at worst\n",
+	fmt.Fprintf(&b, "ran twice %d; of the unknown, no attempt of %d arrived at a peer; "+
+		"%d got their outcome from a later attempt, after %.2f s (median), %.2f s at worst\n",
 		t.RunTwice, t.NotSent, t.TakenOver, t.TakeoverTime.Median, t.TakeoverTime.Worst)
-	fmt.Fprintf(&b, "a first question took %.1f ms (median), %.1f ms at worst\n",
+	fmt.Fprintf(&b, "a first attempt took %.1f ms (median), %.1f ms at worst\n",
 		1000*t.FirstAttempts.Median, 1000*t.FirstAttempts.Worst)
 	for _, one := range t.Broken {
 		fmt.Fprintf(&b, "  %s\n", one)
--- a/internal/lab/fleet/takeover_script.go
+++ b/internal/lab/fleet/takeover_script.go
@@ -29,7 +29,7 @@
 // again.
 func takeoverDemoScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	if nodes < 3 || length < 20*time.Second {
-		return nil, fmt.Errorf("%d nodes and a length of %v: at least 3 nodes and 20s are required", nodes, length)
+		return nil, fmt.Errorf("%d nodes and %v: at least 3 and 20s are wanted", nodes, length)
 	}
 	s := takeoverQuietScript(seed, nodes, length)
 	g := figure.Stream(seed, "drama")
