--- a/internal/lab/fleet/amounts.go
+++ b/internal/lab/fleet/amounts.go
@@ -131,7 +131,7 @@
 }
 
 func newAmount(a *Account, kind string, whole int) *Amount {
-	m := &Amount{
+	amount := &Amount{
 		Kind:    kind,
 		Nodes:   len(a.Names),
 		Seconds: (a.End - a.Begin).Seconds(),
@@ -140,15 +140,15 @@
 		Broken:  []Violation{},
 	}
 	for _, w := range a.Broken {
-		m.Broken = append(m.Broken, Violation{"world", 0, w})
+		amount.Broken = append(amount.Broken, Violation{"world", 0, w})
 	}
 	if a.RunError != nil {
-		m.Broken = append(m.Broken, Violation{"rig", 0, a.RunError.Error()})
+		amount.Broken = append(amount.Broken, Violation{"rig", 0, a.RunError.Error()})
 	}
 	checkClocks(a, func(rule string, at time.Duration, format string, args ...any) {
-		m.Broken = append(m.Broken, Violation{rule, at - a.Begin, fmt.Sprintf(format, args...)})
+		amount.Broken = append(amount.Broken, Violation{rule, at - a.Begin, fmt.Sprintf(format, args...)})
 	})
-	return m
+	return amount
 }
 
 // maxPeerWork is the maximum duration of a call at a peer: more than the deadline of the class that clients call. The
--- a/internal/lab/fleet/budget_shares.go
+++ b/internal/lab/fleet/budget_shares.go
@@ -112,14 +112,14 @@
 func usableChanges(a *Account) []usableChange {
 	var all []usableChange
 	for _, h := range holdings(a) {
-		u := &usable{}
+		share := &usable{}
 		if h.share != nil {
-			u = &usable{lent: h.share.Amount, until: time.Duration(h.share.Ends), reserve: h.share.Reserve}
+			share = &usable{lent: h.share.Amount, until: time.Duration(h.share.Ends), reserve: h.share.Reserve}
 		}
 		process := processID(h.node, h.pid)
 		all = append(all,
-			usableChange{at: h.at, process: process, usable: u},
-			usableChange{at: u.until, process: process})
+			usableChange{at: h.at, process: process, usable: share},
+			usableChange{at: share.until, process: process})
 	}
 	for _, e := range a.Events {
 		if e.PID == 0 {
--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -253,8 +253,8 @@
 }
 
 // Script returns the case's script, with the world that the given function creates.
-func (c Case) Script(seed uint64, world func(uint64, int, time.Duration) *fault.Script) (*fault.Script, error) {
-	m := &caseMaker{s: world(seed, c.Nodes, c.Length), seed: seed}
+func (c Case) Script(seed uint64, quietScript func(uint64, int, time.Duration) *fault.Script) (*fault.Script, error) {
+	m := &caseMaker{s: quietScript(seed, c.Nodes, c.Length), seed: seed}
 	for _, n := range m.s.World.Nodes {
 		m.names = append(m.names, n.Name)
 	}
--- a/internal/lab/fleet/choices.go
+++ b/internal/lab/fleet/choices.go
@@ -66,12 +66,12 @@
 // choicesDemoScript returns the script that demonstrates choices: one process is killed and started again.
 func choicesDemoScript(peers int) scriptMaker {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
-		drama, err := BudgetDemoScript(seed, nodes, length)
+		demo, err := BudgetDemoScript(seed, nodes, length)
 		if err != nil {
 			return nil, err
 		}
 		s := choicesQuietScript(peers)(seed, nodes, length)
-		s.Faults = drama.Faults
+		s.Faults = demo.Faults
 		return s, s.Check()
 	}
 }
@@ -81,14 +81,14 @@
 func choicesRandomScript(peers int) scriptMaker {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 		s := choicesQuietScript(peers)(seed, nodes, length)
-		one := func(name string, weight, lo, hi float64) fault.KindRanges {
+		kind := func(name string, weight, lo, hi float64) fault.KindRanges {
 			return fault.KindRanges{Name: name, Weight: weight, Part: fault.Range{Lo: 0.05, Hi: 0.3}, For: fault.Between(lo, hi)}
 		}
-		slow := one("slow", 3, 2, 8)
+		slow := kind("slow", 3, 2, 8)
 		slow.Factor = fault.Range{Lo: 2, Hi: 6}
 		tail := figure.Span(settleTail)
-		s.DrawFaults([]fault.KindRanges{one("death", 8, 2, 8), slow, one("stall", 3, 1, 4), one("node-kill", 8, 2, 10),
-			one("node-restart", 4, 2.5, 8), one("fleet-stop", 4, 1, 6), one("fleet-split", 4, 2, 10)},
+		s.DrawFaults([]fault.KindRanges{kind("death", 8, 2, 8), slow, kind("stall", 3, 1, 4), kind("node-kill", 8, 2, 10),
+			kind("node-restart", 4, 2.5, 8), kind("fleet-stop", 4, 1, 6), kind("fleet-split", 4, 2, 10)},
 			fault.FaultPlan{Count: fault.Counts{Lo: 1, Hi: 3}, Lead: fault.Between(6, 8),
 				Tail: fault.Spans{Lo: tail, Hi: tail}, Overlap: 0.4})
 		last := s.Length - tail
@@ -100,16 +100,16 @@
 // ChoicesScenario examines how the choices of all processes add up on the peers. If copies is positive, each peer is in
 // the subsets of that many processes, and least is the minimum size of a subset.
 func ChoicesScenario(peers, copies, least int) Scenario {
-	more := ""
+	tables := ""
 	if copies > 0 {
-		more = fmt.Sprintf("\n[choices]\ncopies = %d\nleast = %d\n", copies, least)
+		tables = fmt.Sprintf("\n[choices]\ncopies = %d\nleast = %d\n", copies, least)
 	}
 	return Scenario{
 		Name:         "choices",
 		DemoScript:   choicesDemoScript(peers),
 		RandomScript: choicesRandomScript(peers),
 		QuietScript:  choicesQuietScript(peers),
-		ExtraTables:  func(FileValues) string { return more },
+		ExtraTables:  func(FileValues) string { return tables },
 		Judge:        func(s *fault.Script, a *Account) Outcome { return JudgeChoices(s, a) },
 	}
 }
@@ -353,9 +353,9 @@
 		return chance
 	}
 	random := figure.Stream(u.script.Seed, "choices by chance")
-	apart := max(w.windows*int(windowStep)/int(anyWindow), 1)
+	windowCount := max(w.windows*int(windowStep)/int(anyWindow), 1)
 	attempts := int(w.mean * float64(w.healthyPeers))
-	for range apart {
+	for range windowCount {
 		counts := make([]int, w.healthyPeers)
 		for range attempts {
 			counts[random.IntN(w.healthyPeers)]++
--- a/internal/lab/fleet/choices_test.go
+++ b/internal/lab/fleet/choices_test.go
@@ -8,23 +8,23 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// TestJudgeChoices: what falls evenly holds; a peer that gets more, less or nothing breaks the rule that it should,
-// unless it had something to suffer.
+// TestJudgeChoices checks that an even distribution of attempts is accepted, and that a peer with more, fewer or no
+// attempts is reported unless it had a fault.
 func TestJudgeChoices(t *testing.T) {
 	const peers, rounds, length = 10, 3000, 30 * time.Second
 	for name, c := range map[string]struct {
-		skips func(peer, round int) bool // peers that get none in a round
-		ails  bool                       // the first peer does
-		rule  string
+		skips  func(peer, round int) bool // selects the peers without an attempt in a round
+		faulty bool                       // the first peer has a fault
+		rule   string
 	}{
-		"even":         {func(int, int) bool { return false }, false, ""},
-		"nothing":      {func(p, r int) bool { return p == 0 && r > 2000 && r < 2500 }, false, "starved"},
-		"while it ail": {func(p, r int) bool { return p == 0 && r > 1000 && r < 1500 }, true, ""},
-		"less":         {func(p, r int) bool { return p == 0 && r%2 == 0 }, false, "idlest"},
-		"more":         {func(p, r int) bool { return p != 0 && r%3 != 0 }, false, "busiest"},
+		"even":                   {func(int, int) bool { return false }, false, ""},
+		"nothing":                {func(p, r int) bool { return p == 0 && r > 2000 && r < 2500 }, false, "starved"},
+		"nothing during a fault": {func(p, r int) bool { return p == 0 && r > 1000 && r < 1500 }, true, ""},
+		"less":                   {func(p, r int) bool { return p == 0 && r%2 == 0 }, false, "idlest"},
+		"more":                   {func(p, r int) bool { return p != 0 && r%3 != 0 }, false, "busiest"},
 	} {
 		s := choicesQuietScript(peers)(1, 5, length)
-		if c.ails {
+		if c.faulty {
 			s.Faults = []fault.Fault{{Kind: "death", At: figure.Span(10 * time.Second), For: figure.Span(5 * time.Second),
 				Peers: []string{s.World.Peers[0].Name}}}
 		}
@@ -37,16 +37,16 @@
 			}
 		}
 		got := JudgeChoices(s, a)
-		if rule := ruleOf(got.Broken); rule != c.rule {
-			t.Errorf("%s: broken %q, want %q: %s", name, rule, c.rule, got.Text(a))
+		if rule := firstRule(got.Broken); rule != c.rule {
+			t.Errorf("%s: broken rule %q, want %q: %s", name, rule, c.rule, got.Text(a))
 		}
 		if name == "even" && (got.Busiest != 1 || got.Idlest != 1 || got.Chance.Busiest <= 1) {
-			t.Errorf("even: %s", got.Text(a))
+			t.Errorf("an even distribution has ratios other than 1: %s", got.Text(a))
 		}
 	}
 }
 
-func ruleOf(all []Violation) string {
+func firstRule(all []Violation) string {
 	if len(all) == 0 {
 		return ""
 	}
--- a/internal/lab/fleet/cold.go
+++ b/internal/lab/fleet/cold.go
@@ -64,9 +64,9 @@
 // ColdScenario examines the attempts of all processes at cold peers. If shared is false there is no budget, and each
 // process estimates its part.
 func ColdScenario(shared bool) Scenario {
-	more := coldTables
+	extraTables := coldTables
 	if !shared {
-		more = func(FileValues) string { return "" }
+		extraTables = func(FileValues) string { return "" }
 	}
 	return Scenario{
 		Name:         "cold",
@@ -74,7 +74,7 @@
 		RandomScript: withDeaths(BudgetRandomScript),
 		QuietScript:  budgetQuietScript,
 		Cases:        BudgetCases(),
-		ExtraTables:  more,
+		ExtraTables:  extraTables,
 		Judge:        func(s *fault.Script, a *Account) Outcome { return JudgeCold(s, a, shared) },
 	}
 }
@@ -107,7 +107,7 @@
 // ignored.
 func coldPeriods(s *fault.Script, a *Account) (all []coldPeriod) {
 	open := map[string]*coldPeriod{}
-	shut := func(peer string, at time.Duration) {
+	closePeriod := func(peer string, at time.Duration) {
 		if c := open[peer]; c != nil && c.from > 0 && at > c.from {
 			all = append(all, coldPeriod{peer, c.started, c.from, min(at, c.started+s.World.Contract.Cold.D())})
 		}
@@ -116,16 +116,16 @@
 	for _, e := range a.Peers {
 		switch c := open[e.Who]; {
 		case e.What == "started cold":
-			shut(e.Who, e.At)
+			closePeriod(e.Who, e.At)
 			open[e.Who] = &coldPeriod{peer: e.Who, started: e.At}
 		case e.What == eventEnded:
-			shut(e.Who, e.At)
+			closePeriod(e.Who, e.At)
 		case e.What == "listed Ready" && c != nil && c.from == 0:
 			c.from = e.At + listGrace
 		}
 	}
 	for _, p := range s.World.Peers {
-		shut(p.Name, a.End)
+		closePeriod(p.Name, a.End)
 	}
 	slices.SortFunc(all, func(x, y coldPeriod) int { return int(x.from - y.from) })
 	return all
@@ -199,21 +199,21 @@
 
 // maxCostRatio returns the maximum ratio of the cost of the arrivals in any window to the cost allowed in it, and the
 // end and the length of that window.
-func maxCostRatio(came []time.Duration, costs []float64, burst float64) (most float64, at, wide time.Duration) {
+func maxCostRatio(times []time.Duration, costs []float64, burst float64) (greatest float64, at, window time.Duration) {
 	for _, w := range windows {
 		from, sum := 0, 0.0
-		for i, t := range came {
+		for i, t := range times {
 			sum += costs[i]
-			for came[from] <= t-w {
+			for times[from] <= t-w {
 				sum -= costs[from]
 				from++
 			}
-			if part := sum / (coldRate*w.Seconds() + burst); part > most {
-				most, at, wide = part, t, w
+			if part := sum / (coldRate*w.Seconds() + burst); part > greatest {
+				greatest, at, window = part, t, w
 			}
 		}
 	}
-	return most, at, wide
+	return greatest, at, window
 }
 
 // Verdict returns the rules that the run broke.
--- a/internal/lab/fleet/history.go
+++ b/internal/lab/fleet/history.go
@@ -19,38 +19,38 @@
 func countHistory(a *Account) porcupine.CheckResult {
 	var ops []porcupine.Operation
 	for _, l := range a.Lines {
-		var c budget.CountRecord
-		if l.Kind != "counted" || json.Unmarshal(l.Data, &c) != nil {
+		var entry budget.CountRecord
+		if l.Kind != "counted" || json.Unmarshal(l.Data, &entry) != nil {
 			continue
 		}
-		op := porcupine.Operation{ClientId: l.PID, Input: c, Call: c.Began, Return: l.At}
-		if !c.Answered {
+		op := porcupine.Operation{ClientId: l.PID, Input: entry, Call: entry.Began, Return: l.At}
+		if !entry.Answered {
 			op.Return = math.MaxInt64
 		}
 		ops = append(ops, op)
 	}
 	model := porcupine.NondeterministicModel{
 		Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
-			by := map[int64][]porcupine.Operation{}
+			byPeriod := map[int64][]porcupine.Operation{}
 			for _, op := range history {
 				period := op.Input.(budget.CountRecord).Request.Period
-				by[period] = append(by[period], op)
+				byPeriod[period] = append(byPeriod[period], op)
 			}
 			var parts [][]porcupine.Operation
-			for _, part := range by {
+			for _, part := range byPeriod {
 				parts = append(parts, part)
 			}
 			return parts
 		},
 		Init: func() []any { return []any{int64(0)} },
 		Step: func(state, input, _ any) []any {
-			spent, c := state.(int64), input.(budget.CountRecord)
-			units := budget.StockSize(c.Request.Need, countLimit-spent)
-			after := max(spent+units-max(c.Request.Returned, 0), 0)
+			spent, entry := state.(int64), input.(budget.CountRecord)
+			units := budget.StockSize(entry.Request.Need, countLimit-spent)
+			after := max(spent+units-max(entry.Request.Returned, 0), 0)
 			switch {
-			case !c.Answered:
+			case !entry.Answered:
 				return []any{spent, after}
-			case units != c.Granted.Units || countLimit-after != c.Granted.Remaining:
+			case units != entry.Granted.Units || countLimit-after != entry.Granted.Remaining:
 				return nil
 			}
 			return []any{after}
--- a/internal/lab/fleet/page.go
+++ b/internal/lab/fleet/page.go
@@ -110,8 +110,8 @@
 }
 
 func runningCount(t *truth) (n int) {
-	for _, l := range t.nodes {
-		if l.running && !l.stopped {
+	for _, node := range t.nodes {
+		if node.running && !node.stopped {
 			n++
 		}
 	}
@@ -120,7 +120,7 @@
 
 // drawBeliefs draws the other processes' views of a node: all correct, some correct, or none.
 func (d *drawing) drawBeliefs(j *judge, name string, at time.Duration, y float64) {
-	o := j.truth.nodes[name]
+	actual := j.truth.nodes[name]
 	var right, wrong []string
 	for _, viewer := range d.a.Names {
 		b := j.node(viewer).view
@@ -129,7 +129,7 @@
 		}
 		m, known := b.view.Lookup(name)
 		here := known && m.State.Present()
-		should := o.running && !o.stopped && j.truth.reachableFrom(viewer)[name]
+		should := actual.running && !actual.stopped && j.truth.reachableFrom(viewer)[name]
 		if here == should {
 			right = append(right, viewer)
 		} else {
@@ -148,7 +148,7 @@
 }
 
 // draw continues the open segment of a key if the class is the same, and else starts another.
-func (d *drawing) draw(key, class, title string, at time.Duration, y, high float64) {
+func (d *drawing) draw(key, class, title string, at time.Duration, y, height float64) {
 	x := d.x(at)
 	s := d.open[key]
 	if s != nil && s.Class == class {
@@ -158,7 +158,7 @@
 		s.W = x - s.X
 		d.p.Segments = append(d.p.Segments, *s)
 	}
-	d.open[key] = &segment{X: x, Y: y, H: high, Class: class, Title: title}
+	d.open[key] = &segment{X: x, Y: y, H: height, Class: class, Title: title}
 }
 
 func (d *drawing) end() {
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -35,11 +35,11 @@
 		return nil, fmt.Errorf("%v: at least 25s are wanted", length)
 	}
 	g := figure.Stream(seed, "drama")
-	whom := g.Perm(nodes)
+	order := g.Perm(nodes)
 	at := func(part float64) figure.Span {
 		return figure.Span(float64(length-settleTail+5*time.Second) * (part + 0.02*g.Float64()))
 	}
-	name := func(i int) []string { return []string{s.World.Nodes[whom[i]].Name} }
+	name := func(i int) []string { return []string{s.World.Nodes[order[i]].Name} }
 	span := func(from, to figure.Span) figure.Span { return to - from }
 	kill := at(0.08)
 	stop := at(0.1)
@@ -55,26 +55,26 @@
 
 // faultRanges returns the kinds of faults, and the ranges of their parameters, from which RandomScript draws.
 func faultRanges() []fault.KindRanges {
-	one := func(name string, weight, lo, hi float64) fault.KindRanges {
+	kind := func(name string, weight, lo, hi float64) fault.KindRanges {
 		return fault.KindRanges{Name: name, Weight: weight, Part: fault.Range{Lo: 0.2, Hi: 0.45}, For: fault.Between(lo, hi)}
 	}
 	share := func(k fault.KindRanges, lo, hi float64) fault.KindRanges {
 		k.Share = fault.Range{Lo: lo, Hi: hi}
 		return k
 	}
-	apart := one("fleet-apart", 6, 2, 10)
+	apart := kind("fleet-apart", 6, 2, 10)
 	apart.Part = fault.Range{Lo: 0.4, Hi: 0.8}
-	late := one("fleet-late", 3, 2, 8)
+	late := kind("fleet-late", 3, 2, 8)
 	late.Pause = fault.Between(0.005, 0.1)
 	return []fault.KindRanges{
-		one("node-kill", 12, 0.5, 14), one("node-restart", 8, 2.5, 8), one("fleet-stop", 10, 0.5, 9),
-		one("fleet-split", 12, 1, 12), one("fleet-deaf", 4, 1, 8), one("fleet-mute", 4, 1, 8),
+		kind("node-kill", 12, 0.5, 14), kind("node-restart", 8, 2.5, 8), kind("fleet-stop", 10, 0.5, 9),
+		kind("fleet-split", 12, 1, 12), kind("fleet-deaf", 4, 1, 8), kind("fleet-mute", 4, 1, 8),
 		apart,
-		share(one("fleet-lossy", 6, 2, 10), 0.05, 0.3), share(one("fleet-double", 2, 2, 8), 0.05, 0.5),
-		share(one("fleet-reorder", 2, 2, 8), 0.05, 0.5), share(one("fleet-reset", 3, 2, 8), 0.1, 0.6), late,
-		one("fleet-upgrade", 8, 0, 0), one("fleet-move", 6, 0.5, 8), one("fleet-twin", 4, 3, 8),
-		one("fleet-full", 2, 2, 5), one("fleet-unwritable", 2, 2, 5), one("fleet-foreign", 2, 2, 5),
-		one("fleet-torn", 2, 2, 5), one("fleet-emptied", 2, 2, 5),
+		share(kind("fleet-lossy", 6, 2, 10), 0.05, 0.3), share(kind("fleet-double", 2, 2, 8), 0.05, 0.5),
+		share(kind("fleet-reorder", 2, 2, 8), 0.05, 0.5), share(kind("fleet-reset", 3, 2, 8), 0.1, 0.6), late,
+		kind("fleet-upgrade", 8, 0, 0), kind("fleet-move", 6, 0.5, 8), kind("fleet-twin", 4, 3, 8),
+		kind("fleet-full", 2, 2, 5), kind("fleet-unwritable", 2, 2, 5), kind("fleet-foreign", 2, 2, 5),
+		kind("fleet-torn", 2, 2, 5), kind("fleet-emptied", 2, 2, 5),
 	}
 }
 
--- a/internal/lab/fleet/signals.go
+++ b/internal/lab/fleet/signals.go
@@ -58,13 +58,13 @@
 		s := signalsQuietScript(peers)(seed, nodes, length)
 		g := figure.Stream(seed, "drama")
 		for i, at := 0, firstSignalFault; at+9*time.Second <= length; i, at = i+1, at+17*time.Second {
-			var some []string
+			var failing []string
 			for _, p := range g.Perm(peers)[:max(peers/10, 1)] {
-				some = append(some, s.World.Peers[p].Name)
+				failing = append(failing, s.World.Peers[p].Name)
 			}
 			kind := []string{"death", "stall"}[i%2]
 			s.Faults = append(s.Faults, fault.Fault{
-				Kind: kind, At: figure.Span(at), For: figure.Span(signalFaultLength), Peers: some,
+				Kind: kind, At: figure.Span(at), For: figure.Span(signalFaultLength), Peers: failing,
 			})
 		}
 		return s, s.Check()
@@ -73,9 +73,9 @@
 
 // SignalsScenario examines the signals that processes send each other about peers. With 0 witnesses they send none.
 func SignalsScenario(peers, witnesses int) Scenario {
-	more := func(FileValues) string { return "" }
+	extraTables := func(FileValues) string { return "" }
 	if witnesses > 0 {
-		more = func(FileValues) string { return fmt.Sprintf("\n[choices]\nwitnesses = %d\n", witnesses) }
+		extraTables = func(FileValues) string { return fmt.Sprintf("\n[choices]\nwitnesses = %d\n", witnesses) }
 	}
 	draw := func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 		drawn, err := choicesRandomScript(peers)(seed, nodes, length)
@@ -91,7 +91,7 @@
 		DemoScript:   signalsDemoScript(peers),
 		RandomScript: draw,
 		QuietScript:  signalsQuietScript(peers),
-		ExtraTables:  more,
+		ExtraTables:  extraTables,
 		Judge:        func(s *fault.Script, a *Account) Outcome { return JudgeSignals(s, a) },
 	}
 }
