--- a/internal/fleet/fleetfile/check_choices.go
+++ b/internal/fleet/fleetfile/check_choices.go
@@ -1,17 +1,17 @@
 package fleetfile
 
-// The bounds of choices, and what is meant where nothing is set. With one copy a server's only node may fail, and
-// nobody is left that knows it. One witness alone may be wrong, or cut off.
+// Limits and defaults of table choices. With one copy, only one node would work with a server, and no other node would
+// know the server after a failure of that node. A single witness may be wrong or cut off.
 const (
-	minCopies    = 2
-	maxCopies    = 1000
-	maxLeast     = 100000
-	defaultLeast = 64
-	minWitnesses = 2
-	maxWitnesses = 20
+	minCopies         = 2
+	maxCopies         = 1000
+	maxMinServers     = 100000
+	defaultMinServers = 64
+	minWitnesses      = 2
+	maxWitnesses      = 20
 )
 
-// checkChoices checks subsets and witnesses.
+// checkChoices checks the settings of subsets and witnesses.
 func (c *checker) checkChoices(choices *Choices) {
 	if !c.has("choices") {
 		return
@@ -23,8 +23,8 @@
 		return
 	}
 	c.checkRange("choices.copies", choices.Copies, minCopies, maxCopies)
-	c.checkRange("choices.least", choices.Least, 0, maxLeast)
+	c.checkRange("choices.least", choices.Least, 0, maxMinServers)
 	if !c.has("choices.least") {
-		choices.Least = defaultLeast
+		choices.Least = defaultMinServers
 	}
 }
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -14,9 +14,9 @@
 	"olivebridge/internal/maintenance"
 )
 
-// TestInvalidChangesAreRefused: what the decisions cannot do is returned or logged, and changes nothing.
-func TestInvalidChangesAreRefused(t *testing.T) {
-	r := newRouter(nil, listed(7))
+// TestInvalidChangesAreRejected checks that an invalid change is returned as an error or logged and has no effect.
+func TestInvalidChangesAreRejected(t *testing.T) {
+	r := newRouter(nil, fullList(7))
 	r.maintenance = maintenance.New()
 	var logged bytes.Buffer
 	r.log = slog.New(slog.NewTextHandler(&logged, nil))
@@ -26,26 +26,26 @@
 	if err := r.Suspend("nobody"); err == nil || err.Error() != `no list has ever named server "nobody"` {
 		t.Error(err)
 	}
-	r.AddUnlistedServer("elsewhere") // listed in the node's other process, not here
+	r.AddUnlistedServer("elsewhere") // listed only by another process of the node
 	if err := r.Suspend("elsewhere"); err != nil {
 		t.Error(err)
 	}
-	r.UpdateSettings(balancer.Settings{}) // which have no classes
+	r.UpdateSettings(balancer.Settings{}) // invalid: no classes
 	classes := make(chan int)
 	r.post(inspectEvent(func(r *Router) {
-		r.CheckHealth(99) // which no list has named
+		r.CheckHealth(99) // in no list
 		r.abandon(99)
 		classes <- len(r.settings.Classes)
 	}))
 	if n := <-classes; n != 2 {
-		t.Errorf("%d classes", n)
+		t.Errorf("got %d classes, want 2", n)
 	}
 	stop()
 	<-ended
 	if !strings.Contains(logged.String(), "settings not taken") {
 		t.Error(logged.String())
 	}
-	r = newRouter(nil, listed())
+	r = newRouter(nil, fullList())
 	r.settings = balancer.Settings{}
 	if err := r.Run(t.Context()); err == nil {
 		t.Error("decisions without a class")
@@ -55,8 +55,9 @@
 	}
 }
 
-// TestShutdownLeavesNothing: once Run returns, nothing that it started is left, and no call waits.
-func TestShutdownLeavesNothing(t *testing.T) {
+// TestRunLeavesNothingRunning checks that after Run returns no attempt and no timer started by it is left and no call
+// waits.
+func TestRunLeavesNothingRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var attemptEnded atomic.Bool
 		r := newRouter(func(ctx context.Context, _ Attempt) AttemptResult {
@@ -64,13 +65,13 @@
 			time.Sleep(time.Millisecond)
 			attemptEnded.Store(true)
 			return AttemptResult{Result: balancer.Cancelled}
-		}, listed(7))
+		}, fullList(7))
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan error)
 		go func() { ended <- r.Run(ctx) }()
 		answered := make(chan bool)
 		go func() {
-			_, ok := r.Handle(t.Context(), newCall(safe, time.Minute))
+			_, ok := r.Handle(t.Context(), newCall(idempotentClass, time.Minute))
 			answered <- ok
 		}()
 		synctest.Wait()
@@ -83,15 +84,15 @@
 			WatchRunning:     true,
 		}
 		if snapshot, err := r.Snapshot(t.Context()); err != nil || snapshot != want {
-			t.Errorf("%+v, %v", snapshot, err)
+			t.Errorf("got snapshot %+v, error %v", snapshot, err)
 		}
 		stopped := time.Now()
 		stop()
 		if ok := <-answered; ok || time.Since(stopped) > 0 {
-			t.Errorf("answered: %v, after %v", ok, time.Since(stopped))
+			t.Errorf("call pending at shutdown: got ok %v after %v, want false at once", ok, time.Since(stopped))
 		}
 		if err := <-ended; err != nil || !attemptEnded.Load() {
-			t.Errorf("%v, or an attempt is left behind", err)
+			t.Errorf("Run returned %v or did not wait for an attempt", err)
 		}
 		for e := range r.timers {
 			if e.timer.Stop() {
