--- a/internal/lab/fleet/account.go
+++ b/internal/lab/fleet/account.go
@@ -84,7 +84,7 @@
 
 // Arrival is the arrival of an attempt at a peer, or its end there.
 type Arrival struct {
-	At   time.Duration // by the monotonic clock
+	At   time.Duration // monotonic time
 	Peer string
 	Call string
 	Done bool // the peer has finished the attempt
@@ -92,14 +92,14 @@
 
 // PeerEvent is one event of a peer or of another part of the world.
 type PeerEvent struct {
-	At   time.Duration // by the monotonic clock
+	At   time.Duration // monotonic time
 	Who  string
 	What string
 }
 
 // ProbeCount is the number of health checks that had arrived at all peers by a point in time.
 type ProbeCount struct {
-	At     time.Duration // by the monotonic clock
+	At     time.Duration // monotonic time
 	Probes int
 }
 
@@ -153,7 +153,7 @@
 		return nil, err
 	}
 	defer func() { _ = file.Close() }()
-	ofStranger := strings.HasSuffix(path, strangerMark+recordSuffix)
+	isStranger := strings.HasSuffix(path, strangerMark+recordSuffix)
 	var all []record.Line
 	scanner := bufio.NewScanner(file)
 	scanner.Buffer(nil, maxRecordLine)
@@ -162,7 +162,7 @@
 		if err := json.Unmarshal(scanner.Bytes(), &line); err != nil {
 			return nil, err
 		}
-		if ofStranger {
+		if isStranger {
 			line.Node += strangerMark
 		}
 		all = append(all, line)
--- a/internal/lab/fleet/amounts.go
+++ b/internal/lab/fleet/amounts.go
@@ -93,26 +93,26 @@
 func JudgeRetries(a *Account) *Amount {
 	m := newAmount(a, "retries", int(retriesRate))
 	seen := map[string]bool{}
-	var more []time.Duration
+	var retries []time.Duration
 	for _, c := range a.Arrivals {
 		if c.Done || c.At > a.End {
 			continue
 		}
 		if seen[c.Call] {
-			more = append(more, c.At)
+			retries = append(retries, c.At)
 		}
 		seen[c.Call] = true
 	}
-	m.Max = len(more)
-	var at, wide time.Duration
-	m.Over, at, wide = maxRatio(more, allowances(a).unitsAllowed(retriesRate, retriesBurst))
+	m.Max = len(retries)
+	var at, window time.Duration
+	m.Over, at, window = maxRatio(retries, allowances(a).unitsAllowed(retriesRate, retriesBurst))
 	if m.Over > 1 {
-		what := fmt.Sprintf("in %v, %.3f times the retries that are allowed came to peers", wide, m.Over)
+		what := fmt.Sprintf("in %v, %.3f times the allowed number of retries arrived at peers", window, m.Over)
 		m.Broken = append(m.Broken, Violation{Rule: "over", At: at - a.Begin, What: what})
 	}
 	from := a.Begin + 8*time.Second
 	to := a.End - 2*time.Second
-	m.Use = countBetween(more, from, to) / (retriesRate * (to - from).Seconds())
+	m.Use = countBetween(retries, from, to) / (retriesRate * (to - from).Seconds())
 	m.checkUsed(a)
 	return m
 }
@@ -130,12 +130,12 @@
 	Broken  []Violation `json:"broken"`
 }
 
-func newAmount(a *Account, kind string, whole int) *Amount {
+func newAmount(a *Account, kind string, limit int) *Amount {
 	amount := &Amount{
 		Kind:    kind,
 		Nodes:   len(a.Names),
 		Seconds: (a.End - a.Begin).Seconds(),
-		Limit:   whole,
+		Limit:   limit,
 		Asked:   a.Tally.Asked,
 		Broken:  []Violation{},
 	}
@@ -158,37 +158,37 @@
 // JudgeInUse checks the number of calls that all peers together had in flight at one time.
 func JudgeInUse(a *Account) *Amount {
 	m := newAmount(a, "in-use", maxInUse)
-	held := map[string][]time.Duration{} // arrival times of the attempts in flight, by call
-	var began []Arrival
-	now, area := 0, 0.0
+	open := map[string][]time.Duration{} // arrival times of the attempts in flight, by call
+	var starts []Arrival
+	inFlight, area := 0, 0.0
 	last, from := a.Begin, a.Begin+8*time.Second
 	for _, c := range a.Arrivals {
 		if c.At > a.End {
 			break
 		}
 		if c.At > from {
-			area += float64(now) * (c.At - max(last, from)).Seconds()
+			area += float64(inFlight) * (c.At - max(last, from)).Seconds()
 		}
 		last = c.At
-		for len(began) > 0 && began[0].At < c.At-maxPeerWork {
-			if old := held[began[0].Call]; len(old) > 0 && old[0] == began[0].At {
-				held[began[0].Call] = old[1:]
-				now--
+		for len(starts) > 0 && starts[0].At < c.At-maxPeerWork {
+			if old := open[starts[0].Call]; len(old) > 0 && old[0] == starts[0].At {
+				open[starts[0].Call] = old[1:]
+				inFlight--
 			}
-			began = began[1:]
+			starts = starts[1:]
 		}
-		switch old := held[c.Call]; {
+		switch old := open[c.Call]; {
 		case !c.Done:
-			held[c.Call] = append(old, c.At)
-			began = append(began, c)
-			now++
+			open[c.Call] = append(old, c.At)
+			starts = append(starts, c)
+			inFlight++
 		case len(old) > 0:
-			held[c.Call] = old[1:]
-			now--
+			open[c.Call] = old[1:]
+			inFlight--
 		}
-		if m.Max = max(m.Max, now); now > maxInUse && len(m.Broken) < 20 {
+		if m.Max = max(m.Max, inFlight); inFlight > maxInUse && len(m.Broken) < 20 {
 			m.Broken = append(m.Broken, Violation{"over", c.At - a.Begin,
-				fmt.Sprintf("peers hold %d calls, more than %d", now, maxInUse)})
+				fmt.Sprintf("peers hold %d calls, more than %d", inFlight, maxInUse)})
 		}
 	}
 	m.Over = float64(m.Max) / maxInUse
@@ -199,17 +199,17 @@
 	return m
 }
 
-// JudgeCount checks the total number of calls that arrived at peers, and the history of the ledger. A run over the end
-// of a period may use the limit once in each of the two periods.
+// JudgeCount checks the total number of calls that arrived at peers, and the history of the ledger. A run that spans
+// the end of a period may use the limit once in each period.
 func JudgeCount(a *Account) *Amount {
 	m := newAmount(a, "count", countLimit)
-	came := firstArrivals(a)
-	m.Max = len(came)
+	arrivals := firstArrivals(a)
+	m.Max = len(arrivals)
 	m.Over = float64(m.Max) / countLimit
 	m.Use = min(m.Over, 1)
 	if m.Max > countLimit*a.Periods {
-		m.Broken = append(m.Broken, Violation{"over", came[countLimit*a.Periods] - a.Begin,
-			fmt.Sprintf("%d calls came to peers, of %d in each of %d periods", m.Max, countLimit, a.Periods)})
+		m.Broken = append(m.Broken, Violation{"over", arrivals[countLimit*a.Periods] - a.Begin,
+			fmt.Sprintf("%d calls arrived at peers, with a limit of %d in each of %d periods", m.Max, countLimit, a.Periods)})
 	}
 	if countHistory(a) == porcupine.Illegal {
 		m.Broken = append(m.Broken, Violation{"history", a.End - a.Begin,
@@ -221,7 +221,7 @@
 
 func (m *Amount) checkUsed(a *Account) {
 	if m.Max == 0 {
-		m.Broken = append(m.Broken, Violation{"use", a.End - a.Begin, "nothing came to any peer"})
+		m.Broken = append(m.Broken, Violation{"use", a.End - a.Begin, "no call or retry arrived at any peer"})
 	}
 }
 
@@ -232,7 +232,7 @@
 func (m *Amount) Text(*Account) string {
 	var t strings.Builder
 	what := map[string]string{"in-use": "at one time", "count": "in all", "retries": "retries a second"}[m.Kind]
-	fmt.Fprintf(&t, "%d processes share %d %s, for %.0f s: peers saw at most %d, %.3f of the whole; used %.3f\n",
+	fmt.Fprintf(&t, "%d processes share %d %s, for %.0f s: peers had at most %d, %.3f of the limit; used %.3f\n",
 		m.Nodes, m.Limit, what, m.Seconds, m.Max, m.Over, m.Use)
 	for _, one := range m.Broken {
 		fmt.Fprintf(&t, "  %s\n", one)
--- a/internal/lab/fleet/budget.go
+++ b/internal/lab/fleet/budget.go
@@ -9,8 +9,7 @@
 	"olivebridge/internal/lab/fault"
 )
 
-// The budget on the rate of calls that the rig's processes share. It belongs to the only tenant whose clients send
-// calls.
+// The budget on the rate of calls that the rig's processes share. It limits the only tenant whose clients send calls.
 const (
 	budgetName   = "acme-quota"
 	budgetRate   = 120.0
@@ -51,14 +50,14 @@
 	}
 	report := newReporter(&b.Broken, a.Begin)
 	reportRun(a, report)
-	came := firstArrivals(a)
-	b.Arrivals = len(came)
+	arrivals := firstArrivals(a)
+	b.Arrivals = len(arrivals)
 	b.Asked = a.Tally.Asked
 	allowed := allowances(a)
-	over, overAt, window := maxRatio(came, allowed.unitsAllowed(budgetRate, budgetBurst))
+	over, overAt, window := maxRatio(arrivals, allowed.unitsAllowed(budgetRate, budgetBurst))
 	b.Over = over
 	if over > 1 {
-		report("over", overAt, "in %v, %.3f times what is allowed came to peers", window, over)
+		report("over", overAt, "in %v, %.3f times the allowed number of calls arrived at peers", window, over)
 	}
 	checkLeases(a, report)
 	b.UsablePercent = make([]int, int(b.Seconds))
@@ -68,13 +67,13 @@
 		report("share", sumAt, "the usable shares add up to %.4f of the budget", sum)
 	}
 	for t := a.Begin; t+time.Second <= a.End; t += time.Second {
-		b.ArrivalsPerSecond = append(b.ArrivalsPerSecond, int(countBetween(came, t, t+time.Second)))
+		b.ArrivalsPerSecond = append(b.ArrivalsPerSecond, int(countBetween(arrivals, t, t+time.Second)))
 	}
-	b.measureUse(a, came)
+	b.measureUse(a, arrivals)
 	b.measureShares(a)
 	b.checkReplaced(a, report)
-	if len(came) == 0 {
-		report("use", a.End, "nothing came to any peer")
+	if len(arrivals) == 0 {
+		report("use", a.End, "no call arrived at any peer")
 	}
 	return b
 }
--- a/internal/lab/fleet/budget_allowance.go
+++ b/internal/lab/fleet/budget_allowance.go
@@ -28,17 +28,17 @@
 
 // maxShare returns the maximum of that fraction between two instants.
 func (all Allowance) maxShare(from, to time.Duration) float64 {
-	share, most := 1.0, 0.0
+	share, greatest := 1.0, 0.0
 	for _, e := range all {
 		if e.At > to {
 			break
 		}
 		if e.At+oldAmountTime > from { // the previous share still applies
-			most = max(most, share)
+			greatest = max(greatest, share)
 		}
 		share = e.Share
 	}
-	return max(most, share)
+	return max(greatest, share)
 }
 
 // unitsAllowed returns the function that computes the number of units that a rate and a burst allow between two
--- a/internal/lab/fleet/budget_shares.go
+++ b/internal/lab/fleet/budget_shares.go
@@ -70,9 +70,9 @@
 
 // usable is the share that one process may use, by its last record.
 type usable struct {
-	lent    float64
-	until   time.Duration // end of the lease of lent
-	reserve float64
+	leased   float64
+	leaseEnd time.Duration // end of the lease on leased
+	reserve  float64
 }
 
 // usableChange is a change, at one instant, of the share that a process may use.
@@ -85,7 +85,7 @@
 // shareSum returns the maximum sum of the shares that all processes could use at one instant, as a fraction of the
 // budget, and that instant. Shares of processes that were stopped or cut off count until their leases end; a killed or
 // ended process uses nothing. It stores the sum at the end of each second in eachSecond, in percent of the budget.
-func shareSum(a *Account, allowed Allowance, eachSecond []int) (most float64, when time.Duration) {
+func shareSum(a *Account, allowed Allowance, eachSecond []int) (greatest float64, when time.Duration) {
 	now := map[string]*usable{}
 	for _, change := range usableChanges(a) {
 		if change.usable != nil {
@@ -94,18 +94,18 @@
 		sum := 0.0
 		for _, u := range now {
 			sum += u.reserve
-			if change.at < u.until {
-				sum += u.lent
+			if change.at < u.leaseEnd {
+				sum += u.leased
 			}
 		}
 		if second := int((change.at - a.Begin).Seconds()); change.at >= a.Begin && second < len(eachSecond) {
 			eachSecond[second] = int(math.Round(100 * sum / budgetRate))
 		}
-		if part := sum / (budgetRate * allowed.shareAt(change.at)); part > most && change.at <= a.End {
-			most, when = part, change.at
+		if ratio := sum / (budgetRate * allowed.shareAt(change.at)); ratio > greatest && change.at <= a.End {
+			greatest, when = ratio, change.at
 		}
 	}
-	return most, when
+	return greatest, when
 }
 
 // usableChanges returns the changes of all processes, ordered by time.
@@ -114,12 +114,12 @@
 	for _, h := range holdings(a) {
 		share := &usable{}
 		if h.share != nil {
-			share = &usable{lent: h.share.Amount, until: time.Duration(h.share.Ends), reserve: h.share.Reserve}
+			share = &usable{leased: h.share.Amount, leaseEnd: time.Duration(h.share.Ends), reserve: h.share.Reserve}
 		}
 		process := processID(h.node, h.pid)
 		all = append(all,
 			usableChange{at: h.at, process: process, usable: share},
-			usableChange{at: share.until, process: process})
+			usableChange{at: share.leaseEnd, process: process})
 	}
 	for _, e := range a.Events {
 		if e.PID == 0 {
@@ -160,21 +160,21 @@
 // measureNewcomers measures the time from the start of a process that takes over its node's name until it holds a
 // share.
 func (b *Budget) measureNewcomers(a *Account, all []holding) {
-	began := map[string]time.Duration{}
+	starts := map[string]time.Duration{}
 	next := 0
 	for _, line := range a.Lines {
 		process := processID(line.Node, line.PID)
 		switch line.Kind {
 		case "took":
-			began[process] = time.Duration(line.At)
+			starts[process] = time.Duration(line.At)
 		case "holds":
 			share := all[next].share
 			next++
-			since, waits := began[process]
+			since, waits := starts[process]
 			if share == nil || !waits || share.Amount+share.Reserve <= 0 {
 				continue
 			}
-			delete(began, process)
+			delete(starts, process)
 			if since > a.Begin {
 				b.NewcomerWait = max(b.NewcomerWait, (time.Duration(line.At) - since).Seconds())
 			}
--- a/internal/lab/fleet/budget_use.go
+++ b/internal/lab/fleet/budget_use.go
@@ -32,20 +32,20 @@
 // maxRatio returns the maximum ratio of the arrivals in any window to the number allowed in it, and the end and the
 // length of that window.
 func maxRatio(
-	came []time.Duration, allowed func(from, to time.Duration) float64,
-) (most float64, at, window time.Duration) {
+	arrivals []time.Duration, allowed func(from, to time.Duration) float64,
+) (greatest float64, at, window time.Duration) {
 	for _, w := range windows {
 		from := 0
-		for i, t := range came {
-			for came[from] <= t-w {
+		for i, t := range arrivals {
+			for arrivals[from] <= t-w {
 				from++
 			}
-			if part := float64(i-from+1) / allowed(t-w, t); part > most {
-				most, at, window = part, t, w
+			if part := float64(i-from+1) / allowed(t-w, t); part > greatest {
+				greatest, at, window = part, t, w
 			}
 		}
 	}
-	return most, at, window
+	return greatest, at, window
 }
 
 const (
@@ -162,8 +162,8 @@
 }
 
 // countBetween returns the number of times in [from, to). The times are in ascending order.
-func countBetween(came []time.Duration, from, to time.Duration) float64 {
-	i, _ := slices.BinarySearch(came, from)
-	j, _ := slices.BinarySearch(came, to)
+func countBetween(times []time.Duration, from, to time.Duration) float64 {
+	i, _ := slices.BinarySearch(times, from)
+	j, _ := slices.BinarySearch(times, to)
 	return float64(j - i)
 }
--- a/internal/lab/fleet/choices.go
+++ b/internal/lab/fleet/choices.go
@@ -173,7 +173,7 @@
 	c.Probes = probeRate(a)
 	c.CPU = loads.cpuShare()
 	if c.Tries == 0 {
-		report("use", a.End, "nothing came to any peer")
+		report("use", a.End, "no attempt arrived at any peer")
 	}
 	for _, starved := range all.starved {
 		c.Starved = append(c.Starved, starved.peer)
@@ -402,7 +402,7 @@
 		settledWindow, c.Busiest, c.Idlest, c.Chance.Busiest, c.Chance.Idlest)
 	fmt.Fprintf(&t, "in all windows of %v: %.3f and %.3f (%.3f and %.3f); starved %d\n",
 		anyWindow, c.BusiestAny, c.IdlestAny, c.ChanceAny.Busiest, c.ChanceAny.Idlest, len(c.Starved))
-	fmt.Fprintf(&t, "%.1f probes a second came to all peers; a process uses %.1f%% of a core\n", c.Probes, 100*c.CPU)
+	fmt.Fprintf(&t, "%.1f probes a second arrived at all peers; a process uses %.1f%% of a core\n", c.Probes, 100*c.CPU)
 	for _, one := range c.Broken {
 		fmt.Fprintf(&t, "  %s\n", one)
 	}
--- a/internal/lab/fleet/cold.go
+++ b/internal/lab/fleet/cold.go
@@ -150,7 +150,7 @@
 		if part > c.Over {
 			c.Over = part
 			if shared && part > 1 {
-				what := fmt.Sprintf("in %v, %.3f times what is allowed came to the cold peer %s", window, part, cold.peer)
+				what := fmt.Sprintf("in %v, %.3f times the allowed cost arrived at the cold peer %s", window, part, cold.peer)
 				c.Broken = append(c.Broken, Violation{Rule: "over", At: when - a.Begin, What: what})
 			}
 		}
@@ -164,7 +164,7 @@
 		c.Use = used / allowed
 	}
 	if c.Tries == 0 {
-		c.Broken = append(c.Broken, Violation{Rule: "use", At: a.End - a.Begin, What: "nothing came to any cold peer"})
+		c.Broken = append(c.Broken, Violation{Rule: "use", At: a.End - a.Begin, What: "no attempt arrived at any cold peer"})
 	}
 	return c
 }
--- a/internal/lab/fleet/fleet_files.go
+++ b/internal/lab/fleet/fleet_files.go
@@ -50,11 +50,11 @@
 
 // firstValues returns the values at the start of a run. The number of voters is odd.
 func firstValues(names []string) FileValues {
-	odd := len(names) - 1 + len(names)%2
+	maxOdd := len(names) - 1 + len(names)%2
 	return FileValues{
 		Nodes:       len(names),
 		AmountShare: 1,
-		Voters:      slices.Clone(names[:min(maxVoters, odd)]),
+		Voters:      slices.Clone(names[:min(maxVoters, maxOdd)]),
 		Edition:     1,
 	}
 }
--- a/internal/lab/fleet/members.go
+++ b/internal/lab/fleet/members.go
@@ -23,7 +23,8 @@
 	// have to know of the leave.
 	leaveQuietTime = 4 * time.Second
 	// inFlightTime is the maximum time from a cut until a message sent before it is received, since a process on a busy
-	// machine may read late. If a cut is not made, messages arrive for as long as it lasts.
+	// machine may read late. If the rig fails to make a cut, messages arrive for the whole time of the cut and exceed this
+	// limit.
 	inFlightTime = 1500 * time.Millisecond
 	// massCheckTime is the maximum duration of a check of many silent members: two rounds, and a margin for a busy
 	// machine.
@@ -44,7 +45,7 @@
 	Agree       Times       `json:"agree_s"`  // time from a change until all views agree
 	Detect      Times       `json:"detect_s"` // time from a kill until a view shows it
 	Changes     int         `json:"changes"`
-	Unsettled   int         `json:"unsettled"`    // changes before whose agreement the next one happened
+	Unsettled   int         `json:"unsettled"`    // changes followed by another before all views agreed
 	BriefDeaths int         `json:"brief_deaths"` // processes declared dead after a stop of at most 1 s
 	FalseDeaths int         `json:"false_deaths"`
 	Flaps       int         `json:"flaps"` // suspicions of healthy processes
@@ -94,7 +95,7 @@
 
 // nodeHistory is the judge's state of one node.
 type nodeHistory struct {
-	view        *belief            // of the process that holds the node's name; nil if there is none
+	view        *latestView        // of the process that holds the node's name; nil if there is none
 	holder      int                // PID of that process; 0 if there is none
 	incarnation member.Incarnation // the newest one; valid if hasStarted
 	hasStarted  bool
@@ -103,27 +104,27 @@
 	killedAt      time.Duration
 	killSeenBy    map[string]bool // viewers that saw the death, or were reported for not seeing it
 	leftAsPlanned bool            // the last process ended after a planned leave
-	endedAt       time.Duration   // 0 if it runs, or was killed during a leave that it may have announced
+	endedAt       time.Duration   // time of the last end; 0 if none, or if killed during a leave
 
 	stopped           bool
 	stoppedAt         time.Duration
 	resumedAt         time.Duration
 	wasStoppedBriefly bool          // the last stop was at most briefStop long
-	settledAt         time.Duration // end of the time after a stop in which its views are not judged
+	excusedUntil      time.Duration // end of the time after a stop in which its views are not judged
 	undisturbedSince  time.Duration // start of the time in which it was not stopped or cut off
-	touchedAt         time.Duration // time of the last event of the node or of the network
+	lastEventAt       time.Duration // time of the last event of the node or of the network
 	strangerUntil     time.Duration // end of the time in which others may take a killed stranger for it
 }
 
-// belief is the newest view of a process.
-type belief struct {
+// latestView is the newest view of a process.
+type latestView struct {
 	pid     int
 	view    member.View
 	members map[string]member.Member // members of the view, by name
 }
 
-func newBelief(pid int, view member.View) *belief {
-	b := &belief{pid: pid, view: view, members: make(map[string]member.Member, len(view.Members))}
+func newLatestView(pid int, view member.View) *latestView {
+	b := &latestView{pid: pid, view: view, members: make(map[string]member.Member, len(view.Members))}
 	for _, m := range view.Members {
 		b.members[m.Name] = m
 	}
--- a/internal/lab/fleet/members_agreement.go
+++ b/internal/lab/fleet/members_agreement.go
@@ -36,7 +36,7 @@
 func (j *judge) checkDeadRemovedBy(at time.Duration, viewer, name string, killed *nodeHistory) {
 	v := j.node(viewer)
 	from := max(killed.killedAt, v.undisturbedSince, j.impairedAt)
-	if killed.killSeenBy[viewer] || !j.truth.nodes[viewer].canBelieve() || v.view == nil || at-from < removalTimeout ||
+	if killed.killSeenBy[viewer] || !j.truth.nodes[viewer].canUpdateView() || v.view == nil || at-from < removalTimeout ||
 		j.truth.heavyLosses > 0 {
 		return
 	}
@@ -75,7 +75,7 @@
 // difference describes the first view that differs from the correct one. It is empty if all views are correct.
 func (j *judge) difference() string {
 	for _, viewer := range j.account.Names {
-		if !j.truth.nodes[viewer].canBelieve() {
+		if !j.truth.nodes[viewer].canUpdateView() {
 			continue
 		}
 		view := j.node(viewer).view
--- a/internal/lab/fleet/members_events.go
+++ b/internal/lab/fleet/members_events.go
@@ -13,8 +13,8 @@
 	j.checkOverdue(at)
 }
 
-// changesNothing reports whether an event leaves the correct views as they are.
-func changesNothing(what string) bool {
+// keepsCorrectViews reports whether an event leaves the correct views as they are.
+func keepsCorrectViews(what string) bool {
 	switch what {
 	case "upgrade", "upgraded", "directory full", "directory unwritable", "directory foreign", "directory torn",
 		"directory emptied", "refused", "moves", eventClockWrong:
@@ -32,10 +32,10 @@
 	}
 	for _, name := range j.account.Names {
 		if e.Node == name || e.Node == "" {
-			j.node(name).touchedAt = e.At
+			j.node(name).lastEventAt = e.At
 		}
 	}
-	if changesNothing(e.What) {
+	if keepsCorrectViews(e.What) {
 		return
 	}
 	switch e.What {
@@ -55,7 +55,7 @@
 	case eventKilled:
 		n.leftAsPlanned = false
 		n.endedAt = e.At
-		if wasLeaving { // it may have announced its leave before the kill
+		if wasLeaving { // it may have announced its leave, so that both dead and left are correct
 			n.endedAt = 0
 		}
 		n.killed = true
@@ -81,7 +81,7 @@
 		n.stopped = false
 		n.stoppedAt = 0
 		n.resumedAt = e.At
-		n.settledAt = e.At + undisturbedTime
+		n.excusedUntil = e.At + undisturbedTime
 		n.undisturbedSince = e.At
 	}
 }
--- a/internal/lab/fleet/members_records.go
+++ b/internal/lab/fleet/members_records.go
@@ -36,7 +36,7 @@
 	case "heard":
 		var reports map[string]member.ReceptionReport
 		if json.Unmarshal(line.Data, &reports) == nil {
-			j.checkHeard(at, line.Node, reports)
+			j.checkReceptions(at, line.Node, reports)
 		}
 	}
 }
@@ -66,18 +66,19 @@
 		if n == nil || j.truth.nodes[checker] == nil || j.truth.impairments > 0 {
 			continue
 		}
-		if at-j.node(name).touchedAt < massCheckTime || at-j.node(checker).touchedAt < massCheckTime {
+		if at-j.node(name).lastEventAt < massCheckTime || at-j.node(checker).lastEventAt < massCheckTime {
 			continue
 		}
-		if n.canBelieve() && !n.hasStranger && j.reaches(checker, name) {
+		if n.canUpdateView() && !n.hasStranger && j.reaches(checker, name) {
 			j.result.FalseDeaths++
 			j.report("false", at, "%s declares %s dead after a check of many members, but other nodes reach it", checker, name)
 		}
 	}
 }
 
-// checkHeard checks the messages that a process received against the cuts: it reports a cut that the rig did not make.
-func (j *judge) checkHeard(at time.Duration, node string, reports map[string]member.ReceptionReport) {
+// checkReceptions checks the messages that a process received against the cuts. It reports a cut that the rig did not
+// make.
+func (j *judge) checkReceptions(at time.Duration, node string, reports map[string]member.ReceptionReport) {
 	for sender, heard := range reports {
 		if j.truth.nodes[sender] == nil || j.truth.nodes[sender].hasStranger || at < j.node(sender).strangerUntil {
 			continue // messages of a stranger under the same name, which is not cut off, count as the node's
@@ -108,12 +109,12 @@
 	}
 	before := n.view
 	if before == nil {
-		before = &belief{}
+		before = &latestView{}
 	}
 	for _, m := range view.Members {
 		j.checkMember(at, line.Node, before.members[m.Name], m)
 	}
-	n.view = newBelief(line.PID, view)
+	n.view = newLatestView(line.PID, view)
 	j.checkAgreement(at)
 }
 
@@ -164,7 +165,7 @@
 func (j *judge) checkState(at time.Duration, viewer string, is member.Member) {
 	switch is.State {
 	case member.Suspect:
-		if j.isWell(at, viewer, is) {
+		if j.isHealthy(at, viewer, is) {
 			j.result.Flaps++
 		}
 	case member.Dead:
@@ -174,28 +175,28 @@
 	}
 }
 
-// isWell reports whether a member runs in the incarnation that a viewer knows, no stranger uses its name, the viewer
+// isHealthy reports whether a member runs in the incarnation that a viewer knows, no stranger uses its name, the viewer
 // reaches it, and neither of the two was stopped within undisturbedTime.
-func (j *judge) isWell(at time.Duration, viewer string, is member.Member) bool {
+func (j *judge) isHealthy(at time.Duration, viewer string, is member.Member) bool {
 	n := j.node(is.Name)
 	actual := j.truth.nodes[is.Name]
 	runs := actual.running && !actual.stopped && !actual.leaving && !actual.hasStranger
-	settled := at >= n.settledAt && at >= j.node(viewer).settledAt
+	settled := at >= n.excusedUntil && at >= j.node(viewer).excusedUntil
 	return runs && settled && is.Incarnation == n.incarnation && j.reaches(viewer, is.Name)
 }
 
 func (j *judge) checkDead(at time.Duration, viewer string, is member.Member) {
 	n := j.node(is.Name)
 	actual := j.truth.nodes[is.Name]
-	if j.isWell(at, viewer, is) && actual.serving && n.holderHasView() {
+	if j.isHealthy(at, viewer, is) && actual.serving && n.holderHasView() {
 		j.result.FalseDeaths++
 		if at-j.disturbedAt > undisturbedTime && j.truth.heavyLosses == 0 {
 			j.report("false", at, "%s declares %s dead, which is healthy", viewer, is.Name)
 		}
 		return
 	}
-	heardOfLeave := n.endedAt-j.disturbedAt > leaveQuietTime && at >= j.node(viewer).settledAt
-	if n.leftAsPlanned && !actual.running && heardOfLeave {
+	knowsLeave := n.endedAt-j.disturbedAt > leaveQuietTime && at >= j.node(viewer).excusedUntil
+	if n.leftAsPlanned && !actual.running && knowsLeave {
 		j.report("told", at, "%s declares %s dead, which left as planned", viewer, is.Name)
 	}
 }
@@ -204,7 +205,7 @@
 	n := j.node(is.Name)
 	actual := j.truth.nodes[is.Name]
 	switch {
-	case j.isWell(at, viewer, is) && at-j.disturbedAt > undisturbedTime:
+	case j.isHealthy(at, viewer, is) && at-j.disturbedAt > undisturbedTime:
 		j.report("told", at, "%s says that %s has left, but it is healthy", viewer, is.Name)
 	case !n.leftAsPlanned && !actual.running && n.endedAt > 0:
 		j.report("told", at, "%s says that %s left as planned, but it was killed", viewer, is.Name)
--- a/internal/lab/fleet/page.go
+++ b/internal/lab/fleet/page.go
@@ -105,7 +105,7 @@
 			class, title = "up", name+" runs"
 		}
 		d.draw("life "+name, class, title, at, y+4, 14)
-		d.drawBeliefs(j, name, at, y+20)
+		d.drawViews(j, name, at, y+20)
 	}
 }
 
@@ -118,13 +118,13 @@
 	return n
 }
 
-// drawBeliefs draws the other processes' views of a node: all correct, some correct, or none.
-func (d *drawing) drawBeliefs(j *judge, name string, at time.Duration, y float64) {
+// drawViews draws the other processes' views of a node: all correct, some correct, or none.
+func (d *drawing) drawViews(j *judge, name string, at time.Duration, y float64) {
 	actual := j.truth.nodes[name]
 	var right, wrong []string
 	for _, viewer := range d.a.Names {
 		b := j.node(viewer).view
-		if viewer == name || !j.truth.nodes[viewer].canBelieve() || b == nil {
+		if viewer == name || !j.truth.nodes[viewer].canUpdateView() || b == nil {
 			continue
 		}
 		m, known := b.view.Lookup(name)
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -193,7 +193,7 @@
 func (g *rig) reportProgress(run *live.Run, length time.Duration) {
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
-	told := 0
+	reported := 0
 	for begin := time.Now(); time.Since(begin) < length; {
 		select {
 		case <-run.Done():
@@ -201,13 +201,13 @@
 		case <-ticker.C:
 		}
 		g.mu.Lock()
-		fresh := g.events[min(told, len(g.events)):]
-		told = len(g.events)
+		newEvents := g.events[min(reported, len(g.events)):]
+		reported = len(g.events)
 		g.mu.Unlock()
 		if g.options.Progress == nil {
 			continue
 		}
-		for _, e := range fresh {
+		for _, e := range newEvents {
 			g.options.Progress(fmt.Sprintf("%6.2fs  %s", time.Since(begin).Seconds(), e))
 		}
 	}
--- a/internal/lab/fleet/rounds.go
+++ b/internal/lab/fleet/rounds.go
@@ -34,7 +34,7 @@
 	Seconds    float64     `json:"seconds"`
 	Steps      int         `json:"steps"`
 	Drivers    int         `json:"drivers"` // the number of processes that took steps
-	Took       float64     `json:"took_s"`  // time from the first step to the last one; 0 if there was no step
+	RoundTime  float64     `json:"took_s"`  // time from the first step to the last one; 0 if there was no step
 	Checked    int         `json:"quiet"`   // the number of times that a server was out of service at all nodes
 	Skipped    int         `json:"skipped"` // of those, the ones not judged since a process was cut off or stopped
 	LateCalls  int         `json:"late"`    // attempts that arrived at a server out of service
@@ -90,7 +90,7 @@
 	m.Drivers = len(drivers)
 	m.checkAllDrained(a, taken, report)
 	if m.Steps > 0 {
-		m.Took = (last - first).Seconds()
+		m.RoundTime = (last - first).Seconds()
 	}
 }
 
@@ -109,8 +109,8 @@
 	}
 }
 
-// checkDrained reports calls that were in flight at a server, or arrived there, between two instants in which all nodes
-// had reported that they have none there.
+// checkDrained reports calls that were in flight at a server at the first of two instants, or arrived there before the
+// second one. Between the instants all nodes had reported that they have no calls there.
 func (m *Rounds) checkDrained(a *Account, server string, from, to time.Duration, report reporter) {
 	m.Checked++
 	if wasDisturbed(a, from, to) {
@@ -144,10 +144,10 @@
 			open[arrival.Call] = arrival.At
 		}
 	}
-	for _, came := range open {
+	for _, arrivedAt := range open {
 		nodeEnded := func(e Event) bool {
 			ended := e.What == eventKilled || e.What == eventEnded
-			return ended && e.At > came-inFlightMargin && e.At <= at
+			return ended && e.At > arrivedAt-inFlightMargin && e.At <= at
 		}
 		if !slices.ContainsFunc(a.Events, nodeEnded) {
 			count++
@@ -230,7 +230,7 @@
 func (m *Rounds) Text(*Account) string {
 	var t strings.Builder
 	fmt.Fprintf(&t, "%d processes, %.0f s: a round of %d steps took %.2f s, taken by %d processes\n",
-		m.Nodes, m.Seconds, m.Steps, m.Took, m.Drivers)
+		m.Nodes, m.Seconds, m.Steps, m.RoundTime, m.Drivers)
 	fmt.Fprintf(&t, "%d times a server was out at all nodes (%d not judged, since a process was cut off or stopped): "+
 		"it had %d calls in flight, and %d attempts arrived at it\n", m.Checked, m.Skipped, m.OpenCalls, m.LateCalls)
 	fmt.Fprintf(&t, "operators called %d times, were not answered %d times, and were asked to repeat the call %d times\n",
@@ -244,6 +244,6 @@
 // Line returns the result in one line.
 func (m *Rounds) Line(s *fault.Script) string {
 	return fmt.Sprintf("seed %d: %s; %d steps by %d, %.1f s, out %d (%d not judged), late %d; %s",
-		s.Seed, strings.Join(s.Kinds(), " "), m.Steps, m.Drivers, m.Took, m.Checked, m.Skipped, m.LateCalls,
+		s.Seed, strings.Join(s.Kinds(), " "), m.Steps, m.Drivers, m.RoundTime, m.Checked, m.Skipped, m.LateCalls,
 		verdict(m.Broken))
 }
--- a/internal/lab/fleet/truth.go
+++ b/internal/lab/fleet/truth.go
@@ -8,8 +8,8 @@
 type truth struct {
 	names       []string
 	nodes       map[string]*nodeState
-	cuts        map[nodePair]int           // in force
-	impairments int                        // in force
+	cuts        map[nodePair]int           // number of active cuts
+	impairments int                        // number of active impairments
 	heavyLosses int                        // of those, the ones that lose more than statedLoss
 	reachable   map[string]map[string]bool // cached results of reachableFrom, cleared at each event
 }
@@ -164,8 +164,8 @@
 	return !n.leaving
 }
 
-// canBelieve reports whether the node's process can update its view.
-func (n *nodeState) canBelieve() bool {
+// canUpdateView reports whether the node's process can update its view.
+func (n *nodeState) canUpdateView() bool {
 	return n.running && n.serving && !n.stopped && !n.leaving
 }
 
