--- a/internal/lab/fleet/choices.go
+++ b/internal/lab/fleet/choices.go
@@ -228,7 +228,7 @@
 type peerLoad struct {
 	peer  string
 	at    time.Duration // start of the window
-	ratio float64       // of its weighted load to the mean
+	ratio float64       // weighted load / mean of all healthy peers
 }
 
 // windowLoads is the evaluation of all windows of one length.
@@ -280,7 +280,7 @@
 			w.idlest = one
 		}
 		if load.count == 0 && perPeer >= minStarvedMean {
-			w.noteStarved(one)
+			w.addStarved(one)
 		}
 	}
 }
@@ -288,7 +288,7 @@
 // maxStarved is the maximum number of starved peers that are reported.
 const maxStarved = 20
 
-func (w *windowLoads) noteStarved(load peerLoad) {
+func (w *windowLoads) addStarved(load peerLoad) {
 	known := slices.ContainsFunc(w.starved, func(other peerLoad) bool { return other.peer == load.peer })
 	if !known && len(w.starved) < maxStarved {
 		w.starved = append(w.starved, load)
--- a/internal/lab/fleet/cold.go
+++ b/internal/lab/fleet/cold.go
@@ -49,10 +49,10 @@
 	}
 }
 
-// withDeaths returns a function that adds deaths of peers to the scripts of another one.
-func withDeaths(make scriptMaker) scriptMaker {
+// withDeaths returns a function that adds deaths of peers to the scripts of makeScript.
+func withDeaths(makeScript scriptMaker) scriptMaker {
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
-		s, err := make(seed, nodes, length)
+		s, err := makeScript(seed, nodes, length)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/fleet/fleet_files.go
+++ b/internal/lab/fleet/fleet_files.go
@@ -62,12 +62,12 @@
 // Env implements live.Fleet. It writes the fleet file of a node's next process.
 func (g *rig) Env(node string, twin bool) ([]string, error) {
 	g.starts++
-	slot, own := g.slot(node, twin)
-	home := filepath.Join(g.options.Dir, own)
-	if err := os.MkdirAll(g.stateDirectory(own), directoryMode); err != nil {
+	slot, directory := g.slot(node, twin)
+	home := filepath.Join(g.options.Dir, directory)
+	if err := os.MkdirAll(g.stateDirectory(directory), directoryMode); err != nil {
 		return nil, err
 	}
-	text := g.memberTable(node, slot, own)
+	text := g.memberTable(node, slot, directory)
 	path := filepath.Join(home, fmt.Sprintf("fleet-%d.toml", g.starts))
 	if err := g.writeFile(path, text); err != nil {
 		return nil, err
@@ -89,7 +89,7 @@
 }
 
 // slot returns the relay slot of a node's next process, and the name of its directory.
-func (g *rig) slot(node string, twin bool) (slot int, own string) {
+func (g *rig) slot(node string, twin bool) (slot int, directory string) {
 	index := slices.Index(g.names, node)
 	switch {
 	case twin:
@@ -101,7 +101,7 @@
 }
 
 // memberTable returns the [member] table of a fleet file.
-func (g *rig) memberTable(node string, slot int, own string) string {
+func (g *rig) memberTable(node string, slot int, directory string) string {
 	var join []string
 	for k := range min(addressesToJoin, len(g.names)) {
 		join = append(join, fmt.Sprintf("%q", g.relays.RelayAddress(k)))
@@ -112,8 +112,8 @@
 	fmt.Fprintf(&table, "advertise = %q\n", g.relays.RelayAddress(slot))
 	fmt.Fprintf(&table, "join = [%s]\n", strings.Join(join, ", "))
 	fmt.Fprintf(&table, "zone = %q\n", g.zones[node])
-	fmt.Fprintf(&table, "directory = %q\n", g.stateDirectory(own))
-	fmt.Fprintf(&table, "record = %q\n", filepath.Join(g.options.Dir, own+recordSuffix))
+	fmt.Fprintf(&table, "directory = %q\n", g.stateDirectory(directory))
+	fmt.Fprintf(&table, "record = %q\n", filepath.Join(g.options.Dir, directory+recordSuffix))
 	return table.String()
 }
 
@@ -158,6 +158,6 @@
 }
 
 // stateDirectory returns the state directory of a process, as its fleet file names it.
-func (g *rig) stateDirectory(own string) string {
-	return filepath.Join(g.options.Dir, own, "state")
+func (g *rig) stateDirectory(directory string) string {
+	return filepath.Join(g.options.Dir, directory, "state")
 }
--- a/internal/lab/fleet/members_events.go
+++ b/internal/lab/fleet/members_events.go
@@ -40,13 +40,13 @@
 	}
 	switch e.What {
 	case eventCut:
-		j.noteCut(e)
+		j.recordCut(e)
 	case eventCutHealed:
-		j.noteHealed(e)
+		j.recordHealed(e)
 	default:
 		j.node(e.Node).apply(e, wasLeaving)
 	}
-	j.noteChange(e)
+	j.handleChange(e)
 }
 
 // apply updates the history by an event of the node.
@@ -86,7 +86,7 @@
 	}
 }
 
-func (j *judge) noteCut(e Event) {
+func (j *judge) recordCut(e Event) {
 	for _, from := range e.From {
 		for _, to := range e.To {
 			j.cutAt[nodePair{from, to}] = e.At
@@ -94,7 +94,7 @@
 	}
 }
 
-func (j *judge) noteHealed(e Event) {
+func (j *judge) recordHealed(e Event) {
 	for _, from := range e.From {
 		for _, to := range e.To {
 			if j.truth.isOpen(from, to) {
@@ -104,8 +104,8 @@
 	}
 }
 
-// noteChange restarts the wait for agreement after an event that changes the correct views.
-func (j *judge) noteChange(e Event) {
+// handleChange restarts the wait for agreement after an event that changes the correct views.
+func (j *judge) handleChange(e Event) {
 	if e.What != eventServes && e.What != eventTerminated && j.changedAt > 0 {
 		j.result.Changes++
 		if !j.viewsAgree {
--- a/internal/lab/fleet/page.go
+++ b/internal/lab/fleet/page.go
@@ -90,18 +90,18 @@
 func (d *drawing) drawInstant(j *judge, at time.Duration) {
 	for i, name := range d.a.Names {
 		y := float64(laneHeight * i)
-		n := j.truth.nodes[name]
+		node := j.truth.nodes[name]
 		class, title := "down", name+" does not run"
 		switch {
-		case n.running && n.stopped:
+		case node.running && node.stopped:
 			class, title = "still", name+" is stopped"
-		case n.running && n.leaving:
+		case node.running && node.leaving:
 			class, title = "leaving", name+" is ending"
-		case n.running && len(j.truth.reachableFrom(name)) < runningCount(j.truth.truth):
+		case node.running && len(j.truth.reachableFrom(name)) < runningCount(j.truth.truth):
 			class, title = "cut", name+" is cut off from some"
-		case n.running && n.hasStranger:
+		case node.running && node.hasStranger:
 			class, title = "twin", "a stranger uses the name of "+name
-		case n.running:
+		case node.running:
 			class, title = "up", name+" runs"
 		}
 		d.draw("life "+name, class, title, at, y+4, 14)
--- a/internal/lab/fleet/relay.go
+++ b/internal/lab/fleet/relay.go
@@ -40,8 +40,8 @@
 	mu    sync.RWMutex
 	links map[linkKey]*link
 
-	drawing sync.Mutex // guards random
-	random  *rand.Rand
+	randomMu sync.Mutex // guards random
+	random   *rand.Rand
 
 	relays  []*relay
 	closed  atomic.Bool
@@ -176,7 +176,7 @@
 	if probability <= 0 {
 		return false
 	}
-	r.drawing.Lock()
-	defer r.drawing.Unlock()
+	r.randomMu.Lock()
+	defer r.randomMu.Unlock()
 	return r.random.Float64() < probability
 }
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -19,7 +19,7 @@
 	Dir        string            // directory for everything that the processes write
 	Log        io.Writer         // receives errors of the run itself; may be nil
 	Progress   func(line string) // receives a line for each event; may be nil
-	Mutant     string            // of all processes, which must be built for mutants; "" if none
+	Mutant     string            // mutant as which all processes run, built for mutants; "" for none
 	IgnoreCuts bool              // the rig is a mutant that makes no cuts
 	// ExtraTables returns the tables of the fleet files besides [member]. It may be nil.
 	ExtraTables func(FileValues) string
--- a/internal/lab/fleet/takeover_clients.go
+++ b/internal/lab/fleet/takeover_clients.go
@@ -103,7 +103,7 @@
 		call.Attempts++
 		got, err := c.sendAttempt(ctx, c.nodes[node], key, call.Attempts)
 		call.Ended = record.Now()
-		call.noteAnswer(node, got, err)
+		call.recordAnswer(node, got, err)
 		if err == nil && got.isFinal() {
 			call.finish(got)
 			return call
@@ -120,8 +120,8 @@
 	return call
 }
 
-// noteAnswer updates LastAnswers with the result of an attempt. An error replaces the earlier text.
-func (c *ClientCall) noteAnswer(node string, got answer, err error) {
+// recordAnswer updates LastAnswers with the result of an attempt. An error replaces the earlier text.
+func (c *ClientCall) recordAnswer(node string, got answer, err error) {
 	if err != nil {
 		c.LastAnswers = fmt.Sprintf("%s: %.40v", node, err)
 		return
