--- a/internal/lab/fleet/members_events.go
+++ b/internal/lab/fleet/members_events.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// advance lets time go on to an instant: it applies the events until then, and finds views that should have followed.
+// advance applies the events up to an instant and reports views that do not follow them in time.
 func (j *judge) advance(at time.Duration) {
 	for j.truth.next < len(j.truth.events) && j.truth.events[j.truth.next].At <= at {
 		e := j.truth.events[j.truth.next]
@@ -13,8 +13,8 @@
 	j.checkOverdue(at)
 }
 
-// changesNothing reports whether views have nothing to follow in an event.
-func changesNothing(what string) bool {
+// keepsCorrectViews reports whether an event leaves the correct views as they are.
+func keepsCorrectViews(what string) bool {
 	switch what {
 	case "upgrade", "upgraded", "directory full", "directory unwritable", "directory foreign", "directory torn",
 		"directory emptied", "refused", "moves", eventClockWrong:
@@ -32,30 +32,30 @@
 	}
 	for _, name := range j.account.Names {
 		if e.Node == name || e.Node == "" {
-			j.node(name).touchedAt = e.At
+			j.node(name).lastEventAt = e.At
 		}
 	}
-	if changesNothing(e.What) {
+	if keepsCorrectViews(e.What) {
 		return
 	}
 	switch e.What {
 	case eventCut:
-		j.noteCut(e)
+		j.recordCut(e)
 	case eventCutHealed:
-		j.noteHealed(e)
+		j.recordHealed(e)
 	default:
 		j.node(e.Node).apply(e, wasLeaving)
 	}
-	j.noteChange(e)
+	j.handleChange(e)
 }
 
-// apply notes what happened to the node.
+// apply updates the history by an event of the node.
 func (n *nodeHistory) apply(e Event, wasLeaving bool) {
 	switch e.What {
 	case eventKilled:
 		n.leftAsPlanned = false
 		n.endedAt = e.At
-		if wasLeaving { // it may have said that it had left
+		if wasLeaving { // it may have announced its leave, so that both dead and left are correct
 			n.endedAt = 0
 		}
 		n.killed = true
@@ -72,7 +72,7 @@
 		n.killed = false
 		n.view = nil
 	case eventStrangerKilled:
-		n.strangerUntil = e.At + calmFor // the last that was heard of it is reported for a while
+		n.strangerUntil = e.At + undisturbedTime // records still contain its last messages for a while
 	case eventStopped:
 		n.stopped = true
 		n.stoppedAt = e.At
@@ -81,12 +81,12 @@
 		n.stopped = false
 		n.stoppedAt = 0
 		n.resumedAt = e.At
-		n.settledAt = e.At + calmFor
+		n.excusedUntil = e.At + undisturbedTime
 		n.undisturbedSince = e.At
 	}
 }
 
-func (j *judge) noteCut(e Event) {
+func (j *judge) recordCut(e Event) {
 	for _, from := range e.From {
 		for _, to := range e.To {
 			j.cutAt[nodePair{from, to}] = e.At
@@ -94,7 +94,7 @@
 	}
 }
 
-func (j *judge) noteHealed(e Event) {
+func (j *judge) recordHealed(e Event) {
 	for _, from := range e.From {
 		for _, to := range e.To {
 			if j.truth.isOpen(from, to) {
@@ -104,8 +104,8 @@
 	}
 }
 
-// noteChange notes that views have something to follow from now on.
-func (j *judge) noteChange(e Event) {
+// handleChange restarts the wait for agreement after an event that changes the correct views.
+func (j *judge) handleChange(e Event) {
 	if e.What != eventServes && e.What != eventTerminated && j.changedAt > 0 {
 		j.result.Changes++
 		if !j.viewsAgree {
@@ -113,7 +113,7 @@
 		}
 	}
 	j.restartAgreement(e.At, j.difference() != "")
-	if e.Node == "" { // what is cut apart finds out at times of its own
+	if e.Node == "" { // the nodes detect a cut at different times
 		for _, name := range j.account.Names {
 			j.node(name).undisturbedSince = e.At
 		}
@@ -125,7 +125,7 @@
 	j.checkAgreement(e.At)
 }
 
-// restartAgreement begins the time in which the views have to agree.
+// restartAgreement restarts the time in which the views have to agree.
 func (j *judge) restartAgreement(at time.Duration, differ bool) {
 	j.changedAt = at
 	j.viewsAgree = false
--- a/internal/lab/fleet/page.go
+++ b/internal/lab/fleet/page.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// The page's measures, in pixels.
+// The dimensions of the page, in pixels.
 const (
-	laneHigh  = 34
-	pageWide  = 1100
-	labelWide = 60
+	laneHeight = 34
+	plotWidth  = 1100
+	labelWidth = 60
 )
 
-// segment is a stretch of a lane.
+// segment is a section of a lane with one state.
 type segment struct {
 	X, Y, W, H float64
 	Class      string
@@ -37,25 +37,25 @@
 	Text           string
 }
 
-// WriteHTML draws the run: for each process its life and what was done to it, and below what the others believe of it,
-// against what is true.
+// WriteHTML writes a page with a lane for each process: the upper bar shows its actual state, and the lower bar whether
+// the other processes' views of it are correct.
 func (r *Result) WriteHTML(w io.Writer) error {
 	a := r.Account
 	p := page{
 		Title:   fmt.Sprintf("seed %d, %d processes", r.Script.Seed, len(a.Names)),
 		Verdict: verdict(r.Outcome.Verdict()),
-		Wide:    pageWide + labelWide,
-		High:    laneHigh*len(a.Names) + 30,
+		Wide:    plotWidth + labelWidth,
+		High:    laneHeight*len(a.Names) + 30,
 		Text:    r.Outcome.Text(a),
 	}
 	d := &drawing{p: &p, a: a, open: map[string]*segment{}}
 	j := newJudge(a)
-	j.observe = func(at time.Duration) { d.look(j, at) }
+	j.observe = func(at time.Duration) { d.drawInstant(j, at) }
 	j.play()
-	d.look(j, a.End)
+	d.drawInstant(j, a.End)
 	d.end()
 	for i, n := range a.Names {
-		p.Lanes = append(p.Lanes, lane{n, float64(laneHigh*i + 18)})
+		p.Lanes = append(p.Lanes, lane{n, float64(laneHeight*i + 18)})
 	}
 	span := (a.End - a.Begin).Seconds()
 	step := 1.0
@@ -63,7 +63,7 @@
 		step *= 2
 	}
 	for t := 0.0; t <= span; t += step {
-		tick := segment{X: labelWide + t/span*pageWide, Y: float64(p.High - 8), Title: fmt.Sprintf("%.0f s", t)}
+		tick := segment{X: labelWidth + t/span*plotWidth, Y: float64(p.High - 8), Title: fmt.Sprintf("%.0f s", t)}
 		p.Ticks = append(p.Ticks, tick)
 	}
 	for _, e := range a.Events {
@@ -74,7 +74,7 @@
 	return pageTemplate.Execute(w, &p)
 }
 
-// drawing draws while the judge walks.
+// drawing collects segments while the judge processes the run.
 type drawing struct {
 	p    *page
 	a    *Account
@@ -83,53 +83,53 @@
 
 func (d *drawing) x(at time.Duration) float64 {
 	at = max(min(at, d.a.End), d.a.Begin)
-	return labelWide + float64(at-d.a.Begin)/float64(d.a.End-d.a.Begin)*pageWide
+	return labelWidth + float64(at-d.a.Begin)/float64(d.a.End-d.a.Begin)*plotWidth
 }
 
-// look draws how things stand at a time.
-func (d *drawing) look(j *judge, at time.Duration) {
+// drawInstant draws the actual state and the views at an instant.
+func (d *drawing) drawInstant(j *judge, at time.Duration) {
 	for i, name := range d.a.Names {
-		y := float64(laneHigh * i)
-		n := j.truth.nodes[name]
+		y := float64(laneHeight * i)
+		node := j.truth.nodes[name]
 		class, title := "down", name+" does not run"
 		switch {
-		case n.running && n.stopped:
-			class, title = "still", name+" stands still"
-		case n.running && n.leaving:
+		case node.running && node.stopped:
+			class, title = "still", name+" is stopped"
+		case node.running && node.leaving:
 			class, title = "leaving", name+" is ending"
-		case n.running && len(j.truth.reachableFrom(name)) < running(j.truth.truth):
+		case node.running && len(j.truth.reachableFrom(name)) < runningCount(j.truth.truth):
 			class, title = "cut", name+" is cut off from some"
-		case n.running && n.hasStranger:
-			class, title = "twin", "a stranger lives under the name of "+name
-		case n.running:
+		case node.running && node.hasStranger:
+			class, title = "twin", "a stranger uses the name of "+name
+		case node.running:
 			class, title = "up", name+" runs"
 		}
 		d.draw("life "+name, class, title, at, y+4, 14)
-		d.believe(j, name, at, y+20)
+		d.drawViews(j, name, at, y+20)
 	}
 }
 
-func running(t *truth) (n int) {
-	for _, l := range t.nodes {
-		if l.running && !l.stopped {
+func runningCount(t *truth) (n int) {
+	for _, node := range t.nodes {
+		if node.running && !node.stopped {
 			n++
 		}
 	}
 	return n
 }
 
-// believe draws what the others believe of a node: right, wrong, or some of them wrong.
-func (d *drawing) believe(j *judge, name string, at time.Duration, y float64) {
-	o := j.truth.nodes[name]
+// drawViews draws the other processes' views of a node: all correct, some correct, or none.
+func (d *drawing) drawViews(j *judge, name string, at time.Duration, y float64) {
+	actual := j.truth.nodes[name]
 	var right, wrong []string
 	for _, viewer := range d.a.Names {
 		b := j.node(viewer).view
-		if viewer == name || !j.truth.nodes[viewer].canBelieve() || b == nil {
+		if viewer == name || !j.truth.nodes[viewer].canUpdateView() || b == nil {
 			continue
 		}
 		m, known := b.view.Lookup(name)
 		here := known && m.State.Present()
-		should := o.running && !o.stopped && j.truth.reachableFrom(viewer)[name]
+		should := actual.running && !actual.stopped && j.truth.reachableFrom(viewer)[name]
 		if here == should {
 			right = append(right, viewer)
 		} else {
@@ -143,12 +143,12 @@
 	case len(wrong) > 0:
 		class = "wrong"
 	}
-	title := fmt.Sprintf("of %s, right: %s; not yet: %s", name, strings.Join(right, " "), strings.Join(wrong, " "))
+	title := fmt.Sprintf("views of %s, correct: %s; not yet: %s", name, strings.Join(right, " "), strings.Join(wrong, " "))
 	d.draw("belief "+name, class, title, at, y, 8)
 }
 
-// draw goes on with a stretch, or begins another.
-func (d *drawing) draw(key, class, title string, at time.Duration, y, high float64) {
+// draw continues the open segment of a key if the class is the same, and else starts another.
+func (d *drawing) draw(key, class, title string, at time.Duration, y, height float64) {
 	x := d.x(at)
 	s := d.open[key]
 	if s != nil && s.Class == class {
@@ -158,7 +158,7 @@
 		s.W = x - s.X
 		d.p.Segments = append(d.p.Segments, *s)
 	}
-	d.open[key] = &segment{X: x, Y: y, H: high, Class: class, Title: title}
+	d.open[key] = &segment{X: x, Y: y, H: height, Class: class, Title: title}
 }
 
 func (d *drawing) end() {
@@ -175,22 +175,22 @@
 .right{fill:#c9e5c8}.mixed{fill:#f0c060}.wrong{fill:#cc3b3b}
 span{display:inline-block;padding:2px 8px;margin-right:6px}
 </style><h1>{{.Title}}</h1><p><b>{{.Verdict}}</b></p>
-<p>Upper bar, what is true:
+<p>Upper bar, the actual state:
 <svg width="700" height="16"><rect class="up" width="12" height="12"/><text x="16" y="11">runs</text>
 <rect class="down" x="70" width="12" height="12"/><text x="86" y="11">does not run</text>
-<rect class="still" x="190" width="12" height="12"/><text x="206" y="11">stands still</text>
+<rect class="still" x="190" width="12" height="12"/><text x="206" y="11">is stopped</text>
 <rect class="cut" x="300" width="12" height="12"/><text x="316" y="11">cut off from some</text>
 <rect class="leaving" x="450" width="12" height="12"/><text x="466" y="11">ending</text>
-<rect class="twin" x="530" width="12" height="12"/><text x="546" y="11">a stranger has its name</text></svg><br>
-Lower bar, what the others believe of it:
-<svg width="500" height="16"><rect class="right" width="12" height="12"/><text x="16" y="11">all are right</text>
-<rect class="mixed" x="110" width="12" height="12"/><text x="126" y="11">some are right</text>
-<rect class="wrong" x="240" width="12" height="12"/><text x="256" y="11">none is right yet</text></svg></p>
+<rect class="twin" x="530" width="12" height="12"/><text x="546" y="11">a stranger uses its name</text></svg><br>
+Lower bar, the other processes' views of it:
+<svg width="500" height="16"><rect class="right" width="12" height="12"/><text x="16" y="11">all are correct</text>
+<rect class="mixed" x="110" width="12" height="12"/><text x="126" y="11">some are correct</text>
+<rect class="wrong" x="240" width="12" height="12"/><text x="256" y="11">none is correct yet</text></svg></p>
 <svg width="{{.Wide}}" height="{{.High}}" font-size="12">
 {{range .Lanes}}<text x="4" y="{{.Y}}">{{.Name}}</text>{{end}}
 {{range .Segments}}<rect class="{{.Class}}" x="{{.X}}" y="{{.Y}}" width="{{.W}}" height="{{.H}}">{{/* join */ -}}
 <title>{{.Title}}</title></rect>{{end}}
 {{range .Ticks}}<text x="{{.X}}" y="{{.Y}}">{{.Title}}</text>{{end}}
-</svg><pre>{{.Text}}</pre><h2>What happened</h2><pre>{{range .Events}}{{.}}
+</svg><pre>{{.Text}}</pre><h2>List of events</h2><pre>{{range .Events}}{{.}}
 {{end}}</pre></html>
 `))
