--- a/cmd/olivebridge/handover_failures_test.go
+++ b/cmd/olivebridge/handover_failures_test.go
@@ -14,42 +14,44 @@
 	"olivebridge/internal/handover"
 )
 
-// TestFailuresDuringHandover: a new process takes over under each failure that it can meet, while clients go on. The
-// four rules hold over both processes, and no client finds its connection refused, reset or unread.
+// TestFailuresDuringHandover hands over to a new process under each failure that can occur, while clients send
+// requests. The four rules must hold across both processes, and no client's connection may be refused, reset or closed
+// before its request is read.
 func TestFailuresDuringHandover(t *testing.T) {
 	fails := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
 	const twoResponses = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi HTTP/1.1 200 OK\r\n\r\n"
 	slow := func(http.ResponseWriter, *http.Request) { time.Sleep(700 * time.Millisecond) }
 	silent := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
-	says := func(text string) http.HandlerFunc {
+	respondAfterDelay := func(text string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
-			time.Sleep(20 * time.Millisecond) // or it would be asked without a pause
+			time.Sleep(20 * time.Millisecond) // limits the rate at which the node polls
 			io.WriteString(w, text)
 		}
 	}
-	// closed: discovery lists nobody. A process that starts by then is not ready, and its predecessor goes on
-	gone := make(chan bool)
-	empties := func(w http.ResponseWriter, r *http.Request) {
+	// gone is closed when discovery begins to list no servers. A process that starts after that is not ready, and its
+	// predecessor continues to serve.
+	listEmptied := make(chan bool)
+	emptyList := func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case <-gone:
-			says(`{"version":2,"full":true,"servers":[]}`)(w, r)
+		case <-listEmptied:
+			respondAfterDelay(`{"version":2,"full":true,"servers":[]}`)(w, r)
 		case <-r.Context().Done():
 		}
 	}
-	call := func(line string) func(*testing.T, *ruleChecker, *process, *process, string) {
+	runCommand := func(line string) func(*testing.T, *ruleChecker, *process, *process, string) {
 		return func(t *testing.T, _ *ruleChecker, _, _ *process, adminAddr string) { mustCommand(t, adminAddr, line) }
 	}
 	for name, c := range map[string]struct {
 		discovery http.HandlerFunc
-		serve     http.HandlerFunc // of the first of three servers
-		limits    string           // of each process
-		cold      bool             // the servers but the first have just started
-		dead      bool             // nobody listens at the first server's address
-		lost      bool             // nobody listens at discovery's address
-		kill      bool             // the predecessor is killed, in place of its graceful shutdown
-		want      int              // a status that clients get
+		serve     http.HandlerFunc // handler of the first of three servers; nil: respondOK
+		limits    string           // shell commands that limit each process; see process.limits
+		cold      bool             // the second and third server have just started
+		dead      bool             // no process listens at the first server's address
+		lost      bool             // no process listens at discovery's address
+		kill      bool             // the predecessor is killed instead of shut down gracefully
+		want      int              // the status of the successor's responses that the test waits for
 
-		meanwhile func(t *testing.T, s *ruleChecker, n, next *process, adminAddr string) // while both processes live
+		meanwhile func(t *testing.T, s *ruleChecker, n, next *process, adminAddr string) // runs while both processes serve
 	}{
 		"a server is silent":          {serve: silent, want: 200},
 		"a server answers 500":        {serve: fails, want: 200},
@@ -57,30 +59,31 @@
 		"a server breaks connections": {serve: dropConnection, want: 200},
 		"a server is slow":            {serve: slow, want: 200},
 		"responses are malformed":     {serve: rawResponse("HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n"), want: 200},
-		"bytes behind responses":      {serve: rawResponse(twoResponses), want: 200},
-		"a server is dead":            {dead: true, want: 200},
-		"discovery refuses":           {lost: true, want: 200},
-		"discovery breaks":            {discovery: dropConnection, want: 200},
+		"bytes after responses":       {serve: rawResponse(twoResponses), want: 200},
+		"a server does not listen":    {dead: true, want: 200},
+		"discovery does not listen":   {lost: true, want: 200},
+		"discovery drops connections": {discovery: dropConnection, want: 200},
 		"servers are in slow start":   {cold: true, want: 200},
-		"discovery says 503":          {discovery: fails, want: 200},
-		"a list cannot be read":       {discovery: says(`{"version":`), want: 200},
-		"the list empties": {discovery: empties, meanwhile: func(*testing.T, *ruleChecker, *process, *process, string) {
-			close(gone)
+		"discovery answers 500":       {discovery: fails, want: 200},
+		"a list is truncated":         {discovery: respondAfterDelay(`{"version":`), want: 200},
+		"the list becomes empty": {discovery: emptyList, meanwhile: func(*testing.T, *ruleChecker, *process, *process, string) {
+			close(listEmptied)
 		}, want: 503},
 		"descriptors are short": {limits: "ulimit -n 40", want: 200},
 		"a server is suspended": {meanwhile: func(t *testing.T, s *ruleChecker, n, _ *process, adminAddr string) {
 			mustCommand(t, adminAddr, "SUSPEND s-1")
 			s.mu.Lock()
-			// There is no grace; what left before the answer may still be read.
-			s.drained["s-1"] = time.Now().Add(timingTolerance - drainGrace)
+			// A suspension has no grace period; the tolerance covers attempts that were sent before the answer
+			// and are read by the server after it.
+			s.drainingSince["s-1"] = time.Now().Add(timingTolerance - drainGrace)
 			s.mu.Unlock()
 		}, want: 200},
-		"the node is paused": {meanwhile: call("PAUSE"), want: 200},
-		"it is paused and back": {meanwhile: func(t *testing.T, _ *ruleChecker, _, _ *process, adminAddr string) {
+		"the node is paused": {meanwhile: runCommand("PAUSE"), want: 200},
+		"the node is paused and resumed": {meanwhile: func(t *testing.T, _ *ruleChecker, _, _ *process, adminAddr string) {
 			mustCommand(t, adminAddr, "PAUSE")
 			mustCommand(t, adminAddr, "RESUME")
 		}, want: 200},
-		"both reload": {meanwhile: func(t *testing.T, _ *ruleChecker, n, next *process, _ string) {
+		"both processes reload": {meanwhile: func(t *testing.T, _ *ruleChecker, n, next *process, _ string) {
 			n.reloadWith(t, `"connect_timeout":75000000`, `"connect_timeout":80000000`)
 			next.cmd.Process.Signal(syscall.SIGHUP)
 			next.waitForLog(t, "msg=reloaded")
@@ -91,13 +94,13 @@
 			t.Parallel()
 			s := newRuleChecker()
 			if c.discovery == nil {
-				c.discovery = unchanged
+				c.discovery = unchangedList
 			}
 			if c.serve == nil {
 				c.serve = respondOK
 			}
 			n := prepare(t, config, c.discovery,
-				s.server("s-0", c.serve), s.server("s-1", respondOK), s.server("s-2", respondOK))
+				s.recordingHandler("s-0", c.serve), s.recordingHandler("s-1", respondOK), s.recordingHandler("s-2", respondOK))
 			n.env = append(n.env, "ROUTER_ADMIN="+freeAddr(t))
 			if !c.cold {
 				n.markServersWarm(t)
@@ -110,11 +113,11 @@
 				n.env = append(n.env, "ROUTER_DISCOVERY="+freeAddr(t))
 			}
 			n.launch(t)
-			stop := s.load(t, n.addr, 4)
-			for s.answers(200) < 20 {
+			stop := s.startLoad(t, n.addr, 4)
+			for s.responseCount(200) < 20 {
 				time.Sleep(time.Millisecond)
 			}
-			next, adminAddr := n.successor(t)
+			next, adminAddr := n.startSuccessor(t)
 			n.waitForLog(t, "successor takes clients")
 			if c.meanwhile != nil {
 				c.meanwhile(t, s, n, next, adminAddr)
@@ -128,7 +131,7 @@
 			} else {
 				n.shutdown(t)
 			}
-			for more := s.answers(c.want) + 20; s.answers(c.want) < more; { // by the successor alone
+			for target := s.responseCount(c.want) + 20; s.responseCount(c.want) < target; { // responses of the successor alone
 				time.Sleep(time.Millisecond)
 			}
 			stop()
@@ -142,12 +145,13 @@
 	}
 }
 
-// TestHandoverLog: what a predecessor's log shows of a hand-over, and what its operators hear as it shuts down.
+// TestHandoverLog checks the predecessor's log lines of a hand-over, and its answer to an operator's command during its
+// shutdown.
 func TestHandoverLog(t *testing.T) {
 	t.Setenv("ROUTER_ADMIN", freeAddr(t))
 	held, release := make(chan bool), make(chan bool)
 	s := newRuleChecker()
-	n := start(t, unchanged, s.server("s-0", func(http.ResponseWriter, *http.Request) {
+	n := start(t, unchangedList, s.recordingHandler("s-0", func(http.ResponseWriter, *http.Request) {
 		held <- true
 		<-release
 	}))
@@ -166,7 +170,7 @@
 		status <- got
 	}()
 	<-held
-	next, _ := n.successor(t)
+	next, _ := n.startSuccessor(t)
 	n.waitForLog(t, "successor takes clients")
 	n.cmd.Process.Signal(syscall.SIGTERM)
 	n.waitForLog(t, "reason=handed-over")
@@ -175,15 +179,15 @@
 	}
 	close(release)
 	if got := <-status; got != 200 {
-		t.Errorf("the open booking: %d", got)
+		t.Errorf("open request: got status %d, want 200", got)
 	}
 	n.waitForLog(t, "when=exit")
 	next.shutdown(t)
 	s.check(t)
 }
 
-// TestUnusableHandoverPath: what keeps a successor from finding a process is logged in one line, removes nobody's file,
-// and keeps nobody from being served.
+// TestUnusableHandoverPath checks that a process which cannot listen for a successor logs the reason in one line,
+// removes no foreign file, and serves requests.
 func TestUnusableHandoverPath(t *testing.T) {
 	file := func(t *testing.T, dir string) string {
 		path := filepath.Join(dir, "olivebridge-n0.sock")
@@ -197,21 +201,21 @@
 		want string
 	}{
 		"no TMPDIR":      {func(*testing.T) string { return "" }, `reason="TMPDIR is not set"`},
-		"a missing one":  {func(t *testing.T) string { return filepath.Join(t.TempDir(), "none") }, "no such file"},
+		"no such folder": {func(t *testing.T) string { return filepath.Join(t.TempDir(), "none") }, "no such file"},
 		"a foreign file": {func(t *testing.T) string { return file(t, t.TempDir()) }, "is no socket"},
-		"a file for it": {func(t *testing.T) string {
+		"TMPDIR is a file": {func(t *testing.T) string {
 			return filepath.Join(file(t, t.TempDir()), "olivebridge-n0.sock")
 		}, "not a directory"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, dir := newRuleChecker(), c.dir(t)
 			t.Setenv("ROUTER_ADMIN", freeAddr(t))
-			n := prepare(t, config, unchanged, s.server("s-0", respondOK))
+			n := prepare(t, config, unchangedList, s.recordingHandler("s-0", respondOK))
 			n.env = append(n.env, "TMPDIR="+dir)
 			n.launchWithoutWaiting(t)
-			said := ""
+			output := ""
 			for line := range n.lines {
-				if said += line + "\n"; strings.Contains(said, c.want) && strings.Contains(said, "msg=started") {
+				if output += line + "\n"; strings.Contains(output, c.want) && strings.Contains(output, "msg=started") {
 					break
 				}
 				if strings.Contains(line, "msg=started") {
@@ -221,16 +225,16 @@
 					break
 				}
 			}
-			if !strings.Contains(said, `msg="no hand-over to a successor"`) || !strings.Contains(said, c.want) {
-				t.Errorf("%s: %s", c.want, said)
+			if !strings.Contains(output, `msg="no hand-over to a successor"`) || !strings.Contains(output, c.want) {
+				t.Errorf("log does not contain %q: %s", c.want, output)
 			}
-			n.readAddr(t, said)
+			n.readAddr(t, output)
 			if status, _ := s.call(t, n.addr, "status", nil); status != 200 {
-				t.Errorf("status %d", status)
+				t.Errorf("got status %d, want 200", status)
 			}
 			text, err := os.ReadFile(filepath.Join(dir, "olivebridge-n0.sock"))
 			if name == "a foreign file" && string(text) != "kept" {
-				t.Errorf("the file: %q, %v", text, err)
+				t.Errorf("foreign file: got content %q and error %v, want \"kept\"", text, err)
 			}
 			n.shutdown(t)
 			s.check(t)
@@ -238,41 +242,41 @@
 	}
 }
 
-// TestHangingPredecessor: a process in service that does not answer keeps its successor from nothing: that starts alone
-// beside it, logs so, and serves.
+// TestHangingPredecessor starts a process whose predecessor hangs. The new process must log that the hand-over failed,
+// start without it, and serve.
 func TestHangingPredecessor(t *testing.T) {
 	t.Setenv("ROUTER_ADMIN", freeAddr(t))
 	s := newRuleChecker()
-	n := start(t, unchanged, s.server("s-0", respondOK))
+	n := start(t, unchangedList, s.recordingHandler("s-0", respondOK))
 	n.env[1] = "ROUTER_LISTEN=" + n.addr
 	n.cmd.Process.Signal(syscall.SIGSTOP)
-	next := n.sibling("ROUTER_ADMIN=" + freeAddr(t))
+	next := n.newProcess("ROUTER_ADMIN=" + freeAddr(t))
 	next.launchWithoutWaiting(t)
 	if line := next.waitForLog(t, "hand-over failed"); !strings.Contains(line, "i/o timeout") {
 		t.Error(line)
 	}
 	next.readAddr(t, next.waitForLog(t, "msg=started"))
-	n.cmd.Process.Kill() // nothing was open there; else its share of new connections would hang
+	n.cmd.Process.Kill() // it has no open request; while it lives, new connections assigned to it would hang
 	n.cmd.Wait()
 	for range 20 {
 		if status, _ := s.call(t, next.addr, "book", strings.NewReader("paid")); status != 200 {
-			t.Errorf("status %d", status)
+			t.Errorf("got status %d, want 200", status)
 		}
 	}
 	next.shutdown(t)
 	s.check(t)
 }
 
-// TestSuccessorDiesBeforeItIsReady: a successor that listens in its predecessor's place and dies before it says that it
-// is ready leaves its predecessor able to have another.
+// TestSuccessorDiesBeforeItIsReady checks that a process can hand over to a second successor after the first one
+// listened on its hand-over socket and died before it reported that it was ready.
 func TestSuccessorDiesBeforeItIsReady(t *testing.T) {
 	t.Setenv("ROUTER_ADMIN", freeAddr(t))
 	s := newRuleChecker()
-	n := start(t, unchanged, s.server("s-0", respondOK))
+	n := start(t, unchangedList, s.recordingHandler("s-0", respondOK))
 	n.env[1] = "ROUTER_LISTEN=" + n.addr
 	path := filepath.Join(n.env[4][len("TMPDIR="):], "olivebridge-n0.sock")
 	var takeover *handover.Takeover
-	for takeover == nil { // the process waits for a successor just after its start
+	for takeover == nil { // nil until the process listens for a successor, shortly after its start
 		var err error
 		if takeover, err = handover.Connect(path); err != nil {
 			t.Fatal(err)
@@ -286,11 +290,11 @@
 	listener.Close()
 	takeover.Link.Close()
 	n.waitForLog(t, "other process has ended")
-	next, _ := n.successor(t)
+	next, _ := n.startSuccessor(t)
 	n.waitForLog(t, "successor takes clients")
 	n.shutdown(t)
 	if status, _ := s.call(t, next.addr, "book", strings.NewReader("paid")); status != 200 {
-		t.Errorf("status %d", status)
+		t.Errorf("got status %d, want 200", status)
 	}
 	next.shutdown(t)
 	s.check(t)
--- a/cmd/olivebridge/large_messages_test.go
+++ b/cmd/olivebridge/large_messages_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// randomBody is a body of n bytes that depends on a seed.
+// randomBody returns n pseudo-random bytes that depend on seed alone.
 func randomBody(seed, n int64) io.Reader { return io.LimitReader(rand.New(rand.NewSource(seed)), n) }
 
 func checksum(r io.Reader) (string, error) {
@@ -24,14 +24,14 @@
 	return fmt.Sprintf("%x", h.Sum(nil)), err
 }
 
-// unknownLength hides what a reader can do beyond reading: its length is not announced.
+// unknownLength hides the concrete type of a reader, so that http.NewRequest cannot set a Content-Length.
 type unknownLength struct{ io.Reader }
 
-// TestLargeMessages: bodies and responses that together exceed the node's memory many times come through whole, both
-// ways, with a length and in chunks.
+// TestLargeMessages sends request bodies and responses whose total size is several times the node's memory limit. All
+// must arrive complete, with a Content-Length and in chunks.
 func TestLargeMessages(t *testing.T) {
-	const each, calls = 24 << 20, 12 // 288 MB each way, at 64 MB of memory
-	n := startWithConfig(t, strings.Replace(config, `"memory_mb":192`, `"memory_mb":64`, 1), unchanged,
+	const each, calls = 24 << 20, 12 // 288 MB in each direction; the node's limit is 64 MB
+	n := startWithConfig(t, strings.Replace(config, `"memory_mb":192`, `"memory_mb":64`, 1), unchangedList,
 		func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == "POST" {
 				got, err := checksum(r.Body)
@@ -58,13 +58,13 @@
 			}
 			status, got := n.send(t, req, "book")
 			if data, _ := io.ReadAll(got); status != 200 || string(data) != want+"<nil>" {
-				t.Errorf("body %d: status %d, %.80q", i, status, data)
+				t.Errorf("request body %d: got status %d and %.80q, want 200 and its checksum", i, status, data)
 			}
 			got.Close()
 			req, _ = http.NewRequest("GET", fmt.Sprintf("http://%s/api?seed=%d", n.addr, i), nil)
 			status, got = n.send(t, req, "status")
 			if have, err := checksum(got); status != 200 || have != want || err != nil {
-				t.Errorf("answer %d: status %d, %v", i, status, err)
+				t.Errorf("response body %d: got status %d and error %v, want 200 and a matching checksum", i, status, err)
 			}
 			got.Close()
 		})
@@ -72,21 +72,21 @@
 	all.Wait()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", n.cmd.Process.Pid))
 	if err != nil {
-		t.Skip("no /proc to read the peak of memory from")
+		t.Skip("reading the node's peak memory needs /proc")
 	}
 	_, peak, _ := strings.Cut(string(status), "VmHWM:")
 	kb, _ := strconv.Atoi(strings.Fields(peak)[0])
 	t.Logf("peak memory %d MB", kb>>10)
 	if !raceEnabled && kb > 64<<10 {
-		t.Errorf("peak memory %d kB", kb)
+		t.Errorf("peak memory is %d kB, want at most 65536 kB", kb)
 	}
 }
 
-// TestSlowBody: a body that keeps coming for longer than any timeout is served; one that stops is found out within 3 s,
-// and its server is let go.
+// TestSlowBody checks that the node serves a request whose body keeps arriving for longer than any timeout, and that it
+// rejects a body that stops arriving within 3 s and closes the connection to the server.
 func TestSlowBody(t *testing.T) {
 	ended := make(chan error, 2)
-	n := start(t, unchanged, func(w http.ResponseWriter, r *http.Request) {
+	n := start(t, unchangedList, func(w http.ResponseWriter, r *http.Request) {
 		_, err := io.Copy(io.Discard, r.Body)
 		ended <- err
 	})
@@ -101,7 +101,7 @@
 	req, _ := http.NewRequest("POST", "http://"+n.addr+"/api", out)
 	status, body := n.send(t, req, "book")
 	if body.Close(); status != 200 || <-ended != nil {
-		t.Errorf("a slow body: status %d", status)
+		t.Errorf("slow body: got status %d, want 200", status)
 	}
 	out, in = io.Pipe()
 	defer in.Close()
@@ -111,29 +111,32 @@
 	begun := time.Now()
 	status, body = n.send(t, req, "book")
 	if d := time.Since(begun); status != 400 || d > 6*time.Second || <-ended == nil {
-		t.Errorf("a body that stops: status %d after %v", status, d)
+		t.Errorf("body that stops arriving: got status %d after %v, want 400 within 6 s and an error at the server",
+			status, d)
 	}
 	body.Close()
 }
 
-// TestServerSilentDuringUpload: a server that stops reading a long body in its middle does not hold the request for
-// ever. Its last byte never left, so that it never ran, and its client, which still writes, gets a Retry-After.
+// TestServerSilentDuringUpload has a server stop reading in the middle of a long body. The node must give up on the
+// request. As its last byte was never sent, it has not run: the client, which is still writing, gets a 503 with a
+// Retry-After.
 func TestServerSilentDuringUpload(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it waits for 30 s")
+		t.Skip("the test takes 30 s")
 	}
 	t.Parallel()
 	s, release := newRuleChecker(), make(chan bool)
-	n := start(t, unchanged, func(w http.ResponseWriter, r *http.Request) { <-release })
+	n := start(t, unchangedList, func(w http.ResponseWriter, r *http.Request) { <-release })
 	defer close(release)
 	begun := time.Now()
-	status, after := s.call(t, n.addr, "book", io.LimitReader(zeros{}, 30<<20))
-	if d := time.Since(begun); status != 503 || after == "" || d > 40*time.Second {
-		t.Errorf("status %d, to come again after %q s, in %v", status, after, d)
+	status, retryAfter := s.call(t, n.addr, "book", io.LimitReader(zeros{}, 30<<20))
+	if d := time.Since(begun); status != 503 || retryAfter == "" || d > 40*time.Second {
+		t.Errorf("got status %d with Retry-After %q after %v, want 503 with a Retry-After within 40 s", status, retryAfter, d)
 	}
 	n.cmd.Process.Signal(syscall.SIGTERM)
 }
 
+// zeros is an endless reader of zero bytes.
 type zeros struct{}
 
 func (zeros) Read(b []byte) (int, error) { return len(b), nil }
--- a/cmd/olivebridge/main.go
+++ b/cmd/olivebridge/main.go
@@ -1,4 +1,4 @@
-// Command olivebridge is one load-balancing node on real sockets.
+// Command olivebridge runs one load-balancing node on the sockets of the host.
 package main
 
 import (
@@ -11,8 +11,8 @@
 	"olivebridge/internal/protocol"
 )
 
-// fleetProgram is the node that belongs to a fleet. It is a program of its own, since the libraries that this takes
-// cost every process that links them more memory than the platform's node can spare.
+// fleetProgram is the executable of a node that is a fleet member. It is a separate program because every process that
+// links the fleet's libraries uses more memory than a node outside a fleet can spare.
 const fleetProgram = "olivefleet"
 
 func main() {
@@ -22,7 +22,8 @@
 	program.Main(program.Options{})
 }
 
-// execProgram replaces this process by another program of the same folder. It returns only if it cannot.
+// execProgram replaces this process by the named program in the directory of this executable. It returns only on
+// failure.
 func execProgram(name string) error {
 	self, err := os.Executable()
 	if err != nil {
--- a/cmd/olivebridge/process_test.go
+++ b/cmd/olivebridge/process_test.go
@@ -20,7 +20,8 @@
 	"time"
 )
 
-// TestMain lets the tests start the program: it is this binary, with a variable set.
+// TestMain runs the program instead of the tests if OLIVEBRIDGE_TEST_PROGRAM is set: the tests start their own binary
+// with that variable.
 func TestMain(m *testing.M) {
 	if os.Getenv("OLIVEBRIDGE_TEST_PROGRAM") != "" {
 		main()
@@ -40,24 +41,25 @@
 "probes":false,"retry_after":true,"second_copies":true,"try_limit":4},"n_instances":1,"kinds":["m1"],
 "tenants":[{"name":"acme","share":1}],"weights":"nominal","worth_by":"request","zone":0,"zones":["a"]}}`
 
-// process is a running program.
+// process is one process of the program, with its configuration.
 type process struct {
 	cmd         *exec.Cmd
-	addr        string // where clients connect
+	addr        string // the address on which it listens for clients
 	log         io.Closer
-	config      string // the file's path
-	serverAddrs []string
+	config      string   // path of the configuration file
+	serverAddrs []string // addresses of the servers in the configuration, in order
 	env         []string
-	limits      string      // a shell's words for limits of its own; "": none
-	logBlocked  chan bool   // closed: nobody reads its log any more
-	logReleased chan bool   // closed: somebody does again
-	lines       chan string // of its log, closed at its end
+	limits      string      // shell commands that limit the process's resources; "": no limits
+	logBlocked  chan bool   // closed when the test stops reading the log
+	logReleased chan bool   // closed when the test reads the log again
+	lines       chan string // lines of the log; closed when the log ends
 }
 
+// executable returns a command that runs the program with additional variables.
 func executable(t *testing.T, env ...string) *exec.Cmd {
 	t.Helper()
 	path := os.Args[0]
-	if built := os.Getenv("OLIVEBRIDGE_PROGRAM"); built != "" { // as it is in service
+	if built := os.Getenv("OLIVEBRIDGE_PROGRAM"); built != "" { // the production binary
 		path = built
 	}
 	cmd := exec.CommandContext(t.Context(), path)
@@ -65,6 +67,7 @@
 	return cmd
 }
 
+// environment writes a configuration file with the given text and returns the variables of a node that reads it.
 func environment(t *testing.T, listen, discovery, text string) []string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -74,13 +77,14 @@
 	return []string{"ROUTER_NAME=n0", "ROUTER_LISTEN=" + listen, "ROUTER_DISCOVERY=" + discovery, "ROUTER_CONFIG=" + path}
 }
 
-// start runs a node with servers, of which each but the first has only just started.
+// start starts a node with one server for each handler. The first server started long ago; the others are in slow
+// start.
 func start(t *testing.T, discovery http.HandlerFunc, handlers ...http.HandlerFunc) *process {
 	t.Helper()
 	return startWithConfig(t, config, discovery, handlers...)
 }
 
-// startWithConfig does as start, with another configuration.
+// startWithConfig is like start, with the given configuration.
 func startWithConfig(t *testing.T, config string, discovery http.HandlerFunc, handlers ...http.HandlerFunc) *process {
 	t.Helper()
 	n := prepare(t, config, discovery, handlers...)
@@ -88,7 +92,7 @@
 	return n
 }
 
-// startWithLimits does as start, with limits of the program's own.
+// startWithLimits is like start, with limits on the program's resources.
 func startWithLimits(t *testing.T, limits string, discovery http.HandlerFunc, handlers ...http.HandlerFunc) *process {
 	t.Helper()
 	n := prepare(t, config, discovery, handlers...)
@@ -97,7 +101,7 @@
 	return n
 }
 
-// prepare starts all that a node needs, but not the node.
+// prepare starts discovery and the servers of a node and writes its configuration, but does not start the node.
 func prepare(t *testing.T, config string, discovery http.HandlerFunc, handlers ...http.HandlerFunc) *process {
 	t.Helper()
 	list := httptest.NewServer(discovery)
@@ -117,19 +121,19 @@
 	return &process{serverAddrs: addrs, env: env, config: strings.TrimPrefix(env[3], "ROUTER_CONFIG=")}
 }
 
-// sibling is another process of the same node, with variables of its own.
-func (n *process) sibling(env ...string) *process {
+// newProcess returns another process of the same node, which is not started yet, with additional variables.
+func (n *process) newProcess(env ...string) *process {
 	return &process{serverAddrs: n.serverAddrs, config: n.config, env: append(slices.Clone(n.env), env...)}
 }
 
-// launch starts the program in its environment, and waits until it listens.
+// launch starts the program and waits until it listens.
 func (n *process) launch(t *testing.T) {
 	t.Helper()
 	n.launchWithoutWaiting(t)
 	n.readAddr(t, n.waitForLog(t, "msg=started"))
 }
 
-// launchWithoutWaiting starts the program.
+// launchWithoutWaiting starts the program and begins to read its log.
 func (n *process) launchWithoutWaiting(t *testing.T) {
 	t.Helper()
 	n.lines, n.logBlocked, n.logReleased = make(chan string, 1000), make(chan bool), make(chan bool)
@@ -155,23 +159,23 @@
 	}()
 }
 
-// readAddr takes the node's address from a line of its log.
+// readAddr sets n.addr to the address in a line of the node's log.
 func (n *process) readAddr(t *testing.T, line string) {
 	t.Helper()
 	found := regexp.MustCompile(`listen=(\S+)`).FindStringSubmatch(line)
 	if found == nil {
-		t.Fatalf("it does not listen: %s", line)
+		t.Fatalf("log line has no listen address: %s", line)
 	}
 	n.addr = found[1]
 }
 
-// blockLog has nobody read the log any more until the returned channel is closed.
+// blockLog stops reading the log until the returned channel is closed.
 func (n *process) blockLog() chan bool {
 	close(n.logBlocked)
 	return n.logReleased
 }
 
-// withLimits runs the program under a shell's words for limits of its own; "": none.
+// withLimits makes cmd run in a shell that executes the commands in limits first; "": no limits.
 func withLimits(cmd *exec.Cmd, limits string) {
 	if limits != "" {
 		cmd.Args = []string{"sh", "-c", limits + `; exec "$0"`, cmd.Path}
@@ -179,7 +183,7 @@
 	}
 }
 
-// waitForLog waits for a line of the log that contains text.
+// waitForLog returns the next line of the log that contains text. The test fails if the log ends first.
 func (n *process) waitForLog(t *testing.T, text string) string {
 	t.Helper()
 	last := ""
@@ -188,11 +192,11 @@
 			return last
 		}
 	}
-	t.Fatalf("the program ended without %q; its last line: %s", text, last)
+	t.Fatalf("the log ended without a line that contains %q; its last line: %s", text, last)
 	return ""
 }
 
-// shutdown shuts a process down gracefully, and waits for that.
+// shutdown shuts the process down gracefully and waits until it has exited.
 func (n *process) shutdown(t *testing.T) {
 	t.Helper()
 	n.cmd.Process.Signal(syscall.SIGTERM)
@@ -200,11 +204,11 @@
 	for range n.lines {
 	}
 	if err := n.cmd.Wait(); err != nil {
-		t.Errorf("exit: %v", err)
+		t.Errorf("process did not exit with code 0: %v", err)
 	}
 }
 
-// replaceInConfig changes the configuration.
+// replaceInConfig replaces the first occurrence of old in the configuration file by new.
 func (n *process) replaceInConfig(t *testing.T, old, new string) {
 	t.Helper()
 	text, err := os.ReadFile(n.config)
@@ -216,14 +220,14 @@
 	}
 }
 
-// reloadWith changes the configuration, and has the program reload it.
+// reloadWith is like replaceInConfig, and then makes the process reload its configuration.
 func (n *process) reloadWith(t *testing.T, old, new string) {
 	t.Helper()
 	n.replaceInConfig(t, old, new)
 	n.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// markServersWarm has all servers listed as started long ago.
+// markServersWarm changes the configuration file so that all servers started long ago.
 func (n *process) markServersWarm(t *testing.T) {
 	t.Helper()
 	text, err := os.ReadFile(n.config)
@@ -236,24 +240,25 @@
 	}
 }
 
-// unchanged is a discovery whose list never changes.
-func unchanged(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+// unchangedList is a handler for discovery whose list never changes: it leaves each poll unanswered.
+func unchangedList(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-// ids numbers the requests.
-var ids atomic.Int64
+// lastCallID is the number of call IDs that the tests have used.
+var lastCallID atomic.Int64
 
-// callHeader is that of a request of a class, with a timeout in seconds.
+// callHeader returns the header of a request. The timeout is in seconds.
 func callHeader(id, class, timeout string) http.Header {
 	return http.Header{"X-Call-Id": {id}, "X-Call-Class": {class}, "X-Caller": {"acme"}, "X-Budget": {timeout}}
 }
 
+// call sends a request with a timeout of 5 s and returns the status and body of the response.
 func (n *process) call(t *testing.T, method, target, class, body string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+n.addr+target, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	maps.Copy(req.Header, callHeader(fmt.Sprint("9b1f-", ids.Add(1)), class, "5"))
+	maps.Copy(req.Header, callHeader(fmt.Sprint("9b1f-", lastCallID.Add(1)), class, "5"))
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Error(err)
@@ -267,10 +272,10 @@
 	return resp.StatusCode, string(data)
 }
 
-// send sends a request of a class; the caller closes the response's body.
+// send adds the header of a call to req and sends it. The caller must close the response body.
 func (n *process) send(t *testing.T, req *http.Request, class string) (int, io.ReadCloser) {
 	t.Helper()
-	maps.Copy(req.Header, callHeader(fmt.Sprint("9b1f-", ids.Add(1)), class, "5"))
+	maps.Copy(req.Header, callHeader(fmt.Sprint("9b1f-", lastCallID.Add(1)), class, "5"))
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Error(err)
--- a/cmd/olivebridge/race_test.go
+++ b/cmd/olivebridge/race_test.go
@@ -2,4 +2,4 @@
 
 package main
 
-const raceEnabled = true // its shadow memory is not the node's
+const raceEnabled = true // the race detector's shadow memory counts towards the process's peak memory
--- a/cmd/olivebridge/reload_test.go
+++ b/cmd/olivebridge/reload_test.go
@@ -10,17 +10,17 @@
 	"testing"
 )
 
-// TestReload: at SIGHUP a sound file moves the watch at once and keeps the open request; a faulty one changes nothing
-// and is reported in one line.
+// TestReload checks a reload on SIGHUP: a valid file moves the watch to another discovery immediately and does not
+// affect the open request; an invalid file changes nothing and is reported in one line.
 func TestReload(t *testing.T) {
 	held, release := make(chan bool), make(chan bool)
-	n := start(t, unchanged, func(w http.ResponseWriter, r *http.Request) {
+	n := start(t, unchangedList, func(w http.ResponseWriter, r *http.Request) {
 		held <- true
 		<-release
 	})
-	asked := make(chan string, 10)
+	polled := make(chan string, 10)
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.RequestURI
+		polled <- r.RequestURI
 		<-r.Context().Done()
 	}))
 	defer other.Close()
@@ -30,34 +30,35 @@
 		status <- got
 	}()
 	<-held
-	hup := func(old, new string) {
+	reloadWith := func(old, new string) {
 		text := strings.Replace(fmt.Sprintf(config, ""), old, new, 1)
 		if err := os.WriteFile(n.config, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		n.cmd.Process.Signal(syscall.SIGHUP)
 	}
-	moved := fmt.Sprintf(`{"discovery":%q,`, other.Listener.Addr())
-	hup("{", `{"discovery":"nowhere",`)
+	otherDiscovery := fmt.Sprintf(`{"discovery":%q,`, other.Listener.Addr())
+	reloadWith("{", `{"discovery":"nowhere",`)
 	n.waitForLog(t, `msg="reload refused" reason="configuration: discovery: `)
-	hup("{", "")
+	reloadWith("{", "")
 	n.waitForLog(t, `msg="reload refused" reason="configuration: `)
-	hup(`{"name":"n0"`, moved+`"name":"n1"`)
+	reloadWith(`{"name":"n0"`, otherDiscovery+`"name":"n1"`)
 	n.waitForLog(t, `msg="reload refused" reason="configuration: name `)
-	if len(asked) != 0 {
-		t.Error("a refused file moved the watch")
+	if len(polled) != 0 {
+		t.Error("the node polled the discovery of a configuration that it refused")
 	}
-	hup(`"name":"book"`, `"name":"gift"`)
+	reloadWith(`"name":"book"`, `"name":"gift"`)
 	n.waitForLog(t, `msg="reload refused" reason="configuration: a name in settings.classes `)
-	hup("{", moved)
-	if uri := <-asked; uri != "/registry/instances" {
-		t.Errorf("asked for %s: versions of another discovery do not compare", uri)
+	reloadWith("{", otherDiscovery)
+	if uri := <-polled; uri != "/registry/instances" {
+		// Versions of different discovery services cannot be compared, so the first poll must not name a version.
+		t.Errorf("first poll of the new discovery: got %s, want /registry/instances without a version", uri)
 	}
 	close(release)
 	if got := <-status; got != 200 {
-		t.Errorf("the open call: %d", got)
+		t.Errorf("open request: got status %d, want 200", got)
 	}
-	hup(`"connect_timeout":75000000`, `"connect_timeout":1`) // settings take effect as well
+	reloadWith(`"connect_timeout":75000000`, `"connect_timeout":1`) // a change of the settings alone
 	n.waitForLog(t, "msg=reloaded")
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
 	n.cmd.Process.Signal(syscall.SIGTERM)
@@ -67,16 +68,16 @@
 	n.waitForLog(t, "when=exit")
 }
 
-// TestReloadToIdempotentDuringCall: an open request stays non-idempotent when a reload makes its class idempotent. It
-// may have run: it is not retried, and not rejected.
+// TestReloadToIdempotentDuringCall checks that an open request stays non-idempotent when a reload makes its class
+// idempotent. Because it may have run, the node must neither retry it nor answer that it was rejected.
 func TestReloadToIdempotentDuringCall(t *testing.T) {
 	s, held, release := newRuleChecker(), make(chan bool, 4), make(chan bool)
-	late := s.server("s-0", func(w http.ResponseWriter, r *http.Request) {
+	heldHandler := s.recordingHandler("s-0", func(w http.ResponseWriter, r *http.Request) {
 		held <- true
 		<-release
-		w.WriteHeader(http.StatusInternalServerError) // an error: it may have run
+		w.WriteHeader(http.StatusInternalServerError) // the request may have run
 	})
-	n := start(t, unchanged, late, late)
+	n := start(t, unchangedList, heldHandler, heldHandler)
 	status := make(chan int)
 	go func() {
 		got, _ := s.call(t, n.addr, "book", strings.NewReader("paid"))
@@ -87,7 +88,7 @@
 	n.waitForLog(t, "msg=reloaded")
 	close(release)
 	if got := <-status; got != http.StatusBadGateway {
-		t.Errorf("status %d", got)
+		t.Errorf("got status %d, want 502", got)
 	}
 	n.shutdown(t)
 	s.check(t)
--- a/cmd/olivebridge/shutdown_test.go
+++ b/cmd/olivebridge/shutdown_test.go
@@ -13,11 +13,12 @@
 	"time"
 )
 
-// TestNothingLostAtShutdown: clients go on through a graceful shutdown until they cannot connect. What ran was
-// answered, each once: a client whose connection closed under its request may send it again.
+// TestNothingLostAtShutdown has clients send requests during a graceful shutdown until they cannot connect. The number
+// of requests that ran must equal the number answered with 200: a client resends a request if the connection closes
+// before its response, so a request that ran unanswered would run twice.
 func TestNothingLostAtShutdown(t *testing.T) {
 	var ran, answered atomic.Int64
-	n := start(t, unchanged, func(http.ResponseWriter, *http.Request) { ran.Add(1) })
+	n := start(t, unchangedList, func(http.ResponseWriter, *http.Request) { ran.Add(1) })
 	var clients sync.WaitGroup
 	serving := make(chan bool, 4)
 	for range cap(serving) {
@@ -29,7 +30,7 @@
 					t.Error(err)
 					return
 				}
-				req.Header = callHeader(fmt.Sprint(ids.Add(1)), "book", "1.5")
+				req.Header = callHeader(fmt.Sprint(lastCallID.Add(1)), "book", "1.5")
 				resp, err := client.Do(req)
 				if errors.Is(err, syscall.ECONNREFUSED) {
 					return
@@ -54,24 +55,24 @@
 	clients.Wait()
 	n.waitForLog(t, "when=exit")
 	if ran.Load() == 0 || ran.Load() != answered.Load() {
-		t.Errorf("%d ran, %d were answered", ran.Load(), answered.Load())
+		t.Errorf("%d requests ran and %d were answered with 200, want equal numbers above 0", ran.Load(), answered.Load())
 	}
 }
 
-// TestShutdownBesideOtherEvents: SIGTERM while something else goes on. Open requests are answered, and the process
-// ends.
-func TestShutdownBesideOtherEvents(t *testing.T) {
+// TestShutdownDuringOtherEvents sends SIGTERM together with another event. The open request must be answered and the
+// process must exit.
+func TestShutdownDuringOtherEvents(t *testing.T) {
 	for name, before := range map[string]func(t *testing.T, n *process, adminAddr string){
 		"alone":          func(*testing.T, *process, string) {},
 		"twice":          func(_ *testing.T, n *process, _ string) { n.cmd.Process.Signal(syscall.SIGTERM) },
 		"paused":         func(t *testing.T, _ *process, adminAddr string) { mustCommand(t, adminAddr, "PAUSE") },
 		"before a pause": func(*testing.T, *process, string) {},
 		"with a reload":  func(_ *testing.T, n *process, _ string) { n.cmd.Process.Signal(syscall.SIGHUP) },
-		"with a bad one": func(t *testing.T, n *process, _ string) {
+		"with an invalid reload": func(t *testing.T, n *process, _ string) {
 			n.reloadWith(t, `"seed"`, `"weed"`)
 			n.waitForLog(t, "reload refused")
 		},
-		"with reloads in a row": func(_ *testing.T, n *process, _ string) {
+		"with 20 reloads": func(_ *testing.T, n *process, _ string) {
 			for range 20 {
 				n.cmd.Process.Signal(syscall.SIGHUP)
 			}
@@ -80,7 +81,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s, held, release := newRuleChecker(), make(chan bool), make(chan bool)
-			n := prepare(t, config, unchanged, s.server("s-0", func(http.ResponseWriter, *http.Request) {
+			n := prepare(t, config, unchangedList, s.recordingHandler("s-0", func(http.ResponseWriter, *http.Request) {
 				held <- true
 				<-release
 			}))
@@ -102,29 +103,31 @@
 			}
 			close(release)
 			if got := <-status; got != 200 {
-				t.Errorf("the open booking: %d", got)
+				t.Errorf("open request: got status %d, want 200", got)
 			}
 			n.waitForLog(t, "when=exit")
 			for range n.lines {
 			}
 			if err := n.cmd.Wait(); err != nil {
-				t.Errorf("exit: %v", err)
+				t.Errorf("process did not exit with code 0: %v", err)
 			}
 			s.check(t)
 		})
 	}
 }
 
-// TestLongResponseDuringShutdown: a response that goes on coming while its node shuts down gracefully comes whole.
+// TestLongResponseDuringShutdown sends a response that takes longer than a graceful shutdown of its node. The client
+// must receive it completely; where the shutdown cuts it, the client must be able to detect that.
 func TestLongResponseDuringShutdown(t *testing.T) {
 	t.Parallel()
-	const pieces, piece = 12, 100 << 10
-	brief := strings.Replace(config, `"deadline":9000000000`, `"deadline":300000000`, 1) // the longest is 1.5 s
-	n := startWithConfig(t, brief, unchanged, func(w http.ResponseWriter, r *http.Request) {
-		for range pieces {
-			w.Write(make([]byte, piece))
+	const pieceCount, pieceBytes = 12, 100 << 10
+	// The longest deadline is then 1.5 s.
+	shortDeadlines := strings.Replace(config, `"deadline":9000000000`, `"deadline":300000000`, 1)
+	n := startWithConfig(t, shortDeadlines, unchangedList, func(w http.ResponseWriter, r *http.Request) {
+		for range pieceCount {
+			w.Write(make([]byte, pieceBytes))
 			w.(http.Flusher).Flush()
-			time.Sleep(500 * time.Millisecond) // 6 s in all
+			time.Sleep(500 * time.Millisecond) // the response takes 6 s
 		}
 	})
 	req, err := http.NewRequest("GET", "http://"+n.addr+"/api", nil)
@@ -136,17 +139,19 @@
 	n.cmd.Process.Signal(syscall.SIGTERM)
 	got, err := io.Copy(io.Discard, body)
 	switch {
-	case status != 200 || err == nil && got != pieces*piece:
-		t.Errorf("status %d, %d bytes that seem whole", status, got) // its client has to be able to tell
+	case status != 200 || err == nil && got != pieceCount*pieceBytes:
+		// The client must be able to detect a response that was cut.
+		t.Errorf("got status %d and %d bytes without an error, want 200 and the complete response", status, got)
 	case err != nil:
-		t.Errorf("a graceful shutdown cuts what takes longer than any call may (finding 17): %v", err)
+		t.Errorf("the graceful shutdown cut a response that takes longer than the longest deadline (finding 17): %v", err)
 	}
 }
 
-// TestClosedListener: a node whose listener ends by itself answers open requests, and then exits with the reason.
+// TestClosedListener checks that a node whose listener fails answers open requests, then logs the reason and exits with
+// an error.
 func TestClosedListener(t *testing.T) {
 	s, held, release := newRuleChecker(), make(chan bool), make(chan bool)
-	n := start(t, unchanged, s.server("s-0", func(http.ResponseWriter, *http.Request) {
+	n := start(t, unchangedList, s.recordingHandler("s-0", func(http.ResponseWriter, *http.Request) {
 		held <- true
 		<-release
 	}))
@@ -157,26 +162,27 @@
 	}()
 	<-held
 	if err := n.closeListener(); err != nil {
-		t.Skip("no way to the program's listener here: ", err)
+		t.Skip("cannot close the program's listener on this system: ", err)
 	}
 	n.waitForLog(t, "msg=failed")
 	close(release)
 	if got := <-status; got != 200 {
-		t.Errorf("what was taken: status %d", got)
+		t.Errorf("open request: got status %d, want 200", got)
 	}
 	n.waitForLog(t, "when=failure")
 	if line := n.waitForLog(t, "olivebridge: "); !strings.Contains(line, "front: accept") {
 		t.Error(line)
 	}
 	if err := n.cmd.Wait(); err == nil {
-		t.Error("it ended as if all were well")
+		t.Error("the process exited with code 0, want a failure")
 	}
 	s.check(t)
 }
 
-// closeListener ends the listener of a running program, as a fault of the kernel's would.
+// closeListener shuts down the listening socket of a running program from outside, which simulates a fault of the
+// kernel.
 func (n *process) closeListener() error {
-	const pidfdOpen, pidfdGetfd = 434, 438 // which package syscall lacks
+	const pidfdOpen, pidfdGetfd = 434, 438 // system call numbers that package syscall does not define
 	pid, _, no := syscall.Syscall(pidfdOpen, uintptr(n.cmd.Process.Pid), 0, 0)
 	if no != 0 {
 		return no
@@ -196,5 +202,5 @@
 		}
 		syscall.Close(int(got))
 	}
-	return errors.New("no listener among its descriptors")
+	return errors.New("the process has no listening socket among its descriptors")
 }
--- a/cmd/olivebridge/start_test.go
+++ b/cmd/olivebridge/start_test.go
@@ -14,51 +14,51 @@
 	"time"
 )
 
-// TestInvalidStart: a start that fails is one clear line and a non-zero exit code.
+// TestInvalidStart checks that a failed start prints one line with the reason and exits with code 1.
 func TestInvalidStart(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	good := environment(t, "127.0.0.1:0", "127.0.0.1:1", fmt.Sprintf(config, ""))
+	defer occupied.Close()
+	validEnv := environment(t, "127.0.0.1:0", "127.0.0.1:1", fmt.Sprintf(config, ""))
 	for want, env := range map[string][]string{
-		"variable ROUTER_NAME is missing": append(good[1:], "ROUTER_NAME="),
-		"no such file":                    append(good[:3:3], "ROUTER_CONFIG=missing.json"),
+		"variable ROUTER_NAME is missing": append(validEnv[1:], "ROUTER_NAME="),
+		"no such file":                    append(validEnv[:3:3], "ROUTER_CONFIG=missing.json"),
 		"configuration: ":                 environment(t, "127.0.0.1:0", "127.0.0.1:1", "{"),
 		"variable ROUTER_LISTEN: ":        environment(t, "nowhere", "127.0.0.1:1", fmt.Sprintf(config, "")),
-		"listening: listen tcp " + taken.Addr().String(): environment(t, taken.Addr().String(), "127.0.0.1:1",
+		"listening: listen tcp " + occupied.Addr().String(): environment(t, occupied.Addr().String(), "127.0.0.1:1",
 			fmt.Sprintf(config, "")),
 	} {
 		out, err := executable(t, env...).CombinedOutput()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() != 1 || strings.Count(string(out), "\n") != 1 ||
 			!strings.Contains(string(out), want) {
-			t.Errorf("want %q: %v, %q", want, err, out)
+			t.Errorf("want one line with %q and exit code 1, got %v and %q", want, err, out)
 		}
 	}
 }
 
-// TestMalformedConfigurations: one line names what is wrong and in which file, at a start; in a running node the same
-// files change nothing, however many come in a row.
+// TestMalformedConfigurations checks that a start with a malformed configuration prints one line that names the fault
+// and the file. On reloads, the same files change nothing in a running node, even several times in a row.
 func TestMalformedConfigurations(t *testing.T) {
 	s := newRuleChecker()
-	n := start(t, unchanged, s.server("s-0", respondOK))
-	whole, err := os.ReadFile(n.config)
+	n := start(t, unchangedList, s.recordingHandler("s-0", respondOK))
+	validText, err := os.ReadFile(n.config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	change := func(old, new string) string { return strings.Replace(string(whole), old, new, 1) }
+	replaced := func(old, new string) string { return strings.Replace(string(validText), old, new, 1) }
 	for name, c := range map[string]struct{ text, want string }{
-		"empty":              {"", "unexpected end of JSON"},
-		"half written":       {string(whole[:len(whole)/2]), "unexpected end of JSON"},
-		"of a wrong type":    {change(`"sockets":256`, `"sockets":"many"`), "sockets"},
-		"no settings":        {change(`"settings"`, `"other"`), "settings"},
-		"a negative time":    {change(`"fall":3000000000`, `"fall":-1`), "contract.fall"},
-		"a class twice":      {change(`"name":"book"`, `"name":"status"`), "stands twice"},
-		"an unknown effect":  {change(`"side_effect"`, `"sometimes"`), "idempotency"},
-		"no memory at all":   {change(`"memory_mb":192`, `"memory_mb":0`), "memory_mb"},
-		"a seed of no digit": {change(`"seed":"8c1f30d27a5be964"`, `"seed":"xyz"`), "seed"},
+		"empty":             {"", "unexpected end of JSON"},
+		"truncated":         {string(validText[:len(validText)/2]), "unexpected end of JSON"},
+		"wrong type":        {replaced(`"sockets":256`, `"sockets":"many"`), "sockets"},
+		"settings missing":  {replaced(`"settings"`, `"other"`), "settings"},
+		"negative duration": {replaced(`"fall":3000000000`, `"fall":-1`), "contract.fall"},
+		"duplicate class":   {replaced(`"name":"book"`, `"name":"status"`), "stands twice"},
+		"unknown effect":    {replaced(`"side_effect"`, `"sometimes"`), "idempotency"},
+		"memory of 0 MB":    {replaced(`"memory_mb":192`, `"memory_mb":0`), "memory_mb"},
+		"seed is not hex":   {replaced(`"seed":"8c1f30d27a5be964"`, `"seed":"xyz"`), "seed"},
 	} {
 		if err := os.WriteFile(n.config, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
@@ -66,29 +66,29 @@
 		out, err := executable(t, n.env...).CombinedOutput()
 		if err == nil || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), c.want) ||
 			!strings.Contains(string(out), n.config) {
-			t.Errorf("%s at a start: %v, %q", name, err, out)
+			t.Errorf("start with fault %q: got %v and %q, want one line with the fault and the file", name, err, out)
 		}
 		for range 3 {
 			n.cmd.Process.Signal(syscall.SIGHUP)
 		}
-		for line := ""; !strings.Contains(line, c.want); { // those of the file before may still come
+		for line := ""; !strings.Contains(line, c.want); { // lines about the previous file may precede it
 			if line = n.waitForLog(t, "reload refused"); !strings.Contains(line, n.config) {
-				t.Errorf("%s at a reload: %s", name, line)
+				t.Errorf("reload with fault %q: log line does not name the file: %s", name, line)
 			}
 		}
 		if status, _ := s.call(t, n.addr, "book", strings.NewReader("paid")); status != 200 {
-			t.Errorf("%s: status %d", name, status)
+			t.Errorf("request after a reload with fault %q: got status %d, want 200", name, status)
 		}
 	}
 	n.shutdown(t)
 	s.check(t)
 }
 
-// TestSignalsDuringStart: signals that come while the configuration is read are handled once the node serves. It guards
-// a start against a reload, which would kill a process that does not handle the signal yet.
+// TestSignalsDuringStart checks that signals which arrive while the configuration is read are handled once the node
+// serves. Without that, a reload during a start would kill the process, as it does not handle SIGHUP yet.
 func TestSignalsDuringStart(t *testing.T) {
 	s := newRuleChecker()
-	n := start(t, unchanged, s.server("s-0", respondOK))
+	n := start(t, unchangedList, s.recordingHandler("s-0", respondOK))
 	n.shutdown(t)
 	text, err := os.ReadFile(n.config)
 	if err != nil {
@@ -100,33 +100,33 @@
 	}
 	n.env = append(n.env, "ROUTER_CONFIG="+fifo)
 	n.launchWithoutWaiting(t)
-	f, err := os.OpenFile(fifo, os.O_WRONLY, 0) // which waits until the program reads
+	f, err := os.OpenFile(fifo, os.O_WRONLY, 0) // blocks until the program opens the file
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.cmd.Process.Signal(syscall.SIGHUP)
 	n.cmd.Process.Signal(syscall.SIGUSR1)
-	time.Sleep(50 * time.Millisecond) // a process that these kill is gone by then
+	time.Sleep(50 * time.Millisecond) // time for the signals to kill a process that does not handle them
 	f.Write(text)
-	os.Rename(n.config, fifo) // the reload reads a plain file
+	os.Rename(n.config, fifo) // so that the reload reads a regular file
 	f.Close()
 	n.readAddr(t, n.waitForLog(t, "msg=started"))
 	if status, _ := s.call(t, n.addr, "status", nil); status != 200 {
-		t.Errorf("status %d", status)
+		t.Errorf("got status %d, want 200", status)
 	}
 	n.shutdown(t)
 	s.check(t)
 }
 
-// TestAddressOfEndingProcess: a process that starts while the one before it shuts down, and still accepts, listens once
-// that one has left the address.
-func TestAddressOfEndingProcess(t *testing.T) {
-	n := start(t, unchanged, func(http.ResponseWriter, *http.Request) {})
+// TestStartWhilePredecessorDrains starts a process while its predecessor shuts down and still accepts connections. The
+// new process must listen on the same address once the predecessor has closed its listener.
+func TestStartWhilePredecessorDrains(t *testing.T) {
+	n := start(t, unchangedList, func(http.ResponseWriter, *http.Request) {})
 	n.cmd.Process.Signal(syscall.SIGTERM)
 	n.waitForLog(t, "msg=draining")
-	next := n.sibling("ROUTER_LISTEN=" + n.addr)
+	next := n.newProcess("ROUTER_LISTEN=" + n.addr)
 	next.launch(t)
 	if status, _ := next.call(t, "GET", "/api", "status", ""); status != 200 || next.addr != n.addr {
-		t.Errorf("status %d at %s, want 200 at %s", status, next.addr, n.addr)
+		t.Errorf("got status %d at %s, want 200 at %s", status, next.addr, n.addr)
 	}
 }
--- a/cmd/olivebridge/upgrade_test.go
+++ b/cmd/olivebridge/upgrade_test.go
@@ -16,11 +16,11 @@
 	"olivebridge/internal/handover"
 )
 
-// successor starts the program once more beside a process, with an admin address of its own.
-func (n *process) successor(t *testing.T) (next *process, adminAddr string) {
+// startSuccessor starts a second process of the node with its own admin address, and waits until it answers STATUS.
+func (n *process) startSuccessor(t *testing.T) (next *process, adminAddr string) {
 	t.Helper()
 	adminAddr = freeAddr(t)
-	next = n.sibling("ROUTER_ADMIN=" + adminAddr)
+	next = n.newProcess("ROUTER_ADMIN=" + adminAddr)
 	next.launch(t)
 	for !strings.HasPrefix(command(t, adminAddr, "STATUS"), "SUCCESS") {
 		time.Sleep(time.Millisecond)
@@ -28,14 +28,15 @@
 	return next, adminAddr
 }
 
-// book sends a non-idempotent request, on a kept connection or a new one.
-func book(client *http.Client, addr string) (status int, err error) {
-	req, err := http.NewRequest("POST", "http://"+addr+"/api", io.NopCloser(strings.NewReader("paid"))) // never sent again
+// sendNonIdempotent sends one non-idempotent request with client and returns the status of the response.
+func sendNonIdempotent(client *http.Client, addr string) (status int, err error) {
+	// The body has no concrete type known to net/http, so the transport cannot resend the request.
+	req, err := http.NewRequest("POST", "http://"+addr+"/api", io.NopCloser(strings.NewReader("paid")))
 	if err != nil {
 		return 0, err
 	}
 	req.ContentLength = 4
-	req.Header = callHeader(fmt.Sprint("u", ids.Add(1)), "book", "1.5")
+	req.Header = callHeader(fmt.Sprint("u", lastCallID.Add(1)), "book", "1.5")
 	resp, err := client.Do(req)
 	if err != nil {
 		return 0, err
@@ -45,19 +46,19 @@
 	return resp.StatusCode, err
 }
 
-// useConnection uses one connection, while idle is unlocked, so often that no process closes it for its silence. It
-// ends after a last use once stop is closed.
+// useConnection sends readiness checks on one connection while it can lock idle, often enough that no process closes
+// the connection as idle. Once stop is closed, it returns after one more request.
 func useConnection(addr string, idle *sync.Mutex, stop chan bool) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	answers := bufio.NewReader(c)
+	responses := bufio.NewReader(c)
 	for last := false; ; {
 		idle.Lock()
 		fmt.Fprint(c, "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
-		resp, err := http.ReadResponse(answers, nil)
+		resp, err := http.ReadResponse(responses, nil)
 		idle.Unlock()
 		if err != nil {
 			return err
@@ -76,20 +77,21 @@
 	}
 }
 
-// TestUpgrade: while clients go on, one process follows another, and one dies half way. No connection is refused, reset
-// or left unread; nothing runs twice, and a suspension holds throughout.
+// TestUpgrade replaces a node's process several times while clients send requests; one successor dies during the
+// hand-over. No connection may be refused, reset or closed before its request is read, no request may run twice, and a
+// suspension must hold in every process.
 func TestUpgrade(t *testing.T) {
 	t.Setenv("ROUTER_ADMIN", freeAddr(t))
-	var ran, held atomic.Int64
-	n := start(t, unchanged, func(http.ResponseWriter, *http.Request) { ran.Add(1) },
-		func(http.ResponseWriter, *http.Request) { held.Add(1) })
+	var ran, suspendedRan atomic.Int64
+	n := start(t, unchangedList, func(http.ResponseWriter, *http.Request) { ran.Add(1) },
+		func(http.ResponseWriter, *http.Request) { suspendedRan.Add(1) })
 	addr := n.addr
 	n.env[1] = "ROUTER_LISTEN=" + addr
-	next, adminAddr := n.successor(t)
-	n.shutdown(t) // the first has another address in its environment
+	next, adminAddr := n.startSuccessor(t)
+	n.shutdown(t) // the first process was started with another ROUTER_LISTEN
 	n = next
 	mustCommand(t, adminAddr, "SUSPEND s-1")
-	before := held.Load()
+	before := suspendedRan.Load()
 	var served atomic.Int64
 	stop := make(chan bool)
 	var clients sync.WaitGroup
@@ -102,47 +104,49 @@
 					return
 				default:
 				}
-				switch status, err := book(client, addr); {
+				switch status, err := sendNonIdempotent(client, addr); {
 				case err != nil:
-					t.Errorf("a call ended with %v", err)
+					t.Errorf("request failed: %v", err)
 					return
 				case status == 200:
 					served.Add(1)
-				case status == http.StatusServiceUnavailable: // a busy machine's node sheds; what ran is counted below
+				case status == http.StatusServiceUnavailable: // a node on a busy machine sheds load; see the counts below
 				default:
-					t.Errorf("status %d", status)
+					t.Errorf("got status %d, want 200 or 503", status)
 				}
 			}
 		})
 	}
-	var idle sync.Mutex // held while the connection that is kept throughout has to rest
+	var idle sync.Mutex // locked while the long-lived connection must be idle
 	clients.Go(func() {
 		if err := useConnection(addr, &idle, stop); err != nil {
-			t.Errorf("the connection that was kept throughout: %v", err)
+			t.Errorf("long-lived connection failed: %v", err)
 		}
 	})
 	for round := range 4 {
-		if round == 1 { // one that dies half way leaves the node to its predecessor
+		if round == 1 { // a successor that dies during the hand-over; its predecessor keeps serving
 			takeover, err := handover.Connect(filepath.Join(n.env[4][len("TMPDIR="):], "olivebridge-n0.sock"))
 			if err != nil || takeover == nil || len(takeover.State.Servers) != 2 {
 				t.Fatalf("%+v, %v", takeover, err)
 			}
 			takeover.Listener.Close()
-			begun := time.Now() // it does not say that the ban holds there: a yes would be false
+			// The successor does not confirm the suspension, so the answer must not be SUCCESS.
+			begun := time.Now()
 			got := command(t, adminAddr, "SUSPEND s-1")
 			if !strings.HasPrefix(got, "FAILURE it holds in this process alone") || time.Since(begun) > time.Second {
-				t.Errorf("beside a process that hangs: %q after %v", got, time.Since(begun))
+				t.Errorf("SUSPEND beside a hanging successor: got %q after %v, want FAILURE within 1 s",
+					got, time.Since(begun))
 			}
 			takeover.Link.Close()
 			n.waitForLog(t, "other process has ended")
 			mustCommand(t, adminAddr, "SUSPEND s-1")
 		}
-		for some := served.Load() + 200; served.Load() < some; {
+		for target := served.Load() + 200; served.Load() < target; {
 			time.Sleep(time.Millisecond)
 		}
-		next, adminAddr = n.successor(t)
+		next, adminAddr = n.startSuccessor(t)
 		if got := command(t, adminAddr, "STATUS"); !strings.Contains(got, "[s-1]") {
-			t.Errorf("round %d: %q", round, got)
+			t.Errorf("STATUS in round %d: got %q, want s-1 suspended", round, got)
 		}
 		idle.Lock()
 		n.shutdown(t)
@@ -151,25 +155,26 @@
 	}
 	close(stop)
 	clients.Wait()
-	if ran.Load() == 0 || held.Load() != before || served.Load() < ran.Load()-before-1 {
-		t.Errorf("%d ran, %d at the suspended server, %d served", ran.Load(), held.Load()-before, served.Load())
+	if ran.Load() == 0 || suspendedRan.Load() != before || served.Load() < ran.Load()-before-1 {
+		t.Errorf("%d requests ran (want more than 0), %d of them on the suspended server (want 0), %d got 200 (want at most 1 less)",
+			ran.Load(), suspendedRan.Load()-before, served.Load())
 	}
 	mustCommand(t, adminAddr, "RESTORE s-1")
 }
 
-// TestSuccessorOfOtherAddress: a process of the same name that is told another address is no successor. It must not
-// take clients where nobody sent it.
-func TestSuccessorOfOtherAddress(t *testing.T) {
+// TestOtherAddressIsNoSuccessor checks that a process of the same name with another listen address is not a successor:
+// it must not accept clients at an address that it was not configured with.
+func TestOtherAddressIsNoSuccessor(t *testing.T) {
 	t.Setenv("ROUTER_ADMIN", freeAddr(t))
-	n := start(t, unchanged, func(http.ResponseWriter, *http.Request) {})
-	other := n.sibling("ROUTER_ADMIN="+freeAddr(t), "ROUTER_LISTEN="+freeAddr(t))
+	n := start(t, unchangedList, func(http.ResponseWriter, *http.Request) {})
+	other := n.newProcess("ROUTER_ADMIN="+freeAddr(t), "ROUTER_LISTEN="+freeAddr(t))
 	other.launch(t)
 	if other.addr == n.addr {
-		t.Error("it serves at the address of the process in service")
+		t.Error("the process listens on the address of the running process, want its own ROUTER_LISTEN")
 	}
 	other.shutdown(t)
 	n.waitForLog(t, "other process has ended")
 	if status, _ := n.call(t, "GET", "/api", "status", ""); status != 200 {
-		t.Errorf("status %d", status)
+		t.Errorf("got status %d, want 200", status)
 	}
 }
