--- a/cmd/olivebridge/descriptors_test.go
+++ b/cmd/olivebridge/descriptors_test.go
@@ -88,7 +88,8 @@
 	for i := range sockets / 2 {
 		handlers = append(handlers, s.recordingHandler(fmt.Sprint("s-", i), respondOK))
 	}
-	changes := strings.NewReplacer(`"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets), `"probes":false`, `"probes":true`)
+	changes := strings.NewReplacer(
+		`"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets), `"probes":false`, `"probes":true`)
 	n := prepare(t, changes.Replace(config), unchangedList, handlers...)
 	text, err := os.ReadFile(n.config)
 	if err != nil {
--- a/cmd/olivebridge/handover_failures_test.go
+++ b/cmd/olivebridge/handover_failures_test.go
@@ -42,14 +42,14 @@
 		return func(t *testing.T, _ *ruleChecker, _, _ *process, adminAddr string) { mustCommand(t, adminAddr, line) }
 	}
 	for name, c := range map[string]struct {
-		discovery http.HandlerFunc
-		serve     http.HandlerFunc // handler of the first of three servers; nil: respondOK
-		limits    string           // shell commands that limit each process; see process.limits
-		cold      bool             // the second and third server have just started
-		dead      bool             // no process listens at the first server's address
-		lost      bool             // no process listens at discovery's address
-		kill      bool             // the predecessor is killed instead of shut down gracefully
-		want      int              // the status of the successor's responses that the test waits for
+		discovery       http.HandlerFunc
+		serve           http.HandlerFunc // handler of the first of three servers; nil: respondOK
+		limits          string           // shell commands that limit each process; see process.limits
+		cold            bool             // the second and third server have just started
+		serverClosed    bool             // no process listens at the first server's address
+		discoveryClosed bool             // no process listens at discovery's address
+		kill            bool             // the predecessor is killed instead of shut down gracefully
+		want            int              // the status of the successor's responses that the test waits for
 
 		meanwhile func(t *testing.T, s *ruleChecker, n, next *process, adminAddr string) // runs while both processes serve
 	}{
@@ -60,13 +60,13 @@
 		"a server is slow":            {serve: slow, want: 200},
 		"responses are malformed":     {serve: rawResponse("HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n"), want: 200},
 		"bytes after responses":       {serve: rawResponse(twoResponses), want: 200},
-		"a server does not listen":    {dead: true, want: 200},
-		"discovery does not listen":   {lost: true, want: 200},
+		"a server does not listen":    {serverClosed: true, want: 200},
+		"discovery does not listen":   {discoveryClosed: true, want: 200},
 		"discovery drops connections": {discovery: dropConnection, want: 200},
 		"servers are in slow start":   {cold: true, want: 200},
 		"discovery answers 500":       {discovery: fails, want: 200},
 		"a list is truncated":         {discovery: respondAfterDelay(`{"version":`), want: 200},
-		"the list becomes empty": {discovery: emptyList, meanwhile: func(*testing.T, *ruleChecker, *process, *process, string) {
+		"list becomes empty": {discovery: emptyList, meanwhile: func(*testing.T, *ruleChecker, *process, *process, string) {
 			close(listEmptied)
 		}, want: 503},
 		"descriptors are short": {limits: "ulimit -n 40", want: 200},
@@ -106,10 +106,10 @@
 				n.markServersWarm(t)
 			}
 			n.limits = c.limits
-			if c.dead {
+			if c.serverClosed {
 				n.replaceInConfig(t, n.serverAddrs[0], freeAddr(t))
 			}
-			if c.lost {
+			if c.discoveryClosed {
 				n.env = append(n.env, "ROUTER_DISCOVERY="+freeAddr(t))
 			}
 			n.launch(t)
--- a/cmd/olivebridge/start_test.go
+++ b/cmd/olivebridge/start_test.go
@@ -51,7 +51,7 @@
 	replaced := func(old, new string) string { return strings.Replace(string(validText), old, new, 1) }
 	for name, c := range map[string]struct{ text, want string }{
 		"empty":             {"", "unexpected end of JSON"},
-		"truncated":         {string(validText[:len(validText)/2]), "unexpected end of JSON"},
+		"half a file":       {string(validText[:len(validText)/2]), "unexpected end of JSON"},
 		"wrong type":        {replaced(`"sockets":256`, `"sockets":"many"`), "sockets"},
 		"settings missing":  {replaced(`"settings"`, `"other"`), "settings"},
 		"negative duration": {replaced(`"fall":3000000000`, `"fall":-1`), "contract.fall"},
--- a/cmd/olivebridge/upgrade_test.go
+++ b/cmd/olivebridge/upgrade_test.go
@@ -156,7 +156,7 @@
 	close(stop)
 	clients.Wait()
 	if ran.Load() == 0 || suspendedRan.Load() != before || served.Load() < ran.Load()-before-1 {
-		t.Errorf("%d requests ran (want more than 0), %d of them on the suspended server (want 0), %d got 200 (want at most 1 less)",
+		t.Errorf("%d requests ran, %d on the suspended server (want 0), %d got 200 (want at most 1 fewer than ran)",
 			ran.Load(), suspendedRan.Load()-before, served.Load())
 	}
 	mustCommand(t, adminAddr, "RESTORE s-1")
