--- a/internal/lab/rules/attempt.go
+++ b/internal/lab/rules/attempt.go
@@ -5,16 +5,17 @@
 // attempt is one request from a node to a peer.
 type attempt struct {
 	conn        *peerConn
-	call        *call // nil: a health check, or a violation
-	startOffset int64 // of its first byte on the connection
-	begunAt     time.Duration
-	knownStart  time.Duration // the peer's last start that the node had been notified of; 0: none
-	finished    bool          // the peer has answered, or the connection is over
+	call        *call         // nil for a health check or an attempt that no call allows
+	startOffset int64         // offset of its first byte on the connection
+	begunAt     time.Duration // when its first byte was sent
+	knownStart  time.Duration // the peer's last start of which the node had been notified; 0: none
+	finished    bool          // the peer has answered, or the connection has ended
 	neverRan    bool          // its answer proves that it has not run
-	truncated   bool          // its answer broke off
+	truncated   bool          // the connection ended in the middle of its answer
 }
 
-// inFlight reports whether a peer still has to answer an attempt.
+// inFlight reports whether the attempt is unanswered and the node that sent it
+// is still the same process.
 func (a *attempt) inFlight() bool {
 	return !a.finished && a.conn.node.incarnation == a.conn.incarnation
 }
--- a/internal/lab/rules/call.go
+++ b/internal/lab/rules/call.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// call is everything that a node does for one call ID.
+// call records the requests and attempts with one call ID at one node.
 type call struct {
 	id       string
 	node     *node
-	requests []*request // that clients sent
-	attempts []*attempt // written completely
-	bodies   []digest   // that peers sent with status 200, and that reached the node
-	rejected bool       // it was answered with 429 or 503, and must not run any more
-	expiring bool       // it stands among those to be forgotten
+	requests []*request // from clients
+	attempts []*attempt // that the node wrote completely
+	bodies   []digest   // bodies of answers with status 200 that have reached the node
+	rejected bool       // a non-idempotent request was answered with 429 or 503: no attempt may run any more
+	expiring bool       // it is queued in Judge.expiring
 }
 
-// hasBody reports whether a peer sent this body for the call. It may be called
-// on nil.
+// hasBody reports whether a peer sent this body with status 200 for the call.
+// The receiver may be nil.
 func (k *call) hasBody(body digest) bool { return k != nil && slices.Contains(k.bodies, body) }
 
-// mayRun returns an attempt other than the given one that has run or may run;
-// nil: there is none.
+// mayRun returns an attempt other than the given one that has run or may still
+// run, or nil if there is none.
 func (k *call) mayRun(other *attempt) *attempt {
 	for _, a := range k.attempts {
 		if a != other && !a.neverRan {
@@ -28,19 +28,19 @@
 	return nil
 }
 
-// truncated reports whether an answer of a peer broke off. It may be called on
-// nil.
+// truncated reports whether a peer's answer to an attempt was truncated. The
+// receiver may be nil.
 func (k *call) truncated() bool {
 	return k != nil && slices.ContainsFunc(k.attempts, func(a *attempt) bool { return a.truncated })
 }
 
-// busy reports whether any request or attempt of a call is still open.
+// busy reports whether any request or attempt of the call is still open.
 func (k *call) busy() bool {
 	return slices.ContainsFunc(k.requests, func(r *request) bool { return !r.settled }) ||
 		slices.ContainsFunc(k.attempts, (*attempt).inFlight)
 }
 
-// dropCall forgets a call.
+// dropCall removes a call and its attempts from the judge's state.
 func (j *Judge) dropCall(k *call) {
 	if k.node.calls[k.id] == k {
 		delete(k.node.calls, k.id)
--- a/internal/lab/rules/client_conn.go
+++ b/internal/lab/rules/client_conn.go
@@ -6,34 +6,35 @@
 	"time"
 )
 
-// readinessPath is where a load balancer in front of the nodes checks their
-// readiness.
+// readinessPath is the request path on which a load balancer in front of the
+// nodes checks their readiness.
 const readinessPath = "/health/ready"
 
 // Limits of a graceful shutdown.
 const (
-	// lateArrivalGrace is how long after SIGTERM calls that arrive are answered.
-	// What arrives later need not be.
+	// lateArrivalGrace is the duration after SIGTERM in which a node must answer
+	// arriving requests. Later requests may stay unanswered.
 	lateArrivalGrace = 700 * time.Millisecond
-	// maxPlannedDeadline bounds how long a shutdown waits for the longest deadline.
+	// maxPlannedDeadline is the maximum duration for which a shutdown waits for the
+	// longest deadline of any class.
 	maxPlannedDeadline = 3 * time.Second
 )
 
 // clientConn is a connection from a client.
 type clientConn struct {
 	*conn
-	current        *request   // being sent
-	queue          []*request // sent at least in part, and not answered, the oldest first
-	answering      *request   // whose answer is being sent; nil: none
-	announcedClose bool       // an answer announced the end of the connection
+	current        *request   // the request that the client is sending
+	queue          []*request // unanswered requests, at least partly sent, oldest first
+	answering      *request   // the request whose answer the node is sending; nil: none
+	announcedClose bool       // an answer announced the close of the connection
 
-	malformedReason  string        // why input must not be served; "": all may be
-	malformedFrom    int64         // offset from which on it must not
-	malformedWithin  time.Duration // how soon the client must get an error or a close
-	malformedHandled bool          // it got its error, or its close
+	malformedReason  string        // why input must not be served; "": all input may be served
+	malformedFrom    int64         // offset from which input must not be served
+	malformedWithin  time.Duration // time limit for an error or a close
+	malformedHandled bool          // the client got an error or a close, or needs none any more
 }
 
-// request takes in what a client sends.
+// request handles a scan event in the bytes that the client sends.
 func (c *clientConn) request(e scanEvent, m *message) {
 	switch e {
 	case messageBegun:
@@ -54,7 +55,7 @@
 	}
 }
 
-// headArrived takes in the head of a request.
+// headArrived sets the fields of a request from its complete head.
 func (c *clientConn) headArrived(r *request, m *message) {
 	r.method = m.method
 	r.target = m.target
@@ -69,16 +70,18 @@
 	}
 }
 
-// accept makes the node owe an answer to a complete request.
+// accept marks a complete request as accepted: from now on the node must answer
+// it.
 func (c *clientConn) accept(r *request) {
 	r.accepted = true
 	r.acceptedAt = c.judge.now
 	if c.backward.ended || c.broken || c.announcedClose {
-		c.settle(r) // it was sent while the connection was ending
+		c.settle(r) // no answer is required on a connection that is ending
 	}
 }
 
-// opened: the connection is up; requests sent before that are accepted now.
+// opened is called when the connection is established. It accepts the requests
+// that were sent before that.
 func (c *clientConn) opened() {
 	for _, r := range c.queue {
 		if r.end > 0 {
@@ -90,8 +93,8 @@
 	}
 }
 
-// arrived looks for requests that have reached the node completely. end says
-// that the end of the client's sending has.
+// arrived marks the requests that have reached the node completely. end is true
+// if the client's end of sending (FIN) has reached the node as well.
 func (c *clientConn) arrived(end bool) {
 	for _, r := range c.queue {
 		if r.end == 0 || r.end > c.forward.arrived {
@@ -110,7 +113,8 @@
 	}
 }
 
-// armDeadline starts the time of the request that is next to be answered.
+// armDeadline schedules the check that the oldest unanswered request is
+// answered in time.
 func (c *clientConn) armDeadline() {
 	if len(c.queue) == 0 {
 		return
@@ -128,7 +132,7 @@
 	}
 	at := r.acceptedAt + max(r.arrivedAt-r.acceptedAt-c.judge.config.Slack/2, 0)
 	if c.judge.now > r.arrivedAt {
-		at = c.judge.now // it waited behind another request
+		at = c.judge.now // its time starts with the answer to the request before it
 	}
 	at += r.budget + c.judge.config.Slack
 	c.judge.schedule(at, func() {
@@ -139,7 +143,7 @@
 	})
 }
 
-// settle ends what the node owes to a request.
+// settle marks a request as answered, or as one that needs no answer any more.
 func (c *clientConn) settle(r *request) {
 	if r.settled {
 		return
@@ -151,7 +155,7 @@
 	}
 }
 
-// answer takes in what a node sends to a client.
+// answer handles a scan event in the bytes that the node sends to the client.
 func (c *clientConn) answer(e scanEvent, m *message) {
 	switch e {
 	case messageBegun:
@@ -175,7 +179,7 @@
 	}
 }
 
-// answered checks a complete answer, to a request or to none.
+// answered checks a complete answer. r is the request that it answers, or nil.
 func (c *clientConn) answered(r *request, m *message) {
 	c.announcedClose = c.announcedClose || m.close || c.backward.ended
 	if c.malformedReason != "" && (r == nil || r.malformed) {
@@ -203,7 +207,8 @@
 	c.armDeadline()
 }
 
-// checkMalformedAnswer checks an answer to input that must not be served.
+// checkMalformedAnswer checks an answer to malformed input: its status must be
+// at least 300, and a status of at least 400 is the required error.
 func (c *clientConn) checkMalformedAnswer(m *message) {
 	if m.status < http.StatusMultipleChoices {
 		c.judge.report(Bad, c.judge.now, "%s: served with %d: %s", c.id, m.status, c.malformedReason)
@@ -213,7 +218,8 @@
 	}
 }
 
-// checkBody checks that a peer sent the body of an answer with status 200.
+// checkBody checks that the body of an answer with status 200 was sent by a peer
+// for the same call.
 func (c *clientConn) checkBody(r *request, m *message) {
 	if !r.call.hasBody(m.body) {
 		c.judge.report(Wrong, c.judge.now, "%s: call %s is served with %d bytes that no peer made for it",
@@ -221,8 +227,8 @@
 	}
 }
 
-// checkRejection checks that a call which is not idempotent, and is rejected,
-// has not run and will not.
+// checkRejection checks that no attempt of a rejected non-idempotent call has
+// run or may run.
 func (c *clientConn) checkRejection(r *request) {
 	r.call.rejected = true
 	if a := r.call.mayRun(nil); a != nil {
@@ -231,8 +237,8 @@
 	}
 }
 
-// settleAccepted settles the requests behind an answer that announced the end
-// of the connection.
+// settleAccepted settles all accepted requests in the queue. It is called after
+// an answer that announced the close of the connection.
 func (c *clientConn) settleAccepted() {
 	for _, r := range c.queue {
 		if r.accepted {
@@ -241,21 +247,22 @@
 	}
 }
 
-// idle reports whether an open connection has no request.
+// idle reports whether the connection is open, not ending, and has no
+// unanswered request.
 func (c *clientConn) idle() bool {
 	ending := c.broken || c.backward.ended || c.forward.ended || c.announcedClose
 	return c.open && !ending && len(c.queue) == 0
 }
 
-// malformedInput says why input must not be served, and how soon the client
-// must get an error or a close.
+// malformedInput is the reason why input must not be served, and the time limit
+// within which the client must get an error or a close.
 type malformedInput struct {
 	reason string
 	within time.Duration
 }
 
-// markMalformed lets nothing be served that is sent from now on; the first
-// mark counts.
+// markMalformed marks everything that the client sends from now on as malformed.
+// Further calls have no effect.
 func (c *clientConn) markMalformed(m malformedInput) {
 	if c.malformedReason != "" {
 		return
@@ -268,7 +275,8 @@
 	}
 }
 
-// expectError checks later that the client got an error or a close.
+// expectError schedules the check that the client has got an error or a close
+// within the time limit.
 func (c *clientConn) expectError() {
 	at := c.judge.now + c.malformedWithin + c.judge.config.Slack
 	c.judge.schedule(at, func() {
@@ -280,7 +288,8 @@
 	})
 }
 
-// nodeEnded: the node has ended its sending, or closed.
+// nodeEnded is called when the node has ended its sending or closed the
+// connection.
 func (c *clientConn) nodeEnded() {
 	c.malformedHandled = true
 	now := c.judge.now
@@ -294,8 +303,9 @@
 	}
 }
 
-// reportUnanswered reports a request whose connection the node ended, unless
-// the node turns out to have been killed at the same instant.
+// reportUnanswered reports an unanswered request whose connection the node
+// ended. The check is deferred to the end of the instant, because it does not
+// apply if the node is killed at the same instant.
 func (c *clientConn) reportUnanswered(r *request, at time.Duration) {
 	c.judge.schedule(at, func() {
 		if !r.reported && c.node.incarnation == c.incarnation {
@@ -306,7 +316,8 @@
 	})
 }
 
-// clientEnded: the client has ended its sending, or closed.
+// clientEnded is called when the client has ended its sending or closed the
+// connection.
 func (c *clientConn) clientEnded() {
 	c.malformedHandled = true
 	for _, r := range c.queue {
@@ -314,8 +325,9 @@
 	}
 }
 
-// reset: one end was reset. At the node's end, the node knows that its client
-// is gone, unless bytes that it has not read stand before the reset.
+// reset is called when one end of the connection was reset. back is true for the
+// node's end: the node then knows that the client is gone, unless unread bytes
+// precede the reset.
 func (c *clientConn) reset(back bool) {
 	c.clientEnded()
 	if back && c.forward.read >= c.forward.arrived {
@@ -325,8 +337,8 @@
 	}
 }
 
-// killed checks what a killed node leaves unanswered: after a graceful shutdown
-// it must leave nothing.
+// killed checks the unanswered requests of a killed node. They are lost if the
+// kill ends a graceful shutdown, unless they arrived shortly after SIGTERM.
 func (c *clientConn) killed(at time.Duration) {
 	term := c.node.terminatedAt
 	planned := term > 0 && at >= term+min(c.judge.maxDeadline, maxPlannedDeadline)+lateArrivalGrace
--- a/internal/lab/rules/cold_start.go
+++ b/internal/lab/rules/cold_start.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// coldStart is the time since a peer started cold.
+// coldStart records the load of a peer since it started cold.
 type coldStart struct {
-	at       time.Duration
-	attempts []attemptWork // received within the last Contract.Fall, the oldest first
-	reported bool
+	at       time.Duration // of the start
+	attempts []attemptWork // received within the last Contract.Fall, oldest first
+	reported bool          // a violation was reported
 }
 
-// attemptWork is the load of one attempt that a peer received.
+// attemptWork is the work of one attempt that a peer received.
 type attemptWork struct {
 	at         time.Duration
 	work       float64 // seconds of a core of speed 1
-	capacity   float64 // of the peer at that moment, in such seconds a second
-	startKnown bool    // its node had been notified of the cold start
+	capacity   float64 // of the peer at that time, in seconds of such a core per second
+	startKnown bool    // the sending node had been notified of the cold start
 }
 
-// knowingShare is the part of an overload that must come from nodes that had
-// been notified of the start, for it to be a violation.
+// knowingShare is the minimum share of the work that nodes notified of the
+// start must have sent for an overload to be a violation.
 const knowingShare = 2.0 / 3
 
-// checkColdLoad counts an attempt that a peer received against what a peer
-// that started cold may be sent.
+// checkColdLoad records an attempt that a peer received and checks that a peer
+// which started cold is not overloaded.
 func (j *Judge) checkColdLoad(peer, call string, work, capacity float64) {
 	received := j.takeSent(peer, call)
 	start := j.coldStarts[peer]
@@ -51,14 +51,16 @@
 	}
 }
 
-// expire drops the attempts up to an instant. One later attempt must be there.
+// expire removes the attempts up to an instant. At least one attempt must be
+// later.
 func (s *coldStart) expire(until time.Duration) {
 	for s.attempts[0].at <= until {
 		s.attempts = s.attempts[1:]
 	}
 }
 
-// load is the work of all attempts, and of those whose node knew of the start.
+// load returns the work of all attempts, and of those whose node had been
+// notified of the start.
 func (s *coldStart) load() (total, knowing float64) {
 	for _, a := range s.attempts {
 		total += a.work
@@ -69,8 +71,8 @@
 	return total, knowing
 }
 
-// meanCapacity is the mean over the window that began at an instant. Before
-// the first attempt in it, capacity counts as it was then.
+// meanCapacity returns the mean capacity of the peer from an instant until the
+// last attempt. Before the first attempt, the capacity at that attempt counts.
 func (s *coldStart) meanCapacity(from time.Duration) float64 {
 	now := from
 	sum := 0.0
@@ -86,8 +88,8 @@
 	return sum / (now - from).Seconds()
 }
 
-// takeSent finds the attempt that a peer received, by its call, and removes it
-// from those that are under way. It is nil if no such attempt was seen.
+// takeSent removes and returns the oldest sent attempt of a call that the peer
+// has not received yet. It returns nil if there is none.
 func (j *Judge) takeSent(peer, call string) *attempt {
 	sent := j.sentAttempts[call]
 	for i, a := range sent {
--- a/internal/lab/rules/commands.go
+++ b/internal/lab/rules/commands.go
@@ -6,25 +6,28 @@
 	"time"
 )
 
-// Time limits and amounts of the rules on operators' commands.
+// Limits of the rules on operators' commands.
 const (
-	// pausedIdleLimit is how long after PAUSE client connections may be idle.
+	// pausedIdleLimit is the duration after PAUSE in which a node may keep idle
+	// client connections.
 	pausedIdleLimit = 4 * time.Second
-	// reuseLimit is how long after RESTORE a peer may be unused.
+	// reuseLimit is the duration after RESTORE within which a peer must receive an
+	// attempt.
 	reuseLimit = 5 * time.Second
-	// recentUse is how long before its suspension a peer that counts as in use
-	// received an attempt.
+	// recentUse is the maximum time from the last attempt of a peer to its
+	// suspension for which the peer counts as in use.
 	recentUse = time.Second
-	// minAttempts must go to any peers before a cold peer is owed one.
+	// minAttempts is the number of attempts to any peers after RESTORE from which
+	// a restored peer must have received one: it may be cold, and gets few.
 	minAttempts = 200
-	// maxNamed bounds the connections that a violation names.
+	// maxNamed is the maximum number of connections that a violation lists.
 	maxNamed = 3
 )
 
-// suspension keeps a peer out of use at a node, by an operator's command.
+// suspension is the state of a peer that an operator has suspended at a node.
 type suspension struct {
 	since time.Duration
-	inUse bool // it received an attempt shortly before
+	inUse bool // the peer received an attempt within recentUse before
 }
 
 // NodeCommanded implements event.Observer.
@@ -70,7 +73,8 @@
 	}
 }
 
-// pause follows a node's PAUSE. since is not 0, which stands for no pause.
+// pause records that a node is paused and schedules the check of its idle
+// connections. since must not be 0, which means that the node is not paused.
 func (j *Judge) pause(n *node, since time.Duration) {
 	n.pausedSince = since
 	incarnation := n.incarnation
@@ -81,7 +85,8 @@
 	})
 }
 
-// checkSuspended checks a send of any kind to a peer.
+// checkSuspended checks that an attempt or health check is not sent to a peer
+// that the node has suspended.
 func (j *Judge) checkSuspended(c *peerConn, a *attempt) {
 	s, suspended := c.node.suspended[c.name]
 	if suspended && a.begunAt > s.since+j.config.Slack {
@@ -90,8 +95,8 @@
 	}
 }
 
-// expectUse checks later that a peer which is restored, and was in use, is
-// used again.
+// expectUse schedules the check that a restored peer which was in use before its
+// suspension is used again.
 func (j *Judge) expectUse(peer string) {
 	restored := j.now
 	attempts := j.attempts
@@ -103,9 +108,9 @@
 	})
 }
 
-// available reports whether some node could have used a peer since a time: the
-// peer has run since then, and the node lists it as ready and has not
-// suspended it again.
+// available reports whether at least one node could have used a peer since an
+// instant: the peer has run since then, and that node regards it as ready and
+// has not suspended it again.
 func (j *Judge) available(peer string, since time.Duration) bool {
 	if start := j.coldStarts[peer]; start == nil || start.at > since {
 		return false
@@ -138,7 +143,8 @@
 		n.name, len(idle), j.now-n.pausedSince, idle[:min(len(idle), maxNamed)])
 }
 
-// checkReadiness checks an answer to a readiness check of a node.
+// checkReadiness checks that a paused node does not answer a readiness check
+// with status 200.
 func (c *clientConn) checkReadiness(r *request, m *message) {
 	n := c.node
 	if m.status != http.StatusOK || n.pausedSince == 0 || r.acceptedAt <= n.pausedSince+c.judge.config.Slack {
--- a/internal/lab/rules/conn.go
+++ b/internal/lab/rules/conn.go
@@ -8,7 +8,7 @@
 	"olivebridge/internal/lab/link"
 )
 
-// connKind is what a connection is for.
+// connKind is the direction and purpose of a connection.
 type connKind uint8
 
 const (
@@ -25,33 +25,34 @@
 	to          string // the address dialed
 	kind        connKind
 	node        *node
-	incarnation int // of the node
+	incarnation int // of the node when the connection was dialed
 	open        bool
 	forward     flow // from the side that dialed
-	backward    flow
-	broken      bool // reset at one end at least
-	expiring    bool // it stands among those to be forgotten
+	backward    flow // to the side that dialed
+	broken      bool // reset on at least one end
+	expiring    bool // it is queued in Judge.expiring
 
-	// One of these is not nil, by kind.
+	// Exactly one of these is set, depending on kind.
 	client    *clientConn
 	peer      *peerConn
 	discovery *discoveryConn
 }
 
-// flow is one direction of a connection. Offsets count its bytes from the
-// beginning of the connection.
+// flow is the state of one direction of a connection. Offsets are in bytes from
+// the beginning of the connection.
 type flow struct {
 	scan      scanner
-	sent      int64 // offset up to which bytes left the sending machine
-	arrived   int64 // offset up to which they reached the other machine
-	read      int64 // offset up to which the program there read them
-	ended     bool  // no byte is sent any more
-	malformed bool  // what is sent cannot be parsed
+	sent      int64 // offset up to which bytes were sent
+	arrived   int64 // offset up to which bytes have reached the other machine
+	read      int64 // offset up to which the receiving program has read bytes
+	ended     bool  // no further bytes are sent
+	malformed bool  // the bytes cannot be parsed
 }
 
 func byID(a, b *conn) int { return strings.Compare(a.id, b.id) }
 
-// track adds a connection. It returns nil if it is not a node's.
+// track adds the connection of an event to the judge's state. It returns nil if
+// neither end is a node.
 func (j *Judge) track(c link.Event) *conn {
 	k := &conn{judge: j, id: c.Conn, from: c.From, to: c.To}
 	k.backward.scan.answers = true
@@ -83,7 +84,7 @@
 	return k
 }
 
-// observe takes in one event.
+// observe handles one event of the connection.
 func (k *conn) observe(c link.Event) {
 	f := &k.forward
 	if c.Back {
@@ -118,11 +119,12 @@
 	}
 }
 
-// atNode reports whether a side is the node's.
+// atNode reports whether a side of the connection is the node. back is true for
+// the side that accepted the connection.
 func (k *conn) atNode(back bool) bool { return back == (k.kind == fromClient) }
 
-// expireAt marks the connection to be forgotten once it is closed at its node's
-// side. Until then the node may go on writing to it.
+// expireAt queues the connection for removal once its node's side is closed.
+// Until then the node may still write to it.
 func (k *conn) expireAt(back bool) {
 	if k.atNode(back) && !k.expiring {
 		k.expiring = true
@@ -130,7 +132,7 @@
 	}
 }
 
-// scan parses bytes that were sent.
+// scan parses bytes that were sent in one direction.
 func (k *conn) scan(f *flow, back bool, b []byte) {
 	if f.malformed {
 		f.sent += int64(len(b))
@@ -146,7 +148,7 @@
 		if e == malformedMessage {
 			f.malformed = true
 		}
-		if f.malformed { // dispatch may have found so as well
+		if f.malformed { // dispatch may have set it too
 			f.sent += int64(len(b))
 			return
 		}
@@ -156,7 +158,8 @@
 	}
 }
 
-// dispatch passes on what a scanner found, at the offset f.sent.
+// dispatch passes a scan event at offset f.sent to the handler for the kind and
+// direction of the connection.
 func (k *conn) dispatch(f *flow, back bool, e scanEvent) {
 	m := &f.scan.message
 	switch {
@@ -175,14 +178,15 @@
 	}
 }
 
-// dialed: the connection was asked for.
+// dialed is called when the connection is dialed.
 func (k *conn) dialed() {
 	if k.discovery != nil {
 		k.discovery.dialed()
 	}
 }
 
-// opened: the connection is up at one side; the first counts.
+// opened is called when the connection is established at a side; only the first
+// call has an effect.
 func (k *conn) opened() {
 	if k.open {
 		return
@@ -196,7 +200,8 @@
 	}
 }
 
-// arrived: more bytes, or the end of them, have reached the other machine.
+// arrived is called when more bytes have reached the other machine, or the end
+// of the sender's bytes, in which case end is true.
 func (k *conn) arrived(back, end bool) {
 	switch {
 	case k.client != nil && !back:
@@ -208,7 +213,8 @@
 	}
 }
 
-// finishedSending: one side has ended its sending, or closed.
+// finishedSending is called when one side has ended its sending or closed the
+// connection.
 func (k *conn) finishedSending(f *flow, back bool) {
 	if f.ended {
 		return
@@ -229,7 +235,7 @@
 	}
 }
 
-// reset: one end was reset.
+// reset is called when one end of the connection was reset.
 func (k *conn) reset(back bool) {
 	k.broken = true
 	k.forward.ended = true
@@ -245,7 +251,8 @@
 	k.expireAt(back)
 }
 
-// killed: the process of the node was killed, and its connections with it.
+// killed is called when the node's process was killed, which ends its
+// connections.
 func (k *conn) killed(at time.Duration) {
 	if k.client != nil {
 		k.client.killed(at)
--- a/internal/lab/rules/discovery_conn.go
+++ b/internal/lab/rules/discovery_conn.go
@@ -7,32 +7,32 @@
 
 // discoveryPoll is one poll of discovery by a node.
 type discoveryPoll struct {
-	wait     time.Duration // how long it may wait; 0: it may not
+	wait     time.Duration // maximum wait of a long poll; 0: discovery must answer immediately
 	end      int64         // offset of its last byte
-	position int           // in the listing log, when discovery received it
-	received bool          // by discovery
-	settled  bool          // it does not count as pending any more
+	position int           // position in the listing log when discovery received the poll
+	received bool          // discovery has received the poll
+	settled  bool          // the poll is not pending any more
 	resolved bool          // its answer reached the node, or it cannot get one
 }
 
 // discoveryConn is a connection from a node to discovery.
 type discoveryConn struct {
 	*conn
-	polls   []*discoveryPoll // sent, and not answered completely
-	answers []discoveryAnswer
-	ended   bool // one side has ended it
+	polls   []*discoveryPoll  // sent and not completely answered
+	answers []discoveryAnswer // sent completely and not yet arrived
+	ended   bool              // one side has ended its sending
 }
 
 // discoveryAnswer is a complete answer on its way to a node.
 type discoveryAnswer struct {
 	poll     *discoveryPoll
 	end      int64 // offset of its last byte
-	valid    bool  // it is a list
+	valid    bool  // it contains a valid list
 	list     list
-	position int // in the listing log, up to which the list shows it
+	position int // position in the listing log up to which the list is current
 }
 
-// dialed: a node asks for a connection to discovery, which counts as a poll.
+// dialed is called when the node dials discovery, which counts as a poll.
 func (c *discoveryConn) dialed() {
 	c.judge.assumeKnownWhenIdle(c.node)
 	view := &c.node.view
@@ -43,7 +43,7 @@
 	view.idleSince = c.judge.now
 }
 
-// request takes in what a node sends to discovery.
+// request handles a scan event in the bytes that the node sends to discovery.
 func (c *discoveryConn) request(e scanEvent, m *message) {
 	if e != messageComplete {
 		return
@@ -63,7 +63,8 @@
 	})
 }
 
-// limit is how long after its arrival a poll counts as answered.
+// limit returns the duration after its arrival at discovery from which a poll
+// counts as answered.
 func (poll *discoveryPoll) limit() time.Duration {
 	if poll.wait > 0 {
 		return poll.wait + longPollGrace
@@ -71,7 +72,8 @@
 	return pollGrace
 }
 
-// settle ends the time in which a poll is pending.
+// settle marks a poll as no longer pending. failed is true if the node got no
+// valid answer.
 func (c *discoveryConn) settle(poll *discoveryPoll, failed bool) {
 	if poll.settled {
 		return
@@ -83,7 +85,8 @@
 	view.lastPollFailed = failed
 }
 
-// arrived: polls have reached discovery, or answers the node.
+// arrived is called when bytes have reached discovery or, if back is true, the
+// node. It handles the polls or answers that have arrived completely.
 func (c *discoveryConn) arrived(back bool) {
 	if !back {
 		for _, poll := range c.polls {
@@ -104,10 +107,11 @@
 	}
 }
 
-// isFollowed reports whether the node still follows this discovery.
+// isFollowed reports whether the node still polls this address of discovery.
 func (c *discoveryConn) isFollowed() bool { return c.node.view.discovery == c.to }
 
-// pollReceived: discovery has received a poll, and must answer within its limit.
+// pollReceived is called when discovery has received a poll. Unless an answer
+// says otherwise, the node counts as notified once the poll's limit has passed.
 func (c *discoveryConn) pollReceived(poll *discoveryPoll) {
 	poll.received = true
 	poll.position = len(c.judge.listings.listings)
@@ -123,7 +127,7 @@
 	})
 }
 
-// answer takes in what discovery sends.
+// answer handles a scan event in the bytes that discovery sends.
 func (c *discoveryConn) answer(e scanEvent, m *message) {
 	if e != messageComplete || m.status < http.StatusOK || len(c.polls) == 0 {
 		return
@@ -143,8 +147,8 @@
 	c.arrived(true)
 }
 
-// closed: one side has ended its sending. A poll that its node gives up has
-// still been made; one that discovery ends has failed.
+// closed is called when one side has ended its sending. Open polls count as
+// failed if discovery ended the connection, and as made if the node did.
 func (c *discoveryConn) closed(byDiscovery bool) {
 	if c.ended {
 		return
@@ -162,10 +166,10 @@
 	}
 }
 
-// reset: the connection was reset, or never came up.
+// reset is called when the connection was reset or could not be established.
 func (c *discoveryConn) reset() {
 	c.closed(true)
-	for _, answer := range c.answers { // sent, and lost on the way
+	for _, answer := range c.answers { // sent, but they will not arrive
 		c.settle(answer.poll, true)
 	}
 	if !c.open {
--- a/internal/lab/rules/discovery_list.go
+++ b/internal/lab/rules/discovery_list.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// States of a peer that discovery lists.
+// States of a peer in an endpoint list.
 const (
 	ready       = "Ready"
 	terminating = "Terminating"
@@ -17,20 +17,21 @@
 )
 
 const (
-	// pollPath is where discovery lists the peers.
+	// pollPath is the request path of the endpoint list.
 	pollPath = "/registry/instances"
-	// maxPollWait bounds how long discovery lets a poll wait.
+	// maxPollWait is the maximum duration for which discovery delays its answer to
+	// a long poll.
 	maxPollWait = 60_000 * time.Millisecond
 )
 
-// list is an answer of discovery.
+// list is an endpoint list in the JSON form in which discovery sends it.
 type list struct {
 	Version *int64        `json:"version"`
 	Full    *bool         `json:"full"`
 	Servers *[]listedPeer `json:"servers"`
 }
 
-// listedPeer is one peer of a list.
+// listedPeer is the entry of one peer in a list.
 type listedPeer struct {
 	ID      string   `json:"id"`
 	Addr    string   `json:"addr"`
@@ -42,8 +43,8 @@
 	Started int64    `json:"started_ms"`
 }
 
-// parseList parses an answer of discovery. ok is false if anything in it is
-// invalid: a node ignores such an answer.
+// parseList parses the body of an answer of discovery. ok is false if any part
+// of it is invalid: a node ignores such an answer.
 func parseList(text []byte) (l list, ok bool) {
 	if err := json.Unmarshal(text, &l); err != nil {
 		return l, false
@@ -64,7 +65,8 @@
 	return l, true
 }
 
-// pollWait is how long a poll of discovery may wait. ok is false if the target
+// pollWait returns the duration for which discovery may delay its answer to the
+// poll with a target; 0: it must answer immediately. ok is false if the target
 // is not that of a poll.
 func pollWait(target string) (wait time.Duration, ok bool) {
 	path, query, _ := strings.Cut(target, "?")
--- a/internal/lab/rules/discovery_view.go
+++ b/internal/lab/rules/discovery_view.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// When a node counts as notified of what discovery lists, without an answer
-// that says so.
+// Time limits from which a node counts as notified of the current list without
+// an answer that contains it.
 const (
 	longPollGrace    = 2 * time.Second // after the end of a long poll's wait
-	pollGrace        = 6 * time.Second // after a poll that may not wait
+	pollGrace        = 6 * time.Second // after the arrival of a poll that must be answered immediately
 	switchGrace      = 4 * time.Second // after SIGHUP with another discovery
-	reachableGrace   = 6 * time.Second // after discovery lists it and is reachable, whatever fails
-	failedPollFactor = 4               // times Contract.AskEvery after a failed poll
+	reachableGrace   = 6 * time.Second // after a listed change, while polls are served; applies even if polls fail
+	failedPollFactor = 4               // multiplies Contract.AskEvery after a failed poll
 )
 
-// discoveryView is what a node has been notified of by discovery, on the wire
-// or by the passing of time.
+// discoveryView is the part of the discovery data of which a node counts as
+// notified, by an answer on the wire or because a time limit has passed.
 type discoveryView struct {
-	peers map[string]*peerView
+	peers map[string]*peerView // by name
 
-	discovery      string        // address of the discovery that it follows; "": it has called none yet
-	pendingPolls   int           // polls on their way or waiting
+	discovery      string        // address of the discovery that the node polls; "": it has dialed none yet
+	pendingPolls   int           // the number of polls in transit or waiting at discovery
 	idleSince      time.Duration // when the last poll ended
 	lastPollFailed bool
-	idlePosition   int // position in the listing log up to which time without polls has notified it
+	idlePosition   int // position in the listing log up to which time without polls has notified the node
 
-	reachable      bool // its polls to the discovery that it follows are served
-	reachableEpoch int  // counts the periods in which they are
+	reachable      bool // the node's polls to discovery are served
+	reachableEpoch int  // the number of periods so far in which polls were served
 }
 
-// route is a way from a node to an address of discovery; an empty node stands
-// for every node.
+// route is a network path from a node to an address of discovery. An empty node
+// stands for all nodes.
 type route struct {
 	node string
 	addr string
 }
 
-// peerView is what a node has been notified of about one peer.
+// peerView is the state of one peer as far as a node counts as notified of it.
 type peerView struct {
 	addr         string
-	position     int           // in the listing log, as of which this is
-	started      time.Duration // its last start since the run began; 0: none
-	leaving      bool
-	leavingSince time.Duration // when the node was notified of that
-	terminating  bool          // by Terminating, which binds where Gone alone may not
+	position     int           // position in the listing log of the last notification
+	started      time.Duration // the peer's last start since the run began; 0: none
+	leaving      bool          // the peer was Terminating or Gone and not Ready since
+	leavingSince time.Duration // when the node was notified that the peer leaves
+	terminating  bool          // the state Terminating was seen, which binds even under Contract.DroppedStay
 }
 
 func newDiscoveryView() discoveryView { return discoveryView{peers: map[string]*peerView{}} }
 
-// peer finds the view of a peer, or adds an empty one.
+// peer returns the view of a peer and creates it if necessary.
 func (v *discoveryView) peer(name string) *peerView {
 	peer := v.peers[name]
 	if peer == nil {
@@ -56,7 +56,8 @@
 	return peer
 }
 
-// startOf is a peer's last start that the node has been notified of; 0: none.
+// startOf returns the last start of a peer of which the node has been notified,
+// or 0 if there is none.
 func (v *discoveryView) startOf(name string) time.Duration {
 	if peer := v.peers[name]; peer != nil {
 		return peer.started
@@ -64,9 +65,9 @@
 	return 0
 }
 
-// leavingBefore reports whether a peer has been leaving since before an
-// instant, and since when. A peer that the node was not notified of by name is
-// known by its address.
+// leavingBefore reports whether a peer has been leaving since before the instant
+// late, and since when. A peer whose name is unknown to the node is looked up by
+// its address.
 func (v *discoveryView) leavingBefore(late time.Duration, name, addr string) (since time.Duration, leaving bool) {
 	if peer := v.peers[name]; peer != nil {
 		return peer.leavingSince, peer.leaving && peer.leavingSince < late
@@ -84,7 +85,8 @@
 	return since, leaving
 }
 
-// markLeaving notes that a peer is Terminating or Gone; the first notice counts.
+// markLeaving records the state Terminating or Gone. Gone has no effect if
+// droppedStay is set; leavingSince is that of the first state with an effect.
 func (p *peerView) markLeaving(state string, at time.Duration, droppedStay bool) {
 	p.terminating = p.terminating || state == terminating
 	if !p.leaving && (p.terminating || !droppedStay) {
@@ -93,16 +95,17 @@
 	}
 }
 
-// nodeBegan notifies a node that starts of the list of a version.
+// nodeBegan initializes the view of a node that starts with the list of a
+// version.
 func (j *Judge) nodeBegan(n *node, version int64) {
 	n.view.idleSince = j.now
 	j.assumeKnown(n, j.listings.positionOfVersion(version), j.now)
 	n.view.idlePosition = 0
 }
 
-// assumeKnown lets a node count as notified of what is listed up to a
-// position, except where it was notified of something later. It makes no
-// leaving peer usable: only an answer on the wire notifies of Ready.
+// assumeKnown marks a node as notified, at an instant, of the listings up to a
+// position, except for peers with a later notification. It makes no leaving peer
+// usable: only an answer on the wire notifies of Ready.
 func (j *Judge) assumeKnown(n *node, position int, at time.Duration) {
 	for _, name := range j.listings.peers {
 		i := j.listings.lastBefore(name, position)
@@ -126,8 +129,8 @@
 	}
 }
 
-// applyList takes in a list that a node received. It shows the listing log up
-// to a position.
+// applyList updates the view of a node from a list that the node received. The
+// list is current up to a position in the listing log.
 func (j *Judge) applyList(n *node, l list, position int) {
 	named := map[string]bool{}
 	for _, listed := range *l.Servers {
@@ -147,7 +150,7 @@
 	}
 }
 
-// applyListed takes in one peer of a list.
+// applyListed updates the view of one peer from its entry in a list.
 func (j *Judge) applyListed(peer *peerView, listed listedPeer, position int) {
 	peer.position = position
 	if listed.Addr != "" {
@@ -165,8 +168,9 @@
 	}
 }
 
-// assumeKnownWhenIdle lets a node that has not polled discovery for long count
-// as notified of what was listed before that.
+// assumeKnownWhenIdle marks a node that has not polled discovery for at least
+// the polling interval as notified of the listings that are older than the
+// interval.
 func (j *Judge) assumeKnownWhenIdle(n *node) {
 	view := &n.view
 	interval := j.config.Contract.AskEvery.D()
@@ -184,8 +188,9 @@
 	}
 }
 
-// updateReachability follows whether a node's polls are served. Once they are,
-// the node must get to know everything that discovery lists.
+// updateReachability recomputes whether a node's polls are served. When they
+// become served, the time limit starts after which the node counts as notified
+// of the current listings.
 func (j *Judge) updateReachability(n *node) {
 	view := &n.view
 	forAll := route{addr: view.discovery}
@@ -201,9 +206,9 @@
 	}
 }
 
-// assumeKnownWhenReachable lets a node count as notified of what discovery
-// lists now once it could have polled for long enough, whatever became of its
-// polls.
+// assumeKnownWhenReachable marks a node as notified of the current listings after
+// reachableGrace, even if its polls fail, provided that polls are served for the
+// whole time.
 func (j *Judge) assumeKnownWhenReachable(n *node) {
 	incarnation := n.incarnation
 	epoch := n.view.reachableEpoch
@@ -216,7 +221,8 @@
 	})
 }
 
-// switchDiscovery follows a node to another discovery.
+// switchDiscovery records that a node polls another address of discovery from
+// now on.
 func (j *Judge) switchDiscovery(n *node, discovery string) {
 	if discovery == "" || discovery == n.view.discovery {
 		return
@@ -233,7 +239,8 @@
 	})
 }
 
-// checkDrain checks that an attempt to a peer that is leaving was begun in time.
+// checkDrain checks that an attempt to a leaving peer began within the drain
+// grace period.
 func (j *Judge) checkDrain(c *peerConn, a *attempt) {
 	late := a.begunAt - j.config.Contract.DrainGrace.D() - j.config.Slack
 	since, leaving := c.node.view.leavingBefore(late, c.name, c.to)
--- a/internal/lab/rules/doc.go
+++ b/internal/lab/rules/doc.go
@@ -1,4 +1,4 @@
-// Package rules checks the invariants of a run of nodes: what every client,
-// peer and operator may rely on. A Judge sees what crosses the network and
-// observes the events of the modelled services; it never looks into a node.
+// Package rules checks the invariants of a run of nodes: the guarantees to
+// clients, peers and operators. A Judge observes the bytes on the network and
+// the events of the modelled services; it does not access the state of a node.
 package rules
--- a/internal/lab/rules/judge.go
+++ b/internal/lab/rules/judge.go
@@ -12,7 +12,7 @@
 
 // Config configures a Judge.
 type Config struct {
-	// Contract holds the limits that nodes must keep.
+	// Contract holds the limits that nodes must observe.
 	Contract world.Contract
 	// Classes are the classes of calls, with their deadlines.
 	Classes []world.Class
@@ -20,34 +20,34 @@
 	Nodes []string
 	// Discovery holds the addresses of discovery.
 	Discovery []string
-	// Peers maps the addresses of peers at the start of the run to their
-	// names. Further ones become known by the event PeerStarted.
+	// Peers maps the addresses of the peers at the start of the run to their
+	// names. The event PeerStarted adds further ones.
 	Peers map[string]string
 	// Known is called with each version of the list that a node receives on the
 	// wire. It may be nil.
 	Known func(version int64)
-	// Now is the time of events, since the start of the run. If it is nil, an
-	// event has the time of the last link.Event or Tick.
+	// Now returns the time since the start of the run. If it is nil, the events of
+	// event.Observer have the time of the last link.Event or Tick.
 	Now func() time.Duration
-	// Slack is added to every time limit; 0 stands for 50 ms.
+	// Slack is added to every time limit; 0 means 50 ms.
 	Slack time.Duration
 }
 
 const (
 	nodePort     = ":9000"
 	defaultSlack = 50 * time.Millisecond
-	// instant is how far apart two things may lie that a node does at once: what
-	// one decision causes is spread by some nanoseconds.
+	// instant is the maximum time between two actions of a node that count as
+	// simultaneous: the effects of one decision are some nanoseconds apart.
 	instant = time.Millisecond
-	// retention is how long a finished connection or call is remembered, for
-	// bytes still under way.
+	// retention is the duration for which a finished connection or call is kept,
+	// because bytes may still be in transit.
 	retention = 10 * time.Second
-	// maxViolations bounds the violations that are stored.
+	// maxViolations is the maximum number of violations that are stored.
 	maxViolations = 20
 )
 
-// Judge checks a run. It is a link.Tap and an event.Observer, and belongs to
-// the goroutine of the run's loop.Loop.
+// Judge checks a run against the rules. It implements link.Tap and
+// event.Observer, and must be used only on the goroutine of the run's loop.Loop.
 type Judge struct {
 	config      Config
 	classes     map[string]*world.Class // by name
@@ -58,28 +58,28 @@
 	timers          timerQueue
 	timersScheduled uint64
 	violations      []Violation
-	omitted         int // violations beyond maxViolations
+	omitted         int // the number of violations beyond maxViolations
 
 	nodes    map[string]*node // by host
 	conns    map[string]*conn // by ID
-	expiring []expiry         // finished connections and calls, the oldest first
-	attempts int              // sent to any peer so far
+	expiring []expiry         // finished connections and calls, oldest first
+	attempts int              // the number of attempts sent to any peer so far
 
-	// sentAttempts are those written completely that no PeerAttempt event has
-	// matched yet, by call.
+	// sentAttempts holds, by call ID, the completely written attempts without a
+	// PeerAttempt event so far.
 	sentAttempts map[string][]*attempt
-	// malformedConns are the connections with malformed input that have not
-	// been dialed yet, by ID.
+	// malformedConns holds, by ID, the connections with malformed input that have
+	// not been dialed yet.
 	malformedConns map[string]malformedInput
 
 	peerNames   map[string]string        // names of peers, by address
 	coldStarts  map[string]*coldStart    // by peer
 	lastUsed    map[string]time.Duration // when any node last began an attempt, by peer
 	listings    listingLog
-	unreachable map[route]bool // routes on which polls are not served
+	unreachable map[route]bool // true for routes on which polls are not served
 }
 
-// New makes a Judge.
+// New returns a Judge for one run.
 func New(c Config) *Judge {
 	if c.Slack == 0 {
 		c.Slack = defaultSlack
@@ -114,7 +114,7 @@
 	return j
 }
 
-// report stores a violation.
+// report stores a violation, or counts it if maxViolations are stored already.
 func (j *Judge) report(rule string, at time.Duration, format string, args ...any) {
 	if len(j.violations) == maxViolations {
 		j.omitted++
@@ -123,18 +123,19 @@
 	j.violations = append(j.violations, Violation{Rule: rule, At: at, What: fmt.Sprintf(format, args...)})
 }
 
-// Violations returns the first 20 violations that were found, in order of time.
+// Violations returns the first 20 violations found, sorted by time.
 func (j *Judge) Violations() []Violation {
 	violations := slices.Clone(j.violations)
 	slices.SortStableFunc(violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return violations
 }
 
-// More returns how many violations were found beyond those.
+// More returns the number of further violations that Violations omits.
 func (j *Judge) More() int { return j.omitted }
 
-// Tick runs the checks that are due and forgets what finished long ago. It is
-// called regularly during a run.
+// Tick runs the checks that are due and removes connections and calls that
+// finished longer than the retention period ago. It must be called regularly
+// during a run.
 func (j *Judge) Tick(now time.Duration) {
 	j.advance(now)
 	for len(j.expiring) > 0 && j.expiring[0].at < now-retention {
@@ -152,11 +153,11 @@
 	}
 }
 
-// expiry is a finished connection or call that is to be forgotten.
+// expiry is a finished connection or call that is queued for removal.
 type expiry struct {
 	at   time.Duration // when it finished
-	conn *conn         // nil: it is a call
-	call *call         // nil: it is a connection
+	conn *conn         // nil for a call
+	call *call         // nil for a connection
 }
 
 func (j *Judge) expireLater(now time.Duration, e expiry) {
@@ -164,7 +165,7 @@
 	j.expiring = append(j.expiring, e)
 }
 
-// Finish ends the run: every request must have its answer by now.
+// Finish ends the run and reports requests without an answer.
 func (j *Judge) Finish(now time.Duration) {
 	j.advance(now + 1)
 	var open []*conn
@@ -190,7 +191,7 @@
 	k := j.conns[c.Conn]
 	if k == nil {
 		if c.Kind != link.Dial && c.Kind != link.Open {
-			return // the connection finished long ago, or is not a node's
+			return // the connection was removed after the retention period, or has no node at either end
 		}
 		k = j.track(c)
 		if k == nil {
--- a/internal/lab/rules/listing_log.go
+++ b/internal/lab/rules/listing_log.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// listing is one change that discovery knows of.
+// listing is one change of the endpoint list.
 type listing struct {
 	version int64
 	peer    string
 	addr    string
 	state   string
-	started time.Duration // the peer's last start since the run began; 0: before it
-	at      time.Duration // when discovery got to know of the change
+	started time.Duration // the peer's last start since the run began; 0: it started before the run
+	at      time.Duration // when discovery received the change
 }
 
-// listingLog holds what discovery knows, in order. A position in it is the
-// number of listings up to there.
+// listingLog records the changes of the endpoint list in order. A position in
+// it is the number of listings before that position.
 type listingLog struct {
 	listings []listing
 	peers    []string         // in the order of their first listing
-	indexes  map[string][]int // of listings, by peer
+	indexes  map[string][]int // indexes of a peer's listings, by peer
 }
 
 func newListingLog() listingLog { return listingLog{indexes: map[string][]int{}} }
@@ -30,8 +30,8 @@
 	l.listings = append(l.listings, added)
 }
 
-// lastBefore is the index of the last listing of a peer up to a position; -1:
-// there is none.
+// lastBefore returns the index of the last listing of a peer before a position,
+// or -1 if there is none.
 func (l *listingLog) lastBefore(peer string, position int) int {
 	indexes := l.indexes[peer]
 	for i := len(indexes) - 1; i >= 0; i-- {
@@ -42,9 +42,9 @@
 	return -1
 }
 
-// positionOfVersion is the position of a version. Discovery may begin its
-// numbering anew, so the last listing with exactly this version counts, or else
-// those up to it since the numbering last began.
+// positionOfVersion returns the position after a version. Discovery may restart
+// its version numbers, so the last listing with exactly this version counts. If
+// there is none, the lower versions since the last restart of the numbers count.
 func (l *listingLog) positionOfVersion(version int64) int {
 	for i := len(l.listings) - 1; i >= 0; i-- {
 		if l.listings[i].version == version {
@@ -54,14 +54,14 @@
 	position := len(l.listings)
 	for position > 0 && l.listings[position-1].version > version {
 		if position > 1 && l.listings[position-2].version > l.listings[position-1].version {
-			return 0 // of an earlier numbering, or before this one: nothing is sure
+			return 0 // the version precedes the last restart of the numbers, so its position is unknown
 		}
 		position--
 	}
 	return position
 }
 
-// positionAt is the position at an instant.
+// positionAt returns the position after the last listing up to an instant.
 func (l *listingLog) positionAt(at time.Duration) int {
 	position := len(l.listings)
 	for position > 0 && l.listings[position-1].at > at {
--- a/internal/lab/rules/message.go
+++ b/internal/lab/rules/message.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// digest stands for a body.
+// digest identifies a body by its checksum and size.
 type digest struct {
 	sum  [sha256.Size]byte // zeros for an empty body
 	size int64
 }
 
-// message is what the judge needs of a request or an answer.
+// message holds the parsed fields of a request or an answer that the judge needs.
 type message struct {
-	method     string // of a request
-	target     string // of a request
-	status     int    // of an answer
-	id         string // X-Call-Id, the last one
-	idCount    int    // number of X-Call-Id fields
-	class      string // X-Call-Class
-	budget     time.Duration
-	rejected   bool // X-Rejected: 1, once
-	close      bool // Connection: close
+	method     string        // of a request
+	target     string        // of a request
+	status     int           // of an answer
+	id         string        // value of the last X-Call-Id field
+	idCount    int           // number of X-Call-Id fields
+	class      string        // value of X-Call-Class
+	budget     time.Duration // value of X-Budget; 0: absent or invalid
+	rejected   bool          // there is exactly one X-Rejected field, with value 1
+	close      bool          // Connection contains close
 	body       digest
-	storedBody []byte // the body itself, where it is stored
+	storedBody []byte // the body, if the scanner stores bodies
 }
 
-// provesNotRun reports whether an answer of a peer proves that the attempt has
+// provesNotRun reports whether an answer of a peer proves that its attempt has
 // not run.
 func (m *message) provesNotRun() bool {
 	return m.rejected && (m.status == http.StatusServiceUnavailable || m.status == http.StatusGatewayTimeout)
--- a/internal/lab/rules/node.go
+++ b/internal/lab/rules/node.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// node is the state of one node. Everything but its name belongs to its
-// present incarnation.
+// node is the state of one node. All fields except name and incarnation are
+// reset when its process ends.
 type node struct {
 	name         string
-	incarnation  int  // counts its processes
-	alive        bool // it has started, and was not killed
+	incarnation  int  // number of the node's current process
+	alive        bool // the process has started and was not killed
 	calls        map[string]*call
 	conns        map[*conn]struct{}
 	view         discoveryView
 	suspended    map[string]suspension // by peer
-	terminatedAt time.Duration         // when SIGTERM reached it; 0: it did not
+	terminatedAt time.Duration         // when it received SIGTERM; 0: it did not
 	pausedSince  time.Duration         // when operators paused it; 0: it is not paused
 }
 
-// reset begins a new incarnation of a node.
+// reset discards the state of the node's process and begins a new incarnation.
 func (n *node) reset() {
 	*n = node{
 		name:        n.name,
@@ -31,7 +31,7 @@
 	}
 }
 
-// call finds a call by its ID, or adds one.
+// call returns the call with an ID and creates it if necessary.
 func (n *node) call(id string) *call {
 	found := n.calls[id]
 	if found == nil {
@@ -41,7 +41,8 @@
 	return found
 }
 
-// endNode ends the incarnation of a node.
+// endNode handles the end of a node's process: it ends the node's connections
+// and resets its state.
 func (j *Judge) endNode(n *node) {
 	var conns []*conn
 	for k := range n.conns {
--- a/internal/lab/rules/peer_conn.go
+++ b/internal/lab/rules/peer_conn.go
@@ -2,18 +2,18 @@
 
 import "net/http"
 
-// healthCheckPath is where nodes check the health of a peer, the one request
-// to a peer without a call ID.
+// healthCheckPath is the request path of health checks. They are the only
+// requests to a peer that may have no call ID.
 const healthCheckPath = "/health/live"
 
 // peerConn is a connection from a node to a peer.
 type peerConn struct {
 	*conn
-	name       string     // of the peer, when the connection came up
-	current    *attempt   // being sent
-	unanswered []*attempt // begun, and no answer has begun to be sent
-	answering  *attempt   // whose answer is being sent; nil: nobody's
-	answers    []peerAnswer
+	name       string       // name of the peer when the connection was established
+	current    *attempt     // the attempt that the node is sending
+	unanswered []*attempt   // begun and without a complete answer, oldest first
+	answering  *attempt     // the attempt whose answer the peer is sending; nil: none
+	answers    []peerAnswer // sent completely and not yet arrived
 }
 
 // peerAnswer is a complete answer on its way to a node.
@@ -21,11 +21,11 @@
 	attempt  *attempt
 	end      int64 // offset of its last byte
 	status   int
-	neverRan bool // it proves that the attempt has not run
+	neverRan bool // the answer proves that the attempt has not run
 	body     digest
 }
 
-// request takes in what a node sends to a peer.
+// request handles a scan event in the bytes that the node sends to the peer.
 func (c *peerConn) request(e scanEvent, m *message) {
 	switch e {
 	case messageBegun:
@@ -43,7 +43,8 @@
 	}
 }
 
-// checkAttempt checks an attempt that was written completely.
+// checkAttempt checks a completely written attempt or health check, and records
+// a valid attempt.
 func (c *peerConn) checkAttempt(a *attempt, m *message) {
 	j := c.judge
 	j.assumeKnownWhenIdle(c.node)
@@ -94,8 +95,9 @@
 	return nil
 }
 
-// findRequest finds the request of a call that an attempt forwards, and one
-// that it would forward if the request were not over.
+// findRequest returns the request of the call that an attempt forwards, and one
+// that it would forward if further attempts of that request were not forbidden.
+// Either may be nil.
 func (k *call) findRequest(a *attempt, m *message) (found, over *request) {
 	for _, r := range k.requests {
 		switch {
@@ -110,7 +112,7 @@
 	return found, over
 }
 
-// checkRetry checks an attempt against the earlier ones of its call.
+// checkRetry checks that the earlier attempts of a call permit another one.
 func (c *peerConn) checkRetry(a *attempt, k *call, r *request) {
 	j := c.judge
 	limit := j.config.Contract.TryLimit
@@ -133,8 +135,8 @@
 	}
 }
 
-// checkHedging checks that no earlier attempt of a call is in flight, nor ends
-// only later than what a node does at once.
+// checkHedging checks that no earlier attempt of a call is in flight, or that
+// each ends within the tolerance for simultaneous actions.
 func (c *peerConn) checkHedging(k *call) {
 	j := c.judge
 	at := j.now
@@ -151,8 +153,9 @@
 	}
 }
 
-// answer takes in what a peer sends. What begins before any byte of an attempt
-// has reached the peer is the answer to none.
+// answer handles a scan event in the bytes that the peer sends. An answer that
+// begins before any byte of the attempt has reached the peer belongs to no
+// attempt.
 func (c *peerConn) answer(e scanEvent, m *message) {
 	switch e {
 	case messageBegun:
@@ -178,7 +181,7 @@
 	}
 }
 
-// arrived takes in the answers that have reached the node completely.
+// arrived handles the answers that have reached the node completely.
 func (c *peerConn) arrived() {
 	for len(c.answers) > 0 && c.answers[0].end <= c.backward.arrived {
 		a := c.answers[0]
@@ -190,7 +193,8 @@
 	}
 }
 
-// closed: the connection is over at one side, the node's or the peer's.
+// closed is called when one side has ended its sending or the connection was
+// reset. byNode is true if it was the node.
 func (c *peerConn) closed(byNode bool) {
 	if c.answering != nil && !byNode {
 		c.answering.truncated = true
@@ -199,6 +203,6 @@
 		a.finished = true
 	}
 	if byNode {
-		c.answers = nil // the node does not read what arrives now
+		c.answers = nil // the node does not read answers that arrive from now on
 	}
 }
--- a/internal/lab/rules/request.go
+++ b/internal/lab/rules/request.go
@@ -7,39 +7,39 @@
 	"olivebridge/internal/lab/world"
 )
 
-// request is what a client sent to a node.
+// request is one request from a client to a node.
 type request struct {
 	conn      *clientConn
 	id        string
 	method    string
 	target    string
-	class     *world.Class // nil: none, or an unknown one
+	class     *world.Class // nil: missing or unknown
 	body      digest
-	budget    time.Duration // the client's; 0: none
-	call      *call         // nil: it has no single call ID, or is a readiness check
+	budget    time.Duration // the client's timeout; 0: none
+	call      *call         // nil: not exactly one call ID, or a readiness check
 	start     int64         // offset of its first byte
-	end       int64         // offset behind its last byte; 0: it is not complete
+	end       int64         // offset after its last byte; 0: incomplete
 	malformed bool          // it must not be served
 	readiness bool          // it is a readiness check
 
-	accepted          bool // complete, and the connection is open
+	accepted          bool // sent completely on an open connection
 	acceptedAt        time.Duration
-	arrived           bool // at the node's machine
+	arrived           bool // it has reached the node's machine completely
 	arrivedAt         time.Duration
-	deadlineArmed     bool // its time runs
-	settled           bool // answered, or no answer is owed any more
-	reported          bool // as late or lost
-	attemptsForbidden bool // no attempt may begin any more
+	deadlineArmed     bool // the check of its deadline is scheduled
+	settled           bool // answered, or no answer is required any more
+	reported          bool // a violation Late or Lost was reported
+	attemptsForbidden bool // no attempt may begin after forbiddenSince
 	forbiddenSince    time.Duration
 }
 
-// owed reports whether the node still owes an answer.
+// owed reports whether the node must still answer the request.
 func (r *request) owed() bool {
 	return r.accepted && !r.settled && !r.malformed && !r.readiness && r.conn.malformedReason == ""
 }
 
-// forbidAttempts lets no further attempt begin after an instant; the first
-// call counts.
+// forbidAttempts forbids attempts that begin after an instant. Further calls
+// have no effect.
 func (r *request) forbidAttempts(at time.Duration) {
 	if r.attemptsForbidden {
 		return
@@ -48,7 +48,8 @@
 	r.forbiddenSince = at
 }
 
-// idempotent reports whether a request may run twice.
+// idempotent reports whether the request may run more than once. Without a known
+// class, only GET may.
 func (r *request) idempotent() bool {
 	if r.class == nil {
 		return r.method == http.MethodGet
--- a/internal/lab/rules/scanner.go
+++ b/internal/lab/rules/scanner.go
@@ -10,55 +10,57 @@
 	"time"
 )
 
-// scanEvent is what a scanner finds in the bytes of a connection.
+// scanEvent is an event that a scanner reports for the bytes of a connection.
 type scanEvent uint8
 
 const (
 	needMore         scanEvent = iota // more bytes are needed
-	messageBegun                      // the first byte of a message
-	headComplete                      // the last byte of its head
-	messageComplete                   // the last byte of the message
-	malformedMessage                  // not HTTP/1.1; nothing behind it can be parsed
+	messageBegun                      // the first byte of a message is available
+	headComplete                      // the head of the message is complete
+	messageComplete                   // the message is complete
+	malformedMessage                  // not valid HTTP/1.1; no further bytes can be parsed
 )
 
-// Bounds on what is stored of a message, and on the values of its fields.
+// Limits on the stored parts of a message, in bytes, and on the values of its
+// fields.
 const (
 	maxHead       = 64 << 10
 	maxStoredBody = 8 << 20
 	maxBudget     = 3600 // seconds
 )
 
-// untilEOF is the number of remaining bytes of a body that ends with its
+// untilEOF is the value of scanner.remaining for a body that ends with its
 // connection.
 const untilEOF = -1
 
-// scanner parses the messages in one direction of a connection, as bytes come.
-// It belongs to the judge alone, so that it shares no mistake with the parsers
-// of the modelled services and of the node. It is strict: lines end in CRLF,
-// and there is one plain length.
+// scanner parses the messages in one direction of a connection incrementally.
+// The judge uses no other parser and no other package uses this one, so that it
+// shares no defect with the parsers of the modelled services and of the node. It
+// is strict: lines must end in CRLF, and a message has at most one
+// Content-Length.
 type scanner struct {
 	answers     bool // it parses answers, not requests
-	storeBody   bool // bodies are stored, not just hashed
-	answersHEAD bool // the answer at hand is one to HEAD: set after messageBegun
+	storeBody   bool // bodies are stored, not only hashed
+	answersHEAD bool // the current answer is to a HEAD request; set after messageBegun
 
 	step        func(s *scanner, b []byte) (int, scanEvent) // nil: between messages
-	line        []byte                                      // the line at hand, as far as it has come
-	headRoom    int                                         // bytes that the head may still take
-	atFirstLine bool                                        // the next line is the first
-	remaining   int64                                       // bytes of the body, or of a chunk
-
-	lengthCount   int   // Content-Length lines
-	length        int64 // what they say
-	codingCount   int   // Transfer-Encoding lines
-	rejectedCount int   // X-Rejected lines
-
-	bodyHash hash.Hash // nil until a body comes in pieces
-	hashing  bool      // bodyHash holds a part of the body
+	line        []byte                                      // received part of the current line
+	headRoom    int                                         // remaining bytes of the head's size limit
+	atFirstLine bool                                        // the next line is the first one of the message
+	remaining   int64                                       // remaining bytes of the body or chunk
+
+	lengthCount   int   // number of Content-Length fields
+	length        int64 // value of the last Content-Length field
+	codingCount   int   // number of Transfer-Encoding fields
+	rejectedCount int   // number of X-Rejected fields
+
+	bodyHash hash.Hash // nil until a body arrives in pieces
+	hashing  bool      // bodyHash covers a part of the current body
 	message  message
 }
 
-// next parses some of b and returns how much. It is called until it takes
-// nothing and returns needMore.
+// next parses bytes of b and returns their number. The caller repeats it with
+// the rest of b until it returns 0 and needMore.
 func (s *scanner) next(b []byte) (n int, e scanEvent) {
 	if s.step != nil {
 		return s.step(s, b)
@@ -70,7 +72,7 @@
 	return 0, messageBegun
 }
 
-// begin starts a message.
+// begin resets the scanner for a new message.
 func (s *scanner) begin() {
 	s.message = message{}
 	s.atFirstLine = true
@@ -83,8 +85,8 @@
 	s.step = (*scanner).head
 }
 
-// end says that no more bytes come. It reports whether that completes the
-// message at hand.
+// end is called when no more bytes follow. It reports whether that completes the
+// current message.
 func (s *scanner) end() bool {
 	if !s.endsWithConn() {
 		return false
@@ -94,22 +96,23 @@
 	return true
 }
 
-// endsWithConn reports whether the message at hand lasts until the end of the
+// endsWithConn reports whether the body of the current message ends with the
 // connection.
 func (s *scanner) endsWithConn() bool { return s.step != nil && s.remaining == untilEOF }
 
-// discard takes nothing more, after a malformed message.
+// discard is the step after a malformed message: it parses no further bytes.
 func (s *scanner) discard([]byte) (int, scanEvent) { return 0, needMore }
 
-// fail ends the parsing.
+// fail reports a malformed message after n bytes and ends the parsing.
 func (s *scanner) fail(n int) (int, scanEvent) {
 	s.step = (*scanner).discard
 	s.remaining = 0
 	return n, malformedMessage
 }
 
-// readLine takes in bytes up to the end of a line. complete says that s.line is
-// complete, without its CRLF; ok is false for a malformed or overlong line.
+// readLine appends bytes up to the end of a line to s.line and returns their
+// number. If complete is true, s.line holds the whole line without its CRLF. ok is
+// false for a malformed line or one that exceeds the size limit.
 func (s *scanner) readLine(b []byte) (n int, complete, ok bool) {
 	n = bytes.IndexByte(b, '\n') + 1
 	complete = n > 0
@@ -160,7 +163,7 @@
 	return n, needMore
 }
 
-// startLine parses the first line.
+// startLine parses the first line of a message and reports whether it is valid.
 func (s *scanner) startLine(line string) bool {
 	first, rest, _ := strings.Cut(line, " ")
 	if !s.answers {
@@ -177,7 +180,7 @@
 		status >= http.StatusContinue && status != http.StatusSwitchingProtocols
 }
 
-// field parses a field of the head.
+// field parses a header field and reports whether it is valid.
 func (s *scanner) field(line []byte) bool {
 	colon := bytes.IndexByte(line, ':')
 	if colon <= 0 || bytes.ContainsAny(line[:colon], " \t\r") {
@@ -207,12 +210,13 @@
 	return true
 }
 
-// isField reports whether a field has a name, in any case.
+// isField reports whether a field has the known name, ignoring case.
 func isField(name []byte, known string) bool {
 	return len(name) == len(known) && strings.EqualFold(string(name), known)
 }
 
-// contentLength parses a Content-Length field.
+// contentLength parses a Content-Length field and reports whether it is valid and
+// the only one.
 func (s *scanner) contentLength(value string) bool {
 	s.lengthCount++
 	length, err := strconv.ParseUint(value, 10, 62)
@@ -220,7 +224,7 @@
 	return err == nil && s.lengthCount == 1
 }
 
-// connectionOptions parses a Connection field.
+// connectionOptions looks for the option close in a Connection field.
 func (s *scanner) connectionOptions(value string) {
 	for option := range strings.SplitSeq(value, ",") {
 		if strings.EqualFold(strings.TrimSpace(option), "close") {
@@ -229,7 +233,7 @@
 	}
 }
 
-// budget parses an X-Budget field, in seconds. An invalid one counts as absent.
+// budget parses an X-Budget field, in seconds. An invalid value counts as absent.
 func (s *scanner) budget(value string) {
 	seconds, err := strconv.ParseFloat(value, 64)
 	if err == nil && seconds > 0 && seconds <= maxBudget {
@@ -237,7 +241,8 @@
 	}
 }
 
-// chooseFraming finds out from the head how the body ends.
+// chooseFraming determines from the head how the end of the body is found, and
+// reports whether the head is valid in that respect.
 func (s *scanner) chooseFraming() bool {
 	switch {
 	case s.lengthCount > 0 && s.codingCount > 0:
@@ -259,21 +264,21 @@
 	return true
 }
 
-// hasNoBody reports whether an answer ends with its head, whatever its fields say.
+// hasNoBody reports whether an answer ends with its head regardless of its fields.
 func (s *scanner) hasNoBody() bool {
 	status := s.message.status
 	return status < http.StatusOK || status == http.StatusNoContent || status == http.StatusNotModified ||
 		s.answersHEAD
 }
 
-// complete follows the last byte of a message.
+// complete is the step after the last byte of a message.
 func (s *scanner) complete([]byte) (int, scanEvent) {
 	s.finishBody()
 	s.step = nil
 	return 0, messageComplete
 }
 
-// finishBody closes the hash of the body.
+// finishBody stores the checksum of a body that arrived in pieces.
 func (s *scanner) finishBody() {
 	if s.hashing {
 		s.bodyHash.Sum(s.message.body.sum[:0])
@@ -282,7 +287,8 @@
 	s.remaining = 0
 }
 
-// addBody takes in some of the body.
+// addBody adds bytes to the size and checksum of the body, and stores them if
+// required.
 func (s *scanner) addBody(b []byte) {
 	s.message.body.size += int64(len(b))
 	if s.storeBody && len(s.message.storedBody)+len(b) <= maxStoredBody {
@@ -303,7 +309,7 @@
 // fixedBody parses a body of known length.
 func (s *scanner) fixedBody(b []byte) (int, scanEvent) {
 	atOnce := s.remaining == s.length && int64(len(b)) >= s.remaining
-	if atOnce && s.remaining > 0 && !s.storeBody { // the usual case
+	if atOnce && s.remaining > 0 && !s.storeBody { // the common case, without an incremental hash
 		n := int(s.remaining)
 		s.message.body = digest{sum: sha256.Sum256(b[:n]), size: s.remaining}
 		s.step = (*scanner).complete
@@ -319,7 +325,7 @@
 	return n, needMore
 }
 
-// continueWith goes on with the next step where the last one took nothing.
+// continueWith runs the next step if the last one parsed no bytes.
 func (s *scanner) continueWith(n int, b []byte) (int, scanEvent) {
 	if n == 0 {
 		return s.step(s, b)
@@ -333,7 +339,7 @@
 	return len(b), needMore
 }
 
-// chunkHeader parses the line ahead of a chunk.
+// chunkHeader parses the line before a chunk.
 func (s *scanner) chunkHeader(b []byte) (int, scanEvent) {
 	n, complete, ok := s.readLine(b)
 	if !ok {
@@ -357,7 +363,7 @@
 	return n, needMore
 }
 
-// chunkBody parses the bytes of a chunk.
+// chunkBody parses the data of a chunk.
 func (s *scanner) chunkBody(b []byte) (int, scanEvent) {
 	n := int(min(s.remaining, int64(len(b))))
 	s.addBody(b[:n])
@@ -369,7 +375,7 @@
 	return n, needMore
 }
 
-// chunkEnd parses the line end behind a chunk.
+// chunkEnd parses the CRLF after a chunk.
 func (s *scanner) chunkEnd(b []byte) (int, scanEvent) {
 	n, complete, ok := s.readLine(b)
 	if !ok || len(s.line) > 2 || complete && len(s.line) > 0 {
@@ -381,7 +387,7 @@
 	return n, needMore
 }
 
-// trailer parses a line behind the last chunk.
+// trailer parses a line after the last chunk.
 func (s *scanner) trailer(b []byte) (int, scanEvent) {
 	n, complete, ok := s.readLine(b)
 	switch {
--- a/internal/lab/rules/timers.go
+++ b/internal/lab/rules/timers.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// timer is a check that runs once its time has passed.
+// timer is a check that runs after an instant has passed.
 type timer struct {
 	at       time.Duration
-	sequence uint64 // orders the timers of one instant
+	sequence uint64 // orders timers with the same instant
 	run      func()
 }
 
-// timerQueue is a heap of timers, the earliest first.
+// timerQueue is a heap of timers with the earliest first. It implements
+// heap.Interface.
 type timerQueue []timer
 
 func (q timerQueue) Len() int { return len(q) }
@@ -38,14 +39,15 @@
 
 func (q *timerQueue) pop() timer { return heap.Pop(q).(timer) }
 
-// schedule runs a check when an instant has passed and everything that
-// happened at it has been seen.
+// schedule runs a check after an instant has passed, so that all events of that
+// instant have been observed.
 func (j *Judge) schedule(at time.Duration, check func()) {
 	j.timersScheduled++
 	heap.Push(&j.timers, timer{at: at, sequence: j.timersScheduled, run: check})
 }
 
-// advance lets time pass: timers that were due before now run first.
+// advance sets the judge's time to now, after it has run the timers due before
+// now.
 func (j *Judge) advance(now time.Duration) {
 	for len(j.timers) > 0 && j.timers[0].at < now {
 		due := j.timers.pop()
@@ -55,7 +57,7 @@
 	j.now = max(j.now, now)
 }
 
-// clock advances to the time of an event and returns it.
+// clock advances the judge to Config.Now, if set, and returns the judge's time.
 func (j *Judge) clock() time.Duration {
 	if j.config.Now != nil {
 		j.advance(j.config.Now())
--- a/internal/lab/rules/violation.go
+++ b/internal/lab/rules/violation.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Violation is one broken rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	// Rule is the short name of the rule; see Names.
 	Rule string `json:"rule"`
-	// At is when it was broken, since the start of the run.
+	// At is the time of the violation since the start of the run.
 	At time.Duration `json:"at"`
-	// What says in one line what was seen.
+	// What describes the observation in one line.
 	What string `json:"what"`
 }
 
