--- a/internal/lab/figure/shares.go
+++ b/internal/lab/figure/shares.go
@@ -2,18 +2,20 @@
 
 import "slices"
 
-// Shares are figures of faults that last, any number at a time: the share of
-// calls that each strikes, or the factor by which it makes something more.
+// Shares holds one number for each fault that is active: the share of calls that
+// the fault affects, or the factor by which it increases a quantity.
 type Shares struct{ list []*float64 }
 
-// Add lets one more fault last until heal is called; to call it again does nothing.
+// Add adds a fault that is active until heal is called. Further calls of heal have
+// no effect.
 func (s *Shares) Add(v float64) (heal func()) {
 	p := &v
 	s.list = append(s.list, p)
 	return func() { s.list = slices.DeleteFunc(s.list, func(q *float64) bool { return q == p }) }
 }
 
-// Chance is the share that at least one of them strikes, each by itself.
+// Chance returns the share of calls that at least one fault affects. The faults
+// are independent, and values outside [0, 1] are clamped.
 func (s *Shares) Chance() float64 {
 	spared := 1.0
 	for _, v := range s.list {
@@ -22,7 +24,7 @@
 	return 1 - spared
 }
 
-// Product is all factors multiplied; 1 without any.
+// Product returns the product of all factors; 1 if there is none.
 func (s *Shares) Product() float64 {
 	f := 1.0
 	for _, v := range s.list {
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -14,15 +14,17 @@
 
 const ms = time.Millisecond
 
-// timeline plays events by hand, those of the network and others. A call "a" comes on the connection
-// "a"; its attempts go on "a1", "a2", …; "d" is one to discovery. Each step takes
-// a millisecond.
+// timeline passes events of the network and of the services to a Judge, one by one. A call "a" is sent on
+// the client connection "a" and its attempts on the connections "a1", "a2" and so on; "d" is a connection to
+// discovery. Each network event takes a millisecond.
 type timeline struct {
 	j    *Judge
 	now  time.Duration
-	ends map[string][2]string // connections that were opened: from, to
+	ends map[string][2]string // the dialing host and the dialed address of each connection
 }
 
+// newTimeline returns a timeline with node n1 started and peers p1 and p2 listed. change modifies the contract; it may
+// be nil.
 func newTimeline(change func(*world.Contract)) *timeline {
 	c := world.Contract{
 		DrainGrace: figure.Span(2500 * ms), ColdShare: 0.14, Cold: figure.Span(23 * time.Second), Overload: 2.5,
@@ -70,14 +72,14 @@
 	}
 }
 
-// send sends bytes that arrive and are read.
+// send sends bytes on a connection; they arrive and are read at once.
 func (s *timeline) send(conn string, back bool, data string) {
 	s.event(link.Sent, conn, back, data, "")
 	s.event(link.Arrived, conn, back, data, "")
 	s.event(link.Read, conn, back, data, "")
 }
 
-// wire is the bytes of a call: "quote" is a read, "book" has a body.
+// wire returns the bytes of a request: of an idempotent GET for class "quote", of a POST with a body for "book".
 func wire(id, class string) string {
 	head := "X-Call-Id: " + id + "\r\nX-Call-Class: " + class + "\r\n"
 	if class == "book" {
@@ -86,7 +88,7 @@
 	return "GET /api?user=7 HTTP/1.1\r\n" + head + "X-Budget: 0.500\r\n\r\n"
 }
 
-// answer is "200 body", or "503! body" for one that was rejected unseen.
+// answer returns the bytes of an answer from a text such as "200 body". "503! body" adds X-Rejected: 1.
 func answer(text string) string {
 	status, body, _ := strings.Cut(text, " ")
 	field := ""
@@ -117,13 +119,13 @@
 	s.event(link.Closed, conn, back, "", note)
 }
 
-// poll lets the node poll discovery.
+// poll sends a poll from the node to discovery.
 func (s *timeline) poll(conn, query string) {
 	s.open(conn, "n1", "d:1")
 	s.send(conn, false, "GET /registry/instances"+query+" HTTP/1.1\r\nHost: d\r\n\r\n")
 }
 
-// listed is discovery's answer, of "p1=Ready" and the like; a start is put behind a state.
+// listed returns an answer of discovery with entries such as "p1=Ready"; "p1=Ready@7" adds the start time in ms.
 func listed(version int, full bool, some ...string) string {
 	var all []string
 	for _, e := range some {
@@ -137,21 +139,22 @@
 	return answer(fmt.Sprintf(`200 {"version":%d,"full":%v,"servers":[%s]}`, version, full, servers))
 }
 
-// peerLeaves lets discovery list p1 as leaving, and notifies the node of it.
+// peerLeaves lists p1 as Terminating and notifies the node of that.
 func (s *timeline) peerLeaves() {
 	s.j.PeerListed(3, "p1", "p1:9", terminating, 0)
 	s.poll("d", "?after=2&wait_ms=2000")
 	s.send("d", true, listed(3, false, "p1=Terminating"))
 }
 
-// discoveryFails lets the only poll of the node fail, and p1 be gone after it.
+// discoveryFails answers the only poll of the node with 503 and lists p1 as Gone after that.
 func (s *timeline) discoveryFails() {
 	s.poll("d", "")
 	s.send("d", true, answer("503 "))
 	s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 }
 
-// coldAttempts lists a cold start of p1, notifies the node if knows, and lets n calls of 0.1 s of work reach p1.
+// coldAttempts lists a cold start of p1, notifies the node of it if knows is true, and sends n calls with 0.1 s of
+// work each to p1.
 func (s *timeline) coldAttempts(knows bool, n int) {
 	s.advance(time.Second)
 	s.j.PeerStarted("p1", "p1:9", true)
@@ -176,24 +179,27 @@
 func noProbes(c *world.Contract)    { c.Probes = false }
 func droppedStay(c *world.Contract) { c.DroppedStay = true }
 
-// ruleCase is a scene, and the rule that it breaks; "": none.
+// ruleCase is a sequence of events and the rule that it violates.
 type ruleCase struct {
-	name, rule string // "": lawful
-	change     func(*world.Contract)
-	play       func(s *timeline)
+	name, rule string                // rule "": no violation
+	change     func(*world.Contract) // modifies the contract; may be nil
+	play       func(s *timeline)     // produces the events
 }
 
-// Each case that breaks a rule stands before the nearest that does not.
+// cases lists each violation before the most similar sequence without one.
 var cases = []ruleCase{
 	{"served", "", nil, func(s *timeline) { s.serve("a", "quote"); s.serve("b", "book") }},
 
-	{"read, and closed", Lost, nil, func(s *timeline) { s.request("a", "quote"); s.closeConn("a", true, "") }},
-	{"read, half an answer, and closed", Lost, nil, func(s *timeline) {
+	{"closed after reading the request", Lost, nil, func(s *timeline) {
+		s.request("a", "quote")
+		s.closeConn("a", true, "")
+	}},
+	{"closed in the middle of the answer", Lost, nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.send("a", true, answer("200 long")[:40])
 		s.closeConn("a", true, "")
 	}},
-	{"half an answer, as from the peer", "", nil, func(s *timeline) {
+	{"answer truncated like the peer's", "", nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
 		s.send("a1", true, answer("200 long")[:40])
@@ -201,78 +207,78 @@
 		s.send("a", true, answer("200 long")[:40])
 		s.closeConn("a", true, "")
 	}},
-	{"closed unread", "", nil, func(s *timeline) {
+	{"closed before reading the request", "", nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
 		s.event(link.Sent, "a", false, wire("a", "quote"), "")
 		s.event(link.Arrived, "a", false, wire("a", "quote"), "")
 		s.closeConn("a", true, "unread")
 	}},
-	{"client left first", "", nil, func(s *timeline) {
+	{"client closes first", "", nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.closeConn("a", false, "")
 		s.closeConn("a", true, "")
 	}},
-	{"reset on the way", "", nil, func(s *timeline) {
+	{"connection reset in transit", "", nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.event(link.Reset, "a", true, "", "reset")
 	}},
-	{"never came", "", nil, func(s *timeline) {
+	{"request never arrives", "", nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
 		s.event(link.Sent, "a", false, wire("a", "quote"), "")
 		s.advance(time.Second)
 	}},
 	{"killed", "", nil, func(s *timeline) { s.request("a", "quote"); s.j.NodeKilled("n1"); s.advance(time.Second) }},
-	{"closed and killed at one instant", "", nil, func(s *timeline) {
+	{"closed and killed at the same instant", "", nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.j.Observe(link.Event{At: s.now, Kind: link.Closed, Conn: "a", Back: true})
 		s.j.NodeKilled("n1")
 	}},
-	{"late after SIGTERM, and killed", Lost, nil, func(s *timeline) {
+	{"killed at the end of a shutdown, request long after SIGTERM", Lost, nil, func(s *timeline) {
 		s.j.NodeSignaled("n1", "SIGTERM", "")
 		s.advance(2300 * ms)
 		s.request("a", "quote")
 		s.event(link.Reset, "a", true, "", "killed")
 		s.j.NodeKilled("n1")
 	}},
-	{"soon after SIGTERM, and killed", "", nil, func(s *timeline) {
+	{"killed at the end of a shutdown, request soon after SIGTERM", "", nil, func(s *timeline) {
 		s.j.NodeSignaled("n1", "SIGTERM", "")
 		s.advance(740 * ms)
 		s.request("a", "book")
 		s.advance(1460 * ms)
 		s.j.NodeKilled("n1")
 	}},
-	{"late after SIGTERM, and killed before its time", "", nil, func(s *timeline) {
+	{"killed before the end of a shutdown", "", nil, func(s *timeline) {
 		s.j.NodeSignaled("n1", "SIGTERM", "")
 		s.advance(time.Second)
 		s.request("a", "quote")
 		s.j.NodeKilled("n1")
 	}},
-	{"sent as the node closes", "", nil, func(s *timeline) {
+	{"request sent while the node closes", "", nil, func(s *timeline) {
 		s.serve("a", "quote")
 		s.closeConn("a", true, "")
 		s.event(link.Sent, "a", false, wire("b", "quote"), "")
 		s.event(link.Arrived, "a", false, wire("b", "quote"), "")
 		s.advance(time.Second)
 	}},
-	{"open at the end", Lost, nil, func(s *timeline) { s.request("a", "quote"); s.j.Finish(s.now) }},
-	{"close announced, and the next read along", "", nil, func(s *timeline) {
+	{"unanswered at the end of the run", Lost, nil, func(s *timeline) { s.request("a", "quote"); s.j.Finish(s.now) }},
+	{"next request read with one whose answer announces a close", "", nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
 		s.send("a", false, wire("a", "quote")+wire("b", "quote"))
 		s.send("a", true, "HTTP/1.1 502 Bad\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 		s.closeConn("a", true, "")
 	}},
 
-	{"no answer in time", Late, nil, func(s *timeline) {
+	{"answer after the deadline", Late, nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.advance(550 * ms)
 		s.answer("a", "504 ")
 	}},
-	{"just in time", "", nil, func(s *timeline) {
+	{"answer just before the deadline", "", nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.advance(546 * ms)
 		s.answer("a", "504 ")
 	}},
-	{"the way took long", "", nil, func(s *timeline) {
+	{"slow transit to the node", "", nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
 		s.event(link.Sent, "a", false, wire("a", "quote"), "")
 		s.advance(200 * ms)
@@ -280,7 +286,7 @@
 		s.advance(510 * ms)
 		s.answer("a", "504 ")
 	}},
-	{"behind another", "", nil, func(s *timeline) {
+	{"request behind another one", "", nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.send("a", false, wire("b", "quote"))
 		s.advance(400 * ms)
@@ -290,35 +296,35 @@
 	}},
 
 	{"two answers", Twice, nil, func(s *timeline) { s.serve("a", "quote"); s.answer("a", "200 a") }},
-	{"bytes behind the answer", Twice, nil, func(s *timeline) {
+	{"bytes after the answer", Twice, nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.answer("a", "502 ")
 		s.send("a", true, "x")
 	}},
-	{"ahead of the request's coming", Twice, nil, func(s *timeline) {
+	{"answer before the request arrives", Twice, nil, func(s *timeline) {
 		s.serve("a", "quote")
 		s.event(link.Sent, "a", false, wire("b", "quote"), "")
 		s.answer("a", "502 ")
 	}},
-	{"one each, and 100 ahead", "", nil, func(s *timeline) {
+	{"one answer for each request, with a 100 before it", "", nil, func(s *timeline) {
 		s.serve("a", "quote")
 		s.send("a", false, wire("b", "quote"))
 		s.send("a", true, "HTTP/1.1 100 Continue\r\n\r\n"+answer("502 "))
 	}},
 
-	{"other bytes", Wrong, nil, func(s *timeline) {
+	{"body differs from the peer's", Wrong, nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
 		s.peerAnswer("a1", "200 abc")
 		s.answer("a", "200 abd")
 	}},
-	{"bytes of a 500", Wrong, nil, func(s *timeline) {
+	{"body of an answer with status 500", Wrong, nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
 		s.peerAnswer("a1", "500 abc")
 		s.answer("a", "200 abc")
 	}},
-	{"surplus of an earlier answer", Wrong, nil, func(s *timeline) {
+	{"body of bytes after an earlier answer", Wrong, nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
 		s.send("a1", true, answer("200 a")+answer("200 more"))
@@ -327,20 +333,20 @@
 		s.send("a1", false, wire("b", "quote"))
 		s.answer("b", "200 more")
 	}},
-	{"surplus on the way as a try leaves", Wrong, nil, func(s *timeline) {
+	{"body of surplus bytes in transit when the attempt is sent", Wrong, nil, func(s *timeline) {
 		s.serve("a", "quote")
 		s.request("b", "quote")
 		s.event(link.Sent, "a1", false, wire("b", "quote"), "")
 		s.peerAnswer("a1", "200 more")
 		s.answer("b", "200 more")
 	}},
-	{"two lengths", Wrong, nil, func(s *timeline) {
+	{"peer's answer with two lengths", Wrong, nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
 		s.send("a1", true, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\na")
 		s.answer("a", "200 a")
 	}},
-	{"the same in chunks and pieces, 1xx ahead", "", nil, func(s *timeline) {
+	{"same body in chunks and pieces, after a 1xx", "", nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
 		text := "HTTP/1.1 103 Hint\r\n\r\n" +
@@ -351,25 +357,25 @@
 		s.answer("a", "200 abc")
 	}},
 
-	{"resent, may have run", Effect, nil, func(s *timeline) {
+	{"retry of an attempt that may have run", Effect, nil, func(s *timeline) {
 		s.request("a", "book")
 		s.attempt("a1", "book")
 		s.event(link.Reset, "a1", false, "", "reset")
 		s.attemptAt("a2", "p2", "book")
 	}},
-	{"resent after a 503 without proof", Effect, nil, func(s *timeline) {
+	{"retry after a 503 without proof", Effect, nil, func(s *timeline) {
 		s.request("a", "book")
 		s.attempt("a1", "book")
 		s.peerAnswer("a1", "503 ")
 		s.attempt("a2", "book")
 	}},
-	{"resent, the proof still on its way", Effect, nil, func(s *timeline) {
+	{"retry while the proof is in transit", Effect, nil, func(s *timeline) {
 		s.request("a", "book")
 		s.attempt("a1", "book")
 		s.event(link.Sent, "a1", true, answer("503! "), "")
 		s.attempt("a2", "book")
 	}},
-	{"resent, never ran", "", nil, func(s *timeline) {
+	{"retry of an attempt that did not run", "", nil, func(s *timeline) {
 		s.request("a", "book")
 		s.attempt("a1", "book")
 		s.peerAnswer("a1", "503! ")
@@ -378,52 +384,52 @@
 		s.event(link.Reset, "a2", false, "", "reset")
 		s.attempt("a3", "book")
 	}},
-	{"refused, may have run", Effect, nil, func(s *timeline) {
+	{"rejected after an attempt that may have run", Effect, nil, func(s *timeline) {
 		s.request("a", "book")
 		s.attempt("a1", "book")
 		s.answer("a", "503 ")
 	}},
-	{"failed, may have run", "", nil, func(s *timeline) {
+	{"failed after an attempt that may have run", "", nil, func(s *timeline) {
 		s.request("a", "book")
 		s.attempt("a1", "book")
 		s.answer("a", "502 ")
 	}},
-	{"refused, safe to repeat", "", nil, func(s *timeline) {
+	{"rejected idempotent request", "", nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
 		s.answer("a", "429 ")
 	}},
-	{"a second copy", Effect, noCopies, func(s *timeline) {
+	{"hedged request, not allowed", Effect, noCopies, func(s *timeline) {
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
 		s.attempt("a2", "quote")
 	}},
-	{"a second copy, allowed", "", nil, func(s *timeline) {
+	{"hedged request, allowed", "", nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
 		s.attempt("a2", "quote")
 	}},
-	{"one given up for another", "", noCopies, func(s *timeline) {
+	{"attempt cancelled for another at the same instant", "", noCopies, func(s *timeline) {
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
 		s.open("a2", "n1", "p2:9")
 		s.j.Observe(link.Event{At: s.now, Kind: link.Sent, Conn: "a2", Data: []byte(wire("a", "quote"))})
 		s.closeConn("a1", false, "")
 	}},
-	{"four tries of three", Effect, nil, func(s *timeline) {
+	{"four attempts with a limit of three", Effect, nil, func(s *timeline) {
 		s.request("a", "quote")
 		for i := range 4 {
 			s.attempt(fmt.Sprint("a", i), "quote")
 		}
 	}},
 
-	{"nobody asked", Hidden, nil, func(s *timeline) { s.attempt("a1", "quote") }},
-	{"another body", Hidden, nil, func(s *timeline) {
+	{"attempt without a request", Hidden, nil, func(s *timeline) { s.attempt("a1", "quote") }},
+	{"attempt with another body", Hidden, nil, func(s *timeline) {
 		s.request("a", "book")
 		s.open("a1", "n1", "p1:9")
 		s.send("a1", false, strings.Replace(wire("a", "book"), "body", "bodz", 1))
 	}},
-	{"begun before it was taken", Hidden, nil, func(s *timeline) {
+	{"attempt begun before the request was accepted", Hidden, nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
 		s.send("a", false, wire("a", "book")[:100])
 		s.open("a1", "n1", "p1:9")
@@ -431,18 +437,18 @@
 		s.send("a", false, wire("a", "book")[100:])
 		s.send("a1", false, wire("a", "book")[100:])
 	}},
-	{"on a connection that is not up", Hidden, nil, func(s *timeline) {
+	{"request on a connection that is not open", Hidden, nil, func(s *timeline) {
 		s.ends["a"] = [2]string{"c1", "n1:9000"}
 		s.event(link.Dial, "a", false, "", "")
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
 	}},
-	{"after the answer", Hidden, nil, func(s *timeline) {
+	{"attempt after the answer", Hidden, nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.answer("a", "502 ")
 		s.attempt("a1", "quote")
 	}},
-	{"after a reset behind bytes not read", "", nil, func(s *timeline) {
+	{"attempt after a reset behind unread bytes", "", nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.event(link.Sent, "a", false, wire("b", "quote"), "")
 		s.event(link.Arrived, "a", false, wire("b", "quote"), "")
@@ -450,44 +456,44 @@
 		s.advance(10 * ms)
 		s.attempt("a1", "quote")
 	}},
-	{"after the client's going came", Hidden, nil, func(s *timeline) {
+	{"attempt after the client's close has arrived", Hidden, nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.closeConn("a", false, "")
 		s.event(link.Arrived, "a", false, "", "fin")
 		s.advance(60 * ms)
 		s.attempt("a1", "quote")
 	}},
-	{"as the client goes", "", nil, func(s *timeline) {
+	{"attempt while the client's close is in transit", "", nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.closeConn("a", false, "")
 		s.attempt("a1", "quote")
 	}},
-	{"without an id", Hidden, nil, func(s *timeline) {
+	{"attempt without a call ID", Hidden, nil, func(s *timeline) {
 		s.open("a1", "n1", "p1:9")
 		s.send("a1", false, "GET /api HTTP/1.1\r\n\r\n")
 	}},
-	{"a probe", "", nil, func(s *timeline) {
+	{"health check, allowed", "", nil, func(s *timeline) {
 		s.open("a1", "n1", "p1:9")
 		s.send("a1", false, "GET /health/live HTTP/1.1\r\n\r\n")
 	}},
-	{"a probe, not allowed", Hidden, noProbes, func(s *timeline) {
+	{"health check, not allowed", Hidden, noProbes, func(s *timeline) {
 		s.open("a1", "n1", "p1:9")
 		s.send("a1", false, "GET /health/live HTTP/1.1\r\n\r\n")
 	}},
 
-	{"to one that leaves", Drain, nil, func(s *timeline) {
+	{"attempt after the grace", Drain, nil, func(s *timeline) {
 		s.peerLeaves()
 		s.advance(2550 * ms)
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
 	}},
-	{"within the grace", "", nil, func(s *timeline) {
+	{"attempt within the grace", "", nil, func(s *timeline) {
 		s.peerLeaves()
 		s.advance(2540 * ms)
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
 	}},
-	{"begun within the grace", "", nil, func(s *timeline) {
+	{"attempt begun within the grace", "", nil, func(s *timeline) {
 		s.peerLeaves()
 		s.advance(2500 * ms)
 		s.request("a", "quote")
@@ -496,7 +502,7 @@
 		s.advance(100 * ms)
 		s.send("a1", false, wire("a", "quote")[1:])
 	}},
-	{"ready again", "", nil, func(s *timeline) {
+	{"peer is ready again", "", nil, func(s *timeline) {
 		s.peerLeaves()
 		s.j.PeerListed(4, "p1", "p1:9", ready, s.now)
 		s.send("d", false, "GET /registry/instances?after=3&wait_ms=9 HTTP/1.1\r\n\r\n")
@@ -504,40 +510,40 @@
 		s.advance(4 * time.Second)
 		s.serve("a", "quote")
 	}},
-	{"not in the whole list", Drain, nil, func(s *timeline) {
+	{"peer missing in a complete list", Drain, nil, func(s *timeline) {
 		s.poll("d", "")
 		s.send("d", true, listed(9, true, "p2=Ready"))
 		s.advance(2600 * ms)
 		s.serve("a", "quote")
 	}},
-	{"gone alone does not bind", "", droppedStay, func(s *timeline) {
+	{"peer gone, dropped peers may stay in use", "", droppedStay, func(s *timeline) {
 		s.poll("d", "")
 		s.send("d", true, listed(9, true, "p2=Ready"))
 		s.advance(2600 * ms)
 		s.serve("a", "quote")
 	}},
-	{"the answer never came", Drain, nil, func(s *timeline) {
+	{"poll without an answer, after the grace", Drain, nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.poll("d", "?after=2&wait_ms=2000")
-		s.closeConn("d", false, "") // the node gives up
+		s.closeConn("d", false, "") // the node abandons the poll
 		s.closeConn("d", true, "")
 		s.advance(6555 * ms)
 		s.serve("a", "quote")
 	}},
-	{"the answer never came, in the grace", "", nil, func(s *timeline) {
+	{"poll without an answer, within the grace", "", nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.poll("d", "?after=2&wait_ms=2000")
 		s.advance(6530 * ms)
 		s.serve("a", "quote")
 	}},
-	{"the call broke", "", nil, func(s *timeline) {
+	{"connection of the poll reset", "", nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.poll("d", "?after=2&wait_ms=2000")
 		s.event(link.Reset, "d", false, "", "reset")
 		s.advance(8 * time.Second)
 		s.serve("a", "quote")
 	}},
-	{"told of its return before that counts", "", nil, func(s *timeline) {
+	{"notified of Ready before the time limit", "", nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.poll("d", "?after=2&wait_ms=2000")
 		s.closeConn("d", false, "")
@@ -547,47 +553,47 @@
 		s.advance(8 * time.Second)
 		s.serve("a", "quote")
 	}},
-	{"the answer cannot be read", "", nil, func(s *timeline) {
+	{"answer of discovery cannot be parsed", "", nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.poll("d", "?after=2&wait_ms=2000")
 		s.send("d", true, answer(`200 {"version":3,"full":false,"servers":[{"id":"p1"`))
 		s.advance(8 * time.Second)
 		s.serve("a", "quote")
 	}},
-	{"never asked", Drain, nil, func(s *timeline) {
+	{"no poll, after the time limit", Drain, nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.advance(12551 * ms)
 		s.serve("a", "quote")
 	}},
-	{"asked, and failed", Drain, nil, func(s *timeline) {
+	{"failed poll, after the time limit", Drain, nil, func(s *timeline) {
 		s.discoveryFails()
 		s.advance(8551 * ms)
 		s.serve("a", "quote")
 	}},
-	{"asked, and failed, in the grace", "", nil, func(s *timeline) {
+	{"failed poll, within the grace", "", nil, func(s *timeline) {
 		s.discoveryFails()
 		s.advance(8530 * ms)
 		s.serve("a", "quote")
 	}},
-	{"asked, and failed, and it is down", "", nil, func(s *timeline) {
+	{"failed poll while discovery is down", "", nil, func(s *timeline) {
 		s.j.DiscoveryReachable("", "d:1", false)
 		s.discoveryFails()
 		s.advance(40 * time.Second)
 		s.serve("a", "quote")
 	}},
-	{"asked, and failed, and the way is cut", "", nil, func(s *timeline) {
+	{"failed poll, node partitioned from discovery", "", nil, func(s *timeline) {
 		s.j.DiscoveryReachable("n1", "d:1", false)
 		s.discoveryFails()
 		s.advance(40 * time.Second)
 		s.serve("a", "quote")
 	}},
-	{"another node's way is cut", Drain, nil, func(s *timeline) {
+	{"failed poll, another node partitioned", Drain, nil, func(s *timeline) {
 		s.discoveryFails()
 		s.j.DiscoveryReachable("n2", "d:1", false)
 		s.advance(8551 * ms)
 		s.serve("a", "quote")
 	}},
-	{"it is back", Drain, nil, func(s *timeline) {
+	{"discovery is up again, after the grace", Drain, nil, func(s *timeline) {
 		s.j.DiscoveryReachable("", "d:1", false)
 		s.discoveryFails()
 		s.advance(10 * time.Second)
@@ -595,7 +601,7 @@
 		s.advance(8551 * ms)
 		s.serve("a", "quote")
 	}},
-	{"it is back, in the grace", "", nil, func(s *timeline) {
+	{"discovery is up again, within the grace", "", nil, func(s *timeline) {
 		s.j.DiscoveryReachable("", "d:1", false)
 		s.discoveryFails()
 		s.advance(10 * time.Second)
@@ -603,7 +609,7 @@
 		s.advance(8530 * ms)
 		s.serve("a", "quote")
 	}},
-	{"it is back, and down again before that counts", "", nil, func(s *timeline) {
+	{"discovery is up and down again before the time limit", "", nil, func(s *timeline) {
 		s.discoveryFails()
 		s.advance(5990 * ms)
 		s.j.DiscoveryReachable("", "d:1", false)
@@ -612,7 +618,7 @@
 		s.advance(8530 * ms)
 		s.serve("a", "quote")
 	}},
-	{"it is back elsewhere", "", nil, func(s *timeline) {
+	{"discovery is up at its other address", "", nil, func(s *timeline) {
 		s.j.DiscoveryReachable("", "d:1", false)
 		s.discoveryFails()
 		s.j.DiscoveryReachable("", "e:1", true)
@@ -625,11 +631,11 @@
 		s.j.NodeSignaled("n1", "SIGHUP", "e:1")
 		s.j.PeerListed(1500, "p1", "p1:9", gone, 0)
 		s.send("d", false, "GET /registry/instances HTTP/1.1\r\n\r\n")
-		s.send("d", true, listed(1400, true, "p1=Ready", "p2=Ready")) // of the old one
+		s.send("d", true, listed(1400, true, "p1=Ready", "p2=Ready")) // from the previous discovery
 		s.advance(6550 * ms)
 		s.serve("a", "quote")
 	}},
-	{"reloaded, not moved", "", nil, func(s *timeline) {
+	{"reload without a change of discovery", "", nil, func(s *timeline) {
 		s.poll("d", "")
 		s.send("d", true, listed(2, true, "p1=Ready", "p2=Ready"))
 		s.j.NodeSignaled("n1", "SIGHUP", "d:1")
@@ -637,14 +643,14 @@
 		s.advance(6550 * ms)
 		s.serve("a", "quote")
 	}},
-	{"started with a list that has it gone", Drain, nil, func(s *timeline) {
+	{"started with a list without the peer", Drain, nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.j.NodeKilled("n1")
 		s.j.NodeStarted("n1", 3)
 		s.advance(2550 * ms)
 		s.serve("a", "quote")
 	}},
-	{"started with an older list", "", nil, func(s *timeline) {
+	{"started with an older list that has the peer", "", nil, func(s *timeline) {
 		s.peerLeaves()
 		s.j.NodeKilled("n1")
 		s.j.NodeStarted("n1", 2)
@@ -654,31 +660,31 @@
 
 	{"pushed", Cold, nil, func(s *timeline) { s.coldAttempts(true, 12) }},
 	{"warmed", "", nil, func(s *timeline) { s.coldAttempts(true, 11) }},
-	{"pushed unknowingly", "", nil, func(s *timeline) { s.coldAttempts(false, 12) }},
+	{"overloaded by a node that was not notified", "", nil, func(s *timeline) { s.coldAttempts(false, 12) }},
 
-	{"bad, and served", Bad, nil, func(s *timeline) {
+	{"malformed input served", Bad, nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
 		s.j.MalformedInput("a", "noise", 3*time.Second)
 		s.send("a", false, "noise\r\n")
 		s.answer("a", "200 ")
 	}},
-	{"bad, and tried", Bad, nil, func(s *timeline) {
+	{"malformed request sent to a peer", Bad, nil, func(s *timeline) {
 		s.j.MalformedInput("a", "class", 3*time.Second)
 		s.request("a", "nonsense")
 		s.attempt("a1", "nonsense")
 	}},
-	{"bad, and nothing comes of it", Bad, nil, func(s *timeline) {
+	{"malformed input without an error or a close", Bad, nil, func(s *timeline) {
 		s.j.MalformedInput("a", "silence", 3*time.Second)
 		s.open("a", "c1", "n1:9000")
 		s.advance(3051 * ms)
 	}},
-	{"bad, and an error", "", nil, func(s *timeline) {
+	{"malformed input answered with an error", "", nil, func(s *timeline) {
 		s.j.MalformedInput("a", "class", 3*time.Second)
 		s.request("a", "nonsense")
 		s.answer("a", "400 ")
 		s.advance(4 * time.Second)
 	}},
-	{"bad, and a close", "", nil, func(s *timeline) {
+	{"malformed input answered with a close", "", nil, func(s *timeline) {
 		s.serve("a", "quote")
 		s.j.MalformedInput("a", "noise", 3*time.Second)
 		s.send("a", false, "noise\r\n")
@@ -698,28 +704,28 @@
 			v := s.j.Violations()
 			switch {
 			case c.rule == "" && len(v) > 0:
-				t.Errorf("lawful, and judged: %v", v)
+				t.Errorf("got violations %v, want none", v)
 			case c.rule != "" && (len(v) != 1 || v[0].Rule != c.rule):
-				t.Errorf("got %v, want one of %q", v, c.rule)
+				t.Errorf("got violations %v, want one violation of %q", v, c.rule)
 			}
 		})
 		broken[c.rule] = true
 	}
 	for _, name := range Names() {
 		if !broken[name] {
-			t.Errorf("no case breaks %q", name)
+			t.Errorf("no case violates rule %q", name)
 		}
 	}
 }
 
-// What is found is bounded, and so is what is held of a long run.
+// TestBounds checks that the stored violations and the state that is kept in a long run are bounded.
 func TestBounds(t *testing.T) {
 	s := newTimeline(nil)
 	for i := range 25 {
 		s.attempt(fmt.Sprint("a", i), "quote")
 	}
 	if v := s.j.Violations(); len(v) != maxViolations || s.j.More() != 5 {
-		t.Errorf("%d kept, %d more", len(v), s.j.More())
+		t.Errorf("got %d violations and %d omitted, want 20 and 5", len(v), s.j.More())
 	}
 	for i := range 3000 {
 		id := fmt.Sprint("b", i)
@@ -730,6 +736,7 @@
 	s.advance(time.Minute)
 	n := s.j.nodes["n1"]
 	if len(n.calls) > 25 || len(n.conns) > 25 || len(s.j.timers) > 0 || len(s.j.conns) > 25 {
-		t.Errorf("held: %d calls, %d connections, %d timers", len(n.calls), len(n.conns), len(s.j.timers))
+		t.Errorf("after the run: %d calls and %d connections kept, want at most 25; %d timers, want 0",
+			len(n.calls), len(n.conns), len(s.j.timers))
 	}
 }
--- a/internal/lab/rules/scanner.go
+++ b/internal/lab/rules/scanner.go
@@ -33,11 +33,10 @@
 // connection.
 const untilEOF = -1
 
-// scanner parses the messages in one direction of a connection incrementally.
-// The judge uses no other parser and no other package uses this one, so that it
-// shares no defect with the parsers of the modelled services and of the node. It
-// is strict: lines must end in CRLF, and a message has at most one
-// Content-Length.
+// scanner parses the messages in one direction of a connection incrementally. Only
+// the judge uses it, so that it shares no defect with the parsers of the modelled
+// services and of the node. It is strict: lines must end in CRLF, and a message has
+// at most one Content-Length.
 type scanner struct {
 	answers     bool // it parses answers, not requests
 	storeBody   bool // bodies are stored, not only hashed
--- a/internal/lab/rules/scanner_test.go
+++ b/internal/lab/rules/scanner_test.go
@@ -9,7 +9,7 @@
 	"olivebridge/internal/lab/link"
 )
 
-// read is all that a scanner meets in some bytes, cut into pieces of n.
+// read passes text to a scanner in pieces of n bytes and returns a description of all events.
 func read(answers bool, text string, n int) string {
 	s := scanner{answers: answers, storeBody: true}
 	var met strings.Builder
@@ -47,30 +47,30 @@
 	for _, c := range []struct {
 		name, text, want string
 	}{
-		{"request", "GET /a HTTP/1.1\r\nx-call-ID: 7\r\nX-Budget: 0.5\r\n\r\n", `GET/a0 id=7 500ms "" false;`},
-		{"two", "POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nhiGET /b HTTP/1.1\r\n\r\n",
+		{"one request", "GET /a HTTP/1.1\r\nx-call-ID: 7\r\nX-Budget: 0.5\r\n\r\n", `GET/a0 id=7 500ms "" false;`},
+		{"two requests", "POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nhiGET /b HTTP/1.1\r\n\r\n",
 			`POST/a0 id= 0s "hi" false;GET/b0 id= 0s "" false;`},
-		{"answer", ok + "Connection: x, Close\r\nContent-Length: 2\r\n\r\nhi", `200 id= 0s "hi" true;`},
-		{"chunks", ok + "Transfer-Encoding: chunked\r\n\r\n1\r\nh\r\n01 ;x\r\ni\r\n0\r\nA: b\r\n\r\n",
+		{"one answer", ok + "Connection: x, Close\r\nContent-Length: 2\r\n\r\nhi", `200 id= 0s "hi" true;`},
+		{"chunked answer", ok + "Transfer-Encoding: chunked\r\n\r\n1\r\nh\r\n01 ;x\r\ni\r\n0\r\nA: b\r\n\r\n",
 			`200 id= 0s "hi" false;`},
-		{"no body", "HTTP/1.1 304 N\r\nContent-Length: 9\r\n\r\nHTTP/1.1 204 N\r\n\r\n",
+		{"answers without a body", "HTTP/1.1 304 N\r\nContent-Length: 9\r\n\r\nHTTP/1.1 204 N\r\n\r\n",
 			`304 id= 0s "" false;204 id= 0s "" false;`},
-		{"until the end", ok + "\r\nhi", `end "hi"`},
-		{"short", ok + "Content-Length: 3\r\n\r\nhi", "open"},
-		{"short chunk", ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nhi", "open"},
+		{"body until the end of the connection", ok + "\r\nhi", `end "hi"`},
+		{"truncated body", ok + "Content-Length: 3\r\n\r\nhi", "open"},
+		{"truncated chunk", ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nhi", "open"},
 		{"two lengths", ok + "Content-Length: 2\r\nContent-Length: 2\r\n\r\nhi", "spoilt"},
 		{"length and coding", ok + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\nhi", "spoilt"},
 		{"other coding", ok + "Transfer-Encoding: gzip\r\n\r\nhi", "spoilt"},
-		{"length", ok + "Content-Length: -2\r\n\r\nhi", "spoilt"},
-		{"chunk", ok + "Transfer-Encoding: chunked\r\n\r\nx\r\nhi", "spoilt"},
-		{"chunk's end", ok + "Transfer-Encoding: chunked\r\n\r\n1\r\nhi\r\n", "spoilt"},
-		{"no colon", ok + "Content\r\n\r\n", "spoilt"},
-		{"space ahead of the colon", ok + "A : b\r\n\r\n", "spoilt"},
+		{"negative length", ok + "Content-Length: -2\r\n\r\nhi", "spoilt"},
+		{"invalid chunk size", ok + "Transfer-Encoding: chunked\r\n\r\nx\r\nhi", "spoilt"},
+		{"chunk longer than its size", ok + "Transfer-Encoding: chunked\r\n\r\n1\r\nhi\r\n", "spoilt"},
+		{"field without a colon", ok + "Content\r\n\r\n", "spoilt"},
+		{"space before the colon", ok + "A : b\r\n\r\n", "spoilt"},
 		{"bare line feed", "HTTP/1.1 200 OK\nContent-Length: 0\r\n\r\n", "spoilt"},
-		{"status", "HTTP/1.1 2x0 OK\r\n\r\n", "spoilt"},
-		{"version", "HTTP/9 200\r\n\r\n", "spoilt"},
-		{"noise", "\x16\x03\x01\r\n", "spoilt"},
-		{"head without end", ok + strings.Repeat("A: b\r\n", 20000), "spoilt"},
+		{"invalid status", "HTTP/1.1 2x0 OK\r\n\r\n", "spoilt"},
+		{"unknown version", "HTTP/9 200\r\n\r\n", "spoilt"},
+		{"binary data", "\x16\x03\x01\r\n", "spoilt"},
+		{"head over the size limit", ok + strings.Repeat("A: b\r\n", 20000), "spoilt"},
 	} {
 		answers := !strings.Contains(c.text[:min(12, len(c.text))], " /")
 		for _, n := range []int{1, 2, 3, 7, 64, len(c.text)} {
@@ -81,7 +81,7 @@
 	}
 }
 
-// Whatever crosses, the judge goes on.
+// FuzzJudge checks that the judge survives any sequence of events and bytes.
 func FuzzJudge(f *testing.F) {
 	pieces := []string{
 		wire("a", "quote"), wire("a", "book"), wire("b", "book")[:70], wire("b", "book")[70:],
@@ -133,7 +133,7 @@
 	})
 }
 
-// One run: 5,000 calls, 60,000 events.
+// BenchmarkRun measures the judge on a run of 5,000 calls and 60,000 events.
 func BenchmarkRun(b *testing.B) {
 	var all []link.Event
 	cross := func(what link.EventKind, conn, from, to string, back bool, text string) {
--- a/internal/lab/sample/lines.go
+++ b/internal/lab/sample/lines.go
@@ -7,20 +7,22 @@
 	"io"
 )
 
-// line is one thing told, as it goes from process to process.
+// line is the JSON form of one sample that is passed between processes. Exactly
+// one field is set.
 type line struct {
 	Request *Request `json:"request,omitempty"`
 	Reading *Reading `json:"reading,omitempty"`
 	Event   *Event   `json:"event,omitempty"`
 }
 
-// Writer is a Sink that writes a line of JSON for each thing told.
+// Writer is a Sink that writes each sample as a line of JSON. After a failed write
+// it discards all further samples.
 type Writer struct {
 	out *json.Encoder
 	err error
 }
 
-// NewWriter makes a Writer.
+// NewWriter returns a Writer that writes to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{out: json.NewEncoder(w)} }
 
 // Request implements Sink.
@@ -38,22 +40,23 @@
 	}
 }
 
-// Err is what kept it from writing.
+// Err returns the first error of a write, or nil.
 func (w *Writer) Err() error { return w.err }
 
-// Reader takes bytes that a Writer wrote, cut anywhere, and tells a Sink.
+// Reader parses the output of a Writer, in pieces of any size, and passes the
+// samples to a Sink.
 type Reader struct {
 	to   Sink
-	rest []byte
-	told int
-	err  error
+	rest []byte // received part of an incomplete line
+	told int    // number of samples passed to the Sink
+	err  error  // the first error; no line after it is parsed
 }
 
-// NewReader makes a Reader.
+// NewReader returns a Reader that passes samples to the Sink.
 func NewReader(to Sink) *Reader { return &Reader{to: to} }
 
-// Write implements io.Writer. It takes all bytes, so that whoever writes is not
-// held up by a line that cannot be read: Err tells of that one.
+// Write implements io.Writer. It accepts all bytes and never fails, so that a
+// malformed line does not stop the writing process; Err returns the error.
 func (r *Reader) Write(b []byte) (int, error) {
 	n := len(b)
 	for r.err == nil {
@@ -73,7 +76,7 @@
 func (r *Reader) read(text []byte) {
 	var l line
 	if err := json.Unmarshal(text, &l); err != nil {
-		r.err = fmt.Errorf("line %d of what a run tells: %w", r.told+1, err)
+		r.err = fmt.Errorf("line %d of the sample stream is malformed: %w", r.told+1, err)
 		return
 	}
 	r.told++
@@ -87,8 +90,8 @@
 	}
 }
 
-// Told is how many things it has told.
+// Told returns the number of samples passed to the Sink.
 func (r *Reader) Told() int { return r.told }
 
-// Err is the first line that could not be read.
+// Err returns the error of the first malformed line, or nil.
 func (r *Reader) Err() error { return r.err }
--- a/internal/lab/sample/lines_test.go
+++ b/internal/lab/sample/lines_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// kept is a Sink that keeps all it is told.
+// kept is a Sink that records all samples.
 type kept []any
 
 func (k *kept) Request(r Request) { *k = append(*k, r) }
 func (k *kept) Reading(r Reading) { *k = append(*k, r) }
 func (k *kept) Event(e Event)     { *k = append(*k, e) }
 
-// What goes from process to process comes out as it went in, wherever the bytes are cut.
+// TestLines checks that a Reader passes on the samples that a Writer wrote, at whichever offset the bytes are split.
 func TestLines(t *testing.T) {
 	told := kept{
 		Request{"quote", "ashby", time.Second, time.Second + 1, 2 * time.Second, Served, 2},
@@ -33,18 +33,19 @@
 		r.Write(bytes.Bytes()[:cut])
 		r.Write(bytes.Bytes()[cut:])
 		if w.Err() != nil || r.Err() != nil || r.Told() != 3 || !reflect.DeepEqual(got, told) {
-			t.Fatalf("cut at %d: %v, %v: %+v", cut, w.Err(), r.Err(), got)
+			t.Fatalf("split at byte %d: write error %v, read error %v, got samples %+v", cut, w.Err(), r.Err(), got)
 		}
 	}
 }
 
-// A line that cannot be read is named, and what follows it is not taken for whole.
+// TestBadLine checks that a malformed line is reported with its number and that no sample after it is passed on.
 func TestBadLine(t *testing.T) {
 	var got kept
 	r := NewReader(&got)
 	text := "{\"event\":{}}\n{\"event\":\n{\"event\":{}}\n"
 	n, err := r.Write([]byte(text))
 	if n != len(text) || err != nil || len(got) != 1 || r.Err() == nil || !strings.HasPrefix(r.Err().Error(), "line 2 ") {
-		t.Errorf("%d, %v: %+v: %v", n, err, got, r.Err())
+		t.Errorf("wrote %d bytes with error %v, got samples %+v and error %v, want all bytes, one sample and an error on line 2",
+			n, err, got, r.Err())
 	}
 }
--- a/internal/lab/sample/sample.go
+++ b/internal/lab/sample/sample.go
@@ -1,67 +1,68 @@
-// Package sample is what a run tells while it goes: what came of each request
-// of the clients, how the peers stand, and what happened when. It is told on
-// the loop of the run, whatever clock that is on, and nothing is told twice.
+// Package sample defines the samples that a run emits while it is in progress:
+// the outcome of each client request, periodic readings of the peers and nodes,
+// and events. A run emits each sample once, on the goroutine of its loop, whether
+// the loop uses a virtual or a real clock.
 package sample
 
 import "time"
 
-// Outcome is what came of a request in the end, after its client's own retries.
+// Outcome is the final outcome of a request, after all retries of its client.
 type Outcome string
 
-// The outcomes. Whether one that was served was served in time is left to
-// whoever knows the aim of its class.
+// The outcomes. Served says nothing about the latency objective of the class; the
+// receiver of the samples evaluates it.
 const (
 	Served     Outcome = "served"
-	Refused    Outcome = "refused"    // it never ran
-	Unreached  Outcome = "unreached"  // no node took it
-	Failed     Outcome = "failed"     // an error, or a connection that broke
-	Unanswered Outcome = "unanswered" // its client's time was up
-	Left       Outcome = "left"       // its client went away, and is content
+	Refused    Outcome = "refused"    // rejected, and never ran
+	Unreached  Outcome = "unreached"  // no node accepted it
+	Failed     Outcome = "failed"     // answered with an error, or its connection broke
+	Unanswered Outcome = "unanswered" // the client's timeout expired
+	Left       Outcome = "left"       // the client closed the connection on purpose; not a failure
 )
 
-// Request is one request of a client, at its end. Times are since the run's start.
+// Request is one finished request of a client. Times are since the start of the run.
 type Request struct {
 	Class   string        `json:"class"`
 	Tenant  string        `json:"tenant"`
-	Due     time.Duration `json:"due"`   // when the plan of arrivals wanted it
-	Begun   time.Duration `json:"begun"` // when the load tool got to it: later, where the tool is too slow
-	Ended   time.Duration `json:"ended"`
+	Due     time.Duration `json:"due"`   // scheduled time of arrival
+	Begun   time.Duration `json:"begun"` // when the load generator sent it: after Due if the generator is too slow
+	Ended   time.Duration `json:"ended"` // when its outcome was known
 	Outcome Outcome       `json:"outcome"`
-	Tries   int           `json:"tries"` // of its client
+	Tries   int           `json:"tries"` // the number of attempts by the client
 }
 
-// Reading is how the peers, and the nodes' processes, stand at one instant.
+// Reading is a sample of the state of the peers and of the nodes' processes at one instant.
 type Reading struct {
-	At    time.Duration `json:"at"`
-	Peers []Peer        `json:"peers"`           // all there are, in the order of the script
-	Nodes []Node        `json:"nodes,omitempty"` // where a clock can measure them: not on the virtual one
+	At    time.Duration `json:"at"`              // since the start of the run
+	Peers []Peer        `json:"peers"`           // all peers, in the order of the script
+	Nodes []Node        `json:"nodes,omitempty"` // measured only with a real clock; empty with a virtual one
 }
 
-// Peer is one peer's part of a Reading.
+// Peer is the state of one peer in a Reading. Counts are since the start of the run.
 type Peer struct {
 	Name    string `json:"name"`
 	Down    bool   `json:"down,omitempty"`
-	Held    int    `json:"held"`    // requests that wait or are in work
-	Arrived int    `json:"arrived"` // tries that have come whole, since the run's start
-	Probes  int    `json:"probes,omitempty"`
-	Falls   int    `json:"falls,omitempty"`
+	Held    int    `json:"held"`             // the number of requests that are queued or being processed
+	Arrived int    `json:"arrived"`          // the number of completely received attempts
+	Probes  int    `json:"probes,omitempty"` // the number of received health checks
+	Falls   int    `json:"falls,omitempty"`  // the number of crashes by overload while cold
 }
 
-// Node is one node's part of a Reading.
+// Node is the resource use of one node in a Reading.
 type Node struct {
 	Name     string        `json:"name"`
-	CPU      time.Duration `json:"cpu"`      // processor time since the run's start, over all its lives
-	Resident int64         `json:"resident"` // bytes
+	CPU      time.Duration `json:"cpu"`      // processor time of all its processes since the start of the run
+	Resident int64         `json:"resident"` // resident memory, in bytes
 }
 
-// Event is something that happened to a peer or a node.
+// Event is a state change of a peer or a node.
 type Event struct {
-	At   time.Duration `json:"at"`
-	Who  string        `json:"who"`
-	What string        `json:"what"`
+	At   time.Duration `json:"at"`   // since the start of the run
+	Who  string        `json:"who"`  // name of the peer or node
+	What string        `json:"what"` // word for the change, such as "killed"
 }
 
-// Sink takes in what a run tells, in the order in which it happens.
+// Sink receives the samples of a run in the order of their occurrence.
 type Sink interface {
 	Request(Request)
 	Reading(Reading)
