--- a/internal/lab/experiment/record.go
+++ b/internal/lab/experiment/record.go
@@ -91,26 +91,26 @@
 func (r *recorder) Request(q sample.Request) {
 	place, ok := r.classes[q.Class]
 	owner, owned := r.tenants[q.Tenant]
-	if !ok || !owned || q.Due < 0 || q.Due >= r.plan.Script.Length.D() {
+	if !ok || !owned || q.ScheduledAt < 0 || q.ScheduledAt >= r.plan.Script.Length.D() {
 		return
 	}
 	class := &r.plan.Script.World.Classes[place]
-	lag := max(q.Begun-q.Due, 0)
+	lag := max(q.SentAt-q.ScheduledAt, 0)
 	record(r.late, lag)
 	if lag > report.LateBy {
 		r.tardy++
 	}
 	for i, p := range r.phases {
-		if q.Due >= p.From.D() && q.Due < (p.From+p.For).D() {
+		if q.ScheduledAt >= p.From.D() && q.ScheduledAt < (p.From+p.For).D() {
 			r.cells[i].classes[place].add(q, class)
 			r.cells[i].tenants[owner].add(q, class)
 		}
 	}
-	s := &r.seconds[q.Due/time.Second]
+	s := &r.seconds[q.ScheduledAt/time.Second]
 	s.earned += s.Counts.Add(q, class)
 	s.whole += wanted(q, class)
 	if waited(q) {
-		s.times = append(s.times, q.Ended-q.Due)
+		s.times = append(s.times, q.EndedAt-q.ScheduledAt)
 	}
 }
 
@@ -118,13 +118,13 @@
 	t.earned += t.Counts.Add(q, class)
 	t.whole += wanted(q, class)
 	if waited(q) {
-		record(t.times, q.Ended-q.Due)
+		record(t.times, q.EndedAt-q.ScheduledAt)
 	}
 }
 
 // wanted is the worth that a request asked for: none, if its client left.
 func wanted(q sample.Request, class *world.Class) float64 {
-	if q.Outcome == sample.Left {
+	if q.Outcome == sample.ClientLeft {
 		return 0
 	}
 	return class.Worth
@@ -252,7 +252,7 @@
 // arrived is how many tries have come to peers.
 func arrived(r *sample.Reading) (n float64) {
 	for _, p := range r.Peers {
-		n += float64(p.Arrived)
+		n += float64(p.AttemptsReceived)
 	}
 	return n
 }
@@ -338,7 +338,7 @@
 		counts[i]++
 		if !p.Down {
 			ups[i]++
-			sums[i] += float64(p.Held)
+			sums[i] += float64(p.OpenRequests)
 		}
 	}
 	for i := range sums {
--- a/internal/lab/experiment/run_test.go
+++ b/internal/lab/experiment/run_test.go
@@ -71,7 +71,8 @@
 		r := sample.Reading{At: at}
 		for i, p := range s.World.Peers { // 8 tries a second come to each; the first is down at the beginning
 			down := i == 0 && at < 2*time.Second
-			r.Peers = append(r.Peers, sample.Peer{Name: p.Name, Held: i, Down: down, Arrived: int(8 * at / time.Second)})
+			r.Peers = append(r.Peers, sample.Peer{
+				Name: p.Name, OpenRequests: i, Down: down, AttemptsReceived: int(8 * at / time.Second)})
 		}
 		r.Nodes = []sample.Node{{Name: "n1", CPU: at / 100, Resident: 64 << 20}}
 		if at >= 8*time.Second {
@@ -100,7 +101,7 @@
 	var all told
 	add := func(due, begun, ended time.Duration, o sample.Outcome, class string) {
 		all = append(all, sample.Request{
-			Class: class, Tenant: "ashby-dental", Due: due, Begun: begun, Ended: ended, Outcome: o, Tries: 1,
+			Class: class, Tenant: "ashby-dental", ScheduledAt: due, SentAt: begun, EndedAt: ended, Outcome: o, Attempts: 1,
 		})
 	}
 	for i := range time.Duration(96) { // quote is worth 1, within 200 ms
@@ -109,9 +110,9 @@
 	}
 	add(4*time.Second, 4*time.Second, 4*time.Second+500*ms, sample.Served, "quote") // late
 	add(4*time.Second, 4*time.Second, 4*time.Second+600*ms, sample.Unanswered, "quote")
-	add(4*time.Second, 4*time.Second, 4*time.Second+ms, sample.Refused, "quote")
-	add(4*time.Second, 4*time.Second, 4*time.Second+ms, sample.Unreached, "quote")
-	add(4*time.Second, 4*time.Second, 4*time.Second+ms, sample.Left, "quote")
+	add(4*time.Second, 4*time.Second, 4*time.Second+ms, sample.Rejected, "quote")
+	add(4*time.Second, 4*time.Second, 4*time.Second+ms, sample.NotAccepted, "quote")
+	add(4*time.Second, 4*time.Second, 4*time.Second+ms, sample.ClientLeft, "quote")
 	add(11*time.Second, 11*time.Second, 12*time.Second, sample.Failed, "order-confirm") // in no phase; worth 10
 	r, err := plan.Run(t.Context(), all, nil)
 	if err != nil {
@@ -169,7 +170,7 @@
 			}
 			all = append(all, sample.Request{
 				Class: "quote", Tenant: "ashby-dental", Outcome: sample.Served,
-				Due: at, Begun: at + lag, Ended: at + lag + 10*time.Millisecond,
+				ScheduledAt: at, SentAt: at + lag, EndedAt: at + lag + 10*time.Millisecond,
 			})
 		}
 		r, err := plan.Run(t.Context(), all, nil)
--- a/internal/lab/experiment/virtual.go
+++ b/internal/lab/experiment/virtual.go
@@ -36,7 +36,7 @@
 		return Played{}, fmt.Errorf("playing on the virtual clock: %w", err)
 	case told.Err() != nil:
 		return Played{}, told.Err()
-	case told.Told() == 0 && !o.Failed():
+	case told.Count() == 0 && !o.Failed():
 		return Played{}, errors.New("the worker tells nothing of its runs: it was built from an older revision")
 	}
 	p := Played{Clock: clockVirtual}
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -246,8 +246,8 @@
 	defer g.mu.Unlock()
 	probes := 0
 	for _, p := range r.Peers {
-		probes += p.Probes
-		g.falls[p.Name] = p.Falls
+		probes += p.HealthChecks
+		g.falls[p.Name] = p.OverloadCrashes
 	}
 	g.probed = append(g.probed, ProbeCount{record.Now(), probes})
 	for _, n := range r.Nodes {
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -155,7 +155,7 @@
 	t.Helper()
 	served := 0
 	for _, q := range s.requests {
-		if q.Due < 0 || q.Due > scripted || q.Begun < q.Due || q.Ended < q.Begun {
+		if q.ScheduledAt < 0 || q.ScheduledAt > scripted || q.SentAt < q.ScheduledAt || q.EndedAt < q.SentAt {
 			t.Errorf("%+v", q)
 		}
 		if q.Outcome == sample.Served {
--- a/internal/lab/live/watch.go
+++ b/internal/lab/live/watch.go
@@ -60,7 +60,8 @@
 	r := sample.Reading{At: w.now()}
 	for _, p := range w.run.peers {
 		s := p.Stats()
-		r.Peers = append(r.Peers, sample.Peer{Name: p.c.Name, Down: p.Down(), Held: s.Held, Arrived: s.Arrived, Probes: s.Probes, Falls: s.Falls})
+		r.Peers = append(r.Peers, sample.Peer{Name: p.c.Name, Down: p.Down(), OpenRequests: s.Held,
+			AttemptsReceived: s.Arrived, HealthChecks: s.Probes, OverloadCrashes: s.Falls})
 	}
 	for i, n := range w.run.nodes {
 		pid := n.pid()
@@ -74,7 +75,7 @@
 func (w *watch) request(q sample.Request) {
 	if w.on {
 		zero := w.run.zero
-		q.Due, q.Begun, q.Ended = q.Due-zero, q.Begun-zero, q.Ended-zero
+		q.ScheduledAt, q.SentAt, q.EndedAt = q.ScheduledAt-zero, q.SentAt-zero, q.EndedAt-zero
 		w.to.Request(q)
 	}
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -102,16 +102,16 @@
 	c.Asked++
 	switch q.Outcome {
 	case sample.Served:
-		if q.Ended-q.Due <= class.Aim.D() {
+		if q.EndedAt-q.ScheduledAt <= class.Aim.D() {
 			c.Served++
 			return class.Worth
 		}
 		c.Late++
-	case sample.Refused:
+	case sample.Rejected:
 		c.Refused++
 	case sample.Unanswered:
 		c.Unanswered++
-	case sample.Left:
+	case sample.ClientLeft:
 		c.Left++
 	default:
 		c.Failed++
--- a/internal/lab/rules/client_conn.go
+++ b/internal/lab/rules/client_conn.go
@@ -127,7 +127,7 @@
 	if r.budget == 0 && r.class != nil {
 		r.budget = r.class.Deadline.D()
 	}
-	if r.budget == 0 || !r.owed() {
+	if r.budget == 0 || !r.needsAnswer() {
 		return
 	}
 	at := r.acceptedAt + max(r.arrivedAt-r.acceptedAt-c.judge.config.Slack/2, 0)
@@ -136,7 +136,7 @@
 	}
 	at += r.budget + c.judge.config.Slack
 	c.judge.schedule(at, func() {
-		if r.owed() && !r.reported && c.node.incarnation == c.incarnation {
+		if r.needsAnswer() && !r.reported && c.node.incarnation == c.incarnation {
 			r.reported = true
 			c.judge.report(Late, at, "%s: call %s has no answer %v after its sending", c.id, r.id, at-r.acceptedAt)
 		}
@@ -191,7 +191,7 @@
 	c.queue = c.queue[1:]
 	settled := r.settled
 	c.settle(r)
-	r.forbidAttempts(c.judge.now + instant)
+	r.forbidAttempts(c.judge.now + simultaneityTolerance)
 	switch {
 	case r.readiness:
 		c.checkReadiness(r, m)
@@ -294,9 +294,9 @@
 	c.malformedHandled = true
 	now := c.judge.now
 	for _, r := range c.queue {
-		r.forbidAttempts(now + instant)
+		r.forbidAttempts(now + simultaneityTolerance)
 		truncated := r == c.answering && r.call.truncated()
-		if r.owed() && c.forward.read >= r.end && !truncated {
+		if r.needsAnswer() && c.forward.read >= r.end && !truncated {
 			c.reportUnanswered(r, now)
 		}
 		c.settle(r)
@@ -332,7 +332,7 @@
 	c.clientEnded()
 	if back && c.forward.read >= c.forward.arrived {
 		for _, r := range c.queue {
-			r.forbidAttempts(c.judge.now + instant)
+			r.forbidAttempts(c.judge.now + simultaneityTolerance)
 		}
 	}
 }
@@ -344,7 +344,7 @@
 	planned := term > 0 && at >= term+min(c.judge.maxDeadline, maxPlannedDeadline)+lateArrivalGrace
 	excusedUntil := term + lateArrivalGrace + c.judge.config.Slack
 	for _, r := range c.queue {
-		if planned && r.owed() && r.arrived && !r.reported && r.acceptedAt > excusedUntil {
+		if planned && r.needsAnswer() && r.arrived && !r.reported && r.acceptedAt > excusedUntil {
 			r.reported = true
 			c.judge.report(Lost, at, "%s: call %s came %v after SIGTERM and has no answer at the node's end",
 				c.id, r.id, r.acceptedAt-term)
--- a/internal/lab/rules/cold_start.go
+++ b/internal/lab/rules/cold_start.go
@@ -20,20 +20,20 @@
 	startKnown bool    // the sending node had been notified of the cold start
 }
 
-// knowingShare is the minimum share of the work that nodes notified of the
+// minNotifiedShare is the minimum share of the work that nodes notified of the
 // start must have sent for an overload to be a violation.
-const knowingShare = 2.0 / 3
+const minNotifiedShare = 2.0 / 3
 
 // checkColdLoad records an attempt that a peer received and checks that a peer
 // which started cold is not overloaded.
 func (j *Judge) checkColdLoad(peer, call string, work, capacity float64) {
-	received := j.takeSent(peer, call)
+	received := j.removeSentAttempt(peer, call)
 	start := j.coldStarts[peer]
 	contract := &j.config.Contract
 	if start == nil || start.reported || j.now > start.at+contract.Cold.D() || contract.Overload <= 0 {
 		return
 	}
-	known := received != nil && received.knownStart > 0 && received.knownStart >= start.at-instant
+	known := received != nil && received.knownStart > 0 && received.knownStart >= start.at-simultaneityTolerance
 	start.attempts = append(start.attempts, attemptWork{
 		at:         j.now,
 		work:       work,
@@ -42,12 +42,12 @@
 	})
 	window := contract.Fall.D()
 	start.expire(j.now - window)
-	total, knowing := start.load()
+	total, notified := start.totalWork()
 	budget := contract.Overload*start.meanCapacity(j.now-window)*window.Seconds() + j.maxWork
-	if total > budget && knowing >= knowingShare*total {
+	if total > budget && notified >= minNotifiedShare*total {
 		start.reported = true
 		const text = "peer %s, %v after its start: %.3f s of work in %v, %.3f s allowed, %.0f%% knowingly"
-		j.report(Cold, j.now, text, peer, j.now-start.at, total, window, budget, 100*knowing/total)
+		j.report(Cold, j.now, text, peer, j.now-start.at, total, window, budget, 100*notified/total)
 	}
 }
 
@@ -59,16 +59,16 @@
 	}
 }
 
-// load returns the work of all attempts, and of those whose node had been
+// totalWork returns the work of all attempts, and of those whose node had been
 // notified of the start.
-func (s *coldStart) load() (total, knowing float64) {
+func (s *coldStart) totalWork() (total, notified float64) {
 	for _, a := range s.attempts {
 		total += a.work
 		if a.startKnown {
-			knowing += a.work
+			notified += a.work
 		}
 	}
-	return total, knowing
+	return total, notified
 }
 
 // meanCapacity returns the mean capacity of the peer from an instant until the
@@ -88,9 +88,9 @@
 	return sum / (now - from).Seconds()
 }
 
-// takeSent removes and returns the oldest sent attempt of a call that the peer
+// removeSentAttempt removes and returns the oldest sent attempt of a call that the peer
 // has not received yet. It returns nil if there is none.
-func (j *Judge) takeSent(peer, call string) *attempt {
+func (j *Judge) removeSentAttempt(peer, call string) *attempt {
 	sent := j.sentAttempts[call]
 	for i, a := range sent {
 		if a.conn.name != peer {
--- a/internal/lab/rules/commands.go
+++ b/internal/lab/rules/commands.go
@@ -14,14 +14,14 @@
 	// reuseLimit is the duration after RESTORE within which a peer must receive an
 	// attempt.
 	reuseLimit = 5 * time.Second
-	// recentUse is the maximum time from the last attempt of a peer to its
+	// recentUseWindow is the maximum time from the last attempt of a peer to its
 	// suspension for which the peer counts as in use.
-	recentUse = time.Second
-	// minAttempts is the number of attempts to any peers after RESTORE from which
+	recentUseWindow = time.Second
+	// minAttemptsForReuse is the number of attempts to any peers after RESTORE from which
 	// a restored peer must have received one: it may be cold, and gets few.
-	minAttempts = 200
-	// maxNamed is the maximum number of connections that a violation lists.
-	maxNamed = 3
+	minAttemptsForReuse = 200
+	// maxListedConns is the maximum number of connections that a violation lists.
+	maxListedConns = 3
 )
 
 // suspension is the state of a peer that an operator has suspended at a node.
@@ -54,7 +54,7 @@
 		return
 	}
 	last, used := j.lastUsed[peer]
-	n.suspended[peer] = suspension{since: j.now, inUse: used && j.now-last <= recentUse}
+	n.suspended[peer] = suspension{since: j.now, inUse: used && j.now-last <= recentUseWindow}
 }
 
 func (j *Judge) restore(n *node, peer string) {
@@ -101,7 +101,7 @@
 	restored := j.now
 	attempts := j.attempts
 	j.schedule(restored+reuseLimit+j.config.Slack, func() {
-		if j.attempts-attempts < minAttempts || j.lastUsed[peer] > restored || !j.available(peer, restored) {
+		if j.attempts-attempts < minAttemptsForReuse || j.lastUsed[peer] > restored || !j.available(peer, restored) {
 			return
 		}
 		j.report(Unused, j.now, "peer %s is unused %v after it was put back", peer, j.now-restored)
@@ -140,7 +140,7 @@
 	}
 	slices.Sort(idle)
 	j.report(Paused, j.now, "%s holds %d client connections idle %v after PAUSE: %v",
-		n.name, len(idle), j.now-n.pausedSince, idle[:min(len(idle), maxNamed)])
+		n.name, len(idle), j.now-n.pausedSince, idle[:min(len(idle), maxListedConns)])
 }
 
 // checkReadiness checks that a paused node does not answer a readiness check
--- a/internal/lab/rules/discovery_view.go
+++ b/internal/lab/rules/discovery_view.go
@@ -27,9 +27,9 @@
 	reachableEpoch int  // the number of periods so far in which polls were served
 }
 
-// route is a network path from a node to an address of discovery. An empty node
+// discoveryRoute is a network path from a node to an address of discovery. An empty node
 // stands for all nodes.
-type route struct {
+type discoveryRoute struct {
 	node string
 	addr string
 }
@@ -95,9 +95,9 @@
 	}
 }
 
-// nodeBegan initializes the view of a node that starts with the list of a
+// initializeView initializes the view of a node that starts with the list of a
 // version.
-func (j *Judge) nodeBegan(n *node, version int64) {
+func (j *Judge) initializeView(n *node, version int64) {
 	n.view.idleSince = j.now
 	j.assumeKnown(n, j.listings.positionOfVersion(version), j.now)
 	n.view.idlePosition = 0
@@ -193,8 +193,8 @@
 // of the current listings.
 func (j *Judge) updateReachability(n *node) {
 	view := &n.view
-	forAll := route{addr: view.discovery}
-	forNode := route{node: n.name, addr: view.discovery}
+	forAll := discoveryRoute{addr: view.discovery}
+	forNode := discoveryRoute{node: n.name, addr: view.discovery}
 	served := view.discovery != "" && !j.unreachable[forAll] && !j.unreachable[forNode]
 	if served == view.reachable {
 		return
--- a/internal/lab/rules/judge.go
+++ b/internal/lab/rules/judge.go
@@ -36,9 +36,9 @@
 const (
 	nodePort     = ":9000"
 	defaultSlack = 50 * time.Millisecond
-	// instant is the maximum time between two actions of a node that count as
+	// simultaneityTolerance is the maximum time between two actions of a node that count as
 	// simultaneous: the effects of one decision are some nanoseconds apart.
-	instant = time.Millisecond
+	simultaneityTolerance = time.Millisecond
 	// retention is the duration for which a finished connection or call is kept,
 	// because bytes may still be in transit.
 	retention = 10 * time.Second
@@ -76,7 +76,7 @@
 	coldStarts  map[string]*coldStart    // by peer
 	lastUsed    map[string]time.Duration // when any node last began an attempt, by peer
 	listings    listingLog
-	unreachable map[route]bool // true for routes on which polls are not served
+	unreachable map[discoveryRoute]bool // true for routes on which polls are not served
 }
 
 // New returns a Judge for one run.
@@ -95,7 +95,7 @@
 		coldStarts:     map[string]*coldStart{},
 		lastUsed:       map[string]time.Duration{},
 		listings:       newListingLog(),
-		unreachable:    map[route]bool{},
+		unreachable:    map[discoveryRoute]bool{},
 	}
 	for addr, name := range c.Peers {
 		j.peerNames[addr] = name
@@ -130,8 +130,8 @@
 	return violations
 }
 
-// More returns the number of further violations that Violations omits.
-func (j *Judge) More() int { return j.omitted }
+// OmittedCount returns the number of further violations that Violations omits.
+func (j *Judge) OmittedCount() int { return j.omitted }
 
 // Tick runs the checks that are due and removes connections and calls that
 // finished longer than the retention period ago. It must be called regularly
@@ -177,7 +177,7 @@
 	slices.SortFunc(open, byID)
 	for _, k := range open {
 		for _, r := range k.client.queue {
-			if r.owed() && r.arrived && !r.reported {
+			if r.needsAnswer() && r.arrived && !r.reported {
 				r.reported = true
 				j.report(Lost, now, "%s: call %s unaccounted for at the end", k.id, r.id)
 			}
--- a/internal/lab/rules/message.go
+++ b/internal/lab/rules/message.go
@@ -27,9 +27,9 @@
 	storedBody []byte // the body, if the scanner stores bodies
 }
 
-// provesNotRun reports whether an answer of a peer proves that its attempt has
+// provesAttemptNotRun reports whether an answer of a peer proves that its attempt has
 // not run.
-func (m *message) provesNotRun() bool {
+func (m *message) provesAttemptNotRun() bool {
 	return m.rejected && (m.status == http.StatusServiceUnavailable || m.status == http.StatusGatewayTimeout)
 }
 
--- a/internal/lab/rules/observer.go
+++ b/internal/lab/rules/observer.go
@@ -44,7 +44,7 @@
 // DiscoveryReachable implements event.Observer.
 func (j *Judge) DiscoveryReachable(node, addr string, served bool) {
 	j.clock()
-	j.unreachable[route{node: node, addr: addr}] = !served
+	j.unreachable[discoveryRoute{node: node, addr: addr}] = !served
 	for _, name := range j.config.Nodes {
 		j.updateReachability(j.nodes[name])
 	}
@@ -74,7 +74,7 @@
 		j.endNode(n)
 	}
 	n.alive = true
-	j.nodeBegan(n, version)
+	j.initializeView(n, version)
 }
 
 // NodeKilled implements event.Observer.
--- a/internal/lab/rules/peer_conn.go
+++ b/internal/lab/rules/peer_conn.go
@@ -144,7 +144,7 @@
 		if !earlier.inFlight() {
 			continue
 		}
-		j.schedule(at+instant, func() {
+		j.schedule(at+simultaneityTolerance, func() {
 			if earlier.inFlight() {
 				j.report(Effect, at, "%s: call %s is tried on peer %s while its try on %s is out",
 					c.id, k.id, c.name, earlier.conn.id)
@@ -172,7 +172,7 @@
 			attempt:  c.answering,
 			end:      c.backward.sent,
 			status:   m.status,
-			neverRan: m.provesNotRun(),
+			neverRan: m.provesAttemptNotRun(),
 			body:     m.body,
 		})
 		c.answering.finished = true
--- a/internal/lab/rules/request.go
+++ b/internal/lab/rules/request.go
@@ -33,8 +33,8 @@
 	forbiddenSince    time.Duration
 }
 
-// owed reports whether the node must still answer the request.
-func (r *request) owed() bool {
+// needsAnswer reports whether the node must still answer the request.
+func (r *request) needsAnswer() bool {
 	return r.accepted && !r.settled && !r.malformed && !r.readiness && r.conn.malformedReason == ""
 }
 
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -56,7 +56,7 @@
 	s.j.Tick(s.now)
 }
 
-func (s *timeline) event(w link.EventKind, conn string, back bool, data, note string) {
+func (s *timeline) networkEvent(w link.EventKind, conn string, back bool, data, note string) {
 	e := s.ends[conn]
 	s.j.Observe(link.Event{
 		At: s.now, Kind: w, Conn: conn, From: e[0], To: e[1], Back: back, Data: []byte(data), Note: note,
@@ -67,20 +67,20 @@
 func (s *timeline) open(conn, from, to string) {
 	if _, known := s.ends[conn]; !known {
 		s.ends[conn] = [2]string{from, to}
-		s.event(link.Dial, conn, false, "", "")
-		s.event(link.Open, conn, false, "", "")
+		s.networkEvent(link.Dial, conn, false, "", "")
+		s.networkEvent(link.Open, conn, false, "", "")
 	}
 }
 
 // send sends bytes on a connection; they arrive and are read at once.
 func (s *timeline) send(conn string, back bool, data string) {
-	s.event(link.Sent, conn, back, data, "")
-	s.event(link.Arrived, conn, back, data, "")
-	s.event(link.Read, conn, back, data, "")
+	s.networkEvent(link.Sent, conn, back, data, "")
+	s.networkEvent(link.Arrived, conn, back, data, "")
+	s.networkEvent(link.Read, conn, back, data, "")
 }
 
-// wire returns the bytes of a request: of an idempotent GET for class "quote", of a POST with a body for "book".
-func wire(id, class string) string {
+// requestBytes returns the bytes of a request: an idempotent GET for class "quote", a POST with a body for "book".
+func requestBytes(id, class string) string {
 	head := "X-Call-Id: " + id + "\r\nX-Call-Class: " + class + "\r\n"
 	if class == "book" {
 		return "POST /api?user=7 HTTP/1.1\r\n" + head + "X-Budget: 1.5\r\nContent-Length: 4\r\n\r\nbody"
@@ -88,8 +88,8 @@
 	return "GET /api?user=7 HTTP/1.1\r\n" + head + "X-Budget: 0.500\r\n\r\n"
 }
 
-// answer returns the bytes of an answer from a text such as "200 body". "503! body" adds X-Rejected: 1.
-func answer(text string) string {
+// answerBytes returns the bytes of an answer from a text such as "200 body". "503! body" adds X-Rejected: 1.
+func answerBytes(text string) string {
 	status, body, _ := strings.Cut(text, " ")
 	field := ""
 	if plain, ok := strings.CutSuffix(status, "!"); ok {
@@ -100,23 +100,23 @@
 
 func (s *timeline) request(id, class string) {
 	s.open(id, "c1", "n1:9000")
-	s.send(id, false, wire(id, class))
+	s.send(id, false, requestBytes(id, class))
 }
-func (s *timeline) answer(id, text string)     { s.send(id, true, answer(text)) }
+func (s *timeline) answer(id, text string)     { s.send(id, true, answerBytes(text)) }
 func (s *timeline) attempt(conn, class string) { s.attemptAt(conn, "p1", class) }
 func (s *timeline) attemptAt(conn, peer, class string) {
 	s.open(conn, "n1", peer+":9")
-	s.send(conn, false, wire(conn[:1], class))
+	s.send(conn, false, requestBytes(conn[:1], class))
 }
-func (s *timeline) serve(id, class string) {
+func (s *timeline) serveCall(id, class string) {
 	s.request(id, class)
 	s.attempt(id+"1", class)
 	s.peerAnswer(id+"1", "200 "+id)
 	s.answer(id, "200 "+id)
 }
-func (s *timeline) peerAnswer(conn, text string) { s.send(conn, true, answer(text)) }
+func (s *timeline) peerAnswer(conn, text string) { s.send(conn, true, answerBytes(text)) }
 func (s *timeline) closeConn(conn string, back bool, note string) {
-	s.event(link.Closed, conn, back, "", note)
+	s.networkEvent(link.Closed, conn, back, "", note)
 }
 
 // poll sends a poll from the node to discovery.
@@ -125,8 +125,8 @@
 	s.send(conn, false, "GET /registry/instances"+query+" HTTP/1.1\r\nHost: d\r\n\r\n")
 }
 
-// listed returns an answer of discovery with entries such as "p1=Ready"; "p1=Ready@7" adds the start time in ms.
-func listed(version int, full bool, some ...string) string {
+// listAnswer returns an answer of discovery with entries such as "p1=Ready"; "p1=Ready@7" adds the start time in ms.
+func listAnswer(version int, full bool, some ...string) string {
 	var all []string
 	for _, e := range some {
 		name, state, _ := strings.Cut(e, "=")
@@ -136,20 +136,20 @@
 		all = append(all, fmt.Sprintf(form, name, state, started))
 	}
 	servers := strings.Join(all, ",")
-	return answer(fmt.Sprintf(`200 {"version":%d,"full":%v,"servers":[%s]}`, version, full, servers))
+	return answerBytes(fmt.Sprintf(`200 {"version":%d,"full":%v,"servers":[%s]}`, version, full, servers))
 }
 
 // peerLeaves lists p1 as Terminating and notifies the node of that.
 func (s *timeline) peerLeaves() {
 	s.j.PeerListed(3, "p1", "p1:9", terminating, 0)
 	s.poll("d", "?after=2&wait_ms=2000")
-	s.send("d", true, listed(3, false, "p1=Terminating"))
+	s.send("d", true, listAnswer(3, false, "p1=Terminating"))
 }
 
 // discoveryFails answers the only poll of the node with 503 and lists p1 as Gone after that.
 func (s *timeline) discoveryFails() {
 	s.poll("d", "")
-	s.send("d", true, answer("503 "))
+	s.send("d", true, answerBytes("503 "))
 	s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 }
 
@@ -162,7 +162,7 @@
 	s.advance(ms)
 	if knows {
 		s.poll("d", "")
-		s.send("d", true, listed(3, true, "p1=Ready@7", "p2=Ready"))
+		s.send("d", true, listAnswer(3, true, "p1=Ready@7", "p2=Ready"))
 	}
 	for i := range n {
 		id := string(rune('A' + i))
@@ -175,20 +175,20 @@
 	}
 }
 
-func noCopies(c *world.Contract)    { c.SecondCopies = false }
-func noProbes(c *world.Contract)    { c.Probes = false }
-func droppedStay(c *world.Contract) { c.DroppedStay = true }
+func withoutHedging(c *world.Contract)      { c.SecondCopies = false }
+func withoutHealthChecks(c *world.Contract) { c.Probes = false }
+func keepDroppedPeers(c *world.Contract)    { c.DroppedStay = true }
 
 // ruleCase is a sequence of events and the rule that it violates.
 type ruleCase struct {
-	name, rule string                // rule "": no violation
-	change     func(*world.Contract) // modifies the contract; may be nil
-	play       func(s *timeline)     // produces the events
+	name, rule     string                // rule "": no violation
+	changeContract func(*world.Contract) // modifies the contract; may be nil
+	events         func(s *timeline)     // produces the events
 }
 
-// cases lists each violation before the most similar sequence without one.
-var cases = []ruleCase{
-	{"served", "", nil, func(s *timeline) { s.serve("a", "quote"); s.serve("b", "book") }},
+// ruleCases lists each violation before the most similar sequence without one.
+var ruleCases = []ruleCase{
+	{"served", "", nil, func(s *timeline) { s.serveCall("a", "quote"); s.serveCall("b", "book") }},
 
 	{"closed after reading the request", Lost, nil, func(s *timeline) {
 		s.request("a", "quote")
@@ -196,21 +196,21 @@
 	}},
 	{"closed in the middle of the answer", Lost, nil, func(s *timeline) {
 		s.request("a", "quote")
-		s.send("a", true, answer("200 long")[:40])
+		s.send("a", true, answerBytes("200 long")[:40])
 		s.closeConn("a", true, "")
 	}},
 	{"answer truncated like the peer's", "", nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
-		s.send("a1", true, answer("200 long")[:40])
-		s.event(link.Reset, "a1", false, "", "")
-		s.send("a", true, answer("200 long")[:40])
+		s.send("a1", true, answerBytes("200 long")[:40])
+		s.networkEvent(link.Reset, "a1", false, "", "")
+		s.send("a", true, answerBytes("200 long")[:40])
 		s.closeConn("a", true, "")
 	}},
 	{"closed before reading the request", "", nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
-		s.event(link.Sent, "a", false, wire("a", "quote"), "")
-		s.event(link.Arrived, "a", false, wire("a", "quote"), "")
+		s.networkEvent(link.Sent, "a", false, requestBytes("a", "quote"), "")
+		s.networkEvent(link.Arrived, "a", false, requestBytes("a", "quote"), "")
 		s.closeConn("a", true, "unread")
 	}},
 	{"client closes first", "", nil, func(s *timeline) {
@@ -220,11 +220,11 @@
 	}},
 	{"connection reset in transit", "", nil, func(s *timeline) {
 		s.request("a", "quote")
-		s.event(link.Reset, "a", true, "", "reset")
+		s.networkEvent(link.Reset, "a", true, "", "reset")
 	}},
 	{"request never arrives", "", nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
-		s.event(link.Sent, "a", false, wire("a", "quote"), "")
+		s.networkEvent(link.Sent, "a", false, requestBytes("a", "quote"), "")
 		s.advance(time.Second)
 	}},
 	{"killed", "", nil, func(s *timeline) { s.request("a", "quote"); s.j.NodeKilled("n1"); s.advance(time.Second) }},
@@ -237,7 +237,7 @@
 		s.j.NodeSignaled("n1", "SIGTERM", "")
 		s.advance(2300 * ms)
 		s.request("a", "quote")
-		s.event(link.Reset, "a", true, "", "killed")
+		s.networkEvent(link.Reset, "a", true, "", "killed")
 		s.j.NodeKilled("n1")
 	}},
 	{"killed at the end of a shutdown, request soon after SIGTERM", "", nil, func(s *timeline) {
@@ -254,16 +254,16 @@
 		s.j.NodeKilled("n1")
 	}},
 	{"request sent while the node closes", "", nil, func(s *timeline) {
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 		s.closeConn("a", true, "")
-		s.event(link.Sent, "a", false, wire("b", "quote"), "")
-		s.event(link.Arrived, "a", false, wire("b", "quote"), "")
+		s.networkEvent(link.Sent, "a", false, requestBytes("b", "quote"), "")
+		s.networkEvent(link.Arrived, "a", false, requestBytes("b", "quote"), "")
 		s.advance(time.Second)
 	}},
 	{"unanswered at the end of the run", Lost, nil, func(s *timeline) { s.request("a", "quote"); s.j.Finish(s.now) }},
 	{"next request read with one whose answer announces a close", "", nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
-		s.send("a", false, wire("a", "quote")+wire("b", "quote"))
+		s.send("a", false, requestBytes("a", "quote")+requestBytes("b", "quote"))
 		s.send("a", true, "HTTP/1.1 502 Bad\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 		s.closeConn("a", true, "")
 	}},
@@ -280,36 +280,36 @@
 	}},
 	{"slow transit to the node", "", nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
-		s.event(link.Sent, "a", false, wire("a", "quote"), "")
+		s.networkEvent(link.Sent, "a", false, requestBytes("a", "quote"), "")
 		s.advance(200 * ms)
-		s.event(link.Arrived, "a", false, wire("a", "quote"), "")
+		s.networkEvent(link.Arrived, "a", false, requestBytes("a", "quote"), "")
 		s.advance(510 * ms)
 		s.answer("a", "504 ")
 	}},
 	{"request behind another one", "", nil, func(s *timeline) {
 		s.request("a", "quote")
-		s.send("a", false, wire("b", "quote"))
+		s.send("a", false, requestBytes("b", "quote"))
 		s.advance(400 * ms)
 		s.answer("a", "502 ")
 		s.advance(400 * ms)
 		s.answer("a", "502 ")
 	}},
 
-	{"two answers", Twice, nil, func(s *timeline) { s.serve("a", "quote"); s.answer("a", "200 a") }},
+	{"two answers", Twice, nil, func(s *timeline) { s.serveCall("a", "quote"); s.answer("a", "200 a") }},
 	{"bytes after the answer", Twice, nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.answer("a", "502 ")
 		s.send("a", true, "x")
 	}},
 	{"answer before the request arrives", Twice, nil, func(s *timeline) {
-		s.serve("a", "quote")
-		s.event(link.Sent, "a", false, wire("b", "quote"), "")
+		s.serveCall("a", "quote")
+		s.networkEvent(link.Sent, "a", false, requestBytes("b", "quote"), "")
 		s.answer("a", "502 ")
 	}},
 	{"one answer for each request, with a 100 before it", "", nil, func(s *timeline) {
-		s.serve("a", "quote")
-		s.send("a", false, wire("b", "quote"))
-		s.send("a", true, "HTTP/1.1 100 Continue\r\n\r\n"+answer("502 "))
+		s.serveCall("a", "quote")
+		s.send("a", false, requestBytes("b", "quote"))
+		s.send("a", true, "HTTP/1.1 100 Continue\r\n\r\n"+answerBytes("502 "))
 	}},
 
 	{"body differs from the peer's", Wrong, nil, func(s *timeline) {
@@ -327,16 +327,16 @@
 	{"body of bytes after an earlier answer", Wrong, nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
-		s.send("a1", true, answer("200 a")+answer("200 more"))
+		s.send("a1", true, answerBytes("200 a")+answerBytes("200 more"))
 		s.answer("a", "200 a")
 		s.request("b", "quote")
-		s.send("a1", false, wire("b", "quote"))
+		s.send("a1", false, requestBytes("b", "quote"))
 		s.answer("b", "200 more")
 	}},
 	{"body of surplus bytes in transit when the attempt is sent", Wrong, nil, func(s *timeline) {
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 		s.request("b", "quote")
-		s.event(link.Sent, "a1", false, wire("b", "quote"), "")
+		s.networkEvent(link.Sent, "a1", false, requestBytes("b", "quote"), "")
 		s.peerAnswer("a1", "200 more")
 		s.answer("b", "200 more")
 	}},
@@ -360,7 +360,7 @@
 	{"retry of an attempt that may have run", Effect, nil, func(s *timeline) {
 		s.request("a", "book")
 		s.attempt("a1", "book")
-		s.event(link.Reset, "a1", false, "", "reset")
+		s.networkEvent(link.Reset, "a1", false, "", "reset")
 		s.attemptAt("a2", "p2", "book")
 	}},
 	{"retry after a 503 without proof", Effect, nil, func(s *timeline) {
@@ -372,7 +372,7 @@
 	{"retry while the proof is in transit", Effect, nil, func(s *timeline) {
 		s.request("a", "book")
 		s.attempt("a1", "book")
-		s.event(link.Sent, "a1", true, answer("503! "), "")
+		s.networkEvent(link.Sent, "a1", true, answerBytes("503! "), "")
 		s.attempt("a2", "book")
 	}},
 	{"retry of an attempt that did not run", "", nil, func(s *timeline) {
@@ -380,8 +380,8 @@
 		s.attempt("a1", "book")
 		s.peerAnswer("a1", "503! ")
 		s.open("a2", "n1", "p2:9")
-		s.event(link.Sent, "a2", false, wire("a", "book")[:99], "")
-		s.event(link.Reset, "a2", false, "", "reset")
+		s.networkEvent(link.Sent, "a2", false, requestBytes("a", "book")[:99], "")
+		s.networkEvent(link.Reset, "a2", false, "", "reset")
 		s.attempt("a3", "book")
 	}},
 	{"rejected after an attempt that may have run", Effect, nil, func(s *timeline) {
@@ -399,7 +399,7 @@
 		s.attempt("a1", "quote")
 		s.answer("a", "429 ")
 	}},
-	{"hedged request, not allowed", Effect, noCopies, func(s *timeline) {
+	{"hedged request, not allowed", Effect, withoutHedging, func(s *timeline) {
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
 		s.attempt("a2", "quote")
@@ -409,11 +409,11 @@
 		s.attempt("a1", "quote")
 		s.attempt("a2", "quote")
 	}},
-	{"attempt cancelled for another at the same instant", "", noCopies, func(s *timeline) {
+	{"attempt cancelled for another at the same instant", "", withoutHedging, func(s *timeline) {
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
 		s.open("a2", "n1", "p2:9")
-		s.j.Observe(link.Event{At: s.now, Kind: link.Sent, Conn: "a2", Data: []byte(wire("a", "quote"))})
+		s.j.Observe(link.Event{At: s.now, Kind: link.Sent, Conn: "a2", Data: []byte(requestBytes("a", "quote"))})
 		s.closeConn("a1", false, "")
 	}},
 	{"four attempts with a limit of three", Effect, nil, func(s *timeline) {
@@ -427,19 +427,19 @@
 	{"attempt with another body", Hidden, nil, func(s *timeline) {
 		s.request("a", "book")
 		s.open("a1", "n1", "p1:9")
-		s.send("a1", false, strings.Replace(wire("a", "book"), "body", "bodz", 1))
+		s.send("a1", false, strings.Replace(requestBytes("a", "book"), "body", "bodz", 1))
 	}},
 	{"attempt begun before the request was accepted", Hidden, nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
-		s.send("a", false, wire("a", "book")[:100])
+		s.send("a", false, requestBytes("a", "book")[:100])
 		s.open("a1", "n1", "p1:9")
-		s.send("a1", false, wire("a", "book")[:100])
-		s.send("a", false, wire("a", "book")[100:])
-		s.send("a1", false, wire("a", "book")[100:])
+		s.send("a1", false, requestBytes("a", "book")[:100])
+		s.send("a", false, requestBytes("a", "book")[100:])
+		s.send("a1", false, requestBytes("a", "book")[100:])
 	}},
 	{"request on a connection that is not open", Hidden, nil, func(s *timeline) {
 		s.ends["a"] = [2]string{"c1", "n1:9000"}
-		s.event(link.Dial, "a", false, "", "")
+		s.networkEvent(link.Dial, "a", false, "", "")
 		s.request("a", "quote")
 		s.attempt("a1", "quote")
 	}},
@@ -450,16 +450,16 @@
 	}},
 	{"attempt after a reset behind unread bytes", "", nil, func(s *timeline) {
 		s.request("a", "quote")
-		s.event(link.Sent, "a", false, wire("b", "quote"), "")
-		s.event(link.Arrived, "a", false, wire("b", "quote"), "")
-		s.event(link.Reset, "a", true, "", "reset")
+		s.networkEvent(link.Sent, "a", false, requestBytes("b", "quote"), "")
+		s.networkEvent(link.Arrived, "a", false, requestBytes("b", "quote"), "")
+		s.networkEvent(link.Reset, "a", true, "", "reset")
 		s.advance(10 * ms)
 		s.attempt("a1", "quote")
 	}},
 	{"attempt after the client's close has arrived", Hidden, nil, func(s *timeline) {
 		s.request("a", "quote")
 		s.closeConn("a", false, "")
-		s.event(link.Arrived, "a", false, "", "fin")
+		s.networkEvent(link.Arrived, "a", false, "", "fin")
 		s.advance(60 * ms)
 		s.attempt("a1", "quote")
 	}},
@@ -476,7 +476,7 @@
 		s.open("a1", "n1", "p1:9")
 		s.send("a1", false, "GET /health/live HTTP/1.1\r\n\r\n")
 	}},
-	{"health check, not allowed", Hidden, noProbes, func(s *timeline) {
+	{"health check, not allowed", Hidden, withoutHealthChecks, func(s *timeline) {
 		s.open("a1", "n1", "p1:9")
 		s.send("a1", false, "GET /health/live HTTP/1.1\r\n\r\n")
 	}},
@@ -500,27 +500,27 @@
 		s.open("a1", "n1", "p1:9")
 		s.send("a1", false, "G")
 		s.advance(100 * ms)
-		s.send("a1", false, wire("a", "quote")[1:])
+		s.send("a1", false, requestBytes("a", "quote")[1:])
 	}},
 	{"peer is ready again", "", nil, func(s *timeline) {
 		s.peerLeaves()
 		s.j.PeerListed(4, "p1", "p1:9", ready, s.now)
 		s.send("d", false, "GET /registry/instances?after=3&wait_ms=9 HTTP/1.1\r\n\r\n")
-		s.send("d", true, listed(4, false, "p1=Ready"))
+		s.send("d", true, listAnswer(4, false, "p1=Ready"))
 		s.advance(4 * time.Second)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 	{"peer missing in a complete list", Drain, nil, func(s *timeline) {
 		s.poll("d", "")
-		s.send("d", true, listed(9, true, "p2=Ready"))
+		s.send("d", true, listAnswer(9, true, "p2=Ready"))
 		s.advance(2600 * ms)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
-	{"peer gone, dropped peers may stay in use", "", droppedStay, func(s *timeline) {
+	{"peer gone, dropped peers may stay in use", "", keepDroppedPeers, func(s *timeline) {
 		s.poll("d", "")
-		s.send("d", true, listed(9, true, "p2=Ready"))
+		s.send("d", true, listAnswer(9, true, "p2=Ready"))
 		s.advance(2600 * ms)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 	{"poll without an answer, after the grace", Drain, nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
@@ -528,20 +528,20 @@
 		s.closeConn("d", false, "") // the node abandons the poll
 		s.closeConn("d", true, "")
 		s.advance(6555 * ms)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 	{"poll without an answer, within the grace", "", nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.poll("d", "?after=2&wait_ms=2000")
 		s.advance(6530 * ms)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 	{"connection of the poll reset", "", nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.poll("d", "?after=2&wait_ms=2000")
-		s.event(link.Reset, "d", false, "", "reset")
+		s.networkEvent(link.Reset, "d", false, "", "reset")
 		s.advance(8 * time.Second)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 	{"notified of Ready before the time limit", "", nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
@@ -549,49 +549,49 @@
 		s.closeConn("d", false, "")
 		s.j.PeerListed(4, "p1", "p1:9", ready, s.now)
 		s.poll("d2", "?after=2&wait_ms=2000")
-		s.send("d2", true, listed(4, false, "p1=Ready"))
+		s.send("d2", true, listAnswer(4, false, "p1=Ready"))
 		s.advance(8 * time.Second)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 	{"answer of discovery cannot be parsed", "", nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.poll("d", "?after=2&wait_ms=2000")
-		s.send("d", true, answer(`200 {"version":3,"full":false,"servers":[{"id":"p1"`))
+		s.send("d", true, answerBytes(`200 {"version":3,"full":false,"servers":[{"id":"p1"`))
 		s.advance(8 * time.Second)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 	{"no poll, after the time limit", Drain, nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.advance(12551 * ms)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 	{"failed poll, after the time limit", Drain, nil, func(s *timeline) {
 		s.discoveryFails()
 		s.advance(8551 * ms)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 	{"failed poll, within the grace", "", nil, func(s *timeline) {
 		s.discoveryFails()
 		s.advance(8530 * ms)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 	{"failed poll while discovery is down", "", nil, func(s *timeline) {
 		s.j.DiscoveryReachable("", "d:1", false)
 		s.discoveryFails()
 		s.advance(40 * time.Second)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 	{"failed poll, node partitioned from discovery", "", nil, func(s *timeline) {
 		s.j.DiscoveryReachable("n1", "d:1", false)
 		s.discoveryFails()
 		s.advance(40 * time.Second)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 	{"failed poll, another node partitioned", Drain, nil, func(s *timeline) {
 		s.discoveryFails()
 		s.j.DiscoveryReachable("n2", "d:1", false)
 		s.advance(8551 * ms)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 	{"discovery is up again, after the grace", Drain, nil, func(s *timeline) {
 		s.j.DiscoveryReachable("", "d:1", false)
@@ -599,7 +599,7 @@
 		s.advance(10 * time.Second)
 		s.j.DiscoveryReachable("", "d:1", true)
 		s.advance(8551 * ms)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 	{"discovery is up again, within the grace", "", nil, func(s *timeline) {
 		s.j.DiscoveryReachable("", "d:1", false)
@@ -607,7 +607,7 @@
 		s.advance(10 * time.Second)
 		s.j.DiscoveryReachable("", "d:1", true)
 		s.advance(8530 * ms)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 	{"discovery is up and down again before the time limit", "", nil, func(s *timeline) {
 		s.discoveryFails()
@@ -616,46 +616,46 @@
 		s.advance(time.Second)
 		s.j.DiscoveryReachable("", "d:1", true)
 		s.advance(8530 * ms)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 	{"discovery is up at its other address", "", nil, func(s *timeline) {
 		s.j.DiscoveryReachable("", "d:1", false)
 		s.discoveryFails()
 		s.j.DiscoveryReachable("", "e:1", true)
 		s.advance(40 * time.Second)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 	{"moved", Drain, nil, func(s *timeline) {
 		s.poll("d", "")
-		s.send("d", true, listed(2, true, "p1=Ready", "p2=Ready"))
+		s.send("d", true, listAnswer(2, true, "p1=Ready", "p2=Ready"))
 		s.j.NodeSignaled("n1", "SIGHUP", "e:1")
 		s.j.PeerListed(1500, "p1", "p1:9", gone, 0)
 		s.send("d", false, "GET /registry/instances HTTP/1.1\r\n\r\n")
-		s.send("d", true, listed(1400, true, "p1=Ready", "p2=Ready")) // from the previous discovery
+		s.send("d", true, listAnswer(1400, true, "p1=Ready", "p2=Ready")) // from the previous discovery
 		s.advance(6550 * ms)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 	{"reload without a change of discovery", "", nil, func(s *timeline) {
 		s.poll("d", "")
-		s.send("d", true, listed(2, true, "p1=Ready", "p2=Ready"))
+		s.send("d", true, listAnswer(2, true, "p1=Ready", "p2=Ready"))
 		s.j.NodeSignaled("n1", "SIGHUP", "d:1")
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.advance(6550 * ms)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 	{"started with a list without the peer", Drain, nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.j.NodeKilled("n1")
 		s.j.NodeStarted("n1", 3)
 		s.advance(2550 * ms)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 	{"started with an older list that has the peer", "", nil, func(s *timeline) {
 		s.peerLeaves()
 		s.j.NodeKilled("n1")
 		s.j.NodeStarted("n1", 2)
 		s.advance(2550 * ms)
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 	}},
 
 	{"pushed", Cold, nil, func(s *timeline) { s.coldAttempts(true, 12) }},
@@ -685,7 +685,7 @@
 		s.advance(4 * time.Second)
 	}},
 	{"malformed input answered with a close", "", nil, func(s *timeline) {
-		s.serve("a", "quote")
+		s.serveCall("a", "quote")
 		s.j.MalformedInput("a", "noise", 3*time.Second)
 		s.send("a", false, "noise\r\n")
 		s.advance(3 * time.Second)
@@ -695,11 +695,11 @@
 }
 
 func TestRules(t *testing.T) {
-	broken := map[string]bool{Crash: true, Rest: true}
-	for _, c := range slices.Concat(cases, operatorCases) {
+	violated := map[string]bool{Crash: true, Rest: true}
+	for _, c := range slices.Concat(ruleCases, commandCases) {
 		t.Run(c.name, func(t *testing.T) {
-			s := newTimeline(c.change)
-			c.play(s)
+			s := newTimeline(c.changeContract)
+			c.events(s)
 			s.advance(2 * time.Millisecond)
 			v := s.j.Violations()
 			switch {
@@ -709,10 +709,10 @@
 				t.Errorf("got violations %v, want one violation of %q", v, c.rule)
 			}
 		})
-		broken[c.rule] = true
+		violated[c.rule] = true
 	}
 	for _, name := range Names() {
-		if !broken[name] {
+		if !violated[name] {
 			t.Errorf("no case violates rule %q", name)
 		}
 	}
@@ -724,8 +724,8 @@
 	for i := range 25 {
 		s.attempt(fmt.Sprint("a", i), "quote")
 	}
-	if v := s.j.Violations(); len(v) != maxViolations || s.j.More() != 5 {
-		t.Errorf("got %d violations and %d omitted, want 20 and 5", len(v), s.j.More())
+	if v := s.j.Violations(); len(v) != maxViolations || s.j.OmittedCount() != 5 {
+		t.Errorf("got %d violations and %d omitted, want 20 and 5", len(v), s.j.OmittedCount())
 	}
 	for i := range 3000 {
 		id := fmt.Sprint("b", i)
--- a/internal/lab/rules/scanner_test.go
+++ b/internal/lab/rules/scanner_test.go
@@ -9,10 +9,10 @@
 	"olivebridge/internal/lab/link"
 )
 
-// read passes text to a scanner in pieces of n bytes and returns a description of all events.
-func read(answers bool, text string, n int) string {
+// scanInPieces passes text to a scanner in pieces of n bytes and returns a description of all events.
+func scanInPieces(answers bool, text string, n int) string {
 	s := scanner{answers: answers, storeBody: true}
-	var met strings.Builder
+	var found strings.Builder
 	for len(text) > 0 {
 		piece := []byte(text[:min(n, len(text))])
 		text = text[len(piece):]
@@ -22,10 +22,10 @@
 			switch e {
 			case messageComplete:
 				m := s.message
-				fmt.Fprintf(&met, "%s%s%d id=%s %v ", m.method, m.target, m.status, m.id, m.budget)
-				fmt.Fprintf(&met, "%q %t;", m.storedBody, m.close)
+				fmt.Fprintf(&found, "%s%s%d id=%s %v ", m.method, m.target, m.status, m.id, m.budget)
+				fmt.Fprintf(&found, "%q %t;", m.storedBody, m.close)
 			case malformedMessage:
-				return met.String() + "spoilt"
+				return found.String() + "spoilt"
 			case needMore:
 				if n == 0 {
 					goto next
@@ -35,11 +35,11 @@
 	next:
 	}
 	if s.end() {
-		fmt.Fprintf(&met, "end %q", s.message.storedBody)
+		fmt.Fprintf(&found, "end %q", s.message.storedBody)
 	} else if s.step != nil {
-		met.WriteString("open")
+		found.WriteString("open")
 	}
-	return met.String()
+	return found.String()
 }
 
 func TestScanner(t *testing.T) {
@@ -74,7 +74,7 @@
 	} {
 		answers := !strings.Contains(c.text[:min(12, len(c.text))], " /")
 		for _, n := range []int{1, 2, 3, 7, 64, len(c.text)} {
-			if got := read(answers, c.text, n); got != c.want {
+			if got := scanInPieces(answers, c.text, n); got != c.want {
 				t.Errorf("%s, pieces of %d: got %s, want %s", c.name, n, got, c.want)
 			}
 		}
@@ -84,11 +84,11 @@
 // FuzzJudge checks that the judge survives any sequence of events and bytes.
 func FuzzJudge(f *testing.F) {
 	pieces := []string{
-		wire("a", "quote"), wire("a", "book"), wire("b", "book")[:70], wire("b", "book")[70:],
-		answer("200 a"), answer("503! "), answer("200 a")[:30], answer("200 a")[30:],
+		requestBytes("a", "quote"), requestBytes("a", "book"), requestBytes("b", "book")[:70], requestBytes("b", "book")[70:],
+		answerBytes("200 a"), answerBytes("503! "), answerBytes("200 a")[:30], answerBytes("200 a")[30:],
 		"HTTP/1.1 200 OK\r\n\r\nx", "HTTP/1.1 100 C\r\n\r\n", "HEAD / HTTP/1.1\r\n\r\n", "\x00\r\n\r\n",
 		"GET /registry/instances?after=1&wait_ms=99 HTTP/1.1\r\n\r\n",
-		listed(7, true, "p1=Gone"), listed(1, false),
+		listAnswer(7, true, "p1=Gone"), listAnswer(1, false),
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n", "",
 	}
 	conns := [][3]string{
@@ -97,7 +97,7 @@
 	}
 	f.Add([]byte("\x01\x00\x00\x03\x00\x00\x01\x02\x00\x03\x02\x00"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		s := newTimeline(noCopies)
+		s := newTimeline(withoutHedging)
 		for ; len(in) >= 3; in = in[3:] {
 			k, data := conns[int(in[1])%len(conns)], []byte(nil)
 			if in[2]%32 < byte(len(pieces)) {
@@ -106,10 +106,10 @@
 				data = in[:min(len(in), int(in[2]))]
 			}
 			s.now += time.Duration(in[2]) * ms
-			switch what := link.EventKind(in[0] % 16); what {
+			switch kind := link.EventKind(in[0] % 16); kind {
 			default:
 				s.j.Observe(link.Event{
-					At: s.now, Kind: what % 9, Conn: k[0], From: k[1], To: k[2], Back: in[0] >= 128, Data: data,
+					At: s.now, Kind: kind % 9, Conn: k[0], From: k[1], To: k[2], Back: in[0] >= 128, Data: data,
 				})
 			case 9:
 				s.j.NodeKilled("n1")
@@ -136,30 +136,30 @@
 // BenchmarkRun measures the judge on a run of 5,000 calls and 60,000 events.
 func BenchmarkRun(b *testing.B) {
 	var all []link.Event
-	cross := func(what link.EventKind, conn, from, to string, back bool, text string) {
+	addEvent := func(kind link.EventKind, conn, from, to string, back bool, text string) {
 		at := time.Duration(len(all)) * 100 * time.Microsecond
 		all = append(all, link.Event{
-			At: at, Kind: what, Conn: conn, From: from, To: to, Back: back, Data: []byte(text),
+			At: at, Kind: kind, Conn: conn, From: from, To: to, Back: back, Data: []byte(text),
 		})
 	}
-	made := answer("200 " + strings.Repeat("x", 2000))
+	response := answerBytes("200 " + strings.Repeat("x", 2000))
 	for i := range 5000 {
 		c, p := fmt.Sprint("c", i%50), fmt.Sprint("p", i%50)
 		if i < 50 {
-			cross(link.Open, c, "c1", "n1:9000", false, "")
-			cross(link.Open, p, "n1", "p1:9", false, "")
+			addEvent(link.Open, c, "c1", "n1:9000", false, "")
+			addEvent(link.Open, p, "n1", "p1:9", false, "")
 		}
-		asked := wire(fmt.Sprint(i), "quote")
-		for _, what := range []link.EventKind{link.Sent, link.Arrived, link.Read} {
-			cross(what, c, "c1", "n1:9000", false, asked)
+		request := requestBytes(fmt.Sprint(i), "quote")
+		for _, kind := range []link.EventKind{link.Sent, link.Arrived, link.Read} {
+			addEvent(kind, c, "c1", "n1:9000", false, request)
 		}
 		for _, back := range []bool{false, true} {
-			for _, what := range []link.EventKind{link.Sent, link.Arrived, link.Read} {
-				cross(what, p, "n1", "p1:9", back, map[bool]string{false: asked, true: made}[back])
+			for _, kind := range []link.EventKind{link.Sent, link.Arrived, link.Read} {
+				addEvent(kind, p, "n1", "p1:9", back, map[bool]string{false: request, true: response}[back])
 			}
 		}
-		for _, what := range []link.EventKind{link.Sent, link.Arrived, link.Read} {
-			cross(what, c, "c1", "n1:9000", true, made)
+		for _, kind := range []link.EventKind{link.Sent, link.Arrived, link.Read} {
+			addEvent(kind, c, "c1", "n1:9000", true, response)
 		}
 	}
 	for b.Loop() {
--- a/internal/lab/sample/lines.go
+++ b/internal/lab/sample/lines.go
@@ -46,14 +46,14 @@
 // Reader parses the output of a Writer, in pieces of any size, and passes the
 // samples to a Sink.
 type Reader struct {
-	to   Sink
-	rest []byte // received part of an incomplete line
-	told int    // number of samples passed to the Sink
-	err  error  // the first error; no line after it is parsed
+	sink  Sink
+	rest  []byte // received part of an incomplete line
+	count int    // number of samples passed to the Sink
+	err   error  // the first error; no line after it is parsed
 }
 
 // NewReader returns a Reader that passes samples to the Sink.
-func NewReader(to Sink) *Reader { return &Reader{to: to} }
+func NewReader(to Sink) *Reader { return &Reader{sink: to} }
 
 // Write implements io.Writer. It accepts all bytes and never fails, so that a
 // malformed line does not stop the writing process; Err returns the error.
@@ -76,22 +76,22 @@
 func (r *Reader) read(text []byte) {
 	var l line
 	if err := json.Unmarshal(text, &l); err != nil {
-		r.err = fmt.Errorf("line %d of the sample stream is malformed: %w", r.told+1, err)
+		r.err = fmt.Errorf("line %d of the sample stream is malformed: %w", r.count+1, err)
 		return
 	}
-	r.told++
+	r.count++
 	switch {
 	case l.Request != nil:
-		r.to.Request(*l.Request)
+		r.sink.Request(*l.Request)
 	case l.Reading != nil:
-		r.to.Reading(*l.Reading)
+		r.sink.Reading(*l.Reading)
 	case l.Event != nil:
-		r.to.Event(*l.Event)
+		r.sink.Event(*l.Event)
 	}
 }
 
-// Told returns the number of samples passed to the Sink.
-func (r *Reader) Told() int { return r.told }
+// Count returns the number of samples passed to the Sink.
+func (r *Reader) Count() int { return r.count }
 
 // Err returns the error of the first malformed line, or nil.
 func (r *Reader) Err() error { return r.err }
--- a/internal/lab/sample/sample.go
+++ b/internal/lab/sample/sample.go
@@ -12,23 +12,23 @@
 // The outcomes. Served says nothing about the latency objective of the class; the
 // receiver of the samples evaluates it.
 const (
-	Served     Outcome = "served"
-	Refused    Outcome = "refused"    // rejected, and never ran
-	Unreached  Outcome = "unreached"  // no node accepted it
-	Failed     Outcome = "failed"     // answered with an error, or its connection broke
-	Unanswered Outcome = "unanswered" // the client's timeout expired
-	Left       Outcome = "left"       // the client closed the connection on purpose; not a failure
+	Served      Outcome = "served"
+	Rejected    Outcome = "refused"    // rejected, and never ran
+	NotAccepted Outcome = "unreached"  // no node accepted it
+	Failed      Outcome = "failed"     // answered with an error, or its connection broke
+	Unanswered  Outcome = "unanswered" // the client's timeout expired
+	ClientLeft  Outcome = "left"       // the client closed the connection on purpose; not a failure
 )
 
 // Request is one finished request of a client. Times are since the start of the run.
 type Request struct {
-	Class   string        `json:"class"`
-	Tenant  string        `json:"tenant"`
-	Due     time.Duration `json:"due"`   // scheduled time of arrival
-	Begun   time.Duration `json:"begun"` // when the load generator sent it: after Due if the generator is too slow
-	Ended   time.Duration `json:"ended"` // when its outcome was known
-	Outcome Outcome       `json:"outcome"`
-	Tries   int           `json:"tries"` // the number of attempts by the client
+	Class       string        `json:"class"`
+	Tenant      string        `json:"tenant"`
+	ScheduledAt time.Duration `json:"due"`   // scheduled time of arrival
+	SentAt      time.Duration `json:"begun"` // when the load generator sent it: after Due if the generator is too slow
+	EndedAt     time.Duration `json:"ended"` // when its outcome was known
+	Outcome     Outcome       `json:"outcome"`
+	Attempts    int           `json:"tries"` // the number of attempts by the client
 }
 
 // Reading is a sample of the state of the peers and of the nodes' processes at one instant.
@@ -40,12 +40,12 @@
 
 // Peer is the state of one peer in a Reading. Counts are since the start of the run.
 type Peer struct {
-	Name    string `json:"name"`
-	Down    bool   `json:"down,omitempty"`
-	Held    int    `json:"held"`             // the number of requests that are queued or being processed
-	Arrived int    `json:"arrived"`          // the number of completely received attempts
-	Probes  int    `json:"probes,omitempty"` // the number of received health checks
-	Falls   int    `json:"falls,omitempty"`  // the number of crashes by overload while cold
+	Name             string `json:"name"`
+	Down             bool   `json:"down,omitempty"`
+	OpenRequests     int    `json:"held"`             // the number of requests that are queued or being processed
+	AttemptsReceived int    `json:"arrived"`          // the number of completely received attempts
+	HealthChecks     int    `json:"probes,omitempty"` // the number of received health checks
+	OverloadCrashes  int    `json:"falls,omitempty"`  // the number of crashes by overload while cold
 }
 
 // Node is the resource use of one node in a Reading.
--- a/internal/lab/stage/watch.go
+++ b/internal/lab/stage/watch.go
@@ -43,7 +43,8 @@
 	for _, c := range w.run.script.World.Peers {
 		p := w.run.peers[c.Name]
 		s := p.Stats()
-		r.Peers = append(r.Peers, sample.Peer{Name: c.Name, Down: p.Down(), Held: s.Held, Arrived: s.Arrived, Probes: s.Probes})
+		r.Peers = append(r.Peers, sample.Peer{Name: c.Name, Down: p.Down(), OpenRequests: s.Held,
+			AttemptsReceived: s.Arrived, HealthChecks: s.Probes})
 	}
 	w.to.Reading(r)
 }
--- a/internal/lab/stage/watch_test.go
+++ b/internal/lab/stage/watch_test.go
@@ -19,7 +19,7 @@
 
 func (c *counted) Request(r sample.Request) {
 	c.outcomes[r.Outcome]++
-	if r.Due > r.Begun || r.Begun > r.Ended || r.Begun-r.Due > time.Microsecond {
+	if r.ScheduledAt > r.SentAt || r.SentAt > r.EndedAt || r.SentAt-r.ScheduledAt > time.Microsecond {
 		c.bad++
 	}
 }
@@ -30,7 +30,7 @@
 	}
 	c.readings, c.last, c.arrived = c.readings+1, r.At, 0
 	for _, p := range r.Peers {
-		c.arrived += p.Arrived
+		c.arrived += p.AttemptsReceived
 	}
 }
 
@@ -45,9 +45,9 @@
 		t.Errorf("%s, and watched %s", plain.Hash, watched.Hash)
 	}
 	told, tally := w.outcomes, watched.Tally
-	failed := told[sample.Failed] + told[sample.Unreached]
-	if told[sample.Served] != tally.Served+tally.Late || told[sample.Refused] != tally.Refused ||
-		told[sample.Unanswered] != tally.Unanswered || told[sample.Left] != tally.Left || failed != tally.Failed {
+	failed := told[sample.Failed] + told[sample.NotAccepted]
+	if told[sample.Served] != tally.Served+tally.Late || told[sample.Rejected] != tally.Refused ||
+		told[sample.Unanswered] != tally.Unanswered || told[sample.ClientLeft] != tally.Left || failed != tally.Failed {
 		t.Errorf("told %v of %+v", told, tally)
 	}
 	if w.bad > 0 || w.events == 0 || w.arrived == 0 || w.arrived > tally.Tries || w.readings < int(s.Length.D()/readEach) {
--- a/internal/lab/world/client/crowd.go
+++ b/internal/lab/world/client/crowd.go
@@ -25,8 +25,8 @@
 	until   time.Duration
 	arrive  []*loop.Timer // the next arrival of each process; the first is the crowd's own
 	surges  map[string]int
-	thinner figure.Shares // of arrivals left out
-	leavers figure.Shares
+	thinner figure.ActiveFaults // of arrivals left out
+	leavers figure.ActiveFaults
 
 	conns   []*conn        // all that are open or opening, the oldest first
 	idle    []*conn        // the one used last is the last
@@ -122,7 +122,7 @@
 	draws := figure.Stream(c.env.Seed, name)
 	r := &request{crowd: c, name: name, due: due, begun: c.env.Loop.Now(), began: -1, draws: draws}
 	stays, class, key := draws.Float64(), draws.Float64(), draws.Float64()
-	if stays < c.thinner.Chance() {
+	if stays < c.thinner.Probability() {
 		return
 	}
 	r.class = pick(c.mix, class)
--- a/internal/lab/world/client/request.go
+++ b/internal/lab/world/client/request.go
@@ -83,7 +83,7 @@
 		patience *= c.conf.Patience
 	}
 	budget := figure.Seconds(r.spec().Deadline.D().Seconds() * patience)
-	if leaves < 1-(1-c.conf.Leave)*(1-c.leavers.Chance()) {
+	if leaves < 1-(1-c.conf.Leave)*(1-c.leavers.Probability()) {
 		if early < firstLook {
 			t.leavesIn = figure.Seconds(when * r.spec().Aim.D().Seconds())
 		} else {
@@ -257,8 +257,8 @@
 		return
 	}
 	c.env.Ended(sample.Request{
-		Class: r.spec().Name, Tenant: c.conf.Tenant, Due: r.due, Begun: r.begun, Ended: c.env.Loop.Now(),
-		Outcome: o.name(), Tries: r.tries,
+		Class: r.spec().Name, Tenant: c.conf.Tenant, ScheduledAt: r.due, SentAt: r.begun, EndedAt: c.env.Loop.Now(),
+		Outcome: o.name(), Attempts: r.tries,
 	})
 }
 
@@ -268,13 +268,13 @@
 	case served:
 		return sample.Served
 	case refused:
-		return sample.Refused
+		return sample.Rejected
 	case unreached:
-		return sample.Unreached
+		return sample.NotAccepted
 	case unanswered:
 		return sample.Unanswered
 	case left:
-		return sample.Left
+		return sample.ClientLeft
 	}
 	return sample.Failed
 }
--- a/internal/lab/world/registry/call.go
+++ b/internal/lab/world/registry/call.go
@@ -156,7 +156,7 @@
 
 // arrive lets a call wait for its turn. One that stalls is never heard of again.
 func (r *Registry) arrive(c *call) {
-	if c.stalled < r.stalled.Chance() {
+	if c.stalled < r.stalled.Probability() {
 		return
 	}
 	r.turns = append(r.turns, c)
@@ -194,7 +194,7 @@
 // turn answers a call, or lets it wait for news.
 func (r *Registry) turn(c *call) {
 	b := c.conn.book
-	if c.refused < r.refused.Chance() {
+	if c.refused < r.refused.Probability() {
 		c.conn.reply(503, nil)
 		return
 	}
@@ -205,7 +205,7 @@
 		return
 	}
 	r.watches = append(r.watches, c)
-	breaks := c.broken < r.broken.Chance() && c.how.IntN(2) == 0 // while it waits
+	breaks := c.broken < r.broken.Probability() && c.how.IntN(2) == 0 // while it waits
 	if breaks {
 		left = time.Duration(c.how.Float64() * float64(left))
 	}
@@ -247,10 +247,10 @@
 	}
 	r.seen(link.Dialer(c.conn.link.ID()), l.Servers)
 	body := l.json()
-	if c.garbled < r.garbled.Chance() {
+	if c.garbled < r.garbled.Probability() {
 		body = garble(c.how, l)
 	}
-	if c.broken < r.broken.Chance() {
+	if c.broken < r.broken.Probability() {
 		c.conn.breaks(c.how, body)
 		return
 	}
--- a/internal/lab/world/registry/faults.go
+++ b/internal/lab/world/registry/faults.go
@@ -35,8 +35,8 @@
 // whose calls that shows is chance.
 func (r *Registry) reach() {
 	failing := r.down > 0
-	for _, some := range []*figure.Shares{&r.broken, &r.stalled, &r.refused, &r.garbled} {
-		failing = failing || some.Chance() > 0
+	for _, some := range []*figure.ActiveFaults{&r.broken, &r.stalled, &r.refused, &r.garbled} {
+		failing = failing || some.Probability() > 0
 	}
 	if failing != r.failing {
 		r.failing = failing
--- a/internal/lab/world/registry/registry.go
+++ b/internal/lab/world/registry/registry.go
@@ -46,7 +46,7 @@
 	serving  bool    // a call has its turn
 	watches  []*call // that wait for news
 
-	slowness, broken, stalled, refused, garbled figure.Shares
+	slowness, broken, stalled, refused, garbled figure.ActiveFaults
 }
 
 // New makes a discovery service that listens at c.Addr and knows of none of the
