--- a/internal/lab/campaign/campaign_test.go
+++ b/internal/lab/campaign/campaign_test.go
@@ -77,8 +77,8 @@
 			t.Errorf("job %d: want %s: %v", next, w[0], v)
 		default:
 			for _, part := range w[1:] {
-				if !strings.Contains(v[0].What, part) || strings.Contains(v[0].What, "\n") {
-					t.Errorf("job %d: no %q in one line: %s", next, part, v[0].What)
+				if !strings.Contains(v[0].Detail, part) || strings.Contains(v[0].Detail, "\n") {
+					t.Errorf("job %d: no %q in one line: %s", next, part, v[0].Detail)
 				}
 			}
 		}
@@ -176,7 +176,7 @@
 	}})
 	r.Add(campaign.Outcome{Result: stage.Result{
 		Seed: 2, Virtual: 10 * time.Second, Kinds: []string{"a"},
-		Violations: []rules.Violation{{Rule: "late", At: time.Second, What: "x"}},
+		Violations: []rules.Violation{{Rule: "late", At: time.Second, Detail: "x"}},
 	}})
 	var b bytes.Buffer
 	if err := r.WriteJSON(&b); err != nil {
--- a/internal/lab/campaign/campaigntest/sources.go
+++ b/internal/lab/campaign/campaigntest/sources.go
@@ -117,7 +117,7 @@
 func act(t *testing.T, r *stage.Result, kind string, now time.Duration) {
 	switch kind {
 	case "breaks":
-		r.Violations = append(r.Violations, rules.Violation{Rule: "lost", At: now, What: "a call was lost"})
+		r.Violations = append(r.Violations, rules.Violation{Rule: "lost", At: now, Detail: "a call was lost"})
 	case "panics":
 		go panic(errors.New("a wrong turn"))
 		time.Sleep(time.Second)
--- a/internal/lab/campaign/hunt.go
+++ b/internal/lab/campaign/hunt.go
@@ -56,7 +56,7 @@
 				continue
 			}
 			if slices.Contains(p.Rules, v.Rule) {
-				f.Rule, f.Seed, f.What = v.Rule, o.Job.Seed, v.What
+				f.Rule, f.Seed, f.What = v.Rule, o.Job.Seed, v.Detail
 				return false
 			}
 			if !slices.Contains(f.Others, v.Rule) {
--- a/internal/lab/campaign/job.go
+++ b/internal/lab/campaign/job.go
@@ -56,6 +56,6 @@
 // ended is the outcome of a run whose worker died, or had to be killed.
 func ended(j Job, rule, what, said string) Outcome {
 	return Outcome{Job: j, Said: said, Result: stage.Result{
-		Seed: j.Seed, Violations: []rules.Violation{{Rule: rule, What: what}},
+		Seed: j.Seed, Violations: []rules.Violation{{Rule: rule, Detail: what}},
 	}}
 }
--- a/internal/lab/campaign/worker.go
+++ b/internal/lab/campaign/worker.go
@@ -120,7 +120,7 @@
 		result = &stage.Result{Seed: script.Seed}
 	}
 	if !whole { // so the race detector tells, where the worker was built with it
-		v := rules.Violation{Rule: RuleCrash, At: result.Virtual, What: "the run was failed by package testing"}
+		v := rules.Violation{Rule: RuleCrash, At: result.Virtual, Detail: "the run was failed by package testing"}
 		result.Violations = append(result.Violations, v)
 	}
 	return reply{ID: j.ID, Result: result}
--- a/internal/lab/event/observer.go
+++ b/internal/lab/event/observer.go
@@ -29,9 +29,9 @@
 	// report.
 	DiscoveryReachable(node, addr string, served bool)
 	// MalformedInput reports that the bytes that the client sends on a connection
-	// from now on must not be forwarded, for the reason why. The client must
-	// receive an error or a close within the time limit within.
-	MalformedInput(conn, why string, within time.Duration)
+	// from now on must not be forwarded, for the given reason. The client must
+	// receive an error or a close within timeLimit.
+	MalformedInput(conn, reason string, timeLimit time.Duration)
 	// NodeStarted reports that a node started with the endpoint list of a version.
 	NodeStarted(node string, version int64)
 	// NodeKilled reports that a node was killed.
@@ -42,7 +42,7 @@
 	// NodeCommanded reports an operator's command to a node. SUSPEND and PAUSE
 	// are reported when the node has answered SUCCESS, RESTORE and RESUME when
 	// they are sent.
-	NodeCommanded(node, call, peer string)
+	NodeCommanded(node, command, peer string)
 }
 
 // NopObserver is an Observer that ignores all events. It is embedded in observers
--- a/internal/lab/experiment/record.go
+++ b/internal/lab/experiment/record.go
@@ -186,7 +186,7 @@
 	}
 	r.series(out)
 	for _, e := range r.events {
-		out.Events = append(out.Events, report.Event{At: e.At.Seconds(), Who: e.Who, What: e.What})
+		out.Events = append(out.Events, report.Event{At: e.At.Seconds(), Who: e.Name, What: e.Change})
 	}
 	return out
 }
@@ -291,7 +291,7 @@
 		}
 		n++
 		for _, one := range r.reads[i].Nodes {
-			mb += float64(one.Resident) / (1 << 20)
+			mb += float64(one.ResidentBytes) / (1 << 20)
 		}
 	}
 	if n == 0 || mb == 0 {
--- a/internal/lab/experiment/run_test.go
+++ b/internal/lab/experiment/run_test.go
@@ -74,9 +74,9 @@
 			r.Peers = append(r.Peers, sample.Peer{
 				Name: p.Name, OpenRequests: i, Down: down, AttemptsReceived: int(8 * at / time.Second)})
 		}
-		r.Nodes = []sample.Node{{Name: "n1", CPU: at / 100, Resident: 64 << 20}}
+		r.Nodes = []sample.Node{{Name: "n1", CPU: at / 100, ResidentBytes: 64 << 20}}
 		if at >= 8*time.Second {
-			r.Nodes[0].Resident *= 2
+			r.Nodes[0].ResidentBytes *= 2
 		}
 		to.Reading(r)
 	}
--- a/internal/lab/figure/figure.go
+++ b/internal/lab/figure/figure.go
@@ -50,8 +50,8 @@
 	if cv <= 0 {
 		return mean
 	}
-	s2 := math.Log(1 + cv*cv)
-	return mean * math.Exp(math.Sqrt(s2)*r.NormFloat64()-s2/2)
+	variance := math.Log(1 + cv*cv)
+	return mean * math.Exp(math.Sqrt(variance)*r.NormFloat64()-variance/2)
 }
 
 // Seconds converts a number of seconds to a time.Duration.
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -237,7 +237,7 @@
 func (g *rig) Event(e sample.Event) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.peers = append(g.peers, PeerEvent{record.Now(), e.Who, e.What})
+	g.peers = append(g.peers, PeerEvent{record.Now(), e.Name, e.Change})
 }
 
 // Reading implements sample.Sink.
@@ -252,6 +252,6 @@
 	g.probed = append(g.probed, ProbeCount{record.Now(), probes})
 	for _, n := range r.Nodes {
 		g.cpu[n.Name] = n.CPU
-		g.rss[n.Name] = max(g.rss[n.Name], n.Resident)
+		g.rss[n.Name] = max(g.rss[n.Name], n.ResidentBytes)
 	}
 }
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -147,7 +147,7 @@
 		})
 	})
 }
-func (s *seen) Event(e sample.Event) { s.events = append(s.events, e.Who+" "+e.What) }
+func (s *seen) Event(e sample.Event) { s.events = append(s.events, e.Name+" "+e.Change) }
 
 // check holds what TestScript's run has told against how it ended: each request once, with times of the script's;
 // readings close to each other, in which nothing runs backwards though processes come and go; what happened.
@@ -176,7 +176,7 @@
 		down = down || r.Peers[0].Down
 		last = r
 	}
-	if s.readings[0].At > 100*time.Millisecond || !down || last.Nodes[0].CPU <= 0 || last.Nodes[1].Resident < 1<<20 {
+	if s.readings[0].At > 100*time.Millisecond || !down || last.Nodes[0].CPU <= 0 || last.Nodes[1].ResidentBytes < 1<<20 {
 		t.Errorf("first %+v, last %+v", s.readings[0], last)
 	}
 	for _, want := range []string{"p01 ended", "p01 started cold", "p01 listed Ready", "n1 killed", "n1 started",
--- a/internal/lab/live/watch.go
+++ b/internal/lab/live/watch.go
@@ -66,7 +66,7 @@
 	for i, n := range w.run.nodes {
 		pid := n.pid()
 		w.used[i] = max(w.used[i], n.used+usedBy(pid)-w.base[i])
-		r.Nodes = append(r.Nodes, sample.Node{Name: n.c.Name, CPU: w.used[i], Resident: residentOf(pid)})
+		r.Nodes = append(r.Nodes, sample.Node{Name: n.c.Name, CPU: w.used[i], ResidentBytes: residentOf(pid)})
 	}
 	w.to.Reading(r)
 }
@@ -83,7 +83,7 @@
 // tell tells of something that happened.
 func (w *watch) tell(who, what string) {
 	if w.on {
-		w.to.Event(sample.Event{At: w.now(), Who: who, What: what})
+		w.to.Event(sample.Event{At: w.now(), Name: who, Change: what})
 	}
 }
 
--- a/internal/lab/rules/client_conn.go
+++ b/internal/lab/rules/client_conn.go
@@ -28,10 +28,10 @@
 	answering      *request   // the request whose answer the node is sending; nil: none
 	announcedClose bool       // an answer announced the close of the connection
 
-	malformedReason  string        // why input must not be served; "": all input may be served
-	malformedFrom    int64         // offset from which input must not be served
-	malformedWithin  time.Duration // time limit for an error or a close
-	malformedHandled bool          // the client got an error or a close, or needs none any more
+	malformedReason    string        // why input must not be served; "": all input may be served
+	malformedFrom      int64         // offset from which input must not be served
+	malformedTimeLimit time.Duration // time limit for an error or a close
+	malformedHandled   bool          // the client got an error or a close, or needs none any more
 }
 
 // request handles a scan event in the bytes that the client sends.
@@ -257,8 +257,8 @@
 // malformedInput is the reason why input must not be served, and the time limit
 // within which the client must get an error or a close.
 type malformedInput struct {
-	reason string
-	within time.Duration
+	reason    string
+	timeLimit time.Duration
 }
 
 // markMalformed marks everything that the client sends from now on as malformed.
@@ -269,7 +269,7 @@
 	}
 	c.malformedReason = m.reason
 	c.malformedFrom = c.forward.sent
-	c.malformedWithin = m.within
+	c.malformedTimeLimit = m.timeLimit
 	if c.open {
 		c.expectError()
 	}
@@ -278,12 +278,12 @@
 // expectError schedules the check that the client has got an error or a close
 // within the time limit.
 func (c *clientConn) expectError() {
-	at := c.judge.now + c.malformedWithin + c.judge.config.Slack
+	at := c.judge.now + c.malformedTimeLimit + c.judge.config.Slack
 	c.judge.schedule(at, func() {
 		if !c.malformedHandled && c.node.incarnation == c.incarnation {
 			c.malformedHandled = true
 			c.judge.report(Bad, at, "%s: neither error nor close within %v: %s",
-				c.id, c.malformedWithin, c.malformedReason)
+				c.id, c.malformedTimeLimit, c.malformedReason)
 		}
 	})
 }
@@ -340,14 +340,15 @@
 // killed checks the unanswered requests of a killed node. They are lost if the
 // kill ends a graceful shutdown, unless they arrived shortly after SIGTERM.
 func (c *clientConn) killed(at time.Duration) {
-	term := c.node.terminatedAt
-	planned := term > 0 && at >= term+min(c.judge.maxDeadline, maxPlannedDeadline)+lateArrivalGrace
-	excusedUntil := term + lateArrivalGrace + c.judge.config.Slack
+	terminatedAt := c.node.terminatedAt
+	shutdownComplete := terminatedAt > 0 &&
+		at >= terminatedAt+min(c.judge.maxDeadline, maxPlannedDeadline)+lateArrivalGrace
+	excusedUntil := terminatedAt + lateArrivalGrace + c.judge.config.Slack
 	for _, r := range c.queue {
-		if planned && r.needsAnswer() && r.arrived && !r.reported && r.acceptedAt > excusedUntil {
+		if shutdownComplete && r.needsAnswer() && r.arrived && !r.reported && r.acceptedAt > excusedUntil {
 			r.reported = true
 			c.judge.report(Lost, at, "%s: call %s came %v after SIGTERM and has no answer at the node's end",
-				c.id, r.id, r.acceptedAt-term)
+				c.id, r.id, r.acceptedAt-terminatedAt)
 		}
 		c.settle(r)
 	}
--- a/internal/lab/rules/commands.go
+++ b/internal/lab/rules/commands.go
@@ -31,13 +31,13 @@
 }
 
 // NodeCommanded implements event.Observer.
-func (j *Judge) NodeCommanded(name, call, peer string) {
+func (j *Judge) NodeCommanded(name, command, peer string) {
 	now := j.clock()
 	n := j.nodes[name]
 	if n == nil || !n.alive {
 		return
 	}
-	switch call {
+	switch command {
 	case "SUSPEND":
 		j.suspend(n, peer)
 	case "RESTORE":
@@ -49,17 +49,19 @@
 	}
 }
 
+// suspend records that a node has suspended a peer.
 func (j *Judge) suspend(n *node, peer string) {
-	if _, again := n.suspended[peer]; again {
+	if _, suspended := n.suspended[peer]; suspended {
 		return
 	}
 	last, used := j.lastUsed[peer]
 	n.suspended[peer] = suspension{since: j.now, inUse: used && j.now-last <= recentUseWindow}
 }
 
+// restore ends the suspension of a peer at a node.
 func (j *Judge) restore(n *node, peer string) {
-	s, was := n.suspended[peer]
-	if !was {
+	s, suspended := n.suspended[peer]
+	if !suspended {
 		return
 	}
 	delete(n.suspended, peer)
@@ -98,13 +100,14 @@
 // expectUse schedules the check that a restored peer which was in use before its
 // suspension is used again.
 func (j *Judge) expectUse(peer string) {
-	restored := j.now
-	attempts := j.attempts
-	j.schedule(restored+reuseLimit+j.config.Slack, func() {
-		if j.attempts-attempts < minAttemptsForReuse || j.lastUsed[peer] > restored || !j.available(peer, restored) {
+	restoredAt := j.now
+	attemptsBefore := j.attempts
+	j.schedule(restoredAt+reuseLimit+j.config.Slack, func() {
+		if j.attempts-attemptsBefore < minAttemptsForReuse || j.lastUsed[peer] > restoredAt ||
+			!j.available(peer, restoredAt) {
 			return
 		}
-		j.report(Unused, j.now, "peer %s is unused %v after it was put back", peer, j.now-restored)
+		j.report(Unused, j.now, "peer %s is unused %v after it was put back", peer, j.now-restoredAt)
 	})
 }
 
--- a/internal/lab/rules/discovery_view.go
+++ b/internal/lab/rules/discovery_view.go
@@ -68,15 +68,15 @@
 // leavingBefore reports whether a peer has been leaving since before the instant
 // late, and since when. A peer whose name is unknown to the node is looked up by
 // its address.
-func (v *discoveryView) leavingBefore(late time.Duration, name, addr string) (since time.Duration, leaving bool) {
+func (v *discoveryView) leavingBefore(latest time.Duration, name, addr string) (since time.Duration, leaving bool) {
 	if peer := v.peers[name]; peer != nil {
-		return peer.leavingSince, peer.leaving && peer.leavingSince < late
+		return peer.leavingSince, peer.leaving && peer.leavingSince < latest
 	}
 	for _, peer := range v.peers {
 		if peer.addr != addr {
 			continue
 		}
-		if !peer.leaving || peer.leavingSince >= late {
+		if !peer.leaving || peer.leavingSince >= latest {
 			return 0, false
 		}
 		leaving = true
@@ -242,8 +242,8 @@
 // checkDrain checks that an attempt to a leaving peer began within the drain
 // grace period.
 func (j *Judge) checkDrain(c *peerConn, a *attempt) {
-	late := a.begunAt - j.config.Contract.DrainGrace.D() - j.config.Slack
-	since, leaving := c.node.view.leavingBefore(late, c.name, c.to)
+	latestSince := a.begunAt - j.config.Contract.DrainGrace.D() - j.config.Slack
+	since, leaving := c.node.view.leavingBefore(latestSince, c.name, c.to)
 	if !leaving {
 		return
 	}
--- a/internal/lab/rules/judge.go
+++ b/internal/lab/rules/judge.go
@@ -120,7 +120,7 @@
 		j.omitted++
 		return
 	}
-	j.violations = append(j.violations, Violation{Rule: rule, At: at, What: fmt.Sprintf(format, args...)})
+	j.violations = append(j.violations, Violation{Rule: rule, At: at, Detail: fmt.Sprintf(format, args...)})
 }
 
 // Violations returns the first 20 violations found, sorted by time.
--- a/internal/lab/rules/observer.go
+++ b/internal/lab/rules/observer.go
@@ -51,9 +51,9 @@
 }
 
 // MalformedInput implements event.Observer.
-func (j *Judge) MalformedInput(id, why string, within time.Duration) {
+func (j *Judge) MalformedInput(id, reason string, timeLimit time.Duration) {
 	j.clock()
-	input := malformedInput{reason: why, within: within}
+	input := malformedInput{reason: reason, timeLimit: timeLimit}
 	k := j.conns[id]
 	switch {
 	case k == nil:
--- a/internal/lab/rules/peer_conn.go
+++ b/internal/lab/rules/peer_conn.go
@@ -80,15 +80,15 @@
 // reports the violation, if no request allows the attempt.
 func (c *peerConn) matchRequest(a *attempt, k *call, m *message) *request {
 	j := c.judge
-	found, over := k.findRequest(a, m)
+	found, finished := k.findRequest(a, m)
 	switch {
 	case found != nil && found.malformed:
 		j.report(Bad, j.now, "%s: call %s is tried on peer %s: %s", c.id, k.id, c.name, found.conn.malformedReason)
 	case found != nil:
 		return found
-	case over != nil:
+	case finished != nil:
 		j.report(Hidden, j.now, "%s: call %s is tried on peer %s %v after it was over",
-			c.id, k.id, c.name, a.begunAt-over.forbiddenSince)
+			c.id, k.id, c.name, a.begunAt-finished.forbiddenSince)
 	default:
 		j.report(Hidden, j.now, "%s: call %s to peer %s is not as its client sent it", c.id, k.id, c.name)
 	}
@@ -98,18 +98,18 @@
 // findRequest returns the request of the call that an attempt forwards, and one
 // that it would forward if further attempts of that request were not forbidden.
 // Either may be nil.
-func (k *call) findRequest(a *attempt, m *message) (found, over *request) {
+func (k *call) findRequest(a *attempt, m *message) (found, finished *request) {
 	for _, r := range k.requests {
 		switch {
 		case !r.accepted || r.acceptedAt > a.begunAt:
 		case r.method != m.method || r.target != m.target || r.body != m.body:
 		case r.attemptsForbidden && a.begunAt > r.forbiddenSince:
-			over = r
+			finished = r
 		case found == nil || found.malformed:
 			found = r
 		}
 	}
-	return found, over
+	return found, finished
 }
 
 // checkRetry checks that the earlier attempts of a call permit another one.
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -56,10 +56,10 @@
 	s.j.Tick(s.now)
 }
 
-func (s *timeline) networkEvent(w link.EventKind, conn string, back bool, data, note string) {
-	e := s.ends[conn]
+func (s *timeline) networkEvent(kind link.EventKind, conn string, back bool, data, note string) {
+	ends := s.ends[conn]
 	s.j.Observe(link.Event{
-		At: s.now, Kind: w, Conn: conn, From: e[0], To: e[1], Back: back, Data: []byte(data), Note: note,
+		At: s.now, Kind: kind, Conn: conn, From: ends[0], To: ends[1], Back: back, Data: []byte(data), Note: note,
 	})
 	s.advance(ms)
 }
@@ -126,16 +126,16 @@
 }
 
 // listAnswer returns an answer of discovery with entries such as "p1=Ready"; "p1=Ready@7" adds the start time in ms.
-func listAnswer(version int, full bool, some ...string) string {
-	var all []string
-	for _, e := range some {
+func listAnswer(version int, full bool, entries ...string) string {
+	var listed []string
+	for _, e := range entries {
 		name, state, _ := strings.Cut(e, "=")
 		state, started, _ := strings.Cut(state+"@0", "@")
 		started, _, _ = strings.Cut(started, "@")
 		const form = `{"id":%q,"addr":"%[1]s:9","state":%q,"started_ms":%s}`
-		all = append(all, fmt.Sprintf(form, name, state, started))
+		listed = append(listed, fmt.Sprintf(form, name, state, started))
 	}
-	servers := strings.Join(all, ",")
+	servers := strings.Join(listed, ",")
 	return answerBytes(fmt.Sprintf(`200 {"version":%d,"full":%v,"servers":[%s]}`, version, full, servers))
 }
 
@@ -155,12 +155,12 @@
 
 // coldAttempts lists a cold start of p1, notifies the node of it if knows is true, and sends n calls with 0.1 s of
 // work each to p1.
-func (s *timeline) coldAttempts(knows bool, n int) {
+func (s *timeline) coldAttempts(notified bool, n int) {
 	s.advance(time.Second)
 	s.j.PeerStarted("p1", "p1:9", true)
 	s.j.PeerListed(3, "p1", "p1:9", ready, s.now)
 	s.advance(ms)
-	if knows {
+	if notified {
 		s.poll("d", "")
 		s.send("d", true, listAnswer(3, true, "p1=Ready@7", "p2=Ready"))
 	}
--- a/internal/lab/rules/scanner.go
+++ b/internal/lab/rules/scanner.go
@@ -42,16 +42,16 @@
 	storeBody   bool // bodies are stored, not only hashed
 	answersHEAD bool // the current answer is to a HEAD request; set after messageBegun
 
-	step        func(s *scanner, b []byte) (int, scanEvent) // nil: between messages
-	line        []byte                                      // received part of the current line
-	headRoom    int                                         // remaining bytes of the head's size limit
-	atFirstLine bool                                        // the next line is the first one of the message
-	remaining   int64                                       // remaining bytes of the body or chunk
+	step          func(s *scanner, b []byte) (int, scanEvent) // nil: between messages
+	line          []byte                                      // received part of the current line
+	headBytesLeft int                                         // remaining bytes of the head's size limit
+	atFirstLine   bool                                        // the next line is the first one of the message
+	remaining     int64                                       // remaining bytes of the body or chunk
 
-	lengthCount   int   // number of Content-Length fields
-	length        int64 // value of the last Content-Length field
-	codingCount   int   // number of Transfer-Encoding fields
-	rejectedCount int   // number of X-Rejected fields
+	contentLengthCount    int   // number of Content-Length fields
+	length                int64 // value of the last Content-Length field
+	transferEncodingCount int   // number of Transfer-Encoding fields
+	rejectedCount         int   // number of X-Rejected fields
 
 	bodyHash hash.Hash // nil until a body arrives in pieces
 	hashing  bool      // bodyHash covers a part of the current body
@@ -75,11 +75,11 @@
 func (s *scanner) begin() {
 	s.message = message{}
 	s.atFirstLine = true
-	s.headRoom = maxHead
+	s.headBytesLeft = maxHead
 	s.answersHEAD = false
-	s.lengthCount = 0
+	s.contentLengthCount = 0
 	s.length = 0
-	s.codingCount = 0
+	s.transferEncodingCount = 0
 	s.rejectedCount = 0
 	s.step = (*scanner).head
 }
@@ -112,18 +112,18 @@
 // readLine appends bytes up to the end of a line to s.line and returns their
 // number. If complete is true, s.line holds the whole line without its CRLF. ok is
 // false for a malformed line or one that exceeds the size limit.
-func (s *scanner) readLine(b []byte) (n int, complete, ok bool) {
+func (s *scanner) readLine(b []byte) (n int, lineComplete, ok bool) {
 	n = bytes.IndexByte(b, '\n') + 1
-	complete = n > 0
-	if !complete {
+	lineComplete = n > 0
+	if !lineComplete {
 		n = len(b)
 	}
-	s.headRoom -= n
-	if s.headRoom < 0 {
+	s.headBytesLeft -= n
+	if s.headBytesLeft < 0 {
 		return n, false, false
 	}
 	s.line = append(s.line, b[:n]...)
-	if !complete {
+	if !lineComplete {
 		return n, false, true
 	}
 	if len(s.line) < 2 || s.line[len(s.line)-2] != '\r' {
@@ -191,8 +191,8 @@
 	case isField(name, "Content-Length"):
 		return s.contentLength(string(value))
 	case isField(name, "Transfer-Encoding"):
-		s.codingCount++
-		return s.codingCount == 1 && strings.EqualFold(string(value), "chunked")
+		s.transferEncodingCount++
+		return s.transferEncodingCount == 1 && strings.EqualFold(string(value), "chunked")
 	case isField(name, "Connection"):
 		s.connectionOptions(string(value))
 	case isField(name, "X-Call-Id"):
@@ -217,10 +217,10 @@
 // contentLength parses a Content-Length field and reports whether it is valid and
 // the only one.
 func (s *scanner) contentLength(value string) bool {
-	s.lengthCount++
+	s.contentLengthCount++
 	length, err := strconv.ParseUint(value, 10, 62)
 	s.length = int64(length)
-	return err == nil && s.lengthCount == 1
+	return err == nil && s.contentLengthCount == 1
 }
 
 // connectionOptions looks for the option close in a Connection field.
@@ -244,14 +244,14 @@
 // reports whether the head is valid in that respect.
 func (s *scanner) chooseFraming() bool {
 	switch {
-	case s.lengthCount > 0 && s.codingCount > 0:
+	case s.contentLengthCount > 0 && s.transferEncodingCount > 0:
 		return false
 	case s.answers && s.hasNoBody():
 		s.step = (*scanner).complete
-	case s.codingCount > 0:
+	case s.transferEncodingCount > 0:
 		s.step = (*scanner).chunkHeader
-		s.headRoom = maxHead
-	case s.lengthCount > 0:
+		s.headBytesLeft = maxHead
+	case s.contentLengthCount > 0:
 		s.step = (*scanner).fixedBody
 		s.remaining = s.length
 	case s.answers:
@@ -369,7 +369,7 @@
 	s.remaining -= int64(n)
 	if s.remaining == 0 {
 		s.step = (*scanner).chunkEnd
-		s.headRoom = maxHead
+		s.headBytesLeft = maxHead
 	}
 	return n, needMore
 }
--- a/internal/lab/rules/violation.go
+++ b/internal/lab/rules/violation.go
@@ -11,10 +11,10 @@
 	Rule string `json:"rule"`
 	// At is the time of the violation since the start of the run.
 	At time.Duration `json:"at"`
-	// What describes the observation in one line.
-	What string `json:"what"`
+	// Detail describes the observation in one line.
+	Detail string `json:"what"`
 }
 
 func (v Violation) String() string {
-	return fmt.Sprintf("%s at %.6fs: %s", v.Rule, v.At.Seconds(), v.What)
+	return fmt.Sprintf("%s at %.6fs: %s", v.Rule, v.At.Seconds(), v.Detail)
 }
--- a/internal/lab/sample/sample.go
+++ b/internal/lab/sample/sample.go
@@ -50,16 +50,16 @@
 
 // Node is the resource use of one node in a Reading.
 type Node struct {
-	Name     string        `json:"name"`
-	CPU      time.Duration `json:"cpu"`      // processor time of all its processes since the start of the run
-	Resident int64         `json:"resident"` // resident memory, in bytes
+	Name          string        `json:"name"`
+	CPU           time.Duration `json:"cpu"`      // processor time of all its processes since the start of the run
+	ResidentBytes int64         `json:"resident"` // resident memory, in bytes
 }
 
 // Event is a state change of a peer or a node.
 type Event struct {
-	At   time.Duration `json:"at"`   // since the start of the run
-	Who  string        `json:"who"`  // name of the peer or node
-	What string        `json:"what"` // word for the change, such as "killed"
+	At     time.Duration `json:"at"`   // since the start of the run
+	Name   string        `json:"who"`  // name of the peer or node
+	Change string        `json:"what"` // word for the change, such as "killed"
 }
 
 // Sink receives the samples of a run in the order of their occurrence.
--- a/internal/lab/stage/run.go
+++ b/internal/lab/stage/run.go
@@ -112,7 +112,7 @@
 
 // fail notes what the stage itself finds.
 func (r *run) fail(rule, format string, args ...any) {
-	r.faults = append(r.faults, rules.Violation{Rule: rule, At: r.loop.Now(), What: fmt.Sprintf(format, args...)})
+	r.faults = append(r.faults, rules.Violation{Rule: rule, At: r.loop.Now(), Detail: fmt.Sprintf(format, args...)})
 }
 
 // play lets the script happen, and the world come to rest after it.
--- a/internal/lab/stage/watch.go
+++ b/internal/lab/stage/watch.go
@@ -51,7 +51,7 @@
 
 func (w *watch) tell(who, what string) {
 	if !w.over {
-		w.to.Event(sample.Event{At: w.run.loop.Now(), Who: who, What: what})
+		w.to.Event(sample.Event{At: w.run.loop.Now(), Name: who, Change: what})
 	}
 }
 
