--- a/cmd/olivebridge/descriptors_test.go
+++ b/cmd/olivebridge/descriptors_test.go
@@ -77,12 +77,12 @@
 	for _, sockets := range []int{64, 256} {
 		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
 			t.Parallel()
-			checkFullDescriptors(t, sockets)
+			testFilledDescriptors(t, sockets)
 		})
 	}
 }
 
-func checkFullDescriptors(t *testing.T, sockets int) {
+func testFilledDescriptors(t *testing.T, sockets int) {
 	const unansweredPolls = 4 // the number of polls that discovery leaves unanswered after its restart
 	s, handlers := newRuleChecker(), []http.HandlerFunc(nil)
 	for i := range sockets / 2 {
--- a/cmd/olivebridge/rule_checker_test.go
+++ b/cmd/olivebridge/rule_checker_test.go
@@ -140,7 +140,7 @@
 	if err != nil && body == nil && s.notReceived(id) {
 		resp, err = client.Do(req)
 	}
-	took := time.Since(begun)
+	duration := time.Since(begun)
 	if err == nil {
 		io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
@@ -151,7 +151,7 @@
 	a := s.request(id)
 	a.class = class
 	a.status = status
-	a.duration = took
+	a.duration = duration
 	a.timeout = timeout
 	a.abandoned = s.killed && status == 0
 	return status, retryAfter
--- a/internal/lab/rules/client_conn.go
+++ b/internal/lab/rules/client_conn.go
@@ -89,7 +89,7 @@
 		}
 	}
 	if c.malformedReason != "" {
-		c.expectError()
+		c.scheduleErrorCheck()
 	}
 }
 
@@ -105,7 +105,7 @@
 			r.arrivedAt = c.judge.now
 		}
 	}
-	c.armDeadline()
+	c.scheduleDeadlineCheck()
 	if end {
 		for _, r := range c.queue {
 			r.forbidAttempts(c.judge.now + c.judge.config.Slack)
@@ -113,17 +113,17 @@
 	}
 }
 
-// armDeadline schedules the check that the oldest unanswered request is
+// scheduleDeadlineCheck schedules the check that the oldest unanswered request is
 // answered in time.
-func (c *clientConn) armDeadline() {
+func (c *clientConn) scheduleDeadlineCheck() {
 	if len(c.queue) == 0 {
 		return
 	}
 	r := c.queue[0]
-	if !r.arrived || !r.accepted || r.deadlineArmed {
+	if !r.arrived || !r.accepted || r.deadlineScheduled {
 		return
 	}
-	r.deadlineArmed = true
+	r.deadlineScheduled = true
 	if r.budget == 0 && r.class != nil {
 		r.budget = r.class.Deadline.D()
 	}
@@ -204,7 +204,7 @@
 	if c.announcedClose {
 		c.settleAccepted()
 	}
-	c.armDeadline()
+	c.scheduleDeadlineCheck()
 }
 
 // checkMalformedAnswer checks an answer to malformed input: its status must be
@@ -271,13 +271,13 @@
 	c.malformedFrom = c.forward.sent
 	c.malformedTimeLimit = m.timeLimit
 	if c.open {
-		c.expectError()
+		c.scheduleErrorCheck()
 	}
 }
 
-// expectError schedules the check that the client has got an error or a close
+// scheduleErrorCheck schedules the check that the client has got an error or a close
 // within the time limit.
-func (c *clientConn) expectError() {
+func (c *clientConn) scheduleErrorCheck() {
 	at := c.judge.now + c.malformedTimeLimit + c.judge.config.Slack
 	c.judge.schedule(at, func() {
 		if !c.malformedHandled && c.node.incarnation == c.incarnation {
--- a/internal/lab/rules/commands.go
+++ b/internal/lab/rules/commands.go
@@ -71,7 +71,7 @@
 		view.started = max(view.started, start.at)
 	}
 	if s.inUse {
-		j.expectUse(peer)
+		j.scheduleUseCheck(peer)
 	}
 }
 
@@ -97,9 +97,9 @@
 	}
 }
 
-// expectUse schedules the check that a restored peer which was in use before its
+// scheduleUseCheck schedules the check that a restored peer which was in use before its
 // suspension is used again.
-func (j *Judge) expectUse(peer string) {
+func (j *Judge) scheduleUseCheck(peer string) {
 	restoredAt := j.now
 	attemptsBefore := j.attempts
 	j.schedule(restoredAt+reuseLimit+j.config.Slack, func() {
--- a/internal/lab/rules/conn.go
+++ b/internal/lab/rules/conn.go
@@ -51,9 +51,9 @@
 
 func byID(a, b *conn) int { return strings.Compare(a.id, b.id) }
 
-// track adds the connection of an event to the judge's state. It returns nil if
+// addConn adds the connection of an event to the judge's state. It returns nil if
 // neither end is a node.
-func (j *Judge) track(c link.Event) *conn {
+func (j *Judge) addConn(c link.Event) *conn {
 	k := &conn{judge: j, id: c.Conn, from: c.From, to: c.To}
 	k.backward.scan.answers = true
 	host, isNodePort := strings.CutSuffix(c.To, nodePort)
--- a/internal/lab/rules/discovery_conn.go
+++ b/internal/lab/rules/discovery_conn.go
@@ -34,7 +34,7 @@
 
 // dialed is called when the node dials discovery, which counts as a poll.
 func (c *discoveryConn) dialed() {
-	c.judge.assumeKnownWhenIdle(c.node)
+	c.judge.assumeNotifiedWhenIdle(c.node)
 	view := &c.node.view
 	if view.discovery == "" {
 		view.discovery = c.to
@@ -52,7 +52,7 @@
 	if !ok {
 		return
 	}
-	c.judge.assumeKnownWhenIdle(c.node)
+	c.judge.assumeNotifiedWhenIdle(c.node)
 	poll := &discoveryPoll{wait: wait, end: c.forward.sent}
 	c.polls = append(c.polls, poll)
 	c.node.view.pendingPolls++
@@ -122,7 +122,7 @@
 		}
 		c.settle(poll, false)
 		if !poll.resolved && c.isFollowed() {
-			c.judge.assumeKnown(c.node, poll.position, at)
+			c.judge.assumeNotified(c.node, poll.position, at)
 		}
 	})
 }
--- a/internal/lab/rules/discovery_view.go
+++ b/internal/lab/rules/discovery_view.go
@@ -99,14 +99,14 @@
 // version.
 func (j *Judge) initializeView(n *node, version int64) {
 	n.view.idleSince = j.now
-	j.assumeKnown(n, j.listings.positionOfVersion(version), j.now)
+	j.assumeNotified(n, j.listings.positionOfVersion(version), j.now)
 	n.view.idlePosition = 0
 }
 
-// assumeKnown marks a node as notified, at an instant, of the listings up to a
+// assumeNotified marks a node as notified, at an instant, of the listings up to a
 // position, except for peers with a later notification. It makes no leaving peer
 // usable: only an answer on the wire notifies of Ready.
-func (j *Judge) assumeKnown(n *node, position int, at time.Duration) {
+func (j *Judge) assumeNotified(n *node, position int, at time.Duration) {
 	for _, name := range j.listings.peers {
 		i := j.listings.lastBefore(name, position)
 		if i < 0 {
@@ -145,8 +145,8 @@
 			}
 		}
 	}
-	if j.config.Known != nil {
-		j.config.Known(*l.Version)
+	if j.config.OnListReceived != nil {
+		j.config.OnListReceived(*l.Version)
 	}
 }
 
@@ -168,10 +168,10 @@
 	}
 }
 
-// assumeKnownWhenIdle marks a node that has not polled discovery for at least
+// assumeNotifiedWhenIdle marks a node that has not polled discovery for at least
 // the polling interval as notified of the listings that are older than the
 // interval.
-func (j *Judge) assumeKnownWhenIdle(n *node) {
+func (j *Judge) assumeNotifiedWhenIdle(n *node) {
 	view := &n.view
 	interval := j.config.Contract.AskEvery.D()
 	if view.lastPollFailed {
@@ -184,7 +184,7 @@
 	for view.idlePosition < position {
 		listed := &j.listings.listings[view.idlePosition]
 		view.idlePosition++
-		j.assumeKnown(n, view.idlePosition, max(listed.at, view.idleSince)+interval)
+		j.assumeNotified(n, view.idlePosition, max(listed.at, view.idleSince)+interval)
 	}
 }
 
@@ -202,21 +202,21 @@
 	view.reachable = served
 	if served {
 		view.reachableEpoch++
-		j.assumeKnownWhenReachable(n)
+		j.assumeNotifiedWhenReachable(n)
 	}
 }
 
-// assumeKnownWhenReachable marks a node as notified of the current listings after
+// assumeNotifiedWhenReachable marks a node as notified of the current listings after
 // reachableGrace, even if its polls fail, provided that polls are served for the
 // whole time.
-func (j *Judge) assumeKnownWhenReachable(n *node) {
+func (j *Judge) assumeNotifiedWhenReachable(n *node) {
 	incarnation := n.incarnation
 	epoch := n.view.reachableEpoch
 	position := len(j.listings.listings)
 	at := j.now + reachableGrace
 	j.schedule(at, func() {
 		if n.incarnation == incarnation && n.view.reachable && n.view.reachableEpoch == epoch {
-			j.assumeKnown(n, position, at)
+			j.assumeNotified(n, position, at)
 		}
 	})
 }
@@ -234,7 +234,7 @@
 	at := j.now + switchGrace
 	j.schedule(at, func() {
 		if n.incarnation == incarnation && n.view.discovery == discovery {
-			j.assumeKnown(n, j.listings.positionAt(at), at)
+			j.assumeNotified(n, j.listings.positionAt(at), at)
 		}
 	})
 }
--- a/internal/lab/rules/judge.go
+++ b/internal/lab/rules/judge.go
@@ -23,9 +23,9 @@
 	// Peers maps the addresses of the peers at the start of the run to their
 	// names. The event PeerStarted adds further ones.
 	Peers map[string]string
-	// Known is called with each version of the list that a node receives on the
+	// OnListReceived is called with each version of the list that a node receives on the
 	// wire. It may be nil.
-	Known func(version int64)
+	OnListReceived func(version int64)
 	// Now returns the time since the start of the run. If it is nil, the events of
 	// event.Observer have the time of the last link.Event or Tick.
 	Now func() time.Duration
@@ -193,7 +193,7 @@
 		if c.Kind != link.Dial && c.Kind != link.Open {
 			return // the connection was removed after the retention period, or has no node at either end
 		}
-		k = j.track(c)
+		k = j.addConn(c)
 		if k == nil {
 			return
 		}
--- a/internal/lab/rules/observer.go
+++ b/internal/lab/rules/observer.go
@@ -36,7 +36,7 @@
 	})
 	for _, name := range j.config.Nodes {
 		if n := j.nodes[name]; n.view.reachable {
-			j.assumeKnownWhenReachable(n)
+			j.assumeNotifiedWhenReachable(n)
 		}
 	}
 }
--- a/internal/lab/rules/peer_conn.go
+++ b/internal/lab/rules/peer_conn.go
@@ -47,7 +47,7 @@
 // a valid attempt.
 func (c *peerConn) checkAttempt(a *attempt, m *message) {
 	j := c.judge
-	j.assumeKnownWhenIdle(c.node)
+	j.assumeNotifiedWhenIdle(c.node)
 	j.checkSuspended(c, a)
 	switch {
 	case m.idCount == 0 && j.config.Contract.Probes && m.method == http.MethodGet && m.target == healthCheckPath:
@@ -67,7 +67,7 @@
 		return
 	}
 	a.call = k
-	a.knownStart = c.node.view.startOf(c.name)
+	a.notifiedStart = c.node.view.startOf(c.name)
 	c.checkRetry(a, k, r)
 	j.checkDrain(c, a)
 	j.attempts++
--- a/internal/lab/rules/request.go
+++ b/internal/lab/rules/request.go
@@ -26,7 +26,7 @@
 	acceptedAt        time.Duration
 	arrived           bool // it has reached the node's machine completely
 	arrivedAt         time.Duration
-	deadlineArmed     bool // the check of its deadline is scheduled
+	deadlineScheduled bool // the check of its deadline is scheduled
 	settled           bool // answered, or no answer is required any more
 	reported          bool // a violation Late or Lost was reported
 	attemptsForbidden bool // no attempt may begin after forbiddenSince
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -718,8 +718,8 @@
 	}
 }
 
-// TestBounds checks that the stored violations and the state that is kept in a long run are bounded.
-func TestBounds(t *testing.T) {
+// TestStateIsBounded checks that the stored violations and the state that is kept in a long run are bounded.
+func TestStateIsBounded(t *testing.T) {
 	s := newTimeline(nil)
 	for i := range 25 {
 		s.attempt(fmt.Sprint("a", i), "quote")
--- a/internal/lab/sample/lines_test.go
+++ b/internal/lab/sample/lines_test.go
@@ -15,8 +15,8 @@
 func (k *recordingSink) Reading(r Reading) { *k = append(*k, r) }
 func (k *recordingSink) Event(e Event)     { *k = append(*k, e) }
 
-// TestLines checks that a Reader passes on the samples that a Writer wrote, at whichever offset the bytes are split.
-func TestLines(t *testing.T) {
+// TestWriteAndRead checks that a Reader passes on the samples that a Writer wrote, at whichever offset the bytes are split.
+func TestWriteAndRead(t *testing.T) {
 	want := recordingSink{
 		Request{"quote", "ashby", time.Second, time.Second + 1, 2 * time.Second, Served, 2},
 		Reading{time.Second, []Peer{{"p01", true, 0, 7, 3, 1}}, []Node{{"n1", time.Millisecond, 4096}}},
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestBadLine checks that a malformed line is reported with its number and that no sample after it is passed on.
-func TestBadLine(t *testing.T) {
+// TestMalformedLine checks that a malformed line is reported with its number and that no sample after it is passed on.
+func TestMalformedLine(t *testing.T) {
 	var got recordingSink
 	r := NewReader(&got)
 	text := "{\"event\":{}}\n{\"event\":\n{\"event\":{}}\n"
