--- a/internal/routing/dedup_window_test.go
+++ b/internal/routing/dedup_window_test.go
@@ -10,18 +10,19 @@
 	"olivebridge/balancer"
 )
 
-// settingsWithDedupWindow have a class whose calls carry an idempotency key, which servers remember for window.
+// settingsWithDedupWindow returns settings with a class of keyed calls, whose idempotency keys servers remember for
+// window.
 func settingsWithDedupWindow(window time.Duration) balancer.Settings {
 	settings := testSettings()
-	class := &settings.Classes[safe]
+	class := &settings.Classes[idempotentClass]
 	class.Idempotency = balancer.IdempotencyKeyed
 	class.DedupScope = balancer.DedupFleet
 	class.DedupWindow = window
 	return settings
 }
 
-// TestDedupWindowAcrossReload: a retry must start within the window that its call's class had as the call came,
-// whatever a reload while the first attempt was in flight has made of it, and within a shorter one of the reload's.
+// TestDedupWindowAcrossReload checks that a retry must start within the deduplication window that the class had when
+// the call arrived, or within the new window if a reload during the first attempt shortened it.
 func TestDedupWindowAcrossReload(t *testing.T) {
 	for _, c := range []struct{ before, after, want time.Duration }{
 		{time.Second, time.Second, time.Second},
@@ -42,22 +43,22 @@
 			r := New(Config{
 				Settings:         settingsWithDedupWindow(c.before),
 				Seed:             1,
-				InitialEndpoints: listed(7, 8),
+				InitialEndpoints: fullList(7, 8),
 				Transport:        transportFunc(transport),
-				Watcher:          silentWatcher{},
+				Watcher:          idleWatcher{},
 				Log:              slog.New(slog.DiscardHandler),
 			})
 			ctx, stop := context.WithCancel(t.Context())
 			go r.Run(ctx)
 			begun := time.Now()
-			go r.Handle(ctx, newCall(safe, 10*time.Second))
+			go r.Handle(ctx, newCall(idempotentClass, 10*time.Second))
 			<-first
 			r.UpdateSettings(settingsWithDedupWindow(c.after))
 			synctest.Wait()
 			first <- true
 			startBefore := <-retry
 			if window := startBefore.Sub(begun); window != c.want {
-				t.Errorf("%v, then %v: it must start within %v, want %v", c.before, c.after, window, c.want)
+				t.Errorf("window %v, after reload %v: retry may start within %v, want %v", c.before, c.after, window, c.want)
 			}
 			stop()
 			synctest.Wait()
--- a/internal/routing/suspend_test.go
+++ b/internal/routing/suspend_test.go
@@ -10,11 +10,11 @@
 	"olivebridge/internal/maintenance"
 )
 
-// TestSuspendWhileAttemptWaits: an attempt that waits for its connection as operators suspend its server must not
-// leave, though it was started before. The grace of the drain rule does not count here.
+// TestSuspendWhileAttemptWaits checks that an attempt is not sent if operators suspend its server while the attempt
+// waits for its connection. The grace period of the drain rule does not apply to a suspension.
 func TestSuspendWhileAttemptWaits(t *testing.T) {
 	waiting, connected := make(chan *Upstream), make(chan bool)
-	initial := listed(7)
+	initial := fullList(7)
 	initial.Endpoints[0].Name = "s-7"
 	transport := func(_ context.Context, attempt Attempt) AttemptResult {
 		waiting <- attempt.Upstream
@@ -29,7 +29,7 @@
 		Seed:             1,
 		InitialEndpoints: initial,
 		Transport:        transportFunc(transport),
-		Watcher:          silentWatcher{},
+		Watcher:          idleWatcher{},
 		Maintenance:      maintenance.New(),
 		Log:              slog.New(slog.DiscardHandler),
 	})
@@ -38,7 +38,7 @@
 	go func() { ended <- r.Run(ctx) }()
 	answers := make(chan Answer)
 	go func() {
-		call := Call{ClientRequestID: "9b", Class: unsafe, ReceivedAt: time.Now(), Timeout: 10 * time.Second}
+		call := Call{ClientRequestID: "9b", Class: nonIdempotentClass, ReceivedAt: time.Now(), Timeout: 10 * time.Second}
 		answer, _ := r.Handle(t.Context(), call)
 		answers <- answer
 	}()
@@ -48,7 +48,7 @@
 	}
 	connected <- true
 	if answer := <-answers; answer.Verdict != Rejected {
-		t.Errorf("%v: the attempt left for a suspended server", answer.Verdict)
+		t.Errorf("got verdict %v, want Rejected: the attempt was sent to a suspended server", answer.Verdict)
 	}
 	stop()
 	if err := <-ended; err != nil {
