--- a/cmd/olivebridge/descriptors_test.go
+++ b/cmd/olivebridge/descriptors_test.go
@@ -82,6 +82,7 @@
 	}
 }
 
+// testFilledDescriptors runs TestDescriptorsFilledWhileDiscoveryIsDown with a limit on the number of descriptors.
 func testFilledDescriptors(t *testing.T, sockets int) {
 	const unansweredPolls = 4 // the number of polls that discovery leaves unanswered after its restart
 	s, handlers := newRuleChecker(), []http.HandlerFunc(nil)
@@ -197,8 +198,8 @@
 	}
 }
 
-// callWithPauses sends requests on one connection, with pauses, until the node closes it or over is set. It sends to
-// asked after each response, and to cut the ID of a request that the close left unanswered.
+// callWithPauses sends requests on one connection, with pauses, until the node closes it or done is set. It sends to
+// answered after each response, and to interrupted the ID of a request that the close left unanswered.
 func (s *ruleChecker) callWithPauses(addr string, done *atomic.Bool, answered chan bool, interrupted chan string) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/cmd/olivebridge/handover_failures_test.go
+++ b/cmd/olivebridge/handover_failures_test.go
@@ -28,8 +28,8 @@
 			io.WriteString(w, text)
 		}
 	}
-	// gone is closed when discovery begins to list no servers. A process that starts after that is not ready, and its
-	// predecessor continues to serve.
+	// listEmptied is closed when discovery begins to list no servers. A process that starts after that is not ready,
+	// and its predecessor continues to serve.
 	listEmptied := make(chan bool)
 	emptyList := func(w http.ResponseWriter, r *http.Request) {
 		select {
--- a/cmd/olivebridge/large_messages_test.go
+++ b/cmd/olivebridge/large_messages_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestSlowBody checks that the node serves a request whose body keeps arriving for longer than any timeout, and that it
-// rejects a body that stops arriving within 3 s and closes the connection to the server.
+// TestSlowBody checks that the node serves a request whose body keeps arriving for longer than any timeout. If a body
+// stops arriving, the node must detect that within 3 s, reject the request and end the request to the server.
 func TestSlowBody(t *testing.T) {
 	ended := make(chan error, 2)
 	n := start(t, unchangedList, func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/olivebridge/program_test.go
+++ b/cmd/olivebridge/program_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestDrainingServer checks that a server which discovery lists as Terminating receives no attempt, and that requests
-// get status 503.
+// TestDrainingServer checks that a server which discovery lists as Terminating receives no attempt, and that the client
+// gets status 503. The response has a Retry-After, which this test does not check.
 func TestDrainingServer(t *testing.T) {
 	var polls, attempts atomic.Int64
 	listApplied := make(chan bool)
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -153,7 +153,7 @@
 	s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 }
 
-// coldAttempts lists a cold start of p1, notifies the node of it if knows is true, and sends n calls with 0.1 s of
+// coldAttempts lists a cold start of p1, notifies the node of it if notified is true, and sends n calls with 0.1 s of
 // work each to p1.
 func (s *timeline) coldAttempts(notified bool, n int) {
 	s.advance(time.Second)
@@ -625,7 +625,7 @@
 		s.advance(40 * time.Second)
 		s.serveCall("a", "quote")
 	}},
-	{"moved", Drain, nil, func(s *timeline) {
+	{"moved to another discovery", Drain, nil, func(s *timeline) {
 		s.poll("d", "")
 		s.send("d", true, listAnswer(2, true, "p1=Ready", "p2=Ready"))
 		s.j.NodeSignaled("n1", "SIGHUP", "e:1")
@@ -643,14 +643,14 @@
 		s.advance(6550 * ms)
 		s.serveCall("a", "quote")
 	}},
-	{"started with a list without the peer", Drain, nil, func(s *timeline) {
+	{"started with a list in which the peer is gone", Drain, nil, func(s *timeline) {
 		s.j.PeerListed(3, "p1", "p1:9", gone, 0)
 		s.j.NodeKilled("n1")
 		s.j.NodeStarted("n1", 3)
 		s.advance(2550 * ms)
 		s.serveCall("a", "quote")
 	}},
-	{"started with an older list that has the peer", "", nil, func(s *timeline) {
+	{"started with an older list in which the peer is ready", "", nil, func(s *timeline) {
 		s.peerLeaves()
 		s.j.NodeKilled("n1")
 		s.j.NodeStarted("n1", 2)
@@ -658,9 +658,9 @@
 		s.serveCall("a", "quote")
 	}},
 
-	{"pushed", Cold, nil, func(s *timeline) { s.coldAttempts(true, 12) }},
-	{"warmed", "", nil, func(s *timeline) { s.coldAttempts(true, 11) }},
-	{"overloaded by a node that was not notified", "", nil, func(s *timeline) { s.coldAttempts(false, 12) }},
+	{"overloaded while cold", Cold, nil, func(s *timeline) { s.coldAttempts(true, 12) }},
+	{"loaded up to the limit while cold", "", nil, func(s *timeline) { s.coldAttempts(true, 11) }},
+	{"overloaded while cold by a node that was not notified", "", nil, func(s *timeline) { s.coldAttempts(false, 12) }},
 
 	{"malformed input served", Bad, nil, func(s *timeline) {
 		s.open("a", "c1", "n1:9000")
--- a/internal/lab/sample/lines_test.go
+++ b/internal/lab/sample/lines_test.go
@@ -15,7 +15,7 @@
 func (k *recordingSink) Reading(r Reading) { *k = append(*k, r) }
 func (k *recordingSink) Event(e Event)     { *k = append(*k, e) }
 
-// TestWriteAndRead checks that a Reader passes on the samples that a Writer wrote, at whichever offset the bytes are split.
+// TestWriteAndRead checks that a Reader passes on the samples that a Writer wrote, for every offset of a split.
 func TestWriteAndRead(t *testing.T) {
 	want := recordingSink{
 		Request{"quote", "ashby", time.Second, time.Second + 1, 2 * time.Second, Served, 2},
