--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -238,7 +238,7 @@
 func (g *rig) Event(e sample.Event) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.peers = append(g.peers, PeerEvent{record.Now(), e.Who, e.What})
+	g.peers = append(g.peers, PeerEvent{record.Now(), e.Name, e.Change})
 }
 
 // Reading implements sample.Sink.
@@ -247,12 +247,12 @@
 	defer g.mu.Unlock()
 	probes := 0
 	for _, p := range r.Peers {
-		probes += p.Probes
-		g.falls[p.Name] = p.Falls
+		probes += p.HealthChecks
+		g.falls[p.Name] = p.OverloadCrashes
 	}
 	g.probeCounts = append(g.probeCounts, ProbeCount{record.Now(), probes})
 	for _, n := range r.Nodes {
 		g.cpu[n.Name] = n.CPU
-		g.rss[n.Name] = max(g.rss[n.Name], n.Resident)
+		g.rss[n.Name] = max(g.rss[n.Name], n.ResidentBytes)
 	}
 }
