--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -28,7 +28,7 @@
 type Link struct {
 	conn *net.UnixConn
 
-	sending sync.Mutex
+	sendMu sync.Mutex
 
 	mu          sync.Mutex
 	pending     map[uint64]chan Message // requests that wait for their result, by number
@@ -55,8 +55,8 @@
 	if err != nil {
 		return err
 	}
-	l.sending.Lock()
-	defer l.sending.Unlock()
+	l.sendMu.Lock()
+	defer l.sendMu.Unlock()
 	_ = l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 	if descriptor == nil {
 		_, err = l.conn.Write(data)
@@ -120,8 +120,8 @@
 // Request has the other process do what a message says, and waits for its result, which the goroutine that receives
 // gives to Resolve. The error is ErrProcessEnded where no process is left that would have to do it.
 func (l *Link) Request(m Message) error {
-	number, result := l.register()
-	defer l.unregister(number)
+	number, result := l.registerRequest()
+	defer l.unregisterRequest(number)
 	m.RequestNumber = number
 	switch err := l.Send(m, nil); {
 	case errors.Is(err, syscall.EPIPE), errors.Is(err, net.ErrClosed),
@@ -143,7 +143,7 @@
 	}
 }
 
-func (l *Link) register() (number uint64, result <-chan Message) {
+func (l *Link) registerRequest() (number uint64, result <-chan Message) {
 	waiting := make(chan Message, 1)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -152,7 +152,7 @@
 	return l.lastRequest, waiting
 }
 
-func (l *Link) unregister(number uint64) {
+func (l *Link) unregisterRequest(number uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.pending, number)
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// linked are the two ends of a link.
-func linked(t *testing.T) (near, far *Link) {
+// newLinkPair are the two ends of a link.
+func newLinkPair(t *testing.T) (near, far *Link) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s")
 	listener, err := Listen(path)
@@ -58,7 +58,7 @@
 			far.Close()
 		}, nil, "", true},
 	} {
-		near, far := linked(t)
+		near, far := newLinkPair(t)
 		if c.before != nil {
 			c.before(near, far)
 		}
@@ -76,10 +76,10 @@
 // TestMessagesOfAnEndedProcess: what a process sent before it ended is received, also if it left something unread: the
 // kernel reports that first, ahead of the messages that wait.
 func TestMessagesOfAnEndedProcess(t *testing.T) {
-	near, far := linked(t)
+	near, far := newLinkPair(t)
 	near.Send(Message{Kind: KindResult}, nil)
 	for n := range uint64(3) {
-		if err := far.Send(Message{Kind: KindConnection, RequestNumber: n}, listen(t).(*net.TCPListener)); err != nil {
+		if err := far.Send(Message{Kind: KindConnection, RequestNumber: n}, listenTCP(t).(*net.TCPListener)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -98,14 +98,14 @@
 
 // TestSendClosedConnection: a connection that ended just before it is sent says nothing of the link.
 func TestSendClosedConnection(t *testing.T) {
-	near, far := linked(t)
-	ended := listen(t)
+	near, far := newLinkPair(t)
+	ended := listenTCP(t)
 	ended.Close()
 	err := near.Send(Message{Kind: KindConnection, RequestNumber: 1}, ended.(*net.TCPListener))
 	if !errors.Is(err, ErrConnectionEnded) {
 		t.Errorf("closed: %v", err)
 	}
-	if err := near.Send(Message{Kind: KindConnection, RequestNumber: 2}, listen(t).(*net.TCPListener)); err != nil {
+	if err := near.Send(Message{Kind: KindConnection, RequestNumber: 2}, listenTCP(t).(*net.TCPListener)); err != nil {
 		t.Error(err)
 	}
 	if m, file, err := far.Receive(); err != nil || m.RequestNumber != 2 || file == nil {
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -6,8 +6,8 @@
 	"olivebridge/internal/maintenance"
 )
 
-// serversPerMessage keeps a message of servers with names of 200 bytes below maxMessageBytes.
-const serversPerMessage = 60
+// maxServersPerMessage keeps a message of servers with names of 200 bytes below maxMessageBytes.
+const maxServersPerMessage = 60
 
 // NodeState is what a successor takes over from the process in service.
 type NodeState struct {
@@ -26,7 +26,7 @@
 func (s NodeState) Messages() []Message {
 	var messages []Message
 	for rest := s.Servers; len(rest) > 0; {
-		count := min(len(rest), serversPerMessage)
+		count := min(len(rest), maxServersPerMessage)
 		messages = append(messages, Message{Kind: KindServers, Servers: rest[:count]})
 		rest = rest[count:]
 	}
--- a/internal/handover/takeover_test.go
+++ b/internal/handover/takeover_test.go
@@ -13,7 +13,7 @@
 	"olivebridge/internal/maintenance"
 )
 
-func stateOf(servers int) NodeState {
+func testState(servers int) NodeState {
 	h := NodeState{ListVersion: 41, DiscoveryAddr: "d:1", Paused: true, WarmThroughput: 0.25}
 	for i := range servers {
 		listed := maintenance.ListedServer{
@@ -33,7 +33,7 @@
 		if takeover, err := Connect(path); takeover != nil || err != nil {
 			t.Fatalf("%s: nobody there: %v, %v", name, takeover, err)
 		}
-		want, clients := stateOf(1000), listen(t)
+		want, clients := testState(1000), listenTCP(t)
 		var listener *Listener
 		for range 2 { // what a dead process left stands in nobody's way
 			var err error
@@ -67,7 +67,7 @@
 	}
 }
 
-func listen(t *testing.T) net.Listener {
+func listenTCP(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -45,7 +45,7 @@
 
 // benchNode starts a node with twelve servers, which answer so many bytes at once.
 func benchNode(b *testing.B, answer int) (addr string) {
-	c := config()
+	c := testConfig()
 	c.Listen, c.Sockets, c.KnownEndpoints.Endpoints = "127.0.0.1:0", 1024, nil
 	class := c.Settings.Classes[0]
 	class.Idempotency = balancer.Idempotent
@@ -72,7 +72,7 @@
 	}
 	l := benchListener(b)
 	n, err := Start(c, Options{Listen: func(string) (net.Listener, error) { return l, nil },
-		WrapWatcher: func(routing.Watcher) routing.Watcher { return unchanged{} }})
+		WrapWatcher: func(routing.Watcher) routing.Watcher { return staticWatcher{} }})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -80,10 +80,10 @@
 	return l.Addr().String()
 }
 
-// unchanged is an endpoint list that never changes.
-type unchanged struct{}
+// staticWatcher is an endpoint list that never changes.
+type staticWatcher struct{}
 
-func (unchanged) Watch(ctx context.Context, _ func(routing.EndpointList)) error {
+func (staticWatcher) Watch(ctx context.Context, _ func(routing.EndpointList)) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
--- a/internal/node/discovery_polling_test.go
+++ b/internal/node/discovery_polling_test.go
@@ -26,7 +26,7 @@
 		})}
 		go server.Serve(l)
 		defer server.Close()
-		c := config()
+		c := testConfig()
 		c.Settings.Nodes, c.Settings.PollInterval, c.Settings.HealthChecks = 300, 10*time.Second, false
 		n, err := Start(c, Options{Listen: network.listen, Dial: network.dial})
 		if err != nil {
--- a/internal/node/endpoint_updates_test.go
+++ b/internal/node/endpoint_updates_test.go
@@ -17,35 +17,35 @@
 	"olivebridge/internal/routing"
 )
 
-// failure is what ails discovery.
-type failure string
+// failureMode is what ails discovery.
+type failureMode string
 
 // The failures. What is open when one begins meets it too; unreachable and never up befall new connections as well.
 const (
-	noFailure      failure = ""
-	unreachable    failure = "down"
-	neverUp        failure = "never up"
-	silent         failure = "silent"
-	reset          failure = "reset"
-	rejecting      failure = "refused"
-	halfList       failure = "half a list"
-	halfThenSilent failure = "half, then silent"
-	firstCallLost  failure = "first call lost" // only after another failure
-	answersTrickle failure = "answers trickle" // only after another failure
+	noFailure      failureMode = ""
+	connectionRefused    failureMode = "down"
+	connectHangs        failureMode = "never up"
+	noResponse         failureMode = "silent"
+	connectionReset          failureMode = "reset"
+	rejecting      failureMode = "refused"
+	truncatedList       failureMode = "half a list"
+	truncatedThenSilent failureMode = "half, then silent"
+	firstRequestLost  failureMode = "first call lost" // only after another failure
+	slowResponse failureMode = "answers trickle" // only after another failure
 )
 
 // fakeDiscovery is a discovery service that fails at times.
 type fakeDiscovery struct {
 	mu       sync.Mutex
-	failure  failure
-	after    failure // once it can be reached again
+	failure  failureMode
+	after    failureMode // once it can be reached again
 	version  int64
 	requests int           // since the last change
 	changed  chan struct{} // closed at each change of the above
 }
 
 // set changes discovery, and lets all that wait see it.
-func (d *fakeDiscovery) set(current, after failure, version int64) {
+func (d *fakeDiscovery) set(current, after failureMode, version int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.failure = current
@@ -73,8 +73,8 @@
 	d.requests++
 	for waiting := true; ; {
 		current, after, version, changed := d.failure, d.after, d.version, d.changed
-		if after == firstCallLost && current == noFailure {
-			current = silent
+		if after == firstRequestLost && current == noFailure {
+			current = noResponse
 			d.after = noFailure
 		}
 		d.mu.Unlock()
@@ -93,27 +93,27 @@
 	}
 }
 
-func (d *fakeDiscovery) answer(w http.ResponseWriter, r *http.Request, current, after failure, version int64) {
+func (d *fakeDiscovery) answer(w http.ResponseWriter, r *http.Request, current, after failureMode, version int64) {
 	list := fmt.Appendf(nil, `{"version":%d,"full":false,"servers":[]}`, version)
 	switch current {
-	case silent, neverUp:
+	case noResponse, connectHangs:
 		<-r.Context().Done()
 	case rejecting:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case halfList:
+	case truncatedList:
 		w.Header().Set("Content-Length", strconv.Itoa(len(list)))
 		w.Write(list[:len(list)/2])
-	case halfThenSilent:
+	case truncatedThenSilent:
 		w.Write(list[:len(list)/2])
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
-	case reset, unreachable:
+	case connectionReset, connectionRefused:
 		if conn, _, err := w.(http.Hijacker).Hijack(); err == nil {
 			conn.Close()
 		}
 	default:
 		for i := range list { // in 2 s, where it trickles
-			if w.Write(list[i : i+1]); after == answersTrickle {
+			if w.Write(list[i : i+1]); after == slowResponse {
 				w.(http.Flusher).Flush()
 				time.Sleep(2 * time.Second / time.Duration(len(list)))
 			}
@@ -128,9 +128,9 @@
 		current := d.failure
 		d.mu.Unlock()
 		switch current {
-		case unreachable:
+		case connectionRefused:
 			return nil, syscall.ECONNREFUSED
-		case neverUp:
+		case connectHangs:
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -156,8 +156,8 @@
 // then is lost or answers trickle. And no failure makes a crowd: a node makes two requests a second at most in the
 // mean, and 16 more; four a second where connections break, of which one may get through.
 func TestEndpointUpdateInTime(t *testing.T) {
-	for _, current := range []failure{unreachable, neverUp, silent, reset, rejecting, halfList, halfThenSilent} {
-		for _, after := range []failure{noFailure, firstCallLost, answersTrickle} {
+	for _, current := range []failureMode{connectionRefused, connectHangs, noResponse, connectionReset, rejecting, truncatedList, truncatedThenSilent} {
+		for _, after := range []failureMode{noFailure, firstRequestLost, slowResponse} {
 			for _, nodes := range []int{1, 300} {
 				t.Run(fmt.Sprint(current, ", ", after, ", ", nodes), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) { checkUpdateInTime(t, current, after, nodes) })
@@ -167,7 +167,7 @@
 	}
 }
 
-func checkUpdateInTime(t *testing.T, current, after failure, nodes int) {
+func checkUpdateInTime(t *testing.T, current, after failureMode, nodes int) {
 	const due, margin, steps = 6 * time.Second, time.Second, 15
 	discovery := &fakeDiscovery{changed: make(chan struct{})}
 	network := newMemoryNetwork()
@@ -175,7 +175,7 @@
 	server := &http.Server{Handler: discovery}
 	go server.Serve(l)
 	defer server.Close()
-	c, versions := config(), make(chan int64, 1000)
+	c, versions := testConfig(), make(chan int64, 1000)
 	c.Settings.Nodes, c.Settings.PollInterval, c.Settings.HealthChecks = nodes, 10*time.Second, false
 	version, length := c.KnownEndpointsVersion, 100*time.Millisecond
 	discovery.set(current, noFailure, version)
@@ -189,7 +189,7 @@
 		t.Error("not ready by the list known last")
 	}
 	perSecond := time.Duration(2)
-	if current == reset || current == halfList {
+	if current == connectionReset || current == truncatedList {
 		perSecond = 4 // thirteen requests in two seconds, and as long a pause
 	}
 	var worst time.Duration
@@ -252,7 +252,7 @@
 		<-r.Context().Done()
 	}))
 	defer next.Close()
-	c := config()
+	c := testConfig()
 	c.Listen, c.Discovery = "127.0.0.1:0", old.Addr().String()
 	n, err := Start(c, Options{})
 	if err != nil {
--- a/internal/node/memory_network_test.go
+++ b/internal/node/memory_network_test.go
@@ -117,7 +117,7 @@
 func (c *memoryConn) SetDeadline(t time.Time) error    { return c.SetReadDeadline(t) }
 
 func (c *memoryConn) SetReadDeadline(t time.Time) error {
-	return c.set(func() {
+	return c.update(func() {
 		c.deadline[c.side] = t
 		if !t.IsZero() {
 			time.AfterFunc(time.Until(t), c.changed.Broadcast)
@@ -125,16 +125,16 @@
 	})
 }
 
-func (c *memoryConn) CloseWrite() error { return c.set(func() { c.sendClosed[c.side] = true }) }
+func (c *memoryConn) CloseWrite() error { return c.update(func() { c.sendClosed[c.side] = true }) }
 
 func (c *memoryConn) Close() error {
-	return c.set(func() {
+	return c.update(func() {
 		c.sendClosed[c.side] = true
 		c.closed[c.side] = true
 	})
 }
 
-func (c *memoryConn) set(f func()) error {
+func (c *memoryConn) update(f func()) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f()
@@ -153,8 +153,8 @@
 	return len(b), nil
 }
 
-// state returns how much a read finds, or its error. The lock is held.
-func (c *memoryConn) state() (int, error) {
+// readable returns how much a read finds, or its error. The lock is held.
+func (c *memoryConn) readable() (int, error) {
 	deadline := c.deadline[c.side]
 	switch {
 	case c.closed[c.side]:
@@ -172,7 +172,7 @@
 func (c *memoryConn) Peek() (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.state()
+	return c.readable()
 }
 
 func (c *memoryConn) HasEnded() bool {
@@ -187,18 +187,18 @@
 
 func (c *memoryConn) ReadGate(b []byte, mu sync.Locker, open func() error, took func(int)) (int, error) {
 	for {
-		if n, err := c.take(b, mu, open, took); !errors.Is(err, syscall.EAGAIN) {
+		if n, err := c.readAvailable(b, mu, open, took); !errors.Is(err, syscall.EAGAIN) {
 			return n, err
 		}
 		c.mu.Lock()
-		for _, err := c.state(); errors.Is(err, syscall.EAGAIN); _, err = c.state() {
+		for _, err := c.readable(); errors.Is(err, syscall.EAGAIN); _, err = c.readable() {
 			c.changed.Wait()
 		}
 		c.mu.Unlock()
 	}
 }
 
-func (c *memoryConn) take(b []byte, mu sync.Locker, open func() error, took func(int)) (int, error) {
+func (c *memoryConn) readAvailable(b []byte, mu sync.Locker, open func() error, took func(int)) (int, error) {
 	mu.Lock()
 	defer mu.Unlock()
 	if err := open(); err != nil {
@@ -206,7 +206,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n, err := c.state()
+	n, err := c.readable()
 	if err == nil && n == 0 {
 		return 0, io.EOF
 	} else if n == 0 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -69,8 +69,8 @@
 		n.closeAdmin()
 		return nil, fmt.Errorf("listening: %w", err)
 	}
-	n.build()
-	n.serve(paused)
+	n.buildComponents()
+	n.startComponents(paused)
 	if err := n.joinFleet(); err != nil {
 		n.Abort()
 		return nil, err
@@ -129,8 +129,8 @@
 	return false, err
 }
 
-// build makes the parts, none of which runs yet.
-func (n *Node) build() {
+// buildComponents makes the parts, none of which runs yet.
+func (n *Node) buildComponents() {
 	c := n.config
 	share := handover.ResourceShare(n.processes.count())
 	if n.options.ApplyLimits != nil {
@@ -171,20 +171,20 @@
 	n.attachServerControl()
 }
 
-// serve runs the parts, and then lets the node's other processes know.
-func (n *Node) serve(paused bool) {
+// startComponents runs the parts, and then lets the node's other processes know.
+func (n *Node) startComponents(paused bool) {
 	ctx, stop := context.WithCancel(context.Background())
 	n.stop = stop
-	n.run(func() error { return n.router.Run(ctx) })
+	n.runComponent(func() error { return n.router.Run(ctx) })
 	if paused {
 		n.frontend.Pause()
 	}
-	n.run(n.frontend.ServeAdopted)
-	n.run(n.frontend.Serve)
+	n.runComponent(n.frontend.ServeAdopted)
+	n.runComponent(n.frontend.Serve)
 	n.completeTakeover()
 }
 
-func (n *Node) run(serve func() error) {
+func (n *Node) runComponent(serve func() error) {
 	n.running.Go(func() {
 		if err := serve(); err != nil {
 			n.failed <- err
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -17,7 +17,7 @@
 	"olivebridge/internal/routing"
 )
 
-func config() *protocol.Config {
+func testConfig() *protocol.Config {
 	class := balancer.Class{
 		LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: balancer.NonIdempotent}
 	endpoint := routing.Endpoint{
@@ -53,7 +53,7 @@
 	network   *memoryNetwork
 	client    *http.Client
 	attempts  chan routing.Attempt
-	discovery chan string // address and URI of each request to discovery
+	discoveryRequests chan string // address and URI of each request to discovery
 	arrived   chan bool   // a request under /held has arrived at the server
 	release   chan bool   // lets one of these be answered
 	ids       atomic.Int64
@@ -64,7 +64,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &testNode{
 			network: newMemoryNetwork(), attempts: make(chan routing.Attempt, 100),
-			discovery: make(chan string, 1000), arrived: make(chan bool), release: make(chan bool)}
+			discoveryRequests: make(chan string, 1000), arrived: make(chan bool), release: make(chan bool)}
 		serve := func(addr string, h http.HandlerFunc) {
 			l, _ := s.network.listen(addr)
 			server := &http.Server{Handler: h}
@@ -73,7 +73,7 @@
 		}
 		for _, addr := range []string{"discovery:1", "discovery:2"} {
 			serve(addr, func(w http.ResponseWriter, r *http.Request) {
-				s.discovery <- addr + r.RequestURI
+				s.discoveryRequests <- addr + r.RequestURI
 				if addr == "discovery:2" { // its watch ends, on a connection that is still good
 					w.WriteHeader(http.StatusServiceUnavailable)
 					return
@@ -99,7 +99,7 @@
 		dial := func(ctx context.Context, _, addr string) (net.Conn, error) { return s.network.dial(ctx, addr) }
 		s.client = &http.Client{Transport: &http.Transport{DialContext: dial}}
 		var err error
-		s.Node, err = Start(config(), Options{Listen: s.network.listen, Dial: s.network.dial,
+		s.Node, err = Start(testConfig(), Options{Listen: s.network.listen, Dial: s.network.dial,
 			WrapTransport: func(c routing.Transport) routing.Transport { return attemptRecorder{c, s.attempts} }})
 		if err != nil {
 			t.Fatal(err)
@@ -117,10 +117,10 @@
 }
 
 // call sends one call; status 0: it got no answer.
-func (s *testNode) call(path string) (status int, body string) { return s.callWithin(path, "1.5") }
+func (s *testNode) call(path string) (status int, body string) { return s.callWithTimeout(path, "1.5") }
 
-// callWithin gives the call a timeout in seconds.
-func (s *testNode) callWithin(path, timeout string) (status int, body string) {
+// callWithTimeout gives the call a timeout in seconds.
+func (s *testNode) callWithTimeout(path, timeout string) (status int, body string) {
 	req, _ := http.NewRequest("POST", "http://node:1"+path, strings.NewReader("paid"))
 	req.Header.Set(protocol.HeaderCallID, fmt.Sprint("9b", s.ids.Add(1)))
 	req.Header.Set(protocol.HeaderClass, "book")
@@ -147,16 +147,16 @@
 		if r, err := s.Resources(t.Context()); err != nil || r != idle {
 			t.Errorf("idle: %+v, %v", r, err)
 		}
-		idempotent := config()
+		idempotent := testConfig()
 		idempotent.NameIndex.Methods = []string{"GET"}
 		s.Reload(idempotent)
 		if status, _ := s.call("/api"); status != 405 {
 			t.Errorf("a POST of a class that is idempotent by now: %d", status)
 		}
-		moved := config()
+		moved := testConfig()
 		moved.Discovery = "discovery:2"
 		s.Reload(moved)
-		for uri := range s.discovery {
+		for uri := range s.discoveryRequests {
 			if uri == "discovery:2"+protocol.PathEndpoints {
 				break
 			}
@@ -192,14 +192,14 @@
 func TestDrainAfterReload(t *testing.T) {
 	runNode(t, func(t *testing.T, s *testNode) {
 		reload := func(longest time.Duration) {
-			c := config()
+			c := testConfig()
 			c.LongestDeadline = longest
 			s.Reload(c)
 		}
 		reload(30 * time.Second)
 		status := make(chan int)
 		go func() {
-			got, _ := s.callWithin("/held", "30")
+			got, _ := s.callWithTimeout("/held", "30")
 			status <- got
 		}()
 		<-s.arrived
--- a/internal/node/process_group.go
+++ b/internal/node/process_group.go
@@ -72,8 +72,8 @@
 	return g.successor
 }
 
-// removal says what this process has to do after another one has ended.
-type removal struct {
+// removeResult says what this process has to do after another one has ended.
+type removeResult struct {
 	// acceptSuccessor: the successor has ended, and this process waits for another one.
 	acceptSuccessor bool
 	// rejoinFleet: the successor took clients, and the node's membership with them.
@@ -81,10 +81,10 @@
 }
 
 // remove notes that another process has ended.
-func (g *processGroup) remove(link *handover.Link) removal {
+func (g *processGroup) remove(link *handover.Link) removeResult {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var r removal
+	var r removeResult
 	switch link {
 	case g.successor:
 		// It may have listened in place of this process, though it never said that it was ready.
--- a/internal/program/listen.go
+++ b/internal/program/listen.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// addressTimeout is how long an address may still be in use when a process starts. One that shuts down accepts for
+	// addressInUseTimeout is how long an address may still be in use when a process starts. One that shuts down accepts for
 	// 0.8 s more, since clients come for 0.4 s, and its machine may be busy; readiness is owed within 10 s.
-	addressTimeout = 3 * time.Second
-	// addressRetryInterval is the pause between two attempts to listen.
-	addressRetryInterval = 50 * time.Millisecond
+	addressInUseTimeout = 3 * time.Second
+	// listenRetryInterval is the pause between two attempts to listen.
+	listenRetryInterval = 50 * time.Millisecond
 )
 
 // reusePort is SO_REUSEPORT, which package syscall lacks on this platform.
 const reusePort = 15
 
-// listener listens at an address.
-type listener func(addr string) (net.Listener, error)
+// listenFunc listens at an address.
+type listenFunc func(addr string) (net.Listener, error)
 
 // listenWithRetry listens as listen does, but waits a while for a process that shuts down to leave the address.
-func listenWithRetry(ctx context.Context, listen listener) listener {
+func listenWithRetry(ctx context.Context, listen listenFunc) listenFunc {
 	return func(addr string) (net.Listener, error) {
-		ctx, stop := context.WithTimeout(ctx, addressTimeout)
+		ctx, stop := context.WithTimeout(ctx, addressInUseTimeout)
 		defer stop()
 		for {
 			l, err := listen(addr)
@@ -37,15 +37,15 @@
 			select {
 			case <-ctx.Done():
 				return nil, err
-			case <-time.After(addressRetryInterval):
+			case <-time.After(listenRetryInterval):
 			}
 		}
 	}
 }
 
-// listenFunc returns how to listen for clients and for operators. With an admin listener a process may start beside the
+// newListenFunc returns how to listen for clients and for operators. With an admin listener a process may start beside the
 // one in service, and the clients' address is shared, in case that one does not hand its own over.
-func listenFunc(c *protocol.Config) listener {
+func newListenFunc(c *protocol.Config) listenFunc {
 	if c.AdminListen == "" {
 		return listenExclusive
 	}
--- a/internal/program/listen_test.go
+++ b/internal/program/listen_test.go
@@ -21,7 +21,7 @@
 	}{
 		"free at once":  {0, time.Hour, inUse, nil, 0},
 		"free later":    {time.Second, time.Hour, inUse, nil, time.Second},
-		"never free":    {time.Hour, time.Hour, inUse, inUse, addressTimeout},
+		"never free":    {time.Hour, time.Hour, inUse, inUse, addressInUseTimeout},
 		"told to end":   {time.Hour, time.Second, inUse, inUse, time.Second},
 		"another error": {time.Hour, time.Hour, other, other, 0},
 	} {
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -65,7 +65,7 @@
 	defer started()
 	options := node.Options{
 		Log:          p.log,
-		Listen:       listenWithRetry(starting, listenFunc(p.config)),
+		Listen:       listenWithRetry(starting, newListenFunc(p.config)),
 		HandoverPath: handoverPath(p.config),
 		ApplyLimits:  applyLimits,
 	}
--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -43,11 +43,11 @@
 	if !validID(headers.id) { // a malformed one must not reach a server
 		return routing.Call{}, fmt.Errorf("%s: missing or malformed: %.80q", HeaderCallID, headers.id)
 	}
-	class, err := n.classOf(headers.class, method)
+	class, err := n.classPosition(headers.class, method)
 	if err != nil {
 		return routing.Call{}, err
 	}
-	tenant, err := n.tenantOf(headers.tenant)
+	tenant, err := n.tenantPosition(headers.tenant)
 	if err != nil {
 		return routing.Call{}, err
 	}
@@ -73,26 +73,26 @@
 func readCallHeaders(header func(name string) []string) (callHeaders, error) {
 	var values callHeaders
 	var err error
-	if values.id, err = onlyValue(header, HeaderCallID); err != nil {
+	if values.id, err = singleValue(header, HeaderCallID); err != nil {
 		return callHeaders{}, err
 	}
-	if values.class, err = onlyValue(header, HeaderClass); err != nil {
+	if values.class, err = singleValue(header, HeaderClass); err != nil {
 		return callHeaders{}, err
 	}
-	if values.tenant, err = onlyValue(header, HeaderTenant); err != nil {
+	if values.tenant, err = singleValue(header, HeaderTenant); err != nil {
 		return callHeaders{}, err
 	}
-	if values.timeout, err = onlyValue(header, HeaderTimeout); err != nil {
+	if values.timeout, err = singleValue(header, HeaderTimeout); err != nil {
 		return callHeaders{}, err
 	}
-	if values.retry, err = onlyValue(header, HeaderRetry); err != nil {
+	if values.retry, err = singleValue(header, HeaderRetry); err != nil {
 		return callHeaders{}, err
 	}
 	return values, nil
 }
 
-// onlyValue returns the value of a header; "": it is missing.
-func onlyValue(header func(name string) []string, name string) (string, error) {
+// singleValue returns the value of a header; "": it is missing.
+func singleValue(header func(name string) []string, name string) (string, error) {
 	switch values := header(name); len(values) {
 	case 0:
 		return "", nil
@@ -103,8 +103,8 @@
 	}
 }
 
-// classOf returns a class's position if the method is its own.
-func (n NameIndex) classOf(name, method string) (int, error) {
+// classPosition returns a class's position if the method is its own.
+func (n NameIndex) classPosition(name, method string) (int, error) {
 	class, known := n.Classes[name]
 	if !known {
 		return 0, fmt.Errorf("%s: missing or unknown: %q", HeaderClass, name)
@@ -119,8 +119,8 @@
 	return class, nil
 }
 
-// tenantOf returns a tenant's position, or routing.Call's -1 where the settings have no tenants.
-func (n NameIndex) tenantOf(name string) (int, error) {
+// tenantPosition returns a tenant's position, or routing.Call's -1 where the settings have no tenants.
+func (n NameIndex) tenantPosition(name string) (int, error) {
 	if len(n.Tenants) == 0 {
 		return -1, nil
 	}
--- a/internal/protocol/call_test.go
+++ b/internal/protocol/call_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-var names = NameIndex{
+var testNames = NameIndex{
 	Classes: map[string]int{"status": 0, "book": 1},
 	Tenants: map[string]int{"acme": 0, "zen": 1},
 	Zones:   map[string]int{"a": 0, "b": 1},
@@ -41,7 +41,7 @@
 				h[k] = []string{v}
 			}
 		}
-		got, err := names.ParseCall("POST", func(n string) []string { return h[n] }, c.query)
+		got, err := testNames.ParseCall("POST", func(n string) []string { return h[n] }, c.query)
 		if c.bad != "" {
 			if err == nil || !strings.Contains(err.Error(), c.bad) {
 				t.Errorf("%s: error %v, want one about %s", name, err, c.bad)
@@ -54,7 +54,7 @@
 		}
 	}
 	twice := func(n string) []string { return []string{"book", "status"} }
-	if _, err := names.ParseCall("POST", twice, ""); err == nil {
+	if _, err := testNames.ParseCall("POST", twice, ""); err == nil {
 		t.Error("a header given twice was taken")
 	}
 }
--- a/internal/protocol/endpoints.go
+++ b/internal/protocol/endpoints.go
@@ -92,8 +92,8 @@
 		Server: balancer.Server{
 			ID:        ServerID(s.ID),
 			Cell:      s.Cell,
-			Zone:      positionOf(n.Zones, s.Zone),
-			Kind:      positionOf(n.Kinds, s.Kind),
+			Zone:      positionOrUnknown(n.Zones, s.Zone),
+			Kind:      positionOrUnknown(n.Kinds, s.Kind),
 			StartedAt: balancer.Time(s.Started) * balancer.Time(time.Millisecond),
 			Weight:    weight,
 			State:     state,
@@ -114,7 +114,7 @@
 	return nil
 }
 
-func positionOf(index map[string]int, name string) uint8 {
+func positionOrUnknown(index map[string]int, name string) uint8 {
 	if i, ok := index[name]; ok && i < unknownPosition {
 		return uint8(i)
 	}
--- a/internal/protocol/endpoints_test.go
+++ b/internal/protocol/endpoints_test.go
@@ -33,12 +33,12 @@
 		"one bad of two":   {`{"version":4,"full":true,"servers":[` + entry + "," + change("s-1", "") + `]}`, false},
 		"gone, no address": {`{"version":4,"full":false,"servers":[{"id":"s-1","state":"Gone"}]}`, true},
 	} {
-		if _, _, err := names.ParseEndpoints([]byte(c.list)); (err == nil) != c.ok {
+		if _, _, err := testNames.ParseEndpoints([]byte(c.list)); (err == nil) != c.ok {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
 	two := `{"version":4,"full":true,"servers":[` + entry + `,` + change("s-1", "s-2") + `]}`
-	g, version, err := names.ParseEndpoints([]byte(two))
+	g, version, err := testNames.ParseEndpoints([]byte(two))
 	if err != nil || version != 4 || g.Kind != balancer.UpdateFull || len(g.Endpoints) != 2 {
 		t.Fatalf("got %+v, %d, %v", g, version, err)
 	}
@@ -49,7 +49,7 @@
 		t.Errorf("entry %+v", e)
 	}
 	other := `{"version":4,"full":true,"servers":[` + change("127.0.0.1", "127.0.0.2") + `]}`
-	if g, _, err := names.ParseEndpoints([]byte(other)); err != nil || g.Endpoints[0].ID != e.ID {
+	if g, _, err := testNames.ParseEndpoints([]byte(other)); err != nil || g.Endpoints[0].ID != e.ID {
 		t.Error("a peer's identity must not depend on its address, which differs between nodes")
 	}
 }
--- a/internal/protocol/name_index.go
+++ b/internal/protocol/name_index.go
@@ -26,14 +26,14 @@
 		Kinds:   s.Kinds,
 	}
 	for _, class := range s.Balancer.Classes {
-		index.Methods = append(index.Methods, methodOf(class.Idempotency))
+		index.Methods = append(index.Methods, requestMethod(class.Idempotency))
 	}
 	return index
 }
 
-// methodOf returns the one method of a class's requests. Repeats of a request with an idempotency key are dropped by
+// requestMethod returns the one method of a class's requests. Repeats of a request with an idempotency key are dropped by
 // whoever keeps the key; the first run has an effect all the same.
-func methodOf(idempotency balancer.Idempotency) string {
+func requestMethod(idempotency balancer.Idempotency) string {
 	if idempotency == balancer.Idempotent {
 		return http.MethodGet
 	}
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -10,14 +10,14 @@
 
 // The words of the settings, and what they mean to the balancer.
 var (
-	weightsPerWork   = map[string]bool{"work": true, "request": false}
-	pollsDiscovery   = map[string]bool{"subscribe": true, "automatic": false}
-	idempotencyWords = map[string]balancer.Idempotency{
+	weightPerWorkValues   = map[string]bool{"work": true, "request": false}
+	pollDiscoveryValues   = map[string]bool{"subscribe": true, "automatic": false}
+	idempotencyValues = map[string]balancer.Idempotency{
 		"pure":        balancer.Idempotent,
 		"token":       balancer.IdempotencyKeyed,
 		"side_effect": balancer.NonIdempotent,
 	}
-	dedupScopeWords = map[string]balancer.DedupScope{
+	dedupScopeValues = map[string]balancer.DedupScope{
 		"all":  balancer.DedupFleet,
 		"zone": balancer.DedupZone,
 		"cell": balancer.DedupCell,
@@ -48,10 +48,10 @@
 	r := &pairReader{pairs: pairs}
 	s := balancer.Settings{ // in this order, since the first error counts
 		Nodes:                r.positiveInteger("n_instances"),
-		WeightPerWork:        choice(r, "worth_by", weightsPerWork),
+		WeightPerWork:        enumValue(r, "worth_by", weightPerWorkValues),
 		OverQuotaWeightShare: r.optionalNumber("over_share_worth", 1),
 		LiveWeights:          r.text("weights") == liveWeights,
-		PollDiscovery:        choice(r, "discovery", pollsDiscovery),
+		PollDiscovery:        enumValue(r, "discovery", pollDiscoveryValues),
 		DrainGrace:           r.duration("contract.drain_grace"),
 		ServeRemoved:         r.optionalFlag("contract.dropped_stay_open"),
 		InitialCapacity:      r.number("contract.cold_share"),
@@ -74,10 +74,10 @@
 	}
 	r.text("classes.count")
 	for i := range r.optionalCount("classes.count") {
-		s.Classes = append(s.Classes, decodeClass(r, itemPath("classes", i)))
+		s.Classes = append(s.Classes, decodeClass(r, itemPrefix("classes", i)))
 	}
 	for i := range r.optionalCount("tenants.count") {
-		s.Tenants = append(s.Tenants, decodeTenant(r, itemPath("tenants", i)))
+		s.Tenants = append(s.Tenants, decodeTenant(r, itemPrefix("tenants", i)))
 	}
 	if r.err == nil && len(s.Classes) == 0 {
 		r.fail("classes.count", "no classes")
@@ -85,8 +85,8 @@
 	return s, r.err
 }
 
-// itemPath is what the paths of an object in a list begin with.
-func itemPath(list string, position int) string {
+// itemPrefix is what the paths of an object in a list begin with.
+func itemPrefix(list string, position int) string {
 	return list + "." + strconv.Itoa(position) + "."
 }
 
@@ -98,7 +98,7 @@
 		PriorityWeight:   r.number(path + "gain"),
 		LateWeightShare:  r.optionalNumber(path+"late_worth", 0),
 		Streaming:        r.optionalFlag(path + "stream"),
-		Idempotency:      choice(r, path+"idempotency", idempotencyWords),
+		Idempotency:      enumValue(r, path+"idempotency", idempotencyValues),
 	}
 	if class.Deadline == 0 {
 		r.fail(path+"deadline", "nothing can be answered within no time")
@@ -107,7 +107,7 @@
 		r.fail(path+"serial_by_key", "the order of a key's requests is not kept")
 	}
 	if class.Idempotency == balancer.IdempotencyKeyed {
-		class.DedupScope = choice(r, path+"key_scope", dedupScopeWords)
+		class.DedupScope = enumValue(r, path+"key_scope", dedupScopeValues)
 		class.DedupWindow = r.duration(path + "window")
 	}
 	return class
--- a/internal/settings/json.go
+++ b/internal/settings/json.go
@@ -34,7 +34,7 @@
 	case []any:
 		flattenList(pairs, path, value)
 	default:
-		pairs[path] = plainText(value)
+		pairs[path] = scalarText(value)
 	}
 }
 
@@ -45,13 +45,13 @@
 			flatten(pairs, path+"."+strconv.Itoa(i), item)
 			pairs[path+".count"] = strconv.Itoa(len(list))
 		} else {
-			plain = append(plain, plainText(item))
+			plain = append(plain, scalarText(item))
 		}
 	}
 	pairs[path] = strings.Join(plain, ",")
 }
 
-// plainText writes a plain value; a space or comma within it becomes "_".
-func plainText(value any) string {
+// scalarText writes a plain value; a space or comma within it becomes "_".
+func scalarText(value any) string {
 	return strings.NewReplacer(" ", "_", ",", "_").Replace(fmt.Sprint(value))
 }
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -82,12 +82,12 @@
 		names []string
 		index *map[string]int
 	}{
-		{"classes", namesOf(in.Classes), &n.Classes},
-		{"tenants", namesOf(in.Tenants), &n.Tenants},
+		{"classes", itemNames(in.Classes), &n.Classes},
+		{"tenants", itemNames(in.Tenants), &n.Tenants},
 		{"zones", in.Zones, &n.Zones},
 		{"kinds", in.Kinds, &n.Kinds},
 	} {
-		index, err := positions(list.path, list.names)
+		index, err := positionsByName(list.path, list.names)
 		if err != nil {
 			return err
 		}
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func namesOf(items []named) []string {
+func itemNames(items []named) []string {
 	var names []string
 	for _, item := range items {
 		names = append(names, item.Name)
@@ -104,9 +104,9 @@
 	return names
 }
 
-// positions are those of names in a list of the settings. A missing name would fit whoever gives none, and one that
+// positionsByName are those of names in a list of the settings. A missing name would fit whoever gives none, and one that
 // stands twice would hide its first position.
-func positions(path string, names []string) (map[string]int, error) {
+func positionsByName(path string, names []string) (map[string]int, error) {
 	index := map[string]int{}
 	for i, name := range names {
 		if _, twice := index[name]; twice || name == "" {
--- a/internal/settings/pairs.go
+++ b/internal/settings/pairs.go
@@ -100,8 +100,8 @@
 	return int(value)
 }
 
-// choice reads one of several words.
-func choice[T any](r *pairReader, path string, words map[string]T) T {
+// enumValue reads one of several words.
+func enumValue[T any](r *pairReader, path string, words map[string]T) T {
 	value, ok := words[r.text(path)]
 	if !ok {
 		r.fail(path, "unknown value %q", r.pairs[path])
