--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -17,8 +17,8 @@
 	"olivebridge/internal/routing"
 )
 
-// BenchmarkNode measures calls through a whole node over loopback, from 16 client connections to twelve servers.
-// Clients and servers allocate nothing for a call, so what is allocated is the node's.
+// BenchmarkNode measures calls through a complete node over loopback, from 16 client connections to 12 servers.
+// The test's clients and servers allocate nothing per call, so all measured allocations are the node's.
 func BenchmarkNode(b *testing.B) {
 	for _, load := range []struct {
 		name, method string
@@ -27,24 +27,25 @@
 		b.Run(load.name, func(b *testing.B) {
 			addr := benchNode(b, load.answer)
 			var left atomic.Int64
-			ask := func(n int) {
+			sendCalls := func(n int) {
 				left.Store(int64(n))
-				var all sync.WaitGroup
+				var clients sync.WaitGroup
 				for i := range 16 {
-					all.Go(func() { benchClient(b, addr, load.method, load.body, i, &left) })
+					clients.Go(func() { benchClient(b, addr, load.method, load.body, i, &left) })
 				}
-				all.Wait()
+				clients.Wait()
 			}
-			ask(20000) // connections are there, pools are full, limits have grown
+			sendCalls(20000) // warm-up: opens connections, fills buffer pools and raises the concurrency limits
 			b.ReportAllocs()
 			b.ResetTimer()
-			ask(b.N)
+			sendCalls(b.N)
 		})
 	}
 }
 
-// benchNode starts a node with twelve servers, which answer so many bytes at once.
-func benchNode(b *testing.B, answer int) (addr string) {
+// benchNode starts a node with 12 servers and returns its address. Each server answers every request immediately with
+// a body of bodyBytes.
+func benchNode(b *testing.B, bodyBytes int) (addr string) {
 	c := testConfig()
 	c.Listen, c.Sockets, c.KnownEndpoints.Endpoints = "127.0.0.1:0", 1024, nil
 	class := c.Settings.Classes[0]
@@ -52,7 +53,7 @@
 	c.Settings.Classes = append(c.Settings.Classes, class)
 	c.NameIndex = protocol.NameIndex{Classes: map[string]int{"book": 0, "look": 1}, Methods: []string{"POST", "GET"}}
 	response := []byte("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Cache: hit\r\nContent-Length: " +
-		strconv.Itoa(answer) + "\r\n\r\n" + strings.Repeat("x", answer))
+		strconv.Itoa(bodyBytes) + "\r\n\r\n" + strings.Repeat("x", bodyBytes))
 	for i := range 12 {
 		l := benchListener(b)
 		go func() {
@@ -80,7 +81,7 @@
 	return l.Addr().String()
 }
 
-// staticWatcher is an endpoint list that never changes.
+// staticWatcher watches an endpoint list that never changes: it delivers no list.
 type staticWatcher struct{}
 
 func (staticWatcher) Watch(ctx context.Context, _ func(routing.EndpointList)) error {
@@ -97,21 +98,22 @@
 	return l
 }
 
-// benchServer answers each message with the same bytes.
-func benchServer(conn net.Conn, answer []byte) {
+// benchServer answers each request on conn with the same bytes.
+func benchServer(conn net.Conn, response []byte) {
 	defer conn.Close()
 	for buf := make([]byte, 128<<10); ; {
 		if _, err := benchRead(conn, buf); err != nil {
 			return
 		}
-		if _, err := conn.Write(answer); err != nil {
+		if _, err := conn.Write(response); err != nil {
 			return
 		}
 	}
 }
 
-// benchClient asks one call after the other, until none is left.
-func benchClient(b *testing.B, addr, method string, body, nth int, left *atomic.Int64) {
+// benchClient sends one call after another on one connection until left, the number of calls that all clients still
+// have to send, reaches zero.
+func benchClient(b *testing.B, addr, method string, body, clientNumber int, left *atomic.Int64) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		b.Error(err)
@@ -121,28 +123,28 @@
 	class := map[string]string{"GET": "look", "POST": "book"}[method]
 	head := fmt.Sprintf("%s /api/items?user=u%d HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: %02d%016x-00000000\r\n"+
 		"X-Call-Class: %s\r\nX-Budget: 1.500\r\nUser-Agent: bench/1\r\nAccept: */*\r\n",
-		method, nth, nth, time.Now().UnixNano(), class)
+		method, clientNumber, clientNumber, time.Now().UnixNano(), class)
 	if body > 0 {
 		head += fmt.Sprintf("Content-Length: %d\r\n", body)
 	}
 	raw := []byte(head + "\r\n" + strings.Repeat("x", body))
-	number := bytes.Index(raw, []byte("-00000000")) + 1
+	callNumber := bytes.Index(raw, []byte("-00000000")) + 1
 	for buf, i := make([]byte, 128<<10), 0; left.Add(-1) >= 0; i++ {
-		for d, rest := number+7, i; d >= number; d, rest = d-1, rest/10 {
-			raw[d] = byte('0' + rest%10)
+		for digit, rest := callNumber+7, i; digit >= callNumber; digit, rest = digit-1, rest/10 {
+			raw[digit] = byte('0' + rest%10)
 		}
 		if _, err := conn.Write(raw); err != nil {
 			b.Error(err)
 			return
 		}
 		if got, err := benchRead(conn, buf); err != nil || !bytes.HasPrefix(got, []byte("HTTP/1.1 200")) {
-			b.Errorf("%.60q, %v", got, err)
+			b.Errorf("got response %.60q, error %v; want status 200", got, err)
 			return
 		}
 	}
 }
 
-// benchRead reads one message into buf.
+// benchRead reads one HTTP message into buf and returns its bytes.
 func benchRead(conn net.Conn, buf []byte) ([]byte, error) {
 	for n, size := 0, 0; ; {
 		k, err := conn.Read(buf[n:])
@@ -152,9 +154,9 @@
 		n += k
 		if end := bytes.Index(buf[:n], []byte("\r\n\r\n")); size == 0 && end >= 0 {
 			size = end + 4
-			if at := bytes.Index(buf[:end], []byte("Content-Length: ")); at >= 0 {
+			if header := bytes.Index(buf[:end], []byte("Content-Length: ")); header >= 0 {
 				length := 0
-				for _, c := range buf[at+len("Content-Length: ") : end] {
+				for _, c := range buf[header+len("Content-Length: ") : end] {
 					if c < '0' || c > '9' {
 						break
 					}
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -10,15 +10,15 @@
 	"olivebridge/internal/handover"
 )
 
-// Why a node does not carry a command out, or is not ready.
+// Errors that operators receive when the node cannot execute a command or is not ready.
 var (
 	errStarting       = errors.New("the node is starting")
 	errShuttingDown   = errors.New("the node is ending")
 	errNoEndpointList = errors.New("the upstream group is not known yet")
 )
 
-// startingExecutor carries operators' commands out. The admin listener opens before the node is there, so that it can
-// say that it is not.
+// startingExecutor executes operators' commands. The admin listener opens before the node has started; until node is
+// set, every command fails with errStarting.
 type startingExecutor struct {
 	node atomic.Pointer[Node]
 }
@@ -32,7 +32,7 @@
 	return n.Do(command)
 }
 
-// Do carries an operator's command out, in all processes of the node. It implements admin.Executor.
+// Do implements admin.Executor. It executes an operator's command in all processes of the node.
 func (n *Node) Do(command admin.Command) (string, error) {
 	switch command.Name {
 	case admin.Status:
@@ -46,7 +46,8 @@
 	return n.executeInAllProcesses(command)
 }
 
-// status waits for nothing. A paused node takes whoever still comes.
+// status returns the node's state for operators without blocking. A paused node still accepts new requests, so its
+// status is not an error.
 func (n *Node) status() (string, error) {
 	state := "serving"
 	switch {
@@ -60,15 +61,16 @@
 	return fmt.Sprintf("%s; suspended: %v", state, n.servers.SuspendedServers()) + n.fleetStatus(), nil
 }
 
-// executeInAllProcesses carries an operator's command out here and in the node's other processes.
+// executeInAllProcesses executes an operator's command in this process and in the node's other processes.
 func (n *Node) executeInAllProcesses(command admin.Command) (string, error) {
 	n.processes.commands.Lock()
 	defer n.processes.commands.Unlock()
 	return n.executeAndForward(command, nil)
 }
 
-// executeAndForward carries a command out here, then in the processes but for the one that it came from. Where another
-// one does not confirm, the operator has to repeat the command: a success would be false.
+// executeAndForward executes a command in this process and then in the node's other processes, except the one that from
+// leads to, which sent the command; nil: an operator sent it. If another process does not confirm the command, an error
+// asks the operator to repeat it, since reporting success would be wrong.
 func (n *Node) executeAndForward(command admin.Command, from *handover.Link) (string, error) {
 	answer, err := n.execute(command)
 	if err != nil {
@@ -90,7 +92,7 @@
 	return answer, nil
 }
 
-// execute carries a command out in this process.
+// execute executes a command in this process.
 func (n *Node) execute(command admin.Command) (string, error) {
 	switch command.Name {
 	case admin.Suspend:
--- a/internal/node/discovery_polling_test.go
+++ b/internal/node/discovery_polling_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// TestPollingOfRejectingDiscovery: discovery that rejects requests is asked again soon enough, however often it has
-// rejected, that five requests fit into the 6 s in which a change is due: many nodes may lose four in a row. And no
-// more than 1.2 a second are made.
+// TestPollingOfRejectingDiscovery checks the polling of a discovery service that rejects every request. However many
+// requests were rejected, five polls fit into the 6 s within which a change must reach the node, since with many nodes
+// some lose four requests in a row. The poll rate stays at or below 1.2 requests per second.
 func TestPollingOfRejectingDiscovery(t *testing.T) {
-	const most, length, rate = 6 * time.Second / 5, 5 * time.Minute, 1.2
+	const maxInterval, testDuration, maxRate = 6 * time.Second / 5, 5 * time.Minute, 1.2
 	synctest.Test(t, func(t *testing.T) {
 		network := newMemoryNetwork()
 		var mu sync.Mutex
@@ -32,18 +32,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(length)
+		time.Sleep(testDuration)
 		n.Abort()
 		mu.Lock()
 		defer mu.Unlock()
 		longest := time.Duration(0)
-		for i, at := range requests[1:] {
-			longest = max(longest, at.Sub(requests[i]))
+		for i, sentAt := range requests[1:] {
+			longest = max(longest, sentAt.Sub(requests[i]))
 		}
-		perSecond := float64(len(requests)) / length.Seconds()
-		t.Logf("%v without a request at worst, and %.2f a second", longest, perSecond)
-		if longest > most || perSecond > rate {
-			t.Errorf("want %v and %.2f at most", most, rate)
+		perSecond := float64(len(requests)) / testDuration.Seconds()
+		t.Logf("longest interval between requests: %v, rate: %.2f requests per second", longest, perSecond)
+		if longest > maxInterval || perSecond > maxRate {
+			t.Errorf("want an interval of at most %v and a rate of at most %.2f requests per second", maxInterval, maxRate)
 		}
 	})
 }
--- a/internal/node/endpoint_updates_test.go
+++ b/internal/node/endpoint_updates_test.go
@@ -17,38 +17,39 @@
 	"olivebridge/internal/routing"
 )
 
-// failureMode is what ails discovery.
+// failureMode is the way in which the fake discovery service fails.
 type failureMode string
 
-// The failures. What is open when one begins meets it too; unreachable and never up befall new connections as well.
+// The failure modes. A failure also affects requests that are open when it begins. connectionRefused and connectHangs
+// affect new connections, too.
 const (
-	noFailure      failureMode = ""
-	connectionRefused    failureMode = "down"
-	connectHangs        failureMode = "never up"
-	noResponse         failureMode = "silent"
-	connectionReset          failureMode = "reset"
-	rejecting      failureMode = "refused"
-	truncatedList       failureMode = "half a list"
-	truncatedThenSilent failureMode = "half, then silent"
-	firstRequestLost  failureMode = "first call lost" // only after another failure
-	slowResponse failureMode = "answers trickle" // only after another failure
+	noFailure           failureMode = ""
+	connectionRefused   failureMode = "connection refused"
+	connectHangs        failureMode = "connect hangs"
+	noResponse          failureMode = "no response"
+	connectionReset     failureMode = "connection reset"
+	rejecting           failureMode = "requests rejected"
+	truncatedList       failureMode = "list truncated"
+	truncatedThenSilent failureMode = "list truncated, connection open"
+	firstRequestLost    failureMode = "first request lost" // used only after another failure
+	slowResponse        failureMode = "slow response"      // used only after another failure
 )
 
-// fakeDiscovery is a discovery service that fails at times.
+// fakeDiscovery is a discovery service whose failures the test sets.
 type fakeDiscovery struct {
-	mu       sync.Mutex
-	failure  failureMode
-	after    failureMode // once it can be reached again
-	version  int64
-	requests int           // since the last change
-	changed  chan struct{} // closed at each change of the above
+	mu          sync.Mutex
+	failureMode failureMode
+	after       failureMode   // applies once the failure is over: noFailure, firstRequestLost or slowResponse
+	version     int64         // of the endpoint list
+	requests    int           // number since the last call of set
+	changed     chan struct{} // closed and replaced by each call of set
 }
 
-// set changes discovery, and lets all that wait see it.
+// set changes the failure modes and the version of the list, and wakes all waiting requests.
 func (d *fakeDiscovery) set(current, after failureMode, version int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.failure = current
+	d.failureMode = current
 	d.after = after
 	d.version = version
 	d.requests = 0
@@ -68,23 +69,23 @@
 		since = -1
 	}
 	wait, _ := strconv.Atoi(r.FormValue("wait_ms"))
-	over := time.After(time.Duration(wait) * time.Millisecond)
+	waitOver := time.After(time.Duration(wait) * time.Millisecond)
 	d.mu.Lock()
 	d.requests++
 	for waiting := true; ; {
-		current, after, version, changed := d.failure, d.after, d.version, d.changed
+		current, after, version, changed := d.failureMode, d.after, d.version, d.changed
 		if after == firstRequestLost && current == noFailure {
 			current = noResponse
 			d.after = noFailure
 		}
 		d.mu.Unlock()
 		if current != noFailure || version > since || !waiting {
-			d.answer(w, r, current, after, version)
+			d.respond(w, r, current, after, version)
 			return
 		}
 		select {
 		case <-changed:
-		case <-over:
+		case <-waitOver:
 			waiting = false
 		case <-r.Context().Done():
 			return
@@ -93,7 +94,7 @@
 	}
 }
 
-func (d *fakeDiscovery) answer(w http.ResponseWriter, r *http.Request, current, after failureMode, version int64) {
+func (d *fakeDiscovery) respond(w http.ResponseWriter, r *http.Request, current, after failureMode, version int64) {
 	list := fmt.Appendf(nil, `{"version":%d,"full":false,"servers":[]}`, version)
 	switch current {
 	case noResponse, connectHangs:
@@ -112,7 +113,7 @@
 			conn.Close()
 		}
 	default:
-		for i := range list { // in 2 s, where it trickles
+		for i := range list { // with slowResponse, one byte at a time over 2 s
 			if w.Write(list[i : i+1]); after == slowResponse {
 				w.(http.Flusher).Flush()
 				time.Sleep(2 * time.Second / time.Duration(len(list)))
@@ -121,11 +122,11 @@
 	}
 }
 
-// dialer connects to discovery as its failure lets it.
+// dialer returns a dial function whose connections are refused or hang while that failure mode is set.
 func (d *fakeDiscovery) dialer(network *memoryNetwork) func(context.Context, string) (net.Conn, error) {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		d.mu.Lock()
-		current := d.failure
+		current := d.failureMode
 		d.mu.Unlock()
 		switch current {
 		case connectionRefused:
@@ -138,7 +139,7 @@
 	}
 }
 
-// versionRecorder reports the versions of the lists that a watcher delivers.
+// versionRecorder wraps a watcher and sends the version of each delivered list to versions.
 type versionRecorder struct {
 	routing.Watcher
 	versions chan int64
@@ -151,10 +152,11 @@
 	})
 }
 
-// TestEndpointUpdateInTime: whatever failure discovery had, and for however long, the node's start included, a change
-// has reached the router 6 s after discovery could be reached, with a second to spare, also where the first request
-// then is lost or answers trickle. And no failure makes a crowd: a node makes two requests a second at most in the
-// mean, and 16 more; four a second where connections break, of which one may get through.
+// TestEndpointUpdateInTime checks how fast a change of the endpoint list reaches the router after a failure of
+// discovery. Once discovery can be reached again, the change must arrive within 6 s, less a margin of 1 s. This holds
+// for every kind and duration of failure, for a failure at the node's start, and where the first request after the
+// failure is lost or responses are slow. No failure causes a burst of requests: a node sends at most 16 requests plus
+// an average of two per second, or four per second where connections break and a retry may therefore succeed.
 func TestEndpointUpdateInTime(t *testing.T) {
 	for _, current := range []failureMode{connectionRefused, connectHangs, noResponse, connectionReset, rejecting, truncatedList, truncatedThenSilent} {
 		for _, after := range []failureMode{noFailure, firstRequestLost, slowResponse} {
@@ -168,7 +170,7 @@
 }
 
 func checkUpdateInTime(t *testing.T, current, after failureMode, nodes int) {
-	const due, margin, steps = 6 * time.Second, time.Second, 15
+	const maxDelay, margin, steps = 6 * time.Second, time.Second, 15
 	discovery := &fakeDiscovery{changed: make(chan struct{})}
 	network := newMemoryNetwork()
 	l, _ := network.listen("discovery:1")
@@ -177,7 +179,7 @@
 	defer server.Close()
 	c, versions := testConfig(), make(chan int64, 1000)
 	c.Settings.Nodes, c.Settings.PollInterval, c.Settings.HealthChecks = nodes, 10*time.Second, false
-	version, length := c.KnownEndpointsVersion, 100*time.Millisecond
+	version, failureDuration := c.KnownEndpointsVersion, 100*time.Millisecond
 	discovery.set(current, noFailure, version)
 	n, err := Start(c, Options{Listen: network.listen, Dial: discovery.dialer(network),
 		WrapWatcher: func(w routing.Watcher) routing.Watcher { return versionRecorder{w, versions} }})
@@ -186,54 +188,54 @@
 	}
 	synctest.Wait()
 	if !n.router.Ready() {
-		t.Error("not ready by the list known last")
+		t.Error("the node is not ready, although it has the endpoint list of its configuration")
 	}
 	perSecond := time.Duration(2)
 	if current == connectionReset || current == truncatedList {
-		perSecond = 4 // thirteen requests in two seconds, and as long a pause
+		perSecond = 4 // the watcher sends 13 requests in 2 s and then pauses for 2 s
 	}
-	var worst time.Duration
+	var longestDelay time.Duration
 	requests := 0
 	for range steps {
-		time.Sleep(length)
+		time.Sleep(failureDuration)
 		requests = discovery.requestCount()
-		if most := 16 + int(perSecond*length/time.Second); requests > most {
-			t.Errorf("%d requests in %v of failure, %d at most", requests, length, most)
+		if limit := 16 + int(perSecond*failureDuration/time.Second); requests > limit {
+			t.Errorf("%d requests during a failure of %v, want at most %d", requests, failureDuration, limit)
 		}
 		version++
 		discovery.set(noFailure, after, version)
-		reachable, never := time.Now(), time.After(time.Minute)
+		reachable, timeout := time.Now(), time.After(time.Minute)
 		for delivered := false; !delivered; {
 			select {
 			case v := <-versions:
 				delivered = v == version
-			case <-never:
+			case <-timeout:
 				delivered = true
 			}
 		}
-		took := time.Since(reachable)
-		worst = max(worst, took)
-		if took > due-margin {
-			t.Errorf("updated %v after discovery could be reached, %v of failure", took, length)
+		delay := time.Since(reachable)
+		longestDelay = max(longestDelay, delay)
+		if delay > maxDelay-margin {
+			t.Errorf("update received %v after the end of a failure of %v, want less", delay, failureDuration)
 		}
-		length += 1137 * time.Millisecond
+		failureDuration += 1137 * time.Millisecond
 		time.Sleep(3 * time.Second)
 		discovery.set(current, noFailure, version)
 	}
-	t.Logf("at worst %v, %d requests in the last failure", worst, requests)
+	t.Logf("longest delay: %v; %d requests during the last failure", longestDelay, requests)
 	n.Abort()
-	time.Sleep(2 * time.Second) // the last of its goroutines see it
+	time.Sleep(2 * time.Second) // until the node's last goroutines have ended
 }
 
-// TestReloadOfDiscoveryEndsHangingRequest: at a reload with another discovery the request that hangs at the old one
-// ends, its connection with it, and the new one is asked for its whole list.
+// TestReloadOfDiscoveryEndsHangingRequest: when a reload changes discovery's address, the request that hangs at the
+// old address is canceled and its connection closed. The first request to the new address asks for the full list.
 func TestReloadOfDiscoveryEndsHangingRequest(t *testing.T) {
 	old, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer old.Close()
-	hangs, left := make(chan bool), make(chan error)
+	received, disconnected := make(chan bool), make(chan error)
 	go func() {
 		conn, err := old.Accept()
 		if err != nil {
@@ -242,13 +244,13 @@
 		defer conn.Close()
 		in := bufio.NewReader(conn)
 		http.ReadRequest(in)
-		hangs <- true
+		received <- true
 		_, err = in.ReadByte()
-		left <- err
+		disconnected <- err
 	}()
-	asked := make(chan string, 100)
+	requestURIs := make(chan string, 100)
 	next := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.RequestURI
+		requestURIs <- r.RequestURI
 		<-r.Context().Done()
 	}))
 	defer next.Close()
@@ -259,14 +261,14 @@
 		t.Fatal(err)
 	}
 	defer n.Abort()
-	<-hangs
+	<-received
 	moved := *c
 	moved.Discovery = next.Listener.Addr().String()
 	n.Reload(&moved)
-	if err := <-left; err == nil {
-		t.Error("the old request goes on")
+	if err := <-disconnected; err == nil {
+		t.Error("the connection to the old discovery service is still in use after the reload")
 	}
-	if uri := <-asked; uri != "/registry/instances" {
-		t.Errorf("asked for %s", uri)
+	if uri := <-requestURIs; uri != "/registry/instances" {
+		t.Errorf("the first request to the new discovery service is for %s, want the full list", uri)
 	}
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -8,41 +8,43 @@
 	"olivebridge/internal/transport"
 )
 
-// Fleet is the node's membership in a fleet. Two processes of one node are one member: the membership goes from one to
-// the other during an upgrade. All methods but Join return in well under the time that the other process waits for a
-// result.
+// Fleet is the node's membership in a fleet. The two processes of a node share one membership, which moves from one to
+// the other during an upgrade. All methods except Join return well before the timeout after which the other process
+// stops waiting for a result.
 type Fleet interface {
-	// Join takes the node's membership into this process. With wait an error is no failure: the membership is waited
-	// for in the background, since the node's other process may still have it.
+	// Join acquires the node's membership for this process. If wait is set, Join returns no error: it retries in the
+	// background until it has the membership, since the node's other process may still hold it.
 	Join(wait bool) error
-	// Release frees the membership for the node's other process, and tells no other node of it.
+	// Release releases the membership to the node's other process without notifying other nodes.
 	Release()
-	// AnnounceLeave tells the other nodes that this one shuts down. Without the membership it does nothing.
+	// AnnounceLeave notifies the other nodes that this node is shutting down. It does nothing if this process does not
+	// hold the membership.
 	AnnounceLeave()
-	// Leave tells the other nodes that this one has shut down, and gives the membership up.
+	// Leave notifies the other nodes that this node has shut down, and ends the membership.
 	Leave()
-	// Close gives the membership up and tells nobody, as a crash does.
+	// Close ends the membership without notifying other nodes, as a crash does.
 	Close()
-	// AdmissionControl returns the fleet's quotas; nil: there are none.
+	// AdmissionControl returns the admission control by the fleet's quotas; nil: the fleet has no quotas.
 	AdmissionControl() routing.AdmissionControl
-	// IdempotencyStore returns the store of calls with an idempotency key; nil: there is none.
+	// IdempotencyStore returns the store of calls with an idempotency key; nil: the fleet has no store.
 	IdempotencyStore() transport.IdempotencyStore
-	// SubsetSelector returns which servers of a large group this node works with; nil: with all.
+	// SubsetSelector returns the selector of the servers that this node uses in a large endpoint list; nil: it uses all.
 	SubsetSelector() routing.SubsetSelector
-	// SetServerControl gives the fleet control of the node's servers, before there are clients; only where the node has
-	// an admin listener.
+	// SetServerControl gives the fleet control of the node's servers. It is called before the node accepts clients, and
+	// only if the node has an admin listener.
 	SetServerControl(ServerControl)
-	// Execute carries out an operator's command that is for the whole fleet.
+	// Execute executes an operator's command for the whole fleet, given as its words, and returns the reply.
 	Execute(words []string) (string, error)
-	// Reload reads what may change in a running node. What cannot hold as a whole changes nothing.
+	// Reload applies the settings that may change in a running node. On an error none of them has changed.
 	Reload(c *protocol.Config) error
-	// Status returns what is believed of the fleet, for operators.
+	// Status returns this node's view of the fleet as text for operators.
 	Status() string
-	// Counters returns what was counted, for operators.
+	// Counters returns the fleet's counters as text for operators.
 	Counters() string
 }
 
-// joinFleet takes the node's membership once this process has clients.
+// joinFleet acquires the node's membership once this process accepts clients. A process with a predecessor does not
+// wait for the membership, which the predecessor may still hold.
 func (n *Node) joinFleet() error {
 	if n.options.Fleet == nil {
 		return nil
@@ -53,14 +55,14 @@
 	return nil
 }
 
-// rejoinFleet takes the membership back from a successor that has died.
+// rejoinFleet acquires the membership again after the successor that held it has ended.
 func (n *Node) rejoinFleet() {
 	if n.options.Fleet != nil {
-		_ = n.options.Fleet.Join(true) // which does not fail
+		_ = n.options.Fleet.Join(true) // with wait set, Join returns no error
 	}
 }
 
-// releaseFleet gives the membership to the successor, which takes clients now.
+// releaseFleet releases the membership to the successor, which accepts clients now.
 func (n *Node) releaseFleet() {
 	if n.options.Fleet != nil {
 		n.options.Fleet.Release()
@@ -85,7 +87,7 @@
 	}
 }
 
-// fleetStatus is the fleet's part of the node's status.
+// fleetStatus returns the fleet's part of the node's status; "": the node belongs to no fleet.
 func (n *Node) fleetStatus() string {
 	if n.options.Fleet == nil {
 		return ""
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -8,34 +8,39 @@
 )
 
 const (
-	// reservedDescriptors are held whatever comes: the three standard ones, the poller's two, the listeners of clients,
-	// operators and a successor, two links to other processes of the node, a file that is read, and one accepted but not
-	// yet counted on each listener. Some are left for those that are closed a moment after they are counted.
+	// reservedDescriptors is the number of descriptors outside the connection pools: 3 standard streams, 2 of the
+	// network poller, the listeners for clients, operators and a successor, 2 links to other processes of the node, a
+	// file that is being read, and on each listener one connection that is accepted but not yet counted. The remainder
+	// covers connections that are no longer counted but are closed only a moment later.
 	reservedDescriptors = 16
-	// smallPoolDivisor bounds what operators and clients in excess have each, where there are few descriptors.
+	// smallPoolDivisor bounds the pools of operators and of excess clients: where there are few descriptors, each pool
+	// has at most this fraction of the process's descriptors.
 	smallPoolDivisor = 16
-	// idleClientDivisor keeps idle client connections well below what clients may hold.
+	// idleClientDivisor bounds idle client connections to this fraction of the process's descriptors, well below the
+	// limit of all client connections.
 	idleClientDivisor = 4
-	// minConns is how many connections clients and servers have each, however few descriptors there are.
+	// minConns is the smallest number of connections that clients and servers each have, however few descriptors the
+	// process may hold.
 	minConns = 8
 )
 
-// descriptorBudget divides the descriptors that a process of the node may hold. What has to come through when all else
-// is full, requests to discovery above all, has its part to itself: no client and no server takes from it.
+// descriptorBudget is the number of file descriptors of a process for each purpose. The pools are separate, so that
+// client and server connections cannot block requests to discovery, nor operators' commands.
 type descriptorBudget struct {
-	// discovery is for concurrent requests to discovery, each on a connection of its own.
+	// discovery is the number for concurrent requests to discovery, each on its own connection.
 	discovery int
-	// operators is for connections of operators.
+	// operators is the number for connections of operators.
 	operators int
-	// excessClients is for client connections beyond those that may stay, accepted to be rejected.
+	// excessClients is the number for client connections above the limit. They are accepted to reject their calls.
 	excessClients int
-	// clients is for client connections that may stay.
+	// clients is the number for client connections within the limit.
 	clients int
-	// servers is for attempts and health checks.
+	// servers is the number for connections to servers, for attempts and health checks.
 	servers int
 }
 
-// divideDescriptors divides this process's share of the node's descriptors.
+// divideDescriptors divides a process's share of the node's descriptors among their purposes. share is above 0 and at
+// most 1.
 func divideDescriptors(c *protocol.Config, share float64) descriptorBudget {
 	all := int(float64(c.Sockets) * share)
 	smallPool := max(all/smallPoolDivisor, 1)
@@ -76,7 +81,8 @@
 	}
 }
 
-// applyLimits keeps this process to its share of the node's limits.
+// applyLimits applies this process's share of the node's limits. It is called when the number of the node's processes
+// or the configuration changes.
 func (n *Node) applyLimits() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -9,13 +9,14 @@
 	"olivebridge/internal/transport"
 )
 
-// TestDescriptorBudgetFits: all that may be held at once fits what the process may hold, of the node's share in an
-// upgrade, and what has to come through has its whole part however few descriptors there are.
+// TestDescriptorBudgetFits: the descriptors of all purposes together fit into the limit of the process, which is its
+// share of the node's limit during an upgrade. Discovery has its full number however low the limit is, and every other
+// purpose has its minimum.
 func TestDescriptorBudgetFits(t *testing.T) {
-	const least = 56 // that one process can do with: docs/DESIGN.md
-	for sockets := least; sockets <= 8192; sockets++ {
+	const minDescriptors = 56 // the smallest number that a process can run with; see docs/DESIGN.md
+	for sockets := minDescriptors; sockets <= 8192; sockets++ {
 		for processes := 1; processes <= 3; processes++ {
-			if sockets/processes < least {
+			if sockets/processes < minDescriptors {
 				continue
 			}
 			share := handover.ResourceShare(processes)
@@ -26,12 +27,12 @@
 			all := reservedDescriptors + budget.discovery + budget.operators + clients.MaxOverflow + clients.MaxOpen + servers
 			if all*processes > sockets || budget.discovery != transport.MaxWatchRequests || clients.MaxOpen < 8 ||
 				servers < 8 || budget.operators < 1 || clients.MaxOverflow < 1 {
-				t.Fatalf("%d processes with %d descriptors hold %d each: %+v, %+v, %d to servers",
+				t.Fatalf("%d processes with a limit of %d descriptors hold %d each: budget %+v, clients %+v, %d to servers",
 					processes, sockets, all, budget, clients, servers)
 			}
 			if sockets >= 512*processes &&
 				(budget.operators != admin.MaxConnections || clients.MaxOverflow != transport.DefaultOverflow) {
-				t.Fatalf("%d descriptors: %+v", sockets, budget)
+				t.Fatalf("%d descriptors: got budget %+v, want full pools for operators and excess clients", sockets, budget)
 			}
 		}
 	}
--- a/internal/node/memory_network_test.go
+++ b/internal/node/memory_network_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// memoryNetwork is a network without sockets, for synctest: real I/O would stop its virtual clock.
+// memoryNetwork is an in-memory network without sockets. Tests with synctest need it, since the virtual clock does not
+// advance while a goroutine waits for real I/O.
 type memoryNetwork struct {
 	mu       sync.Mutex
 	incoming map[string]chan net.Conn // by listening address
@@ -46,7 +47,7 @@
 	return near, nil
 }
 
-// openConns counts the ends of connections that nobody has closed.
+// openConns returns the number of connection ends that are not closed.
 func (m *memoryNetwork) openConns() (n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,17 +95,17 @@
 	return nil
 }
 
-// connState is the state of a connection; each array has an element for each side.
+// connState is the state of a connection that its two ends share. Each array has one element per side.
 type connState struct {
 	mu         sync.Mutex
 	changed    sync.Cond
 	unread     [2][]byte
 	sendClosed [2]bool
 	closed     [2]bool
-	deadline   [2]time.Time // of reads
+	deadline   [2]time.Time // read deadlines
 }
 
-// memoryConn is one side of a connection. It implements transport.Conn.
+// memoryConn is one end of a connection. It implements transport.Conn.
 type memoryConn struct {
 	*connState
 	side int
@@ -153,7 +154,8 @@
 	return len(b), nil
 }
 
-// readable returns how much a read finds, or its error. The lock is held.
+// readable returns the number of bytes that can be read, or the error that a read returns: EAGAIN if it would block.
+// The caller holds the lock. 0 bytes without an error mean the end of the stream.
 func (c *memoryConn) readable() (int, error) {
 	deadline := c.deadline[c.side]
 	switch {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,48 +16,52 @@
 	"olivebridge/internal/transport"
 )
 
-// Options are what an instance stands on. The zero value is a node on TCP that logs nothing.
+// Options are the dependencies of a Node. The zero value selects TCP, no log, no hand-over and no fleet.
 type Options struct {
 	// Listen listens for clients and for operators; nil: on TCP.
 	Listen func(addr string) (net.Listener, error)
-	// Dial connects to servers and to discovery; nil: over TCP.
+	// Dial connects to servers and to discovery; nil: by TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
-	// WrapTransport wraps the transport to servers; nil: it stays as it is.
+	// WrapTransport wraps the transport to servers; nil: the transport is used directly.
 	WrapTransport func(routing.Transport) routing.Transport
-	// WrapWatcher wraps each watcher of the endpoint list; nil: it stays as it is.
+	// WrapWatcher wraps each watcher of the endpoint list; nil: the watcher is used directly.
 	WrapWatcher func(routing.Watcher) routing.Watcher
-	// Log must not block; nil: nothing is logged.
+	// Log is the logger, whose handler must not block; nil: nothing is logged.
 	Log *slog.Logger
-	// HandoverPath is the socket at which the processes of this node find each other; "": they do not.
+	// HandoverPath is the path of the Unix socket on which the processes of this node connect to each other; "": there
+	// is no hand-over.
 	HandoverPath string
-	// ApplyLimits keeps the process to its share of the node's machine; nil: there are no limits.
+	// ApplyLimits applies the limits of processors and memory to this process, which may use the given share of the
+	// node's limits (above 0, at most 1); nil: there are no limits.
 	ApplyLimits func(c *protocol.Config, share float64)
-	// Fleet is the node's membership in a fleet; nil: it belongs to none.
+	// Fleet is the node's membership in a fleet; nil: the node belongs to no fleet.
 	Fleet Fleet
 }
 
-// Node is a running instance.
+// Node is a running instance of the load balancer.
 type Node struct {
 	options   Options
 	log       *slog.Logger
 	transport *transport.UpstreamTransport
 	router    *routing.Router
 	frontend  *transport.Frontend
-	servers   *maintenance.Registry // nil without an admin listener
+	servers   *maintenance.Registry // nil: there is no admin listener
 	admin     *admin.Server         // nil: there is no admin listener
-	listener  net.Listener          // of clients
+	listener  net.Listener          // for clients
 	processes processGroup
-	stop      context.CancelFunc // ends the router and all that it started
-	running   sync.WaitGroup     // frontend and router
+	stop      context.CancelFunc // ends the router and its goroutines
+	running   sync.WaitGroup     // goroutines of frontend and router
 	failed    chan error
 
 	mu     sync.Mutex
 	config *protocol.Config
-	// longestDeadline is that of all settings so far: a reload leaves requests in flight their time.
+	// longestDeadline is the longest deadline of any configuration so far. Requests that arrived before a reload keep
+	// their deadline, so Drain waits this long for them.
 	longestDeadline time.Duration
 }
 
-// Start listens and begins to serve. The connections of options.Listen must be transport.Conns, or TCP's.
+// Start opens the listeners and starts to serve requests. The connections of options.Listen must implement
+// transport.Conn or be TCP connections.
 func Start(c *protocol.Config, options Options) (*Node, error) {
 	n := newNode(c, options)
 	executor := &startingExecutor{}
@@ -94,11 +98,11 @@
 		log:             options.Log,
 		config:          c,
 		longestDeadline: c.LongestDeadline,
-		failed:          make(chan error, 2), // of frontend and router
+		failed:          make(chan error, 2), // one error each of frontend and router
 	}
 }
 
-// openAdmin listens where operators connect, if the configuration has an address for them.
+// openAdmin opens the admin listener if the configuration has an address for it.
 func (n *Node) openAdmin(executor admin.Executor) error {
 	if n.config.AdminListen == "" {
 		return nil
@@ -118,8 +122,8 @@
 	}
 }
 
-// openListener takes the clients' listener over from the process in service, or listens itself. paused reports that
-// operators have paused the node.
+// openListener takes over the listener for clients from the process in service, or opens one if there is no such
+// process. paused reports whether operators have paused the node.
 func (n *Node) openListener() (paused bool, err error) {
 	n.listener, paused = n.takeOver()
 	if n.listener != nil {
@@ -129,7 +133,7 @@
 	return false, err
 }
 
-// buildComponents makes the parts, none of which runs yet.
+// buildComponents creates the transport, the router and the frontend without starting them.
 func (n *Node) buildComponents() {
 	c := n.config
 	share := handover.ResourceShare(n.processes.count())
@@ -171,7 +175,8 @@
 	n.attachServerControl()
 }
 
-// startComponents runs the parts, and then lets the node's other processes know.
+// startComponents starts router and frontend, and then completes the takeover from the predecessor. paused is the state
+// in which the frontend starts.
 func (n *Node) startComponents(paused bool) {
 	ctx, stop := context.WithCancel(context.Background())
 	n.stop = stop
@@ -192,13 +197,13 @@
 	})
 }
 
-// Failed delivers why frontend or router ended by themselves. The node is of no further use then, but Drain still
-// answers requests in flight.
+// Failed returns a channel that receives the error with which the frontend or the router ended unexpectedly. The node
+// cannot serve after that; the caller should call Drain, which still answers the requests in flight.
 func (n *Node) Failed() <-chan error { return n.failed }
 
-// Drain is the graceful shutdown: the node serves on until nothing is open, for as long as any request may take, and a
-// minute more for long messages. It returns once nothing of the node is left: no connection, goroutine or timer. Abort
-// cuts it short.
+// Drain shuts the node down gracefully. It waits for open requests for as long as the longest deadline allows, and one
+// minute more for long messages, and hands client connections over if there is a successor. When it returns, the node
+// has no connection, goroutine or timer left. Abort interrupts it.
 func (n *Node) Drain() {
 	n.mu.Lock()
 	longest := n.longestDeadline
@@ -218,8 +223,8 @@
 	n.closeAdmin()
 }
 
-// Abort ends everything at once, and no open request gets an answer. It waits for nothing: goroutines of the node end
-// as they find its connections closed.
+// Abort shuts the node down immediately and leaves open requests unanswered. It does not wait for the node's
+// goroutines, which end when they find their connections closed.
 func (n *Node) Abort() {
 	n.frontend.Abort()
 	n.stop()
@@ -229,8 +234,8 @@
 	n.closeAdmin()
 }
 
-// Reload takes changed configuration, which has passed Config.Reload. Requests in flight go on as before, and so does
-// the watch unless discovery has moved. One Reload runs at a time.
+// Reload applies a changed configuration, which Config.Reload has returned. Requests in flight are not affected. The
+// watch of the endpoint list continues unless the address of discovery has changed. Calls must not overlap.
 func (n *Node) Reload(c *protocol.Config) {
 	n.mu.Lock()
 	old := n.config
@@ -238,16 +243,17 @@
 	n.longestDeadline = max(n.longestDeadline, c.LongestDeadline)
 	n.mu.Unlock()
 	if c.Discovery != old.Discovery {
-		// Versions of another discovery need not compare with those held: it is asked for the whole list.
+		// The other discovery service may number versions differently, so the watcher asks it for the full list.
 		n.router.ReplaceWatcher(n.newWatcher(c, unknownVersion))
 	}
 	n.router.UpdateSettings(c.Settings)
-	n.frontend.SetNames(c.NameIndex) // a class whose idempotency has changed has another method
+	n.frontend.SetNames(c.NameIndex) // the request method of a class follows its idempotency, which may have changed
 	n.applyLimits()
 	n.log.Info("reloaded", "discovery", c.Discovery)
 }
 
-// unknownVersion is that of an endpoint list whose version means nothing to discovery.
+// unknownVersion is the version of an endpoint list that discovery did not number. A watcher that starts from it asks
+// for the full list.
 const unknownVersion = -1
 
 func (n *Node) newWatcher(c *protocol.Config, version int64) routing.Watcher {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// attemptRecorder reports the attempts on their way to the transport.
+// attemptRecorder wraps a transport and sends each attempt to attempts before the transport makes it.
 type attemptRecorder struct {
 	routing.Transport
 	attempts chan routing.Attempt
@@ -47,19 +47,21 @@
 	return r.Transport.RoundTrip(ctx, a)
 }
 
-// testNode is a node on a memory network and a virtual clock, with a client, a server and two discovery services.
+// testNode is a node on a memory network and a virtual clock, with a client, a server and two discovery services. The
+// server holds requests under /held until the test releases them.
 type testNode struct {
 	*Node
-	network   *memoryNetwork
-	client    *http.Client
-	attempts  chan routing.Attempt
-	discoveryRequests chan string // address and URI of each request to discovery
-	arrived   chan bool   // a request under /held has arrived at the server
-	release   chan bool   // lets one of these be answered
-	ids       atomic.Int64
+	network           *memoryNetwork
+	client            *http.Client
+	attempts          chan routing.Attempt
+	discoveryRequests chan string // receives the address and URI of each request to discovery
+	arrived           chan bool   // receives a value when the server has received a request under /held
+	release           chan bool   // each value sent makes the server answer one of these requests
+	ids               atomic.Int64
 }
 
-// runNode runs f on a virtual clock. synctest fails at its end if any goroutine is left.
+// runNode runs f with a new testNode on a virtual clock. f must shut the node down: runNode checks that no connection
+// is left open, and synctest fails the test if a goroutine is left.
 func runNode(t *testing.T, f func(t *testing.T, s *testNode)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &testNode{
@@ -74,7 +76,7 @@
 		for _, addr := range []string{"discovery:1", "discovery:2"} {
 			serve(addr, func(w http.ResponseWriter, r *http.Request) {
 				s.discoveryRequests <- addr + r.RequestURI
-				if addr == "discovery:2" { // its watch ends, on a connection that is still good
+				if addr == "discovery:2" { // the watch fails while its connection stays usable
 					w.WriteHeader(http.StatusServiceUnavailable)
 					return
 				}
@@ -86,7 +88,7 @@
 			})
 		}
 		serve("server:1", func(w http.ResponseWriter, r *http.Request) {
-			io.Copy(io.Discard, r.Body) // or net/http does not notice that the node has gone
+			io.Copy(io.Discard, r.Body) // with the body unread, net/http would not notice that the node has disconnected
 			if r.URL.Path == "/held" {
 				s.arrived <- true
 				select {
@@ -108,18 +110,19 @@
 		s.client.CloseIdleConnections()
 		time.Sleep(time.Second)
 		if n := s.network.openConns(); n > 0 {
-			t.Errorf("%d ends of connections are left open", n)
+			t.Errorf("%d connection ends are open after the shutdown, want 0", n)
 		}
 		if _, err := s.Resources(t.Context()); err == nil {
-			t.Error("the router goes on")
+			t.Error("the router still answers after the shutdown, want an error")
 		}
 	})
 }
 
-// call sends one call; status 0: it got no answer.
+// call sends one call with a timeout of 1.5 s and returns the response; status 0: there was no response, and body is
+// the error.
 func (s *testNode) call(path string) (status int, body string) { return s.callWithTimeout(path, "1.5") }
 
-// callWithTimeout gives the call a timeout in seconds.
+// callWithTimeout is call with a timeout in seconds.
 func (s *testNode) callWithTimeout(path, timeout string) (status int, body string) {
 	req, _ := http.NewRequest("POST", "http://node:1"+path, strings.NewReader("paid"))
 	req.Header.Set(protocol.HeaderCallID, fmt.Sprint("9b", s.ids.Add(1)))
@@ -134,24 +137,24 @@
 	return resp.StatusCode, string(data)
 }
 
-// TestDrain: a graceful shutdown answers open calls and leaves nothing behind.
+// TestDrain: a graceful shutdown answers open calls, and leaves no connection, goroutine or timer.
 func TestDrain(t *testing.T) {
 	runNode(t, func(t *testing.T, s *testNode) {
 		if status, body := s.call("/api"); status != 200 || body != "9b1" {
-			t.Errorf("%d %q", status, body)
+			t.Errorf("got status %d, body %q; want status 200 and the call's id 9b1", status, body)
 		}
 		if attempt := <-s.attempts; attempt.RequestID != 1 || attempt.Number != 0 {
-			t.Errorf("call %d, attempt %d", attempt.RequestID, attempt.Number)
+			t.Errorf("got call %d, attempt %d; want call 1, attempt 0", attempt.RequestID, attempt.Number)
 		}
 		idle := Resources{Servers: 1, Timers: 1, Watching: true, ClientConns: 1, ServerConns: 1}
 		if r, err := s.Resources(t.Context()); err != nil || r != idle {
-			t.Errorf("idle: %+v, %v", r, err)
+			t.Errorf("resources of an idle node: %+v, %v", r, err)
 		}
 		idempotent := testConfig()
 		idempotent.NameIndex.Methods = []string{"GET"}
 		s.Reload(idempotent)
 		if status, _ := s.call("/api"); status != 405 {
-			t.Errorf("a POST of a class that is idempotent by now: %d", status)
+			t.Errorf("POST of a class that a reload made idempotent: got status %d, want 405", status)
 		}
 		moved := testConfig()
 		moved.Discovery = "discovery:2"
@@ -168,7 +171,7 @@
 		}()
 		<-s.arrived
 		if r, err := s.Resources(t.Context()); err != nil || r.OpenCalls != 1 || r.CallIDs != 1 || r.Attempts != 1 {
-			t.Errorf("with one call open: %+v, %v", r, err)
+			t.Errorf("resources with one call open: %+v, %v", r, err)
 		}
 		drained := make(chan bool)
 		go func() {
@@ -178,17 +181,18 @@
 		time.Sleep(time.Second)
 		s.release <- true
 		if got := <-status; got != 200 {
-			t.Errorf("the open call: %d", got)
+			t.Errorf("call open during the shutdown: got status %d, want 200", got)
 		}
 		<-drained
-		s.Drain() // of a node that has ended returns
+		s.Drain() // a second Drain returns
 		if status, _ := s.call("/api"); status != 0 {
-			t.Errorf("after the end: %d", status)
+			t.Errorf("call after the shutdown: got status %d, want no response", status)
 		}
 	})
 }
 
-// TestDrainAfterReload: calls that came under earlier settings are waited for as long as those allow.
+// TestDrainAfterReload: Drain waits for calls that arrived before a reload as long as the settings of that time allow,
+// although the new settings have a shorter deadline.
 func TestDrainAfterReload(t *testing.T) {
 	runNode(t, func(t *testing.T, s *testNode) {
 		reload := func(longest time.Duration) {
@@ -208,19 +212,19 @@
 		time.AfterFunc(20*time.Second, func() { s.release <- true })
 		s.Drain()
 		if got := <-status; got != 200 {
-			t.Errorf("the open call: %d", got)
+			t.Errorf("call from before the reload: got status %d, want 200", got)
 		}
 	})
 }
 
-// TestAbort: a node that is aborted answers nothing, also during a graceful shutdown, and all that it started ends too.
+// TestAbort: Abort leaves open calls unanswered and ends all goroutines of the node, also during a graceful shutdown.
 func TestAbort(t *testing.T) {
 	for _, draining := range []bool{false, true} {
 		runNode(t, func(t *testing.T, s *testNode) {
-			answer := make(chan int)
+			openCall := make(chan int)
 			go func() {
 				status, _ := s.call("/held")
-				answer <- status
+				openCall <- status
 			}()
 			<-s.arrived
 			drained := make(chan bool)
@@ -235,16 +239,16 @@
 			}
 			before := time.Now()
 			s.Abort()
-			if got := <-answer; got != 0 {
-				t.Errorf("the open call got %d", got)
+			if got := <-openCall; got != 0 {
+				t.Errorf("open call: got status %d, want no response", got)
 			}
 			<-drained
 			if d := time.Since(before); d > 100*time.Millisecond {
-				t.Errorf("the end took %v", d)
+				t.Errorf("Abort and the end of Drain took %v, want at most 100ms", d)
 			}
 			select {
 			case err := <-s.Failed():
-				t.Errorf("an abort counts as failure: %v", err)
+				t.Errorf("Failed received %v after Abort, want nothing", err)
 			default:
 			}
 		})
--- a/internal/node/predecessor.go
+++ b/internal/node/predecessor.go
@@ -10,10 +10,10 @@
 	"olivebridge/internal/handover"
 )
 
-// snapshotTimeout bounds the wait for what the router has learnt, when a successor asks.
+// snapshotTimeout bounds the wait for the router's snapshot, which is part of the state sent to a successor.
 const snapshotTimeout = 300 * time.Millisecond
 
-// awaitSuccessor listens for a successor.
+// awaitSuccessor starts to listen for a successor. If that fails, the node runs without hand-over.
 func (n *Node) awaitSuccessor() {
 	listener, err := handover.Listen(n.options.HandoverPath)
 	if err != nil {
@@ -25,7 +25,8 @@
 	}
 }
 
-// acceptSuccessors serves one successor after the other until the listener is closed.
+// acceptSuccessors accepts successors, one at a time, until the listener is closed. A successor is served until its
+// link ends.
 func (n *Node) acceptSuccessors(listener *handover.Listener) {
 	for {
 		link, err := listener.Accept()
@@ -41,8 +42,8 @@
 	}
 }
 
-// sendState sends a successor all that this process knows, and its listener. Commands that come meanwhile follow on the
-// link.
+// sendState sends a successor this process's state and its listener. It holds the lock on commands: operators' commands
+// that arrive meanwhile are executed afterwards and forwarded on the link.
 func (n *Node) sendState(link *handover.Link) error {
 	n.processes.commands.Lock()
 	defer n.processes.commands.Unlock()
@@ -62,13 +63,14 @@
 	return nil
 }
 
+// state returns the state that a successor takes over.
 func (n *Node) state() handover.NodeState {
 	var state handover.NodeState
 	state.Servers, state.ListVersion = n.servers.Export()
 	state.Paused = n.frontend.Paused()
 	ctx, stop := context.WithTimeout(context.Background(), snapshotTimeout)
 	defer stop()
-	if snapshot, err := n.router.Snapshot(ctx); err == nil { // otherwise the successor learns it anew
+	if snapshot, err := n.router.Snapshot(ctx); err == nil { // without it the successor measures the throughput again
 		state.WarmThroughput = snapshot.WarmThroughput
 	}
 	n.mu.Lock()
@@ -77,8 +79,9 @@
 	return state
 }
 
-// connectionSender returns what hands client connections to the successor, until the link fails: each that waits for a
-// successor that hangs would wait in vain, and the others behind it. A connection that has ended meanwhile says nothing
+// connectionSender returns a function that sends a client connection to the successor. After the link has failed, the
+// function returns the same error at once: with a successor that hangs, each further connection would wait for a
+// timeout and delay those after it. The error of a connection that ended before it was sent does not count as a failure
 // of the link.
 func connectionSender(link *handover.Link) func(syscall.Conn) error {
 	var failed atomic.Pointer[error]
--- a/internal/node/predecessor_test.go
+++ b/internal/node/predecessor_test.go
@@ -9,21 +9,21 @@
 	"olivebridge/internal/handover"
 )
 
-// TestHangingSuccessorCostsOneTimeout: a successor that does not read costs one timeout, not one for each connection.
-// It guards the graceful shutdown, which has only a few seconds.
+// TestHangingSuccessorCostsOneTimeout: a successor that does not read its socket delays the predecessor by one timeout
+// in total, not by one per connection. A graceful shutdown has only a few seconds for the hand-over.
 func TestHangingSuccessorCostsOneTimeout(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	awaiting, err := handover.Listen(path)
+	handoverListener, err := handover.Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer awaiting.Close()
+	defer handoverListener.Close()
 	hanging, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Net: "unixpacket", Name: path})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer hanging.Close()
-	link, err := awaiting.Accept()
+	link, err := handoverListener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,21 +40,21 @@
 	}
 	ended.Close()
 	if send(ended.(*net.TCPListener)) == nil {
-		t.Error("a closed connection was sent")
+		t.Error("sending a closed connection succeeded, want an error")
 	}
 	if err = send(listener.(*net.TCPListener)); err != nil {
-		t.Errorf("after one that has ended: %v", err)
+		t.Errorf("sending an open connection after a closed one: %v", err)
 	}
-	for err == nil { // until the socket is full
+	for err == nil { // until the socket's buffer is full
 		err = send(listener.(*net.TCPListener))
 	}
-	begun := time.Now()
+	start := time.Now()
 	for range 100 {
 		if send(listener.(*net.TCPListener)) == nil {
-			t.Fatal("sent after all")
+			t.Fatal("sending succeeded after the link had failed, want an error")
 		}
 	}
-	if d := time.Since(begun); d > 100*time.Millisecond {
-		t.Errorf("100 more took %v", d)
+	if d := time.Since(start); d > 100*time.Millisecond {
+		t.Errorf("sending 100 connections after the link had failed took %v, want at most 100ms", d)
 	}
 }
--- a/internal/node/process_group.go
+++ b/internal/node/process_group.go
@@ -6,26 +6,26 @@
 	"olivebridge/internal/handover"
 )
 
-// processGroup is this process and the other processes of its node: the predecessor and the successor, each for as long
-// as it lives. It has both only while a third process starts.
+// processGroup has the links from this process to the other running processes of its node: to the predecessor and to
+// the successor. Both exist only if a successor starts before the predecessor has ended.
 type processGroup struct {
 	mu             sync.Mutex
-	listener       *handover.Listener // where a successor finds this process; nil: it has one, or can have none
-	predecessor    *handover.Link     // nil: there is none
-	successor      *handover.Link     // nil: there is none
-	successorReady bool               // the successor takes clients
-	ending         bool               // this process ends
+	listener       *handover.Listener // accepts a successor; nil: none can connect
+	predecessor    *handover.Link     // nil: there is no predecessor
+	successor      *handover.Link     // nil: there is no successor
+	successorReady bool               // the successor accepts clients
+	ending         bool               // close was called
 
-	commands sync.Mutex     // one command at a time, so that all processes carry them out in one order
+	commands sync.Mutex     // serializes commands, so that all processes execute them in the same order
 	running  sync.WaitGroup // goroutines that accept a successor or receive messages
 }
 
-// count counts the processes, this one included.
+// count returns the number of processes, including this one.
 func (g *processGroup) count() int {
 	return 1 + len(g.links())
 }
 
-// links go to the other processes.
+// links returns the links to the other processes.
 func (g *processGroup) links() []*handover.Link {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -55,14 +55,14 @@
 	g.successorReady = false
 }
 
-// setReady notes that a process takes clients, if it is the successor.
+// setReady records that the successor accepts clients, if link leads to the successor.
 func (g *processGroup) setReady(link *handover.Link) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.successorReady = link == g.successor
 }
 
-// readySuccessor is the successor that takes clients; nil: there is none.
+// readySuccessor returns the link to a successor that accepts clients; nil: there is none.
 func (g *processGroup) readySuccessor() *handover.Link {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -72,22 +72,23 @@
 	return g.successor
 }
 
-// removeResult says what this process has to do after another one has ended.
+// removeResult has the actions that are due in this process after another process of the node has ended.
 type removeResult struct {
-	// acceptSuccessor: the successor has ended, and this process waits for another one.
+	// acceptSuccessor is set if the successor has ended, so that this process must wait for another one.
 	acceptSuccessor bool
-	// rejoinFleet: the successor took clients, and the node's membership with them.
+	// rejoinFleet is set if the ended successor accepted clients and held the node's membership in the fleet, which this
+	// process must acquire again.
 	rejoinFleet bool
 }
 
-// remove notes that another process has ended.
+// remove removes the link to a process that has ended, and returns the actions that are due.
 func (g *processGroup) remove(link *handover.Link) removeResult {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var r removeResult
 	switch link {
 	case g.successor:
-		// It may have listened in place of this process, though it never said that it was ready.
+		// A successor may listen at the hand-over path in place of this process before it reports that it is ready.
 		r.acceptSuccessor = !g.ending
 		r.rejoinFleet = !g.ending && g.successorReady
 		g.successor = nil
@@ -98,12 +99,12 @@
 	return r
 }
 
-// accept runs accept in the background, on a listener that close or closeListener ends. It reports false if this
-// process ends.
+// accept sets the listener for successors and runs the function accept in the background. close and closeListener close
+// the listener, which must end the function. accept reports false, and does nothing, after close was called.
 func (g *processGroup) accept(listener *handover.Listener, accept func()) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.ending { // close waits for what runs
+	if g.ending { // close waits for the goroutines, and none may be added after that
 		return false
 	}
 	g.listener = listener
@@ -121,7 +122,7 @@
 	}
 }
 
-// close ends all links, and returns once nothing of the group runs.
+// close closes the listener and all links, and returns once the goroutines of the group have ended.
 func (g *processGroup) close() {
 	g.mu.Lock()
 	g.ending = true
--- a/internal/node/process_messages.go
+++ b/internal/node/process_messages.go
@@ -10,7 +10,7 @@
 	"olivebridge/internal/handover"
 )
 
-// receive handles another process's messages until that has ended.
+// receive handles the messages of another process until its link ends.
 func (n *Node) receive(link *handover.Link) {
 	for {
 		message, file, err := link.Receive()
@@ -25,7 +25,7 @@
 	n.handleEnded(link)
 }
 
-// handleMessage handles one message. It guards the node against a panic, which must not end it.
+// handleMessage handles one message. It recovers from a panic, which would otherwise end the node.
 func (n *Node) handleMessage(link *handover.Link, message handover.Message, file *os.File) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -52,7 +52,7 @@
 }
 
 func (n *Node) handleCommand(link *handover.Link, message handover.Message) {
-	if message.ServerID != "" { // the other process has seen it listed, even if this one has not
+	if message.ServerID != "" { // the other process knows the server from an endpoint list that this one may not have
 		n.router.AddUnlistedServer(message.ServerID)
 	}
 	command := admin.Command{Name: message.Command, ServerID: message.ServerID}
@@ -60,7 +60,8 @@
 	n.sendResult(link, message, err)
 }
 
-// sendResult answers a request. If it fails, so does the next Receive.
+// sendResult sends the result of a request; a nil err means success. An error of Send is ignored, since the next
+// Receive fails as well.
 func (n *Node) sendResult(link *handover.Link, request handover.Message, err error) {
 	result := handover.Message{Kind: handover.KindResult, RequestNumber: request.RequestNumber}
 	if err != nil {
@@ -69,8 +70,8 @@
 	_ = link.Send(result, nil)
 }
 
-// handleConnection adopts a client connection before the next message is received: an end that came between would lose
-// it.
+// handleConnection passes a client connection to the frontend; nil: none came with the message. It returns only once
+// the frontend owns the connection, before the next message is received: a link that ends in between must not lose it.
 func (n *Node) handleConnection(file *os.File) {
 	if file == nil {
 		return
@@ -80,7 +81,8 @@
 	}
 }
 
-// handleEnded notes that another process of the node has ended.
+// handleEnded handles the end of another process of the node: it removes the link and adapts the resource limits. If a
+// successor has ended, this process waits for another one and acquires the fleet membership again.
 func (n *Node) handleEnded(link *handover.Link) {
 	link.Close()
 	removal := n.processes.remove(link)
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -2,28 +2,28 @@
 
 import "context"
 
-// Resources are what a node holds at one moment.
+// Resources are the resources that a node holds at one moment.
 type Resources struct {
-	// OpenCalls counts the calls in the table: not answered yet, or with attempts in flight.
+	// OpenCalls is the number of calls in the call table: those without an answer or with attempts in flight.
 	OpenCalls int
-	// CallIDs counts the ids of these.
+	// CallIDs is the number of distinct client request ids of these calls.
 	CallIDs int
-	// Attempts counts those in flight.
+	// Attempts is the number of attempts in flight.
 	Attempts int
-	// Servers counts those that are known.
+	// Servers is the number of known servers.
 	Servers int
-	// Timers counts those of the balancer.
+	// Timers is the number of the balancer's pending timers.
 	Timers int
-	// Watching reports whether a watch of the endpoint list runs.
+	// Watching reports whether a watch of the endpoint list is running.
 	Watching bool
-	// ClientConns counts client connections.
+	// ClientConns is the number of client connections.
 	ClientConns int
-	// ServerConns counts connections to servers, idle ones and those being opened included.
+	// ServerConns is the number of connections to servers, including idle ones and those being opened.
 	ServerConns int
 }
 
-// Resources asks the router's goroutine what it holds, between two events. It fails when ctx ends first, or when the
-// router has ended.
+// Resources returns the resources that the node holds. The router takes its part of the counts between two events. It
+// returns an error if ctx ends first or the router has ended.
 func (n *Node) Resources(ctx context.Context) (Resources, error) {
 	snapshot, err := n.router.Snapshot(ctx)
 	if err != nil {
@@ -41,7 +41,7 @@
 	}, nil
 }
 
-// Counters returns the attributes of the log's line of counters.
+// Counters returns the node's counters as attributes for the log line "counters".
 func (n *Node) Counters() []any {
 	attributes := []any{
 		"malformed", n.frontend.Malformed(),
--- a/internal/node/successor.go
+++ b/internal/node/successor.go
@@ -9,8 +9,9 @@
 	"olivebridge/internal/routing"
 )
 
-// takeOver takes over from the process in service, if there is one, and returns the clients' listener; nil: the node
-// starts as if it were alone. Whatever fails is logged.
+// takeOver takes over the state of the process in service and returns its listener for clients. A nil listener means
+// that there is no such process or that the takeover failed, which is logged: the node then starts as the only process.
+// paused reports whether operators have paused the node.
 func (n *Node) takeOver() (listener net.Listener, paused bool) {
 	if !n.canHandOver() {
 		return nil, false
@@ -23,19 +24,21 @@
 	if takeover == nil {
 		return nil, false
 	}
-	n.processes.predecessor = takeover.Link // nothing else runs yet
+	n.processes.predecessor = takeover.Link // needs no lock: no other goroutine is running yet
 	n.adoptState(takeover.State)
 	n.log.Info("taking over", "servers", len(takeover.State.Servers), "version", n.config.KnownEndpointsVersion,
 		"paused", takeover.State.Paused)
 	return takeover.Listener, takeover.State.Paused
 }
 
-// canHandOver reports whether the processes of this node find each other. Without operators nobody upgrades it.
+// canHandOver reports whether the processes of this node can connect to each other. A node without an admin listener
+// has no hand-over, since only operators upgrade a node.
 func (n *Node) canHandOver() bool {
 	return n.options.HandoverPath != "" && n.servers != nil
 }
 
-// connectToPredecessor returns nil without an error where there is none.
+// connectToPredecessor connects to the process in service and receives its state. It returns nil without an error if
+// there is no such process.
 func (n *Node) connectToPredecessor() (*handover.Takeover, error) {
 	takeover, err := handover.Connect(n.options.HandoverPath)
 	if err != nil || takeover == nil {
@@ -51,7 +54,7 @@
 	return takeover, nil
 }
 
-// listensOn reports whether a listener is on an address, of which port 0 is any.
+// listensOn reports whether a listener has the address addr. Port 0 in addr matches any address.
 func listensOn(listener net.Listener, addr string) bool {
 	want, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
@@ -64,7 +67,7 @@
 	return want.Port == 0 || want.Port == have.Port && want.IP.Equal(have.IP)
 }
 
-// adoptState has the node start from what its predecessor knows.
+// adoptState replaces parts of the configuration by the predecessor's state: servers, endpoint list and throughput.
 func (n *Node) adoptState(state handover.NodeState) {
 	n.servers.Import(state.Servers)
 	var known routing.EndpointList
@@ -85,12 +88,13 @@
 	n.config.Settings.WarmThroughput = state.WarmThroughput
 }
 
-// completeTakeover tells the predecessor that clients are served here, and waits for a successor in its place.
+// completeTakeover notifies the predecessor that this process accepts clients, and then listens for a successor in the
+// predecessor's place.
 func (n *Node) completeTakeover() {
 	if !n.canHandOver() {
 		return
 	}
-	if predecessor := n.processes.predecessor; predecessor != nil { // nothing changes it before receive runs
+	if predecessor := n.processes.predecessor; predecessor != nil { // needs no lock: only receive, started here, clears it
 		n.processes.running.Go(func() { n.receive(predecessor) })
 		if err := predecessor.Request(handover.Message{Kind: handover.KindReady}); err != nil {
 			n.log.Warn("hand-over failed", "reason", err.Error())
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -10,9 +10,9 @@
 
 // The words of the settings, and what they mean to the balancer.
 var (
-	weightPerWorkValues   = map[string]bool{"work": true, "request": false}
-	pollDiscoveryValues   = map[string]bool{"subscribe": true, "automatic": false}
-	idempotencyValues = map[string]balancer.Idempotency{
+	weightPerWorkValues = map[string]bool{"work": true, "request": false}
+	pollDiscoveryValues = map[string]bool{"subscribe": true, "automatic": false}
+	idempotencyValues   = map[string]balancer.Idempotency{
 		"pure":        balancer.Idempotent,
 		"token":       balancer.IdempotencyKeyed,
 		"side_effect": balancer.NonIdempotent,
