--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// formatVersion is the version of the encoded messages. A process that reads another version takes nothing over: it
-// starts as if it were alone.
+// formatVersion is the version of the message encoding. A successor that receives another version aborts the takeover
+// and starts as the node's only process.
 const formatVersion = 1
 
-// maxMessageBytes bounds an encoded message.
+// maxMessageBytes is the maximum size of an encoded message.
 const maxMessageBytes = 48 << 10
 
-// envelope is a message as it is encoded.
+// envelope is the JSON form of a message, with the version of the encoding.
 type envelope struct {
 	Format int `json:"form"`
 	Message
@@ -21,7 +21,7 @@
 func encode(m Message) ([]byte, error) {
 	data, err := json.Marshal(envelope{Format: formatVersion, Message: m})
 	if err == nil && len(data) > maxMessageBytes {
-		err = fmt.Errorf("hand-over: a message of %d bytes, %d at most", len(data), maxMessageBytes)
+		err = fmt.Errorf("hand-over: message has %d bytes, want at most %d", len(data), maxMessageBytes)
 	}
 	return data, err
 }
@@ -32,7 +32,7 @@
 		return Message{}, fmt.Errorf("hand-over: %w", err)
 	}
 	if decoded.Format != formatVersion {
-		return Message{}, fmt.Errorf("hand-over: form %d, this process knows %d", decoded.Format, formatVersion)
+		return Message{}, fmt.Errorf("hand-over: format version %d, want %d", decoded.Format, formatVersion)
 	}
 	return decoded.Message, nil
 }
--- a/internal/handover/codec_test.go
+++ b/internal/handover/codec_test.go
@@ -10,8 +10,8 @@
 	"olivebridge/internal/maintenance"
 )
 
-// TestMessagesOfAnEarlierBuild reads messages that commit 78d81e3 wrote, and writes the same bytes. It guards upgrades:
-// the two processes of a hand-over are of different builds.
+// TestMessagesOfAnEarlierBuild decodes messages that the build of commit 78d81e3 wrote and checks that encoding them
+// yields the same bytes. During an upgrade the two processes are of different builds and must understand each other.
 func TestMessagesOfAnEarlierBuild(t *testing.T) {
 	stored, err := os.ReadFile("testdata/messages.jsonl")
 	if err != nil {
@@ -34,14 +34,14 @@
 	}
 	lines := bytes.Split(bytes.TrimSuffix(stored, []byte("\n")), []byte("\n"))
 	if len(lines) != len(want) {
-		t.Fatalf("%d stored messages, want %d", len(lines), len(want))
+		t.Fatalf("got %d stored messages, want %d", len(lines), len(want))
 	}
 	for i, line := range lines {
 		if got, err := decode(line); err != nil || !reflect.DeepEqual(got, want[i]) {
-			t.Errorf("message %d: got %+v, %v, want %+v", i, got, err, want[i])
+			t.Errorf("decoding message %d: got %+v, error %v, want %+v", i, got, err, want[i])
 		}
 		if got, err := encode(want[i]); err != nil || !bytes.Equal(got, line) {
-			t.Errorf("message %d: got %s, %v, want %s", i, got, err, line)
+			t.Errorf("encoding message %d: got %s, error %v, want %s", i, got, err, line)
 		}
 	}
 }
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -11,45 +11,46 @@
 )
 
 const (
-	// sendTimeout bounds the wait for the other process to read a message.
+	// sendTimeout bounds the duration for which Send blocks while the other process does not read.
 	sendTimeout = 500 * time.Millisecond
-	// requestTimeout bounds the wait for a result. An operator's command is owed its answer in 1 s.
+	// requestTimeout bounds the wait for the result of a request. Operators' commands must be answered within 1 s.
 	requestTimeout = 600 * time.Millisecond
 )
 
-// ErrProcessEnded says that there is no other process any more.
+// ErrProcessEnded is returned by Link.Request when the other process has ended or the link is closed.
 var ErrProcessEnded = errors.New("hand-over: the node's other process has ended")
 
-// ErrConnectionEnded says that the connection whose descriptor was to be sent has ended meanwhile. The link is whole.
+// ErrConnectionEnded is returned by Link.Send when the connection whose descriptor it should send is closed. The link
+// is still usable.
 var ErrConnectionEnded = errors.New("hand-over: the connection has ended")
 
-// Link is the socket between the two processes. Messages keep their order. All methods but Receive are safe for
-// concurrent use; one goroutine receives.
+// Link is the socket between the two processes. Messages arrive in the order in which they were sent. All methods
+// except Receive are safe for concurrent use; Receive must be called by one goroutine only.
 type Link struct {
 	conn *net.UnixConn
 
 	sendMu sync.Mutex
 
 	mu          sync.Mutex
-	pending     map[uint64]chan Message // requests that wait for their result, by number
-	lastRequest uint64                  // the number of the newest request
+	pending     map[uint64]chan Message // requests without a result, by RequestNumber
+	lastRequest uint64                  // RequestNumber of the latest request; 0: there was none
 
 	closeOnce sync.Once
-	closed    chan struct{} // closed with the link
+	closed    chan struct{} // closed by Close
 }
 
 func newLink(conn *net.UnixConn) *Link {
 	return &Link{conn: conn, pending: map[uint64]chan Message{}, closed: make(chan struct{})}
 }
 
-// Close ends the link; Receive ends with an error at both sides.
+// Close closes the link. Receive then returns an error in both processes.
 func (l *Link) Close() {
 	l.closeOnce.Do(func() { close(l.closed) })
 	_ = l.conn.Close()
 }
 
-// Send sends a message, and with it a descriptor unless that is nil. The sender keeps its own. Where the descriptor is
-// closed by then nothing is sent, and the error is ErrConnectionEnded.
+// Send sends a message and, unless descriptor is nil, a duplicate of a file descriptor; the sender's own stays open. If
+// the descriptor is already closed, nothing is sent and the error is ErrConnectionEnded.
 func (l *Link) Send(m Message, descriptor syscall.Conn) error {
 	data, err := encode(m)
 	if err != nil {
@@ -67,7 +68,8 @@
 		return fmt.Errorf("%w: %w", ErrConnectionEnded, err)
 	}
 	var sendErr error
-	// File would turn the descriptor blocking, for both processes; within Control it stays open.
+	// Control keeps the descriptor open during the call. The method File is no alternative: it would set the descriptor
+	// to blocking mode, in both processes.
 	err = raw.Control(func(fd uintptr) {
 		_, _, sendErr = l.conn.WriteMsgUnix(data, syscall.UnixRights(int(fd)), nil)
 	})
@@ -77,13 +79,15 @@
 	return sendErr
 }
 
-// Receive waits for the next message, and the descriptor that came with it; nil: none. The caller closes the file.
+// Receive waits for the next message and returns it with the file of the descriptor that came with it; nil: there is
+// none. The caller must close the file.
 func (l *Link) Receive() (Message, *os.File, error) {
 	data := make([]byte, maxMessageBytes)
-	control := make([]byte, syscall.CmsgSpace(4)) // of one descriptor
+	control := make([]byte, syscall.CmsgSpace(4)) // space for one descriptor
 	size, controlSize, _, _, err := l.conn.ReadMsgUnix(data, control)
 	if errors.Is(err, syscall.ECONNRESET) {
-		// The other process ended with something unread. Linux reports that once, ahead of what was sent before.
+		// The other process ended with unread messages. Linux reports this error once, before it delivers the messages
+		// that the process sent earlier.
 		size, controlSize, _, _, err = l.conn.ReadMsgUnix(data, control)
 	}
 	if err != nil {
@@ -101,7 +105,7 @@
 	return message, file, nil
 }
 
-// parseDescriptor reads the descriptor of a control message; nil: it has none.
+// parseDescriptor returns the file of the descriptor in a control message; nil: there is no control message.
 func parseDescriptor(control []byte) (*os.File, error) {
 	if len(control) == 0 {
 		return nil, nil
@@ -117,15 +121,16 @@
 	return os.NewFile(uintptr(descriptors[0]), "handed over"), nil
 }
 
-// Request has the other process do what a message says, and waits for its result, which the goroutine that receives
-// gives to Resolve. The error is ErrProcessEnded where no process is left that would have to do it.
+// Request sends a request to the other process and waits for its result, which the receiving goroutine must pass to
+// Resolve. The error is ErrProcessEnded if the other process has ended and thus need not execute the request, or if the
+// link is closed.
 func (l *Link) Request(m Message) error {
 	number, result := l.registerRequest()
 	defer l.unregisterRequest(number)
 	m.RequestNumber = number
 	switch err := l.Send(m, nil); {
 	case errors.Is(err, syscall.EPIPE), errors.Is(err, net.ErrClosed),
-		errors.Is(err, syscall.ECONNRESET): // it died with something of this process's unread
+		errors.Is(err, syscall.ECONNRESET): // the other process ended with unread messages of this one
 		return ErrProcessEnded
 	case err != nil:
 		return fmt.Errorf("hand-over: %w", err)
@@ -158,7 +163,8 @@
 	delete(l.pending, number)
 }
 
-// Resolve gives a received KindResult to the request that waits for it, if any does.
+// Resolve passes a received message of KindResult to the Request that waits for it. It drops the message if there is
+// none.
 func (l *Link) Resolve(m Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// newLinkPair are the two ends of a link.
-func newLinkPair(t *testing.T) (near, far *Link) {
+// newLinkPair returns the two ends of a link: the connecting one and the accepting one.
+func newLinkPair(t *testing.T) (local, remote *Link) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s")
 	listener, err := Listen(path)
@@ -22,94 +22,96 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if far, err = listener.Accept(); err != nil {
+	if remote, err = listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	near = newLink(conn)
-	t.Cleanup(near.Close)
-	t.Cleanup(far.Close)
-	return near, far
+	local = newLink(conn)
+	t.Cleanup(local.Close)
+	t.Cleanup(remote.Close)
+	return local, remote
 }
 
-// TestRequest: how a request to the other process ends. Where that has ended, nobody is left who would have to do it:
-// that is no failure, also if the process died with something of this one's unread.
+// TestRequest checks the error of Request for each way in which a request can end. The end of the other process is
+// ErrProcessEnded, which is not a failure since no process is left to execute the request. This includes a process that
+// ended with unread messages of this one.
 func TestRequest(t *testing.T) {
-	answer := func(fault string) func(near, far *Link) {
-		return func(near, far *Link) {
-			m, _, _ := far.Receive()
-			far.Send(Message{Kind: KindResult, RequestNumber: m.RequestNumber, Error: fault}, nil)
-			done, _, _ := near.Receive()
-			near.Resolve(done)
+	answer := func(fault string) func(local, remote *Link) {
+		return func(local, remote *Link) {
+			m, _, _ := remote.Receive()
+			remote.Send(Message{Kind: KindResult, RequestNumber: m.RequestNumber, Error: fault}, nil)
+			done, _, _ := local.Receive()
+			local.Resolve(done)
 		}
 	}
 	for name, c := range map[string]struct {
-		before, meanwhile func(near, far *Link)
+		before, meanwhile func(local, remote *Link)
 		want              string
 		ended             bool
 	}{
-		"done":                {nil, answer(""), "", false},
-		"it fails there":      {nil, answer("no such server"), "no such server", false},
-		"no answer":           {nil, nil, "does not answer", false},
-		"ended before":        {func(_, far *Link) { far.Close() }, nil, "", true},
-		"closed here":         {func(near, _ *Link) { near.Close() }, nil, "", true},
-		"ended in the middle": {nil, func(near, far *Link) { far.Receive(); near.Close() }, "", true},
-		"died with this unread": {func(near, far *Link) {
-			near.Send(Message{Kind: KindConnection}, nil)
-			far.Close()
+		"success":                       {nil, answer(""), "", false},
+		"error in the other process":    {nil, answer("no such server"), "no such server", false},
+		"no result":                     {nil, nil, "does not answer", false},
+		"other end closed before":       {func(_, remote *Link) { remote.Close() }, nil, "", true},
+		"this end closed before":        {func(local, _ *Link) { local.Close() }, nil, "", true},
+		"this end closed while waiting": {nil, func(local, remote *Link) { remote.Receive(); local.Close() }, "", true},
+		"other end closed with unread messages": {func(local, remote *Link) {
+			local.Send(Message{Kind: KindConnection}, nil)
+			remote.Close()
 		}, nil, "", true},
 	} {
-		near, far := newLinkPair(t)
+		local, remote := newLinkPair(t)
 		if c.before != nil {
-			c.before(near, far)
+			c.before(local, remote)
 		}
 		if c.meanwhile != nil {
-			go c.meanwhile(near, far)
+			go c.meanwhile(local, remote)
 		}
-		err := near.Request(Message{Kind: KindCommand, Command: "PAUSE"})
+		err := local.Request(Message{Kind: KindCommand, Command: "PAUSE"})
 		if errors.Is(err, ErrProcessEnded) != c.ended || !c.ended && (err == nil) != (c.want == "") ||
 			c.want != "" && !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want one with %q; ErrProcessEnded: %v", name, err, c.want, c.ended)
 		}
 	}
 }
 
-// TestMessagesOfAnEndedProcess: what a process sent before it ended is received, also if it left something unread: the
-// kernel reports that first, ahead of the messages that wait.
+// TestMessagesOfAnEndedProcess: messages that a process sent before it ended are received, also if it ended with unread
+// messages. In that case the kernel returns ECONNRESET before it delivers the waiting messages.
 func TestMessagesOfAnEndedProcess(t *testing.T) {
-	near, far := newLinkPair(t)
-	near.Send(Message{Kind: KindResult}, nil)
+	local, remote := newLinkPair(t)
+	local.Send(Message{Kind: KindResult}, nil)
 	for n := range uint64(3) {
-		if err := far.Send(Message{Kind: KindConnection, RequestNumber: n}, listenTCP(t).(*net.TCPListener)); err != nil {
+		if err := remote.Send(Message{Kind: KindConnection, RequestNumber: n}, listenTCP(t).(*net.TCPListener)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	far.Close()
+	remote.Close()
 	for n := range uint64(3) {
-		m, file, err := near.Receive()
+		m, file, err := local.Receive()
 		if err != nil || file == nil || m.RequestNumber != n {
-			t.Fatalf("message %d: %+v, %v", n, m, err)
+			t.Fatalf("message %d: got %+v, error %v; want it with a file", n, m, err)
 		}
 		file.Close()
 	}
-	if _, _, err := near.Receive(); !errors.Is(err, io.EOF) {
-		t.Errorf("after the last: %v", err)
+	if _, _, err := local.Receive(); !errors.Is(err, io.EOF) {
+		t.Errorf("Receive after the last message: got error %v, want io.EOF", err)
 	}
 }
 
-// TestSendClosedConnection: a connection that ended just before it is sent says nothing of the link.
+// TestSendClosedConnection: sending a connection that is already closed returns ErrConnectionEnded, and the link stays
+// usable.
 func TestSendClosedConnection(t *testing.T) {
-	near, far := newLinkPair(t)
+	local, remote := newLinkPair(t)
 	ended := listenTCP(t)
 	ended.Close()
-	err := near.Send(Message{Kind: KindConnection, RequestNumber: 1}, ended.(*net.TCPListener))
+	err := local.Send(Message{Kind: KindConnection, RequestNumber: 1}, ended.(*net.TCPListener))
 	if !errors.Is(err, ErrConnectionEnded) {
-		t.Errorf("closed: %v", err)
+		t.Errorf("sending a closed connection: got error %v, want ErrConnectionEnded", err)
 	}
-	if err := near.Send(Message{Kind: KindConnection, RequestNumber: 2}, listenTCP(t).(*net.TCPListener)); err != nil {
+	if err := local.Send(Message{Kind: KindConnection, RequestNumber: 2}, listenTCP(t).(*net.TCPListener)); err != nil {
 		t.Error(err)
 	}
-	if m, file, err := far.Receive(); err != nil || m.RequestNumber != 2 || file == nil {
-		t.Errorf("received %+v, %v, %v", m, file, err)
+	if m, file, err := remote.Receive(); err != nil || m.RequestNumber != 2 || file == nil {
+		t.Errorf("received %+v, file %v, error %v; want message 2 with a file", m, file, err)
 	} else {
 		file.Close()
 	}
--- a/internal/handover/listener.go
+++ b/internal/handover/listener.go
@@ -7,12 +7,12 @@
 	"os"
 )
 
-// Listener is where a successor finds the process in service.
+// Listener accepts the connection of a successor in the process in service.
 type Listener struct {
 	socket *net.UnixListener
 }
 
-// Listen listens at a path, in place of whoever did before.
+// Listen listens on a Unix socket at path. It replaces the socket of a previous process.
 func Listen(path string) (*Listener, error) {
 	addr, release, err := socketAddr(path)
 	if err != nil {
@@ -29,7 +29,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("hand-over: %w", err)
 	}
-	socket.SetUnlinkOnClose(false) // by then the path may be the successor's
+	socket.SetUnlinkOnClose(false) // by the time of Close, the path may have the successor's socket
 	if err := os.Chmod(path, 0o600); err != nil {
 		_ = socket.Close()
 		return nil, fmt.Errorf("hand-over: %w", err)
@@ -37,7 +37,7 @@
 	return &Listener{socket}, nil
 }
 
-// Accept waits for a successor. It fails once the listener is closed.
+// Accept waits for a successor and returns the link to it. It returns an error once the listener is closed.
 func (l *Listener) Accept() (*Link, error) {
 	conn, err := l.socket.AcceptUnix()
 	if err != nil {
@@ -46,5 +46,5 @@
 	return newLink(conn), nil
 }
 
-// Close ends Accept. The socket's file stays.
+// Close closes the listener, and Accept returns an error. The socket's file is not removed.
 func (l *Listener) Close() { _ = l.socket.Close() }
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -9,13 +9,14 @@
 	"syscall"
 )
 
-// network keeps the bounds of messages, and their order.
+// network is the socket type, which preserves the boundaries and the order of messages.
 const network = "unixpacket"
 
-// maxSocketPath is the longest path of a Unix socket, in bytes.
+// maxSocketPath is the maximum length of a Unix socket's path, in bytes.
 const maxSocketPath = 107
 
-// socketAddr makes a path of any length fit into a socket's address. The caller calls release when it has used it.
+// socketAddr returns the socket address for a path of any length. A path above maxSocketPath is replaced by a shorter
+// one through an open descriptor of its directory. The caller calls release when it no longer needs the address.
 func socketAddr(path string) (addr *net.UnixAddr, release func(), err error) {
 	release = func() {}
 	if len(path) > maxSocketPath {
@@ -29,8 +30,8 @@
 	return &net.UnixAddr{Net: network, Name: path}, release, nil
 }
 
-// checkOwner rejects another user's socket: what it hands over would be served as the node's own. A file that is no
-// socket is somebody's, and stays.
+// checkOwner returns an error if path has a socket of another user, whose listener and connections the node would
+// otherwise serve as its own. A file that is not a socket is an error, too, since it must not be removed.
 func checkOwner(path string) error {
 	info, err := os.Lstat(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -6,23 +6,25 @@
 	"olivebridge/internal/maintenance"
 )
 
-// maxServersPerMessage keeps a message of servers with names of 200 bytes below maxMessageBytes.
+// maxServersPerMessage is the maximum number of servers in a message. It keeps a message of servers with names of 200
+// bytes below maxMessageBytes.
 const maxServersPerMessage = 60
 
-// NodeState is what a successor takes over from the process in service.
+// NodeState is the state that a successor takes over from the process in service.
 type NodeState struct {
 	Servers []maintenance.Record
-	// ListVersion is the version of the endpoint list that the servers are from.
+	// ListVersion is the version of the endpoint list that contains the servers.
 	ListVersion int64
-	// DiscoveryAddr is the address of the discovery that numbers the list's versions.
+	// DiscoveryAddr is the address of the discovery service that assigned ListVersion.
 	DiscoveryAddr string
-	// Paused reports that operators have paused the node.
+	// Paused reports whether operators have paused the node.
 	Paused bool
-	// WarmThroughput is balancer.Settings.WarmThroughput for the successor; 0: not known.
+	// WarmThroughput is the successor's balancer.Settings.WarmThroughput; 0: unknown.
 	WarmThroughput float64
 }
 
-// Messages returns the messages that bring the state, the one that goes with the listener last.
+// Messages returns the messages that transfer the state, in the order to send them. The last one is of KindListener and
+// must be sent with the descriptor of the listener for clients.
 func (s NodeState) Messages() []Message {
 	var messages []Message
 	for rest := s.Servers; len(rest) > 0; {
@@ -39,7 +41,7 @@
 	})
 }
 
-// add takes a received message into the state, and reports whether it was the last.
+// add adds the contents of a received message to the state, and reports whether it was the last message of the state.
 func (s *NodeState) add(m Message) (last bool, err error) {
 	switch m.Kind {
 	case KindServers:
@@ -52,8 +54,9 @@
 		s.WarmThroughput = m.WarmThroughput
 		return true, nil
 	}
-	return false, fmt.Errorf("hand-over: %q where the heritage was to come", m.Kind)
+	return false, fmt.Errorf("hand-over: got message kind %q, want the node's state", m.Kind)
 }
 
-// ResourceShare returns the share of the node's limits that one of its processes may use: they count together.
+// ResourceShare returns the share of the node's resource limits, above 0 and at most 1, that each of its processes may
+// use. The limits apply to all processes together.
 func ResourceShare(processes int) float64 { return 1 / float64(max(processes, 1)) }
--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// connectTimeout bounds the wait for the state of the process in service, which answers from memory.
+// connectTimeout bounds the wait for the complete state of the process in service, which sends it from memory.
 const connectTimeout = 2 * time.Second
 
-var errNoListener = errors.New("hand-over: no listener came")
+var errNoListener = errors.New("hand-over: no listener received")
 
-// Takeover is what a successor gets from the process in service.
+// Takeover is the result of Connect: everything that a successor receives from the process in service.
 type Takeover struct {
-	// Link goes to that process.
+	// Link is the link to the process in service.
 	Link *Link
-	// State is what that process knows.
+	// State is the state of the process in service.
 	State NodeState
-	// Listener accepts clients at that process's address, on its socket.
+	// Listener accepts clients on the listening socket that both processes share.
 	Listener net.Listener
 }
 
-// Connect takes over from the process in service that listens at a path. A nil Takeover without an error means that
-// there is none.
+// Connect connects to the process in service that listens at path, and receives its state and its listener. A nil
+// Takeover without an error means that there is no such process.
 func Connect(path string) (*Takeover, error) {
 	addr, release, err := socketAddr(path)
 	if err != nil {
@@ -37,7 +37,7 @@
 	}
 	conn, err := net.DialUnix(network, nil, addr)
 	switch {
-	case errors.Is(err, syscall.ENOENT), errors.Is(err, syscall.ECONNREFUSED): // a dead process may have left the file
+	case errors.Is(err, syscall.ENOENT), errors.Is(err, syscall.ECONNREFUSED): // refused: the file of an ended process
 		return nil, nil
 	case err != nil:
 		return nil, fmt.Errorf("hand-over: %w", err)
@@ -51,7 +51,7 @@
 	return &Takeover{Link: link, State: state, Listener: listener}, nil
 }
 
-// receiveState takes in the messages of a NodeState, and the listener that comes with the last of them.
+// receiveState receives the messages of a NodeState, and the listener for clients that comes with the last message.
 func (l *Link) receiveState() (state NodeState, listener net.Listener, err error) {
 	_ = l.conn.SetReadDeadline(time.Now().Add(connectTimeout))
 	defer func() { _ = l.conn.SetReadDeadline(time.Time{}) }()
@@ -78,7 +78,7 @@
 	}
 }
 
-// closeFile closes a received descriptor; nil: none came.
+// closeFile closes the file of a received descriptor; nil: there is none.
 func closeFile(file *os.File) {
 	if file != nil {
 		_ = file.Close()
--- a/internal/handover/takeover_test.go
+++ b/internal/handover/takeover_test.go
@@ -25,17 +25,17 @@
 	return h
 }
 
-// TestConnect: a successor gets all that is known, and the listener, at a path of any length.
+// TestConnect: a successor receives the complete state and the listener, through a socket path of any length.
 func TestConnect(t *testing.T) {
 	for name, path := range map[string]string{"short": filepath.Join(t.TempDir(), "s"),
 		"long": filepath.Join(t.TempDir(), strings.Repeat("d", 120), "s")} {
 		os.MkdirAll(filepath.Dir(path), 0o700)
 		if takeover, err := Connect(path); takeover != nil || err != nil {
-			t.Fatalf("%s: nobody there: %v, %v", name, takeover, err)
+			t.Fatalf("%s: Connect without a process in service: got %v, error %v; want neither", name, takeover, err)
 		}
 		want, clients := testState(1000), listenTCP(t)
 		var listener *Listener
-		for range 2 { // what a dead process left stands in nobody's way
+		for range 2 { // the second Listen replaces the socket file that the first one left
 			var err error
 			if listener, err = Listen(path); err != nil {
 				t.Fatal(name, err)
@@ -59,7 +59,7 @@
 		got, err := Connect(path)
 		if err != nil || got == nil || !reflect.DeepEqual(got.State, want) ||
 			got.Listener.Addr().String() != clients.Addr().String() {
-			t.Fatalf("%s: %+v, %v", name, got, err)
+			t.Fatalf("%s: got %+v, error %v; want the sent state and the listener", name, got, err)
 		}
 		got.Listener.Close()
 		got.Link.Close()
@@ -77,14 +77,15 @@
 	return l
 }
 
-// TestMalformedState: a state that is malformed or of another version is not taken over, and the error says why.
+// TestMalformedState: a state that is malformed or of another format version is rejected with an error that names the
+// reason.
 func TestMalformedState(t *testing.T) {
 	for sent, want := range map[string]string{
 		"":                          "EOF",
 		"noise":                     "invalid character",
-		`{"form":2,"kind":"serve"}`: "form 2, this process knows 1",
+		`{"form":2,"kind":"serve"}`: "format version 2, want 1",
 		`{"form":1,"kind":"serve"}`: "no listener",
-		`{"form":1,"kind":"ready"}`: `"ready" where the heritage was to come`,
+		`{"form":1,"kind":"ready"}`: `got message kind "ready", want the node's state`,
 		strings.Repeat("x", 60<<10): "invalid character",
 	} {
 		path := filepath.Join(t.TempDir(), "s")
@@ -99,16 +100,17 @@
 			}
 		}()
 		if takeover, err := Connect(path); takeover != nil || err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%.30q: %v", sent, err)
+			t.Errorf("%.30q: got error %v, want a rejected state", sent, err)
 		}
 		listener.Close()
 	}
 	if _, err := encode(Message{ServerID: strings.Repeat("x", maxMessageBytes)}); err == nil {
-		t.Error("a message of any size goes out")
+		t.Error("encoding a message above the size limit succeeded, want an error")
 	}
 }
 
-// TestUnusableSocketPath: a path that cannot be a socket of this user's is an error that says why.
+// TestUnusableSocketPath: Listen and Connect reject a path that cannot be a socket of this user, with an error that
+// names the reason.
 func TestUnusableSocketPath(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
@@ -128,13 +130,13 @@
 		foreign: "another user's",
 	} {
 		if path == foreign && chown != nil {
-			continue // nobody else's can be made here
+			continue // the test lacks the privilege to create another user's socket
 		}
 		if _, err := Listen(path); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: taking: %v", want, err)
+			t.Errorf("Listen: want an error with %q, got %v", want, err)
 		}
 		if takeover, err := Connect(path); takeover != nil || err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: connecting: %v", want, err)
+			t.Errorf("Connect: want an error with %q, got %v", want, err)
 		}
 	}
 }
--- a/internal/node/endpoint_updates_test.go
+++ b/internal/node/endpoint_updates_test.go
@@ -158,7 +158,8 @@
 // failure is lost or responses are slow. No failure causes a burst of requests: a node sends at most 16 requests plus
 // an average of two per second, or four per second where connections break and a retry may therefore succeed.
 func TestEndpointUpdateInTime(t *testing.T) {
-	for _, current := range []failureMode{connectionRefused, connectHangs, noResponse, connectionReset, rejecting, truncatedList, truncatedThenSilent} {
+	for _, current := range []failureMode{connectionRefused, connectHangs, noResponse, connectionReset, rejecting,
+		truncatedList, truncatedThenSilent} {
 		for _, after := range []failureMode{noFailure, firstRequestLost, slowResponse} {
 			for _, nodes := range []int{1, 300} {
 				t.Run(fmt.Sprint(current, ", ", after, ", ", nodes), func(t *testing.T) {
--- a/internal/node/memory_network_test.go
+++ b/internal/node/memory_network_test.go
@@ -40,11 +40,11 @@
 	}
 	p := &connState{}
 	p.changed.L = &p.mu
-	near := &memoryConn{connState: p, addr: memoryAddr(addr)}
-	far := &memoryConn{connState: p, side: 1, addr: memoryAddr(addr)}
-	m.conns = append(m.conns, near, far)
-	conns <- far
-	return near, nil
+	local := &memoryConn{connState: p, addr: memoryAddr(addr)}
+	remote := &memoryConn{connState: p, side: 1, addr: memoryAddr(addr)}
+	m.conns = append(m.conns, local, remote)
+	conns <- remote
+	return local, nil
 }
 
 // openConns returns the number of connection ends that are not closed.
