--- a/internal/cost/cost.go
+++ b/internal/cost/cost.go
@@ -1,5 +1,5 @@
-// Package cost measures what a process has used since its start, in one line: a node logs it, and the benchmarks of the
-// request path read it from the log.
+// Package cost measures the resources that a process has used since its start: allocations, garbage collections and
+// processor time. A node logs them as one line, which the benchmarks of the request path read from the log.
 package cost
 
 import (
@@ -8,26 +8,27 @@
 	"syscall"
 )
 
-// Usage is what a process has used.
+// Usage is the resource usage of a process.
 type Usage struct {
-	// Allocations counts objects on the heap, the smallest included.
+	// Allocations is the number of heap objects allocated, including the smallest ones.
 	Allocations uint64
-	// AllocatedBytes counts their bytes.
+	// AllocatedBytes is the number of bytes of these objects.
 	AllocatedBytes uint64
-	// Collections counts the cycles of the garbage collector.
+	// Collections is the number of completed garbage collection cycles.
 	Collections uint32
-	// UserMicros is the processor time of the process's own code, of all threads, in microseconds.
+	// UserMicros is the processor time of all threads in user mode, in microseconds.
 	UserMicros int64
-	// SystemMicros is the processor time of the kernel on its behalf, in microseconds.
+	// SystemMicros is the processor time of all threads in kernel mode, in microseconds.
 	SystemMicros int64
 }
 
-// lineFormat is the form of the line that String writes and Parse reads.
+// lineFormat is the format of the line that String writes and Parse reads.
 const lineFormat = "allocations=%d allocated_bytes=%d gc_cycles=%d user_us=%d system_us=%d"
 
 const nanosPerMicro = 1000
 
-// Read returns the usage of this process. It stops the world for some ten microseconds, so that the counts are exact.
+// Read returns the usage of this process since its start. It stops all goroutines for some ten microseconds to read
+// exact counts.
 func Read() Usage {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -37,7 +38,7 @@
 		Collections:    memory.NumGC,
 	}
 	var times syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &times) == nil { // otherwise the times are 0
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &times) == nil { // on an error the times stay 0
 		usage.UserMicros = times.Utime.Nano() / nanosPerMicro
 		usage.SystemMicros = times.Stime.Nano() / nanosPerMicro
 	}
@@ -49,7 +50,7 @@
 	return fmt.Sprintf(lineFormat, u.Allocations, u.AllocatedBytes, u.Collections, u.UserMicros, u.SystemMicros)
 }
 
-// Parse parses what String wrote.
+// Parse parses a line that String has written.
 func Parse(text string) (Usage, error) {
 	var u Usage
 	_, err := fmt.Sscanf(text, lineFormat,
@@ -60,7 +61,7 @@
 	return u, nil
 }
 
-// Sub returns what was used after an earlier reading.
+// Sub returns the usage between an earlier reading and u.
 func (u Usage) Sub(earlier Usage) Usage {
 	return Usage{
 		Allocations:    u.Allocations - earlier.Allocations,
--- a/internal/cost/cost_test.go
+++ b/internal/cost/cost_test.go
@@ -2,9 +2,10 @@
 
 import "testing"
 
-var allocated [][]byte // keeps the compiler from leaving the allocations out
+var allocated [][]byte // a package variable, so that the compiler cannot omit the allocations
 
-// TestRead: every allocation is counted, of the smallest objects as well, and Parse reads what String writes.
+// TestRead: Read counts every allocation, including those of the smallest objects, and Parse reads the line that String
+// writes.
 func TestRead(t *testing.T) {
 	before := Read()
 	const objects, size = 5000, 8
@@ -17,12 +18,12 @@
 	}
 	u := after.Sub(before)
 	if u.Allocations < objects || u.Allocations > objects+200 || u.AllocatedBytes < objects*size {
-		t.Errorf("%d objects of %d bytes: %+v", objects, size, u)
+		t.Errorf("after allocating %d objects of %d bytes: got usage %+v", objects, size, u)
 	}
 	if after.UserMicros+after.SystemMicros <= 0 {
-		t.Errorf("no processor time: %+v", after)
+		t.Errorf("got usage %+v, want processor time above 0", after)
 	}
 	if _, err := Parse("allocations=x"); err == nil {
-		t.Error("no error for a torn line")
+		t.Error("parsing a truncated line succeeded, want an error")
 	}
 }
--- a/internal/program/allocation_profile.go
+++ b/internal/program/allocation_profile.go
@@ -2,5 +2,6 @@
 
 package program
 
-// writeAllocationProfile does nothing: only builds for the benchmarks of the request path have the profile.
+// writeAllocationProfile does nothing. Only builds with the tag meter, for the benchmarks of the request path, write an
+// allocation profile.
 func writeAllocationProfile() error { return nil }
--- a/internal/program/allocation_profile_meter.go
+++ b/internal/program/allocation_profile_meter.go
@@ -11,15 +11,15 @@
 	"runtime"
 )
 
-// envAllocations names the file of the profile; unset: none is written.
+// envAllocations is the environment variable with the path of the profile's file; unset: no profile is written.
 const envAllocations = "OLIVEBRIDGE_ALLOCATIONS"
 
-// firstProfileLength is how many records are asked for at first.
-const firstProfileLength = 4096
+// initialRecordCount is the number of records for which the first attempt to read the profile has space.
+const initialRecordCount = 4096
 
-// writeAllocationProfile writes all allocations since the start to a file, a line for each place: objects, bytes, and
-// the stack, the innermost function first. The benchmarks of the request path read it; it is exact with
-// GODEBUG=memprofilerate=1.
+// writeAllocationProfile writes all allocations since the start of the process to the file that envAllocations names.
+// Each line has one call stack: the number of objects, the number of bytes and the functions, innermost first. The
+// benchmarks of the request path read the file. The counts are exact with GODEBUG=memprofilerate=1.
 func writeAllocationProfile() error {
 	path := os.Getenv(envAllocations)
 	if path == "" {
@@ -38,10 +38,10 @@
 }
 
 func allocationRecords() []runtime.MemProfileRecord {
-	for range 2 { // what was allocated since the last collection but one is not in the profile yet
+	for range 2 { // the profile lacks allocations made since the second-to-last garbage collection
 		runtime.GC()
 	}
-	records := make([]runtime.MemProfileRecord, firstProfileLength)
+	records := make([]runtime.MemProfileRecord, initialRecordCount)
 	for {
 		count, ok := runtime.MemProfile(records, true)
 		if ok {
@@ -51,7 +51,7 @@
 	}
 }
 
-// writeAllocationRecord leaves errors to the flush of out.
+// writeAllocationRecord writes the line of one record. It ignores errors of out, which the caller's flush reports.
 func writeAllocationRecord(out io.Writer, record runtime.MemProfileRecord) {
 	_, _ = fmt.Fprintf(out, "%d %d ", record.AllocObjects, record.AllocBytes)
 	frames := runtime.CallersFrames(record.Stack())
--- a/internal/program/listen.go
+++ b/internal/program/listen.go
@@ -11,20 +11,22 @@
 )
 
 const (
-	// addressInUseTimeout is how long an address may still be in use when a process starts. One that shuts down accepts for
-	// 0.8 s more, since clients come for 0.4 s, and its machine may be busy; readiness is owed within 10 s.
+	// addressInUseTimeout bounds the retries of a starting process whose address is in use. A process that shuts down
+	// accepts connections for 0.8 s, since clients still connect for 0.4 s, and its machine may be busy. The limit leaves
+	// enough of the 10 s within which the new process must be ready.
 	addressInUseTimeout = 3 * time.Second
-	// listenRetryInterval is the pause between two attempts to listen.
+	// listenRetryInterval is the delay between two attempts to listen.
 	listenRetryInterval = 50 * time.Millisecond
 )
 
 // reusePort is SO_REUSEPORT, which package syscall lacks on this platform.
 const reusePort = 15
 
-// listenFunc listens at an address.
+// listenFunc opens a listener on an address.
 type listenFunc func(addr string) (net.Listener, error)
 
-// listenWithRetry listens as listen does, but waits a while for a process that shuts down to leave the address.
+// listenWithRetry returns a listenFunc that calls listen and retries it while the address is in use by a process that
+// shuts down, until addressInUseTimeout or the end of ctx. It does not retry after other errors.
 func listenWithRetry(ctx context.Context, listen listenFunc) listenFunc {
 	return func(addr string) (net.Listener, error) {
 		ctx, stop := context.WithTimeout(ctx, addressInUseTimeout)
@@ -43,14 +45,15 @@
 	}
 }
 
-// newListenFunc returns how to listen for clients and for operators. With an admin listener a process may start beside the
-// one in service, and the clients' address is shared, in case that one does not hand its own over.
+// newListenFunc returns the listenFunc for clients and operators. With an admin listener, a successor may start while
+// another process is in service. The address for clients is then shared with SO_REUSEPORT, in case the other process
+// does not hand over its listener.
 func newListenFunc(c *protocol.Config) listenFunc {
 	if c.AdminListen == "" {
 		return listenExclusive
 	}
 	return func(addr string) (net.Listener, error) {
-		if addr == c.AdminListen { // an operator has to know which process answers
+		if addr == c.AdminListen { // not shared: an operator must know which process answers
 			return listenExclusive(addr)
 		}
 		return listenShared(addr)
--- a/internal/program/log_writer.go
+++ b/internal/program/log_writer.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// logQueueLength is how many lines may wait to be written.
+	// logQueueLength is the maximum number of lines that wait to be written.
 	logQueueLength = 4096
-	// flushTimeout bounds the wait for the log's reader at the end. One that has stopped keeps no process from ending.
+	// flushTimeout bounds the time for which Close waits for the log's reader, so that a reader that has stopped does not
+	// keep the process from ending.
 	flushTimeout = time.Second
 )
 
-// LogWriter writes lines on a goroutine of its own, so that a slow reader holds up nobody who logs. Lines that find the
-// queue full are dropped, and their number is logged. It is safe for concurrent use.
+// LogWriter writes log lines on a separate goroutine, so that a slow reader of the log does not block the callers of
+// Write. It drops lines while the queue is full and logs the number of dropped lines. It is safe for concurrent use.
 type LogWriter struct {
 	out     io.Writer
-	mu      sync.RWMutex // Close excludes Write
+	mu      sync.RWMutex // held for reading by Write and for writing by Close
 	closed  bool
-	lines   chan []byte
-	dropped atomic.Int64
+	lines   chan []byte   // lines that wait to be written
+	dropped atomic.Int64  // number of dropped lines that is not logged yet
 	done    chan struct{} // closed once the last line is written
 }
 
@@ -42,13 +43,14 @@
 	defer close(w.done)
 	for line := range w.lines {
 		if _, err := w.out.Write(line); err != nil {
-			w.dropped.Add(1) // logged once lines can be written again
+			w.dropped.Add(1) // logged after the next line that can be written
 			continue
 		}
 		w.reportDropped()
 	}
 }
 
+// reportDropped writes a line with the number of dropped lines, if there are any.
 func (w *LogWriter) reportDropped() {
 	dropped := w.dropped.Swap(0)
 	if dropped == 0 {
@@ -59,7 +61,7 @@
 	}
 }
 
-// Write implements io.Writer; it never blocks.
+// Write implements io.Writer. It queues a copy of the line, and neither blocks nor fails. After Close it does nothing.
 func (w *LogWriter) Write(line []byte) (int, error) {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
@@ -74,7 +76,7 @@
 	return len(line), nil
 }
 
-// Close writes the lines that wait, as far as they are read in time. It is called once.
+// Close waits up to flushTimeout for the queued lines to be written. It must be called only once.
 func (w *LogWriter) Close() {
 	w.mu.Lock()
 	w.closed = true
--- a/internal/program/log_writer_test.go
+++ b/internal/program/log_writer_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// blockedWriter is an output that nobody reads.
+// blockedWriter is an output whose writes block until release is closed.
 type blockedWriter struct{ release chan bool }
 
 func (s blockedWriter) Write(b []byte) (int, error) {
@@ -15,7 +15,8 @@
 	return len(b), nil
 }
 
-// TestLogNeverBlocks guards whoever logs against a log reader that stops.
+// TestLogNeverBlocks: a reader of the log that has stopped does not block the callers of Write, and lines above the
+// queue's length are dropped.
 func TestLogNeverBlocks(t *testing.T) {
 	s := blockedWriter{make(chan bool)}
 	w := NewLogWriter(s)
@@ -23,14 +24,14 @@
 		fmt.Fprintln(w, "line")
 	}
 	if w.dropped.Load() < logQueueLength/2 {
-		t.Errorf("%d dropped", w.dropped.Load())
+		t.Errorf("%d lines dropped, want at least half the length of the queue", w.dropped.Load())
 	}
 	close(s.release)
 	w.Close()
 	fmt.Fprintln(w, "late")
 }
 
-// failingWriter fails for a while, and then reports what it writes.
+// failingWriter fails for a number of writes, and then sends what it receives to written.
 type failingWriter struct {
 	failures int
 	written  chan string
@@ -45,7 +46,8 @@
 	return len(b), nil
 }
 
-// TestDroppedLinesAreCounted: the next line that can be written is followed by the number of those that could not.
+// TestDroppedLinesAreCounted: after write errors, the next line that is written is followed by the number of lines that
+// were lost.
 func TestDroppedLinesAreCounted(t *testing.T) {
 	f := &failingWriter{3, make(chan string, 3)}
 	w := NewLogWriter(f)
@@ -54,6 +56,6 @@
 	}
 	w.Close()
 	if <-f.written != "line\n" || !strings.Contains(<-f.written, `msg="log lines dropped" lines=3`) {
-		t.Error("dropped lines are not counted")
+		t.Error("want the written line, followed by a line that counts 3 dropped lines")
 	}
 }
--- a/internal/program/process.go
+++ b/internal/program/process.go
@@ -11,12 +11,12 @@
 	"olivebridge/internal/protocol"
 )
 
-// signals are those that the process handles.
+// signals are the channels of the signals that the process handles.
 type signals struct {
-	// control brings a request for the counters, or to shut down.
+	// control receives SIGUSR1, which logs the counters, and SIGTERM and SIGINT, which shut the node down.
 	control chan os.Signal
-	// reload brings a request to read the configuration again. Of several in a row the last is read, and it reads the
-	// newest file.
+	// reload receives SIGHUP, which reloads the configuration. Its buffer holds one signal: several that arrive during a
+	// reload cause one further reload, which reads the latest file.
 	reload chan os.Signal
 }
 
@@ -30,23 +30,24 @@
 	return s
 }
 
-// notifyShutdown has control bring requests to shut down, which end the process before.
+// notifyShutdown starts the delivery of SIGTERM and SIGINT to control. Until it is called, they end the process.
 func (s signals) notifyShutdown() {
 	signal.Notify(s.control, syscall.SIGTERM, syscall.SIGINT)
 }
 
-// process is a running node and what its signals act on. It belongs to one goroutine.
+// process is a running node and the state that signal handling needs. It is not safe for concurrent use.
 type process struct {
 	node   *node.Node
 	config *protocol.Config
-	fleet  node.Fleet // nil: the node belongs to none
+	fleet  node.Fleet // nil: the node belongs to no fleet
 	log    *slog.Logger
 
-	drained chan struct{} // closed once the node has shut down; nil: it serves
-	failure error         // what made the node shut down by itself; nil: nothing did
+	drained chan struct{} // closed once the node has shut down; nil: the shutdown has not begun
+	failure error         // the error that made the node shut down; nil: there was none
 }
 
-// serve handles signals until the node has shut down.
+// serve handles signals until the node has shut down. It returns the error that caused the shutdown; nil: a signal
+// caused it.
 func (p *process) serve(s signals) error {
 	for {
 		select {
@@ -59,7 +60,7 @@
 			return p.failure
 		case p.failure = <-p.node.Failed():
 			p.log.Error("failed", "reason", p.failure.Error())
-			p.drain() // requests in flight are owed their answers all the same
+			p.drain() // requests in flight must still be answered
 		}
 	}
 }
@@ -75,7 +76,7 @@
 	}
 }
 
-// drain begins the graceful shutdown, once.
+// drain begins the graceful shutdown, unless it has begun.
 func (p *process) drain() {
 	if p.drained != nil {
 		return
@@ -95,7 +96,7 @@
 	return "exit"
 }
 
-// logCounters logs all counters, and when that was.
+// logCounters logs all counters. when is the reason for the line: "asked", "exit" or "failure".
 func (p *process) logCounters(when string) {
 	if err := writeAllocationProfile(); err != nil {
 		p.log.Error("allocations not written", "reason", err.Error())
@@ -104,7 +105,7 @@
 	p.log.Info("counters", append(attributes, p.node.Counters()...)...)
 }
 
-// reload reads the configuration again. A faulty one changes nothing.
+// reload reads the configuration again and applies it. An invalid configuration is logged and changes nothing.
 func (p *process) reload() {
 	next, err := p.config.Reload(os.Getenv, os.ReadFile)
 	if err == nil && p.fleet != nil {
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,5 +1,5 @@
-// Package program is the process of a node, from its environment to its graceful shutdown: signals, limits, log. The
-// commands that are nodes share it: the platform's, and the one that belongs to a fleet.
+// Package program runs the process of a node, from its environment to its graceful shutdown: signals, limits and log.
+// Two commands use it: olivebridge, and olivefleet, whose nodes belong to a fleet.
 package program
 
 import (
@@ -16,36 +16,37 @@
 	"olivebridge/internal/protocol"
 )
 
-// Options are what a command brings to its node.
+// Options are the options of a command that runs a node.
 type Options struct {
-	// NewFleet makes the node's membership in a fleet, before anything of the node is there; nil: it belongs to none.
+	// NewFleet creates the node's membership in a fleet, before any other component of the node is created; nil: the node
+	// belongs to no fleet.
 	NewFleet func(c *protocol.Config, log *slog.Logger) (node.Fleet, error)
 }
 
-// Main runs a node and ends the process.
+// Main runs a node until it has shut down. On an error it calls Fail.
 func Main(o Options) {
 	if err := run(o); err != nil {
 		Fail(err)
 	}
 }
 
-// Fail ends the process, with the one line that says why it cannot go on.
+// Fail writes err to standard error in one line, and ends the process with exit code 1.
 func Fail(err error) {
-	out := NewLogWriter(os.Stderr) // which waits for no reader
+	out := NewLogWriter(os.Stderr) // does not block if standard error is not read
 	_, _ = fmt.Fprintln(out, "olivebridge:", err)
 	out.Close()
 	os.Exit(1)
 }
 
-// run is the life of one node's process.
+// run loads the configuration, starts the node and serves until it has shut down.
 func run(o Options) error {
-	signal.Ignore(syscall.SIGPIPE) // otherwise a log reader that goes away would end the node
+	signal.Ignore(syscall.SIGPIPE) // otherwise the node would end when the reader of its log exits
 	signals := newSignals()
 	config, err := protocol.Load(os.Getenv, os.ReadFile)
 	if err != nil {
 		return err
 	}
-	signals.notifyShutdown() // until now there was nothing to shut down
+	signals.notifyShutdown() // before this point SIGTERM and SIGINT end the process, which has nothing to shut down
 	out := NewLogWriter(os.Stderr)
 	defer out.Close()
 	log := slog.New(slog.NewTextHandler(out, nil))
@@ -59,7 +60,8 @@
 	return p.serve(signals)
 }
 
-// start starts the node. A signal to shut down ends the wait for an address that is in use.
+// start creates the fleet membership, if any, and starts the node. SIGTERM and SIGINT end the retries for an address
+// that is in use.
 func (p *process) start(o Options) error {
 	starting, started := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer started()
@@ -82,10 +84,10 @@
 	return err
 }
 
-// handoverPath is where the two processes of one node find each other during an upgrade; "": they do not. The directory
-// is the node's own, and both have the same.
+// handoverPath returns the path of the Unix socket through which the two processes of a node connect during an upgrade;
+// "": the node has no hand-over. TMPDIR must be a directory that only this node uses, the same in both processes.
 func handoverPath(c *protocol.Config) string {
-	dir := os.Getenv("TMPDIR") // not a directory that all users share
+	dir := os.Getenv("TMPDIR") // os.TempDir would fall back to a directory that all users share
 	if c.AdminListen == "" || dir == "" {
 		return ""
 	}
