--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -8,15 +8,15 @@
 	"olivebridge/internal/routing"
 )
 
-// maxIDBytes bounds a call's id.
+// maxIDBytes is the maximum length of a call's id.
 const maxIDBytes = 128
 
-// MethodError says that a call's method is not its class's: what the class lets the node do with the call, such as a
-// retry, would not hold for it.
+// MethodError reports that the method of a call is not the request method of its class. The node must not serve such a
+// call, since the class would allow retries and the like that are unsafe for the method.
 type MethodError struct {
 	Class  string
 	Method string
-	// Allow is the class's method; "": it has none.
+	// Allow is the request method of the class; "": the class has none.
 	Allow string
 }
 
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("method: %.20q, but calls of class %q are made by %s", e.Method, e.Class, e.Allow)
 }
 
-// callHeaders are the headers of a call that decisions need; "" where one is missing.
+// callHeaders are the values of the headers that are needed to route a call; "": the header is missing.
 type callHeaders struct {
 	id      string
 	class   string
@@ -33,14 +33,15 @@
 	retry   string
 }
 
-// ParseCall parses from the head of a request what decisions need. header returns a header's values, query is the raw
-// query. Any error deserves a plain 4xx answer and no attempt; a *MethodError says that it should be 405.
+// ParseCall parses the parts of a request's head that are needed to route the call. header returns the values of a
+// header, and query is the raw query. After any error, the caller should answer with a plain 4xx status and make no
+// attempt; after a *MethodError the status should be 405.
 func (n NameIndex) ParseCall(method string, header func(name string) []string, query string) (routing.Call, error) {
 	headers, err := readCallHeaders(header)
 	if err != nil {
 		return routing.Call{}, err
 	}
-	if !validID(headers.id) { // a malformed one must not reach a server
+	if !validID(headers.id) { // a malformed id must not reach a server
 		return routing.Call{}, fmt.Errorf("%s: missing or malformed: %.80q", HeaderCallID, headers.id)
 	}
 	class, err := n.classPosition(headers.class, method)
@@ -69,7 +70,7 @@
 	}, nil
 }
 
-// readCallHeaders reads headers of which each may be given once. It allocates nothing.
+// readCallHeaders reads the headers of a call. A header that is given more than once is an error. It allocates nothing.
 func readCallHeaders(header func(name string) []string) (callHeaders, error) {
 	var values callHeaders
 	var err error
@@ -91,7 +92,7 @@
 	return values, nil
 }
 
-// singleValue returns the value of a header; "": it is missing.
+// singleValue returns the value of a header; "": the header is missing. More than one value is an error.
 func singleValue(header func(name string) []string, name string) (string, error) {
 	switch values := header(name); len(values) {
 	case 0:
@@ -103,7 +104,8 @@
 	}
 }
 
-// classPosition returns a class's position if the method is its own.
+// classPosition returns the position of a class in the settings. It returns a *MethodError if method is not the request
+// method of the class.
 func (n NameIndex) classPosition(name, method string) (int, error) {
 	class, known := n.Classes[name]
 	if !known {
@@ -119,7 +121,7 @@
 	return class, nil
 }
 
-// tenantPosition returns a tenant's position, or routing.Call's -1 where the settings have no tenants.
+// tenantPosition returns the position of a tenant in the settings; -1, as in routing.Call: there are no tenants.
 func (n NameIndex) tenantPosition(name string) (int, error) {
 	if len(n.Tenants) == 0 {
 		return -1, nil
@@ -131,15 +133,15 @@
 	return tenant, nil
 }
 
-// validID reports whether an id has 1 to maxIDBytes letters, digits and - _ . only.
+// validID reports whether an id has 1 to maxIDBytes bytes, all of them ASCII letters, digits, "-", "_" or ".".
 func validID(id string) bool {
 	return id != "" && len(id) <= maxIDBytes && !strings.ContainsFunc(id, func(c rune) bool {
 		return (c < '0' || c > '9') && (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && c != '-' && c != '_' && c != '.'
 	})
 }
 
-// parseAffinityKey returns the hash of the affinity key in a raw query; 0 means none. A key that is given twice is an
-// error: the server may go by the other one.
+// parseAffinityKey returns the hash of the affinity key in a raw query; 0: there is no key. A query with more than one
+// key is an error, since the server may use another one of them.
 func parseAffinityKey(query string) (uint64, error) {
 	var key uint64
 	given := false
@@ -157,7 +159,7 @@
 		if name != AffinityKeyParameter {
 			continue
 		}
-		plain, err := url.QueryUnescape(value) // one key has one hash, however it is escaped
+		plain, err := url.QueryUnescape(value) // the hash must not depend on how the key is escaped
 		if err != nil {
 			return 0, fmt.Errorf("%s: malformed: %q", AffinityKeyParameter, value)
 		}
--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -10,60 +10,61 @@
 	"olivebridge/internal/routing"
 )
 
-// The environment variables that tell a node what it is.
+// The environment variables that configure a node.
 const (
 	EnvName      = "ROUTER_NAME"
 	EnvListen    = "ROUTER_LISTEN"
 	EnvDiscovery = "ROUTER_DISCOVERY"
 	EnvConfig    = "ROUTER_CONFIG"
-	EnvAdmin     = "ROUTER_ADMIN" // optional: without it, or an entry in the file, there is no admin listener
-	EnvFleet     = "ROUTER_FLEET" // optional: without it the node belongs to no fleet
+	EnvAdmin     = "ROUTER_ADMIN" // optional: there is no admin listener if both this and the file's entry are missing
+	EnvFleet     = "ROUTER_FLEET" // optional: if it is missing, the node belongs to no fleet
 )
 
-// Config is the configuration of one node, from its environment and its file.
+// Config is the configuration of one node, from its environment and its configuration file.
 type Config struct {
-	// Name is the node's own, the same after a restart.
+	// Name is the name of the node, which stays the same after a restart.
 	Name string
-	// Listen is the address on which clients connect.
+	// Listen is the address on which the node listens for clients.
 	Listen string
-	// Discovery is the address of discovery.
+	// Discovery is the address of the discovery service.
 	Discovery string
-	// AdminListen is the address on which operators connect; "": there is no admin listener.
+	// AdminListen is the address on which the node listens for operators; "": there is no admin listener.
 	AdminListen string
-	// Seed starts the random draws.
+	// Seed is the seed of the node's random numbers.
 	Seed uint64
-	// Cores is how many processor cores the node may use.
+	// Cores is the number of processor cores that the node may use.
 	Cores float64
-	// MemoryMB is how much memory the node may use, in MiB.
+	// MemoryMB is the amount of memory that the node may use, in MiB.
 	MemoryMB int
-	// Sockets is how many file descriptors the node may hold.
+	// Sockets is the number of file descriptors that the node may hold.
 	Sockets int
-	// Settings are those of the balancer.
+	// Settings are the balancer's settings.
 	Settings balancer.Settings
-	// NameIndex has the positions of the settings' names.
+	// NameIndex has the positions of the names in the settings.
 	NameIndex NameIndex
 	// ConnectTimeout bounds the wait for a new connection to a server.
 	ConnectTimeout time.Duration
-	// IdleTimeout is how long a connection may be idle before the server closes it.
+	// IdleTimeout is the duration after which servers close an idle connection.
 	IdleTimeout time.Duration
-	// LongestDeadline is that of the class that has the longest.
+	// LongestDeadline is the longest deadline of all classes.
 	LongestDeadline time.Duration
-	// KnownEndpoints is the endpoint list as the node had it last, maybe long ago.
+	// KnownEndpoints is the last endpoint list that the node had; it may be old.
 	KnownEndpoints routing.EndpointList
-	// KnownEndpointsVersion is discovery's version of that list; -1: discovery is to be asked for the whole list.
+	// KnownEndpointsVersion is discovery's version of KnownEndpoints; -1: the node must ask for the full list.
 	KnownEndpointsVersion int64
 
 	file fileIdentity
 }
 
-// fileIdentity is what the file says of the node, as it stands there, for Reload to compare.
+// fileIdentity has the entries of the configuration file that identify the node and cannot change while it runs. Reload
+// compares them.
 type fileIdentity struct {
 	name   string
 	listen string
 	admin  string
 }
 
-// Load reads a node's configuration from its environment and the file that this names.
+// Load reads a node's configuration from its environment and from the file that the variable EnvConfig names.
 func Load(getenv func(string) string, readFile func(string) ([]byte, error)) (*Config, error) {
 	c := &Config{}
 	path, err := c.readEnvironment(getenv)
@@ -89,7 +90,7 @@
 	return c, nil
 }
 
-// readEnvironment takes in the variables that must be there, and returns the path of the file.
+// readEnvironment reads the mandatory environment variables, and returns the path of the configuration file.
 func (c *Config) readEnvironment(getenv func(string) string) (path string, err error) {
 	for _, variable := range []struct {
 		name      string
@@ -115,8 +116,8 @@
 	return path, nil
 }
 
-// Reload reads the configuration again. The new one holds as a whole or, with an error, not at all: what a running node
-// cannot change must not differ.
+// Reload reads the configuration again and returns it; c stays unchanged. It returns an error if the new configuration
+// is invalid or differs in an entry that cannot change while the node runs.
 func (c *Config) Reload(getenv func(string) string, readFile func(string) ([]byte, error)) (*Config, error) {
 	next, err := Load(getenv, readFile)
 	if err != nil {
@@ -129,7 +130,7 @@
 		{"name", next.file.name == c.file.name},
 		{"listen", next.file.listen == c.file.listen},
 		{"admin", next.file.admin == c.file.admin},
-		// Open calls carry positions in these lists.
+		// Open calls refer to classes, tenants, zones and kinds by their positions, which must stay the same.
 		{"a name in settings.classes", maps.Equal(next.NameIndex.Classes, c.NameIndex.Classes)},
 		{"a name in settings.tenants", maps.Equal(next.NameIndex.Tenants, c.NameIndex.Tenants)},
 		{"a name in settings.zones", maps.Equal(next.NameIndex.Zones, c.NameIndex.Zones)},
--- a/internal/protocol/config_file.go
+++ b/internal/protocol/config_file.go
@@ -10,7 +10,8 @@
 	"olivebridge/internal/settings"
 )
 
-// configJSON is the configuration file. Error texts name the type and its fields.
+// configJSON is the JSON form of the configuration file. Errors of encoding/json contain the names of the type and of
+// its fields.
 type configJSON struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -26,7 +27,7 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// parseFile takes in the configuration file.
+// parseFile sets the fields of c that the configuration file determines.
 func (c *Config) parseFile(data []byte) error {
 	var in configJSON
 	if err := json.Unmarshal(data, &in); err != nil {
@@ -34,7 +35,7 @@
 	}
 	c.file = fileIdentity{name: in.Name, listen: in.Listen, admin: in.Admin}
 	c.AdminListen = in.Admin
-	if in.Discovery != "" { // the file may be newer than the environment, which cannot change
+	if in.Discovery != "" { // the file has precedence: it may be newer than the environment, which cannot change
 		c.Discovery = in.Discovery
 	}
 	if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
@@ -49,7 +50,7 @@
 	c.MemoryMB = in.Limits.MemoryMB
 	c.Sockets = in.Limits.Sockets
 	if c.Cores <= 0 || c.MemoryMB <= 0 || c.Sockets <= 0 {
-		return errors.New("limits: cores, memory_mb or sockets missing")
+		return errors.New("limits: cores, memory_mb and sockets must be present and above zero")
 	}
 	if err := c.parseSettings(in.Settings); err != nil {
 		return err
@@ -66,7 +67,7 @@
 		return err
 	}
 	c.Settings = node.Balancer
-	c.Settings.PollDiscovery = true // on sockets discovery sends nothing unasked, whatever the settings say
+	c.Settings.PollDiscovery = true // always: over sockets, discovery does not push updates
 	c.NameIndex = newNameIndex(node)
 	c.ConnectTimeout = node.ConnectTimeout
 	c.IdleTimeout = node.IdleTimeout
--- a/internal/protocol/config_test.go
+++ b/internal/protocol/config_test.go
@@ -17,7 +17,8 @@
 "probes":true,"retry_after":true,"second_copies":true,"try_limit":4},"n_instances":2,"kinds":["m1","m2"],
 "tenants":[{"name":"acme","share":0.4}],"weights":"nominal","worth_by":"request","zone":1,"zones":["a","b"]}}`
 
-// TestLoad: a configuration is read from the environment and the file, and any fault in either is one clear error.
+// TestLoad: Load reads the configuration from the environment and the file. Any invalid value in either is an error of
+// one line.
 func TestLoad(t *testing.T) {
 	env := map[string]string{
 		EnvName: "n3", EnvListen: "127.0.0.1:0", EnvDiscovery: "127.0.0.1:1", EnvConfig: "config.json"}
@@ -53,15 +54,16 @@
 		`{"name":"n3"`:       `{`,
 	} {
 		if _, err := load(env, strings.Replace(config, old, new, 1)); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s for %s: error %v", new, old, err)
+			t.Errorf("%s in place of %s: got error %v, want one of one line", new, old, err)
 		}
 	}
 	never := strings.NewReplacer(`"connect_timeout":75000000`, `"connect_timeout":9223372036854775807`,
 		`"idle_close":10000000000`, `"idle_close":9223372036854775807`).Replace(config)
 	if c, err := load(env, never); err != nil || 8*c.ConnectTimeout < c.ConnectTimeout || 8*c.IdleTimeout < c.IdleTimeout {
-		t.Errorf("times that mean never: %v, %v, %v, which multiples overflow", c.ConnectTimeout, c.IdleTimeout, err)
+		t.Errorf("largest durations: got %v, %v, error %v; want durations of which 8 do not overflow",
+			c.ConnectTimeout, c.IdleTimeout, err)
 	}
-	for _, c := range []struct{ old, new, bad string }{ // requests name these, and endpoint lists name zones and kinds
+	for _, c := range []struct{ old, new, bad string }{ // requests and endpoint lists refer to these names
 		{`"name":"book",`, ``, "classes.1"},
 		{`"name":"status"`, `"name":""`, "classes.0"},
 		{`"name":"acme",`, ``, "tenants.0"},
@@ -75,7 +77,7 @@
 	} {
 		_, err := load(env, strings.Replace(config, c.old, c.new, 1))
 		if err == nil || !strings.Contains(err.Error(), "settings: "+c.bad) {
-			t.Errorf("%s for %s: error %v, want one about %s", c.new, c.old, err, c.bad)
+			t.Errorf("%s in place of %s: got error %v, want one that names %s", c.new, c.old, err, c.bad)
 		}
 	}
 	for name := range env {
@@ -86,7 +88,7 @@
 			}
 		}
 		if _, err := load(rest, config); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("without %s: error %v", name, err)
+			t.Errorf("without the variable %s: got error %v, want one that names it", name, err)
 		}
 	}
 }
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -1,4 +1,4 @@
-// Package protocol is the edge to the platform: its headers, its environment variables and configuration, its endpoint
-// lists, and what a server's response means. The platform's own terms end here: what the package returns is in the
-// terms of the balancer. It takes out only the fields that decisions need; all else is forwarded as it came.
+// Package protocol implements the platform's interfaces: its headers, environment variables, configuration, endpoint
+// lists and the classification of server responses. It translates the platform's terms into those of the balancer,
+// which all returned values use. It parses only the fields that routing needs; everything else is forwarded unchanged.
 package protocol
--- a/internal/protocol/endpoints.go
+++ b/internal/protocol/endpoints.go
@@ -13,7 +13,7 @@
 	"olivebridge/internal/routing"
 )
 
-// unknownPosition stands for a zone or kind that the settings do not name. It is no node's own.
+// unknownPosition is the position of a zone or kind that the settings do not contain. No node has this zone.
 const unknownPosition = math.MaxUint8
 
 var states = map[string]balancer.ServerState{
@@ -22,7 +22,8 @@
 	"Gone":        balancer.Removed,
 }
 
-// groupJSON is an endpoint list, or its changes, as discovery writes it. Error texts name the type and its fields.
+// groupJSON is the JSON form of an endpoint list, or of changes to it, as discovery sends it. Errors of encoding/json
+// contain the names of the type and of its fields.
 type groupJSON struct {
 	Version *int64       `json:"version"`
 	Full    *bool        `json:"full"`
@@ -40,8 +41,8 @@
 	Started int64    `json:"started_ms"`
 }
 
-// ParseEndpoints parses an endpoint list, or its changes, and the version that discovery gives it. A list with any
-// fault is an error as a whole: half a list would drop sound servers.
+// ParseEndpoints parses an endpoint list, or changes to it, and returns it with discovery's version. A list with a
+// single invalid entry is rejected completely, since a partial list would remove servers that are in use.
 func (n NameIndex) ParseEndpoints(data []byte) (list routing.EndpointList, version int64, err error) {
 	var in groupJSON
 	if err := json.Unmarshal(data, &in); err != nil {
@@ -60,7 +61,7 @@
 			return list, 0, fmt.Errorf("upstream group: entry %q: %w", s.ID, err)
 		}
 		if other, twice := names[entry.ID]; twice {
-			return list, 0, fmt.Errorf("upstream group: entry %q: same as %q", s.ID, other)
+			return list, 0, fmt.Errorf("upstream group: entry %q: duplicate of entry %q", s.ID, other)
 		}
 		names[entry.ID] = s.ID
 		list.Endpoints = append(list.Endpoints, entry)
@@ -121,5 +122,5 @@
 	return unknownPosition
 }
 
-// ServerID returns a server's identity for the balancer, which is the same at all nodes.
+// ServerID returns the balancer's id of the server with the given name. It is the same at all nodes.
 func ServerID(name string) balancer.ServerID { return balancer.ServerID(hash(name)) }
--- a/internal/protocol/headers.go
+++ b/internal/protocol/headers.go
@@ -4,39 +4,40 @@
 
 // The platform's headers, in canonical form.
 const (
-	// HeaderCallID identifies a request; a client's retry has one of its own.
+	// HeaderCallID is the id of a request; a client's retry has a new id.
 	HeaderCallID = "X-Call-Id"
-	// HeaderClass names the request's class.
+	// HeaderClass is the name of the request's class.
 	HeaderClass = "X-Call-Class"
-	// HeaderTenant names the request's tenant.
+	// HeaderTenant is the name of the request's tenant.
 	HeaderTenant = "X-Caller"
-	// HeaderTimeout is how long the sender waits for the answer, in seconds.
+	// HeaderTimeout is the duration for which the sender waits for the response, in seconds.
 	HeaderTimeout = "X-Budget"
-	// HeaderRetry marks a client's retry with "1".
+	// HeaderRetry is "1" in a client's retry.
 	HeaderRetry = "X-Again"
-	// HeaderCallInfo carries figures of the platform's, which are not read.
+	// HeaderCallInfo has data of the platform, which the node does not read.
 	HeaderCallInfo = "X-Call-Info"
-	// HeaderRejected marks with "1" a response of a server that has not run the request.
+	// HeaderRejected is "1" in the response of a server that has not processed the request.
 	HeaderRejected = "X-Rejected"
 )
 
-// AffinityKeyParameter is the query parameter whose value decides which server a request goes to.
+// AffinityKeyParameter is the query parameter with the affinity key, which determines the server of a request.
 const AffinityKeyParameter = "user"
 
 // The platform's paths.
 const (
-	// PathReady is where a node is asked whether it takes requests.
+	// PathReady is the node's path for readiness checks: whether it accepts requests.
 	PathReady = "/health/ready"
-	// PathHealthCheck is where a server is checked.
+	// PathHealthCheck is the servers' path for health checks.
 	PathHealthCheck = "/health/live"
-	// PathEndpoints is where discovery gives the endpoint list.
+	// PathEndpoints is discovery's path for the endpoint list.
 	PathEndpoints = "/registry/instances"
 )
 
-// MaxBufferedBody is the longest body, either way, that is buffered whole. Longer ones are streamed.
+// MaxBufferedBody is the maximum length in bytes of a request or response body that is buffered completely. Longer
+// bodies are streamed.
 const MaxBufferedBody = 64 << 10
 
-// IsPlatformHeader reports whether a header, in canonical form, is one that requests carry for the platform.
+// IsPlatformHeader reports whether name, in canonical form, is a request header that the platform defines.
 func IsPlatformHeader(name string) bool {
 	switch name {
 	case HeaderCallID, HeaderClass, HeaderTenant, HeaderTimeout, HeaderRetry, HeaderCallInfo:
@@ -45,8 +46,8 @@
 	return false
 }
 
-// hash is the same at every node and in every release, so that keys and servers have one hash everywhere. It is
-// never 0.
+// hash returns the hash of an affinity key or a server's name; it is never 0. All nodes must agree on it, so it must
+// not change in any release.
 func hash(s string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(s))
--- a/internal/protocol/name_index.go
+++ b/internal/protocol/name_index.go
@@ -7,14 +7,14 @@
 	"olivebridge/internal/settings"
 )
 
-// NameIndex has the positions of names in the lists of the settings.
+// NameIndex maps the names in the lists of the settings to their positions.
 type NameIndex struct {
 	Classes map[string]int
-	// Tenants is empty where there are none.
+	// Tenants is empty if the settings have no tenants.
 	Tenants map[string]int
 	Zones   map[string]int
 	Kinds   map[string]int
-	// Methods are those of the classes, by position.
+	// Methods has the request method of each class, by the position of the class.
 	Methods []string
 }
 
@@ -31,8 +31,8 @@
 	return index
 }
 
-// requestMethod returns the one method of a class's requests. Repeats of a request with an idempotency key are dropped by
-// whoever keeps the key; the first run has an effect all the same.
+// requestMethod returns the method that all requests of a class must have. A class with idempotency keys has POST: the
+// store of the keys drops duplicates of a request, but the first execution has side effects.
 func requestMethod(idempotency balancer.Idempotency) string {
 	if idempotency == balancer.Idempotent {
 		return http.MethodGet
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -6,8 +6,9 @@
 	"olivebridge/balancer"
 )
 
-// ClassifyResponse returns what a server's whole response means for an attempt. rejected is its HeaderRejected. Only a
-// rejection that is marked as such proves that the attempt never ran.
+// ClassifyResponse returns the result of an attempt from the server's complete response. rejected are the values of its
+// HeaderRejected. Only a 503 or 504 with exactly one such value of "1" proves that the server did not process the
+// request.
 func ClassifyResponse(status int, rejected []string) balancer.Result {
 	switch {
 	case status == http.StatusOK:
--- a/internal/protocol/response_test.go
+++ b/internal/protocol/response_test.go
@@ -6,7 +6,8 @@
 	"olivebridge/balancer"
 )
 
-// TestClassifyResponse: a 503 or 504 proves that an attempt never ran only with exactly one mark that says so.
+// TestClassifyResponse: a 503 or 504 proves that the server did not process the request only if HeaderRejected has
+// exactly one value, "1".
 func TestClassifyResponse(t *testing.T) {
 	for _, c := range []struct {
 		status   int
@@ -26,7 +27,7 @@
 		{206, nil, balancer.Errored},
 	} {
 		if got := ClassifyResponse(c.status, c.rejected); got != c.want {
-			t.Errorf("%d, %q: got %d, want %d", c.status, c.rejected, got, c.want)
+			t.Errorf("status %d, header values %q: got result %d, want %d", c.status, c.rejected, got, c.want)
 		}
 	}
 }
--- a/internal/protocol/seconds.go
+++ b/internal/protocol/seconds.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// maxTimeout bounds a timeout, so that sums with it cannot overflow.
+// maxTimeout is the maximum timeout of a call. It keeps sums of times from overflowing.
 const maxTimeout = time.Hour
 
-// ParseTimeout parses the value of HeaderTimeout, a time above zero in seconds: digits and at most one point.
+// ParseTimeout parses the value of HeaderTimeout: a number of seconds in digits with at most one decimal point. Zero and
+// values above maxTimeout are errors.
 func ParseTimeout(text string) (time.Duration, error) {
 	odd := strings.IndexFunc(text, func(c rune) bool { return (c < '0' || c > '9') && c != '.' })
 	seconds, err := strconv.ParseFloat(text, 64)
@@ -20,10 +21,10 @@
 	return time.Duration(seconds * float64(time.Second)), nil
 }
 
-// FormatSeconds writes a time in seconds with three decimals, and never as less than a millisecond.
+// FormatSeconds returns a duration in seconds with three decimals. A duration below 1 ms becomes "0.001".
 func FormatSeconds(d time.Duration) string { return string(AppendSeconds(nil, d)) }
 
-// AppendSeconds appends what FormatSeconds writes.
+// AppendSeconds appends the text of FormatSeconds to b.
 func AppendSeconds(b []byte, d time.Duration) []byte {
 	return strconv.AppendFloat(b, max(d, time.Millisecond).Seconds(), 'f', 3, 64)
 }
--- a/internal/protocol/seconds_test.go
+++ b/internal/protocol/seconds_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestParseTimeout: only digits and one point are a timeout, and a written one is never zero.
+// TestParseTimeout: ParseTimeout accepts only digits with at most one decimal point, and FormatSeconds never returns
+// zero.
 func TestParseTimeout(t *testing.T) {
 	const leadingSpace = " 1"
 	for in, want := range map[string]time.Duration{
@@ -15,7 +16,7 @@
 		"99999999": 0, ".": 0,
 	} {
 		if got, err := ParseTimeout(in); got != want || (err == nil) != (want > 0) {
-			t.Errorf("%q: got %v, %v, want %v", in, got, err, want)
+			t.Errorf("parsing %q: got %v, error %v, want %v", in, got, err, want)
 		}
 	}
 	for in, want := range map[time.Duration]string{
@@ -23,7 +24,7 @@
 		0: "0.001", -time.Second: "0.001",
 	} {
 		if got := FormatSeconds(in); got != want {
-			t.Errorf("%v: got %s, want %s", in, got, want)
+			t.Errorf("formatting %v: got %s, want %s", in, got, want)
 		}
 	}
 }
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -8,7 +8,7 @@
 	"olivebridge/balancer"
 )
 
-// The words of the settings, and what they mean to the balancer.
+// The enumerated values of the settings, with the balancer's value for each.
 var (
 	weightPerWorkValues = map[string]bool{"work": true, "request": false}
 	pollDiscoveryValues = map[string]bool{"subscribe": true, "automatic": false}
@@ -24,10 +24,10 @@
 	}
 )
 
-// liveWeights is the value of weights under which a server's weight follows its load.
+// liveWeights is the value of the setting weights with which the weight of a server follows its load.
 const liveWeights = "live"
 
-// DecodeText decodes settings that have one path=value on each line.
+// DecodeText decodes settings in text form: lines of path=value. Other lines are ignored.
 func DecodeText(text []byte) (balancer.Settings, error) {
 	pairs := map[string]string{}
 	for line := range strings.Lines(string(text)) {
@@ -38,15 +38,16 @@
 	return decodePairs(pairs)
 }
 
-// decodePairs decodes settings from their values by path. Unknown paths are ignored.
+// decodePairs decodes settings from their values by path. It ignores unknown paths.
 //
-// Optional are tenants (none), tenants[].quota_per_s (none), zones (one), zone (the first), classes[].aim_stretch and
-// late_worth (0), classes[].stream and contract.dropped_stay_open (false), over_share_worth (1), prices (0), and
-// contract.ask_every, which is needed only where discovery has to be polled. extra.warm_keys and extra.passes_deadline
-// are not read: the balancer always keeps keys to their servers, and uses neither.
+// The following settings are optional, with their defaults in parentheses: tenants (none), tenants[].quota_per_s (no
+// quota), zones (one zone), zone (the first), classes[].aim_stretch and late_worth (0), classes[].stream and
+// contract.dropped_stay_open (false), over_share_worth (1) and prices (0). contract.ask_every is required only if
+// discovery must be polled. extra.warm_keys and extra.passes_deadline are ignored: the balancer always routes a key to
+// the same server, and uses neither setting.
 func decodePairs(pairs map[string]string) (balancer.Settings, error) {
 	r := &pairReader{pairs: pairs}
-	s := balancer.Settings{ // in this order, since the first error counts
+	s := balancer.Settings{ // the order determines which of several errors is reported: the first
 		Nodes:                r.positiveInteger("n_instances"),
 		WeightPerWork:        enumValue(r, "worth_by", weightPerWorkValues),
 		OverQuotaWeightShare: r.optionalNumber("over_share_worth", 1),
@@ -85,13 +86,13 @@
 	return s, r.err
 }
 
-// itemPrefix is what the paths of an object in a list begin with.
+// itemPrefix returns the prefix of the paths of the object at a position in a list.
 func itemPrefix(list string, position int) string {
 	return list + "." + strconv.Itoa(position) + "."
 }
 
 func decodeClass(r *pairReader, path string) balancer.Class {
-	class := balancer.Class{ // in this order, since the first error counts
+	class := balancer.Class{ // the order determines which of several errors is reported: the first
 		LatencyObjective: r.duration(path + "aim"),
 		ObjectivePerWork: r.optionalNumber(path+"aim_stretch", 0),
 		Deadline:         r.duration(path + "deadline"),
@@ -101,10 +102,10 @@
 		Idempotency:      enumValue(r, path+"idempotency", idempotencyValues),
 	}
 	if class.Deadline == 0 {
-		r.fail(path+"deadline", "nothing can be answered within no time")
+		r.fail(path+"deadline", "not above zero")
 	}
 	if r.optionalFlag(path + "serial_by_key") {
-		r.fail(path+"serial_by_key", "the order of a key's requests is not kept")
+		r.fail(path+"serial_by_key", "true is not supported: the order of requests with the same key is not kept")
 	}
 	if class.Idempotency == balancer.IdempotencyKeyed {
 		class.DedupScope = enumValue(r, path+"key_scope", dedupScopeValues)
@@ -113,8 +114,8 @@
 	return class
 }
 
-// noRequestsQuota stands for a quota of 0, which the share of a very small tenant may be in whole requests: to the
-// Balancer, 0 is no quota.
+// noRequestsQuota is the balancer's quota for a setting of 0, the smallest quota above zero. A very small tenant may
+// have a quota of 0, rounded down to whole requests, but to the balancer 0 means that there is no quota.
 const noRequestsQuota = math.SmallestNonzeroFloat64
 
 func decodeTenant(r *pairReader, path string) balancer.Tenant {
--- a/internal/settings/decode_test.go
+++ b/internal/settings/decode_test.go
@@ -44,7 +44,7 @@
 worth_by=work
 `
 
-// TestDecodeText: each line that is malformed or missing is an error that names its path, unless it is optional.
+// TestDecodeText: a malformed value, or a missing one that is not optional, is an error that names its path.
 func TestDecodeText(t *testing.T) {
 	s, err := DecodeText([]byte(sample))
 	if err != nil {
@@ -57,10 +57,10 @@
 		!s.WeightPerWork {
 		t.Errorf("got %+v", s)
 	}
-	for _, odd := range []string{"classes.1.serial_by_key=maybe", "classes.1.serial_by_key=true"} {
-		key, _, _ := strings.Cut(odd, "=")
-		if _, err := DecodeText([]byte(sample + odd + "\n")); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: %v", odd, err)
+	for _, invalid := range []string{"classes.1.serial_by_key=maybe", "classes.1.serial_by_key=true"} {
+		key, _, _ := strings.Cut(invalid, "=")
+		if _, err := DecodeText([]byte(sample + invalid + "\n")); err == nil || !strings.Contains(err.Error(), key) {
+			t.Errorf("%s: got error %v, want one that names the path", invalid, err)
 		}
 	}
 	for _, line := range strings.Split(strings.TrimSpace(sample), "\n") {
@@ -68,23 +68,23 @@
 		if key == "some.new.key" || key == "tenants.count" {
 			continue
 		}
-		broken := strings.Replace(sample, line, key+"=?", 1)
-		if _, err := DecodeText([]byte(broken)); key != "weights" && (err == nil || !strings.Contains(err.Error(), key)) {
-			t.Errorf("%s malformed: %v", key, err)
+		malformed := strings.Replace(sample, line, key+"=?", 1)
+		if _, err := DecodeText([]byte(malformed)); key != "weights" && (err == nil || !strings.Contains(err.Error(), key)) {
+			t.Errorf("%s is malformed: got error %v, want one that names the path", key, err)
 		}
 		missing := strings.Replace(sample, line+"\n", "", 1)
 		_, err := DecodeText([]byte(missing))
 		optional := strings.HasSuffix(key, "late_worth") || strings.HasSuffix(key, "quota_per_s")
 		if !optional && (err == nil || !strings.Contains(err.Error(), key)) {
-			t.Errorf("%s missing: %v", key, err)
+			t.Errorf("%s is missing: got error %v, want one that names the path", key, err)
 		}
 	}
 }
 
-// TestValuesOutOfRange: what is absent, zero, negative or no number at all has its documented meaning or is one clear
-// error that names its path, and never passes for something else.
+// TestValuesOutOfRange: a value that is absent, zero, negative or not a number either has its documented meaning or is
+// an error that names its path.
 func TestValuesOutOfRange(t *testing.T) {
-	for change, want := range map[string]string{ // "": it is taken
+	for change, want := range map[string]string{ // "": the value is valid
 		"limits.try_limit=0": "limits.try_limit", "limits.try_limit=1.5": "limits.try_limit", "limits.try_limit=1e9": "",
 		"n_instances=0": "n_instances", "n_instances=0.5": "n_instances", "n_instances=-1": "n_instances",
 		"classes.0.deadline=0": "classes.0.deadline", "classes.1.deadline=-1": "classes.1.deadline",
@@ -100,7 +100,7 @@
 		lines := slices.DeleteFunc(strings.Split(sample, "\n"), func(l string) bool { return strings.HasPrefix(l, key+"=") })
 		_, err := DecodeText([]byte(change + "\n" + strings.Join(lines, "\n")))
 		if (err == nil) != (want == "") || err != nil && !strings.HasPrefix(err.Error(), "settings: "+want) {
-			t.Errorf("%s: got %v, want an error about %q", change, err, want)
+			t.Errorf("%s: got error %v, want one that begins with the path %q", change, err, want)
 		}
 	}
 	for change, want := range map[string]bool{
@@ -108,12 +108,13 @@
 	} {
 		s, err := DecodeText([]byte(strings.Replace(sample, "tenants.0.quota_per_s=153.0\n", change, 1)))
 		if err != nil || (s.Tenants[0].Quota > 0) != want {
-			t.Errorf("%q: a quota is set: %v, want %v; %v", change, !want, want, err)
+			t.Errorf("%q: got a quota: %v, want %v; error %v", change, !want, want, err)
 		}
 	}
 }
 
-// TestJSONEqualsText: both forms of the settings mean the same: nested names, lists of objects, lists of plain values.
+// TestJSONEqualsText: the JSON form and the text form of the same settings decode to equal values. This covers nested
+// names, lists of objects and lists of scalars.
 func TestJSONEqualsText(t *testing.T) {
 	text := `classes.count=1
 classes.0.aim=150000000
@@ -154,11 +155,11 @@
 	}
 	got, err := decodeJSON([]byte(nested))
 	if err != nil || !reflect.DeepEqual(got, want) || got.Zones != 2 {
-		t.Errorf("%v: got %+v, want %+v", err, got, want)
+		t.Errorf("error %v: got settings %+v, want %+v", err, got, want)
 	}
 	for _, bad := range []string{"", "[]", "{", `{"classes":[]}`} {
 		if _, err := decodeJSON([]byte(bad)); err == nil {
-			t.Errorf("%q was taken", bad)
+			t.Errorf("decoding %q succeeded, want an error", bad)
 		}
 	}
 }
--- a/internal/settings/json.go
+++ b/internal/settings/json.go
@@ -10,10 +10,10 @@
 	"olivebridge/balancer"
 )
 
-// decodeJSON decodes the balancer's settings from one nested JSON object, with the names and units of the text.
+// decodeJSON decodes the balancer's settings from one nested JSON object, with the names and units of the text form.
 func decodeJSON(data []byte) (balancer.Settings, error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
-	decoder.UseNumber() // a number keeps the form that the text has
+	decoder.UseNumber() // keeps numbers as written, as in the text form
 	var tree map[string]any
 	if err := decoder.Decode(&tree); err != nil {
 		return balancer.Settings{}, fmt.Errorf("settings: %w", err)
@@ -23,8 +23,8 @@
 	return decodePairs(pairs)
 }
 
-// flatten writes a JSON value as the text has it: a list of objects by its length and positions, a list of plain values
-// with commas.
+// flatten adds a JSON value to pairs in the text form: a list of objects as its length and one path prefix per
+// position, a list of scalars as one value with commas.
 func flatten(pairs map[string]string, path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -51,7 +51,7 @@
 	pairs[path] = strings.Join(plain, ",")
 }
 
-// scalarText writes a plain value; a space or comma within it becomes "_".
+// scalarText returns the text form of a scalar, with "_" for each space and comma in it.
 func scalarText(value any) string {
 	return strings.NewReplacer(" ", "_", ",", "_").Replace(fmt.Sprint(value))
 }
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -10,10 +10,10 @@
 	"olivebridge/balancer"
 )
 
-// maxConnDuration bounds the times of connections: a few of one do not overflow.
+// maxConnDuration bounds the timeouts of connections, so that small multiples do not overflow.
 const maxConnDuration = math.MaxInt64 / 16
 
-// Node is the settings of a node on sockets: those of its balancer, and what only sockets need.
+// Node has the settings of a node on sockets: those of its balancer, and those that only sockets need.
 type Node struct {
 	Balancer balancer.Settings
 	// Classes has the position of each class by its name.
@@ -26,7 +26,7 @@
 	Kinds map[string]int
 	// ConnectTimeout bounds the wait for a new connection to a server. It is above zero.
 	ConnectTimeout time.Duration
-	// IdleTimeout is how long a connection may be idle before the server closes it. It is above zero.
+	// IdleTimeout is the duration after which servers close an idle connection. It is above zero.
 	IdleTimeout time.Duration
 }
 
@@ -34,8 +34,8 @@
 	Name string `json:"name"`
 }
 
-// settingsJSON is what the flat form of the settings does not keep: names as they are written, and the times of
-// connections. Error texts name the type and its fields.
+// settingsJSON has the settings that the text form lacks: names as they are written, and the timeouts of connections.
+// Errors of encoding/json contain the names of the type and of its fields.
 type settingsJSON struct {
 	Classes []named  `json:"classes"`
 	Tenants []named  `json:"tenants"`
@@ -66,9 +66,9 @@
 	if n.IdleTimeout <= 0 {
 		return Node{}, errors.New("settings: limits.idle_close: missing, or not above zero")
 	}
-	// encoding/json takes a name in any case, and the flat form does not: "Classes" beside "classes" would count here.
+	// encoding/json matches names in any letter case, unlike the text form: it would accept "Classes" beside "classes".
 	if len(in.Classes) != len(n.Balancer.Classes) || len(in.Tenants) != len(n.Balancer.Tenants) {
-		return Node{}, errors.New("settings: classes or tenants stand twice")
+		return Node{}, errors.New("settings: classes or tenants given more than once, in different letter case")
 	}
 	if err := n.indexNames(in); err != nil {
 		return Node{}, err
@@ -104,8 +104,8 @@
 	return names
 }
 
-// positionsByName are those of names in a list of the settings. A missing name would fit whoever gives none, and one that
-// stands twice would hide its first position.
+// positionsByName returns the position of each name in a list of the settings. An empty name is an error, since
+// requests without a name would match it. A duplicate is an error, since it would hide the first position.
 func positionsByName(path string, names []string) (map[string]int, error) {
 	index := map[string]int{}
 	for i, name := range names {
