--- a/internal/protocol/endpoints.go
+++ b/internal/protocol/endpoints.go
@@ -87,7 +87,7 @@
 		weight = *s.Weight
 	}
 	if weight < 0 || s.Started < 0 || s.Started > math.MaxInt64/int64(time.Millisecond) {
-		return routing.Endpoint{}, errors.New("weight or started_ms out of range")
+		return routing.Endpoint{}, errors.New("weight or started_ms is negative, or started_ms is too large")
 	}
 	return routing.Endpoint{
 		Server: balancer.Server{
--- a/internal/protocol/seconds.go
+++ b/internal/protocol/seconds.go
@@ -10,12 +10,12 @@
 // maxTimeout is the maximum timeout of a call. It keeps sums of times from overflowing.
 const maxTimeout = time.Hour
 
-// ParseTimeout parses the value of HeaderTimeout: a number of seconds in digits with at most one decimal point. Zero and
-// values above maxTimeout are errors.
+// ParseTimeout parses the value of HeaderTimeout: a number of seconds in digits, with at most one decimal point. Zero
+// and values above maxTimeout are errors.
 func ParseTimeout(text string) (time.Duration, error) {
-	odd := strings.IndexFunc(text, func(c rune) bool { return (c < '0' || c > '9') && c != '.' })
+	invalid := strings.IndexFunc(text, func(c rune) bool { return (c < '0' || c > '9') && c != '.' })
 	seconds, err := strconv.ParseFloat(text, 64)
-	if odd >= 0 || err != nil || seconds <= 0 || seconds > maxTimeout.Seconds() {
+	if invalid >= 0 || err != nil || seconds <= 0 || seconds > maxTimeout.Seconds() {
 		return 0, fmt.Errorf("%s: missing or malformed: %q", HeaderTimeout, text)
 	}
 	return time.Duration(seconds * float64(time.Second)), nil
