--- a/internal/protocol/endpoints.go
+++ b/internal/protocol/endpoints.go
@@ -61,7 +61,7 @@
 			return list, 0, fmt.Errorf("upstream group: entry %q: %w", s.ID, err)
 		}
 		if other, twice := names[entry.ID]; twice {
-			return list, 0, fmt.Errorf("upstream group: entry %q: duplicate of entry %q", s.ID, other)
+			return list, 0, fmt.Errorf("upstream group: entry %q: same as %q", s.ID, other)
 		}
 		names[entry.ID] = s.ID
 		list.Endpoints = append(list.Endpoints, entry)
