--- a/internal/fleet/callstore/server.go
+++ b/internal/fleet/callstore/server.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// maxConcurrentRequests bounds the requests of one stream that are being answered.
+// maxConcurrentRequests is the limit on requests of one stream that are processed at the same time.
 const maxConcurrentRequests = 512
 
-// ServeCalls answers the requests of a stream from the member called from, until it ends. Requests are answered
-// concurrently; their numbers say which response is whose.
+// ServeCalls handles the requests of a stream from the named member until the stream ends. It handles them concurrently
+// and responds in any order; a response has the number of its request.
 func (s *Service) ServeCalls(conn net.Conn, from string) {
 	requests := json.NewDecoder(conn)
 	responses := &responseWriter{conn: conn, encoder: json.NewEncoder(conn)}
 	slots := make(chan struct{}, maxConcurrentRequests)
-	var open sync.WaitGroup
-	defer open.Wait()
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	for {
 		var r request
 		if err := requests.Decode(&r); err != nil {
 			return
 		}
 		if !r.isFrom(from) {
-			return // nobody speaks for another node
+			return // a node may only send requests for its own owners
 		}
 		slots <- struct{}{}
-		open.Go(func() {
+		inFlight.Go(func() {
 			defer func() { <-slots }()
-			responses.write(s.answer(r))
+			responses.write(s.handleRequest(r))
 		})
 	}
 }
@@ -41,7 +41,7 @@
 	encoder *json.Encoder
 }
 
-// write closes the stream if it fails: nothing further would be written to it.
+// write writes one response. It closes the stream on an error, because a response may have been written in part.
 func (w *responseWriter) write(r response) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -51,25 +51,26 @@
 	}
 }
 
-// answer answers a request if this process leads; else it names the leader, if it knows it.
-func (s *Service) answer(r request) response {
-	got := response{Number: r.Number}
+// handleRequest processes a request if this process is the leader. Otherwise the response has a Refusal and the leader
+// known to this process, if any.
+func (s *Service) handleRequest(r request) response {
+	resp := response{Number: r.Number}
 	result, err := s.propose(command{Begin: r.Begin, End: r.End})
 	if err != nil {
-		got.Refusal = err.Error()
-		got.Leader = s.knownLeader()
-		return got
+		resp.Refusal = err.Error()
+		resp.Leader = s.knownLeader()
+		return resp
 	}
 	switch result := result.(type) {
 	case BeginResult:
-		got.BeginResult = result
+		resp.BeginResult = result
 	case bool:
-		got.EndAccepted = result
+		resp.EndAccepted = result
 	}
-	return got
+	return resp
 }
 
-// knownLeader is the leader as far as this process knows; "" if it knows of none, or is no voter.
+// knownLeader returns the leader known to this process, or "" if it knows none or is not a voter.
 func (s *Service) knownLeader() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,14 +80,14 @@
 	return s.log.Leader()
 }
 
-// answerLocally answers a request of this process; false: it does not hold the node's membership, and the node's other
-// process may be the voter.
-func (s *Service) answerLocally(r request) (response, bool) {
+// handleLocally processes a request of this process. It returns false if this process does not hold the node's
+// membership: the node's other process may then be the voter.
+func (s *Service) handleLocally(r request) (response, bool) {
 	s.mu.Lock()
-	holdsPlace := s.incarnation != ""
+	holdsMembership := s.incarnation != ""
 	s.mu.Unlock()
-	if !holdsPlace {
+	if !holdsMembership {
 		return response{}, false
 	}
-	return s.answer(r), true
+	return s.handleRequest(r), true
 }
--- a/internal/fleet/member/traffic.go
+++ b/internal/fleet/member/traffic.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// traffic counts what a process sends and receives, since its start.
+// traffic counts the packets, streams and bytes that a process sends and receives, since its start.
 type traffic struct {
 	packetsIn  atomic.Int64
 	packetsOut atomic.Int64
@@ -14,10 +14,10 @@
 	bytesOut   atomic.Int64
 	streamsIn  atomic.Int64
 	streamsOut atomic.Int64
-	// foreign counts packets and frames of another fleet or corrupt, streams that break before their first frame, and
-	// streams of a channel that nobody serves; a foreign first frame counts twice.
-	foreign atomic.Int64
-	flood   atomic.Int64 // beyond maxPacketsPerSecond, packetQueue or maxHandshakes
+	// foreign counts packets and frames that are corrupt or belong to another fleet, streams that break before their first
+	// frame, and streams of a channel without a function to serve it. A foreign first frame counts twice.
+	foreign   atomic.Int64
+	overLimit atomic.Int64 // packets beyond maxPacketsPerSecond or packetQueue, and connections beyond maxHandshakes
 }
 
 // String returns the counters for the log.
@@ -25,10 +25,10 @@
 	return fmt.Sprintf("packets_in=%d packets_out=%d bytes_in=%d bytes_out=%d streams_in=%d streams_out=%d "+
 		"foreign=%d flood=%d",
 		t.packetsIn.Load(), t.packetsOut.Load(), t.bytesIn.Load(), t.bytesOut.Load(),
-		t.streamsIn.Load(), t.streamsOut.Load(), t.foreign.Load(), t.flood.Load())
+		t.streamsIn.Load(), t.streamsOut.Load(), t.foreign.Load(), t.overLimit.Load())
 }
 
-// countedConn counts a connection's bytes.
+// countedConn counts the bytes of a connection in traffic.
 type countedConn struct {
 	net.Conn
 	traffic *traffic
--- a/internal/fleet/operations/client.go
+++ b/internal/fleet/operations/client.go
@@ -9,45 +9,46 @@
 )
 
 const (
-	// requestTimeout bounds one request to a voter; an operator's call has to have its answer within a second.
+	// requestTimeout limits the time for one request to a voter. An operator's call must be answered within one second.
 	requestTimeout = 400 * time.Millisecond
-	// startTimeout is how long a start waits for what others know of the fleet's suspensions.
+	// startTimeout limits the time for which a starting node waits for the suspensions known to other nodes.
 	startTimeout = 500 * time.Millisecond
-	// maxAskedAtStart bounds the nodes that are asked for that.
-	maxAskedAtStart = 8
+	// maxStartRequests is the limit on nodes from which a starting node requests the suspensions.
+	maxStartRequests = 8
 )
 
-// errNoLeader says that no voter answered as the leader.
+// errNoLeader reports that no voter responded as the leader.
 var errNoLeader = errors.New("no majority of the voters is there, or none can be reached")
 
-// ask sends a request to the leader, over a stream of its own: there are some a second. It makes at most one
-// attempt more than there are voters; the leader that a voter names is asked next.
-func (s *Service) ask(r request) (response, error) {
+// sendToLeader sends a request to the leader, over a new stream: there are only a few requests per second. If a voter
+// responds with the name of the leader, the next attempt goes to that leader. The number of attempts is at most the
+// number of voters plus one.
+func (s *Service) sendToLeader(r request) (response, error) {
 	voters := s.participant.Voters().Names
 	voter := s.hint.Leader()
-	var got response
+	var resp response
 	var err error
 	for range len(voters) + 1 {
 		if voter == "" {
 			voter = s.hint.NextVoter(voters)
 		}
-		got, err = s.askVoter(voter, r)
-		if err == nil && got.Refusal == "" {
-			s.hint.Answered(voter)
-			return got, nil
+		resp, err = s.sendToVoter(voter, r)
+		if err == nil && resp.Refusal == "" {
+			s.hint.SetLeader(voter)
+			return resp, nil
 		}
-		voter = got.Leader
+		voter = resp.Leader
 		if err != nil {
 			voter = ""
 		}
 	}
 	s.hint.Forget()
-	return got, cmp.Or(err, errNoLeader)
+	return resp, cmp.Or(err, errNoLeader)
 }
 
-func (s *Service) askVoter(voter string, r request) (response, error) {
+func (s *Service) sendToVoter(voter string, r request) (response, error) {
 	if voter == s.config.Name {
-		return s.answer(voter, r), nil
+		return s.handleRequest(voter, r), nil
 	}
 	conn, err := s.config.Dial(voter, NodesChannel, requestTimeout)
 	if err != nil {
@@ -56,24 +57,24 @@
 	return exchange(conn, r)
 }
 
-// askOthersAtStart asks other nodes which servers are suspended, all at once, and returns the response with the latest
-// version. Nobody answers a node that starts together with the others.
-func (s *Service) askOthersAtStart() (latest response, found bool) {
+// fetchSuspensions requests the suspended servers from other nodes in parallel, and returns the response with the
+// latest version. It returns false if no node responds with a version above 0, for example if all nodes start together.
+func (s *Service) fetchSuspensions() (latest response, found bool) {
 	if s.config.Others == nil {
 		return latest, false
 	}
 	addresses := s.config.Others()
-	addresses = addresses[:min(len(addresses), maxAskedAtStart)]
+	addresses = addresses[:min(len(addresses), maxStartRequests)]
 	responses := make(chan response, len(addresses))
 	for _, address := range addresses {
-		go func() { responses <- s.askAtStart(address) }()
+		go func() { responses <- s.fetchSuspensionsFrom(address) }()
 	}
 	timeout := time.After(startTimeout)
 	for range addresses {
 		select {
-		case got := <-responses:
-			if got.Version > latest.Version {
-				latest, found = got, true
+		case resp := <-responses:
+			if resp.Version > latest.Version {
+				latest, found = resp, true
 			}
 		case <-timeout:
 			return latest, found
@@ -82,27 +83,28 @@
 	return latest, found
 }
 
-// askAtStart asks the node at an address; the response is empty if it does not answer.
-func (s *Service) askAtStart(address string) response {
+// fetchSuspensionsFrom requests the suspended servers from the node at an address. The response is empty if the node
+// does not respond.
+func (s *Service) fetchSuspensionsFrom(address string) response {
 	conn, err := s.config.DialAddr(address, NodesChannel, startTimeout)
 	if err != nil {
 		return response{}
 	}
-	got, err := exchange(conn, request{AtStart: true})
+	resp, err := exchange(conn, request{AtStart: true})
 	if err != nil {
 		return response{}
 	}
-	return got
+	return resp
 }
 
-// exchange sends one request over a connection, and closes that.
+// exchange sends one request over a connection, reads the response and closes the connection.
 func exchange(conn net.Conn, r request) (response, error) {
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(requestTimeout))
-	var got response
+	var resp response
 	if err := json.NewEncoder(conn).Encode(r); err != nil {
-		return got, err
+		return resp, err
 	}
-	err := json.NewDecoder(conn).Decode(&got)
-	return got, err
+	err := json.NewDecoder(conn).Decode(&resp)
+	return resp, err
 }
--- a/internal/fleet/operations/ledger_test.go
+++ b/internal/fleet/operations/ledger_test.go
@@ -17,22 +17,22 @@
 	"olivebridge/internal/fleet/raftlog"
 )
 
-// do lets a ledger apply a command, as it comes out of the log.
-func do(t interface{ Fatal(...any) }, l *ledger, c command) Result {
+// apply applies a command to a ledger in its log encoding.
+func apply(t interface{ Fatal(...any) }, l *ledger, c command) Result {
 	data, err := json.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, is := l.Apply(&raft.Log{Data: data}).(Result)
-	if !is {
+	result, ok := l.Apply(&raft.Log{Data: data}).(Result)
+	if !ok {
 		t.Fatal("no answer")
 	}
-	return a
+	return result
 }
 
-// TestLedgerInvariants: whatever operators call and voters do, late and twice: one round runs at a time and has
-// suspended one server at most, its present one; each server is suspended once in a round; what operators have
-// suspended stays so; and a snapshot is complete.
+// TestLedgerInvariants applies random commands, some of them late or repeated. At most one round must run at a time,
+// and it must have suspended at most one server, its present one. A round must suspend each server at most once,
+// servers that operators have suspended must stay suspended, and a snapshot must be complete.
 func TestLedgerInvariants(t *testing.T) {
 	servers := []string{"a", "b", "c", "d"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -40,7 +40,7 @@
 		var advances []AdvanceRequest
 		suspendedTimes := map[string]int{}
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
-			version, out, _ := l.contents()
+			version, suspensions, _ := l.contents()
 			var c command
 			server := rapid.SampledFrom(servers).Draw(t, "server")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
@@ -53,7 +53,7 @@
 					rapid.SliceOfNDistinct(rapid.SampledFrom(servers), 0, 4, rapid.ID[string]).Draw(t, "servers"), time.Second}
 			case 3:
 				c.Stop = &StopRoundRequest{fmt.Sprint("r", rapid.IntRange(1, 6).Draw(t, "key")), "why"}
-			case 4: // one that was made before comes again
+			case 4: // an earlier AdvanceRequest arrives again
 				if len(advances) == 0 {
 					continue
 				}
@@ -72,37 +72,42 @@
 			if before != nil {
 				was = AdvanceRequest{before.ID, before.Position, before.Step}
 			}
-			a := do(t, l, c)
-			if c.Advance != nil && (a.Rejection == "") != (before != nil && *c.Advance == was) {
-				t.Fatalf("%+v is taken though the round is at %+v: %+v", c.Advance, was, a)
+			result := apply(t, l, c)
+			if c.Advance != nil && (result.Rejection == "") != (before != nil && *c.Advance == was) {
+				t.Fatalf("advance %+v of a round at %+v: got %+v, want a rejection if and only if they differ",
+					c.Advance, was, result)
 			}
-			now, outNow, rounds := l.contents()
-			if (now != version) == maps.Equal(out, outNow) || now < version {
-				t.Fatalf("version %d after %d, out %v after %v", now, version, outNow, out)
+			newVersion, newSuspensions, rounds := l.contents()
+			if (newVersion != version) == maps.Equal(suspensions, newSuspensions) || newVersion < version {
+				t.Fatalf("version %d after version %d, but suspensions %v after %v",
+					newVersion, version, newSuspensions, suspensions)
 			}
-			runs, by := 0, 0
+			running, suspendedByRounds := 0, 0
 			for _, r := range rounds {
 				if r.State == Running {
-					runs++
+					running++
 				}
 			}
-			for server, o := range outNow {
-				if o.Round == 0 {
+			for server, suspension := range newSuspensions {
+				if suspension.Round == 0 {
 					continue
 				}
-				if _, had := out[server]; !had {
-					suspendedTimes[fmt.Sprint(o.Round, server)]++
+				if _, had := suspensions[server]; !had {
+					suspendedTimes[fmt.Sprint(suspension.Round, server)]++
 				}
-				if by++; l.runningRound() == nil || l.runningRound().ID != o.Round || l.runningRound().Server() != server {
-					t.Fatalf("%s is out by round %d: %+v", server, o.Round, l.runningRound())
+				if suspendedByRounds++; l.runningRound() == nil || l.runningRound().ID != suspension.Round ||
+					l.runningRound().Server() != server {
+					t.Fatalf("server %s is suspended by round %d, but the running round is %+v",
+						server, suspension.Round, l.runningRound())
 				}
 			}
-			if runs > 1 || by > 1 {
-				t.Fatalf("%d rounds run, %d servers are out by them", runs, by)
+			if running > 1 || suspendedByRounds > 1 {
+				t.Fatalf("%d rounds are running, %d servers are suspended by rounds, want at most 1 of each",
+					running, suspendedByRounds)
 			}
-			for what, n := range suspendedTimes {
+			for roundAndServer, n := range suspendedTimes {
 				if n > 1 {
-					t.Fatalf("%s is out %d times", what, n)
+					t.Fatalf("round and server %s: suspended %d times, want once", roundAndServer, n)
 				}
 			}
 		}
@@ -110,30 +115,32 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again := newLedger()
-		if err := again.Restore(io.NopCloser(bytes.NewReader(snap.(raftlog.Snapshot)))); err != nil || !same(l, again) {
-			t.Fatalf("%v: %+v became %+v", err, l, again)
+		restored := newLedger()
+		if err := restored.Restore(io.NopCloser(bytes.NewReader(snap.(raftlog.Snapshot)))); err != nil ||
+			!sameState(l, restored) {
+			t.Fatalf("restore snapshot: error %v, state before %+v, after %+v", err, l, restored)
 		}
 	})
 }
 
-func same(a, b *ledger) bool {
+func sameState(a, b *ledger) bool {
 	x, _ := json.Marshal(a)
 	y, _ := json.Marshal(b)
 	return bytes.Equal(x, y)
 }
 
-// TestRoundSkipsSuspended: a round through three servers, of which an operator has suspended one.
+// TestRoundSkipsSuspended checks that a round through three servers skips the one that an operator has suspended, and
+// that the server stays suspended. It also checks the answers to calls about a running or unknown round.
 func TestRoundSkipsSuspended(t *testing.T) {
 	l := newLedger()
-	do(t, l, command{Suspend: &ServerRequest{"b", "n2"}})
+	apply(t, l, command{Suspend: &ServerRequest{"b", "n2"}})
 	twice := command{Begin: &BeginRoundRequest{"r", "n1", []string{"a", "a"}, 0}}
-	if a := do(t, l, twice); a.Rejection != "a server stands twice" {
+	if a := apply(t, l, twice); a.Rejection != "a server stands twice" {
 		t.Error(a)
 	}
-	do(t, l, command{Begin: &BeginRoundRequest{"r", "n1", []string{"a", "b", "c"}, 0}})
+	apply(t, l, command{Begin: &BeginRoundRequest{"r", "n1", []string{"a", "b", "c"}, 0}})
 	second := command{Begin: &BeginRoundRequest{"q", "n1", []string{"a"}, 0}}
-	if a := do(t, l, second); !strings.HasPrefix(a.Rejection, `another runs: round "r"`) {
+	if a := apply(t, l, second); !strings.HasPrefix(a.Rejection, `another runs: round "r"`) {
 		t.Error(a)
 	}
 	var drained []string
@@ -145,26 +152,26 @@
 		if r.Step == Drained {
 			drained = append(drained, r.Server())
 			restore := command{Restore: &ServerRequest{r.Server(), "n1"}}
-			if a := do(t, l, restore); !strings.Contains(a.Rejection, "stop that first") {
+			if a := apply(t, l, restore); !strings.Contains(a.Rejection, "stop that first") {
 				t.Error(a)
 			}
 		}
-		do(t, l, command{Advance: &AdvanceRequest{r.ID, r.Position, r.Step}})
+		apply(t, l, command{Advance: &AdvanceRequest{r.ID, r.Position, r.Step}})
 	}
 	_, out, rounds := l.contents()
 	if !slices.Equal(drained, []string{"a", "c"}) || len(out) != 1 || out["b"].By != "n2" || rounds[0].State != Done {
-		t.Errorf("out were %v, is %v; %v", drained, out, rounds)
+		t.Errorf("drained %v, want [a c]; suspended %v, want b by n2; rounds %v, want the first done", drained, out, rounds)
 	}
-	do(t, l, command{Begin: &BeginRoundRequest{"s", "n1", []string{"a", "c"}, 0}})
-	do(t, l, command{Advance: &AdvanceRequest{2, 0, Pending}})
+	apply(t, l, command{Begin: &BeginRoundRequest{"s", "n1", []string{"a", "c"}, 0}})
+	apply(t, l, command{Advance: &AdvanceRequest{2, 0, Pending}})
 	stop := command{Stop: &StopRoundRequest{"s", "said at n3"}}
-	if a := do(t, l, stop); a.Text != `round "s", begun at n1: stopped after 0 of 2 servers: said at n3` {
+	if a := apply(t, l, stop); a.Text != `round "s", begun at n1: stopped after 0 of 2 servers: said at n3` {
 		t.Error(a)
 	}
 	if _, out, _ := l.contents(); len(out) != 1 {
-		t.Errorf("after the stop %v are out", out)
+		t.Errorf("suspended after the stop: %v, want only b", out)
 	}
-	if a := do(t, l, command{Stop: &StopRoundRequest{"none", ""}}); a.Rejection == "" {
+	if a := apply(t, l, command{Stop: &StopRoundRequest{"none", ""}}); a.Rejection == "" {
 		t.Error(a)
 	}
 }
--- a/internal/fleet/operations/server.go
+++ b/internal/fleet/operations/server.go
@@ -9,13 +9,13 @@
 	"olivebridge/internal/fleet/raftlog"
 )
 
-// receivedReport is a node's report, at the leader.
+// receivedReport is a node's report with the time at which the leader received it.
 type receivedReport struct {
 	NodeReport
 	receivedAt time.Time
 }
 
-// ServeNodes answers the requests of a stream from the node called from, until it ends.
+// ServeNodes handles the requests of a stream from the named node until the stream ends.
 func (s *Service) ServeNodes(conn net.Conn, from string) {
 	decoder := json.NewDecoder(conn)
 	encoder := json.NewEncoder(conn)
@@ -25,14 +25,15 @@
 			return
 		}
 		_ = conn.SetWriteDeadline(time.Now().Add(requestTimeout))
-		if err := encoder.Encode(s.answer(from, r)); err != nil {
+		if err := encoder.Encode(s.handleRequest(from, r)); err != nil {
 			return
 		}
 	}
 }
 
-// answer answers a node, if this process leads or the node starts; else it names the leader, if it knows it.
-func (s *Service) answer(from string, r request) response {
+// handleRequest processes a request from the named node. Any process answers a starting node; only the leader processes
+// other requests. Otherwise the response has a Refusal and the leader known to this process, if any.
+func (s *Service) handleRequest(from string, r request) response {
 	if r.AtStart {
 		version, suspended := s.suspensions.current()
 		return response{Version: version, Suspended: suspended}
@@ -44,46 +45,46 @@
 	case !log.IsLeader():
 		return response{Refusal: "another leads, or nobody", Leader: log.Leader()}
 	case r.Command != nil:
-		return s.answerCommand(log, ledger, *r.Command)
+		return s.handleCommand(log, ledger, *r.Command)
 	}
-	return s.answerReport(log, ledger, from, r)
+	return s.handleReport(log, ledger, from, r)
 }
 
-func (s *Service) answerCommand(log *raftlog.Log, ledger *ledger, c command) response {
+func (s *Service) handleCommand(log *raftlog.Log, ledger *ledger, c command) response {
 	applied, err := log.Propose(c)
 	if err != nil {
 		return response{Refusal: err.Error(), Leader: log.Leader()}
 	}
-	got := ledgerResponse(ledger)
-	got.Result, _ = applied.(Result)
+	resp := ledgerResponse(ledger)
+	resp.Result, _ = applied.(Result)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	got.WaitingFor = s.waitingFor
-	return got
+	resp.WaitingFor = s.waitingFor
+	return resp
 }
 
-func (s *Service) answerReport(log *raftlog.Log, ledger *ledger, from string, r request) response {
-	if log.VerifyLeader() != nil { // the ledger may be behind that of another leader
+func (s *Service) handleReport(log *raftlog.Log, ledger *ledger, from string, r request) response {
+	if log.VerifyLeader() != nil { // another process may lead, with a ledger that has newer entries
 		return response{Refusal: "it does not lead any more"}
 	}
-	got := ledgerResponse(ledger)
+	resp := ledgerResponse(ledger)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reports[from] = receivedReport{
 		NodeReport: NodeReport{Incarnation: r.Incarnation, Version: r.Version, OpenCalls: r.OpenCalls},
 		receivedAt: time.Now(),
 	}
-	got.WaitingFor = s.waitingFor
-	return got
+	resp.WaitingFor = s.waitingFor
+	return resp
 }
 
-// ledgerResponse is a response with what the ledger holds.
+// ledgerResponse returns a response with the contents of the ledger.
 func ledgerResponse(ledger *ledger) response {
 	version, suspensions, rounds := ledger.contents()
-	got := response{Version: version, Rounds: rounds}
+	resp := response{Version: version, Rounds: rounds}
 	for server := range suspensions {
-		got.Suspended = append(got.Suspended, server)
+		resp.Suspended = append(resp.Suspended, server)
 	}
-	slices.Sort(got.Suspended)
-	return got
+	slices.Sort(resp.Suspended)
+	return resp
 }
--- a/internal/fleet/raftlog/state_machine_test.go
+++ b/internal/fleet/raftlog/state_machine_test.go
@@ -17,12 +17,13 @@
 func (*sink) Cancel() error { return nil }
 func (*sink) ID() string    { return "" }
 
-// TestVoterSetInSnapshot: a snapshot holds the voter set; one of a program that knew of none is read, too.
+// TestVoterSetInSnapshot checks that a snapshot includes the voter set, and that snapshots from builds without voter
+// sets are still restored.
 func TestVoterSetInSnapshot(t *testing.T) {
-	s := &stateMachine{FSM: &sum{}}
+	s := &stateMachine{FSM: &sumMachine{}}
 	line, _ := json.Marshal(VoterSet{3, []string{"x"}})
 	s.Apply(&raft.Log{Data: append([]byte{voterSetMarker}, line...)})
-	s.Apply(&raft.Log{Data: append([]byte{voterSetMarker}, `{"edition":2,"names":["y"]}`...)}) // an earlier one
+	s.Apply(&raft.Log{Data: append([]byte{voterSetMarker}, `{"edition":2,"names":["y"]}`...)}) // an earlier edition
 	snap, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -32,13 +33,13 @@
 		t.Fatal(err)
 	}
 	for text, want := range map[string]VoterSet{out.String(): {3, []string{"x"}}, `{}`: {}} {
-		again := &stateMachine{FSM: &sum{}}
-		err := again.Restore(io.NopCloser(bytes.NewBufferString(text)))
-		if err != nil || fmt.Sprint(again.voterSet()) != fmt.Sprint(want) {
-			t.Errorf("%q: %v, %v", text, again.voterSet(), err)
+		restored := &stateMachine{FSM: &sumMachine{}}
+		err := restored.Restore(io.NopCloser(bytes.NewBufferString(text)))
+		if err != nil || fmt.Sprint(restored.voterSet()) != fmt.Sprint(want) {
+			t.Errorf("restore %q: unexpected voter set %v, error %v", text, restored.voterSet(), err)
 		}
 	}
-	if err := (&stateMachine{FSM: &sum{}}).Restore(io.NopCloser(bytes.NewBufferString("\x01{"))); err == nil {
+	if err := (&stateMachine{FSM: &sumMachine{}}).Restore(io.NopCloser(bytes.NewBufferString("\x01{"))); err == nil {
 		t.Error("a snapshot that was cut short is taken")
 	}
 }
--- a/internal/maintenance/registry_test.go
+++ b/internal/maintenance/registry_test.go
@@ -8,12 +8,12 @@
 	"olivebridge/balancer"
 )
 
-func listedServer(name string, state balancer.ServerState, startedAt balancer.Time) NamedServer {
+func namedServer(name string, state balancer.ServerState, startedAt balancer.Time) NamedServer {
 	server := balancer.Server{ID: balancer.ServerID(len(name)), State: state, StartedAt: startedAt, Weight: 1}
 	return NamedServer{Server: server, Name: name, Addr: "a:1"}
 }
 
-// step is a list or an operator's command.
+// step is an endpoint list or an operator's command.
 type step func(*Registry) error
 
 func update(kind balancer.UpdateKind, servers ...NamedServer) step {
@@ -31,14 +31,17 @@
 	return func(r *Registry) error { return r.Restore("a", at) }
 }
 
-// ready is server a as a list has it that names it ready.
-func ready(startedAt balancer.Time) NamedServer { return listedServer("a", balancer.Ready, startedAt) }
+// readyServer returns server a as a list reports it while it is ready.
+func readyServer(startedAt balancer.Time) NamedServer {
+	return namedServer("a", balancer.Ready, startedAt)
+}
 
-// TestEffectiveServer plays lists and commands about server a, and looks at how the Balancer is shown it.
+// TestEffectiveServer applies sequences of lists and commands to server a and checks the state that the Balancer
+// receives.
 func TestEffectiveServer(t *testing.T) {
-	first := update(balancer.UpdateCached, ready(5))
+	first := update(balancer.UpdateCached, readyServer(5))
 	removed := update(balancer.UpdateFull)
-	restarted := update(balancer.UpdateDelta, ready(12))
+	restarted := update(balancer.UpdateDelta, readyServer(12))
 	for name, c := range map[string]struct {
 		steps     []step
 		state     balancer.ServerState
@@ -48,9 +51,9 @@
 		"listed":    {[]step{first}, balancer.Ready, 5, false},
 		"suspended": {[]step{first, suspend(10)}, balancer.Draining, 5, true},
 		"suspended, a full list has it ready": {
-			[]step{first, suspend(10), update(balancer.UpdateFull, ready(12))}, balancer.Draining, 12, true,
+			[]step{first, suspend(10), update(balancer.UpdateFull, readyServer(12))}, balancer.Draining, 12, true,
 		},
-		"suspended, removed and back":  {[]step{first, suspend(10), removed, restarted}, balancer.Draining, 12, true},
+		"suspended, removed, listed":   {[]step{first, suspend(10), removed, restarted}, balancer.Draining, 12, true},
 		"suspended while removed":      {[]step{first, removed, suspend(10)}, balancer.Draining, 5, true},
 		"restored, restart not listed": {[]step{first, suspend(10), restore(20)}, balancer.Ready, 20, false},
 		"restart listed, then restored": {
@@ -59,8 +62,8 @@
 		"restored, then restart listed": {
 			[]step{first, suspend(10), restore(20), restarted}, balancer.Ready, 20, false,
 		},
-		"restarted once more": {
-			[]step{first, suspend(10), restore(20), update(balancer.UpdateDelta, ready(30))}, balancer.Ready, 30, false,
+		"restarted again after restore": {
+			[]step{first, suspend(10), restore(20), update(balancer.UpdateDelta, readyServer(30))}, balancer.Ready, 30, false,
 		},
 		"suspended twice, restored once": {[]step{first, suspend(10), suspend(15), restore(20)}, balancer.Ready, 20, false},
 		"restored, never suspended":      {[]step{first, restore(20)}, balancer.Ready, 5, false},
@@ -69,13 +72,13 @@
 		r := New()
 		for i, step := range c.steps {
 			if err := step(r); err != nil {
-				t.Errorf("%s: step %d: %v", name, i, err)
+				t.Errorf("%s: step %d returned error %v", name, i, err)
 			}
 		}
 		server, ok := r.Effective("a")
 		suspended := r.SuspensionOf("a").Active()
 		if !ok || server.State != c.state || server.StartedAt != c.startedAt || suspended != c.suspended {
-			t.Errorf("%s: shown %v %d, suspended %v", name, server.State, server.StartedAt, suspended)
+			t.Errorf("%s: got state %v, start time %d, suspended %v", name, server.State, server.StartedAt, suspended)
 		}
 	}
 	r := New()
@@ -84,27 +87,28 @@
 	}
 }
 
-// TestForgetsRemovedServers: ever new servers leave no trace beyond the bound, and no suspension is forgotten.
-func TestForgetsRemovedServers(t *testing.T) {
+// TestEvictsRemovedServers checks that replaced servers do not exceed the limit of entries and that no suspension is
+// lost.
+func TestEvictsRemovedServers(t *testing.T) {
 	const (
 		servers = 3 * maxEntries
 		batch   = 100
 	)
 	r := New()
-	r.Update(balancer.UpdateFull, 1, []NamedServer{listedServer("kept", balancer.Ready, 0)})
+	r.Update(balancer.UpdateFull, 1, []NamedServer{namedServer("kept", balancer.Ready, 0)})
 	if err := r.Suspend("kept", 1); err != nil {
 		t.Fatal(err)
 	}
 	for i := 0; i < servers; {
 		var list []NamedServer
 		for range batch {
-			list = append(list, listedServer(fmt.Sprint("s-", i), balancer.Ready, 0))
+			list = append(list, namedServer(fmt.Sprint("s-", i), balancer.Ready, 0))
 			i++
 		}
 		r.Update(balancer.UpdateFull, 1, list)
 	}
 	if len(r.entries) > maxEntries || !slices.Equal(r.SuspendedServers(), []string{"kept"}) || r.Suspend("s-0", 1) == nil {
-		t.Errorf("%d remembered, suspended %v", len(r.entries), r.SuspendedServers())
+		t.Errorf("got %d entries, suspended %v; want at most maxEntries, [kept]", len(r.entries), r.SuspendedServers())
 	}
 	if err := r.Suspend(fmt.Sprint("s-", servers-9), 1); err != nil {
 		t.Error(err)
