--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -13,29 +13,29 @@
 	// file that is being read, and on each listener one connection that is accepted but not yet counted. The remainder
 	// covers connections that are no longer counted but are closed only a moment later.
 	reservedDescriptors = 16
-	// smallPoolDivisor bounds the pools of operators and of excess clients: where there are few descriptors, each pool
-	// has at most this fraction of the process's descriptors.
+	// smallPoolDivisor bounds the pool of operators and the pool of excess clients in a process with few descriptors:
+	// each pool has at most 1/smallPoolDivisor of the process's descriptors.
 	smallPoolDivisor = 16
-	// idleClientDivisor bounds idle client connections to this fraction of the process's descriptors, well below the
-	// limit of all client connections.
+	// idleClientDivisor bounds idle client connections to 1/idleClientDivisor of the process's descriptors, well below
+	// the limit of all client connections.
 	idleClientDivisor = 4
 	// minConns is the smallest number of connections that clients and servers each have, however few descriptors the
 	// process may hold.
 	minConns = 8
 )
 
-// descriptorBudget is the number of file descriptors of a process for each purpose. The pools are separate, so that
-// client and server connections cannot block requests to discovery, nor operators' commands.
+// descriptorBudget divides the file descriptors of a process into separate pools by purpose. Requests to discovery above
+// all, and operators' commands, must succeed even if client and server connections have used up their pools.
 type descriptorBudget struct {
-	// discovery is the number for concurrent requests to discovery, each on its own connection.
+	// discovery is the number of descriptors for concurrent requests to discovery, each on its own connection.
 	discovery int
-	// operators is the number for connections of operators.
+	// operators is the number of descriptors for connections of operators.
 	operators int
-	// excessClients is the number for client connections above the limit. They are accepted to reject their calls.
+	// excessClients is the number of descriptors for client connections above the limit, whose calls are rejected.
 	excessClients int
-	// clients is the number for client connections within the limit.
+	// clients is the number of descriptors for client connections within the limit.
 	clients int
-	// servers is the number for connections to servers, for attempts and health checks.
+	// servers is the number of descriptors for connections to servers, which carry attempts and health checks.
 	servers int
 }
 
