--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -68,10 +68,10 @@
 	return n.executeAndForward(command, nil)
 }
 
-// executeAndForward executes a command in this process and then in the node's other processes. from is the link on which
-// the command arrived, whose process does not receive it again; nil: the command is from an operator or the fleet. If
-// another process does not confirm the command, the error asks the operator to repeat it, since a report of success
-// would be wrong.
+// executeAndForward executes a command in this process and then in the node's other processes. from is the link on
+// which the command arrived, whose process does not receive it again; nil: the command is from an operator or the
+// fleet. If another process does not confirm the command, the error asks the operator to repeat it, since a report of
+// success would be wrong.
 func (n *Node) executeAndForward(command admin.Command, from *handover.Link) (string, error) {
 	answer, err := n.execute(command)
 	if err != nil {
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -24,8 +24,8 @@
 	minConns = 8
 )
 
-// descriptorBudget divides the file descriptors of a process into separate pools by purpose. Requests to discovery above
-// all, and operators' commands, must succeed even if client and server connections have used up their pools.
+// descriptorBudget divides the file descriptors of a process into separate pools by purpose. Requests to discovery
+// above all, and operators' commands, must succeed even if client and server connections have used up their pools.
 type descriptorBudget struct {
 	// discovery is the number of descriptors for concurrent requests to discovery, each on its own connection.
 	discovery int
