--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -8,26 +8,26 @@
 	"olivebridge/balancer"
 )
 
-// The words of the settings, and what they mean to the balancer.
+// The enumerated values of the settings, with the balancer's value for each.
 var (
-	weightsPerWork   = map[string]bool{"work": true, "request": false}
-	pollsDiscovery   = map[string]bool{"subscribe": true, "automatic": false}
-	idempotencyWords = map[string]balancer.Idempotency{
+	weightPerWorkValues = map[string]bool{"work": true, "request": false}
+	pollDiscoveryValues = map[string]bool{"subscribe": true, "automatic": false}
+	idempotencyValues   = map[string]balancer.Idempotency{
 		"pure":        balancer.Idempotent,
 		"token":       balancer.IdempotencyKeyed,
 		"side_effect": balancer.NonIdempotent,
 	}
-	dedupScopeWords = map[string]balancer.DedupScope{
+	dedupScopeValues = map[string]balancer.DedupScope{
 		"all":  balancer.DedupFleet,
 		"zone": balancer.DedupZone,
 		"cell": balancer.DedupCell,
 	}
 )
 
-// liveWeights is the value of weights under which a server's weight follows its load.
+// liveWeights is the value of the setting weights with which the weight of a server follows its load.
 const liveWeights = "live"
 
-// DecodeText decodes settings that have one path=value on each line.
+// DecodeText decodes settings in text form: lines of path=value. Other lines are ignored.
 func DecodeText(text []byte) (balancer.Settings, error) {
 	pairs := map[string]string{}
 	for line := range strings.Lines(string(text)) {
@@ -38,20 +38,21 @@
 	return decodePairs(pairs)
 }
 
-// decodePairs decodes settings from their values by path. Unknown paths are ignored.
+// decodePairs decodes settings from their values by path. It ignores unknown paths.
 //
-// Optional are tenants (none), tenants[].quota_per_s (none), zones (one), zone (the first), classes[].aim_stretch and
-// late_worth (0), classes[].stream and contract.dropped_stay_open (false), over_share_worth (1), prices (0), and
-// contract.ask_every, which is needed only where discovery has to be polled. extra.warm_keys and extra.passes_deadline
-// are not read: the balancer always keeps keys to their servers, and uses neither.
+// The following settings are optional, with their defaults in parentheses: tenants (none), tenants[].quota_per_s (no
+// quota), zones (one zone), zone (the first), classes[].aim_stretch and late_worth (0), classes[].stream and
+// contract.dropped_stay_open (false), over_share_worth (1) and prices (0). contract.ask_every is required only if
+// discovery must be polled. extra.warm_keys and extra.passes_deadline are ignored: the balancer always routes a key to
+// the same server, and uses neither setting.
 func decodePairs(pairs map[string]string) (balancer.Settings, error) {
 	r := &pairReader{pairs: pairs}
-	s := balancer.Settings{ // in this order, since the first error counts
+	s := balancer.Settings{ // the order determines which of several errors is reported: the first
 		Nodes:                r.positiveInteger("n_instances"),
-		WeightPerWork:        choice(r, "worth_by", weightsPerWork),
+		WeightPerWork:        enumValue(r, "worth_by", weightPerWorkValues),
 		OverQuotaWeightShare: r.optionalNumber("over_share_worth", 1),
 		LiveWeights:          r.text("weights") == liveWeights,
-		PollDiscovery:        choice(r, "discovery", pollsDiscovery),
+		PollDiscovery:        enumValue(r, "discovery", pollDiscoveryValues),
 		DrainGrace:           r.duration("contract.drain_grace"),
 		ServeRemoved:         r.optionalFlag("contract.dropped_stay_open"),
 		InitialCapacity:      r.number("contract.cold_share"),
@@ -74,10 +75,10 @@
 	}
 	r.text("classes.count")
 	for i := range r.optionalCount("classes.count") {
-		s.Classes = append(s.Classes, decodeClass(r, itemPath("classes", i)))
+		s.Classes = append(s.Classes, decodeClass(r, itemPrefix("classes", i)))
 	}
 	for i := range r.optionalCount("tenants.count") {
-		s.Tenants = append(s.Tenants, decodeTenant(r, itemPath("tenants", i)))
+		s.Tenants = append(s.Tenants, decodeTenant(r, itemPrefix("tenants", i)))
 	}
 	if r.err == nil && len(s.Classes) == 0 {
 		r.fail("classes.count", "no classes")
@@ -85,36 +86,36 @@
 	return s, r.err
 }
 
-// itemPath is what the paths of an object in a list begin with.
-func itemPath(list string, position int) string {
+// itemPrefix returns the prefix of the paths of the object at a position in a list.
+func itemPrefix(list string, position int) string {
 	return list + "." + strconv.Itoa(position) + "."
 }
 
 func decodeClass(r *pairReader, path string) balancer.Class {
-	class := balancer.Class{ // in this order, since the first error counts
+	class := balancer.Class{ // the order determines which of several errors is reported: the first
 		LatencyObjective: r.duration(path + "aim"),
 		ObjectivePerWork: r.optionalNumber(path+"aim_stretch", 0),
 		Deadline:         r.duration(path + "deadline"),
 		PriorityWeight:   r.number(path + "gain"),
 		LateWeightShare:  r.optionalNumber(path+"late_worth", 0),
 		Streaming:        r.optionalFlag(path + "stream"),
-		Idempotency:      choice(r, path+"idempotency", idempotencyWords),
+		Idempotency:      enumValue(r, path+"idempotency", idempotencyValues),
 	}
 	if class.Deadline == 0 {
-		r.fail(path+"deadline", "nothing can be answered within no time")
+		r.fail(path+"deadline", "not above zero")
 	}
 	if r.optionalFlag(path + "serial_by_key") {
-		r.fail(path+"serial_by_key", "the order of a key's requests is not kept")
+		r.fail(path+"serial_by_key", "true is not supported: the order of requests with the same key is not kept")
 	}
 	if class.Idempotency == balancer.IdempotencyKeyed {
-		class.DedupScope = choice(r, path+"key_scope", dedupScopeWords)
+		class.DedupScope = enumValue(r, path+"key_scope", dedupScopeValues)
 		class.DedupWindow = r.duration(path + "window")
 	}
 	return class
 }
 
-// noRequestsQuota stands for a quota of 0, which the share of a very small tenant may be in whole requests: to the
-// Balancer, 0 is no quota.
+// noRequestsQuota is the balancer's quota for a setting of 0, the smallest quota above zero. A very small tenant may
+// have a quota of 0, rounded down to whole requests, but to the balancer 0 means that there is no quota.
 const noRequestsQuota = math.SmallestNonzeroFloat64
 
 func decodeTenant(r *pairReader, path string) balancer.Tenant {
