--- a/internal/lab/rules/commands.go
+++ b/internal/lab/rules/commands.go
@@ -27,7 +27,7 @@
 // suspension is the state of a peer that an operator has suspended at a node.
 type suspension struct {
 	since time.Duration
-	inUse bool // the peer received an attempt within recentUse before
+	inUse bool // the peer received an attempt within recentUseWindow before
 }
 
 // NodeCommanded implements event.Observer.
