--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -146,7 +146,7 @@
 	s, c := r.script, &r.script.World
 	r.net.Seed = s.Seed
 	for _, n := range c.Nodes {
-		r.net.Guest(n.Name)
+		r.net.AddNode(n.Name)
 	}
 	r.place()
 	observer := worldObserver{run: r}
@@ -315,7 +315,7 @@
 		}
 	}
 	r.children.Wait()
-	if err := r.net.Trouble(); err != nil {
+	if err := r.net.FirstError(); err != nil {
 		r.fail("%v", err)
 	}
 }
--- a/internal/lab/loop/loop_test.go
+++ b/internal/lab/loop/loop_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// run plays f on a loop of its own in a bubble, for a virtual minute.
-func run(t *testing.T, f func(l *Loop)) {
+// runLoop plays f on a loop of its own in a bubble, for a virtual minute.
+func runLoop(t *testing.T, f func(l *Loop)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		l := New(synctest.Wait)
@@ -22,7 +22,7 @@
 
 // Guards the first condition of sameness: no two events share an instant, and none falls where ticks do.
 func TestInstantsAreDistinct(t *testing.T) {
-	run(t, func(l *Loop) {
+	runLoop(t, func(l *Loop) {
 		seen := map[time.Duration]bool{}
 		for range 3000 {
 			l.At(5*time.Millisecond, func() {
@@ -42,7 +42,7 @@
 }
 
 func TestStop(t *testing.T) {
-	run(t, func(l *Loop) {
+	runLoop(t, func(l *Loop) {
 		e := l.After(time.Second, func() { t.Error("a stopped event happened") })
 		if !e.Stop() || e.Stop() || (*Timer)(nil).Stop() {
 			t.Error("Stop lied")
@@ -61,7 +61,7 @@
 	var first []string
 	for i := range 50 {
 		var got []string
-		run(t, func(l *Loop) {
+		runLoop(t, func(l *Loop) {
 			l.After(time.Millisecond, func() {
 				for n := range 20 {
 					go func() {
@@ -80,8 +80,8 @@
 }
 
 // Guards the third: what a timer of a node's sets off goes before the loop's own event of that instant.
-func TestOthersTimersGoFirst(t *testing.T) {
-	run(t, func(l *Loop) {
+func TestNodeTimersRunFirst(t *testing.T) {
+	runLoop(t, func(l *Loop) {
 		var order []string
 		at := time.Millisecond + 1
 		l.At(at, func() { order = append(order, "event") })
@@ -116,7 +116,7 @@
 }
 
 // Guards events, on the machine's clock, against goroutines that post faster than the loop runs it.
-func TestPostsDoNotStarveEvents(t *testing.T) {
+func TestPostsDoNotStarveTimers(t *testing.T) {
 	l := New(nil)
 	over := false
 	var again func()
@@ -134,7 +134,7 @@
 
 // Guards the loop against falling further behind, the more goroutines post: events that are due do not wait for
 // all of that, one by one.
-func TestEventsInBursts(t *testing.T) {
+func TestTimersRunInBursts(t *testing.T) {
 	l := New(nil)
 	posts, events := 0, 0
 	var again func()
--- a/internal/lab/network/deadline.go
+++ b/internal/lab/network/deadline.go
@@ -27,4 +27,4 @@
 	}
 }
 
-func (d *deadline) past() bool { return !d.at.IsZero() && !time.Now().Before(d.at) }
+func (d *deadline) expired() bool { return !d.at.IsZero() && !time.Now().Before(d.at) }
--- a/internal/lab/network/faults.go
+++ b/internal/lab/network/faults.go
@@ -9,12 +9,12 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// resends is how long a machine goes on sending anew what is not acknowledged.
+// retransmitLimit is how long a machine goes on sending anew what is not acknowledged.
 // Whatever is lost for longer is lost for good.
-const resends = time.Second
+const retransmitLimit = time.Second
 
 // machine is the one at an end.
-func (e *end) machine() string { return [2]string{e.c.from, e.c.host}[e.side] }
+func (e *end) machine() string { return [2]string{e.conn.from, e.conn.host}[e.side] }
 
 // Kill ends the process on a machine: its connections are reset, its listeners
 // are no more, and its calls fail. What listens or dials there afterwards is
@@ -25,7 +25,7 @@
 	delete(n.hosts, host)
 	for addr, l := range n.listeners { // in no order, but nothing is heard of it
 		if hostOf(addr) == host {
-			l.die()
+			l.processKilled()
 			delete(n.listeners, addr)
 		}
 	}
@@ -35,7 +35,7 @@
 		h.dead = true
 		h.mu.Unlock()
 	}
-	n.each(func(c *conn) {
+	n.forEachConn(func(c *conn) {
 		for i := range c.ends {
 			e := &c.ends[i]
 			if e.machine() != host || !e.held {
@@ -52,50 +52,50 @@
 // Vanish takes a machine off the network: what it sends and is sent is lost.
 // Whatever was on its way is, too.
 func (n *Net) Vanish(host string) {
-	n.absent[host] = true
-	n.each(func(c *conn) {
+	n.vanished[host] = true
+	n.forEachConn(func(c *conn) {
 		if c.from == host || c.host == host {
 			c.stale = true
-			c.lose()
+			c.dropInFlight()
 		}
 	})
 }
 
 // Return brings it back. It knows its connections no more: each breaks once
 // either side sends on it.
-func (n *Net) Return(host string) { delete(n.absent, host) }
+func (n *Net) Return(host string) { delete(n.vanished, host) }
 
-// lose clears both ways.
-func (c *conn) lose() {
-	c.pipes[0].clear()
-	c.pipes[1].clear()
+// dropInFlight clears both ways.
+func (c *conn) dropInFlight() {
+	c.pipes[0].dropAll()
+	c.pipes[1].dropAll()
 }
 
 // silence loses all that is sent from now on. Both ends believe the connection open.
 func (c *conn) silence() {
 	c.silent = true
-	c.lose()
+	c.dropInFlight()
 }
 
 // Hush silences the connections picked among those that are open now.
 func (n *Net) Hush(pick func(id string) bool) {
-	n.each(func(c *conn) {
-		if !c.ends[0].gone && !c.ends[1].gone && c.ends[0].up && pick(c.id) {
+	n.forEachConn(func(c *conn) {
+		if !c.ends[0].closed && !c.ends[1].closed && c.ends[0].up && pick(c.id) {
 			c.silence()
 		}
 	})
 }
 
-// rule concerns the machines of one set and those of another.
-type rule struct {
+// hostRule concerns the machines of one set and those of another.
+type hostRule struct {
 	a, b   func(host string) bool
 	factor float64
 }
 
-func (r *rule) between(x, y string) bool { return r.a(x) && r.b(y) || r.a(y) && r.b(x) }
+func (r *hostRule) between(x, y string) bool { return r.a(x) && r.b(y) || r.a(y) && r.b(x) }
 
-// with adds a rule to those in force; without takes it away, once.
-func with(rules *[]*rule, r *rule, then func()) (without func()) {
+// addRule adds a rule to those in force; without takes it away, once.
+func addRule(rules *[]*hostRule, r *hostRule, then func()) (without func()) {
 	*rules = append(*rules, r)
 	return func() {
 		if i := slices.Index(*rules, r); i >= 0 {
@@ -108,127 +108,127 @@
 // Slow makes the delays between two sets of machines times longer, for all that
 // is sent until healed.
 func (n *Net) Slow(factor float64, a, b func(host string) bool) (heal func()) {
-	return with(&n.slows, &rule{a, b, factor}, func() {})
+	return addRule(&n.slowdowns, &hostRule{a, b, factor}, func() {})
 }
 
 // Cut parts two sets of machines. What was lost within the last second before it
 // heals comes late, as machines send it again; a connection that had lost
 // something earlier stays silent.
 func (n *Net) Cut(a, b func(host string) bool) (heal func()) {
-	return with(&n.cuts, &rule{a: a, b: b}, func() {
-		n.each(func(c *conn) {
-			if !n.parted(c) {
-				c.mend()
+	return addRule(&n.partitions, &hostRule{a: a, b: b}, func() {
+		n.forEachConn(func(c *conn) {
+			if !n.connPartitioned(c) {
+				c.heal()
 			}
 		})
 	})
 }
 
-// parted reports whether a partition lies between the ends.
-func (n *Net) parted(c *conn) bool { return n.Parted(c.from, c.host) }
+// connPartitioned reports whether a partition lies between the ends.
+func (n *Net) connPartitioned(c *conn) bool { return n.Partitioned(c.from, c.host) }
 
-// Parted reports whether a partition lies between two machines.
-func (n *Net) Parted(a, b string) bool {
-	return slices.ContainsFunc(n.cuts, func(r *rule) bool { return r.between(a, b) })
+// Partitioned reports whether a partition lies between two machines.
+func (n *Net) Partitioned(a, b string) bool {
+	return slices.ContainsFunc(n.partitions, func(r *hostRule) bool { return r.between(a, b) })
 }
 
-// mend goes on after a partition.
-func (c *conn) mend() {
-	now := c.n.loop.Now()
+// heal goes on after a partition.
+func (c *conn) heal() {
+	now := c.net.loop.Now()
 	for i := range c.pipes {
-		if p := &c.pipes[i]; p.stuck && now-p.since > resends {
+		if p := &c.pipes[i]; p.blocked && now-p.blockedSince > retransmitLimit {
 			c.silence()
 			return
 		}
 	}
 	for i := range c.pipes {
-		if p := &c.pipes[i]; p.stuck {
-			p.stuck = false
-			p.queue[p.head].at = now + p.base()
-			p.arm()
+		if p := &c.pipes[i]; p.blocked {
+			p.blocked = false
+			p.queue[p.head].arrivesAt = now + p.baseDelay()
+			p.startTimer()
 		}
 	}
 }
 
-// hushing is a time in which new connections may fall silent.
-type hushing struct {
-	share float64
-	to    func(host string) bool
+// silenceFault is a time in which new connections may fall silent.
+type silenceFault struct {
+	share   float64
+	matches func(host string) bool
 }
 
-// hush is when a connection falls silent: once it has carried that many requests
+// silencePlan is when a connection falls silent: once it has carried that many requests
 // and no byte of an answer to the last, or a moment later.
-type hush struct {
-	of     *hushing
-	turn   int
-	pause  time.Duration
-	turns  int
-	asking bool
-	due    *loop.Timer
+type silencePlan struct {
+	fault        *silenceFault
+	lastRequest  int
+	delay        time.Duration
+	requestCount int
+	requestOpen  bool
+	timer        *loop.Timer
 }
 
-// mostTurns bounds how many requests a connection carries until it falls silent.
-const mostTurns = 8
+// maxRequestsUntilSilent bounds how many requests a connection carries until it falls silent.
+const maxRequestsUntilSilent = 8
 
 // HushNew lets a share of the connections that are dialed to some machines from
 // now on fall silent, each right after it has brought one of its requests.
 func (n *Net) HushNew(share float64, to func(host string) bool) (stop func()) {
-	h := &hushing{share, to}
-	n.hushes = append(n.hushes, h)
+	h := &silenceFault{share, to}
+	n.silenceFaults = append(n.silenceFaults, h)
 	return func() {
-		n.hushes = slices.DeleteFunc(n.hushes, func(x *hushing) bool { return x == h })
+		n.silenceFaults = slices.DeleteFunc(n.silenceFaults, func(x *silenceFault) bool { return x == h })
 	}
 }
 
-// drawHush draws whether a new connection will fall silent, and when.
-func (n *Net) drawHush(c *conn) {
+// drawSilencePlan draws whether a new connection will fall silent, and when.
+func (n *Net) drawSilencePlan(c *conn) {
 	var r *rand.Rand
-	for _, h := range n.hushes {
-		if !h.to(c.host) {
+	for _, h := range n.silenceFaults {
+		if !h.matches(c.host) {
 			continue
 		}
 		if r == nil {
 			r = figure.Stream(n.seed, c.id+" hush")
 		}
-		x, turn, pause := r.Float64(), 1+r.IntN(mostTurns), gap(r)
-		if x < h.share && c.hush == nil {
-			c.hush = &hush{of: h, turn: turn, pause: pause}
+		x, turn, pause := r.Float64(), 1+r.IntN(maxRequestsUntilSilent), pieceGap(r)
+		if x < h.share && c.silencePlan == nil {
+			c.silencePlan = &silencePlan{fault: h, lastRequest: turn, delay: pause}
 		}
 	}
 }
 
-// asked notes that bytes have come to an end.
-func (c *conn) asked(side int) {
-	h := c.hush
+// requestReceived notes that bytes have come to an end.
+func (c *conn) requestReceived(side int) {
+	h := c.silencePlan
 	if h == nil || side != 1 {
 		return
 	}
-	if !h.asking {
-		h.asking = true
-		h.turns++
+	if !h.requestOpen {
+		h.requestOpen = true
+		h.requestCount++
 	}
-	if h.turns == h.turn && c.pipes[0].flying == 0 {
-		h.due.Stop() // what came was not yet the whole request
-		h.due = c.n.loop.After(h.pause, c.fallSilent)
+	if h.requestCount == h.lastRequest && c.pipes[0].bytesInFlight == 0 {
+		h.timer.Stop() // what came was not yet the whole request
+		h.timer = c.net.loop.After(h.delay, c.becomeSilent)
 	}
 }
 
-// answered notes that bytes leave an end.
-func (c *conn) answered(side int) {
-	h := c.hush
+// responseSent notes that bytes leave an end.
+func (c *conn) responseSent(side int) {
+	h := c.silencePlan
 	if h == nil || side != 1 {
 		return
 	}
-	if h.asking && h.turns == h.turn {
-		c.fallSilent()
+	if h.requestOpen && h.requestCount == h.lastRequest {
+		c.becomeSilent()
 	}
-	h.asking = false
+	h.requestOpen = false
 }
 
-func (c *conn) fallSilent() {
-	c.hush.due.Stop()
-	if slices.Contains(c.n.hushes, c.hush.of) {
+func (c *conn) becomeSilent() {
+	c.silencePlan.timer.Stop()
+	if slices.Contains(c.net.silenceFaults, c.silencePlan.fault) {
 		c.silence()
 	}
-	c.hush = nil
+	c.silencePlan = nil
 }
--- a/internal/lab/network/faults_test.go
+++ b/internal/lab/network/faults_test.go
@@ -15,9 +15,9 @@
 	"olivebridge/internal/lab/world"
 )
 
-func is(host string) func(string) bool { return func(h string) bool { return h == host } }
+func hostIs(host string) func(string) bool { return func(h string) bool { return h == host } }
 
-func all(string) bool { return true }
+func anyHost(string) bool { return true }
 
 // What comes of a node's exchanges with a peer, each begun at an instant on one
 // connection, while faults come and go.
@@ -27,7 +27,7 @@
 		fault func(n *Net)
 	}
 	var heal func()
-	cut := func(n *Net) { heal = n.Cut(is("n1"), is("p1")) }
+	cut := func(n *Net) { heal = n.Cut(hostIs("n1"), hostIs("p1")) }
 	healed := func(*Net) { heal() }
 	vanish := func(host string) func(n *Net) { return func(n *Net) { n.Vanish(host) } }
 	back := func(host string) func(n *Net) { return func(n *Net) { n.Return(host) } }
@@ -51,7 +51,7 @@
 			times{100 * ms, 2000 * ms}, times{none, none}, syscall.EAGAIN, 0, true, nil},
 		{"cut for long, little lost", []step{{90 * ms, cut}, {1200 * ms, healed}},
 			times{600 * ms}, times{602 * ms}, nil, 1, true, link.ErrEOF},
-		{"cut elsewhere", []step{{90 * ms, func(n *Net) { n.Cut(is("n1"), is("p2")) }}},
+		{"cut elsewhere", []step{{90 * ms, func(n *Net) { n.Cut(hostIs("n1"), hostIs("p2")) }}},
 			times{100 * ms}, times{2 * ms}, nil, 1, true, link.ErrEOF},
 		{"cut as the answer comes", []step{{101*ms + ms/2, cut}, {400 * ms, healed}},
 			times{100 * ms}, times{301 * ms}, nil, 1, true, link.ErrEOF},
@@ -63,11 +63,11 @@
 			times{100 * ms, 400 * ms}, times{none, none}, syscall.ECONNRESET, 0, true, link.ErrReset},
 		{"vanished unseen", []step{{90 * ms, vanish("n1")}, {200 * ms, back("n1")}},
 			times{400 * ms}, times{none}, syscall.ECONNRESET, 0, true, link.ErrReset},
-		{"hushed", []step{{150 * ms, func(n *Net) { n.Hush(all) }}},
+		{"hushed", []step{{150 * ms, func(n *Net) { n.Hush(anyHost) }}},
 			times{100 * ms, 200 * ms, 800 * ms}, times{2 * ms, none, none}, syscall.EAGAIN, 1, true, nil},
-		{"others hushed", []step{{50 * ms, func(n *Net) { n.Hush(is("n1>p1#2")) }}},
+		{"others hushed", []step{{50 * ms, func(n *Net) { n.Hush(hostIs("n1>p1#2")) }}},
 			times{100 * ms}, times{2 * ms}, nil, 1, true, link.ErrEOF},
-		{"slow", []step{{90 * ms, func(n *Net) { heal = n.Slow(3, is("p1"), all) }}, {200 * ms, healed}},
+		{"slow", []step{{90 * ms, func(n *Net) { heal = n.Slow(3, hostIs("p1"), anyHost) }}, {200 * ms, healed}},
 			times{100 * ms, 300 * ms}, times{6 * ms, 2 * ms}, nil, 2, true, link.ErrEOF},
 		{"killed between request and answer", []step{{101*ms + ms/2, kill}},
 			times{100 * ms}, times{2 * ms}, syscall.ECONNRESET, 1, false, nil},
@@ -75,29 +75,29 @@
 			times{100 * ms}, times{none}, syscall.ECONNRESET, 0, false, nil},
 	}
 	for _, test := range tests {
-		e, heard := &ear{end: link.Conn.Close}, 0
+		e, heard := &recordingHandler{end: link.Conn.Close}, 0
 		e.data = func(c link.Conn) { heard++; c.Write([]byte("answer")) }
-		l := play(t, world.Net{}, func(l *lab) {
+		l := runNetwork(t, world.Net{}, func(l *testNetwork) {
 			l.listen("p1:90", e)
 			for _, s := range test.steps {
 				l.at(s.at, func() { s.fault(l.Net) })
 			}
 			l.at(3*time.Second, func() {
-				again := &ear{up: link.Conn.Close, end: link.Conn.Close, l: l}
+				again := &recordingHandler{up: link.Conn.Close, end: link.Conn.Close, l: l}
 				l.Dial("c1", "p1:90", time.Second, again)
 				l.at(5*time.Second, func() {
-					if up := len(again.ended) == 0; up != test.fresh {
-						t.Errorf("%s: a new connection: %v", test.name, again.ended)
+					if up := len(again.endErrors) == 0; up != test.fresh {
+						t.Errorf("%s: a new connection: %v", test.name, again.endErrors)
 					}
 					e.first.Close() // what fell silent
 				})
 			})
 			l.at(2900*ms, func() { // the node has left
-				if got := append(e.ended, nil)[0]; got != test.ended {
+				if got := append(e.endErrors, nil)[0]; got != test.ended {
 					t.Errorf("%s: the peer heard %v, want %v", test.name, got, test.ended)
 				}
 			})
-			l.ask("p1:90", func(p *port) {
+			l.dialFromNode("p1:90", func(p *port) {
 				var err error
 				for i, at := range test.asks {
 					time.Sleep(at - l.loop.Now())
@@ -119,7 +119,7 @@
 			})
 		})
 		if heard != test.heard {
-			t.Errorf("%s: the peer heard %d requests, want %d; %q", test.name, heard, test.heard, l.seen)
+			t.Errorf("%s: the peer heard %d requests, want %d; %q", test.name, heard, test.heard, l.events)
 		}
 	}
 }
@@ -130,30 +130,30 @@
 	run := func(before, after int) (silent []string) {
 		var mu sync.Mutex
 		near := world.Net{Same: figure.Span(ms / 20), Jitter: 0.5, Pieces: 0.5}
-		l := play(t, near, func(l *lab) {
+		l := runNetwork(t, near, func(l *testNetwork) {
 			got := map[link.Conn]string{}
 			answers := func(c link.Conn) { c.Write([]byte("answer")) }
-			asked := func(e *ear, then func(c link.Conn)) *ear {
+			asked := func(e *recordingHandler, then func(c link.Conn)) *recordingHandler {
 				e.data = func(c link.Conn) {
-					got[c] += string(e.got)
-					e.got = nil
+					got[c] += string(e.received)
+					e.received = nil
 					if strings.HasSuffix(got[c], "request") {
 						then(c)
 					}
 				}
 				return e
 			}
-			l.listen("p1:90", asked(&ear{}, answers))
-			l.listen("p2:90", asked(&ear{}, func(c link.Conn) {
+			l.listen("p1:90", asked(&recordingHandler{}, answers))
+			l.listen("p2:90", asked(&recordingHandler{}, func(c link.Conn) {
 				l.loop.After(5*ms, func() {
-					loud := !c.(*end).c.silent
-					if answers(c); loud && c.(*end).c.silent {
+					loud := !c.(*end).conn.silent
+					if answers(c); loud && c.(*end).conn.silent {
 						t.Errorf("%s fell silent only as the answer left", c.ID())
 					}
 				})
 			}))
 			ask := func(to string) {
-				l.ask(to, func(p *port) {
+				l.dialFromNode(to, func(p *port) {
 					for l.loop.Now() < time.Second {
 						p.Write([]byte("request"))
 						p.SetReadDeadline(time.Now().Add(50 * ms))
@@ -173,7 +173,7 @@
 			var stop func()
 			l.at(100*ms, func() {
 				stop = l.HushNew(0.5, func(host string) bool { return host != "p3" })
-				l.listen("p3:90", asked(&ear{end: link.Conn.Close}, answers))
+				l.listen("p3:90", asked(&recordingHandler{end: link.Conn.Close}, answers))
 				for range 40 {
 					ask("p1:90")
 					ask("p2:90")
--- a/internal/lab/network/host.go
+++ b/internal/lab/network/host.go
@@ -14,12 +14,12 @@
 // Host is a process on a machine, from which a node listens and dials. Its
 // methods are safe for concurrent use.
 type Host struct {
-	n    *Net
+	net  *Net
 	name string
 
-	mu    sync.Mutex
-	dead  bool
-	dials map[string]uint64
+	mu         sync.Mutex
+	dead       bool
+	dialCounts map[string]uint64
 }
 
 // Host gives the process on a machine: after Kill a new one.
@@ -28,7 +28,7 @@
 	defer n.mu.Unlock()
 	h := n.hosts[name]
 	if h == nil {
-		h = &Host{n: n, name: name, dials: map[string]uint64{}}
+		h = &Host{net: n, name: name, dialCounts: map[string]uint64{}}
 		n.hosts[name] = h
 	}
 	return h
@@ -56,9 +56,9 @@
 	if h.dead {
 		return fail(net.ErrClosed)
 	}
-	l := &hostListener{n: h.n, addr: netAddr(addr)}
-	l.came.L = &l.mu
-	if !h.n.listen(addr, l) {
+	l := &hostListener{net: h.net, addr: netAddr(addr)}
+	l.nonEmpty.L = &l.mu
+	if !h.net.listen(addr, l) {
 		return fail(os.NewSyscallError("bind", syscall.EADDRINUSE))
 	}
 	return l, nil
@@ -66,27 +66,27 @@
 
 // Dial opens a connection. It fails as a net.Dialer does.
 func (h *Host) Dial(ctx context.Context, addr string) (net.Conn, error) {
-	p := newPort(h.n)
-	p.done = make(chan struct{})
+	p := newPort(h.net)
+	p.dialDone = make(chan struct{})
 	h.mu.Lock()
 	dead := h.dead
-	h.dials[addr]++
-	key := loop.Key{Source: h.name + " dial " + addr, Sequence: h.dials[addr] * 2}
+	h.dialCounts[addr]++
+	key := loop.Key{Source: h.name + " dial " + addr, Sequence: h.dialCounts[addr] * 2}
 	h.mu.Unlock()
 	err := ctx.Err()
 	switch {
 	case dead:
 		err = net.ErrClosed
 	case err == nil:
-		h.n.loop.Post(key, func() { h.open(addr, p) })
+		h.net.loop.Post(key, func() { h.dialOnLoop(addr, p) })
 		select {
-		case <-p.done:
+		case <-p.dialDone:
 		case <-ctx.Done():
 			select {
-			case <-p.done: // it came up first
+			case <-p.dialDone: // it came up first
 			default:
 				key.Sequence++
-				h.n.loop.Post(key, p.callOff)
+				h.net.loop.Post(key, p.cancelDial)
 				err = ctx.Err()
 			}
 		}
@@ -100,8 +100,8 @@
 	return p, nil
 }
 
-// open dials, on the loop.
-func (h *Host) open(addr string, p *port) {
+// dialOnLoop dials, on the loop.
+func (h *Host) dialOnLoop(addr string, p *port) {
 	h.mu.Lock()
 	dead := h.dead
 	h.mu.Unlock()
@@ -109,30 +109,30 @@
 		p.kill()
 		return
 	}
-	c := h.n.newConn(h.name, addr)
-	p.bind(&c.ends[0])
+	c := h.net.newConn(h.name, addr)
+	p.attach(&c.ends[0])
 	c.dial(0)
 }
 
 // hostListener is a node's listener, with its queue of connections that no
 // goroutine has taken yet.
 type hostListener struct {
-	n    *Net
+	net  *Net
 	addr netAddr
 
-	mu     sync.Mutex
-	came   sync.Cond
-	queue  []*port
-	closed bool
+	mu       sync.Mutex
+	nonEmpty sync.Cond
+	queue    []*port
+	closed   bool
 }
 
-func (l *hostListener) take(e *end) {
-	p := newPort(l.n)
-	p.bind(e)
+func (l *hostListener) handleConn(e *end) {
+	p := newPort(l.net)
+	p.attach(e)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.queue = append(l.queue, p)
-	l.came.Signal()
+	l.nonEmpty.Signal()
 }
 
 // Accept implements net.Listener.
@@ -140,7 +140,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.queue) == 0 && !l.closed {
-		l.came.Wait()
+		l.nonEmpty.Wait()
 	}
 	if l.closed {
 		return nil, l.errClosed("accept")
@@ -152,26 +152,26 @@
 
 // Close implements net.Listener. Those in the queue are reset.
 func (l *hostListener) Close() error {
-	queue, ok := l.end()
+	queue, ok := l.closeQueue()
 	if !ok {
 		return l.errClosed("close")
 	}
-	l.n.unlisten(string(l.addr), l)
+	l.net.unlisten(string(l.addr), l)
 	for _, p := range queue {
-		p.turnAway()
+		p.closeUnaccepted()
 	}
 	return nil
 }
 
-// die: the connections of a killed process are seen to by Kill.
-func (l *hostListener) die() { l.end() }
+// processKilled: the connections of a killed process are seen to by Kill.
+func (l *hostListener) processKilled() { l.closeQueue() }
 
-func (l *hostListener) end() (queue []*port, ok bool) {
+func (l *hostListener) closeQueue() (queue []*port, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	queue, ok = l.queue, !l.closed
 	l.queue, l.closed = nil, true
-	l.came.Broadcast()
+	l.nonEmpty.Broadcast()
 	return queue, ok
 }
 
--- a/internal/lab/network/lab_test.go
+++ b/internal/lab/network/lab_test.go
@@ -18,23 +18,23 @@
 
 const oneWay = time.Millisecond
 
-// lab is a network in a bubble, with all that crossed it.
-type lab struct {
+// testNetwork is a network in a bubble, with all that crossed it.
+type testNetwork struct {
 	*Net
-	t     *testing.T
-	seen  []string // "conn what note"
-	bytes map[string]string
-	trace hash.Hash
+	t      *testing.T
+	events []string // "conn what note"
+	bytes  map[string]string
+	trace  hash.Hash
 }
 
-func (l *lab) Observe(c link.Event) {
-	l.seen = append(l.seen, strings.TrimSpace(fmt.Sprint(c.Conn, " ", c.Kind, " ", c.Note)))
+func (l *testNetwork) Observe(c link.Event) {
+	l.events = append(l.events, strings.TrimSpace(fmt.Sprint(c.Conn, " ", c.Kind, " ", c.Note)))
 	l.bytes[fmt.Sprintf("%s %s %t", c.Conn, c.Kind, c.Back)] += string(c.Data)
 	fmt.Fprintln(l.trace, c)
 }
 
-func (l *lab) count(what string) (n int) {
-	for _, s := range l.seen {
+func (l *testNetwork) count(what string) (n int) {
+	for _, s := range l.events {
 		if strings.Contains(s, what) {
 			n++
 		}
@@ -42,39 +42,39 @@
 	return n
 }
 
-// play runs f to set the scene and then the loop for ten seconds. The bubble
+// runNetwork runs f to set the scene and then the loop for ten seconds. The bubble
 // proves that no goroutine is left, the rest that no connection is.
-func play(t *testing.T, c world.Net, f func(l *lab)) *lab {
+func runNetwork(t *testing.T, c world.Net, f func(l *testNetwork)) *testNetwork {
 	t.Helper()
-	var l *lab
+	var l *testNetwork
 	if c.Same == 0 {
 		c.Same = figure.Span(oneWay)
 	}
 	c.Cross, c.Client = 4*c.Same, 2*c.Same
 	synctest.Test(t, func(t *testing.T) {
-		l = &lab{t: t, bytes: map[string]string{}, trace: sha256.New()}
+		l = &testNetwork{t: t, bytes: map[string]string{}, trace: sha256.New()}
 		l.Net = New(loop.New(synctest.Wait), 7, c, l)
 		f(l)
 		l.loop.Run(context.Background(), 10*time.Second, nil)
-		if l.Open() != 0 {
-			t.Errorf("open at the end: %v", l.List())
+		if l.OpenCount() != 0 {
+			t.Errorf("open at the end: %v", l.OpenIDs())
 		}
 	})
 	return l
 }
 
-// ear is an end of the world's that notes what it hears.
-type ear struct {
+// recordingHandler is an end of the world's that notes what it hears.
+type recordingHandler struct {
 	up, data, end func(c link.Conn)
-	c             link.Conn // the last one
+	conn          link.Conn // the last one
 	first         link.Conn
-	got           []byte
-	ended         []error
-	l             *lab
+	received      []byte
+	endErrors     []error
+	l             *testNetwork
 }
 
-func (e *ear) heard(c link.Conn, f func(link.Conn)) {
-	if e.c = c; e.first == nil {
+func (e *recordingHandler) record(c link.Conn, f func(link.Conn)) {
+	if e.conn = c; e.first == nil {
 		e.first = c
 	}
 	if f != nil {
@@ -82,23 +82,23 @@
 	}
 }
 
-func (e *ear) Up(c link.Conn) { e.heard(c, e.up) }
+func (e *recordingHandler) Up(c link.Conn) { e.record(c, e.up) }
 
-func (e *ear) Data(c link.Conn, b []byte) {
-	e.got = append(e.got, b...)
-	e.heard(c, e.data)
+func (e *recordingHandler) Data(c link.Conn, b []byte) {
+	e.received = append(e.received, b...)
+	e.record(c, e.data)
 }
 
-func (e *ear) End(c link.Conn, err error) {
-	e.ended = append(e.ended, err)
-	e.heard(c, e.end)
+func (e *recordingHandler) End(c link.Conn, err error) {
+	e.endErrors = append(e.endErrors, err)
+	e.record(c, e.end)
 }
 
 // listen lets e take the connections that come to addr.
-func (l *lab) listen(addr string, e *ear) link.Listener {
+func (l *testNetwork) listen(addr string, e *recordingHandler) link.Listener {
 	e.l = l
 	k, err := l.Listen(addr, func(c link.Conn) link.Handler {
-		e.heard(c, nil)
+		e.record(c, nil)
 		return e
 	})
 	if err != nil {
@@ -107,16 +107,16 @@
 	return k
 }
 
-// dial dials from the world at an instant.
-func (l *lab) dial(at time.Duration, to string, e *ear) {
+// dialAt dials from the world at an instant.
+func (l *testNetwork) dialAt(at time.Duration, to string, e *recordingHandler) {
 	e.l = l
-	l.loop.At(at, func() { e.c = l.Dial("c1", to, time.Second, e) })
+	l.loop.At(at, func() { e.conn = l.Dial("c1", to, time.Second, e) })
 }
 
-func (l *lab) at(at time.Duration, f func()) { l.loop.At(at, f) }
+func (l *testNetwork) at(at time.Duration, f func()) { l.loop.At(at, f) }
 
-// serve lets a node take one connection.
-func (l *lab) serve(f func(p *port)) {
+// acceptOne lets a node take one connection.
+func (l *testNetwork) acceptOne(f func(p *port)) {
 	k, err := l.Host("n1").Listen(":80")
 	if err != nil {
 		l.t.Error(err)
@@ -129,8 +129,8 @@
 	}()
 }
 
-// ask lets a node dial.
-func (l *lab) ask(to string, f func(p *port)) {
+// dialFromNode lets a node dial.
+func (l *testNetwork) dialFromNode(to string, f func(p *port)) {
 	go func() {
 		c, err := l.Host("n1").Dial(context.Background(), to)
 		if err != nil {
@@ -142,5 +142,5 @@
 	}()
 }
 
-// now lets f run on the loop at once.
-func (l *lab) now(f func()) { l.loop.Post(loop.Key{}, f) }
+// runOnLoop lets f run on the loop at once.
+func (l *testNetwork) runOnLoop(f func()) { l.loop.Post(loop.Key{}, f) }
--- a/internal/lab/network/network.go
+++ b/internal/lab/network/network.go
@@ -20,26 +20,26 @@
 	"olivebridge/internal/lab/world"
 )
 
-// window is how many bytes of one direction may be on their way or unread. A
+// windowSize is how many bytes of one direction may be on their way or unread. A
 // sender beyond it waits, as behind a full socket buffer.
-const window = 256 << 10
+const windowSize = 256 << 10
 
 // Net is the network.
 type Net struct {
-	loop *loop.Loop
-	seed uint64
-	c    world.Net
-	tap  link.Tap
+	loop   *loop.Loop
+	seed   uint64
+	config world.Net
+	tap    link.Tap
 
-	places map[string]place
-	first  string            // zone of the machine placed first, and of those never placed
-	dials  map[string]uint64 // how many there were, by "from>host"
-	conns  map[string]*conn  // those that a program holds an end of
+	placements  map[string]placement
+	defaultZone string            // zone of the machine placed first, and of those never placed
+	dialCounts  map[string]uint64 // how many there were, by "from>host"
+	conns       map[string]*conn  // those that a program holds an end of
 
-	cuts   []*rule
-	slows  []*rule
-	hushes []*hushing
-	absent map[string]bool // machines that have vanished
+	partitions    []*hostRule
+	slowdowns     []*hostRule
+	silenceFaults []*silenceFault
+	vanished      map[string]bool // machines that have vanished
 
 	mu        sync.Mutex // nodes come here from their goroutines
 	listeners map[string]listener
@@ -52,33 +52,33 @@
 // may be nil.
 func New(l *loop.Loop, seed uint64, c world.Net, tap link.Tap) *Net {
 	return &Net{
-		loop: l, seed: seed, c: c, tap: tap,
-		places:    map[string]place{},
-		dials:     map[string]uint64{},
-		conns:     map[string]*conn{},
-		absent:    map[string]bool{},
-		listeners: map[string]listener{},
-		hosts:     map[string]*Host{},
+		loop: l, seed: seed, config: c, tap: tap,
+		placements: map[string]placement{},
+		dialCounts: map[string]uint64{},
+		conns:      map[string]*conn{},
+		vanished:   map[string]bool{},
+		listeners:  map[string]listener{},
+		hosts:      map[string]*Host{},
 	}
 }
 
-// Open counts the connections that a program at either end holds.
-func (n *Net) Open() int { return len(n.conns) }
+// OpenCount counts the connections that a program at either end holds.
+func (n *Net) OpenCount() int { return len(n.conns) }
 
-// List names them, sorted.
-func (n *Net) List() []string { return slices.Sorted(maps.Keys(n.conns)) }
+// OpenIDs names them, sorted.
+func (n *Net) OpenIDs() []string { return slices.Sorted(maps.Keys(n.conns)) }
 
-// each calls f for every connection that is held, in the order of the names.
-func (n *Net) each(f func(c *conn)) {
-	for _, id := range n.List() {
+// forEachConn calls f for every connection that is held, in the order of the names.
+func (n *Net) forEachConn(f func(c *conn)) {
+	for _, id := range n.OpenIDs() {
 		if c := n.conns[id]; c != nil { // f may have ended it
 			f(c)
 		}
 	}
 }
 
-// see shows the Tap what crosses.
-func (n *Net) see(what link.EventKind, c *conn, back bool, data []byte, note string) {
+// observe shows the Tap what crosses.
+func (n *Net) observe(what link.EventKind, c *conn, back bool, data []byte, note string) {
 	if n.tap != nil {
 		n.tap.Observe(link.Event{
 			At: n.loop.Now(), Kind: what, Conn: c.id, From: c.from, To: c.to,
@@ -95,5 +95,5 @@
 	return addr
 }
 
-// kernelPatience is how long a machine goes on asking for a connection.
-const kernelPatience = 127 * time.Second
+// kernelDialTimeout is how long a machine goes on asking for a connection.
+const kernelDialTimeout = 127 * time.Second
--- a/internal/lab/network/network_test.go
+++ b/internal/lab/network/network_test.go
@@ -34,13 +34,13 @@
 				way[i] = bytes.Repeat([]byte{byte(r.Uint32())}, 1+r.IntN(3000))
 			}
 		}
-		far := &ear{end: link.Conn.Close}
-		l := play(t, c, func(l *lab) {
+		far := &recordingHandler{end: link.Conn.Close}
+		l := runNetwork(t, c, func(l *testNetwork) {
 			l.listen("p1:90", far)
 			for i, b := range back {
-				l.at(time.Duration(i)*ms+10*ms, func() { far.c.Write(b) })
+				l.at(time.Duration(i)*ms+10*ms, func() { far.conn.Write(b) })
 			}
-			l.ask("p1:90", func(p *port) {
+			l.dialFromNode("p1:90", func(p *port) {
 				for _, b := range there {
 					p.Write(b)
 					time.Sleep(ms)
@@ -54,8 +54,8 @@
 			})
 		})
 		want := string(bytes.Join(there[:], nil))
-		if string(far.got) != want || l.bytes["n1>p1#1 arrived false"] != want {
-			t.Errorf("%+v: %d bytes came of %d, or in another order", c, len(far.got), len(want))
+		if string(far.received) != want || l.bytes["n1>p1#1 arrived false"] != want {
+			t.Errorf("%+v: %d bytes came of %d, or in another order", c, len(far.received), len(want))
 		}
 		if cut := l.count(" arrived") > l.count(" sent"); cut != (c.Pieces > 0) {
 			t.Errorf("%+v: %d writes came as %d pieces", c, l.count(" sent"), l.count(" arrived"))
@@ -65,32 +65,32 @@
 
 // What a client hears of the end of its connection to a node: whether its request
 // was read hangs on it.
-func TestClientHearsEnd(t *testing.T) {
+func TestClientSeesEnd(t *testing.T) {
 	read := func(p *port) { p.Read(make([]byte, 9)) }
 	wait := func() { time.Sleep(5 * ms) }
-	kill := func(l *lab) func() { return func() { l.Kill("n1") } }
+	kill := func(l *testNetwork) func() { return func() { l.Kill("n1") } }
 	tests := []struct {
 		name   string
-		node   func(l *lab, p *port) // has the connection at 2 ms, the request at 6 ms
-		second time.Duration         // when the client writes again, after 4 ms; 0: never
+		node   func(l *testNetwork, p *port) // has the connection at 2 ms, the request at 6 ms
+		second time.Duration                 // when the client writes again, after 4 ms; 0: never
 		want   error
 		shut   string // the node's close, as the Tap sees it
 	}{
-		{"all read", func(_ *lab, p *port) { read(p); p.Close() }, 0, link.ErrEOF, "shut"},
-		{"half closed", func(_ *lab, p *port) { p.CloseWrite(); read(p); p.Close() }, 0, link.ErrEOF, "fin"},
-		{"unread", func(_ *lab, p *port) { wait(); p.Close() }, 0, link.ErrUnread, "shut unread"},
-		{"part read", func(_ *lab, p *port) { p.Read([]byte{0}); p.Close() }, 0, link.ErrUnread, "shut unread"},
-		{"crosses the close", func(_ *lab, p *port) { read(p); p.Close() }, 7 * ms, link.ErrUnread, "shut"},
-		{"behind the close", func(_ *lab, p *port) { read(p); p.Close() }, 4*ms + ms/2, link.ErrUnread, "shut"},
-		{"before the close", func(_ *lab, p *port) { read(p); read(p); p.Close() }, 7 * ms, link.ErrEOF, "shut"},
-		{"answer first", func(_ *lab, p *port) { p.Write([]byte("answer")); wait(); p.Close() }, 0,
+		{"all read", func(_ *testNetwork, p *port) { read(p); p.Close() }, 0, link.ErrEOF, "shut"},
+		{"half closed", func(_ *testNetwork, p *port) { p.CloseWrite(); read(p); p.Close() }, 0, link.ErrEOF, "fin"},
+		{"unread", func(_ *testNetwork, p *port) { wait(); p.Close() }, 0, link.ErrUnread, "shut unread"},
+		{"part read", func(_ *testNetwork, p *port) { p.Read([]byte{0}); p.Close() }, 0, link.ErrUnread, "shut unread"},
+		{"crosses the close", func(_ *testNetwork, p *port) { read(p); p.Close() }, 7 * ms, link.ErrUnread, "shut"},
+		{"behind the close", func(_ *testNetwork, p *port) { read(p); p.Close() }, 4*ms + ms/2, link.ErrUnread, "shut"},
+		{"before the close", func(_ *testNetwork, p *port) { read(p); read(p); p.Close() }, 7 * ms, link.ErrEOF, "shut"},
+		{"answer first", func(_ *testNetwork, p *port) { p.Write([]byte("answer")); wait(); p.Close() }, 0,
 			link.ErrUnread, "shut unread"},
-		{"killed", func(l *lab, p *port) { read(p); l.now(kill(l)) }, 0, link.ErrReset, "broke killed"},
-		{"killed unread", func(l *lab, p *port) { wait(); l.now(kill(l)) }, 0, link.ErrReset, "broke killed"},
+		{"killed", func(l *testNetwork, p *port) { read(p); l.runOnLoop(kill(l)) }, 0, link.ErrReset, "broke killed"},
+		{"killed unread", func(l *testNetwork, p *port) { wait(); l.runOnLoop(kill(l)) }, 0, link.ErrReset, "broke killed"},
 	}
 	for _, test := range tests {
-		e := &ear{}
-		l := play(t, world.Net{}, func(l *lab) {
+		e := &recordingHandler{}
+		l := runNetwork(t, world.Net{}, func(l *testNetwork) {
 			l.Place("n1", "a", false)
 			l.Place("c1", "a", true)
 			e.up = func(c link.Conn) { c.Write([]byte("request")) }
@@ -98,31 +98,31 @@
 				c.Write([]byte("late")) // is answered with a reset, which is not heard
 				l.loop.After(100*ms, c.Close)
 			}
-			l.dial(0, "n1:80", e)
+			l.dialAt(0, "n1:80", e)
 			if test.second > 0 {
-				l.at(test.second, func() { e.c.Write([]byte("another")) })
+				l.at(test.second, func() { e.conn.Write([]byte("another")) })
 			}
-			l.serve(func(p *port) { test.node(l, p) })
+			l.acceptOne(func(p *port) { test.node(l, p) })
 		})
-		if len(e.ended) != 1 || e.ended[0] != test.want || l.count("c1>n1#1 "+test.shut) == 0 {
-			t.Errorf("%s: heard %v, want %v; %q in %q", test.name, e.ended, test.want, test.shut, l.seen)
+		if len(e.endErrors) != 1 || e.endErrors[0] != test.want || l.count("c1>n1#1 "+test.shut) == 0 {
+			t.Errorf("%s: heard %v, want %v; %q in %q", test.name, e.endErrors, test.want, test.shut, l.events)
 		}
-		if test.name == "answer first" && string(e.got) != "answer" {
-			t.Errorf("%s: got %q", test.name, e.got)
+		if test.name == "answer first" && string(e.received) != "answer" {
+			t.Errorf("%s: got %q", test.name, e.received)
 		}
 	}
 }
 
-func TestListenerClosesOnThoseThatWait(t *testing.T) {
-	mute, late, asks := &ear{}, &ear{}, &ear{up: func(c link.Conn) { c.Write([]byte("request")) }}
-	l := play(t, world.Net{}, func(l *lab) {
+func TestListenerCloseResetsUnaccepted(t *testing.T) {
+	mute, late, asks := &recordingHandler{}, &recordingHandler{}, &recordingHandler{up: func(c link.Conn) { c.Write([]byte("request")) }}
+	l := runNetwork(t, world.Net{}, func(l *testNetwork) {
 		k, _ := l.Host("n1").Listen("n1:80")
 		if _, err := l.Host("n1").Listen(":80"); !errors.Is(err, syscall.EADDRINUSE) {
 			t.Errorf("second listener: %v", err)
 		}
-		l.dial(0, "n1:80", mute)
-		l.dial(0, "n1:80", asks)
-		l.dial(30*ms, "n1:80", late)
+		l.dialAt(0, "n1:80", mute)
+		l.dialAt(0, "n1:80", asks)
+		l.dialAt(30*ms, "n1:80", late)
 		go func() {
 			time.Sleep(20 * ms)
 			k.Close()
@@ -131,20 +131,20 @@
 			}
 		}()
 	})
-	if len(late.ended) != 1 || late.ended[0] != link.ErrRefused {
-		t.Errorf("a later one heard %v", late.ended)
+	if len(late.endErrors) != 1 || late.endErrors[0] != link.ErrRefused {
+		t.Errorf("a later one heard %v", late.endErrors)
 	}
-	if got := fmt.Sprint(mute.ended, asks.ended); got != fmt.Sprintf("[%v] [%v]", link.ErrReset, link.ErrUnread) {
-		t.Errorf("heard %v in %q", got, l.seen)
+	if got := fmt.Sprint(mute.endErrors, asks.endErrors); got != fmt.Sprintf("[%v] [%v]", link.ErrReset, link.ErrUnread) {
+		t.Errorf("heard %v in %q", got, l.events)
 	}
 	if l.count("#2 open") != 2 || l.count("#2 read") != 0 {
-		t.Errorf("not accepted, or read: %q", l.seen)
+		t.Errorf("not accepted, or read: %q", l.events)
 	}
 }
 
 // What a node meets when its peer ends the connection: before the answer, in it,
 // or as the request comes.
-func TestNodeMeetsEnd(t *testing.T) {
+func TestNodeAfterPeerEnds(t *testing.T) {
 	answer := func(c link.Conn) { c.Write([]byte("answer")) }
 	tests := []struct {
 		name string
@@ -162,12 +162,12 @@
 			syscall.ECONNRESET, syscall.ECONNRESET, syscall.ECONNRESET},
 	}
 	for _, test := range tests {
-		e := &ear{end: link.Conn.Close}
-		play(t, world.Net{}, func(l *lab) {
+		e := &recordingHandler{end: link.Conn.Close}
+		runNetwork(t, world.Net{}, func(l *testNetwork) {
 			l.listen("p1:90", e)
-			l.at(2*ms, func() { e.c.PauseReading(test.name == "unread") })
-			l.at(4*ms, func() { test.peer(e.c) })
-			l.ask("p1:90", func(p *port) {
+			l.at(2*ms, func() { e.conn.PauseReading(test.name == "unread") })
+			l.at(4*ms, func() { test.peer(e.conn) })
+			l.dialFromNode("p1:90", func(p *port) {
 				if n, err := p.Peek(); n != 0 || err != syscall.EAGAIN {
 					t.Errorf("%s: peek before: %d, %v", test.name, n, err)
 				}
@@ -213,14 +213,14 @@
 		{"killed", "gone:90", time.Hour, 0, net.ErrClosed, false, 500 * ms, nil, 1},
 	}
 	for _, test := range tests {
-		e := &ear{end: link.Conn.Close}
-		l := play(t, world.Net{}, func(l *lab) {
+		e := &recordingHandler{end: link.Conn.Close}
+		l := runNetwork(t, world.Net{}, func(l *testNetwork) {
 			l.listen("p1:90", e)
 			l.Vanish("gone")
 			l.at(500*ms, func() { l.Kill("n1") })
 			l.at(2*ms+ms/2, func() {
-				if l.Open() != test.open {
-					t.Errorf("%s: %v are open, want %d", test.name, l.List(), test.open)
+				if l.OpenCount() != test.open {
+					t.Errorf("%s: %v are open, want %d", test.name, l.OpenIDs(), test.open)
 				}
 			})
 			h := l.Host("n1")
@@ -258,21 +258,21 @@
 				k.Close()
 			}()
 		})
-		if got := append(e.ended, nil)[0]; got != test.heard || len(e.ended) > 1 {
-			t.Errorf("%s: the peer heard %v, want %v", test.name, e.ended, test.heard)
+		if got := append(e.endErrors, nil)[0]; got != test.heard || len(e.endErrors) > 1 {
+			t.Errorf("%s: the peer heard %v, want %v", test.name, e.endErrors, test.heard)
 		}
 		if fails := l.count(" fail"); (fails == 1) != (test.want != nil) {
-			t.Errorf("%s: %q", test.name, l.seen)
+			t.Errorf("%s: %q", test.name, l.events)
 		}
 	}
 }
 
 // A call on a port that waits ends at once when the deadline is set to the past
 // (so the carrier interrupts a try), at the deadline, or when the port is closed.
-func TestWhatEndsAWait(t *testing.T) {
+func TestBlockedCallEnds(t *testing.T) {
 	wait := map[string]func(p *port) error{
 		"read":  func(p *port) error { _, err := p.Read(make([]byte, 1)); return err },
-		"write": func(p *port) error { _, err := p.Write(make([]byte, 2*window)); return err },
+		"write": func(p *port) error { _, err := p.Write(make([]byte, 2*windowSize)); return err },
 		"gate": func(p *port) error {
 			_, err := p.ReadUnderLock(make([]byte, 1), &sync.Mutex{}, func() error { return nil }, nil)
 			return err
@@ -285,16 +285,16 @@
 		"sooner": func(p *port) error { return errors.Join(in(p, time.Hour), in(p, 3*ms)) },
 		"later":  func(p *port) error { return errors.Join(in(p, ms), in(p, 3*ms)) },
 		"close":  func(p *port) error { return errors.Join(in(p, time.Hour), p.Close()) },
-		"kill":   func(p *port) error { p.n.loop.Post(loop.Key{}, func() { p.n.Kill("n1") }); return nil },
+		"kill":   func(p *port) error { p.net.loop.Post(loop.Key{}, func() { p.net.Kill("n1") }); return nil },
 	}
 	for what, call := range wait {
 		for how, ends := range end {
-			e := &ear{end: link.Conn.Close}
-			play(t, world.Net{}, func(l *lab) {
+			e := &recordingHandler{end: link.Conn.Close}
+			runNetwork(t, world.Net{}, func(l *testNetwork) {
 				l.listen("p1:90", e)
-				l.at(3*ms, func() { e.c.PauseReading(true) })
-				l.at(time.Second, func() { e.c.PauseReading(false) })
-				l.ask("p1:90", func(p *port) {
+				l.at(3*ms, func() { e.conn.PauseReading(true) })
+				l.at(time.Second, func() { e.conn.PauseReading(false) })
+				l.dialFromNode("p1:90", func(p *port) {
 					time.Sleep(5 * ms)
 					ended := make(chan error)
 					go func() { ended <- call(p) }()
@@ -314,7 +314,7 @@
 						t.Errorf("%s, %s: %v after %v", what, how, err, time.Since(start))
 					}
 					if p.SetDeadline(time.Time{}); !closed && what == "read" {
-						l.now(func() { e.c.Write([]byte("x")) })
+						l.runOnLoop(func() { e.conn.Write([]byte("x")) })
 						if err := call(p); err != nil {
 							t.Errorf("%s, %s: without a deadline: %v", what, how, err)
 						}
@@ -325,15 +325,15 @@
 	}
 }
 
-func TestReadGate(t *testing.T) {
-	e := &ear{end: link.Conn.Close}
+func TestReadUnderLock(t *testing.T) {
+	e := &recordingHandler{end: link.Conn.Close}
 	errGone := errors.New("gone")
-	play(t, world.Net{}, func(l *lab) {
+	runNetwork(t, world.Net{}, func(l *testNetwork) {
 		l.listen("p1:90", e)
-		l.at(10*ms, func() { e.c.Write([]byte("first")) })
-		l.at(30*ms, func() { e.c.Write([]byte("second")) })
-		l.at(40*ms, func() { e.c.Close() })
-		l.ask("p1:90", func(p *port) {
+		l.at(10*ms, func() { e.conn.Write([]byte("first")) })
+		l.at(30*ms, func() { e.conn.Write([]byte("second")) })
+		l.at(40*ms, func() { e.conn.Close() })
+		l.dialFromNode("p1:90", func(p *port) {
 			var mu sync.Mutex
 			gone, asked, b := false, 0, make([]byte, 20)
 			locked := func() {
@@ -386,22 +386,22 @@
 }
 
 func TestWindow(t *testing.T) {
-	e := &ear{end: link.Conn.Close}
-	play(t, world.Net{}, func(l *lab) {
+	e := &recordingHandler{end: link.Conn.Close}
+	runNetwork(t, world.Net{}, func(l *testNetwork) {
 		l.listen("p1:90", e)
-		l.at(3*ms, func() { e.c.PauseReading(true) })
+		l.at(3*ms, func() { e.conn.PauseReading(true) })
 		l.at(100*ms, func() {
-			if len(e.got) != 0 {
-				t.Errorf("held, and heard %d bytes", len(e.got))
+			if len(e.received) != 0 {
+				t.Errorf("held, and heard %d bytes", len(e.received))
 			}
-			e.c.PauseReading(false)
-			e.c.Write(make([]byte, 3*window/2)) // more than the window at once
-			e.c.Write(make([]byte, window))
-			e.c.CloseWrite()
+			e.conn.PauseReading(false)
+			e.conn.Write(make([]byte, 3*windowSize/2)) // more than the window at once
+			e.conn.Write(make([]byte, windowSize))
+			e.conn.CloseWrite()
 		})
-		l.ask("p1:90", func(p *port) {
+		l.dialFromNode("p1:90", func(p *port) {
 			time.Sleep(5 * ms)
-			p.Write(make([]byte, window-1))
+			p.Write(make([]byte, windowSize-1))
 			p.Write(make([]byte, 1))
 			if took := l.loop.Now().Truncate(ms); took != 7*ms {
 				t.Errorf("the window was full at %v", took)
@@ -410,21 +410,21 @@
 				t.Errorf("beyond the window: %d, %v at %v", n, err, l.loop.Now())
 			}
 			time.Sleep(100 * ms)
-			if n, _ := p.Peek(); n != 3*window/2 {
+			if n, _ := p.Peek(); n != 3*windowSize/2 {
 				t.Errorf("%d bytes came without a read", n)
 			}
-			if b, err := io.ReadAll(p); len(b) != 5*window/2 || err != nil {
+			if b, err := io.ReadAll(p); len(b) != 5*windowSize/2 || err != nil {
 				t.Errorf("%d bytes came, %v", len(b), err)
 			}
 		})
 	})
-	if len(e.got) != window+2 {
-		t.Errorf("%d bytes came", len(e.got))
+	if len(e.received) != windowSize+2 {
+		t.Errorf("%d bytes came", len(e.received))
 	}
 }
 
 // Goroutines of one node that act at one instant leave one and the same trace.
-func TestSameTrace(t *testing.T) {
+func TestTraceIsDeterministic(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(8))
 	luck := func() {
 		for range rand.IntN(4) {
@@ -433,12 +433,12 @@
 	}
 	hashes := map[string]int{}
 	for range 100 {
-		l := play(t, world.Net{Jitter: 0.4, Pieces: 0.3}, func(l *lab) {
-			e := &ear{data: func(c link.Conn) { c.Write([]byte("answer")) }, end: link.Conn.Close}
+		l := runNetwork(t, world.Net{Jitter: 0.4, Pieces: 0.3}, func(l *testNetwork) {
+			e := &recordingHandler{data: func(c link.Conn) { c.Write([]byte("answer")) }, end: link.Conn.Close}
 			l.listen("p1:90", e)
 			l.listen("p2:90", e)
 			for i := range 8 {
-				l.ask(fmt.Sprintf("p%d:90", 1+i%2), func(p *port) {
+				l.dialFromNode(fmt.Sprintf("p%d:90", 1+i%2), func(p *port) {
 					time.Sleep(50*ms - l.loop.Now()) // all at the same instant
 					read := make(chan bool, 99)
 					go func() {
@@ -465,16 +465,16 @@
 }
 
 // Bytes that lie there are read one connection after the other, in one order, though their readers come at one instant.
-func TestTurnsToRead(t *testing.T) {
+func TestReadsAreSerialized(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(8))
 	for range 20 {
 		var mu sync.Mutex
 		var order []string
 		at := map[time.Duration]bool{}
-		play(t, world.Net{}, func(l *lab) {
-			l.listen("p1:90", &ear{data: func(c link.Conn) { c.Write([]byte("waits")) }, end: link.Conn.Close})
+		runNetwork(t, world.Net{}, func(l *testNetwork) {
+			l.listen("p1:90", &recordingHandler{data: func(c link.Conn) { c.Write([]byte("waits")) }, end: link.Conn.Close})
 			for range 8 {
-				l.ask("p1:90", func(p *port) {
+				l.dialFromNode("p1:90", func(p *port) {
 					p.Write([]byte("request"))
 					time.Sleep(50*ms - l.loop.Now()) // all at the same instant
 					for range rand.IntN(4) {
@@ -498,7 +498,7 @@
 	c := world.Net{Jitter: 0.4, Pieces: 0.3}
 	hashes := map[[32]byte]bool{}
 	for range 3 {
-		l := play(t, c, func(l *lab) {
+		l := runNetwork(t, c, func(l *testNetwork) {
 			k, _ := l.Host("n1").Listen(":80")
 			s := &http.Server{IdleTimeout: time.Second, ReadTimeout: time.Second, Handler: http.HandlerFunc(
 				func(w http.ResponseWriter, r *http.Request) {
--- a/internal/lab/network/pipe.go
+++ b/internal/lab/network/pipe.go
@@ -9,133 +9,133 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// kind is what a parcel is.
-type kind uint8
+// packetKind is what a parcel is.
+type packetKind uint8
 
 const (
-	syn     kind = iota // asks for a connection
-	synAck              // grants it
-	refusal             // nobody listens
-	data                // bytes
-	fin                 // no more of them
-	rst                 // the connection is broken
-	stray               // something of a connection that the machine there knows no more
+	syn         packetKind = iota // asks for a connection
+	synAck                        // grants it
+	refusal                       // nobody listens
+	data                          // bytes
+	fin                           // no more of them
+	rst                           // the connection is broken
+	unknownConn                   // something of a connection that the machine there knows no more
 )
 
-// parcel is what travels in one go.
-type parcel struct {
-	kind  kind
-	at    time.Duration // when it arrives, unless one before it comes later
-	bytes []byte
-	err   error // of rst: what the world hears
+// packet is what travels in one go.
+type packet struct {
+	kind      packetKind
+	arrivesAt time.Duration // when it arrives, unless one before it comes later
+	bytes     []byte
+	err       error // of rst: what the world hears
 }
 
 // pipe is one direction of a connection. What is put into it arrives in order.
 type pipe struct {
-	c    *conn
+	conn *conn
 	side int // of the sender
 
-	queue []parcel // on their way
-	head  int      // those before it have arrived
-	next  *loop.Timer
-	turn  func()        // arrive, as a value made once
-	busy  time.Duration // until when the bytes before are being sent, where the rate is bounded
-	stuck bool          // a partition holds the queue up
-	since time.Duration // when it began to
+	queue        []packet // on their way
+	head         int      // those before it have arrived
+	timer        *loop.Timer
+	deliverFunc  func()        // arrive, as a value made once
+	busyUntil    time.Duration // until when the bytes before are being sent, where the rate is bounded
+	blocked      bool          // a partition holds the queue up
+	blockedSince time.Duration // when it began to
 
-	flying  int  // bytes in the queue
-	refused bool // bytes came where nobody was left to read them
+	bytesInFlight  int  // bytes in the queue
+	dataAfterClose bool // bytes came where nobody was left to read them
 
-	jitter, cutter *rand.Rand
+	jitterRand, pieceRand *rand.Rand
 }
 
-// name tells the pipe's streams of random numbers apart.
-func (p *pipe) name() string { return p.c.id + [2]string{">", "<"}[p.side] }
+// streamName tells the pipe's streams of random numbers apart.
+func (p *pipe) streamName() string { return p.conn.id + [2]string{">", "<"}[p.side] }
 
-// put sends a parcel on its way, or loses it, as the faults have it.
-func (p *pipe) put(kind kind, bytes []byte, err error) {
-	n, c := p.c.n, p.c
-	if c.silent || len(n.absent) > 0 && (n.absent[c.from] || n.absent[c.host]) {
+// enqueue sends a parcel on its way, or loses it, as the faults have it.
+func (p *pipe) enqueue(kind packetKind, bytes []byte, err error) {
+	n, c := p.conn.net, p.conn
+	if c.silent || len(n.vanished) > 0 && (n.vanished[c.from] || n.vanished[c.host]) {
 		return
 	}
 	if c.stale && kind != rst {
-		kind, bytes = stray, nil
+		kind, bytes = unknownConn, nil
 	}
 	at := n.loop.Now()
-	if n.c.Rate > 0 && len(bytes) > 0 {
-		p.busy = max(p.busy, at) + figure.Seconds(float64(len(bytes))/n.c.Rate)
-		at = p.busy
+	if n.config.Rate > 0 && len(bytes) > 0 {
+		p.busyUntil = max(p.busyUntil, at) + figure.Seconds(float64(len(bytes))/n.config.Rate)
+		at = p.busyUntil
 	}
 	at += p.delay()
 	if parts := p.pieces(bytes); parts != nil {
 		for i, part := range parts {
 			if i > 0 {
-				at += gap(p.cutter)
+				at += pieceGap(p.pieceRand)
 			}
-			p.append(parcel{kind: kind, at: at, bytes: part})
+			p.appendPacket(packet{kind: kind, arrivesAt: at, bytes: part})
 		}
 		return
 	}
-	p.append(parcel{kind: kind, at: at, bytes: bytes, err: err})
+	p.appendPacket(packet{kind: kind, arrivesAt: at, bytes: bytes, err: err})
 }
 
-func (p *pipe) append(x parcel) {
-	p.flying += len(x.bytes)
+func (p *pipe) appendPacket(x packet) {
+	p.bytesInFlight += len(x.bytes)
 	p.queue = append(p.queue, x)
-	p.arm()
+	p.startTimer()
 }
 
-// arm sees to it that the first of the queue arrives.
-func (p *pipe) arm() {
-	if p.next == nil && !p.stuck && p.head < len(p.queue) {
-		if p.turn == nil {
-			p.turn = p.arrive
+// startTimer sees to it that the first of the queue arrives.
+func (p *pipe) startTimer() {
+	if p.timer == nil && !p.blocked && p.head < len(p.queue) {
+		if p.deliverFunc == nil {
+			p.deliverFunc = p.deliverNext
 		}
-		p.next = p.c.n.loop.At(p.queue[p.head].at, p.turn)
+		p.timer = p.conn.net.loop.At(p.queue[p.head].arrivesAt, p.deliverFunc)
 	}
 }
 
-func (p *pipe) arrive() {
-	p.next = nil
-	if n := p.c.n; len(n.cuts) > 0 && n.parted(p.c) {
-		p.stuck, p.since = true, n.loop.Now()
+func (p *pipe) deliverNext() {
+	p.timer = nil
+	if n := p.conn.net; len(n.partitions) > 0 && n.connPartitioned(p.conn) {
+		p.blocked, p.blockedSince = true, n.loop.Now()
 		return
 	}
 	x := p.queue[p.head]
-	p.queue[p.head] = parcel{}
+	p.queue[p.head] = packet{}
 	if p.head++; p.head == len(p.queue) {
 		p.queue, p.head = p.queue[:0], 0
 	}
-	p.flying -= len(x.bytes)
-	p.c.ends[1-p.side].arrived(x)
-	p.arm()
+	p.bytesInFlight -= len(x.bytes)
+	p.conn.ends[1-p.side].receive(x)
+	p.startTimer()
 }
 
-// clear loses what is on its way.
-func (p *pipe) clear() {
-	p.next.Stop()
-	p.next, p.queue, p.head, p.flying, p.stuck = nil, nil, 0, 0, false
+// dropAll loses what is on its way.
+func (p *pipe) dropAll() {
+	p.timer.Stop()
+	p.timer, p.queue, p.head, p.bytesInFlight, p.blocked = nil, nil, 0, 0, false
 }
 
-// arrived takes in what the other side sent.
-func (e *end) arrived(x parcel) {
+// receive takes in what the other side sent.
+func (e *end) receive(x packet) {
 	switch x.kind {
 	case syn:
-		e.c.connect()
+		e.conn.connect()
 	case synAck:
-		e.granted()
+		e.connected()
 	case refusal:
-		e.failed(link.ErrRefused)
+		e.dialFailed(link.ErrRefused)
 	case data:
-		e.c.n.see(link.Arrived, e.c, e.side == 0, x.bytes, "")
-		e.c.asked(e.side)
-		e.take(x.bytes)
+		e.conn.net.observe(link.Arrived, e.conn, e.side == 0, x.bytes, "")
+		e.conn.requestReceived(e.side)
+		e.deliver(x.bytes)
 	case fin:
-		e.heardEnd()
+		e.receiveFin()
 	case rst:
-		e.broken(x.err)
-	case stray:
-		e.broken(link.ErrReset)
+		e.receiveReset(x.err)
+	case unknownConn:
+		e.receiveReset(link.ErrReset)
 		e.send(rst, nil, link.ErrReset)
 	}
 }
--- a/internal/lab/network/portloop.go
+++ b/internal/lab/network/portloop.go
@@ -8,74 +8,74 @@
 
 // This file is the loop's side of a port.
 
-// granted: the connection that the node dialed is up.
-func (p *port) granted() { close(p.done) }
+// connected: the connection that the node dialed is up.
+func (p *port) connected() { close(p.dialDone) }
 
-// failed: it does not come up.
-func (p *port) failed(why error) {
+// dialFailed: it does not come up.
+func (p *port) dialFailed(why error) {
 	p.err = dialError(why)
-	close(p.done)
+	close(p.dialDone)
 }
 
-// callOff: the node does not wait any longer for what it dialed. If it has come
+// cancelDial: the node does not wait any longer for what it dialed. If it has come
 // up after all, it is closed as it is.
-func (p *port) callOff() {
-	if p.e != nil {
-		p.e.shut(p.unread())
+func (p *port) cancelDial() {
+	if p.end != nil {
+		p.end.closeBoth(p.dropUnread())
 	}
 }
 
-// arrived takes in bytes, which are nobody else's.
-func (p *port) arrived(b []byte) {
+// receiveData takes in bytes, which are nobody else's.
+func (p *port) receiveData(b []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.in) == 0 {
-		p.in = b[:len(b):len(b)]
+	if len(p.received) == 0 {
+		p.received = b[:len(b):len(b)]
 	} else {
-		p.in = append(p.in, b...)
+		p.received = append(p.received, b...)
 	}
-	p.readable.Broadcast()
+	p.readCond.Broadcast()
 }
 
-// arrivedEnd: the other side has ended its sending.
-func (p *port) arrivedEnd() {
+// receiveFin: the other side has ended its sending.
+func (p *port) receiveFin() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ended = true
-	p.readable.Broadcast()
+	p.finReceived = true
+	p.readCond.Broadcast()
 }
 
-// broke: the connection was reset.
-func (p *port) broke() {
+// receiveReset: the connection was reset.
+func (p *port) receiveReset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.reset = true
-	p.readable.Broadcast()
-	p.writable.Broadcast()
+	p.resetReceived = true
+	p.readCond.Broadcast()
+	p.writeCond.Broadcast()
 }
 
-// credit: the other side has read n bytes.
-func (p *port) credit(n int) {
+// releaseWindow: the other side has read n bytes.
+func (p *port) releaseWindow(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.used -= n
-	p.writable.Broadcast()
+	p.windowUsed -= n
+	p.writeCond.Broadcast()
 }
 
 // kill: the process is no more.
 func (p *port) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.killed, p.in = true, nil
+	p.killed, p.received = true, nil
 	p.stop()
-	if p.done != nil && (p.e == nil || !p.e.up) {
+	if p.dialDone != nil && (p.end == nil || !p.end.up) {
 		p.err = net.ErrClosed
-		close(p.done)
+		close(p.dialDone)
 	}
 }
 
-// read: the node has taken bytes.
-func (e *end) read(b []byte) {
-	e.c.n.see(link.Read, e.c, e.side == 0, b, "")
-	e.other().credit(len(b))
+// dataRead: the node has taken bytes.
+func (e *end) dataRead(b []byte) {
+	e.conn.net.observe(link.Read, e.conn, e.side == 0, b, "")
+	e.other().releaseWindow(len(b))
 }
--- a/internal/lab/network/way.go
+++ b/internal/lab/network/way.go
@@ -9,8 +9,8 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// place is where a machine stands.
-type place struct {
+// placement is where a machine stands.
+type placement struct {
 	zone   string
 	client bool
 }
@@ -18,44 +18,44 @@
 // Place puts a machine into a zone. Between a client's and any other, bytes take
 // the clients' way. Machines that are not placed stand where the first one does.
 func (n *Net) Place(host, zone string, client bool) {
-	if len(n.places) == 0 {
-		n.first = zone
+	if len(n.placements) == 0 {
+		n.defaultZone = zone
 	}
-	n.places[host] = place{zone, client}
+	n.placements[host] = placement{zone, client}
 }
 
-func (n *Net) at(host string) place {
-	if p, ok := n.places[host]; ok {
+func (n *Net) placementOf(host string) placement {
+	if p, ok := n.placements[host]; ok {
 		return p
 	}
-	return place{zone: n.first}
+	return placement{zone: n.defaultZone}
 }
 
-// distance is the time between two machines, without load and jitter.
-func (n *Net) distance(a, b string) time.Duration {
-	switch from, to := n.at(a), n.at(b); {
+// pathDelay is the time between two machines, without load and jitter.
+func (n *Net) pathDelay(a, b string) time.Duration {
+	switch from, to := n.placementOf(a), n.placementOf(b); {
 	case from.client || to.client:
-		return n.c.Client.D()
+		return n.config.Client.D()
 	case from.zone == to.zone:
-		return n.c.Same.D()
+		return n.config.Same.D()
 	}
-	return n.c.Cross.D()
+	return n.config.Cross.D()
 }
 
 // delay is how long a parcel that is sent now takes, and draws its jitter.
 func (p *pipe) delay() time.Duration {
-	n := p.c.n
-	if p.jitter == nil {
-		p.jitter = figure.Stream(n.seed, p.name())
+	n := p.conn.net
+	if p.jitterRand == nil {
+		p.jitterRand = figure.Stream(n.seed, p.streamName())
 	}
-	return time.Duration(float64(p.base()) * (1 + n.c.Jitter*p.jitter.Float64()))
+	return time.Duration(float64(p.baseDelay()) * (1 + n.config.Jitter*p.jitterRand.Float64()))
 }
 
-// base is the same without jitter.
-func (p *pipe) base() time.Duration {
-	d := float64(p.c.distance)
-	for _, r := range p.c.n.slows {
-		if r.between(p.c.from, p.c.host) {
+// baseDelay is the same without jitter.
+func (p *pipe) baseDelay() time.Duration {
+	d := float64(p.conn.pathDelay)
+	for _, r := range p.conn.net.slowdowns {
+		if r.between(p.conn.from, p.conn.host) {
 			d *= r.factor
 		}
 	}
@@ -64,26 +64,26 @@
 
 // These bound the pause before a further piece of a write.
 const (
-	leastGap = 5 * time.Microsecond
-	mostGap  = 2 * time.Millisecond
+	minPieceGap = 5 * time.Microsecond
+	maxPieceGap = 2 * time.Millisecond
 )
 
 // pieces cuts what was written where it will be cut on its way. Its draws come
 // from a stream of their own: whether writes are cut leaves the jitter as it was.
 func (p *pipe) pieces(data []byte) [][]byte {
-	n := p.c.n
-	if n.c.Pieces <= 0 {
+	n := p.conn.net
+	if n.config.Pieces <= 0 {
 		return nil
 	}
-	if p.cutter == nil {
-		p.cutter = figure.Stream(n.seed, p.name()+" pieces")
+	if p.pieceRand == nil {
+		p.pieceRand = figure.Stream(n.seed, p.streamName()+" pieces")
 	}
-	if p.cutter.Float64() >= n.c.Pieces || len(data) < 2 {
+	if p.pieceRand.Float64() >= n.config.Pieces || len(data) < 2 {
 		return nil
 	}
 	cuts := []int{len(data)}
-	for range 1 + p.cutter.IntN(3) {
-		cuts = append(cuts, 1+p.cutter.IntN(len(data)-1))
+	for range 1 + p.pieceRand.IntN(3) {
+		cuts = append(cuts, 1+p.pieceRand.IntN(len(data)-1))
 	}
 	slices.Sort(cuts)
 	var out [][]byte
@@ -95,8 +95,8 @@
 	return out
 }
 
-// gap draws a pause, as often of microseconds as of milliseconds.
-func gap(r *rand.Rand) time.Duration {
-	span := float64(mostGap) / float64(leastGap)
-	return time.Duration(float64(leastGap) * math.Pow(span, r.Float64()))
+// pieceGap draws a pause, as often of microseconds as of milliseconds.
+func pieceGap(r *rand.Rand) time.Duration {
+	span := float64(maxPieceGap) / float64(minPieceGap)
+	return time.Duration(float64(minPieceGap) * math.Pow(span, r.Float64()))
 }
--- a/internal/lab/network/world.go
+++ b/internal/lab/network/world.go
@@ -3,14 +3,14 @@
 import "bytes"
 
 // ID implements link.Conn.
-func (e *end) ID() string { return e.c.id }
+func (e *end) ID() string { return e.conn.id }
 
 // Write implements link.Conn. What finds no room in the window waits.
 func (e *end) Write(b []byte) {
-	if e.gone || e.over || e.closing || len(b) == 0 {
+	if e.closed || e.finSent || e.closing || len(b) == 0 {
 		return
 	}
-	e.outbox = append(e.outbox, bytes.Clone(b))
+	e.sendQueue = append(e.sendQueue, bytes.Clone(b))
 	e.flush()
 }
 
@@ -23,10 +23,10 @@
 // Close implements link.Conn. What waits for room leaves at once: a kernel would
 // go on sending it.
 func (e *end) Close() {
-	for e.up && !e.gone && len(e.outbox) > 0 {
-		e.leaveOutbox()
+	for e.up && !e.closed && len(e.sendQueue) > 0 {
+		e.sendFirst()
 	}
-	e.shut(len(e.waiting) > 0)
+	e.closeBoth(len(e.unreadData) > 0)
 }
 
 // Reset implements link.Conn.
@@ -39,47 +39,47 @@
 		return
 	}
 	e.paused = held
-	if !held && len(e.waiting) > 0 {
-		e.c.n.loop.After(0, e.resume)
+	if !held && len(e.unreadData) > 0 {
+		e.conn.net.loop.After(0, e.resume)
 	}
 }
 
 // resume gives out what came while the reading was stopped.
 func (e *end) resume() {
-	if e.gone || e.paused || len(e.waiting) == 0 {
+	if e.closed || e.paused || len(e.unreadData) == 0 {
 		return
 	}
-	b := e.waiting
-	e.waiting = nil
+	b := e.unreadData
+	e.unreadData = nil
 	e.handler.Data(e, b)
-	e.other().credit(len(b))
-	if e.ended && !e.gone {
-		e.ended = false
-		e.heardEnd()
+	e.other().releaseWindow(len(b))
+	if e.finPending && !e.closed {
+		e.finPending = false
+		e.receiveFin()
 	}
 }
 
 // flush sends what waits, as far as the window has room. A write larger than
 // the window goes when that is empty.
 func (e *end) flush() {
-	if !e.up || e.gone {
+	if !e.up || e.closed {
 		return
 	}
-	for len(e.outbox) > 0 && (e.used == 0 || e.used+len(e.outbox[0]) <= window) {
-		e.leaveOutbox()
+	for len(e.sendQueue) > 0 && (e.windowUsed == 0 || e.windowUsed+len(e.sendQueue[0]) <= windowSize) {
+		e.sendFirst()
 	}
-	if e.closing && len(e.outbox) == 0 {
+	if e.closing && len(e.sendQueue) == 0 {
 		e.endWriting()
 	}
 }
 
-// leaveOutbox sends the first that waits.
-func (e *end) leaveOutbox() {
-	b := e.outbox[0]
-	e.outbox[0] = nil
-	if e.outbox = e.outbox[1:]; len(e.outbox) == 0 {
-		e.outbox = nil
+// sendFirst sends the first that waits.
+func (e *end) sendFirst() {
+	b := e.sendQueue[0]
+	e.sendQueue[0] = nil
+	if e.sendQueue = e.sendQueue[1:]; len(e.sendQueue) == 0 {
+		e.sendQueue = nil
 	}
-	e.used += len(b)
+	e.windowUsed += len(b)
 	e.write(b)
 }
--- a/internal/lab/sockets/conn.go
+++ b/internal/lab/sockets/conn.go
@@ -14,57 +14,57 @@
 // conn is the world's end of a connection. All of it belongs to the loop, but
 // for the socket itself.
 type conn struct {
-	n              *Net
+	net            *Net
 	id             string
 	from, to, host string // who dialed, the address dialed, and its machine
-	taken          bool   // it was accepted here, not dialed
-	h              link.Handler
-	stop           func() // ends a dial
+	accepted       bool   // it was accepted here, not dialed
+	handler        link.Handler
+	cancelDial     func() // ends a dial
 	tcp            *net.TCPConn
 	raw            syscall.RawConn
 
-	gone    bool // closed or broken here: the Handler hears nothing more
-	ended   bool // the Handler has heard its End
-	held    bool
-	closing closing
-	finned  bool
-
-	out     []byte // what is still to be written
-	writing bool   // a goroutine is at it
-	broken  bool   // the kernel takes no more
-	late    *news  // what was read and not given out: it is held, or frozen
-	came    chan struct{}
-
-	silent  bool // nothing passes any more, either way
-	lost    bool // since its machine vanished: it breaks when that is back
-	frozen  bool // nothing passes for now
-	waiting time.Duration
-	hush    *hush
+	closed      bool // closed or broken here: the Handler hears nothing more
+	endNotified bool // the Handler has heard its End
+	paused      bool
+	closing     closeMode
+	finSent     bool
+
+	sendBuffer  []byte      // what is still to be written
+	writing     bool        // a goroutine is at it
+	writeFailed bool        // the kernel takes no more
+	pendingRead *readResult // what was read and not given out: it is held, or frozen
+	readTaken   chan struct{}
+
+	silent          bool // nothing passes any more, either way
+	machineVanished bool // since its machine vanished: it breaks when that is back
+	frozen          bool // nothing passes for now
+	blockedSince    time.Duration
+	silencePlan     *silencePlan
 }
 
-// closing is what is to be done once all is written.
-type closing uint8
+// closeMode is what is to be done once all is written.
+type closeMode uint8
 
 const (
-	nothing closing = iota
-	fin
-	whole
+	closeNothing closeMode = iota
+	closeSending
+	closeBoth
 )
 
-// news is what one read brought.
-type news struct {
-	b   []byte
-	err error
-	at  time.Duration
+// readResult is what one read brought.
+type readResult struct {
+	data []byte
+	err  error
+	at   time.Duration
 }
 
 func (n *Net) newConn(from, to string, h link.Handler) *conn {
 	host := hostOf(to)
 	way := from + ">" + host
-	n.dials[way]++
+	n.dialCounts[way]++
 	c := &conn{
-		n: n, id: fmt.Sprintf("%s#%d", way, n.dials[way]), from: from, to: to, host: host, h: h,
-		stop: func() {}, came: make(chan struct{}, 1),
+		net: n, id: fmt.Sprintf("%s#%d", way, n.dialCounts[way]), from: from, to: to, host: host, handler: h,
+		cancelDial: func() {}, readTaken: make(chan struct{}, 1),
 	}
 	n.conns[c.id] = c
 	return c
@@ -72,23 +72,23 @@
 
 // machine is the one at this end.
 func (c *conn) machine() string {
-	if c.taken {
+	if c.accepted {
 		return c.host
 	}
 	return c.from
 }
 
-// see shows the Tap what crosses. back: from the side that was dialed.
-func (c *conn) see(what link.EventKind, back bool, b []byte, note string) {
-	if c.n.tap != nil {
-		c.n.tap.Observe(link.Event{
-			At: c.n.loop.Now(), Kind: what, Conn: c.id, From: c.from, To: c.to, Back: back, Data: b, Note: note,
+// observe shows the Tap what crosses. back: from the side that was dialed.
+func (c *conn) observe(what link.EventKind, back bool, b []byte, note string) {
+	if c.net.tap != nil {
+		c.net.tap.Observe(link.Event{
+			At: c.net.loop.Now(), Kind: what, Conn: c.id, From: c.from, To: c.to, Back: back, Data: b, Note: note,
 		})
 	}
 }
 
-// up takes the socket.
-func (c *conn) up(tcp *net.TCPConn) {
+// attach takes the socket.
+func (c *conn) attach(tcp *net.TCPConn) {
 	c.tcp = tcp
 	c.raw, _ = tcp.SyscallConn() // it fails for no socket
 }
@@ -96,15 +96,15 @@
 // readSize is how much is read at once.
 const readSize = 16 << 10
 
-// readAll reads until the end, and no further than the loop has taken what came.
-func (c *conn) readAll() {
+// readLoop reads until the end, and no further than the loop has taken what came.
+func (c *conn) readLoop() {
 	buf := make([]byte, readSize)
 	for {
 		k, err := c.tcp.Read(buf)
-		c.n.post(func() { c.read(&news{buf[:k], err, c.n.loop.Now()}) })
+		c.net.post(func() { c.handleRead(&readResult{buf[:k], err, c.net.loop.Now()}) })
 		select {
-		case <-c.came:
-		case <-c.n.life.Done():
+		case <-c.readTaken:
+		case <-c.net.ctx.Done():
 			return
 		}
 		if err != nil {
@@ -113,53 +113,53 @@
 	}
 }
 
-// read takes what was read, or lets it wait.
-func (c *conn) read(m *news) {
-	if !c.gone && !c.silent && (c.held || c.frozen) {
-		c.late = m
+// handleRead takes what was read, or lets it wait.
+func (c *conn) handleRead(m *readResult) {
+	if !c.closed && !c.silent && (c.paused || c.frozen) {
+		c.pendingRead = m
 		return
 	}
-	c.give(m)
-	c.came <- struct{}{}
+	c.deliver(m)
+	c.readTaken <- struct{}{}
 }
 
 // resume gives out what waited.
 func (c *conn) resume() {
-	if m := c.late; m != nil && (c.gone || c.silent || !c.held && !c.frozen) {
-		c.late = nil
-		c.give(m)
-		c.came <- struct{}{}
+	if m := c.pendingRead; m != nil && (c.closed || c.silent || !c.paused && !c.frozen) {
+		c.pendingRead = nil
+		c.deliver(m)
+		c.readTaken <- struct{}{}
 	}
 }
 
-// give brings the Handler what was read. A silent connection's is thrown away;
+// deliver brings the Handler what was read. A silent connection's is thrown away;
 // its socket is given back when the other side ends it, which then hears nothing of that.
-func (c *conn) give(m *news) {
-	if c.silent || c.gone {
+func (c *conn) deliver(m *readResult) {
+	if c.silent || c.closed {
 		if m.err != nil && c.silent {
 			c.abort()
 		}
 		return
 	}
-	if len(m.b) > 0 {
-		c.see(link.Arrived, !c.taken, m.b, "")
-		c.see(link.Read, !c.taken, m.b, "")
-		c.asked()
-		c.h.Data(c, m.b)
+	if len(m.data) > 0 {
+		c.observe(link.Arrived, !c.accepted, m.data, "")
+		c.observe(link.Read, !c.accepted, m.data, "")
+		c.requestReceived()
+		c.handler.Data(c, m.data)
 	}
-	if m.err == nil || c.gone {
+	if m.err == nil || c.closed {
 		return
 	}
-	c.ended = true
+	c.endNotified = true
 	if errors.Is(m.err, io.EOF) {
-		c.see(link.Finished, !c.taken, nil, "")
-		c.h.End(c, link.ErrEOF)
+		c.observe(link.Finished, !c.accepted, nil, "")
+		c.handler.End(c, link.ErrEOF)
 		return
 	}
-	c.gone = true
-	c.see(link.Reset, c.taken, nil, "reset")
+	c.closed = true
+	c.observe(link.Reset, c.accepted, nil, "reset")
 	c.abort()
-	c.h.End(c, link.ErrReset)
+	c.handler.End(c, link.ErrReset)
 }
 
 // ID implements link.Conn.
@@ -167,22 +167,22 @@
 
 // Write implements link.Conn.
 func (c *conn) Write(b []byte) {
-	if c.gone || c.closing != nothing || len(b) == 0 {
+	if c.closed || c.closing != closeNothing || len(b) == 0 {
 		return
 	}
-	c.answers()
-	if c.silent || c.broken {
+	c.beforeWrite()
+	if c.silent || c.writeFailed {
 		return
 	}
-	if c.tcp == nil || c.writing || c.frozen || len(c.out) > 0 {
-		if c.frozen && len(c.out) == 0 {
-			c.waiting = c.n.loop.Now()
+	if c.tcp == nil || c.writing || c.frozen || len(c.sendBuffer) > 0 {
+		if c.frozen && len(c.sendBuffer) == 0 {
+			c.blockedSince = c.net.loop.Now()
 		}
-		c.out = append(c.out, b...)
+		c.sendBuffer = append(c.sendBuffer, b...)
 		return
 	}
 	k := c.write(b)
-	c.out = append(c.out, b[k:]...)
+	c.sendBuffer = append(c.sendBuffer, b[k:]...)
 	c.flush()
 }
 
@@ -199,21 +199,21 @@
 	})
 	k = max(k, 0)
 	if k > 0 {
-		c.see(link.Sent, c.taken, b[:k], "")
+		c.observe(link.Sent, c.accepted, b[:k], "")
 	}
 	if err != nil && err != syscall.EAGAIN {
-		c.fail()
+		c.failWrites()
 		return len(b)
 	}
 	return k
 }
 
-// fail notes that the kernel takes nothing more. What came before the break is
+// failWrites notes that the kernel takes nothing more. What came before the break is
 // still to be read, and then the break itself.
-func (c *conn) fail() {
-	c.broken = true
-	if c.ended {
-		c.gone = true
+func (c *conn) failWrites() {
+	c.writeFailed = true
+	if c.endNotified {
+		c.closed = true
 		c.abort()
 	}
 }
@@ -222,111 +222,111 @@
 func (c *conn) flush() {
 	switch {
 	case c.tcp == nil || c.writing || c.frozen:
-	case c.silent || c.broken:
-		c.out = nil
-		c.finish()
-	case len(c.out) > 0:
-		b := c.out
-		c.out, c.writing = nil, true
-		c.n.tasks.Go(func() {
+	case c.silent || c.writeFailed:
+		c.sendBuffer = nil
+		c.finishClosing()
+	case len(c.sendBuffer) > 0:
+		b := c.sendBuffer
+		c.sendBuffer, c.writing = nil, true
+		c.net.tasks.Go(func() {
 			_, err := c.tcp.Write(b)
-			c.n.post(func() { c.written(b, err) })
+			c.net.post(func() { c.writeDone(b, err) })
 		})
 	default:
-		c.finish()
+		c.finishClosing()
 	}
 }
 
-func (c *conn) written(b []byte, err error) {
+func (c *conn) writeDone(b []byte, err error) {
 	c.writing = false
 	if err != nil {
-		c.fail()
+		c.failWrites()
 	} else {
-		c.see(link.Sent, c.taken, b, "")
+		c.observe(link.Sent, c.accepted, b, "")
 	}
 	c.flush()
 }
 
-// finish does what was asked to be done once all is written.
-func (c *conn) finish() {
+// finishClosing does what was asked to be done once all is written.
+func (c *conn) finishClosing() {
 	switch {
 	case c.silent:
-	case c.closing == whole:
-		c.see(link.Closed, c.taken, nil, "")
+	case c.closing == closeBoth:
+		c.observe(link.Closed, c.accepted, nil, "")
 		c.tcp.Close()
 		c.forget()
-	case c.closing == fin && !c.finned && !c.broken:
-		c.finned = true
+	case c.closing == closeSending && !c.finSent && !c.writeFailed:
+		c.finSent = true
 		c.tcp.CloseWrite()
-		c.see(link.Finished, c.taken, nil, "")
+		c.observe(link.Finished, c.accepted, nil, "")
 	}
 }
 
 // CloseWrite implements link.Conn.
 func (c *conn) CloseWrite() {
-	if c.gone || c.closing != nothing {
+	if c.closed || c.closing != closeNothing {
 		return
 	}
-	c.close(fin)
+	c.startClosing(closeSending)
 }
 
-func (c *conn) close(how closing) {
+func (c *conn) startClosing(how closeMode) {
 	c.closing = how
-	if c.frozen && len(c.out) == 0 {
-		c.waiting = c.n.loop.Now()
+	if c.frozen && len(c.sendBuffer) == 0 {
+		c.blockedSince = c.net.loop.Now()
 	}
 	c.flush()
 }
 
-// lastWrites is how long what waits to be written may keep a closed socket.
-const lastWrites = 5 * time.Second
+// closeWriteTimeout is how long what waits to be written may keep a closed socket.
+const closeWriteTimeout = 5 * time.Second
 
 // Close implements link.Conn. What was read and not given out makes it a reset,
 // as in a kernel that still holds bytes.
 func (c *conn) Close() {
-	if c.gone {
+	if c.closed {
 		return
 	}
-	c.leave()
+	c.markClosed()
 	switch {
 	case c.tcp == nil:
-		c.stop()
+		c.cancelDial()
 	case c.silent:
-	case c.late != nil && len(c.late.b) > 0 && !c.frozen:
-		c.see(link.Closed, c.taken, nil, "unread")
+	case c.pendingRead != nil && len(c.pendingRead.data) > 0 && !c.frozen:
+		c.observe(link.Closed, c.accepted, nil, "unread")
 		c.abort()
 	default:
-		c.tcp.SetWriteDeadline(time.Now().Add(lastWrites))
-		c.close(whole)
+		c.tcp.SetWriteDeadline(time.Now().Add(closeWriteTimeout))
+		c.startClosing(closeBoth)
 	}
 	c.resume()
 }
 
 // Reset implements link.Conn.
 func (c *conn) Reset() {
-	if c.gone {
+	if c.closed {
 		return
 	}
-	c.leave()
+	c.markClosed()
 	switch {
 	case c.tcp == nil:
-		c.stop()
+		c.cancelDial()
 	case c.silent:
 	case c.frozen: // it is lost
 		c.silence()
 	default:
-		c.see(link.Reset, c.taken, nil, "aborted")
+		c.observe(link.Reset, c.accepted, nil, "aborted")
 		c.abort()
 	}
 	c.resume()
 }
 
-// leave lets the Handler hear nothing more.
-func (c *conn) leave() { c.gone, c.hush = true, nil }
+// markClosed lets the Handler hear nothing more.
+func (c *conn) markClosed() { c.closed, c.silencePlan = true, nil }
 
 // abort resets the socket, and forgets it.
 func (c *conn) abort() {
-	c.stop()
+	c.cancelDial()
 	if c.tcp != nil {
 		c.tcp.SetLinger(0)
 		c.tcp.Close()
@@ -334,11 +334,11 @@
 	c.forget()
 }
 
-func (c *conn) forget() { delete(c.n.conns, c.id) }
+func (c *conn) forget() { delete(c.net.conns, c.id) }
 
 // PauseReading implements link.Conn.
 func (c *conn) PauseReading(held bool) {
-	if c.held = held; !held {
-		c.n.post(c.resume) // not within a call of the Handler's own
+	if c.paused = held; !held {
+		c.net.post(c.resume) // not within a call of the Handler's own
 	}
 }
--- a/internal/lab/sockets/listen.go
+++ b/internal/lab/sockets/listen.go
@@ -14,7 +14,7 @@
 
 // listener is one of the world's. It stands at one entrance for each view.
 type listener struct {
-	n      *Net
+	net    *Net
 	addr   string
 	accept func(link.Conn) link.Handler
 }
@@ -25,21 +25,21 @@
 		return nil, fmt.Errorf("listen %s: %w", addr, syscall.EADDRINUSE)
 	}
 	l := &listener{n, addr, accept}
-	for _, by := range n.book.views() {
-		d := door{by, addr}
-		if e := n.doors[d]; e != nil { // of a process that ended while its machine was not heard
-			e.of = l
+	for _, by := range n.book.viewers() {
+		d := addressView{by, addr}
+		if e := n.listenSockets[d]; e != nil { // of a process that ended while its machine was not heard
+			e.listener = l
 			continue
 		}
 		tcp, err := n.book.listen(d)
 		if err != nil {
-			l.leave()
+			l.releaseSockets()
 			return nil, fmt.Errorf("listen %s: %w", addr, err)
 		}
-		e := &entrance{n: n, door: d, tcp: tcp, of: l}
-		n.doors[d] = e
-		e.deafen(n.unheard(by, hostOf(addr)))
-		n.tasks.Go(e.run)
+		e := &listenSocket{net: n, view: d, tcp: tcp, listener: l}
+		n.listenSockets[d] = e
+		e.setBlocked(n.unreachable(by, hostOf(addr)))
+		n.tasks.Go(e.acceptLoop)
 	}
 	n.listeners[addr] = l
 	return l, nil
@@ -47,157 +47,157 @@
 
 // Close implements link.Listener.
 func (l *listener) Close() {
-	if l.n.listeners[l.addr] == l {
-		delete(l.n.listeners, l.addr)
-		l.leave()
+	if l.net.listeners[l.addr] == l {
+		delete(l.net.listeners, l.addr)
+		l.releaseSockets()
 	}
 }
 
-func (l *listener) leave() {
-	for _, by := range l.n.book.views() {
-		if e := l.n.doors[door{by, l.addr}]; e != nil && e.of == l {
-			e.of = nil
-			if e.deaf == nil {
+func (l *listener) releaseSockets() {
+	for _, by := range l.net.book.viewers() {
+		if e := l.net.listenSockets[addressView{by, l.addr}]; e != nil && e.listener == l {
+			e.listener = nil
+			if e.blocked == nil {
 				e.close()
 			}
 		}
 	}
 }
 
-// entrance is a listening socket. While its machine is not heard, connections
+// listenSocket is a listening socket. While its machine is not heard, connections
 // to it time out, and it stays even though whoever listened has gone: a close
 // would let the kernel refuse them.
-type entrance struct {
-	n    *Net
-	door door
-	tcp  *net.TCPListener
-	of   *listener // nil: nobody listens any more
-
-	deaf   chan struct{} // not nil: it takes no connections until this is closed
-	stop   context.CancelFunc
-	filler string // the address of the connection that fills its queue
+type listenSocket struct {
+	net      *Net
+	view     addressView
+	tcp      *net.TCPListener
+	listener *listener // nil: nobody listens any more
+
+	blocked     chan struct{} // not nil: it takes no connections until this is closed
+	stopFilling context.CancelFunc
+	fillerAddr  string // the address of the connection that fills its queue
 }
 
-func (e *entrance) close() {
-	delete(e.n.doors, e.door)
+func (e *listenSocket) close() {
+	delete(e.net.listenSockets, e.view)
 	e.tcp.Close()
 }
 
 // Lengths of a queue: the usual, and the shortest there is, which one connection
 // fills. The kernel then drops what asks for another, as if nobody was there.
 const (
-	usualQueue = 4096
-	leastQueue = 0
+	defaultBacklog = 4096
+	minBacklog     = 0
 )
 
-// deafen takes an entrance off the network, or brings it back.
-func (e *entrance) deafen(deaf bool) {
+// setBlocked takes an entrance off the network, or brings it back.
+func (e *listenSocket) setBlocked(deaf bool) {
 	switch {
-	case deaf && e.deaf == nil:
-		e.deaf = make(chan struct{})
+	case deaf && e.blocked == nil:
+		e.blocked = make(chan struct{})
 		e.tcp.SetDeadline(time.Unix(1, 0)) // accepting ends
-		e.queue(leastQueue)
-		ctx, stop := context.WithCancel(e.n.life)
-		e.stop = stop
-		e.n.tasks.Go(func() { e.fill(ctx) })
-	case !deaf && e.deaf != nil:
-		e.stop()
-		e.queue(usualQueue)
+		e.setBacklog(minBacklog)
+		ctx, stop := context.WithCancel(e.net.ctx)
+		e.stopFilling = stop
+		e.net.tasks.Go(func() { e.fillBacklog(ctx) })
+	case !deaf && e.blocked != nil:
+		e.stopFilling()
+		e.setBacklog(defaultBacklog)
 		e.tcp.SetDeadline(time.Time{})
-		close(e.deaf)
-		e.deaf = nil
-		if e.of == nil {
+		close(e.blocked)
+		e.blocked = nil
+		if e.listener == nil {
 			e.close()
 		}
 	}
 }
 
-func (e *entrance) queue(length int) {
+func (e *listenSocket) setBacklog(length int) {
 	raw, err := e.tcp.SyscallConn()
 	if err == nil {
 		raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), length) })
 	}
 	if err != nil {
-		e.n.note(err)
+		e.net.recordError(err)
 	}
 }
 
-// fill holds a connection to the entrance, the one that its queue has room for.
-func (e *entrance) fill(ctx context.Context) {
+// fillBacklog holds a connection to the entrance, the one that its queue has room for.
+func (e *listenSocket) fillBacklog(ctx context.Context) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", e.tcp.Addr().String())
 	if err != nil {
 		return // somebody else's connection is there
 	}
 	defer c.Close()
-	e.n.do(func() { e.filler = c.LocalAddr().String() })
+	e.net.runOnLoop(func() { e.fillerAddr = c.LocalAddr().String() })
 	<-ctx.Done()
 }
 
-// again is when to accept again after this machine could not.
-const again = 10 * time.Millisecond
+// acceptRetryDelay is when to accept again after this machine could not.
+const acceptRetryDelay = 10 * time.Millisecond
 
-// run brings connections to the loop, one at a time.
-func (e *entrance) run() {
-	for e.n.life.Err() == nil {
+// acceptLoop brings connections to the loop, one at a time.
+func (e *listenSocket) acceptLoop() {
+	for e.net.ctx.Err() == nil {
 		c, err := e.tcp.AcceptTCP()
 		switch {
 		case err == nil:
-			if !e.n.do(func() { e.take(c) }) {
+			if !e.net.runOnLoop(func() { e.accept(c) }) {
 				c.Close()
 			}
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			var heard chan struct{}
-			if e.n.do(func() { heard = e.deaf }) && heard != nil {
+			if e.net.runOnLoop(func() { heard = e.blocked }) && heard != nil {
 				select {
 				case <-heard:
-				case <-e.n.life.Done():
+				case <-e.net.ctx.Done():
 				}
 			}
 		case errors.Is(err, net.ErrClosed):
 			return
 		default:
-			e.n.note(err)
+			e.net.recordError(err)
 			select {
-			case <-time.After(again):
-			case <-e.n.life.Done():
+			case <-time.After(acceptRetryDelay):
+			case <-e.net.ctx.Done():
 			}
 		}
 	}
 }
 
-// take gives a connection to whoever listens.
-func (e *entrance) take(tcp *net.TCPConn) {
-	if e.n.life.Err() != nil {
+// accept gives a connection to whoever listens.
+func (e *listenSocket) accept(tcp *net.TCPConn) {
+	if e.net.ctx.Err() != nil {
 		tcp.Close()
 		return
 	}
-	if tcp.RemoteAddr().String() == e.filler {
-		e.filler = ""
+	if tcp.RemoteAddr().String() == e.fillerAddr {
+		e.fillerAddr = ""
 		tcp.Close()
 		return
 	}
-	from := e.door.by
+	from := e.view.viewer
 	if from == "" {
-		from = Anyone
+		from = AnonymousHost
 	}
-	c := e.n.newConn(from, e.door.addr, nil)
-	c.taken = true
-	c.up(tcp)
-	c.see(link.Open, true, nil, "")
-	c.frozen = e.n.parted(from, c.host)
-	if e.deaf != nil && !c.frozen { // it came just before its machine vanished
-		c.silent, c.lost = true, true
+	c := e.net.newConn(from, e.view.addr, nil)
+	c.accepted = true
+	c.attach(tcp)
+	c.observe(link.Open, true, nil, "")
+	c.frozen = e.net.partitioned(from, c.host)
+	if e.blocked != nil && !c.frozen { // it came just before its machine vanished
+		c.silent, c.machineVanished = true, true
 	}
-	if e.of != nil {
-		c.drawHush()
-		c.h = e.of.accept(c)
+	if e.listener != nil {
+		c.drawSilencePlan()
+		c.handler = e.listener.accept(c)
 	}
-	if c.h == nil {
-		c.leave()
-		c.see(link.Reset, true, nil, "not taken")
+	if c.handler == nil {
+		c.markClosed()
+		c.observe(link.Reset, true, nil, "not taken")
 		c.abort()
 		return
 	}
-	e.n.tasks.Go(c.readAll)
+	e.net.tasks.Go(c.readLoop)
 }
--- a/internal/lab/sockets/net.go
+++ b/internal/lab/sockets/net.go
@@ -39,8 +39,8 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// Anyone is the host of whoever dials and is no Guest.
-const Anyone = "anyone"
+// AnonymousHost is the host of whoever dials and is no Guest.
+const AnonymousHost = "anyone"
 
 // Net is the network. Its methods belong to the loop, or to whoever has not yet
 // started it, but for Resolve, MapAddress and Place, which are safe for concurrent
@@ -48,25 +48,25 @@
 type Net struct {
 	Seed uint64 // of what chance decides: HushNew
 
-	loop  *loop.Loop
-	tap   link.Tap
-	book  *book
-	life  context.Context // ends with Close
-	end   context.CancelFunc
-	tasks sync.WaitGroup
-	posts atomic.Uint64
+	loop   *loop.Loop
+	tap    link.Tap
+	book   *addressBook
+	ctx    context.Context // ends with Close
+	cancel context.CancelFunc
+	tasks  sync.WaitGroup
+	posts  atomic.Uint64
 
-	listeners map[string]*listener // by the world's address
-	doors     map[door]*entrance
-	dials     map[string]uint64 // how many connections there were, by "from>host"
-	conns     map[string]*conn  // those that hold a socket, or are to, by ID
+	listeners     map[string]*listener // by the world's address
+	listenSockets map[addressView]*listenSocket
+	dialCounts    map[string]uint64 // how many connections there were, by "from>host"
+	conns         map[string]*conn  // those that hold a socket, or are to, by ID
 
-	absent map[string]bool // machines that have vanished
-	cuts   []*cut
-	hushes []*hushing
+	vanished      map[string]bool // machines that have vanished
+	partitions    []*partition
+	silenceFaults []*silenceFault
 
-	mu      sync.Mutex
-	trouble error
+	mu         sync.Mutex
+	firstError error
 }
 
 var (
@@ -78,49 +78,49 @@
 // and may be nil.
 func New(l *loop.Loop, tap link.Tap) *Net {
 	n := &Net{
-		loop: l, tap: tap, book: newBook(),
-		listeners: map[string]*listener{}, doors: map[door]*entrance{},
-		dials: map[string]uint64{}, conns: map[string]*conn{}, absent: map[string]bool{},
+		loop: l, tap: tap, book: newAddressBook(),
+		listeners: map[string]*listener{}, listenSockets: map[addressView]*listenSocket{},
+		dialCounts: map[string]uint64{}, conns: map[string]*conn{}, vanished: map[string]bool{},
 	}
-	n.life, n.end = context.WithCancel(context.Background())
+	n.ctx, n.cancel = context.WithCancel(context.Background())
 	return n
 }
 
-// Guest names the machine of a program that is not of the world: a node. It
+// AddNode names the machine of a program that is not of the world: a node. It
 // reaches each machine of the world at an address of its own (see MapAddress), by
 // which its connections are told from others'. Guests are named before anybody
 // listens.
-func (n *Net) Guest(host string) { n.book.guest(host) }
+func (n *Net) AddNode(host string) { n.book.addNode(host) }
 
 // Place gives a machine its loopback address; one that is not placed gets it
 // when it is first met.
-func (n *Net) Place(host string) { n.book.place(host) }
+func (n *Net) Place(host string) { n.book.assignIP(host) }
 
 // Resolve is the real address, for anyone, of an address of the world's or of a Guest.
 func (n *Net) Resolve(addr string) string { return n.MapAddress("", addr) }
 
 // MapAddress implements link.AddressMapper.
 func (n *Net) MapAddress(by, addr string) string {
-	at, err := n.book.at(by, addr)
+	at, err := n.book.realAddr(by, addr)
 	if err != nil {
-		n.note(err)
+		n.recordError(err)
 	}
 	return at
 }
 
-// Trouble is the first thing that this machine itself had against a connection,
+// FirstError is the first thing that this machine itself had against a connection,
 // descriptors used up, say: what followed is no model's doing.
-func (n *Net) Trouble() error {
+func (n *Net) FirstError() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.trouble
+	return n.firstError
 }
 
-func (n *Net) note(err error) {
+func (n *Net) recordError(err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.trouble == nil && n.life.Err() == nil {
-		n.trouble = fmt.Errorf("sockets: %w", err)
+	if n.firstError == nil && n.ctx.Err() == nil {
+		n.firstError = fmt.Errorf("sockets: %w", err)
 	}
 }
 
@@ -128,7 +128,7 @@
 func (n *Net) Open(host string) int {
 	open := 0
 	for _, c := range n.conns { // a sum: in any order
-		if c.tcp != nil && !c.gone && (c.from == host || c.host == host) {
+		if c.tcp != nil && !c.closed && (c.from == host || c.host == host) {
 			open++
 		}
 	}
@@ -137,12 +137,12 @@
 
 // Close ends everything, and returns once no goroutine of the network is left.
 func (n *Net) Close() {
-	n.end()
-	for _, d := range n.doors {
+	n.cancel()
+	for _, d := range n.listenSockets {
 		d.tcp.Close()
 	}
 	for _, c := range n.conns {
-		c.gone = true
+		c.closed = true
 		c.abort()
 	}
 	n.tasks.Wait()
@@ -151,9 +151,9 @@
 // post lets f run on the loop, after all that was posted before.
 func (n *Net) post(f func()) { n.loop.Post(loop.Key{Sequence: n.posts.Add(1)}, f) }
 
-// do lets f run on the loop and waits until it has; false: the network is closed,
+// runOnLoop lets f run on the loop and waits until it has; false: the network is closed,
 // and f may still run.
-func (n *Net) do(f func()) bool {
+func (n *Net) runOnLoop(f func()) bool {
 	done := make(chan struct{})
 	n.post(func() {
 		f()
@@ -162,13 +162,13 @@
 	select {
 	case <-done:
 		return true
-	case <-n.life.Done():
+	case <-n.ctx.Done():
 		return false
 	}
 }
 
-// each calls f for every connection, in the order of the names.
-func (n *Net) each(f func(c *conn)) {
+// forEachConn calls f for every connection, in the order of the names.
+func (n *Net) forEachConn(f func(c *conn)) {
 	for _, id := range slices.Sorted(maps.Keys(n.conns)) {
 		if c := n.conns[id]; c != nil { // f may have ended it
 			f(c)
@@ -179,59 +179,59 @@
 // Dial implements link.Fabric. No timeout leaves the kernel's.
 func (n *Net) Dial(from, to string, timeout time.Duration, h link.Handler) link.Conn {
 	c := n.newConn(from, to, h)
-	at, parted := n.Resolve(to), n.parted(from, c.host)
+	at, parted := n.Resolve(to), n.partitioned(from, c.host)
 	if timeout <= 0 {
-		timeout = kernelPatience
+		timeout = kernelDialTimeout
 	}
-	ctx, stop := context.WithTimeout(n.life, timeout)
-	c.stop = stop
-	c.see(link.Dial, false, nil, "")
+	ctx, stop := context.WithTimeout(n.ctx, timeout)
+	c.cancelDial = stop
+	c.observe(link.Dial, false, nil, "")
 	n.tasks.Go(func() {
 		defer stop()
 		if parted {
 			<-ctx.Done()
-			n.do(func() { c.dialed(nil, ctx.Err()) })
+			n.runOnLoop(func() { c.dialDone(nil, ctx.Err()) })
 			return
 		}
 		var d net.Dialer
 		s, err := d.DialContext(ctx, "tcp", at)
 		tcp, _ := s.(*net.TCPConn)
-		if !n.do(func() { c.dialed(tcp, err) }) && tcp != nil {
+		if !n.runOnLoop(func() { c.dialDone(tcp, err) }) && tcp != nil {
 			tcp.Close()
 		}
 	})
 	return c
 }
 
-// kernelPatience is how long a machine goes on asking for a connection.
-const kernelPatience = 127 * time.Second
+// kernelDialTimeout is how long a machine goes on asking for a connection.
+const kernelDialTimeout = 127 * time.Second
 
-// dialed is what came of a dial.
-func (c *conn) dialed(tcp *net.TCPConn, err error) {
+// dialDone is what came of a dial.
+func (c *conn) dialDone(tcp *net.TCPConn, err error) {
 	switch {
-	case c.gone || c.n.life.Err() != nil:
+	case c.closed || c.net.ctx.Err() != nil:
 		if tcp != nil {
 			tcp.SetLinger(0)
 			tcp.Close()
 		}
 		c.forget()
 	case err != nil:
-		c.gone, c.ended = true, true
+		c.closed, c.endNotified = true, true
 		c.forget()
-		why := c.n.reason(err)
-		c.see(link.Fail, false, nil, why.Error())
-		c.h.End(c, why)
+		why := c.net.dialError(err)
+		c.observe(link.Fail, false, nil, why.Error())
+		c.handler.End(c, why)
 	default:
-		c.see(link.Open, false, nil, "")
-		c.up(tcp)
-		c.n.tasks.Go(c.readAll)
-		c.h.Up(c)
+		c.observe(link.Open, false, nil, "")
+		c.attach(tcp)
+		c.net.tasks.Go(c.readLoop)
+		c.handler.Up(c)
 		c.flush()
 	}
 }
 
-// reason is what a Handler hears of a failed dial.
-func (n *Net) reason(err error) error {
+// dialError is what a Handler hears of a failed dial.
+func (n *Net) dialError(err error) error {
 	var late net.Error
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
@@ -241,7 +241,7 @@
 	case errors.As(err, &late) && late.Timeout():
 		return link.ErrTimedOut
 	}
-	n.note(err)
+	n.recordError(err)
 	return link.ErrRefused
 }
 
@@ -253,17 +253,17 @@
 			l.Close()
 		}
 	}
-	n.each(func(c *conn) {
-		if c.machine() != host || c.gone {
+	n.forEachConn(func(c *conn) {
+		if c.machine() != host || c.closed {
 			return
 		}
-		c.leave()
+		c.markClosed()
 		switch {
 		case c.silent:
 		case c.frozen: // the resets are lost
 			c.silence()
 		default:
-			c.see(link.Reset, c.taken, nil, "killed")
+			c.observe(link.Reset, c.accepted, nil, "killed")
 			c.abort()
 		}
 		c.resume()
--- a/internal/lab/stage/run.go
+++ b/internal/lab/stage/run.go
@@ -154,7 +154,7 @@
 	}
 	r.loop.Run(ctx, r.loop.Now()+time.Second, r.step)
 	for _, n := range r.nodes {
-		if held := r.net.Held(n.c.Name); len(held) > 0 {
+		if held := r.net.HeldBy(n.c.Name); len(held) > 0 {
 			r.fail("rest", "node %s has ended and holds %d connections: %.200s", n.c.Name, len(held), strings.Join(held, " "))
 		}
 	}
--- a/internal/lab/stage/target.go
+++ b/internal/lab/stage/target.go
@@ -102,7 +102,7 @@
 	for _, n := range r.script.World.Nodes {
 		for _, addr := range []string{d.Addr, d.Spare} {
 			host, _, _ := strings.Cut(addr, ":")
-			way, cut := [2]string{n.Name, addr}, r.net.Parted(n.Name, host)
+			way, cut := [2]string{n.Name, addr}, r.net.Partitioned(n.Name, host)
 			if cut != r.parted[way] {
 				r.parted[way] = cut
 				r.observer.DiscoveryReachable(n.Name, addr, !cut)
