--- a/internal/lab/http1/head.go
+++ b/internal/lab/http1/head.go
@@ -42,7 +42,7 @@
 	method, rest, _ := strings.Cut(line, " ")
 	target, proto, _ := strings.Cut(rest, " ")
 	if !isToken(method) || !isTarget(target) || proto != version {
-		return fmt.Errorf("request line: %.80q", line)
+		return fmt.Errorf("invalid request line: %.80q", line)
 	}
 	m.Method = method
 	m.Target = target
@@ -54,9 +54,9 @@
 	digits, reason, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(digits)
 	valid := err == nil && len(digits) == statusDigits && status >= http.StatusContinue && status <= maxStatus
-	// 101 would be the end of HTTP on the connection: no part of the lab asks for it.
+	// 101 would end HTTP on the connection: no part of the lab requests an upgrade.
 	if proto != version || !valid || status == http.StatusSwitchingProtocols || !isText(reason) {
-		return fmt.Errorf("status line: %.80q", line)
+		return fmt.Errorf("invalid status line: %.80q", line)
 	}
 	m.Status = status
 	return nil
@@ -65,7 +65,7 @@
 func (m *Message) parseField(line string) error {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || !isToken(name) || !isText(value) {
-		return fmt.Errorf("field: %.80q", line)
+		return fmt.Errorf("invalid field: %.80q", line)
 	}
 	value = strings.Trim(value, " \t")
 	if strings.EqualFold(name, "Connection") {
@@ -98,8 +98,8 @@
 	})
 }
 
-// isText reports whether s can be the value of a field or a reason phrase: other
-// parsers may take a lone CR or LF in it for the end of the line.
+// isText reports whether s can be the value of a field or a reason phrase. A lone CR or LF is invalid, since other
+// parsers may take it for the end of the line.
 func isText(s string) bool {
 	return !strings.ContainsFunc(s, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f })
 }
--- a/internal/lab/http1/parser.go
+++ b/internal/lab/http1/parser.go
@@ -7,7 +7,7 @@
 	"net/http"
 )
 
-// Bounds on the bytes of a message.
+// Limits of a message's parts, in bytes.
 const (
 	maxHead = 64 << 10
 	maxBody = 8 << 20
@@ -16,32 +16,32 @@
 // headEnd ends the head of a message.
 const headEnd = "\r\n\r\n"
 
-// Parser takes in bytes and returns messages. It is not safe for concurrent use.
+// Parser parses messages from the bytes fed to it. It is not safe for concurrent use.
 type Parser struct {
-	answers  bool // it parses answers, not requests
+	answers  bool // it parses responses, not requests
 	buffered []byte
-	scanned  int // bytes of buffered known to hold no end of a head
+	scanned  int // number of leading bytes of buffered that hold no end of a head
 	closed   bool
-	err      error // ends the parsing
+	err      error // the error that ended the parsing
 }
 
 // NewRequestParser returns a parser of requests.
 func NewRequestParser() *Parser { return &Parser{} }
 
-// NewAnswerParser returns a parser of answers. It skips interim ones (1xx).
+// NewAnswerParser returns a parser of responses. It skips interim responses (1xx).
 func NewAnswerParser() *Parser { return &Parser{answers: true} }
 
-// Feed takes in bytes. It does not keep b.
+// Feed appends bytes to the input. It does not keep b.
 func (p *Parser) Feed(b []byte) { p.buffered = append(p.buffered, b...) }
 
-// Close says that no more bytes arrive, which completes an answer without a length.
+// Close marks the end of the input, which completes a response without a declared length.
 func (p *Parser) Close() { p.closed = true }
 
-// Buffered returns the number of bytes behind the messages returned so far.
+// Buffered returns the number of bytes that follow the messages returned so far.
 func (p *Parser) Buffered() int { return len(p.buffered) }
 
-// Next returns the next complete message, or nil without an error if more bytes
-// are needed. After an error it returns that error only.
+// Next returns the next complete message, or nil without an error if more bytes are needed. After an error it always
+// returns the same error.
 func (p *Parser) Next() (*Message, error) {
 	for p.err == nil {
 		m, size, err := p.parse()
@@ -62,7 +62,7 @@
 	return nil, p.err
 }
 
-// discard drops the bytes of a message.
+// discard removes the bytes of a message from the buffer.
 func (p *Parser) discard(size int) {
 	p.buffered = p.buffered[size:]
 	p.scanned = 0
@@ -71,8 +71,8 @@
 	}
 }
 
-// parse parses the message at the beginning of the buffer and returns its size.
-// The message is nil while it is not complete.
+// parse parses the message at the beginning of the buffer and returns its size in bytes. The message is nil while it
+// is incomplete.
 func (p *Parser) parse() (m *Message, size int, err error) {
 	headSize, err := p.findHead()
 	if err != nil || headSize == 0 {
@@ -88,7 +88,7 @@
 	}
 	if p.answers && m.hasNoBody() {
 		if m.mayNotDeclareBody() && framing.declared() {
-			return nil, 0, fmt.Errorf("a body with status %d", m.Status)
+			return nil, 0, fmt.Errorf("body declared with status %d, which has none", m.Status)
 		}
 		return m, headSize, nil
 	}
@@ -99,25 +99,24 @@
 	return m, headSize + bodySize, nil
 }
 
-// findHead returns the size of the head with its end; 0 while it is not complete.
+// findHead returns the size of the head including its end, or 0 while the head is incomplete.
 func (p *Parser) findHead() (size int, err error) {
 	i := bytes.Index(p.buffered[p.scanned:], []byte(headEnd))
 	if i < 0 {
 		if len(p.buffered) >= maxHead {
-			return 0, errors.New("head: too long")
+			return 0, errors.New("head is longer than 64 KiB")
 		}
 		p.scanned = max(len(p.buffered)-len(headEnd)+1, 0)
 		return 0, nil
 	}
 	size = p.scanned + i + len(headEnd)
 	if size > maxHead {
-		return 0, errors.New("head: too long")
+		return 0, errors.New("head is longer than 64 KiB")
 	}
 	return size, nil
 }
 
-// parseBody parses the body of a message out of the bytes behind its head, and
-// returns its size on the wire.
+// parseBody parses the body of a message from the bytes after its head, and returns the size of the body on the wire.
 func (p *Parser) parseBody(m *Message, framing bodyFraming, rest []byte) (size int, complete bool, err error) {
 	switch {
 	case framing.chunked:
--- a/internal/lab/http1/parser_test.go
+++ b/internal/lab/http1/parser_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// read feeds bytes in pieces of the sizes, the rest at once, and returns what came
-// out: a line for each message, and one for an error.
+// read feeds text in pieces of the given sizes and then the rest at once. It returns a line for each message, and
+// "error" for an error.
 func read(answers bool, text []byte, sizes []byte) (out []string, buffered int) {
 	p := &Parser{answers: answers}
 	next := func() bool {
@@ -29,7 +29,7 @@
 		n := min(int(s), len(text))
 		piece := bytes.Clone(text[:n])
 		p.Feed(piece)
-		clear(piece) // it must not have been kept
+		clear(piece) // Feed must not keep it
 		if text = text[n:]; !next() {
 			return out, p.Buffered()
 		}
@@ -54,7 +54,7 @@
 		`POST/0 [{"Content-length" "2"}] "ab" false 40`},
 	{"chunks", "POST / HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n2\r\nab\r\nA\r\n0123456789\r\n0\r\n\r\n",
 		`POST/0 [{"Transfer-Encoding" "Chunked"}] "ab0123456789" false 74`},
-	{"last", "GET / HTTP/1.1\r\nConnection: x, Close\r\n\r\n", `GET/0 [{"Connection" "x, Close"}] "" true 40`},
+	{"connection closes", "GET / HTTP/1.1\r\nConnection: x, Close\r\n\r\n", `GET/0 [{"Connection" "x, Close"}] "" true 40`},
 	{"not complete", "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", ""},
 	{"head not complete", get, ""},
 	{"other version", "GET / HTTP/1.0\r\n\r\n", "error"},
@@ -71,12 +71,12 @@
 	{"signed length", "POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\na", "error"},
 	{"negative length", "POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", "error"},
 	{"huge length", "POST / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n", "error"},
-	{"folded line", get + " more: of it\r\n\r\n", "error"},
+	{"continuation line", get + " more: of it\r\n\r\n", "error"},
 	{"space before the colon", get + "A : b\r\n\r\n", "error"},
 	{"bare LF", get + "A: b\nC: d\r\n\r\n", "error"},
 	{"bare CR", get + "A: b\rC: d\r\n\r\n", "error"},
 	{"no colon", get + "A\r\n\r\n", "error"},
-	{"chunk longer than it says", chunked + "2\r\nabcd0\r\n\r\n", "error"},
+	{"chunk longer than its size", chunked + "2\r\nabcd0\r\n\r\n", "error"},
 	{"chunk's size with an extension", chunked + "2;x\r\nab\r\n0\r\n\r\n", "error"},
 	{"chunk's size without end", chunked + "0000000000", "error"},
 	{"trailer", chunked + "0\r\nA: b\r\n\r\n", "error"},
@@ -87,7 +87,7 @@
 	{"length", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na", `200 [{"Content-Length" "1"}] "a" false 39`},
 	{"interim ones ahead", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 \r\nA: b\r\n\r\nHTTP/1.1 204 No\r\n\r\n",
 		`204 [] "" false 19`},
-	{"to the end", "HTTP/1.1 200 OK\r\n\r\nabc", `200 [] "abc" true 22`},
+	{"body to the end of the connection", "HTTP/1.1 200 OK\r\n\r\nabc", `200 [] "abc" true 22`},
 	{"no reason", "HTTP/1.1 500\r\nContent-Length: 0\r\n\r\n", `500 [{"Content-Length" "0"}] "" false 35`},
 	{"cut short", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\na", ""},
 	{"signed status", "HTTP/1.1 +20 OK\r\n\r\n", "error"},
@@ -111,7 +111,7 @@
 	}
 }
 
-// FuzzPieces guards against a parser whose result depends on where the bytes are cut.
+// FuzzPieces guards against a parser whose result depends on how the input is split.
 func FuzzPieces(f *testing.F) {
 	for i, table := range [][]struct{ name, text, want string }{requests, answers} {
 		for _, c := range table {
@@ -122,10 +122,10 @@
 		whole, held := read(answers, text, nil)
 		pieces, left := read(answers, text, sizes)
 		if strings.Join(whole, "\n") != strings.Join(pieces, "\n") {
-			t.Fatalf("whole %q, in pieces %q", whole, pieces)
+			t.Fatalf("parsed as a whole %q, in pieces %q", whole, pieces)
 		}
 		if failed := len(whole) > 0 && whole[len(whole)-1] == "error"; !failed && held != left {
-			t.Fatalf("whole it holds %d bytes, in pieces %d", held, left)
+			t.Fatalf("%d bytes are buffered after the whole, %d after the pieces", held, left)
 		}
 	})
 }
--- a/internal/lab/link/address.go
+++ b/internal/lab/link/address.go
@@ -2,17 +2,15 @@
 
 import "strings"
 
-// AddressMapper is a Fabric on which programs outside the modelled services
-// (the nodes) reach the machines at other addresses than the services do.
+// AddressMapper is a Fabric on which programs outside the modelled services (the nodes) reach the modelled machines
+// at other addresses than the services do.
 type AddressMapper interface {
-	// MapAddress returns where the program on the machine by reaches an address
-	// of the modelled services.
+	// MapAddress returns the address at which the program on the machine by reaches a modelled address.
 	MapAddress(by, addr string) string
 }
 
-// MapAddress returns where the program on the machine by reaches an address:
-// at that address, unless the Fabric is an AddressMapper. An empty address
-// stays empty.
+// MapAddress returns the address at which the program on the machine by reaches addr: addr itself, unless the Fabric
+// is an AddressMapper. An empty address stays empty.
 func MapAddress(f Fabric, by, addr string) string {
 	mapper, ok := f.(AddressMapper)
 	if !ok || addr == "" {
--- a/internal/lab/link/direct/conn.go
+++ b/internal/lab/link/direct/conn.go
@@ -12,14 +12,13 @@
 	closed          bool     // closed or reset here
 	handlerEnded    bool     // handler.End was called
 	finishedSending bool     // CloseWrite was called
-	beforeUp        []func() // what was called before Up
+	beforeUp        []func() // calls made before Up
 	paused          bool
-	whilePaused     []func() // what arrived while reading was paused
-	unread          int      // bytes on their way here, or not read because of the pause
+	whilePaused     []func() // deliveries withheld while reading is paused
+	unread          int      // bytes in flight to this end, or not read because of the pause
 }
 
-// answered: the other side has accepted the connection of an end that dialed,
-// or nobody listens there.
+// answered processes the answer to the dial: whether a listener exists. Its handler is nil if it did not accept.
 func (e *end) answered(listening bool) {
 	server := e.other
 	switch {
@@ -37,7 +36,7 @@
 	}
 }
 
-// opened: the connection of an end that dialed is up.
+// opened reports that the dialed connection is up, and performs the stored calls.
 func (e *end) opened() {
 	e.up = true
 	e.handler.Up(e)
@@ -67,7 +66,7 @@
 	}
 }
 
-// deliver lets something happen at the other end, in order.
+// deliver calls do at the other end after the delay, in order.
 func (e *end) deliver(do func()) {
 	other := e.other
 	e.fabric.loop.After(e.fabric.delay, func() {
--- a/internal/lab/link/direct/direct.go
+++ b/internal/lab/link/direct/direct.go
@@ -1,6 +1,5 @@
-// Package direct implements a link.Fabric without faults, chance or bounds:
-// every byte takes the same time. Tests of the modelled services run over it, so
-// that what they see is caused by the services alone.
+// Package direct implements a link.Fabric without faults, randomness or limits: every byte has the same delay. Tests
+// of the modelled services use it, so that their results depend on the services alone.
 package direct
 
 import (
@@ -12,20 +11,20 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// Fabric carries everything after the same delay.
+// Fabric delivers everything after the same delay.
 type Fabric struct {
-	// OpenEnds counts the ends of connections that were neither closed nor reset.
+	// OpenEnds is the number of connection ends that were neither closed nor reset.
 	OpenEnds int
-	// ResetsLeaveUnread makes every Reset look like one that left bytes unread.
+	// ResetsLeaveUnread makes every Reset report ErrUnread to the other side.
 	ResetsLeaveUnread bool
 
 	loop      *loop.Loop
 	delay     time.Duration // one way
 	listeners map[string]*listener
-	dialed    map[string]int // connections dialed, by "from>to"
+	dialed    map[string]int // number of connections dialed, by "from>host"
 }
 
-// New returns a Fabric with a delay one way.
+// New returns a Fabric with a one-way delay.
 func New(l *loop.Loop, delay time.Duration) *Fabric {
 	return &Fabric{
 		loop:      l,
@@ -58,8 +57,7 @@
 	}
 }
 
-// Dial implements link.Fabric. The timeout does not matter: connections are up,
-// or refused, after the delay there and back.
+// Dial implements link.Fabric. It ignores the timeout: the connection is up or refused after one round trip.
 func (f *Fabric) Dial(from, to string, _ time.Duration, h link.Handler) link.Conn {
 	host, _, _ := net.SplitHostPort(to)
 	route := from + ">" + host
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -12,28 +12,26 @@
 	"time"
 )
 
-// How a connection ends, as Handler.End reports it.
+// Errors that Handler.End receives, one per way in which a connection ends.
 var (
-	// ErrEOF: the other side has ended its sending; everything it sent has arrived.
+	// ErrEOF means that the other side has ended its sending and everything it sent has arrived.
 	ErrEOF = errors.New("end of stream")
-	// ErrReset: the connection was reset; the other side may or may not have
-	// read what was sent.
+	// ErrReset means that the connection was reset; the other side may or may not have read the sent bytes.
 	ErrReset = errors.New("reset")
-	// ErrUnread: a reset which proves that the other side had not read all that
-	// this side had sent when it closed.
+	// ErrUnread means a reset which proves that the other side, when it closed, had not read everything that this side
+	// had sent.
 	ErrUnread = errors.New("reset with bytes unread")
-	// ErrRefused: nobody listens there.
+	// ErrRefused means that nobody listens at the address.
 	ErrRefused = errors.New("refused")
-	// ErrTimedOut: the connection did not come up in time.
+	// ErrTimedOut means that the connection was not established in time.
 	ErrTimedOut = errors.New("connection timed out")
 )
 
 // Fabric is a network between machines, which are known by the host part of
 // their addresses.
 type Fabric interface {
-	// Listen accepts connections at addr (host:port). accept returns the handler
-	// of each one, or nil, which resets it. It is an error if the address is in
-	// use.
+	// Listen accepts connections at addr (host:port). accept returns the handler of each connection, or nil to reset it.
+	// Listen returns an error if the address is in use.
 	Listen(addr string, accept func(c Conn) Handler) (Listener, error)
 	// Dial opens a connection from a host to an address. It calls h.Up once the
 	// connection is up, or h.End with ErrRefused or ErrTimedOut.
@@ -43,7 +41,7 @@
 // Listener accepts connections until it is closed. Accepted connections stay open.
 type Listener interface{ Close() }
 
-// Handler is notified of what happens on a connection.
+// Handler is notified of the events on a connection.
 type Handler interface {
 	// Up reports that the connection is up. It is not called for the connections
 	// of a Listener, which are up from the start.
@@ -59,17 +57,17 @@
 
 // Conn is one end of a connection. Its methods do nothing once it is closed.
 type Conn interface {
-	// ID identifies the connection, equally at both its ends and in every run of
-	// one seed: "c1>n2#7" is the seventh from host c1 to host n2.
+	// ID identifies the connection. It is the same at both ends and in every run of one seed: "c1>n2#7" is the seventh
+	// connection from host c1 to host n2.
 	ID() string
-	// Write sends bytes. Before Up they are stored.
+	// Write sends bytes. Bytes written before Up are stored until then.
 	Write(b []byte)
-	// CloseWrite ends the sending; the other side gets ErrEOF.
+	// CloseWrite ends the sending; the other side is notified of ErrEOF.
 	CloseWrite()
-	// Close ends both directions; the other side gets ErrEOF, or ErrUnread if
-	// bytes that it sent had not been read here.
+	// Close closes both directions; the other side is notified of ErrEOF, or of ErrUnread if this side had not read all
+	// bytes sent to it.
 	Close()
-	// Reset resets the connection; the other side gets ErrReset or ErrUnread.
+	// Reset resets the connection; the other side is notified of ErrReset or ErrUnread.
 	Reset()
 	// PauseReading stops or resumes the reading. While it is paused, Data is not
 	// called and the other side's writes fill the window.
--- a/internal/lab/link/tap.go
+++ b/internal/lab/link/tap.go
@@ -8,25 +8,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Tap observes every event on a Fabric, in order: it is how a run is traced and
-// checked. It is called on the goroutine of the run's loop.Loop, and must not
-// keep Event.Data after the call returns.
+// Tap observes every event on a Fabric, in order, which allows a run to be traced and checked. It is called on the
+// goroutine of the run's loop.Loop, and must not keep Event.Data after the call returns.
 type Tap interface{ Observe(event Event) }
 
-// EventKind is what happened on a connection.
+// EventKind is the kind of an event on a connection.
 type EventKind uint8
 
 // The kinds of events.
 const (
-	Dial     EventKind = iota // From asks for a connection to To
-	Open                      // it is up: first at To's side (Back), then at the side that dialed
-	Fail                      // it did not come up, for the reason in Note
-	Sent                      // bytes left the sending machine completely
+	Dial     EventKind = iota // From requests a connection to To
+	Open                      // the connection is up: first at To's side (Back), then at the side that dialed
+	Fail                      // the connection could not be established, for the reason in Note
+	Sent                      // bytes were sent by the sending machine
 	Arrived                   // bytes reached the other machine
 	Read                      // bytes were read by the program there
 	Finished                  // the sender ended its sending
 	Reset                     // an end of the connection was reset, for the reason in Note
-	Closed                    // the program at one end closed it; Note says "unread" if it left bytes
+	Closed                    // the program at one end closed the connection; Note is "unread" if it left bytes unread
 )
 
 // eventNames are the names of the kinds in a trace.
@@ -42,14 +41,14 @@
 	From string // the host that dialed the connection
 	To   string // the address that it dialed
 	Back bool   // from To's side to From's; for Open, Closed, Reset: at To's side
-	Data []byte // of Sent and Arrived; for Read only its length counts
-	Note string // why, or how, in a word; "" for most
+	Data []byte // the bytes of Sent and Arrived; for Read only the length counts
+	Note string // reason or manner of the event, in a word or two; usually empty
 }
 
 // String returns the event's line in a trace.
 func (e Event) String() string { return string(e.Append(nil)) }
 
-// maxShown bounds the bytes of Data that a line shows; a hash stands for the rest.
+// maxShown is the maximum number of bytes of Data that a line shows; a hash identifies all of them.
 const maxShown = 80
 
 // Append appends the event's line in a trace, without a line end.
--- a/internal/lab/loop/loop.go
+++ b/internal/lab/loop/loop.go
@@ -1,10 +1,8 @@
-// Package loop runs the functions of a lab one at a time, each at an instant of
-// its own, on whatever clock package time shows: the virtual one inside a
-// testing/synctest bubble, or the machine's.
+// Package loop runs the functions of a lab one at a time, each at a different instant, on the clock that package time
+// shows: the virtual clock of a testing/synctest bubble, or the machine's clock.
 //
-// Everything that the lab models (peers, discovery, clients, the network, the
-// faults) runs on one Loop and needs no lock. What runs on goroutines of its
-// own, as nodes do, reaches the Loop by Post.
+// Everything that the lab models (peers, discovery, clients, the network, the faults) runs on one Loop and needs no
+// lock. Code that runs on other goroutines, such as the nodes, calls Post.
 package loop
 
 import (
@@ -16,12 +14,12 @@
 	"time"
 )
 
-// maxBurst is how many timers that are due run in a row where the loop does not
-// wait for goroutines: more would delay what those post.
+// maxBurst is the maximum number of due timers that run consecutively where the loop does not wait for goroutines:
+// more would delay the functions that goroutines post.
 const maxBurst = 64
 
-// Loop is a queue of timers and of posted functions. All methods but Post and
-// Now belong to the goroutine of Run, or to whoever has not yet started it.
+// Loop is a queue of timers and of posted functions. All methods except Post and Now belong to the goroutine of Run,
+// or to the creator until Run is called.
 type Loop struct {
 	waitIdle     func() // nil: the loop does not wait for goroutines
 	start        time.Time
@@ -33,10 +31,9 @@
 	wake   chan struct{} // holds one element: something was posted
 }
 
-// New returns a Loop whose time begins now. waitIdle waits until every goroutine
-// that a function on the Loop has started is blocked. If it is nil, the Loop
-// does not wait for goroutines, and the order of what they post is up to the
-// scheduler.
+// New returns a Loop whose time begins now. waitIdle waits until every goroutine that a function on the Loop has
+// started is blocked. If it is nil, the Loop does not wait for goroutines, and the order of their posts depends on
+// the scheduler.
 func New(waitIdle func()) *Loop {
 	return &Loop{
 		waitIdle:     waitIdle,
@@ -49,12 +46,11 @@
 // Now returns the time since the Loop was made. It is safe for concurrent use.
 func (l *Loop) Now() time.Duration { return time.Since(l.start) }
 
-// Start returns the instant at which the Loop was made, by the clock.
+// Start returns the clock time at which the Loop was made.
 func (l *Loop) Start() time.Time { return l.start }
 
-// Key orders what is posted at one instant: by Source, then by Sequence. Each
-// post has a Key of its own, which must not depend on the scheduling of
-// goroutines.
+// Key orders the functions posted at one instant: by Source, then by Sequence. Each post has a unique Key, which must
+// not depend on the scheduling of goroutines.
 type Key struct {
 	Source   string
 	Sequence uint64
@@ -65,8 +61,8 @@
 	run func()
 }
 
-// Post runs a function on the Loop at the present instant, after everything
-// that runs now is blocked. It is safe for concurrent use.
+// Post runs a function on the Loop at the present instant, once all running functions and goroutines are blocked. It
+// is safe for concurrent use.
 func (l *Loop) Post(k Key, run func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, post{key: k, run: run})
@@ -77,10 +73,9 @@
 	}
 }
 
-// Run runs timers and posted functions until ctx ends, the time until is
-// reached, or done reports true; done may be nil. It returns whether done did.
-// done is called after each timer or, where the Loop does not wait for
-// goroutines, after some.
+// Run runs timers and posted functions until ctx ends, the time until is reached, or done returns true; done may be
+// nil. Run reports whether done returned true. done is called after each timer or, where the Loop does not wait for
+// goroutines, after at most maxBurst.
 func (l *Loop) Run(ctx context.Context, until time.Duration, done func() bool) bool {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -99,7 +94,7 @@
 		}
 		switch {
 		case next > now:
-			// What the nodes do at the next instant goes before the timer of the lab.
+			// The nodes' timers of the next instant run before the timer of the lab.
 			timer.Reset(next - now)
 			l.wait(ctx, timer)
 		case l.waitIdle != nil:
@@ -120,7 +115,7 @@
 	}
 }
 
-// runDue runs timers that are due, at most maxBurst.
+// runDue runs the timers that are due, at most maxBurst of them.
 func (l *Loop) runDue() {
 	for range maxBurst {
 		if !l.runNext(l.Now()) {
@@ -140,8 +135,8 @@
 	return true
 }
 
-// runPosted runs what was posted until nothing is left. Where the Loop does not
-// wait for goroutines it does so once only, since they may post without end.
+// runPosted runs posted functions until none is left. Where the Loop does not wait for goroutines, it runs one batch
+// only, since they may post without end.
 func (l *Loop) runPosted() {
 	if l.waitIdle == nil {
 		l.runBatch()
@@ -152,8 +147,7 @@
 	}
 }
 
-// runBatch runs what has been posted by now, in the order of the keys, and
-// reports whether that was anything.
+// runBatch runs the functions posted until now, in the order of their keys, and reports whether there were any.
 func (l *Loop) runBatch() bool {
 	batch := l.takePosted()
 	slices.SortStableFunc(batch, func(a, b post) int {
@@ -162,13 +156,13 @@
 	for _, p := range batch {
 		p.run()
 		if l.waitIdle == nil {
-			l.runDue() // or timers would be late by all that was posted
+			l.runDue() // otherwise all posted functions would delay the timers
 		}
 	}
 	return len(batch) > 0
 }
 
-// takePosted removes and returns what has been posted by now.
+// takePosted removes and returns the functions posted until now.
 func (l *Loop) takePosted() []post {
 	select {
 	case <-l.wake:
--- a/internal/lab/loop/loop_test.go
+++ b/internal/lab/loop/loop_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// runLoop plays f on a loop of its own in a bubble, for a virtual minute.
+// runLoop calls f with a new loop in a synctest bubble and runs the loop for a virtual minute.
 func runLoop(t *testing.T, f func(l *Loop)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -20,7 +20,8 @@
 	})
 }
 
-// Guards the first condition of sameness: no two events share an instant, and none falls where ticks do.
+// TestInstantsAreDistinct guards the first condition of determinism: no two timers share an instant, and none falls
+// on a whole microsecond, where the nodes' ticks are.
 func TestInstantsAreDistinct(t *testing.T) {
 	runLoop(t, func(l *Loop) {
 		seen := map[time.Duration]bool{}
@@ -28,14 +29,14 @@
 			l.At(5*time.Millisecond, func() {
 				now := l.Now()
 				if seen[now] || now%time.Microsecond == 0 {
-					t.Errorf("an event at %v", now)
+					t.Errorf("timer ran at %v: not a free instant", now)
 				}
 				seen[now] = true
 			})
 		}
 		l.At(time.Second, func() {
 			if len(seen) != 3000 {
-				t.Errorf("%d events happened", len(seen))
+				t.Errorf("%d timers ran, want 3000", len(seen))
 			}
 		})
 	})
@@ -43,20 +44,21 @@
 
 func TestStop(t *testing.T) {
 	runLoop(t, func(l *Loop) {
-		e := l.After(time.Second, func() { t.Error("a stopped event happened") })
+		e := l.After(time.Second, func() { t.Error("a stopped timer ran") })
 		if !e.Stop() || e.Stop() || (*Timer)(nil).Stop() {
-			t.Error("Stop lied")
+			t.Error("Stop did not return true, false and, for nil, false")
 		}
 		var again *Timer
 		again = l.After(time.Second, func() {
 			if again.Stop() {
-				t.Error("an event that happens was stopped")
+				t.Error("Stop returned true for a running timer")
 			}
 		})
 	})
 }
 
-// Guards the second: what goroutines post at one instant does not hang on which ran first.
+// TestPostsAreSorted guards the second condition of determinism: the order of functions that goroutines post at one
+// instant does not depend on the scheduling of the goroutines.
 func TestPostsAreSorted(t *testing.T) {
 	var first []string
 	for i := range 50 {
@@ -74,12 +76,13 @@
 			first = got
 		}
 		if len(got) != 20 || !slices.Equal(got, first) {
-			t.Fatalf("run %d: %v, not %v", i, got, first)
+			t.Fatalf("run %d: %v, want %v", i, got, first)
 		}
 	}
 }
 
-// Guards the third: what a timer of a node's sets off goes before the loop's own event of that instant.
+// TestNodeTimersRunFirst guards the third condition of determinism: a function posted by a node's timer runs before
+// the loop's own timer of that instant.
 func TestNodeTimersRunFirst(t *testing.T) {
 	runLoop(t, func(l *Loop) {
 		var order []string
@@ -88,7 +91,7 @@
 		time.AfterFunc(at, func() { l.Post(Key{Source: "timer"}, func() { order = append(order, "timer") }) })
 		l.At(time.Second, func() {
 			if !slices.Equal(order, []string{"timer", "event"}) {
-				t.Error(order)
+				t.Error("order of the functions:", order)
 			}
 		})
 	})
@@ -102,20 +105,21 @@
 		again = func() { n++; l.After(time.Second, again) }
 		again()
 		if l.Run(t.Context(), 10*time.Second+time.Millisecond, nil) || n != 11 {
-			t.Errorf("%d events by the end", n)
+			t.Errorf("%d timers ran until the time limit, want 11, or done was reported", n)
 		}
 		if !l.Run(t.Context(), time.Hour, func() bool { return n == 20 }) || l.Pending() != 1 {
-			t.Error("it did not end when it was done")
+			t.Error("Run did not return when done returned true")
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		l.After(time.Second/2, stop)
 		if l.Run(ctx, time.Hour, nil) || l.Now() > 21*time.Second {
-			t.Error("it did not end with its context")
+			t.Error("Run did not return when its context ended")
 		}
 	})
 }
 
-// Guards events, on the machine's clock, against goroutines that post faster than the loop runs it.
+// TestPostsDoNotStarveTimers guards against goroutines that, on the machine's clock, post faster than the loop runs
+// their functions and keep timers from running.
 func TestPostsDoNotStarveTimers(t *testing.T) {
 	l := New(nil)
 	over := false
@@ -128,12 +132,12 @@
 	l.Post(Key{}, again)
 	l.After(time.Millisecond, func() { over = true })
 	if !l.Run(t.Context(), time.Minute, func() bool { return over }) {
-		t.Error("the event did not happen")
+		t.Error("the timer did not run")
 	}
 }
 
-// Guards the loop against falling further behind, the more goroutines post: events that are due do not wait for
-// all of that, one by one.
+// TestTimersRunInBursts guards against a loop that falls further behind the more goroutines post: due timers run in
+// bursts instead of one timer after each posted function.
 func TestTimersRunInBursts(t *testing.T) {
 	l := New(nil)
 	posts, events := 0, 0
@@ -147,11 +151,12 @@
 		l.After(0, func() { events++ })
 	}
 	if !l.Run(t.Context(), time.Minute, func() bool { return events >= 2*maxBurst+5 }) || posts > 10 {
-		t.Errorf("%d events with %d posts", events, posts)
+		t.Errorf("%d timers ran along with %d posts", events, posts)
 	}
 }
 
-// On the machine's clock the loop is the same, with nobody to wait for.
+// TestRealClock checks that the loop runs timers and posted functions on the machine's clock, where it does not wait
+// for goroutines.
 func TestRealClock(t *testing.T) {
 	l := New(nil)
 	var mu sync.Mutex
@@ -159,6 +164,6 @@
 	go l.Post(Key{}, func() { mu.Lock(); n++; mu.Unlock() })
 	l.After(time.Millisecond, func() { n++ })
 	if !l.Run(t.Context(), time.Minute, func() bool { return n == 2 }) {
-		t.Error("not done")
+		t.Error("the timer and the posted function did not both run")
 	}
 }
--- a/internal/lab/loop/timer.go
+++ b/internal/lab/loop/timer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Timer is a function that is to run on a Loop at an instant.
+// Timer is a function scheduled to run on a Loop at an instant.
 type Timer struct {
 	at    time.Duration
 	run   func()
@@ -13,9 +13,9 @@
 	loop  *Loop
 }
 
-// At runs a function at an instant, or, if that is past or another timer has
-// it, at the next one that is free. Whole microseconds are left to the timers of
-// the nodes, whose ticks fall there, so that no timer of the lab meets them.
+// At runs a function at an instant. If the instant is past or another timer has it, the function runs at the next
+// free one. Whole microseconds are reserved for the timers of the nodes, whose ticks fall on them, so that no timer
+// of the lab shares an instant with them.
 func (l *Loop) At(at time.Duration, run func()) *Timer {
 	at = l.freeInstant(max(at, l.Now()))
 	l.usedInstants[at] = struct{}{}
@@ -24,7 +24,7 @@
 	return t
 }
 
-// freeInstant returns the first instant from at on that a timer may have.
+// freeInstant returns the first free instant that is not before at.
 func (l *Loop) freeInstant(at time.Duration) time.Duration {
 	for {
 		if at%time.Microsecond == 0 {
@@ -40,8 +40,7 @@
 // After runs a function once d has passed.
 func (l *Loop) After(d time.Duration, run func()) *Timer { return l.At(l.Now()+d, run) }
 
-// Stop keeps a timer from running and reports whether it did so. It may be
-// called on nil.
+// Stop keeps a timer from running, and reports whether it did so. It may be called on a nil Timer.
 func (t *Timer) Stop() bool {
 	if t == nil || t.index < 0 {
 		return false
@@ -51,7 +50,7 @@
 	return true
 }
 
-// Pending returns how many timers are still to run.
+// Pending returns the number of timers that have not yet run.
 func (l *Loop) Pending() int { return len(l.queue) }
 
 // timerQueue is a heap of timers, the earliest first.
--- a/internal/lab/network/conn.go
+++ b/internal/lab/network/conn.go
@@ -8,53 +8,53 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// conn is a connection, or the attempt at one. It belongs to the loop.
+// conn is a connection, or a dial in progress. It belongs to the loop.
 type conn struct {
 	net        *Net
 	id         string
-	from, to   string // machine that dialed, address dialed
-	host       string // of to
-	dialNumber uint64 // of those from there to there
+	from, to   string // host that dialed; address that it dialed
+	host       string // host part of to
+	dialNumber uint64 // number of this connection among those from the host from to the host
 	pathDelay  time.Duration
-	ends       [2]end  // the one that dialed; the other
-	pipes      [2]pipe // from each of them
+	ends       [2]end  // the end that dialed; the end that accepted
+	pipes      [2]pipe // indexed by the sending end
 	dialTimer  *loop.Timer
 
-	silent      bool // nothing that is sent arrives any more
-	stale       bool // the machine at one end was away and knows it no more
+	silent      bool // every packet sent from now on is dropped
+	stale       bool // the machine at one end has vanished, and does not know the connection after its return
 	silencePlan *silencePlan
 }
 
-// end is one end of a connection; the world's hold it as a link.Conn.
+// end is one end of a connection. A modelled service holds it as a link.Conn.
 type end struct {
 	conn    *conn
-	side    int          // 0: it dialed
-	handler link.Handler // of the world's
-	port    *port        // of the nodes'
+	side    int          // 0: the end that dialed; 1: the end that accepted
+	handler link.Handler // of a modelled service
+	port    *port        // of a node
 
-	held      bool // a program holds it: it counts as open
+	held      bool // a program holds this end, which makes the connection count as open
 	up        bool
-	closed    bool // nothing is sent or heard here any more
-	finSent   bool // the sending has ended
-	wroteData bool // bytes were sent
-	resetSent bool // a reset was
+	closed    bool // this end neither sends nor receives any more
+	finSent   bool // a FIN was sent
+	wroteData bool // at least one byte was sent
+	resetSent bool // a reset was sent
 
-	// Of the world's, see world.go.
+	// Used for the ends of modelled services only; see world.go.
 	paused      bool
-	unreadData  []byte // they came meanwhile
-	finPending  bool   // and behind them the end
-	endNotified bool   // the handler has heard the end, which it does once
+	unreadData  []byte // bytes that arrived while reading was paused
+	finPending  bool   // a FIN arrived behind unreadData
+	endNotified bool   // Handler.End was called, which happens at most once
 	sendQueue   [][]byte
-	closing     bool // the end of the sending stands behind the outbox
-	windowUsed  int  // of the window
+	closing     bool // CloseWrite was called: a FIN follows the last write of sendQueue
+	windowUsed  int  // bytes of the window in use
 }
 
 func (n *Net) newConn(from, to string) *conn {
 	host := hostOf(to)
-	way := from + ">" + host
-	n.dialCounts[way]++
-	c := &conn{net: n, from: from, to: to, host: host, dialNumber: n.dialCounts[way], pathDelay: n.pathDelay(from, host)}
-	c.id = way + "#" + strconv.FormatUint(c.dialNumber, 10)
+	route := from + ">" + host
+	n.dialCounts[route]++
+	c := &conn{net: n, from: from, to: to, host: host, dialNumber: n.dialCounts[route], pathDelay: n.pathDelay(from, host)}
+	c.id = route + "#" + strconv.FormatUint(c.dialNumber, 10)
 	for i := range 2 {
 		c.ends[i] = end{conn: c, side: i}
 		c.pipes[i] = pipe{conn: c, side: i}
@@ -69,7 +69,7 @@
 
 func (e *end) back() bool { return e.side == 1 }
 
-// send sends a parcel.
+// send passes a packet to the pipe of this end.
 func (e *end) send(k packetKind, b []byte, err error) { e.conn.pipes[e.side].enqueue(k, b, err) }
 
 // write sends bytes that the program has written.
@@ -83,7 +83,7 @@
 	e.send(data, b, nil)
 }
 
-// endWriting ends the sending.
+// endWriting sends a FIN, once.
 func (e *end) endWriting() {
 	if !e.closed && !e.finSent {
 		e.finSent = true
@@ -92,8 +92,8 @@
 	}
 }
 
-// closeBoth ends both ways, as the program wants it. Bytes that it has not read make
-// it a reset, as in a kernel.
+// closeBoth closes both directions when the program asks for it. If the program has left bytes unread, the other side
+// receives a reset, as from a kernel.
 func (e *end) closeBoth(unread bool) {
 	switch {
 	case e.closed:
@@ -113,7 +113,7 @@
 	e.release()
 }
 
-// closeUnaccepted ends a connection that no program has taken: none of it was read.
+// closeUnaccepted resets a connection that no program has accepted, so that nothing was read from it.
 func (e *end) closeUnaccepted(unread bool) {
 	if !e.closed {
 		note := ""
@@ -126,7 +126,7 @@
 	e.release()
 }
 
-// abort breaks the connection from here, and says why in the trace.
+// abort resets the connection from this end. note is the reason in the trace.
 func (e *end) abort(note string) {
 	if !e.closed && e.up {
 		e.conn.net.observe(link.Reset, e.conn, e.back(), nil, note)
@@ -136,7 +136,7 @@
 	e.release()
 }
 
-// discard forgets the connection without a word.
+// discard drops the state of this end without sending anything.
 func (e *end) discard() {
 	if !e.closed && !e.up {
 		e.conn.dialTimer.Stop()
@@ -145,7 +145,7 @@
 	e.closed, e.unreadData, e.sendQueue, e.closing = true, nil, nil, false
 }
 
-// reset tells the other side that the connection is no more, once.
+// reset closes this end and sends a reset, at most once.
 func (e *end) reset(err error) {
 	e.discard()
 	if !e.resetSent {
@@ -154,7 +154,7 @@
 	}
 }
 
-// release notes that no program holds this end any more.
+// release records that no program holds this end any more, and forgets the connection once neither end is held.
 func (e *end) release() {
 	e.held = false
 	if !e.other().held {
@@ -162,8 +162,7 @@
 	}
 }
 
-// deliver hands bytes that came to the program. Where it has closed, its kernel
-// answers with a reset.
+// deliver passes received bytes to the program. If the program has closed this end, the kernel answers with a reset.
 func (e *end) deliver(b []byte) {
 	switch {
 	case e.closed:
@@ -179,7 +178,7 @@
 	}
 }
 
-// releaseWindow gives room back in the window: the other side has read.
+// releaseWindow frees n bytes of the window after the other side has read them.
 func (e *end) releaseWindow(n int) {
 	if e.port != nil {
 		e.port.releaseWindow(n)
@@ -189,7 +188,7 @@
 	e.flush()
 }
 
-// receiveFin takes in that the other side has ended its sending.
+// receiveFin processes a FIN from the other side.
 func (e *end) receiveFin() {
 	switch {
 	case e.closed:
@@ -205,24 +204,23 @@
 	}
 }
 
-// peerClosedUnread reports whether the other side has closed both ways while bytes from
-// here were still on their way. A kernel would tell by a reset, a moment after
-// the end; the world hears it in place of the end.
+// peerClosedUnread reports whether the other side has closed both directions while bytes sent from here were still in
+// flight. A kernel would send a reset shortly after the FIN; the handler gets that reset in place of the FIN.
 func (e *end) peerClosedUnread() bool {
 	p := &e.conn.pipes[e.side]
 	return e.other().closed && (p.bytesInFlight > 0 || p.dataAfterClose || len(e.sendQueue) > 0)
 }
 
-// receiveReset takes in a reset.
+// receiveReset processes a reset from the other side.
 func (e *end) receiveReset(err error) {
 	switch {
 	case e.closed:
 		return
-	case !e.up: // its granting was lost
+	case !e.up: // the packet that accepts the connection was lost
 		e.dialFailed(link.ErrRefused)
 		return
 	case err == link.ErrUnread && !e.wroteData:
-		err = link.ErrReset // it sent nothing that could be unread
+		err = link.ErrReset // this end sent nothing that could be unread
 	}
 	note := "reset"
 	if err == link.ErrUnread {
@@ -231,7 +229,7 @@
 	e.conn.net.observe(link.Reset, e.conn, e.back(), nil, note)
 	e.discard()
 	if e.port != nil {
-		e.port.receiveReset() // it is held until the program closes it
+		e.port.receiveReset() // the node holds this end until it closes it
 		return
 	}
 	e.release()
--- a/internal/lab/network/deadline.go
+++ b/internal/lab/network/deadline.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// deadline is until when a port's reads, or its writes, may take.
+// deadline is the time limit of the reads or the writes of a port.
 type deadline struct {
-	at    time.Time // zero: for ever
+	at    time.Time // zero: no limit
 	timer *time.Timer
 }
 
-// set changes it. wake is called around the time that it passes.
+// set changes the deadline. wake is called at about the time at which the deadline expires.
 func (d *deadline) set(t time.Time, wake func()) {
 	d.at = t
 	switch wait := time.Until(t); {
--- a/internal/lab/network/dial.go
+++ b/internal/lab/network/dial.go
@@ -8,15 +8,15 @@
 	"olivebridge/internal/lab/link"
 )
 
-// listener takes connections that come.
+// listener accepts incoming connections.
 type listener interface {
-	// handleConn is given the end here. It is called on the loop.
+	// handleConn receives the accepting end of a connection. It is called on the loop.
 	handleConn(e *end)
-	// processKilled: its process was killed.
+	// processKilled is called when the process of the listener was killed.
 	processKilled()
 }
 
-// modelListener is one of the world's.
+// modelListener is the listener of a modelled service.
 type modelListener struct {
 	net    *Net
 	addr   string
@@ -43,7 +43,7 @@
 // Close implements link.Listener.
 func (l *modelListener) Close() { l.net.unlisten(l.addr, l) }
 
-// listen reports whether the address was free.
+// listen registers a listener, and reports whether the address was free.
 func (n *Net) listen(addr string, l listener) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -57,7 +57,7 @@
 func (n *Net) unlisten(addr string, l listener) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.listeners[addr] == l { // else a later one has it
+	if n.listeners[addr] == l { // a later listener may have taken the address
 		delete(n.listeners, addr)
 	}
 }
@@ -70,7 +70,7 @@
 	return &c.ends[0]
 }
 
-// dial asks for the connection; no timeout leaves the kernel's.
+// dial requests the connection. A timeout of zero or less means kernelDialTimeout.
 func (c *conn) dial(timeout time.Duration) {
 	if timeout <= 0 {
 		timeout = kernelDialTimeout
@@ -80,8 +80,8 @@
 	c.ends[0].send(syn, nil, nil)
 }
 
-// connect is what the machine dialed does when it is asked. Its kernel grants
-// the connection before any program there takes it.
+// connect processes the request on the machine that was dialed. Its kernel accepts the connection before a program
+// there does.
 func (c *conn) connect() {
 	n, e := c.net, &c.ends[1]
 	n.mu.Lock()
@@ -93,13 +93,13 @@
 		return
 	}
 	e.up, e.held = true, true
-	n.conns[c.id] = c // whoever dialed may have left
+	n.conns[c.id] = c // the end that dialed may have released it already
 	n.observe(link.Open, c, true, nil, "")
 	e.send(synAck, nil, nil)
 	l.handleConn(e)
 }
 
-// connected brings the connection up where it was dialed.
+// connected processes the acceptance at the end that dialed.
 func (e *end) connected() {
 	if e.closed {
 		e.reset(link.ErrReset)
@@ -116,18 +116,18 @@
 	e.handler.Up(e)
 }
 
-// dialFailed tells who dialed that the connection does not come up.
-func (e *end) dialFailed(why error) {
+// dialFailed reports to the program that dialed that the connection could not be established.
+func (e *end) dialFailed(err error) {
 	if e.closed || e.up {
 		return
 	}
 	e.closed = true
 	e.conn.dialTimer.Stop()
-	e.conn.net.observe(link.Fail, e.conn, false, nil, why.Error())
+	e.conn.net.observe(link.Fail, e.conn, false, nil, err.Error())
 	e.release()
 	if e.port != nil {
-		e.port.dialFailed(why)
+		e.port.dialFailed(err)
 		return
 	}
-	e.handler.End(e, why)
+	e.handler.End(e, err)
 }
--- a/internal/lab/network/faults.go
+++ b/internal/lab/network/faults.go
@@ -9,21 +9,20 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// retransmitLimit is how long a machine goes on sending anew what is not acknowledged.
-// Whatever is lost for longer is lost for good.
+// retransmitLimit is the duration for which a machine retransmits unacknowledged packets. A connection whose packets
+// are lost for longer delivers nothing any more.
 const retransmitLimit = time.Second
 
-// machine is the one at an end.
+// machine returns the host of this end.
 func (e *end) machine() string { return [2]string{e.conn.from, e.conn.host}[e.side] }
 
-// Kill ends the process on a machine: its connections are reset, its listeners
-// are no more, and its calls fail. What listens or dials there afterwards is
-// another process.
+// Kill ends the process on a machine: its connections are reset, its listeners are closed, and its calls fail.
+// A process that listens or dials on the machine afterwards is a new one.
 func (n *Net) Kill(host string) {
 	n.mu.Lock()
 	h := n.hosts[host]
 	delete(n.hosts, host)
-	for addr, l := range n.listeners { // in no order, but nothing is heard of it
+	for addr, l := range n.listeners { // the order does not matter: closing a listener causes no event
 		if hostOf(addr) == host {
 			l.processKilled()
 			delete(n.listeners, addr)
@@ -32,7 +31,7 @@
 	n.mu.Unlock()
 	if h != nil {
 		h.mu.Lock()
-		h.dead = true
+		h.killed = true
 		h.mu.Unlock()
 	}
 	n.forEachConn(func(c *conn) {
@@ -49,8 +48,7 @@
 	})
 }
 
-// Vanish takes a machine off the network: what it sends and is sent is lost.
-// Whatever was on its way is, too.
+// Vanish takes a machine off the network: packets from it and to it are dropped, including those in flight.
 func (n *Net) Vanish(host string) {
 	n.vanished[host] = true
 	n.forEachConn(func(c *conn) {
@@ -61,23 +59,23 @@
 	})
 }
 
-// Return brings it back. It knows its connections no more: each breaks once
-// either side sends on it.
+// Return brings a vanished machine back. It no longer knows its earlier connections: each is reset once either side
+// sends on it.
 func (n *Net) Return(host string) { delete(n.vanished, host) }
 
-// dropInFlight clears both ways.
+// dropInFlight drops the packets in flight in both directions.
 func (c *conn) dropInFlight() {
 	c.pipes[0].dropAll()
 	c.pipes[1].dropAll()
 }
 
-// silence loses all that is sent from now on. Both ends believe the connection open.
+// silence drops every packet from now on, and those in flight. Both ends still take the connection for open.
 func (c *conn) silence() {
 	c.silent = true
 	c.dropInFlight()
 }
 
-// Hush silences the connections picked among those that are open now.
+// Hush silences those of the present connections whose IDs pick selects.
 func (n *Net) Hush(pick func(id string) bool) {
 	n.forEachConn(func(c *conn) {
 		if !c.ends[0].closed && !c.ends[1].closed && c.ends[0].up && pick(c.id) {
@@ -86,7 +84,7 @@
 	})
 }
 
-// hostRule concerns the machines of one set and those of another.
+// hostRule applies to connections between a machine that a selects and one that b selects.
 type hostRule struct {
 	a, b   func(host string) bool
 	factor float64
@@ -94,26 +92,27 @@
 
 func (r *hostRule) between(x, y string) bool { return r.a(x) && r.b(y) || r.a(y) && r.b(x) }
 
-// addRule adds a rule to those in force; without takes it away, once.
-func addRule(rules *[]*hostRule, r *hostRule, then func()) (without func()) {
+// addRule adds a rule to those in force. The function that it returns removes the rule and calls then; further calls
+// of it do nothing.
+func addRule(rules *[]*hostRule, r *hostRule, onRemove func()) (remove func()) {
 	*rules = append(*rules, r)
 	return func() {
 		if i := slices.Index(*rules, r); i >= 0 {
 			*rules = slices.Delete(*rules, i, i+1)
-			then()
+			onRemove()
 		}
 	}
 }
 
-// Slow makes the delays between two sets of machines times longer, for all that
-// is sent until healed.
+// Slow multiplies the delays between two sets of machines by factor, for the packets that are sent until heal is
+// called.
 func (n *Net) Slow(factor float64, a, b func(host string) bool) (heal func()) {
 	return addRule(&n.slowdowns, &hostRule{a, b, factor}, func() {})
 }
 
-// Cut parts two sets of machines. What was lost within the last second before it
-// heals comes late, as machines send it again; a connection that had lost
-// something earlier stays silent.
+// Cut partitions two sets of machines until heal is called. Packets that were blocked for at most a second when it
+// heals arrive late, since machines retransmit them; a connection with packets that were blocked for longer stays
+// silent.
 func (n *Net) Cut(a, b func(host string) bool) (heal func()) {
 	return addRule(&n.partitions, &hostRule{a: a, b: b}, func() {
 		n.forEachConn(func(c *conn) {
@@ -124,15 +123,16 @@
 	})
 }
 
-// connPartitioned reports whether a partition lies between the ends.
+// connPartitioned reports whether a partition separates the two ends of a connection.
 func (n *Net) connPartitioned(c *conn) bool { return n.Partitioned(c.from, c.host) }
 
-// Partitioned reports whether a partition lies between two machines.
+// Partitioned reports whether a partition separates two machines.
 func (n *Net) Partitioned(a, b string) bool {
 	return slices.ContainsFunc(n.partitions, func(r *hostRule) bool { return r.between(a, b) })
 }
 
-// heal goes on after a partition.
+// heal resumes the delivery after a partition, or silences the connection if packets were blocked for longer than
+// retransmitLimit.
 func (c *conn) heal() {
 	now := c.net.loop.Now()
 	for i := range c.pipes {
@@ -150,79 +150,79 @@
 	}
 }
 
-// silenceFault is a time in which new connections may fall silent.
+// silenceFault is a fault during which a share of the new connections to the matching hosts fall silent.
 type silenceFault struct {
 	share   float64
 	matches func(host string) bool
 }
 
-// silencePlan is when a connection falls silent: once it has carried that many requests
-// and no byte of an answer to the last, or a moment later.
+// silencePlan determines when a connection falls silent: after the request number lastRequest has arrived and before
+// the first byte of its response is sent, but no later than delay after the last byte of the request.
 type silencePlan struct {
 	fault        *silenceFault
-	lastRequest  int
+	lastRequest  int // number of the request after which the connection falls silent
 	delay        time.Duration
-	requestCount int
-	requestOpen  bool
+	requestCount int  // number of requests received, including an incomplete one
+	requestOpen  bool // no byte of the response to the last request was sent
 	timer        *loop.Timer
 }
 
-// maxRequestsUntilSilent bounds how many requests a connection carries until it falls silent.
+// maxRequestsUntilSilent is the maximum number of requests that a connection carries until it falls silent.
 const maxRequestsUntilSilent = 8
 
-// HushNew lets a share of the connections that are dialed to some machines from
-// now on fall silent, each right after it has brought one of its requests.
+// HushNew makes a share of the connections that are dialed to the hosts matching to from now on fall silent, each
+// right after it has delivered one of its requests. After stop, no further connection falls silent.
 func (n *Net) HushNew(share float64, to func(host string) bool) (stop func()) {
-	h := &silenceFault{share, to}
-	n.silenceFaults = append(n.silenceFaults, h)
+	fault := &silenceFault{share, to}
+	n.silenceFaults = append(n.silenceFaults, fault)
 	return func() {
-		n.silenceFaults = slices.DeleteFunc(n.silenceFaults, func(x *silenceFault) bool { return x == h })
+		n.silenceFaults = slices.DeleteFunc(n.silenceFaults, func(x *silenceFault) bool { return x == fault })
 	}
 }
 
-// drawSilencePlan draws whether a new connection will fall silent, and when.
+// drawSilencePlan draws whether and when a new connection falls silent.
 func (n *Net) drawSilencePlan(c *conn) {
 	var r *rand.Rand
-	for _, h := range n.silenceFaults {
-		if !h.matches(c.host) {
+	for _, fault := range n.silenceFaults {
+		if !fault.matches(c.host) {
 			continue
 		}
 		if r == nil {
 			r = figure.Stream(n.seed, c.id+" hush")
 		}
-		x, turn, pause := r.Float64(), 1+r.IntN(maxRequestsUntilSilent), pieceGap(r)
-		if x < h.share && c.silencePlan == nil {
-			c.silencePlan = &silencePlan{fault: h, lastRequest: turn, delay: pause}
+		draw, lastRequest, delay := r.Float64(), 1+r.IntN(maxRequestsUntilSilent), pieceGap(r)
+		if draw < fault.share && c.silencePlan == nil {
+			c.silencePlan = &silencePlan{fault: fault, lastRequest: lastRequest, delay: delay}
 		}
 	}
 }
 
-// requestReceived notes that bytes have come to an end.
+// requestReceived records that bytes have arrived at an end.
 func (c *conn) requestReceived(side int) {
-	h := c.silencePlan
-	if h == nil || side != 1 {
+	plan := c.silencePlan
+	if plan == nil || side != 1 {
 		return
 	}
-	if !h.requestOpen {
-		h.requestOpen = true
-		h.requestCount++
+	if !plan.requestOpen {
+		plan.requestOpen = true
+		plan.requestCount++
 	}
-	if h.requestCount == h.lastRequest && c.pipes[0].bytesInFlight == 0 {
-		h.timer.Stop() // what came was not yet the whole request
-		h.timer = c.net.loop.After(h.delay, c.becomeSilent)
+	if plan.requestCount == plan.lastRequest && c.pipes[0].bytesInFlight == 0 {
+		plan.timer.Stop() // the request had not yet arrived completely
+		plan.timer = c.net.loop.After(plan.delay, c.becomeSilent)
 	}
 }
 
-// responseSent notes that bytes leave an end.
+// responseSent records that an end sends bytes.
 func (c *conn) responseSent(side int) {
-	h := c.silencePlan
-	if h == nil || side != 1 {
+	plan := c.silencePlan
+	if plan == nil || side != 1 {
 		return
 	}
-	if h.requestOpen && h.requestCount == h.lastRequest {
+	if plan.requestOpen && plan.requestCount == plan.lastRequest {
 		c.becomeSilent()
 	}
-	h.requestOpen = false
+	plan.requestOpen = false
 }
 
 func (c *conn) becomeSilent() {
--- a/internal/lab/network/faults_test.go
+++ b/internal/lab/network/faults_test.go
@@ -19,8 +19,8 @@
 
 func anyHost(string) bool { return true }
 
-// What comes of a node's exchanges with a peer, each begun at an instant on one
-// connection, while faults come and go.
+// TestFaults checks the responses that a node gets from a peer on one connection, each requested at a given instant,
+// while faults start and end.
 func TestFaults(t *testing.T) {
 	type step struct {
 		at    time.Duration
@@ -32,36 +32,36 @@
 	vanish := func(host string) func(n *Net) { return func(n *Net) { n.Vanish(host) } }
 	back := func(host string) func(n *Net) { return func(n *Net) { n.Return(host) } }
 	kill := func(n *Net) { n.Kill("p1") }
-	const none = -time.Millisecond // no answer
+	const none = -time.Millisecond // no response
 	type times = []time.Duration
 	tests := []struct {
 		name  string
 		steps []step
 		asks  times
-		took  times // until the answer
-		err   error // of the last read
-		heard int   // requests that came
-		fresh bool  // a new connection works at 3 s
-		ended error // what the peer hears last
+		took  times // until the response; none if there is no response
+		err   error // of the final Peek; nil: not checked
+		heard int   // number of requests that the peer received
+		fresh bool  // a new connection can be established at 3 s
+		ended error // the first error that the peer's handler receives
 	}{
 		{"none", nil, times{100 * ms, 200 * ms}, times{2 * ms, 2 * ms}, nil, 2, true, link.ErrEOF},
 		{"cut and healed within a second", []step{{90 * ms, cut}, {600 * ms, healed}},
 			times{100 * ms, 700 * ms}, times{502 * ms, 2 * ms}, nil, 2, true, link.ErrEOF},
 		{"cut for longer", []step{{90 * ms, cut}, {1200 * ms, healed}},
 			times{100 * ms, 2000 * ms}, times{none, none}, syscall.EAGAIN, 0, true, nil},
-		{"cut for long, little lost", []step{{90 * ms, cut}, {1200 * ms, healed}},
+		{"cut for longer, request sent within the last second", []step{{90 * ms, cut}, {1200 * ms, healed}},
 			times{600 * ms}, times{602 * ms}, nil, 1, true, link.ErrEOF},
 		{"cut elsewhere", []step{{90 * ms, func(n *Net) { n.Cut(hostIs("n1"), hostIs("p2")) }}},
 			times{100 * ms}, times{2 * ms}, nil, 1, true, link.ErrEOF},
-		{"cut as the answer comes", []step{{101*ms + ms/2, cut}, {400 * ms, healed}},
+		{"cut while the response is in flight", []step{{101*ms + ms/2, cut}, {400 * ms, healed}},
 			times{100 * ms}, times{301 * ms}, nil, 1, true, link.ErrEOF},
 		{"vanished", []step{{90 * ms, vanish("p1")}},
 			times{100 * ms}, times{none}, syscall.EAGAIN, 0, false, nil},
-		{"vanishes as the request comes", []step{{100*ms + ms/2, vanish("p1")}},
+		{"vanished while the request is in flight", []step{{100*ms + ms/2, vanish("p1")}},
 			times{100 * ms}, times{none}, syscall.EAGAIN, 0, false, nil},
 		{"vanished and back", []step{{90 * ms, vanish("p1")}, {200 * ms, back("p1")}},
 			times{100 * ms, 400 * ms}, times{none, none}, syscall.ECONNRESET, 0, true, link.ErrReset},
-		{"vanished unseen", []step{{90 * ms, vanish("n1")}, {200 * ms, back("n1")}},
+		{"node vanished between requests", []step{{90 * ms, vanish("n1")}, {200 * ms, back("n1")}},
 			times{400 * ms}, times{none}, syscall.ECONNRESET, 0, true, link.ErrReset},
 		{"hushed", []step{{150 * ms, func(n *Net) { n.Hush(anyHost) }}},
 			times{100 * ms, 200 * ms, 800 * ms}, times{2 * ms, none, none}, syscall.EAGAIN, 1, true, nil},
@@ -87,14 +87,14 @@
 				l.Dial("c1", "p1:90", time.Second, again)
 				l.at(5*time.Second, func() {
 					if up := len(again.endErrors) == 0; up != test.fresh {
-						t.Errorf("%s: a new connection: %v", test.name, again.endErrors)
+						t.Errorf("%s: new connection ended with %v, want the opposite result", test.name, again.endErrors)
 					}
-					e.first.Close() // what fell silent
+					e.first.Close() // a connection that fell silent ends only by its own close
 				})
 			})
-			l.at(2900*ms, func() { // the node has left
+			l.at(2900*ms, func() { // the node has closed its end
 				if got := append(e.endErrors, nil)[0]; got != test.ended {
-					t.Errorf("%s: the peer heard %v, want %v", test.name, got, test.ended)
+					t.Errorf("%s: the peer's handler received %v, want %v", test.name, got, test.ended)
 				}
 			})
 			l.dialFromNode("p1:90", func(p *port) {
@@ -109,23 +109,23 @@
 						took = (l.loop.Now() - at).Truncate(ms / 2)
 					}
 					if took != test.took[i] {
-						t.Errorf("%s: answer %d after %v, not %v (%v)", test.name, i, took, test.took[i], err)
+						t.Errorf("%s: response %d after %v, want %v (read error %v)", test.name, i, took, test.took[i], err)
 					}
 				}
 				time.Sleep(2500*ms - l.loop.Now())
 				if _, err = p.Peek(); test.err != nil && !errors.Is(err, test.err) {
-					t.Errorf("%s: in the end %v, want %v", test.name, err, test.err)
+					t.Errorf("%s: final Peek returned %v, want %v", test.name, err, test.err)
 				}
 			})
 		})
 		if heard != test.heard {
-			t.Errorf("%s: the peer heard %d requests, want %d; %q", test.name, heard, test.heard, l.events)
+			t.Errorf("%s: the peer received %d requests, want %d; events %q", test.name, heard, test.heard, l.events)
 		}
 	}
 }
 
-// A connection that is to fall silent does so with one of its requests delivered
-// and no byte of the answer; which ones do is the same each time.
+// TestHushNew checks that a connection selected to fall silent does so after one of its requests was delivered and
+// before any byte of the response, and that every run selects the same connections.
 func TestHushNew(t *testing.T) {
 	run := func(before, after int) (silent []string) {
 		var mu sync.Mutex
@@ -148,7 +148,7 @@
 				l.loop.After(5*ms, func() {
 					loud := !c.(*end).conn.silent
 					if answers(c); loud && c.(*end).conn.silent {
-						t.Errorf("%s fell silent only as the answer left", c.ID())
+						t.Errorf("%s fell silent only when the response was sent", c.ID())
 					}
 				})
 			}))
@@ -185,7 +185,7 @@
 					ask("p1:90")
 				}
 			})
-			l.at(796*ms+ms/20, func() { stop() }) // before any of these has asked
+			l.at(796*ms+ms/20, func() { stop() }) // before any of these connections has sent a request
 			l.at(2*time.Second, func() {
 				for c := range got {
 					c.Close()
@@ -195,7 +195,7 @@
 		for _, id := range silent {
 			asked := strings.Count(l.bytes[id+" arrived false"], "request")
 			if got := strings.Count(l.bytes[id+" arrived true"], "answer"); asked != got+1 {
-				t.Errorf("%s: %d requests came, %d answers", id, asked, got)
+				t.Errorf("%s: %d requests and %d responses arrived, want one response less than requests", id, asked, got)
 			}
 		}
 		slices.Sort(silent)
@@ -204,13 +204,13 @@
 	first := run(0, 0)
 	other := func(id string) bool { return strings.HasPrefix(id, "n1>p3#") }
 	if len(first) < 20 || len(first) > 60 || slices.ContainsFunc(first, other) {
-		t.Errorf("%d of 80 fell silent: %v", len(first), first)
+		t.Errorf("%d connections fell silent, want 20 to 60 of the 80 to p1 and p2: %v", len(first), first)
 	}
 	if second := run(0, 20); !slices.Equal(first, second) {
-		t.Errorf("others fell silent: %v, then %v", first, second)
+		t.Errorf("the second run silenced other connections: %v, then %v", first, second)
 	}
 	older := func(id string) bool { return len(id) == 7 && id[:5] == "n1>p1" && id < "n1>p1#6" }
 	if third := run(5, 0); slices.ContainsFunc(third, older) {
-		t.Errorf("older ones fell silent: %v", third)
+		t.Errorf("connections older than the fault fell silent: %v", third)
 	}
 }
--- a/internal/lab/network/held.go
+++ b/internal/lab/network/held.go
@@ -1,7 +1,7 @@
 package network
 
-// HeldBy names the connections of which the program on a machine holds an end,
-// sorted. One whose other end heard nothing of its closing is none of them.
+// HeldBy returns the sorted IDs of the connections of which the program on a machine holds an end. It leaves out
+// connections that the program has closed, even if the other end was not notified of the close.
 func (n *Net) HeldBy(host string) []string {
 	var ids []string
 	n.forEachConn(func(c *conn) {
--- a/internal/lab/network/host.go
+++ b/internal/lab/network/host.go
@@ -11,18 +11,17 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// Host is a process on a machine, from which a node listens and dials. Its
-// methods are safe for concurrent use.
+// Host is a process on a machine; a node listens and dials through it. Its methods are safe for concurrent use.
 type Host struct {
 	net  *Net
 	name string
 
 	mu         sync.Mutex
-	dead       bool
+	killed     bool
 	dialCounts map[string]uint64
 }
 
-// Host gives the process on a machine: after Kill a new one.
+// Host returns the process on a machine, which it creates if there is none. After Kill it returns a new one.
 func (n *Net) Host(name string) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -34,13 +33,13 @@
 	return h
 }
 
-// netAddr is an address as the node sees it.
+// netAddr is an address as a net.Addr.
 type netAddr string
 
 func (netAddr) Network() string  { return "tcp" }
 func (a netAddr) String() string { return string(a) }
 
-// Listen listens at an address of this machine; it may leave the host out.
+// Listen listens at an address of this machine, whose host part may be empty.
 func (h *Host) Listen(addr string) (net.Listener, error) {
 	if host := hostOf(addr); host == "" || host == "0.0.0.0" || host == "[::]" {
 		addr = h.name + addr[len(host):]
@@ -53,7 +52,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.dead {
+	if h.killed {
 		return fail(net.ErrClosed)
 	}
 	l := &hostListener{net: h.net, addr: netAddr(addr)}
@@ -64,18 +63,18 @@
 	return l, nil
 }
 
-// Dial opens a connection. It fails as a net.Dialer does.
+// Dial opens a connection. It returns the errors that a net.Dialer would return.
 func (h *Host) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	p := newPort(h.net)
 	p.dialDone = make(chan struct{})
 	h.mu.Lock()
-	dead := h.dead
+	killed := h.killed
 	h.dialCounts[addr]++
 	key := loop.Key{Source: h.name + " dial " + addr, Sequence: h.dialCounts[addr] * 2}
 	h.mu.Unlock()
 	err := ctx.Err()
 	switch {
-	case dead:
+	case killed:
 		err = net.ErrClosed
 	case err == nil:
 		h.net.loop.Post(key, func() { h.dialOnLoop(addr, p) })
@@ -83,7 +82,7 @@
 		case <-p.dialDone:
 		case <-ctx.Done():
 			select {
-			case <-p.dialDone: // it came up first
+			case <-p.dialDone: // the dial was completed before ctx ended
 			default:
 				key.Sequence++
 				h.net.loop.Post(key, p.cancelDial)
@@ -100,12 +99,12 @@
 	return p, nil
 }
 
-// dialOnLoop dials, on the loop.
+// dialOnLoop dials. It runs on the loop.
 func (h *Host) dialOnLoop(addr string, p *port) {
 	h.mu.Lock()
-	dead := h.dead
+	killed := h.killed
 	h.mu.Unlock()
-	if dead {
+	if killed {
 		p.kill()
 		return
 	}
@@ -114,8 +113,7 @@
 	c.dial(0)
 }
 
-// hostListener is a node's listener, with its queue of connections that no
-// goroutine has taken yet.
+// hostListener is the listener of a node, with the queue of connections that Accept has not yet returned.
 type hostListener struct {
 	net  *Net
 	addr netAddr
@@ -150,7 +148,7 @@
 	return p, nil
 }
 
-// Close implements net.Listener. Those in the queue are reset.
+// Close implements net.Listener. It resets the connections in the queue.
 func (l *hostListener) Close() error {
 	queue, ok := l.closeQueue()
 	if !ok {
@@ -163,7 +161,7 @@
 	return nil
 }
 
-// processKilled: the connections of a killed process are seen to by Kill.
+// processKilled implements listener. Net.Kill resets the connections of the process.
 func (l *hostListener) processKilled() { l.closeQueue() }
 
 func (l *hostListener) closeQueue() (queue []*port, ok bool) {
@@ -182,9 +180,9 @@
 // Addr implements net.Listener.
 func (l *hostListener) Addr() net.Addr { return l.addr }
 
-// dialError is what a node is told of a connection that did not come up.
-func dialError(why error) error {
-	if why == link.ErrTimedOut {
+// dialError returns the error of a net.Dialer for a connection that could not be established.
+func dialError(err error) error {
+	if err == link.ErrTimedOut {
 		return os.NewSyscallError("connect", syscall.ETIMEDOUT)
 	}
 	return os.NewSyscallError("connect", syscall.ECONNREFUSED)
--- a/internal/lab/network/lab_test.go
+++ b/internal/lab/network/lab_test.go
@@ -18,11 +18,11 @@
 
 const oneWay = time.Millisecond
 
-// testNetwork is a network in a bubble, with all that crossed it.
+// testNetwork is a network in a synctest bubble that records all its events.
 type testNetwork struct {
 	*Net
 	t      *testing.T
-	events []string // "conn what note"
+	events []string // "conn kind note"
 	bytes  map[string]string
 	trace  hash.Hash
 }
@@ -42,8 +42,8 @@
 	return n
 }
 
-// runNetwork runs f to set the scene and then the loop for ten seconds. The bubble
-// proves that no goroutine is left, the rest that no connection is.
+// runNetwork calls f to set up the test and then runs the loop for ten virtual seconds. The bubble fails the test if
+// a goroutine is left; runNetwork fails it if a connection is.
 func runNetwork(t *testing.T, c world.Net, f func(l *testNetwork)) *testNetwork {
 	t.Helper()
 	var l *testNetwork
@@ -57,16 +57,16 @@
 		f(l)
 		l.loop.Run(context.Background(), 10*time.Second, nil)
 		if l.OpenCount() != 0 {
-			t.Errorf("open at the end: %v", l.OpenIDs())
+			t.Errorf("open connections at the end of the run: %v, want none", l.OpenIDs())
 		}
 	})
 	return l
 }
 
-// recordingHandler is an end of the world's that notes what it hears.
+// recordingHandler is a link.Handler that records its calls.
 type recordingHandler struct {
 	up, data, end func(c link.Conn)
-	conn          link.Conn // the last one
+	conn          link.Conn // of the last call
 	first         link.Conn
 	received      []byte
 	endErrors     []error
@@ -94,7 +94,7 @@
 	e.record(c, e.end)
 }
 
-// listen lets e take the connections that come to addr.
+// listen makes e the handler of the connections that arrive at addr.
 func (l *testNetwork) listen(addr string, e *recordingHandler) link.Listener {
 	e.l = l
 	k, err := l.Listen(addr, func(c link.Conn) link.Handler {
@@ -107,7 +107,7 @@
 	return k
 }
 
-// dialAt dials from the world at an instant.
+// dialAt dials from the modelled client c1 at an instant.
 func (l *testNetwork) dialAt(at time.Duration, to string, e *recordingHandler) {
 	e.l = l
 	l.loop.At(at, func() { e.conn = l.Dial("c1", to, time.Second, e) })
@@ -115,7 +115,7 @@
 
 func (l *testNetwork) at(at time.Duration, f func()) { l.loop.At(at, f) }
 
-// acceptOne lets a node take one connection.
+// acceptOne calls f on node n1 with the first connection that it accepts.
 func (l *testNetwork) acceptOne(f func(p *port)) {
 	k, err := l.Host("n1").Listen(":80")
 	if err != nil {
@@ -129,7 +129,7 @@
 	}()
 }
 
-// dialFromNode lets a node dial.
+// dialFromNode calls f on node n1 with a connection that it dials.
 func (l *testNetwork) dialFromNode(to string, f func(p *port)) {
 	go func() {
 		c, err := l.Host("n1").Dial(context.Background(), to)
@@ -142,5 +142,5 @@
 	}()
 }
 
-// runOnLoop lets f run on the loop at once.
+// runOnLoop runs f on the loop at the present instant.
 func (l *testNetwork) runOnLoop(f func()) { l.loop.Post(loop.Key{}, f) }
--- a/internal/lab/network/network.go
+++ b/internal/lab/network/network.go
@@ -1,11 +1,10 @@
-// Package network carries the bytes of the lab between machines, in memory: with
-// the delays of the way, cut into pieces, and with the faults that networks have.
-// The world's ends hang on it by callbacks (it is a link.Fabric), the nodes by
-// the blocking connections of package net, from a Host.
+// Package network is the in-memory network of the lab. It carries bytes between machines with the delays of their
+// route, splits writes into pieces, and applies network faults. The modelled services use it through callbacks (it
+// implements link.Fabric); the nodes use the blocking connections of package net, which a Host opens.
 //
-// All that happens between two ends happens on one loop.Loop. What a node does on
-// its goroutines is posted there, under keys that do not hang on which of them ran
-// first; within one instant, the Tap sees it in the order of these keys.
+// Everything between the two ends of a connection runs on one loop.Loop. Operations that a node performs on its own
+// goroutines are posted there, under keys that do not depend on the scheduling of these goroutines. The Tap observes
+// the operations of one instant in the order of the keys.
 package network
 
 import (
@@ -20,11 +19,11 @@
 	"olivebridge/internal/lab/world"
 )
 
-// windowSize is how many bytes of one direction may be on their way or unread. A
-// sender beyond it waits, as behind a full socket buffer.
+// windowSize is the maximum number of bytes of one direction that may be in flight or unread. A sender that has
+// reached it blocks, as with a full socket buffer.
 const windowSize = 256 << 10
 
-// Net is the network.
+// Net is a simulated network. Its methods belong to the goroutine of the Loop, except Host.
 type Net struct {
 	loop   *loop.Loop
 	seed   uint64
@@ -32,24 +31,23 @@
 	tap    link.Tap
 
 	placements  map[string]placement
-	defaultZone string            // zone of the machine placed first, and of those never placed
-	dialCounts  map[string]uint64 // how many there were, by "from>host"
-	conns       map[string]*conn  // those that a program holds an end of
+	defaultZone string            // zone of the machine placed first; used for machines without a placement
+	dialCounts  map[string]uint64 // number of dials, by "from>host"
+	conns       map[string]*conn  // connections of which a program holds an end, by ID
 
 	partitions    []*hostRule
 	slowdowns     []*hostRule
 	silenceFaults []*silenceFault
-	vanished      map[string]bool // machines that have vanished
+	vanished      map[string]bool // machines that are off the network
 
-	mu        sync.Mutex // nodes come here from their goroutines
+	mu        sync.Mutex // guards the fields below, which nodes use on their goroutines
 	listeners map[string]listener
 	hosts     map[string]*Host
 }
 
 var _ link.Fabric = (*Net)(nil)
 
-// New makes a network whose draws hang on seed. tap sees all that crosses it, and
-// may be nil.
+// New returns a network that draws its random numbers from seed. tap observes all events and may be nil.
 func New(l *loop.Loop, seed uint64, c world.Net, tap link.Tap) *Net {
 	return &Net{
 		loop: l, seed: seed, config: c, tap: tap,
@@ -62,32 +60,32 @@
 	}
 }
 
-// OpenCount counts the connections that a program at either end holds.
+// OpenCount returns the number of connections of which a program holds at least one end.
 func (n *Net) OpenCount() int { return len(n.conns) }
 
-// OpenIDs names them, sorted.
+// OpenIDs returns the sorted IDs of the connections that OpenCount counts.
 func (n *Net) OpenIDs() []string { return slices.Sorted(maps.Keys(n.conns)) }
 
-// forEachConn calls f for every connection that is held, in the order of the names.
+// forEachConn calls f for every held connection, in the order of their IDs.
 func (n *Net) forEachConn(f func(c *conn)) {
 	for _, id := range n.OpenIDs() {
-		if c := n.conns[id]; c != nil { // f may have ended it
+		if c := n.conns[id]; c != nil { // an earlier call of f may have ended the connection
 			f(c)
 		}
 	}
 }
 
-// observe shows the Tap what crosses.
-func (n *Net) observe(what link.EventKind, c *conn, back bool, data []byte, note string) {
+// observe reports an event to the Tap, if there is one.
+func (n *Net) observe(kind link.EventKind, c *conn, back bool, data []byte, note string) {
 	if n.tap != nil {
 		n.tap.Observe(link.Event{
-			At: n.loop.Now(), Kind: what, Conn: c.id, From: c.from, To: c.to,
+			At: n.loop.Now(), Kind: kind, Conn: c.id, From: c.from, To: c.to,
 			Back: back, Data: data, Note: note,
 		})
 	}
 }
 
-// hostOf is the machine of an address.
+// hostOf returns the host part of an address.
 func hostOf(addr string) string {
 	if i := strings.LastIndexByte(addr, ':'); i >= 0 {
 		return addr[:i]
@@ -95,5 +93,5 @@
 	return addr
 }
 
-// kernelDialTimeout is how long a machine goes on asking for a connection.
+// kernelDialTimeout is the dial timeout where the caller sets none: the time for which a kernel retries a SYN.
 const kernelDialTimeout = 127 * time.Second
--- a/internal/lab/network/network_test.go
+++ b/internal/lab/network/network_test.go
@@ -49,32 +49,32 @@
 				p.CloseWrite()
 				got, err := io.ReadAll(p)
 				if want := bytes.Join(back[:], nil); err != nil || !bytes.Equal(got, want) {
-					t.Errorf("%+v: read %d bytes of %d, or in another order; %v", c, len(got), len(want), err)
+					t.Errorf("%+v: the node read %d bytes, want the %d written, in order; error %v", c, len(got), len(want), err)
 				}
 			})
 		})
 		want := string(bytes.Join(there[:], nil))
 		if string(far.received) != want || l.bytes["n1>p1#1 arrived false"] != want {
-			t.Errorf("%+v: %d bytes came of %d, or in another order", c, len(far.received), len(want))
+			t.Errorf("%+v: %d bytes arrived at the peer, want the %d written, in order", c, len(far.received), len(want))
 		}
 		if cut := l.count(" arrived") > l.count(" sent"); cut != (c.Pieces > 0) {
-			t.Errorf("%+v: %d writes came as %d pieces", c, l.count(" sent"), l.count(" arrived"))
+			t.Errorf("%+v: %d writes arrived as %d pieces, want more pieces than writes only if Pieces > 0", c, l.count(" sent"), l.count(" arrived"))
 		}
 	}
 }
 
-// What a client hears of the end of its connection to a node: whether its request
-// was read hangs on it.
+// TestClientSeesEnd checks the error with which a modelled client's connection to a node ends: it tells the client
+// whether its request was read.
 func TestClientSeesEnd(t *testing.T) {
 	read := func(p *port) { p.Read(make([]byte, 9)) }
 	wait := func() { time.Sleep(5 * ms) }
 	kill := func(l *testNetwork) func() { return func() { l.Kill("n1") } }
 	tests := []struct {
 		name   string
-		node   func(l *testNetwork, p *port) // has the connection at 2 ms, the request at 6 ms
-		second time.Duration                 // when the client writes again, after 4 ms; 0: never
+		node   func(l *testNetwork, p *port) // accepts the connection at 2 ms; the request arrives at 6 ms
+		second time.Duration                 // when the client writes again, after its first write at 4 ms; 0: never
 		want   error
-		shut   string // the node's close, as the Tap sees it
+		shut   string // event of the node's close
 	}{
 		{"all read", func(_ *testNetwork, p *port) { read(p); p.Close() }, 0, link.ErrEOF, "shut"},
 		{"half closed", func(_ *testNetwork, p *port) { p.CloseWrite(); read(p); p.Close() }, 0, link.ErrEOF, "fin"},
@@ -95,7 +95,7 @@
 			l.Place("c1", "a", true)
 			e.up = func(c link.Conn) { c.Write([]byte("request")) }
 			e.end = func(c link.Conn) {
-				c.Write([]byte("late")) // is answered with a reset, which is not heard
+				c.Write([]byte("late")) // causes a reset, which must not be reported
 				l.loop.After(100*ms, c.Close)
 			}
 			l.dialAt(0, "n1:80", e)
@@ -105,10 +105,10 @@
 			l.acceptOne(func(p *port) { test.node(l, p) })
 		})
 		if len(e.endErrors) != 1 || e.endErrors[0] != test.want || l.count("c1>n1#1 "+test.shut) == 0 {
-			t.Errorf("%s: heard %v, want %v; %q in %q", test.name, e.endErrors, test.want, test.shut, l.events)
+			t.Errorf("%s: the client's handler received %v, want %v; event %q in %q", test.name, e.endErrors, test.want, test.shut, l.events)
 		}
 		if test.name == "answer first" && string(e.received) != "answer" {
-			t.Errorf("%s: got %q", test.name, e.received)
+			t.Errorf("%s: the client read %q, want \"answer\"", test.name, e.received)
 		}
 	}
 }
@@ -118,7 +118,7 @@
 	l := runNetwork(t, world.Net{}, func(l *testNetwork) {
 		k, _ := l.Host("n1").Listen("n1:80")
 		if _, err := l.Host("n1").Listen(":80"); !errors.Is(err, syscall.EADDRINUSE) {
-			t.Errorf("second listener: %v", err)
+			t.Errorf("second listener at the address: %v, want EADDRINUSE", err)
 		}
 		l.dialAt(0, "n1:80", mute)
 		l.dialAt(0, "n1:80", asks)
@@ -127,23 +127,23 @@
 			time.Sleep(20 * ms)
 			k.Close()
 			if _, err := k.Accept(); !errors.Is(err, net.ErrClosed) {
-				t.Errorf("accept: %v", err)
+				t.Errorf("accept after close: %v, want net.ErrClosed", err)
 			}
 		}()
 	})
 	if len(late.endErrors) != 1 || late.endErrors[0] != link.ErrRefused {
-		t.Errorf("a later one heard %v", late.endErrors)
+		t.Errorf("a dial after the close ended with %v, want one ErrRefused", late.endErrors)
 	}
 	if got := fmt.Sprint(mute.endErrors, asks.endErrors); got != fmt.Sprintf("[%v] [%v]", link.ErrReset, link.ErrUnread) {
-		t.Errorf("heard %v in %q", got, l.events)
+		t.Errorf("the unaccepted connections ended with %v, want a reset and an unread reset; events %q", got, l.events)
 	}
 	if l.count("#2 open") != 2 || l.count("#2 read") != 0 {
-		t.Errorf("not accepted, or read: %q", l.events)
+		t.Errorf("the second connection was not opened at both ends, or was read: %q", l.events)
 	}
 }
 
-// What a node meets when its peer ends the connection: before the answer, in it,
-// or as the request comes.
+// TestNodeAfterPeerEnds checks a node's reads and writes when its peer ends the connection: before the response,
+// during it, or as the request arrives.
 func TestNodeAfterPeerEnds(t *testing.T) {
 	answer := func(c link.Conn) { c.Write([]byte("answer")) }
 	tests := []struct {
@@ -151,7 +151,7 @@
 		peer func(c link.Conn)
 		got  string
 		err  error // of the read
-		then error // of a write after it; and another once that has arrived
+		then error // of one of two writes after the read: the first, or the second 5 ms later
 		peek error
 	}{
 		{"unread", link.Conn.Close, "", syscall.ECONNRESET, syscall.ECONNRESET, syscall.ECONNRESET},
@@ -169,24 +169,24 @@
 			l.at(4*ms, func() { test.peer(e.conn) })
 			l.dialFromNode("p1:90", func(p *port) {
 				if n, err := p.Peek(); n != 0 || err != syscall.EAGAIN {
-					t.Errorf("%s: peek before: %d, %v", test.name, n, err)
+					t.Errorf("%s: peek before the request: %d, %v; want 0, EAGAIN", test.name, n, err)
 				}
 				p.Write([]byte("request"))
 				time.Sleep(5 * ms)
 				if n, err := p.Peek(); n != len(test.got) || n == 0 && !errors.Is(err, test.peek) {
-					t.Errorf("%s: peek: %d, %v", test.name, n, err)
+					t.Errorf("%s: peek after the end: %d, %v", test.name, n, err)
 				}
 				got, err := io.ReadAll(p)
 				if string(got) != test.got || !errors.Is(err, test.err) {
 					t.Errorf("%s: read %q, %v; want %q, %v", test.name, got, err, test.got, test.err)
 				}
 				if n, err := p.Peek(); n != 0 || !errors.Is(err, test.peek) {
-					t.Errorf("%s: peek behind: %d, %v", test.name, n, err)
+					t.Errorf("%s: peek after reading everything: %d, %v", test.name, n, err)
 				}
 				_, err = p.Write([]byte("more"))
 				time.Sleep(5 * ms)
 				if _, second := p.Write([]byte("more")); !errors.Is(errors.Join(err, second), test.then) {
-					t.Errorf("%s: writes: %v, %v; want %v", test.name, err, second, test.then)
+					t.Errorf("%s: writes returned %v, %v; want %v from one of them", test.name, err, second, test.then)
 				}
 			})
 		})
@@ -196,13 +196,13 @@
 func TestDials(t *testing.T) {
 	tests := []struct {
 		name, to string
-		patience time.Duration // of the context
-		leave    time.Duration // it is called off after that; 0: it is not
+		patience time.Duration // timeout of the context
+		leave    time.Duration // duration after which the context is canceled; 0: never
 		want     error
 		timeout  bool
 		took     time.Duration
-		heard    error // by the peer
-		open     int   // at 2.5 ms
+		heard    error // error that the peer's handler receives
+		open     int   // number of open connections at 2.5 ms
 	}{
 		{"taken", "p1:90", 5 * ms, 0, nil, false, 2 * ms, link.ErrEOF, 1},
 		{"nobody listens", "p1:91", 5 * ms, 0, syscall.ECONNREFUSED, false, 2 * ms, nil, 0},
@@ -220,7 +220,7 @@
 			l.at(500*ms, func() { l.Kill("n1") })
 			l.at(2*ms+ms/2, func() {
 				if l.OpenCount() != test.open {
-					t.Errorf("%s: %v are open, want %d", test.name, l.OpenIDs(), test.open)
+					t.Errorf("%s: open connections %v, want %d", test.name, l.OpenIDs(), test.open)
 				}
 			})
 			h := l.Host("n1")
@@ -233,14 +233,14 @@
 				c, err := h.Dial(ctx, test.to)
 				took := l.loop.Now().Truncate(ms / 2)
 				if !errors.Is(err, test.want) || (c == nil) != (err != nil) || took != test.took {
-					t.Errorf("%s: %v after %v; want %v after %v", test.name, err, took, test.want, test.took)
+					t.Errorf("%s: dial returned %v after %v, want %v after %v", test.name, err, took, test.want, test.took)
 				}
 				if n, ok := err.(net.Error); err != nil && (!ok || n.Timeout() != test.timeout) {
-					t.Errorf("%s: %v: timeout %v", test.name, err, !test.timeout)
+					t.Errorf("%s: error %v: Timeout() = %v, or not a net.Error", test.name, err, !test.timeout)
 				}
 				if c != nil {
 					if c.RemoteAddr().String() != "p1:90" || c.LocalAddr().String() != "n1:32769" {
-						t.Errorf("%s: from %v to %v", test.name, c.LocalAddr(), c.RemoteAddr())
+						t.Errorf("%s: connection from %v to %v, want n1:32769 to p1:90", test.name, c.LocalAddr(), c.RemoteAddr())
 					}
 					c.Close()
 				}
@@ -248,27 +248,27 @@
 				_, dials := h.Dial(context.Background(), "p1:90")
 				_, listens := h.Listen(":80")
 				if !errors.Is(dials, net.ErrClosed) || !errors.Is(listens, net.ErrClosed) {
-					t.Errorf("%s: a dead process dials, %v, or listens, %v", test.name, dials, listens)
+					t.Errorf("%s: killed process: dial returned %v and listen %v, want net.ErrClosed", test.name, dials, listens)
 				}
 				k, err := l.Host("n1").Listen(":80")
 				if err != nil {
-					t.Errorf("%s: a new process does not listen: %v", test.name, err)
+					t.Errorf("%s: listen of the new process: %v", test.name, err)
 					return
 				}
 				k.Close()
 			}()
 		})
 		if got := append(e.endErrors, nil)[0]; got != test.heard || len(e.endErrors) > 1 {
-			t.Errorf("%s: the peer heard %v, want %v", test.name, e.endErrors, test.heard)
+			t.Errorf("%s: the peer's handler received %v, want %v", test.name, e.endErrors, test.heard)
 		}
 		if fails := l.count(" fail"); (fails == 1) != (test.want != nil) {
-			t.Errorf("%s: %q", test.name, l.events)
+			t.Errorf("%s: want one fail event exactly if the dial fails: %q", test.name, l.events)
 		}
 	}
 }
 
-// A call on a port that waits ends at once when the deadline is set to the past
-// (so the carrier interrupts a try), at the deadline, or when the port is closed.
+// TestBlockedCallEnds checks that a blocked call on a port returns at once when the deadline is set to the past
+// (which is how the carrier interrupts an attempt) or the port is closed, and otherwise at the deadline.
 func TestBlockedCallEnds(t *testing.T) {
 	wait := map[string]func(p *port) error{
 		"read":  func(p *port) error { _, err := p.Read(make([]byte, 1)); return err },
@@ -301,7 +301,7 @@
 					time.Sleep(20 * ms)
 					start := time.Now()
 					if err := ends(p); err != nil {
-						t.Errorf("%s, %s: %v", what, how, err)
+						t.Errorf("%s, %s: ending the call: %v", what, how, err)
 					}
 					err := <-ended
 					closed := how == "close" || how == "kill"
@@ -311,12 +311,12 @@
 					}
 					if time.Since(start) != took || closed && !errors.Is(err, net.ErrClosed) ||
 						!closed && !errors.Is(err, os.ErrDeadlineExceeded) {
-						t.Errorf("%s, %s: %v after %v", what, how, err, time.Since(start))
+						t.Errorf("%s, %s: the call returned %v after %v", what, how, err, time.Since(start))
 					}
 					if p.SetDeadline(time.Time{}); !closed && what == "read" {
 						l.runOnLoop(func() { e.conn.Write([]byte("x")) })
 						if err := call(p); err != nil {
-							t.Errorf("%s, %s: without a deadline: %v", what, how, err)
+							t.Errorf("%s, %s: read without a deadline: %v", what, how, err)
 						}
 					}
 				})
@@ -338,7 +338,7 @@
 			gone, asked, b := false, 0, make([]byte, 20)
 			locked := func() {
 				if mu.TryLock() {
-					t.Error("asked or told without the lock")
+					t.Error("checkOpen or onRead was called without the lock")
 				}
 			}
 			open := func() error {
@@ -350,16 +350,16 @@
 			}
 			took := func(n int) {
 				if locked(); n == 0 {
-					t.Error("told of nothing")
+					t.Error("onRead was called with 0 bytes")
 				}
 			}
 			if n, err := p.ReadUnderLock(nil, &mu, open, took); n != 0 || err != nil || asked != 1 {
-				t.Errorf("without room: read %d, %v; asked %d times", n, err, asked)
+				t.Errorf("empty buffer: read %d, %v with %d checks; want 0, nil with 1", n, err, asked)
 			}
 			asked = 0
 			n, err := p.ReadUnderLock(b, &mu, open, took)
 			if string(b[:n]) != "first" || err != nil || asked != 1 {
-				t.Errorf("read %q, %v; asked %d times", b[:n], err, asked)
+				t.Errorf("read %q, %v with %d checks; want \"first\", nil with 1", b[:n], err, asked)
 			}
 			go func() {
 				time.Sleep(10 * ms)
@@ -368,17 +368,17 @@
 				mu.Unlock()
 			}()
 			if n, err := p.ReadUnderLock(b, &mu, open, took); n != 0 || err != errGone || asked != 2 {
-				t.Errorf("closed: read %q, %v; asked %d times", b[:n], err, asked)
+				t.Errorf("closed: read %q, %v with %d checks; want 0 bytes, errGone with 2", b[:n], err, asked)
 			}
 			if n, _ := p.Peek(); n != 6 {
-				t.Errorf("%d bytes are left", n)
+				t.Errorf("%d unread bytes, want 6", n)
 			}
 			gone = false
 			time.Sleep(20 * ms)
 			p.ReadUnderLock(b, &mu, open, took)
 			for i, room := range [][]byte{b, nil} {
 				if n, err := p.ReadUnderLock(room, &mu, open, took); n != 0 || err != io.EOF || asked != 4+i {
-					t.Errorf("end: read %d, %v; asked %d times", n, err, asked)
+					t.Errorf("end of stream: read %d, %v with %d checks; want 0, EOF", n, err, asked)
 				}
 			}
 		})
@@ -392,10 +392,10 @@
 		l.at(3*ms, func() { e.conn.PauseReading(true) })
 		l.at(100*ms, func() {
 			if len(e.received) != 0 {
-				t.Errorf("held, and heard %d bytes", len(e.received))
+				t.Errorf("%d bytes were reported during the pause, want 0", len(e.received))
 			}
 			e.conn.PauseReading(false)
-			e.conn.Write(make([]byte, 3*windowSize/2)) // more than the window at once
+			e.conn.Write(make([]byte, 3*windowSize/2)) // a single write larger than the window
 			e.conn.Write(make([]byte, windowSize))
 			e.conn.CloseWrite()
 		})
@@ -404,26 +404,27 @@
 			p.Write(make([]byte, windowSize-1))
 			p.Write(make([]byte, 1))
 			if took := l.loop.Now().Truncate(ms); took != 7*ms {
-				t.Errorf("the window was full at %v", took)
+				t.Errorf("writes that fill the window returned at %v, want 7ms", took)
 			}
 			if n, err := p.Write(make([]byte, 2)); n != 2 || err != nil || l.loop.Now() < 100*ms {
-				t.Errorf("beyond the window: %d, %v at %v", n, err, l.loop.Now())
+				t.Errorf("write beyond the window: %d, %v at %v; want 2, nil after 100ms", n, err, l.loop.Now())
 			}
 			time.Sleep(100 * ms)
 			if n, _ := p.Peek(); n != 3*windowSize/2 {
-				t.Errorf("%d bytes came without a read", n)
+				t.Errorf("%d bytes arrived before the read, want 1.5 windows", n)
 			}
 			if b, err := io.ReadAll(p); len(b) != 5*windowSize/2 || err != nil {
-				t.Errorf("%d bytes came, %v", len(b), err)
+				t.Errorf("read %d bytes, %v; want 2.5 windows", len(b), err)
 			}
 		})
 	})
 	if len(e.received) != windowSize+2 {
-		t.Errorf("%d bytes came", len(e.received))
+		t.Errorf("%d bytes arrived at the peer, want 1 window and 2 bytes", len(e.received))
 	}
 }
 
-// Goroutines of one node that act at one instant leave one and the same trace.
+// TestTraceIsDeterministic checks that goroutines of one node that act at the same instant always leave the same
+// trace.
 func TestTraceIsDeterministic(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(8))
 	luck := func() {
@@ -442,7 +443,7 @@
 					time.Sleep(50*ms - l.loop.Now()) // all at the same instant
 					read := make(chan bool, 99)
 					go func() {
-						for n := 1; n > 0; { // each answer by several reads
+						for n := 1; n > 0; { // each response takes several reads
 							n, _ = p.Read(make([]byte, 2))
 							read <- true
 							luck()
@@ -453,7 +454,7 @@
 						p.Write([]byte("request"))
 						<-read
 					}
-					time.Sleep(50 * ms) // to close while the other reads would be a race of the node's
+					time.Sleep(50 * ms) // closing while the other goroutine reads would be a race of the node itself
 				})
 			}
 		})
@@ -464,7 +465,8 @@
 	}
 }
 
-// Bytes that lie there are read one connection after the other, in one order, though their readers come at one instant.
+// TestReadsAreSerialized checks that readers that find unread bytes at the same instant read one after the other, in
+// the same order in every run and each at an instant of its own.
 func TestReadsAreSerialized(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(8))
 	for range 20 {
@@ -488,12 +490,13 @@
 			}
 		})
 		if !slices.IsSorted(order) || len(order) != 8 || len(at) != 8 {
-			t.Fatalf("read in the order %v, at %d instants", order, len(at))
+			t.Fatalf("reads in the order %v at %d instants, want sorted order at 8", order, len(at))
 		}
 	}
 }
 
-// All of net/http, both sides on the network, in a bubble that ends.
+// TestHTTP runs a client and a server of net/http over the network, and checks that every run leaves the same trace
+// and no goroutine.
 func TestHTTP(t *testing.T) {
 	c := world.Net{Jitter: 0.4, Pieces: 0.3}
 	hashes := map[[32]byte]bool{}
@@ -527,7 +530,7 @@
 						b, err := io.ReadAll(resp.Body)
 						resp.Body.Close()
 						if err != nil || !strings.HasPrefix(string(b), want) || len(b) < 4500 {
-							t.Errorf("%d: %q, %v", i, b, err)
+							t.Errorf("response %d: %q, %v", i, b, err)
 						}
 					}
 				}()
--- a/internal/lab/network/pipe.go
+++ b/internal/lab/network/pipe.go
@@ -9,50 +9,50 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// packetKind is what a parcel is.
+// packetKind is the kind of a packet.
 type packetKind uint8
 
 const (
-	syn         packetKind = iota // asks for a connection
-	synAck                        // grants it
-	refusal                       // nobody listens
-	data                          // bytes
-	fin                           // no more of them
-	rst                           // the connection is broken
-	unknownConn                   // something of a connection that the machine there knows no more
+	syn         packetKind = iota // requests a connection
+	synAck                        // accepts the request
+	refusal                       // rejects the request: nothing listens at the address
+	data                          // carries bytes
+	fin                           // ends the sending
+	rst                           // resets the connection
+	unknownConn                   // any packet of a connection that the receiving machine no longer knows
 )
 
-// packet is what travels in one go.
+// packet is the unit that is delayed and delivered as a whole.
 type packet struct {
 	kind      packetKind
-	arrivesAt time.Duration // when it arrives, unless one before it comes later
+	arrivesAt time.Duration // earliest time of arrival; it never overtakes the packet before it
 	bytes     []byte
-	err       error // of rst: what the world hears
+	err       error // of rst: the error passed to the handler of a modelled service
 }
 
-// pipe is one direction of a connection. What is put into it arrives in order.
+// pipe is one direction of a connection. It delivers packets in the order in which they were enqueued.
 type pipe struct {
 	conn *conn
-	side int // of the sender
+	side int // of the sender: 0 is the end that dialed
 
-	queue        []packet // on their way
-	head         int      // those before it have arrived
+	queue        []packet // packets in flight, from index head on
+	head         int      // index of the next packet to arrive
 	timer        *loop.Timer
-	deliverFunc  func()        // arrive, as a value made once
-	busyUntil    time.Duration // until when the bytes before are being sent, where the rate is bounded
-	blocked      bool          // a partition holds the queue up
-	blockedSince time.Duration // when it began to
+	deliverFunc  func()        // method value of deliverNext, allocated once
+	busyUntil    time.Duration // end of the transmission of the bytes already sent, if the rate is limited
+	blocked      bool          // a partition blocks the queue
+	blockedSince time.Duration // start of the blocking
 
-	bytesInFlight  int  // bytes in the queue
-	dataAfterClose bool // bytes came where nobody was left to read them
+	bytesInFlight  int  // bytes of the packets in the queue
+	dataAfterClose bool // bytes arrived at an end that was already closed
 
 	jitterRand, pieceRand *rand.Rand
 }
 
-// streamName tells the pipe's streams of random numbers apart.
+// streamName returns the name that separates the random numbers of this pipe from those of others.
 func (p *pipe) streamName() string { return p.conn.id + [2]string{">", "<"}[p.side] }
 
-// enqueue sends a parcel on its way, or loses it, as the faults have it.
+// enqueue sends a packet, or drops it if a fault applies.
 func (p *pipe) enqueue(kind packetKind, bytes []byte, err error) {
 	n, c := p.conn.net, p.conn
 	if c.silent || len(n.vanished) > 0 && (n.vanished[c.from] || n.vanished[c.host]) {
@@ -79,13 +79,13 @@
 	p.appendPacket(packet{kind: kind, arrivesAt: at, bytes: bytes, err: err})
 }
 
-func (p *pipe) appendPacket(x packet) {
-	p.bytesInFlight += len(x.bytes)
-	p.queue = append(p.queue, x)
+func (p *pipe) appendPacket(added packet) {
+	p.bytesInFlight += len(added.bytes)
+	p.queue = append(p.queue, added)
 	p.startTimer()
 }
 
-// startTimer sees to it that the first of the queue arrives.
+// startTimer schedules the arrival of the first packet of the queue.
 func (p *pipe) startTimer() {
 	if p.timer == nil && !p.blocked && p.head < len(p.queue) {
 		if p.deliverFunc == nil {
@@ -101,25 +101,25 @@
 		p.blocked, p.blockedSince = true, n.loop.Now()
 		return
 	}
-	x := p.queue[p.head]
+	first := p.queue[p.head]
 	p.queue[p.head] = packet{}
 	if p.head++; p.head == len(p.queue) {
 		p.queue, p.head = p.queue[:0], 0
 	}
-	p.bytesInFlight -= len(x.bytes)
-	p.conn.ends[1-p.side].receive(x)
+	p.bytesInFlight -= len(first.bytes)
+	p.conn.ends[1-p.side].receive(first)
 	p.startTimer()
 }
 
-// dropAll loses what is on its way.
+// dropAll drops all packets in flight.
 func (p *pipe) dropAll() {
 	p.timer.Stop()
 	p.timer, p.queue, p.head, p.bytesInFlight, p.blocked = nil, nil, 0, 0, false
 }
 
-// receive takes in what the other side sent.
-func (e *end) receive(x packet) {
-	switch x.kind {
+// receive processes a packet from the other end.
+func (e *end) receive(received packet) {
+	switch received.kind {
 	case syn:
 		e.conn.connect()
 	case synAck:
@@ -127,13 +127,13 @@
 	case refusal:
 		e.dialFailed(link.ErrRefused)
 	case data:
-		e.conn.net.observe(link.Arrived, e.conn, e.side == 0, x.bytes, "")
+		e.conn.net.observe(link.Arrived, e.conn, e.side == 0, received.bytes, "")
 		e.conn.requestReceived(e.side)
-		e.deliver(x.bytes)
+		e.deliver(received.bytes)
 	case fin:
 		e.receiveFin()
 	case rst:
-		e.receiveReset(x.err)
+		e.receiveReset(received.err)
 	case unknownConn:
 		e.receiveReset(link.ErrReset)
 		e.send(rst, nil, link.ErrReset)
--- a/internal/lab/network/port.go
+++ b/internal/lab/network/port.go
@@ -13,34 +13,34 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// port is a node's end of a connection: a net.Conn that blocks. What the network
-// brings is put into it on the loop; what the node does is posted to the loop.
+// port is a node's end of a connection: a net.Conn whose calls block. The loop stores received data in it; the node's
+// operations are posted to the loop.
 type port struct {
 	net      *Net
-	end      *end // the loop's
+	end      *end // used on the loop only
 	id       string
 	side     uint64
 	local    netAddr
 	remote   netAddr
-	dialDone chan struct{} // of one that was dialed: it came up, or err says why not
+	dialDone chan struct{} // for a dialed connection: closed once it is up or err is set
 	err      error
 
 	mu             sync.Mutex
-	readCond       sync.Cond // or the reading has failed
-	writeCond      sync.Cond // or the writing has
-	received       []byte    // came and is unread; never written over, since the Tap is shown it
-	finReceived    bool      // nothing comes behind it
-	resetReceived  bool      // the connection is broken
-	resetReported  bool      // a write has failed for it
-	finSent        bool      // the sending was ended
+	readCond       sync.Cond // signaled when data is readable or reads fail
+	writeCond      sync.Cond // signaled when the window has room or writes fail
+	received       []byte    // received and unread bytes; never overwritten, since the Tap is shown slices of it
+	finReceived    bool      // a FIN was received behind the bytes of received
+	resetReceived  bool      // the connection was reset
+	resetReported  bool      // a write has returned ECONNRESET
+	finSent        bool      // CloseWrite was called
 	closed         bool
-	killed         bool // with the process
-	windowUsed     int  // of the window
-	writing        bool // a Write waits for room
+	killed         bool // the process was killed
+	windowUsed     int  // bytes of the window in use
+	writing        bool // a Write is in progress
 	reads          uint64
 	writes         uint64
-	turnsRequested uint64 // for turns to read
-	turnsGranted   uint64 // of these, the last one that has come
+	turnsRequested uint64 // number of the last read turn that was requested
+	turnsGranted   uint64 // number of the last read turn that was granted
 	deadlines      struct{ read, write deadline }
 }
 
@@ -50,7 +50,7 @@
 	return p
 }
 
-// attach joins the port to its end, on the loop, before the node has it.
+// attach connects the port to its end. It runs on the loop, before the node has the port.
 func (p *port) attach(e *end) {
 	c := e.conn
 	e.port, p.end, p.id, p.side = p, e, c.id, uint64(e.side)
@@ -61,8 +61,8 @@
 	p.local, p.remote = here, there
 }
 
-// What a port posts goes by these within an instant: it has read what it answers,
-// and whatever was read or written came before the close.
+// Operations that order the posts of a port within one instant: a read precedes the write that responds to it, and
+// all reads and writes precede the close.
 const (
 	opRead uint64 = iota
 	opWrite
@@ -70,8 +70,8 @@
 	opReadTurn
 )
 
-// post lets f run on the loop. Reads and writes are counted apart, since two
-// goroutines may be at them at the same instant.
+// post runs f on the loop. Reads and writes have separate counters, since two goroutines may perform them at the same
+// instant.
 func (p *port) post(op, count uint64, f func()) {
 	p.net.loop.Post(loop.Key{Source: p.id, Sequence: p.side<<63 | op<<61 | count}, f)
 }
@@ -93,10 +93,10 @@
 	return p.consume(b)
 }
 
-// ReadUnderLock reads like Read, but takes the bytes under a lock: each time bytes or
-// an end are there to be taken, it locks mu and asks open; if that agrees it
-// takes them, and tells took of bytes, before it unlocks mu. With no room for bytes
-// it takes none, and nil says that some are there.
+// ReadUnderLock reads like Read, but consumes the bytes while mu is held. Each time bytes or the end of the stream
+// are available, it locks mu and calls checkOpen. If that returns no error, it consumes the bytes and calls onRead
+// with their number, before it unlocks mu. If b is empty it consumes no bytes; a nil error then means that bytes are
+// available.
 func (p *port) ReadUnderLock(b []byte, mu sync.Locker, checkOpen func() error, onRead func(n int)) (int, error) {
 	for {
 		p.mu.Lock()
@@ -111,7 +111,7 @@
 	}
 }
 
-// consumeUnderLock is one such time; ok is false if what was there is no longer.
+// consumeUnderLock is one attempt of ReadUnderLock. ok is false if the data that was available is no longer there.
 func (p *port) consumeUnderLock(
 	b []byte, mu sync.Locker, checkOpen func() error, onRead func(n int),
 ) (n int, ok bool, err error) {
@@ -131,14 +131,16 @@
 	return n, ok, err
 }
 
-// canRead reports whether a read would not wait. The lock is held.
+// canRead reports whether a read would return without blocking. p.mu is held.
 func (p *port) canRead() bool {
-	return !p.closed && !p.killed && !p.deadlines.read.expired() && (len(p.received) > 0 || p.finReceived || p.resetReceived)
+	return !p.closed && !p.killed && !p.deadlines.read.expired() &&
+		(len(p.received) > 0 || p.finReceived || p.resetReceived)
 }
 
-// waitReadable waits until a read has something to take. What comes while it waits has an instant of its own. What lay there
-// already is taken in turn: a node that gives several answers at one instant goes on to read from all these connections,
-// and which of the next requests its decisions hear of first would be luck. The lock is held.
+// waitReadable blocks until a read can return data, the end of the stream or a reset. Data that arrives during the
+// wait has an instant of its own. For data that was already there, the read waits for a turn: a node that sends
+// several responses at one instant goes on to read from all these connections, and the scheduler would determine
+// which of the next requests its decisions see first. p.mu is held.
 func (p *port) waitReadable() error {
 	turn := uint64(0)
 	if p.canRead() {
@@ -156,7 +158,7 @@
 	return nil
 }
 
-// requestReadTurn asks the loop for an instant to read at. The lock is held.
+// requestReadTurn requests an instant of its own for a read, and returns the number of the turn. p.mu is held.
 func (p *port) requestReadTurn() uint64 {
 	p.turnsRequested++
 	turn := p.turnsRequested
@@ -171,8 +173,7 @@
 	return turn
 }
 
-// consume takes what is there: bytes go before the end of the stream, and before
-// a reset too, as Linux has it. The lock is held.
+// consume reads received bytes. They precede the end of the stream, and a reset too, as on Linux. p.mu is held.
 func (p *port) consume(b []byte) (int, error) {
 	n := copy(b, p.received)
 	if n > 0 {
@@ -190,9 +191,9 @@
 	return 0, p.opError("read", os.NewSyscallError("read", syscall.ECONNRESET))
 }
 
-// Peek says what there is to read and takes nothing: n > 0 bytes wait; 0, nil:
-// the other side has ended; syscall.EAGAIN: nothing is there; another error: the
-// connection is broken.
+// Peek returns the state of the read side and consumes nothing: n > 0 is the number of unread bytes; 0 and nil mean
+// that the other side has ended its sending; syscall.EAGAIN means that nothing was received; any other error means
+// that the connection is reset or closed.
 func (p *port) Peek() (n int, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -207,15 +208,16 @@
 	return 0, syscall.EAGAIN
 }
 
-// HasEnded reports whether the other side has ended or broken the connection, though bytes may still wait.
+// HasEnded reports whether the other side has ended its sending or reset the connection, even if unread bytes are
+// left.
 func (p *port) HasEnded() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.finReceived || p.resetReceived
 }
 
-// Write implements net.Conn. It waits until all of b has room in the window, or,
-// of more than fits there, part after part.
+// Write implements net.Conn. It blocks until the window has room for all of b. If b is larger than the window, it
+// does so for each part of that size.
 func (p *port) Write(b []byte) (n int, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -252,7 +254,7 @@
 	}
 }
 
-// writeError says why nothing can be written. The lock is held.
+// writeError returns the error of a write, or nil if the connection is writable. p.mu is held.
 func (p *port) writeError() error {
 	switch {
 	case p.closed || p.killed:
@@ -268,7 +270,7 @@
 	return nil
 }
 
-// CloseWrite ends the sending.
+// CloseWrite sends a FIN. Later writes fail with EPIPE.
 func (p *port) CloseWrite() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -298,7 +300,7 @@
 	return nil
 }
 
-// closeUnaccepted closes one that no goroutine has taken from its listener.
+// closeUnaccepted closes a connection that its listener's Accept has not returned.
 func (p *port) closeUnaccepted() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -306,7 +308,7 @@
 	p.post(opClose, 0, func() { p.end.closeUnaccepted(p.dropUnread()) })
 }
 
-// stop ends what waits here, and its timers. The lock is held.
+// stop marks the port as closed, stops its timers and wakes all blocked calls. p.mu is held.
 func (p *port) stop() {
 	p.closed = true
 	p.deadlines.read.stop()
@@ -315,7 +317,7 @@
 	p.writeCond.Broadcast()
 }
 
-// dropUnread reports whether bytes were left, and drops them.
+// dropUnread drops the unread bytes and reports whether there were any.
 func (p *port) dropUnread() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -356,7 +358,7 @@
 	return nil
 }
 
-// wakeAll lets whoever waits look at the deadlines.
+// wakeAll makes all blocked calls check their deadlines.
 func (p *port) wakeAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/network/portloop.go
+++ b/internal/lab/network/portloop.go
@@ -6,26 +6,25 @@
 	"olivebridge/internal/lab/link"
 )
 
-// This file is the loop's side of a port.
+// This file holds the methods of a port that run on the loop.
 
-// connected: the connection that the node dialed is up.
+// connected reports that the connection that the node dialed is up.
 func (p *port) connected() { close(p.dialDone) }
 
-// dialFailed: it does not come up.
-func (p *port) dialFailed(why error) {
-	p.err = dialError(why)
+// dialFailed reports that the connection that the node dialed could not be established.
+func (p *port) dialFailed(err error) {
+	p.err = dialError(err)
 	close(p.dialDone)
 }
 
-// cancelDial: the node does not wait any longer for what it dialed. If it has come
-// up after all, it is closed as it is.
+// cancelDial abandons a dial whose context has ended. A connection that is up nevertheless is closed as it is.
 func (p *port) cancelDial() {
 	if p.end != nil {
 		p.end.closeBoth(p.dropUnread())
 	}
 }
 
-// receiveData takes in bytes, which are nobody else's.
+// receiveData stores received bytes. The port takes ownership of b.
 func (p *port) receiveData(b []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -37,7 +36,7 @@
 	p.readCond.Broadcast()
 }
 
-// receiveFin: the other side has ended its sending.
+// receiveFin records that the other side has ended its sending.
 func (p *port) receiveFin() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,7 +44,7 @@
 	p.readCond.Broadcast()
 }
 
-// receiveReset: the connection was reset.
+// receiveReset records that the connection was reset.
 func (p *port) receiveReset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,7 +53,7 @@
 	p.writeCond.Broadcast()
 }
 
-// releaseWindow: the other side has read n bytes.
+// releaseWindow frees n bytes of the window after the other side has read them.
 func (p *port) releaseWindow(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,7 +61,7 @@
 	p.writeCond.Broadcast()
 }
 
-// kill: the process is no more.
+// kill makes all calls fail, since the process was killed.
 func (p *port) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,7 +73,7 @@
 	}
 }
 
-// dataRead: the node has taken bytes.
+// dataRead records that the node has read b.
 func (e *end) dataRead(b []byte) {
 	e.conn.net.observe(link.Read, e.conn, e.side == 0, b, "")
 	e.other().releaseWindow(len(b))
--- a/internal/lab/network/way.go
+++ b/internal/lab/network/way.go
@@ -9,14 +9,14 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// placement is where a machine stands.
+// placement is the location of a machine.
 type placement struct {
 	zone   string
 	client bool
 }
 
-// Place puts a machine into a zone. Between a client's and any other, bytes take
-// the clients' way. Machines that are not placed stand where the first one does.
+// Place puts a machine into a zone. Connections of a client have the delay of the client network, whatever the zones.
+// Machines without a placement are in the zone of the machine placed first.
 func (n *Net) Place(host, zone string, client bool) {
 	if len(n.placements) == 0 {
 		n.defaultZone = zone
@@ -31,7 +31,7 @@
 	return placement{zone: n.defaultZone}
 }
 
-// pathDelay is the time between two machines, without load and jitter.
+// pathDelay returns the one-way delay between two machines, without slowdowns and jitter.
 func (n *Net) pathDelay(a, b string) time.Duration {
 	switch from, to := n.placementOf(a), n.placementOf(b); {
 	case from.client || to.client:
@@ -42,7 +42,7 @@
 	return n.config.Cross.D()
 }
 
-// delay is how long a parcel that is sent now takes, and draws its jitter.
+// delay returns the one-way delay of a packet that is sent now. It draws the packet's jitter.
 func (p *pipe) delay() time.Duration {
 	n := p.conn.net
 	if p.jitterRand == nil {
@@ -51,7 +51,7 @@
 	return time.Duration(float64(p.baseDelay()) * (1 + n.config.Jitter*p.jitterRand.Float64()))
 }
 
-// baseDelay is the same without jitter.
+// baseDelay returns the present one-way delay with slowdowns and without jitter.
 func (p *pipe) baseDelay() time.Duration {
 	d := float64(p.conn.pathDelay)
 	for _, r := range p.conn.net.slowdowns {
@@ -62,14 +62,14 @@
 	return time.Duration(d)
 }
 
-// These bound the pause before a further piece of a write.
+// Bounds of the pause between two pieces of one write.
 const (
 	minPieceGap = 5 * time.Microsecond
 	maxPieceGap = 2 * time.Millisecond
 )
 
-// pieces cuts what was written where it will be cut on its way. Its draws come
-// from a stream of their own: whether writes are cut leaves the jitter as it was.
+// pieces splits a write into the pieces that arrive separately, or returns nil if it stays whole. It draws from a
+// random stream of its own, so that splitting does not change the jitter.
 func (p *pipe) pieces(data []byte) [][]byte {
 	n := p.conn.net
 	if n.config.Pieces <= 0 {
@@ -95,7 +95,8 @@
 	return out
 }
 
-// pieceGap draws a pause, as often of microseconds as of milliseconds.
+// pieceGap draws a pause between two pieces. Its logarithm is uniform: pauses of microseconds are as frequent as
+// pauses of milliseconds.
 func pieceGap(r *rand.Rand) time.Duration {
 	span := float64(maxPieceGap) / float64(minPieceGap)
 	return time.Duration(float64(minPieceGap) * math.Pow(span, r.Float64()))
--- a/internal/lab/network/world.go
+++ b/internal/lab/network/world.go
@@ -5,7 +5,7 @@
 // ID implements link.Conn.
 func (e *end) ID() string { return e.conn.id }
 
-// Write implements link.Conn. What finds no room in the window waits.
+// Write implements link.Conn. It queues the bytes for which the window has no room.
 func (e *end) Write(b []byte) {
 	if e.closed || e.finSent || e.closing || len(b) == 0 {
 		return
@@ -20,8 +20,8 @@
 	e.flush()
 }
 
-// Close implements link.Conn. What waits for room leaves at once: a kernel would
-// go on sending it.
+// Close implements link.Conn. Queued bytes are sent at once, regardless of the window, since a kernel would still
+// send them after a close.
 func (e *end) Close() {
 	for e.up && !e.closed && len(e.sendQueue) > 0 {
 		e.sendFirst()
@@ -32,19 +32,19 @@
 // Reset implements link.Conn.
 func (e *end) Reset() { e.abort("aborted") }
 
-// PauseReading implements link.Conn. While it holds, an end waits behind the bytes that
-// wait; a reset is heard at once, and takes them along.
-func (e *end) PauseReading(held bool) {
-	if e.paused == held {
+// PauseReading implements link.Conn. While reading is paused, a FIN is queued behind the unread bytes; a reset is
+// reported at once and discards them.
+func (e *end) PauseReading(paused bool) {
+	if e.paused == paused {
 		return
 	}
-	e.paused = held
-	if !held && len(e.unreadData) > 0 {
+	e.paused = paused
+	if !paused && len(e.unreadData) > 0 {
 		e.conn.net.loop.After(0, e.resume)
 	}
 }
 
-// resume gives out what came while the reading was stopped.
+// resume passes the bytes that arrived during a pause to the handler.
 func (e *end) resume() {
 	if e.closed || e.paused || len(e.unreadData) == 0 {
 		return
@@ -59,8 +59,8 @@
 	}
 }
 
-// flush sends what waits, as far as the window has room. A write larger than
-// the window goes when that is empty.
+// flush sends queued writes as long as the window has room. A write larger than the window is sent once the window is
+// empty.
 func (e *end) flush() {
 	if !e.up || e.closed {
 		return
@@ -73,7 +73,7 @@
 	}
 }
 
-// sendFirst sends the first that waits.
+// sendFirst sends the first queued write.
 func (e *end) sendFirst() {
 	b := e.sendQueue[0]
 	e.sendQueue[0] = nil
--- a/internal/lab/sockets/book.go
+++ b/internal/lab/sockets/book.go
@@ -9,34 +9,31 @@
 	"sync/atomic"
 )
 
-// addressView is an address of the world's as a program outside of it reaches it; by
-// is empty for whoever is no Guest.
+// addressView is a modelled address as seen by one viewer: a node, or, if viewer is empty, any other program.
 type addressView struct{ viewer, addr string }
 
-// addressBook knows where on loopback the machines are: each has an IP of its own, and
-// each of its addresses a port of its own for every Guest, which stays the same
-// however often somebody listens there. No port is fixed beforehand.
+// addressBook assigns loopback addresses: each machine has an IP, and each of its addresses has a port per viewer,
+// which stays the same however often somebody listens there. No port number is fixed in advance.
 type addressBook struct {
 	mu        sync.Mutex
-	ipPrefix  string // the first two numbers of all IPs; empty: there is 127.0.0.1 only
+	ipPrefix  string // first two bytes of all IPs; empty: 127.0.0.1 is the only IP
 	ips       map[string]string
 	nodes     []string
-	realAddrs map[addressView]string // real addresses
-	usedAddrs map[string]bool        // they, the other way round
+	realAddrs map[addressView]string // real address of each view
+	usedAddrs map[string]bool        // the values of realAddrs
 }
 
-// networkCount counts those of this process.
+// networkCount is the number of networks created by this process.
 var networkCount atomic.Int64
 
 func newAddressBook() *addressBook {
 	b := &addressBook{ips: map[string]string{}, realAddrs: map[addressView]string{}, usedAddrs: map[string]bool{}}
-	// Processes that run at one time seldom share a block: a port that nobody
-	// listens at for a moment is then taken by nobody else.
-	// So do several networks of one process.
-	block := fmt.Sprintf("127.%d", 8+(os.Getpid()+int(networkCount.Add(1))*17)%240)
-	if l, err := net.Listen("tcp", block+".0.1:0"); err == nil { // some systems have 127.0.0.1 alone
+	// Processes that run at the same time rarely share a prefix, and neither do several networks of one process. A port
+	// on which nobody listens for a moment is therefore not taken by another one.
+	prefix := fmt.Sprintf("127.%d", 8+(os.Getpid()+int(networkCount.Add(1))*17)%240)
+	if l, err := net.Listen("tcp", prefix+".0.1:0"); err == nil { // some systems have only 127.0.0.1
 		l.Close()
-		b.ipPrefix = block
+		b.ipPrefix = prefix
 	}
 	return b
 }
@@ -49,7 +46,7 @@
 	}
 }
 
-// viewers are the ways to look at the world: anyone's, and each Guest's.
+// viewers returns every viewer: the empty one for programs that are not nodes, and each node.
 func (b *addressBook) viewers() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -75,55 +72,55 @@
 	return ip
 }
 
-// viewOf is how by reaches addr. Guests are looked at by all alike, and by a
-// stranger as by anyone.
-func (b *addressBook) viewOf(by, addr string) addressView {
-	if slices.Contains(b.nodes, hostOf(addr)) || !slices.Contains(b.nodes, by) {
-		by = ""
+// viewOf returns the view of addr for a program. All programs share one view of a node's address, and unknown
+// programs have the view of the empty viewer.
+func (b *addressBook) viewOf(viewer, addr string) addressView {
+	if slices.Contains(b.nodes, hostOf(addr)) || !slices.Contains(b.nodes, viewer) {
+		viewer = ""
 	}
-	return addressView{by, addr}
+	return addressView{viewer, addr}
 }
 
-// realAddr is the real address. One that nobody has listened at yet is kept for whoever will.
-func (b *addressBook) realAddr(by, addr string) (string, error) {
+// realAddr returns the real address. If nobody has listened at it yet, it reserves one for a later listener.
+func (b *addressBook) realAddr(viewer, addr string) (string, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	d := b.viewOf(by, addr)
-	if at := b.realAddrs[d]; at != "" {
+	view := b.viewOf(viewer, addr)
+	if at := b.realAddrs[view]; at != "" {
 		return at, nil
 	}
-	l, err := b.bind(d)
+	l, err := b.bind(view)
 	if err != nil {
-		return b.ipOf(hostOf(addr)) + ":0", err // where nobody listens
+		return b.ipOf(hostOf(addr)) + ":0", err // an address at which nobody listens
 	}
 	l.Close()
-	return b.realAddrs[d], nil
+	return b.realAddrs[view], nil
 }
 
-// listen listens at a door.
-func (b *addressBook) listen(d addressView) (*net.TCPListener, error) {
+// listen listens at the real address of a view.
+func (b *addressBook) listen(view addressView) (*net.TCPListener, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.bind(d)
+	return b.bind(view)
 }
 
-// bind takes the door's port, or a new one that no other door has.
-func (b *addressBook) bind(d addressView) (*net.TCPListener, error) {
-	at, known := b.realAddrs[d]
+// bind listens at the address of the view, or at a new one that no other view has.
+func (b *addressBook) bind(view addressView) (*net.TCPListener, error) {
+	at, known := b.realAddrs[view]
 	if !known {
-		at = b.ipOf(hostOf(d.addr)) + ":0"
+		at = b.ipOf(hostOf(view.addr)) + ":0"
 	}
 	for {
 		l, err := net.Listen("tcp", at)
 		if err != nil {
 			return nil, err
 		}
-		real := l.Addr().String()
-		if !known && b.usedAddrs[real] { // its owner does not listen at this moment
-			defer l.Close() // not before another is found
+		realAddr := l.Addr().String()
+		if !known && b.usedAddrs[realAddr] { // the view that owns the port does not listen at this moment
+			defer l.Close() // held until another port is found
 			continue
 		}
-		b.realAddrs[d], b.usedAddrs[real] = real, true
+		b.realAddrs[view], b.usedAddrs[realAddr] = realAddr, true
 		return l.(*net.TCPListener), nil
 	}
 }
--- a/internal/lab/sockets/conn.go
+++ b/internal/lab/sockets/conn.go
@@ -11,38 +11,37 @@
 	"olivebridge/internal/lab/link"
 )
 
-// conn is the world's end of a connection. All of it belongs to the loop, but
-// for the socket itself.
+// conn is the end of a connection that a modelled service holds. Everything except the socket belongs to the loop.
 type conn struct {
 	net            *Net
 	id             string
-	from, to, host string // who dialed, the address dialed, and its machine
-	accepted       bool   // it was accepted here, not dialed
+	from, to, host string // host that dialed; address that it dialed, and the host part of that
+	accepted       bool   // this end accepted the connection; false: it dialed
 	handler        link.Handler
-	cancelDial     func() // ends a dial
+	cancelDial     func() // cancels a dial in progress
 	tcp            *net.TCPConn
 	raw            syscall.RawConn
 
-	closed      bool // closed or broken here: the Handler hears nothing more
-	endNotified bool // the Handler has heard its End
-	paused      bool
-	closing     closeMode
-	finSent     bool
-
-	sendBuffer  []byte      // what is still to be written
-	writing     bool        // a goroutine is at it
-	writeFailed bool        // the kernel takes no more
-	pendingRead *readResult // what was read and not given out: it is held, or frozen
-	readTaken   chan struct{}
-
-	silent          bool // nothing passes any more, either way
-	machineVanished bool // since its machine vanished: it breaks when that is back
-	frozen          bool // nothing passes for now
-	blockedSince    time.Duration
+	closed      bool      // closed or reset here: the handler is no longer called
+	endNotified bool      // Handler.End was called
+	paused      bool      // reading is paused
+	closing     closeMode // closeNothing until CloseWrite or Close is called
+	finSent     bool      // a FIN was sent
+
+	sendBuffer  []byte        // bytes to be written
+	writing     bool          // a goroutine writes to the socket
+	writeFailed bool          // a write has failed
+	pendingRead *readResult   // result of a read that is withheld by a pause or a partition
+	readTaken   chan struct{} // receives a value when the loop has processed a read
+
+	silent          bool          // nothing passes any more, in either direction
+	machineVanished bool          // the machine has vanished: the connection is reset when it returns
+	frozen          bool          // a partition blocks the connection
+	blockedSince    time.Duration // when the partition began, or the first buffered write during it
 	silencePlan     *silencePlan
 }
 
-// closeMode is what is to be done once all is written.
+// closeMode is the operation to perform once all bytes are written.
 type closeMode uint8
 
 const (
@@ -51,7 +50,7 @@
 	closeBoth
 )
 
-// readResult is what one read brought.
+// readResult is the result of one read.
 type readResult struct {
 	data []byte
 	err  error
@@ -60,17 +59,17 @@
 
 func (n *Net) newConn(from, to string, h link.Handler) *conn {
 	host := hostOf(to)
-	way := from + ">" + host
-	n.dialCounts[way]++
+	route := from + ">" + host
+	n.dialCounts[route]++
 	c := &conn{
-		net: n, id: fmt.Sprintf("%s#%d", way, n.dialCounts[way]), from: from, to: to, host: host, handler: h,
+		net: n, id: fmt.Sprintf("%s#%d", route, n.dialCounts[route]), from: from, to: to, host: host, handler: h,
 		cancelDial: func() {}, readTaken: make(chan struct{}, 1),
 	}
 	n.conns[c.id] = c
 	return c
 }
 
-// machine is the one at this end.
+// machine returns the host of this end.
 func (c *conn) machine() string {
 	if c.accepted {
 		return c.host
@@ -78,30 +77,30 @@
 	return c.from
 }
 
-// observe shows the Tap what crosses. back: from the side that was dialed.
-func (c *conn) observe(what link.EventKind, back bool, b []byte, note string) {
+// observe reports an event to the Tap, if there is one. back means that it comes from the side that was dialed.
+func (c *conn) observe(kind link.EventKind, back bool, b []byte, note string) {
 	if c.net.tap != nil {
 		c.net.tap.Observe(link.Event{
-			At: c.net.loop.Now(), Kind: what, Conn: c.id, From: c.from, To: c.to, Back: back, Data: b, Note: note,
+			At: c.net.loop.Now(), Kind: kind, Conn: c.id, From: c.from, To: c.to, Back: back, Data: b, Note: note,
 		})
 	}
 }
 
-// attach takes the socket.
+// attach sets the socket of the connection.
 func (c *conn) attach(tcp *net.TCPConn) {
 	c.tcp = tcp
-	c.raw, _ = tcp.SyscallConn() // it fails for no socket
+	c.raw, _ = tcp.SyscallConn() // it fails only for an invalid TCPConn
 }
 
-// readSize is how much is read at once.
+// readSize is the size of the read buffer in bytes.
 const readSize = 16 << 10
 
-// readLoop reads until the end, and no further than the loop has taken what came.
+// readLoop reads until the end of the stream. After each read it waits until the loop has processed the result.
 func (c *conn) readLoop() {
 	buf := make([]byte, readSize)
 	for {
-		k, err := c.tcp.Read(buf)
-		c.net.post(func() { c.handleRead(&readResult{buf[:k], err, c.net.loop.Now()}) })
+		size, err := c.tcp.Read(buf)
+		c.net.post(func() { c.handleRead(&readResult{buf[:size], err, c.net.loop.Now()}) })
 		select {
 		case <-c.readTaken:
 		case <-c.net.ctx.Done():
@@ -113,45 +112,45 @@
 	}
 }
 
-// handleRead takes what was read, or lets it wait.
-func (c *conn) handleRead(m *readResult) {
+// handleRead processes the result of a read, or withholds it during a pause or a partition.
+func (c *conn) handleRead(result *readResult) {
 	if !c.closed && !c.silent && (c.paused || c.frozen) {
-		c.pendingRead = m
+		c.pendingRead = result
 		return
 	}
-	c.deliver(m)
+	c.deliver(result)
 	c.readTaken <- struct{}{}
 }
 
-// resume gives out what waited.
+// resume processes a withheld result once nothing blocks it any more.
 func (c *conn) resume() {
-	if m := c.pendingRead; m != nil && (c.closed || c.silent || !c.paused && !c.frozen) {
+	if result := c.pendingRead; result != nil && (c.closed || c.silent || !c.paused && !c.frozen) {
 		c.pendingRead = nil
-		c.deliver(m)
+		c.deliver(result)
 		c.readTaken <- struct{}{}
 	}
 }
 
-// deliver brings the Handler what was read. A silent connection's is thrown away;
-// its socket is given back when the other side ends it, which then hears nothing of that.
-func (c *conn) deliver(m *readResult) {
+// deliver passes the result of a read to the handler. The data of a silent connection is discarded; its socket is
+// closed when the other side ends it, without notifying the other side.
+func (c *conn) deliver(result *readResult) {
 	if c.silent || c.closed {
-		if m.err != nil && c.silent {
+		if result.err != nil && c.silent {
 			c.abort()
 		}
 		return
 	}
-	if len(m.data) > 0 {
-		c.observe(link.Arrived, !c.accepted, m.data, "")
-		c.observe(link.Read, !c.accepted, m.data, "")
+	if len(result.data) > 0 {
+		c.observe(link.Arrived, !c.accepted, result.data, "")
+		c.observe(link.Read, !c.accepted, result.data, "")
 		c.requestReceived()
-		c.handler.Data(c, m.data)
+		c.handler.Data(c, result.data)
 	}
-	if m.err == nil || c.closed {
+	if result.err == nil || c.closed {
 		return
 	}
 	c.endNotified = true
-	if errors.Is(m.err, io.EOF) {
+	if errors.Is(result.err, io.EOF) {
 		c.observe(link.Finished, !c.accepted, nil, "")
 		c.handler.End(c, link.ErrEOF)
 		return
@@ -181,35 +180,35 @@
 		c.sendBuffer = append(c.sendBuffer, b...)
 		return
 	}
-	k := c.write(b)
-	c.sendBuffer = append(c.sendBuffer, b[k:]...)
+	written := c.write(b)
+	c.sendBuffer = append(c.sendBuffer, b[written:]...)
 	c.flush()
 }
 
-// write gives the kernel what it has room for, and returns how much that was.
+// write writes what fits into the kernel's buffer and returns the number of bytes written, or len(b) after an error.
 func (c *conn) write(b []byte) int {
-	var k int
+	var written int
 	var err error
 	c.raw.Write(func(fd uintptr) bool {
 		for {
-			if k, err = syscall.Write(int(fd), b); err != syscall.EINTR {
+			if written, err = syscall.Write(int(fd), b); err != syscall.EINTR {
 				return true
 			}
 		}
 	})
-	k = max(k, 0)
-	if k > 0 {
-		c.observe(link.Sent, c.accepted, b[:k], "")
+	written = max(written, 0)
+	if written > 0 {
+		c.observe(link.Sent, c.accepted, b[:written], "")
 	}
 	if err != nil && err != syscall.EAGAIN {
 		c.failWrites()
 		return len(b)
 	}
-	return k
+	return written
 }
 
-// failWrites notes that the kernel takes nothing more. What came before the break is
-// still to be read, and then the break itself.
+// failWrites records that the kernel rejects further writes. Data that arrived before the failure is still read, and
+// then the error itself.
 func (c *conn) failWrites() {
 	c.writeFailed = true
 	if c.endNotified {
@@ -218,7 +217,7 @@
 	}
 }
 
-// flush goes on with what waits to be written, and with the end behind it.
+// flush writes the buffered bytes, and then performs the requested close.
 func (c *conn) flush() {
 	switch {
 	case c.tcp == nil || c.writing || c.frozen:
@@ -247,7 +246,7 @@
 	c.flush()
 }
 
-// finishClosing does what was asked to be done once all is written.
+// finishClosing performs the requested close once all bytes are written.
 func (c *conn) finishClosing() {
 	switch {
 	case c.silent:
@@ -278,11 +277,11 @@
 	c.flush()
 }
 
-// closeWriteTimeout is how long what waits to be written may keep a closed socket.
+// closeWriteTimeout is the maximum duration for which unwritten bytes keep the socket of a closed connection open.
 const closeWriteTimeout = 5 * time.Second
 
-// Close implements link.Conn. What was read and not given out makes it a reset,
-// as in a kernel that still holds bytes.
+// Close implements link.Conn. If the handler has not received all bytes that were read, the connection is reset, as
+// by a kernel that still holds unread bytes.
 func (c *conn) Close() {
 	if c.closed {
 		return
@@ -312,7 +311,7 @@
 	case c.tcp == nil:
 		c.cancelDial()
 	case c.silent:
-	case c.frozen: // it is lost
+	case c.frozen: // the partition drops the reset
 		c.silence()
 	default:
 		c.observe(link.Reset, c.accepted, nil, "aborted")
@@ -321,10 +320,10 @@
 	c.resume()
 }
 
-// markClosed lets the Handler hear nothing more.
+// markClosed ensures that the handler is no longer called.
 func (c *conn) markClosed() { c.closed, c.silencePlan = true, nil }
 
-// abort resets the socket, and forgets it.
+// abort resets the socket and forgets the connection.
 func (c *conn) abort() {
 	c.cancelDial()
 	if c.tcp != nil {
@@ -337,8 +336,8 @@
 func (c *conn) forget() { delete(c.net.conns, c.id) }
 
 // PauseReading implements link.Conn.
-func (c *conn) PauseReading(held bool) {
-	if c.paused = held; !held {
-		c.net.post(c.resume) // not within a call of the Handler's own
+func (c *conn) PauseReading(paused bool) {
+	if c.paused = paused; !paused {
+		c.net.post(c.resume) // posted, since the caller may be a method of the handler
 	}
 }
--- a/internal/lab/sockets/faults.go
+++ b/internal/lab/sockets/faults.go
@@ -8,14 +8,13 @@
 	"olivebridge/internal/lab/link"
 )
 
-// The faults of the network, each at the world's end of a connection.
+// This file implements the network faults, each of which acts at the ends of the modelled services.
 
-// retransmitLimit is how long a machine goes on sending anew what is not acknowledged.
-// Whatever is lost for longer is lost for good.
+// retransmitLimit is the duration for which a machine retransmits unacknowledged packets. A connection whose packets
+// are lost for longer delivers nothing any more.
 const retransmitLimit = time.Second
 
-// Vanish takes a machine of the world's off the network: its connections fall
-// silent, and new ones to it do not come up.
+// Vanish takes a modelled machine off the network: its connections fall silent, and dials to it time out.
 func (n *Net) Vanish(host string) {
 	n.vanished[host] = true
 	n.updateListenSockets()
@@ -27,7 +26,7 @@
 	})
 }
 
-// Return brings it back. It knows its connections no more: they break.
+// Return brings a vanished machine back. It no longer knows its earlier connections: they are reset.
 func (n *Net) Return(host string) {
 	delete(n.vanished, host)
 	n.updateListenSockets()
@@ -38,27 +37,27 @@
 	})
 }
 
-// updateListenSockets opens and closes the entrances, as the machines behind them are heard.
+// updateListenSockets blocks or unblocks each listening socket according to the faults in force.
 func (n *Net) updateListenSockets() {
-	for d, e := range n.listenSockets { // each by itself
-		e.setBlocked(n.unreachable(d.viewer, hostOf(d.addr)))
+	for view, socket := range n.listenSockets { // the order does not matter: the sockets are independent
+		socket.setBlocked(n.unreachable(view.viewer, hostOf(view.addr)))
 	}
 }
 
-func (n *Net) unreachable(by, host string) bool {
-	if by == "" {
-		by = AnonymousHost
+func (n *Net) unreachable(viewer, host string) bool {
+	if viewer == "" {
+		viewer = AnonymousHost
 	}
-	return n.vanished[host] || n.partitioned(by, host)
+	return n.vanished[host] || n.partitioned(viewer, host)
 }
 
-// silence lets nothing pass any more. Both ends believe the connection open.
+// silence blocks the connection for good. Both ends still take it for open.
 func (c *conn) silence() {
 	c.silent, c.frozen, c.silencePlan, c.sendBuffer = true, false, nil, nil
 	c.resume()
 }
 
-// Hush silences the connections picked among those that are open now.
+// Hush silences those of the present connections whose IDs pick selects.
 func (n *Net) Hush(pick func(conn string) bool) {
 	n.forEachConn(func(c *conn) {
 		if c.tcp != nil && !c.closed && pick(c.id) {
@@ -67,28 +66,28 @@
 	})
 }
 
-// partition parts two sets of machines.
+// partition separates the machines that a selects from those that b selects.
 type partition struct{ a, b func(host string) bool }
 
 func (n *Net) partitioned(x, y string) bool {
 	return slices.ContainsFunc(n.partitions, func(c *partition) bool { return c.a(x) && c.b(y) || c.a(y) && c.b(x) })
 }
 
-// Cut parts two sets of machines: nothing passes between them until it heals. A
-// connection on which something was lost for longer than a second then stays silent.
+// Cut partitions two sets of machines: nothing passes between them until heal is called. A connection on which data
+// was blocked for more than a second then stays silent.
 func (n *Net) Cut(a, b func(host string) bool) (heal func()) {
-	this := &partition{a, b}
-	n.partitions = append(n.partitions, this)
+	added := &partition{a, b}
+	n.partitions = append(n.partitions, added)
 	n.applyPartitions()
 	return func() {
-		if i := slices.Index(n.partitions, this); i >= 0 {
+		if i := slices.Index(n.partitions, added); i >= 0 {
 			n.partitions = slices.Delete(n.partitions, i, i+1)
 			n.applyPartitions()
 		}
 	}
 }
 
-// applyPartitions freezes connections, or thaws them, as the cuts have it.
+// applyPartitions freezes or unfreezes each connection according to the partitions in force.
 func (n *Net) applyPartitions() {
 	n.updateListenSockets()
 	n.forEachConn(func(c *conn) {
@@ -115,79 +114,79 @@
 	c.net.post(c.resume)
 }
 
-// reset breaks a connection under both its ends.
+// reset resets a connection at both ends.
 func (c *conn) reset() {
-	heard := c.closed || c.endNotified
+	notified := c.closed || c.endNotified
 	c.markClosed()
 	c.abort()
 	c.resume()
-	if !heard {
+	if !notified {
 		c.endNotified = true
 		c.handler.End(c, link.ErrReset)
 	}
 }
 
-// silenceFault is a time in which new connections may fall silent.
+// silenceFault is a fault during which a share of the new connections to the matching hosts fall silent.
 type silenceFault struct {
 	share   float64
 	matches func(host string) bool
 }
 
-// silencePlan is when a connection falls silent: once it has brought that many
-// requests, in place of the answer to the last.
+// silencePlan determines when a connection falls silent: in place of the response to the request number lastRequest.
 type silencePlan struct {
 	fault                     *silenceFault
-	lastRequest, requestCount int
-	requestOpen               bool
+	lastRequest, requestCount int  // the connection falls silent at request lastRequest; number of requests so far
+	requestOpen               bool // no byte of the response to the last request was sent
 }
 
-// maxRequestsUntilSilent bounds how many requests a connection carries until it falls silent.
+// maxRequestsUntilSilent is the maximum number of requests that a connection carries until it falls silent.
 const maxRequestsUntilSilent = 8
 
-// HushNew lets a share of the connections that come to some machines from now on
-// fall silent, each right after it has brought one of its requests.
+// HushNew makes a share of the connections that are accepted by the hosts matching to from now on fall silent, each
+// right after it has delivered one of its requests. After stop, no further connection falls silent.
 func (n *Net) HushNew(share float64, to func(host string) bool) (stop func()) {
-	h := &silenceFault{share, to}
-	n.silenceFaults = append(n.silenceFaults, h)
+	fault := &silenceFault{share, to}
+	n.silenceFaults = append(n.silenceFaults, fault)
 	return func() {
-		n.silenceFaults = slices.DeleteFunc(n.silenceFaults, func(o *silenceFault) bool { return o == h })
+		n.silenceFaults = slices.DeleteFunc(n.silenceFaults, func(o *silenceFault) bool { return o == fault })
 	}
 }
 
 func (c *conn) drawSilencePlan() {
-	for _, h := range c.net.silenceFaults {
-		if !h.matches(c.host) {
+	for _, fault := range c.net.silenceFaults {
+		if !fault.matches(c.host) {
 			continue
 		}
 		r := figure.Stream(c.net.Seed, c.id+" hush")
-		if x, turn := r.Float64(), 1+r.IntN(maxRequestsUntilSilent); x < h.share {
-			c.silencePlan = &silencePlan{fault: h, lastRequest: turn}
+		if draw, lastRequest := r.Float64(), 1+r.IntN(maxRequestsUntilSilent); draw < fault.share {
+			c.silencePlan = &silencePlan{fault: fault, lastRequest: lastRequest}
 			return
 		}
 	}
 }
 
-// requestReceived notes that bytes have come.
+// requestReceived records that bytes have arrived.
 func (c *conn) requestReceived() {
-	if h := c.silencePlan; h != nil && !h.requestOpen {
-		h.requestOpen = true
-		h.requestCount++
+	if plan := c.silencePlan; plan != nil && !plan.requestOpen {
+		plan.requestOpen = true
+		plan.requestCount++
 	}
 }
 
-// beforeWrite notes that bytes are about to leave, unless they are those that are not to.
+// beforeWrite records that bytes are about to be sent, or silences the connection if they are the response that must
+// not be sent.
 func (c *conn) beforeWrite() {
-	h := c.silencePlan
-	if h == nil {
+	plan := c.silencePlan
+	if plan == nil {
 		return
 	}
-	if h.requestOpen && h.requestCount == h.lastRequest && slices.Contains(c.net.silenceFaults, h.fault) {
+	if plan.requestOpen && plan.requestCount == plan.lastRequest && slices.Contains(c.net.silenceFaults, plan.fault) {
 		c.silence()
 	}
-	h.requestOpen = false
+	plan.requestOpen = false
 }
 
-// Slow does nothing here: see the package's doc.
+// Slow does nothing on loopback; see the package comment.
 func (n *Net) Slow(float64, func(host string) bool, func(host string) bool) (heal func()) {
 	return func() {}
 }
--- a/internal/lab/sockets/listen.go
+++ b/internal/lab/sockets/listen.go
@@ -12,7 +12,7 @@
 	"olivebridge/internal/lab/link"
 )
 
-// listener is one of the world's. It stands at one entrance for each view.
+// listener is the listener of a modelled service. It has one listening socket per viewer.
 type listener struct {
 	net    *Net
 	addr   string
@@ -25,21 +25,21 @@
 		return nil, fmt.Errorf("listen %s: %w", addr, syscall.EADDRINUSE)
 	}
 	l := &listener{n, addr, accept}
-	for _, by := range n.book.viewers() {
-		d := addressView{by, addr}
-		if e := n.listenSockets[d]; e != nil { // of a process that ended while its machine was not heard
-			e.listener = l
+	for _, viewer := range n.book.viewers() {
+		view := addressView{viewer, addr}
+		if s := n.listenSockets[view]; s != nil { // of a process that ended while its machine was unreachable
+			s.listener = l
 			continue
 		}
-		tcp, err := n.book.listen(d)
+		tcp, err := n.book.listen(view)
 		if err != nil {
 			l.releaseSockets()
 			return nil, fmt.Errorf("listen %s: %w", addr, err)
 		}
-		e := &listenSocket{net: n, view: d, tcp: tcp, listener: l}
-		n.listenSockets[d] = e
-		e.setBlocked(n.unreachable(by, hostOf(addr)))
-		n.tasks.Go(e.acceptLoop)
+		s := &listenSocket{net: n, view: view, tcp: tcp, listener: l}
+		n.listenSockets[view] = s
+		s.setBlocked(n.unreachable(viewer, hostOf(addr)))
+		n.tasks.Go(s.acceptLoop)
 	}
 	n.listeners[addr] = l
 	return l, nil
@@ -54,144 +54,143 @@
 }
 
 func (l *listener) releaseSockets() {
-	for _, by := range l.net.book.viewers() {
-		if e := l.net.listenSockets[addressView{by, l.addr}]; e != nil && e.listener == l {
-			e.listener = nil
-			if e.blocked == nil {
-				e.close()
+	for _, viewer := range l.net.book.viewers() {
+		if s := l.net.listenSockets[addressView{viewer, l.addr}]; s != nil && s.listener == l {
+			s.listener = nil
+			if s.blocked == nil {
+				s.close()
 			}
 		}
 	}
 }
 
-// listenSocket is a listening socket. While its machine is not heard, connections
-// to it time out, and it stays even though whoever listened has gone: a close
-// would let the kernel refuse them.
+// listenSocket is a listening socket. While its machine is unreachable, connections to it time out. It then stays
+// open even after its listener was closed, since the kernel would refuse connections to a closed socket.
 type listenSocket struct {
 	net      *Net
 	view     addressView
 	tcp      *net.TCPListener
-	listener *listener // nil: nobody listens any more
+	listener *listener // nil: the listener was closed
 
-	blocked     chan struct{} // not nil: it takes no connections until this is closed
+	blocked     chan struct{} // not nil: no connection is accepted until the channel is closed
 	stopFilling context.CancelFunc
-	fillerAddr  string // the address of the connection that fills its queue
+	fillerAddr  string // local address of the connection that fills the backlog
 }
 
-func (e *listenSocket) close() {
-	delete(e.net.listenSockets, e.view)
-	e.tcp.Close()
+func (s *listenSocket) close() {
+	delete(s.net.listenSockets, s.view)
+	s.tcp.Close()
 }
 
-// Lengths of a queue: the usual, and the shortest there is, which one connection
-// fills. The kernel then drops what asks for another, as if nobody was there.
+// Lengths of the accept backlog: the default, and the minimum, which one connection fills. The kernel then drops
+// further SYNs, as if the machine did not exist.
 const (
 	defaultBacklog = 4096
 	minBacklog     = 0
 )
 
-// setBlocked takes an entrance off the network, or brings it back.
-func (e *listenSocket) setBlocked(deaf bool) {
+// setBlocked takes a listening socket off the network, or brings it back.
+func (s *listenSocket) setBlocked(blocked bool) {
 	switch {
-	case deaf && e.blocked == nil:
-		e.blocked = make(chan struct{})
-		e.tcp.SetDeadline(time.Unix(1, 0)) // accepting ends
-		e.setBacklog(minBacklog)
-		ctx, stop := context.WithCancel(e.net.ctx)
-		e.stopFilling = stop
-		e.net.tasks.Go(func() { e.fillBacklog(ctx) })
-	case !deaf && e.blocked != nil:
-		e.stopFilling()
-		e.setBacklog(defaultBacklog)
-		e.tcp.SetDeadline(time.Time{})
-		close(e.blocked)
-		e.blocked = nil
-		if e.listener == nil {
-			e.close()
+	case blocked && s.blocked == nil:
+		s.blocked = make(chan struct{})
+		s.tcp.SetDeadline(time.Unix(1, 0)) // interrupts Accept
+		s.setBacklog(minBacklog)
+		ctx, stop := context.WithCancel(s.net.ctx)
+		s.stopFilling = stop
+		s.net.tasks.Go(func() { s.fillBacklog(ctx) })
+	case !blocked && s.blocked != nil:
+		s.stopFilling()
+		s.setBacklog(defaultBacklog)
+		s.tcp.SetDeadline(time.Time{})
+		close(s.blocked)
+		s.blocked = nil
+		if s.listener == nil {
+			s.close()
 		}
 	}
 }
 
-func (e *listenSocket) setBacklog(length int) {
-	raw, err := e.tcp.SyscallConn()
+func (s *listenSocket) setBacklog(length int) {
+	raw, err := s.tcp.SyscallConn()
 	if err == nil {
 		raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), length) })
 	}
 	if err != nil {
-		e.net.recordError(err)
+		s.net.recordError(err)
 	}
 }
 
-// fillBacklog holds a connection to the entrance, the one that its queue has room for.
-func (e *listenSocket) fillBacklog(ctx context.Context) {
+// fillBacklog keeps a connection open that fills the backlog, until ctx ends.
+func (s *listenSocket) fillBacklog(ctx context.Context) {
 	var d net.Dialer
-	c, err := d.DialContext(ctx, "tcp", e.tcp.Addr().String())
+	c, err := d.DialContext(ctx, "tcp", s.tcp.Addr().String())
 	if err != nil {
-		return // somebody else's connection is there
+		return // another program's connection fills the backlog
 	}
 	defer c.Close()
-	e.net.runOnLoop(func() { e.fillerAddr = c.LocalAddr().String() })
+	s.net.runOnLoop(func() { s.fillerAddr = c.LocalAddr().String() })
 	<-ctx.Done()
 }
 
-// acceptRetryDelay is when to accept again after this machine could not.
+// acceptRetryDelay is the pause before the next accept after the operating system failed one.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// acceptLoop brings connections to the loop, one at a time.
-func (e *listenSocket) acceptLoop() {
-	for e.net.ctx.Err() == nil {
-		c, err := e.tcp.AcceptTCP()
+// acceptLoop accepts connections and passes them to the loop, one at a time.
+func (s *listenSocket) acceptLoop() {
+	for s.net.ctx.Err() == nil {
+		c, err := s.tcp.AcceptTCP()
 		switch {
 		case err == nil:
-			if !e.net.runOnLoop(func() { e.accept(c) }) {
+			if !s.net.runOnLoop(func() { s.accept(c) }) {
 				c.Close()
 			}
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			var heard chan struct{}
-			if e.net.runOnLoop(func() { heard = e.blocked }) && heard != nil {
+			var unblocked chan struct{}
+			if s.net.runOnLoop(func() { unblocked = s.blocked }) && unblocked != nil {
 				select {
-				case <-heard:
-				case <-e.net.ctx.Done():
+				case <-unblocked:
+				case <-s.net.ctx.Done():
 				}
 			}
 		case errors.Is(err, net.ErrClosed):
 			return
 		default:
-			e.net.recordError(err)
+			s.net.recordError(err)
 			select {
 			case <-time.After(acceptRetryDelay):
-			case <-e.net.ctx.Done():
+			case <-s.net.ctx.Done():
 			}
 		}
 	}
 }
 
-// accept gives a connection to whoever listens.
-func (e *listenSocket) accept(tcp *net.TCPConn) {
-	if e.net.ctx.Err() != nil {
+// accept passes a connection to the listener, if there is one.
+func (s *listenSocket) accept(tcp *net.TCPConn) {
+	if s.net.ctx.Err() != nil {
 		tcp.Close()
 		return
 	}
-	if tcp.RemoteAddr().String() == e.fillerAddr {
-		e.fillerAddr = ""
+	if tcp.RemoteAddr().String() == s.fillerAddr {
+		s.fillerAddr = ""
 		tcp.Close()
 		return
 	}
-	from := e.view.viewer
+	from := s.view.viewer
 	if from == "" {
 		from = AnonymousHost
 	}
-	c := e.net.newConn(from, e.view.addr, nil)
+	c := s.net.newConn(from, s.view.addr, nil)
 	c.accepted = true
 	c.attach(tcp)
 	c.observe(link.Open, true, nil, "")
-	c.frozen = e.net.partitioned(from, c.host)
-	if e.blocked != nil && !c.frozen { // it came just before its machine vanished
+	c.frozen = s.net.partitioned(from, c.host)
+	if s.blocked != nil && !c.frozen { // it was accepted just before its machine vanished
 		c.silent, c.machineVanished = true, true
 	}
-	if e.listener != nil {
+	if s.listener != nil {
 		c.drawSilencePlan()
-		c.handler = e.listener.accept(c)
+		c.handler = s.listener.accept(c)
 	}
 	if c.handler == nil {
 		c.markClosed()
@@ -199,5 +198,5 @@
 		c.abort()
 		return
 	}
-	e.net.tasks.Go(c.readLoop)
+	s.net.tasks.Go(c.readLoop)
 }
--- a/internal/lab/sockets/net.go
+++ b/internal/lab/sockets/net.go
@@ -1,25 +1,19 @@
-// Package sockets carries the bytes of the lab between machines over loopback
-// TCP, in real time: the world's ends hang on it by callbacks (it is a
-// link.Fabric, beside the in-memory package network), the nodes are programs of
-// their own and hang on nothing but their sockets.
+// Package sockets is the network of the lab over loopback TCP, in real time. The modelled services use it through
+// callbacks (it implements link.Fabric, like the in-memory package network); the nodes are programs of their own that
+// use nothing but their sockets.
 //
-// A loop.Loop on the machine's clock runs all callbacks. Each connection has one
-// goroutine that reads, and waits until the loop has taken what it read; writes
-// go out from the loop, and only what the kernel has no room for waits with a
-// goroutine that writes. So nothing piles up beyond what a Handler writes.
+// A loop.Loop on the machine's clock runs all callbacks. Each connection has one goroutine that reads, and waits
+// until the loop has processed what it read. The loop writes without blocking; only what does not fit into the
+// kernel's buffer is written by a goroutine. Thus the only unbounded buffer holds what a Handler has written.
 //
-// What sockets cannot do, or cannot tell:
-//   - ErrUnread is never heard. A reset does not say what the other side had
-//     read: it is ErrReset.
-//   - While an end is held, a reset is heard only once it is not held any more.
-//   - The way takes what loopback takes. Slow does nothing, and the delays, pieces
-//     and rates of a world are not played.
-//   - The network's faults happen at the world's ends, which stop reading and
-//     writing; connections between two nodes, or from a node to whatever is not of
-//     the world, know of none.
-//   - A machine that vanishes while no process of it listens refuses connections,
-//     instead of saying nothing.
-//   - A Tap sees what the world's ends see: of a connection to or from a node, one side.
+// Limits of this implementation:
+//   - ErrUnread is never reported. A reset does not tell what the other side has read: it is always ErrReset.
+//   - A reset that arrives while reading is paused is reported only after the pause.
+//   - Delays are those of loopback. Slow does nothing, and the delays, pieces and rates of a world are ignored.
+//   - Network faults act at the ends of the modelled services, which stop reading and writing. They do not affect
+//     connections between two nodes, or from a node to an address outside the modelled services.
+//   - A machine that vanishes while no process of it listens refuses connections instead of not responding.
+//   - A Tap observes the ends of the modelled services: one side of a connection to or from a node.
 package sockets
 
 import (
@@ -39,29 +33,29 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// AnonymousHost is the host of whoever dials and is no Guest.
+// AnonymousHost is the dialing host of connections from programs that are not registered by AddNode.
 const AnonymousHost = "anyone"
 
-// Net is the network. Its methods belong to the loop, or to whoever has not yet
-// started it, but for Resolve, MapAddress and Place, which are safe for concurrent
-// use, and Close, which may also be called when the loop has ended.
+// Net is a network over loopback. Its methods belong to the goroutine of the Loop, or to the creator until the Loop
+// runs. Exceptions are Resolve, MapAddress and Place, which are safe for concurrent use, and Close, which may also be
+// called after the Loop has ended.
 type Net struct {
-	Seed uint64 // of what chance decides: HushNew
+	Seed uint64 // of the random draws of HushNew
 
 	loop   *loop.Loop
 	tap    link.Tap
 	book   *addressBook
-	ctx    context.Context // ends with Close
+	ctx    context.Context // canceled by Close
 	cancel context.CancelFunc
 	tasks  sync.WaitGroup
 	posts  atomic.Uint64
 
-	listeners     map[string]*listener // by the world's address
+	listeners     map[string]*listener // by modelled address
 	listenSockets map[addressView]*listenSocket
-	dialCounts    map[string]uint64 // how many connections there were, by "from>host"
-	conns         map[string]*conn  // those that hold a socket, or are to, by ID
+	dialCounts    map[string]uint64 // number of connections, by "from>host"
+	conns         map[string]*conn  // connections with a socket or a dial in progress, by ID
 
-	vanished      map[string]bool // machines that have vanished
+	vanished      map[string]bool // machines that are off the network
 	partitions    []*partition
 	silenceFaults []*silenceFault
 
@@ -74,8 +68,7 @@
 	_ link.AddressMapper = (*Net)(nil)
 )
 
-// New makes a network. tap sees what crosses it, as far as the world's ends do,
-// and may be nil.
+// New returns a network. tap observes the events at the ends of the modelled services and may be nil.
 func New(l *loop.Loop, tap link.Tap) *Net {
 	n := &Net{
 		loop: l, tap: tap, book: newAddressBook(),
@@ -86,17 +79,15 @@
 	return n
 }
 
-// AddNode names the machine of a program that is not of the world: a node. It
-// reaches each machine of the world at an address of its own (see MapAddress), by
-// which its connections are told from others'. Guests are named before anybody
-// listens.
+// AddNode registers the machine of a node, a program outside the modelled services. The node reaches each modelled
+// machine at a separate address (see MapAddress), which distinguishes its connections from those of others. All nodes
+// must be added before the first Listen.
 func (n *Net) AddNode(host string) { n.book.addNode(host) }
 
-// Place gives a machine its loopback address; one that is not placed gets it
-// when it is first met.
+// Place assigns a machine its loopback address. A machine that is not placed gets one at its first use.
 func (n *Net) Place(host string) { n.book.assignIP(host) }
 
-// Resolve is the real address, for anyone, of an address of the world's or of a Guest.
+// Resolve returns the real address of a modelled address or an address of a node, for programs that are not nodes.
 func (n *Net) Resolve(addr string) string { return n.MapAddress("", addr) }
 
 // MapAddress implements link.AddressMapper.
@@ -108,8 +99,8 @@
 	return at
 }
 
-// FirstError is the first thing that this machine itself had against a connection,
-// descriptors used up, say: what followed is no model's doing.
+// FirstError returns the first error of the machine that runs the lab, such as the lack of file descriptors, or nil.
+// Later results of the run are then not caused by the models.
 func (n *Net) FirstError() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -124,10 +115,10 @@
 	}
 }
 
-// Open counts the connections of a host that are up, by either end.
+// Open returns the number of established connections that have a host at either end.
 func (n *Net) Open(host string) int {
 	open := 0
-	for _, c := range n.conns { // a sum: in any order
+	for _, c := range n.conns { // the order does not matter for a sum
 		if c.tcp != nil && !c.closed && (c.from == host || c.host == host) {
 			open++
 		}
@@ -135,7 +126,7 @@
 	return open
 }
 
-// Close ends everything, and returns once no goroutine of the network is left.
+// Close closes all connections and listeners, and returns once all goroutines of the network have ended.
 func (n *Net) Close() {
 	n.cancel()
 	for _, d := range n.listenSockets {
@@ -148,11 +139,11 @@
 	n.tasks.Wait()
 }
 
-// post lets f run on the loop, after all that was posted before.
+// post runs f on the loop, after everything that was posted before.
 func (n *Net) post(f func()) { n.loop.Post(loop.Key{Sequence: n.posts.Add(1)}, f) }
 
-// runOnLoop lets f run on the loop and waits until it has; false: the network is closed,
-// and f may still run.
+// runOnLoop runs f on the loop and waits for its end. It returns false if the network was closed first; f may then
+// still run.
 func (n *Net) runOnLoop(f func()) bool {
 	done := make(chan struct{})
 	n.post(func() {
@@ -167,16 +158,16 @@
 	}
 }
 
-// forEachConn calls f for every connection, in the order of the names.
+// forEachConn calls f for every connection, in the order of their IDs.
 func (n *Net) forEachConn(f func(c *conn)) {
 	for _, id := range slices.Sorted(maps.Keys(n.conns)) {
-		if c := n.conns[id]; c != nil { // f may have ended it
+		if c := n.conns[id]; c != nil { // an earlier call of f may have ended the connection
 			f(c)
 		}
 	}
 }
 
-// Dial implements link.Fabric. No timeout leaves the kernel's.
+// Dial implements link.Fabric. A timeout of zero or less means kernelDialTimeout.
 func (n *Net) Dial(from, to string, timeout time.Duration, h link.Handler) link.Conn {
 	c := n.newConn(from, to, h)
 	at, parted := n.Resolve(to), n.partitioned(from, c.host)
@@ -203,10 +194,10 @@
 	return c
 }
 
-// kernelDialTimeout is how long a machine goes on asking for a connection.
+// kernelDialTimeout is the dial timeout where the caller sets none: the time for which a kernel retries a SYN.
 const kernelDialTimeout = 127 * time.Second
 
-// dialDone is what came of a dial.
+// dialDone processes the result of a dial.
 func (c *conn) dialDone(tcp *net.TCPConn, err error) {
 	switch {
 	case c.closed || c.net.ctx.Err() != nil:
@@ -218,9 +209,9 @@
 	case err != nil:
 		c.closed, c.endNotified = true, true
 		c.forget()
-		why := c.net.dialError(err)
-		c.observe(link.Fail, false, nil, why.Error())
-		c.handler.End(c, why)
+		reason := c.net.dialError(err)
+		c.observe(link.Fail, false, nil, reason.Error())
+		c.handler.End(c, reason)
 	default:
 		c.observe(link.Open, false, nil, "")
 		c.attach(tcp)
@@ -230,23 +221,23 @@
 	}
 }
 
-// dialError is what a Handler hears of a failed dial.
+// dialError returns the error with which a Handler is notified of a failed dial.
 func (n *Net) dialError(err error) error {
-	var late net.Error
+	var netErr net.Error
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return link.ErrRefused
 	case errors.Is(err, syscall.ECONNRESET):
 		return link.ErrReset
-	case errors.As(err, &late) && late.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		return link.ErrTimedOut
 	}
 	n.recordError(err)
 	return link.ErrRefused
 }
 
-// Kill ends the process on a machine of the world's: its connections are reset,
-// its listeners are no more. Of connections that are silent nothing is heard.
+// Kill ends the process on a modelled machine: its connections are reset and its listeners are closed. Nothing is
+// sent on connections that are silent.
 func (n *Net) Kill(host string) {
 	for addr, l := range n.listeners {
 		if hostOf(addr) == host {
@@ -260,7 +251,7 @@
 		c.markClosed()
 		switch {
 		case c.silent:
-		case c.frozen: // the resets are lost
+		case c.frozen: // the partition drops the reset
 			c.silence()
 		default:
 			c.observe(link.Reset, c.accepted, nil, "killed")
@@ -270,7 +261,7 @@
 	})
 }
 
-// hostOf is the machine of an address.
+// hostOf returns the host part of an address.
 func hostOf(addr string) string {
 	if i := strings.LastIndexByte(addr, ':'); i >= 0 {
 		return addr[:i]
--- a/internal/lab/sockets/sockets_test.go
+++ b/internal/lab/sockets/sockets_test.go
@@ -14,7 +14,7 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// testNetwork is a network whose loop runs. Its fields are the loop's.
+// testNetwork is a network whose loop is running. Its fields belong to the loop.
 type testNetwork struct {
 	t    *testing.T
 	net  *Net
@@ -35,7 +35,7 @@
 	t.Cleanup(func() {
 		stop()
 		<-over
-		r.net.Close() // hangs if a goroutine does
+		r.net.Close() // blocks if a goroutine does not end
 	})
 	return r
 }
@@ -52,7 +52,8 @@
 
 func (t *tap) Observe(c link.Event) { t.lines = append(t.lines, c.Kind.String()+" "+c.Note) }
 
-// recordingHandler is one end's Handler, which tells what it hears: up, =bytes, or the end's error.
+// recordingHandler is a link.Handler that sends each notification to events: "up", "=" and the bytes, or the text of
+// the error.
 type recordingHandler struct {
 	conn   link.Conn
 	events chan string
@@ -79,7 +80,7 @@
 	select {
 	case v = <-c:
 	case <-time.After(20 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("nothing was received within 20s")
 	}
 	return v
 }
@@ -88,12 +89,12 @@
 	t.Helper()
 	for _, w := range want {
 		if got := receive(t, e.events); got != w {
-			t.Fatalf("heard %q, not %q", got, w)
+			t.Fatalf("received notification %q, want %q", got, w)
 		}
 	}
 }
 
-// listen takes connections at an address and gives out their ends.
+// listen accepts connections at an address and sends their handlers to the channel that it returns.
 func (r *testNetwork) listen(addr string) chan *recordingHandler {
 	ends := make(chan *recordingHandler, 100)
 	r.onLoop(func() {
@@ -110,7 +111,7 @@
 	return ends
 }
 
-// connect is a connection between two of the world's.
+// connect returns both ends of a connection between two modelled machines.
 func (r *testNetwork) connect() (a, b *recordingHandler) {
 	ends := r.listen("p1:9000")
 	a = newRecordingHandler()
@@ -119,7 +120,7 @@
 	return a, receive(r.t, ends)
 }
 
-// dialFromNode is a plain connection of the node's to an address of the world's.
+// dialFromNode returns a TCP connection of node n1 to a modelled address.
 func (r *testNetwork) dialFromNode(addr string) net.Conn {
 	r.t.Helper()
 	c, err := net.Dial("tcp", r.net.MapAddress("n1", addr))
@@ -134,7 +135,7 @@
 	t.Helper()
 	b := make([]byte, len(want))
 	if _, err := io.ReadFull(c, b); err != nil || string(b) != want {
-		t.Fatalf("read %q, not %q: %v", b, want, err)
+		t.Fatalf("read %q, want %q: %v", b, want, err)
 	}
 }
 
@@ -142,7 +143,7 @@
 	for _, c := range []struct {
 		name string
 		do   func(a, b *recordingHandler)
-		b    []string // what b hears
+		b    []string // notifications that b receives
 		a    []string
 	}{
 		{"bytes, then a half close", func(a, _ *recordingHandler) { a.conn.Write([]byte("one")); a.conn.CloseWrite() },
@@ -151,7 +152,7 @@
 			[]string{"=two", link.ErrEOF.Error()}},
 		{"reset", func(a, _ *recordingHandler) { a.conn.Reset() }, []string{link.ErrReset.Error()}, nil},
 		{"kill", func(a, _ *recordingHandler) { a.conn.(*conn).net.Kill("p1") }, nil, []string{link.ErrReset.Error()}},
-		{"kill of the one that dialed", func(a, _ *recordingHandler) { a.conn.(*conn).net.Kill("c1") },
+		{"kill of the dialing machine", func(a, _ *recordingHandler) { a.conn.(*conn).net.Kill("c1") },
 			[]string{link.ErrReset.Error()}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -164,7 +165,7 @@
 	}
 }
 
-// Half a connection still carries bytes the other way.
+// TestHalfClose checks that a connection that is closed in one direction still carries bytes in the other.
 func TestHalfClose(t *testing.T) {
 	r := newTestNetwork(t)
 	a, b := r.connect()
@@ -175,16 +176,17 @@
 	r.onLoop(func() {
 		a.conn.Close()
 		if n := len(r.net.conns); n != 0 {
-			t.Errorf("%d connections are left", n)
+			t.Errorf("%d connections are left, want 0", n)
 		}
 		lines := strings.Join(r.tap.lines, "\n")
 		if !strings.Contains(lines, "sent") || !strings.Contains(lines, "arrived") {
-			t.Errorf("the tap saw %s", lines)
+			t.Errorf("the tap observed %s, want sent and arrived", lines)
 		}
 	})
 }
 
-// Guards the address of a process that starts again, and what is heard while there is none.
+// TestListenAgain checks that a process that starts again listens at the same real address, and that dials are
+// refused while there is none.
 func TestListenAgain(t *testing.T) {
 	r := newTestNetwork(t)
 	at := r.net.Resolve("p1:9000")
@@ -198,7 +200,7 @@
 	r.listen("p1:9000")
 	r.onLoop(func() {
 		if _, err := r.net.Listen("p1:9000", nil); err == nil {
-			t.Error("two listen at one address")
+			t.Error("a second listener at the address was accepted")
 		}
 	})
 	dials("up")
@@ -207,14 +209,15 @@
 	r.listen("p1:9000")
 	dials("up")
 	if now := r.net.Resolve("p1:9000"); now != at {
-		t.Errorf("at %s, and then at %s", at, now)
+		t.Errorf("real address %s before the restart and %s after it, want the same", at, now)
 	}
 	if other := r.net.MapAddress("n1", "p1:9000"); other == at {
-		t.Error("a guest is not told from others")
+		t.Error("the node reaches the address at the same port as other programs")
 	}
 }
 
-// Guards backpressure: an end that is held reads nothing, and loses nothing; large writes arrive whole.
+// TestPauseReading guards backpressure: a paused end reads nothing and loses nothing, and large writes arrive
+// completely.
 func TestPauseReading(t *testing.T) {
 	r := newTestNetwork(t)
 	ends := r.listen("p1:9000")
@@ -225,11 +228,11 @@
 	c.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
 	sent, err := c.Write(big)
 	if err == nil {
-		t.Fatal("a held end took 16 MiB")
+		t.Fatal("16 MiB were written to a paused end, want a timeout")
 	}
 	r.onLoop(func() {
 		if len(b.events) > 0 {
-			t.Error("a held end heard something")
+			t.Error("a paused end was notified")
 		}
 		b.conn.PauseReading(false)
 	})
@@ -238,18 +241,19 @@
 	}
 	r.onLoop(func() { b.conn.Write(big); b.conn.Close() })
 	if back, err := io.ReadAll(c); err != nil || !bytes.Equal(back, big) {
-		t.Errorf("%d bytes came back: %v", len(back), err)
+		t.Errorf("the node read %d bytes, want those written: %v", len(back), err)
 	}
 }
 
-// A connection says which node it is of; one that falls silent stays open, and is given back at its end.
+// TestHush checks that the connection's ID names the node, and that a connection that fell silent stays open and is
+// forgotten when the other side closes it.
 func TestHush(t *testing.T) {
 	r := newTestNetwork(t)
 	ends := r.listen("p1:9000")
 	one, two := r.dialFromNode("p1:9000"), r.dialFromNode("p1:9000")
 	a, b := receive(t, ends), receive(t, ends)
 	if a.conn.ID() != "n1>p1#1" || b.conn.ID() != "n1>p1#2" {
-		t.Fatalf("%s and %s", a.conn.ID(), b.conn.ID())
+		t.Fatalf("connection IDs %s and %s, want n1>p1#1 and n1>p1#2", a.conn.ID(), b.conn.ID())
 	}
 	r.onLoop(func() {
 		r.net.Hush(func(id string) bool { return id == "n1>p1#1" })
@@ -261,10 +265,10 @@
 	one.Write([]byte("hello"))
 	one.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if k, err := one.Read(make([]byte, 9)); k > 0 || !isTimeout(err) {
-		t.Errorf("a silent connection gave %d bytes, %v", k, err)
+		t.Errorf("read of a silent connection: %d bytes, %v; want a timeout", k, err)
 	}
 	one.Close()
-	for gone := false; !gone; { // its end is read by and by
+	for gone := false; !gone; { // the close is read at some later time
 		r.onLoop(func() { gone = r.net.conns["n1>p1#1"] == nil })
 	}
 }
@@ -282,7 +286,7 @@
 	b := receive(t, ends)
 	for range maxRequestsUntilSilent {
 		c.Write([]byte("ask"))
-		b.expect(t, "=ask") // the request always comes
+		b.expect(t, "=ask") // the request always arrives
 		r.onLoop(func() { b.conn.Write([]byte("answer")) })
 		c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		if k, err := c.Read(make([]byte, 99)); k == 0 {
@@ -292,10 +296,11 @@
 			return
 		}
 	}
-	t.Error("it never fell silent")
+	t.Error("the connection did not fall silent")
 }
 
-// A machine that vanishes says nothing, not even that nobody listens; back again, it knows its connections no more.
+// TestVanish checks that dials to a vanished machine time out even if nobody listens there, and that its earlier
+// connections are reset after its return.
 func TestVanish(t *testing.T) {
 	r := newTestNetwork(t)
 	ends := r.listen("p1:9000")
@@ -309,34 +314,35 @@
 		}
 		return err
 	}
-	for range 5 { // one may stand in the queue of what is not accepted
+	for range 5 { // one connection may be in the backlog
 		if dial(); isTimeout(dial()) {
 			break
 		}
 	}
 	if err := dial(); !isTimeout(err) {
-		t.Errorf("a vanished machine was reached: %v", err)
+		t.Errorf("dial to a vanished machine: %v, want a timeout", err)
 	}
 	r.onLoop(func() { r.net.Kill("p1") })
 	if err := dial(); !isTimeout(err) {
-		t.Errorf("a vanished machine without a process answered: %v", err)
+		t.Errorf("dial to a vanished machine without a process: %v, want a timeout", err)
 	}
-	ends = r.listen("p1:9000") // the process starts again, unheard
+	ends = r.listen("p1:9000") // the process starts again while its machine is unreachable
 	r.onLoop(func() { r.net.Return("p1") })
 	if _, err := old.Read(make([]byte, 9)); err == nil || isTimeout(err) {
-		t.Errorf("an old connection: %v", err)
+		t.Errorf("read of a connection from before the return: %v, want a reset", err)
 	}
 	a.expect(t)
 	c := r.dialFromNode("p1:9000")
 	c.Write([]byte("hello"))
-	for b := receive(t, ends); ; b = receive(t, ends) { // whoever came meanwhile stands before it
+	for b := receive(t, ends); ; b = receive(t, ends) { // the dials made meanwhile precede it
 		if receive(t, b.events) == "=hello" {
 			return
 		}
 	}
 }
 
-// A short cut delays; a connection that lost something for longer stays silent.
+// TestPartition checks that a short partition delays data, and that a connection on which data was blocked for longer
+// stays silent.
 func TestPartition(t *testing.T) {
 	is := func(one string) func(string) bool { return func(host string) bool { return host == one } }
 	for _, long := range []bool{false, true} {
@@ -349,22 +355,22 @@
 			heal = r.net.Cut(is("n1"), is("p1"))
 			b.conn.Write([]byte("late"))
 			if long {
-				b.conn.(*conn).blockedSince -= 2 * retransmitLimit // as if it had been written then
+				b.conn.(*conn).blockedSince -= 2 * retransmitLimit // as if it had been written that much earlier
 			}
 		})
 		if _, err := net.DialTimeout("tcp", r.net.Resolve("p1:9000"), time.Minute); err != nil {
-			t.Errorf("others are cut off: %v", err)
+			t.Errorf("dial from a machine outside the partition: %v", err)
 		}
 		c.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
 		if k, err := c.Read(make([]byte, 9)); k > 0 || !isTimeout(err) {
-			t.Errorf("through the cut: %d bytes, %v", k, err)
+			t.Errorf("read during the partition: %d bytes, %v; want a timeout", k, err)
 		}
 		r.onLoop(heal)
 		c.SetReadDeadline(time.Now().Add(20 * time.Second))
 		if long {
 			r.onLoop(func() {
 				if !b.conn.(*conn).silent {
-					t.Error("what was lost for long came all the same")
+					t.Error("the connection is not silent though data was blocked for longer than retransmitLimit")
 				}
 			})
 			continue
