--- a/internal/lab/http1/parser_test.go
+++ b/internal/lab/http1/parser_test.go
@@ -54,7 +54,7 @@
 		`POST/0 [{"Content-length" "2"}] "ab" false 40`},
 	{"chunks", "POST / HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n2\r\nab\r\nA\r\n0123456789\r\n0\r\n\r\n",
 		`POST/0 [{"Transfer-Encoding" "Chunked"}] "ab0123456789" false 74`},
-	{"connection closes", "GET / HTTP/1.1\r\nConnection: x, Close\r\n\r\n", `GET/0 [{"Connection" "x, Close"}] "" true 40`},
+	{"close option", "GET / HTTP/1.1\r\nConnection: x, Close\r\n\r\n", `GET/0 [{"Connection" "x, Close"}] "" true 40`},
 	{"not complete", "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", ""},
 	{"head not complete", get, ""},
 	{"other version", "GET / HTTP/1.0\r\n\r\n", "error"},
--- a/internal/lab/loop/loop_test.go
+++ b/internal/lab/loop/loop_test.go
@@ -91,7 +91,7 @@
 		time.AfterFunc(at, func() { l.Post(Key{Source: "timer"}, func() { order = append(order, "timer") }) })
 		l.At(time.Second, func() {
 			if !slices.Equal(order, []string{"timer", "event"}) {
-				t.Error("order of the functions:", order)
+				t.Error(order)
 			}
 		})
 	})
@@ -101,9 +101,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := New(synctest.Wait)
 		n := 0
-		var again func()
-		again = func() { n++; l.After(time.Second, again) }
-		again()
+		var repeat func()
+		repeat = func() { n++; l.After(time.Second, repeat) }
+		repeat()
 		if l.Run(t.Context(), 10*time.Second+time.Millisecond, nil) || n != 11 {
 			t.Errorf("%d timers ran until the time limit, want 11, or done was reported", n)
 		}
@@ -122,16 +122,16 @@
 // their functions and keep timers from running.
 func TestPostsDoNotStarveTimers(t *testing.T) {
 	l := New(nil)
-	over := false
-	var again func()
-	again = func() {
-		if !over {
-			l.Post(Key{}, again)
+	timerRan := false
+	var repost func()
+	repost = func() {
+		if !timerRan {
+			l.Post(Key{}, repost)
 		}
 	}
-	l.Post(Key{}, again)
-	l.After(time.Millisecond, func() { over = true })
-	if !l.Run(t.Context(), time.Minute, func() bool { return over }) {
+	l.Post(Key{}, repost)
+	l.After(time.Millisecond, func() { timerRan = true })
+	if !l.Run(t.Context(), time.Minute, func() bool { return timerRan }) {
 		t.Error("the timer did not run")
 	}
 }
@@ -140,18 +140,18 @@
 // bursts instead of one timer after each posted function.
 func TestTimersRunInBursts(t *testing.T) {
 	l := New(nil)
-	posts, events := 0, 0
-	var again func()
-	again = func() {
+	posts, timersRun := 0, 0
+	var repost func()
+	repost = func() {
 		posts++
-		l.Post(Key{}, again)
+		l.Post(Key{}, repost)
 	}
-	l.Post(Key{}, again)
+	l.Post(Key{}, repost)
 	for range 3 * maxBurst {
-		l.After(0, func() { events++ })
+		l.After(0, func() { timersRun++ })
 	}
-	if !l.Run(t.Context(), time.Minute, func() bool { return events >= 2*maxBurst+5 }) || posts > 10 {
-		t.Errorf("%d timers ran along with %d posts", events, posts)
+	if !l.Run(t.Context(), time.Minute, func() bool { return timersRun >= 2*maxBurst+5 }) || posts > 10 {
+		t.Errorf("%d timers ran along with %d posts", timersRun, posts)
 	}
 }
 
--- a/internal/lab/network/lab_test.go
+++ b/internal/lab/network/lab_test.go
@@ -27,15 +27,15 @@
 	trace  hash.Hash
 }
 
-func (l *testNetwork) Observe(c link.Event) {
-	l.events = append(l.events, strings.TrimSpace(fmt.Sprint(c.Conn, " ", c.Kind, " ", c.Note)))
-	l.bytes[fmt.Sprintf("%s %s %t", c.Conn, c.Kind, c.Back)] += string(c.Data)
-	fmt.Fprintln(l.trace, c)
+func (l *testNetwork) Observe(event link.Event) {
+	l.events = append(l.events, strings.TrimSpace(fmt.Sprint(event.Conn, " ", event.Kind, " ", event.Note)))
+	l.bytes[fmt.Sprintf("%s %s %t", event.Conn, event.Kind, event.Back)] += string(event.Data)
+	fmt.Fprintln(l.trace, event)
 }
 
-func (l *testNetwork) count(what string) (n int) {
+func (l *testNetwork) count(text string) (n int) {
 	for _, s := range l.events {
-		if strings.Contains(s, what) {
+		if strings.Contains(s, text) {
 			n++
 		}
 	}
@@ -44,16 +44,16 @@
 
 // runNetwork calls f to set up the test and then runs the loop for ten virtual seconds. The bubble fails the test if
 // a goroutine is left; runNetwork fails it if a connection is.
-func runNetwork(t *testing.T, c world.Net, f func(l *testNetwork)) *testNetwork {
+func runNetwork(t *testing.T, config world.Net, f func(l *testNetwork)) *testNetwork {
 	t.Helper()
 	var l *testNetwork
-	if c.Same == 0 {
-		c.Same = figure.Span(oneWay)
+	if config.Same == 0 {
+		config.Same = figure.Span(oneWay)
 	}
-	c.Cross, c.Client = 4*c.Same, 2*c.Same
+	config.Cross, config.Client = 4*config.Same, 2*config.Same
 	synctest.Test(t, func(t *testing.T) {
 		l = &testNetwork{t: t, bytes: map[string]string{}, trace: sha256.New()}
-		l.Net = New(loop.New(synctest.Wait), 7, c, l)
+		l.Net = New(loop.New(synctest.Wait), 7, config, l)
 		f(l)
 		l.loop.Run(context.Background(), 10*time.Second, nil)
 		if l.OpenCount() != 0 {
@@ -70,7 +70,7 @@
 	first         link.Conn
 	received      []byte
 	endErrors     []error
-	l             *testNetwork
+	network       *testNetwork
 }
 
 func (e *recordingHandler) record(c link.Conn, f func(link.Conn)) {
@@ -96,7 +96,7 @@
 
 // listen makes e the handler of the connections that arrive at addr.
 func (l *testNetwork) listen(addr string, e *recordingHandler) link.Listener {
-	e.l = l
+	e.network = l
 	k, err := l.Listen(addr, func(c link.Conn) link.Handler {
 		e.record(c, nil)
 		return e
@@ -109,14 +109,14 @@
 
 // dialAt dials from the modelled client c1 at an instant.
 func (l *testNetwork) dialAt(at time.Duration, to string, e *recordingHandler) {
-	e.l = l
+	e.network = l
 	l.loop.At(at, func() { e.conn = l.Dial("c1", to, time.Second, e) })
 }
 
 func (l *testNetwork) at(at time.Duration, f func()) { l.loop.At(at, f) }
 
-// acceptOne calls f on node n1 with the first connection that it accepts.
-func (l *testNetwork) acceptOne(f func(p *port)) {
+// acceptOnNode calls f on node n1 with the first connection that it accepts.
+func (l *testNetwork) acceptOnNode(f func(p *port)) {
 	k, err := l.Host("n1").Listen(":80")
 	if err != nil {
 		l.t.Error(err)
--- a/internal/lab/network/network_test.go
+++ b/internal/lab/network/network_test.go
@@ -28,37 +28,39 @@
 func TestPiecesReassemble(t *testing.T) {
 	for _, c := range []world.Net{{Jitter: 0.5}, {Jitter: 0.5, Pieces: 0.7, Rate: 1e7}} {
 		r := rand.New(rand.NewPCG(1, 2))
-		var there, back [300][]byte
-		for i := range there {
-			for _, way := range []*[300][]byte{&there, &back} {
-				way[i] = bytes.Repeat([]byte{byte(r.Uint32())}, 1+r.IntN(3000))
+		var toPeer, toNode [300][]byte
+		for i := range toPeer {
+			for _, messages := range []*[300][]byte{&toPeer, &toNode} {
+				messages[i] = bytes.Repeat([]byte{byte(r.Uint32())}, 1+r.IntN(3000))
 			}
 		}
-		far := &recordingHandler{end: link.Conn.Close}
+		peer := &recordingHandler{end: link.Conn.Close}
 		l := runNetwork(t, c, func(l *testNetwork) {
-			l.listen("p1:90", far)
-			for i, b := range back {
-				l.at(time.Duration(i)*ms+10*ms, func() { far.conn.Write(b) })
+			l.listen("p1:90", peer)
+			for i, b := range toNode {
+				l.at(time.Duration(i)*ms+10*ms, func() { peer.conn.Write(b) })
 			}
 			l.dialFromNode("p1:90", func(p *port) {
-				for _, b := range there {
+				for _, b := range toPeer {
 					p.Write(b)
 					time.Sleep(ms)
 				}
 				time.Sleep(100 * ms)
 				p.CloseWrite()
 				got, err := io.ReadAll(p)
-				if want := bytes.Join(back[:], nil); err != nil || !bytes.Equal(got, want) {
-					t.Errorf("%+v: the node read %d bytes, want the %d written, in order; error %v", c, len(got), len(want), err)
+				if want := bytes.Join(toNode[:], nil); err != nil || !bytes.Equal(got, want) {
+					t.Errorf("%+v: the node read %d bytes, want the %d written, in order; error %v", c,
+						len(got), len(want), err)
 				}
 			})
 		})
-		want := string(bytes.Join(there[:], nil))
-		if string(far.received) != want || l.bytes["n1>p1#1 arrived false"] != want {
-			t.Errorf("%+v: %d bytes arrived at the peer, want the %d written, in order", c, len(far.received), len(want))
+		want := string(bytes.Join(toPeer[:], nil))
+		if string(peer.received) != want || l.bytes["n1>p1#1 arrived false"] != want {
+			t.Errorf("%+v: %d bytes arrived at the peer, want the %d written, in order", c, len(peer.received), len(want))
 		}
-		if cut := l.count(" arrived") > l.count(" sent"); cut != (c.Pieces > 0) {
-			t.Errorf("%+v: %d writes arrived as %d pieces, want more pieces than writes only if Pieces > 0", c, l.count(" sent"), l.count(" arrived"))
+		if split := l.count(" arrived") > l.count(" sent"); split != (c.Pieces > 0) {
+			t.Errorf("%+v: %d writes arrived as %d pieces, want more pieces than writes only if Pieces > 0", c,
+				l.count(" sent"), l.count(" arrived"))
 		}
 	}
 }
@@ -70,20 +72,20 @@
 	wait := func() { time.Sleep(5 * ms) }
 	kill := func(l *testNetwork) func() { return func() { l.Kill("n1") } }
 	tests := []struct {
-		name   string
-		node   func(l *testNetwork, p *port) // accepts the connection at 2 ms; the request arrives at 6 ms
-		second time.Duration                 // when the client writes again, after its first write at 4 ms; 0: never
-		want   error
-		shut   string // event of the node's close
+		name       string
+		node       func(l *testNetwork, p *port) // accepts the connection at 2 ms; the request arrives at 6 ms
+		second     time.Duration                 // when the client writes again, after its first write at 4 ms; 0: never
+		want       error
+		closeEvent string // event of the node's close
 	}{
 		{"all read", func(_ *testNetwork, p *port) { read(p); p.Close() }, 0, link.ErrEOF, "shut"},
 		{"half closed", func(_ *testNetwork, p *port) { p.CloseWrite(); read(p); p.Close() }, 0, link.ErrEOF, "fin"},
 		{"unread", func(_ *testNetwork, p *port) { wait(); p.Close() }, 0, link.ErrUnread, "shut unread"},
-		{"part read", func(_ *testNetwork, p *port) { p.Read([]byte{0}); p.Close() }, 0, link.ErrUnread, "shut unread"},
-		{"crosses the close", func(_ *testNetwork, p *port) { read(p); p.Close() }, 7 * ms, link.ErrUnread, "shut"},
-		{"behind the close", func(_ *testNetwork, p *port) { read(p); p.Close() }, 4*ms + ms/2, link.ErrUnread, "shut"},
-		{"before the close", func(_ *testNetwork, p *port) { read(p); read(p); p.Close() }, 7 * ms, link.ErrEOF, "shut"},
-		{"answer first", func(_ *testNetwork, p *port) { p.Write([]byte("answer")); wait(); p.Close() }, 0,
+		{"partly read", func(_ *testNetwork, p *port) { p.Read([]byte{0}); p.Close() }, 0, link.ErrUnread, "shut unread"},
+		{"second request crosses the close", func(_ *testNetwork, p *port) { read(p); p.Close() }, 7 * ms, link.ErrUnread, "shut"},
+		{"second request after the close", func(_ *testNetwork, p *port) { read(p); p.Close() }, 4*ms + ms/2, link.ErrUnread, "shut"},
+		{"second request before the close", func(_ *testNetwork, p *port) { read(p); read(p); p.Close() }, 7 * ms, link.ErrEOF, "shut"},
+		{"response first", func(_ *testNetwork, p *port) { p.Write([]byte("answer")); wait(); p.Close() }, 0,
 			link.ErrUnread, "shut unread"},
 		{"killed", func(l *testNetwork, p *port) { read(p); l.runOnLoop(kill(l)) }, 0, link.ErrReset, "broke killed"},
 		{"killed unread", func(l *testNetwork, p *port) { wait(); l.runOnLoop(kill(l)) }, 0, link.ErrReset, "broke killed"},
@@ -102,31 +104,33 @@
 			if test.second > 0 {
 				l.at(test.second, func() { e.conn.Write([]byte("another")) })
 			}
-			l.acceptOne(func(p *port) { test.node(l, p) })
+			l.acceptOnNode(func(p *port) { test.node(l, p) })
 		})
-		if len(e.endErrors) != 1 || e.endErrors[0] != test.want || l.count("c1>n1#1 "+test.shut) == 0 {
-			t.Errorf("%s: the client's handler received %v, want %v; event %q in %q", test.name, e.endErrors, test.want, test.shut, l.events)
+		if len(e.endErrors) != 1 || e.endErrors[0] != test.want || l.count("c1>n1#1 "+test.closeEvent) == 0 {
+			t.Errorf("%s: the client's handler received %v, want %v; event %q in %q", test.name, e.endErrors,
+				test.want, test.closeEvent, l.events)
 		}
-		if test.name == "answer first" && string(e.received) != "answer" {
+		if test.name == "response first" && string(e.received) != "answer" {
 			t.Errorf("%s: the client read %q, want \"answer\"", test.name, e.received)
 		}
 	}
 }
 
 func TestListenerCloseResetsUnaccepted(t *testing.T) {
-	mute, late, asks := &recordingHandler{}, &recordingHandler{}, &recordingHandler{up: func(c link.Conn) { c.Write([]byte("request")) }}
+	silent, late, requesting := &recordingHandler{}, &recordingHandler{}, &recordingHandler{
+		up: func(c link.Conn) { c.Write([]byte("request")) }}
 	l := runNetwork(t, world.Net{}, func(l *testNetwork) {
-		k, _ := l.Host("n1").Listen("n1:80")
+		listener, _ := l.Host("n1").Listen("n1:80")
 		if _, err := l.Host("n1").Listen(":80"); !errors.Is(err, syscall.EADDRINUSE) {
 			t.Errorf("second listener at the address: %v, want EADDRINUSE", err)
 		}
-		l.dialAt(0, "n1:80", mute)
-		l.dialAt(0, "n1:80", asks)
+		l.dialAt(0, "n1:80", silent)
+		l.dialAt(0, "n1:80", requesting)
 		l.dialAt(30*ms, "n1:80", late)
 		go func() {
 			time.Sleep(20 * ms)
-			k.Close()
-			if _, err := k.Accept(); !errors.Is(err, net.ErrClosed) {
+			listener.Close()
+			if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
 				t.Errorf("accept after close: %v, want net.ErrClosed", err)
 			}
 		}()
@@ -134,7 +138,7 @@
 	if len(late.endErrors) != 1 || late.endErrors[0] != link.ErrRefused {
 		t.Errorf("a dial after the close ended with %v, want one ErrRefused", late.endErrors)
 	}
-	if got := fmt.Sprint(mute.endErrors, asks.endErrors); got != fmt.Sprintf("[%v] [%v]", link.ErrReset, link.ErrUnread) {
+	if got := fmt.Sprint(silent.endErrors, requesting.endErrors); got != fmt.Sprintf("[%v] [%v]", link.ErrReset, link.ErrUnread) {
 		t.Errorf("the unaccepted connections ended with %v, want a reset and an unread reset; events %q", got, l.events)
 	}
 	if l.count("#2 open") != 2 || l.count("#2 read") != 0 {
@@ -158,7 +162,7 @@
 		{"close", func(c link.Conn) { answer(c); c.Close() }, "answer", nil, syscall.EPIPE, nil},
 		{"end", func(c link.Conn) { answer(c); c.CloseWrite() }, "answer", nil, nil, nil},
 		{"reset", link.Conn.Reset, "", syscall.ECONNRESET, syscall.ECONNRESET, syscall.ECONNRESET},
-		{"reset in it", func(c link.Conn) { answer(c); c.Reset() }, "answer",
+		{"reset during the response", func(c link.Conn) { answer(c); c.Reset() }, "answer",
 			syscall.ECONNRESET, syscall.ECONNRESET, syscall.ECONNRESET},
 	}
 	for _, test := range tests {
@@ -195,21 +199,21 @@
 
 func TestDials(t *testing.T) {
 	tests := []struct {
-		name, to string
-		patience time.Duration // timeout of the context
-		leave    time.Duration // duration after which the context is canceled; 0: never
-		want     error
-		timeout  bool
-		took     time.Duration
-		heard    error // error that the peer's handler receives
-		open     int   // number of open connections at 2.5 ms
+		name, to    string
+		ctxTimeout  time.Duration // timeout of the context
+		cancelAfter time.Duration // duration after which the context is canceled; 0: never
+		want        error
+		isTimeout   bool
+		took        time.Duration
+		peerError   error // error that the peer's handler receives
+		openConns   int   // number of open connections at 2.5 ms
 	}{
-		{"taken", "p1:90", 5 * ms, 0, nil, false, 2 * ms, link.ErrEOF, 1},
+		{"accepted", "p1:90", 5 * ms, 0, nil, false, 2 * ms, link.ErrEOF, 1},
 		{"nobody listens", "p1:91", 5 * ms, 0, syscall.ECONNREFUSED, false, 2 * ms, nil, 0},
 		{"no machine", "p9:90", 5 * ms, 0, syscall.ECONNREFUSED, false, 2 * ms, nil, 0},
 		{"vanished", "gone:90", 5 * ms, 0, context.DeadlineExceeded, true, 5 * ms, nil, 1},
-		{"called off", "p1:90", time.Hour, ms / 2, context.Canceled, false, ms / 2, link.ErrReset, 1},
-		{"up at one side", "p1:90", time.Hour, ms + ms/2, context.Canceled, false, ms + ms/2, link.ErrReset, 1},
+		{"canceled", "p1:90", time.Hour, ms / 2, context.Canceled, false, ms / 2, link.ErrReset, 1},
+		{"canceled while up at one side", "p1:90", time.Hour, ms + ms/2, context.Canceled, false, ms + ms/2, link.ErrReset, 1},
 		{"killed", "gone:90", time.Hour, 0, net.ErrClosed, false, 500 * ms, nil, 1},
 	}
 	for _, test := range tests {
@@ -219,24 +223,24 @@
 			l.Vanish("gone")
 			l.at(500*ms, func() { l.Kill("n1") })
 			l.at(2*ms+ms/2, func() {
-				if l.OpenCount() != test.open {
-					t.Errorf("%s: open connections %v, want %d", test.name, l.OpenIDs(), test.open)
+				if l.OpenCount() != test.openConns {
+					t.Errorf("%s: open connections %v, want %d", test.name, l.OpenIDs(), test.openConns)
 				}
 			})
 			h := l.Host("n1")
 			go func() {
-				ctx, stop := context.WithTimeout(context.Background(), test.patience)
+				ctx, stop := context.WithTimeout(context.Background(), test.ctxTimeout)
 				defer stop()
-				if test.leave > 0 {
-					time.AfterFunc(test.leave, stop)
+				if test.cancelAfter > 0 {
+					time.AfterFunc(test.cancelAfter, stop)
 				}
 				c, err := h.Dial(ctx, test.to)
 				took := l.loop.Now().Truncate(ms / 2)
 				if !errors.Is(err, test.want) || (c == nil) != (err != nil) || took != test.took {
 					t.Errorf("%s: dial returned %v after %v, want %v after %v", test.name, err, took, test.want, test.took)
 				}
-				if n, ok := err.(net.Error); err != nil && (!ok || n.Timeout() != test.timeout) {
-					t.Errorf("%s: error %v: Timeout() = %v, or not a net.Error", test.name, err, !test.timeout)
+				if n, ok := err.(net.Error); err != nil && (!ok || n.Timeout() != test.isTimeout) {
+					t.Errorf("%s: error %v: Timeout() = %v, or not a net.Error", test.name, err, !test.isTimeout)
 				}
 				if c != nil {
 					if c.RemoteAddr().String() != "p1:90" || c.LocalAddr().String() != "n1:32769" {
@@ -258,8 +262,8 @@
 				k.Close()
 			}()
 		})
-		if got := append(e.endErrors, nil)[0]; got != test.heard || len(e.endErrors) > 1 {
-			t.Errorf("%s: the peer's handler received %v, want %v", test.name, e.endErrors, test.heard)
+		if got := append(e.endErrors, nil)[0]; got != test.peerError || len(e.endErrors) > 1 {
+			t.Errorf("%s: the peer's handler received %v, want %v", test.name, e.endErrors, test.peerError)
 		}
 		if fails := l.count(" fail"); (fails == 1) != (test.want != nil) {
 			t.Errorf("%s: want one fail event exactly if the dial fails: %q", test.name, l.events)
@@ -268,12 +272,12 @@
 }
 
 // TestBlockedCallEnds checks that a blocked call on a port returns at once when the deadline is set to the past
-// (which is how the carrier interrupts an attempt) or the port is closed, and otherwise at the deadline.
+// (which is how the upstream transport interrupts an attempt) or the port is closed, and otherwise at the deadline.
 func TestBlockedCallEnds(t *testing.T) {
 	wait := map[string]func(p *port) error{
 		"read":  func(p *port) error { _, err := p.Read(make([]byte, 1)); return err },
 		"write": func(p *port) error { _, err := p.Write(make([]byte, 2*windowSize)); return err },
-		"gate": func(p *port) error {
+		"read under lock": func(p *port) error {
 			_, err := p.ReadUnderLock(make([]byte, 1), &sync.Mutex{}, func() error { return nil }, nil)
 			return err
 		},
@@ -327,7 +331,7 @@
 
 func TestReadUnderLock(t *testing.T) {
 	e := &recordingHandler{end: link.Conn.Close}
-	errGone := errors.New("gone")
+	errClosed := errors.New("gone")
 	runNetwork(t, world.Net{}, func(l *testNetwork) {
 		l.listen("p1:90", e)
 		l.at(10*ms, func() { e.conn.Write([]byte("first")) })
@@ -335,50 +339,50 @@
 		l.at(40*ms, func() { e.conn.Close() })
 		l.dialFromNode("p1:90", func(p *port) {
 			var mu sync.Mutex
-			gone, asked, b := false, 0, make([]byte, 20)
-			locked := func() {
+			connClosed, checks, b := false, 0, make([]byte, 20)
+			checkLocked := func() {
 				if mu.TryLock() {
 					t.Error("checkOpen or onRead was called without the lock")
 				}
 			}
-			open := func() error {
-				locked()
-				if asked++; gone {
-					return errGone
+			checkOpen := func() error {
+				checkLocked()
+				if checks++; connClosed {
+					return errClosed
 				}
 				return nil
 			}
-			took := func(n int) {
-				if locked(); n == 0 {
+			onRead := func(n int) {
+				if checkLocked(); n == 0 {
 					t.Error("onRead was called with 0 bytes")
 				}
 			}
-			if n, err := p.ReadUnderLock(nil, &mu, open, took); n != 0 || err != nil || asked != 1 {
-				t.Errorf("empty buffer: read %d, %v with %d checks; want 0, nil with 1", n, err, asked)
+			if n, err := p.ReadUnderLock(nil, &mu, checkOpen, onRead); n != 0 || err != nil || checks != 1 {
+				t.Errorf("empty buffer: read %d, %v with %d checks; want 0, nil with 1", n, err, checks)
 			}
-			asked = 0
-			n, err := p.ReadUnderLock(b, &mu, open, took)
-			if string(b[:n]) != "first" || err != nil || asked != 1 {
-				t.Errorf("read %q, %v with %d checks; want \"first\", nil with 1", b[:n], err, asked)
+			checks = 0
+			n, err := p.ReadUnderLock(b, &mu, checkOpen, onRead)
+			if string(b[:n]) != "first" || err != nil || checks != 1 {
+				t.Errorf("read %q, %v with %d checks; want \"first\", nil with 1", b[:n], err, checks)
 			}
 			go func() {
 				time.Sleep(10 * ms)
 				mu.Lock()
-				gone = true
+				connClosed = true
 				mu.Unlock()
 			}()
-			if n, err := p.ReadUnderLock(b, &mu, open, took); n != 0 || err != errGone || asked != 2 {
-				t.Errorf("closed: read %q, %v with %d checks; want 0 bytes, errGone with 2", b[:n], err, asked)
+			if n, err := p.ReadUnderLock(b, &mu, checkOpen, onRead); n != 0 || err != errClosed || checks != 2 {
+				t.Errorf("closed: read %q, %v with %d checks; want 0 bytes, errGone with 2", b[:n], err, checks)
 			}
 			if n, _ := p.Peek(); n != 6 {
 				t.Errorf("%d unread bytes, want 6", n)
 			}
-			gone = false
+			connClosed = false
 			time.Sleep(20 * ms)
-			p.ReadUnderLock(b, &mu, open, took)
-			for i, room := range [][]byte{b, nil} {
-				if n, err := p.ReadUnderLock(room, &mu, open, took); n != 0 || err != io.EOF || asked != 4+i {
-					t.Errorf("end of stream: read %d, %v with %d checks; want 0, EOF", n, err, asked)
+			p.ReadUnderLock(b, &mu, checkOpen, onRead)
+			for i, buffer := range [][]byte{b, nil} {
+				if n, err := p.ReadUnderLock(buffer, &mu, checkOpen, onRead); n != 0 || err != io.EOF || checks != 4+i {
+					t.Errorf("end of stream: read %d, %v with %d checks; want 0, EOF", n, err, checks)
 				}
 			}
 		})
@@ -427,7 +431,7 @@
 // trace.
 func TestTraceIsDeterministic(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(8))
-	luck := func() {
+	yieldRandomly := func() {
 		for range rand.IntN(4) {
 			runtime.Gosched()
 		}
@@ -446,11 +450,11 @@
 						for n := 1; n > 0; { // each response takes several reads
 							n, _ = p.Read(make([]byte, 2))
 							read <- true
-							luck()
+							yieldRandomly()
 						}
 					}()
 					for range 9 {
-						luck()
+						yieldRandomly()
 						p.Write([]byte("request"))
 						<-read
 					}
@@ -461,7 +465,7 @@
 		hashes[string(l.trace.Sum(nil))]++
 	}
 	if len(hashes) != 1 {
-		t.Errorf("%d different traces", len(hashes))
+		t.Errorf("%d different traces, want 1", len(hashes))
 	}
 }
 
@@ -530,7 +534,7 @@
 						b, err := io.ReadAll(resp.Body)
 						resp.Body.Close()
 						if err != nil || !strings.HasPrefix(string(b), want) || len(b) < 4500 {
-							t.Errorf("response %d: %q, %v", i, b, err)
+							t.Errorf("client %d: response %q, %v", i, b, err)
 						}
 					}
 				}()
@@ -539,6 +543,6 @@
 		hashes[[32]byte(l.trace.Sum(nil))] = true
 	}
 	if len(hashes) != 1 {
-		t.Errorf("%d different traces", len(hashes))
+		t.Errorf("%d different traces, want 1", len(hashes))
 	}
 }
--- a/internal/lab/sockets/sockets_test.go
+++ b/internal/lab/sockets/sockets_test.go
@@ -27,14 +27,14 @@
 	r.net = New(r.loop, &r.tap)
 	r.net.AddNode("n1")
 	ctx, stop := context.WithCancel(context.Background())
-	over := make(chan struct{})
+	ended := make(chan struct{})
 	go func() {
 		r.loop.Run(ctx, time.Hour, nil)
-		close(over)
+		close(ended)
 	}()
 	t.Cleanup(func() {
 		stop()
-		<-over
+		<-ended
 		r.net.Close() // blocks if a goroutine does not end
 	})
 	return r
@@ -50,7 +50,9 @@
 
 type tap struct{ lines []string }
 
-func (t *tap) Observe(c link.Event) { t.lines = append(t.lines, c.Kind.String()+" "+c.Note) }
+func (t *tap) Observe(event link.Event) {
+	t.lines = append(t.lines, event.Kind.String()+" "+event.Note)
+}
 
 // recordingHandler is a link.Handler that sends each notification to events: "up", "=" and the bytes, or the text of
 // the error.
@@ -96,28 +98,28 @@
 
 // listen accepts connections at an address and sends their handlers to the channel that it returns.
 func (r *testNetwork) listen(addr string) chan *recordingHandler {
-	ends := make(chan *recordingHandler, 100)
+	handlers := make(chan *recordingHandler, 100)
 	r.onLoop(func() {
 		_, err := r.net.Listen(addr, func(c link.Conn) link.Handler {
 			e := newRecordingHandler()
 			e.conn = c
-			ends <- e
+			handlers <- e
 			return e
 		})
 		if err != nil {
 			r.t.Error(err)
 		}
 	})
-	return ends
+	return handlers
 }
 
 // connect returns both ends of a connection between two modelled machines.
 func (r *testNetwork) connect() (a, b *recordingHandler) {
-	ends := r.listen("p1:9000")
+	handlers := r.listen("p1:9000")
 	a = newRecordingHandler()
 	r.onLoop(func() { a.conn = r.net.Dial("c1", "p1:9000", time.Minute, a) })
 	a.expect(r.t, "up")
-	return a, receive(r.t, ends)
+	return a, receive(r.t, handlers)
 }
 
 // dialFromNode returns a TCP connection of node n1 to a modelled address.
@@ -190,24 +192,24 @@
 func TestListenAgain(t *testing.T) {
 	r := newTestNetwork(t)
 	at := r.net.Resolve("p1:9000")
-	dials := func(want string) {
+	expectDial := func(want string) {
 		t.Helper()
 		a := newRecordingHandler()
 		r.onLoop(func() { r.net.Dial("c1", "p1:9000", time.Minute, a) })
 		a.expect(t, want)
 	}
-	dials(link.ErrRefused.Error())
+	expectDial(link.ErrRefused.Error())
 	r.listen("p1:9000")
 	r.onLoop(func() {
 		if _, err := r.net.Listen("p1:9000", nil); err == nil {
 			t.Error("a second listener at the address was accepted")
 		}
 	})
-	dials("up")
+	expectDial("up")
 	r.onLoop(func() { r.net.Kill("p1") })
-	dials(link.ErrRefused.Error())
+	expectDial(link.ErrRefused.Error())
 	r.listen("p1:9000")
-	dials("up")
+	expectDial("up")
 	if now := r.net.Resolve("p1:9000"); now != at {
 		t.Errorf("real address %s before the restart and %s after it, want the same", at, now)
 	}
@@ -268,14 +270,14 @@
 		t.Errorf("read of a silent connection: %d bytes, %v; want a timeout", k, err)
 	}
 	one.Close()
-	for gone := false; !gone; { // the close is read at some later time
-		r.onLoop(func() { gone = r.net.conns["n1>p1#1"] == nil })
+	for forgotten := false; !forgotten; { // the close is read at some later time
+		r.onLoop(func() { forgotten = r.net.conns["n1>p1#1"] == nil })
 	}
 }
 
 func isTimeout(err error) bool {
-	var late net.Error
-	return errors.As(err, &late) && late.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
 func TestHushNew(t *testing.T) {
@@ -344,7 +346,7 @@
 // TestPartition checks that a short partition delays data, and that a connection on which data was blocked for longer
 // stays silent.
 func TestPartition(t *testing.T) {
-	is := func(one string) func(string) bool { return func(host string) bool { return host == one } }
+	hostIs := func(one string) func(string) bool { return func(host string) bool { return host == one } }
 	for _, long := range []bool{false, true} {
 		r := newTestNetwork(t)
 		ends := r.listen("p1:9000")
@@ -352,7 +354,7 @@
 		b := receive(t, ends)
 		var heal func()
 		r.onLoop(func() {
-			heal = r.net.Cut(is("n1"), is("p1"))
+			heal = r.net.Cut(hostIs("n1"), hostIs("p1"))
 			b.conn.Write([]byte("late"))
 			if long {
 				b.conn.(*conn).blockedSince -= 2 * retransmitLimit // as if it had been written that much earlier
