--- a/internal/lab/http1/body.go
+++ b/internal/lab/http1/body.go
@@ -26,12 +26,12 @@
 // declared reports whether the head declares a body.
 func (f bodyFraming) declared() bool { return f.chunked || f.length != noLength }
 
-// hasNoBody reports whether an answer ends with its head.
+// hasNoBody reports whether a response ends with its head.
 func (m *Message) hasNoBody() bool {
 	return m.mayNotDeclareBody() || m.Status == http.StatusNotModified
 }
 
-// mayNotDeclareBody reports whether the head of an answer may not declare a body.
+// mayNotDeclareBody reports whether the head of a response may not declare a body.
 func (m *Message) mayNotDeclareBody() bool {
 	return m.Status < http.StatusOK || m.Status == http.StatusNoContent
 }
--- a/internal/lab/http1/head.go
+++ b/internal/lab/http1/head.go
@@ -19,7 +19,7 @@
 	firstLine, fields, _ := strings.Cut(text, "\r\n")
 	m := &Message{}
 	var err error
-	if p.answers {
+	if p.responses {
 		err = m.parseStatusLine(firstLine)
 	} else {
 		err = m.parseRequestLine(firstLine)
--- a/internal/lab/http1/parser.go
+++ b/internal/lab/http1/parser.go
@@ -18,18 +18,18 @@
 
 // Parser parses messages from the bytes fed to it. It is not safe for concurrent use.
 type Parser struct {
-	answers  bool // it parses responses, not requests
-	buffered []byte
-	scanned  int // number of leading bytes of buffered that hold no end of a head
-	closed   bool
-	err      error // the error that ended the parsing
+	responses bool // it parses responses, not requests
+	buffered  []byte
+	scanned   int // number of leading bytes of buffered that hold no end of a head
+	closed    bool
+	err       error // the error that ended the parsing
 }
 
 // NewRequestParser returns a parser of requests.
 func NewRequestParser() *Parser { return &Parser{} }
 
-// NewAnswerParser returns a parser of responses. It skips interim responses (1xx).
-func NewAnswerParser() *Parser { return &Parser{answers: true} }
+// NewResponseParser returns a parser of responses. It skips interim responses (1xx).
+func NewResponseParser() *Parser { return &Parser{responses: true} }
 
 // Feed appends bytes to the input. It does not keep b.
 func (p *Parser) Feed(b []byte) { p.buffered = append(p.buffered, b...) }
@@ -53,7 +53,7 @@
 			return nil, nil
 		}
 		p.discard(size)
-		if p.answers && m.Status < http.StatusOK {
+		if p.responses && m.Status < http.StatusOK {
 			continue
 		}
 		m.Size = size
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	if p.answers && m.hasNoBody() {
+	if p.responses && m.hasNoBody() {
 		if m.mayNotDeclareBody() && framing.declared() {
 			return nil, 0, fmt.Errorf("body declared with status %d, which has none", m.Status)
 		}
@@ -122,7 +122,7 @@
 	case framing.chunked:
 		m.Body, size, err = parseChunked(rest)
 		return size, size > 0, err
-	case framing.length == noLength && !p.answers:
+	case framing.length == noLength && !p.responses:
 		return 0, true, nil
 	case framing.length == noLength && !p.closed:
 		return 0, false, nil
--- a/internal/lab/http1/parser_test.go
+++ b/internal/lab/http1/parser_test.go
@@ -9,8 +9,8 @@
 
 // read feeds text in pieces of the given sizes and then the rest at once. It returns a line for each message, and
 // "error" for an error.
-func read(answers bool, text []byte, sizes []byte) (out []string, buffered int) {
-	p := &Parser{answers: answers}
+func read(responses bool, text []byte, sizes []byte) (out []string, buffered int) {
+	p := &Parser{responses: responses}
 	next := func() bool {
 		for {
 			m, err := p.Next()
@@ -83,7 +83,7 @@
 	{"long head", get + "A: " + strings.Repeat("x", maxHead) + "\r\n\r\n", "error"},
 }
 
-var answers = []struct{ name, text, want string }{
+var responses = []struct{ name, text, want string }{
 	{"length", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na", `200 [{"Content-Length" "1"}] "a" false 39`},
 	{"interim ones ahead", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 \r\nA: b\r\n\r\nHTTP/1.1 204 No\r\n\r\n",
 		`204 [] "" false 19`},
@@ -98,7 +98,7 @@
 }
 
 func TestMessages(t *testing.T) {
-	for i, table := range [][]struct{ name, text, want string }{requests, answers} {
+	for i, table := range [][]struct{ name, text, want string }{requests, responses} {
 		for _, c := range table {
 			t.Run(c.name, func(t *testing.T) {
 				for _, sizes := range [][]byte{nil, bytes.Repeat([]byte{1}, min(len(c.text), 200)), {17, 3, 2, 9}} {
@@ -113,14 +113,14 @@
 
 // FuzzPieces guards against a parser whose result depends on how the input is split.
 func FuzzPieces(f *testing.F) {
-	for i, table := range [][]struct{ name, text, want string }{requests, answers} {
+	for i, table := range [][]struct{ name, text, want string }{requests, responses} {
 		for _, c := range table {
 			f.Add(i == 1, []byte(c.text+c.text), []byte{1, 30, 2})
 		}
 	}
-	f.Fuzz(func(t *testing.T, answers bool, text, sizes []byte) {
-		whole, held := read(answers, text, nil)
-		pieces, left := read(answers, text, sizes)
+	f.Fuzz(func(t *testing.T, responses bool, text, sizes []byte) {
+		whole, held := read(responses, text, nil)
+		pieces, left := read(responses, text, sizes)
 		if strings.Join(whole, "\n") != strings.Join(pieces, "\n") {
 			t.Fatalf("parsed as a whole %q, in pieces %q", whole, pieces)
 		}
--- a/internal/lab/link/direct/conn.go
+++ b/internal/lab/link/direct/conn.go
@@ -18,8 +18,9 @@
 	unread          int      // bytes in flight to this end, or not read because of the pause
 }
 
-// answered processes the answer to the dial: whether a listener exists. Its handler is nil if it did not accept.
-func (e *end) answered(listening bool) {
+// dialDone processes the result of the dial. listening tells whether a listener existed; if it rejected the
+// connection, the other end has no handler.
+func (e *end) dialDone(listening bool) {
 	server := e.other
 	switch {
 	case e.closed && server.handler != nil:
@@ -42,8 +43,8 @@
 	e.handler.Up(e)
 	stored := e.beforeUp
 	e.beforeUp = nil
-	for _, do := range stored {
-		do()
+	for _, call := range stored {
+		call()
 	}
 }
 
@@ -66,14 +67,14 @@
 	}
 }
 
-// deliver calls do at the other end after the delay, in order.
-func (e *end) deliver(do func()) {
+// runAtOther calls run for the other end after the delay, in order, and once its reading is not paused.
+func (e *end) runAtOther(run func()) {
 	other := e.other
 	e.fabric.loop.After(e.fabric.delay, func() {
 		if other.paused {
-			other.whilePaused = append(other.whilePaused, do)
+			other.whilePaused = append(other.whilePaused, run)
 		} else {
-			do()
+			run()
 		}
 	})
 }
@@ -93,7 +94,7 @@
 	}
 	other := e.other
 	other.unread += len(b)
-	e.deliver(func() {
+	e.runAtOther(func() {
 		if other.closed {
 			e.fabric.loop.After(e.fabric.delay, func() { e.fail(link.ErrReset) })
 			return
@@ -114,7 +115,7 @@
 	}
 	e.finishedSending = true
 	other := e.other
-	e.deliver(func() {
+	e.runAtOther(func() {
 		if !other.closed && !other.handlerEnded {
 			other.handlerEnded = true
 			other.handler.End(other, link.ErrEOF)
@@ -130,7 +131,7 @@
 	other := e.other
 	switch {
 	case e.up && e.unread > 0:
-		e.deliver(func() { other.fail(link.ErrUnread) })
+		e.runAtOther(func() { other.fail(link.ErrUnread) })
 	case e.up:
 		e.CloseWrite()
 	}
@@ -149,7 +150,7 @@
 		if e.fabric.ResetsLeaveUnread {
 			err = link.ErrUnread
 		}
-		e.deliver(func() { other.fail(err) })
+		e.runAtOther(func() { other.fail(err) })
 	}
 }
 
@@ -157,8 +158,8 @@
 func (e *end) PauseReading(paused bool) {
 	e.paused = paused
 	for !e.paused && len(e.whilePaused) > 0 {
-		do := e.whilePaused[0]
+		run := e.whilePaused[0]
 		e.whilePaused = e.whilePaused[1:]
-		do()
+		run()
 	}
 }
--- a/internal/lab/link/direct/direct.go
+++ b/internal/lab/link/direct/direct.go
@@ -77,7 +77,7 @@
 			f.OpenEnds++
 			server.handler = l.accept(server)
 		}
-		f.loop.After(f.delay, func() { client.answered(l != nil) })
+		f.loop.After(f.delay, func() { client.dialDone(l != nil) })
 	})
 	return client
 }
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -55,7 +55,7 @@
 	End(c Conn, err error)
 }
 
-// Conn is one end of a connection. Its methods do nothing once it is closed.
+// Conn is one end of a connection. Its methods do nothing once this end is closed.
 type Conn interface {
 	// ID identifies the connection. It is the same at both ends and in every run of one seed: "c1>n2#7" is the seventh
 	// connection from host c1 to host n2.
--- a/internal/lab/loop/loop.go
+++ b/internal/lab/loop/loop.go
@@ -75,7 +75,7 @@
 
 // Run runs timers and posted functions until ctx ends, the time until is reached, or done returns true; done may be
 // nil. Run reports whether done returned true. done is called after each timer or, where the Loop does not wait for
-// goroutines, after at most maxBurst.
+// goroutines, after several of them.
 func (l *Loop) Run(ctx context.Context, until time.Duration, done func() bool) bool {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/lab/network/conn.go
+++ b/internal/lab/network/conn.go
@@ -39,7 +39,7 @@
 	wroteData bool // at least one byte was sent
 	resetSent bool // a reset was sent
 
-	// Used for the ends of modelled services only; see world.go.
+	// Used for the ends of modelled services only; see link_conn.go.
 	paused      bool
 	unreadData  []byte // bytes that arrived while reading was paused
 	finPending  bool   // a FIN arrived behind unreadData
--- a/internal/lab/network/delay.go
+++ b/internal/lab/network/delay.go
@@ -42,7 +42,7 @@
 	return n.config.Cross.D()
 }
 
-// delay returns the one-way delay of a packet that is sent now. It draws the packet's jitter.
+// delay draws the jitter of a packet that is sent now and returns its one-way delay.
 func (p *pipe) delay() time.Duration {
 	n := p.conn.net
 	if p.jitterRand == nil {
--- a/internal/lab/network/network.go
+++ b/internal/lab/network/network.go
@@ -23,7 +23,8 @@
 // reached it blocks, as with a full socket buffer.
 const windowSize = 256 << 10
 
-// Net is a simulated network. Its methods belong to the goroutine of the Loop, except Host.
+// Net is a simulated network. Its methods belong to the goroutine of the Loop, except Host, which is safe for
+// concurrent use.
 type Net struct {
 	loop   *loop.Loop
 	seed   uint64
--- a/internal/lab/network/network_test.go
+++ b/internal/lab/network/network_test.go
@@ -82,9 +82,9 @@
 		{"half closed", func(_ *testNetwork, p *port) { p.CloseWrite(); read(p); p.Close() }, 0, link.ErrEOF, "fin"},
 		{"unread", func(_ *testNetwork, p *port) { wait(); p.Close() }, 0, link.ErrUnread, "shut unread"},
 		{"partly read", func(_ *testNetwork, p *port) { p.Read([]byte{0}); p.Close() }, 0, link.ErrUnread, "shut unread"},
-		{"second request crosses the close", func(_ *testNetwork, p *port) { read(p); p.Close() }, 7 * ms, link.ErrUnread, "shut"},
-		{"second request after the close", func(_ *testNetwork, p *port) { read(p); p.Close() }, 4*ms + ms/2, link.ErrUnread, "shut"},
-		{"second request before the close", func(_ *testNetwork, p *port) { read(p); read(p); p.Close() }, 7 * ms, link.ErrEOF, "shut"},
+		{"request crosses close", func(_ *testNetwork, p *port) { read(p); p.Close() }, 7 * ms, link.ErrUnread, "shut"},
+		{"request after close", func(_ *testNetwork, p *port) { read(p); p.Close() }, 4*ms + ms/2, link.ErrUnread, "shut"},
+		{"request before close", func(_ *testNetwork, p *port) { read(p); read(p); p.Close() }, 7 * ms, link.ErrEOF, "shut"},
 		{"response first", func(_ *testNetwork, p *port) { p.Write([]byte("answer")); wait(); p.Close() }, 0,
 			link.ErrUnread, "shut unread"},
 		{"killed", func(l *testNetwork, p *port) { read(p); l.runOnLoop(kill(l)) }, 0, link.ErrReset, "broke killed"},
@@ -138,7 +138,8 @@
 	if len(late.endErrors) != 1 || late.endErrors[0] != link.ErrRefused {
 		t.Errorf("a dial after the close ended with %v, want one ErrRefused", late.endErrors)
 	}
-	if got := fmt.Sprint(silent.endErrors, requesting.endErrors); got != fmt.Sprintf("[%v] [%v]", link.ErrReset, link.ErrUnread) {
+	if got := fmt.Sprint(silent.endErrors, requesting.endErrors); got !=
+		fmt.Sprintf("[%v] [%v]", link.ErrReset, link.ErrUnread) {
 		t.Errorf("the unaccepted connections ended with %v, want a reset and an unread reset; events %q", got, l.events)
 	}
 	if l.count("#2 open") != 2 || l.count("#2 read") != 0 {
@@ -213,7 +214,7 @@
 		{"no machine", "p9:90", 5 * ms, 0, syscall.ECONNREFUSED, false, 2 * ms, nil, 0},
 		{"vanished", "gone:90", 5 * ms, 0, context.DeadlineExceeded, true, 5 * ms, nil, 1},
 		{"canceled", "p1:90", time.Hour, ms / 2, context.Canceled, false, ms / 2, link.ErrReset, 1},
-		{"canceled while up at one side", "p1:90", time.Hour, ms + ms/2, context.Canceled, false, ms + ms/2, link.ErrReset, 1},
+		{"canceled half open", "p1:90", time.Hour, ms + ms/2, context.Canceled, false, ms + ms/2, link.ErrReset, 1},
 		{"killed", "gone:90", time.Hour, 0, net.ErrClosed, false, 500 * ms, nil, 1},
 	}
 	for _, test := range tests {
--- a/internal/lab/network/port.go
+++ b/internal/lab/network/port.go
@@ -54,11 +54,11 @@
 func (p *port) attach(e *end) {
 	c := e.conn
 	e.port, p.end, p.id, p.side = p, e, c.id, uint64(e.side)
-	here, there := netAddr(c.from+":"+strconv.FormatUint(32768+c.dialNumber%28000, 10)), netAddr(c.to)
+	local, remote := netAddr(c.from+":"+strconv.FormatUint(32768+c.dialNumber%28000, 10)), netAddr(c.to)
 	if e.side == 1 {
-		here, there = there, here
+		local, remote = remote, local
 	}
-	p.local, p.remote = here, there
+	p.local, p.remote = local, remote
 }
 
 // Operations that order the posts of a port within one instant: a read precedes the write that responds to it, and
--- a/internal/lab/sockets/conn.go
+++ b/internal/lab/sockets/conn.go
@@ -207,8 +207,8 @@
 	return written
 }
 
-// failWrites records that the kernel rejects further writes. Data that arrived before the failure is still read, and
-// then the error itself.
+// failWrites records that the kernel rejects further writes. The connection stays open until its handler was notified
+// of the end, so that data which arrived before the failure, and then the error itself, are still read.
 func (c *conn) failWrites() {
 	c.writeFailed = true
 	if c.endNotified {
@@ -269,8 +269,8 @@
 	c.startClosing(closeSending)
 }
 
-func (c *conn) startClosing(how closeMode) {
-	c.closing = how
+func (c *conn) startClosing(mode closeMode) {
+	c.closing = mode
 	if c.frozen && len(c.sendBuffer) == 0 {
 		c.blockedSince = c.net.loop.Now()
 	}
--- a/internal/lab/sockets/faults.go
+++ b/internal/lab/sockets/faults.go
@@ -91,10 +91,10 @@
 func (n *Net) applyPartitions() {
 	n.updateListenSockets()
 	n.forEachConn(func(c *conn) {
-		parted := n.partitioned(c.from, c.host)
+		partitioned := n.partitioned(c.from, c.host)
 		switch {
-		case c.silent || parted == c.frozen:
-		case parted:
+		case c.silent || partitioned == c.frozen:
+		case partitioned:
 			c.frozen, c.blockedSince = true, n.loop.Now()
 		default:
 			c.unfreeze()
--- a/internal/lab/sockets/net.go
+++ b/internal/lab/sockets/net.go
@@ -91,8 +91,8 @@
 func (n *Net) Resolve(addr string) string { return n.MapAddress("", addr) }
 
 // MapAddress implements link.AddressMapper.
-func (n *Net) MapAddress(by, addr string) string {
-	at, err := n.book.realAddr(by, addr)
+func (n *Net) MapAddress(viewer, addr string) string {
+	at, err := n.book.realAddr(viewer, addr)
 	if err != nil {
 		n.recordError(err)
 	}
--- a/internal/lab/world/client/conn.go
+++ b/internal/lab/world/client/conn.go
@@ -73,7 +73,7 @@
 			continue
 		}
 		c.held[addr]++
-		k := &conn{crowd: c, addr: addr, parser: http1.NewAnswerParser(), last: t.fresh, open: []*try{t}}
+		k := &conn{crowd: c, addr: addr, parser: http1.NewResponseParser(), last: t.fresh, open: []*try{t}}
 		t.conn = k
 		c.conns = append(c.conns, k)
 		k.link = c.env.Fabric.Dial(c.conf.Name, addr, dialTimeout, k)
--- a/internal/lab/world/client/front.go
+++ b/internal/lab/world/client/front.go
@@ -161,7 +161,7 @@
 		if s.front.over || s.admitted {
 			return
 		}
-		c := &check{station: s, life: s.life, parser: http1.NewAnswerParser()}
+		c := &check{station: s, life: s.life, parser: http1.NewResponseParser()}
 		c.conn = s.front.env.Fabric.Dial(FrontHost, s.name+port, dialTimeout, c)
 		c.late = s.front.env.Loop.After(dialTimeout, c.done)
 		s.checkIn(s.check())
--- a/internal/lab/world/peer/rig_test.go
+++ b/internal/lab/world/peer/rig_test.go
@@ -185,7 +185,7 @@
 
 // send opens a connection at an instant and sends texts on it.
 func (r *rig) send(at time.Duration, texts ...string) *ask {
-	a := &ask{loop: r.wire.loop, in: http1.NewAnswerParser()}
+	a := &ask{loop: r.wire.loop, in: http1.NewResponseParser()}
 	r.asks = append(r.asks, a)
 	r.at(at, func() {
 		a.conn = r.wire.Dial("n1", r.Addr(), time.Second, a)
--- a/internal/lab/world/registry/registry_test.go
+++ b/internal/lab/world/registry/registry_test.go
@@ -85,7 +85,7 @@
 }
 
 func (l *lab) dial(addr string) *asker {
-	a := &asker{l: l, parser: http1.NewAnswerParser()}
+	a := &asker{l: l, parser: http1.NewResponseParser()}
 	a.c = l.net.Dial("n1", addr, time.Second, a)
 	return a
 }
