--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -18,8 +18,8 @@
 	ErrEOF = errors.New("end of stream")
 	// ErrReset means that the connection was reset; the other side may or may not have read the sent bytes.
 	ErrReset = errors.New("reset")
-	// ErrUnread means a reset which proves that the other side, when it closed, had not read everything that this side
-	// had sent.
+	// ErrUnread means that the connection was reset in a way that proves that the other side, when it closed, had not
+	// read everything that this side had sent.
 	ErrUnread = errors.New("reset with bytes unread")
 	// ErrRefused means that nobody listens at the address.
 	ErrRefused = errors.New("refused")
--- a/internal/lab/network/faults.go
+++ b/internal/lab/network/faults.go
@@ -69,13 +69,13 @@
 	c.pipes[1].dropAll()
 }
 
-// silence drops every packet from now on, and those in flight. Both ends still take the connection for open.
+// silence drops the packets in flight and every later packet. To both ends the connection still seems open.
 func (c *conn) silence() {
 	c.silent = true
 	c.dropInFlight()
 }
 
-// Hush silences those of the present connections whose IDs pick selects.
+// Hush silences the open connections whose IDs pick accepts.
 func (n *Net) Hush(pick func(id string) bool) {
 	n.forEachConn(func(c *conn) {
 		if !c.ends[0].closed && !c.ends[1].closed && c.ends[0].up && pick(c.id) {
--- a/internal/lab/network/held.go
+++ b/internal/lab/network/held.go
@@ -1,6 +1,6 @@
 package network
 
-// HeldBy returns the sorted IDs of the connections of which the program on a machine holds an end. It leaves out
+// HeldBy returns the sorted IDs of the connections of which the program on a machine holds an end. It excludes
 // connections that the program has closed, even if the other end was not notified of the close.
 func (n *Net) HeldBy(host string) []string {
 	var ids []string
--- a/internal/lab/network/lab_test.go
+++ b/internal/lab/network/lab_test.go
@@ -43,7 +43,7 @@
 }
 
 // runNetwork calls f to set up the test and then runs the loop for ten virtual seconds. The bubble fails the test if
-// a goroutine is left; runNetwork fails it if a connection is.
+// a goroutine is left; runNetwork fails it if a connection is still open.
 func runNetwork(t *testing.T, config world.Net, f func(l *testNetwork)) *testNetwork {
 	t.Helper()
 	var l *testNetwork
--- a/internal/lab/network/portloop.go
+++ b/internal/lab/network/portloop.go
@@ -17,7 +17,7 @@
 	close(p.dialDone)
 }
 
-// cancelDial abandons a dial whose context has ended. A connection that is up nevertheless is closed as it is.
+// cancelDial abandons a dial whose context has ended. A connection that was established nevertheless is closed.
 func (p *port) cancelDial() {
 	if p.end != nil {
 		p.end.closeBoth(p.dropUnread())
--- a/internal/lab/sockets/faults.go
+++ b/internal/lab/sockets/faults.go
@@ -51,13 +51,13 @@
 	return n.vanished[host] || n.partitioned(viewer, host)
 }
 
-// silence blocks the connection for good. Both ends still take it for open.
+// silence blocks the connection permanently. To both ends it still seems open.
 func (c *conn) silence() {
 	c.silent, c.frozen, c.silencePlan, c.sendBuffer = true, false, nil, nil
 	c.resume()
 }
 
-// Hush silences those of the present connections whose IDs pick selects.
+// Hush silences the open connections whose IDs pick accepts.
 func (n *Net) Hush(pick func(conn string) bool) {
 	n.forEachConn(func(c *conn) {
 		if c.tcp != nil && !c.closed && pick(c.id) {
