--- a/internal/lab/network/faults.go
+++ b/internal/lab/network/faults.go
@@ -9,33 +9,32 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// resends is how long a machine goes on sending anew what is not acknowledged.
-// Whatever is lost for longer is lost for good.
-const resends = time.Second
+// retransmitLimit is the duration for which a machine retransmits unacknowledged packets. A connection whose packets
+// are lost for longer delivers nothing any more.
+const retransmitLimit = time.Second
 
-// machine is the one at an end.
-func (e *end) machine() string { return [2]string{e.c.from, e.c.host}[e.side] }
+// machine returns the host of this end.
+func (e *end) machine() string { return [2]string{e.conn.from, e.conn.host}[e.side] }
 
-// Kill ends the process on a machine: its connections are reset, its listeners
-// are no more, and its calls fail. What listens or dials there afterwards is
-// another process.
+// Kill ends the process on a machine: its connections are reset, its listeners are closed, and its calls fail.
+// A process that listens or dials on the machine afterwards is a new one.
 func (n *Net) Kill(host string) {
 	n.mu.Lock()
 	h := n.hosts[host]
 	delete(n.hosts, host)
-	for addr, l := range n.listeners { // in no order, but nothing is heard of it
+	for addr, l := range n.listeners { // the order does not matter: closing a listener causes no event
 		if hostOf(addr) == host {
-			l.die()
+			l.processKilled()
 			delete(n.listeners, addr)
 		}
 	}
 	n.mu.Unlock()
 	if h != nil {
 		h.mu.Lock()
-		h.dead = true
+		h.killed = true
 		h.mu.Unlock()
 	}
-	n.each(func(c *conn) {
+	n.forEachConn(func(c *conn) {
 		for i := range c.ends {
 			e := &c.ends[i]
 			if e.machine() != host || !e.held {
@@ -49,186 +48,187 @@
 	})
 }
 
-// Vanish takes a machine off the network: what it sends and is sent is lost.
-// Whatever was on its way is, too.
+// Vanish takes a machine off the network: packets from it and to it are dropped, including those in flight.
 func (n *Net) Vanish(host string) {
-	n.absent[host] = true
-	n.each(func(c *conn) {
+	n.vanished[host] = true
+	n.forEachConn(func(c *conn) {
 		if c.from == host || c.host == host {
 			c.stale = true
-			c.lose()
+			c.dropInFlight()
 		}
 	})
 }
 
-// Return brings it back. It knows its connections no more: each breaks once
-// either side sends on it.
-func (n *Net) Return(host string) { delete(n.absent, host) }
+// Return brings a vanished machine back. It no longer knows its earlier connections: each is reset once either side
+// sends on it.
+func (n *Net) Return(host string) { delete(n.vanished, host) }
 
-// lose clears both ways.
-func (c *conn) lose() {
-	c.pipes[0].clear()
-	c.pipes[1].clear()
+// dropInFlight drops the packets in flight in both directions.
+func (c *conn) dropInFlight() {
+	c.pipes[0].dropAll()
+	c.pipes[1].dropAll()
 }
 
-// silence loses all that is sent from now on. Both ends believe the connection open.
+// silence drops the packets in flight and every later packet. To both ends the connection still seems open.
 func (c *conn) silence() {
 	c.silent = true
-	c.lose()
+	c.dropInFlight()
 }
 
-// Hush silences the connections picked among those that are open now.
+// Hush silences the open connections whose IDs pick accepts.
 func (n *Net) Hush(pick func(id string) bool) {
-	n.each(func(c *conn) {
-		if !c.ends[0].gone && !c.ends[1].gone && c.ends[0].up && pick(c.id) {
+	n.forEachConn(func(c *conn) {
+		if !c.ends[0].closed && !c.ends[1].closed && c.ends[0].up && pick(c.id) {
 			c.silence()
 		}
 	})
 }
 
-// rule concerns the machines of one set and those of another.
-type rule struct {
+// hostRule applies to connections between a machine that a selects and one that b selects.
+type hostRule struct {
 	a, b   func(host string) bool
 	factor float64
 }
 
-func (r *rule) between(x, y string) bool { return r.a(x) && r.b(y) || r.a(y) && r.b(x) }
+func (r *hostRule) between(x, y string) bool { return r.a(x) && r.b(y) || r.a(y) && r.b(x) }
 
-// with adds a rule to those in force; without takes it away, once.
-func with(rules *[]*rule, r *rule, then func()) (without func()) {
+// addRule adds a rule to those in force. The function that it returns removes the rule and calls then; further calls
+// of it do nothing.
+func addRule(rules *[]*hostRule, r *hostRule, onRemove func()) (remove func()) {
 	*rules = append(*rules, r)
 	return func() {
 		if i := slices.Index(*rules, r); i >= 0 {
 			*rules = slices.Delete(*rules, i, i+1)
-			then()
+			onRemove()
 		}
 	}
 }
 
-// Slow makes the delays between two sets of machines times longer, for all that
-// is sent until healed.
+// Slow multiplies the delays between two sets of machines by factor, for the packets that are sent until heal is
+// called.
 func (n *Net) Slow(factor float64, a, b func(host string) bool) (heal func()) {
-	return with(&n.slows, &rule{a, b, factor}, func() {})
+	return addRule(&n.slowdowns, &hostRule{a, b, factor}, func() {})
 }
 
-// Cut parts two sets of machines. What was lost within the last second before it
-// heals comes late, as machines send it again; a connection that had lost
-// something earlier stays silent.
+// Cut partitions two sets of machines until heal is called. Packets that were blocked for at most a second when it
+// heals arrive late, since machines retransmit them; a connection with packets that were blocked for longer stays
+// silent.
 func (n *Net) Cut(a, b func(host string) bool) (heal func()) {
-	return with(&n.cuts, &rule{a: a, b: b}, func() {
-		n.each(func(c *conn) {
-			if !n.parted(c) {
-				c.mend()
+	return addRule(&n.partitions, &hostRule{a: a, b: b}, func() {
+		n.forEachConn(func(c *conn) {
+			if !n.connPartitioned(c) {
+				c.heal()
 			}
 		})
 	})
 }
 
-// parted reports whether a partition lies between the ends.
-func (n *Net) parted(c *conn) bool { return n.Parted(c.from, c.host) }
+// connPartitioned reports whether a partition separates the two ends of a connection.
+func (n *Net) connPartitioned(c *conn) bool { return n.Partitioned(c.from, c.host) }
 
-// Parted reports whether a partition lies between two machines.
-func (n *Net) Parted(a, b string) bool {
-	return slices.ContainsFunc(n.cuts, func(r *rule) bool { return r.between(a, b) })
+// Partitioned reports whether a partition separates two machines.
+func (n *Net) Partitioned(a, b string) bool {
+	return slices.ContainsFunc(n.partitions, func(r *hostRule) bool { return r.between(a, b) })
 }
 
-// mend goes on after a partition.
-func (c *conn) mend() {
-	now := c.n.loop.Now()
+// heal resumes the delivery after a partition, or silences the connection if packets were blocked for longer than
+// retransmitLimit.
+func (c *conn) heal() {
+	now := c.net.loop.Now()
 	for i := range c.pipes {
-		if p := &c.pipes[i]; p.stuck && now-p.since > resends {
+		if p := &c.pipes[i]; p.blocked && now-p.blockedSince > retransmitLimit {
 			c.silence()
 			return
 		}
 	}
 	for i := range c.pipes {
-		if p := &c.pipes[i]; p.stuck {
-			p.stuck = false
-			p.queue[p.head].at = now + p.base()
-			p.arm()
+		if p := &c.pipes[i]; p.blocked {
+			p.blocked = false
+			p.queue[p.head].arrivesAt = now + p.baseDelay()
+			p.startTimer()
 		}
 	}
 }
 
-// hushing is a time in which new connections may fall silent.
-type hushing struct {
-	share float64
-	to    func(host string) bool
+// silenceFault is a fault during which a share of the new connections to the matching hosts fall silent.
+type silenceFault struct {
+	share   float64
+	matches func(host string) bool
 }
 
-// hush is when a connection falls silent: once it has carried that many requests
-// and no byte of an answer to the last, or a moment later.
-type hush struct {
-	of     *hushing
-	turn   int
-	pause  time.Duration
-	turns  int
-	asking bool
-	due    *loop.Timer
+// silencePlan determines when a connection falls silent: after the request number lastRequest has arrived and before
+// the first byte of its response is sent, but no later than delay after the last byte of the request.
+type silencePlan struct {
+	fault        *silenceFault
+	lastRequest  int // number of the request after which the connection falls silent
+	delay        time.Duration
+	requestCount int  // number of requests received, including an incomplete one
+	requestOpen  bool // no byte of the response to the last request was sent
+	timer        *loop.Timer
 }
 
-// mostTurns bounds how many requests a connection carries until it falls silent.
-const mostTurns = 8
+// maxRequestsUntilSilent is the maximum number of requests that a connection carries until it falls silent.
+const maxRequestsUntilSilent = 8
 
-// HushNew lets a share of the connections that are dialed to some machines from
-// now on fall silent, each right after it has brought one of its requests.
+// HushNew makes a share of the connections that are dialed to the hosts matching to from now on fall silent, each
+// right after it has delivered one of its requests. After stop, no further connection falls silent.
 func (n *Net) HushNew(share float64, to func(host string) bool) (stop func()) {
-	h := &hushing{share, to}
-	n.hushes = append(n.hushes, h)
+	fault := &silenceFault{share, to}
+	n.silenceFaults = append(n.silenceFaults, fault)
 	return func() {
-		n.hushes = slices.DeleteFunc(n.hushes, func(x *hushing) bool { return x == h })
+		n.silenceFaults = slices.DeleteFunc(n.silenceFaults, func(x *silenceFault) bool { return x == fault })
 	}
 }
 
-// drawHush draws whether a new connection will fall silent, and when.
-func (n *Net) drawHush(c *conn) {
+// drawSilencePlan draws whether and when a new connection falls silent.
+func (n *Net) drawSilencePlan(c *conn) {
 	var r *rand.Rand
-	for _, h := range n.hushes {
-		if !h.to(c.host) {
+	for _, fault := range n.silenceFaults {
+		if !fault.matches(c.host) {
 			continue
 		}
 		if r == nil {
 			r = figure.Stream(n.seed, c.id+" hush")
 		}
-		x, turn, pause := r.Float64(), 1+r.IntN(mostTurns), gap(r)
-		if x < h.share && c.hush == nil {
-			c.hush = &hush{of: h, turn: turn, pause: pause}
+		draw, lastRequest, delay := r.Float64(), 1+r.IntN(maxRequestsUntilSilent), pieceGap(r)
+		if draw < fault.share && c.silencePlan == nil {
+			c.silencePlan = &silencePlan{fault: fault, lastRequest: lastRequest, delay: delay}
 		}
 	}
 }
 
-// asked notes that bytes have come to an end.
-func (c *conn) asked(side int) {
-	h := c.hush
-	if h == nil || side != 1 {
+// requestReceived records that bytes have arrived at an end.
+func (c *conn) requestReceived(side int) {
+	plan := c.silencePlan
+	if plan == nil || side != 1 {
 		return
 	}
-	if !h.asking {
-		h.asking = true
-		h.turns++
+	if !plan.requestOpen {
+		plan.requestOpen = true
+		plan.requestCount++
 	}
-	if h.turns == h.turn && c.pipes[0].flying == 0 {
-		h.due.Stop() // what came was not yet the whole request
-		h.due = c.n.loop.After(h.pause, c.fallSilent)
+	if plan.requestCount == plan.lastRequest && c.pipes[0].bytesInFlight == 0 {
+		plan.timer.Stop() // the request had not yet arrived completely
+		plan.timer = c.net.loop.After(plan.delay, c.becomeSilent)
 	}
 }
 
-// answered notes that bytes leave an end.
-func (c *conn) answered(side int) {
-	h := c.hush
-	if h == nil || side != 1 {
+// responseSent records that an end sends bytes.
+func (c *conn) responseSent(side int) {
+	plan := c.silencePlan
+	if plan == nil || side != 1 {
 		return
 	}
-	if h.asking && h.turns == h.turn {
-		c.fallSilent()
+	if plan.requestOpen && plan.requestCount == plan.lastRequest {
+		c.becomeSilent()
 	}
-	h.asking = false
+	plan.requestOpen = false
 }
 
-func (c *conn) fallSilent() {
-	c.hush.due.Stop()
-	if slices.Contains(c.n.hushes, c.hush.of) {
+func (c *conn) becomeSilent() {
+	c.silencePlan.timer.Stop()
+	if slices.Contains(c.net.silenceFaults, c.silencePlan.fault) {
 		c.silence()
 	}
-	c.hush = nil
+	c.silencePlan = nil
 }
--- a/internal/lab/network/lab_test.go
+++ b/internal/lab/network/lab_test.go
@@ -18,63 +18,63 @@
 
 const oneWay = time.Millisecond
 
-// lab is a network in a bubble, with all that crossed it.
-type lab struct {
+// testNetwork is a network in a synctest bubble that records all its events.
+type testNetwork struct {
 	*Net
-	t     *testing.T
-	seen  []string // "conn what note"
-	bytes map[string]string
-	trace hash.Hash
+	t      *testing.T
+	events []string // "conn kind note"
+	bytes  map[string]string
+	trace  hash.Hash
 }
 
-func (l *lab) Observe(c link.Event) {
-	l.seen = append(l.seen, strings.TrimSpace(fmt.Sprint(c.Conn, " ", c.Kind, " ", c.Note)))
-	l.bytes[fmt.Sprintf("%s %s %t", c.Conn, c.Kind, c.Back)] += string(c.Data)
-	fmt.Fprintln(l.trace, c)
+func (l *testNetwork) Observe(event link.Event) {
+	l.events = append(l.events, strings.TrimSpace(fmt.Sprint(event.Conn, " ", event.Kind, " ", event.Note)))
+	l.bytes[fmt.Sprintf("%s %s %t", event.Conn, event.Kind, event.Back)] += string(event.Data)
+	fmt.Fprintln(l.trace, event)
 }
 
-func (l *lab) count(what string) (n int) {
-	for _, s := range l.seen {
-		if strings.Contains(s, what) {
+func (l *testNetwork) count(text string) (n int) {
+	for _, s := range l.events {
+		if strings.Contains(s, text) {
 			n++
 		}
 	}
 	return n
 }
 
-// play runs f to set the scene and then the loop for ten seconds. The bubble
-// proves that no goroutine is left, the rest that no connection is.
-func play(t *testing.T, c world.Net, f func(l *lab)) *lab {
+// runNetwork calls f to set up the test and then runs the loop for ten virtual seconds. The bubble fails the test if
+// a goroutine is left; runNetwork fails it if a connection is still open.
+func runNetwork(t *testing.T, config world.Net, f func(l *testNetwork)) *testNetwork {
 	t.Helper()
-	var l *lab
-	if c.Same == 0 {
-		c.Same = figure.Span(oneWay)
+	var l *testNetwork
+	if config.Same == 0 {
+		config.Same = figure.Span(oneWay)
 	}
-	c.Cross, c.Client = 4*c.Same, 2*c.Same
+	config.Cross, config.Client = 4*config.Same, 2*config.Same
 	synctest.Test(t, func(t *testing.T) {
-		l = &lab{t: t, bytes: map[string]string{}, trace: sha256.New()}
-		l.Net = New(loop.New(synctest.Wait), 7, c, l)
+		l = &testNetwork{t: t, bytes: map[string]string{}, trace: sha256.New()}
+		l.Net = New(loop.New(synctest.Wait), 7, config, l)
 		f(l)
 		l.loop.Run(context.Background(), 10*time.Second, nil)
-		if l.Open() != 0 {
-			t.Errorf("open at the end: %v", l.List())
+		if l.OpenCount() != 0 {
+			t.Errorf("open connections at the end of the run: %v, want none", l.OpenIDs())
 		}
 	})
 	return l
 }
 
-// ear is an end of the world's that notes what it hears.
-type ear struct {
+// recordingHandler is a link.Handler that records its calls.
+type recordingHandler struct {
 	up, data, end func(c link.Conn)
-	c             link.Conn // the last one
+	conn          link.Conn // of the last call
 	first         link.Conn
-	got           []byte
-	ended         []error
-	l             *lab
+	received      []byte
+	endErrors     []error
+	network       *testNetwork
 }
 
-func (e *ear) heard(c link.Conn, f func(link.Conn)) {
-	if e.c = c; e.first == nil {
+func (e *recordingHandler) record(c link.Conn, f func(link.Conn)) {
+	if e.conn = c; e.first == nil {
 		e.first = c
 	}
 	if f != nil {
@@ -82,23 +82,23 @@
 	}
 }
 
-func (e *ear) Up(c link.Conn) { e.heard(c, e.up) }
+func (e *recordingHandler) Up(c link.Conn) { e.record(c, e.up) }
 
-func (e *ear) Data(c link.Conn, b []byte) {
-	e.got = append(e.got, b...)
-	e.heard(c, e.data)
+func (e *recordingHandler) Data(c link.Conn, b []byte) {
+	e.received = append(e.received, b...)
+	e.record(c, e.data)
 }
 
-func (e *ear) End(c link.Conn, err error) {
-	e.ended = append(e.ended, err)
-	e.heard(c, e.end)
+func (e *recordingHandler) End(c link.Conn, err error) {
+	e.endErrors = append(e.endErrors, err)
+	e.record(c, e.end)
 }
 
-// listen lets e take the connections that come to addr.
-func (l *lab) listen(addr string, e *ear) link.Listener {
-	e.l = l
+// listen makes e the handler of the connections that arrive at addr.
+func (l *testNetwork) listen(addr string, e *recordingHandler) link.Listener {
+	e.network = l
 	k, err := l.Listen(addr, func(c link.Conn) link.Handler {
-		e.heard(c, nil)
+		e.record(c, nil)
 		return e
 	})
 	if err != nil {
@@ -107,16 +107,16 @@
 	return k
 }
 
-// dial dials from the world at an instant.
-func (l *lab) dial(at time.Duration, to string, e *ear) {
-	e.l = l
-	l.loop.At(at, func() { e.c = l.Dial("c1", to, time.Second, e) })
+// dialAt dials from the modelled client c1 at an instant.
+func (l *testNetwork) dialAt(at time.Duration, to string, e *recordingHandler) {
+	e.network = l
+	l.loop.At(at, func() { e.conn = l.Dial("c1", to, time.Second, e) })
 }
 
-func (l *lab) at(at time.Duration, f func()) { l.loop.At(at, f) }
+func (l *testNetwork) at(at time.Duration, f func()) { l.loop.At(at, f) }
 
-// serve lets a node take one connection.
-func (l *lab) serve(f func(p *port)) {
+// acceptOnNode calls f on node n1 with the first connection that it accepts.
+func (l *testNetwork) acceptOnNode(f func(p *port)) {
 	k, err := l.Host("n1").Listen(":80")
 	if err != nil {
 		l.t.Error(err)
@@ -129,8 +129,8 @@
 	}()
 }
 
-// ask lets a node dial.
-func (l *lab) ask(to string, f func(p *port)) {
+// dialFromNode calls f on node n1 with a connection that it dials.
+func (l *testNetwork) dialFromNode(to string, f func(p *port)) {
 	go func() {
 		c, err := l.Host("n1").Dial(context.Background(), to)
 		if err != nil {
@@ -142,5 +142,5 @@
 	}()
 }
 
-// now lets f run on the loop at once.
-func (l *lab) now(f func()) { l.loop.Post(loop.Key{}, f) }
+// runOnLoop runs f on the loop at the present instant.
+func (l *testNetwork) runOnLoop(f func()) { l.loop.Post(loop.Key{}, f) }
--- a/internal/lab/network/pipe.go
+++ b/internal/lab/network/pipe.go
@@ -9,133 +9,133 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// kind is what a parcel is.
-type kind uint8
+// packetKind is the kind of a packet.
+type packetKind uint8
 
 const (
-	syn     kind = iota // asks for a connection
-	synAck              // grants it
-	refusal             // nobody listens
-	data                // bytes
-	fin                 // no more of them
-	rst                 // the connection is broken
-	stray               // something of a connection that the machine there knows no more
+	syn         packetKind = iota // requests a connection
+	synAck                        // accepts the request
+	refusal                       // rejects the request: nothing listens at the address
+	data                          // carries bytes
+	fin                           // ends the sending
+	rst                           // resets the connection
+	unknownConn                   // any packet of a connection that the receiving machine no longer knows
 )
 
-// parcel is what travels in one go.
-type parcel struct {
-	kind  kind
-	at    time.Duration // when it arrives, unless one before it comes later
-	bytes []byte
-	err   error // of rst: what the world hears
+// packet is the unit that is delayed and delivered as a whole.
+type packet struct {
+	kind      packetKind
+	arrivesAt time.Duration // earliest time of arrival; it never overtakes the packet before it
+	bytes     []byte
+	err       error // of rst: the error passed to the handler of a modelled service
 }
 
-// pipe is one direction of a connection. What is put into it arrives in order.
+// pipe is one direction of a connection. It delivers packets in the order in which they were enqueued.
 type pipe struct {
-	c    *conn
-	side int // of the sender
+	conn *conn
+	side int // of the sender: 0 is the end that dialed
 
-	queue []parcel // on their way
-	head  int      // those before it have arrived
-	next  *loop.Timer
-	turn  func()        // arrive, as a value made once
-	busy  time.Duration // until when the bytes before are being sent, where the rate is bounded
-	stuck bool          // a partition holds the queue up
-	since time.Duration // when it began to
+	queue        []packet // packets in flight, from index head on
+	head         int      // index of the next packet to arrive
+	timer        *loop.Timer
+	deliverFunc  func()        // method value of deliverNext, allocated once
+	busyUntil    time.Duration // end of the transmission of the bytes already sent, if the rate is limited
+	blocked      bool          // a partition blocks the queue
+	blockedSince time.Duration // start of the blocking
 
-	flying  int  // bytes in the queue
-	refused bool // bytes came where nobody was left to read them
+	bytesInFlight  int  // bytes of the packets in the queue
+	dataAfterClose bool // bytes arrived at an end that was already closed
 
-	jitter, cutter *rand.Rand
+	jitterRand, pieceRand *rand.Rand
 }
 
-// name tells the pipe's streams of random numbers apart.
-func (p *pipe) name() string { return p.c.id + [2]string{">", "<"}[p.side] }
+// streamName returns the name that separates the random numbers of this pipe from those of others.
+func (p *pipe) streamName() string { return p.conn.id + [2]string{">", "<"}[p.side] }
 
-// put sends a parcel on its way, or loses it, as the faults have it.
-func (p *pipe) put(kind kind, bytes []byte, err error) {
-	n, c := p.c.n, p.c
-	if c.silent || len(n.absent) > 0 && (n.absent[c.from] || n.absent[c.host]) {
+// enqueue sends a packet, or drops it if a fault applies.
+func (p *pipe) enqueue(kind packetKind, bytes []byte, err error) {
+	n, c := p.conn.net, p.conn
+	if c.silent || len(n.vanished) > 0 && (n.vanished[c.from] || n.vanished[c.host]) {
 		return
 	}
 	if c.stale && kind != rst {
-		kind, bytes = stray, nil
+		kind, bytes = unknownConn, nil
 	}
 	at := n.loop.Now()
-	if n.c.Rate > 0 && len(bytes) > 0 {
-		p.busy = max(p.busy, at) + figure.Seconds(float64(len(bytes))/n.c.Rate)
-		at = p.busy
+	if n.config.Rate > 0 && len(bytes) > 0 {
+		p.busyUntil = max(p.busyUntil, at) + figure.Seconds(float64(len(bytes))/n.config.Rate)
+		at = p.busyUntil
 	}
 	at += p.delay()
 	if parts := p.pieces(bytes); parts != nil {
 		for i, part := range parts {
 			if i > 0 {
-				at += gap(p.cutter)
+				at += pieceGap(p.pieceRand)
 			}
-			p.append(parcel{kind: kind, at: at, bytes: part})
+			p.appendPacket(packet{kind: kind, arrivesAt: at, bytes: part})
 		}
 		return
 	}
-	p.append(parcel{kind: kind, at: at, bytes: bytes, err: err})
+	p.appendPacket(packet{kind: kind, arrivesAt: at, bytes: bytes, err: err})
 }
 
-func (p *pipe) append(x parcel) {
-	p.flying += len(x.bytes)
-	p.queue = append(p.queue, x)
-	p.arm()
+func (p *pipe) appendPacket(added packet) {
+	p.bytesInFlight += len(added.bytes)
+	p.queue = append(p.queue, added)
+	p.startTimer()
 }
 
-// arm sees to it that the first of the queue arrives.
-func (p *pipe) arm() {
-	if p.next == nil && !p.stuck && p.head < len(p.queue) {
-		if p.turn == nil {
-			p.turn = p.arrive
+// startTimer schedules the arrival of the first packet of the queue.
+func (p *pipe) startTimer() {
+	if p.timer == nil && !p.blocked && p.head < len(p.queue) {
+		if p.deliverFunc == nil {
+			p.deliverFunc = p.deliverNext
 		}
-		p.next = p.c.n.loop.At(p.queue[p.head].at, p.turn)
+		p.timer = p.conn.net.loop.At(p.queue[p.head].arrivesAt, p.deliverFunc)
 	}
 }
 
-func (p *pipe) arrive() {
-	p.next = nil
-	if n := p.c.n; len(n.cuts) > 0 && n.parted(p.c) {
-		p.stuck, p.since = true, n.loop.Now()
+func (p *pipe) deliverNext() {
+	p.timer = nil
+	if n := p.conn.net; len(n.partitions) > 0 && n.connPartitioned(p.conn) {
+		p.blocked, p.blockedSince = true, n.loop.Now()
 		return
 	}
-	x := p.queue[p.head]
-	p.queue[p.head] = parcel{}
+	first := p.queue[p.head]
+	p.queue[p.head] = packet{}
 	if p.head++; p.head == len(p.queue) {
 		p.queue, p.head = p.queue[:0], 0
 	}
-	p.flying -= len(x.bytes)
-	p.c.ends[1-p.side].arrived(x)
-	p.arm()
+	p.bytesInFlight -= len(first.bytes)
+	p.conn.ends[1-p.side].receive(first)
+	p.startTimer()
 }
 
-// clear loses what is on its way.
-func (p *pipe) clear() {
-	p.next.Stop()
-	p.next, p.queue, p.head, p.flying, p.stuck = nil, nil, 0, 0, false
+// dropAll drops all packets in flight.
+func (p *pipe) dropAll() {
+	p.timer.Stop()
+	p.timer, p.queue, p.head, p.bytesInFlight, p.blocked = nil, nil, 0, 0, false
 }
 
-// arrived takes in what the other side sent.
-func (e *end) arrived(x parcel) {
-	switch x.kind {
+// receive processes a packet from the other end.
+func (e *end) receive(received packet) {
+	switch received.kind {
 	case syn:
-		e.c.connect()
+		e.conn.connect()
 	case synAck:
-		e.granted()
+		e.connected()
 	case refusal:
-		e.failed(link.ErrRefused)
+		e.dialFailed(link.ErrRefused)
 	case data:
-		e.c.n.see(link.Arrived, e.c, e.side == 0, x.bytes, "")
-		e.c.asked(e.side)
-		e.take(x.bytes)
+		e.conn.net.observe(link.Arrived, e.conn, e.side == 0, received.bytes, "")
+		e.conn.requestReceived(e.side)
+		e.deliver(received.bytes)
 	case fin:
-		e.heardEnd()
+		e.receiveFin()
 	case rst:
-		e.broken(x.err)
-	case stray:
-		e.broken(link.ErrReset)
+		e.receiveReset(received.err)
+	case unknownConn:
+		e.receiveReset(link.ErrReset)
 		e.send(rst, nil, link.ErrReset)
 	}
 }
--- a/internal/lab/sockets/conn.go
+++ b/internal/lab/sockets/conn.go
@@ -11,100 +11,99 @@
 	"olivebridge/internal/lab/link"
 )
 
-// conn is the world's end of a connection. All of it belongs to the loop, but
-// for the socket itself.
+// conn is the end of a connection that a modelled service holds. Everything except the socket belongs to the loop.
 type conn struct {
-	n              *Net
+	net            *Net
 	id             string
-	from, to, host string // who dialed, the address dialed, and its machine
-	taken          bool   // it was accepted here, not dialed
-	h              link.Handler
-	stop           func() // ends a dial
+	from, to, host string // host that dialed; address that it dialed, and the host part of that
+	accepted       bool   // this end accepted the connection; false: it dialed
+	handler        link.Handler
+	cancelDial     func() // cancels a dial in progress
 	tcp            *net.TCPConn
 	raw            syscall.RawConn
 
-	gone    bool // closed or broken here: the Handler hears nothing more
-	ended   bool // the Handler has heard its End
-	held    bool
-	closing closing
-	finned  bool
-
-	out     []byte // what is still to be written
-	writing bool   // a goroutine is at it
-	broken  bool   // the kernel takes no more
-	late    *news  // what was read and not given out: it is held, or frozen
-	came    chan struct{}
-
-	silent  bool // nothing passes any more, either way
-	lost    bool // since its machine vanished: it breaks when that is back
-	frozen  bool // nothing passes for now
-	waiting time.Duration
-	hush    *hush
+	closed      bool      // closed or reset here: the handler is no longer called
+	endNotified bool      // Handler.End was called
+	paused      bool      // reading is paused
+	closing     closeMode // closeNothing until CloseWrite or Close is called
+	finSent     bool      // a FIN was sent
+
+	sendBuffer  []byte        // bytes to be written
+	writing     bool          // a goroutine writes to the socket
+	writeFailed bool          // a write has failed
+	pendingRead *readResult   // result of a read that is withheld by a pause or a partition
+	readTaken   chan struct{} // receives a value when the loop has processed a read
+
+	silent          bool          // nothing passes any more, in either direction
+	machineVanished bool          // the machine has vanished: the connection is reset when it returns
+	frozen          bool          // a partition blocks the connection
+	blockedSince    time.Duration // when the partition began, or the first buffered write during it
+	silencePlan     *silencePlan
 }
 
-// closing is what is to be done once all is written.
-type closing uint8
+// closeMode is the operation to perform once all bytes are written.
+type closeMode uint8
 
 const (
-	nothing closing = iota
-	fin
-	whole
+	closeNothing closeMode = iota
+	closeSending
+	closeBoth
 )
 
-// news is what one read brought.
-type news struct {
-	b   []byte
-	err error
-	at  time.Duration
+// readResult is the result of one read.
+type readResult struct {
+	data []byte
+	err  error
+	at   time.Duration
 }
 
 func (n *Net) newConn(from, to string, h link.Handler) *conn {
 	host := hostOf(to)
-	way := from + ">" + host
-	n.dials[way]++
+	route := from + ">" + host
+	n.dialCounts[route]++
 	c := &conn{
-		n: n, id: fmt.Sprintf("%s#%d", way, n.dials[way]), from: from, to: to, host: host, h: h,
-		stop: func() {}, came: make(chan struct{}, 1),
+		net: n, id: fmt.Sprintf("%s#%d", route, n.dialCounts[route]), from: from, to: to, host: host, handler: h,
+		cancelDial: func() {}, readTaken: make(chan struct{}, 1),
 	}
 	n.conns[c.id] = c
 	return c
 }
 
-// machine is the one at this end.
+// machine returns the host of this end.
 func (c *conn) machine() string {
-	if c.taken {
+	if c.accepted {
 		return c.host
 	}
 	return c.from
 }
 
-// see shows the Tap what crosses. back: from the side that was dialed.
-func (c *conn) see(what link.EventKind, back bool, b []byte, note string) {
-	if c.n.tap != nil {
-		c.n.tap.Observe(link.Event{
-			At: c.n.loop.Now(), Kind: what, Conn: c.id, From: c.from, To: c.to, Back: back, Data: b, Note: note,
+// observe reports an event to the Tap, if there is one. back means that it comes from the side that was dialed.
+func (c *conn) observe(kind link.EventKind, back bool, b []byte, note string) {
+	if c.net.tap != nil {
+		c.net.tap.Observe(link.Event{
+			At: c.net.loop.Now(), Kind: kind, Conn: c.id, From: c.from, To: c.to, Back: back, Data: b, Note: note,
 		})
 	}
 }
 
-// up takes the socket.
-func (c *conn) up(tcp *net.TCPConn) {
+// attach sets the socket of the connection.
+func (c *conn) attach(tcp *net.TCPConn) {
 	c.tcp = tcp
-	c.raw, _ = tcp.SyscallConn() // it fails for no socket
+	c.raw, _ = tcp.SyscallConn() // it fails only for an invalid TCPConn
 }
 
-// readSize is how much is read at once.
+// readSize is the size of the read buffer in bytes.
 const readSize = 16 << 10
 
-// readAll reads until the end, and no further than the loop has taken what came.
-func (c *conn) readAll() {
+// readLoop reads until the end of the stream. After each read it waits until the loop has processed the result.
+func (c *conn) readLoop() {
 	buf := make([]byte, readSize)
 	for {
-		k, err := c.tcp.Read(buf)
-		c.n.post(func() { c.read(&news{buf[:k], err, c.n.loop.Now()}) })
+		size, err := c.tcp.Read(buf)
+		c.net.post(func() { c.handleRead(&readResult{buf[:size], err, c.net.loop.Now()}) })
 		select {
-		case <-c.came:
-		case <-c.n.life.Done():
+		case <-c.readTaken:
+		case <-c.net.ctx.Done():
 			return
 		}
 		if err != nil {
@@ -113,53 +112,53 @@
 	}
 }
 
-// read takes what was read, or lets it wait.
-func (c *conn) read(m *news) {
-	if !c.gone && !c.silent && (c.held || c.frozen) {
-		c.late = m
+// handleRead processes the result of a read, or withholds it during a pause or a partition.
+func (c *conn) handleRead(result *readResult) {
+	if !c.closed && !c.silent && (c.paused || c.frozen) {
+		c.pendingRead = result
 		return
 	}
-	c.give(m)
-	c.came <- struct{}{}
+	c.deliver(result)
+	c.readTaken <- struct{}{}
 }
 
-// resume gives out what waited.
+// resume processes a withheld result once nothing blocks it any more.
 func (c *conn) resume() {
-	if m := c.late; m != nil && (c.gone || c.silent || !c.held && !c.frozen) {
-		c.late = nil
-		c.give(m)
-		c.came <- struct{}{}
+	if result := c.pendingRead; result != nil && (c.closed || c.silent || !c.paused && !c.frozen) {
+		c.pendingRead = nil
+		c.deliver(result)
+		c.readTaken <- struct{}{}
 	}
 }
 
-// give brings the Handler what was read. A silent connection's is thrown away;
-// its socket is given back when the other side ends it, which then hears nothing of that.
-func (c *conn) give(m *news) {
-	if c.silent || c.gone {
-		if m.err != nil && c.silent {
+// deliver passes the result of a read to the handler. The data of a silent connection is discarded; its socket is
+// closed when the other side ends it, without notifying the other side.
+func (c *conn) deliver(result *readResult) {
+	if c.silent || c.closed {
+		if result.err != nil && c.silent {
 			c.abort()
 		}
 		return
 	}
-	if len(m.b) > 0 {
-		c.see(link.Arrived, !c.taken, m.b, "")
-		c.see(link.Read, !c.taken, m.b, "")
-		c.asked()
-		c.h.Data(c, m.b)
+	if len(result.data) > 0 {
+		c.observe(link.Arrived, !c.accepted, result.data, "")
+		c.observe(link.Read, !c.accepted, result.data, "")
+		c.requestReceived()
+		c.handler.Data(c, result.data)
 	}
-	if m.err == nil || c.gone {
+	if result.err == nil || c.closed {
 		return
 	}
-	c.ended = true
-	if errors.Is(m.err, io.EOF) {
-		c.see(link.Finished, !c.taken, nil, "")
-		c.h.End(c, link.ErrEOF)
+	c.endNotified = true
+	if errors.Is(result.err, io.EOF) {
+		c.observe(link.Finished, !c.accepted, nil, "")
+		c.handler.End(c, link.ErrEOF)
 		return
 	}
-	c.gone = true
-	c.see(link.Reset, c.taken, nil, "reset")
+	c.closed = true
+	c.observe(link.Reset, c.accepted, nil, "reset")
 	c.abort()
-	c.h.End(c, link.ErrReset)
+	c.handler.End(c, link.ErrReset)
 }
 
 // ID implements link.Conn.
@@ -167,166 +166,166 @@
 
 // Write implements link.Conn.
 func (c *conn) Write(b []byte) {
-	if c.gone || c.closing != nothing || len(b) == 0 {
+	if c.closed || c.closing != closeNothing || len(b) == 0 {
 		return
 	}
-	c.answers()
-	if c.silent || c.broken {
+	c.beforeWrite()
+	if c.silent || c.writeFailed {
 		return
 	}
-	if c.tcp == nil || c.writing || c.frozen || len(c.out) > 0 {
-		if c.frozen && len(c.out) == 0 {
-			c.waiting = c.n.loop.Now()
+	if c.tcp == nil || c.writing || c.frozen || len(c.sendBuffer) > 0 {
+		if c.frozen && len(c.sendBuffer) == 0 {
+			c.blockedSince = c.net.loop.Now()
 		}
-		c.out = append(c.out, b...)
+		c.sendBuffer = append(c.sendBuffer, b...)
 		return
 	}
-	k := c.write(b)
-	c.out = append(c.out, b[k:]...)
+	written := c.write(b)
+	c.sendBuffer = append(c.sendBuffer, b[written:]...)
 	c.flush()
 }
 
-// write gives the kernel what it has room for, and returns how much that was.
+// write writes what fits into the kernel's buffer and returns the number of bytes written, or len(b) after an error.
 func (c *conn) write(b []byte) int {
-	var k int
+	var written int
 	var err error
 	c.raw.Write(func(fd uintptr) bool {
 		for {
-			if k, err = syscall.Write(int(fd), b); err != syscall.EINTR {
+			if written, err = syscall.Write(int(fd), b); err != syscall.EINTR {
 				return true
 			}
 		}
 	})
-	k = max(k, 0)
-	if k > 0 {
-		c.see(link.Sent, c.taken, b[:k], "")
+	written = max(written, 0)
+	if written > 0 {
+		c.observe(link.Sent, c.accepted, b[:written], "")
 	}
 	if err != nil && err != syscall.EAGAIN {
-		c.fail()
+		c.failWrites()
 		return len(b)
 	}
-	return k
+	return written
 }
 
-// fail notes that the kernel takes nothing more. What came before the break is
-// still to be read, and then the break itself.
-func (c *conn) fail() {
-	c.broken = true
-	if c.ended {
-		c.gone = true
+// failWrites records that the kernel rejects further writes. The connection stays open until its handler was notified
+// of the end, so that data which arrived before the failure, and then the error itself, are still read.
+func (c *conn) failWrites() {
+	c.writeFailed = true
+	if c.endNotified {
+		c.closed = true
 		c.abort()
 	}
 }
 
-// flush goes on with what waits to be written, and with the end behind it.
+// flush writes the buffered bytes, and then performs the requested close.
 func (c *conn) flush() {
 	switch {
 	case c.tcp == nil || c.writing || c.frozen:
-	case c.silent || c.broken:
-		c.out = nil
-		c.finish()
-	case len(c.out) > 0:
-		b := c.out
-		c.out, c.writing = nil, true
-		c.n.tasks.Go(func() {
+	case c.silent || c.writeFailed:
+		c.sendBuffer = nil
+		c.finishClosing()
+	case len(c.sendBuffer) > 0:
+		b := c.sendBuffer
+		c.sendBuffer, c.writing = nil, true
+		c.net.tasks.Go(func() {
 			_, err := c.tcp.Write(b)
-			c.n.post(func() { c.written(b, err) })
+			c.net.post(func() { c.writeDone(b, err) })
 		})
 	default:
-		c.finish()
+		c.finishClosing()
 	}
 }
 
-func (c *conn) written(b []byte, err error) {
+func (c *conn) writeDone(b []byte, err error) {
 	c.writing = false
 	if err != nil {
-		c.fail()
+		c.failWrites()
 	} else {
-		c.see(link.Sent, c.taken, b, "")
+		c.observe(link.Sent, c.accepted, b, "")
 	}
 	c.flush()
 }
 
-// finish does what was asked to be done once all is written.
-func (c *conn) finish() {
+// finishClosing performs the requested close once all bytes are written.
+func (c *conn) finishClosing() {
 	switch {
 	case c.silent:
-	case c.closing == whole:
-		c.see(link.Closed, c.taken, nil, "")
+	case c.closing == closeBoth:
+		c.observe(link.Closed, c.accepted, nil, "")
 		c.tcp.Close()
 		c.forget()
-	case c.closing == fin && !c.finned && !c.broken:
-		c.finned = true
+	case c.closing == closeSending && !c.finSent && !c.writeFailed:
+		c.finSent = true
 		c.tcp.CloseWrite()
-		c.see(link.Finished, c.taken, nil, "")
+		c.observe(link.Finished, c.accepted, nil, "")
 	}
 }
 
 // CloseWrite implements link.Conn.
 func (c *conn) CloseWrite() {
-	if c.gone || c.closing != nothing {
+	if c.closed || c.closing != closeNothing {
 		return
 	}
-	c.close(fin)
+	c.startClosing(closeSending)
 }
 
-func (c *conn) close(how closing) {
-	c.closing = how
-	if c.frozen && len(c.out) == 0 {
-		c.waiting = c.n.loop.Now()
+func (c *conn) startClosing(mode closeMode) {
+	c.closing = mode
+	if c.frozen && len(c.sendBuffer) == 0 {
+		c.blockedSince = c.net.loop.Now()
 	}
 	c.flush()
 }
 
-// lastWrites is how long what waits to be written may keep a closed socket.
-const lastWrites = 5 * time.Second
+// closeWriteTimeout is the maximum duration for which unwritten bytes keep the socket of a closed connection open.
+const closeWriteTimeout = 5 * time.Second
 
-// Close implements link.Conn. What was read and not given out makes it a reset,
-// as in a kernel that still holds bytes.
+// Close implements link.Conn. If the handler has not received all bytes that were read, the connection is reset, as
+// by a kernel that still holds unread bytes.
 func (c *conn) Close() {
-	if c.gone {
+	if c.closed {
 		return
 	}
-	c.leave()
+	c.markClosed()
 	switch {
 	case c.tcp == nil:
-		c.stop()
+		c.cancelDial()
 	case c.silent:
-	case c.late != nil && len(c.late.b) > 0 && !c.frozen:
-		c.see(link.Closed, c.taken, nil, "unread")
+	case c.pendingRead != nil && len(c.pendingRead.data) > 0 && !c.frozen:
+		c.observe(link.Closed, c.accepted, nil, "unread")
 		c.abort()
 	default:
-		c.tcp.SetWriteDeadline(time.Now().Add(lastWrites))
-		c.close(whole)
+		c.tcp.SetWriteDeadline(time.Now().Add(closeWriteTimeout))
+		c.startClosing(closeBoth)
 	}
 	c.resume()
 }
 
 // Reset implements link.Conn.
 func (c *conn) Reset() {
-	if c.gone {
+	if c.closed {
 		return
 	}
-	c.leave()
+	c.markClosed()
 	switch {
 	case c.tcp == nil:
-		c.stop()
+		c.cancelDial()
 	case c.silent:
-	case c.frozen: // it is lost
+	case c.frozen: // the partition drops the reset
 		c.silence()
 	default:
-		c.see(link.Reset, c.taken, nil, "aborted")
+		c.observe(link.Reset, c.accepted, nil, "aborted")
 		c.abort()
 	}
 	c.resume()
 }
 
-// leave lets the Handler hear nothing more.
-func (c *conn) leave() { c.gone, c.hush = true, nil }
+// markClosed ensures that the handler is no longer called.
+func (c *conn) markClosed() { c.closed, c.silencePlan = true, nil }
 
-// abort resets the socket, and forgets it.
+// abort resets the socket and forgets the connection.
 func (c *conn) abort() {
-	c.stop()
+	c.cancelDial()
 	if c.tcp != nil {
 		c.tcp.SetLinger(0)
 		c.tcp.Close()
@@ -334,11 +333,11 @@
 	c.forget()
 }
 
-func (c *conn) forget() { delete(c.n.conns, c.id) }
+func (c *conn) forget() { delete(c.net.conns, c.id) }
 
 // PauseReading implements link.Conn.
-func (c *conn) PauseReading(held bool) {
-	if c.held = held; !held {
-		c.n.post(c.resume) // not within a call of the Handler's own
+func (c *conn) PauseReading(paused bool) {
+	if c.paused = paused; !paused {
+		c.net.post(c.resume) // posted, since the caller may be a method of the handler
 	}
 }
--- a/internal/lab/sockets/net.go
+++ b/internal/lab/sockets/net.go
@@ -1,25 +1,19 @@
-// Package sockets carries the bytes of the lab between machines over loopback
-// TCP, in real time: the world's ends hang on it by callbacks (it is a
-// link.Fabric, beside the in-memory package network), the nodes are programs of
-// their own and hang on nothing but their sockets.
+// Package sockets is the network of the lab over loopback TCP, in real time. The modelled services use it through
+// callbacks (it implements link.Fabric, like the in-memory package network); the nodes are programs of their own that
+// use nothing but their sockets.
 //
-// A loop.Loop on the machine's clock runs all callbacks. Each connection has one
-// goroutine that reads, and waits until the loop has taken what it read; writes
-// go out from the loop, and only what the kernel has no room for waits with a
-// goroutine that writes. So nothing piles up beyond what a Handler writes.
+// A loop.Loop on the machine's clock runs all callbacks. Each connection has one goroutine that reads, and waits
+// until the loop has processed what it read. The loop writes without blocking; only what does not fit into the
+// kernel's buffer is written by a goroutine. Thus the only unbounded buffer holds what a Handler has written.
 //
-// What sockets cannot do, or cannot tell:
-//   - ErrUnread is never heard. A reset does not say what the other side had
-//     read: it is ErrReset.
-//   - While an end is held, a reset is heard only once it is not held any more.
-//   - The way takes what loopback takes. Slow does nothing, and the delays, pieces
-//     and rates of a world are not played.
-//   - The network's faults happen at the world's ends, which stop reading and
-//     writing; connections between two nodes, or from a node to whatever is not of
-//     the world, know of none.
-//   - A machine that vanishes while no process of it listens refuses connections,
-//     instead of saying nothing.
-//   - A Tap sees what the world's ends see: of a connection to or from a node, one side.
+// Limits of this implementation:
+//   - ErrUnread is never reported. A reset does not tell what the other side has read: it is always ErrReset.
+//   - A reset that arrives while reading is paused is reported only after the pause.
+//   - Delays are those of loopback. Slow does nothing, and the delays, pieces and rates of a world are ignored.
+//   - Network faults act at the ends of the modelled services, which stop reading and writing. They do not affect
+//     connections between two nodes, or from a node to an address outside the modelled services.
+//   - A machine that vanishes while no process of it listens refuses connections instead of not responding.
+//   - A Tap observes the ends of the modelled services: one side of a connection to or from a node.
 package sockets
 
 import (
@@ -39,34 +33,34 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// Anyone is the host of whoever dials and is no Guest.
-const Anyone = "anyone"
+// AnonymousHost is the dialing host of connections from programs that are not registered by AddNode.
+const AnonymousHost = "anyone"
 
-// Net is the network. Its methods belong to the loop, or to whoever has not yet
-// started it, but for Resolve, MapAddress and Place, which are safe for concurrent
-// use, and Close, which may also be called when the loop has ended.
+// Net is a network over loopback. Its methods belong to the goroutine of the Loop, or to the creator until the Loop
+// runs. Exceptions are Resolve, MapAddress and Place, which are safe for concurrent use, and Close, which may also be
+// called after the Loop has ended.
 type Net struct {
-	Seed uint64 // of what chance decides: HushNew
+	Seed uint64 // of the random draws of HushNew
 
-	loop  *loop.Loop
-	tap   link.Tap
-	book  *book
-	life  context.Context // ends with Close
-	end   context.CancelFunc
-	tasks sync.WaitGroup
-	posts atomic.Uint64
+	loop   *loop.Loop
+	tap    link.Tap
+	book   *addressBook
+	ctx    context.Context // canceled by Close
+	cancel context.CancelFunc
+	tasks  sync.WaitGroup
+	posts  atomic.Uint64
 
-	listeners map[string]*listener // by the world's address
-	doors     map[door]*entrance
-	dials     map[string]uint64 // how many connections there were, by "from>host"
-	conns     map[string]*conn  // those that hold a socket, or are to, by ID
+	listeners     map[string]*listener // by modelled address
+	listenSockets map[addressView]*listenSocket
+	dialCounts    map[string]uint64 // number of connections, by "from>host"
+	conns         map[string]*conn  // connections with a socket or a dial in progress, by ID
 
-	absent map[string]bool // machines that have vanished
-	cuts   []*cut
-	hushes []*hushing
+	vanished      map[string]bool // machines that are off the network
+	partitions    []*partition
+	silenceFaults []*silenceFault
 
-	mu      sync.Mutex
-	trouble error
+	mu         sync.Mutex
+	firstError error
 }
 
 var (
@@ -74,86 +68,83 @@
 	_ link.AddressMapper = (*Net)(nil)
 )
 
-// New makes a network. tap sees what crosses it, as far as the world's ends do,
-// and may be nil.
+// New returns a network. tap observes the events at the ends of the modelled services and may be nil.
 func New(l *loop.Loop, tap link.Tap) *Net {
 	n := &Net{
-		loop: l, tap: tap, book: newBook(),
-		listeners: map[string]*listener{}, doors: map[door]*entrance{},
-		dials: map[string]uint64{}, conns: map[string]*conn{}, absent: map[string]bool{},
+		loop: l, tap: tap, book: newAddressBook(),
+		listeners: map[string]*listener{}, listenSockets: map[addressView]*listenSocket{},
+		dialCounts: map[string]uint64{}, conns: map[string]*conn{}, vanished: map[string]bool{},
 	}
-	n.life, n.end = context.WithCancel(context.Background())
+	n.ctx, n.cancel = context.WithCancel(context.Background())
 	return n
 }
 
-// Guest names the machine of a program that is not of the world: a node. It
-// reaches each machine of the world at an address of its own (see MapAddress), by
-// which its connections are told from others'. Guests are named before anybody
-// listens.
-func (n *Net) Guest(host string) { n.book.guest(host) }
+// AddNode registers the machine of a node, a program outside the modelled services. The node reaches each modelled
+// machine at a separate address (see MapAddress), which distinguishes its connections from those of others. All nodes
+// must be added before the first Listen.
+func (n *Net) AddNode(host string) { n.book.addNode(host) }
 
-// Place gives a machine its loopback address; one that is not placed gets it
-// when it is first met.
-func (n *Net) Place(host string) { n.book.place(host) }
+// Place assigns a machine its loopback address. A machine that is not placed gets one at its first use.
+func (n *Net) Place(host string) { n.book.assignIP(host) }
 
-// Resolve is the real address, for anyone, of an address of the world's or of a Guest.
+// Resolve returns the real address of a modelled address or an address of a node, for programs that are not nodes.
 func (n *Net) Resolve(addr string) string { return n.MapAddress("", addr) }
 
 // MapAddress implements link.AddressMapper.
-func (n *Net) MapAddress(by, addr string) string {
-	at, err := n.book.at(by, addr)
+func (n *Net) MapAddress(viewer, addr string) string {
+	at, err := n.book.realAddr(viewer, addr)
 	if err != nil {
-		n.note(err)
+		n.recordError(err)
 	}
 	return at
 }
 
-// Trouble is the first thing that this machine itself had against a connection,
-// descriptors used up, say: what followed is no model's doing.
-func (n *Net) Trouble() error {
+// FirstError returns the first error of the machine that runs the lab, such as the lack of file descriptors, or nil.
+// Later results of the run are then not caused by the models.
+func (n *Net) FirstError() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.trouble
+	return n.firstError
 }
 
-func (n *Net) note(err error) {
+func (n *Net) recordError(err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.trouble == nil && n.life.Err() == nil {
-		n.trouble = fmt.Errorf("sockets: %w", err)
+	if n.firstError == nil && n.ctx.Err() == nil {
+		n.firstError = fmt.Errorf("sockets: %w", err)
 	}
 }
 
-// Open counts the connections of a host that are up, by either end.
+// Open returns the number of established connections that have a host at either end.
 func (n *Net) Open(host string) int {
 	open := 0
-	for _, c := range n.conns { // a sum: in any order
-		if c.tcp != nil && !c.gone && (c.from == host || c.host == host) {
+	for _, c := range n.conns { // the order does not matter for a sum
+		if c.tcp != nil && !c.closed && (c.from == host || c.host == host) {
 			open++
 		}
 	}
 	return open
 }
 
-// Close ends everything, and returns once no goroutine of the network is left.
+// Close closes all connections and listeners, and returns once all goroutines of the network have ended.
 func (n *Net) Close() {
-	n.end()
-	for _, d := range n.doors {
+	n.cancel()
+	for _, d := range n.listenSockets {
 		d.tcp.Close()
 	}
 	for _, c := range n.conns {
-		c.gone = true
+		c.closed = true
 		c.abort()
 	}
 	n.tasks.Wait()
 }
 
-// post lets f run on the loop, after all that was posted before.
+// post runs f on the loop, after everything that was posted before.
 func (n *Net) post(f func()) { n.loop.Post(loop.Key{Sequence: n.posts.Add(1)}, f) }
 
-// do lets f run on the loop and waits until it has; false: the network is closed,
-// and f may still run.
-func (n *Net) do(f func()) bool {
+// runOnLoop runs f on the loop and waits for its end. It returns false if the network was closed first; f may then
+// still run.
+func (n *Net) runOnLoop(f func()) bool {
 	done := make(chan struct{})
 	n.post(func() {
 		f()
@@ -162,115 +153,115 @@
 	select {
 	case <-done:
 		return true
-	case <-n.life.Done():
+	case <-n.ctx.Done():
 		return false
 	}
 }
 
-// each calls f for every connection, in the order of the names.
-func (n *Net) each(f func(c *conn)) {
+// forEachConn calls f for every connection, in the order of their IDs.
+func (n *Net) forEachConn(f func(c *conn)) {
 	for _, id := range slices.Sorted(maps.Keys(n.conns)) {
-		if c := n.conns[id]; c != nil { // f may have ended it
+		if c := n.conns[id]; c != nil { // an earlier call of f may have ended the connection
 			f(c)
 		}
 	}
 }
 
-// Dial implements link.Fabric. No timeout leaves the kernel's.
+// Dial implements link.Fabric. A timeout of zero or less means kernelDialTimeout.
 func (n *Net) Dial(from, to string, timeout time.Duration, h link.Handler) link.Conn {
 	c := n.newConn(from, to, h)
-	at, parted := n.Resolve(to), n.parted(from, c.host)
+	at, parted := n.Resolve(to), n.partitioned(from, c.host)
 	if timeout <= 0 {
-		timeout = kernelPatience
+		timeout = kernelDialTimeout
 	}
-	ctx, stop := context.WithTimeout(n.life, timeout)
-	c.stop = stop
-	c.see(link.Dial, false, nil, "")
+	ctx, stop := context.WithTimeout(n.ctx, timeout)
+	c.cancelDial = stop
+	c.observe(link.Dial, false, nil, "")
 	n.tasks.Go(func() {
 		defer stop()
 		if parted {
 			<-ctx.Done()
-			n.do(func() { c.dialed(nil, ctx.Err()) })
+			n.runOnLoop(func() { c.dialDone(nil, ctx.Err()) })
 			return
 		}
 		var d net.Dialer
 		s, err := d.DialContext(ctx, "tcp", at)
 		tcp, _ := s.(*net.TCPConn)
-		if !n.do(func() { c.dialed(tcp, err) }) && tcp != nil {
+		if !n.runOnLoop(func() { c.dialDone(tcp, err) }) && tcp != nil {
 			tcp.Close()
 		}
 	})
 	return c
 }
 
-// kernelPatience is how long a machine goes on asking for a connection.
-const kernelPatience = 127 * time.Second
+// kernelDialTimeout is the dial timeout where the caller sets none: the time for which a kernel retries a SYN.
+const kernelDialTimeout = 127 * time.Second
 
-// dialed is what came of a dial.
-func (c *conn) dialed(tcp *net.TCPConn, err error) {
+// dialDone processes the result of a dial.
+func (c *conn) dialDone(tcp *net.TCPConn, err error) {
 	switch {
-	case c.gone || c.n.life.Err() != nil:
+	case c.closed || c.net.ctx.Err() != nil:
 		if tcp != nil {
 			tcp.SetLinger(0)
 			tcp.Close()
 		}
 		c.forget()
 	case err != nil:
-		c.gone, c.ended = true, true
+		c.closed, c.endNotified = true, true
 		c.forget()
-		why := c.n.reason(err)
-		c.see(link.Fail, false, nil, why.Error())
-		c.h.End(c, why)
+		reason := c.net.dialError(err)
+		c.observe(link.Fail, false, nil, reason.Error())
+		c.handler.End(c, reason)
 	default:
-		c.see(link.Open, false, nil, "")
-		c.up(tcp)
-		c.n.tasks.Go(c.readAll)
-		c.h.Up(c)
+		c.observe(link.Open, false, nil, "")
+		c.attach(tcp)
+		c.net.tasks.Go(c.readLoop)
+		c.handler.Up(c)
 		c.flush()
 	}
 }
 
-// reason is what a Handler hears of a failed dial.
-func (n *Net) reason(err error) error {
-	var late net.Error
+// dialError returns the error with which a Handler is notified of a failed dial.
+func (n *Net) dialError(err error) error {
+	var netErr net.Error
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return link.ErrRefused
 	case errors.Is(err, syscall.ECONNRESET):
 		return link.ErrReset
-	case errors.As(err, &late) && late.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		return link.ErrTimedOut
 	}
-	n.note(err)
+	n.recordError(err)
 	return link.ErrRefused
 }
 
-// Kill ends the process on a machine of the world's: its connections are reset,
-// its listeners are no more. Of connections that are silent nothing is heard.
+// Kill ends the process on a modelled machine: its connections are reset and its listeners are closed. Nothing is
+// sent on connections that are silent.
 func (n *Net) Kill(host string) {
 	for addr, l := range n.listeners {
 		if hostOf(addr) == host {
 			l.Close()
 		}
 	}
-	n.each(func(c *conn) {
-		if c.machine() != host || c.gone {
+	n.forEachConn(func(c *conn) {
+		if c.machine() != host || c.closed {
 			return
 		}
-		c.leave()
+		c.markClosed()
 		switch {
 		case c.silent:
-		case c.frozen: // the resets are lost
+		case c.frozen: // the partition drops the reset
 			c.silence()
 		default:
-			c.see(link.Reset, c.taken, nil, "killed")
+			c.observe(link.Reset, c.accepted, nil, "killed")
 			c.abort()
 		}
 		c.resume()
 	})
 }
 
-// hostOf is the machine of an address.
+// hostOf returns the host part of an address.
 func hostOf(addr string) string {
 	if i := strings.LastIndexByte(addr, ':'); i >= 0 {
 		return addr[:i]
