--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -121,7 +121,7 @@
 func (i *instance) write(stale bool) error {
 	data, err := nodefile.Write(&i.run.script.World, i.c, nodefile.Start{
 		Listen: i.at, Discovery: i.run.net.MapAddress(i.c.Name, i.run.discovery),
-		Known: i.run.registry.KnownBy(i.c.Name, stale), Seed: i.seed,
+		Known: i.run.registry.ConfiguredListFor(i.c.Name, stale), Seed: i.seed,
 	})
 	if err != nil {
 		return err
--- a/internal/lab/stage/node.go
+++ b/internal/lab/stage/node.go
@@ -59,7 +59,7 @@
 		return
 	}
 	i.lives++
-	known := i.run.registry.Known(stale)
+	known := i.run.registry.ConfiguredList(stale)
 	seed := figure.Stream(i.run.script.Seed, fmt.Sprintf("node %s %d", i.c.Name, i.lives)).Uint64()
 	file, err := nodefile.Write(&i.run.script.World, i.c, nodefile.Start{
 		Listen: i.c.Name + ":" + nodePort, Discovery: i.run.discovery, Known: known, Seed: seed,
--- a/internal/lab/stage/run.go
+++ b/internal/lab/stage/run.go
@@ -192,7 +192,7 @@
 
 // atRest asks the nodes what they still hold.
 func (r *run) atRest() {
-	listed := listedIn(r.registry.Known(false))
+	listed := listedIn(r.registry.ConfiguredList(false))
 	for _, n := range r.nodes {
 		if n.live == nil || n.live.node == nil {
 			r.fail("rest", "node %s does not run at the end", n.c.Name)
--- a/internal/lab/world/registry/call.go
+++ b/internal/lab/world/registry/call.go
@@ -15,31 +15,32 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// path is where the list is.
-const path = "/registry/instances"
+// listPath is the URL path of the list.
+const listPath = "/registry/instances"
 
-// mostWait bounds how long a call may wait for news.
-const mostWait = time.Minute
+// maxWait limits the duration for which a call waits for a change.
+const maxWait = time.Minute
 
-// wholeShare is the share of watching calls that are told the whole list,
-// though the changes would do: nodes must take either.
-const wholeShare = 0.03
+// fullListShare is the share of watches that get the full list where the changes
+// would suffice: nodes must accept either.
+const fullListShare = 0.03
 
-// chunkedFrom is the size from which a list comes in chunks, as net/http's do.
-const chunkedFrom = 2 << 10
+// chunkSize is the body size in bytes from which a list is sent with chunked
+// transfer encoding, as net/http does, and the size of its chunks.
+const chunkSize = 2 << 10
 
-// conn is a connection of a node's.
+// conn is a connection opened by a node.
 type conn struct {
-	link   link.Conn
-	r      *Registry
-	book   *book // that it is served from: the old one, after a move
-	parser *http1.Parser
-	calls  int
-	open   *call
+	link      link.Conn
+	registry  *Registry
+	history   *history // source of the lists sent; after a move, old connections keep the old one
+	parser    *http1.Parser
+	callCount int
+	current   *call
 }
 
 func (r *Registry) accept(c link.Conn) link.Handler {
-	k := &conn{link: c, r: r, book: r.book, parser: http1.NewRequestParser()}
+	k := &conn{link: c, registry: r, history: r.history, parser: http1.NewRequestParser()}
 	r.conns = append(r.conns, k)
 	return k
 }
@@ -50,97 +51,98 @@
 // Data implements link.Handler.
 func (k *conn) Data(_ link.Conn, b []byte) {
 	k.parser.Feed(b)
-	k.next()
+	k.startNextCall()
 }
 
-// End implements link.Handler. A node that ends its sending has gone away.
-func (k *conn) End(link.Conn, error) { k.end((link.Conn).Close) }
+// End implements link.Handler. A half-close by the node counts as a close.
+func (k *conn) End(link.Conn, error) { k.remove((link.Conn).Close) }
 
-// end forgets a connection and ends it.
-func (k *conn) end(how func(link.Conn)) {
-	for i, other := range k.r.conns {
+// remove removes the connection from the registry, terminates it and abandons its call.
+func (k *conn) remove(terminate func(link.Conn)) {
+	for i, other := range k.registry.conns {
 		if other == k {
-			k.r.conns = append(k.r.conns[:i], k.r.conns[i+1:]...)
-			how(k.link)
-			k.drop()
+			k.registry.conns = append(k.registry.conns[:i], k.registry.conns[i+1:]...)
+			terminate(k.link)
+			k.abandonCall()
 			return
 		}
 	}
 }
 
-// drop forgets the call that is open.
-func (k *conn) drop() {
-	if k.open != nil {
-		k.open.over = true
-		k.open.timer.Stop()
-		k.open = nil
+// abandonCall marks the current call as done and stops its timer.
+func (k *conn) abandonCall() {
+	if k.current != nil {
+		k.current.done = true
+		k.current.timer.Stop()
+		k.current = nil
 	}
 }
 
-// next begins the next call, once the one before it has its answer.
-func (k *conn) next() {
-	if k.open != nil {
+// startNextCall parses and queues the next call, unless one is still unanswered.
+func (k *conn) startNextCall() {
+	if k.current != nil {
 		return
 	}
 	m, err := k.parser.Next()
 	if err != nil {
-		k.answer(400, nil)
-		k.end((link.Conn).Close)
+		k.writeResponse(400, nil)
+		k.remove((link.Conn).Close)
 		return
 	}
 	if m == nil {
 		return
 	}
 	c, status := k.parse(m)
-	k.open = c
+	k.current = c
 	if status != 0 {
-		k.reply(status, nil)
+		k.respond(status, nil)
 		return
 	}
-	k.r.arrive(c)
+	k.registry.enqueue(c)
 }
 
-// call is one call. Its draws are its own, so that faults of other calls and
-// other faults leave them as they are.
+// call is one request to discovery. It has its own random draws, so that faults of
+// other kinds or in other calls do not change them.
 type call struct {
-	conn  *conn
-	at    time.Duration
-	after int64 // -1: it asks for the whole list
-	wait  time.Duration
-	timer *loop.Timer // the end of its patience, then of its wait
-	over  bool
+	conn         *conn
+	arrivedAt    time.Duration
+	afterVersion int64 // version after which changes are requested; -1: the full list
+	wait         time.Duration
+	timer        *loop.Timer // deadline in the queue, then end of its wait for a change
+	done         bool
 
-	whole, broken, stalled, refused, garbled float64 // from [0, 1): a fault strikes below its share
-	how                                      *rand.Rand
+	// Each draw is in [0, 1). The fault of that name affects the call if the draw is below the fault's share.
+	fullDraw, brokenDraw, stalledDraw, refusedDraw, garbledDraw float64
+	draws                                                       *rand.Rand // further draws, for how a fault shows
 }
 
-// parse reads a call, or says which status it deserves.
+// parse reads a call. status is 0 if the call is valid, else the status of its error response.
 func (k *conn) parse(m *http1.Message) (c *call, status int) {
-	k.calls++
-	draws := figure.Stream(k.r.env.Seed, fmt.Sprintf("registry call %s %d", k.link.ID(), k.calls))
-	c = &call{conn: k, at: k.r.env.Loop.Now(), after: -1}
-	c.whole, c.broken, c.stalled = draws.Float64(), draws.Float64(), draws.Float64()
-	c.refused, c.garbled, c.how = draws.Float64(), draws.Float64(), draws
+	k.callCount++
+	draws := figure.Stream(k.registry.env.Seed, fmt.Sprintf("registry call %s %d", k.link.ID(), k.callCount))
+	c = &call{conn: k, arrivedAt: k.registry.env.Loop.Now(), afterVersion: -1}
+	c.fullDraw, c.brokenDraw, c.stalledDraw = draws.Float64(), draws.Float64(), draws.Float64()
+	c.refusedDraw, c.garbledDraw, c.draws = draws.Float64(), draws.Float64(), draws
 	target, query, _ := strings.Cut(m.Target, "?")
-	if target != path {
+	if target != listPath {
 		return c, 404
 	}
 	if m.Method != "GET" {
 		return c, 405
 	}
-	if err := c.watches(query); err != nil {
+	if err := c.parseQuery(query); err != nil {
 		return c, 400
 	}
 	return c, 0
 }
 
-// watches reads the query of a call that waits for news; one without "after" does not.
-func (c *call) watches(query string) error {
+// parseQuery reads "after" and "wait_ms" from the query; without "after", the call requests the full list.
+func (c *call) parseQuery(query string) error {
 	values, err := url.ParseQuery(query)
 	if err != nil || !values.Has("after") {
 		return err
 	}
-	if c.after, err = strconv.ParseInt(values.Get("after"), 10, 64); err != nil || c.after < 0 {
+	if c.afterVersion, err = strconv.ParseInt(values.Get("after"), 10, 64); err != nil || c.afterVersion < 0 {
 		return errors.New("after")
 	}
 	if !values.Has("wait_ms") {
@@ -150,177 +152,180 @@
 	if err != nil || ms < 0 {
 		return errors.New("wait_ms")
 	}
-	c.wait = time.Duration(min(ms, mostWait.Milliseconds())) * time.Millisecond
+	c.wait = time.Duration(min(ms, maxWait.Milliseconds())) * time.Millisecond
 	return nil
 }
 
-// arrive lets a call wait for its turn. One that stalls is never heard of again.
-func (r *Registry) arrive(c *call) {
-	if c.stalled < r.stalled.Chance() {
+// enqueue queues a call and answers it with a 503 once it has waited for the
+// configured patience. A call that stalls is never answered.
+func (r *Registry) enqueue(c *call) {
+	if c.stalledDraw < r.stalled.Chance() {
 		return
 	}
-	r.turns = append(r.turns, c)
-	if r.conf.Patience > 0 {
-		c.timer = r.env.Loop.After(r.conf.Patience.D(), func() {
-			if i := place(r.turns, c); i >= 0 {
-				r.turns = append(r.turns[:i], r.turns[i+1:]...)
-				c.conn.reply(503, nil)
+	r.queue = append(r.queue, c)
+	if r.config.Patience > 0 {
+		c.timer = r.env.Loop.After(r.config.Patience.D(), func() {
+			if i := callIndex(r.queue, c); i >= 0 {
+				r.queue = append(r.queue[:i], r.queue[i+1:]...)
+				c.conn.respond(503, nil)
 			}
 		})
 	}
-	r.serve()
+	r.serveNext()
 }
 
-// serve gives the next call its turn, unless one has it.
-func (r *Registry) serve() {
-	for !r.serving && len(r.turns) > 0 {
-		c := r.turns[0]
-		r.turns = r.turns[1:]
-		if c.over {
+// serveNext serves the next queued call, unless one is being served.
+func (r *Registry) serveNext() {
+	for !r.serving && len(r.queue) > 0 {
+		c := r.queue[0]
+		r.queue = r.queue[1:]
+		if c.done {
 			continue
 		}
 		c.timer.Stop()
 		r.serving = true
-		r.env.Loop.After(r.conf.Each.D(), func() {
+		r.env.Loop.After(r.config.Each.D(), func() {
 			r.serving = false
-			if !c.over {
-				r.turn(c)
+			if !c.done {
+				r.handle(c)
 			}
-			r.serve()
+			r.serveNext()
 		})
 	}
 }
 
-// turn answers a call, or lets it wait for news.
-func (r *Registry) turn(c *call) {
-	b := c.conn.book
-	if c.refused < r.refused.Chance() {
-		c.conn.reply(503, nil)
+// handle responds to a call, or lets it wait for a change.
+func (r *Registry) handle(c *call) {
+	b := c.conn.history
+	if c.refusedDraw < r.refused.Chance() {
+		c.conn.respond(503, nil)
 		return
 	}
-	some, ok := b.since(c.after)
-	left := c.at + c.wait - r.env.Loop.Now()
-	if !ok || len(some) > 0 || left <= 0 {
-		c.tell()
+	changed, ok := b.since(c.afterVersion)
+	remaining := c.arrivedAt + c.wait - r.env.Loop.Now()
+	if !ok || len(changed) > 0 || remaining <= 0 {
+		c.sendList()
 		return
 	}
 	r.watches = append(r.watches, c)
-	breaks := c.broken < r.broken.Chance() && c.how.IntN(2) == 0 // while it waits
+	breaks := c.brokenDraw < r.broken.Chance() && c.draws.IntN(2) == 0 // the connection breaks during the wait
 	if breaks {
-		left = time.Duration(c.how.Float64() * float64(left))
+		remaining = time.Duration(c.draws.Float64() * float64(remaining))
 	}
-	c.timer = r.env.Loop.After(left, func() {
-		if i := place(r.watches, c); i >= 0 {
+	c.timer = r.env.Loop.After(remaining, func() {
+		if i := callIndex(r.watches, c); i >= 0 {
 			r.watches = append(r.watches[:i], r.watches[i+1:]...)
 		}
 		if breaks {
-			c.conn.end((link.Conn).Reset)
+			c.conn.remove((link.Conn).Reset)
 		} else {
-			c.tell()
+			c.sendList()
 		}
 	})
 }
 
-// wake tells the news to whoever waits for it. The old address has none.
-func (r *Registry) wake() {
+// notifyWatches sends the latest changes to all calls that wait for them, except
+// on connections to an address that discovery has moved away from: their list no
+// longer changes.
+func (r *Registry) notifyWatches() {
 	watches := r.watches
 	r.watches = nil
 	for _, c := range watches {
 		switch {
-		case c.over:
-		case c.conn.book != r.book:
+		case c.done:
+		case c.conn.history != r.history:
 			r.watches = append(r.watches, c)
 		default:
 			c.timer.Stop()
-			c.tell()
+			c.sendList()
 		}
 	}
 }
 
-// tell gives a call its list.
-func (c *call) tell() {
-	b, r := c.conn.book, c.conn.r
-	some, ok := b.since(c.after)
-	l := list{b.version, false, some}
-	if !ok || c.whole < wholeShare {
+// sendList responds with the changes or the full list, or applies a fault to the response.
+func (c *call) sendList() {
+	b, r := c.conn.history, c.conn.registry
+	changed, ok := b.since(c.afterVersion)
+	l := list{b.version, false, changed}
+	if !ok || c.fullDraw < fullListShare {
 		l = list{b.version, true, b.entries(len(b.changes))}
 	}
-	r.seen(link.Dialer(c.conn.link.ID()), l.Servers)
+	r.mapAddresses(link.Dialer(c.conn.link.ID()), l.Servers)
 	body := l.json()
-	if c.garbled < r.garbled.Chance() {
-		body = garble(c.how, l)
+	if c.garbledDraw < r.garbled.Chance() {
+		body = garble(c.draws, l)
 	}
-	if c.broken < r.broken.Chance() {
-		c.conn.breaks(c.how, body)
+	if c.brokenDraw < r.broken.Chance() {
+		c.conn.breakResponse(c.draws, body)
 		return
 	}
-	c.conn.reply(200, body)
+	c.conn.respond(200, body)
 }
 
-// reply answers the open call and goes on to the next.
-func (k *conn) reply(status int, body []byte) {
-	k.drop()
-	k.answer(status, body)
-	k.next()
+// respond completes the current call with a response and starts the next one.
+func (k *conn) respond(status int, body []byte) {
+	k.abandonCall()
+	k.writeResponse(status, body)
+	k.startNextCall()
 }
 
-func (k *conn) answer(status int, body []byte) { k.link.Write(answer(status, body)) }
+func (k *conn) writeResponse(status int, body []byte) { k.link.Write(encodeResponse(status, body)) }
 
-var reasons = map[int]string{
+var reasonPhrases = map[int]string{
 	200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 503: "Service Unavailable",
 }
 
-func answer(status int, body []byte) []byte {
-	head := fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Type: application/json\r\n", status, reasons[status])
-	if len(body) < chunkedFrom {
+func encodeResponse(status int, body []byte) []byte {
+	head := fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Type: application/json\r\n", status, reasonPhrases[status])
+	if len(body) < chunkSize {
 		return fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
 	}
 	out := fmt.Appendf(nil, "%sTransfer-Encoding: chunked\r\n\r\n", head)
 	for len(body) > 0 {
-		n := min(len(body), chunkedFrom)
+		n := min(len(body), chunkSize)
 		out = fmt.Appendf(out, "%x\r\n%s\r\n", n, body[:n])
 		body = body[n:]
 	}
 	return append(out, "0\r\n\r\n"...)
 }
 
-// breaks ends a call's connection in place of its answer, or in the midst of it.
-func (k *conn) breaks(how *rand.Rand, body []byte) {
-	whole := answer(200, body)
-	part := whole[:1+how.IntN(len(whole)-1)]
-	switch how.IntN(4) {
+// breakResponse closes or resets the connection, before the response or in the middle of it.
+func (k *conn) breakResponse(draws *rand.Rand, body []byte) {
+	response := encodeResponse(200, body)
+	partial := response[:1+draws.IntN(len(response)-1)]
+	switch draws.IntN(4) {
 	case 0:
-		k.end((link.Conn).Reset)
+		k.remove((link.Conn).Reset)
 	case 1:
-		k.end((link.Conn).Close)
+		k.remove((link.Conn).Close)
 	case 2:
-		k.link.Write(part)
-		k.end((link.Conn).Reset)
+		k.link.Write(partial)
+		k.remove((link.Conn).Reset)
 	default:
-		k.link.Write(part)
-		k.end((link.Conn).Close)
+		k.link.Write(partial)
+		k.remove((link.Conn).Close)
 	}
 }
 
-// breakAll ends the connections that are of a kind. Their calls end with a 503,
-// or with them.
-func (r *Registry) breakAll(of func(*conn) bool) {
+// breakConns terminates the matching connections. Half of the calls in progress get
+// a 503 first; the others are reset without a response.
+func (r *Registry) breakConns(match func(*conn) bool) {
 	for _, k := range append([]*conn(nil), r.conns...) {
 		switch {
-		case !of(k):
-		case k.open == nil:
-			k.end((link.Conn).Close)
-		case k.open.how.IntN(2) == 0:
-			k.answer(503, nil)
-			k.end((link.Conn).Close)
+		case !match(k):
+		case k.current == nil:
+			k.remove((link.Conn).Close)
+		case k.current.draws.IntN(2) == 0:
+			k.writeResponse(503, nil)
+			k.remove((link.Conn).Close)
 		default:
-			k.end((link.Conn).Reset)
+			k.remove((link.Conn).Reset)
 		}
 	}
 }
 
-func place(some []*call, c *call) int {
-	for i, other := range some {
+func callIndex(calls []*call, c *call) int {
+	for i, other := range calls {
 		if other == c {
 			return i
 		}
--- a/internal/lab/world/registry/faults.go
+++ b/internal/lab/world/registry/faults.go
@@ -6,37 +6,38 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// oldStays is how long the old address serves the connections that it has
-// after a move.
-const oldStays = 1500 * time.Millisecond
+// oldAddressGrace is the duration for which open connections to the old address
+// are still served after a move.
+const oldAddressGrace = 1500 * time.Millisecond
 
-// Down lets discovery refuse connections until heal is called. Those that are
-// open break, every watch with them. It hears nothing meanwhile.
+// Down makes discovery refuse connections until heal is called. Open connections
+// and their watches are terminated, and no change is listed while it is down.
 func (r *Registry) Down() (heal func()) {
-	hear := r.unhear()
-	if r.down++; r.down == 1 {
+	release := r.holdUpdates()
+	if r.downFaults++; r.downFaults == 1 {
 		r.listener.Close()
 		r.listener = nil
-		r.breakAll(func(*conn) bool { return true })
+		r.breakConns(func(*conn) bool { return true })
 	}
-	r.reach()
+	r.updateReachable()
 	return once(func() {
-		if r.down--; r.down == 0 {
+		if r.downFaults--; r.downFaults == 0 {
 			if err := r.listen(); err != nil {
-				panic(err) // its own address, which it has just left
+				panic(err) // cannot be taken: only this registry uses the address
 			}
 		}
-		hear()
-		r.reach()
+		release()
+		r.updateReachable()
 	})
 }
 
-// reach tells whether calls are served. They are not as long as any may fail: in
-// whose calls that shows is chance.
-func (r *Registry) reach() {
-	failing := r.down > 0
-	for _, some := range []*figure.Shares{&r.broken, &r.stalled, &r.refused, &r.garbled} {
-		failing = failing || some.Chance() > 0
+// updateReachable reports a change of whether calls are served. Calls count as not
+// served while a fault can affect any of them, because the affected calls are
+// chosen at random.
+func (r *Registry) updateReachable() {
+	failing := r.downFaults > 0
+	for _, faults := range []*figure.Shares{&r.broken, &r.stalled, &r.refused, &r.garbled} {
+		failing = failing || faults.Chance() > 0
 	}
 	if failing != r.failing {
 		r.failing = failing
@@ -44,62 +45,64 @@
 	}
 }
 
-// strike tells of a fault of calls that has begun, and of its healing.
-func (r *Registry) strike(end func()) (heal func()) {
-	r.reach()
+// beginCallFault reports a fault of calls that has just been added; heal removes
+// the fault with end and reports that.
+func (r *Registry) beginCallFault(end func()) (heal func()) {
+	r.updateReachable()
 	return func() {
 		end()
-		r.reach()
+		r.updateReachable()
 	}
 }
 
-// Break breaks a share of the calls: before their answer, in the midst of it, or
-// by an end of the connection.
-func (r *Registry) Break(share float64) (heal func()) { return r.strike(r.broken.Add(share)) }
+// Break closes or resets the connection of a share of the calls: before the
+// response, in the middle of it, or during a watch.
+func (r *Registry) Break(share float64) (heal func()) { return r.beginCallFault(r.broken.Add(share)) }
 
-// Stall leaves a share of the calls without any answer; their connections stay open.
-func (r *Registry) Stall(share float64) (heal func()) { return r.strike(r.stalled.Add(share)) }
+// Stall leaves a share of the calls unanswered; their connections stay open.
+func (r *Registry) Stall(share float64) (heal func()) { return r.beginCallFault(r.stalled.Add(share)) }
 
-// Refuse answers a share of the calls with a 503.
-func (r *Registry) Refuse(share float64) (heal func()) { return r.strike(r.refused.Add(share)) }
+// Refuse responds to a share of the calls with a 503.
+func (r *Registry) Refuse(share float64) (heal func()) { return r.beginCallFault(r.refused.Add(share)) }
 
-// Delay lets whatever happens meanwhile show so many times later.
-func (r *Registry) Delay(factor float64) (heal func()) { return r.slowness.Add(factor) }
+// Delay multiplies by factor the time until a change that happens during the fault is listed.
+func (r *Registry) Delay(factor float64) (heal func()) { return r.delayFactors.Add(factor) }
 
-// Garble answers a share of the calls with what no reader of lists can make out.
-func (r *Registry) Garble(share float64) (heal func()) { return r.strike(r.garbled.Add(share)) }
+// Garble responds to a share of the calls with a body that cannot be read as a list.
+func (r *Registry) Garble(share float64) (heal func()) { return r.beginCallFault(r.garbled.Add(share)) }
 
-// Blind lets discovery hear nothing: its list stays as it is.
-func (r *Registry) Blind() (heal func()) { return r.unhear() }
+// Blind keeps all changes from being listed until heal is called.
+func (r *Registry) Blind() (heal func()) { return r.holdUpdates() }
 
-// Move takes discovery to its other address, which it returns. The old one
-// takes no new connections, serves those that it has from the list as it was,
-// and breaks them after a while. In half of all moves versions begin anew.
+// Move moves discovery to its other address and returns that address. The old
+// address refuses new connections, serves open ones from the list as of the move,
+// and terminates them after oldAddressGrace. Half of all moves start a new
+// numbering of versions.
 func (r *Registry) Move() string {
-	if r.conf.Spare == "" || r.conf.Spare == r.conf.Addr {
+	if r.config.Spare == "" || r.config.Spare == r.config.Addr {
 		return r.addr
 	}
 	r.env.Observer.DiscoveryReachable("", r.addr, false)
-	if r.addr == r.conf.Addr {
-		r.addr = r.conf.Spare
+	if r.addr == r.config.Addr {
+		r.addr = r.config.Spare
 	} else {
-		r.addr = r.conf.Addr
+		r.addr = r.config.Addr
 	}
-	anew, down, off := r.moves.IntN(2) == 0, r.moves.IntN(2) == 0, r.moves.Int64N(numberings/2)
-	left, now := r.book, *r.book
-	r.book = &now
-	r.env.Loop.After(oldStays, func() { r.breakAll(func(c *conn) bool { return c.book == left }) })
-	if r.down == 0 {
+	renumber, down, offset := r.moveDraws.IntN(2) == 0, r.moveDraws.IntN(2) == 0, r.moveDraws.Int64N(minNumberingGap/2)
+	old, current := r.history, *r.history
+	r.history = &current
+	r.env.Loop.After(oldAddressGrace, func() { r.breakConns(func(c *conn) bool { return c.history == old }) })
+	if r.downFaults == 0 {
 		r.listener.Close()
 		if err := r.listen(); err != nil {
-			panic(err) // an address that is nobody else's
+			panic(err) // cannot be taken: only this registry uses the address
 		}
 	}
 	r.env.Observer.DiscoveryReachable("", r.addr, !r.failing)
-	if anew {
-		r.book.restart(down, off)
-		for _, e := range r.book.entries(len(r.book.changes)) { // the same list, under another version
-			r.env.Observer.PeerListed(r.book.version, e.ID, e.Addr, e.State, r.subjects[e.ID].of)
+	if renumber {
+		r.history.renumber(down, offset)
+		for _, e := range r.history.entries(len(r.history.changes)) { // the same list under a new version
+			r.env.Observer.PeerListed(r.history.version, e.ID, e.Addr, e.State, r.records[e.ID].listedStartAt)
 		}
 	}
 	return r.addr
--- a/internal/lab/world/registry/registry.go
+++ b/internal/lab/world/registry/registry.go
@@ -1,6 +1,7 @@
-// Package registry models the one discovery service of a platform: it learns
-// late what the peers' processes do, lists them, lets nodes watch its list,
-// serves all calls in turn, and fails in every way that real ones do.
+// Package registry models the platform's single discovery service. It learns of
+// changes in the peers' processes after a delay, lists the peers, lets nodes
+// watch the list, serves all calls one at a time, and fails in every way in
+// which real discovery services fail.
 package registry
 
 import (
@@ -15,7 +16,7 @@
 	"olivebridge/internal/lab/world"
 )
 
-// Env is where a Registry lives.
+// Env holds the dependencies of a Registry.
 type Env struct {
 	Loop     *loop.Loop
 	Fabric   link.Fabric
@@ -25,43 +26,43 @@
 
 // Registry is the discovery service.
 type Registry struct {
-	conf world.Discovery
-	env  Env
+	config world.Discovery
+	env    Env
 
-	// What it knows, and what it does not know yet.
-	book     *book
-	subjects map[string]*subject // by name; never ranged over
-	held     []func()            // news that came due while it was deaf
-	deaf     int                 // faults that keep all news from it
-	numbers  *rand.Rand          // steps of versions
-	moves    *rand.Rand
+	// The listed state, and the changes that are not listed yet.
+	history      *history
+	records      map[string]*peerRecord // by peer name; never ranged over, since map order is random
+	heldUpdates  []func()               // changes that became due while blindFaults was above 0, in order
+	blindFaults  int                    // number of active faults that keep all changes from being listed
+	versionDraws *rand.Rand             // increments between versions
+	moveDraws    *rand.Rand             // outcomes of Move
 
-	// Whom it serves.
-	addr     string
-	listener link.Listener // nil while it is down
-	down     int
-	failing  bool    // it was told that calls are not served
-	conns    []*conn // the oldest first
-	turns    []*call // that wait for their turn
-	serving  bool    // a call has its turn
-	watches  []*call // that wait for news
+	// The listener, the connections and their calls.
+	addr       string
+	listener   link.Listener // nil while downFaults is above 0
+	downFaults int           // number of active Down faults
+	failing    bool          // the last state reported to Observer.DiscoveryReachable was unreachable
+	conns      []*conn       // oldest first
+	queue      []*call       // calls that wait to be served
+	serving    bool          // a call is being served
+	watches    []*call       // calls that wait for a change
 
-	slowness, broken, stalled, refused, garbled figure.Shares
+	delayFactors, broken, stalled, refused, garbled figure.Shares
 }
 
-// New makes a discovery service that listens at c.Addr and knows of none of the
-// peers yet.
+// New returns a discovery service that listens on c.Addr and lists no peer yet.
+// It returns an error if two peers have the same name or the address is taken.
 func New(c world.Discovery, peers []world.Peer, e Env) (*Registry, error) {
 	r := &Registry{
-		conf: c, env: e, addr: c.Addr, subjects: map[string]*subject{},
-		numbers: figure.Stream(e.Seed, "registry versions"), moves: figure.Stream(e.Seed, "registry moves"),
+		config: c, env: e, addr: c.Addr, records: map[string]*peerRecord{},
+		versionDraws: figure.Stream(e.Seed, "registry versions"), moveDraws: figure.Stream(e.Seed, "registry moves"),
 	}
-	r.book = newBook(firstVersion + r.numbers.Int64N(firstVersion))
+	r.history = newHistory(minFirstVersion + r.versionDraws.Int64N(minFirstVersion))
 	for _, p := range peers {
-		if r.subjects[p.Name] != nil {
+		if r.records[p.Name] != nil {
 			return nil, fmt.Errorf("discovery: peer %q: named twice", p.Name)
 		}
-		r.subjects[p.Name] = &subject{peer: p, draws: figure.Stream(e.Seed, "registry "+p.Name)}
+		r.records[p.Name] = &peerRecord{peer: p, draws: figure.Stream(e.Seed, "registry "+p.Name)}
 	}
 	if err := r.listen(); err != nil {
 		return nil, err
@@ -76,43 +77,43 @@
 	return nil
 }
 
-// Version is that of the list as it is now.
-func (r *Registry) Version() int64 { return r.book.version }
+// Version returns the version of the current list.
+func (r *Registry) Version() int64 { return r.history.version }
 
-// How old a stale list may be.
+// Limits on the age of a stale list.
 const (
-	staleTime    = 12 * time.Second
-	staleChanges = 4
+	maxStaleAge     = 12 * time.Second
+	maxStaleChanges = 4 // maximum number of latest changes that are left out whatever their age
 )
 
-// Known is the list that a node's configuration carries, as KnownBy has it.
-func (r *Registry) Known(stale bool) []byte { return r.KnownBy("", stale) }
+// ConfiguredList returns ConfiguredListFor without the mapping of addresses for a host.
+func (r *Registry) ConfiguredList(stale bool) []byte { return r.ConfiguredListFor("", stale) }
 
-// KnownBy is the list that the configuration of a node on that machine carries,
-// with addresses as they are seen from there. A stale one is as it
-// was up to 12 s ago, and at least one change ago; a node that starts along
-// with the run misses the peers that were listed last.
-func (r *Registry) KnownBy(by string, stale bool) []byte {
-	b := r.book
+// ConfiguredListFor returns the JSON of the server list that is written into the
+// configuration of a node on the given host, with addresses as they are seen from
+// that host. A stale list is up to 12 s old and misses at least one change: for a
+// node that starts together with the run, it misses the peers that were listed last.
+func (r *Registry) ConfiguredListFor(host string, stale bool) []byte {
+	b := r.history
 	n := len(b.changes)
 	if stale {
 		now := r.env.Loop.Now()
 		draws := figure.Stream(r.env.Seed, fmt.Sprintf("registry stale %d %d", b.version, now/time.Second))
-		then := now - figure.Seconds(figure.Uniform(draws, 2, staleTime.Seconds()))
-		n -= 1 + draws.IntN(staleChanges)
-		for n > b.first && b.changes[n-1].at > then {
+		oldest := now - figure.Seconds(figure.Uniform(draws, 2, maxStaleAge.Seconds()))
+		n -= 1 + draws.IntN(maxStaleChanges)
+		for n > b.initialCount && b.changes[n-1].at > oldest {
 			n--
 		}
-		n = max(n, (b.first+1)/2) // of nobody a node could make nothing
+		n = max(n, (b.initialCount+1)/2) // a node cannot start with an empty list
 	}
 	l := b.list(n)
-	r.seen(by, l.Servers)
+	r.mapAddresses(host, l.Servers)
 	return l.json()
 }
 
-// seen puts the addresses of a list as they are seen from a machine.
-func (r *Registry) seen(by string, list []entry) {
+// mapAddresses replaces the addresses of a list by those that reach the peers from host.
+func (r *Registry) mapAddresses(host string, list []entry) {
 	for i := range list {
-		list[i].Addr = link.MapAddress(r.env.Fabric, by, list[i].Addr)
+		list[i].Addr = link.MapAddress(r.env.Fabric, host, list[i].Addr)
 	}
 }
