--- a/internal/lab/live/watch.go
+++ b/internal/lab/live/watch.go
@@ -60,7 +60,7 @@
 	r := sample.Reading{At: w.now()}
 	for _, p := range w.run.peers {
 		s := p.Stats()
-		r.Peers = append(r.Peers, sample.Peer{Name: p.c.Name, Down: p.Down(), Held: s.Held, Arrived: s.Arrived, Probes: s.Probes, Falls: s.Falls})
+		r.Peers = append(r.Peers, sample.Peer{Name: p.c.Name, Down: p.Down(), Held: s.Held, Arrived: s.Arrived, Probes: s.Probes, Falls: s.OverloadCrashes})
 	}
 	for i, n := range w.run.nodes {
 		pid := n.pid()
--- a/internal/lab/stage/build.go
+++ b/internal/lab/stage/build.go
@@ -39,7 +39,7 @@
 	for i, p := range c.Peers {
 		r.places[p.Name], r.hosts[p.Name] = i, hostOf(p)
 		r.peers[p.Name] = peer.New(p, peer.Env{
-			Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: r.observer, Classes: c.Classes, Listed: r.registry,
+			Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: r.observer, Classes: c.Classes, Registrar: r.registry,
 		})
 	}
 	if err := r.startWarm(); err != nil {
--- a/internal/lab/world/peer/cache.go
+++ b/internal/lab/world/peer/cache.go
@@ -7,48 +7,48 @@
 	"olivebridge/internal/lab/world"
 )
 
-// cache is the keys that a process has met lately: calls with them cost less.
+// cache holds the recently used keys of a process. Calls with these keys cost less work.
 type cache struct {
-	gain  float64
-	keep  time.Duration
-	most  int
-	keys  map[string]*list.Element // of remembered
-	order *list.List               // the last met first
+	gain      float64 // share of the work that a cached key saves
+	retention time.Duration
+	maxKeys   int
+	keys      map[string]*list.Element // elements hold a cacheEntry
+	order     *list.List               // most recently used first
 }
 
-type remembered struct {
-	key string
-	at  time.Duration
+type cacheEntry struct {
+	key    string
+	usedAt time.Duration
 }
 
 func newCache(c world.Peer) cache {
 	return cache{
-		gain: c.CacheGain, keep: c.CacheFor.D(), most: c.CacheKeys,
+		gain: c.CacheGain, retention: c.CacheFor.D(), maxKeys: c.CacheKeys,
 		keys: map[string]*list.Element{}, order: list.New(),
 	}
 }
 
-// share is the part of its work that a call with a key costs now.
-func (c *cache) share(key string, now time.Duration) float64 {
-	if e := c.keys[key]; e != nil && now-e.Value.(remembered).at <= c.keep {
+// workShare returns the share of its usual work that a call with the key costs now.
+func (c *cache) workShare(key string, now time.Duration) float64 {
+	if e := c.keys[key]; e != nil && now-e.Value.(cacheEntry).usedAt <= c.retention {
 		return 1 - c.gain
 	}
 	return 1
 }
 
-// meet remembers a key, and forgets the one not met for longest beyond the
-// number that it can remember.
-func (c *cache) meet(key string, now time.Duration) {
-	if key == "" || c.most <= 0 {
+// touch marks a key as used now. If there are more than maxKeys keys, it evicts the
+// least recently used one.
+func (c *cache) touch(key string, now time.Duration) {
+	if key == "" || c.maxKeys <= 0 {
 		return
 	}
 	if e := c.keys[key]; e != nil {
-		e.Value = remembered{key, now}
+		e.Value = cacheEntry{key, now}
 		c.order.MoveToFront(e)
 		return
 	}
-	c.keys[key] = c.order.PushFront(remembered{key, now})
-	if c.order.Len() > c.most {
-		delete(c.keys, c.order.Remove(c.order.Back()).(remembered).key)
+	c.keys[key] = c.order.PushFront(cacheEntry{key, now})
+	if c.order.Len() > c.maxKeys {
+		delete(c.keys, c.order.Remove(c.order.Back()).(cacheEntry).key)
 	}
 }
--- a/internal/lab/world/peer/cold.go
+++ b/internal/lab/world/peer/cold.go
@@ -7,18 +7,18 @@
 	"olivebridge/internal/lab/world"
 )
 
-// leastWarmth keeps a peer that starts at nothing from standing still.
-const leastWarmth = 0.01
+// minWarmth is the minimum share of capacity, so that a peer whose cold share is 0 still makes progress.
+const minWarmth = 0.01
 
-// cold is how a process warms up, and what it was sent meanwhile.
-type cold struct {
-	c       world.Peer
-	started time.Duration
-	warm    bool
-	done    int // calls done so far
+// warmup tracks how far a process has warmed up and the work that arrived while it was cold.
+type warmup struct {
+	config    world.Peer
+	started   time.Duration
+	warm      bool
+	completed int // number of calls completed
 
-	arrived []arrival // within the last FallIn
-	sum     float64   // of their work
+	arrived     []arrival // attempts received within the last FallIn
+	arrivedWork float64   // sum of their work
 }
 
 type arrival struct {
@@ -26,41 +26,42 @@
 	work float64
 }
 
-func newCold(c world.Peer, now time.Duration, warm bool) cold {
-	return cold{c: c, started: now, warm: warm || c.ColdFor <= 0}
+func newWarmup(c world.Peer, now time.Duration, warm bool) warmup {
+	return warmup{config: c, started: now, warm: warm || c.ColdFor <= 0}
 }
 
-// warmth is the share of its capacity that a process has by now. It rises
-// evenly with time, or with the calls done where that is faster.
-func (w *cold) warmth(now time.Duration) float64 {
+// warmth returns the share of its full capacity that the process has now. It rises
+// linearly with time, or with the number of completed calls if that is faster.
+func (w *warmup) warmth(now time.Duration) float64 {
 	if w.warm {
 		return 1
 	}
-	part := (now - w.started).Seconds() / w.c.ColdFor.D().Seconds()
-	if w.c.ColdBy > 0 {
-		part = max(part, float64(w.done)/float64(w.c.ColdBy))
+	progress := (now - w.started).Seconds() / w.config.ColdFor.D().Seconds()
+	if w.config.ColdBy > 0 {
+		progress = max(progress, float64(w.completed)/float64(w.config.ColdBy))
 	}
-	if part >= 1 {
+	if progress >= 1 {
 		w.warm, w.arrived = true, nil
 		return 1
 	}
-	return max(w.c.ColdShare+(1-w.c.ColdShare)*part, leastWarmth)
+	return max(w.config.ColdShare+(1-w.config.ColdShare)*progress, minWarmth)
 }
 
-// pushed counts what arrives and reports whether that is too much for a cold
-// process: over the last FallIn, FallAt times what it can do in that time by now.
-func (w *cold) pushed(now time.Duration, work, capacity float64) bool {
-	if w.c.FallAt <= 0 || w.c.FallIn <= 0 || w.warmth(now) >= 1 {
+// overloaded adds an arriving attempt and reports whether a cold process crashes:
+// whether the work that arrived within the last FallIn exceeds FallAt times the
+// work that the process can do in that time at its present capacity.
+func (w *warmup) overloaded(now time.Duration, work, capacity float64) bool {
+	if w.config.FallAt <= 0 || w.config.FallIn <= 0 || w.warmth(now) >= 1 {
 		return false
 	}
 	w.arrived = append(w.arrived, arrival{now, work})
-	w.sum += work
-	for w.arrived[0].at <= now-w.c.FallIn.D() {
-		w.sum -= w.arrived[0].work
+	w.arrivedWork += work
+	for w.arrived[0].at <= now-w.config.FallIn.D() {
+		w.arrivedWork -= w.arrived[0].work
 		w.arrived = w.arrived[1:]
 	}
-	return w.sum > w.c.FallAt*capacity*w.c.FallIn.D().Seconds()
+	return w.arrivedWork > w.config.FallAt*capacity*w.config.FallIn.D().Seconds()
 }
 
-// fall ends a process that was pushed over: its connections are reset.
-func (q *process) fall() { q.end(link.Conn.Reset) }
+// crash ends a process that was overloaded while cold and resets its connections.
+func (q *process) crash() { q.terminate(link.Conn.Reset) }
--- a/internal/lab/world/peer/conn.go
+++ b/internal/lab/world/peer/conn.go
@@ -9,37 +9,38 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// conn is one connection to a process. It carries one request at a time: what
-// is sent before the answer is read after it.
+// conn is one connection to a process. It serves one request at a time: bytes that
+// arrive before the response are read after it.
 type conn struct {
-	of     *process
-	link   link.Conn
-	in     *http1.Parser
-	shaken bool // its handshake is done
-	job    *job // of the request it carries
-	spent  bool // open, and of no further use
-	gone   bool
-	idle   *loop.Timer // its end, if nothing comes
-	more   *loop.Timer // the next part of an answer without end
+	process       *process
+	link          link.Conn
+	parser        *http1.Parser
+	handshakeDone bool
+	job           *job // work for the current request; nil: there is none
+	unusable      bool // open, but nothing more is read or answered
+	closed        bool
+	idleTimer     *loop.Timer // closes the idle connection
+	sendTimer     *loop.Timer // sends the next part of an endless response
 }
 
-// accept takes a connection, or has it reset when there are too many.
+// accept accepts a connection. It returns nil, which resets the connection, if the
+// process has ended or there are too many connections.
 func (q *process) accept(l link.Conn) link.Handler {
-	if q.over {
+	if q.ended {
 		return nil
 	}
-	if most := q.p.c.Conns; most > 0 && len(q.conns) >= most {
-		q.p.stats.Full++
+	if limit := q.peer.config.Conns; limit > 0 && len(q.conns) >= limit {
+		q.peer.stats.RejectedConns++
 		return nil
 	}
-	q.p.stats.Accepted++
-	c := &conn{of: q, link: l, in: http1.NewRequestParser(), shaken: q.p.c.Handshake == 0}
+	q.peer.stats.AcceptedConns++
+	c := &conn{process: q, link: l, parser: http1.NewRequestParser(), handshakeDone: q.peer.config.Handshake == 0}
 	q.conns = append(q.conns, c)
-	c.rest()
-	if !c.shaken {
-		q.cores.add(&job{left: q.p.c.Handshake.D().Seconds(), done: func() {
-			c.shaken = true
-			c.read()
+	c.startIdleTimer()
+	if !c.handshakeDone {
+		q.cores.addInternal(&job{remaining: q.peer.config.Handshake.D().Seconds(), done: func() {
+			c.handshakeDone = true
+			c.readRequests()
 		}})
 	}
 	return c
@@ -50,68 +51,68 @@
 
 // Data implements link.Handler.
 func (c *conn) Data(_ link.Conn, b []byte) {
-	if c.gone || c.spent {
+	if c.closed || c.unusable {
 		return
 	}
-	c.in.Feed(b)
-	c.of.awake(c.read)
+	c.parser.Feed(b)
+	c.process.runOrDefer(c.readRequests)
 }
 
-// End implements link.Handler. A node that ends its sending has given up what
-// it sent, as one that closes has.
-func (c *conn) End(_ link.Conn, err error) { c.of.awake(func() { c.end(err) }) }
+// End implements link.Handler. A half-close by the node abandons its requests, as a
+// close does.
+func (c *conn) End(_ link.Conn, err error) { c.process.runOrDefer(func() { c.handleEnd(err) }) }
 
-func (c *conn) end(err error) {
-	if c.gone {
+func (c *conn) handleEnd(err error) {
+	if c.closed {
 		return
 	}
-	c.leave()
+	c.detach()
 	if errors.Is(err, link.ErrEOF) {
 		c.link.Close()
 	}
 	if j := c.job; j != nil {
-		j.conn = nil // work that runs goes on
-		if c.of.p.c.StopsWork {
-			c.of.cores.drop(j)
+		j.conn = nil // work in progress continues
+		if c.process.peer.config.StopsWork {
+			c.process.cores.dropQueued(j)
 		}
-		c.of.mayLeave()
+		c.process.exitIfIdle()
 	}
 }
 
-// leave forgets a connection that has ended.
-func (c *conn) leave() {
-	c.gone = true
-	c.idle.Stop()
-	c.more.Stop()
-	if i := slices.Index(c.of.conns, c); i >= 0 {
-		c.of.conns = slices.Delete(c.of.conns, i, i+1)
+// detach removes an ended connection from the process and stops its timers.
+func (c *conn) detach() {
+	c.closed = true
+	c.idleTimer.Stop()
+	c.sendTimer.Stop()
+	if i := slices.Index(c.process.conns, c); i >= 0 {
+		c.process.conns = slices.Delete(c.process.conns, i, i+1)
 	}
 }
 
-// read takes the requests that have come whole.
-func (c *conn) read() {
-	for !c.gone && !c.spent && c.shaken && c.job == nil {
-		m, err := c.in.Next()
+// readRequests handles complete requests until one is in progress.
+func (c *conn) readRequests() {
+	for !c.closed && !c.unusable && c.handshakeDone && c.job == nil {
+		m, err := c.parser.Next()
 		switch {
 		case err != nil:
-			c.of.p.stats.Bad++
-			c.send(plain("400 Bad Request", ""), true)
+			c.process.peer.stats.BadRequests++
+			c.send(plainResponse("400 Bad Request", ""), true)
 		case m == nil:
-			c.rest()
+			c.startIdleTimer()
 			return
 		default:
-			c.idle.Stop()
-			c.take(m)
+			c.idleTimer.Stop()
+			c.handleRequest(m)
 		}
 	}
 }
 
-// rest closes the connection when nothing comes for the time that it may be idle.
-func (c *conn) rest() {
-	c.idle.Stop()
-	if d := c.of.p.c.IdleClose.D(); d > 0 {
-		c.idle = c.of.after(d, func() {
-			if !c.gone && !c.spent && c.job == nil {
+// startIdleTimer closes the connection after IdleClose without a request.
+func (c *conn) startIdleTimer() {
+	c.idleTimer.Stop()
+	if d := c.process.peer.config.IdleClose.D(); d > 0 {
+		c.idleTimer = c.process.after(d, func() {
+			if !c.closed && !c.unusable && c.job == nil {
 				c.close()
 			}
 		})
@@ -119,11 +120,11 @@
 }
 
 func (c *conn) close() {
-	c.leave()
+	c.detach()
 	c.link.Close()
 }
 
-// send answers the request in hand; last: the connection ends with it.
+// send responds to the current request and, if last, closes the connection.
 func (c *conn) send(answer []byte, last bool) {
 	c.job = nil
 	c.link.Write(answer)
@@ -132,15 +133,15 @@
 	}
 }
 
-// spoil leaves the connection open and of no further use: nothing more is read.
-func (c *conn) spoil() {
-	c.job, c.spent = nil, true
-	c.idle.Stop()
+// markUnusable leaves the connection open but reads nothing more from it.
+func (c *conn) markUnusable() {
+	c.job, c.unusable = nil, true
+	c.idleTimer.Stop()
 }
 
-// reset breaks the connection.
+// reset resets the connection.
 func (c *conn) reset() {
 	c.job = nil
-	c.leave()
+	c.detach()
 	c.link.Reset()
 }
--- a/internal/lab/world/peer/faults.go
+++ b/internal/lab/world/peer/faults.go
@@ -7,19 +7,19 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// quickWork is what a call costs that fails quickly.
-const quickWork = 500e-6
+// quickFailureWork is the maximum work, in core seconds, of a call that fails quickly.
+const quickFailureWork = 500e-6
 
-// faults is what ails a peer. Faults of one kind add up, each until it is healed.
+// faults holds the active faults of a peer. Several faults of one kind can be active.
 type faults struct {
-	slow, fail, spoil, surplus, silent, turnAway, breaks stack
-	costly                                               []*slice
+	slow, fail, spoil, surplus, silent, turnAway, breakConn faultValues
+	costly                                                  []*costlySlice
 }
 
-// stack is the figures of faults of one kind that hold now.
-type stack []*float64
+// faultValues holds the value (share or factor) of each active fault of one kind.
+type faultValues []*float64
 
-func (s *stack) add(v float64) (heal func()) {
+func (s *faultValues) add(v float64) (heal func()) {
 	f := &v
 	*s = append(*s, f)
 	return func() {
@@ -27,106 +27,107 @@
 	}
 }
 
-// share is the chance that at least one of them strikes. All of them are
-// decided by one draw, so that to take one out leaves that draw as it was.
-func (s stack) share() float64 {
-	spared := 1.0
+// probability returns the probability that at least one of the faults affects a
+// call. One draw decides for all of them, so that removing a fault does not change
+// the draw.
+func (s faultValues) probability() float64 {
+	unaffected := 1.0
 	for _, f := range s {
-		spared *= 1 - min(max(*f, 0), 1)
+		unaffected *= 1 - min(max(*f, 0), 1)
 	}
-	return 1 - spared
+	return 1 - unaffected
 }
 
-// slower is how many times slower the peer is.
-func (f *faults) slower() float64 {
-	times := 1.0
+// slowdown returns the factor by which the peer is slower, the product of all slow faults.
+func (f *faults) slowdown() float64 {
+	factor := 1.0
 	for _, v := range f.slow {
-		times *= max(*v, 1e-3)
+		factor *= max(*v, 1e-3)
 	}
-	return times
+	return factor
 }
 
-// slice is a share of one class's calls that cost more.
-type slice struct {
-	class         string // "": of every class
+// costlySlice is a share of a class's calls that cost factor times their usual work.
+type costlySlice struct {
+	class         string // "": all classes
 	share, factor float64
 }
 
-// dearer is how many times its usual work a call costs. A call in more than
-// one slice costs as in the dearest.
-func (f *faults) dearer(a *call) float64 {
-	times := 1.0
+// costFactor returns the factor by which a call costs more than its usual work. For
+// a call in several slices, the highest factor applies.
+func (f *faults) costFactor(a *attempt) float64 {
+	highest := 1.0
 	for _, s := range f.costly {
-		if (s.class == "" || s.class == a.class.Name) && a.costly < s.share {
-			times = max(times, s.factor)
+		if (s.class == "" || s.class == a.class.Name) && a.costlyDraw < s.share {
+			highest = max(highest, s.factor)
 		}
 	}
-	return times
+	return highest
 }
 
-// Slow makes the peer factor times slower.
+// Slow makes the peer slower by factor.
 func (p *Peer) Slow(factor float64) (heal func()) {
 	remove := p.faults.slow.add(factor)
-	p.paceChanged()
+	p.speedChanged()
 	return func() {
 		remove()
-		p.paceChanged()
+		p.speedChanged()
 	}
 }
 
-func (p *Peer) paceChanged() {
-	if p.now != nil {
-		p.now.cores.changed()
+func (p *Peer) speedChanged() {
+	if p.process != nil {
+		p.process.cores.reschedule()
 	}
 }
 
-// Fail lets a share of calls end quickly in a 500.
+// Fail makes a share of calls fail quickly with an error response, mostly a 500.
 func (p *Peer) Fail(share float64) (heal func()) { return p.faults.fail.add(share) }
 
-// Costly lets a share of one class's calls cost factor times their work. A
-// call that is costly here is so at every peer with the fault.
+// Costly makes a share of one class's calls cost factor times their usual work. The
+// same calls are affected at every peer with the fault.
 func (p *Peer) Costly(class string, share, factor float64) (heal func()) {
-	s := &slice{class, share, factor}
+	s := &costlySlice{class, share, factor}
 	p.faults.costly = append(p.faults.costly, s)
 	return func() {
-		p.faults.costly = slices.DeleteFunc(p.faults.costly, func(o *slice) bool { return o == s })
+		p.faults.costly = slices.DeleteFunc(p.faults.costly, func(o *costlySlice) bool { return o == s })
 	}
 }
 
-// Spoil lets a share of calls run and get an answer that cannot be read; the
-// connection stays open and is of no further use.
+// Spoil makes a share of calls run and get an unreadable response. The connection
+// stays open, but nothing more is read from it.
 func (p *Peer) Spoil(share float64) (heal func()) { return p.faults.spoil.add(share) }
 
-// Surplus lets a share of good answers come with more than themselves.
+// Surplus adds bytes before or after a share of 200 responses.
 func (p *Peer) Surplus(share float64) (heal func()) { return p.faults.surplus.add(share) }
 
-// Silent lets a share of calls run and never get an answer, on a connection
-// that stays open.
+// Silent makes a share of calls run and never get a response. The connection stays open.
 func (p *Peer) Silent(share float64) (heal func()) { return p.faults.silent.add(share) }
 
-// TurnAway lets a share of calls be turned away unseen.
+// TurnAway rejects a share of calls before they run.
 func (p *Peer) TurnAway(share float64) (heal func()) { return p.faults.turnAway.add(share) }
 
-// Break resets the connections of a share of calls, half of them before they
-// run, half in place of the answer.
-func (p *Peer) Break(share float64) (heal func()) { return p.faults.breaks.add(share) }
+// Break resets the connections of a share of calls, for half of them before the
+// call runs, for the others in place of the response.
+func (p *Peer) Break(share float64) (heal func()) { return p.faults.breakConn.add(share) }
 
-// fate is all that chance decides of an attempt. It is drawn whole, whatever
-// faults there are: none shifts the draws of another. New draws go last.
-type fate struct {
-	noise                                          float64 // times its work
-	turnAway, breaks, early, fail, errors          float64
+// attemptDraws holds all random draws of an attempt. All are drawn whichever faults
+// are active, so that no fault shifts the draws of another. New draws are added at
+// the end.
+type attemptDraws struct {
+	workFactor                                     float64 // factor on the usual work, 0.95 to 1.05
+	turnAway, breakConn, breakEarly, fail, errors  float64
 	silent, spoil, spoilKind, surplus, surplusKind float64
-	framing, last                                  float64
-	wording                                        float64 // of an error
+	framing, closeConn                             float64
+	errorKind                                      float64 // selects the response to a failed call
 }
 
-func drawFate(seed uint64, peer, id string, run int) (f fate) {
+func drawAttempt(seed uint64, peer, id string, run int) (f attemptDraws) {
 	r := figure.Stream(seed, fmt.Sprintf("fate of call %s at %s, run %d", id, peer, run))
-	f.noise = figure.Uniform(r, 0.95, 1.05)
+	f.workFactor = figure.Uniform(r, 0.95, 1.05)
 	for _, u := range []*float64{
-		&f.turnAway, &f.breaks, &f.early, &f.fail, &f.errors,
-		&f.silent, &f.spoil, &f.spoilKind, &f.surplus, &f.surplusKind, &f.framing, &f.last, &f.wording,
+		&f.turnAway, &f.breakConn, &f.breakEarly, &f.fail, &f.errors,
+		&f.silent, &f.spoil, &f.spoilKind, &f.surplus, &f.surplusKind, &f.framing, &f.closeConn, &f.errorKind,
 	} {
 		*u = r.Float64()
 	}
--- a/internal/lab/world/peer/peer.go
+++ b/internal/lab/world/peer/peer.go
@@ -1,9 +1,8 @@
-// Package peer models one server of the upstream group: what its machine can
-// do, what it makes of requests, how it starts, falls and drains, and all that
-// can go wrong with it. It speaks HTTP/1.1 over a link.Fabric.
+// Package peer models one upstream server: its capacity, its responses to requests,
+// its start, crash and drain, and its faults. It serves HTTP/1.1 over a link.Fabric.
 //
-// Every draw hangs on the peer, the call and how often it came here, never on
-// the order of things: a fault that is taken out leaves all else as it was.
+// Every random draw is seeded by the peer, the call and the number of the attempt,
+// never by the order of events, so that removing one fault changes no other draw.
 package peer
 
 import (
@@ -18,164 +17,168 @@
 	"olivebridge/internal/lab/world"
 )
 
-// port is where every peer listens on its host.
+// port is the port on which every peer listens.
 const port = ":9000"
 
-// Env is what a Peer lives in.
+// Env holds the dependencies of a Peer.
 type Env struct {
-	Loop     *loop.Loop
-	Fabric   link.Fabric
-	Seed     uint64
-	Observer event.Observer
-	Classes  []world.Class
-	Listed   Registrar             // discovery, which shows it later
-	Attempts event.AttemptObserver // nil: no observer
+	Loop      *loop.Loop
+	Fabric    link.Fabric
+	Seed      uint64
+	Observer  event.Observer
+	Classes   []world.Class
+	Registrar Registrar             // discovery, which lists changes after a delay
+	Attempts  event.AttemptObserver // may be nil
 }
 
-// Registrar hears at once what a peer's process does.
+// Registrar is notified of changes of a peer's process as they happen.
 type Registrar interface {
-	// Started: it listens at addr; warm: it was running long before the run began.
+	// Started reports that the process listens on addr. A warm process has been running since long before the run.
 	Started(name, addr string, at time.Duration, warm bool)
-	// Draining: it was told to end.
+	// Draining reports that the process was asked to exit.
 	Draining(name string)
-	// Stopped: the process ended or was killed.
+	// Stopped reports that the process has exited or was killed.
 	Stopped(name string)
 }
 
-// Peer is one server, whose process may end and start again.
+// Peer is one upstream server. Its process may end and start again.
 type Peer struct {
-	c       world.Peer
-	env     Env
-	addr    string
-	classes map[string]world.Class
-	unnamed map[bool]world.Class // by whether the method is GET: of a call whose class is not known
-	faults  faults               // of the machine: they outlive a process
-	runs    map[string]int       // how often a call has come, over all lives, so that no two answers are alike
-	lives   int
-	now     *process // nil while it is down
-	stats   Stats
+	config        world.Peer
+	env           Env
+	addr          string
+	classes       map[string]world.Class
+	meanClasses   map[bool]world.Class // by whether the method is GET; for calls whose class is not known
+	faults        faults               // faults of the machine, which remain when the process restarts
+	attemptCounts map[string]int       // by call id, over all processes, so that no two responses are equal
+	processCount  int
+	process       *process // nil while the peer is down
+	stats         Stats
 }
 
-// Stats counts what has happened at a Peer, over all its lives.
+// Stats counts events at a Peer, over all its processes.
 type Stats struct {
-	Starts     int // of its process
-	Falls      int // of them, ended by being pushed while cold
-	Arrived    int // calls that came whole
-	Ran        int // of them, up to now
-	Served     int // answered with a 200, as it should be
-	Surplus    int // of Served, with more on the wire than the answer
-	Errors     int // 500s after all the work
-	Failed     int // quick 500s
-	TurnedAway int // 503s: they never ran
-	Overdue    int // 504s: over before their turn, they never ran
-	Dropped    int // taken out of the queue since their connection had ended
-	Unheard    int // ran, with nobody left to answer
-	Broken     int // connection reset in place of an answer
-	Silent     int // never answered
-	Spoilt     int // answered with what cannot be read
-	Bad        int // 400s
-	Unknown    int // 404s
-	Probes     int
-	Accepted   int // connections
-	Full       int // connections reset, being too many
-
-	Held int // calls that wait or are in work now
-	Open int // connections now
+	Starts          int // starts of the process
+	OverloadCrashes int // processes that crashed from overload while cold
+	Arrived         int // complete calls received
+	Ran             int // calls that ran to their end
+	Served          int // 200 responses, with or without surplus bytes
+	Surplus         int // part of Served: 200 responses with additional bytes
+	Errors          int // error responses after all the work
+	Failed          int // error responses to calls that failed quickly
+	Rejected        int // 503 responses to calls that never ran
+	Expired         int // 504 responses to calls whose deadline passed in the queue; they never ran
+	Dropped         int // calls removed from the queue because their connection had ended
+	Undeliverable   int // calls that ran after their connection had ended
+	Broken          int // calls whose connection was reset in place of a response
+	Unanswered      int // calls that never got a response, by the Silent fault
+	Unreadable      int // unreadable responses
+	BadRequests     int // 400 responses
+	NotFound        int // 404 responses
+	Probes          int // health check requests
+	AcceptedConns   int
+	RejectedConns   int // connections reset because there were too many
+
+	Held      int // calls in the queue or in progress now
+	OpenConns int // open connections now
 }
 
-// New makes a Peer, which is down.
+// New returns a Peer that is down.
 func New(c world.Peer, e Env) *Peer {
 	p := &Peer{
-		c: c, env: e, addr: cmp.Or(c.Host, c.Name) + port,
-		classes: map[string]world.Class{}, unnamed: map[bool]world.Class{}, runs: map[string]int{},
+		config: c, env: e, addr: cmp.Or(c.Host, c.Name) + port,
+		classes: map[string]world.Class{}, meanClasses: map[bool]world.Class{}, attemptCounts: map[string]int{},
 	}
 	for _, class := range e.Classes {
 		p.classes[class.Name] = class
 	}
 	for _, safe := range []bool{true, false} {
-		p.unnamed[safe] = mean(e.Classes, safe)
+		p.meanClasses[safe] = meanClass(e.Classes, safe)
 	}
 	return p
 }
 
-// mean is what calls of one method are like, whatever their class: nodes need
-// not pass the class on.
-func mean(classes []world.Class, safe bool) world.Class {
-	m, n := world.Class{Safe: safe, Spread: 1}, 0
+// meanClass returns a class with the mean work and response size of all safe or all
+// unsafe classes. It is used for calls without a known class: nodes need not
+// forward the class.
+func meanClass(classes []world.Class, safe bool) world.Class {
+	total, count := world.Class{Safe: safe, Spread: 1}, 0
 	for _, c := range classes {
 		if c.Safe == safe {
-			m.Work += c.Work
-			m.Answer += c.Answer
-			n++
+			total.Work += c.Work
+			total.Answer += c.Answer
+			count++
 		}
 	}
-	if n > 0 {
-		m.Work, m.Answer = m.Work/figure.Span(n), m.Answer/n
+	if count > 0 {
+		total.Work, total.Answer = total.Work/figure.Span(count), total.Answer/count
 	}
-	return m
+	return total
 }
 
-// Name is the peer's id at discovery.
-func (p *Peer) Name() string { return p.c.Name }
+// Name returns the peer's id at discovery.
+func (p *Peer) Name() string { return p.config.Name }
 
-// Addr is where it listens.
+// Addr returns the address on which the peer listens.
 func (p *Peer) Addr() string { return p.addr }
 
-// Down reports whether no process of it runs.
-func (p *Peer) Down() bool { return p.now == nil }
+// Down reports whether the peer's process is not running.
+func (p *Peer) Down() bool { return p.process == nil }
 
-// Start starts its process; warm: it has been running for long.
+// Start starts the process; a warm one begins at full capacity. It returns an error
+// if the process is running, the configuration has no capacity, or the address is
+// taken.
 func (p *Peer) Start(warm bool) error {
 	switch {
-	case p.now != nil:
-		return fmt.Errorf("peer %s: it is running already", p.c.Name)
-	case p.c.Cores < 1 || p.c.Slots < 1 || p.c.Speed <= 0:
+	case p.process != nil:
+		return fmt.Errorf("peer %s: it is running already", p.config.Name)
+	case p.config.Cores < 1 || p.config.Slots < 1 || p.config.Speed <= 0:
 		return fmt.Errorf("peer %s: cores %d, slots %d, speed %g: each must be above 0",
-			p.c.Name, p.c.Cores, p.c.Slots, p.c.Speed)
+			p.config.Name, p.config.Cores, p.config.Slots, p.config.Speed)
 	}
 	q := newProcess(p, warm)
 	var err error
 	if q.listener, err = p.env.Fabric.Listen(p.addr, q.accept); err != nil {
-		return fmt.Errorf("peer %s: %w", p.c.Name, err)
+		return fmt.Errorf("peer %s: %w", p.config.Name, err)
 	}
-	p.now = q
-	p.lives++
+	p.process = q
+	p.processCount++
 	p.stats.Starts++
-	q.begin()
-	p.env.Observer.PeerStarted(p.c.Name, p.addr, !warm)
-	p.env.Listed.Started(p.c.Name, p.addr, p.env.Loop.Now(), warm)
+	q.schedulePauses()
+	p.env.Observer.PeerStarted(p.config.Name, p.addr, !warm)
+	p.env.Registrar.Started(p.config.Name, p.addr, p.env.Loop.Now(), warm)
 	return nil
 }
 
-// Kill ends its process at once. Its connections are the network's to break.
+// Kill ends the process at once. The network breaks its connections.
 func (p *Peer) Kill() {
-	if p.now != nil {
-		p.now.end(nil)
+	if p.process != nil {
+		p.process.terminate(nil)
 	}
 }
 
-// Drain tells its process to end. It serves on, turns new calls away from
-// turnAwayAfter on, and ends at exitAfter, or once what it holds then is done.
+// Drain makes the process exit gracefully. It continues to serve calls, rejects new
+// ones after turnAwayAfter, and exits once no call is left, but not before
+// exitAfter.
 func (p *Peer) Drain(turnAwayAfter, exitAfter time.Duration) {
-	if q := p.now; q != nil && !q.draining {
+	if q := p.process; q != nil && !q.draining {
 		q.drain(turnAwayAfter, exitAfter)
-		p.env.Listed.Draining(p.c.Name)
+		p.env.Registrar.Draining(p.config.Name)
 	}
 }
 
-// Stall pauses its process: nothing runs, nothing is read nor answered, and
-// bytes pile up.
+// Stall pauses the process for d: it runs no work, reads and answers nothing, and
+// received bytes are buffered.
 func (p *Peer) Stall(d time.Duration) {
-	if p.now != nil {
-		p.now.stall(d)
+	if p.process != nil {
+		p.process.stall(d)
 	}
 }
 
-// Stats is what has happened so far.
+// Stats returns the counts so far.
 func (p *Peer) Stats() Stats {
 	s := p.stats
-	if q := p.now; q != nil {
-		s.Held, s.Open = q.cores.held(), len(q.conns)
+	if q := p.process; q != nil {
+		s.Held, s.OpenConns = q.cores.held(), len(q.conns)
 	}
 	return s
 }
--- a/internal/lab/world/peer/peer_test.go
+++ b/internal/lab/world/peer/peer_test.go
@@ -23,31 +23,31 @@
 
 func TestCoresBoundThroughput(t *testing.T) {
 	c := world.Peer{Cores: 2, Speed: 0.5, Slots: 4, Queue: 100}
-	r := play(t, c, func(r *rig) {
-		r.calls(1, sec, 0)
-		r.calls(100, 10*sec, 0)
+	r := runPeer(t, c, func(r *harness) {
+		r.sendQuotes(1, sec, 0)
+		r.sendQuotes(100, 10*sec, 0)
 	})
-	r.want("answers", r.statuses(), map[int]int{200: 101})
-	r.near("one alone", r.asks[0].first-sec-4*way, 40*ms, 0.06)
+	r.expect("statuses", r.statuses(), map[int]int{200: 101})
+	r.expectNear("time of a single call", r.conns[0].firstByteAt-sec-4*networkDelay, 40*ms, 0.06)
 	last := time.Duration(0)
-	for _, a := range r.asks[1:] {
-		last = max(last, a.first)
+	for _, a := range r.conns[1:] {
+		last = max(last, a.firstByteAt)
 	}
-	r.near("the last of 100", last-10*sec, 2*sec, 0.04)
+	r.expectNear("time until the last of 100 calls", last-10*sec, 2*sec, 0.04)
 }
 
-func TestTurnsAwayBeyondTheQueue(t *testing.T) {
-	r := play(t, world.Peer{Slots: 2, Queue: 3}, func(r *rig) { r.calls(10, sec, 0) })
-	r.want("answers", r.statuses(), map[int]int{200: 5, 503: 5})
-	r.want("attempts that weigh", len(r.events.work), 10)
-	mark, n := r.asks[9].got[0].Get("X-Rejected")
-	r.want("the mark", mark+fmt.Sprint(n), "11")
+func TestRejectsWhenQueueIsFull(t *testing.T) {
+	r := runPeer(t, world.Peer{Slots: 2, Queue: 3}, func(r *harness) { r.sendQuotes(10, sec, 0) })
+	r.expect("statuses", r.statuses(), map[int]int{200: 5, 503: 5})
+	r.expect("attempts reported with their work", len(r.events.work), 10)
+	mark, n := r.conns[9].responses[0].Get("X-Rejected")
+	r.expect("value and count of X-Rejected", mark+fmt.Sprint(n), "11")
 }
 
 func TestCache(t *testing.T) {
 	c := world.Peer{Cores: 8, Slots: 8, CacheGain: 0.5, CacheFor: span(5 * sec), CacheKeys: 2}
-	r := play(t, c, func(r *rig) {
-		for i, key := range []string{"a", "a", "b", "a", "c", "b", "a"} { // c takes b's place, b takes a's
+	r := runPeer(t, c, func(r *harness) {
+		for i, key := range []string{"a", "a", "b", "a", "c", "b", "a"} { // c evicts b, then b evicts a
 			r.send(sec+time.Duration(i)*100*ms, quote(fmt.Sprint(i)+key))
 		}
 		r.send(8*sec, quote("7a"))
@@ -56,42 +56,42 @@
 	})
 	for i, full := range []bool{true, false, true, false, true, true, true, true, true} {
 		if w := r.events.work[i]; (w > 0.015) != full {
-			t.Errorf("call %d costs %g, want it full: %v", i, w, full)
+			t.Errorf("call %d costs %g s of work, want full cost: %v", i, w, full)
 		}
 	}
 }
 
-func TestWarmsUp(t *testing.T) {
+func TestWarmUp(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		by   int
-		want []float64 // at 1, 5, 11 s after the start
+		want []float64 // warmth at 1, 5 and 11 s after the start
 	}{
 		{"by time", 0, []float64{0.19, 0.55, 1}},
 		{"by calls", 3, []float64{0.19, 0.7, 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cold := world.Peer{Cores: 2, Slots: 4, ColdShare: 0.1, ColdFor: span(10 * sec), ColdBy: c.by}
-			r := play(t, cold, func(r *rig) {
+			r := runPeer(t, cold, func(r *harness) {
 				r.Kill()
 				r.at(sec, func() { r.Start(false) })
-				r.calls(2, 2*sec, 0)
-				r.calls(1, 6*sec, 0)
-				r.calls(1, 12*sec, 0)
+				r.sendQuotes(2, 2*sec, 0)
+				r.sendQuotes(1, 6*sec, 0)
+				r.sendQuotes(1, 12*sec, 0)
 			})
 			for i, k := range []int{0, 2, 3} {
-				if got := r.events.able[k] / 2; got < c.want[i]-0.01 || got > c.want[i]+0.01 {
+				if got := r.events.capacity[k] / 2; got < c.want[i]-0.01 || got > c.want[i]+0.01 {
 					t.Errorf("warmth %g, want %g", got, c.want[i])
 				}
 			}
-			r.near("a cold call", r.asks[0].first-2*sec, 105*ms, 0.1)
-			r.near("a warm call", r.asks[3].first-12*sec, 24*ms, 0.1)
+			r.expectNear("time of a call to the cold peer", r.conns[0].firstByteAt-2*sec, 105*ms, 0.1)
+			r.expectNear("time of a call to the warm peer", r.conns[3].firstByteAt-12*sec, 24*ms, 0.1)
 		})
 	}
 }
 
-func TestFallsOver(t *testing.T) {
-	// 2.5 times a capacity of 0.1 over 2 s is 0.5 s of work: 25 calls; a little more as it warms.
+func TestColdPeerCrashesWhenOverloaded(t *testing.T) {
+	// FallAt 2.5 at a capacity of 0.1 over 2 s allows 0.5 s of work: 25 calls, or a few more as the peer warms up.
 	c := world.Peer{Slots: 1, ColdShare: 0.1, ColdFor: span(1000 * sec), FallAt: 2.5, FallIn: span(2 * sec)}
 	for _, k := range []struct {
 		name  string
@@ -100,29 +100,29 @@
 		warm  bool
 		falls int
 	}{
-		{"pushed, turned away or not", 30, 10 * ms, false, 1},
-		{"just below", 23, 10 * ms, false, 0},
-		{"the same, spread over more time", 60, 90 * ms, false, 0},
-		{"pushed while warm", 300, ms, true, 0},
+		{"overload, including rejected calls", 30, 10 * ms, false, 1},
+		{"load just below the limit", 23, 10 * ms, false, 0},
+		{"the same load over a longer time", 60, 90 * ms, false, 0},
+		{"overload of a warm peer", 300, ms, true, 0},
 	} {
 		t.Run(k.name, func(t *testing.T) {
-			r := play(t, c, func(r *rig) { r.Kill(); r.Start(k.warm); r.calls(k.calls, sec, k.gap) })
-			r.want("falls", r.Stats().Falls, k.falls)
-			r.want("down", r.Down(), k.falls > 0)
+			r := runPeer(t, c, func(r *harness) { r.Kill(); r.Start(k.warm); r.sendQuotes(k.calls, sec, k.gap) })
+			r.expect("crashes", r.Stats().OverloadCrashes, k.falls)
+			r.expect("down", r.Down(), k.falls > 0)
 			if k.falls > 0 {
-				r.want("the waiting call", r.asks[0].err, link.ErrReset)
-				r.want("the last call", r.asks[29].err, link.ErrRefused)
-				r.want("events", r.events.log[len(r.events.log)-2:], "[1.243s stop 1.243s stopped]")
+				r.expect("end of a queued call", r.conns[0].err, link.ErrReset)
+				r.expect("end of the last call", r.conns[29].err, link.ErrRefused)
+				r.expect("events", r.events.log[len(r.events.log)-2:], "[1.243s stop 1.243s stopped]")
 			}
 		})
 	}
 }
 
-func TestFaultsShowOnTheWire(t *testing.T) {
+func TestFaultsAreVisibleToClients(t *testing.T) {
 	type seen struct {
-		*ask
+		*clientConn
 		good bool
-		took time.Duration // until the first byte
+		took time.Duration // time until the first byte
 	}
 	costly := func(class string, factor float64) func(*Peer, float64) func() {
 		return func(p *Peer, share float64) func() { p.Costly("quote", 0, 6); return p.Costly(class, share, factor) }
@@ -134,52 +134,55 @@
 	for name, c := range map[string]struct {
 		fault func(*Peer, float64) (heal func())
 		shows func(seen) bool
-		ran   int // of 40
+		ran   int // expected number of calls that ran, of 40
 	}{
-		"fail":       {(*Peer).Fail, func(s seen) bool { return s.status() >= 500 && s.took < 6*ms }, 40},
-		"turn away":  {(*Peer).TurnAway, func(s seen) bool { return s.status() == 503 && s.took < 6*ms }, 0},
-		"silent":     {(*Peer).Silent, func(s seen) bool { return len(s.raw) == 0 && s.err == nil }, 40},
-		"break":      {(*Peer).Break, func(s seen) bool { return len(s.raw) == 0 && s.err == link.ErrReset }, 25},
-		"spoil":      {(*Peer).Spoil, func(s seen) bool { return len(s.raw) > 0 && s.got == nil && s.err == nil }, 40},
-		"surplus":    {(*Peer).Surplus, func(s seen) bool { return s.good && len(s.raw) > s.got[0].Size }, 40},
-		"slow twice": {twice, func(s seen) bool { return s.good && s.took > 118*ms && s.took < 131*ms }, 40},
-		"costly":     {costly("quote", 6), func(s seen) bool { return s.good && s.took > 118*ms }, 40},
-		"another's":  {costly("book", 6), func(s seen) bool { return s.good && s.took < 30*ms }, 40},
-		"no dearer":  {costly("quote", 1), func(s seen) bool { return s.good && s.status() == 200 }, 40},
+		"fail":      {(*Peer).Fail, func(s seen) bool { return s.status() >= 500 && s.took < 6*ms }, 40},
+		"turn away": {(*Peer).TurnAway, func(s seen) bool { return s.status() == 503 && s.took < 6*ms }, 0},
+		"silent":    {(*Peer).Silent, func(s seen) bool { return len(s.raw) == 0 && s.err == nil }, 40},
+		"break":     {(*Peer).Break, func(s seen) bool { return len(s.raw) == 0 && s.err == link.ErrReset }, 25},
+		"spoil": {(*Peer).Spoil, func(s seen) bool {
+			return len(s.raw) > 0 && s.responses == nil && s.err == nil
+		}, 40},
+		"surplus":            {(*Peer).Surplus, func(s seen) bool { return s.good && len(s.raw) > s.responses[0].Size }, 40},
+		"slow twice":         {twice, func(s seen) bool { return s.good && s.took > 118*ms && s.took < 131*ms }, 40},
+		"costly":             {costly("quote", 6), func(s seen) bool { return s.good && s.took > 118*ms }, 40},
+		"costly other class": {costly("book", 6), func(s seen) bool { return s.good && s.took < 30*ms }, 40},
+		"costly factor 1":    {costly("quote", 1), func(s seen) bool { return s.good && s.status() == 200 }, 40},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var ran int
-			r := play(t, world.Peer{Cores: 40, Slots: 40}, func(r *rig) {
+			r := runPeer(t, world.Peer{Cores: 40, Slots: 40}, func(r *harness) {
 				heal := c.fault(r.Peer, 1)
-				r.calls(40, sec, 10*ms)
+				r.sendQuotes(40, sec, 10*ms)
 				r.at(9*sec, func() { ran = r.Stats().Ran; heal(); heal() })
-				r.calls(1, 10*sec, 0)
+				r.sendQuotes(1, 10*sec, 0)
 			})
-			for i, a := range r.asks {
-				good := len(a.got) > 0 && bytes.HasPrefix(a.got[0].Body, []byte("peer=p03 call="))
-				took := a.first - sec - time.Duration(i)*10*ms
+			for i, a := range r.conns {
+				good := len(a.responses) > 0 && bytes.HasPrefix(a.responses[0].Body, []byte("peer=p03 call="))
+				took := a.firstByteAt - sec - time.Duration(i)*10*ms
 				if i == 40 {
-					r.want("healed", good && a.first < 10*sec+30*ms, true)
+					r.expect("call served after heal", good && a.firstByteAt < 10*sec+30*ms, true)
 				} else if !c.shows(seen{a, good, took}) {
-					t.Errorf("call %d: %.80q after %v, %d messages, end %v", i, a.raw, took, len(a.got), a.err)
+					t.Errorf("call %d does not show the fault: %.80q after %v, %d messages, end %v",
+						i, a.raw, took, len(a.responses), a.err)
 				}
 			}
-			r.want("ran", ran, c.ran)
+			r.expect("calls that ran", ran, c.ran)
 		})
 	}
 }
 
-func TestSpoiltAnswersOfEveryKind(t *testing.T) {
-	r := play(t, world.Peer{Cores: 60, Slots: 60}, func(r *rig) { r.Spoil(1); r.calls(60, sec, 10*ms) })
-	kind := func(a *ask) string {
+func TestUnreadableResponsesOfEveryKind(t *testing.T) {
+	r := runPeer(t, world.Peer{Cores: 60, Slots: 60}, func(r *harness) { r.Spoil(1); r.sendQuotes(60, sec, 10*ms) })
+	kind := func(a *clientConn) string {
 		switch text := string(a.raw); {
 		case text[0] != 'H':
 			return "noise"
-		case a.bad != nil && a.bad.Error() == "two lengths":
+		case a.parseErr != nil && a.parseErr.Error() == "two lengths":
 			return "two lengths"
 		case strings.Contains(text, fmt.Sprint(1<<30)) && len(text) > 1<<20:
 			return "huge"
-		case a.bad != nil:
+		case a.parseErr != nil:
 			return "head"
 		case strings.Count(text, "X-Fill") > 40 && !strings.Contains(text, "\r\n\r\n"):
 			return "endless head"
@@ -188,74 +191,76 @@
 		}
 	}
 	seen := map[string]bool{}
-	for _, a := range r.asks {
+	for _, a := range r.conns {
 		seen[kind(a)] = true
 	}
-	r.want("kinds", slices.Sorted(maps.Keys(seen)), "[endless head head huge noise short two lengths]")
+	r.expect("kinds of unreadable responses", slices.Sorted(maps.Keys(seen)),
+		"[endless head head huge noise short two lengths]")
 }
 
-func TestKillForgets(t *testing.T) {
+func TestKillDiscardsState(t *testing.T) {
 	var again error
-	r := play(t, world.Peer{Slots: 1, Queue: 9, IdleClose: span(60 * sec)}, func(r *rig) {
-		r.calls(3, sec, 0)
+	r := runPeer(t, world.Peer{Slots: 1, Queue: 9, IdleClose: span(60 * sec)}, func(r *harness) {
+		r.sendQuotes(3, sec, 0)
 		r.at(sec+10*ms, func() { again = r.Start(true); r.Kill(); r.Kill() })
-		r.calls(1, 2*sec, 0)
+		r.sendQuotes(1, 2*sec, 0)
 		r.at(3*sec, func() { r.Start(false) })
-		r.calls(1, 4*sec, 0)
+		r.sendQuotes(1, 4*sec, 0)
 		r.at(29*sec, r.Kill)
 	})
-	r.want("events left", r.wire.loop.Pending(), 0)
-	r.want("started twice", again, "peer p03: it is running already")
-	r.want("answers", r.statuses(), map[int]int{0: 4, 200: 1})
-	r.want("while down", r.asks[3].err, link.ErrRefused)
-	r.want("held, starts", []int{r.Stats().Held, r.Stats().Starts}, "[0 2]")
-	r.want("events", strings.Join(r.events.log, ", "), "0s start cold false, 0s started p03:9000 warm true, "+
+	r.expect("pending events at the end", r.network.loop.Pending(), 0)
+	r.expect("error of a second start", again, "peer p03: it is running already")
+	r.expect("statuses", r.statuses(), map[int]int{0: 4, 200: 1})
+	r.expect("end of the call while down", r.conns[3].err, link.ErrRefused)
+	r.expect("held calls and starts", []int{r.Stats().Held, r.Stats().Starts}, "[0 2]")
+	r.expect("events", strings.Join(r.events.log, ", "), "0s start cold false, 0s started p03:9000 warm true, "+
 		"1.01s stop, 1.01s stopped, 3s start cold true, 3s started p03:9000 warm false, 29s stop, 29s stopped")
 }
 
 func TestDrain(t *testing.T) {
-	r := play(t, world.Peer{Slots: 4}, func(r *rig) {
-		r.send(0) // idle
+	r := runPeer(t, world.Peer{Slots: 4}, func(r *harness) {
+		r.send(0) // idle connection
 		r.at(sec, func() { r.Drain(sec, 2*sec); r.Drain(0, 0) })
-		r.calls(1, 1500*ms, 0) // served still
+		r.sendQuotes(1, 1500*ms, 0) // still served
 		r.send(1500*ms, "GET /health/live HTTP/1.1\r\nHost: p\r\n\r\n")
-		r.calls(1, 2500*ms, 0) // turned away
+		r.sendQuotes(1, 2500*ms, 0) // rejected
 	})
 	var got []int
-	for _, a := range r.asks {
+	for _, a := range r.conns {
 		got = append(got, a.status())
 	}
-	r.want("answers", got, "[0 200 503 503]")
-	r.want("idle", fmt.Sprint(r.asks[0].err, r.asks[0].ended.Round(ms)), "end of stream 3.001s")
-	r.want("events", r.events.log[2:], "[1s draining 3s stop 3s stopped]")
+	r.expect("statuses", got, "[0 200 503 503]")
+	r.expect("end of the idle connection", fmt.Sprint(r.conns[0].err, r.conns[0].endedAt.Round(ms)),
+		"end of stream 3.001s")
+	r.expect("events", r.events.log[2:], "[1s draining 3s stop 3s stopped]")
 
-	r = play(t, world.Peer{Slots: 4}, func(r *rig) { // what it holds is done first
+	r = runPeer(t, world.Peer{Slots: 4}, func(r *harness) { // the peer completes the call it holds before it exits
 		r.Slow(100)
-		r.calls(1, 500*ms, 0)
+		r.sendQuotes(1, 500*ms, 0)
 		r.at(sec, func() { r.Drain(9*sec, sec) })
-		r.calls(1, 2100*ms, 0) // turned away from its end on at the latest
+		r.sendQuotes(1, 2100*ms, 0) // rejected: exitAfter has passed, though turnAwayAfter has not
 	})
-	r.want("held, and new", r.statuses(), "map[200:1 503:1]")
-	r.near("its end", r.asks[0].ended, 2503*ms, 0.06)
-	r.want("down", r.Down(), true)
+	r.expect("statuses of the held and the new call", r.statuses(), "map[200:1 503:1]")
+	r.expectNear("time of the exit", r.conns[0].endedAt, 2503*ms, 0.06)
+	r.expect("down", r.Down(), true)
 }
 
 func TestConnections(t *testing.T) {
 	c := world.Peer{Cores: 2, Conns: 3, IdleClose: span(4 * sec), Handshake: span(5 * ms)}
-	r := play(t, c, func(r *rig) {
-		r.send(0)                                                                      // idle from the start
-		r.send(10*ms, quote("a"))                                                      // idle from its answer on
-		r.send(60*ms, quote("b")+quote("c"), quote("d", "Connection: close\r\n"), "x") // one after the other
-		r.send(70*ms, quote("e"))                                                      // too many
+	r := runPeer(t, c, func(r *harness) {
+		r.send(0)                                                                      // idle from the beginning
+		r.send(10*ms, quote("a"))                                                      // idle after its response
+		r.send(60*ms, quote("b")+quote("c"), quote("d", "Connection: close\r\n"), "x") // served one after the other
+		r.send(70*ms, quote("e"))                                                      // one connection too many
 	})
-	a := r.asks
-	r.near("idle", a[0].ended, 4*sec+5*ms+2*way, 0.0001)
-	r.near("idle behind an answer", a[1].ended-a[1].first, 4*sec, 0.0001)
-	r.near("a handshake delays the first call", a[1].first-10*ms, 2*way+25*ms, 0.06)
-	r.want("pipelined", len(a[2].got), 3)
-	r.want("the sender's wish", a[2].err, link.ErrEOF)
-	r.want("too many", a[3].err, link.ErrReset)
-	r.want("full", r.Stats().Full, 1)
+	a := r.conns
+	r.expectNear("close of the idle connection", a[0].endedAt, 4*sec+5*ms+2*networkDelay, 0.0001)
+	r.expectNear("close after an idle time since the response", a[1].endedAt-a[1].firstByteAt, 4*sec, 0.0001)
+	r.expectNear("first call delayed by the handshake", a[1].firstByteAt-10*ms, 2*networkDelay+25*ms, 0.06)
+	r.expect("responses to pipelined calls", len(a[2].responses), 3)
+	r.expect("end after Connection: close", a[2].err, link.ErrEOF)
+	r.expect("end of the connection beyond the limit", a[3].err, link.ErrReset)
+	r.expect("rejected connections", r.Stats().RejectedConns, 1)
 }
 
 func TestRequests(t *testing.T) {
@@ -271,70 +276,74 @@
 		"GET /api HTTP/1.1\r\nX-Call-Id: a\r\n\r\n":                                      400,
 		"noise\r\n\r\n": 400,
 	} {
-		r := play(t, world.Peer{}, func(r *rig) { r.send(sec, text) })
-		r.want(text, r.asks[0].status(), want)
-		r.want(text+": closed", r.asks[0].err == link.ErrEOF, want == 400)
+		r := runPeer(t, world.Peer{}, func(r *harness) { r.send(sec, text) })
+		r.expect(text, r.conns[0].status(), want)
+		r.expect(text+": closed", r.conns[0].err == link.ErrEOF, want == 400)
 	}
 }
 
-func TestGivenUp(t *testing.T) {
+func TestAbandonedCalls(t *testing.T) {
 	for _, stops := range []bool{false, true} {
-		r := play(t, world.Peer{Slots: 1, Queue: 9, StopsWork: stops}, func(r *rig) {
+		r := runPeer(t, world.Peer{Slots: 1, Queue: 9, StopsWork: stops}, func(r *harness) {
 			r.Slow(10)
-			r.calls(2, sec, 0)
+			r.sendQuotes(2, sec, 0)
 			r.send(sec, quote("b", "X-Budget: 0.150\r\n"))
-			r.at(sec+50*ms, func() { r.asks[0].conn.Close(); r.asks[1].conn.CloseWrite() })
+			r.at(sec+50*ms, func() { r.conns[0].conn.Close(); r.conns[1].conn.CloseWrite() })
 		})
 		s, want := r.Stats(), "[2 0 0 200]"
 		if stops {
 			want = "[1 1 1 504]"
 		}
-		r.want("unheard, dropped, overdue", []int{s.Unheard, s.Dropped, s.Overdue, r.asks[2].status()}, want)
+		r.expect("undeliverable, dropped, expired, status of the expired call",
+			[]int{s.Undeliverable, s.Dropped, s.Expired, r.conns[2].status()}, want)
 	}
 }
 
 func TestStalls(t *testing.T) {
-	r := play(t, world.Peer{}, func(r *rig) {
-		r.calls(1, sec, 0)
+	r := runPeer(t, world.Peer{}, func(r *harness) {
+		r.sendQuotes(1, sec, 0)
 		r.at(sec+10*ms, func() { r.Stall(500 * ms); r.Stall(100 * ms) })
 		r.send(1200*ms, "GET /stats HTTP/1.1\r\nHost: p\r\n\r\n")
 	})
-	r.near("a call in work", r.asks[0].first, 1524*ms, 0.001)
-	r.near("the quickest answer", r.asks[1].first, 1511*ms, 0.001)
+	r.expectNear("response of a running call", r.conns[0].firstByteAt, 1524*ms, 0.001)
+	r.expectNear("response to a call sent during the pause", r.conns[1].firstByteAt, 1511*ms, 0.001)
 
-	r = play(t, world.Peer{PauseEach: span(sec), Pause: span(100 * ms)}, func(r *rig) { r.calls(25, sec, sec) })
+	r = runPeer(t, world.Peer{PauseEach: span(sec), Pause: span(100 * ms)}, func(r *harness) {
+		r.sendQuotes(25, sec, sec)
+	})
 	pauses := 0
-	for i, a := range r.asks {
-		if a.first-time.Duration(i+1)*sec > 27*ms {
+	for i, a := range r.conns {
+		if a.firstByteAt-time.Duration(i+1)*sec > 27*ms {
 			pauses++
 		}
 	}
-	r.want("some calls met a pause", 2 <= pauses && pauses <= 10, true)
+	r.expect("2 to 10 of 25 calls were delayed by a pause", 2 <= pauses && pauses <= 10, true)
 }
 
-func TestCrowd(t *testing.T) {
+func TestCongestion(t *testing.T) {
 	for held, slower := range map[int]float64{2: 1, 4: 1.5, 6: 2.5, 12: 2.5} {
 		c := world.Peer{Slots: 1, Queue: 12, CrowdAt: 3, Crowded: 2.5}
-		r := play(t, c, func(r *rig) { r.calls(held, sec, 0) })
-		r.near(fmt.Sprintf("with %d held", held), r.asks[0].first-sec-4*way, figure.Seconds(0.02*slower), 0.07)
+		r := runPeer(t, c, func(r *harness) { r.sendQuotes(held, sec, 0) })
+		r.expectNear(fmt.Sprintf("first response with %d calls held", held),
+			r.conns[0].firstByteAt-sec-4*networkDelay, figure.Seconds(0.02*slower), 0.07)
 	}
 }
 
-// story is all that a run showed: bytes, and when they came.
-func story(t *testing.T, faults func(*Peer)) []string {
+// recordRun returns the received bytes and the time of the first byte for each call of a run.
+func recordRun(t *testing.T, faults func(*Peer)) []string {
 	c := world.Peer{Cores: 2, Slots: 4, Queue: 3, Errors: 0.1, PauseEach: span(sec), Pause: span(20 * ms)}
-	r := play(t, c, func(r *rig) {
+	r := runPeer(t, c, func(r *harness) {
 		faults(r.Peer)
-		r.calls(200, sec, 20*ms)
+		r.sendQuotes(200, sec, 20*ms)
 	})
 	var out []string
-	for _, a := range r.asks {
-		out = append(out, fmt.Sprintf("%v %v %q", a.first, a.err, a.raw))
+	for _, a := range r.conns {
+		out = append(out, fmt.Sprintf("%v %v %q", a.firstByteAt, a.err, a.raw))
 	}
 	return out
 }
 
-func TestSameSeedSameStory(t *testing.T) {
+func TestSameSeedGivesSameRun(t *testing.T) {
 	all := func(p *Peer) {
 		p.Fail(0.2)
 		p.Spoil(0.2)
@@ -343,15 +352,15 @@
 		p.Costly("quote", 0.1, 5)
 		p.Silent(0.1)
 	}
-	if one, two := story(t, all), story(t, all); !slices.Equal(one, two) {
-		t.Error("two runs of one seed differ")
+	if one, two := recordRun(t, all), recordRun(t, all); !slices.Equal(one, two) {
+		t.Error("two runs with the same seed differ")
 	}
 }
 
-func TestFaultsLeaveOtherDraws(t *testing.T) {
+func TestFaultsDoNotChangeOtherDraws(t *testing.T) {
 	turnedAway := func(faults func(*Peer)) (ids []int) {
-		r := play(t, world.Peer{Cores: 4, Slots: 4}, func(r *rig) { faults(r.Peer); r.calls(100, sec, 100*ms) })
-		for i, a := range r.asks {
+		r := runPeer(t, world.Peer{Cores: 4, Slots: 4}, func(r *harness) { faults(r.Peer); r.sendQuotes(100, sec, 100*ms) })
+		for i, a := range r.conns {
 			if a.status() == 503 && strings.Contains(string(a.raw), "X-Rejected: 1") {
 				ids = append(ids, i)
 			}
@@ -362,33 +371,33 @@
 	among := turnedAway(func(p *Peer) { p.Fail(0.5); p.TurnAway(0.3); p.Spoil(0.5); p.Slow(3) })
 	two := turnedAway(func(p *Peer) { p.TurnAway(0.3); p.TurnAway(0.3) })
 	if !slices.Equal(one, among) {
-		t.Errorf("turned away: %v; with other faults %v", one, among)
+		t.Errorf("rejected calls %v without other faults, %v with other faults; want the same", one, among)
 	}
 	missed := slices.DeleteFunc(slices.Clone(one), func(i int) bool { return slices.Contains(two, i) })
 	if len(one) < 20 || len(one) > 40 || len(two) < 40 || len(two) > 62 || len(missed) > 0 {
-		t.Errorf("with one fault of 0.3 %v, with two %v", one, two)
+		t.Errorf("rejected calls with one fault of share 0.3: %v; with two: %v", one, two)
 	}
 }
 
-func TestAnswersAreAPeersOwn(t *testing.T) {
+func TestResponsesIdentifyPeerAndCall(t *testing.T) {
 	bodies, forms := map[string]bool{}, map[string]bool{}
 	for _, name := range []string{"p03", "p04"} {
-		r := play(t, world.Peer{Name: name, Cores: 9, Slots: 9}, func(r *rig) {
+		r := runPeer(t, world.Peer{Name: name, Cores: 9, Slots: 9}, func(r *harness) {
 			for i := range 200 {
 				r.send(time.Duration(i)*20*ms, quote("a"))
 			}
 		})
-		for i, a := range r.asks {
-			m := a.got[0]
+		for i, a := range r.conns {
+			m := a.responses[0]
 			_, chunked := m.Get("Transfer-Encoding")
 			bodies[string(m.Body)], forms[fmt.Sprint(chunked, m.Close)] = true, true
 			want := fmt.Sprintf("peer=%s call=a run=%d ", name, i+1)
 			if n := len(m.Body); n < 50 || n > 150 || !bytes.HasPrefix(m.Body, []byte(want)) {
-				t.Errorf("body %.60q, want %q", m.Body, want)
+				t.Errorf("body %.60q, want 50 to 150 bytes that begin with %q", m.Body, want)
 			}
 		}
 	}
 	if len(bodies) != 400 || len(forms) < 3 {
-		t.Errorf("%d bodies of 400, forms %v", len(bodies), forms)
+		t.Errorf("%d distinct bodies of 400, framings %v; want 400 and at least 3", len(bodies), forms)
 	}
 }
--- a/internal/lab/world/peer/process.go
+++ b/internal/lab/world/peer/process.go
@@ -11,120 +11,121 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// process is one life of a peer: all that is forgotten when it ends.
+// process is one run of a peer's program. Its state is lost when it ends.
 type process struct {
-	p        *Peer
+	peer     *Peer
 	listener link.Listener
-	conns    []*conn // the oldest first
+	conns    []*conn // oldest first
 	cores    cores
-	cold     cold
+	warmup   warmup
 	cache    cache
-	over     bool
+	ended    bool
 
-	draining, turnsAway, leaving bool
-	steps                        []*loop.Timer // of a drain
+	draining, rejecting, exiting bool
+	drainTimers                  []*loop.Timer // pending steps of a drain
 
-	pauses *rand.Rand
-	pause  *loop.Timer // the next one's begin
-	asleep bool        // in a pause
-	wakeAt time.Duration
-	wake   *loop.Timer
-	late   []func() // what waits for a pause to end
+	pauseDraws  *rand.Rand
+	pauseTimer  *loop.Timer // start of the next random pause
+	paused      bool
+	resumeAt    time.Duration
+	resumeTimer *loop.Timer
+	deferred    []func() // functions to run when the pause ends
 }
 
 func newProcess(p *Peer, warm bool) *process {
 	q := &process{
-		p:      p,
-		cold:   newCold(p.c, p.env.Loop.Now(), warm),
-		cache:  newCache(p.c),
-		pauses: figure.Stream(p.env.Seed, fmt.Sprintf("pauses %s life %d", p.c.Name, p.lives)),
+		peer:       p,
+		warmup:     newWarmup(p.config, p.env.Loop.Now(), warm),
+		cache:      newCache(p.config),
+		pauseDraws: figure.Stream(p.env.Seed, fmt.Sprintf("pauses %s life %d", p.config.Name, p.processCount)),
 	}
-	q.cores.of = q
+	q.cores.process = q
 	return q
 }
 
-func (q *process) begin() {
-	if q.p.c.PauseEach > 0 {
-		q.nextPause()
+func (q *process) schedulePauses() {
+	if q.peer.config.PauseEach > 0 {
+		q.scheduleNextPause()
 	}
 }
 
-// end ends the process; with is what becomes of each connection, nil: the
-// network sees to them.
-func (q *process) end(with func(link.Conn)) {
-	q.over = true
-	q.p.now = nil
+// terminate ends the process and calls closeConn on each connection; nil: the
+// network breaks them.
+func (q *process) terminate(closeConn func(link.Conn)) {
+	q.ended = true
+	q.peer.process = nil
 	q.listener.Close()
-	for _, e := range append(q.steps, q.pause, q.wake, q.cores.next) {
+	for _, e := range append(q.drainTimers, q.pauseTimer, q.resumeTimer, q.cores.stepTimer) {
 		e.Stop()
 	}
 	for _, c := range slices.Clone(q.conns) {
-		c.leave()
-		if with != nil {
-			with(c.link)
+		c.detach()
+		if closeConn != nil {
+			closeConn(c.link)
 		}
 	}
-	q.p.env.Observer.PeerStopped(q.p.c.Name)
-	q.p.env.Listed.Stopped(q.p.c.Name)
+	q.peer.env.Observer.PeerStopped(q.peer.config.Name)
+	q.peer.env.Registrar.Stopped(q.peer.config.Name)
 }
 
 func (q *process) drain(turnAwayAfter, exitAfter time.Duration) {
 	q.draining = true
-	q.steps = []*loop.Timer{
-		q.after(turnAwayAfter, func() { q.turnsAway = true }),
+	q.drainTimers = []*loop.Timer{
+		q.after(turnAwayAfter, func() { q.rejecting = true }),
 		q.after(exitAfter, func() {
-			q.turnsAway, q.leaving = true, true
-			q.mayLeave()
+			q.rejecting, q.exiting = true, true
+			q.exitIfIdle()
 		}),
 	}
 }
 
-// mayLeave ends a drained process that holds nothing any more.
-func (q *process) mayLeave() {
-	if q.leaving && !q.over && q.cores.held() == 0 {
-		q.end(link.Conn.Close)
+// exitIfIdle ends a draining process whose exit is due and that holds no call.
+func (q *process) exitIfIdle() {
+	if q.exiting && !q.ended && q.cores.held() == 0 {
+		q.terminate(link.Conn.Close)
 	}
 }
 
-// after lets f run once d has passed and the process is awake; never once it is over.
+// after runs f after d, or at the end of the pause if the process is paused then.
+// It does not run f if the process has ended.
 func (q *process) after(d time.Duration, f func()) *loop.Timer {
-	return q.p.env.Loop.After(d, func() { q.awake(f) })
+	return q.peer.env.Loop.After(d, func() { q.runOrDefer(f) })
 }
 
-// awake lets f run now, or at the end of the present pause.
-func (q *process) awake(f func()) {
+// runOrDefer runs f now or, if the process is paused, at the end of the pause.
+func (q *process) runOrDefer(f func()) {
 	switch {
-	case q.over:
-	case q.asleep:
-		q.late = append(q.late, f)
+	case q.ended:
+	case q.paused:
+		q.deferred = append(q.deferred, f)
 	default:
 		f()
 	}
 }
 
-func (q *process) nextPause() {
-	gap := q.pauses.ExpFloat64() * q.p.c.PauseEach.D().Seconds()
-	length := q.pauses.ExpFloat64() * q.p.c.Pause.D().Seconds()
-	q.pause = q.after(figure.Seconds(gap), func() {
+func (q *process) scheduleNextPause() {
+	gap := q.pauseDraws.ExpFloat64() * q.peer.config.PauseEach.D().Seconds()
+	length := q.pauseDraws.ExpFloat64() * q.peer.config.Pause.D().Seconds()
+	q.pauseTimer = q.after(figure.Seconds(gap), func() {
 		q.stall(figure.Seconds(length))
-		q.nextPause()
+		q.scheduleNextPause()
 	})
 }
 
 func (q *process) stall(d time.Duration) {
-	until := q.p.env.Loop.Now() + d
-	if q.asleep && until <= q.wakeAt {
+	until := q.peer.env.Loop.Now() + d
+	if q.paused && until <= q.resumeAt {
 		return
 	}
-	q.asleep, q.wakeAt = true, until
-	q.cores.changed()
-	q.wake.Stop()
-	q.wake = q.p.env.Loop.At(until, func() {
-		q.asleep = false
-		q.cores.changed()
-		for len(q.late) > 0 && !q.asleep && !q.over {
-			f := q.late[0]
-			q.late = q.late[1:]
+	q.paused, q.resumeAt = true, until
+	q.cores.reschedule()
+	q.resumeTimer.Stop()
+	q.resumeTimer = q.peer.env.Loop.At(until, func() {
+		q.paused = false
+		q.cores.reschedule()
+		for len(q.deferred) > 0 && !q.paused && !q.ended {
+			f := q.deferred[0]
+			q.deferred = q.deferred[1:]
 			f()
 		}
 	})
--- a/internal/lab/world/peer/request.go
+++ b/internal/lab/world/peer/request.go
@@ -11,74 +11,74 @@
 	"olivebridge/internal/lab/world"
 )
 
-// probeWork is what a probe costs. It is answered beside the queue.
+// probeWork is the work of a health check, in core seconds. Health checks bypass the queue.
 const probeWork = 40e-6
 
-// call is one attempt at a request of a client.
-type call struct {
-	id, key string
-	class   world.Class
-	run     int           // how often it has come to this peer, this time included
-	last    bool          // the node wants the connection's end behind the answer
-	until   time.Duration // when the node stops waiting; 0: it does not say
-	base    float64       // work without cache and faults, on a core of speed 1
-	costly  float64       // draw: whether a costly slice has it, wherever it goes
-	fate    fate
-	quick   bool // it fails without its work
-	long    bool // its answer is
+// attempt is one attempt of a client's request, as received by this peer.
+type attempt struct {
+	id, key      string
+	class        world.Class
+	number       int           // number of attempts of this call at this peer, including this one
+	closeAfter   bool          // the request asks to close the connection after the response
+	deadline     time.Duration // time at which the node stops waiting; 0: unknown
+	baseWork     float64       // work without cache and faults, in seconds of a core of speed 1
+	costlyDraw   float64       // decides whether a costly slice contains the call; the same at every peer
+	draws        attemptDraws
+	failsQuickly bool // the call fails without doing its work
+	longResponse bool // the response body has at least longBodyBytes
 }
 
-// take is handed a whole request.
-func (c *conn) take(m *http1.Message) {
-	q := c.of
+// handleRequest handles a complete request.
+func (c *conn) handleRequest(m *http1.Message) {
+	q := c.process
 	path, query, _ := strings.Cut(m.Target, "?")
 	id, ids := m.Get("X-Call-Id")
 	_, hosts := m.Get("Host")
 	api := path == "/api" || strings.HasPrefix(path, "/api/")
 	switch {
 	case hosts != 1 || ids > 1 || api && m.Method != "GET" && m.Method != "POST":
-		q.p.stats.Bad++
-		c.send(plain("400 Bad Request", ""), true)
+		q.peer.stats.BadRequests++
+		c.send(plainResponse("400 Bad Request", ""), true)
 	case path == "/health/live" && m.Method == "GET":
-		c.probe(m.Close)
+		c.handleProbe(m.Close)
 	case !api || id == "":
-		q.p.stats.Unknown++
-		c.send(plain("404 Not Found", ""), m.Close)
+		q.peer.stats.NotFound++
+		c.send(plainResponse("404 Not Found", ""), m.Close)
 	default:
-		a := q.p.call(m, id, query)
-		a.last = m.Close
+		a := q.peer.newAttempt(m, id, query)
+		a.closeAfter = m.Close
 		c.admit(a)
 	}
 }
 
-// probe answers whether the process runs, once a core has looked at it.
-func (c *conn) probe(last bool) {
-	c.of.p.stats.Probes++
-	c.job = &job{conn: c, left: probeWork}
+// handleProbe answers a health check after its work is done: 200, or 503 while draining.
+func (c *conn) handleProbe(last bool) {
+	c.process.peer.stats.Probes++
+	c.job = &job{conn: c, remaining: probeWork}
 	c.job.done = func() {
-		if c.gone {
+		if c.closed {
 			return
 		}
 		status := "200 OK"
-		if c.of.draining {
+		if c.process.draining {
 			status = "503 Service Unavailable"
 		}
-		c.send(plain(status, ""), last)
-		c.read()
+		c.send(plainResponse(status, ""), last)
+		c.readRequests()
 	}
-	c.of.cores.add(c.job)
+	c.process.cores.addInternal(c.job)
 }
 
-// call reads an attempt from its request and draws what it is like. The same
-// call costs alike at any peer, but for a little noise.
-func (p *Peer) call(m *http1.Message, id, query string) *call {
+// newAttempt reads an attempt from its request and draws its random properties. The
+// same call costs about the same work at every peer.
+func (p *Peer) newAttempt(m *http1.Message, id, query string) *attempt {
 	p.stats.Arrived++
-	p.runs[id]++
-	a := &call{id: id, run: p.runs[id]}
+	p.attemptCounts[id]++
+	a := &attempt{id: id, number: p.attemptCounts[id]}
 	name, _ := m.Get("X-Call-Class")
 	var known bool
 	if a.class, known = p.classes[name]; !known {
-		a.class = p.unnamed[m.Method == "GET"]
+		a.class = p.meanClasses[m.Method == "GET"]
 	}
 	for pair := range strings.SplitSeq(query, "&") {
 		if v, ok := strings.CutPrefix(pair, "user="); ok {
@@ -89,99 +89,100 @@
 	}
 	if text, n := m.Get("X-Budget"); n == 1 {
 		if s, err := strconv.ParseFloat(text, 64); err == nil && s > 0 && s < 3600 {
-			a.until = p.env.Loop.Now() + figure.Seconds(s)
+			a.deadline = p.env.Loop.Now() + figure.Seconds(s)
 		}
 	}
 	work := figure.Stream(p.env.Seed, "work of call "+id)
-	a.costly = work.Float64()
-	a.fate = drawFate(p.env.Seed, p.c.Name, id, a.run)
-	a.base = figure.LogNormal(work, a.class.Work.D().Seconds(), a.class.Spread) * a.fate.noise
+	a.costlyDraw = work.Float64()
+	a.draws = drawAttempt(p.env.Seed, p.config.Name, id, a.number)
+	a.baseWork = figure.LogNormal(work, a.class.Work.D().Seconds(), a.class.Spread) * a.draws.workFactor
 	return a
 }
 
-// admit decides what becomes of an attempt that has come whole: it runs at
-// once, waits, is turned away, or takes its connection with it.
-func (c *conn) admit(a *call) {
-	q := c.of
-	p, now := q.p, q.p.env.Loop.Now()
-	// All that arrives weighs, turned away or not, by its usual work: what a
-	// fault makes of it (dearer, or failing quickly) no node can know ahead.
-	work := a.base * q.cache.share(a.key, now)
+// admit runs, queues or rejects an attempt, or resets its connection. An attempt
+// that overloads a cold process crashes the process.
+func (c *conn) admit(a *attempt) {
+	q := c.process
+	p, now := q.peer, q.peer.env.Loop.Now()
+	// Every attempt counts toward the load with its usual work, whether it is
+	// rejected or not. The effect of a fault on its work (higher cost, quick
+	// failure) does not count, because no node can know it in advance.
+	usualWork := a.baseWork * q.cache.workShare(a.key, now)
 	if t := p.env.Attempts; t != nil {
-		t.AttemptReceived(p.c.Name, a.id, a.class.Safe)
+		t.AttemptReceived(p.config.Name, a.id, a.class.Safe)
 	}
-	p.env.Observer.PeerAttempt(p.c.Name, a.id, work, q.capacity(now))
-	if q.cold.pushed(now, work, q.capacity(now)) {
-		p.stats.Falls++
-		q.fall()
+	p.env.Observer.PeerAttempt(p.config.Name, a.id, usualWork, q.capacity(now))
+	if q.warmup.overloaded(now, usualWork, q.capacity(now)) {
+		p.stats.OverloadCrashes++
+		q.crash()
 		return
 	}
 	switch {
-	case q.turnsAway || a.fate.turnAway < p.faults.turnAway.share():
-		c.turnAway(a)
-	case a.fate.breaks < p.faults.breaks.share() && a.fate.early < 0.5:
+	case q.rejecting || a.draws.turnAway < p.faults.turnAway.probability():
+		c.reject(a)
+	case a.draws.breakConn < p.faults.breakConn.probability() && a.draws.breakEarly < 0.5:
 		p.stats.Broken++
 		c.reset()
 	default:
-		c.job = &job{conn: c, call: a}
+		c.job = &job{conn: c, attempt: a}
 		c.job.done = c.job.finish
 		if !q.cores.offer(c.job) {
-			c.turnAway(a)
+			c.reject(a)
 		}
 	}
 }
 
-func (c *conn) turnAway(a *call) {
-	c.of.p.stats.TurnedAway++
-	c.of.p.spares(a)
-	c.send(plain("503 Service Unavailable", rejected), a.last)
+func (c *conn) reject(a *attempt) {
+	c.process.peer.stats.Rejected++
+	c.process.peer.reportRejected(a)
+	c.send(plainResponse("503 Service Unavailable", rejectedField), a.closeAfter)
 }
 
-// spares tells that an attempt is answered without ever running.
-func (p *Peer) spares(a *call) {
+// reportRejected notifies the observer that an attempt is answered without running.
+func (p *Peer) reportRejected(a *attempt) {
 	if t := p.env.Attempts; t != nil {
-		t.AttemptRejected(p.c.Name, a.id)
+		t.AttemptRejected(p.config.Name, a.id)
 	}
 }
 
-// finish is what comes of a call that has run.
+// finish responds to a call that has run, or applies a fault to its response.
 func (j *job) finish() {
-	a, c, q := j.call, j.conn, j.of
-	p, f := q.p, &q.p.faults
+	a, c, q := j.attempt, j.conn, j.process
+	p, f := q.peer, &q.peer.faults
 	p.stats.Ran++
-	if !a.quick {
-		q.cold.done++
-		q.cache.meet(a.key, p.env.Loop.Now())
+	if !a.failsQuickly {
+		q.warmup.completed++
+		q.cache.touch(a.key, p.env.Loop.Now())
 	}
 	switch {
 	case c == nil:
-		p.stats.Unheard++
-	case a.fate.breaks < f.breaks.share() && a.fate.early >= 0.5:
+		p.stats.Undeliverable++
+	case a.draws.breakConn < f.breakConn.probability() && a.draws.breakEarly >= 0.5:
 		p.stats.Broken++
 		c.reset()
-	case a.fate.silent < f.silent.share():
-		p.stats.Silent++
-		c.spoil()
-	case a.quick:
+	case a.draws.silent < f.silent.probability():
+		p.stats.Unanswered++
+		c.markUnusable()
+	case a.failsQuickly:
 		p.stats.Failed++
-		c.send(failure(a.fate.wording), a.last)
-	case a.fate.errors < p.c.Errors:
+		c.send(failureResponse(a.draws.errorKind), a.closeAfter)
+	case a.draws.errors < p.config.Errors:
 		p.stats.Errors++
-		c.send(failure(a.fate.wording), a.last)
-	case a.fate.spoil < f.spoil.share():
-		p.stats.Spoilt++
-		c.spoil()
-		c.spoilt(a)
-	case a.fate.surplus < f.surplus.share():
+		c.send(failureResponse(a.draws.errorKind), a.closeAfter)
+	case a.draws.spoil < f.spoil.probability():
+		p.stats.Unreadable++
+		c.markUnusable()
+		c.sendUnreadable(a)
+	case a.draws.surplus < f.surplus.probability():
 		p.stats.Served++
 		p.stats.Surplus++
-		c.send(p.surplus(a))
+		c.send(p.surplusResponse(a))
 	default:
 		p.stats.Served++
-		c.send(p.answer(a))
+		c.send(p.okResponse(a))
 	}
 	if c != nil {
-		c.read()
+		c.readRequests()
 	}
-	q.mayLeave()
+	q.exitIfIdle()
 }
--- a/internal/lab/world/peer/serve.go
+++ b/internal/lab/world/peer/serve.go
@@ -8,176 +8,179 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// job is work for the cores.
+// job is a unit of work for the cores.
 type job struct {
-	of   *process
-	conn *conn   // where its answer goes; nil: nobody waits for it any more
-	call *call   // nil: the process's own work, which takes no slot
-	left float64 // seconds of a core of speed 1
-	done func()
+	process   *process
+	conn      *conn    // connection for the response; nil: it has ended
+	attempt   *attempt // nil: internal work of the process, which takes no slot
+	remaining float64  // work left, in seconds of a core of speed 1
+	done      func()   // called when the work is done
 }
 
-// cores share their work evenly among the calls in slots; the others wait in
-// order of arrival.
+// cores divides the capacity of the cores evenly among the running jobs. Calls
+// beyond the number of slots wait in order of arrival.
 type cores struct {
-	of      *process
-	running []*job
-	slots   int // calls among them
-	queue   []*job
-	rate    float64 // work of each running job done a second, since at
-	at      time.Duration
-	next    *loop.Timer
+	process    *process
+	running    []*job
+	usedSlots  int // number of calls among the running jobs
+	queue      []*job
+	rate       float64 // work done per second on each running job, since advancedAt
+	advancedAt time.Duration
+	stepTimer  *loop.Timer
 }
 
-// coldStep is how often the pace is looked at anew while it rises.
-const coldStep = 50 * time.Millisecond
+// warmupInterval is the interval at which the rate is recomputed while the process warms up.
+const warmupInterval = 50 * time.Millisecond
 
-// held is how many calls wait or are in work.
-func (s *cores) held() int { return s.slots + len(s.queue) }
+// held returns the number of calls that are queued or running.
+func (s *cores) held() int { return s.usedSlots + len(s.queue) }
 
-// add takes up work of the process's own.
-func (s *cores) add(j *job) {
-	j.of = s.of
+// addInternal starts internal work of the process.
+func (s *cores) addInternal(j *job) {
+	j.process = s.process
 	s.advance()
 	s.running = append(s.running, j)
-	s.plan()
+	s.schedule()
 }
 
-// offer takes up a call, or lets it wait; false: there is no room.
+// offer starts or queues a call. It returns false if the queue is full.
 func (s *cores) offer(j *job) bool {
-	j.of = s.of
+	j.process = s.process
 	switch {
-	case s.slots < s.of.p.c.Slots:
+	case s.usedSlots < s.process.peer.config.Slots:
 		s.advance()
-		s.start(j)
-	case len(s.queue) < s.of.p.c.Queue:
+		s.startCall(j)
+	case len(s.queue) < s.process.peer.config.Queue:
 		s.advance()
 		s.queue = append(s.queue, j)
 	default:
 		return false
 	}
-	s.plan() // what waits crowds it too
+	s.schedule() // queued calls slow the process down, too
 	return true
 }
 
-// start puts a call into a slot. Only now it shows what it costs: its key may
-// have been met while it waited.
-func (s *cores) start(j *job) {
-	p, a := s.of.p, j.call
-	a.quick = a.fate.fail < p.faults.fail.share()
-	j.left = a.base * s.of.cache.share(a.key, p.env.Loop.Now()) * p.faults.dearer(a)
-	if a.quick {
-		j.left = min(j.left, quickWork)
+// startCall puts a call into a slot. The work is computed only now, because the
+// call's key may have entered the cache while the call was queued.
+func (s *cores) startCall(j *job) {
+	p, a := s.process.peer, j.attempt
+	a.failsQuickly = a.draws.fail < p.faults.fail.probability()
+	j.remaining = a.baseWork * s.process.cache.workShare(a.key, p.env.Loop.Now()) * p.faults.costFactor(a)
+	if a.failsQuickly {
+		j.remaining = min(j.remaining, quickFailureWork)
 	}
-	s.slots++
+	s.usedSlots++
 	s.running = append(s.running, j)
 }
 
-// drop takes a call out of the queue; one that runs goes on.
-func (s *cores) drop(j *job) {
+// dropQueued removes a call from the queue; a running call continues.
+func (s *cores) dropQueued(j *job) {
 	if i := slices.Index(s.queue, j); i >= 0 {
-		s.of.p.stats.Dropped++
+		s.process.peer.stats.Dropped++
 		s.advance()
 		s.queue = slices.Delete(s.queue, i, i+1)
-		s.plan()
+		s.schedule()
 	}
 }
 
-// changed is told when the pace is another from now on.
-func (s *cores) changed() {
+// reschedule accounts for the work done so far and recomputes the rate, after the
+// speed has changed.
+func (s *cores) reschedule() {
 	s.advance()
-	s.plan()
+	s.schedule()
 }
 
-// advance does the work up to now.
+// advance subtracts the work done up to now from the running jobs.
 func (s *cores) advance() {
-	now := s.of.p.env.Loop.Now()
-	work := s.rate * (now - s.at).Seconds()
-	s.at = now
+	now := s.process.peer.env.Loop.Now()
+	work := s.rate * (now - s.advancedAt).Seconds()
+	s.advancedAt = now
 	for _, j := range s.running {
-		j.left -= work
+		j.remaining -= work
 	}
 }
 
-// plan sets the pace, and when to look again.
-func (s *cores) plan() {
-	s.next.Stop()
-	if s.rate = 0; s.of.asleep || s.of.over || len(s.running) == 0 {
+// schedule computes the rate and sets the timer for the next completion.
+func (s *cores) schedule() {
+	s.stepTimer.Stop()
+	if s.rate = 0; s.process.paused || s.process.ended || len(s.running) == 0 {
 		return
 	}
-	now := s.of.p.env.Loop.Now()
-	s.rate = s.of.pace(now) * min(1, float64(s.of.p.c.Cores)/float64(len(s.running)))
-	least := math.Inf(1)
+	now := s.process.peer.env.Loop.Now()
+	s.rate = s.process.coreSpeed(now) * min(1, float64(s.process.peer.config.Cores)/float64(len(s.running)))
+	leastRemaining := math.Inf(1)
 	for _, j := range s.running {
-		least = min(least, j.left)
+		leastRemaining = min(leastRemaining, j.remaining)
 	}
-	d := time.Duration(min(math.Ceil(max(least, 0)/s.rate*1e9), float64(time.Hour)))
-	if s.of.cold.warmth(now) < 1 {
-		d = min(d, coldStep)
+	d := time.Duration(min(math.Ceil(max(leastRemaining, 0)/s.rate*1e9), float64(time.Hour)))
+	if s.process.warmup.warmth(now) < 1 {
+		d = min(d, warmupInterval)
 	}
-	s.next = s.of.p.env.Loop.After(d, s.step)
+	s.stepTimer = s.process.peer.env.Loop.After(d, s.completeJobs)
 }
 
-// step ends the jobs whose work is done and takes up those that wait.
-func (s *cores) step() {
+// completeJobs completes the jobs whose work is done and starts queued calls.
+func (s *cores) completeJobs() {
 	s.advance()
 	var done []*job
 	s.running = slices.DeleteFunc(s.running, func(j *job) bool {
-		if j.left > s.rate*2e-9 { // an instant is a whole nanosecond
+		if j.remaining > s.rate*2e-9 { // tolerance of 2 ns of work: the clock counts whole nanoseconds
 			return false
 		}
-		if done = append(done, j); j.call != nil {
-			s.slots--
+		if done = append(done, j); j.attempt != nil {
+			s.usedSlots--
 		}
 		return true
 	})
-	s.fill()
+	s.startQueued()
 	for _, j := range done {
-		if s.of.over {
+		if s.process.ended {
 			return
 		}
 		j.done()
 	}
-	s.plan()
+	s.schedule()
 }
 
-// fill takes up what waits, as far as there are slots. A process that can drop
-// work turns away what was over before its turn.
-func (s *cores) fill() {
-	for s.slots < s.of.p.c.Slots && len(s.queue) > 0 && !s.of.over {
+// startQueued starts queued calls while slots are free. A process with StopsWork
+// answers a call whose deadline has passed with a 504 instead.
+func (s *cores) startQueued() {
+	for s.usedSlots < s.process.peer.config.Slots && len(s.queue) > 0 && !s.process.ended {
 		j := s.queue[0]
 		s.queue = slices.Delete(s.queue, 0, 1)
-		a, c := j.call, j.conn
-		if !s.of.p.c.StopsWork || c == nil || a.until == 0 || s.of.p.env.Loop.Now() < a.until {
-			s.start(j)
+		a, c := j.attempt, j.conn
+		if !s.process.peer.config.StopsWork || c == nil || a.deadline == 0 || s.process.peer.env.Loop.Now() < a.deadline {
+			s.startCall(j)
 			continue
 		}
-		s.of.p.stats.Overdue++
-		s.of.p.spares(a)
-		c.send(plain("504 Gateway Timeout", rejected), a.last)
-		c.read()
+		s.process.peer.stats.Expired++
+		s.process.peer.reportRejected(a)
+		c.send(plainResponse("504 Gateway Timeout", rejectedField), a.closeAfter)
+		c.readRequests()
 	}
 }
 
-// pace is the speed of a core at this moment.
-func (q *process) pace(now time.Duration) float64 {
-	return q.p.c.Speed * q.cold.warmth(now) / q.crowd() / q.p.faults.slower()
+// coreSpeed returns the present speed of a core, reduced by warmup, congestion and faults.
+func (q *process) coreSpeed(now time.Duration) float64 {
+	return q.peer.config.Speed * q.warmup.warmth(now) / q.congestionFactor() / q.peer.faults.slowdown()
 }
 
-// capacity is what the process can do at this moment when nothing ails it: its
-// cores, less what the cold takes. Slowness that comes and goes (faults, a
-// crowd, pauses) is left out: no node is told of it, so the budget of a cold
-// peer does not hang on it.
+// capacity returns the work that the process can do per second at its present
+// warmth without faults. Temporary slowness (faults, congestion, pauses) is left
+// out: nodes are not informed of it, so the permitted load of a cold peer does not
+// depend on it.
 func (q *process) capacity(now time.Duration) float64 {
-	return float64(q.p.c.Cores) * q.p.c.Speed * q.cold.warmth(now)
+	return float64(q.peer.config.Cores) * q.peer.config.Speed * q.warmup.warmth(now)
 }
 
-// crowd is how many times slower the process is for holding many calls.
-func (q *process) crowd() float64 {
-	at, most := q.p.c.CrowdAt, q.p.c.Crowded
-	if at <= 0 || most <= 1 {
+// congestionFactor returns the factor by which the process is slower because it
+// holds many calls: 1 up to CrowdAt calls per core, rising to Crowded at twice
+// that number.
+func (q *process) congestionFactor() float64 {
+	threshold, maxFactor := q.peer.config.CrowdAt, q.peer.config.Crowded
+	if threshold <= 0 || maxFactor <= 1 {
 		return 1
 	}
-	beyond := float64(q.cores.held())/float64(q.p.c.Cores)/at - 1
-	return 1 + (most-1)*min(max(beyond, 0), 1)
+	excess := float64(q.cores.held())/float64(q.peer.config.Cores)/threshold - 1
+	return 1 + (maxFactor-1)*min(max(excess, 0), 1)
 }
--- a/internal/lab/world/registry/history.go
+++ b/internal/lab/world/registry/history.go
@@ -61,7 +61,7 @@
 	version                       int64
 	lowestVersion, highestVersion int64 // range of all versions used so far, over all numberings
 	changes                       []change
-	watchStart                    int   // index of the oldest change that watches can get; all from here on are in the current numbering
+	watchStart                    int   // index of the oldest change that watches can get
 	watchFloor                    int64 // the version before the change at watchStart
 	initialCount                  int   // number of changes recorded before the run began
 }
