--- a/internal/lab/live/judge.go
+++ b/internal/lab/live/judge.go
@@ -117,7 +117,7 @@
 }
 
 // heard takes in an answer that a client got.
-func (j *judge) heard(a client.Answer) {
+func (j *judge) heard(a client.Response) {
 	m := j.calls[a.Call]
 	switch a.Status {
 	case 200:
--- a/internal/lab/live/judge_test.go
+++ b/internal/lab/live/judge_test.go
@@ -11,7 +11,7 @@
 // Each rule is broken by just what breaks it, and by nothing that a node may do.
 func TestJudge(t *testing.T) {
 	answer := func(j *judge, status int, body string) {
-		j.heard(client.Answer{Call: "a", Status: status, Body: []byte(body)})
+		j.heard(client.Response{Call: "a", Status: status, Body: []byte(body)})
 	}
 	for _, c := range []struct {
 		name  string
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -57,7 +57,7 @@
 	i.live = c
 	if c.refuses = i.spoilt; !c.refuses {
 		i.tell("started", c)
-		i.run.front.Born(i.c.Name)
+		i.run.front.NodeStarted(i.c.Name)
 	}
 	i.launch(c, prior)
 }
@@ -156,7 +156,7 @@
 	if i.refused(c, err) {
 		return
 	}
-	i.run.front.Died(i.c.Name)
+	i.run.front.NodeDied(i.c.Name)
 	i.tell("ended", c)
 	if !c.leaving {
 		wrote := ""
@@ -179,7 +179,7 @@
 	}
 	i.live = nil
 	i.earlier, i.tries, i.open = i.earlier+i.tries, 0, 0
-	i.run.front.Died(i.c.Name)
+	i.run.front.NodeDied(i.c.Name)
 	i.tell("killed", c)
 	c.signal(syscall.SIGKILL)
 	i.killNext()
@@ -193,7 +193,7 @@
 	if c := i.live; c != nil && !c.leaving {
 		i.killNext()
 		c.leaving = true
-		i.run.front.Leaving(i.c.Name)
+		i.run.front.NodeTerminating(i.c.Name)
 		i.tell("told SIGTERM", c)
 		c.signal(syscall.SIGTERM)
 	}
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -69,8 +69,8 @@
 	discovery string // where it is
 	front     *client.Front
 	peers     []*server
-	crowds    []*client.Crowd
-	rogues    []*client.Rogue
+	crowds    []*client.Group
+	rogues    []*client.MalformedClient
 	nodes     []*instance
 	zones     map[string]string // of machines but clients'
 	listed    map[string]string // peers' states, as discovery has them
@@ -172,7 +172,7 @@
 	r.front = client.NewFront(c.Front, c.Nodes, client.FrontEnv{Loop: r.loop, Fabric: r.net, Seed: s.Seed})
 	env := client.Env{
 		Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: observer, Classes: c.Classes, Tenants: c.Tenants,
-		Front: r.front, Contract: c.Contract, Ended: r.watch.request, Heard: r.judge.heard,
+		Front: r.front, Contract: c.Contract, OnRequestEnd: r.watch.request, OnResponse: r.judge.heard,
 	}
 	for _, one := range c.Clients {
 		r.crowds = append(r.crowds, client.New(one, env))
@@ -277,7 +277,7 @@
 	}
 	for _, one := range c.Rogues {
 		one.From += figure.Span(r.zero)
-		g := client.NewRogue(one, env)
+		g := client.NewMalformedClient(one, env)
 		g.Start()
 		r.rogues = append(r.rogues, g)
 	}
@@ -333,15 +333,15 @@
 func (r *Run) misled() {
 	for i, g := range r.rogues {
 		kind := r.script.World.Rogues[i].Kind
-		if n := g.Results().Served; n > 0 && !client.Lawful(kind) {
+		if n := g.Results().Served; n > 0 && !client.ValidByItself(kind) {
 			r.judge.breaks("bad", "%d requests of the kind %s were served", n, kind)
 		}
 	}
 }
 
 func (r *Run) quiet() bool {
-	return !slices.ContainsFunc(r.crowds, func(c *client.Crowd) bool { return !c.Quiet() }) &&
-		!slices.ContainsFunc(r.rogues, func(g *client.Rogue) bool { return !g.Quiet() })
+	return !slices.ContainsFunc(r.crowds, func(c *client.Group) bool { return !c.Idle() }) &&
+		!slices.ContainsFunc(r.rogues, func(g *client.MalformedClient) bool { return !g.Idle() })
 }
 
 // post lets f run on the loop.
--- a/internal/lab/live/table.go
+++ b/internal/lab/live/table.go
@@ -26,10 +26,10 @@
 
 // Share is the share that was earned of what could have been; 1 if that is nothing.
 func (t Tally) Share() float64 {
-	if t.Whole <= 0 {
+	if t.OfferedWorth <= 0 {
 		return 1
 	}
-	return t.Worth / t.Whole
+	return t.ServedWorth / t.OfferedWorth
 }
 
 // NodeRow is a node.
@@ -135,7 +135,7 @@
 	var all Tally
 	for _, c := range r.crowds {
 		for i, t := range c.ByClass() {
-			t.Whole = r.script.World.Classes[i].Worth * float64(t.Served+t.Late+t.Refused+t.Failed+t.Unanswered)
+			t.OfferedWorth = r.script.World.Classes[i].Worth * float64(t.Served+t.Late+t.Refused+t.Failed+t.Unanswered)
 			all.Add(t.Tally)
 		}
 	}
@@ -157,7 +157,7 @@
 	t.Retries -= o.Retries
 	t.Foreign -= o.Foreign
 	t.Tries -= o.Tries
-	t.Worth -= o.Worth
-	t.Whole -= o.Whole
+	t.ServedWorth -= o.ServedWorth
+	t.OfferedWorth -= o.OfferedWorth
 	return t
 }
--- a/internal/lab/stage/build.go
+++ b/internal/lab/stage/build.go
@@ -54,13 +54,13 @@
 		Front: r.front, Contract: c.Contract,
 	}
 	if r.watch != nil {
-		env.Ended = r.watch.to.Request
+		env.OnRequestEnd = r.watch.to.Request
 	}
 	for _, one := range c.Clients {
 		r.crowds = append(r.crowds, client.New(one, env))
 	}
 	for _, one := range c.Rogues {
-		r.rogues = append(r.rogues, client.NewRogue(one, env))
+		r.rogues = append(r.rogues, client.NewMalformedClient(one, env))
 	}
 	return nil
 }
--- a/internal/lab/stage/node.go
+++ b/internal/lab/stage/node.go
@@ -86,7 +86,7 @@
 				n.Abort()
 			default:
 				l.node = n
-				i.run.front.Born(i.c.Name)
+				i.run.front.NodeStarted(i.c.Name)
 				i.watch(l)
 			}
 		})
@@ -152,7 +152,7 @@
 	}
 	i.live = nil
 	i.run.observer.NodeKilled(i.c.Name)
-	i.run.front.Died(i.c.Name)
+	i.run.front.NodeDied(i.c.Name)
 	i.run.net.Kill(i.c.Name)
 	if l.node != nil {
 		l.node.Abort()
@@ -166,7 +166,7 @@
 		return
 	}
 	l.leaving = true
-	i.run.front.Leaving(i.c.Name)
+	i.run.front.NodeTerminating(i.c.Name)
 	i.run.observer.NodeSignaled(i.c.Name, "SIGTERM", "")
 	go func() {
 		l.node.Drain()
@@ -175,7 +175,7 @@
 				return // killed in between
 			}
 			i.live = nil
-			i.run.front.Died(i.c.Name)
+			i.run.front.NodeDied(i.c.Name)
 			i.run.net.Kill(i.c.Name) // nothing is open by now; whatever comes is refused
 		})
 	}()
@@ -196,7 +196,7 @@
 		return
 	}
 	if call.Name == admin.Pause {
-		i.run.front.Leaving(i.c.Name) // which finds that it is not ready any more
+		i.run.front.NodeTerminating(i.c.Name) // which finds that it is not ready any more
 	}
 	if !back {
 		i.run.observer.NodeCommanded(i.c.Name, call.Name, call.ServerID)
--- a/internal/lab/stage/run.go
+++ b/internal/lab/stage/run.go
@@ -65,8 +65,8 @@
 	hosts     map[string]string  // their machines
 	zones     map[string]string  // of machines but clients'
 	parted    map[[2]string]bool // nodes that are cut off from an address of discovery's
-	crowds    []*client.Crowd
-	rogues    []*client.Rogue
+	crowds    []*client.Group
+	rogues    []*client.MalformedClient
 	nodes     []*instance
 	faults    []rules.Violation // what the stage itself finds
 	over      chan struct{}     // closed at the end
@@ -169,12 +169,12 @@
 
 func (r *run) quiet() bool {
 	for _, c := range r.crowds {
-		if !c.Quiet() {
+		if !c.Idle() {
 			return false
 		}
 	}
 	for _, g := range r.rogues {
-		if !g.Quiet() {
+		if !g.Idle() {
 			return false
 		}
 	}
@@ -214,7 +214,7 @@
 		t := c.Tally()
 		all.Add(Tally{
 			Asked: t.Asked, Served: t.Served, Late: t.Late, Refused: t.Refused, Failed: t.Failed, Unanswered: t.Unanswered,
-			Left: t.Left, Retries: t.Retries, Worth: t.Worth, Whole: t.Whole,
+			Left: t.Left, Retries: t.Retries, Worth: t.ServedWorth, Whole: t.OfferedWorth,
 		})
 	}
 	for _, p := range r.peers { // a sum: in any order
--- a/internal/lab/world/client/client.go
+++ b/internal/lab/world/client/client.go
@@ -1,6 +1,6 @@
-// Package client models whoever stands before the nodes: crowds of lawful
-// clients, rogues that send what cannot be served, and the front that spreads
-// both over the nodes.
+// Package client models the downstream side of the nodes: groups of valid clients,
+// malformed clients that send requests which must not be served, and the front
+// that distributes the connections of both over the nodes.
 package client
 
 import (
@@ -13,55 +13,56 @@
 	"olivebridge/internal/lab/world"
 )
 
-// Env is where clients live. A crowd's or rogue's name is its host on the network.
+// Env holds the dependencies of clients. The name of a group or malformed client is its host on the network.
 type Env struct {
-	Loop     *loop.Loop
-	Fabric   link.Fabric
-	Seed     uint64
-	Observer event.Observer
-	Classes  []world.Class
-	Tenants  []world.Tenant // rogues speak for them
-	Front    *Front
-	Contract world.Contract
-	Ended    func(sample.Request) // hears what came of each request of a crowd; nil: nobody does
-	Heard    func(Answer)         // hears each answer to a crowd's try; nil: nobody does
+	Loop         *loop.Loop
+	Fabric       link.Fabric
+	Seed         uint64
+	Observer     event.Observer
+	Classes      []world.Class
+	Tenants      []world.Tenant // tenants in whose names malformed clients send requests
+	Front        *Front
+	Contract     world.Contract
+	OnRequestEnd func(sample.Request) // called with the result of each request of a group; may be nil
+	OnResponse   func(Response)       // called with each response to an attempt of a group; may be nil
 }
 
-// Answer is one that a client took for its call's.
-type Answer struct {
-	Call   string
-	Safe   bool // repeats of the call are harmless
+// Response is a response that a client accepted as the response to its call.
+type Response struct {
+	Call   string // id of the attempt
+	Safe   bool   // the call may be repeated without harm
 	Status int
-	Body   []byte // not to be kept
+	Body   []byte // valid only during OnResponse
 }
 
-// port is where nodes listen.
+// port is the port on which nodes listen.
 const port = ":9000"
 
-// dialTimeout is how long a client waits for a connection.
+// dialTimeout is the time limit for opening a connection, and for one readiness check of the front.
 const dialTimeout = time.Second
 
-// mostBody bounds the body of a lawful request.
-const mostBody = 64 << 10
+// maxBodyBytes limits the body of a valid request.
+const maxBodyBytes = 64 << 10
 
-// Tally counts requests, by what came of each at last; all but Retries count
-// first tries. The times of Served and Late run from the first try's last byte.
+// Tally counts requests by their final outcome. Retries counts attempts after the
+// first. The response times that separate Served from Late begin when the last
+// byte of the first attempt is sent.
 type Tally struct {
-	Asked      int
-	Served     int // within the aim
-	Late       int // after it
-	Refused    int
-	Failed     int
-	Unanswered int
-	Left       int
-	Retries    int
-	Foreign    int     // answers with a 200 that do not name the call which they are given to
-	Tries      int     // of nodes at peers: not known here, always 0
-	Worth      float64 // served, of Asked's
-	Whole      float64 // asked
+	Asked        int
+	Served       int // within the class's latency objective
+	Late         int // after the latency objective
+	Refused      int
+	Failed       int
+	Unanswered   int
+	Left         int
+	Retries      int
+	Foreign      int     // 200 responses that do not contain the id of the call to which they were sent
+	Tries        int     // attempts of nodes at peers; unknown to clients, always 0
+	ServedWorth  float64 // total priority weight of the requests in Served
+	OfferedWorth float64 // total priority weight of the requests in Asked
 }
 
-// Add adds another tally.
+// Add adds the counts of o.
 func (t *Tally) Add(o Tally) {
 	t.Asked += o.Asked
 	t.Served += o.Served
@@ -73,11 +74,11 @@
 	t.Retries += o.Retries
 	t.Foreign += o.Foreign
 	t.Tries += o.Tries
-	t.Worth += o.Worth
-	t.Whole += o.Whole
+	t.ServedWorth += o.ServedWorth
+	t.OfferedWorth += o.OfferedWorth
 }
 
-// ClassTally is a Tally of one class.
+// ClassTally is the Tally of one class.
 type ClassTally struct {
 	Class string
 	Tally
--- a/internal/lab/world/client/conn.go
+++ b/internal/lab/world/client/conn.go
@@ -8,44 +8,44 @@
 	"olivebridge/internal/lab/link"
 )
 
-// conn is a client's connection to a node. It carries one request at a time,
-// or, where the crowd pipelines, two.
+// conn is a client's connection to a node. It has at most one attempt in flight, or
+// two if the group pipelines.
 type conn struct {
-	crowd  *Crowd
-	link   link.Conn
-	addr   string
-	parser *http1.Parser
-	open   []*try // whose answers are still to come, in order
-	up     bool
-	heard  bool // bytes have come since the last whole answer
-	keeps  bool // after one request it is kept, and never used again
-	last   bool // it carries no further request
-	gone   bool
+	group           *Group
+	link            link.Conn
+	addr            string
+	parser          *http1.Parser
+	inFlight        []*attempt // attempts without a response, in the order of sending
+	connected       bool
+	partialResponse bool // bytes were received since the last complete response
+	keepUnused      bool // the connection stays open after one request and is never used again
+	noReuse         bool // the connection gets no further request
+	closed          bool
 }
 
-// place finds a connection for a try: one of its own if it is such, else one
-// that is idle, else a new one. Where all are busy and the nodes' share of
-// them is used up, it waits.
-func (c *Crowd) place(t *try) {
-	if !c.placed(t) {
+// assignConn assigns a connection to an attempt: a new one if the attempt is fresh or
+// resent, else one to share if it may pipeline, else an idle one, else a new one.
+// If the limits on connections are reached, the attempt waits.
+func (c *Group) assignConn(t *attempt) {
+	if !c.tryAssign(t) {
 		c.waiting = append(c.waiting, t)
 	}
 }
 
-func (c *Crowd) placed(t *try) bool {
+func (c *Group) tryAssign(t *attempt) bool {
 	if !t.fresh && !t.resent {
 		if k := c.reuse(t); k != nil {
-			k.take(t)
+			k.assign(t)
 			return true
 		}
 	}
 	return c.dial(t)
 }
 
-func (c *Crowd) reuse(t *try) *conn {
+func (c *Group) reuse(t *attempt) *conn {
 	if t.pipelined {
 		for _, k := range c.conns {
-			if k.up && !k.last && !k.keeps && len(k.open) == 1 && k.open[0].sent {
+			if k.connected && !k.noReuse && !k.keepUnused && len(k.inFlight) == 1 && k.inFlight[0].sent {
 				return k
 			}
 		}
@@ -58,51 +58,52 @@
 	return nil
 }
 
-// looks is how often the front is asked for a node to which the crowd may open
-// one more connection.
-const looks = 4
+// maxPicks is the maximum number of times the front is asked for a node to which
+// the group may open one more connection.
+const maxPicks = 4
 
-func (c *Crowd) dial(t *try) bool {
-	for range looks {
-		addr, ok := c.env.Front.Pick(c.conf.Zone, t.draws)
+func (c *Group) dial(t *attempt) bool {
+	for range maxPicks {
+		addr, ok := c.env.Front.Pick(c.config.Zone, t.draws)
 		if !ok {
-			t.over(unreached, 0)
+			t.finish(unreached, 0)
 			return true
 		}
-		if c.conf.Conns > 0 && c.held[addr] >= c.conf.Conns {
+		if c.config.Conns > 0 && c.connCounts[addr] >= c.config.Conns {
 			continue
 		}
-		c.held[addr]++
-		k := &conn{crowd: c, addr: addr, parser: http1.NewAnswerParser(), last: t.fresh, open: []*try{t}}
+		c.connCounts[addr]++
+		k := &conn{group: c, addr: addr, parser: http1.NewAnswerParser(), noReuse: t.fresh, inFlight: []*attempt{t}}
 		t.conn = k
 		c.conns = append(c.conns, k)
-		k.link = c.env.Fabric.Dial(c.conf.Name, addr, dialTimeout, k)
-		k.keeps = figure.Stream(c.env.Seed, "keeps "+k.link.ID()).Float64() < c.conf.Keep
+		k.link = c.env.Fabric.Dial(c.config.Name, addr, dialTimeout, k)
+		k.keepUnused = figure.Stream(c.env.Seed, "keeps "+k.link.ID()).Float64() < c.config.Keep
 		return true
 	}
 	return false
 }
 
-// unplace takes a try off its connection. Off those that wait it is taken by stir.
-func (c *Crowd) unplace(t *try) {
+// detach removes an attempt from its connection. assignWaiting removes ended
+// attempts from the waiting ones.
+func (c *Group) detach(t *attempt) {
 	if k := t.conn; k != nil {
-		k.open = slices.DeleteFunc(k.open, func(o *try) bool { return o == t })
+		k.inFlight = slices.DeleteFunc(k.inFlight, func(o *attempt) bool { return o == t })
 		t.conn = nil
 	}
 }
 
-// stir lets tries that wait have what has become free.
-func (c *Crowd) stir() {
-	if c.stirs { // what is placed may end at once
+// assignWaiting assigns connections to waiting attempts, in order, until one finds none.
+func (c *Group) assignWaiting() {
+	if c.assigning { // an attempt may end as soon as it is assigned, which calls this method again
 		return
 	}
-	c.stirs = true
-	defer func() { c.stirs = false }()
+	c.assigning = true
+	defer func() { c.assigning = false }()
 	for len(c.waiting) > 0 {
 		waiting := c.waiting
 		t := waiting[0]
 		c.waiting = waiting[1:]
-		if !t.ended && !c.placed(t) {
+		if !t.ended && !c.tryAssign(t) {
 			c.waiting = waiting
 			return
 		}
@@ -110,126 +111,127 @@
 	}
 }
 
-func (k *conn) take(t *try) {
+func (k *conn) assign(t *attempt) {
 	t.conn = k
-	k.open = append(k.open, t)
-	t.start()
+	k.inFlight = append(k.inFlight, t)
+	t.send()
 }
 
 // Up implements link.Handler.
 func (k *conn) Up(link.Conn) {
-	k.up = true
-	if len(k.open) > 0 {
-		k.open[0].start()
+	k.connected = true
+	if len(k.inFlight) > 0 {
+		k.inFlight[0].send()
 	}
 }
 
 // Data implements link.Handler.
 func (k *conn) Data(_ link.Conn, b []byte) {
-	k.heard = true
+	k.partialResponse = true
 	k.parser.Feed(b)
-	k.read()
+	k.readResponses()
 }
 
-func (k *conn) read() {
-	for !k.gone {
+func (k *conn) readResponses() {
+	for !k.closed {
 		m, err := k.parser.Next()
 		switch {
-		case err != nil || m != nil && len(k.open) == 0: // no answer, or nobody's
-			k.leave(true, broken)
+		case err != nil || m != nil && len(k.inFlight) == 0: // malformed, or no attempt is in flight
+			k.close(true, failAttempt)
 			return
 		case m == nil:
 			return
 		}
-		t := k.open[0]
-		whole := t.sent
-		k.heard = k.parser.Buffered() > 0
-		k.last = k.last || m.Close
-		t.answered(m)
-		k.rest(whole)
+		t := k.inFlight[0]
+		fullySent := t.sent
+		k.partialResponse = k.parser.Buffered() > 0
+		k.noReuse = k.noReuse || m.Close
+		t.handleResponse(m)
+		k.afterResponse(fullySent)
 	}
 }
 
-// rest is what becomes of the connection after an answer.
-func (k *conn) rest(whole bool) {
+// afterResponse closes the connection or makes it idle once no attempt is in flight.
+func (k *conn) afterResponse(fullySent bool) {
 	switch {
-	case k.gone || len(k.open) > 0:
-	case k.last || !whole: // an answer that came before the request was whole ends both
-		k.leave(false, broken)
-	case !k.keeps:
-		k.crowd.idle = append(k.crowd.idle, k)
-		k.crowd.stir()
+	case k.closed || len(k.inFlight) > 0:
+	case k.noReuse || !fullySent: // a response before the end of the request ends the connection
+		k.close(false, failAttempt)
+	case !k.keepUnused:
+		k.group.idle = append(k.group.idle, k)
+		k.group.assignWaiting()
 	}
 }
 
-// leave ends the connection; tries that are on it end so.
-func (k *conn) leave(hard bool, end func(*try) outcome) {
-	if k.gone {
+// close closes or resets the connection. Its attempts in flight end with the outcome given by outcomeOf.
+func (k *conn) close(reset bool, outcomeOf func(*attempt) outcome) {
+	if k.closed {
 		return
 	}
-	if hard {
+	if reset {
 		k.link.Reset()
 	} else {
 		k.link.Close()
 	}
-	k.forget(end)
+	k.remove(outcomeOf)
 }
 
-// broken is how tries end whose connection does.
-func broken(*try) outcome { return failed }
+// failAttempt is the outcome of attempts whose connection ended.
+func failAttempt(*attempt) outcome { return failed }
 
 // End implements link.Handler.
 func (k *conn) End(c link.Conn, err error) {
 	if err == link.ErrEOF {
 		k.parser.Close()
-		k.read() // an answer without a length is whole now
-		if k.gone {
+		k.readResponses() // completes a response that ends with the connection
+		if k.closed {
 			return
 		}
 		c.Close()
 	}
-	unread := -1 // the place of the try that was provably not read: those before it may have been
-	if n := len(k.open) - 1; err == link.ErrUnread && (n > 0 || !k.heard) {
-		unread = n
+	unreadIndex := -1 // index of the attempt that the node provably did not read; it may have read those before
+	if n := len(k.inFlight) - 1; err == link.ErrUnread && (n > 0 || !k.partialResponse) {
+		unreadIndex = n
 	}
-	place := -1
-	k.forget(func(t *try) outcome {
-		place++
+	index := -1
+	k.remove(func(t *attempt) outcome {
+		index++
 		switch {
-		case place == unread && !t.resent:
-			return again
-		case place == unread, err == link.ErrRefused, err == link.ErrTimedOut, !t.sent:
+		case index == unreadIndex && !t.resent:
+			return resend
+		case index == unreadIndex, err == link.ErrRefused, err == link.ErrTimedOut, !t.sent:
 			return unreached
 		}
 		return failed
 	})
 }
 
-// again is no outcome: the node had not read the whole request, and the client
-// sends it once more, with the same id, on a new connection. That is the
-// platform's rule, and holds for unsafe requests too. Where a connection ended
-// any other way, the node may have read it, and the client must not.
-const again outcome = -1
-
-// forget takes the connection off the crowd's books, once it is closed.
-func (k *conn) forget(end func(*try) outcome) {
-	c := k.crowd
-	k.gone = true
-	c.held[k.addr]--
-	same := func(o *conn) bool { return o == k }
-	c.conns, c.idle = slices.DeleteFunc(c.conns, same), slices.DeleteFunc(c.idle, same)
-	open := k.open
-	k.open = nil
-	for _, t := range open {
+// resend is not an outcome. It marks an attempt that the node provably had not read
+// completely: the client sends it once more, with the same id, on a new
+// connection. The platform's rules require this, for unsafe requests too. If the
+// connection ended in any other way, the node may have read the request and the
+// client must not resend it.
+const resend outcome = -1
+
+// remove removes a closed connection from the group, and finishes or resends its attempts.
+func (k *conn) remove(outcomeOf func(*attempt) outcome) {
+	c := k.group
+	k.closed = true
+	c.connCounts[k.addr]--
+	isThis := func(o *conn) bool { return o == k }
+	c.conns, c.idle = slices.DeleteFunc(c.conns, isThis), slices.DeleteFunc(c.idle, isThis)
+	attempts := k.inFlight
+	k.inFlight = nil
+	for _, t := range attempts {
 		t.conn = nil
-		if o := end(t); o != again {
-			t.over(o, 0)
+		if o := outcomeOf(t); o != resend {
+			t.finish(o, 0)
 			continue
 		}
 		t.resent, t.sent = true, false
-		t.leave.Stop()
-		t.write.Stop()
-		c.place(t)
+		t.leaveTimer.Stop()
+		t.writeTimer.Stop()
+		c.assignConn(t)
 	}
-	c.stir()
+	c.assignWaiting()
 }
--- a/internal/lab/world/client/front.go
+++ b/internal/lab/world/client/front.go
@@ -14,117 +14,119 @@
 // FrontHost is the front's host on the network.
 const FrontHost = "front"
 
-// FrontEnv is where a Front lives.
+// FrontEnv holds the dependencies of a Front.
 type FrontEnv struct {
 	Loop   *loop.Loop
 	Fabric link.Fabric
 	Seed   uint64
 }
 
-// How long after a node was told to end new connections still come to it.
+// Limits on the time for which a terminating node still gets new connections.
 const (
-	leastKeep = 200 * time.Millisecond
-	mostKeep  = 400 * time.Millisecond
+	minTerminatingDelay = 200 * time.Millisecond
+	maxTerminatingDelay = 400 * time.Millisecond
 )
 
-// Front spreads new connections over the nodes that it holds for ready.
+// Front distributes new connections over the admitted nodes, as the platform's entry
+// load balancer does.
 type Front struct {
-	conf  world.Front
-	env   FrontEnv
-	nodes []*station
-	over  bool
+	config  world.Front
+	env     FrontEnv
+	nodes   []*frontNode
+	stopped bool
 }
 
-// station is a node as the front knows it.
-type station struct {
-	front    *Front
-	name     string
-	zone     string
-	draws    *rand.Rand
-	admitted bool
-	life     int         // of the node's process: what came of an earlier one counts no more
-	next     *loop.Timer // the next check
-	fall     *loop.Timer // it is taken out then
+// frontNode is the front's state of a node.
+type frontNode struct {
+	front       *Front
+	name        string
+	zone        string
+	draws       *rand.Rand
+	admitted    bool
+	generation  int         // counts changes of the node's process; checks of an earlier generation are ignored
+	checkTimer  *loop.Timer // next readiness check
+	removeTimer *loop.Timer // scheduled removal; nil: none
 }
 
-// NewFront makes a front that begins at once to ask all nodes whether they are ready.
+// NewFront returns a front that checks the readiness of all nodes from now on.
 func NewFront(c world.Front, nodes []world.Node, e FrontEnv) *Front {
-	f := &Front{conf: c, env: e}
+	f := &Front{config: c, env: e}
 	for _, n := range nodes {
-		s := &station{front: f, name: n.Name, zone: n.Zone, draws: figure.Stream(e.Seed, "front "+n.Name)}
+		s := &frontNode{front: f, name: n.Name, zone: n.Zone, draws: figure.Stream(e.Seed, "front "+n.Name)}
 		f.nodes = append(f.nodes, s)
-		s.checkIn(figure.Seconds(s.draws.Float64() * c.Check.D().Seconds()))
+		s.checkAfter(figure.Seconds(s.draws.Float64() * c.Check.D().Seconds()))
 	}
 	return f
 }
 
-// Pick draws a node for a new connection: one of the zone, or, where none is
-// admitted there, of another.
+// Pick draws the node for a new connection: one in the zone or, if none is admitted
+// there, one in another zone. ok is false if no node is admitted.
 func (f *Front) Pick(zone string, r *rand.Rand) (addr string, ok bool) {
 	u := r.Float64()
-	var here, all []string
+	var zoneAddrs, allAddrs []string
 	for _, s := range f.nodes {
 		if s.admitted {
-			all = append(all, s.name+port)
+			allAddrs = append(allAddrs, s.name+port)
 			if s.zone == zone {
-				here = append(here, s.name+port)
+				zoneAddrs = append(zoneAddrs, s.name+port)
 			}
 		}
 	}
-	if len(here) == 0 {
-		here = all
+	if len(zoneAddrs) == 0 {
+		zoneAddrs = allAddrs
 	}
-	if len(here) == 0 {
+	if len(zoneAddrs) == 0 {
 		return "", false
 	}
-	return here[int(u*float64(len(here)))], true
+	return zoneAddrs[int(u*float64(len(zoneAddrs)))], true
 }
 
-// Admitted reports whether new connections go to a node.
+// Admitted reports whether a node gets new connections.
 func (f *Front) Admitted(node string) bool {
-	s := f.station(node)
+	s := f.node(node)
 	return s != nil && s.admitted
 }
 
-// Born tells that a node's process starts. It is admitted once it says that it
-// is ready, even where the death of the one before it was never noticed.
-func (f *Front) Born(node string) {
-	if s := f.station(node); s != nil {
-		s.life++
-		s.takeOut()
-		s.checkIn(s.check())
+// NodeStarted notifies the front that a node's process has started. The node is
+// admitted once it reports that it is ready, even if the front had not yet noticed
+// the death of the previous process.
+func (f *Front) NodeStarted(node string) {
+	if s := f.node(node); s != nil {
+		s.generation++
+		s.remove()
+		s.checkAfter(s.checkInterval())
 	}
 }
 
-// Died tells that a node's process is dead. Until the front notices, clients
-// are sent there.
-func (f *Front) Died(node string) {
-	if s := f.station(node); s != nil {
-		s.life++
-		s.takeOutIn(figure.Seconds(figure.Uniform(s.draws, 0.5, 1) * f.conf.Notice.D().Seconds()))
+// NodeDied notifies the front that a node's process is dead. The front notices that
+// after a delay; until then the node still gets new connections.
+func (f *Front) NodeDied(node string) {
+	if s := f.node(node); s != nil {
+		s.generation++
+		s.removeAfter(figure.Seconds(figure.Uniform(s.draws, 0.5, 1) * f.config.Notice.D().Seconds()))
 	}
 }
 
-// Leaving tells that a node was told to end. The front, too, knows of a planned
-// end, and sends no new connections there after a moment.
-func (f *Front) Leaving(node string) {
-	if s := f.station(node); s != nil {
-		s.life++
-		s.takeOutIn(figure.Seconds(figure.Uniform(s.draws, leastKeep.Seconds(), mostKeep.Seconds())))
+// NodeTerminating notifies the front that a node was asked to exit. The front learns
+// of planned exits and sends the node no new connections after a short delay.
+func (f *Front) NodeTerminating(node string) {
+	if s := f.node(node); s != nil {
+		s.generation++
+		s.removeAfter(figure.Seconds(figure.Uniform(s.draws, minTerminatingDelay.Seconds(), maxTerminatingDelay.Seconds())))
 	}
 }
 
-// Stop ends the checks.
+// Stop ends the readiness checks.
 func (f *Front) Stop() {
-	f.over = true
+	f.stopped = true
 	for _, s := range f.nodes {
-		s.life++
-		s.next.Stop()
-		s.fall.Stop()
+		s.generation++
+		s.checkTimer.Stop()
+		s.removeTimer.Stop()
 	}
 }
 
-func (f *Front) station(node string) *station {
+func (f *Front) node(node string) *frontNode {
 	for _, s := range f.nodes {
 		if s.name == node {
 			return s
@@ -133,83 +135,83 @@
 	return nil
 }
 
-// takeOutIn takes a node out after a time, or when that was due already.
-func (s *station) takeOutIn(d time.Duration) {
-	if !s.admitted || s.fall != nil {
+// removeAfter removes an admitted node after d. A removal that is already scheduled stays.
+func (s *frontNode) removeAfter(d time.Duration) {
+	if !s.admitted || s.removeTimer != nil {
 		return
 	}
-	s.fall = s.front.env.Loop.After(d, func() {
-		s.takeOut()
-		s.checkIn(s.check())
+	s.removeTimer = s.front.env.Loop.After(d, func() {
+		s.remove()
+		s.checkAfter(s.checkInterval())
 	})
 }
 
-func (s *station) takeOut() {
-	s.fall.Stop()
-	s.admitted, s.fall = false, nil
+func (s *frontNode) remove() {
+	s.removeTimer.Stop()
+	s.admitted, s.removeTimer = false, nil
 }
 
-// check draws the time until the next check.
-func (s *station) check() time.Duration {
-	return figure.Seconds(figure.Uniform(s.draws, 0.9, 1.1) * s.front.conf.Check.D().Seconds())
+// checkInterval draws the time until the next readiness check.
+func (s *frontNode) checkInterval() time.Duration {
+	return figure.Seconds(figure.Uniform(s.draws, 0.9, 1.1) * s.front.config.Check.D().Seconds())
 }
 
-// checkIn asks a node after a time, and again until it is admitted.
-func (s *station) checkIn(d time.Duration) {
-	s.next.Stop()
-	s.next = s.front.env.Loop.After(d, func() {
-		if s.front.over || s.admitted {
+// checkAfter checks the readiness of a node after d, and then at intervals until it is admitted.
+func (s *frontNode) checkAfter(d time.Duration) {
+	s.checkTimer.Stop()
+	s.checkTimer = s.front.env.Loop.After(d, func() {
+		if s.front.stopped || s.admitted {
 			return
 		}
-		c := &check{station: s, life: s.life, parser: http1.NewAnswerParser()}
+		c := &readinessCheck{node: s, generation: s.generation, parser: http1.NewAnswerParser()}
 		c.conn = s.front.env.Fabric.Dial(FrontHost, s.name+port, dialTimeout, c)
-		c.late = s.front.env.Loop.After(dialTimeout, c.done)
-		s.checkIn(s.check())
+		c.timeout = s.front.env.Loop.After(dialTimeout, c.finish)
+		s.checkAfter(s.checkInterval())
 	})
 }
 
-// check is one question whether a node is ready.
-type check struct {
-	station *station
-	life    int
-	conn    link.Conn
-	parser  *http1.Parser
-	late    *loop.Timer
+// readinessCheck is one request to a node's readiness endpoint.
+type readinessCheck struct {
+	node       *frontNode
+	generation int
+	conn       link.Conn
+	parser     *http1.Parser
+	timeout    *loop.Timer
 }
 
 // Up implements link.Handler.
-func (c *check) Up(conn link.Conn) {
-	host := c.station.name
+func (c *readinessCheck) Up(conn link.Conn) {
+	host := c.node.name
 	conn.Write([]byte("GET /health/ready HTTP/1.1\r\nHost: " + host + "\r\nConnection: close\r\n\r\n"))
 }
 
 // Data implements link.Handler.
-func (c *check) Data(_ link.Conn, b []byte) {
+func (c *readinessCheck) Data(_ link.Conn, b []byte) {
 	c.parser.Feed(b)
 	c.read()
 }
 
 // End implements link.Handler.
-func (c *check) End(_ link.Conn, err error) {
+func (c *readinessCheck) End(_ link.Conn, err error) {
 	if err == link.ErrEOF {
 		c.parser.Close()
 		c.read()
 	}
-	c.done()
+	c.finish()
 }
 
-func (c *check) read() {
+func (c *readinessCheck) read() {
 	m, err := c.parser.Next()
 	if m == nil && err == nil {
 		return
 	}
-	if s := c.station; err == nil && m.Status == 200 && c.life == s.life {
+	if s := c.node; err == nil && m.Status == 200 && c.generation == s.generation {
 		s.admitted = true
 	}
-	c.done()
+	c.finish()
 }
 
-func (c *check) done() {
-	c.late.Stop()
+func (c *readinessCheck) finish() {
+	c.timeout.Stop()
 	c.conn.Close()
 }
--- a/internal/lab/world/client/kinds.go
+++ b/internal/lab/world/client/kinds.go
@@ -8,200 +8,206 @@
 	"time"
 )
 
-// Kind is one way to be a rogue. Whatever it sends must be certain to deserve
-// no service: the judge holds the node to an error (any status from 400 on) or
-// a close, whichever it likes, and to no try. What the platform or RFC 9112
-// leaves to the node belongs to no kind, but for bare line feeds; among it
-//   - a lawful request with anything behind it: it may be served before the rest is read;
-//   - lawful requests sent at once on one connection;
-//   - one length given twice alike, also as "5, 5";
-//   - long targets and heads, as long as they end;
-//   - characters that RFC 3986 leaves out of targets and most servers let pass (| ^ { } and such);
+// MalformedKind is one kind of malformed client. A node must not serve any input of
+// the kind: the judge requires that the node sends an error (any status from 400)
+// or closes the connection, and that it makes no attempt at a peer. Input that the
+// platform or RFC 9112 lets the node accept belongs to no kind, except for bare
+// line feeds. Examples of such input:
+//   - a valid request followed by other bytes: it may be served before the rest is read;
+//   - several valid requests sent at once on one connection;
+//   - the same length given twice, also as "5, 5";
+//   - long targets and heads, if they end;
+//   - characters that RFC 3986 excludes from targets and most servers accept (| ^ { } and others);
 //   - two keys in one query, or parameters besides the key;
-//   - an id that was used before, once its request has its answer.
-type Kind struct {
+//   - an id that was used before, once its request has its response.
+type MalformedKind struct {
 	Name   string
-	Why    string        // as the judge is told
-	Within time.Duration // an error or a close is owed by then
-	Conns  int           // connections of one attack; 0: one
-	// Twin: all connections send one and the same lawful request. Whichever the
-	// node reads first it must answer, and the other gets an error while the
-	// first is open. No single connection is bad, so the judge is told nothing;
-	// the class is unsafe, so that it sees a second effect if both are tried.
+	Reason string        // reported to the judge
+	Within time.Duration // time limit for the error or the close
+	Conns  int           // number of connections of one attack; 0: one
+	// Twin makes all connections send the same valid request. The node must answer
+	// the one that it reads first and send an error to the other while the first is
+	// in progress. No single connection is malformed, so nothing is reported to the
+	// judge. The class is unsafe, so the judge sees a second side effect if the
+	// node attempts both.
 	Twin  bool
-	steps func(d *draft) []step
+	steps func(d *builder) []step
 }
 
-// How long a node may take to end what is no request: more for one that keeps
-// it busy reading.
+// Time limits for a node to reject malformed input: the longer one is for input that
+// keeps the node reading.
 const (
-	owed     = 3 * time.Second
-	owedLong = 6 * time.Second
+	rejectLimit     = 3 * time.Second
+	longRejectLimit = 6 * time.Second
 )
 
-// twinGap is what lies between twins: less than any request takes.
+// twinGap is the time between the requests of twins, shorter than any request takes.
 const twinGap = 300 * time.Microsecond
 
-// mega is what a client floods with; longest is the longest body that a node takes.
+// floodBytes is the number of bytes that a flooding client sends; maxNodeBodyBytes
+// is the largest request body that a node accepts.
 const (
-	mega    = 1 << 20
-	longest = 32 << 20
+	floodBytes       = 1 << 20
+	maxNodeBodyBytes = 32 << 20
 )
 
-// kinds are all kinds of rogues, and the only list of them.
-var kinds = []Kind{
-	// What is no HTTP.
-	{Name: "noise", Why: "no request", Within: owed, steps: func(d *draft) []step {
-		return []step{{bytes: d.noise()}}
+// kinds is the list of all kinds of malformed clients.
+var kinds = []MalformedKind{
+	// Input that is not HTTP/1.1.
+	{Name: "noise", Reason: "no request", Within: rejectLimit, steps: func(d *builder) []step {
+		return []step{{bytes: d.noiseBytes()}}
 	}},
-	{Name: "hello", Why: "TLS", Within: owed, steps: func(d *draft) []step {
-		return []step{{bytes: append([]byte("\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03"), d.noise()...)}}
+	{Name: "hello", Reason: "TLS", Within: rejectLimit, steps: func(d *builder) []step {
+		return []step{{bytes: append([]byte("\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03"), d.noiseBytes()...)}}
 	}},
-	{Name: "http2", Why: "another protocol", Within: owed, steps: func(*draft) []step {
+	{Name: "http2", Reason: "another protocol", Within: rejectLimit, steps: func(*builder) []step {
 		return []step{{bytes: []byte("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")}}
 	}},
-	{Name: "http10", Why: "another version", Within: owed, steps: once(func(h *head, _ *draft) {
+	{Name: "http10", Reason: "another version", Within: rejectLimit, steps: edited(func(h *message, _ *builder) {
 		h.version = "HTTP/1.0"
 	})},
 
-	// What never comes whole.
-	{Name: "silent", Why: "says nothing", Within: owed, Conns: 8, steps: func(*draft) []step { return nil }},
-	{Name: "half-head", Why: "head without end", Within: owed, steps: func(d *draft) []step {
-		return []step{{bytes: half(d, d.head().bytes())}}
+	// Requests that are incomplete or slow.
+	{Name: "silent", Reason: "says nothing", Within: rejectLimit, Conns: 8, steps: func(*builder) []step { return nil }},
+	{Name: "half-head", Reason: "head without end", Within: rejectLimit, steps: func(d *builder) []step {
+		return []step{{bytes: truncate(d, d.validMessage().headBytes())}}
 	}},
-	{Name: "half-body", Why: "body without end", Within: owed, steps: func(d *draft) []step {
-		h := d.post()
+	{Name: "half-body", Reason: "body without end", Within: rejectLimit, steps: func(d *builder) []step {
+		h := d.validPost()
 		h.add("Content-Length", fmt.Sprint(len(h.body)+1+d.draws.IntN(500)))
-		return []step{{bytes: whole(h)}}
+		return []step{{bytes: encode(h)}}
 	}},
-	{Name: "half-closed", Why: "half a request, and no more sent", Within: owed, steps: func(d *draft) []step {
-		return []step{{bytes: half(d, whole(d.post())), then: closesWriting}}
+	{Name: "half-closed", Reason: "half a request, and no more sent", Within: rejectLimit, steps: func(d *builder) []step {
+		return []step{{bytes: truncate(d, encode(d.validPost())), then: closeWrite}}
 	}},
-	{Name: "half-left", Why: "half a request, and gone", Within: owed, steps: func(d *draft) []step {
-		return []step{{bytes: half(d, whole(d.post()))}, {after: d.pause(0, 0.05), then: closes}}
+	{Name: "half-left", Reason: "half a request, and gone", Within: rejectLimit, steps: func(d *builder) []step {
+		return []step{{bytes: truncate(d, encode(d.validPost()))}, {after: d.randomPause(0, 0.05), then: closeConn}}
 	}},
-	{Name: "half-reset", Why: "half a request, and a reset", Within: owed, steps: func(d *draft) []step {
-		return []step{{bytes: half(d, whole(d.post()))}, {after: d.pause(0, 0.05), then: resets}}
+	{Name: "half-reset", Reason: "half a request, and a reset", Within: rejectLimit, steps: func(d *builder) []step {
+		return []step{{bytes: truncate(d, encode(d.validPost()))}, {after: d.randomPause(0, 0.05), then: resetConn}}
 	}},
-	{Name: "slow-head", Why: "head byte by byte", Within: owed, steps: func(d *draft) []step {
-		return d.drip(d.head().bytes(), 50*time.Millisecond, owed+patience)
+	{Name: "slow-head", Reason: "head byte by byte", Within: rejectLimit, steps: func(d *builder) []step {
+		return d.byteByByte(d.validMessage().headBytes(), 50*time.Millisecond, rejectLimit+responseGrace)
 	}},
-	{Name: "slow-body", Why: "body byte by byte", Within: owed, steps: func(d *draft) []step {
-		h := d.post()
+	{Name: "slow-body", Reason: "body byte by byte", Within: rejectLimit, steps: func(d *builder) []step {
+		h := d.validPost()
 		h.add("Content-Length", fmt.Sprint(len(h.body)+100))
-		return append([]step{{bytes: h.bytes()}}, d.drip(h.body, 100*time.Millisecond, owed+patience)...)
+		return append([]step{{bytes: h.headBytes()}},
+			d.byteByByte(h.body, 100*time.Millisecond, rejectLimit+responseGrace)...)
 	}},
-	{Name: "endless-head", Why: "head that never ends", Within: owedLong, steps: func(d *draft) []step {
-		first := bytes.TrimSuffix(d.head().bytes(), []byte("\r\n"))
+	{Name: "endless-head", Reason: "head that never ends", Within: longRejectLimit, steps: func(d *builder) []step {
+		first := bytes.TrimSuffix(d.validMessage().headBytes(), []byte("\r\n"))
 		line := "X-More: " + strings.Repeat("more ", 1600) + "\r\n"
-		return flood(first, []byte(line), mega/len(line), 5*time.Millisecond)
+		return flood(first, []byte(line), floodBytes/len(line), 5*time.Millisecond)
 	}},
 
 	// Bodies and their lengths.
-	{Name: "large-body", Why: "body too large", Within: owedLong, steps: func(d *draft) []step {
-		h := d.post()
+	{Name: "large-body", Reason: "body too large", Within: longRejectLimit, steps: func(d *builder) []step {
+		h := d.validPost()
 		h.body = nil
-		h.add("Content-Length", fmt.Sprint(longest+mega))
-		more := make([]byte, mostBody/4)
-		return flood(h.bytes(), more, mega/len(more), 5*time.Millisecond)
+		h.add("Content-Length", fmt.Sprint(maxNodeBodyBytes+floodBytes))
+		more := make([]byte, maxBodyBytes/4)
+		return flood(h.headBytes(), more, floodBytes/len(more), 5*time.Millisecond)
 	}},
-	{Name: "large-chunks", Why: "chunk too large", Within: owedLong, steps: func(d *draft) []step {
-		h := d.post()
+	{Name: "large-chunks", Reason: "chunk too large", Within: longRejectLimit, steps: func(d *builder) []step {
+		h := d.validPost()
 		h.body = nil
 		h.add("Transfer-Encoding", "chunked")
-		first := append(h.bytes(), "10000000000000000\r\n"...) // its size has 65 bits
-		return flood(first, make([]byte, 0x4000), mega/0x4000, 5*time.Millisecond)
+		first := append(h.headBytes(), "10000000000000000\r\n"...) // the chunk size has 65 bits
+		return flood(first, make([]byte, 0x4000), floodBytes/0x4000, 5*time.Millisecond)
 	}},
-	{Name: "over-body", Why: "body one byte too large", Within: owedLong, steps: func(d *draft) []step {
-		h := d.post()
+	{Name: "over-body", Reason: "body one byte too large", Within: longRejectLimit, steps: func(d *builder) []step {
+		h := d.validPost()
 		h.body = nil
-		h.add("Content-Length", fmt.Sprint(longest+1))
-		return []step{{bytes: append(h.bytes(), make([]byte, mostBody+1)...)}}
-	}},
-	{Name: "two-lengths", Why: "two lengths", Within: owed, steps: oncePost(twoLengths)},
-	{Name: "length-and-chunks", Why: "two framings", Within: owed, steps: oncePost(twoFramings)},
-	{Name: "odd-length", Why: "malformed length", Within: owed, steps: oncePost(oddLength)},
-	{Name: "smuggle", Why: "a request hidden in a body", Within: owed, steps: func(d *draft) []step {
-		inner := whole(d.head())
-		h := d.post()
+		h.add("Content-Length", fmt.Sprint(maxNodeBodyBytes+1))
+		return []step{{bytes: append(h.headBytes(), make([]byte, maxBodyBytes+1)...)}}
+	}},
+	{Name: "two-lengths", Reason: "two lengths", Within: rejectLimit, steps: editedPost(twoLengths)},
+	{Name: "length-and-chunks", Reason: "two framings", Within: rejectLimit, steps: editedPost(twoFramings)},
+	{Name: "odd-length", Reason: "malformed length", Within: rejectLimit, steps: editedPost(malformedLength)},
+	{Name: "smuggle", Reason: "a request hidden in a body", Within: rejectLimit, steps: func(d *builder) []step {
+		inner := encode(d.validMessage())
+		h := d.validPost()
 		h.body = fmt.Appendf(nil, "0\r\n\r\n%s", inner)
 		h.add("Content-Length", fmt.Sprint(len(h.body)))
 		h.fields = append(h.fields, field{
-			d.one("Transfer-Encoding", "transfer-encoding"), d.one(": ", ":", ":\t"),
-			d.one("chunked", "Chunked", "chunked, identity", "xchunked"), "",
+			d.choose("Transfer-Encoding", "transfer-encoding"), d.choose(": ", ":", ":\t"),
+			d.choose("chunked", "Chunked", "chunked, identity", "xchunked"), "",
 		})
-		return []step{{bytes: whole(h)}}
+		return []step{{bytes: encode(h)}}
 	}},
 
-	// Fields of the platform.
-	{Name: "no-id", Why: "no id", Within: owed, steps: once(func(h *head, _ *draft) { h.drop("X-Call-Id") })},
-	{Name: "odd-id", Why: "malformed id", Within: owed, steps: once(oddID)},
-	{Name: "two-ids", Why: "id given twice", Within: owed, steps: once(twice("X-Call-Id"))},
-	{Name: "no-class", Why: "no class", Within: owed, steps: once(func(h *head, _ *draft) {
-		h.drop("X-Call-Class")
+	// Header fields of the platform.
+	{Name: "no-id", Reason: "no id", Within: rejectLimit, steps: edited(func(h *message, _ *builder) {
+		h.remove("X-Call-Id")
 	})},
-	{Name: "odd-class", Why: "unknown class", Within: owed, steps: once(oddClass)},
-	{Name: "two-classes", Why: "class given twice", Within: owed, steps: once(twice("X-Call-Class"))},
-	{Name: "odd-caller", Why: "unknown caller", Within: owed, steps: once(oddCaller)},
-	{Name: "odd-budget", Why: "malformed budget", Within: owed, steps: once(oddBudget)},
-	{Name: "two-budgets", Why: "budget given twice", Within: owed, steps: once(twice("X-Budget"))},
-	{Name: "hop", Why: "a field of the platform named in Connection", Within: owed, steps: once(hop)},
+	{Name: "odd-id", Reason: "malformed id", Within: rejectLimit, steps: edited(malformedID)},
+	{Name: "two-ids", Reason: "id given twice", Within: rejectLimit, steps: edited(duplicateField("X-Call-Id"))},
+	{Name: "no-class", Reason: "no class", Within: rejectLimit, steps: edited(func(h *message, _ *builder) {
+		h.remove("X-Call-Class")
+	})},
+	{Name: "odd-class", Reason: "unknown class", Within: rejectLimit, steps: edited(unknownClass)},
+	{Name: "two-classes", Reason: "class given twice", Within: rejectLimit, steps: edited(duplicateField("X-Call-Class"))},
+	{Name: "odd-caller", Reason: "unknown caller", Within: rejectLimit, steps: edited(unknownCaller)},
+	{Name: "odd-budget", Reason: "malformed budget", Within: rejectLimit, steps: edited(malformedBudget)},
+	{Name: "two-budgets", Reason: "budget given twice", Within: rejectLimit, steps: edited(duplicateField("X-Budget"))},
+	{Name: "hop", Reason: "a field of the platform named in Connection", Within: rejectLimit, steps: edited(hopByHopField)},
 
 	// Methods and targets.
-	{Name: "odd-method", Why: "unknown method", Within: owed, steps: once(oddMethod)},
-	{Name: "get-unsafe", Why: "GET with an unsafe class", Within: owed, steps: func(d *draft) []step {
-		h := d.headOf(d.class(isUnsafe))
+	{Name: "odd-method", Reason: "unknown method", Within: rejectLimit, steps: edited(unknownMethod)},
+	{Name: "get-unsafe", Reason: "GET with an unsafe class", Within: rejectLimit, steps: func(d *builder) []step {
+		h := d.validMessageOf(d.pickClass(isUnsafe))
 		wrongMethod(h, d)
-		return []step{{bytes: whole(h)}}
+		return []step{{bytes: encode(h)}}
 	}},
-	{Name: "post-safe", Why: "POST with a safe class", Within: owed, steps: func(d *draft) []step {
-		h := d.headOf(d.class(isSafe))
+	{Name: "post-safe", Reason: "POST with a safe class", Within: rejectLimit, steps: func(d *builder) []step {
+		h := d.validMessageOf(d.pickClass(isSafe))
 		wrongMethod(h, d)
-		return []step{{bytes: whole(h)}}
+		return []step{{bytes: encode(h)}}
 	}},
-	{Name: "get-body", Why: "GET with a body", Within: owed, steps: func(d *draft) []step {
-		h := d.headOf(d.class(isSafe))
-		h.method, h.body = "GET", filler(d.id, 50)
-		return []step{{bytes: whole(h)}}
+	{Name: "get-body", Reason: "GET with a body", Within: rejectLimit, steps: func(d *builder) []step {
+		h := d.validMessageOf(d.pickClass(isSafe))
+		h.method, h.body = "GET", requestBody(d.id, 50)
+		return []step{{bytes: encode(h)}}
 	}},
-	{Name: "fragment", Why: "target with a fragment", Within: owed, steps: once(func(h *head, _ *draft) {
+	{Name: "fragment", Reason: "target with a fragment", Within: rejectLimit, steps: edited(func(h *message, _ *builder) {
 		h.target += "#x"
 	})},
-	{Name: "odd-target", Why: "target of another form", Within: owed, steps: once(oddTarget)},
+	{Name: "odd-target", Reason: "target of another form", Within: rejectLimit, steps: edited(malformedTarget)},
 
-	// Lines. RFC 9112 lets a receiver read bare line feeds as ends of lines, but
-	// another behind it may not do so: here they are owed an error.
-	{Name: "folded", Why: "folded line", Within: owed, steps: once(folded)},
-	{Name: "space-colon", Why: "white space before a colon", Within: owed, steps: once(spaceColon)},
-	{Name: "odd-line", Why: "malformed field", Within: owed, steps: once(oddLine)},
-	{Name: "control", Why: "control byte in a value", Within: owed, steps: once(control)},
-	{Name: "bare-lf", Why: "bare line feed", Within: owed, steps: func(d *draft) []step {
-		return []step{{bytes: bareLF(whole(d.head()), d)}}
+	// Header lines. RFC 9112 allows a receiver to accept bare line feeds as line
+	// ends, but the next receiver may not: here a node must reject them.
+	{Name: "folded", Reason: "folded line", Within: rejectLimit, steps: edited(foldedField)},
+	{Name: "space-colon", Reason: "white space before a colon", Within: rejectLimit, steps: edited(spaceBeforeColon)},
+	{Name: "odd-line", Reason: "malformed field", Within: rejectLimit, steps: edited(malformedLine)},
+	{Name: "control", Reason: "control byte in a value", Within: rejectLimit, steps: edited(controlByte)},
+	{Name: "bare-lf", Reason: "bare line feed", Within: rejectLimit, steps: func(d *builder) []step {
+		return []step{{bytes: bareLF(encode(d.validMessage()), d)}}
 	}},
 
-	// Many, and again.
-	{Name: "burst", Why: "many bad requests at once", Within: owed, steps: func(d *draft) []step {
+	// Several requests.
+	{Name: "burst", Reason: "many bad requests at once", Within: rejectLimit, steps: func(d *builder) []step {
 		var all []byte
 		for range 8 + d.draws.IntN(24) {
-			h := d.head()
-			d.edits()(h, d)
-			all = append(all, whole(h)...)
+			h := d.validMessage()
+			d.framingSafeEdit()(h, d)
+			all = append(all, encode(h)...)
 		}
 		return []step{{bytes: all}}
 	}},
-	{Name: "twin", Within: owed, Conns: 2, Twin: true, steps: func(d *draft) []step {
-		c := d.class(isUnsafe)
-		d.within = c.Deadline.D()
-		return []step{{bytes: whole(d.headOf(c))}}
+	{Name: "twin", Within: rejectLimit, Conns: 2, Twin: true, steps: func(d *builder) []step {
+		c := d.pickClass(isUnsafe)
+		d.deadline = c.Deadline.D()
+		return []step{{bytes: encode(d.validMessageOf(c))}}
 	}},
-	{Name: "generated", Why: "generated", Within: owed, steps: generated},
+	{Name: "generated", Reason: "generated", Within: rejectLimit, steps: generatedSteps},
 }
 
-// half is a part of some bytes that is not all.
-func half(d *draft, b []byte) []byte { return b[:1+d.draws.IntN(len(b)-1)] }
+// truncate returns a random proper prefix of b, of at least one byte.
+func truncate(d *builder, b []byte) []byte { return b[:1+d.draws.IntN(len(b)-1)] }
 
-// RogueKinds are the names of all kinds, for those who write scripts.
-func RogueKinds() []string {
+// MalformedKinds returns the names of all kinds, for generators of scripts.
+func MalformedKinds() []string {
 	var names []string
 	for _, k := range kinds {
 		names = append(names, k.Name)
@@ -209,16 +215,16 @@
 	return names
 }
 
-func kindOf(name string) (Kind, bool) {
-	i := slices.IndexFunc(kinds, func(k Kind) bool { return k.Name == name })
+func findKind(name string) (MalformedKind, bool) {
+	i := slices.IndexFunc(kinds, func(k MalformedKind) bool { return k.Name == name })
 	if i < 0 {
-		return Kind{}, false
+		return MalformedKind{}, false
 	}
 	return kinds[i], true
 }
 
-// Lawful reports whether what rogues of a kind send is lawful by itself.
-func Lawful(kind string) bool {
-	k, ok := kindOf(kind)
+// ValidByItself reports whether each request sent by malformed clients of the kind is valid by itself.
+func ValidByItself(kind string) bool {
+	k, ok := findKind(kind)
 	return ok && k.Twin
 }
--- a/internal/lab/world/client/request.go
+++ b/internal/lab/world/client/request.go
@@ -14,132 +14,135 @@
 	"olivebridge/internal/lab/world"
 )
 
-// outcome is what came of a try.
+// outcome is the result of an attempt.
 type outcome int
 
 const (
 	served     outcome = iota // 200
-	refused                   // 429 or 503: it never ran
-	unreached                 // no node was reached, or none took the whole of it: it never ran
-	failed                    // any other answer, or a connection that broke: it may have run
-	unanswered                // its time is up
-	left                      // the client went away, and is content
+	refused                   // 429 or 503: the call never ran
+	unreached                 // no node received the complete request: the call never ran
+	failed                    // any other response, or a broken connection: the call may have run
+	unanswered                // the deadline passed
+	left                      // the client left on its own; not a failure
 )
 
-// request is what one client wants: a first try, and its own retries.
+// request is one client's request: a first attempt and the client's retries.
 type request struct {
-	crowd *Crowd
-	class int
-	name  string
-	key   string
-	due   time.Duration // when it was to arrive
-	begun time.Duration // when it did
-	began time.Duration // the first try's last byte was sent; or it ended unsent; -1: neither
-	tries int
-	draws *rand.Rand // what concerns all tries
+	group     *Group
+	class     int
+	name      string
+	key       string
+	dueAt     time.Duration // scheduled arrival
+	arrivedAt time.Duration // actual arrival
+	sentAt    time.Duration // time at which the first attempt was completely sent, or ended unsent; -1: neither yet
+	attempts  int           // number of attempts so far
+	draws     *rand.Rand    // draws that concern all attempts
 }
 
-func (r *request) spec() *world.Class { return &r.crowd.env.Classes[r.class] }
+func (r *request) classConfig() *world.Class { return &r.group.env.Classes[r.class] }
 
-// try is one attempt of a client's. What it draws is by its own name.
-type try struct {
-	of        *request
-	draws     *rand.Rand
-	id        string
-	giveUp    time.Duration // the client waits until then
-	leavesIn  time.Duration // after its last byte; -1: it waits to the end
-	lingers   time.Duration // beyond the time that it stated
-	fresh     bool          // it has a connection of its own
-	pipelined bool          // it may share one that is busy
-	odd       bool
-	resent    bool
+// attempt is one attempt of a request. Its draws are seeded by its own name.
+type attempt struct {
+	request    *request
+	draws      *rand.Rand
+	id         string
+	deadline   time.Duration // time at which the client gives up, not counting lingerFor
+	leaveAfter time.Duration // time after its last byte at which the client leaves; -1: it does not leave
+	lingerFor  time.Duration // time for which the client waits beyond the deadline
+	fresh      bool          // uses a new connection, which is closed after it
+	pipelined  bool          // may share a connection with another attempt in flight
+	unusual    bool          // uses unusual but valid HTTP forms
+	resent     bool          // was sent again because the node had not read it
 
-	conn  *conn
-	rest  []piece // what is not written yet
-	sent  bool    // its last byte is written
-	due   *loop.Timer
-	leave *loop.Timer
-	write *loop.Timer
-	ended bool
+	conn          *conn
+	unsent        []segment // segments not written yet
+	sent          bool      // the last byte was written
+	deadlineTimer *loop.Timer
+	leaveTimer    *loop.Timer
+	writeTimer    *loop.Timer
+	ended         bool
 }
 
-// firstLook is the share of leavers that go within the class's aim, about when
-// the answer leaves; the others go at any time.
-const firstLook = 0.5
+// earlyLeaveShare is the share of leaving clients that leave within the class's
+// latency objective, near the time of the response; the others leave at any time
+// before the deadline.
+const earlyLeaveShare = 0.5
 
-// lingering is how long some clients wait on: only they see an answer that comes too late.
-const lingering = 400 * time.Millisecond
+// lingerDuration is the time for which some clients wait beyond the deadline: only
+// they see a response that is too late.
+const lingerDuration = 400 * time.Millisecond
 
-// try begins the next attempt.
-func (r *request) try() {
-	c := r.crowd
-	r.tries++
-	draws := figure.Stream(c.env.Seed, fmt.Sprintf("%s try %d", r.name, r.tries))
-	t := &try{of: r, draws: draws, id: fmt.Sprintf("%016x", draws.Uint64()), leavesIn: -1}
+// startAttempt begins the next attempt of the request.
+func (r *request) startAttempt() {
+	c := r.group
+	r.attempts++
+	draws := figure.Stream(c.env.Seed, fmt.Sprintf("%s try %d", r.name, r.attempts))
+	t := &attempt{request: r, draws: draws, id: fmt.Sprintf("%016x", draws.Uint64()), leaveAfter: -1}
 	patience := figure.Uniform(draws, 0.9, 1)
-	leaves, early, when := draws.Float64(), draws.Float64(), draws.Float64()
-	fresh, pipelined, odd, stays := draws.Float64(), draws.Float64(), draws.Float64(), draws.Float64()
-	if c.conf.Patience > 0 {
-		patience *= c.conf.Patience
+	leaveDraw, earlyDraw, leaveTimeDraw := draws.Float64(), draws.Float64(), draws.Float64()
+	fresh, pipelined, unusual, lingers := draws.Float64(), draws.Float64(), draws.Float64(), draws.Float64()
+	if c.config.Patience > 0 {
+		patience *= c.config.Patience
 	}
-	budget := figure.Seconds(r.spec().Deadline.D().Seconds() * patience)
-	if leaves < 1-(1-c.conf.Leave)*(1-c.leavers.Chance()) {
-		if early < firstLook {
-			t.leavesIn = figure.Seconds(when * r.spec().Aim.D().Seconds())
+	budget := figure.Seconds(r.classConfig().Deadline.D().Seconds() * patience)
+	if leaveDraw < 1-(1-c.config.Leave)*(1-c.leaveShares.Chance()) {
+		if earlyDraw < earlyLeaveShare {
+			t.leaveAfter = figure.Seconds(leaveTimeDraw * r.classConfig().Aim.D().Seconds())
 		} else {
-			t.leavesIn = figure.Seconds(when * budget.Seconds())
+			t.leaveAfter = figure.Seconds(leaveTimeDraw * budget.Seconds())
 		}
 	}
-	t.fresh, t.pipelined, t.odd = fresh < c.conf.Fresh, pipelined < c.conf.Pipelined, odd < c.conf.Odd
-	if stays < c.conf.Linger {
-		t.lingers = lingering
+	t.fresh, t.pipelined, t.unusual = fresh < c.config.Fresh, pipelined < c.config.Pipelined, unusual < c.config.Odd
+	if lingers < c.config.Linger {
+		t.lingerFor = lingerDuration
 	}
-	t.giveUp = c.env.Loop.Now() + budget
-	t.due = c.env.Loop.At(t.giveUp, func() { t.quit(unanswered) })
-	c.place(t)
+	t.deadline = c.env.Loop.Now() + budget
+	t.deadlineTimer = c.env.Loop.At(t.deadline, func() { t.abandon(unanswered) })
+	c.assignConn(t)
 }
 
-// start writes the try on its connection. It states what is left of the
-// client's time, and from its last byte on the client waits for exactly that.
-func (t *try) start() {
-	now := t.of.crowd.env.Loop.Now()
-	budget := (t.giveUp - now).Truncate(time.Millisecond)
+// send writes the attempt on its connection. The request states the time left until
+// the deadline, and the client waits for exactly that time after the last byte.
+func (t *attempt) send() {
+	now := t.request.group.env.Loop.Now()
+	budget := (t.deadline - now).Truncate(time.Millisecond)
 	if budget <= 0 {
-		t.quit(unanswered)
+		t.abandon(unanswered)
 		return
 	}
 	t.sent = false
-	t.rest = form(t, budget)
-	t.next(budget)
+	t.unsent = encodeAttempt(t, budget)
+	t.writeNext(budget)
 }
 
-// next writes the next piece, and the others after their pauses.
-func (t *try) next(budget time.Duration) {
-	p := t.rest[0]
-	t.rest = t.rest[1:]
+// writeNext writes the next segment and schedules the rest. After the last segment
+// it starts the deadline.
+func (t *attempt) writeNext(budget time.Duration) {
+	p := t.unsent[0]
+	t.unsent = t.unsent[1:]
 	t.conn.link.Write(p.bytes)
-	l := t.of.crowd.env.Loop
-	if len(t.rest) > 0 {
-		t.write = l.After(p.pause, func() { t.next(budget) })
+	l := t.request.group.env.Loop
+	if len(t.unsent) > 0 {
+		t.writeTimer = l.After(p.pause, func() { t.writeNext(budget) })
 		return
 	}
 	t.sent = true
-	if t.of.began < 0 {
-		t.of.began = l.Now()
+	if t.request.sentAt < 0 {
+		t.request.sentAt = l.Now()
 	}
-	t.due.Stop()
-	t.giveUp = l.Now() + budget
-	t.due = l.At(t.giveUp+t.lingers, func() { t.quit(unanswered) })
-	if t.leavesIn >= 0 {
-		t.leave.Stop()
-		t.leave = l.After(min(t.leavesIn, budget-time.Millisecond/2), func() { t.quit(left) })
+	t.deadlineTimer.Stop()
+	t.deadline = l.Now() + budget
+	t.deadlineTimer = l.At(t.deadline+t.lingerFor, func() { t.abandon(unanswered) })
+	if t.leaveAfter >= 0 {
+		t.leaveTimer.Stop()
+		t.leaveTimer = l.After(min(t.leaveAfter, budget-time.Millisecond/2), func() { t.abandon(left) })
 	}
 }
 
-// quit gives the try up; whoever does that closes its connection.
-func (t *try) quit(o outcome) {
+// abandon gives up the attempt with the given outcome and closes its connection.
+func (t *attempt) abandon(o outcome) {
 	if k := t.conn; k != nil {
-		k.leave(t.draws.IntN(4) == 0, func(other *try) outcome {
+		k.close(t.draws.IntN(4) == 0, func(other *attempt) outcome {
 			if other == t {
 				return o
 			}
@@ -147,98 +150,97 @@
 		})
 		return
 	}
-	t.over(o, 0)
+	t.finish(o, 0)
 }
 
-// answered takes the try's answer.
-func (t *try) answered(m *http1.Message) {
-	if hear := t.of.crowd.env.Heard; hear != nil {
-		hear(Answer{Call: t.id, Safe: t.of.spec().Safe, Status: m.Status, Body: m.Body})
+// handleResponse finishes the attempt with the outcome of its response.
+func (t *attempt) handleResponse(m *http1.Message) {
+	if onResponse := t.request.group.env.OnResponse; onResponse != nil {
+		onResponse(Response{Call: t.id, Safe: t.request.classConfig().Safe, Status: m.Status, Body: m.Body})
 	}
 	switch m.Status {
 	case 200:
 		if !bytes.Contains(m.Body, []byte("call="+t.id+" ")) {
-			t.of.crowd.tally[t.of.class].Foreign++
+			t.request.group.tallies[t.request.class].Foreign++
 		}
-		t.over(served, 0)
+		t.finish(served, 0)
 	case 429, 503:
 		text, _ := m.Get("Retry-After")
 		wait, err := strconv.ParseFloat(text, 64)
 		if err != nil || wait < 0 {
 			wait = 0
 		}
-		t.over(refused, figure.Seconds(min(wait, time.Hour.Seconds())))
+		t.finish(refused, figure.Seconds(min(wait, time.Hour.Seconds())))
 	default:
-		t.over(failed, 0)
+		t.finish(failed, 0)
 	}
 }
 
-// over ends the try, and its request with it unless the client tries again.
-func (t *try) over(o outcome, retryAfter time.Duration) {
+// finish ends the attempt, and completes its request unless the client retries.
+func (t *attempt) finish(o outcome, retryAfter time.Duration) {
 	if t.ended {
 		return
 	}
 	t.ended = true
-	for _, e := range []*loop.Timer{t.due, t.leave, t.write} {
+	for _, e := range []*loop.Timer{t.deadlineTimer, t.leaveTimer, t.writeTimer} {
 		e.Stop()
 	}
-	c, r := t.of.crowd, t.of
-	c.unplace(t)
-	if r.began < 0 {
-		r.began = c.env.Loop.Now()
+	c, r := t.request.group, t.request
+	c.detach(t)
+	if r.sentAt < 0 {
+		r.sentAt = c.env.Loop.Now()
 	}
 	if !r.mayRetry(o, t.sent) {
-		r.finish(o)
+		r.complete(o)
 		return
 	}
-	c.tally[r.class].Retries++
+	c.tallies[r.class].Retries++
 	c.env.Loop.After(r.backoff(t, retryAfter), func() {
 		if c.stopped {
-			r.finish(o)
+			r.complete(o)
 			return
 		}
-		r.try()
+		r.startAttempt()
 	})
 }
 
-// mayRetry: clients retry where that is harmless, and no other way. A request
-// that is unsafe to repeat is tried again only where it cannot have run: it was
-// refused, or no node was sent the whole of it.
+// mayRetry reports whether the client may retry. An unsafe request is retried only
+// if it cannot have run: it was refused, or no node was sent the complete request.
 func (r *request) mayRetry(o outcome, sent bool) bool {
-	if r.crowd.stopped || r.tries > r.crowd.conf.Retries || o == served || o == left {
+	if r.group.stopped || r.attempts > r.group.config.Retries || o == served || o == left {
 		return false
 	}
-	return r.spec().Safe || o == refused || o == unreached || !sent
+	return r.classConfig().Safe || o == refused || o == unreached || !sent
 }
 
-// backoff is the wait before a retry: the client's own, or what the node asked
-// for, up to what the contract says that clients heed.
-func (r *request) backoff(t *try, retryAfter time.Duration) time.Duration {
+// backoff returns the delay before a retry: the client's own, or the node's
+// Retry-After, limited to the maximum of the contract.
+func (r *request) backoff(t *attempt, retryAfter time.Duration) time.Duration {
 	own := figure.Uniform(r.draws, 0.5, 1.5)
-	honours := r.draws.Float64() < r.crowd.conf.Honour
-	if honours && retryAfter > 0 {
-		if most := r.crowd.env.Contract.MaxRetryAfter.D(); most > 0 {
-			retryAfter = min(retryAfter, most)
+	honoursHeader := r.draws.Float64() < r.group.config.Honour
+	if honoursHeader && retryAfter > 0 {
+		if limit := r.group.env.Contract.MaxRetryAfter.D(); limit > 0 {
+			retryAfter = min(retryAfter, limit)
 		}
 		return retryAfter
 	}
-	return figure.Seconds(own * r.crowd.conf.Backoff.D().Seconds())
+	return figure.Seconds(own * r.group.config.Backoff.D().Seconds())
 }
 
-// finish counts what came of the request.
-func (r *request) finish(o outcome) {
-	c := r.crowd
-	c.live--
-	r.tell(o)
-	t := &c.tally[r.class]
+// complete counts the outcome of the request.
+func (r *request) complete(o outcome) {
+	c := r.group
+	c.unfinished--
+	r.reportOutcome(o)
+	t := &c.tallies[r.class]
 	switch o {
 	case served:
-		if c.env.Loop.Now()-r.began > r.spec().Aim.D() {
+		if c.env.Loop.Now()-r.sentAt > r.classConfig().Aim.D() {
 			t.Late++
 			return
 		}
 		t.Served++
-		t.Worth += r.spec().Worth
+		t.ServedWorth += r.classConfig().Worth
 	case refused:
 		t.Refused++
 	case unanswered:
@@ -250,20 +252,20 @@
 	}
 }
 
-// tell says what came of the request to whoever listens.
-func (r *request) tell(o outcome) {
-	c := r.crowd
-	if c.env.Ended == nil {
+// reportOutcome passes the result of the request to OnRequestEnd.
+func (r *request) reportOutcome(o outcome) {
+	c := r.group
+	if c.env.OnRequestEnd == nil {
 		return
 	}
-	c.env.Ended(sample.Request{
-		Class: r.spec().Name, Tenant: c.conf.Tenant, Due: r.due, Begun: r.begun, Ended: c.env.Loop.Now(),
-		Outcome: o.name(), Tries: r.tries,
+	c.env.OnRequestEnd(sample.Request{
+		Class: r.classConfig().Name, Tenant: c.config.Tenant, Due: r.dueAt, Begun: r.arrivedAt, Ended: c.env.Loop.Now(),
+		Outcome: o.sampleOutcome(), Tries: r.attempts,
 	})
 }
 
-// name is the outcome's name outside of this package.
-func (o outcome) name() sample.Outcome {
+// sampleOutcome returns the exported form of the outcome.
+func (o outcome) sampleOutcome() sample.Outcome {
 	switch o {
 	case served:
 		return sample.Served
