--- a/internal/lab/world/client/builder.go
+++ b/internal/lab/world/client/builder.go
@@ -118,7 +118,7 @@
 	return out
 }
 
-// flood returns steps that send the first bytes and then, times times, more bytes every interval.
+// flood returns steps that send first, and then send more every interval, for the given number of times.
 func flood(first, more []byte, times int, interval time.Duration) []step {
 	out := []step{{bytes: first}}
 	for range times {
--- a/internal/lab/world/client/front.go
+++ b/internal/lab/world/client/front.go
@@ -27,8 +27,7 @@
 	maxTerminatingDelay = 400 * time.Millisecond
 )
 
-// Front distributes new connections over the admitted nodes, as the platform's entry
-// load balancer does.
+// Front distributes new connections over the admitted nodes: those that it considers ready.
 type Front struct {
 	config  world.Front
 	env     FrontEnv
--- a/internal/lab/world/client/kinds.go
+++ b/internal/lab/world/client/kinds.go
@@ -151,7 +151,8 @@
 	{Name: "odd-caller", Reason: "unknown caller", Within: rejectLimit, steps: edited(unknownCaller)},
 	{Name: "odd-budget", Reason: "malformed budget", Within: rejectLimit, steps: edited(malformedBudget)},
 	{Name: "two-budgets", Reason: "budget given twice", Within: rejectLimit, steps: edited(duplicateField("X-Budget"))},
-	{Name: "hop", Reason: "a field of the platform named in Connection", Within: rejectLimit, steps: edited(hopByHopField)},
+	{Name: "hop", Reason: "a field of the platform named in Connection", Within: rejectLimit,
+		steps: edited(hopByHopField)},
 
 	// Methods and targets.
 	{Name: "odd-method", Reason: "unknown method", Within: rejectLimit, steps: edited(unknownMethod)},
