--- a/cmd/olivelab/shrink.go
+++ b/cmd/olivelab/shrink.go
@@ -77,5 +77,5 @@
 	w := &n.Script.World
 	return fmt.Sprintf("%s: %d runs, %d cuts; left: %v, %d faults, %d nodes, %d peers, %d clients, %d rogues",
 		n.Rule, n.Runs, n.Taken, n.Script.Length.D(), len(n.Script.Faults), len(w.Nodes), len(w.Peers),
-		len(w.Clients), len(w.Rogues))
+		len(w.Clients), len(w.Malformed))
 }
--- a/internal/lab/experiment/file_test.go
+++ b/internal/lab/experiment/file_test.go
@@ -195,7 +195,8 @@
 	}
 	own := plan.Script.Faults
 	if two.Seed != 3 || len(whole.Script.Faults) != len(own)+1 || whole.Script.Faults[0].At != own[0].At ||
-		short.Script.Faults[0].At != own[0].At/2 || short.Script.World.Rogues[0].From*2 != whole.Script.World.Rogues[0].From {
+		short.Script.Faults[0].At != own[0].At/2 ||
+		short.Script.World.Malformed[0].From*2 != whole.Script.World.Malformed[0].From {
 		t.Errorf("%+v, short %+v", whole.Script.Faults, short.Script.Faults)
 	}
 	for old, want := range map[string]string{
--- a/internal/lab/experiment/record.go
+++ b/internal/lab/experiment/record.go
@@ -127,7 +127,7 @@
 	if q.Outcome == sample.Left {
 		return 0
 	}
-	return class.Worth
+	return class.Weight
 }
 
 // waited reports whether a request's time counts. Of one that was refused, or
@@ -362,7 +362,7 @@
 		all = append(all, report.Band{Kind: f.Kind, From: from, To: to, Note: about(f)})
 	}
 	kinds, from, to := 0, time.Duration(0), time.Duration(0)
-	for i, g := range s.World.Rogues {
+	for i, g := range s.World.Malformed {
 		kinds++
 		if i == 0 || g.From.D() < from {
 			from = g.From.D()
--- a/internal/lab/experiment/script.go
+++ b/internal/lab/experiment/script.go
@@ -56,8 +56,8 @@
 		for i := range s.Faults {
 			s.Faults[i] = e.timed(s.Faults[i], s, short)
 		}
-		for i := range s.World.Rogues {
-			r := &s.World.Rogues[i]
+		for i := range s.World.Malformed {
+			r := &s.World.Malformed[i]
 			r.From, r.For = e.scaled(r.From, short), e.scaled(r.For, short)
 		}
 	} else {
@@ -180,8 +180,8 @@
 		return &fault.Error{Reason: "kinds: there must be one at least"}
 	}
 	for _, kind := range kinds {
-		n := len(w.Rogues) + 1
-		w.Rogues = append(w.Rogues, world.Rogue{
+		n := len(w.Malformed) + 1
+		w.Malformed = append(w.Malformed, world.MalformedClient{
 			Name: fmt.Sprintf("rogue-%d", n), Zone: w.Zones[n%len(w.Zones)], Kind: kind, Rate: r.Rate,
 			From: e.scaled(r.From, short), For: e.scaled(r.For, short),
 		})
--- a/internal/lab/fault/check.go
+++ b/internal/lab/fault/check.go
@@ -77,8 +77,8 @@
 	c.some("world.class", len(w.Classes))
 	for i, k := range w.Classes {
 		c.unique(place("world.class", i, "name"), k.Name, c.classes)
-		if k.Deadline < k.Aim {
-			c.add(place("world.class", i, "deadline"), "%v is less than the aim, %v", k.Deadline.D(), k.Aim.D())
+		if k.Deadline < k.Objective {
+			c.add(place("world.class", i, "deadline"), "%v is less than the aim, %v", k.Deadline.D(), k.Objective.D())
 		}
 	}
 	c.some("world.tenant", len(w.Tenants))
@@ -157,7 +157,7 @@
 			c.add(place("world.clients", i, "mix"), "shares add up to %s, not 1", text(figure.Round(sum, 3)))
 		}
 	}
-	for i, k := range w.Rogues {
+	for i, k := range w.Malformed {
 		c.own(place("world.rogue", i, "name"), k.Name)
 		c.known(place("world.rogue", i, "zone"), "zone", k.Zone, c.zones)
 		if !slices.Contains(rogueKinds(), k.Kind) {
--- a/internal/lab/fault/draw.go
+++ b/internal/lab/fault/draw.go
@@ -80,7 +80,7 @@
 	c, g := &d.sc.Contract, d.stream("contract")
 	d.s.World.Contract = world.Contract{
 		DrainGrace: c.DrainGrace.draw(g), ColdShare: c.ColdShare.draw(g), Cold: c.Cold.draw(g),
-		Overload: c.Overload.draw(g), Fall: c.Fall.draw(g), AskEvery: c.AskEvery.draw(g),
+		Overload: c.Overload.draw(g), OverloadWindow: c.Fall.draw(g), AskEvery: c.AskEvery.draw(g),
 		TryLimit: c.TryLimit.draw(g), Probes: chance(g, c.Probes), SecondCopies: chance(g, c.SecondCopies),
 		RetryAfter: chance(g, c.RetryAfter), MaxRetryAfter: c.MaxRetryAfter.draw(g),
 		ConnectTimeout: c.ConnectTimeout.draw(g), IdleClose: c.IdleClose.draw(g), CrossPrice: c.CrossPrice.draw(g),
@@ -94,7 +94,7 @@
 		g := d.stream("class " + k.Name)
 		d.mix = append(d.mix, k.Share.draw(g))
 		d.s.World.Classes = append(d.s.World.Classes, world.Class{Name: k.Name, Safe: k.Safe, Work: k.Work.draw(g),
-			Spread: k.Spread.draw(g), Aim: k.Aim.draw(g), Deadline: k.Deadline.draw(g), Worth: k.Worth.draw(g),
+			Spread: k.Spread.draw(g), Objective: k.Aim.draw(g), Deadline: k.Deadline.draw(g), Weight: k.Worth.draw(g),
 			Body: k.Body.draw(g), Answer: k.Answer.draw(g)})
 	}
 	d.mix = shares(d.mix)
@@ -127,10 +127,10 @@
 	for i := range n {
 		p := d.peer(i)
 		if falls {
-			p.FallAt, p.FallIn = w.Contract.Overload, w.Contract.Fall
+			p.CrashFactor, p.CrashWindow = w.Contract.Overload, w.Contract.OverloadWindow
 		}
 		if !crowds {
-			p.CrowdAt, p.Crowded = 0, 0
+			p.CongestionAt, p.MaxSlowdown = 0, 0
 		}
 		if tight { // a peer that turns away at once is sent the next call at once
 			p.Queue = p.Cores * room
@@ -161,12 +161,12 @@
 		CacheGain: sc.CacheGain.draw(g), CacheFor: sc.CacheFor.draw(g), CacheKeys: cores * sc.CacheKeys.draw(g),
 		PauseEach: k.PauseEach.draw(g), Pause: k.Pause.draw(g), Errors: k.Errors.draw(g),
 		ColdShare: max(k.ColdShare.draw(g), w.Contract.ColdShare), ColdFor: min(k.ColdFor.draw(g), w.Contract.Cold),
-		CrowdAt: sc.CrowdAt.draw(g), Crowded: sc.Crowded.draw(g), Conns: cores * sc.Conns.draw(g),
+		CongestionAt: sc.CrowdAt.draw(g), MaxSlowdown: sc.Crowded.draw(g), Conns: cores * sc.Conns.draw(g),
 		Handshake: sc.Handshake.draw(g), IdleClose: w.Contract.IdleClose}
 	if by := sc.ColdBy.draw(g); chance(g, sc.ByCount) {
 		p.ColdBy = by
 	}
-	p.StopsWork = chance(g, sc.StopsWork)
+	p.DropsQueued = chance(g, sc.StopsWork)
 	return p
 }
 
@@ -225,7 +225,7 @@
 		Swing: sc.Swing.draw(g), Period: sc.Period.draw(g), Keys: sc.Keys.draw(g), Zipf: sc.Zipf.draw(g),
 		Retries: sc.Retries.draw(g), Backoff: sc.Backoff.draw(g), Honour: sc.Honour.draw(g),
 		Patience: sc.Patience.draw(g), Leave: sc.Leave.draw(g), Fresh: sc.Fresh.draw(g), Keep: sc.Keep.draw(g),
-		Pipelined: sc.Pipelined.draw(g), Conns: sc.Conns.draw(g), Odd: sc.Odd.draw(g),
+		Pipelined: sc.Pipelined.draw(g), Conns: sc.Conns.draw(g), Unusual: sc.Odd.draw(g),
 		Linger: sc.Linger.draw(d.stream("linger " + name))}
 	for i, share := range shares(mix) {
 		c.Mix[d.s.World.Classes[i].Name] = share
--- a/internal/lab/fault/draw_test.go
+++ b/internal/lab/fault/draw_test.go
@@ -195,7 +195,7 @@
 				early++
 			}
 		}
-		if len(s.Faults) > 1 || len(w.Nodes) > 1 || len(w.Clients) > 1 || len(w.Rogues) > 0 || early > 2 ||
+		if len(s.Faults) > 1 || len(w.Nodes) > 1 || len(w.Clients) > 1 || len(w.Malformed) > 0 || early > 2 ||
 			s.Length > figure.Span(8e9) {
 			t.Errorf("seed %d: stays large:\n%s", seed, written(t, s))
 		}
--- a/internal/lab/fault/drawfaults.go
+++ b/internal/lab/fault/drawfaults.go
@@ -198,7 +198,7 @@
 	for n := range sc.Crowd.draw(g) {
 		name := fmt.Sprintf("rogue-%d-%d", fault, n+1)
 		g := d.stream(name)
-		w.Rogues = append(w.Rogues, world.Rogue{Name: name, Zone: w.Zones[g.IntN(len(w.Zones))],
+		w.Malformed = append(w.Malformed, world.MalformedClient{Name: name, Zone: w.Zones[g.IntN(len(w.Zones))],
 			Kind: sc.Kinds[g.IntN(len(sc.Kinds))], Rate: sc.Rate.draw(g), From: from, For: long})
 	}
 }
--- a/internal/lab/fault/file_test.go
+++ b/internal/lab/fault/file_test.go
@@ -110,7 +110,7 @@
 			`fault[0].peers[0]: "p01" is in zone "tamworth"`},
 	} {
 		s.Faults = []Fault{c.f}
-		s.World.Rogues = nil
+		s.World.Malformed = nil
 		s.World.Peers = slices.DeleteFunc(s.World.Peers, func(p world.Peer) bool { return p.Late })
 		err := s.Check()
 		if (err == nil) != (c.want == "") || err != nil && !strings.HasPrefix(err.Error(), c.want) {
@@ -139,7 +139,7 @@
 		{[]Fault{replace(1, "p01", "q1"), replace(2, "p01", "q1")},
 			`fault[1].heirs[0]: "q1" is started by fault[0] already`},
 	} {
-		s.Faults, s.World.Rogues = c.faults, nil
+		s.Faults, s.World.Malformed = c.faults, nil
 		if err := s.Check(); (err == nil) != (c.want == "") || err != nil && err.Error() != c.want {
 			t.Errorf("error %v, want %q", err, c.want)
 		}
--- a/internal/lab/fault/pairs.go
+++ b/internal/lab/fault/pairs.go
@@ -19,7 +19,7 @@
 		f := &s.Faults[i]
 		all = append(all, stay{f.Kind, f.At, f.until()})
 	}
-	for _, r := range s.World.Rogues {
+	for _, r := range s.World.Malformed {
 		all = append(all, stay{Rogues, r.From, r.From + r.For})
 	}
 	return all
--- a/internal/lab/fault/smaller.go
+++ b/internal/lab/fault/smaller.go
@@ -21,7 +21,7 @@
 	w.Nodes = slices.Clone(w.Nodes)
 	w.Peers = slices.Clone(w.Peers)
 	w.Clients = slices.Clone(w.Clients)
-	w.Rogues = slices.Clone(w.Rogues)
+	w.Malformed = slices.Clone(w.Malformed)
 	for i := range w.Clients {
 		w.Clients[i].Mix = maps.Clone(w.Clients[i].Mix)
 	}
@@ -57,8 +57,8 @@
 	return func(yield func(func(*Script)) bool) {
 		for _, some := range []iter.Seq[func(*Script)]{
 			parts(len(s.Faults), func(c *Script, from, to int) { c.Faults = slices.Delete(c.Faults, from, to) }),
-			parts(len(w.Rogues), func(c *Script, from, to int) {
-				c.World.Rogues = slices.Delete(c.World.Rogues, from, to)
+			parts(len(w.Malformed), func(c *Script, from, to int) {
+				c.World.Malformed = slices.Delete(c.World.Malformed, from, to)
 			}),
 			slices.Values([]func(*Script){halfLength, endWithFaults, sooner, oneZone}),
 			parts(len(w.Clients), func(c *Script, from, to int) {
@@ -124,8 +124,8 @@
 	for i := range c.Faults {
 		c.Faults[i].At -= less
 	}
-	for i := range c.World.Rogues {
-		c.World.Rogues[i].From -= less
+	for i := range c.World.Malformed {
+		c.World.Malformed[i].From -= less
 	}
 }
 
@@ -143,8 +143,8 @@
 	for i := range w.Clients {
 		w.Clients[i].Zone = zone
 	}
-	for i := range w.Rogues {
-		w.Rogues[i].Zone = zone
+	for i := range w.Malformed {
+		w.Malformed[i].Zone = zone
 	}
 }
 
@@ -201,13 +201,13 @@
 		eachClients(func(k *world.Clients) { k.Fresh = 0 }),
 		eachClients(func(k *world.Clients) { k.Keep = 0 }),
 		eachClients(func(k *world.Clients) { k.Pipelined = 0 }),
-		eachClients(func(k *world.Clients) { k.Odd = 0 }),
+		eachClients(func(k *world.Clients) { k.Unusual = 0 }),
 		eachPeer(func(p *world.Peer) { p.PauseEach, p.Pause = 0, 0 }),
 		eachPeer(func(p *world.Peer) { p.Errors = 0 }),
 		eachPeer(func(p *world.Peer) { p.CacheGain = 0 }),
-		eachPeer(func(p *world.Peer) { p.CrowdAt, p.Crowded = 0, 0 }),
+		eachPeer(func(p *world.Peer) { p.CongestionAt, p.MaxSlowdown = 0, 0 }),
 		eachPeer(func(p *world.Peer) { p.ColdBy = 0 }),
-		eachPeer(func(p *world.Peer) { p.FallAt, p.FallIn = 0, 0 }),
+		eachPeer(func(p *world.Peer) { p.CrashFactor, p.CrashWindow = 0, 0 }),
 		func(c *Script) {
 			for i := range c.World.Nodes {
 				c.World.Nodes[i].Stale = false
@@ -250,11 +250,11 @@
 // prune takes away what has lost its meaning.
 func (s *Script) prune() {
 	w := &s.World
-	w.Rogues = slices.DeleteFunc(w.Rogues, func(r world.Rogue) bool {
+	w.Malformed = slices.DeleteFunc(w.Malformed, func(r world.MalformedClient) bool {
 		return s.Length < r.From+figure.Span(shortest)
 	})
-	for i := range w.Rogues {
-		w.Rogues[i].For = min(w.Rogues[i].For, s.Length-w.Rogues[i].From)
+	for i := range w.Malformed {
+		w.Malformed[i].For = min(w.Malformed[i].For, s.Length-w.Malformed[i].From)
 	}
 	for { // a late peer that nobody starts goes, and with it what is about it
 		zones := map[string]string{}
@@ -274,7 +274,7 @@
 			break
 		}
 	}
-	w.Rogues, s.Faults = orNil(w.Rogues), orNil(s.Faults)
+	w.Malformed, s.Faults = orNil(w.Malformed), orNil(s.Faults)
 }
 
 // prune takes the names out of a fault that mean nobody, and reports whether
--- a/internal/lab/fleet/amounts.go
+++ b/internal/lab/fleet/amounts.go
@@ -36,7 +36,7 @@
 	class := &s.World.Classes[0] // that clients call
 	class.Work *= 5
 	class.Spread = 0.2
-	class.Aim *= 5
+	class.Objective *= 5
 	class.Deadline *= 5
 	return s
 }
--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -210,7 +210,7 @@
 		func(c *caseMaker) {
 			var peers []string
 			for i := range c.s.World.Peers {
-				c.s.World.Peers[i].StopsWork = false
+				c.s.World.Peers[i].DropsQueued = false
 				peers = append(peers, c.s.World.Peers[i].Name)
 			}
 			f := c.add("slow", 5, 50)
--- a/internal/lab/fleet/rounds_script.go
+++ b/internal/lab/fleet/rounds_script.go
@@ -24,7 +24,7 @@
 	class := &s.World.Classes[0] // that clients call
 	class.Work *= 30
 	class.Spread = 0.2
-	class.Aim *= 20
+	class.Objective *= 20
 	class.Deadline *= 20
 	return s
 }
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -76,7 +76,7 @@
 	s := Sample(4, 2, 100)
 	s.Length = span(scripted)
 	for i := range s.World.Classes { // how fast a busy machine is, is not what this shows
-		s.World.Classes[i].Aim, s.World.Classes[i].Deadline = span(750*time.Millisecond), span(1500*time.Millisecond)
+		s.World.Classes[i].Objective, s.World.Classes[i].Deadline = span(750*time.Millisecond), span(1500*time.Millisecond)
 	}
 	s.World.Contract.ConnectTimeout = span(time.Second)
 	s.Faults = []fault.Fault{
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -275,7 +275,7 @@
 		Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: event.NopObserver{}, Classes: c.Classes, Tenants: c.Tenants,
 		Front: r.front, Contract: c.Contract,
 	}
-	for _, one := range c.Rogues {
+	for _, one := range c.Malformed {
 		one.From += figure.Span(r.zero)
 		g := client.NewMalformedClient(one, env)
 		g.Start()
@@ -332,7 +332,7 @@
 // misled finds rogues that were served what must not be.
 func (r *Run) misled() {
 	for i, g := range r.rogues {
-		kind := r.script.World.Rogues[i].Kind
+		kind := r.script.World.Malformed[i].Kind
 		if n := g.Results().Served; n > 0 && !client.ValidByItself(kind) {
 			r.judge.breaks("bad", "%d requests of the kind %s were served", n, kind)
 		}
--- a/internal/lab/live/sample.go
+++ b/internal/lab/live/sample.go
@@ -17,7 +17,7 @@
 	w := world.Config{
 		Zones: zones,
 		Contract: world.Contract{
-			DrainGrace: ms(2500), ColdShare: 0.2, Cold: ms(10000), Overload: 2.5, Fall: ms(3000), AskEvery: ms(5000),
+			DrainGrace: ms(2500), ColdShare: 0.2, Cold: ms(10000), Overload: 2.5, OverloadWindow: ms(3000), AskEvery: ms(5000),
 			TryLimit: 4, Probes: true, SecondCopies: true, RetryAfter: true, MaxRetryAfter: ms(1500),
 			ConnectTimeout: ms(75), IdleClose: ms(10000), CrossPrice: 0.17, ProbePrice: 0.0074, OverShareWorth: 0.05,
 		},
@@ -27,9 +27,12 @@
 		},
 		Front: world.Front{Check: ms(100), Notice: ms(2000)},
 		Classes: []world.Class{
-			{Name: "status", Safe: true, Work: ms(15), Spread: 0.5, Aim: ms(150), Deadline: ms(300), Worth: 2, Answer: 400},
-			{Name: "quote", Safe: true, Work: ms(20), Spread: 0.5, Aim: ms(200), Deadline: ms(600), Worth: 1, Answer: 2000},
-			{Name: "order", Work: ms(25), Spread: 0.3, Aim: ms(300), Deadline: ms(1500), Worth: 10, Body: 2000, Answer: 300},
+			{Name: "status", Safe: true, Work: ms(15), Spread: 0.5, Objective: ms(150), Deadline: ms(300),
+				Weight: 2, Answer: 400},
+			{Name: "quote", Safe: true, Work: ms(20), Spread: 0.5, Objective: ms(200), Deadline: ms(600),
+				Weight: 1, Answer: 2000},
+			{Name: "order", Work: ms(25), Spread: 0.3, Objective: ms(300), Deadline: ms(1500),
+				Weight: 10, Body: 2000, Answer: 300},
 		},
 		Tenants: []world.Tenant{
 			{Name: "acme", Share: 0.6, Quota: max(rate*2, 100)}, {Name: "umbra", Share: 0.4, Quota: max(rate*2, 100)},
@@ -44,8 +47,8 @@
 		w.Peers = append(w.Peers, world.Peer{
 			Name: fmt.Sprintf("p%02d", i+1), Zone: zones[i%len(zones)], Kind: "dual", Weight: 2, Cell: i % len(zones),
 			Cores: 2, Speed: 1, Slots: 2, Queue: 100, CacheGain: 0.4, CacheFor: ms(8000), CacheKeys: 100,
-			ColdShare: 0.2, ColdFor: ms(10000), FallAt: 2.5, FallIn: ms(3000), Conns: 1000, Handshake: ms(1),
-			IdleClose: ms(10000), StopsWork: true,
+			ColdShare: 0.2, ColdFor: ms(10000), CrashFactor: 2.5, CrashWindow: ms(3000), Conns: 1000, Handshake: ms(1),
+			IdleClose: ms(10000), DropsQueued: true,
 		})
 	}
 	for i, zone := range zones {
--- a/internal/lab/live/table.go
+++ b/internal/lab/live/table.go
@@ -135,7 +135,7 @@
 	var all Tally
 	for _, c := range r.crowds {
 		for i, t := range c.ByClass() {
-			t.OfferedWorth = r.script.World.Classes[i].Worth * float64(t.Served+t.Late+t.Refused+t.Failed+t.Unanswered)
+			t.OfferedWorth = r.script.World.Classes[i].Weight * float64(t.Served+t.Late+t.Refused+t.Failed+t.Unanswered)
 			all.Add(t.Tally)
 		}
 	}
--- a/internal/lab/nodefile/nodefile.go
+++ b/internal/lab/nodefile/nodefile.go
@@ -55,7 +55,7 @@
 			"classes": classes, "tenants": quotas,
 			"contract": object{
 				"ask_every": ns(k.AskEvery), "cold": ns(k.Cold), "cold_share": k.ColdShare,
-				"drain_grace": ns(k.DrainGrace), "fall": ns(k.Fall), "overload_factor": k.Overload,
+				"drain_grace": ns(k.DrainGrace), "fall": ns(k.OverloadWindow), "overload_factor": k.Overload,
 				"dropped_stay_open": k.DroppedStay,
 			},
 			"limits": object{
@@ -75,7 +75,7 @@
 
 func class(k world.Class) object {
 	o := object{
-		"name": k.Name, "aim": ns(k.Aim), "deadline": ns(k.Deadline), "gain": k.Worth, "late_worth": 0.0,
+		"name": k.Name, "aim": ns(k.Objective), "deadline": ns(k.Deadline), "gain": k.Weight, "late_worth": 0.0,
 		"idempotency": "side_effect", "stream": false,
 	}
 	if k.Safe {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -102,9 +102,9 @@
 	c.Asked++
 	switch q.Outcome {
 	case sample.Served:
-		if q.Ended-q.Due <= class.Aim.D() {
+		if q.Ended-q.Due <= class.Objective.D() {
 			c.Served++
-			return class.Worth
+			return class.Weight
 		}
 		c.Late++
 	case sample.Refused:
--- a/internal/lab/rules/cold_start.go
+++ b/internal/lab/rules/cold_start.go
@@ -8,7 +8,7 @@
 // coldStart is the time since a peer started cold.
 type coldStart struct {
 	at       time.Duration
-	attempts []attemptWork // received within the last Contract.Fall, the oldest first
+	attempts []attemptWork // received within the last Contract.OverloadWindow, the oldest first
 	reported bool
 }
 
@@ -40,7 +40,7 @@
 		capacity:   capacity,
 		startKnown: known,
 	})
-	window := contract.Fall.D()
+	window := contract.OverloadWindow.D()
 	start.expire(j.now - window)
 	total, knowing := start.load()
 	budget := contract.Overload*start.meanCapacity(j.now-window)*window.Seconds() + j.maxWork
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -26,7 +26,7 @@
 func newTimeline(change func(*world.Contract)) *timeline {
 	c := world.Contract{
 		DrainGrace: figure.Span(2500 * ms), ColdShare: 0.14, Cold: figure.Span(23 * time.Second), Overload: 2.5,
-		Fall: figure.Span(3 * time.Second), AskEvery: figure.Span(10 * time.Second), TryLimit: 3, Probes: true,
+		OverloadWindow: figure.Span(3 * time.Second), AskEvery: figure.Span(10 * time.Second), TryLimit: 3, Probes: true,
 		SecondCopies: true,
 	}
 	if change != nil {
--- a/internal/lab/stage/build.go
+++ b/internal/lab/stage/build.go
@@ -59,7 +59,7 @@
 	for _, one := range c.Clients {
 		r.crowds = append(r.crowds, client.New(one, env))
 	}
-	for _, one := range c.Rogues {
+	for _, one := range c.Malformed {
 		r.rogues = append(r.rogues, client.NewMalformedClient(one, env))
 	}
 	return nil
@@ -86,7 +86,7 @@
 	for _, one := range c.Clients {
 		r.net.Place(one.Name, one.Zone, true)
 	}
-	for _, one := range c.Rogues {
+	for _, one := range c.Malformed {
 		r.net.Place(one.Name, one.Zone, true)
 	}
 }
--- a/internal/lab/world/client/group.go
+++ b/internal/lab/world/client/group.go
@@ -132,7 +132,7 @@
 	c.unfinished++
 	t := &c.tallies[r.class]
 	t.Asked++
-	t.OfferedWorth += c.env.Classes[r.class].Worth
+	t.OfferedWorth += c.env.Classes[r.class].Weight
 	r.startAttempt()
 }
 
--- a/internal/lab/world/client/group_test.go
+++ b/internal/lab/world/client/group_test.go
@@ -63,7 +63,7 @@
 }
 
 func TestSameSeedSendsSameBytes(t *testing.T) {
-	conf := world.Clients{Keys: 20, Zipf: 1, Odd: 0.5, Fresh: 0.2, Keep: 0.1, Leave: 0.1, Retries: 1, Conns: 4}
+	conf := world.Clients{Keys: 20, Zipf: 1, Unusual: 0.5, Fresh: 0.2, Keep: 0.1, Leave: 0.1, Retries: 1, Conns: 4}
 	said := func(seed uint64, other func(k *Group)) (s string) {
 		withHarness(t, func(l *harness) {
 			l.nodes[0].handle = func(k *nodeConn, m *http1.Message) {
@@ -114,7 +114,7 @@
 			}
 			k.respond([]int{200, 429, 503}[len(seen)%3], "")
 		}
-		conf := world.Clients{Keys: 10, Zipf: 1.1, Odd: 1, Retries: 2, Rate: 300}
+		conf := world.Clients{Keys: 10, Zipf: 1.1, Unusual: 1, Retries: 2, Rate: 300}
 		got := l.runGroup(l.newGroup(conf, 6), 10*time.Second)
 		most := 0
 		for _, n := range keys {
--- a/internal/lab/world/client/harness_test.go
+++ b/internal/lab/world/client/harness_test.go
@@ -22,8 +22,14 @@
 func span(d time.Duration) figure.Span { return figure.Span(d) }
 
 var classes = []world.Class{
-	{Name: "quote", Safe: true, Aim: span(100 * time.Millisecond), Deadline: span(400 * time.Millisecond), Worth: 1},
-	{Name: "confirm", Aim: span(100 * time.Millisecond), Deadline: span(600 * time.Millisecond), Worth: 10, Body: 200},
+	{
+		Name: "quote", Safe: true, Objective: span(100 * time.Millisecond), Deadline: span(400 * time.Millisecond),
+		Weight: 1,
+	},
+	{
+		Name: "confirm", Objective: span(100 * time.Millisecond), Deadline: span(600 * time.Millisecond),
+		Weight: 10, Body: 200,
+	},
 }
 
 // harness is a network with a front and the fake nodes n1 and n2.
--- a/internal/lab/world/client/malformed_client.go
+++ b/internal/lab/world/client/malformed_client.go
@@ -16,7 +16,7 @@
 // MalformedClient is a client that sends one attack after another, each of them
 // input that must not be served.
 type MalformedClient struct {
-	config      world.Rogue
+	config      world.MalformedClient
 	kind        MalformedKind
 	env         Env
 	draws       *rand.Rand
@@ -45,7 +45,7 @@
 )
 
 // NewMalformedClient returns a malformed client. It panics if the kind is not one of MalformedKinds.
-func NewMalformedClient(c world.Rogue, e Env) *MalformedClient {
+func NewMalformedClient(c world.MalformedClient, e Env) *MalformedClient {
 	kind, ok := findKind(c.Kind)
 	if !ok {
 		panic(fmt.Sprintf("malformed client %q: unknown kind %q", c.Name, c.Kind))
--- a/internal/lab/world/client/malformed_client_test.go
+++ b/internal/lab/world/client/malformed_client_test.go
@@ -18,7 +18,7 @@
 
 // runAttacks runs a malformed client of the kind against node n1 from 1 s to 3 s.
 func (l *harness) runAttacks(kind string, rate float64) *MalformedClient {
-	conf := world.Rogue{Name: "r1", Zone: "a", Kind: kind, Rate: rate, From: span(time.Second)}
+	conf := world.MalformedClient{Name: "r1", Zone: "a", Kind: kind, Rate: rate, From: span(time.Second)}
 	conf.For = span(2 * time.Second)
 	r := NewMalformedClient(conf, l.env(4))
 	r.Start()
@@ -182,7 +182,7 @@
 			t.Errorf("unexpected panic value %v", p)
 		}
 	}()
-	NewMalformedClient(world.Rogue{Name: "r1", Kind: "nice"}, Env{})
+	NewMalformedClient(world.MalformedClient{Name: "r1", Kind: "nice"}, Env{})
 }
 
 // Twins must send the same id so close together that the first request is in progress when the second arrives.
--- a/internal/lab/world/client/request.go
+++ b/internal/lab/world/client/request.go
@@ -87,12 +87,12 @@
 	budget := figure.Seconds(r.classConfig().Deadline.D().Seconds() * patience)
 	if leaveDraw < 1-(1-c.config.Leave)*(1-c.leaveShares.Chance()) {
 		if earlyDraw < earlyLeaveShare {
-			t.leaveAfter = figure.Seconds(leaveTimeDraw * r.classConfig().Aim.D().Seconds())
+			t.leaveAfter = figure.Seconds(leaveTimeDraw * r.classConfig().Objective.D().Seconds())
 		} else {
 			t.leaveAfter = figure.Seconds(leaveTimeDraw * budget.Seconds())
 		}
 	}
-	t.fresh, t.pipelined, t.unusual = fresh < c.config.Fresh, pipelined < c.config.Pipelined, unusual < c.config.Odd
+	t.fresh, t.pipelined, t.unusual = fresh < c.config.Fresh, pipelined < c.config.Pipelined, unusual < c.config.Unusual
 	if lingers < c.config.Linger {
 		t.lingerFor = lingerDuration
 	}
@@ -235,12 +235,12 @@
 	t := &c.tallies[r.class]
 	switch o {
 	case served:
-		if c.env.Loop.Now()-r.sentAt > r.classConfig().Aim.D() {
+		if c.env.Loop.Now()-r.sentAt > r.classConfig().Objective.D() {
 			t.Late++
 			return
 		}
 		t.Served++
-		t.ServedWorth += r.classConfig().Worth
+		t.ServedWorth += r.classConfig().Weight
 	case refused:
 		t.Refused++
 	case unanswered:
--- a/internal/lab/world/peer/conn.go
+++ b/internal/lab/world/peer/conn.go
@@ -72,7 +72,7 @@
 	}
 	if j := c.job; j != nil {
 		j.conn = nil // work in progress continues
-		if c.process.peer.config.StopsWork {
+		if c.process.peer.config.DropsQueued {
 			c.process.cores.dropQueued(j)
 		}
 		c.process.exitIfIdle()
--- a/internal/lab/world/peer/peer_test.go
+++ b/internal/lab/world/peer/peer_test.go
@@ -91,8 +91,8 @@
 }
 
 func TestColdPeerCrashesWhenOverloaded(t *testing.T) {
-	// FallAt 2.5 at a capacity of 0.1 over 2 s allows 0.5 s of work: 25 calls, or a few more as the peer warms up.
-	c := world.Peer{Slots: 1, ColdShare: 0.1, ColdFor: span(1000 * sec), FallAt: 2.5, FallIn: span(2 * sec)}
+	// CrashFactor 2.5 at a capacity of 0.1 over 2 s allows 0.5 s of work: 25 calls, or a few more as the peer warms up.
+	c := world.Peer{Slots: 1, ColdShare: 0.1, ColdFor: span(1000 * sec), CrashFactor: 2.5, CrashWindow: span(2 * sec)}
 	for _, k := range []struct {
 		name  string
 		calls int
@@ -284,7 +284,7 @@
 
 func TestAbandonedCalls(t *testing.T) {
 	for _, stops := range []bool{false, true} {
-		r := runPeer(t, world.Peer{Slots: 1, Queue: 9, StopsWork: stops}, func(r *harness) {
+		r := runPeer(t, world.Peer{Slots: 1, Queue: 9, DropsQueued: stops}, func(r *harness) {
 			r.Slow(10)
 			r.sendQuotes(2, sec, 0)
 			r.send(sec, quote("b", "X-Budget: 0.150\r\n"))
@@ -322,7 +322,7 @@
 
 func TestCongestion(t *testing.T) {
 	for held, slower := range map[int]float64{2: 1, 4: 1.5, 6: 2.5, 12: 2.5} {
-		c := world.Peer{Slots: 1, Queue: 12, CrowdAt: 3, Crowded: 2.5}
+		c := world.Peer{Slots: 1, Queue: 12, CongestionAt: 3, MaxSlowdown: 2.5}
 		r := runPeer(t, c, func(r *harness) { r.sendQuotes(held, sec, 0) })
 		r.expectNear(fmt.Sprintf("first response with %d calls held", held),
 			r.conns[0].firstByteAt-sec-4*networkDelay, figure.Seconds(0.02*slower), 0.07)
--- a/internal/lab/world/peer/serve.go
+++ b/internal/lab/world/peer/serve.go
@@ -142,14 +142,14 @@
 	s.schedule()
 }
 
-// startQueued starts queued calls while slots are free. A process with StopsWork
+// startQueued starts queued calls while slots are free. A process with DropsQueued
 // answers a call whose deadline has passed with a 504 instead.
 func (s *cores) startQueued() {
 	for s.usedSlots < s.process.peer.config.Slots && len(s.queue) > 0 && !s.process.ended {
 		j := s.queue[0]
 		s.queue = slices.Delete(s.queue, 0, 1)
 		a, c := j.attempt, j.conn
-		if !s.process.peer.config.StopsWork || c == nil || a.deadline == 0 || s.process.peer.env.Loop.Now() < a.deadline {
+		if !s.process.peer.config.DropsQueued || c == nil || a.deadline == 0 || s.process.peer.env.Loop.Now() < a.deadline {
 			s.startCall(j)
 			continue
 		}
@@ -174,10 +174,10 @@
 }
 
 // congestionFactor returns the factor by which the process is slower because it
-// holds many calls: 1 up to CrowdAt calls per core, rising to Crowded at twice
-// that number.
+// holds many calls: 1 up to CongestionAt calls per core, rising to MaxSlowdown at
+// twice that number.
 func (q *process) congestionFactor() float64 {
-	threshold, maxFactor := q.peer.config.CrowdAt, q.peer.config.Crowded
+	threshold, maxFactor := q.peer.config.CongestionAt, q.peer.config.MaxSlowdown
 	if threshold <= 0 || maxFactor <= 1 {
 		return 1
 	}
--- a/internal/lab/world/peer/warmup.go
+++ b/internal/lab/world/peer/warmup.go
@@ -17,7 +17,7 @@
 	warm      bool
 	completed int // number of calls completed
 
-	arrived     []arrival // attempts received within the last FallIn
+	arrived     []arrival // attempts received within the last CrashWindow
 	arrivedWork float64   // sum of their work
 }
 
@@ -48,19 +48,19 @@
 }
 
 // overloaded adds an arriving attempt and reports whether a cold process crashes:
-// whether the work that arrived within the last FallIn exceeds FallAt times the
-// work that the process can do in that time at its present capacity.
+// whether the work that arrived within the last CrashWindow exceeds CrashFactor
+// times the work that the process can do in that time at its present capacity.
 func (w *warmup) overloaded(now time.Duration, work, capacity float64) bool {
-	if w.config.FallAt <= 0 || w.config.FallIn <= 0 || w.warmth(now) >= 1 {
+	if w.config.CrashFactor <= 0 || w.config.CrashWindow <= 0 || w.warmth(now) >= 1 {
 		return false
 	}
 	w.arrived = append(w.arrived, arrival{now, work})
 	w.arrivedWork += work
-	for w.arrived[0].at <= now-w.config.FallIn.D() {
+	for w.arrived[0].at <= now-w.config.CrashWindow.D() {
 		w.arrivedWork -= w.arrived[0].work
 		w.arrived = w.arrived[1:]
 	}
-	return w.arrivedWork > w.config.FallAt*capacity*w.config.FallIn.D().Seconds()
+	return w.arrivedWork > w.config.CrashFactor*capacity*w.config.CrashWindow.D().Seconds()
 }
 
 // crash ends a process that was overloaded while cold and resets its connections.
