--- a/internal/lab/world/client/group_test.go
+++ b/internal/lab/world/client/group_test.go
@@ -64,7 +64,7 @@
 
 func TestSameSeedSendsSameBytes(t *testing.T) {
 	conf := world.Clients{Keys: 20, Zipf: 1, Unusual: 0.5, Fresh: 0.2, Keep: 0.1, Leave: 0.1, Retries: 1, Conns: 4}
-	said := func(seed uint64, other func(k *Group)) (s string) {
+	sentBytes := func(seed uint64, prepare func(k *Group)) (s string) {
 		withHarness(t, func(l *harness) {
 			l.nodes[0].handle = func(k *nodeConn, m *http1.Message) {
 				if k.requestCount%7 == 0 {
@@ -74,17 +74,17 @@
 				}
 			}
 			k := l.newGroup(conf, seed)
-			other(k)
+			prepare(k)
 			l.runGroup(k, 5*time.Second)
 			s = l.nodes[0].bytes.String()
 		})
 		return s
 	}
 	plain := func(*Group) {}
-	if a, b := said(1, plain), said(1, plain); a != b || len(a) < 1000 {
+	if a, b := sentBytes(1, plain), sentBytes(1, plain); a != b || len(a) < 1000 {
 		t.Error("two runs with the same seed sent different bytes, or less than 1000 bytes")
 	}
-	if said(1, plain) == said(2, plain) {
+	if sentBytes(1, plain) == sentBytes(2, plain) {
 		t.Error("two runs with different seeds sent the same bytes")
 	}
 }
@@ -92,7 +92,7 @@
 // Every request of a group must be valid for a strict parser and have the fields that the platform requires.
 func TestRequestsAreValid(t *testing.T) {
 	withHarness(t, func(l *harness) {
-		seen, keys, again := map[string]bool{}, map[string]int{}, 0
+		seen, keys, retried := map[string]bool{}, map[string]int{}, 0
 		l.nodes[0].handle = func(k *nodeConn, m *http1.Message) {
 			id, class := fieldValue(m, "X-Call-Id"), fieldValue(m, "X-Call-Class")
 			path, query, _ := strings.Cut(m.Target, "?")
@@ -110,7 +110,7 @@
 			seen[id] = true
 			keys[values.Get("user")]++
 			if fieldValue(m, "X-Again") == "1" {
-				again++
+				retried++
 			}
 			k.respond([]int{200, 429, 503}[len(seen)%3], "")
 		}
@@ -124,13 +124,13 @@
 			t.Errorf("%d keys, the most popular used %d times of %d; want 10 keys, the most popular in a quarter",
 				len(keys), most, len(seen))
 		}
-		if again == 0 || again != got.Retries || len(seen) != got.Asked+got.Retries {
-			t.Errorf("%d requests marked as retries, %d requests received, tally %+v", again, len(seen), got)
+		if retried == 0 || retried != got.Retries || len(seen) != got.Asked+got.Retries {
+			t.Errorf("%d requests marked as retries, %d requests received, tally %+v", retried, len(seen), got)
 		}
 	})
 }
 
-// Clients must retry an unsafe request only after a refusal, and a safe one after any failure.
+// Clients must retry an unsafe request only if it cannot have run, and a safe one after any failure.
 func TestRetriesOnlyWhereHarmless(t *testing.T) {
 	served, refused := func(t Tally) int { return t.Served }, func(t Tally) int { return t.Refused }
 	failed := func(t Tally) int { return t.Failed }
@@ -295,16 +295,16 @@
 	}
 	t.Run("pipelined", func(t *testing.T) {
 		withHarness(t, func(l *harness) {
-			busy, both := map[*nodeConn]int{}, 0
+			busy, shared := map[*nodeConn]int{}, 0
 			l.nodes[0].handle = func(k *nodeConn, m *http1.Message) {
 				if busy[k]++; busy[k] > 1 {
-					both++
+					shared++
 				}
 				l.loop.After(30*time.Millisecond, func() { busy[k]--; k.respond(200, "") })
 			}
 			got := l.runGroup(l.newGroup(world.Clients{Pipelined: 0.5}, 9), 4*time.Second)
-			if both == 0 || got.Served != got.Asked {
-				t.Errorf("%d requests shared a connection, tally %+v; want some shared and all served", both, got)
+			if shared == 0 || got.Served != got.Asked {
+				t.Errorf("%d requests shared a connection, tally %+v; want some shared and all served", shared, got)
 			}
 		})
 	})
--- a/internal/lab/world/client/malformed_client_test.go
+++ b/internal/lab/world/client/malformed_client_test.go
@@ -31,15 +31,15 @@
 func TestMalformedKinds(t *testing.T) {
 	for _, kind := range kinds {
 		t.Run(kind.Name, func(t *testing.T) {
-			counts := func(do func(k *nodeConn, b []byte)) (got Results, heard map[string][]byte) {
-				heard = map[string][]byte{}
+			runKind := func(do func(k *nodeConn, b []byte)) (got Results, received map[string][]byte) {
+				received = map[string][]byte{}
 				withHarness(t, func(l *harness) {
 					l.nodes[0].raw = func(k *nodeConn, b []byte) {
 						this := func(s string) bool { return strings.HasPrefix(s, k.ID()+" ") }
-						if told := slices.ContainsFunc(l.malformed, this); told == kind.Twin {
-							t.Errorf("connection %s reported as malformed: %t", k.ID(), told)
+						if reported := slices.ContainsFunc(l.malformed, this); reported == kind.Twin {
+							t.Errorf("connection %s reported as malformed: %t", k.ID(), reported)
 						}
-						heard[k.ID()] = append(heard[k.ID()], b...)
+						received[k.ID()] = append(received[k.ID()], b...)
 						do(k, b)
 					}
 					r := l.runAttacks(kind.Name, 5)
@@ -53,10 +53,10 @@
 						t.Errorf("%d connection ends open, %d events pending at the end; want none", l.net.OpenEnds, l.loop.Pending())
 					}
 				})
-				return got, heard
+				return got, received
 			}
 			leaves := kind.Name == "half-left" || kind.Name == "half-reset"
-			got, heard := counts(func(*nodeConn, []byte) {})
+			got, received := runKind(func(*nodeConn, []byte) {})
 			want := got.Ignored
 			if leaves {
 				want = got.Left
@@ -69,9 +69,9 @@
 			if kind.Name == "silent" {
 				return
 			}
-			for id, b := range heard {
+			for id, b := range received {
 				if why := invalidReason(b); (why == "") != kind.Twin {
-					t.Errorf("input on connection %s is invalid for the wrong reason or valid: %q: %.300q", id, why, b)
+					t.Errorf("connection %s: input has invalid reason %q, want one except for twins: %.300q", id, why, b)
 				}
 			}
 			if leaves {
@@ -86,7 +86,7 @@
 				{"closes the connection", func(k *nodeConn, _ []byte) { k.Close() }, func(r Results) int { return r.Closed }},
 				{"serves the request", func(k *nodeConn, _ []byte) { k.respond(200, "") }, func(r Results) int { return r.Served }},
 			} {
-				if got, _ := counts(c.do); c.n(got) != got.Connected {
+				if got, _ := runKind(c.do); c.n(got) != got.Connected {
 					t.Errorf("unexpected results with a node that %s: %+v", c.node, got)
 				}
 			}
@@ -94,7 +94,7 @@
 	}
 }
 
-// Every generated request must be invalid, with each edit alone.
+// Every generated request, which has one edit, must be invalid and recognisable by "bad-".
 func TestEditsMakeRequestsInvalid(t *testing.T) {
 	env := &Env{Classes: classes, Tenants: []world.Tenant{{Name: "acme"}}}
 	d := &builder{env: env, draws: figure.Stream(2, "test"), id: "bad-0123456789abcdef"}
@@ -194,9 +194,9 @@
 			at[id] = append(at[id], l.loop.Now())
 		}
 		l.runAttacks("twin", 10)
-		for id, some := range at {
-			if len(some) != 2 || some[1]-some[0] > time.Millisecond {
-				t.Errorf("id %s was sent at %v, want twice within 1 ms", id, some)
+		for id, times := range at {
+			if len(times) != 2 || times[1]-times[0] > time.Millisecond {
+				t.Errorf("id %s was sent at %v, want twice within 1 ms", id, times)
 			}
 		}
 		if len(at) < 5 {
--- a/internal/lab/world/peer/answer.go
+++ b/internal/lab/world/peer/answer.go
@@ -106,8 +106,8 @@
 
 // surplusResponse returns a 200 response with additional bytes: an interim response
 // before it, or a second copy or noise after it. All bytes are written at once:
-// bytes that arrived later, during the next call, could not be told from the
-// response to that call.
+// bytes that arrived later, during the next call, could not be distinguished from
+// the response to that call.
 //
 // Half of these responses are long. A client reads the bytes after a short response
 // into its buffer along with the response; after a long one they remain on the
--- a/internal/lab/world/peer/peer_test.go
+++ b/internal/lab/world/peer/peer_test.go
@@ -94,11 +94,11 @@
 	// CrashFactor 2.5 at a capacity of 0.1 over 2 s allows 0.5 s of work: 25 calls, or a few more as the peer warms up.
 	c := world.Peer{Slots: 1, ColdShare: 0.1, ColdFor: span(1000 * sec), CrashFactor: 2.5, CrashWindow: span(2 * sec)}
 	for _, k := range []struct {
-		name  string
-		calls int
-		gap   time.Duration
-		warm  bool
-		falls int
+		name    string
+		calls   int
+		gap     time.Duration
+		warm    bool
+		crashes int
 	}{
 		{"overload, including rejected calls", 30, 10 * ms, false, 1},
 		{"load just below the limit", 23, 10 * ms, false, 0},
@@ -107,9 +107,9 @@
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			r := runPeer(t, c, func(r *harness) { r.Kill(); r.Start(k.warm); r.sendQuotes(k.calls, sec, k.gap) })
-			r.expect("crashes", r.Stats().OverloadCrashes, k.falls)
-			r.expect("down", r.Down(), k.falls > 0)
-			if k.falls > 0 {
+			r.expect("crashes", r.Stats().OverloadCrashes, k.crashes)
+			r.expect("down", r.Down(), k.crashes > 0)
+			if k.crashes > 0 {
 				r.expect("end of a queued call", r.conns[0].err, link.ErrReset)
 				r.expect("end of the last call", r.conns[29].err, link.ErrRefused)
 				r.expect("events", r.events.log[len(r.events.log)-2:], "[1.243s stop 1.243s stopped]")
@@ -199,17 +199,17 @@
 }
 
 func TestKillDiscardsState(t *testing.T) {
-	var again error
+	var secondStart error
 	r := runPeer(t, world.Peer{Slots: 1, Queue: 9, IdleClose: span(60 * sec)}, func(r *harness) {
 		r.sendQuotes(3, sec, 0)
-		r.at(sec+10*ms, func() { again = r.Start(true); r.Kill(); r.Kill() })
+		r.at(sec+10*ms, func() { secondStart = r.Start(true); r.Kill(); r.Kill() })
 		r.sendQuotes(1, 2*sec, 0)
 		r.at(3*sec, func() { r.Start(false) })
 		r.sendQuotes(1, 4*sec, 0)
 		r.at(29*sec, r.Kill)
 	})
 	r.expect("pending events at the end", r.network.loop.Pending(), 0)
-	r.expect("error of a second start", again, "peer p03: it is running already")
+	r.expect("error of a second start", secondStart, "peer p03: it is running already")
 	r.expect("statuses", r.statuses(), map[int]int{0: 4, 200: 1})
 	r.expect("end of the call while down", r.conns[3].err, link.ErrRefused)
 	r.expect("held calls and starts", []int{r.Stats().Held, r.Stats().Starts}, "[0 2]")
@@ -283,15 +283,15 @@
 }
 
 func TestAbandonedCalls(t *testing.T) {
-	for _, stops := range []bool{false, true} {
-		r := runPeer(t, world.Peer{Slots: 1, Queue: 9, DropsQueued: stops}, func(r *harness) {
+	for _, dropsQueued := range []bool{false, true} {
+		r := runPeer(t, world.Peer{Slots: 1, Queue: 9, DropsQueued: dropsQueued}, func(r *harness) {
 			r.Slow(10)
 			r.sendQuotes(2, sec, 0)
 			r.send(sec, quote("b", "X-Budget: 0.150\r\n"))
 			r.at(sec+50*ms, func() { r.conns[0].conn.Close(); r.conns[1].conn.CloseWrite() })
 		})
 		s, want := r.Stats(), "[2 0 0 200]"
-		if stops {
+		if dropsQueued {
 			want = "[1 1 1 504]"
 		}
 		r.expect("undeliverable, dropped, expired, status of the expired call",
@@ -321,11 +321,11 @@
 }
 
 func TestCongestion(t *testing.T) {
-	for held, slower := range map[int]float64{2: 1, 4: 1.5, 6: 2.5, 12: 2.5} {
+	for held, slowdown := range map[int]float64{2: 1, 4: 1.5, 6: 2.5, 12: 2.5} {
 		c := world.Peer{Slots: 1, Queue: 12, CongestionAt: 3, MaxSlowdown: 2.5}
 		r := runPeer(t, c, func(r *harness) { r.sendQuotes(held, sec, 0) })
 		r.expectNear(fmt.Sprintf("first response with %d calls held", held),
-			r.conns[0].firstByteAt-sec-4*networkDelay, figure.Seconds(0.02*slower), 0.07)
+			r.conns[0].firstByteAt-sec-4*networkDelay, figure.Seconds(0.02*slowdown), 0.07)
 	}
 }
 
@@ -358,7 +358,7 @@
 }
 
 func TestFaultsDoNotChangeOtherDraws(t *testing.T) {
-	turnedAway := func(faults func(*Peer)) (ids []int) {
+	rejected := func(faults func(*Peer)) (ids []int) {
 		r := runPeer(t, world.Peer{Cores: 4, Slots: 4}, func(r *harness) { faults(r.Peer); r.sendQuotes(100, sec, 100*ms) })
 		for i, a := range r.conns {
 			if a.status() == 503 && strings.Contains(string(a.raw), "X-Rejected: 1") {
@@ -367,11 +367,11 @@
 		}
 		return ids
 	}
-	one := turnedAway(func(p *Peer) { p.TurnAway(0.3) })
-	among := turnedAway(func(p *Peer) { p.Fail(0.5); p.TurnAway(0.3); p.Spoil(0.5); p.Slow(3) })
-	two := turnedAway(func(p *Peer) { p.TurnAway(0.3); p.TurnAway(0.3) })
-	if !slices.Equal(one, among) {
-		t.Errorf("rejected calls %v without other faults, %v with other faults; want the same", one, among)
+	one := rejected(func(p *Peer) { p.TurnAway(0.3) })
+	withOthers := rejected(func(p *Peer) { p.Fail(0.5); p.TurnAway(0.3); p.Spoil(0.5); p.Slow(3) })
+	two := rejected(func(p *Peer) { p.TurnAway(0.3); p.TurnAway(0.3) })
+	if !slices.Equal(one, withOthers) {
+		t.Errorf("rejected calls %v without other faults, %v with other faults; want the same", one, withOthers)
 	}
 	missed := slices.DeleteFunc(slices.Clone(one), func(i int) bool { return slices.Contains(two, i) })
 	if len(one) < 20 || len(one) > 40 || len(two) < 40 || len(two) > 62 || len(missed) > 0 {
--- a/internal/lab/world/registry/history.go
+++ b/internal/lab/world/registry/history.go
@@ -71,13 +71,13 @@
 }
 
 // record appends a change and raises the version by step.
-func (b *history) record(at time.Duration, step int64, e entry) {
-	b.version += step
-	b.highestVersion = max(b.highestVersion, b.version)
-	b.changes = append(b.changes, change{b.version, at, e})
-	if len(b.changes)-b.watchStart > maxWatchChanges {
-		b.watchFloor = b.changes[b.watchStart].version
-		b.watchStart++
+func (h *history) record(at time.Duration, step int64, e entry) {
+	h.version += step
+	h.highestVersion = max(h.highestVersion, h.version)
+	h.changes = append(h.changes, change{h.version, at, e})
+	if len(h.changes)-h.watchStart > maxWatchChanges {
+		h.watchFloor = h.changes[h.watchStart].version
+		h.watchStart++
 	}
 }
 
@@ -85,22 +85,22 @@
 // set and there is room, else above them. It keeps a distance of at least
 // minNumberingGap plus offset from them, so that no version of one numbering is
 // mistaken for one of another: a watch from an old version gets the full list.
-func (b *history) renumber(down bool, offset int64) {
-	if down && b.lowestVersion > minNumberingGap+offset {
-		b.version = b.lowestVersion - minNumberingGap - offset
+func (h *history) renumber(down bool, offset int64) {
+	if down && h.lowestVersion > minNumberingGap+offset {
+		h.version = h.lowestVersion - minNumberingGap - offset
 	} else {
-		b.version = b.highestVersion + minNumberingGap + offset
+		h.version = h.highestVersion + minNumberingGap + offset
 	}
-	b.lowestVersion, b.highestVersion = min(b.lowestVersion, b.version), max(b.highestVersion, b.version)
-	b.watchStart, b.watchFloor = len(b.changes), b.version
+	h.lowestVersion, h.highestVersion = min(h.lowestVersion, h.version), max(h.highestVersion, h.version)
+	h.watchStart, h.watchFloor = len(h.changes), h.version
 }
 
 // entries returns the peers listed after the first n changes, in the order in
 // which they were first listed.
-func (b *history) entries(n int) []entry {
+func (h *history) entries(n int) []entry {
 	index := map[string]int{}
 	var all []entry
-	for _, c := range b.changes[:n] {
+	for _, c := range h.changes[:n] {
 		i, known := index[c.entry.ID]
 		if !known {
 			i = len(all)
@@ -119,27 +119,27 @@
 }
 
 // list returns the full list after the first n changes.
-func (b *history) list(n int) list {
-	version := b.version
-	if n < len(b.changes) {
-		version = b.changes[max(n, 1)-1].version
+func (h *history) list(n int) list {
+	version := h.version
+	if n < len(h.changes) {
+		version = h.changes[max(n, 1)-1].version
 	}
-	return list{version, true, b.entries(n)}
+	return list{version, true, h.entries(n)}
 }
 
 // since returns the latest change of each peer that changed after a version. ok
 // is false if the version is newer than the current one, too old, or of another
 // numbering.
-func (b *history) since(version int64) (changed []entry, ok bool) {
-	if version < b.watchFloor || version > b.version {
+func (h *history) since(version int64) (changed []entry, ok bool) {
+	if version < h.watchFloor || version > h.version {
 		return nil, false
 	}
 	changed = []entry{}
 	lastIndex := map[string]int{}
-	for i, c := range b.changes[b.watchStart:] {
+	for i, c := range h.changes[h.watchStart:] {
 		lastIndex[c.entry.ID] = i
 	}
-	for i, c := range b.changes[b.watchStart:] {
+	for i, c := range h.changes[h.watchStart:] {
 		if c.version > version && lastIndex[c.entry.ID] == i {
 			changed = append(changed, c.entry)
 		}
