--- a/internal/lab/experiment/runner.go
+++ b/internal/lab/experiment/runner.go
@@ -15,7 +15,7 @@
 //     and none waits for another's answer. Of each first try whose instant came
 //     it tells one sample.Request, once its outcome is known and before Run
 //     returns: Due is the drawn instant, Begun when the tool got to it, Ended
-//     when the outcome was known. Package client gives all three (Env.Ended).
+//     when the outcome was known. Package client gives all three (Env.OnRequestEnd).
 //   - A sample.Reading of all peers at least every half second, from the start
 //     until the clients have their outcomes; on sockets with the processor time
 //     and the resident bytes of each node's process, over all its lives.
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -159,7 +159,8 @@
 	r.discovery = c.Discovery.Addr
 	for _, p := range c.Peers {
 		one := &server{run: r, c: p, Peer: peer.New(p, peer.Env{
-			Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: observer, Classes: c.Classes, Registrar: r.registry, Attempts: r.judge,
+			Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: observer, Classes: c.Classes,
+			Registrar: r.registry, Attempts: r.judge,
 		})}
 		r.peers = append(r.peers, one)
 		if p.Late {
