--- a/internal/lab/live/watch.go
+++ b/internal/lab/live/watch.go
@@ -61,7 +61,7 @@
 	for _, p := range w.run.peers {
 		s := p.Stats()
 		r.Peers = append(r.Peers, sample.Peer{Name: p.c.Name, Down: p.Down(), OpenRequests: s.Held,
-			AttemptsReceived: s.Arrived, HealthChecks: s.Probes, OverloadCrashes: s.Falls})
+			AttemptsReceived: s.Arrived, HealthChecks: s.Probes, OverloadCrashes: s.OverloadCrashes})
 	}
 	for i, n := range w.run.nodes {
 		pid := n.pid()
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -102,9 +102,9 @@
 	c.Asked++
 	switch q.Outcome {
 	case sample.Served:
-		if q.EndedAt-q.ScheduledAt <= class.Aim.D() {
+		if q.EndedAt-q.ScheduledAt <= class.Objective.D() {
 			c.Served++
-			return class.Worth
+			return class.Weight
 		}
 		c.Late++
 	case sample.Rejected:
--- a/internal/lab/rules/cold_start.go
+++ b/internal/lab/rules/cold_start.go
@@ -8,7 +8,7 @@
 // coldStart records the load of a peer since it started cold.
 type coldStart struct {
 	at       time.Duration // of the start
-	attempts []attemptWork // received within the last Contract.Fall, oldest first
+	attempts []attemptWork // received within the last Contract.OverloadWindow, oldest first
 	reported bool          // a violation was reported
 }
 
@@ -40,7 +40,7 @@
 		capacity:      capacity,
 		startNotified: known,
 	})
-	window := contract.Fall.D()
+	window := contract.OverloadWindow.D()
 	start.expire(j.now - window)
 	total, notified := start.totalWork()
 	budget := contract.Overload*start.meanCapacity(j.now-window)*window.Seconds() + j.maxWork
--- a/internal/lab/stage/build.go
+++ b/internal/lab/stage/build.go
@@ -39,7 +39,7 @@
 	for i, p := range c.Peers {
 		r.places[p.Name], r.hosts[p.Name] = i, hostOf(p)
 		r.peers[p.Name] = peer.New(p, peer.Env{
-			Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: r.observer, Classes: c.Classes, Listed: r.registry,
+			Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: r.observer, Classes: c.Classes, Registrar: r.registry,
 		})
 	}
 	if err := r.startWarm(); err != nil {
@@ -54,13 +54,13 @@
 		Front: r.front, Contract: c.Contract,
 	}
 	if r.watch != nil {
-		env.Ended = r.watch.to.Request
+		env.OnRequestEnd = r.watch.to.Request
 	}
 	for _, one := range c.Clients {
 		r.crowds = append(r.crowds, client.New(one, env))
 	}
-	for _, one := range c.Rogues {
-		r.rogues = append(r.rogues, client.NewRogue(one, env))
+	for _, one := range c.Malformed {
+		r.rogues = append(r.rogues, client.NewMalformedClient(one, env))
 	}
 	return nil
 }
@@ -86,7 +86,7 @@
 	for _, one := range c.Clients {
 		r.net.Place(one.Name, one.Zone, true)
 	}
-	for _, one := range c.Rogues {
+	for _, one := range c.Malformed {
 		r.net.Place(one.Name, one.Zone, true)
 	}
 }
