--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -24,7 +24,8 @@
 	maxLimitGrowth = 1
 	// limitCutFactor is the factor applied to the limit after a time-out or a rejection.
 	limitCutFactor = 0.7
-	// readmittedLimitDivisor divides the limit of a server that is readmitted.
+	// readmittedLimitDivisor is the divisor that is applied to the limit of a server when the server is
+	// readmitted after an ejection.
 	readmittedLimitDivisor = 2
 	// waitCutSlope is the reduction of the limit per answer, as a share, per unit of mean wait above
 	// acceptableWait. maxExcessWait is the maximum of that excess.
--- a/balancer/health_check.go
+++ b/balancer/health_check.go
@@ -24,8 +24,8 @@
 	idleCheckInterval = 5 * time.Second
 	// checkTimeout is the duration after which a check without a result counts as failed.
 	checkTimeout = 1 * time.Second
-	// presumedUpDuration is the duration after the node's start for which servers that are presumed up
-	// count as up without a result.
+	// presumedUpDuration is the duration after the node's start for which a server that was listed at
+	// the start counts as up, even if no health check or request has shown its health.
 	presumedUpDuration = 30 * time.Second
 
 	// checksPerRequest is the maximum number of health checks that each request adds to the budget.
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -73,15 +73,15 @@
 	b.meanLatency += nodeLatencySmoothing * (latency.Seconds() - b.meanLatency)
 }
 
-// waitComparisonSmoothing is the weight of one outcome in the mean wait of its own class or tenant.
-// Its weight in the mean of all others is half of that.
+// waitComparisonSmoothing is the weight of a new outcome in ownWait. The weight of a new outcome in
+// othersWait is half of it.
 const waitComparisonSmoothing = 0.1
 
 // waitComparison compares the mean wait of one class or tenant with that of all others. A wait
 // ranges from 0 (answered at once) to 1 (late or failed).
 type waitComparison struct {
-	ownWait    float64
-	othersWait float64
+	ownWait    float64 // mean wait of the class or tenant
+	othersWait float64 // mean wait of all other classes or tenants
 }
 
 // newWaitComparison starts with the highest wait for all others, so that no class or tenant has an
--- a/internal/fleet/budget/lease_test.go
+++ b/internal/fleet/budget/lease_test.go
@@ -43,7 +43,7 @@
 	}
 	run(second)
 	if sum() != 0 {
-		t.Error("a new leader lends")
+		t.Error("a new leader granted units in its first second")
 	}
 	run(3 * second)
 	if got := sum(); math.Abs(got-96) > 1e-6 {
@@ -77,7 +77,7 @@
 		return Response{Number: r.Number, Lease: 2 * second, Grants: map[string]Grant{"a": {grant, 50}}}
 	}
 	if !h.Accept(2500*time.Millisecond, respond(first, 1)) {
-		t.Error("a late response is of no use")
+		t.Error("Accept ignored a response that arrived late, but within the lease")
 	}
 	for at, amount := range map[time.Duration]float64{2900 * time.Millisecond: 50, 3 * second: 0} {
 		if got := h.Holdings(at)[0].Amount; got != amount {
@@ -85,7 +85,7 @@
 		}
 	}
 	if h.Accept(2600*time.Millisecond, respond(first, 1)) {
-		t.Error("a response counts twice")
+		t.Error("Accept accepted the same response twice")
 	}
 	h.Accept(3*second, respond(next, 7))
 	if got := h.Holdings(3900 * time.Millisecond)[0].Grant; got != 7 {
@@ -93,10 +93,10 @@
 	}
 	last := h.NextRequest(3500*time.Millisecond, time.Time{})
 	if h.Accept(3600*time.Millisecond, respond(last, 5)); h.Holdings(3700 * time.Millisecond)[0].Grant != 7 {
-		t.Error("it goes back to an earlier grant")
+		t.Error("an earlier grant replaced a later one")
 	}
 	if h.Accept(3600*time.Millisecond, Response{Number: 99}) {
-		t.Error("a response to no request is of use")
+		t.Error("Accept accepted a response without a matching request")
 	}
 }
 
--- a/internal/fleet/budget/quota.go
+++ b/internal/fleet/budget/quota.go
@@ -43,12 +43,13 @@
 // more than the drift of quartz clocks.
 const clockDrift = 0.01
 
-// leaderLease returns the duration for which a leader counts a grant as active, from when it made the grant.
+// leaderLease returns the duration, from the creation of a grant, for which the leader counts the grant as active.
 func (t Terms) leaderLease() time.Duration {
 	return time.Duration(float64(t.Lease) * (1 + clockDrift))
 }
 
-// holderLease returns the duration for which a holder uses a grant, from when it created the request.
+// holderLease returns the duration for which a holder uses a grant. It starts when the holder creates the request for
+// the grant.
 func (t Terms) holderLease() time.Duration {
 	return time.Duration(float64(t.Lease) * (1 - clockDrift))
 }
--- a/internal/fleet/callstore/leader_test.go
+++ b/internal/fleet/callstore/leader_test.go
@@ -31,6 +31,6 @@
 		}
 	}
 	if unlisted := (process{"x", "h/1"}); hasFailed(v, unlisted, time.Second) || !hasFailed(v, unlisted, time.Minute) {
-		t.Error("who was never heard of is given up once the members have told each other of everybody, and not before")
+		t.Error("a process that no member lists must count as failed after a minute, and not after a second")
 	}
 }
--- a/internal/fleet/callstore/retention_test.go
+++ b/internal/fleet/callstore/retention_test.go
@@ -38,6 +38,6 @@
 		t.Errorf("begin of another request with the same key: got %+v, want KeyConflict", v)
 	}
 	if _, bad := l.Apply(&raft.Log{Data: []byte("{}")}).(error); !bad {
-		t.Error("an empty entry is taken")
+		t.Error("Apply returned no error for an empty log entry")
 	}
 }
--- a/internal/fleet/fleetfile/check_choices.go
+++ b/internal/fleet/fleetfile/check_choices.go
@@ -1,13 +1,12 @@
 package fleetfile
 
-// Limits and defaults of table choices. With one copy, only one node would work with a server, and no other node would
-// know the server after a failure of that node. A single witness may be wrong or cut off.
+// Limits and defaults of table choices.
 const (
-	minCopies         = 2
+	minCopies         = 2 // with 1, no other node would know a server when the only node that works with it fails
 	maxCopies         = 1000
 	maxMinServers     = 100000
 	defaultMinServers = 64
-	minWitnesses      = 2
+	minWitnesses      = 2 // a single witness may be wrong or partitioned from the server
 	maxWitnesses      = 20
 )
 
--- a/internal/fleet/member/mass_failure_test.go
+++ b/internal/fleet/member/mass_failure_test.go
@@ -49,7 +49,7 @@
 		Member{Name: "n3", State: Left, Since: 9 * second},
 	)
 	if !v.HasRecentFailure(second+recentFailureWindow) || v.HasRecentFailure(second+recentFailureWindow+1) {
-		t.Error("a failure is recent for the wrong time, or a planned end is one")
+		t.Error("HasRecentFailure must count n2's death for recentFailureWindow, and not count n3's planned leave")
 	}
 }
 
@@ -148,6 +148,6 @@
 	}
 	nobody := netip.MustParseAddrPort("127.0.0.1:1").String()
 	if _, err := n2.currentAgent().massFailures.askWitness(nobody, nil); err == nil {
-		t.Error("nobody gave a report")
+		t.Error("askWitness returned no error for an address without a listener")
 	}
 }
--- a/internal/fleet/member/service_test.go
+++ b/internal/fleet/member/service_test.go
@@ -232,7 +232,7 @@
 		t.Error(l, err)
 	}
 	if n1 := newService(t, "n1", full, freeAddr(t)); n1.Join(false) == nil {
-		t.Error("it takes the membership without an incarnation")
+		t.Error("Join succeeded although the incarnation cannot be stored")
 	}
 }
 
--- a/internal/fleet/member/table_test.go
+++ b/internal/fleet/member/table_test.go
@@ -101,11 +101,11 @@
 		t.Errorf("after an unconfirmed suspicion: got state %s, want alive", m.State)
 	}
 	if _, known := table.View().Lookup("n2"); !known {
-		t.Error("a tombstone is dropped at once")
+		t.Error("the dead member n2 was removed before tombstoneTime")
 	}
 	table.Tick(2*second + tombstoneTime + 1)
 	if _, known := table.View().Lookup("n2"); known {
-		t.Error("a tombstone is never dropped")
+		t.Error("the dead member n2 is still listed after tombstoneTime")
 	}
 }
 
@@ -121,7 +121,7 @@
 	table.Apply(2*second, Event{Kind: EventDead, Name: "m0007"})
 	table.Apply(3*second, aliveEvent("late", 1))
 	if _, known := table.View().Lookup("late"); !known {
-		t.Error("tombstones keep a live member out")
+		t.Error("a full table rejected a live member instead of removing a dead one")
 	}
 }
 
@@ -149,7 +149,7 @@
 				t.Fatalf("got view %d after view %d, or the earlier view was modified; changed %v",
 					view.Number, before.Number, changed)
 			}
-			if !slices.IsSortedFunc(view.Members, func(a, table Member) int { return strings.Compare(a.Name, table.Name) }) {
+			if !slices.IsSortedFunc(view.Members, func(a, b Member) int { return strings.Compare(a.Name, b.Name) }) {
 				t.Fatalf("members are not sorted: %v", view)
 			}
 			for i, m := range view.Members {
@@ -186,7 +186,7 @@
 		}
 	})
 	if Prevails(Claim{Incarnation{"aa", 9}, false}, Claim{Incarnation{"bb", 1}, true}) {
-		t.Error("a newcomer pushes a settled member out")
+		t.Error("an unsettled claim prevails over a settled one")
 	}
 }
 
--- a/internal/fleet/operations/ledger_test.go
+++ b/internal/fleet/operations/ledger_test.go
@@ -25,7 +25,7 @@
 	}
 	result, ok := l.Apply(&raft.Log{Data: data}).(Result)
 	if !ok {
-		t.Fatal("no answer")
+		t.Fatal("Apply did not return a Result")
 	}
 	return result
 }
--- a/internal/fleet/operations/readiness_test.go
+++ b/internal/fleet/operations/readiness_test.go
@@ -44,9 +44,9 @@
 		}
 	}
 	if ok, _ := CanAdvance(round(Drained), members, nil, time.Second-1); ok {
-		t.Error("it is not held out for long enough")
+		t.Error("CanAdvance allowed the step before the hold time of 1 s ended")
 	}
 	if ok, _ := CanAdvance(round(Drained), members, nil, time.Second); !ok {
-		t.Error("it is held out for too long")
+		t.Error("CanAdvance refused the step after the hold time of 1 s")
 	}
 }
--- a/internal/fleet/raftlog/state_machine_test.go
+++ b/internal/fleet/raftlog/state_machine_test.go
@@ -40,6 +40,6 @@
 		}
 	}
 	if err := (&stateMachine{FSM: &sumMachine{}}).Restore(io.NopCloser(bytes.NewBufferString("\x01{"))); err == nil {
-		t.Error("a snapshot that was cut short is taken")
+		t.Error("Restore returned no error for a truncated snapshot")
 	}
 }
--- a/internal/fleet/signals/detector_test.go
+++ b/internal/fleet/signals/detector_test.go
@@ -216,6 +216,6 @@
 		}
 	}
 	if _, err := decode([]byte("garbage")); err == nil {
-		t.Error("garbage is a report")
+		t.Error("decode returned no error for a malformed message")
 	}
 }
--- a/internal/fleet/signals/service.go
+++ b/internal/fleet/signals/service.go
@@ -55,7 +55,7 @@
 // counters count the events of a Service since its creation.
 type counters struct {
 	sent      atomic.Int64 // reports sent
-	accepted  atomic.Int64 // reports of other nodes that were new
+	accepted  atomic.Int64 // reports of other nodes that Receive stored
 	stale     atomic.Int64 // reports of other nodes that Receive ignored
 	malformed atomic.Int64 // messages that could not be decoded
 	changes   atomic.Int64 // changes of the suspected servers
--- a/internal/lab/fleet/amounts.go
+++ b/internal/lab/fleet/amounts.go
@@ -24,6 +24,7 @@
 		budgetName, int(maxInUse*s.AmountShare))
 }
 
+// countTables returns the tables of the fleet files for a budget on the number of calls in a period.
 func countTables(s FileValues) string {
 	return ledgerTable(s, 0.04) +
 		fmt.Sprintf("[[budget]]\nname = %q\ntenant = \"acme\"\nkind = \"count\"\ncount = %d\nperiod = %q\n",
--- a/internal/lab/fleet/budget.go
+++ b/internal/lab/fleet/budget.go
@@ -30,9 +30,10 @@
 	ShareError     float64 `json:"fair"` // maximum of |share of the budget - share of the demand|, 5 s after a change
 	NewcomerWait   float64 `json:"newcomer_s"`
 	FixedShareUse  float64 `json:"fixed_use"` // use after a death if each node had a fixed share
-	// The use if each node took the budget divided by the number of nodes that was configured at its start.
-	StaticCountUse    float64     `json:"told_use"`  // minimum fraction of the budget that the running nodes could use
-	StaticCountOver   float64     `json:"told_over"` // maximum of the same
+	// The fraction of the budget that the running nodes could use together if each had a share of the budget divided by
+	// the number of nodes that ran when the clients started.
+	StaticCountUse    float64     `json:"told_use"`  // minimum over the run
+	StaticCountOver   float64     `json:"told_over"` // maximum over the run
 	Arrivals          int         `json:"arrivals"`
 	Asked             int         `json:"asked"`
 	LeaderTerms       int         `json:"keepers"` // the number of terms that had a leader of the ledger
--- a/internal/lab/rules/cold_start.go
+++ b/internal/lab/rules/cold_start.go
@@ -14,10 +14,10 @@
 
 // attemptWork is the work of one attempt that a peer received.
 type attemptWork struct {
-	at            time.Duration
-	work          float64 // seconds of a core of speed 1
-	capacity      float64 // of the peer at that time, in seconds of such a core per second
-	startNotified bool    // the sending node had been notified of the cold start
+	at             time.Duration
+	work           float64 // seconds of a core of speed 1
+	capacity       float64 // of the peer at that time, in seconds of such a core per second
+	senderNotified bool    // the sending node had been notified of the cold start
 }
 
 // minNotifiedShare is the minimum share of the work that nodes notified of the
@@ -35,10 +35,10 @@
 	}
 	known := received != nil && received.notifiedStart > 0 && received.notifiedStart >= start.at-simultaneityTolerance
 	start.attempts = append(start.attempts, attemptWork{
-		at:            j.now,
-		work:          work,
-		capacity:      capacity,
-		startNotified: known,
+		at:             j.now,
+		work:           work,
+		capacity:       capacity,
+		senderNotified: known,
 	})
 	window := contract.Fall.D()
 	start.expire(j.now - window)
@@ -64,7 +64,7 @@
 func (s *coldStart) totalWork() (total, notified float64) {
 	for _, a := range s.attempts {
 		total += a.work
-		if a.startNotified {
+		if a.senderNotified {
 			notified += a.work
 		}
 	}
--- a/internal/lab/rules/discovery_list.go
+++ b/internal/lab/rules/discovery_list.go
@@ -55,9 +55,9 @@
 	seen := map[string]bool{}
 	for _, e := range *l.Servers {
 		_, _, err := net.SplitHostPort(e.Addr)
-		reachable := err == nil || e.Addr == "" && e.State == gone
+		validAddr := err == nil || e.Addr == "" && e.State == gone
 		known := e.State == ready || e.State == terminating || e.State == gone
-		if e.ID == "" || !known || !reachable || seen[e.ID] || e.Started < 0 {
+		if e.ID == "" || !known || !validAddr || seen[e.ID] || e.Started < 0 {
 			return l, false
 		}
 		seen[e.ID] = true
--- a/internal/lab/rules/discovery_view.go
+++ b/internal/lab/rules/discovery_view.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// Time limits from which a node counts as notified of the current list without
-// an answer that contains it.
+// Durations after which the judge assumes that a node knows the current list,
+// even if no answer with that list was observed. Each comment states the event
+// that starts the duration.
 const (
 	longPollGrace    = 2 * time.Second // after the end of a long poll's wait
 	pollGrace        = 6 * time.Second // after the arrival of a poll that must be answered immediately
--- a/internal/lab/sample/sample.go
+++ b/internal/lab/sample/sample.go
@@ -25,7 +25,7 @@
 	Class       string        `json:"class"`
 	Tenant      string        `json:"tenant"`
 	ScheduledAt time.Duration `json:"due"`   // scheduled time of arrival
-	SentAt      time.Duration `json:"begun"` // when the load generator sent it: after ScheduledAt if the generator is too slow
+	SentAt      time.Duration `json:"begun"` // time of sending; after ScheduledAt if the load generator is late
 	EndedAt     time.Duration `json:"ended"` // when its outcome was known
 	Outcome     Outcome       `json:"outcome"`
 	Attempts    int           `json:"tries"` // the number of attempts by the client
--- a/internal/maintenance/registry_test.go
+++ b/internal/maintenance/registry_test.go
@@ -83,7 +83,7 @@
 	}
 	r := New()
 	if r.Suspend("a", 1) == nil || r.Restore("a", 1) == nil || r.SuspensionOf("a").Active() {
-		t.Error("a server that was never listed can be suspended")
+		t.Error("a server that was never listed can be suspended or restored")
 	}
 }
 
--- a/internal/protocol/headers.go
+++ b/internal/protocol/headers.go
@@ -4,19 +4,19 @@
 
 // The platform's headers, in canonical form.
 const (
-	// HeaderCallID is the id of a request; a client's retry has a new id.
+	// HeaderCallID has the ID of a request; a client's retry has a new ID.
 	HeaderCallID = "X-Call-Id"
-	// HeaderClass is the name of the request's class.
+	// HeaderClass has the name of the request's class.
 	HeaderClass = "X-Call-Class"
-	// HeaderTenant is the name of the request's tenant.
+	// HeaderTenant has the name of the request's tenant.
 	HeaderTenant = "X-Caller"
-	// HeaderTimeout is the duration for which the sender waits for the response, in seconds.
+	// HeaderTimeout has the duration for which the sender waits for the response, in seconds.
 	HeaderTimeout = "X-Budget"
-	// HeaderRetry is "1" in a client's retry.
+	// HeaderRetry has the value "1" in a client's retry.
 	HeaderRetry = "X-Again"
 	// HeaderCallInfo has data of the platform, which the node does not read.
 	HeaderCallInfo = "X-Call-Info"
-	// HeaderRejected is "1" in the response of a server that has not processed the request.
+	// HeaderRejected has the value "1" in the response of a server that has not processed the request.
 	HeaderRejected = "X-Rejected"
 )
 
--- a/internal/routing/admit_test.go
+++ b/internal/routing/admit_test.go
@@ -31,7 +31,7 @@
 	}
 	disconnect() // the attempt of the first call is still in flight and may run
 	if ok := <-answered; ok {
-		t.Error("the first was answered")
+		t.Error("the first call was answered after its client disconnected")
 	}
 	if answer, _ := r.Handle(t.Context(), call); answer.Verdict != Duplicate {
 		t.Errorf("attempt of the first call in flight: got answer %+v, want Duplicate", answer)
--- a/internal/routing/attempt_context_test.go
+++ b/internal/routing/attempt_context_test.go
@@ -11,7 +11,7 @@
 	select {
 	case <-attempt.Done():
 	default:
-		t.Error("it does not seem to have ended")
+		t.Error("Done of the cancelled attempt is not closed")
 	}
 	if !sameError(attempt.Err(), ErrDeadlineExceeded) || attempt.Value(nil) != nil {
 		t.Error(attempt.Err())
--- a/internal/routing/attempt_run.go
+++ b/internal/routing/attempt_run.go
@@ -60,9 +60,9 @@
 	a.result = r.transport.RoundTrip(a, a.Attempt)
 }
 
-// bodySent records that the last byte of a streamed body has been sent. The time limit for the server's reply starts
-// then.
-func (a *runningAttempt) bodySent() {
+// markBodySent records that the last byte of a streamed body has been sent. The time limit for the server's reply
+// starts at that time.
+func (a *runningAttempt) markBodySent() {
 	now := time.Now()
 	a.bodySentAt.Store(&now)
 	a.router.post(bodySentEvent{a, now})
--- a/internal/routing/dispatch.go
+++ b/internal/routing/dispatch.go
@@ -48,7 +48,7 @@
 	}
 	if call.StreamsBody {
 		attempt.BodyTimeout = call.Timeout - answerMargin
-		attempt.OnBodySent = attempt.bodySent
+		attempt.OnBodySent = attempt.markBodySent
 	}
 	return attempt
 }
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -50,9 +50,9 @@
 	return known.withAddress(endpoint.Name, endpoint.Addr)
 }
 
-// forwardServers passes servers to the Balancer. It first stores their start times: an attempt whose server has
-// restarted since the routing decision asks for confirmation, and the event loop handles that confirmEvent after this
-// update.
+// forwardServers passes servers to the Balancer. It stores their start times before that. An attempt that reads a new
+// start time posts a confirmEvent, which the event loop handles after this update; the Balancer then knows of the
+// restart.
 func (r *Router) forwardServers(kind balancer.UpdateKind, servers []balancer.Server, at time.Time) {
 	for _, server := range servers {
 		if upstream := r.upstreams[server.ID]; upstream != nil {
--- a/internal/routing/endpoints_test.go
+++ b/internal/routing/endpoints_test.go
@@ -54,7 +54,7 @@
 	}
 	r.updateEndpoints(fullList(8))
 	if len(r.upstreams) != 2 {
-		t.Error("a server that was just removed is not known")
+		t.Error("the Router dropped server 7 at once, although the Balancer has not forgotten it yet")
 	}
 	r.balancer.HandleServers(r.now()+balancer.Time(time.Hour), balancer.UpdateDelta, nil)
 	r.updateEndpoints(EndpointList{Kind: balancer.UpdateDelta})
--- a/internal/routing/panic.go
+++ b/internal/routing/panic.go
@@ -38,7 +38,7 @@
 		r.Cancel(id, number)
 	}
 	r.calls.removeIfDone(call)
-	defer r.recoverPanic("abandoned call") // the Balancer's state of the call may be faulty
+	defer r.recoverPanic("abandoned call") // an invalid state of the call may make HandleDisconnect panic
 	r.balancer.HandleDisconnect(r.now(), id)
 }
 
--- a/internal/routing/receive_test.go
+++ b/internal/routing/receive_test.go
@@ -29,7 +29,7 @@
 		t.Errorf("got answer %+v, ok %v; want DeadlineExceeded", answer, ok)
 	}
 	if r.counters.WatchdogAnswers.Load() != 1 {
-		t.Error("the watchdog did not count")
+		t.Error("WatchdogAnswers does not count the answer of the watchdog")
 	}
 }
 
@@ -54,7 +54,7 @@
 			t.Errorf("got answer %+v after %v, want DeadlineExceeded at most 50 ms after the timeout", answer, elapsed)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("no answer")
+		t.Error("Handle returned no answer within 5 s")
 	}
 	close(r.stopped)
 }
--- a/internal/routing/respond_test.go
+++ b/internal/routing/respond_test.go
@@ -89,7 +89,7 @@
 		return AttemptResult{Result: balancer.Cancelled}
 	}, fullList(7))
 	if _, ok := r.Handle(ctx, newCall(idempotentClass, time.Minute)); ok {
-		t.Error("a disconnected client was answered")
+		t.Error("Handle returned an answer for a disconnected client")
 	}
 	if err := <-cause; !sameError(err, ErrCancelled) {
 		t.Error(err)
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -48,7 +48,7 @@
 	r = newRouter(nil, fullList())
 	r.settings = balancer.Settings{}
 	if err := r.Run(t.Context()); err == nil {
-		t.Error("decisions without a class")
+		t.Error("Run returned no error for settings without classes")
 	}
 	if DeadlineExceeded.String() != "overdue" {
 		t.Error(DeadlineExceeded)
@@ -96,11 +96,11 @@
 		}
 		for e := range r.timers {
 			if e.timer.Stop() {
-				t.Error("a timer is left")
+				t.Error("a timer still runs after Run has returned")
 			}
 		}
 		if _, err := r.Snapshot(t.Context()); err == nil {
-			t.Error("decisions that have ended give a snapshot")
+			t.Error("Snapshot returned no error after Run has returned")
 		}
 	})
 }
--- a/internal/routing/watch_test.go
+++ b/internal/routing/watch_test.go
@@ -31,10 +31,10 @@
 	at := draining.ReceivedAt
 	deliver(draining)
 	if u := upstream(7); !u.MaySend(at, grace) || u.MaySend(at.Add(grace*3/4), grace) {
-		t.Error("a draining server has the grace, no longer")
+		t.Error("a draining server must accept attempts for its grace period and not after it")
 	}
 	if u := upstream(8); !u.MaySend(at.Add(time.Hour), grace) {
-		t.Error("a change of one server changed another")
+		t.Error("an update of server 7 changed the state of server 8")
 	}
 	lists <- errors.New("broken")
 	moved := fullList(7)
@@ -44,10 +44,10 @@
 		t.Errorf("upstream with a new address: %+v", u)
 	}
 	if u := upstream(8); u.MaySend(at.Add(time.Hour), grace) {
-		t.Error("a server missing from the full list still accepts attempts")
+		t.Error("a server that is missing from the full list still accepts attempts")
 	}
 	if r.counters.WatchFailures.Load() != 1 {
-		t.Error("the broken watch did not count")
+		t.Error("WatchFailures does not count the failed watch")
 	}
 }
 
@@ -73,7 +73,7 @@
 	upstreams := make(chan int)
 	r.post(inspectEvent(func(r *Router) {
 		if r.upstreams[7] == nil {
-			t.Error("the new list is not there")
+			t.Error("server 7 of the new watch's list is missing")
 		}
 		upstreams <- len(r.upstreams)
 	}))
--- a/internal/transport/late_connection_test.go
+++ b/internal/transport/late_connection_test.go
@@ -18,11 +18,11 @@
 	"olivebridge/internal/routing"
 )
 
-// staticEndpoints is an endpoint list that never changes.
-type staticEndpoints struct{}
+// staticWatcher is a Watcher of an endpoint list that never changes: it delivers nothing.
+type staticWatcher struct{}
 
 // Watch implements routing.Watcher.
-func (staticEndpoints) Watch(ctx context.Context, deliver func(routing.EndpointList)) error {
+func (staticWatcher) Watch(ctx context.Context, deliver func(routing.EndpointList)) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
@@ -49,7 +49,7 @@
 		Seed:             1,
 		InitialEndpoints: known,
 		Transport:        transport,
-		Watcher:          staticEndpoints{},
+		Watcher:          staticWatcher{},
 		Log:              slog.New(slog.DiscardHandler),
 		Settings:         set,
 	})
--- a/internal/transport/linger.go
+++ b/internal/transport/linger.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Limits of lingering, the time between the decision to close a connection and the close. A client on a slow path can
-// still write the longest known body, 60 MB, and then read why it was rejected.
+// Limits of lingering, the time between the decision to close a connection and the close. They allow a client on a slow
+// path to write the longest known body, 60 MB, and then to read the response with the reason for the rejection.
 const (
 	// lingerTimeout limits the total lingering time.
 	lingerTimeout = 5 * time.Second
--- a/internal/transport/linger_test.go
+++ b/internal/transport/linger_test.go
@@ -160,8 +160,8 @@
 				}
 				<-ended
 				limit += 600 * time.Millisecond // net/http closes 0.5 s after such a response
-				if took := time.Since(start); took > limit || front.ClientConns() > 0 {
-					t.Errorf("%d connections are open after %v, want none after %v", front.ClientConns(), took, limit)
+				if elapsed := time.Since(start); elapsed > limit || front.ClientConns() > 0 {
+					t.Errorf("%d connections are open after %v, want none after %v", front.ClientConns(), elapsed, limit)
 				}
 			})
 		})
--- a/internal/transport/response.go
+++ b/internal/transport/response.go
@@ -73,8 +73,8 @@
 	return false
 }
 
-// connectionOptions returns the header fields named by Connection fields, in canonical form. These fields also apply to
-// a single connection only.
+// connectionOptions returns the names, in canonical form, that the given values of Connection fields list. The header
+// fields with these names are hop-by-hop, in addition to those of isHopByHop.
 func connectionOptions(lists []string) []string {
 	var names []string
 	for _, list := range lists {
