--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -27,12 +27,13 @@
 	// readmittedLimitDivisor is the divisor that is applied to the limit of a server when the server is
 	// readmitted after an ejection.
 	readmittedLimitDivisor = 2
-	// waitCutSlope is the reduction of the limit per answer, as a share, per unit of mean wait above
-	// acceptableWait. maxExcessWait is the maximum of that excess.
+	// waitCutSlope is the share by which one answer reduces the limit, per unit of mean wait above
+	// acceptableWait. maxExcessWait is the maximum of the mean wait above acceptableWait in this
+	// calculation.
 	waitCutSlope  = 0.3
 	maxExcessWait = 0.5
-	// limitCutPauseDivisor sets the minimum pause between two reductions: the latency objective
-	// divided by it, which is the normal duration of an answer.
+	// limitCutPauseDivisor is the divisor of the latency objective that gives the normal duration
+	// of an answer. This duration is the minimum pause between two reductions of the limit.
 	limitCutPauseDivisor = 4
 	// waitAdaptTime is the time constant with which a server's mean wait follows its answers if they
 	// are rare.
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -11,10 +11,10 @@
 	removedRetention = time.Minute
 	// maxPollPause is the maximum pause after a failed watch before discovery is polled again.
 	maxPollPause = 2 * time.Second
-	// minPollPause is the minimum of that pause.
+	// minPollPause is the minimum pause after a failed watch before discovery is polled again.
 	minPollPause = time.Second
-	// firstCheckSpread is the period over which the first health checks of servers are spread that are
-	// added while the node runs.
+	// firstCheckSpread is the duration over which the first health checks of servers that were
+	// added while the node runs are distributed at random.
 	firstCheckSpread = checkIntervalUnsettled / 4
 	// restartedLimit is the concurrency limit of a server that has restarted.
 	restartedLimit = 1
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -36,7 +36,7 @@
 	StreamsBody bool
 }
 
-// Result is the way an attempt or a health check ended.
+// Result is the result of an attempt or of a health check.
 type Result uint8
 
 // Values of Result.
--- a/balancer/health_check.go
+++ b/balancer/health_check.go
@@ -19,8 +19,9 @@
 	checkIntervalUnsettled = 1 * time.Second
 	// checkIntervalDown is the check interval of a server whose counter is 0.
 	checkIntervalDown = 4 * time.Second
-	// idleCheckInterval is the interval at which a node without traffic adds one health check to the
-	// budget. It also limits the delay of a health check by successful answers to requests.
+	// idleCheckInterval is the interval at which a node without traffic adds one health check to
+	// the budget. It is also the maximum interval, if the budget suffices, between health checks of
+	// a server that answers requests successfully.
 	idleCheckInterval = 5 * time.Second
 	// checkTimeout is the duration after which a check without a result counts as failed.
 	checkTimeout = 1 * time.Second
@@ -33,8 +34,8 @@
 	// checkCostPerRequest is the maximum cost of the health checks that each request adds to the
 	// budget, in the unit of Settings.HealthCheckCost.
 	checkCostPerRequest = 0.0025
-	// maxCheckTokens is the maximum number of health checks added to the budget by requests and not
-	// yet used.
+	// maxCheckTokens is the maximum number of unused health checks up to which requests fill the
+	// budget.
 	maxCheckTokens = 4.0
 )
 
@@ -47,16 +48,16 @@
 	presumedUp bool
 	// counter is the saturating counter of passes and failures.
 	counter int
-	// fractionalFailures is the sum of weighted request failures that has not reached a whole failure,
-	// and so a step of counter, yet.
+	// fractionalFailures is the sum of the weighted request failures that counter does not include
+	// yet, because they do not add up to a whole failure.
 	fractionalFailures float64
 	nextCheckAt        Time
 	checkSentAt        Time // send time of the check without a result; 0 if there is none
 	// passesIgnoredUntil is the end of the period in which passed health checks are ignored because a
 	// request failed.
 	passesIgnoredUntil Time
-	// passesIgnoredPeriod is the duration of that period after the next failure. It doubles with each
-	// counted failure until the server answers successfully.
+	// passesIgnoredPeriod is the duration for which passed health checks are ignored after the next
+	// failure. It doubles with each counted failure until the server answers successfully.
 	passesIgnoredPeriod time.Duration
 	// ejectedAt is the time at which the server left the lookup tables; 0 if the server is in them.
 	ejectedAt Time
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -15,10 +15,11 @@
 	// Cancel asks the host to stop waiting for the numbered attempt. The host still reports its
 	// outcome.
 	Cancel(id RequestID, attempt int)
-	// Reject gives a request its final answer, a rejection. It promises the client that the request
-	// had no effect and that a retry is harmless, preferably after retryAfter; 0 means no advice.
+	// Reject gives a request its final answer, a rejection. The rejection promises the client that
+	// the request had no effect and that a retry is safe, preferably after retryAfter; 0 means no
+	// advice.
 	Reject(id RequestID, retryAfter time.Duration)
-	// Fail gives a request its final answer without that promise: the request may have run.
+	// Fail gives a request its final answer, a failure: the request may have run.
 	Fail(id RequestID)
 	// CheckHealth sends one active health check. The host passes the result to HandleHealthCheck.
 	CheckHealth(to ServerID)
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// clientMayRetry reports whether the client may send the request again without a second effect. A
-// rejection promises this.
+// clientMayRetry reports whether the client may send the request again without a second effect, as
+// a rejection promises.
 func (r *request) clientMayRetry() bool {
 	c := r.admittedClass
 	if c.Idempotency == Idempotent || c.Idempotency == IdempotencyKeyed && c.DedupScope == DedupFleet {
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -28,7 +28,7 @@
 	meanLatency float64 // seconds
 	meanWork    float64 // seconds: mean of the expected work, or of the latency if the client expects none
 	// baseLatency is the latency that nine out of ten answers exceed, as a share of the latency
-	// objective. Only a small part of it is waiting.
+	// objective. Only a small part of this latency is time spent waiting.
 	baseLatency float64
 	// limitShare is the share of a server's concurrency limit that requests of the class may use.
 	limitShare float64
@@ -46,7 +46,8 @@
 	}
 }
 
-// latencyObjective returns the time limit for an answer to this request to earn its full weight.
+// latencyObjective returns the latency objective of the request: that of its class, extended by the
+// expected work, but at most the class's deadline. A later answer does not earn its full weight.
 func (r *request) latencyObjective() time.Duration {
 	perWork := time.Duration(r.class.ObjectivePerWork * r.expectedWork * float64(time.Second))
 	return min(r.class.LatencyObjective+perWork, r.class.Deadline)
--- a/balancer/log.go
+++ b/balancer/log.go
@@ -11,8 +11,8 @@
 
 // logLimiter limits the rate of log lines with a token bucket.
 type logLimiter struct {
-	// tokensUsedUntil is the end of the time whose tokens are used: each second from then until now is
-	// one unused token.
+	// tokensUsedUntil represents the unused tokens: their number is the number of seconds from
+	// tokensUsedUntil until now.
 	tokensUsedUntil Time
 }
 
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -9,8 +9,8 @@
 	// passesIgnoredPeriod after a failed request. The minimum prevents all nodes from retrying the
 	// server at the same time.
 	minPassesIgnoredPerNode = time.Second / 8
-	// maxPassesIgnoredPeriod is the maximum of passesIgnoredPeriod, including its minimum and its
-	// doubling.
+	// maxPassesIgnoredPeriod is the maximum of passesIgnoredPeriod. It also limits the minimum by
+	// minPassesIgnoredPerNode and each doubling.
 	maxPassesIgnoredPeriod = 8 * checkIntervalDown
 	// maxSilenceLatencies is the duration for which a server with requests in flight may send no answer,
 	// as a multiple of the mean latency.
@@ -44,10 +44,10 @@
 }
 
 // failureWeight returns the number of failures that one failed attempt counts as, from 1 to
-// fallThreshold. It is 1 if no server has answered since checkIntervalUnsettled before the attempt
-// was sent. Otherwise it grows with the time since the last success of the attempt's server: while
-// other servers answer, a server that receives few requests from this node has had enough time to
-// succeed.
+// fallThreshold. It is 1 if no server has answered successfully in the time from
+// checkIntervalUnsettled before the attempt was sent until now. Otherwise it is the time since the
+// last success of the attempt's server, in units of checkIntervalUnsettled: while other servers
+// answer, a server that receives few requests from this node has had enough time to succeed.
 func (b *Balancer) failureWeight(a *attempt) float64 {
 	if b.lastSuccessAt <= a.sentAt-Time(checkIntervalUnsettled) {
 		return 1
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -8,11 +8,12 @@
 const (
 	// maxSpillEntries is the maximum number of entries that a first attempt examines.
 	maxSpillEntries = 12
-	// maxZoneEntries is the number of these entries that come from the table of this node's zone if
-	// the key stays in the zone.
+	// maxZoneEntries is the number of the maxSpillEntries entries that come from the table of this
+	// node's zone if the key stays in the zone.
 	maxZoneEntries = 6
-	// maxRetryEntries is the maximum number of entries that a retry examines. It is higher because a
-	// deduplication scope may restrict the retry to servers that are not among the first entries.
+	// maxRetryEntries is the maximum number of entries that a retry examines. It is higher than
+	// maxSpillEntries because a deduplication scope may restrict the retry to servers that are not
+	// among the first entries.
 	maxRetryEntries = 48
 	// spillLimitFactor is the factor applied to the usable share of a server's limit at each spill. The
 	// rest stays free for the server's own keys, because the spilled key is not cached there.
@@ -20,14 +21,14 @@
 
 	// attemptWindow is the time constant over which the attempts to a server are counted.
 	attemptWindow = 10 * time.Second
-	// attemptDecay is the share of that count that remains after one tick.
+	// attemptDecay is the factor that is applied to the count of attempts at each tick.
 	attemptDecay = 1 - float64(tickInterval)/float64(attemptWindow)
 	// assumedAttempts is the number of attempts per server that a node assumes in addition to its
 	// count, which is 0 when it starts.
 	assumedAttempts = 0.5
 
-	// waitWeightPenalty is the decrease of a server's effective weight, as a share, per unit of mean
-	// wait above acceptableWait; maxWeightPenalty is its maximum.
+	// waitWeightPenalty is the share by which a server's effective weight decreases per unit of
+	// mean wait above acceptableWait. maxWeightPenalty is the maximum of the total decrease.
 	waitWeightPenalty = 1.5
 	maxWeightPenalty  = 0.9
 )
@@ -105,9 +106,9 @@
 
 // underservedServer returns a warming server that should receive this request regardless of the
 // request's key, or nil. Such a server has received nothing from this node in the current half
-// window, and its allowance is less than the cost of the request. Without this rule, a node with
-// little traffic would rarely select the server by key in the same half window in which the
-// server's random draw admits a request.
+// window, and its allowance is less than the cost of the request. The server's random draw admits
+// such a request only in some half windows, and a node with little traffic would rarely select the
+// server by key in one of these.
 func (b *Balancer) underservedServer(r *request) *server {
 	b.refreshTables()
 	warming := b.tables.warming
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -98,9 +98,9 @@
 	// are warm at once.
 	SlowStart time.Duration
 	// OverloadFactor is the load at which a warming server fails, as a multiple of its current
-	// capacity.
+	// capacity. The load is counted over OverloadWindow.
 	OverloadFactor float64
-	// OverloadWindow is the duration over which the load for OverloadFactor is counted.
+	// OverloadWindow is the duration over which the load of a server is counted for OverloadFactor.
 	OverloadWindow time.Duration
 	// MaxAttempts is the maximum number of attempts per request. Values below 1 count as 1, values
 	// above maxAttempts as maxAttempts.
@@ -123,7 +123,7 @@
 	Hedging bool
 	// RetryAfter is set if rejections include the delay after which the client may retry.
 	RetryAfter bool
-	// MaxRetryAfter is the maximum of that delay.
+	// MaxRetryAfter is the maximum delay after which a rejection advises the client to retry.
 	MaxRetryAfter time.Duration
 	// WarmThroughput is the value that Balancer.WarmThroughput returned in the node's previous
 	// process; 0 means unknown.
--- a/balancer/shedding.go
+++ b/balancer/shedding.go
@@ -10,7 +10,8 @@
 	// server: a node that receives many answers from each server detects overload earlier through the
 	// concurrency limits.
 	shedWaitPerRate = 0.05
-	// maxShedWait is the maximum of that median wait, as a share of the latency objective.
+	// maxShedWait is the maximum of the median wait at which shedding starts, as a share of the
+	// latency objective.
 	maxShedWait = 0.35
 	// shedProbability is the probability at full shedding pressure that a request of the lowest rank
 	// is shed. A value above 1 also sheds all requests of ranks close to the lowest.
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -30,10 +30,10 @@
 	windowEnd    Time    // end of the half window to which the next three fields belong
 	spent        float64 // work sent in the half window, in requests of mean work
 	allowance    float64 // maximum work in the half window, in requests of mean work
-	// allowanceDraw is a random number in [0, 1): the share of the cost of a request that must be left
-	// of the allowance to admit the request. A request that costs more than the allowance is thus
-	// admitted at random, and the work admitted by all nodes together keeps to the sum of their
-	// allowances.
+	// allowanceDraw is a random number in [0, 1), drawn for each half window. A request is admitted
+	// if the unspent allowance is at least allowanceDraw times the cost of the request. A request
+	// that costs more than the allowance is therefore admitted at random, and the work that all
+	// nodes together admit stays close to the sum of their allowances.
 	allowanceDraw float64
 }
 
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -114,7 +114,7 @@
 func (r *Router) Counters() *Counters { return r.counters }
 
 // Run runs the event loop until ctx ends. It returns after all goroutines that it started have ended. It must be called
-// only once. The error is non-nil only if the Balancer rejects the settings.
+// only once. It returns an error only if the Balancer rejects the settings.
 func (r *Router) Run(ctx context.Context) error {
 	defer r.tasks.Wait()
 	defer r.stopTimers()
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -20,9 +20,9 @@
 	// Suspected is the set of servers that are excluded even if they are in Included, because the fleet considers them
 	// failed.
 	Suspected map[balancer.ServerID]bool
-	// ActiveZones is the number of zones that contain nodes. The servers of a zone without nodes receive only traffic that
-	// nodes of other zones send across. They would be idle if those nodes assumed that each zone contains a node. 0 means
-	// unknown; the number of zones in the settings then applies.
+	// ActiveZones is the number of zones that contain nodes; 0 means unknown, and the number of zones in the settings then
+	// applies. The servers of a zone without nodes receive only traffic that nodes in other zones send across zones. If
+	// those nodes counted the zone as one with nodes, they would leave its servers to it, and the servers would be idle.
 	ActiveZones int
 }
 
--- a/internal/transport/client_limits.go
+++ b/internal/transport/client_limits.go
@@ -9,8 +9,9 @@
 	// silentGrace is the time for which a new connection may send nothing when the limit is reached. The bytes of a client
 	// that sends at once have been read by then or wait to be read.
 	silentGrace = 100 * time.Millisecond
-	// stalledGrace is the time for which an incomplete request may receive no bytes when the limit is reached. The longest
-	// stalled request is evicted first, so a request that arrives in pieces outlives requests that have stopped.
+	// stalledGrace is the time for which an incomplete request may receive no bytes when the limit is reached. The request
+	// that has stalled for the longest time is evicted first, so a request that arrives in pieces is kept longer than one
+	// that no longer receives bytes.
 	stalledGrace = 300 * time.Millisecond
 	// maxPeeks is the maximum number of connections that are checked in the search for an evictable one.
 	maxPeeks = 16
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -13,11 +13,11 @@
 	net.Conn
 	// CloseWrite closes the sending side. The remote side reads until EOF and may still send.
 	CloseWrite() error
-	// ReadUnderLock reads like Read, but while it holds mu: whenever bytes or EOF may be available, it locks mu and calls
-	// open. If open returns nil, it reads, calls took with the number of bytes if that is positive, and unlocks mu. If
-	// open returns an error, it reads nothing and returns that error. If b is empty, it reads nothing and returns a nil
-	// error when bytes are available. It must not be called concurrently.
-	ReadUnderLock(b []byte, mu sync.Locker, open func() error, took func(n int)) (int, error)
+	// ReadUnderLock reads like Read, but while it holds mu. Whenever bytes or EOF may be available, it locks mu and calls
+	// beforeRead. If beforeRead returns nil, it reads, calls afterRead with the number of bytes if that is positive, and
+	// unlocks mu. If beforeRead returns an error, it reads nothing and returns that error. If b is empty, it reads nothing
+	// and returns a nil error when bytes are available. It must not be called concurrently.
+	ReadUnderLock(b []byte, mu sync.Locker, beforeRead func() error, afterRead func(n int)) (int, error)
 	// Peek checks for readable data without reading it. n > 0 means that bytes are available; 0 and nil, that the remote
 	// side has closed; syscall.EAGAIN, that nothing is available; any other error, that the connection is broken.
 	Peek() (n int, err error)
--- a/internal/transport/drain.go
+++ b/internal/transport/drain.go
@@ -8,7 +8,7 @@
 
 // The durations of a graceful shutdown, measured from its start; see Frontend.Drain.
 const (
-	// drainAcceptIdle is the time for which idle connections are kept: clients open new ones for up to 0.4 s.
+	// drainAcceptIdle is the time for which idle connections are kept open, because clients open new ones for up to 0.4 s.
 	drainAcceptIdle = 500 * time.Millisecond
 	// drainFullBudget is the time after the start of a shutdown within which a call may begin and still use its full
 	// timeout.
--- a/internal/transport/endpoint_poll.go
+++ b/internal/transport/endpoint_poll.go
@@ -153,7 +153,7 @@
 	return group, version, false
 }
 
-// scheduleRetry schedules the next request after one that failed. rejected tells whether discovery rejected it.
+// scheduleRetry schedules the next request after one that failed. rejected reports whether discovery rejected it.
 func (p *pollState) scheduleRetry(rejected bool) {
 	w := p.watcher
 	pause := &p.retryPause // this pause is short, since a fault that breaks most requests may let one through
--- a/internal/transport/endpoint_watcher.go
+++ b/internal/transport/endpoint_watcher.go
@@ -38,12 +38,12 @@
 	// parallelPollAfter is the duration after which a further request is sent if a request without hold has no response.
 	parallelPollAfter = 450 * time.Millisecond
 	// rejectedPollAfter replaces pollLateAfter and parallelPollAfter once discovery has rejected a request. An overloaded
-	// discovery queues a request for up to 2 s, and rejects it together with the next request that the same node sends
-	// meanwhile. A node that polls more often would never be served.
+	// discovery queues a request for up to 2 s. If the same node sends another request in this time, discovery rejects
+	// both, so a node that polls more often would never get a list.
 	rejectedPollAfter = 2200 * time.Millisecond
-	// pollReadTimeout is the duration beyond its hold within which a response must be complete. Parallel requests are sent
-	// long before. The timeout ends responses that arrive a few bytes at a time, and leaves more than half of the time in
-	// which a change is due.
+	// pollReadTimeout is the maximum duration from the end of the hold until the response is complete. It ends responses
+	// that arrive a few bytes at a time, and leaves more than half of the time in which a change is due. Parallel requests
+	// are sent long before it expires.
 	pollReadTimeout = 2400 * time.Millisecond
 	// maxExtraPolls is the number of requests that may follow a failed one before the watch ends. After a rejection the
 	// next watch starts with the current backoff.
--- a/internal/transport/endpoint_watcher_test.go
+++ b/internal/transport/endpoint_watcher_test.go
@@ -102,9 +102,9 @@
 		}, slog.New(slog.DiscardHandler))
 		const last = defaultPollWait + pollLateAfter + (maxExtraPolls-1)*parallelPollAfter // when the last request is sent
 		err := w.Watch(t.Context(), nil)
-		if took := time.Since(started); err == nil || dialed.Load() != 1+maxExtraPolls || took > last+pollReadTimeout {
+		if elapsed := time.Since(started); err == nil || dialed.Load() != 1+maxExtraPolls || elapsed > last+pollReadTimeout {
 			t.Errorf("error %v after %d requests in %v, want an error after %d requests in at most %v",
-				err, dialed.Load(), took, 1+maxExtraPolls, last+pollReadTimeout)
+				err, dialed.Load(), elapsed, 1+maxExtraPolls, last+pollReadTimeout)
 		}
 	})
 }
--- a/internal/transport/linger.go
+++ b/internal/transport/linger.go
@@ -11,10 +11,10 @@
 const (
 	// lingerTimeout limits the total lingering time.
 	lingerTimeout = 5 * time.Second
-	// lingerStallTimeout limits the time without a byte: a client that then holds the connection open has had its
-	// response.
+	// lingerStallTimeout limits the time without a byte. A client that sends nothing for this time has received the
+	// response, even if it keeps the connection open.
 	lingerStallTimeout = time.Second
-	// lingerDrainTimeout limits the total lingering time during draining, which has to end in time.
+	// lingerDrainTimeout limits the total lingering time during draining, so that the shutdown ends in time.
 	lingerDrainTimeout = 300 * time.Millisecond
 	// lingerUnreadTimeout is the time for the response to arrive if a later request remains unread.
 	lingerUnreadTimeout = 250 * time.Millisecond
--- a/internal/transport/request_message.go
+++ b/internal/transport/request_message.go
@@ -132,8 +132,8 @@
 	return err
 }
 
-// clientLeft checks before an attempt is sent whether the client has disconnected. It saves the servers attempts
-// without a recipient, because a client connection is not watched yet at the beginning of a call.
+// clientLeft reports, before an attempt is sent, whether the client has disconnected. It saves the servers attempts
+// whose response nobody receives, because a client connection is not watched yet at the beginning of a call.
 func (m *requestMessage) clientLeft(attempt int, now time.Time) bool {
 	return m.client != nil && (attempt > 0 || now.Sub(m.arrivedAt) > immediateSendWindow) && m.client.hasDisconnected()
 }
--- a/internal/transport/response_head.go
+++ b/internal/transport/response_head.go
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// parseConnection parses the options of a Connection field, and reports whether close is one of them.
+// parseConnection parses the options of a Connection field and reports whether one of them is close.
 func (h *responseHead) parseConnection(value string) (closes bool) {
 	for option := range strings.SplitSeq(value, ",") {
 		option = strings.TrimSpace(option)
--- a/internal/transport/tcp_conn.go
+++ b/internal/transport/tcp_conn.go
@@ -93,11 +93,11 @@
 }
 
 // ReadUnderLock implements Conn.
-func (t *tcpConn) ReadUnderLock(b []byte, mu sync.Locker, open func() error, took func(n int)) (int, error) {
+func (t *tcpConn) ReadUnderLock(b []byte, mu sync.Locker, beforeRead func() error, afterRead func(n int)) (int, error) {
 	t.b = b
 	t.mu = mu
-	t.beforeRead = open
-	t.afterRead = took
+	t.beforeRead = beforeRead
+	t.afterRead = afterRead
 	t.n = 0
 	t.beforeReadErr = nil
 	t.readErr = nil
--- a/internal/transport/transfer_pace.go
+++ b/internal/transport/transfer_pace.go
@@ -6,8 +6,8 @@
 	// minBodyRate is the minimum average rate of a body, in bytes per second: half of the rate that clients are known to
 	// need.
 	minBodyRate = 32 << 10
-	// bodyStallTimeout is the time that a request may take in addition to its body's bytes at minBodyRate. It includes the
-	// time for the head.
+	// bodyStallTimeout is the time that a request may take in addition to the time that its body needs at minBodyRate. It
+	// includes the time for the head.
 	bodyStallTimeout = 2700 * time.Millisecond
 	// streamStallTimeout is the duration for which a server may neither send nor accept bytes of a message that is too
 	// long to be buffered.
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -52,8 +52,8 @@
 	bodyRead atomic.Bool
 	// bodySent is true once the last byte of the body has been written to the server.
 	bodySent atomic.Bool
-	// stopped is true once the rest of the body is not wanted. The client is not blamed for a rest that is missing
-	// afterwards.
+	// stopped is true once the rest of the body is no longer needed. A rest that is missing afterwards does not count as
+	// an error of the client.
 	stopped atomic.Bool
 	// responseDeadline is the deadline of the server's response, in Unix nanoseconds; 0: not yet known.
 	responseDeadline atomic.Int64
--- a/internal/transport/upload_pace_test.go
+++ b/internal/transport/upload_pace_test.go
@@ -84,8 +84,8 @@
 				if u.bodySent.Load() != (c.fault == "") || late != (c.fault == client) || u.clientErr != nil && !late {
 					t.Errorf("body sent: %v, client error: %v", u.bodySent.Load(), u.clientErr)
 				}
-				if took := time.Since(started); took > c.maxDuration {
-					t.Errorf("the attempt took %v, longer than allowed", took)
+				if elapsed := time.Since(started); elapsed > c.maxDuration {
+					t.Errorf("the attempt took %v, longer than allowed", elapsed)
 				}
 			})
 		})
