--- a/internal/routing/watch_test.go
+++ b/internal/routing/watch_test.go
@@ -31,7 +31,7 @@
 	at := draining.ReceivedAt
 	deliver(draining)
 	if u := upstream(7); !u.MaySend(at, grace) || u.MaySend(at.Add(grace*3/4), grace) {
-		t.Error("a draining server must accept attempts for its grace period and not after it")
+		t.Error("a draining server must accept attempts at first, and none after 3/4 of its grace period")
 	}
 	if u := upstream(8); !u.MaySend(at.Add(time.Hour), grace) {
 		t.Error("an update of server 7 changed the state of server 8")
