--- a/internal/transport/linger.go
+++ b/internal/transport/linger.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Limits of lingering, the time between the decision to close a connection and the close. A client on a slow path can
-// still write the longest known body, 60 MB, and then read why it was rejected.
+// Limits of lingering, the time between the decision to close a connection and the close. They allow a client on a slow
+// path to write the longest known body, 60 MB, and then to read the response with the reason for the rejection.
 const (
 	// lingerTimeout limits the total lingering time.
 	lingerTimeout = 5 * time.Second
-	// lingerStallTimeout limits the time without a byte: a client that then holds the connection open has had its
-	// response.
+	// lingerStallTimeout limits the time without a byte. A client that sends nothing for this time has received the
+	// response, even if it keeps the connection open.
 	lingerStallTimeout = time.Second
-	// lingerDrainTimeout limits the total lingering time during draining, which has to end in time.
+	// lingerDrainTimeout limits the total lingering time during draining, so that the shutdown ends in time.
 	lingerDrainTimeout = 300 * time.Millisecond
 	// lingerUnreadTimeout is the time for the response to arrive if a later request remains unread.
 	lingerUnreadTimeout = 250 * time.Millisecond
