--- a/internal/lab/fleet/budget.go
+++ b/internal/lab/fleet/budget.go
@@ -23,9 +23,9 @@
 	Nodes          int     `json:"nodes"`
 	Seconds        float64 `json:"seconds"`
 	Over           float64 `json:"over"`      // maximum ratio of the arrivals in a window to the number allowed
-	ShareSum       float64 `json:"share_sum"` // maximum sum of the shares usable at one instant, of the budget
+	ShareSum       float64 `json:"share_sum"` // maximum sum of the shares usable at one instant, as part of the budget
 	Use            float64 `json:"use"`       // minimum used fraction of the budget while nothing changed
-	UseAfter       float64 `json:"use_after"` // the same from 10 s after a change on
+	UseAfter       float64 `json:"use_after"` // minimum used fraction of the budget from 10 s after a change on
 	IdleAfterDeath float64 `json:"idle_after_death_s"`
 	ShareError     float64 `json:"fair"` // maximum of |share of the budget - share of the demand|, 5 s after a change
 	NewcomerWait   float64 `json:"newcomer_s"`
