--- a/internal/lab/experiment/script.go
+++ b/internal/lab/experiment/script.go
@@ -95,7 +95,7 @@
 	if f.Kind == fault.Rogues {
 		return &fault.Error{Key: "kind", Reason: `"rogues" are stated as [[rogues]]`}
 	}
-	return s.Involve(f, part)
+	return s.AddFault(f, part)
 }
 
 // replace puts an error on a script where the experiment states what is wrong.
@@ -165,7 +165,7 @@
 	f.At, f.Pause = e.scaled(f.At, short), e.scaled(f.Pause, short)
 	f.Back, f.TurnAway = e.scaled(f.Back, short), e.scaled(f.TurnAway, short)
 	if f.For > 0 {
-		f.For = max(e.scaled(f.For, short), fault.Least(f.Kind, &s.World))
+		f.For = max(e.scaled(f.For, short), fault.MinDuration(f.Kind, &s.World))
 	}
 	return f
 }
--- a/internal/lab/fault/acts.go
+++ b/internal/lab/fault/acts.go
@@ -9,9 +9,9 @@
 
 // This file holds what the faults do, one method a kind or family of kinds.
 
-// killed is how long a peer may take beyond the end of its drain before it is
+// drainKillDelay is how long a peer may take beyond the end of its drain before it is
 // killed, as a platform does.
-const killed = 3 * time.Second
+const drainKillDelay = 3 * time.Second
 
 func (r *run) death(f *Fault) {
 	for _, name := range f.Peers {
@@ -73,11 +73,11 @@
 func (r *run) drain(f *Fault) {
 	for i, name := range f.Peers {
 		heir := ""
-		if len(f.Heirs) > 0 {
-			heir = f.Heirs[i]
+		if len(f.Replacements) > 0 {
+			heir = f.Replacements[i]
 		}
 		r.loop.After(time.Duration(i)*f.Pause.D(), func() {
-			if !r.over {
+			if !r.finished {
 				r.drainOne(f, name, heir)
 			}
 		})
@@ -86,35 +86,35 @@
 
 func (r *run) drainOne(f *Fault, name, heir string) {
 	l, p := r.peers[name], r.target.Peer(name)
-	if l.out {
+	if l.outOfService {
 		return
 	}
-	l.held++
+	l.holds++
 	if !p.Down() {
 		p.Drain(f.TurnAway.D(), f.For.D())
 	}
 	next := func() {
 		if heir != "" {
-			r.succeed(name, heir)
+			r.startReplacement(name, heir)
 		} else {
 			l.release(p)
 		}
 	}
-	r.loop.After(f.For.D(), func() { r.ended(p, r.loop.Now()+killed, f.Back.D(), next) })
+	r.loop.After(f.For.D(), func() { r.awaitExit(p, r.loop.Now()+drainKillDelay, f.Back.D(), next) })
 }
 
-// ended waits until a peer that drains has ended, and lets next happen a while
+// awaitExit waits until a peer that drains has ended, and lets next happen a while
 // after. A drain that the script's end meets goes on by itself: nobody needs
 // the peer any more.
-func (r *run) ended(p Peer, patience, back time.Duration, next func()) {
+func (r *run) awaitExit(p Peer, patience, back time.Duration, next func()) {
 	switch {
-	case r.over && p.Down():
+	case r.finished && p.Down():
 		next()
 		return
-	case r.over:
+	case r.finished:
 		return
 	case !p.Down() && r.loop.Now() < patience:
-		r.loop.After(100*time.Millisecond, func() { r.ended(p, patience, back, next) })
+		r.loop.After(100*time.Millisecond, func() { r.awaitExit(p, patience, back, next) })
 		return
 	case !p.Down():
 		p.Kill()
@@ -125,26 +125,26 @@
 func (r *run) replace(f *Fault) {
 	for i, name := range f.Peers {
 		l, p := r.peers[name], r.target.Peer(name)
-		if l.out {
+		if l.outOfService {
 			continue
 		}
-		l.held++
+		l.holds++
 		if !p.Down() {
 			p.Kill()
 		}
-		r.after(f.For.D(), func() { r.succeed(name, f.Heirs[i]) })
+		r.after(f.For.D(), func() { r.startReplacement(name, f.Replacements[i]) })
 	}
 }
 
-// succeed starts the peer that takes another's place for good.
-func (r *run) succeed(name, heir string) {
-	if r.peers[name].out { // another fault was earlier
+// startReplacement starts the peer that takes another's place for good.
+func (r *run) startReplacement(name, heir string) {
+	if r.peers[name].outOfService { // another fault was earlier
 		return
 	}
-	r.peers[name].out = true
+	r.peers[name].outOfService = true
 	l, p := r.peers[heir], r.target.Peer(heir)
-	l.out = false
-	if l.held == 0 && p.Down() {
+	l.outOfService = false
+	if l.holds == 0 && p.Down() {
 		p.Start()
 	}
 }
@@ -153,7 +153,7 @@
 // one whatever else is open, and whatever else the script holds.
 func (r *run) hush(f *Fault) {
 	these := r.hosts(f)
-	r.silence(f, func(from, to string) bool { return r.nodes[from] != nil && these(to) })
+	r.silenceConnections(f, func(from, to string) bool { return r.nodes[from] != nil && these(to) })
 }
 
 func (r *run) mute(f *Fault) {
@@ -161,10 +161,10 @@
 	for _, n := range f.Nodes {
 		to[n] = true
 	}
-	r.silence(f, func(from, host string) bool { return to[host] && r.target.Zone(from) == "" })
+	r.silenceConnections(f, func(from, host string) bool { return to[host] && r.target.Zone(from) == "" })
 }
 
-func (r *run) silence(f *Fault, among func(from, to string) bool) {
+func (r *run) silenceConnections(f *Fault, among func(from, to string) bool) {
 	purpose := f.Kind + " at " + f.At.D().String() + " "
 	r.target.Network().Hush(func(conn string) bool {
 		from, to, _ := strings.Cut(conn, ">")
@@ -177,7 +177,7 @@
 func (r *run) hosts(f *Fault) func(host string) bool {
 	set := map[string]bool{}
 	for _, name := range f.Peers {
-		set[r.peers[name].at] = true
+		set[r.peers[name].host] = true
 	}
 	return func(host string) bool { return set[host] }
 }
@@ -190,21 +190,21 @@
 	net, discovery := r.target.Network(), r.target.Discovery()
 	for _, name := range f.Peers {
 		l := r.peers[name]
-		if l.out {
+		if l.outOfService {
 			continue
 		}
 		p := r.target.Peer(name)
-		if l.vanished++; l.vanished == 1 {
-			net.Vanish(l.at)
+		if l.vanishCount++; l.vanishCount == 1 {
+			net.Vanish(l.host)
 			if !p.Down() {
 				discovery.Vanished(name)
 			}
 		}
 		r.after(f.For.D(), func() {
-			if l.vanished--; l.vanished > 0 {
+			if l.vanishCount--; l.vanishCount > 0 {
 				return
 			}
-			net.Return(l.at)
+			net.Return(l.host)
 			if !p.Down() { // one that ended meanwhile is listed when it starts
 				discovery.Returned(name)
 			}
@@ -231,18 +231,18 @@
 func (r *run) move(f *Fault) {
 	addr := r.target.Discovery().Move()
 	for i, n := range r.script.World.Nodes {
-		r.after(time.Duration(i+1)*f.Pause.D(), func() { r.hup(n.Name, addr) })
+		r.after(time.Duration(i+1)*f.Pause.D(), func() { r.reload(n.Name, addr) })
 	}
 }
 
 func (r *run) nodeReload(f *Fault) {
 	for _, name := range f.Nodes {
-		r.hup(name, "")
+		r.reload(name, "")
 	}
 }
 
-func (r *run) hup(name, discovery string) {
-	if n := r.target.Node(name); r.nodes[name].held == 0 && !n.Down() {
+func (r *run) reload(name, discovery string) {
+	if n := r.target.Node(name); r.nodes[name].holds == 0 && !n.Down() {
 		n.Hup(discovery)
 	}
 }
@@ -250,7 +250,7 @@
 // operate makes an operator's call at each of some nodes that run.
 func (r *run) operate(nodes []string, call, peer string) {
 	for _, name := range nodes {
-		if n := r.target.Node(name); r.nodes[name].held == 0 && !n.Down() {
+		if n := r.target.Node(name); r.nodes[name].holds == 0 && !n.Down() {
 			n.Operate(call, peer)
 		}
 	}
@@ -265,7 +265,7 @@
 	for _, name := range f.Peers {
 		r.operate(nodes, "SUSPEND", name)
 		r.loop.After(f.For.D()/4, func() {
-			if !r.over {
+			if !r.finished {
 				r.hold(r.peers[name], r.target.Peer(name), f.For.D()/2)
 			}
 		})
@@ -287,11 +287,11 @@
 func (r *run) nodeRestart(f *Fault) {
 	for _, name := range f.Nodes {
 		l, n := r.nodes[name], r.target.Node(name)
-		if l.held++; l.held == 1 && !n.Down() {
+		if l.holds++; l.holds == 1 && !n.Down() {
 			n.Term()
 		}
 		r.after(f.For.D(), func() {
-			if l.held == 1 && !n.Down() {
+			if l.holds == 1 && !n.Down() {
 				n.Kill()
 			}
 			l.release(n)
--- a/internal/lab/fault/check.go
+++ b/internal/lab/fault/check.go
@@ -20,70 +20,70 @@
 // checker goes through a script.
 type checker struct {
 	problems
-	s        *Script
-	names    map[string]string // of machines and whatever else has a name of its own, and where it stands
-	peers    map[string]*world.Peer
-	heirs    map[string]string // and the fault that starts them
-	zones    map[string]bool
-	classes  map[string]bool
-	tenants  map[string]bool
-	nodes    map[string]bool
-	clients  map[string]bool
-	machines map[string]string // of peers that are there from the start, and whose
+	s         *Script
+	names     map[string]string // of machines and whatever else has a name of its own, and where it stands
+	peers     map[string]*world.Peer
+	startedBy map[string]string // and the fault that starts them
+	zones     map[string]bool
+	classes   map[string]bool
+	tenants   map[string]bool
+	nodes     map[string]bool
+	clients   map[string]bool
+	machines  map[string]string // of peers that are there from the start, and whose
 }
 
 func (s *Script) problems() problems {
-	c := &checker{s: s, names: map[string]string{}, peers: map[string]*world.Peer{}, heirs: map[string]string{},
+	c := &checker{s: s, names: map[string]string{}, peers: map[string]*world.Peer{}, startedBy: map[string]string{},
 		zones: map[string]bool{}, classes: map[string]bool{}, tenants: map[string]bool{},
 		nodes: map[string]bool{}, clients: map[string]bool{}, machines: map[string]string{}}
 	if s.Seed > math.MaxInt64 {
 		c.add("seed", "%d is above %d", s.Seed, int64(math.MaxInt64))
 	}
-	c.figures()
-	c.parts()
-	c.hosts()
-	c.crowds()
+	c.checkLimits()
+	c.checkReferenced()
+	c.checkHosts()
+	c.checkClients()
 	table := kinds()
 	for i := range s.Faults {
-		c.fault(fmt.Sprintf("fault[%d]", i), &s.Faults[i], table)
+		c.checkFault(fmt.Sprintf("fault[%d]", i), &s.Faults[i], table)
 	}
 	for i, p := range s.World.Peers {
-		if p.Late && c.heirs[p.Name] == "" {
-			c.add(place("world.peer", i, "late"), "no fault starts %q", p.Name)
+		if p.Late && c.startedBy[p.Name] == "" {
+			c.add(fieldKey("world.peer", i, "late"), "no fault starts %q", p.Name)
 		}
 	}
 	return c.problems
 }
 
-// figures holds every figure against its limit.
-func (c *checker) figures() {
+// checkLimits holds every figure against its limit.
+func (c *checker) checkLimits() {
 	table := limits()
 	see := func(key, bare string, v reflect.Value) {
-		if why := table[bare].outside(v); why != "" {
+		if why := table[bare].violation(v); why != "" {
 			c.add(key, "%s", why)
 		}
 	}
 	see("length", "length", reflect.ValueOf(c.s.Length))
-	figures("world", "world", reflect.ValueOf(c.s.World), see)
+	visitNumbers("world", "world", reflect.ValueOf(c.s.World), see)
 }
 
-// parts checks what others refer to: zones, classes, tenants, discovery.
-func (c *checker) parts() {
+// checkReferenced checks what others refer to: zones, classes, tenants, discovery.
+func (c *checker) checkReferenced() {
 	w := &c.s.World
-	c.some("world.zones", len(w.Zones))
+	c.requireNonEmpty("world.zones", len(w.Zones))
 	for i, z := range w.Zones {
 		c.unique(fmt.Sprintf("world.zones[%d]", i), z, c.zones)
 	}
-	c.some("world.class", len(w.Classes))
+	c.requireNonEmpty("world.class", len(w.Classes))
 	for i, k := range w.Classes {
-		c.unique(place("world.class", i, "name"), k.Name, c.classes)
+		c.unique(fieldKey("world.class", i, "name"), k.Name, c.classes)
 		if k.Deadline < k.Aim {
-			c.add(place("world.class", i, "deadline"), "%v is less than the aim, %v", k.Deadline.D(), k.Aim.D())
+			c.add(fieldKey("world.class", i, "deadline"), "%v is less than the aim, %v", k.Deadline.D(), k.Aim.D())
 		}
 	}
-	c.some("world.tenant", len(w.Tenants))
+	c.requireNonEmpty("world.tenant", len(w.Tenants))
 	for i, t := range w.Tenants {
-		c.unique(place("world.tenant", i, "name"), t.Name, c.tenants)
+		c.unique(fieldKey("world.tenant", i, "name"), t.Name, c.tenants)
 	}
 	for _, at := range []struct{ key, addr string }{{"addr", w.Discovery.Addr}, {"spare", w.Discovery.Spare}} {
 		key := "world.discovery." + at.key
@@ -92,42 +92,42 @@
 			c.add(key, "not host:port: %q", at.addr)
 			continue
 		}
-		c.own(key, host)
+		c.uniqueHost(key, host)
 	}
 }
 
-// hosts checks nodes and peers.
-func (c *checker) hosts() {
+// checkHosts checks nodes and peers.
+func (c *checker) checkHosts() {
 	w := &c.s.World
-	c.some("world.node", len(w.Nodes))
+	c.requireNonEmpty("world.node", len(w.Nodes))
 	for i, n := range w.Nodes {
-		c.own(place("world.node", i, "name"), n.Name)
-		c.known(place("world.node", i, "zone"), "zone", n.Zone, c.zones)
+		c.uniqueHost(fieldKey("world.node", i, "name"), n.Name)
+		c.requireKnown(fieldKey("world.node", i, "zone"), "zone", n.Zone, c.zones)
 		c.nodes[n.Name] = true
 	}
 	early := 0
 	for i := range w.Peers {
 		p := &w.Peers[i]
-		c.own(place("world.peer", i, "name"), p.Name)
-		c.known(place("world.peer", i, "zone"), "zone", p.Zone, c.zones)
+		c.uniqueHost(fieldKey("world.peer", i, "name"), p.Name)
+		c.requireKnown(fieldKey("world.peer", i, "zone"), "zone", p.Zone, c.zones)
 		c.peers[p.Name] = p
 		if p.Late {
 			continue
 		}
 		early++
 		if other := c.machines[host(*p)]; other != "" && other != p.Name {
-			c.add(place("world.peer", i, "host"), "%q is there already, for %s", host(*p), other)
+			c.add(fieldKey("world.peer", i, "host"), "%q is there already, for %s", host(*p), other)
 		}
 		c.machines[host(*p)] = p.Name
 	}
-	c.some("world.peer", early)
+	c.requireNonEmpty("world.peer", early)
 	for i, p := range w.Peers {
-		key := place("world.peer", i, "host")
+		key := fieldKey("world.peer", i, "host")
 		if p.Host == "" {
 			continue
 		}
-		if !plain(p.Host) {
-			c.add(key, notPlain, p.Host)
+		if !validName(p.Host) {
+			c.add(key, invalidNameFormat, p.Host)
 		}
 		if owner := c.names[p.Host]; owner != "" && c.peers[p.Host] == nil {
 			c.add(key, "%q is no peer's machine, see %s", p.Host, owner)
@@ -135,78 +135,78 @@
 	}
 }
 
-// crowds checks clients and rogues.
-func (c *checker) crowds() {
+// checkClients checks clients and rogues.
+func (c *checker) checkClients() {
 	w := &c.s.World
-	c.some("world.clients", len(w.Clients))
+	c.requireNonEmpty("world.clients", len(w.Clients))
 	for i, k := range w.Clients {
-		c.own(place("world.clients", i, "name"), k.Name)
+		c.uniqueHost(fieldKey("world.clients", i, "name"), k.Name)
 		c.clients[k.Name] = true
-		c.known(place("world.clients", i, "zone"), "zone", k.Zone, c.zones)
-		c.known(place("world.clients", i, "tenant"), "tenant", k.Tenant, c.tenants)
+		c.requireKnown(fieldKey("world.clients", i, "zone"), "zone", k.Zone, c.zones)
+		c.requireKnown(fieldKey("world.clients", i, "tenant"), "tenant", k.Tenant, c.tenants)
 		sum := 0.0
 		for _, class := range sortedKeys(k.Mix) {
-			key := place("world.clients", i, "mix."+class)
-			c.known(key, "class", class, c.classes)
-			if why := (limit{lo: 0, hi: 1}).outside(reflect.ValueOf(k.Mix[class])); why != "" {
+			key := fieldKey("world.clients", i, "mix."+class)
+			c.requireKnown(key, "class", class, c.classes)
+			if why := (limit{lo: 0, hi: 1}).violation(reflect.ValueOf(k.Mix[class])); why != "" {
 				c.add(key, "%s", why)
 			}
 			sum += k.Mix[class]
 		}
 		if !(sum > 0.99 && sum < 1.01) {
-			c.add(place("world.clients", i, "mix"), "shares add up to %s, not 1", text(figure.Round(sum, 3)))
+			c.add(fieldKey("world.clients", i, "mix"), "shares add up to %s, not 1", formatFloat(figure.Round(sum, 3)))
 		}
 	}
 	for i, k := range w.Rogues {
-		c.own(place("world.rogue", i, "name"), k.Name)
-		c.known(place("world.rogue", i, "zone"), "zone", k.Zone, c.zones)
+		c.uniqueHost(fieldKey("world.rogue", i, "name"), k.Name)
+		c.requireKnown(fieldKey("world.rogue", i, "zone"), "zone", k.Zone, c.zones)
 		if !slices.Contains(rogueKinds(), k.Kind) {
-			c.add(place("world.rogue", i, "kind"), "no such kind: %q", k.Kind)
+			c.add(fieldKey("world.rogue", i, "kind"), "no such kind: %q", k.Kind)
 		}
 		if end := k.From + k.For; end > c.s.Length {
-			c.add(place("world.rogue", i, "for"), "goes on until %v, the script until %v", end.D(), c.s.Length.D())
+			c.add(fieldKey("world.rogue", i, "for"), "goes on until %v, the script until %v", end.D(), c.s.Length.D())
 		}
 	}
 }
 
-// fault checks one fault against what its kind takes.
-func (c *checker) fault(at string, f *Fault, table map[string]Kind) {
+// checkFault checks one fault against what its kind takes.
+func (c *checker) checkFault(at string, f *Fault, table map[string]Kind) {
 	k, ok := table[f.Kind]
 	switch {
 	case !ok:
 		c.add(at+".kind", "no such kind: %q", f.Kind)
 		return
-	case k.set == nil:
+	case k.apply == nil:
 		c.add(at+".kind", "%q is stated in the world, as world.rogue", f.Kind)
 		return
 	}
 	v := reflect.ValueOf(*f)
 	for n := range v.NumField() {
-		key := name(v.Type().Field(n))
-		take, takes := k.take(key)
+		key := tomlKey(v.Type().Field(n))
+		take, takes := k.parameter(key)
 		switch field := v.Field(n); {
 		case key == "kind" || key == "at":
 		case !takes && !field.IsZero():
 			c.add(join(at, key), "%s takes none", f.Kind)
 		case takes && field.Kind() == reflect.Slice:
-			c.mentions(join(at, key), key, field.Interface().([]string))
+			c.checkNames(join(at, key), key, field.Interface().([]string))
 		case takes && field.Kind() == reflect.String:
 			set := map[string]map[string]bool{"zone": c.zones, "class": c.classes}[key]
-			c.known(join(at, key), key, field.String(), set)
+			c.requireKnown(join(at, key), key, field.String(), set)
 		case takes:
-			if why := (limit{lo: take.Lo, hi: take.Hi}).outside(field); why != "" {
+			if why := (limit{lo: take.Lo, hi: take.Hi}).violation(field); why != "" {
 				c.add(join(at, key), "%s", why)
 			}
 		}
 	}
-	if end := f.At + f.busy(); f.At >= c.s.Length || end > c.s.Length {
+	if end := f.At + f.activeDuration(); f.At >= c.s.Length || end > c.s.Length {
 		c.add(at+".at", "goes on until %v, the script until %v", end.D(), c.s.Length.D())
 	}
-	if least := killAfter(&c.s.World); f.Kind == "node-restart" && f.For < least {
+	if least := minRestartDuration(&c.s.World); f.Kind == "node-restart" && f.For < least {
 		c.add(at+".for", "%v is less than the %v that a platform leaves a node to end", f.For.D(), least.D())
 	}
-	c.heirsOf(at, f, &k)
-	if k.takes("zone") && k.takes("peers") {
+	c.checkReplacements(at, f, &k)
+	if k.hasParameter("zone") && k.hasParameter("peers") {
 		for i, name := range f.Peers {
 			if p := c.peers[name]; p != nil && p.Zone != f.Zone {
 				c.add(fmt.Sprintf("%s.peers[%d]", at, i), "%q is in zone %q", name, p.Zone)
@@ -218,9 +218,9 @@
 	}
 }
 
-// killAfter is how long after SIGTERM a node may be killed at the earliest: the
+// minRestartDuration is how long after SIGTERM a node may be killed at the earliest: the
 // longest deadline, counted as 3 s if it is longer, and 0.7 s.
-func killAfter(w *world.Config) figure.Span {
+func minRestartDuration(w *world.Config) figure.Span {
 	var longest figure.Span
 	for _, k := range w.Classes {
 		longest = max(longest, k.Deadline)
@@ -228,34 +228,34 @@
 	return min(longest, 3*figure.Span(time.Second)) + figure.Span(700*time.Millisecond)
 }
 
-// heirsOf checks who takes whose place.
-func (c *checker) heirsOf(at string, f *Fault, k *Kind) {
-	if !k.takes("heirs") {
+// checkReplacements checks who takes whose place.
+func (c *checker) checkReplacements(at string, f *Fault, k *Kind) {
+	if !k.hasParameter("heirs") {
 		return
 	}
-	if len(f.Heirs) != len(f.Peers) {
-		c.add(at+".heirs", "%d for %d peers", len(f.Heirs), len(f.Peers))
+	if len(f.Replacements) != len(f.Peers) {
+		c.add(at+".heirs", "%d for %d peers", len(f.Replacements), len(f.Peers))
 		return
 	}
-	for i, name := range f.Heirs {
+	for i, name := range f.Replacements {
 		key := fmt.Sprintf("%s.heirs[%d]", at, i)
 		heir, old := c.peers[name], c.peers[f.Peers[i]]
 		switch {
 		case heir == nil || old == nil:
 		case !heir.Late:
 			c.add(key, "%q is there from the start, and not late", name)
-		case c.heirs[name] != "":
-			c.add(key, "%q is started by %s already", name, c.heirs[name])
+		case c.startedBy[name] != "":
+			c.add(key, "%q is started by %s already", name, c.startedBy[name])
 		case host(*heir) != host(*old):
 			c.add(key, "%q has not the host of %q", name, old.Name)
 		}
-		c.heirs[name] = at
+		c.startedBy[name] = at
 	}
 }
 
-// mentions checks a fault's list of names.
-func (c *checker) mentions(key, what string, names []string) {
-	c.some(key, len(names))
+// checkNames checks a fault's list of names.
+func (c *checker) checkNames(key, what string, names []string) {
+	c.requireNonEmpty(key, len(names))
 	seen := map[string]bool{}
 	for i, n := range names {
 		at := fmt.Sprintf("%s[%d]", key, i)
@@ -266,7 +266,7 @@
 		case "clients":
 			known = c.clients
 		}
-		c.known(at, strings.TrimSuffix(what, "s"), n, known)
+		c.requireKnown(at, strings.TrimSuffix(what, "s"), n, known)
 		if seen[n] {
 			c.add(at, "%q stands twice", n)
 		}
@@ -274,7 +274,7 @@
 	}
 }
 
-func (c *checker) some(key string, n int) {
+func (c *checker) requireNonEmpty(key string, n int) {
 	if n == 0 {
 		c.add(key, "there must be one at least")
 	}
@@ -282,8 +282,8 @@
 
 // unique takes in a name that must not be there yet.
 func (c *checker) unique(key, name string, set map[string]bool) {
-	if !plain(name) {
-		c.add(key, notPlain, name)
+	if !validName(name) {
+		c.add(key, invalidNameFormat, name)
 	}
 	if set[name] {
 		c.add(key, "%q stands twice", name)
@@ -291,10 +291,10 @@
 	set[name] = true
 }
 
-// own takes in the name of something that is met on the network.
-func (c *checker) own(key, name string) {
-	if !plain(name) {
-		c.add(key, notPlain, name)
+// uniqueHost takes in the name of something that is met on the network.
+func (c *checker) uniqueHost(key, name string) {
+	if !validName(name) {
+		c.add(key, invalidNameFormat, name)
 	}
 	if at, ok := c.names[name]; ok {
 		c.add(key, "%q is the name of %s already", name, at)
@@ -303,22 +303,22 @@
 	c.names[name] = key
 }
 
-func (c *checker) known(key, what, name string, set map[string]bool) {
+func (c *checker) requireKnown(key, what, name string, set map[string]bool) {
 	if !set[name] {
 		c.add(key, "no such %s: %q", what, name)
 	}
 }
 
-const notPlain = "not a name of lower-case letters, digits, - and .: %q"
+const invalidNameFormat = "not a name of lower-case letters, digits, - and .: %q"
 
-// plain guards the names of connections, which are made of hosts, '>' and '#'.
-func plain(name string) bool {
+// validName guards the names of connections, which are made of hosts, '>' and '#'.
+func validName(name string) bool {
 	return name != "" && len(name) <= 60 && !strings.ContainsFunc(name, func(r rune) bool {
 		return (r < 'a' || r > 'z') && (r < '0' || r > '9') && r != '-' && r != '.'
 	})
 }
 
-func place(list string, i int, key string) string { return fmt.Sprintf("%s[%d].%s", list, i, key) }
+func fieldKey(list string, i int, key string) string { return fmt.Sprintf("%s[%d].%s", list, i, key) }
 
 func sortedKeys(m map[string]float64) []string {
 	keys := make([]string, 0, len(m))
--- a/internal/lab/fault/decode.go
+++ b/internal/lab/fault/decode.go
@@ -21,8 +21,8 @@
 	return d.bad.in(t)
 }
 
-// fromFile is a type with a form of its own.
-type fromFile interface{ from(*item) error }
+// itemDecoder is a type with a form of its own.
+type itemDecoder interface{ decodeItem(*item) error }
 
 // Scalar is a type of another package that is written as a single value, of one
 // kind or another: it is given a string, a float64, an int64 or a bool.
@@ -31,14 +31,14 @@
 type decoder struct{ bad problems }
 
 func (d *decoder) value(key string, i *item, v reflect.Value) {
-	if f, ok := v.Addr().Interface().(fromFile); ok {
-		if err := f.from(i); err != nil {
+	if f, ok := v.Addr().Interface().(itemDecoder); ok {
+		if err := f.decodeItem(i); err != nil {
 			d.bad.add(key, "%s", err)
 		}
 		return
 	}
 	if s, ok := v.Addr().Interface().(Scalar); ok {
-		plain, err := bare(i)
+		plain, err := scalarValue(i)
 		if err == nil {
 			err = s.FromFile(plain)
 		}
@@ -54,7 +54,7 @@
 		d.list(key, i, v)
 	case reflect.Map:
 		if i.kind != unstable.Table {
-			d.bad.add(key, "%s", want("a table", i))
+			d.bad.add(key, "%s", typeError("a table", i))
 			return
 		}
 		v.Set(reflect.MakeMap(v.Type()))
@@ -72,13 +72,13 @@
 
 func (d *decoder) table(key string, i *item, v reflect.Value) {
 	if i.kind != unstable.Table {
-		d.bad.add(key, "%s", want("a table", i))
+		d.bad.add(key, "%s", typeError("a table", i))
 		return
 	}
 	fields := map[string][]int{}
 	for _, f := range reflect.VisibleFields(v.Type()) {
 		if !f.Anonymous { // what an embedded struct holds stands beside the others
-			fields[name(f)] = f.Index
+			fields[tomlKey(f)] = f.Index
 		}
 	}
 	for _, k := range i.keys {
@@ -93,7 +93,7 @@
 
 func (d *decoder) list(key string, i *item, v reflect.Value) {
 	if i.kind != unstable.Array {
-		d.bad.add(key, "%s", want("a list", i))
+		d.bad.add(key, "%s", typeError("a list", i))
 		return
 	}
 	if len(i.items) == 0 {
@@ -117,11 +117,11 @@
 		v.SetFloat(f)
 		return err
 	case int:
-		n, err := whole(i)
+		n, err := integer(i)
 		v.SetInt(n)
 		return err
 	case uint64:
-		n, err := whole(i)
+		n, err := integer(i)
 		if err == nil && n < 0 {
 			return fmt.Errorf("%d is below 0", n)
 		}
@@ -129,12 +129,12 @@
 		return err
 	case bool:
 		if i.kind != unstable.Bool {
-			return want("true or false", i)
+			return typeError("true or false", i)
 		}
 		v.SetBool(i.text == "true")
 	case string:
 		if i.kind != unstable.String {
-			return want("a string", i)
+			return typeError("a string", i)
 		}
 		v.SetString(i.text)
 	default:
@@ -143,24 +143,24 @@
 	return nil
 }
 
-// bare is a single value as a Scalar is given it.
-func bare(i *item) (any, error) {
+// scalarValue is a single value as a Scalar is given it.
+func scalarValue(i *item) (any, error) {
 	switch i.kind {
 	case unstable.String:
 		return i.text, nil
 	case unstable.Float:
 		return float(i)
 	case unstable.Integer:
-		return whole(i)
+		return integer(i)
 	case unstable.Bool:
 		return i.text == "true", nil
 	}
-	return nil, want("a single value", i)
+	return nil, typeError("a single value", i)
 }
 
 func span(i *item) (s figure.Span, err error) {
 	if i.kind != unstable.String {
-		return 0, want(`a length of time such as "1.5s"`, i)
+		return 0, typeError(`a length of time such as "1.5s"`, i)
 	}
 	err = s.UnmarshalText([]byte(i.text))
 	return s, err
@@ -168,10 +168,10 @@
 
 func float(i *item) (float64, error) {
 	if i.kind != unstable.Float && i.kind != unstable.Integer {
-		return 0, want("a number", i)
+		return 0, typeError("a number", i)
 	}
 	if i.kind == unstable.Integer {
-		n, err := whole(i)
+		n, err := integer(i)
 		return float64(n), err
 	}
 	f, err := strconv.ParseFloat(strings.ReplaceAll(i.text, "_", ""), 64)
@@ -181,9 +181,9 @@
 	return f, nil
 }
 
-func whole(i *item) (int64, error) {
+func integer(i *item) (int64, error) {
 	if i.kind != unstable.Integer {
-		return 0, want("a whole number", i)
+		return 0, typeError("a whole number", i)
 	}
 	n, err := strconv.ParseInt(i.text, 0, 64)
 	if err != nil {
@@ -192,8 +192,8 @@
 	return n, nil
 }
 
-// want says what should stand where something else does.
-func want(what string, i *item) error {
+// typeError says what should stand where something else does.
+func typeError(what string, i *item) error {
 	is := map[unstable.Kind]string{
 		unstable.Table: "a table", unstable.Array: "a list", unstable.String: "a string", unstable.Bool: i.text,
 		unstable.Integer: "the number " + i.text, unstable.Float: "the number " + i.text,
@@ -204,8 +204,8 @@
 	return fmt.Errorf("want %s, not %s", what, is)
 }
 
-// name is the key of a struct's field.
-func name(f reflect.StructField) string {
+// tomlKey is the key of a struct's field.
+func tomlKey(f reflect.StructField) string {
 	n, _, _ := strings.Cut(f.Tag.Get("toml"), ",")
 	return n
 }
--- a/internal/lab/fault/draw.go
+++ b/internal/lab/fault/draw.go
@@ -17,11 +17,11 @@
 	seed &= math.MaxInt64
 	d := &drawer{sc: sc, s: &Script{Seed: seed}}
 	d.s.Length = sc.Length.draw(d.stream("length"))
-	d.places()
+	d.topology()
 	d.contract()
 	d.classes()
 	d.peers()
-	d.demand()
+	d.clients()
 	d.faults()
 	return d.s
 }
@@ -30,16 +30,16 @@
 	sc       *Scenario
 	s        *Script
 	mix      []float64 // share of each class, in all
-	work     float64   // mean of a request, in seconds on a core of speed 1
+	meanWork float64   // mean of a request, in seconds on a core of speed 1
 	capacity float64   // requests a second that all peers can do
-	perCell  int
+	cellSize int
 	pushed   bool // see Scale
 }
 
 func (d *drawer) stream(name string) *rand.Rand { return figure.Stream(d.s.Seed, name) }
 
-// places draws zones, nodes, the network and what is met there.
-func (d *drawer) places() {
+// topology draws zones, nodes, the network and what is met there.
+func (d *drawer) topology() {
 	sc, w := d.sc, &d.s.World
 	g := d.stream("zones")
 	w.Zones = append(w.Zones, sc.Zones...)
@@ -99,7 +99,7 @@
 	}
 	d.mix = shares(d.mix)
 	for i, k := range d.s.World.Classes {
-		d.work += d.mix[i] * k.Work.D().Seconds()
+		d.meanWork += d.mix[i] * k.Work.D().Seconds()
 	}
 }
 
@@ -120,7 +120,7 @@
 	sc, w := d.sc, &d.s.World
 	g := d.stream("peers")
 	n := sc.Scale.Peers.draw(g)
-	d.perCell = sc.Peer.CellSize.draw(g)
+	d.cellSize = sc.Peer.CellSize.draw(g)
 	falls, crowds := chance(g, sc.Peer.Falls), chance(g, sc.Peer.Crowds)
 	rooms := d.stream("waiting rooms")
 	tight, room := chance(rooms, sc.Peer.Tight) || d.pushed, sc.Peer.TightRoom.draw(rooms)
@@ -136,7 +136,7 @@
 			p.Queue = p.Cores * room
 		}
 		w.Peers = append(w.Peers, p)
-		d.capacity += float64(p.Cores) * p.Speed / d.work
+		d.capacity += float64(p.Cores) * p.Speed / d.meanWork
 	}
 }
 
@@ -156,7 +156,7 @@
 	cores := k.Cores.draw(g)
 	p := world.Peer{Name: name, Zone: zone, Kind: k.Name, Cores: cores, Speed: k.Speed.draw(g),
 		Weight: figure.Round(float64(cores)*(k.Speed.Lo+k.Speed.Hi)/2, 3),
-		Cell:   (i/len(w.Zones)/d.perCell)*len(w.Zones) + at(w.Zones, zone),
+		Cell:   (i/len(w.Zones)/d.cellSize)*len(w.Zones) + indexOf(w.Zones, zone),
 		Slots:  cores * k.Slots.draw(g), Queue: cores * k.Queue.draw(g),
 		CacheGain: sc.CacheGain.draw(g), CacheFor: sc.CacheFor.draw(g), CacheKeys: cores * sc.CacheKeys.draw(g),
 		PauseEach: k.PauseEach.draw(g), Pause: k.Pause.draw(g), Errors: k.Errors.draw(g),
@@ -170,9 +170,9 @@
 	return p
 }
 
-// demand draws the clients, and takes peers away while they would ask too much
+// clients draws the clients, and takes peers away while they would ask too much
 // for a short run.
-func (d *drawer) demand() {
+func (d *drawer) clients() {
 	sc, w := d.sc, &d.s.World
 	g := d.stream("load")
 	load, over, most := sc.Load.Usual.draw(g), sc.Load.Over.draw(g), sc.Load.MostRate.draw(g)
@@ -186,7 +186,7 @@
 	waves := chance(g, sc.Clients.Waves)
 	for load*d.capacity > most && len(w.Peers) > max(sc.Scale.Peers.Lo, len(w.Zones)) {
 		p := w.Peers[len(w.Peers)-1]
-		d.capacity -= float64(p.Cores) * p.Speed / d.work
+		d.capacity -= float64(p.Cores) * p.Speed / d.meanWork
 		w.Peers = w.Peers[:len(w.Peers)-1]
 	}
 	usage := make([]float64, len(sc.Tenants))
@@ -262,7 +262,7 @@
 	return last
 }
 
-func at(list []string, what string) int {
+func indexOf(list []string, what string) int {
 	for i, v := range list {
 		if v == what {
 			return i
--- a/internal/lab/fault/draw_test.go
+++ b/internal/lab/fault/draw_test.go
@@ -21,7 +21,7 @@
 	return sc
 }
 
-func written(t *testing.T, s *Script) []byte {
+func encoded(t *testing.T, s *Script) []byte {
 	t.Helper()
 	var b bytes.Buffer
 	if err := s.Write(&b); err != nil {
@@ -36,7 +36,7 @@
 	const want = "6b96361bf648c3ff1acf7febbdc7e0bd31817bafa84cb1abb7d5e2f8c5cad3d4"
 	sc, sum := scenario(t), sha256.New()
 	for seed := range uint64(20) {
-		sum.Write(written(t, Draw(seed, sc)))
+		sum.Write(encoded(t, Draw(seed, sc)))
 	}
 	if got := hex.EncodeToString(sum.Sum(nil)); got != want {
 		t.Errorf("scripts of seeds 0 to 19 have hash %s, want %s", got, want)
@@ -54,7 +54,7 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		if seed < 200 {
-			back, err := Parse("s.toml", written(t, s))
+			back, err := Parse("s.toml", encoded(t, s))
 			if err != nil || !reflect.DeepEqual(back, s) {
 				t.Fatalf("seed %d: not the same when read back: %v", seed, err)
 			}
@@ -103,7 +103,7 @@
 }
 
 // Streams stand for themselves: another range for one entity leaves all else.
-func TestDrawsAreApart(t *testing.T) {
+func TestDrawStreamsAreIndependent(t *testing.T) {
 	a, sc := Draw(1<<63|7, scenario(t)), scenario(t) // no file holds the topmost bit
 	sc.Node.MemoryMB = Counts{100, 101}
 	sc.Discovery.Each = Spans{figure.Span(5e6), figure.Span(5e6)}
@@ -131,12 +131,12 @@
 }
 
 // What a cut leaves without a meaning goes with it, and the cut is offered.
-func TestSmallerHeirs(t *testing.T) {
+func TestSmallerRemovesReplacements(t *testing.T) {
 	s := &Script{}
-	for seed := uint64(0); len(s.Faults) == 0 || len(s.Faults[0].Heirs) < 2; seed++ {
+	for seed := uint64(0); len(s.Faults) == 0 || len(s.Faults[0].Replacements) < 2; seed++ {
 		s = Draw(seed, scenario(t))
 	}
-	heir := s.Faults[0].Heirs[0]
+	heir := s.Faults[0].Replacements[0]
 	calm, without := false, false
 	for c := range s.Smaller() {
 		late := slices.ContainsFunc(c.World.Peers, func(p world.Peer) bool { return p.Late })
@@ -155,7 +155,7 @@
 	sc := scenario(t)
 	for seed := range uint64(12) {
 		s := Draw(seed, sc)
-		whole := written(t, s)
+		whole := encoded(t, s)
 		n := 0
 		for c := range s.Smaller() {
 			n++
@@ -166,11 +166,11 @@
 				c.World.Clients[0].Mix["shared"] = 1 // must not be
 				continue
 			}
-			if back, err := Parse("c.toml", written(t, c)); err != nil || !reflect.DeepEqual(back, c) {
+			if back, err := Parse("c.toml", encoded(t, c)); err != nil || !reflect.DeepEqual(back, c) {
 				t.Fatalf("seed %d, cut %d: not the same when read back: %v", seed, n, err)
 			}
 		}
-		if !bytes.Equal(whole, written(t, s)) {
+		if !bytes.Equal(whole, encoded(t, s)) {
 			t.Fatalf("seed %d: the script itself has changed", seed)
 		}
 		// One fault, of one peer, kept alive: all else must go, in a bounded number of steps.
@@ -197,7 +197,7 @@
 		}
 		if len(s.Faults) > 1 || len(w.Nodes) > 1 || len(w.Clients) > 1 || len(w.Rogues) > 0 || early > 2 ||
 			s.Length > figure.Span(8e9) {
-			t.Errorf("seed %d: stays large:\n%s", seed, written(t, s))
+			t.Errorf("seed %d: stays large:\n%s", seed, encoded(t, s))
 		}
 	}
 }
--- a/internal/lab/fault/drawfaults.go
+++ b/internal/lab/fault/drawfaults.go
@@ -9,8 +9,8 @@
 	"olivebridge/internal/lab/world"
 )
 
-// attempts is how often another kind is drawn when the world has no room for one.
-const attempts = 40
+// maxKindDraws is how often another kind is drawn when the world has no room for one.
+const maxKindDraws = 40
 
 // faults draws what goes wrong: a combination, or single kinds, or both, most
 // of which are there at one instant.
@@ -42,7 +42,7 @@
 	for i, name := range names {
 		g := d.stream(fmt.Sprintf("fault %d", i+1))
 		together := i < combined || chance(g, plan.Overlap)
-		for range attempts {
+		for range maxKindDraws {
 			k := table[name]
 			if d.fault(g, &k, i+1, lead, meet, together) {
 				break
@@ -61,31 +61,31 @@
 	f := Fault{Kind: k.Name, For: r.For.draw(g), Share: r.Share.draw(g), Factor: r.Factor.draw(g),
 		Pause: r.Pause.draw(g), TurnAway: r.TurnAway.draw(g), Back: r.Back.draw(g)}
 	if k.Name == "node-restart" {
-		f.For = max(f.For, killAfter(w))
+		f.For = max(f.For, minRestartDuration(w))
 	}
 	part := r.Part.draw(g)
 	if k.Name == "cut" && len(w.Zones) < 2 {
 		return false
 	}
-	if k.takes("zone") {
+	if k.hasParameter("zone") {
 		f.Zone = w.Zones[g.IntN(len(w.Zones))]
 	}
-	if k.takes("class") {
+	if k.hasParameter("class") {
 		f.Class = w.Classes[g.IntN(len(w.Classes))].Name
 	}
-	if k.takes("peers") {
+	if k.hasParameter("peers") {
 		f.Peers = d.pickPeers(g, k, part, f.Zone)
 		if len(f.Peers) == 0 {
 			return false
 		}
 	}
-	if k.takes("nodes") {
+	if k.hasParameter("nodes") {
 		f.Nodes = pick(g, part, w.Nodes, func(n world.Node) string { return n.Name })
 	}
-	if k.takes("clients") {
+	if k.hasParameter("clients") {
 		f.Clients = pick(g, part, w.Clients, func(c world.Clients) string { return c.Name })
 	}
-	f.At = when(g, f.busy(), lead, meet, d.s.Length, together)
+	f.At = drawTime(g, f.activeDuration(), lead, meet, d.s.Length, together)
 	early := f
 	if early.fit(lead, d.s.Length-d.sc.Faults.Tail.draw(g)) {
 		f = early
@@ -96,54 +96,54 @@
 		d.rogues(g, i, f.At, f.For)
 		return true
 	}
-	if k.takes("heirs") {
+	if k.hasParameter("heirs") {
 		for _, name := range f.Peers {
-			f.Heirs = append(f.Heirs, d.heir(name))
+			f.Replacements = append(f.Replacements, d.addReplacement(name))
 		}
 	}
 	d.s.Faults = append(d.s.Faults, f)
 	return true
 }
 
-// when draws a fault's instant, together with others: so that it is there when
+// drawTime draws a fault's instant, together with others: so that it is there when
 // they meet.
-func when(g *rand.Rand, busy, lead, meet, length figure.Span, together bool) figure.Span {
+func drawTime(g *rand.Rand, busy, lead, overlapTime, length figure.Span, together bool) figure.Span {
 	u := g.Float64()
 	if together {
-		first := max(lead, meet-max(busy, linger/2))
-		return seconds((first + figure.Span(u*float64(meet-first))).D().Seconds())
+		first := max(lead, overlapTime-max(busy, instantFaultDuration/2))
+		return roundSeconds((first + figure.Span(u*float64(overlapTime-first))).D().Seconds())
 	}
-	return seconds((lead + figure.Span(u*0.85*float64(length-lead))).D().Seconds())
+	return roundSeconds((lead + figure.Span(u*0.85*float64(length-lead))).D().Seconds())
 }
 
 // fit cuts a fault so that it is over at the script's end: it begins earlier,
 // though not before lead, is about fewer peers, or lasts shorter.
 func (f *Fault) fit(lead, length figure.Span) bool {
-	if over := f.At + f.busy() - length; over > 0 {
+	if over := f.At + f.activeDuration() - length; over > 0 {
 		f.At = max(f.At-over, min(f.At, lead))
 	}
-	for f.At+f.busy() > length && len(f.Peers) > 1 && f.busy() > f.For {
+	for f.At+f.activeDuration() > length && len(f.Peers) > 1 && f.activeDuration() > f.For {
 		f.Peers = f.Peers[:len(f.Peers)-1]
-		if len(f.Heirs) > len(f.Peers) {
-			f.Heirs = f.Heirs[:len(f.Peers)]
+		if len(f.Replacements) > len(f.Peers) {
+			f.Replacements = f.Replacements[:len(f.Peers)]
 		}
 	}
-	if over := f.At + f.busy() - length; over > 0 {
+	if over := f.At + f.activeDuration() - length; over > 0 {
 		f.For = max(f.For-over, 0)
 	}
 	table := kinds()
 	k := table[f.Kind]
-	t, lasts := k.take("for")
-	return f.At >= 0 && f.At < length && f.At+f.busy() <= length && (!lasts || f.For.D() >= figure.Seconds(t.Lo))
+	t, lasts := k.parameter("for")
+	return f.At >= 0 && f.At < length && f.At+f.activeDuration() <= length && (!lasts || f.For.D() >= figure.Seconds(t.Lo))
 }
 
 // pickPeers draws peers that are there from the start. Who has been replaced
 // for good is not replaced again, and of an outage some peer is spared.
 func (d *drawer) pickPeers(g *rand.Rand, k *Kind, part float64, zone string) []string {
 	gone := map[string]bool{}
-	if k.takes("heirs") {
+	if k.hasParameter("heirs") {
 		for _, f := range d.s.Faults {
-			if len(f.Heirs) > 0 {
+			if len(f.Replacements) > 0 {
 				for _, name := range f.Peers {
 					gone[name] = true
 				}
@@ -180,9 +180,9 @@
 	return names
 }
 
-// heir adds the late peer that takes another's place: the same machine, under
+// addReplacement adds the late peer that takes another's place: the same machine, under
 // a new name.
-func (d *drawer) heir(name string) string {
+func (d *drawer) addReplacement(name string) string {
 	w := &d.s.World
 	i := slices.IndexFunc(w.Peers, func(p world.Peer) bool { return p.Name == name })
 	p := w.Peers[i]
--- a/internal/lab/fault/file_test.go
+++ b/internal/lab/fault/file_test.go
@@ -15,8 +15,8 @@
 	"olivebridge/internal/lab/world"
 )
 
-// change replaces one line of a file and says which one it was.
-func change(t *testing.T, text []byte, old, new string) ([]byte, int) {
+// replaceText replaces one line of a file and says which one it was.
+func replaceText(t *testing.T, text []byte, old, new string) ([]byte, int) {
 	t.Helper()
 	i := bytes.Index(text, []byte(old))
 	if i < 0 {
@@ -33,7 +33,7 @@
 	for seed := uint64(0); len(s.Faults) < 2 || s.Faults[0].Kind != "drain"; seed++ {
 		s = Draw(seed, scenario(t))
 	}
-	good := written(t, s)
+	good := encoded(t, s)
 	peer, drain := "[[world.peer]]", "[[fault]]\nkind = 'drain'"
 	for _, c := range []struct{ old, new, want string }{
 		{"seed = ", "sed = ", "sed: unknown key"},
@@ -69,7 +69,7 @@
 		{drain, drain + "\nfactor = '2'", "fault[0].factor: want a number, not a string"},
 		{drain, "[[fault]]\nkind = 'death'\nturn_away = '1s' #", ""},
 	} {
-		bad, line := change(t, good, c.old, c.new)
+		bad, line := replaceText(t, good, c.old, c.new)
 		_, err := Parse("a.toml", bad)
 		var at *Error
 		if !errors.As(err, &at) || strings.Contains(err.Error(), "\n") {
@@ -98,7 +98,7 @@
 		{Fault{Kind: "fail", For: 1e9, Peers: []string{p}, Share: 1.5},
 			"fault[0].share: 1.5 is not from 0.001 to 1"},
 		{Fault{Kind: "replace", For: 1e9, Peers: []string{p}}, "fault[0].heirs: there must be one at least"},
-		{Fault{Kind: "replace", For: 1e9, Peers: []string{p}, Heirs: []string{"p02"}},
+		{Fault{Kind: "replace", For: 1e9, Peers: []string{p}, Replacements: []string{"p02"}},
 			`fault[0].heirs[0]: "p02" is there from the start`},
 		{Fault{Kind: "costly", For: 1e9, Class: "x", Share: 0.1, Factor: 2},
 			`fault[0].class: no such class: "x"`},
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestCheckHeirs(t *testing.T) {
+func TestCheckReplacements(t *testing.T) {
 	s := Draw(3, scenario(t))
 	s.World.Peers = append(s.World.Peers[:2:2], s.World.Peers[0], s.World.Peers[1])
 	for i, name := range []string{"q1", "q2"} {
@@ -127,7 +127,7 @@
 		q.Name, q.Host, q.Late = name, s.World.Peers[i].Name, true
 	}
 	replace := func(at int, peer, heir string) Fault {
-		return Fault{Kind: "replace", At: figure.Span(at) * 1e9, For: 1e9, Peers: []string{peer}, Heirs: []string{heir}}
+		return Fault{Kind: "replace", At: figure.Span(at) * 1e9, For: 1e9, Peers: []string{peer}, Replacements: []string{heir}}
 	}
 	for _, c := range []struct {
 		faults []Fault
@@ -166,7 +166,7 @@
 		{`addr = "registry:8500"`, `addr = "registry"`, `discovery.addr: not host:port: "registry"`},
 		{`addr = "registry:8500"`, `addr = "p01:8500"`, ""},
 	} {
-		bad, line := change(t, defaultScenario, c.old, c.new)
+		bad, line := replaceText(t, defaultScenario, c.old, c.new)
 		path := filepath.Join(t.TempDir(), "s.toml")
 		if err := os.WriteFile(path, bad, 0o600); err != nil {
 			t.Fatal(err)
@@ -190,7 +190,7 @@
 func TestTables(t *testing.T) {
 	table := limits()
 	s := Draw(3, scenario(t))
-	figures("world", "world", reflect.ValueOf(s.World), func(key, bare string, _ reflect.Value) {
+	visitNumbers("world", "world", reflect.ValueOf(s.World), func(key, bare string, _ reflect.Value) {
 		if _, ok := table[bare]; !ok {
 			t.Errorf("%s has no limit", bare)
 		}
@@ -218,13 +218,13 @@
 	}
 	for _, k := range append(KindTable(), FleetTable()...) {
 		var keys []string
-		for _, take := range k.Takes {
+		for _, take := range k.Parameters {
 			keys = append(keys, "`"+take.Key+"`")
 			if take.Key != "part" && !hasKey(take.Key) {
 				t.Errorf("%s takes %s, which no fault has", k.Name, take.Key)
 			}
 		}
-		if row := fmt.Sprintf("| `%s` | %s | %s |", k.Name, k.Does, strings.Join(keys, ", ")); !bytes.Contains(page, []byte(row)) {
+		if row := fmt.Sprintf("| `%s` | %s | %s |", k.Name, k.Description, strings.Join(keys, ", ")); !bytes.Contains(page, []byte(row)) {
 			t.Errorf("the page lacks the row\n%s", row)
 		}
 	}
@@ -233,7 +233,7 @@
 func hasKey(key string) bool {
 	f := reflect.TypeFor[Fault]()
 	for n := range f.NumField() {
-		if name(f.Field(n)) == key {
+		if tomlKey(f.Field(n)) == key {
 			return true
 		}
 	}
@@ -253,7 +253,7 @@
 	f.Add(defaultScenario)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if s, err := Parse("f.toml", data); err == nil {
-			if back, err := Parse("f.toml", written(t, s)); err != nil || !reflect.DeepEqual(back, s) {
+			if back, err := Parse("f.toml", encoded(t, s)); err != nil || !reflect.DeepEqual(back, s) {
 				t.Errorf("not the same when read back: %v", err)
 			}
 		} else if strings.Contains(err.Error(), "\n") {
--- a/internal/lab/fault/limits.go
+++ b/internal/lab/fault/limits.go
@@ -12,10 +12,10 @@
 // limit is what a figure may be; of a length of time, in seconds.
 type limit struct {
 	lo, hi float64
-	off    bool // 0 may stand too, for "not at all"
+	orZero bool // 0 may stand too, for "not at all"
 }
 
-func (l limit) holds(v float64) bool { return v >= l.lo && v <= l.hi || l.off && v == 0 }
+func (l limit) contains(v float64) bool { return v >= l.lo && v <= l.hi || l.orZero && v == 0 }
 
 // limits are those of every figure of a script but its faults', by key. They
 // guard against a run that never ends, or a world in which a part of the model
@@ -83,18 +83,18 @@
 	}
 }
 
-// figures shows each figure under v, with its key, and that key without places
+// visitNumbers shows each figure under v, with its key, and that key without places
 // in lists, as the limits have it.
-func figures(key, bare string, v reflect.Value, see func(key, bare string, v reflect.Value)) {
+func visitNumbers(key, bare string, v reflect.Value, see func(key, bare string, v reflect.Value)) {
 	switch v.Kind() {
 	case reflect.Struct:
 		for n := range v.NumField() {
-			k := name(v.Type().Field(n))
-			figures(join(key, k), join(bare, k), v.Field(n), see)
+			k := tomlKey(v.Type().Field(n))
+			visitNumbers(join(key, k), join(bare, k), v.Field(n), see)
 		}
 	case reflect.Slice:
 		for n := range v.Len() {
-			figures(fmt.Sprintf("%s[%d]", key, n), bare, v.Index(n), see)
+			visitNumbers(fmt.Sprintf("%s[%d]", key, n), bare, v.Index(n), see)
 		}
 	case reflect.Float64, reflect.Int, reflect.Int64:
 		see(key, bare, v)
@@ -109,29 +109,29 @@
 	case int:
 		return float64(f), strconv.Itoa(f)
 	case float64:
-		return f, text(f)
+		return f, formatFloat(f)
 	}
 	return 0, ""
 }
 
-func text(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
+func formatFloat(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
-// outside says that a figure is not what its limit allows; empty: it is.
-func (l limit) outside(v reflect.Value) string {
+// violation says that a figure is not what its limit allows; empty: it is.
+func (l limit) violation(v reflect.Value) string {
 	f, written := number(v)
-	if l.holds(f) {
+	if l.contains(f) {
 		return ""
 	}
-	lo, hi := text(l.lo), text(l.hi)
+	lo, hi := formatFloat(l.lo), formatFloat(l.hi)
 	if _, ok := v.Interface().(figure.Span); ok {
 		lo, hi = figure.Seconds(l.lo).String(), figure.Seconds(l.hi).String()
 	}
 	or := ""
-	if l.off {
+	if l.orZero {
 		or = ", nor 0"
 	}
 	return fmt.Sprintf("%s is not from %s to %s%s", written, lo, hi, or)
 }
 
-// shortest is the least length of time that a fault may last.
-const shortest = 50 * time.Millisecond
+// minFaultDuration is the least length of time that a fault may last.
+const minFaultDuration = 50 * time.Millisecond
--- a/internal/lab/fault/pairs.go
+++ b/internal/lab/fault/pairs.go
@@ -7,20 +7,20 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// stay is a kind's time in a run.
-type stay struct {
+// activePeriod is a kind's time in a run.
+type activePeriod struct {
 	kind     string
 	from, to figure.Span
 }
 
-func (s *Script) stays() []stay {
-	var all []stay
+func (s *Script) activePeriods() []activePeriod {
+	var all []activePeriod
 	for i := range s.Faults {
 		f := &s.Faults[i]
-		all = append(all, stay{f.Kind, f.At, f.until()})
+		all = append(all, activePeriod{f.Kind, f.At, f.overlapEnd()})
 	}
 	for _, r := range s.World.Rogues {
-		all = append(all, stay{Rogues, r.From, r.From + r.For})
+		all = append(all, activePeriod{Rogues, r.From, r.From + r.For})
 	}
 	return all
 }
@@ -28,7 +28,7 @@
 // Kinds lists the kinds of faults in the script, sorted.
 func (s *Script) Kinds() []string {
 	set := map[string]bool{}
-	for _, f := range s.stays() {
+	for _, f := range s.activePeriods() {
 		set[f.kind] = true
 	}
 	return slices.Sorted(maps.Keys(set))
@@ -38,7 +38,7 @@
 // lesser name first. One that is done in an instant counts as there for 3 s.
 func (s *Script) Pairs() [][2]string {
 	set := map[[2]string]bool{}
-	all := s.stays()
+	all := s.activePeriods()
 	for i, a := range all {
 		for _, b := range all[:i] {
 			if a.kind != b.kind && a.from < b.to && b.from < a.to {
--- a/internal/lab/fault/ranges.go
+++ b/internal/lab/fault/ranges.go
@@ -20,20 +20,20 @@
 // Counts is a range of whole numbers, both ends among them.
 type Counts struct{ Lo, Hi int }
 
-var errUpsideDown = errors.New("range upside down")
+var errReversedRange = errors.New("range upside down")
 
-func (r *Range) from(i *item) error { return pair(i, &r.Lo, &r.Hi, float) }
+func (r *Range) decodeItem(i *item) error { return decodeRange(i, &r.Lo, &r.Hi, float) }
 
-func (s *Spans) from(i *item) error { return pair(i, &s.Lo, &s.Hi, span) }
+func (s *Spans) decodeItem(i *item) error { return decodeRange(i, &s.Lo, &s.Hi, span) }
 
-func (c *Counts) from(i *item) error {
-	return pair(i, &c.Lo, &c.Hi, func(i *item) (int, error) {
-		n, err := whole(i)
+func (c *Counts) decodeItem(i *item) error {
+	return decodeRange(i, &c.Lo, &c.Hi, func(i *item) (int, error) {
+		n, err := integer(i)
 		return int(n), err
 	})
 }
 
-func pair[T float64 | int | figure.Span](i *item, lo, hi *T, read func(*item) (T, error)) (err error) {
+func decodeRange[T float64 | int | figure.Span](i *item, lo, hi *T, read func(*item) (T, error)) (err error) {
 	if i.kind != unstable.Array {
 		*lo, err = read(i)
 		*hi = *lo
@@ -49,7 +49,7 @@
 		return err
 	}
 	if *lo > *hi {
-		return errUpsideDown
+		return errReversedRange
 	}
 	return nil
 }
@@ -60,13 +60,13 @@
 
 func (s Spans) draw(g *rand.Rand) figure.Span {
 	lo, hi := s.Lo.D().Seconds(), s.Hi.D().Seconds()
-	return min(max(seconds(figure.Uniform(g, lo, hi)), s.Lo), s.Hi)
+	return min(max(roundSeconds(figure.Uniform(g, lo, hi)), s.Lo), s.Hi)
 }
 
 func (c Counts) draw(g *rand.Rand) int { return c.Lo + g.IntN(c.Hi-c.Lo+1) }
 
-// seconds makes a length of time that reads well: three digits of it.
-func seconds(s float64) figure.Span {
+// roundSeconds makes a length of time that reads well: three digits of it.
+func roundSeconds(s float64) figure.Span {
 	return figure.Span(math.Round(figure.Round(s, 3) * 1e9))
 }
 
--- a/internal/lab/fault/scenariocheck.go
+++ b/internal/lab/fault/scenariocheck.go
@@ -26,7 +26,7 @@
 	case reflect.Struct:
 		for n := range v.NumField() {
 			f := v.Type().Field(n)
-			k := name(f)
+			k := tomlKey(f)
 			if strings.Contains(f.Tag.Get("toml"), ",omitempty") {
 				continue
 			}
@@ -49,16 +49,16 @@
 // within holds a figure, or both ends of a range, against a limit.
 func (c *scenarioChecker) within(key string, v reflect.Value, l limit) {
 	if v.Kind() != reflect.Struct {
-		if why := l.outside(v); why != "" {
+		if why := l.violation(v); why != "" {
 			c.add(key, "%s", why)
 		}
 		return
 	}
 	if !v.Field(0).Equal(v.Field(1)) {
-		l.off = false // what lies between the ends must do, too
+		l.orZero = false // what lies between the ends must do, too
 	}
 	for n := range v.NumField() {
-		if why := l.outside(v.Field(n)); why != "" {
+		if why := l.violation(v.Field(n)); why != "" {
 			c.add(key, "%s", why)
 			return
 		}
@@ -80,7 +80,7 @@
 	sc := c.sc
 	c.names("zones", sc.Zones, func(i int) string { return fmt.Sprintf("zones[%d]", i) })
 	in := func(list string) func(int) string {
-		return func(i int) string { return place(list, i, "name") }
+		return func(i int) string { return fieldKey(list, i, "name") }
 	}
 	var kinds, classes, tenants []string
 	sums := map[string]float64{}
@@ -106,11 +106,11 @@
 	}
 	for i, k := range sc.Classes {
 		if k.Deadline.Lo < k.Aim.Hi {
-			c.add(place("class", i, "deadline"), "may be less than the aim")
+			c.add(fieldKey("class", i, "deadline"), "may be less than the aim")
 		}
 	}
 	for _, at := range []struct{ key, addr string }{{"addr", sc.Discovery.Addr}, {"spare", sc.Discovery.Spare}} {
-		if host, port, err := net.SplitHostPort(at.addr); err != nil || port == "" || !plain(host) {
+		if host, port, err := net.SplitHostPort(at.addr); err != nil || port == "" || !validName(host) {
 			c.add("discovery."+at.key, "not host:port: %q", at.addr)
 		}
 	}
@@ -122,8 +122,8 @@
 func (c *scenarioChecker) names(list string, names []string, key func(i int) string) {
 	seen := map[string]bool{}
 	for i, n := range names {
-		if !plain(n) {
-			c.add(key(i), notPlain, n)
+		if !validName(n) {
+			c.add(key(i), invalidNameFormat, n)
 		}
 		if seen[n] {
 			c.add(key(i), "%q stands twice", n)
@@ -148,11 +148,11 @@
 	stated := t.root.child("kind").items[n]
 	v := reflect.ValueOf(*r)
 	for f := range v.NumField() {
-		key := name(v.Type().Field(f))
-		take, takes := k.take(key)
+		key := tomlKey(v.Type().Field(f))
+		take, takes := k.parameter(key)
 		l := limit{lo: take.Lo, hi: take.Hi}
 		if key == "part" {
-			takes, l = k.takes("peers") || k.takes("nodes") || k.takes("clients"), limit{hi: 1}
+			takes, l = k.hasParameter("peers") || k.hasParameter("nodes") || k.hasParameter("clients"), limit{hi: 1}
 		}
 		switch {
 		case key == "name" || key == "weight":
--- a/internal/lab/fault/schedule.go
+++ b/internal/lab/fault/schedule.go
@@ -10,20 +10,20 @@
 // Schedule sets off each fault at its instant and undoes it when its time is
 // over; at the script's Length whatever is left is undone.
 func (s *Script) Schedule(l *loop.Loop, t Target) {
-	r := &run{script: s, loop: l, target: t, peers: map[string]*life{}, nodes: map[string]*life{}}
+	r := &run{script: s, loop: l, target: t, peers: map[string]*processState{}, nodes: map[string]*processState{}}
 	for _, p := range s.World.Peers {
-		r.peers[p.Name] = &life{at: host(p), out: p.Late}
+		r.peers[p.Name] = &processState{host: host(p), outOfService: p.Late}
 	}
 	for _, n := range s.World.Nodes {
-		r.nodes[n.Name] = &life{at: n.Name}
+		r.nodes[n.Name] = &processState{host: n.Name}
 	}
 	table := kinds()
 	l.At(s.Length.D(), r.finish)
 	for i := range s.Faults {
 		f := &s.Faults[i]
-		set := table[f.Kind].set
+		set := table[f.Kind].apply
 		l.At(f.At.D(), func() {
-			if !r.over && set != nil && (r.company() != nil || !fleet(f.Kind)) {
+			if !r.finished && set != nil && (r.fleet() != nil || !isFleetKind(f.Kind)) {
 				set(r, f)
 			}
 		})
@@ -40,22 +40,22 @@
 
 // run is a script being played.
 type run struct {
-	script *Script
-	loop   *loop.Loop
-	target Target
-	peers  map[string]*life
-	nodes  map[string]*life
-	heals  []func() // in the order in which they were set off; harmless when done
-	over   bool
+	script   *Script
+	loop     *loop.Loop
+	target   Target
+	peers    map[string]*processState
+	nodes    map[string]*processState
+	heals    []func() // in the order in which they were set off; harmless when done
+	finished bool
 }
 
-// life is what the faults together make of one process. Several may hold it
+// processState is what the faults together make of one process. Several may hold it
 // down at one time; it starts again when the last lets go.
-type life struct {
-	at       string // its host
-	held     int    // how many keep it from running
-	vanished int    // how many keep its machine silent
-	out      bool   // it has been replaced, and stays held, or its time has not come
+type processState struct {
+	host         string // its host
+	holds        int    // how many keep it from running
+	vanishCount  int    // how many keep its machine silent
+	outOfService bool   // it has been replaced, and stays held, or its time has not come
 }
 
 // process is what peers and nodes have in common.
@@ -79,7 +79,7 @@
 }
 
 func (r *run) finish() {
-	r.over = true
+	r.finished = true
 	for _, heal := range r.heals {
 		heal()
 	}
@@ -87,20 +87,20 @@
 }
 
 // hold kills a process and starts it again after d, if nothing else holds it.
-func (r *run) hold(l *life, p process, d time.Duration) {
-	if l.out {
+func (r *run) hold(l *processState, p process, d time.Duration) {
+	if l.outOfService {
 		return
 	}
-	l.held++
+	l.holds++
 	if !p.Down() {
 		p.Kill()
 	}
 	r.after(d, func() { l.release(p) })
 }
 
-func (l *life) release(p process) {
-	l.held--
-	if l.held == 0 && p.Down() {
+func (l *processState) release(p process) {
+	l.holds--
+	if l.holds == 0 && p.Down() {
 		p.Start()
 	}
 }
--- a/internal/lab/fault/schedule_test.go
+++ b/internal/lab/fault/schedule_test.go
@@ -12,157 +12,157 @@
 	"olivebridge/internal/lab/world"
 )
 
-// stand stands in for a run: it keeps what is asked of it, and who is up.
-type stand struct {
-	t     *testing.T
-	loop  *loop.Loop
-	log   []string
-	up    map[string]bool // processes, and machines that can be heard
-	hosts map[string]string
-	on    map[string]string // by host, the peer that is up there
-	open  int               // faults that are not healed
-	conns []string
+// fakeTarget stands in for a run: it keeps what is asked of it, and who is up.
+type fakeTarget struct {
+	t            *testing.T
+	loop         *loop.Loop
+	log          []string
+	up           map[string]bool // processes, and machines that can be heard
+	hosts        map[string]string
+	peerAtHost   map[string]string // by host, the peer that is up there
+	activeFaults int               // faults that are not healed
+	conns        []string
 }
 
-func (s *stand) say(format string, args ...any) func() {
+func (s *fakeTarget) record(format string, args ...any) func() {
 	what := fmt.Sprintf(format, args...)
 	s.log = append(s.log, fmt.Sprintf("%.1f %s", s.loop.Now().Seconds(), what))
-	s.open++
+	s.activeFaults++
 	healed := false
 	return func() {
 		if healed {
 			s.t.Errorf("%s: healed twice", what)
 		}
 		healed = true
-		s.open--
+		s.activeFaults--
 		s.log = append(s.log, fmt.Sprintf("%.1f end of %s", s.loop.Now().Seconds(), what))
 	}
 }
 
-func (s *stand) Peer(name string) Peer   { return entity{s, name} }
-func (s *stand) Node(name string) Node   { return entity{s, name} }
-func (s *stand) Crowd(name string) Crowd { return entity{s, name} }
-func (s *stand) Discovery() Discovery    { return discovery{entity{s, "discovery"}} }
-func (s *stand) Network() Network        { return network{s} }
-func (s *stand) Zone(host string) string {
+func (s *fakeTarget) Peer(name string) Peer   { return fakeProcess{s, name} }
+func (s *fakeTarget) Node(name string) Node   { return fakeProcess{s, name} }
+func (s *fakeTarget) Crowd(name string) Crowd { return fakeProcess{s, name} }
+func (s *fakeTarget) Discovery() Discovery    { return fakeDiscovery{fakeProcess{s, "discovery"}} }
+func (s *fakeTarget) Network() Network        { return fakeNetwork{s} }
+func (s *fakeTarget) Zone(host string) string {
 	if strings.HasPrefix(host, "c") {
 		return ""
 	}
 	return "tamworth"
 }
 
-type entity struct {
-	*stand
+type fakeProcess struct {
+	*fakeTarget
 	name string
 }
 
-func (e entity) Down() bool { return !e.up[e.name] }
+func (e fakeProcess) Down() bool { return !e.up[e.name] }
 
-func (e entity) Start() {
+func (e fakeProcess) Start() {
 	if e.up[e.name] {
 		e.t.Errorf("%s is started while up", e.name)
 	}
 	if h := e.hosts[e.name]; h != "" {
-		if other := e.on[h]; other != "" && e.up[other] {
+		if other := e.peerAtHost[h]; other != "" && e.up[other] {
 			e.t.Errorf("%s is started where %s is up", e.name, other)
 		}
-		e.on[h] = e.name
+		e.peerAtHost[h] = e.name
 	}
 	e.up[e.name] = true
-	e.say("%s start", e.name)
-	e.open--
+	e.record("%s start", e.name)
+	e.activeFaults--
 }
 
-func (e entity) Kill() {
+func (e fakeProcess) Kill() {
 	if !e.up[e.name] {
 		e.t.Errorf("%s is killed while down", e.name)
 	}
 	e.up[e.name] = false
-	e.say("%s kill", e.name)
-	e.open--
+	e.record("%s kill", e.name)
+	e.activeFaults--
 }
 
-func (e entity) Drain(turnAway, exit time.Duration) {
-	e.say("%s drain %v %v", e.name, turnAway, exit)
-	e.open--
+func (e fakeProcess) Drain(turnAway, exit time.Duration) {
+	e.record("%s drain %v %v", e.name, turnAway, exit)
+	e.activeFaults--
 	if e.name != "p09" { // which holds a request for ever
 		e.loop.After(exit, func() { e.up[e.name] = false })
 	}
 }
 
-func (e entity) Term() { e.Drain(0, time.Second) }
+func (e fakeProcess) Term() { e.Drain(0, time.Second) }
 
-func (e entity) Hup(discovery string) {
-	e.say("%s hup %s", e.name, discovery)
-	e.open--
+func (e fakeProcess) Hup(discovery string) {
+	e.record("%s hup %s", e.name, discovery)
+	e.activeFaults--
 }
 
-func (e entity) Operate(call, peer string) {
-	e.say("%s %s %s", e.name, call, peer)
-	e.open--
+func (e fakeProcess) Operate(call, peer string) {
+	e.record("%s %s %s", e.name, call, peer)
+	e.activeFaults--
 }
 
-func (e entity) Stall(d time.Duration) {
-	e.say("%s stall %v", e.name, d)
-	e.open--
+func (e fakeProcess) Stall(d time.Duration) {
+	e.record("%s stall %v", e.name, d)
+	e.activeFaults--
 }
 
-func (e entity) Slow(f float64) func()      { return e.say("%s slow %v", e.name, f) }
-func (e entity) Fail(f float64) func()      { return e.say("%s fail %v", e.name, f) }
-func (e entity) Spoil(f float64) func()     { return e.say("%s spoil %v", e.name, f) }
-func (e entity) Surplus(f float64) func()   { return e.say("%s surplus %v", e.name, f) }
-func (e entity) Silent(f float64) func()    { return e.say("%s silent %v", e.name, f) }
-func (e entity) TurnAway(f float64) func()  { return e.say("%s turnaway %v", e.name, f) }
-func (e entity) Break(f float64) func()     { return e.say("%s break %v", e.name, f) }
-func (e entity) Surge(f float64) func()     { return e.say("%s surge %v", e.name, f) }
-func (e entity) LeaveMore(f float64) func() { return e.say("%s leave %v", e.name, f) }
-func (e entity) Costly(c string, s, f float64) func() {
-	return e.say("%s costly %s %v %v", e.name, c, s, f)
+func (e fakeProcess) Slow(f float64) func()      { return e.record("%s slow %v", e.name, f) }
+func (e fakeProcess) Fail(f float64) func()      { return e.record("%s fail %v", e.name, f) }
+func (e fakeProcess) Spoil(f float64) func()     { return e.record("%s spoil %v", e.name, f) }
+func (e fakeProcess) Surplus(f float64) func()   { return e.record("%s surplus %v", e.name, f) }
+func (e fakeProcess) Silent(f float64) func()    { return e.record("%s silent %v", e.name, f) }
+func (e fakeProcess) TurnAway(f float64) func()  { return e.record("%s turnaway %v", e.name, f) }
+func (e fakeProcess) Break(f float64) func()     { return e.record("%s break %v", e.name, f) }
+func (e fakeProcess) Surge(f float64) func()     { return e.record("%s surge %v", e.name, f) }
+func (e fakeProcess) LeaveMore(f float64) func() { return e.record("%s leave %v", e.name, f) }
+func (e fakeProcess) Costly(c string, s, f float64) func() {
+	return e.record("%s costly %s %v %v", e.name, c, s, f)
 }
 
-type discovery struct{ entity }
+type fakeDiscovery struct{ fakeProcess }
 
-func (d discovery) Down() func()            { return d.say("discovery down") }
-func (d discovery) Stall(f float64) func()  { return d.say("discovery stall %v", f) }
-func (d discovery) Refuse(f float64) func() { return d.say("discovery refuse %v", f) }
-func (d discovery) Delay(f float64) func()  { return d.say("discovery late %v", f) }
-func (d discovery) Garble(f float64) func() { return d.say("discovery garble %v", f) }
-func (d discovery) Blind() func()           { return d.say("discovery blind") }
-func (d discovery) Vanished(name string)    { d.say("%s unheard", name); d.open-- }
-func (d discovery) Returned(name string)    { d.say("%s heard", name); d.open-- }
-func (d discovery) Move() string            { d.say("discovery move"); d.open--; return "spare" }
+func (d fakeDiscovery) Down() func()            { return d.record("discovery down") }
+func (d fakeDiscovery) Stall(f float64) func()  { return d.record("discovery stall %v", f) }
+func (d fakeDiscovery) Refuse(f float64) func() { return d.record("discovery refuse %v", f) }
+func (d fakeDiscovery) Delay(f float64) func()  { return d.record("discovery late %v", f) }
+func (d fakeDiscovery) Garble(f float64) func() { return d.record("discovery garble %v", f) }
+func (d fakeDiscovery) Blind() func()           { return d.record("discovery blind") }
+func (d fakeDiscovery) Vanished(name string)    { d.record("%s unheard", name); d.activeFaults-- }
+func (d fakeDiscovery) Returned(name string)    { d.record("%s heard", name); d.activeFaults-- }
+func (d fakeDiscovery) Move() string            { d.record("discovery move"); d.activeFaults--; return "spare" }
 
-type network struct{ *stand }
+type fakeNetwork struct{ *fakeTarget }
 
-func (n network) Vanish(host string) { n.say("vanish %s", host) }
-func (n network) Return(host string) { n.say("return %s", host); n.open -= 2 }
-func (n network) Cut(a, b func(string) bool) func() {
-	return n.say("cut %v %v", a("p01"), b("p01"))
+func (n fakeNetwork) Vanish(host string) { n.record("vanish %s", host) }
+func (n fakeNetwork) Return(host string) { n.record("return %s", host); n.activeFaults -= 2 }
+func (n fakeNetwork) Cut(a, b func(string) bool) func() {
+	return n.record("cut %v %v", a("p01"), b("p01"))
 }
-func (n network) HushNew(share float64, to func(string) bool) func() {
-	return n.say("hushing %v %v %v", share, to("p01"), to("p02"))
+func (n fakeNetwork) HushNew(share float64, to func(string) bool) func() {
+	return n.record("hushing %v %v %v", share, to("p01"), to("p02"))
 }
-func (n network) Slow(f float64, a, b func(string) bool) func() {
-	return n.say("slowlink %v %v %v", f, a("p01"), b("p01"))
+func (n fakeNetwork) Slow(f float64, a, b func(string) bool) func() {
+	return n.record("slowlink %v %v %v", f, a("p01"), b("p01"))
 }
-func (n network) Hush(pick func(string) bool) {
+func (n fakeNetwork) Hush(pick func(string) bool) {
 	var some []string
 	for _, c := range n.conns {
 		if pick(c) {
 			some = append(some, c)
 		}
 	}
-	n.say("hush %v", some)
-	n.open--
+	n.record("hush %v", some)
+	n.activeFaults--
 }
 
 // play plays a script's faults and says what they did.
-func play(t *testing.T, s *Script, conns ...string) *stand {
-	var st *stand
+func play(t *testing.T, s *Script, conns ...string) *fakeTarget {
+	var st *fakeTarget
 	synctest.Test(t, func(t *testing.T) {
 		l := loop.New(synctest.Wait)
-		st = &stand{t: t, loop: l, up: map[string]bool{}, hosts: map[string]string{},
-			on: map[string]string{}, conns: conns}
+		st = &fakeTarget{t: t, loop: l, up: map[string]bool{}, hosts: map[string]string{},
+			peerAtHost: map[string]string{}, conns: conns}
 		for _, n := range s.World.Nodes {
 			st.up[n.Name] = true
 		}
@@ -170,13 +170,13 @@
 			st.up[p.Name] = !p.Late
 			st.hosts[p.Name] = host(p)
 			if !p.Late {
-				st.on[host(p)] = p.Name
+				st.peerAtHost[host(p)] = p.Name
 			}
 		}
 		s.Schedule(l, st)
 		l.Run(t.Context(), s.Length.D()+time.Microsecond, nil)
-		if st.open != 0 {
-			t.Errorf("%d faults are not healed at the end", st.open)
+		if st.activeFaults != 0 {
+			t.Errorf("%d faults are not healed at the end", st.activeFaults)
 		}
 		l.Run(t.Context(), s.Length.D()+time.Minute, nil)
 	})
@@ -192,7 +192,7 @@
 		st := play(t, s)
 		replaced := map[string]bool{}
 		for _, f := range s.Faults {
-			if len(f.Heirs) > 0 {
+			if len(f.Replacements) > 0 {
 				for _, p := range f.Peers {
 					replaced[p] = true
 				}
@@ -235,12 +235,12 @@
 			{Kind: "drain", At: sec(1), For: sec(2), Back: sec(1), Peers: []string{"p09"}},
 		}, "1.0 p09 drain 0s 2s, 6.0 p09 kill, 7.0 p09 start"},
 		{"a death amid a release, and one after it", []Fault{
-			{Kind: "release", At: sec(1), For: sec(2), Back: sec(1), Peers: p1, Heirs: []string{"p01r1"}},
+			{Kind: "release", At: sec(1), For: sec(2), Back: sec(1), Peers: p1, Replacements: []string{"p01r1"}},
 			{Kind: "death", At: sec(2), For: sec(5), Peers: p1},
 			{Kind: "death", At: sec(8), For: sec(1), Peers: p1},
 		}, "1.0 p01 drain 0s 2s, 2.0 p01 kill, 4.0 p01r1 start"},
 		{"replace", []Fault{
-			{Kind: "replace", At: sec(1), For: sec(1), Peers: p1, Heirs: []string{"p01r1"}},
+			{Kind: "replace", At: sec(1), For: sec(1), Peers: p1, Replacements: []string{"p01r1"}},
 		}, "1.0 p01 kill, 2.0 p01r1 start"},
 		{"move and reload", []Fault{
 			{Kind: "node-kill", At: sec(1), For: sec(3), Nodes: []string{"n2"}},
@@ -263,8 +263,8 @@
 		}, "1.0 cut true false, 2.0 end of cut true false, 3.0 hushing 0.5 true false, " +
 			"4.0 end of hushing 0.5 true false, 5.0 slowlink 4 true false, 6.0 end of slowlink 4 true false"},
 		{"two that replace one", []Fault{
-			{Kind: "release", At: sec(1), For: sec(2), Back: sec(1), Peers: p1, Heirs: []string{"p01r1"}},
-			{Kind: "replace", At: sec(2), For: sec(1), Peers: p1, Heirs: []string{"p01r2"}},
+			{Kind: "release", At: sec(1), For: sec(2), Back: sec(1), Peers: p1, Replacements: []string{"p01r1"}},
+			{Kind: "replace", At: sec(2), For: sec(1), Peers: p1, Replacements: []string{"p01r2"}},
 		}, "1.0 p01 drain 0s 2s, 2.0 p01 kill, 3.0 p01r2 start"},
 		{"two restarts of one node, and a reload", []Fault{
 			{Kind: "node-restart", At: sec(1), For: sec(3), Nodes: []string{"n1"}},
--- a/internal/lab/fault/script.go
+++ b/internal/lab/fault/script.go
@@ -18,18 +18,18 @@
 // Fault is one thing that goes wrong, or is done by operators. Which figures a
 // kind uses, and their bounds, is stated with the kinds, in kinds.go.
 type Fault struct {
-	Kind     string      `toml:"kind"`
-	At       figure.Span `toml:"at"`
-	For      figure.Span `toml:"for,omitempty"`
-	Peers    []string    `toml:"peers,omitempty"`
-	Heirs    []string    `toml:"heirs,omitempty"` // late peers, who take the places of Peers, in order
-	Nodes    []string    `toml:"nodes,omitempty"`
-	Clients  []string    `toml:"clients,omitempty"`
-	Zone     string      `toml:"zone,omitempty"`
-	Class    string      `toml:"class,omitempty"`
-	Share    float64     `toml:"share,omitempty"`     // of requests, calls or connections
-	Factor   float64     `toml:"factor,omitempty"`    // times slower, dearer, more
-	Pause    figure.Span `toml:"pause,omitempty"`     // between one peer, or node, and the next
-	TurnAway figure.Span `toml:"turn_away,omitempty"` // from a drain until new requests are turned away
-	Back     figure.Span `toml:"back,omitempty"`      // from a peer's end until it, or its heir, starts
+	Kind         string      `toml:"kind"`
+	At           figure.Span `toml:"at"`
+	For          figure.Span `toml:"for,omitempty"`
+	Peers        []string    `toml:"peers,omitempty"`
+	Replacements []string    `toml:"heirs,omitempty"` // late peers, who take the places of Peers, in order
+	Nodes        []string    `toml:"nodes,omitempty"`
+	Clients      []string    `toml:"clients,omitempty"`
+	Zone         string      `toml:"zone,omitempty"`
+	Class        string      `toml:"class,omitempty"`
+	Share        float64     `toml:"share,omitempty"`     // of requests, calls or connections
+	Factor       float64     `toml:"factor,omitempty"`    // times slower, dearer, more
+	Pause        figure.Span `toml:"pause,omitempty"`     // between one peer, or node, and the next
+	TurnAway     figure.Span `toml:"turn_away,omitempty"` // from a drain until new requests are turned away
+	Back         figure.Span `toml:"back,omitempty"`      // from a peer's end until it, or its heir, starts
 }
--- a/internal/lab/fault/smaller.go
+++ b/internal/lab/fault/smaller.go
@@ -28,7 +28,7 @@
 	c.Faults = slices.Clone(c.Faults)
 	for i := range c.Faults {
 		f := &c.Faults[i]
-		f.Peers, f.Heirs = slices.Clone(f.Peers), slices.Clone(f.Heirs)
+		f.Peers, f.Replacements = slices.Clone(f.Peers), slices.Clone(f.Replacements)
 		f.Nodes, f.Clients = slices.Clone(f.Nodes), slices.Clone(f.Clients)
 	}
 	return &c
@@ -40,7 +40,7 @@
 // comes to an end.
 func (s *Script) Smaller() iter.Seq[*Script] {
 	return func(yield func(*Script) bool) {
-		for cut := range s.cuts() {
+		for cut := range s.reductions() {
 			c := s.Clone()
 			cut(c)
 			c.prune()
@@ -51,27 +51,27 @@
 	}
 }
 
-// cuts are the ways to make s smaller; some lead nowhere.
-func (s *Script) cuts() iter.Seq[func(*Script)] {
+// reductions are the ways to make s smaller; some lead nowhere.
+func (s *Script) reductions() iter.Seq[func(*Script)] {
 	w := &s.World
 	return func(yield func(func(*Script)) bool) {
 		for _, some := range []iter.Seq[func(*Script)]{
-			parts(len(s.Faults), func(c *Script, from, to int) { c.Faults = slices.Delete(c.Faults, from, to) }),
-			parts(len(w.Rogues), func(c *Script, from, to int) {
+			removals(len(s.Faults), func(c *Script, from, to int) { c.Faults = slices.Delete(c.Faults, from, to) }),
+			removals(len(w.Rogues), func(c *Script, from, to int) {
 				c.World.Rogues = slices.Delete(c.World.Rogues, from, to)
 			}),
-			slices.Values([]func(*Script){halfLength, endWithFaults, sooner, oneZone}),
-			parts(len(w.Clients), func(c *Script, from, to int) {
+			slices.Values([]func(*Script){halfLength, endWithFaults, halveLead, oneZone}),
+			removals(len(w.Clients), func(c *Script, from, to int) {
 				c.World.Clients = slices.Delete(c.World.Clients, from, to)
 			}),
-			parts(len(w.Nodes), func(c *Script, from, to int) {
+			removals(len(w.Nodes), func(c *Script, from, to int) {
 				c.World.Nodes = slices.Delete(c.World.Nodes, from, to)
 			}),
-			parts(len(w.Peers), func(c *Script, from, to int) {
+			removals(len(w.Peers), func(c *Script, from, to int) {
 				c.World.Peers = slices.Delete(c.World.Peers, from, to)
 			}),
-			s.narrower(),
-			slices.Values(plainer()),
+			s.faultReductions(),
+			slices.Values(simplifications()),
 		} {
 			for cut := range some {
 				if !yield(cut) {
@@ -82,9 +82,9 @@
 	}
 }
 
-// parts takes out of a list of n: all, each half, each quarter, and so on to
+// removals takes out of a list of n: all, each half, each quarter, and so on to
 // each one.
-func parts(n int, out func(c *Script, from, to int)) iter.Seq[func(*Script)] {
+func removals(n int, out func(c *Script, from, to int)) iter.Seq[func(*Script)] {
 	return func(yield func(func(*Script)) bool) {
 		for size := n; size > 0; size /= 2 {
 			for from := 0; from < n; from += size {
@@ -96,12 +96,12 @@
 	}
 }
 
-func halfLength(c *Script) { c.Length = half(c.Length, time.Second) }
+func halfLength(c *Script) { c.Length = halveSpan(c.Length, time.Second) }
 
 // endWithFaults ends the script a little after its last fault.
 func endWithFaults(c *Script) {
 	var last figure.Span
-	for _, f := range c.stays() {
+	for _, f := range c.activePeriods() {
 		last = max(last, f.to)
 	}
 	if last += 2 * figure.Span(time.Second); last < c.Length {
@@ -109,13 +109,13 @@
 	}
 }
 
-// sooner takes away half of the time before the first fault.
-func sooner(c *Script) {
+// halveLead takes away half of the time before the first fault.
+func halveLead(c *Script) {
 	first := c.Length
-	for _, f := range c.stays() {
+	for _, f := range c.activePeriods() {
 		first = min(first, f.from)
 	}
-	less := half(first, 100*time.Millisecond)
+	less := halveSpan(first, 100*time.Millisecond)
 	if first == c.Length || less == first {
 		return
 	}
@@ -148,28 +148,28 @@
 	}
 }
 
-// narrower lets each fault be about fewer, and last shorter, and each crowd ask
+// faultReductions lets each fault be about fewer, and last shorter, and each crowd ask
 // less.
-func (s *Script) narrower() iter.Seq[func(*Script)] {
+func (s *Script) faultReductions() iter.Seq[func(*Script)] {
 	return func(yield func(func(*Script)) bool) {
 		for i, f := range s.Faults {
 			some := []iter.Seq[func(*Script)]{
-				parts(len(f.Peers), func(c *Script, from, to int) {
+				removals(len(f.Peers), func(c *Script, from, to int) {
 					f := &c.Faults[i]
 					f.Peers = slices.Delete(f.Peers, from, to)
-					if len(f.Heirs) > 0 {
-						f.Heirs = slices.Delete(f.Heirs, from, to)
+					if len(f.Replacements) > 0 {
+						f.Replacements = slices.Delete(f.Replacements, from, to)
 					}
 				}),
-				parts(len(f.Nodes), func(c *Script, from, to int) {
+				removals(len(f.Nodes), func(c *Script, from, to int) {
 					c.Faults[i].Nodes = slices.Delete(c.Faults[i].Nodes, from, to)
 				}),
-				parts(len(f.Clients), func(c *Script, from, to int) {
+				removals(len(f.Clients), func(c *Script, from, to int) {
 					c.Faults[i].Clients = slices.Delete(c.Faults[i].Clients, from, to)
 				}),
 				slices.Values([]func(*Script){
-					func(c *Script) { c.Faults[i].For = half(c.Faults[i].For, 100*time.Millisecond) },
-					func(c *Script) { c.Faults[i].Share = halfOf(c.Faults[i].Share, 0.01) },
+					func(c *Script) { c.Faults[i].For = halveSpan(c.Faults[i].For, 100*time.Millisecond) },
+					func(c *Script) { c.Faults[i].Share = halveFloat(c.Faults[i].Share, 0.01) },
 				}),
 			}
 			for _, cuts := range some {
@@ -181,15 +181,15 @@
 			}
 		}
 		for i := range s.World.Clients {
-			if !yield(func(c *Script) { c.World.Clients[i].Rate = halfOf(c.World.Clients[i].Rate, 1) }) {
+			if !yield(func(c *Script) { c.World.Clients[i].Rate = halveFloat(c.World.Clients[i].Rate, 1) }) {
 				return
 			}
 		}
 	}
 }
 
-// plainer takes away, everywhere at once, one thing that makes a world less plain.
-func plainer() []func(*Script) {
+// simplifications takes away, everywhere at once, one thing that makes a world less plain.
+func simplifications() []func(*Script) {
 	return []func(*Script){
 		func(c *Script) { c.World.Net.Pieces = 0 },
 		func(c *Script) { c.World.Net.Rate = 0 },
@@ -232,15 +232,15 @@
 	}
 }
 
-// half halves a length of time, but not to less than a least one.
-func half(s figure.Span, least time.Duration) figure.Span {
-	if h := seconds(s.D().Seconds() / 2); h.D() >= least {
+// halveSpan halves a length of time, but not to less than a least one.
+func halveSpan(s figure.Span, least time.Duration) figure.Span {
+	if h := roundSeconds(s.D().Seconds() / 2); h.D() >= least {
 		return h
 	}
 	return s
 }
 
-func halfOf(v, least float64) float64 {
+func halveFloat(v, least float64) float64 {
 	if h := figure.Round(v/2, 3); h >= least {
 		return h
 	}
@@ -251,7 +251,7 @@
 func (s *Script) prune() {
 	w := &s.World
 	w.Rogues = slices.DeleteFunc(w.Rogues, func(r world.Rogue) bool {
-		return s.Length < r.From+figure.Span(shortest)
+		return s.Length < r.From+figure.Span(minFaultDuration)
 	})
 	for i := range w.Rogues {
 		w.Rogues[i].For = min(w.Rogues[i].For, s.Length-w.Rogues[i].From)
@@ -264,7 +264,7 @@
 		s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return !f.prune(s, zones) })
 		started := map[string]bool{}
 		for _, f := range s.Faults {
-			for _, name := range f.Heirs {
+			for _, name := range f.Replacements {
 				started[name] = true
 			}
 		}
@@ -286,19 +286,19 @@
 	var peers, heirs []string
 	for i, name := range f.Peers {
 		zone, ok := zones[name]
-		if len(f.Heirs) > 0 {
-			_, too := zones[f.Heirs[i]]
+		if len(f.Replacements) > 0 {
+			_, too := zones[f.Replacements[i]]
 			ok = ok && too
 		}
 		if !ok || f.Zone != "" && zone != f.Zone {
 			continue
 		}
 		peers = append(peers, name)
-		if len(f.Heirs) > 0 {
-			heirs = append(heirs, f.Heirs[i])
+		if len(f.Replacements) > 0 {
+			heirs = append(heirs, f.Replacements[i])
 		}
 	}
-	f.Peers, f.Heirs = peers, heirs
+	f.Peers, f.Replacements = peers, heirs
 	f.Nodes = orNil(slices.DeleteFunc(f.Nodes, func(name string) bool {
 		return !slices.ContainsFunc(w.Nodes, func(n world.Node) bool { return n.Name == name })
 	}))
@@ -306,8 +306,8 @@
 		return !slices.ContainsFunc(w.Clients, func(c world.Clients) bool { return c.Name == name })
 	}))
 	switch {
-	case k.takes("peers") && len(f.Peers) == 0, k.takes("nodes") && len(f.Nodes) == 0,
-		k.takes("clients") && len(f.Clients) == 0, k.takes("zone") && !slices.Contains(w.Zones, f.Zone),
+	case k.hasParameter("peers") && len(f.Peers) == 0, k.hasParameter("nodes") && len(f.Nodes) == 0,
+		k.hasParameter("clients") && len(f.Clients) == 0, k.hasParameter("zone") && !slices.Contains(w.Zones, f.Zone),
 		f.Kind == "cut" && len(w.Zones) < 2:
 		return false
 	}
--- a/internal/lab/fleet/account.go
+++ b/internal/lab/fleet/account.go
@@ -45,16 +45,16 @@
 
 // Event is one thing that was done to a process, or that it was seen to do, by the machine's monotonic clock.
 type Event struct {
-	At    time.Duration `json:"at"`
-	Node  string        `json:"node,omitempty"`
-	What  string        `json:"what"`
-	PID   int           `json:"pid,omitempty"`
-	From  []string      `json:"from,omitempty"` // of cuts and impairments
-	To    []string      `json:"to,omitempty"`   // likewise
-	Ails  *fault.Ails   `json:"ails,omitempty"`
-	Ended bool          `json:"ended,omitempty"` // of a cut or an impairment: its end
-	Wrong time.Duration `json:"wrong,omitempty"` // by which a node's wall clock is wrong from its next start on
-	Share float64       `json:"share,omitempty"` // of the amounts of budgets that all fleet files say from now on
+	At    time.Duration     `json:"at"`
+	Node  string            `json:"node,omitempty"`
+	What  string            `json:"what"`
+	PID   int               `json:"pid,omitempty"`
+	From  []string          `json:"from,omitempty"` // of cuts and impairments
+	To    []string          `json:"to,omitempty"`   // likewise
+	Ails  *fault.Impairment `json:"ails,omitempty"`
+	Ended bool              `json:"ended,omitempty"` // of a cut or an impairment: its end
+	Wrong time.Duration     `json:"wrong,omitempty"` // by which a node's wall clock is wrong from its next start on
+	Share float64           `json:"share,omitempty"` // of the amounts of budgets that all fleet files say from now on
 }
 
 // Account is all that is known of a run from outside, and what its processes recorded.
--- a/internal/lab/fleet/amounts.go
+++ b/internal/lab/fleet/amounts.go
@@ -52,7 +52,7 @@
 		s.Faults = append(s.Faults, drawn.Faults...)
 		for i := range s.Faults { // whose calls may take longer
 			f := &s.Faults[i]
-			f.For = max(f.For, fault.Least(f.Kind, &s.World))
+			f.For = max(f.For, fault.MinDuration(f.Kind, &s.World))
 			if f.Ends() > s.Length {
 				f.At = s.Length - f.For
 			}
--- a/internal/lab/fleet/choices.go
+++ b/internal/lab/fleet/choices.go
@@ -81,14 +81,14 @@
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 		s := choicesQuietScript(peers)(seed, nodes, length)
 		one := func(name string, weight, lo, hi float64) fault.KindRanges {
-			return fault.KindRanges{Name: name, Weight: weight, Part: fault.Range{Lo: 0.05, Hi: 0.3}, For: fault.Between(lo, hi)}
+			return fault.KindRanges{Name: name, Weight: weight, Part: fault.Range{Lo: 0.05, Hi: 0.3}, For: fault.SecondsRange(lo, hi)}
 		}
 		slow := one("slow", 3, 2, 8)
 		slow.Factor = fault.Range{Lo: 2, Hi: 6}
 		tail := figure.Span(settle)
 		s.DrawFaults([]fault.KindRanges{one("death", 8, 2, 8), slow, one("stall", 3, 1, 4), one("node-kill", 8, 2, 10),
 			one("node-restart", 4, 2.5, 8), one("fleet-stop", 4, 1, 6), one("fleet-split", 4, 2, 10)},
-			fault.FaultPlan{Count: fault.Counts{Lo: 1, Hi: 3}, Lead: fault.Between(6, 8),
+			fault.FaultPlan{Count: fault.Counts{Lo: 1, Hi: 3}, Lead: fault.SecondsRange(6, 8),
 				Tail: fault.Spans{Lo: tail, Hi: tail}, Overlap: 0.4})
 		last := s.Length - tail
 		s.Faults = slices.DeleteFunc(s.Faults, func(f fault.Fault) bool { return f.Ends() > last })
--- a/internal/lab/fleet/link.go
+++ b/internal/lab/fleet/link.go
@@ -27,8 +27,8 @@
 
 // link is what goes from one node to another, as faults have made it.
 type link struct {
-	cuts        int          // in force
-	impairments []fault.Ails // in force
+	cuts        int                // in force
+	impairments []fault.Impairment // in force
 	traffic     Traffic
 }
 
@@ -91,7 +91,7 @@
 }
 
 // Impair loses, delays, duplicates or resets some of what goes from some nodes to others, until it is healed.
-func (r *Relays) Impair(from, to func(name string) bool, impairment fault.Ails) (heal func()) {
+func (r *Relays) Impair(from, to func(name string) bool, impairment fault.Impairment) (heal func()) {
 	r.changeLinks(from, to, func(l *link) { l.impairments = append(l.impairments, impairment) })
 	return func() {
 		r.changeLinks(from, to, func(l *link) { l.remove(impairment) })
@@ -99,7 +99,7 @@
 }
 
 // remove removes one impairment.
-func (l *link) remove(impairment fault.Ails) {
+func (l *link) remove(impairment fault.Impairment) {
 	for i := range l.impairments {
 		if l.impairments[i] == impairment {
 			l.impairments = append(l.impairments[:i:i], l.impairments[i+1:]...)
--- a/internal/lab/fleet/rig_faults.go
+++ b/internal/lab/fleet/rig_faults.go
@@ -62,7 +62,7 @@
 }
 
 // Ail implements live.Fleet.
-func (g *rig) Ail(from, to func(string) bool, a fault.Ails) func() {
+func (g *rig) Ail(from, to func(string) bool, a fault.Impairment) func() {
 	heal := g.relays.Impair(from, to, a)
 	e := Event{What: eventImpaired, From: g.namesOf(from), To: g.namesOf(to), Ails: &a}
 	g.note(e)
@@ -78,7 +78,7 @@
 const incarnationFile = "life.json"
 
 // Spoil implements live.Fleet. A superuser may write anywhere, so what stands in the way is no mode of a file.
-func (g *rig) Spoil(node string, how fault.Spoilt) (mend func(), err error) {
+func (g *rig) Spoil(node string, how fault.DirectoryFault) (mend func(), err error) {
 	file := filepath.Join(g.stateDirectory(node), incarnationFile)
 	next := file + ".new"
 	content, err := os.ReadFile(file)
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -56,7 +56,7 @@
 // ranges are what the faults of seeds are drawn from.
 func ranges() []fault.KindRanges {
 	one := func(name string, weight, lo, hi float64) fault.KindRanges {
-		return fault.KindRanges{Name: name, Weight: weight, Part: fault.Range{Lo: 0.2, Hi: 0.45}, For: fault.Between(lo, hi)}
+		return fault.KindRanges{Name: name, Weight: weight, Part: fault.Range{Lo: 0.2, Hi: 0.45}, For: fault.SecondsRange(lo, hi)}
 	}
 	share := func(k fault.KindRanges, lo, hi float64) fault.KindRanges {
 		k.Share = fault.Range{Lo: lo, Hi: hi}
@@ -65,7 +65,7 @@
 	apart := one("fleet-apart", 6, 2, 10)
 	apart.Part = fault.Range{Lo: 0.4, Hi: 0.8}
 	late := one("fleet-late", 3, 2, 8)
-	late.Pause = fault.Between(0.005, 0.1)
+	late.Pause = fault.SecondsRange(0.005, 0.1)
 	return []fault.KindRanges{
 		one("node-kill", 12, 0.5, 14), one("node-restart", 8, 2.5, 8), one("fleet-stop", 10, 0.5, 9),
 		one("fleet-split", 12, 1, 12), one("fleet-deaf", 4, 1, 8), one("fleet-mute", 4, 1, 8),
@@ -82,7 +82,7 @@
 func RandomScript(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 	s := quietScript(seed, nodes, length)
 	tail := figure.Span(settle)
-	s.DrawFaults(ranges(), fault.FaultPlan{Count: fault.Counts{Lo: 2, Hi: 5}, Lead: fault.Between(2, 4),
+	s.DrawFaults(ranges(), fault.FaultPlan{Count: fault.Counts{Lo: 2, Hi: 5}, Lead: fault.SecondsRange(2, 4),
 		Tail: fault.Spans{Lo: tail, Hi: tail}, Overlap: 0.4})
 	// A fault that would last to the end leaves no time to see that it is over, so it is cut short; a restart, which takes
 	// its time, is left out.
--- a/internal/lab/live/fleet.go
+++ b/internal/lab/live/fleet.go
@@ -17,7 +17,7 @@
 	// Tell hears what becomes of a node's processes.
 	Tell(node, what string, pid int)
 	Cut(from, to func(node string) bool) (heal func())
-	Ail(from, to func(node string) bool, a fault.Ails) (heal func())
+	Ail(from, to func(node string) bool, a fault.Impairment) (heal func())
 	Move(node string)
 	// Amounts writes a share of the amounts into all fleet files, also those of processes to come, and returns how often
 	// that was done. It is 0 until it is done.
@@ -29,11 +29,11 @@
 	// Arm has a node's process wait at its next such step. Met reports whether it does, GoOn lets it.
 	Arm(node, step string) (met func() bool, goOn func(), err error)
 	// Spoil makes a directory unfit, and returns how that is mended.
-	Spoil(node string, how fault.Spoilt) (mend func(), err error)
+	Spoil(node string, how fault.DirectoryFault) (mend func(), err error)
 }
 
-// Company is what the nodes are to each other; nil: they know of none.
-func (r *Run) Company() fault.Company {
+// Fleet is what the nodes are to each other; nil: they know of none.
+func (r *Run) Fleet() fault.Fleet {
 	if r.options.Fleet == nil {
 		return nil
 	}
@@ -45,7 +45,7 @@
 
 func (c company) Cut(from, to func(string) bool) func() { return c.r.options.Fleet.Cut(from, to) }
 
-func (c company) Ail(from, to func(string) bool, a fault.Ails) func() {
+func (c company) Impair(from, to func(string) bool, a fault.Impairment) func() {
 	return c.r.options.Fleet.Ail(from, to, a)
 }
 
@@ -114,7 +114,7 @@
 	}
 }
 
-func (c company) Spoil(node string, how fault.Spoilt) func() {
+func (c company) DamageDirectory(node string, how fault.DirectoryFault) func() {
 	i := c.r.node(node)
 	mend, err := c.r.options.Fleet.Spoil(node, how)
 	if err != nil {
@@ -137,7 +137,7 @@
 
 func (c company) Upgrade(node string) { c.r.node(node).upgrade() }
 
-func (c company) Twin(node string) func() {
+func (c company) StartDuplicate(node string) func() {
 	i := c.r.node(node)
 	i.startTwin()
 	return i.endTwin
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -100,7 +100,7 @@
 	if err := Playable(s); err != nil {
 		return nil, err
 	}
-	if kind := s.Processes(); kind != "" && o.Fleet == nil {
+	if kind := s.FirstFleetKind(); kind != "" && o.Fleet == nil {
 		return nil, fmt.Errorf("%s: the nodes here know of no others; see olivelab fleet", kind)
 	}
 	r := &Run{
--- a/internal/lab/stage/build.go
+++ b/internal/lab/stage/build.go
@@ -23,11 +23,11 @@
 	})
 	r.observer = observers{r.trace, r.judge}
 	if r.options.Watch != nil {
-		r.watch = &watch{run: r, to: r.options.Watch}
+		r.watch = &sampler{run: r, sink: r.options.Watch}
 		r.observer = observers{r.trace, r.judge, r.watch}
 	}
 	r.net = network.New(r.loop, s.Seed, c.Net, taps{r.trace, r.judge})
-	r.place()
+	r.placeHosts()
 
 	var err error
 	if r.registry, err = registry.New(c.Discovery, c.Peers, registry.Env{
@@ -37,7 +37,7 @@
 	}
 	r.discovery = c.Discovery.Addr
 	for i, p := range c.Peers {
-		r.places[p.Name], r.hosts[p.Name] = i, hostOf(p)
+		r.peerIndex[p.Name], r.hosts[p.Name] = i, hostOf(p)
 		r.peers[p.Name] = peer.New(p, peer.Env{
 			Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: r.observer, Classes: c.Classes, Listed: r.registry,
 		})
@@ -46,7 +46,7 @@
 		return err
 	}
 	for _, n := range c.Nodes {
-		r.nodes = append(r.nodes, &instance{run: r, c: n})
+		r.nodes = append(r.nodes, &instance{run: r, conf: n})
 	}
 	r.front = client.NewFront(c.Front, c.Nodes, client.FrontEnv{Loop: r.loop, Fabric: r.net, Seed: s.Seed})
 	env := client.Env{
@@ -54,7 +54,7 @@
 		Front: r.front, Contract: c.Contract,
 	}
 	if r.watch != nil {
-		env.Ended = r.watch.to.Request
+		env.Ended = r.watch.sink.Request
 	}
 	for _, one := range c.Clients {
 		r.crowds = append(r.crowds, client.New(one, env))
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// place puts every machine where it stands.
-func (r *run) place() {
+// placeHosts puts every machine where it stands.
+func (r *run) placeHosts() {
 	c := &r.script.World
 	put := func(host, zone string) {
 		r.zones[host] = zone
--- a/internal/lab/stage/faults_test.go
+++ b/internal/lab/stage/faults_test.go
@@ -11,61 +11,61 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// struck is a fault, and what shows at which stages that it has met them: words of the nodes' log, or of the tally.
-type struck struct {
-	name  string
-	fault fault.Fault
-	shows map[string]string // by stage
-	more  []fault.Fault     // with it, for long
+// stageCase is a fault, and what shows at which stages that it has met them: words of the nodes' log, or of the tally.
+type stageCase struct {
+	name        string
+	fault       fault.Fault
+	signs       map[string]string // by stage
+	extraFaults []fault.Fault     // with it, for long
 }
 
 // all of the world's peers, and some that carry much of the work
 var (
-	every = []string{"p01", "p02", "p03", "p04", "p05", "p06", "p07"}
-	some  = []string{"p02", "p03", "p06"}
+	allPeers  = []string{"p01", "p02", "p03", "p04", "p05", "p06", "p07"}
+	somePeers = []string{"p02", "p03", "p06"}
 	// and its clients
 	clients = []string{"fernley-motors-tamworth", "fernley-motors-derby", "ashby-dental-tamworth", "ashby-dental-derby",
 		"trentside-models-tamworth", "trentside-models-derby"}
 )
 
-// long outlasts all the calls of one question to discovery.
-const long = figure.Span(12 * time.Second)
+// longFault outlasts all the calls of one question to discovery.
+const longFault = figure.Span(12 * time.Second)
 
 const ended, left = "upstream group watch ended", "out of the table"
 
-var strikes = []struck{
-	{"silent after the last byte", fault.Fault{Kind: "silent", Share: 0.5, Peers: some}, map[string]string{"relay": "try-timeout"}, nil},
-	{"connections fall silent", fault.Fault{Kind: "hushing", Share: 0.5, Peers: some}, map[string]string{"relay": "reason=called-off"}, nil},
-	{"slow at every byte", fault.Fault{Kind: "slow", Factor: 30, Peers: some}, map[string]string{"relay": "try-timeout", "route": left}, nil},
-	{"stands still", fault.Fault{Kind: "stall", Peers: some}, map[string]string{"relay": "try-timeout", "route": left}, nil},
-	{"refused", fault.Fault{Kind: "death", Peers: some}, map[string]string{"send": left, "probe": left, "relay": "reason=reset"}, nil},
-	{"filtered", fault.Fault{Kind: "vanish", Peers: some}, map[string]string{"send": left, "probe": left}, nil},
-	{"reset under requests", fault.Fault{Kind: "break", Share: 0.5, Peers: some}, map[string]string{"relay": "reason=reset"}, nil},
-	{"answers 500", fault.Fault{Kind: "fail", Share: 0.9, Peers: some}, map[string]string{"relay": left, "route": left}, nil},
-	{"turns away", fault.Fault{Kind: "turnaway", Share: 0.9, Peers: some}, map[string]string{"relay": "+tries"}, nil},
-	{"spoilt answers", fault.Fault{Kind: "spoil", Share: 0.5, Peers: some}, map[string]string{"relay": "reason=spoilt"}, nil},
-	{"surplus behind answers", fault.Fault{Kind: "surplus", Share: 0.5, Peers: some}, map[string]string{"relay": "reason=surplus"}, nil},
-	{"all gone at once", fault.Fault{Kind: "death", Peers: every}, map[string]string{"admit": "+refused", "send": left}, nil},
-	{"drained, back cold", fault.Fault{Kind: "drain", Peers: some, For: figure.Span(10 * time.Second), TurnAway: figure.Span(9 * time.Second),
+var stageCases = []stageCase{
+	{"silent after the last byte", fault.Fault{Kind: "silent", Share: 0.5, Peers: somePeers}, map[string]string{"relay": "try-timeout"}, nil},
+	{"connections fall silent", fault.Fault{Kind: "hushing", Share: 0.5, Peers: somePeers}, map[string]string{"relay": "reason=called-off"}, nil},
+	{"slow at every byte", fault.Fault{Kind: "slow", Factor: 30, Peers: somePeers}, map[string]string{"relay": "try-timeout", "route": left}, nil},
+	{"stands still", fault.Fault{Kind: "stall", Peers: somePeers}, map[string]string{"relay": "try-timeout", "route": left}, nil},
+	{"refused", fault.Fault{Kind: "death", Peers: somePeers}, map[string]string{"send": left, "probe": left, "relay": "reason=reset"}, nil},
+	{"filtered", fault.Fault{Kind: "vanish", Peers: somePeers}, map[string]string{"send": left, "probe": left}, nil},
+	{"reset under requests", fault.Fault{Kind: "break", Share: 0.5, Peers: somePeers}, map[string]string{"relay": "reason=reset"}, nil},
+	{"answers 500", fault.Fault{Kind: "fail", Share: 0.9, Peers: somePeers}, map[string]string{"relay": left, "route": left}, nil},
+	{"turns away", fault.Fault{Kind: "turnaway", Share: 0.9, Peers: somePeers}, map[string]string{"relay": "+tries"}, nil},
+	{"spoilt answers", fault.Fault{Kind: "spoil", Share: 0.5, Peers: somePeers}, map[string]string{"relay": "reason=spoilt"}, nil},
+	{"surplus behind answers", fault.Fault{Kind: "surplus", Share: 0.5, Peers: somePeers}, map[string]string{"relay": "reason=surplus"}, nil},
+	{"all gone at once", fault.Fault{Kind: "death", Peers: allPeers}, map[string]string{"admit": "+refused", "send": left}, nil},
+	{"drained, back cold", fault.Fault{Kind: "drain", Peers: somePeers, For: figure.Span(10 * time.Second), TurnAway: figure.Span(9 * time.Second),
 		Back: figure.Span(500 * time.Millisecond), Pause: figure.Span(200 * time.Millisecond)},
 		map[string]string{"route": left, "list": left, "send": "reason=idle"}, nil},
-	{"many cold in a rush", fault.Fault{Kind: "death", Peers: every[:5], For: figure.Span(500 * time.Millisecond)},
+	{"many cold in a rush", fault.Fault{Kind: "death", Peers: allPeers[:5], For: figure.Span(500 * time.Millisecond)},
 		map[string]string{"admit": "+refused", "route": left},
 		[]fault.Fault{{Kind: "surge", Factor: 3, Clients: clients}}},
 	{"a zone cut off", fault.Fault{Kind: "cut", Zone: "derby"}, map[string]string{"send": left, "probe": left}, nil},
-	{"discovery refuses connections", fault.Fault{Kind: "discovery-down", For: long}, map[string]string{"list": ended}, nil},
-	{"discovery silent", fault.Fault{Kind: "discovery-stall", Share: 1, For: long}, map[string]string{"list": ended}, nil},
-	{"discovery breaks", fault.Fault{Kind: "discovery-break", Share: 1, For: long}, map[string]string{"list": ended}, nil},
-	{"discovery says 503", fault.Fault{Kind: "discovery-refuse", Share: 1, For: long}, map[string]string{"list": ended}, nil},
-	{"lists cannot be read", fault.Fault{Kind: "discovery-garble", Share: 1, For: long}, map[string]string{"list": ended}, nil},
+	{"discovery refuses connections", fault.Fault{Kind: "discovery-down", For: longFault}, map[string]string{"list": ended}, nil},
+	{"discovery silent", fault.Fault{Kind: "discovery-stall", Share: 1, For: longFault}, map[string]string{"list": ended}, nil},
+	{"discovery breaks", fault.Fault{Kind: "discovery-break", Share: 1, For: longFault}, map[string]string{"list": ended}, nil},
+	{"discovery says 503", fault.Fault{Kind: "discovery-refuse", Share: 1, For: longFault}, map[string]string{"list": ended}, nil},
+	{"lists cannot be read", fault.Fault{Kind: "discovery-garble", Share: 1, For: longFault}, map[string]string{"list": ended}, nil},
 	{"discovery moves", fault.Fault{Kind: "move", Pause: figure.Span(300 * time.Millisecond)}, map[string]string{"list": "msg=reloaded"}, nil},
 	{"a rush of clients", fault.Fault{Kind: "surge", Factor: 12, Clients: clients}, map[string]string{"take in": "+asked", "admit": "+refused"}, nil},
 	{"clients leave early", fault.Fault{Kind: "leave", Share: 0.5, Clients: clients}, map[string]string{"take in": "+left", "relay": "reason=client-closed"}, nil},
 	{"clients fall silent", fault.Fault{Kind: "mute", Share: 0.6}, map[string]string{"relay": "side=client"}, nil},
 }
 
-// lives are what the nodes go through under a fault, at the stage of that name.
-var lives = map[string]fault.Fault{
+// nodeChanges are what the nodes go through under a fault, at the stage of that name.
+var nodeChanges = map[string]fault.Fault{
 	"":       {},
 	"start":  {Kind: "node-kill", At: figure.Span(2500 * time.Millisecond), For: figure.Span(500 * time.Millisecond), Nodes: []string{"n1"}},
 	"reload": {Kind: "node-reload", At: figure.Span(2500 * time.Millisecond), Nodes: []string{"n1", "n2"}},
@@ -85,8 +85,8 @@
 	}
 	base.Length, base.Faults = figure.Span(15*time.Second), nil
 	calm := play(t, base.Clone(), Options{}).Tally
-	for _, c := range strikes {
-		for life, change := range lives {
+	for _, c := range stageCases {
+		for life, change := range nodeChanges {
 			t.Run(c.name+"/"+life, func(t *testing.T) {
 				t.Parallel()
 				s := base.Clone()
@@ -96,14 +96,14 @@
 					f.For = figure.Span(3 * time.Second)
 				}
 				s.Faults = []fault.Fault{f}
-				for _, m := range c.more {
-					m.At, m.For = f.At, long
+				for _, m := range c.extraFaults {
+					m.At, m.For = f.At, longFault
 					s.Faults = append(s.Faults, m)
 				}
 				if life != "" {
 					s.Faults = append(s.Faults, change)
 				}
-				var log lines
+				var log lockedBuffer
 				r := play(t, s, Options{Log: &log})
 				for _, v := range r.Violations {
 					t.Error(v)
@@ -111,8 +111,8 @@
 				if life != "" {
 					return // who meets the fault at which stage hangs on the change
 				}
-				for stage, sign := range c.shows {
-					if !met(sign, log.String(), calm, r.Tally) {
+				for stage, sign := range c.signs {
+					if !signSeen(sign, log.String(), calm, r.Tally) {
 						t.Errorf("%s: no %q: %+v, and %+v without the fault", stage, sign, r.Tally, calm)
 					}
 				}
@@ -121,22 +121,22 @@
 	}
 }
 
-// lines is the log of several nodes.
-type lines struct {
+// lockedBuffer is the log of several nodes.
+type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *lockedBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *lines) String() string { return l.text.String() }
+func (l *lockedBuffer) String() string { return l.text.String() }
 
-// met reports whether a sign is there: of the tally where it begins with a plus, else of the log.
-func met(sign, log string, calm, now Tally) bool {
+// signSeen reports whether a sign is there: of the tally where it begins with a plus, else of the log.
+func signSeen(sign, log string, calm, now Tally) bool {
 	switch sign {
 	case "+tries":
 		return now.Tries > calm.Tries+calm.Tries/40
@@ -150,8 +150,8 @@
 	return strings.Contains(log, sign)
 }
 
-// TestCutsAreTold: the judge hears which nodes a partition keeps from discovery, and until when.
-func TestCutsAreTold(t *testing.T) {
+// TestPartitionsAreReported: the judge hears which nodes a partition keeps from discovery, and until when.
+func TestPartitionsAreReported(t *testing.T) {
 	s, err := fault.Load("../testdata/operators-maintenance.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/stage/node.go
+++ b/internal/lab/stage/node.go
@@ -25,19 +25,19 @@
 
 // instance is one node of the run, through all its lives. Its fields belong to the loop.
 type instance struct {
-	run   *run
-	c     world.Node
-	lives int   // that it has begun
-	live  *life // nil: it does not run
+	run     *run
+	conf    world.Node
+	starts  int          // that it has begun
+	process *nodeProcess // nil: it does not run
 }
 
-// life is what a node is from a start to its end.
-type life struct {
-	number  int
-	node    *node.Node // nil until it listens
-	config  *protocol.Config
-	file    []byte // of its configuration; a reload reads it anew
-	leaving bool   // it was told SIGTERM
+// nodeProcess is what a node is from a start to its end.
+type nodeProcess struct {
+	number   int
+	node     *node.Node // nil until it listens
+	config   *protocol.Config
+	file     []byte // of its configuration; a reload reads it anew
+	draining bool   // it was told SIGTERM
 }
 
 // What a life's goroutines bring to the loop, each once.
@@ -45,34 +45,34 @@
 	hasStarted = iota
 	hasFailed
 	hasEnded
-	newsOfLife
+	notificationKinds
 )
 
 // post lets f run on the loop, in an order that does not hang on luck.
-func (i *instance) post(l *life, news int, f func()) {
-	i.run.loop.Post(loop.Key{Source: "node " + i.c.Name, Sequence: uint64(l.number*newsOfLife + news)}, f)
+func (i *instance) post(l *nodeProcess, news int, f func()) {
+	i.run.loop.Post(loop.Key{Source: "node " + i.conf.Name, Sequence: uint64(l.number*notificationKinds + news)}, f)
 }
 
 // start begins a life. stale says that the list it had last is an old one.
 func (i *instance) start(stale bool) {
-	if i.live != nil {
+	if i.process != nil {
 		return
 	}
-	i.lives++
+	i.starts++
 	known := i.run.registry.Known(stale)
-	seed := figure.Stream(i.run.script.Seed, fmt.Sprintf("node %s %d", i.c.Name, i.lives)).Uint64()
-	file, err := nodefile.Write(&i.run.script.World, i.c, nodefile.Start{
-		Listen: i.c.Name + ":" + nodePort, Discovery: i.run.discovery, Known: known, Seed: seed,
+	seed := figure.Stream(i.run.script.Seed, fmt.Sprintf("node %s %d", i.conf.Name, i.starts)).Uint64()
+	file, err := nodefile.Write(&i.run.script.World, i.conf, nodefile.Start{
+		Listen: i.conf.Name + ":" + nodePort, Discovery: i.run.discovery, Known: known, Seed: seed,
 	})
 	if err != nil {
-		i.run.fail("crash", "%v", err)
+		i.run.addViolation("crash", "%v", err)
 		return
 	}
-	l := &life{number: i.lives, file: file}
-	i.live = l
-	i.run.observer.NodeStarted(i.c.Name, versionOf(known)) // ahead of its first call to discovery
-	host := i.run.net.Host(i.c.Name)
-	log := i.run.logger(i.c.Name)
+	l := &nodeProcess{number: i.starts, file: file}
+	i.process = l
+	i.run.observer.NodeStarted(i.conf.Name, versionOf(known)) // ahead of its first call to discovery
+	host := i.run.net.Host(i.conf.Name)
+	log := i.run.logger(i.conf.Name)
 	go func() {
 		// its ticks fall on whole microseconds, where no event of the lab does
 		now := i.run.loop.Now()
@@ -81,19 +81,19 @@
 		i.post(l, hasStarted, func() {
 			switch {
 			case err != nil:
-				i.run.fail("crash", "node %s did not start: %v", i.c.Name, err)
-			case i.live != l: // killed before it was up
+				i.run.addViolation("crash", "node %s did not start: %v", i.conf.Name, err)
+			case i.process != l: // killed before it was up
 				n.Abort()
 			default:
 				l.node = n
-				i.run.front.Born(i.c.Name)
-				i.watch(l)
+				i.run.front.Born(i.conf.Name)
+				i.watchFailure(l)
 			}
 		})
 	}()
 }
 
-func (i *instance) launch(l *life, listen listener, dial dialer, log *slog.Logger) (*node.Node, error) {
+func (i *instance) launch(l *nodeProcess, listen listener, dial dialer, log *slog.Logger) (*node.Node, error) {
 	c, err := protocol.Load(i.getenv, func(string) ([]byte, error) { return l.file, nil })
 	if err != nil {
 		return nil, err
@@ -102,43 +102,43 @@
 	return node.Start(c, node.Options{
 		Listen: func(addr string) (net.Listener, error) {
 			l, err := listen(addr)
-			return pace{l}, err
+			return pacedListener{l}, err
 		},
 		Dial: dial, Log: log,
-		WrapTransport: func(c routing.Transport) routing.Transport { return spread{c, i.run.places} },
-		WrapWatcher:   func(w routing.Watcher) routing.Watcher { return lag{w} },
+		WrapTransport: func(c routing.Transport) routing.Transport { return staggeredTransport{c, i.run.peerIndex} },
+		WrapWatcher:   func(w routing.Watcher) routing.Watcher { return delayedWatcher{w} },
 	})
 }
 
-// watch hears of a node that fails by itself.
-func (i *instance) watch(l *life) {
+// watchFailure hears of a node that fails by itself.
+func (i *instance) watchFailure(l *nodeProcess) {
 	failed := l.node.Failed()
 	go func() {
 		select {
 		case err := <-failed:
 			i.post(l, hasFailed, func() {
-				if i.live == l && !l.leaving {
-					i.run.fail("crash", "node %s failed: %v", i.c.Name, err)
+				if i.process == l && !l.draining {
+					i.run.addViolation("crash", "node %s failed: %v", i.conf.Name, err)
 				}
 			})
-		case <-i.run.over:
+		case <-i.run.done:
 		}
 	}()
 }
 
 func (i *instance) getenv(name string) string {
 	return map[string]string{
-		protocol.EnvName: i.c.Name, protocol.EnvListen: i.c.Name + ":" + nodePort,
+		protocol.EnvName: i.conf.Name, protocol.EnvListen: i.conf.Name + ":" + nodePort,
 		protocol.EnvDiscovery: i.run.script.World.Discovery.Addr, protocol.EnvConfig: "config.json",
-		protocol.EnvAdmin: i.door(),
+		protocol.EnvAdmin: i.adminAddr(),
 	}[name]
 }
 
-// door is where operators call; empty where the script has none of their calls.
-func (i *instance) door() string {
+// adminAddr is where operators call; empty where the script has none of their calls.
+func (i *instance) adminAddr() string {
 	for _, f := range i.run.script.Faults {
 		if f.Kind == "maintenance" || f.Kind == "pause" {
-			return i.c.Name + ":9900"
+			return i.conf.Name + ":9900"
 		}
 	}
 	return ""
@@ -146,14 +146,14 @@
 
 // kill ends a life at once: the process is gone, and its connections with it.
 func (i *instance) kill() {
-	l := i.live
+	l := i.process
 	if l == nil {
 		return
 	}
-	i.live = nil
-	i.run.observer.NodeKilled(i.c.Name)
-	i.run.front.Died(i.c.Name)
-	i.run.net.Kill(i.c.Name)
+	i.process = nil
+	i.run.observer.NodeKilled(i.conf.Name)
+	i.run.front.Died(i.conf.Name)
+	i.run.net.Kill(i.conf.Name)
 	if l.node != nil {
 		l.node.Abort()
 	}
@@ -161,72 +161,72 @@
 
 // term is SIGTERM: a planned end.
 func (i *instance) term() {
-	l := i.live
-	if l == nil || l.node == nil || l.leaving {
+	l := i.process
+	if l == nil || l.node == nil || l.draining {
 		return
 	}
-	l.leaving = true
-	i.run.front.Leaving(i.c.Name)
-	i.run.observer.NodeSignaled(i.c.Name, "SIGTERM", "")
+	l.draining = true
+	i.run.front.Leaving(i.conf.Name)
+	i.run.observer.NodeSignaled(i.conf.Name, "SIGTERM", "")
 	go func() {
 		l.node.Drain()
 		i.post(l, hasEnded, func() {
-			if i.live != l {
+			if i.process != l {
 				return // killed in between
 			}
-			i.live = nil
-			i.run.front.Died(i.c.Name)
-			i.run.net.Kill(i.c.Name) // nothing is open by now; whatever comes is refused
+			i.process = nil
+			i.run.front.Died(i.conf.Name)
+			i.run.net.Kill(i.conf.Name) // nothing is open by now; whatever comes is refused
 		})
 	}()
 }
 
 // operate makes an operator's call. A node that runs says yes to each.
 func (i *instance) operate(call admin.Command) {
-	l := i.live
-	if l == nil || l.node == nil || l.leaving {
+	l := i.process
+	if l == nil || l.node == nil || l.draining {
 		return
 	}
 	back := call.Name == admin.Restore || call.Name == admin.Resume
 	if back { // it holds while it is being said
-		i.run.observer.NodeCommanded(i.c.Name, call.Name, call.ServerID)
+		i.run.observer.NodeCommanded(i.conf.Name, call.Name, call.ServerID)
 	}
 	if _, err := l.node.Do(call); err != nil {
-		i.run.fail("operators", "node %s: %s %s: %v", i.c.Name, call.Name, call.ServerID, err)
+		i.run.addViolation("operators", "node %s: %s %s: %v", i.conf.Name, call.Name, call.ServerID, err)
 		return
 	}
 	if call.Name == admin.Pause {
-		i.run.front.Leaving(i.c.Name) // which finds that it is not ready any more
+		i.run.front.Leaving(i.conf.Name) // which finds that it is not ready any more
 	}
 	if !back {
-		i.run.observer.NodeCommanded(i.c.Name, call.Name, call.ServerID)
+		i.run.observer.NodeCommanded(i.conf.Name, call.Name, call.ServerID)
 	}
 }
 
 // reload is SIGHUP: the configuration file names discovery anew.
 func (i *instance) reload(discovery string) {
-	l := i.live
-	if l == nil || l.node == nil || l.leaving {
+	l := i.process
+	if l == nil || l.node == nil || l.draining {
 		return
 	}
 	l.file = bytes.Replace(l.file, quoted("discovery", l.config.Discovery), quoted("discovery", discovery), 1)
 	c, err := l.config.Reload(i.getenv, func(string) ([]byte, error) { return l.file, nil })
 	if err != nil {
-		i.run.fail("crash", "node %s refused a sound configuration: %v", i.c.Name, err)
+		i.run.addViolation("crash", "node %s refused a sound configuration: %v", i.conf.Name, err)
 		return
 	}
 	l.config = c
-	i.run.observer.NodeSignaled(i.c.Name, "SIGHUP", discovery)
+	i.run.observer.NodeSignaled(i.conf.Name, "SIGHUP", discovery)
 	go l.node.Reload(c)
 }
 
 func quoted(name, value string) []byte { return fmt.Appendf(nil, "%q:%q", name, value) }
 
-// rest says what a node still holds though nothing is open any more; "": nothing.
-func (i *instance) rest(listed int) (string, error) {
+// heldResources says what a node still holds though nothing is open any more; "": nothing.
+func (i *instance) heldResources(listed int) (string, error) {
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
-	r, err := i.live.node.Resources(ctx)
+	r, err := i.process.node.Resources(ctx)
 	if err != nil {
 		return "", err
 	}
--- a/internal/lab/stage/run.go
+++ b/internal/lab/stage/run.go
@@ -39,68 +39,68 @@
 const (
 	// slack is what the operators' rules leave on every limit of time.
 	slack = 50 * time.Millisecond
-	// ending is how long what is open at the end of a script may take to end.
-	ending = 8 * time.Second
-	// resting is how long the world then stands idle: above the time for which a
+	// drainTimeout is how long what is open at the end of a script may take to end.
+	drainTimeout = 8 * time.Second
+	// idleDuration is how long the world then stands idle: above the time for which a
 	// node remembers peers that are gone, and connections lie idle.
-	resting = 75 * time.Second
-	// leaving is how long a node may take over its planned end.
-	leaving = 12 * time.Second
+	idleDuration = 75 * time.Second
+	// shutdownTimeout is how long a node may take over its planned end.
+	shutdownTimeout = 12 * time.Second
 )
 
 // run is a script being played. Everything in it belongs to the loop.
 type run struct {
-	script    *fault.Script
-	options   Options
-	loop      *loop.Loop
-	trace     *trace
-	judge     *rules.Judge
-	observer  event.Observer
-	net       *network.Net
-	registry  *registry.Registry
-	discovery string // where it is
-	front     *client.Front
-	peers     map[string]*peer.Peer
-	places    map[string]int     // of the peers, by name
-	hosts     map[string]string  // their machines
-	zones     map[string]string  // of machines but clients'
-	parted    map[[2]string]bool // nodes that are cut off from an address of discovery's
-	crowds    []*client.Crowd
-	rogues    []*client.Rogue
-	nodes     []*instance
-	faults    []rules.Violation // what the stage itself finds
-	over      chan struct{}     // closed at the end
-	watch     *watch            // nil: nobody watches
+	script      *fault.Script
+	options     Options
+	loop        *loop.Loop
+	trace       *trace
+	judge       *rules.Judge
+	observer    event.Observer
+	net         *network.Net
+	registry    *registry.Registry
+	discovery   string // where it is
+	front       *client.Front
+	peers       map[string]*peer.Peer
+	peerIndex   map[string]int     // of the peers, by name
+	hosts       map[string]string  // their machines
+	zones       map[string]string  // of machines but clients'
+	partitioned map[[2]string]bool // nodes that are cut off from an address of discovery's
+	crowds      []*client.Crowd
+	rogues      []*client.Rogue
+	nodes       []*instance
+	violations  []rules.Violation // what the stage itself finds
+	done        chan struct{}     // closed at the end
+	watch       *sampler          // nil: nobody watches
 }
 
 // Play plays a script. It must be called inside a bubble of testing/synctest,
 // and returns once nothing of the run is left in it.
 func Play(t *testing.T, s *fault.Script, o Options) Result {
 	r := &run{
-		script: s, options: o, loop: loop.New(synctest.Wait), over: make(chan struct{}), peers: map[string]*peer.Peer{},
-		places: map[string]int{}, hosts: map[string]string{}, zones: map[string]string{},
-		parted: map[[2]string]bool{},
+		script: s, options: o, loop: loop.New(synctest.Wait), done: make(chan struct{}), peers: map[string]*peer.Peer{},
+		peerIndex: map[string]int{}, hosts: map[string]string{}, zones: map[string]string{},
+		partitioned: map[[2]string]bool{},
 	}
 	r.trace = newTrace(r.loop, o.Trace)
 	res := Result{Seed: s.Seed, Kinds: s.Kinds(), Pairs: s.Pairs()}
-	if kind := s.Processes(); kind != "" {
-		r.fail("script", "%s is played on processes alone", kind)
+	if kind := s.FirstFleetKind(); kind != "" {
+		r.addViolation("script", "%s is played on processes alone", kind)
 	} else if err := r.build(); err != nil {
-		r.fail("crash", "%v", err)
+		r.addViolation("crash", "%v", err)
 	} else {
 		r.play(t.Context())
 	}
-	close(r.over)
+	close(r.done)
 	synctest.Wait()
 	if left := goroutines(); left != "" {
-		r.fail("rest", "goroutines left: %s", left)
+		r.addViolation("rest", "goroutines left: %s", left)
 	}
 	res.Virtual = r.loop.Now()
 	if r.judge != nil {
 		r.judge.Finish(r.loop.Now())
 		res.Violations = append(res.Violations, r.judge.Violations()...)
 	}
-	res.Violations = append(res.Violations, r.faults...)
+	res.Violations = append(res.Violations, r.violations...)
 	for _, v := range res.Violations {
 		r.trace.note("broken %s", v)
 	}
@@ -110,16 +110,16 @@
 	return res
 }
 
-// fail notes what the stage itself finds.
-func (r *run) fail(rule, format string, args ...any) {
-	r.faults = append(r.faults, rules.Violation{Rule: rule, At: r.loop.Now(), What: fmt.Sprintf(format, args...)})
+// addViolation notes what the stage itself finds.
+func (r *run) addViolation(rule, format string, args ...any) {
+	r.violations = append(r.violations, rules.Violation{Rule: rule, At: r.loop.Now(), What: fmt.Sprintf(format, args...)})
 }
 
 // play lets the script happen, and the world come to rest after it.
 func (r *run) play(ctx context.Context) {
 	length := r.script.Length.D()
 	for _, n := range r.nodes {
-		n.start(n.c.Stale)
+		n.start(n.conf.Stale)
 	}
 	r.script.Schedule(r.loop, r)
 	for _, c := range r.crowds {
@@ -129,8 +129,8 @@
 		g.Start()
 	}
 	r.loop.Run(ctx, length, r.step)
-	if !r.loop.Run(ctx, length+ending, func() bool { r.step(); return r.quiet() }) {
-		r.fail("rest", "clients still wait %v after the end", ending)
+	if !r.loop.Run(ctx, length+drainTimeout, func() bool { r.step(); return r.clientsQuiet() }) {
+		r.addViolation("rest", "clients still wait %v after the end", drainTimeout)
 	}
 	for _, c := range r.crowds {
 		c.Stop()
@@ -139,23 +139,23 @@
 	for _, g := range r.rogues {
 		g.Stop()
 	}
-	r.loop.Run(ctx, r.loop.Now()+resting, r.step)
-	r.atRest()
+	r.loop.Run(ctx, r.loop.Now()+idleDuration, r.step)
+	r.checkResources()
 	r.front.Stop()
 	for _, n := range r.nodes {
 		n.term()
 	}
-	r.loop.Run(ctx, r.loop.Now()+leaving, func() bool { r.step(); return r.gone() })
+	r.loop.Run(ctx, r.loop.Now()+shutdownTimeout, func() bool { r.step(); return r.nodesStopped() })
 	for _, n := range r.nodes {
-		if n.live != nil {
-			r.fail("rest", "node %s had not ended %v after SIGTERM", n.c.Name, leaving)
+		if n.process != nil {
+			r.addViolation("rest", "node %s had not ended %v after SIGTERM", n.conf.Name, shutdownTimeout)
 			n.kill()
 		}
 	}
 	r.loop.Run(ctx, r.loop.Now()+time.Second, r.step)
 	for _, n := range r.nodes {
-		if held := r.net.Held(n.c.Name); len(held) > 0 {
-			r.fail("rest", "node %s has ended and holds %d connections: %.200s", n.c.Name, len(held), strings.Join(held, " "))
+		if held := r.net.Held(n.conf.Name); len(held) > 0 {
+			r.addViolation("rest", "node %s has ended and holds %d connections: %.200s", n.conf.Name, len(held), strings.Join(held, " "))
 		}
 	}
 }
@@ -167,7 +167,7 @@
 	return false
 }
 
-func (r *run) quiet() bool {
+func (r *run) clientsQuiet() bool {
 	for _, c := range r.crowds {
 		if !c.Quiet() {
 			return false
@@ -181,28 +181,28 @@
 	return true
 }
 
-func (r *run) gone() bool {
+func (r *run) nodesStopped() bool {
 	for _, n := range r.nodes {
-		if n.live != nil {
+		if n.process != nil {
 			return false
 		}
 	}
 	return true
 }
 
-// atRest asks the nodes what they still hold.
-func (r *run) atRest() {
+// checkResources asks the nodes what they still hold.
+func (r *run) checkResources() {
 	listed := listedIn(r.registry.Known(false))
 	for _, n := range r.nodes {
-		if n.live == nil || n.live.node == nil {
-			r.fail("rest", "node %s does not run at the end", n.c.Name)
+		if n.process == nil || n.process.node == nil {
+			r.addViolation("rest", "node %s does not run at the end", n.conf.Name)
 			continue
 		}
-		switch held, err := n.rest(listed); {
+		switch held, err := n.heldResources(listed); {
 		case err != nil:
-			r.fail("rest", "node %s: %v", n.c.Name, err)
+			r.addViolation("rest", "node %s: %v", n.conf.Name, err)
 		case held != "":
-			r.fail("rest", "node %s holds %s", n.c.Name, held)
+			r.addViolation("rest", "node %s holds %s", n.conf.Name, held)
 		}
 	}
 }
--- a/internal/lab/stage/stage_test.go
+++ b/internal/lab/stage/stage_test.go
@@ -53,7 +53,7 @@
 }
 
 // Guards what all of the lab rests on: a seed is the same run each time, on one core and on many.
-func TestSameEachTime(t *testing.T) {
+func TestRunsAreDeterministic(t *testing.T) {
 	if racing {
 		t.Skip("too many timers for the race detector; .ci/run compares the hashes of whole replays")
 	}
@@ -97,7 +97,7 @@
 }
 
 // Guards the draws: a client that is taken out leaves what the others ask as it was.
-func TestOthersStayAsTheyWere(t *testing.T) {
+func TestRemovedClientLeavesOtherDraws(t *testing.T) {
 	if racing {
 		t.Skip("too many timers for the race detector")
 	}
--- a/internal/lab/stage/target.go
+++ b/internal/lab/stage/target.go
@@ -19,7 +19,7 @@
 // Node implements fault.Target.
 func (r *run) Node(name string) fault.Node {
 	for _, n := range r.nodes {
-		if n.c.Name == name {
+		if n.conf.Name == name {
 			return n
 		}
 	}
@@ -37,10 +37,10 @@
 }
 
 // Discovery implements fault.Target.
-func (r *run) Discovery() fault.Discovery { return mover{r.registry, r} }
+func (r *run) Discovery() fault.Discovery { return movableDiscovery{r.registry, r} }
 
 // Network implements fault.Target.
-func (r *run) Network() fault.Network { return ways{r.net, r} }
+func (r *run) Network() fault.Network { return observedNetwork{r.net, r} }
 
 // Zone implements fault.Target.
 func (r *run) Zone(host string) string { return r.zones[host] }
@@ -54,7 +54,7 @@
 // Start implements fault.Peer: the process starts, cold.
 func (s server) Start() {
 	if err := s.Peer.Start(false); err != nil {
-		s.run.fail("crash", "%v", err)
+		s.run.addViolation("crash", "%v", err)
 	}
 }
 
@@ -67,44 +67,44 @@
 	s.run.net.Kill(s.run.hosts[s.Name()])
 }
 
-// mover is discovery, whose place the nodes' configuration files name.
-type mover struct {
+// movableDiscovery is discovery, whose place the nodes' configuration files name.
+type movableDiscovery struct {
 	*registry.Registry
 	run *run
 }
 
 // Move implements fault.Discovery.
-func (m mover) Move() string {
+func (m movableDiscovery) Move() string {
 	m.run.discovery = m.Registry.Move()
 	return m.run.discovery
 }
 
-// ways is the network, whose partitions the judge hears of where they lie between
+// observedNetwork is the network, whose partitions the judge hears of where they lie between
 // nodes and discovery.
-type ways struct {
+type observedNetwork struct {
 	*network.Net
 	run *run
 }
 
 // Cut implements fault.Network.
-func (w ways) Cut(a, b func(host string) bool) (heal func()) {
+func (w observedNetwork) Cut(a, b func(host string) bool) (heal func()) {
 	mend := w.Net.Cut(a, b)
-	w.run.reach()
+	w.run.updateReachable()
 	return func() {
 		mend()
-		w.run.reach()
+		w.run.updateReachable()
 	}
 }
 
-// reach tells which nodes are cut off from discovery, as far as that has changed.
-func (r *run) reach() {
+// updateReachable tells which nodes are cut off from discovery, as far as that has changed.
+func (r *run) updateReachable() {
 	d := r.script.World.Discovery
 	for _, n := range r.script.World.Nodes {
 		for _, addr := range []string{d.Addr, d.Spare} {
 			host, _, _ := strings.Cut(addr, ":")
 			way, cut := [2]string{n.Name, addr}, r.net.Parted(n.Name, host)
-			if cut != r.parted[way] {
-				r.parted[way] = cut
+			if cut != r.partitioned[way] {
+				r.partitioned[way] = cut
 				r.observer.DiscoveryReachable(n.Name, addr, !cut)
 			}
 		}
@@ -119,7 +119,7 @@
 func (i *instance) Kill() { i.kill() }
 
 // Down implements fault.Node.
-func (i *instance) Down() bool { return i.live == nil }
+func (i *instance) Down() bool { return i.process == nil }
 
 // Term implements fault.Node.
 func (i *instance) Term() { i.term() }
--- a/internal/lab/stage/watch_test.go
+++ b/internal/lab/stage/watch_test.go
@@ -7,8 +7,8 @@
 	"olivebridge/internal/lab/sample"
 )
 
-// counted is a Sink that counts what it is told.
-type counted struct {
+// countingSink is a Sink that counts what it is told.
+type countingSink struct {
 	outcomes map[sample.Outcome]int
 	readings int
 	arrived  int
@@ -17,15 +17,15 @@
 	last     time.Duration
 }
 
-func (c *counted) Request(r sample.Request) {
+func (c *countingSink) Request(r sample.Request) {
 	c.outcomes[r.Outcome]++
 	if r.Due > r.Begun || r.Begun > r.Ended || r.Begun-r.Due > time.Microsecond {
 		c.bad++
 	}
 }
 
-func (c *counted) Reading(r sample.Reading) {
-	if r.At > c.last+readEach && r.At < 10*time.Second {
+func (c *countingSink) Reading(r sample.Reading) {
+	if r.At > c.last+readingInterval && r.At < 10*time.Second {
 		c.bad++
 	}
 	c.readings, c.last, c.arrived = c.readings+1, r.At, 0
@@ -34,12 +34,12 @@
 	}
 }
 
-func (c *counted) Event(sample.Event) { c.events++ }
+func (c *countingSink) Event(sample.Event) { c.events++ }
 
 // To watch a run leaves it as it is, and each request is told once.
 func TestWatch(t *testing.T) {
 	s := draw(t, 3)
-	w := &counted{outcomes: map[sample.Outcome]int{}}
+	w := &countingSink{outcomes: map[sample.Outcome]int{}}
 	plain, watched := play(t, s, Options{}), play(t, s, Options{Watch: w})
 	if plain.Hash != watched.Hash {
 		t.Errorf("%s, and watched %s", plain.Hash, watched.Hash)
@@ -50,7 +50,7 @@
 		told[sample.Unanswered] != tally.Unanswered || told[sample.Left] != tally.Left || failed != tally.Failed {
 		t.Errorf("told %v of %+v", told, tally)
 	}
-	if w.bad > 0 || w.events == 0 || w.arrived == 0 || w.arrived > tally.Tries || w.readings < int(s.Length.D()/readEach) {
+	if w.bad > 0 || w.events == 0 || w.arrived == 0 || w.arrived > tally.Tries || w.readings < int(s.Length.D()/readingInterval) {
 		t.Errorf("%+v of %+v", w, tally)
 	}
 }
