--- a/internal/lab/fault/acts.go
+++ b/internal/lab/fault/acts.go
@@ -7,10 +7,10 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// This file holds what the faults do, one method a kind or family of kinds.
+// This file implements the fault kinds, with one method for each kind or family of kinds.
 
-// drainKillDelay is how long a peer may take beyond the end of its drain before it is
-// killed, as a platform does.
+// drainKillDelay is the duration after the end of a drain after which a peer that still runs is killed, as a
+// platform does.
 const drainKillDelay = 3 * time.Second
 
 func (r *run) death(f *Fault) {
@@ -19,7 +19,7 @@
 	}
 }
 
-// eachPeer does something to each peer of a fault, for its time.
+// eachPeer applies do to each named peer and heals it after the fault's duration.
 func (r *run) eachPeer(f *Fault, names []string, do func(Peer) (heal func())) {
 	for _, name := range names {
 		r.after(f.For.D(), do(r.target.Peer(name)))
@@ -68,23 +68,23 @@
 	}
 }
 
-// drain lets the peers drain one after the other; with heirs, others take
-// their places.
+// drain drains the peers one after the other, Pause apart. If the fault lists replacements, each drained peer is
+// replaced by the one at its index; otherwise it restarts.
 func (r *run) drain(f *Fault) {
 	for i, name := range f.Peers {
-		heir := ""
+		replacement := ""
 		if len(f.Replacements) > 0 {
-			heir = f.Replacements[i]
+			replacement = f.Replacements[i]
 		}
 		r.loop.After(time.Duration(i)*f.Pause.D(), func() {
 			if !r.finished {
-				r.drainOne(f, name, heir)
+				r.drainOne(f, name, replacement)
 			}
 		})
 	}
 }
 
-func (r *run) drainOne(f *Fault, name, heir string) {
+func (r *run) drainOne(f *Fault, name, replacement string) {
 	l, p := r.peers[name], r.target.Peer(name)
 	if l.outOfService {
 		return
@@ -94,8 +94,8 @@
 		p.Drain(f.TurnAway.D(), f.For.D())
 	}
 	next := func() {
-		if heir != "" {
-			r.startReplacement(name, heir)
+		if replacement != "" {
+			r.startReplacement(name, replacement)
 		} else {
 			l.release(p)
 		}
@@ -103,9 +103,9 @@
 	r.loop.After(f.For.D(), func() { r.awaitExit(p, r.loop.Now()+drainKillDelay, f.Back.D(), next) })
 }
 
-// awaitExit waits until a peer that drains has ended, and lets next happen a while
-// after. A drain that the script's end meets goes on by itself: nobody needs
-// the peer any more.
+// awaitExit polls until a draining peer has exited, or kills it at the time patience, and calls next after the delay
+// back. A drain that is in progress at the script's end continues without supervision, since the peer is no longer
+// needed.
 func (r *run) awaitExit(p Peer, patience, back time.Duration, next func()) {
 	switch {
 	case r.finished && p.Down():
@@ -136,21 +136,21 @@
 	}
 }
 
-// startReplacement starts the peer that takes another's place for good.
-func (r *run) startReplacement(name, heir string) {
-	if r.peers[name].outOfService { // another fault was earlier
+// startReplacement starts the peer that permanently replaces another one.
+func (r *run) startReplacement(name, replacement string) {
+	if r.peers[name].outOfService { // another fault has replaced the peer already
 		return
 	}
 	r.peers[name].outOfService = true
-	l, p := r.peers[heir], r.target.Peer(heir)
+	l, p := r.peers[replacement], r.target.Peer(replacement)
 	l.outOfService = false
 	if l.holds == 0 && p.Down() {
 		p.Start()
 	}
 }
 
-// hush picks connections by a draw of each one's own, so that it is the same
-// one whatever else is open, and whatever else the script holds.
+// hush selects the connections to silence with a random stream for each connection: the selection depends neither on
+// the other open connections nor on the other faults of the script.
 func (r *run) hush(f *Fault) {
 	these := r.hosts(f)
 	r.silenceConnections(f, func(from, to string) bool { return r.nodes[from] != nil && these(to) })
@@ -173,7 +173,7 @@
 	})
 }
 
-// hosts tells the machines of a fault's peers from others.
+// hosts returns a predicate that reports whether a host belongs to one of the fault's peers.
 func (r *run) hosts(f *Fault) func(host string) bool {
 	set := map[string]bool{}
 	for _, name := range f.Peers {
@@ -205,7 +205,7 @@
 				return
 			}
 			net.Return(l.host)
-			if !p.Down() { // one that ended meanwhile is listed when it starts
+			if !p.Down() { // a peer that exited in the meantime is listed when it starts
 				discovery.Returned(name)
 			}
 		})
@@ -226,8 +226,8 @@
 
 func (r *run) discoveryBlind(f *Fault) { r.after(f.For.D(), r.target.Discovery().Blind()) }
 
-// move tells every node in time, the script's end or not: one that is not told
-// would go on asking where nobody answers.
+// move moves discovery to its other address and reloads every node, also if the script ends first: a node that is not
+// reloaded would keep calling an address that does not answer.
 func (r *run) move(f *Fault) {
 	addr := r.target.Discovery().Move()
 	for i, n := range r.script.World.Nodes {
@@ -247,7 +247,7 @@
 	}
 }
 
-// operate makes an operator's call at each of some nodes that run.
+// operate issues an operator's call to each of the named nodes that runs.
 func (r *run) operate(nodes []string, call, peer string) {
 	for _, name := range nodes {
 		if n := r.target.Node(name); r.nodes[name].holds == 0 && !n.Down() {
@@ -256,7 +256,7 @@
 	}
 }
 
-// maintenance restarts each peer in the middle of its suspension, for half of it.
+// maintenance suspends each peer at every node, and keeps it down for the middle half of its suspension.
 func (r *run) maintenance(f *Fault) {
 	var nodes []string
 	for _, n := range r.script.World.Nodes {
--- a/internal/lab/fault/check.go
+++ b/internal/lab/fault/check.go
@@ -13,23 +13,23 @@
 	"olivebridge/internal/lab/world"
 )
 
-// Check reports what keeps a script from being played: names that stand twice
-// or mean nobody, figures out of their limits, faults beyond the script's end.
+// Check returns the first reason for which a script cannot be played: a duplicate or unknown name, a number outside
+// its limits, or a fault that lasts beyond the script's end.
 func (s *Script) Check() error { return s.problems().first() }
 
-// checker goes through a script.
+// checker collects the problems of a script.
 type checker struct {
 	problems
 	s         *Script
-	names     map[string]string // of machines and whatever else has a name of its own, and where it stands
+	names     map[string]string // key by name of each machine and other entity on the network
 	peers     map[string]*world.Peer
-	startedBy map[string]string // and the fault that starts them
+	startedBy map[string]string // key of the fault that starts each late peer, by the peer's name
 	zones     map[string]bool
 	classes   map[string]bool
 	tenants   map[string]bool
 	nodes     map[string]bool
 	clients   map[string]bool
-	machines  map[string]string // of peers that are there from the start, and whose
+	machines  map[string]string // name of the peer by host, for peers that run from the start
 }
 
 func (s *Script) problems() problems {
@@ -37,7 +37,7 @@
 		zones: map[string]bool{}, classes: map[string]bool{}, tenants: map[string]bool{},
 		nodes: map[string]bool{}, clients: map[string]bool{}, machines: map[string]string{}}
 	if s.Seed > math.MaxInt64 {
-		c.add("seed", "%d is above %d", s.Seed, int64(math.MaxInt64))
+		c.add("seed", "%d is greater than %d", s.Seed, int64(math.MaxInt64))
 	}
 	c.checkLimits()
 	c.checkReferenced()
@@ -55,7 +55,7 @@
 	return c.problems
 }
 
-// checkLimits holds every figure against its limit.
+// checkLimits checks every number outside of the faults against its limit.
 func (c *checker) checkLimits() {
 	table := limits()
 	see := func(key, bare string, v reflect.Value) {
@@ -67,7 +67,7 @@
 	visitNumbers("world", "world", reflect.ValueOf(c.s.World), see)
 }
 
-// checkReferenced checks what others refer to: zones, classes, tenants, discovery.
+// checkReferenced checks the entities that others refer to: zones, classes, tenants and discovery.
 func (c *checker) checkReferenced() {
 	w := &c.s.World
 	c.requireNonEmpty("world.zones", len(w.Zones))
@@ -116,7 +116,7 @@
 		}
 		early++
 		if other := c.machines[host(*p)]; other != "" && other != p.Name {
-			c.add(fieldKey("world.peer", i, "host"), "%q is there already, for %s", host(*p), other)
+			c.add(fieldKey("world.peer", i, "host"), "%q is already the host of %s", host(*p), other)
 		}
 		c.machines[host(*p)] = p.Name
 	}
@@ -130,12 +130,12 @@
 			c.add(key, invalidNameFormat, p.Host)
 		}
 		if owner := c.names[p.Host]; owner != "" && c.peers[p.Host] == nil {
-			c.add(key, "%q is no peer's machine, see %s", p.Host, owner)
+			c.add(key, "%q is not the host of a peer but %s", p.Host, owner)
 		}
 	}
 }
 
-// checkClients checks clients and rogues.
+// checkClients checks clients and rogues (clients that send malformed requests).
 func (c *checker) checkClients() {
 	w := &c.s.World
 	c.requireNonEmpty("world.clients", len(w.Clients))
@@ -164,12 +164,12 @@
 			c.add(fieldKey("world.rogue", i, "kind"), "no such kind: %q", k.Kind)
 		}
 		if end := k.From + k.For; end > c.s.Length {
-			c.add(fieldKey("world.rogue", i, "for"), "goes on until %v, the script until %v", end.D(), c.s.Length.D())
+			c.add(fieldKey("world.rogue", i, "for"), "ends at %v, after the end of the script at %v", end.D(), c.s.Length.D())
 		}
 	}
 }
 
-// checkFault checks one fault against what its kind takes.
+// checkFault checks one fault against the parameters of its kind.
 func (c *checker) checkFault(at string, f *Fault, table map[string]Kind) {
 	k, ok := table[f.Kind]
 	switch {
@@ -177,7 +177,7 @@
 		c.add(at+".kind", "no such kind: %q", f.Kind)
 		return
 	case k.apply == nil:
-		c.add(at+".kind", "%q is stated in the world, as world.rogue", f.Kind)
+		c.add(at+".kind", "%q is listed in the world, as world.rogue", f.Kind)
 		return
 	}
 	v := reflect.ValueOf(*f)
@@ -187,7 +187,7 @@
 		switch field := v.Field(n); {
 		case key == "kind" || key == "at":
 		case !takes && !field.IsZero():
-			c.add(join(at, key), "%s takes none", f.Kind)
+			c.add(join(at, key), "kind %s has no such parameter", f.Kind)
 		case takes && field.Kind() == reflect.Slice:
 			c.checkNames(join(at, key), key, field.Interface().([]string))
 		case takes && field.Kind() == reflect.String:
@@ -200,10 +200,10 @@
 		}
 	}
 	if end := f.At + f.activeDuration(); f.At >= c.s.Length || end > c.s.Length {
-		c.add(at+".at", "goes on until %v, the script until %v", end.D(), c.s.Length.D())
+		c.add(at+".at", "ends at %v, after the end of the script at %v", end.D(), c.s.Length.D())
 	}
 	if least := minRestartDuration(&c.s.World); f.Kind == "node-restart" && f.For < least {
-		c.add(at+".for", "%v is less than the %v that a platform leaves a node to end", f.For.D(), least.D())
+		c.add(at+".for", "%v is less than %v, the minimum from SIGTERM until a platform kills a node", f.For.D(), least.D())
 	}
 	c.checkReplacements(at, f, &k)
 	if k.hasParameter("zone") && k.hasParameter("peers") {
@@ -214,12 +214,12 @@
 		}
 	}
 	if f.Kind == "cut" && len(c.zones) < 2 {
-		c.add(at+".zone", "there is no other zone to cut it from")
+		c.add(at+".zone", "the world has no other zone to cut it off from")
 	}
 }
 
-// minRestartDuration is how long after SIGTERM a node may be killed at the earliest: the
-// longest deadline, counted as 3 s if it is longer, and 0.7 s.
+// minRestartDuration returns the minimum duration from SIGTERM until a node may be killed: the longest deadline of a
+// class, limited to 3 s, plus 0.7 s.
 func minRestartDuration(w *world.Config) figure.Span {
 	var longest figure.Span
 	for _, k := range w.Classes {
@@ -228,32 +228,33 @@
 	return min(longest, 3*figure.Span(time.Second)) + figure.Span(700*time.Millisecond)
 }
 
-// checkReplacements checks who takes whose place.
+// checkReplacements checks that each replacement is a late peer with the host of the peer that it replaces, and that
+// no other fault starts it.
 func (c *checker) checkReplacements(at string, f *Fault, k *Kind) {
 	if !k.hasParameter("heirs") {
 		return
 	}
 	if len(f.Replacements) != len(f.Peers) {
-		c.add(at+".heirs", "%d for %d peers", len(f.Replacements), len(f.Peers))
+		c.add(at+".heirs", "%d replacements for %d peers", len(f.Replacements), len(f.Peers))
 		return
 	}
 	for i, name := range f.Replacements {
 		key := fmt.Sprintf("%s.heirs[%d]", at, i)
-		heir, old := c.peers[name], c.peers[f.Peers[i]]
+		replacement, old := c.peers[name], c.peers[f.Peers[i]]
 		switch {
-		case heir == nil || old == nil:
-		case !heir.Late:
-			c.add(key, "%q is there from the start, and not late", name)
+		case replacement == nil || old == nil:
+		case !replacement.Late:
+			c.add(key, "%q runs from the start and is not late", name)
 		case c.startedBy[name] != "":
-			c.add(key, "%q is started by %s already", name, c.startedBy[name])
-		case host(*heir) != host(*old):
-			c.add(key, "%q has not the host of %q", name, old.Name)
+			c.add(key, "%q is already started by %s", name, c.startedBy[name])
+		case host(*replacement) != host(*old):
+			c.add(key, "%q does not have the host of %q", name, old.Name)
 		}
 		c.startedBy[name] = at
 	}
 }
 
-// checkNames checks a fault's list of names.
+// checkNames checks that a fault's list of names is not empty and holds only known names, each once.
 func (c *checker) checkNames(key, what string, names []string) {
 	c.requireNonEmpty(key, len(names))
 	seen := map[string]bool{}
@@ -268,7 +269,7 @@
 		}
 		c.requireKnown(at, strings.TrimSuffix(what, "s"), n, known)
 		if seen[n] {
-			c.add(at, "%q stands twice", n)
+			c.add(at, "%q is listed twice", n)
 		}
 		seen[n] = true
 	}
@@ -276,28 +277,28 @@
 
 func (c *checker) requireNonEmpty(key string, n int) {
 	if n == 0 {
-		c.add(key, "there must be one at least")
+		c.add(key, "at least one entry is required")
 	}
 }
 
-// unique takes in a name that must not be there yet.
+// unique adds a name to the set and reports a name that is invalid or already in it.
 func (c *checker) unique(key, name string, set map[string]bool) {
 	if !validName(name) {
 		c.add(key, invalidNameFormat, name)
 	}
 	if set[name] {
-		c.add(key, "%q stands twice", name)
+		c.add(key, "%q is listed twice", name)
 	}
 	set[name] = true
 }
 
-// uniqueHost takes in the name of something that is met on the network.
+// uniqueHost records the name of an entity on the network and reports a name that is invalid or already used.
 func (c *checker) uniqueHost(key, name string) {
 	if !validName(name) {
 		c.add(key, invalidNameFormat, name)
 	}
 	if at, ok := c.names[name]; ok {
-		c.add(key, "%q is the name of %s already", name, at)
+		c.add(key, "%q is already the name of %s", name, at)
 		return
 	}
 	c.names[name] = key
@@ -311,7 +312,8 @@
 
 const invalidNameFormat = "not a name of lower-case letters, digits, - and .: %q"
 
-// validName guards the names of connections, which are made of hosts, '>' and '#'.
+// validName reports whether a name may be used. Names of connections are composed of hosts, '>' and '#', so that a
+// host must contain neither.
 func validName(name string) bool {
 	return name != "" && len(name) <= 60 && !strings.ContainsFunc(name, func(r rune) bool {
 		return (r < 'a' || r > 'z') && (r < '0' || r > '9') && r != '-' && r != '.'
--- a/internal/lab/fault/decode.go
+++ b/internal/lab/fault/decode.go
@@ -11,21 +11,20 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// decode fills a struct from a tree and keeps a problem for each key that is
-// unknown or of the wrong type. It is stricter than the library's decoder, which
-// takes a bare 5 for a length of time of 5 ns, one table for a list of them, and
-// a key in any case.
+// decode decodes a tree into a struct and returns the first error by line; a key that is unknown or has a value of the
+// wrong type is an error. It is stricter than the library's decoder, which accepts an integer 5 as a duration of 5 ns,
+// a single table in place of a list of tables, and keys that differ in case.
 func decode(t *tree, into any) error {
 	d := decoder{}
 	d.value("", t.root, reflect.ValueOf(into).Elem())
 	return d.bad.in(t)
 }
 
-// itemDecoder is a type with a form of its own.
+// itemDecoder is implemented by types of this package that decode themselves from an item.
 type itemDecoder interface{ decodeItem(*item) error }
 
-// Scalar is a type of another package that is written as a single value, of one
-// kind or another: it is given a string, a float64, an int64 or a bool.
+// Scalar is implemented by types of other packages that are written as a single value. FromFile receives a string, a
+// float64, an int64 or a bool.
 type Scalar interface{ FromFile(v any) error }
 
 type decoder struct{ bad problems }
@@ -77,7 +76,7 @@
 	}
 	fields := map[string][]int{}
 	for _, f := range reflect.VisibleFields(v.Type()) {
-		if !f.Anonymous { // what an embedded struct holds stands beside the others
+		if !f.Anonymous { // the fields of an embedded struct are keys of the same table
 			fields[tomlKey(f)] = f.Index
 		}
 	}
@@ -105,7 +104,7 @@
 	}
 }
 
-// scalar reads a single value.
+// scalar decodes a single value into a field.
 func scalar(i *item, v reflect.Value) error {
 	switch v.Interface().(type) {
 	case figure.Span:
@@ -123,7 +122,7 @@
 	case uint64:
 		n, err := integer(i)
 		if err == nil && n < 0 {
-			return fmt.Errorf("%d is below 0", n)
+			return fmt.Errorf("%d is less than 0", n)
 		}
 		v.SetUint(uint64(n))
 		return err
@@ -138,12 +137,12 @@
 		}
 		v.SetString(i.text)
 	default:
-		return fmt.Errorf("no form for %s", v.Type())
+		return fmt.Errorf("type %s cannot be decoded", v.Type())
 	}
 	return nil
 }
 
-// scalarValue is a single value as a Scalar is given it.
+// scalarValue returns the value that is passed to Scalar.FromFile.
 func scalarValue(i *item) (any, error) {
 	switch i.kind {
 	case unstable.String:
@@ -192,7 +191,7 @@
 	return n, nil
 }
 
-// typeError says what should stand where something else does.
+// typeError returns an error that names the expected type and the type or value found.
 func typeError(what string, i *item) error {
 	is := map[unstable.Kind]string{
 		unstable.Table: "a table", unstable.Array: "a list", unstable.String: "a string", unstable.Bool: i.text,
@@ -204,7 +203,7 @@
 	return fmt.Errorf("want %s, not %s", what, is)
 }
 
-// tomlKey is the key of a struct's field.
+// tomlKey returns the TOML key of a struct's field.
 func tomlKey(f reflect.StructField) string {
 	n, _, _ := strings.Cut(f.Tag.Get("toml"), ",")
 	return n
--- a/internal/lab/fault/document.go
+++ b/internal/lab/fault/document.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// Document is a TOML file of another form, read as strictly as scripts are.
+// Document is a TOML file that is not a script but is decoded as strictly as one.
 type Document struct{ t *tree }
 
-// ReadDocument fills a struct from a file's bytes. What is wrong is reported as
-// an *Error, in one line.
+// ReadDocument decodes a file's bytes into a struct. A file that cannot be decoded yields an *Error with a text of one
+// line.
 func ReadDocument(file string, data []byte, into any) (*Document, error) {
 	t, err := readTree(file, data)
 	if err != nil {
@@ -18,13 +18,13 @@
 	return &Document{t}, nil
 }
 
-// Has reports whether a key of the file's top stands there.
+// Has reports whether the file sets the given top-level key.
 func (d *Document) Has(key string) bool { return d.t.root.child(key) != nil }
 
-// Error says what is wrong with a key, written as "phase[1].from", and where it stands.
+// Error returns an error about a key, written as "phase[1].from", with the line of the key in the file.
 func (d *Document) Error(key, format string, args ...any) *Error {
 	return &Error{File: d.t.file, Line: d.t.line(key), Key: key, Reason: fmt.Sprintf(format, args...)}
 }
 
-// File is the name of the file.
+// File returns the name of the file.
 func (d *Document) File() string { return d.t.file }
--- a/internal/lab/fault/draw.go
+++ b/internal/lab/fault/draw.go
@@ -9,10 +9,9 @@
 	"olivebridge/internal/lab/world"
 )
 
-// Draw makes the script of a seed. The same seed gives the same script; each
-// entity has a stream of its own, so that a range that is changed for one leaves
-// the others as they were. A file holds no seed above 2^63-1: the topmost bit is
-// not used.
+// Draw generates the script of a seed. The same seed yields the same script. Each entity has its own random stream: a
+// changed range of one entity does not change the draws of the others. The topmost bit of the seed is ignored, since
+// a file cannot hold a seed above 2^63-1.
 func Draw(seed uint64, sc *Scenario) *Script {
 	seed &= math.MaxInt64
 	d := &drawer{sc: sc, s: &Script{Seed: seed}}
@@ -29,16 +28,16 @@
 type drawer struct {
 	sc       *Scenario
 	s        *Script
-	mix      []float64 // share of each class, in all
-	meanWork float64   // mean of a request, in seconds on a core of speed 1
-	capacity float64   // requests a second that all peers can do
+	mix      []float64 // share of each class of all requests
+	meanWork float64   // mean work of a request, in seconds on a core of speed 1
+	capacity float64   // requests per second that all peers together can serve
 	cellSize int
-	pushed   bool // see Scale
+	pushed   bool // the run stresses the peers, see Scale.Pushed
 }
 
 func (d *drawer) stream(name string) *rand.Rand { return figure.Stream(d.s.Seed, name) }
 
-// topology draws zones, nodes, the network and what is met there.
+// topology draws zones, nodes, the network, discovery and the front.
 func (d *drawer) topology() {
 	sc, w := d.sc, &d.s.World
 	g := d.stream("zones")
@@ -103,7 +102,7 @@
 	}
 }
 
-// shares makes numbers add up to 1, three digits each.
+// shares scales numbers so that they add up to 1, and rounds each to three digits.
 func shares(of []float64) []float64 {
 	sum := 0.0
 	for _, v := range of {
@@ -115,7 +114,7 @@
 	return of
 }
 
-// peers draws the peers, and as many as the demand needs.
+// peers draws the peers and adds up their capacity; clients removes peers that exceed the request rate.
 func (d *drawer) peers() {
 	sc, w := d.sc, &d.s.World
 	g := d.stream("peers")
@@ -132,7 +131,7 @@
 		if !crowds {
 			p.CrowdAt, p.Crowded = 0, 0
 		}
-		if tight { // a peer that turns away at once is sent the next call at once
+		if tight { // a peer that rejects a call at once receives the next one at once
 			p.Queue = p.Cores * room
 		}
 		w.Peers = append(w.Peers, p)
@@ -151,7 +150,7 @@
 	k := &d.sc.PeerKinds[weighted(g, weights)]
 	zone := w.Zones[g.IntN(len(w.Zones))]
 	if i < len(w.Zones) {
-		zone = w.Zones[i] // none stays empty
+		zone = w.Zones[i] // each zone has at least one peer
 	}
 	cores := k.Cores.draw(g)
 	p := world.Peer{Name: name, Zone: zone, Kind: k.Name, Cores: cores, Speed: k.Speed.draw(g),
@@ -170,8 +169,8 @@
 	return p
 }
 
-// clients draws the clients, and takes peers away while they would ask too much
-// for a short run.
+// clients draws the clients. While their request rate is too high for a short run, it first removes peers, on whose
+// capacity the rate depends.
 func (d *drawer) clients() {
 	sc, w := d.sc, &d.s.World
 	g := d.stream("load")
@@ -204,7 +203,7 @@
 		for n, zone := range w.Zones {
 			part := 1 / float64(len(w.Zones))
 			if len(w.Zones) > 1 {
-				part *= 1 + skew*float64(1-2*(n%2)) // evenly spread in all, if the zones are two
+				part *= 1 + skew*float64(1-2*(n%2)) // with two zones, the total rate stays the same
 			}
 			rate := load * d.capacity * usage[i] / total * part
 			w.Clients = append(w.Clients, d.crowd(t.Name, zone, rate, waves))
@@ -242,7 +241,7 @@
 	return c
 }
 
-// weighted draws a place in a list of weights.
+// weighted draws an index with a probability proportional to its weight.
 func weighted(g *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
--- a/internal/lab/fault/draw_test.go
+++ b/internal/lab/fault/draw_test.go
@@ -30,8 +30,8 @@
 	return b.Bytes()
 }
 
-// A seed is a script for good: kept failures name seeds. Whoever changes what
-// is drawn changes this hash, knowingly.
+// Verifies that the script of a seed does not change, since recorded failures refer to seeds. A deliberate change of
+// the draws must change this hash.
 func TestDrawGolden(t *testing.T) {
 	const want = "6b96361bf648c3ff1acf7febbdc7e0bd31817bafa84cb1abb7d5e2f8c5cad3d4"
 	sc, sum := scenario(t), sha256.New()
@@ -39,7 +39,7 @@
 		sum.Write(encoded(t, Draw(seed, sc)))
 	}
 	if got := hex.EncodeToString(sum.Sum(nil)); got != want {
-		t.Errorf("scripts of seeds 0 to 19 have hash %s, want %s", got, want)
+		t.Errorf("hash of the scripts of seeds 0 to 19 = %s, want %s", got, want)
 	}
 }
 
@@ -56,7 +56,7 @@
 		if seed < 200 {
 			back, err := Parse("s.toml", encoded(t, s))
 			if err != nil || !reflect.DeepEqual(back, s) {
-				t.Fatalf("seed %d: not the same when read back: %v", seed, err)
+				t.Fatalf("seed %d: script read back differs from the one written; error: %v", seed, err)
 			}
 		}
 		for _, k := range s.Kinds() {
@@ -81,36 +81,37 @@
 	table := KindTable()
 	for i, a := range table {
 		if kinds[a.Name] < seeds/40 {
-			t.Errorf("%s is in %d of %d scripts", a.Name, kinds[a.Name], seeds)
+			t.Errorf("kind %s is in %d of %d scripts, want at least one in 40", a.Name, kinds[a.Name], seeds)
 		}
 		for _, b := range table[:i] {
 			n := pairs[[2]string{min(a.Name, b.Name), max(a.Name, b.Name)}]
 			least = min(least, n)
 			if n == 0 {
-				t.Errorf("%s and %s never meet", a.Name, b.Name)
+				t.Errorf("kinds %s and %s never overlap", a.Name, b.Name)
 			}
 		}
 	}
 	if overlap < seeds*8/10 {
-		t.Errorf("faults overlap in %d of %d scripts", overlap, seeds)
+		t.Errorf("faults overlap in %d of %d scripts, want 80 percent", overlap, seeds)
 	}
-	// Who comes back from a death must mostly be met cold, not at the script's end.
+	// Most restarts after a death must happen early enough for the cold peers to receive requests before the script ends.
 	if late > kinds["death"]/2 {
-		t.Errorf("%d of %d deaths last to the end", late, kinds["death"])
+		t.Errorf("%d of %d deaths end less than 2 s before the script, want at most half", late, kinds["death"])
 	}
-	t.Logf("%d scripts: %d with several kinds, %d where they overlap; each pair at least %d times; deaths to the end %d of %d",
+	t.Logf("%d scripts: %d with several kinds, %d with overlapping kinds; each pair at least %d times; "+
+		"deaths that end with the script %d of %d",
 		seeds, several, overlap, least, late, kinds["death"])
 }
 
-// Streams stand for themselves: another range for one entity leaves all else.
+// Verifies that random streams are independent: a changed range of one entity changes no other draws.
 func TestDrawStreamsAreIndependent(t *testing.T) {
-	a, sc := Draw(1<<63|7, scenario(t)), scenario(t) // no file holds the topmost bit
+	a, sc := Draw(1<<63|7, scenario(t)), scenario(t) // the topmost bit of a seed is ignored
 	sc.Node.MemoryMB = Counts{100, 101}
 	sc.Discovery.Each = Spans{figure.Span(5e6), figure.Span(5e6)}
 	sc.Peer.Conns = Counts{5, 5}
 	b := Draw(7, sc)
 	if reflect.DeepEqual(a, b) {
-		t.Fatal("no range has had an effect")
+		t.Fatal("changed ranges had no effect on the script")
 	}
 	for i := range a.World.Nodes {
 		b.World.Nodes[i].MemoryMB = a.World.Nodes[i].MemoryMB
@@ -120,17 +121,17 @@
 		b.World.Peers[i].Conns = a.World.Peers[i].Conns
 	}
 	if !reflect.DeepEqual(a, b) {
-		t.Error("ranges of some figures moved others")
+		t.Error("changed ranges also changed values of other ranges")
 	}
 	sc.PeerKinds[0].ColdShare, sc.PeerKinds[1].ColdShare = Range{0.01, 0.02}, Range{0.01, 0.02}
 	for _, p := range Draw(7, sc).World.Peers {
 		if p.ColdShare < a.World.Contract.ColdShare {
-			t.Errorf("%s starts colder than the contract has it", p.Name)
+			t.Errorf("peer %s has a ColdShare below that of the contract", p.Name)
 		}
 	}
 }
 
-// What a cut leaves without a meaning goes with it, and the cut is offered.
+// Verifies that a reduction also removes the entries that it makes invalid, instead of being discarded as invalid.
 func TestSmallerRemovesReplacements(t *testing.T) {
 	s := &Script{}
 	for seed := uint64(0); len(s.Faults) == 0 || len(s.Faults[0].Replacements) < 2; seed++ {
@@ -147,7 +148,7 @@
 			len(c.Faults[0].Peers) == len(s.Faults[0].Peers)-1
 	}
 	if !calm || !without {
-		t.Errorf("no script without faults (%v), or without one heir (%v)", calm, without)
+		t.Errorf("reductions without faults: %v, without one replacement: %v; want both", calm, without)
 	}
 }
 
@@ -160,20 +161,20 @@
 		for c := range s.Smaller() {
 			n++
 			if err := c.Check(); err != nil || reflect.DeepEqual(c, s) {
-				t.Fatalf("seed %d, cut %d: same or %v", seed, n, err)
+				t.Fatalf("seed %d, reduction %d: unchanged, or invalid with error %v", seed, n, err)
 			}
 			if n%8 != 0 {
-				c.World.Clients[0].Mix["shared"] = 1 // must not be
+				c.World.Clients[0].Mix["shared"] = 1 // the map must not be shared with the original
 				continue
 			}
 			if back, err := Parse("c.toml", encoded(t, c)); err != nil || !reflect.DeepEqual(back, c) {
-				t.Fatalf("seed %d, cut %d: not the same when read back: %v", seed, n, err)
+				t.Fatalf("seed %d, reduction %d: script read back differs from the one written; error: %v", seed, n, err)
 			}
 		}
 		if !bytes.Equal(whole, encoded(t, s)) {
-			t.Fatalf("seed %d: the script itself has changed", seed)
+			t.Fatalf("seed %d: Smaller changed the original script", seed)
 		}
-		// One fault, of one peer, kept alive: all else must go, in a bounded number of steps.
+		// If every reduction that keeps a fault is accepted, all else must be removed within 1000 steps.
 		keep := func(c *Script) bool { return len(c.Faults) > 0 || len(s.Faults) == 0 }
 		steps := 0
 		for again := true; again; {
@@ -185,7 +186,7 @@
 				}
 			}
 			if steps++; steps > 1000 {
-				t.Fatalf("seed %d: no end", seed)
+				t.Fatalf("seed %d: reduction does not terminate within 1000 steps", seed)
 			}
 		}
 		w := &s.World
@@ -197,7 +198,7 @@
 		}
 		if len(s.Faults) > 1 || len(w.Nodes) > 1 || len(w.Clients) > 1 || len(w.Rogues) > 0 || early > 2 ||
 			s.Length > figure.Span(8e9) {
-			t.Errorf("seed %d: stays large:\n%s", seed, encoded(t, s))
+			t.Errorf("seed %d: script was not fully reduced:\n%s", seed, encoded(t, s))
 		}
 	}
 }
--- a/internal/lab/fault/drawfaults.go
+++ b/internal/lab/fault/drawfaults.go
@@ -9,11 +9,11 @@
 	"olivebridge/internal/lab/world"
 )
 
-// maxKindDraws is how often another kind is drawn when the world has no room for one.
+// maxKindDraws is the maximum number of kinds that are tried for one fault when the world cannot hold the drawn kind.
 const maxKindDraws = 40
 
-// faults draws what goes wrong: a combination, or single kinds, or both, most
-// of which are there at one instant.
+// faults draws the faults of a run: a combination, single kinds, or both. Most of them are active at one common
+// instant.
 func (d *drawer) faults() {
 	plan, g := &d.sc.Faults, d.stream("faults")
 	n, lead := plan.Count.draw(g), plan.Lead.draw(g)
@@ -21,7 +21,7 @@
 		return
 	}
 	lead = min(lead, d.s.Length/2)
-	meet := lead + figure.Span(figure.Uniform(g, 0.1, 0.6)*float64(d.s.Length-lead))
+	overlapTime := lead + figure.Span(figure.Uniform(g, 0.1, 0.6)*float64(d.s.Length-lead))
 	var names []string
 	if chance(g, plan.Combos) && len(d.sc.Combos) > 0 {
 		var weights []float64
@@ -44,7 +44,7 @@
 		together := i < combined || chance(g, plan.Overlap)
 		for range maxKindDraws {
 			k := table[name]
-			if d.fault(g, &k, i+1, lead, meet, together) {
+			if d.fault(g, &k, i+1, lead, overlapTime, together) {
 				break
 			}
 			name = d.sc.Kinds[weighted(g, weights)].Name
@@ -53,9 +53,9 @@
 	slices.SortStableFunc(d.s.Faults, func(a, b Fault) int { return int(a.At - b.At) })
 }
 
-// fault draws one fault; it reports false, and has done nothing, if the world
-// has no room for it.
-func (d *drawer) fault(g *rand.Rand, k *Kind, i int, lead, meet figure.Span, together bool) bool {
+// fault draws one fault and adds it to the script. It returns false and adds nothing if the world cannot hold a fault
+// of this kind.
+func (d *drawer) fault(g *rand.Rand, k *Kind, i int, lead, overlapTime figure.Span, together bool) bool {
 	w := &d.s.World
 	r := d.sc.Kinds[slices.IndexFunc(d.sc.Kinds, func(r KindRanges) bool { return r.Name == k.Name })]
 	f := Fault{Kind: k.Name, For: r.For.draw(g), Share: r.Share.draw(g), Factor: r.Factor.draw(g),
@@ -85,7 +85,7 @@
 	if k.hasParameter("clients") {
 		f.Clients = pick(g, part, w.Clients, func(c world.Clients) string { return c.Name })
 	}
-	f.At = drawTime(g, f.activeDuration(), lead, meet, d.s.Length, together)
+	f.At = drawTime(g, f.activeDuration(), lead, overlapTime, d.s.Length, together)
 	early := f
 	if early.fit(lead, d.s.Length-d.sc.Faults.Tail.draw(g)) {
 		f = early
@@ -105,8 +105,8 @@
 	return true
 }
 
-// drawTime draws a fault's instant, together with others: so that it is there when
-// they meet.
+// drawTime draws the start of a fault. If together is set, the fault is active at overlapTime, the instant that the
+// overlapping faults share.
 func drawTime(g *rand.Rand, busy, lead, overlapTime, length figure.Span, together bool) figure.Span {
 	u := g.Float64()
 	if together {
@@ -116,8 +116,8 @@
 	return roundSeconds((lead + figure.Span(u*0.85*float64(length-lead))).D().Seconds())
 }
 
-// fit cuts a fault so that it is over at the script's end: it begins earlier,
-// though not before lead, is about fewer peers, or lasts shorter.
+// fit adjusts a fault to end within length: it starts the fault earlier, though not before lead, then removes peers,
+// then shortens it. It reports whether the fault fits.
 func (f *Fault) fit(lead, length figure.Span) bool {
 	if over := f.At + f.activeDuration() - length; over > 0 {
 		f.At = max(f.At-over, min(f.At, lead))
@@ -137,8 +137,8 @@
 	return f.At >= 0 && f.At < length && f.At+f.activeDuration() <= length && (!lasts || f.For.D() >= figure.Seconds(t.Lo))
 }
 
-// pickPeers draws peers that are there from the start. Who has been replaced
-// for good is not replaced again, and of an outage some peer is spared.
+// pickPeers draws among the peers that run from the start. A peer that an earlier fault replaces is not replaced again,
+// and an outage leaves at least one peer running.
 func (d *drawer) pickPeers(g *rand.Rand, k *Kind, part float64, zone string) []string {
 	gone := map[string]bool{}
 	if k.hasParameter("heirs") {
@@ -168,7 +168,7 @@
 	return picked
 }
 
-// pick draws a part of a list, one at least, if there is one.
+// pick draws the given share of a list, at least one entry unless the list is empty.
 func pick[T any](g *rand.Rand, part float64, from []T, name func(T) string) []string {
 	if len(from) == 0 {
 		return nil
@@ -180,8 +180,8 @@
 	return names
 }
 
-// addReplacement adds the late peer that takes another's place: the same machine, under
-// a new name.
+// addReplacement adds a late peer that replaces the named one, on the same machine under a new name, and returns the
+// new name.
 func (d *drawer) addReplacement(name string) string {
 	w := &d.s.World
 	i := slices.IndexFunc(w.Peers, func(p world.Peer) bool { return p.Name == name })
--- a/internal/lab/fault/file.go
+++ b/internal/lab/fault/file.go
@@ -18,8 +18,7 @@
 	return Parse(path, data)
 }
 
-// Parse reads a script from a file's bytes and checks it. What is wrong is
-// reported as an *Error, in one line.
+// Parse reads a script from a file's bytes and checks it. An invalid script yields an *Error with a text of one line.
 func Parse(name string, data []byte) (*Script, error) {
 	t, err := readTree(name, data)
 	if err != nil {
@@ -35,7 +34,7 @@
 	return s, nil
 }
 
-// Write writes a script so that Parse gives it back as it is.
+// Write writes a script in TOML. Parse reads back an equal script.
 func (s *Script) Write(w io.Writer) error {
 	e := toml.NewEncoder(w)
 	e.SetIndentTables(false)
--- a/internal/lab/fault/file_test.go
+++ b/internal/lab/fault/file_test.go
@@ -15,7 +15,8 @@
 	"olivebridge/internal/lab/world"
 )
 
-// replaceText replaces one line of a file and says which one it was.
+// replaceText replaces the first occurrence of old in a file and returns the result with the number of the last line of
+// the replacement.
 func replaceText(t *testing.T, text []byte, old, new string) ([]byte, int) {
 	t.Helper()
 	i := bytes.Index(text, []byte(old))
@@ -26,8 +27,8 @@
 	return append(append(bytes.Clone(text[:i]), new...), text[i+len(old):]...), line
 }
 
-// Each bad file gets one line: where, what, why. The error stands in the last
-// line of what is put in.
+// Verifies that each invalid script yields an error of one line with its position, key and reason. The error is in the
+// last line of the replacement.
 func TestBadScripts(t *testing.T) {
 	s := &Script{}
 	for seed := uint64(0); len(s.Faults) < 2 || s.Faults[0].Kind != "drain"; seed++ {
@@ -50,13 +51,13 @@
 			"world.contract.try_limit: want a whole number, not the number 1.5"},
 		{"try_limit = ", "try_limit = 0 #", "world.contract.try_limit: 0 is not from 1 to 20"},
 		{"probes = ", "probes = 1 #", "world.contract.probes: want true or false, not the number 1"},
-		{"zones = ['tamworth'", "zones = ['tamworth', 'tamworth'", `world.zones[1]: "tamworth" stands twice`},
+		{"zones = ['tamworth'", "zones = ['tamworth', 'tamworth'", `world.zones[1]: "tamworth" is listed twice`},
 		{"spare = 'registry-spare:8500'", "spare = 'registry:8500'",
-			`world.discovery.spare: "registry" is the name of world.discovery.addr already`},
+			`world.discovery.spare: "registry" is already the name of world.discovery.addr`},
 		{"[[world.node]]\nname = 'n1'", "[[world.node]]\nname = 'N1'",
 			`world.node[0].name: not a name of lower-case`},
 		{peer + "\nname = 'p02'", peer + "\nname = 'p01'",
-			`world.peer[1].name: "p01" is the name of world.peer[0].name already`},
+			`world.peer[1].name: "p01" is already the name of world.peer[0].name`},
 		{peer + "\nname = 'p02'", peer + "\nname = 'p02'\nname = 'p02'", "name: key name is already defined"},
 		{peer + "\nname = 'p02'", peer + "\nlate = true\nname = 'p02'", ""},
 		{"[world.clients.mix]", "[world.clients.mix]\nnone = 0.0",
@@ -64,8 +65,8 @@
 		{"[world.clients.mix]", "[world.clients.mix]\nquote = 0.9 #", ""},
 		{"[[world.peer]]", "[world.peer]", ""},
 		{drain, "[[fault]]\nkind = 'drown'", `fault[0].kind: no such kind: "drown"`},
-		{drain, "[[fault]]\nkind = 'rogues'", `fault[0].kind: "rogues" is stated in the world, as world.rogue`},
-		{drain, drain + "\nshare = 0.5", "fault[0].share: drain takes none"},
+		{drain, "[[fault]]\nkind = 'rogues'", `fault[0].kind: "rogues" is listed in the world, as world.rogue`},
+		{drain, drain + "\nshare = 0.5", "fault[0].share: kind drain has no such parameter"},
 		{drain, drain + "\nfactor = '2'", "fault[0].factor: want a number, not a string"},
 		{drain, "[[fault]]\nkind = 'death'\nturn_away = '1s' #", ""},
 	} {
@@ -90,22 +91,22 @@
 		want string
 	}{
 		{Fault{Kind: "death", For: 1e9, Peers: []string{p}}, ""},
-		{Fault{Kind: "death", For: 1e9}, "fault[0].peers: there must be one at least"},
+		{Fault{Kind: "death", For: 1e9}, "fault[0].peers: at least one entry is required"},
 		{Fault{Kind: "death", For: 1e9, Peers: []string{"p99"}}, `fault[0].peers[0]: no such peer: "p99"`},
-		{Fault{Kind: "death", For: 1e9, Peers: []string{p, p}}, `fault[0].peers[1]: "p01" stands twice`},
+		{Fault{Kind: "death", For: 1e9, Peers: []string{p, p}}, `fault[0].peers[1]: "p01" is listed twice`},
 		{Fault{Kind: "death", Peers: []string{p}}, "fault[0].for: 0s is not from 50ms to 10m0s"},
-		{Fault{Kind: "death", At: s.Length - 1, For: 1e9, Peers: []string{p}}, "fault[0].at: goes on until"},
+		{Fault{Kind: "death", At: s.Length - 1, For: 1e9, Peers: []string{p}}, "fault[0].at: ends at"},
 		{Fault{Kind: "fail", For: 1e9, Peers: []string{p}, Share: 1.5},
 			"fault[0].share: 1.5 is not from 0.001 to 1"},
-		{Fault{Kind: "replace", For: 1e9, Peers: []string{p}}, "fault[0].heirs: there must be one at least"},
+		{Fault{Kind: "replace", For: 1e9, Peers: []string{p}}, "fault[0].heirs: at least one entry is required"},
 		{Fault{Kind: "replace", For: 1e9, Peers: []string{p}, Replacements: []string{"p02"}},
-			`fault[0].heirs[0]: "p02" is there from the start`},
+			`fault[0].heirs[0]: "p02" runs from the start`},
 		{Fault{Kind: "costly", For: 1e9, Class: "x", Share: 0.1, Factor: 2},
 			`fault[0].class: no such class: "x"`},
 		{Fault{Kind: "cut", For: 1e9, Zone: "x"}, `fault[0].zone: no such zone: "x"`},
 		{Fault{Kind: "node-kill", For: 1e9, Nodes: []string{p}}, `fault[0].nodes[0]: no such node: "p01"`},
 		{Fault{Kind: "node-restart", For: 2e9, Nodes: []string{s.World.Nodes[0].Name}},
-			"fault[0].for: 2s is less than the 2.2s"},
+			"fault[0].for: 2s is less than 2.2s"},
 		{Fault{Kind: "outage", For: 1e9, Zone: "derby", Peers: []string{p}},
 			`fault[0].peers[0]: "p01" is in zone "tamworth"`},
 	} {
@@ -127,7 +128,8 @@
 		q.Name, q.Host, q.Late = name, s.World.Peers[i].Name, true
 	}
 	replace := func(at int, peer, heir string) Fault {
-		return Fault{Kind: "replace", At: figure.Span(at) * 1e9, For: 1e9, Peers: []string{peer}, Replacements: []string{heir}}
+		return Fault{Kind: "replace", At: figure.Span(at) * 1e9, For: 1e9, Peers: []string{peer},
+			Replacements: []string{heir}}
 	}
 	for _, c := range []struct {
 		faults []Fault
@@ -135,9 +137,9 @@
 	}{
 		{[]Fault{replace(1, "p01", "q1"), replace(2, "p02", "q2")}, ""},
 		{[]Fault{replace(1, "p01", "q1")}, `world.peer[3].late: no fault starts "q2"`},
-		{[]Fault{replace(1, "p01", "q2")}, `fault[0].heirs[0]: "q2" has not the host of "p01"`},
+		{[]Fault{replace(1, "p01", "q2")}, `fault[0].heirs[0]: "q2" does not have the host of "p01"`},
 		{[]Fault{replace(1, "p01", "q1"), replace(2, "p01", "q1")},
-			`fault[1].heirs[0]: "q1" is started by fault[0] already`},
+			`fault[1].heirs[0]: "q1" is already started by fault[0]`},
 	} {
 		s.Faults, s.World.Rogues = c.faults, nil
 		if err := s.Check(); (err == nil) != (c.want == "") || err != nil && err.Error() != c.want {
@@ -148,11 +150,11 @@
 
 func TestBadScenarios(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
-		{"jitter = [0.05, 0.3]", "jitter = [0.3, 0.05]", "net.jitter: range upside down"},
-		{`length = ["16s", "30s"]`, `length = ["30s", "16s"]`, "length: range upside down"},
-		{"peers = [5, 10]", "peers = [10, 5]", "scale.peers: range upside down"},
+		{"jitter = [0.05, 0.3]", "jitter = [0.3, 0.05]", "net.jitter: range is reversed"},
+		{`length = ["16s", "30s"]`, `length = ["30s", "16s"]`, "length: range is reversed"},
+		{"peers = [5, 10]", "peers = [10, 5]", "scale.peers: range is reversed"},
 		{"peers = [5, 10]", "peers = [0, 5]", "scale.peers: 0 is not from 1 to 1000"},
-		{"peers = [5, 10]", "peers = [1, 2, 3]", "scale.peers: a range has two ends"},
+		{"peers = [5, 10]", "peers = [1, 2, 3]", "scale.peers: a range must have two ends"},
 		{"peers = [5, 10]", "peers = [1.5, 2]", "scale.peers: want a whole number, not the number 1.5"},
 		{"peers = [5, 10]", "peers = 5\npears = 5", "scale.pears: unknown key"},
 		{"[scale]\npeers = [5, 10]", "[scale]", "scale.peers: missing"},
@@ -181,18 +183,18 @@
 		}
 	}
 	if _, err := Load("none.toml"); err == nil || err.Error() != "none.toml:1: no such file or directory" {
-		t.Errorf("a file that is not there: %v", err)
+		t.Errorf("load of a missing file: error %v", err)
 	}
 }
 
-// Every figure has a limit, every key of a kind is one of a fault's, and the
-// page has the table as it is.
+// Verifies that every number has a limit, that every parameter of a kind is a key of Fault, and that the page lists
+// each row of the tables.
 func TestTables(t *testing.T) {
 	table := limits()
 	s := Draw(3, scenario(t))
 	visitNumbers("world", "world", reflect.ValueOf(s.World), func(key, bare string, _ reflect.Value) {
 		if _, ok := table[bare]; !ok {
-			t.Errorf("%s has no limit", bare)
+			t.Errorf("number %s has no limit", bare)
 		}
 	})
 	var ofs func(v reflect.Type)
@@ -200,7 +202,7 @@
 		for n := range v.NumField() {
 			f := v.Field(n)
 			if of, ok := f.Tag.Lookup("of"); ok && table[of] == (limit{}) {
-				t.Errorf("%s.%s: no limit %q", v.Name(), f.Name, of)
+				t.Errorf("field %s.%s: tag names the unknown limit %q", v.Name(), f.Name, of)
 			}
 			e := f.Type
 			if e.Kind() == reflect.Slice {
@@ -221,11 +223,12 @@
 		for _, take := range k.Parameters {
 			keys = append(keys, "`"+take.Key+"`")
 			if take.Key != "part" && !hasKey(take.Key) {
-				t.Errorf("%s takes %s, which no fault has", k.Name, take.Key)
+				t.Errorf("kind %s has the parameter %s, which is no key of Fault", k.Name, take.Key)
 			}
 		}
-		if row := fmt.Sprintf("| `%s` | %s | %s |", k.Name, k.Description, strings.Join(keys, ", ")); !bytes.Contains(page, []byte(row)) {
-			t.Errorf("the page lacks the row\n%s", row)
+		if row := fmt.Sprintf("| `%s` | %s | %s |", k.Name, k.Description, strings.Join(keys, ", ")); !bytes.Contains(page,
+			[]byte(row)) {
+			t.Errorf("LAB-SCRIPTS.md lacks the row\n%s", row)
 		}
 	}
 }
@@ -240,8 +243,8 @@
 	return false
 }
 
-// Nothing that a file can hold makes the reader panic, and what it takes, it
-// takes again when written.
+// Verifies that no input makes the parser panic, and that a script which it accepts is equal after it is written and
+// parsed again.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{
 		"seed = 1\nlength = '5s'\n[[fault]]\nkind = 'death'\npeers = ['p01']\n", "a = []\n[a.b]\n", "a = [1]\n[[a]]\n",
@@ -254,10 +257,10 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if s, err := Parse("f.toml", data); err == nil {
 			if back, err := Parse("f.toml", encoded(t, s)); err != nil || !reflect.DeepEqual(back, s) {
-				t.Errorf("not the same when read back: %v", err)
+				t.Errorf("script read back differs from the one written; error: %v", err)
 			}
 		} else if strings.Contains(err.Error(), "\n") {
-			t.Errorf("more than a line: %q", err)
+			t.Errorf("error has more than one line: %q", err)
 		}
 		_, _ = parseScenario("f.toml", data)
 	})
--- a/internal/lab/fault/fleet.go
+++ b/internal/lab/fault/fleet.go
@@ -9,114 +9,126 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// Fleet is what else faults act on where the nodes are processes that know of each other: what lies between them, and
-// what they stand on. All is called on the loop.
+// Fleet is the additional target of faults for nodes that are processes of one fleet: their network and their
+// directories. Its methods are called on the loop.
 type Fleet interface {
-	// Stop stops a node's process as SIGSTOP does, and lets it go on.
+	// Stop stops a node's process with SIGSTOP; goOn resumes it.
 	Stop(node string) (goOn func())
-	// Cut lets nothing through from some nodes to others.
+	// Cut drops all traffic in the direction from the nodes of one set to those of the other.
 	Cut(from, to func(node string) bool) (heal func())
-	// Impair lets what goes from some nodes to others suffer.
+	// Impair impairs the traffic in the direction from the nodes of one set to those of the other.
 	Impair(from, to func(node string) bool, a Impairment) (heal func())
-	// Upgrade lets a node's next process take over from the one in service.
+	// Upgrade starts a node's next process, which takes over from the one in service.
 	Upgrade(node string)
-	// Move gives a node's next processes another address among the nodes.
+	// Move changes the address at which the other nodes reach the next processes of a node.
 	Move(node string)
-	// StartDuplicate starts a stranger under a node's name, with a place of its own.
+	// StartDuplicate starts a foreign process under a node's name, with its own address and directory.
 	StartDuplicate(node string) (end func())
-	// Amounts lets all nodes' fleet files say another share of the amounts of budgets, and has them read it again.
+	// Amounts sets the budget amounts in the fleet files of all nodes to a share of the original ones and reloads them.
 	Amounts(share float64)
-	// Clock sets the wall clock of a node's next processes wrong.
+	// Clock sets the offset of the wall clock of a node's next processes.
 	Clock(node string, by time.Duration)
-	// Voters lets all nodes' fleet files name other voters, and has them read it again.
+	// Voters sets the voters in the fleet files of all nodes and reloads them.
 	Voters(names []string)
-	// At has a node's process wait at its next such step, then calls at, which is given what lets it go on.
+	// At pauses a node's process when it next reaches the step, then calls at with a function that resumes it.
 	At(node, step string, at func(goOn func()))
-	// DamageDirectory makes a node's directory unfit, before its next start.
+	// DamageDirectory damages a node's directory before its next start; mend repairs it.
 	DamageDirectory(node string, how DirectoryFault) (mend func())
 }
 
-// Impairment is what a way between two nodes suffers: shares of packets, or of a stream's pieces.
+// Impairment impairs the link between two nodes. Shares are of packets, or of a stream's segments; Delay is added to
+// each.
 type Impairment struct {
 	Lose, Double, Reorder, Reset float64
 	Delay                        time.Duration
 }
 
-// DirectoryFault is what is the matter with a directory.
+// DirectoryFault is a kind of damage to a node's directory.
 type DirectoryFault string
 
-// What can be the matter.
+// The kinds of damage to a directory.
 const (
 	Full       DirectoryFault = "full"
 	Unwritable DirectoryFault = "unwritable"
-	Foreign    DirectoryFault = "foreign" // another node's
-	Emptied    DirectoryFault = "emptied" // which is no hindrance to a start
-	Torn       DirectoryFault = "torn"    // what it holds was cut in half
+	Foreign    DirectoryFault = "foreign" // the directory of another node
+	Emptied    DirectoryFault = "emptied" // an empty directory does not prevent a start
+	Torn       DirectoryFault = "torn"    // the stored incarnation file is truncated to half its length
 )
 
-// fleetTarget is a Target that has a Company.
+// fleetTarget is a Target whose nodes form a fleet.
 type fleetTarget interface{ Fleet() Fleet }
 
-// FleetTable lists the kinds that need processes which know of each other, in the order of the pages.
+// FleetTable returns the kinds that require nodes which are processes of one fleet, in the order of the pages.
 func FleetTable() []Kind {
 	nodes := Parameter{Key: "nodes"}
-	brief := minFaultDuration.Seconds()
-	while := Parameter{Key: "for", Lo: brief, Hi: 600}
+	minimum := minFaultDuration.Seconds()
+	duration := Parameter{Key: "for", Lo: minimum, Hi: 600}
 	share := func(of string) Parameter { return Parameter{Key: "share", Lo: 0.001, Hi: 1, Means: of} }
-	away := Parameter{Key: "for", Lo: 0.2, Hi: 600, Means: "until they start again"}
-	spoilt := func(how DirectoryFault) func(r *run, f *Fault) {
+	downtime := Parameter{Key: "for", Lo: 0.2, Hi: 600, Means: "until they start again"}
+	damage := func(how DirectoryFault) func(r *run, f *Fault) {
 		return func(r *run, f *Fault) { r.damageDirectory(f, how) }
 	}
 	return append([]Kind{
-		{"fleet-stop", "the nodes' processes stand still (SIGSTOP), and then go on", []Parameter{nodes, while}, (*run).fleetStop},
-		{"fleet-split", "the nodes and all others are cut apart", []Parameter{nodes, while}, (*run).fleetSplit},
-		{"fleet-deaf", "the nodes hear nothing of the others, who hear them", []Parameter{nodes, while}, (*run).fleetDeaf},
-		{"fleet-mute", "the others hear nothing of the nodes, who hear them", []Parameter{nodes, while}, (*run).fleetMute},
-		{"fleet-apart", "the nodes are cut apart from each other, while the others reach them all", []Parameter{nodes, while}, (*run).fleetApart},
-		{"fleet-lossy", "messages between the nodes and others get lost", []Parameter{nodes, while, share("of messages")},
+		{"fleet-stop", "the nodes' processes stand still (SIGSTOP), and then go on",
+			[]Parameter{nodes, duration}, (*run).fleetStop},
+		{"fleet-split", "the nodes and all others are cut apart", []Parameter{nodes, duration}, (*run).fleetSplit},
+		{"fleet-deaf", "the nodes hear nothing of the others, who hear them", []Parameter{nodes, duration}, (*run).fleetDeaf},
+		{"fleet-mute", "the others hear nothing of the nodes, who hear them", []Parameter{nodes, duration}, (*run).fleetMute},
+		{"fleet-apart", "the nodes are cut apart from each other, while the others reach them all",
+			[]Parameter{nodes, duration}, (*run).fleetApart},
+		{"fleet-lossy", "messages between the nodes and others get lost", []Parameter{nodes, duration, share("of messages")},
 			(*run).fleetLossy},
-		{"fleet-double", "they come twice", []Parameter{nodes, while, share("of messages")}, (*run).fleetDouble},
-		{"fleet-reorder", "they overtake each other", []Parameter{nodes, while, share("of messages")}, (*run).fleetReorder},
-		{"fleet-late", "they take longer", []Parameter{nodes, while,
+		{"fleet-double", "they come twice", []Parameter{nodes, duration, share("of messages")}, (*run).fleetDouble},
+		{"fleet-reorder", "they overtake each other",
+			[]Parameter{nodes, duration, share("of messages")}, (*run).fleetReorder},
+		{"fleet-late", "they take longer", []Parameter{nodes, duration,
 			{Key: "pause", Hi: 5, Means: "by which each is late, each way"}}, (*run).fleetLate},
-		{"fleet-reset", "connections between the nodes and others break", []Parameter{nodes, while, share("of pieces")},
+		{"fleet-reset", "connections between the nodes and others break", []Parameter{nodes, duration, share("of pieces")},
 			(*run).fleetReset},
 		{"fleet-upgrade", "a next process of each of the nodes takes over from the one in service", []Parameter{nodes},
 			(*run).fleetUpgrade},
-		{"fleet-move", "the nodes die and come back at other addresses among the nodes", []Parameter{nodes, away},
+		{"fleet-move", "the nodes die and come back at other addresses among the nodes", []Parameter{nodes, downtime},
 			(*run).fleetMove},
-		{"fleet-twin", "strangers live under the nodes' names", []Parameter{nodes, while}, (*run).fleetTwin},
-		{"fleet-full", "the nodes die, and cannot start for a full disk", []Parameter{nodes, away}, spoilt(Full)},
-		{"fleet-unwritable", "the nodes die, and cannot start since they cannot write", []Parameter{nodes, away}, spoilt(Unwritable)},
-		{"fleet-foreign", "the nodes die, and cannot start in another node's directory", []Parameter{nodes, away}, spoilt(Foreign)},
-		{"fleet-torn", "the nodes die, and cannot start since what they kept was cut in half", []Parameter{nodes, away}, spoilt(Torn)},
-		{"fleet-amounts", "all fleet files say a share of each budget's amount, and are read again", []Parameter{while,
+		{"fleet-twin", "strangers live under the nodes' names", []Parameter{nodes, duration}, (*run).fleetTwin},
+		{"fleet-full", "the nodes die, and cannot start for a full disk", []Parameter{nodes, downtime}, damage(Full)},
+		{"fleet-unwritable", "the nodes die, and cannot start since they cannot write",
+			[]Parameter{nodes, downtime}, damage(Unwritable)},
+		{"fleet-foreign", "the nodes die, and cannot start in another node's directory",
+			[]Parameter{nodes, downtime}, damage(Foreign)},
+		{"fleet-torn", "the nodes die, and cannot start since what they kept was cut in half",
+			[]Parameter{nodes, downtime}, damage(Torn)},
+		{"fleet-amounts", "all fleet files say a share of each budget's amount, and are read again", []Parameter{duration,
 			share("of the amounts")}, (*run).fleetAmounts},
-		{"fleet-keepers", "all fleet files name the nodes as voters, in a higher edition, and are read again", []Parameter{nodes},
+		{"fleet-keepers", "all fleet files name the nodes as voters, in a higher edition, and are read again",
+			[]Parameter{nodes},
 			(*run).fleetVoters},
-		{"fleet-emptied", "the nodes die and come back with empty directories", []Parameter{nodes, away}, spoilt(Emptied)},
-		{"fleet-clock", "the nodes die, and live with a wall clock that is an hour ahead until they die again", []Parameter{nodes, while},
+		{"fleet-emptied", "the nodes die and come back with empty directories",
+			[]Parameter{nodes, downtime}, damage(Emptied)},
+		{"fleet-clock", "the nodes die, and live with a wall clock that is an hour ahead until they die again",
+			[]Parameter{nodes, duration},
 			(*run).fleetClock},
-	}, callStepKinds(nodes, while)...)
+	}, callStepKinds(nodes, duration)...)
 }
 
-// callStepKinds lists the kinds that meet a process at a step of a kept call.
+// callStepKinds returns the kinds that act on a process when it reaches a step of a recorded call.
 func callStepKinds(takes ...Parameter) (all []Kind) {
 	for _, step := range callSteps() {
-		for _, act := range []struct{ name, means string }{{"kill", "dies"}, {"stop", "stands still"}, {"cut", "is cut off from the others"}} {
-			all = append(all, Kind{fmt.Sprintf("fleet-%s-at-%s", act.name, step), fmt.Sprintf("a node %s just as a kept call of it is %s", act.means,
-				strings.ReplaceAll(step, "-", " ")), takes, func(r *run, f *Fault) { r.atCallStep(f, act.name, step) }})
+		for _, act := range []struct{ name, means string }{{"kill", "dies"}, {"stop", "stands still"},
+			{"cut", "is cut off from the others"}} {
+			all = append(all, Kind{fmt.Sprintf("fleet-%s-at-%s", act.name, step),
+				fmt.Sprintf("a node %s just as a kept call of it is %s", act.means,
+					strings.ReplaceAll(step, "-", " ")), takes, func(r *run, f *Fault) { r.atCallStep(f, act.name, step) }})
 		}
 	}
 	return all
 }
 
-// callSteps are the steps of a kept call at which a process can be met, in their order.
+// callSteps returns the steps of a recorded call at which a fault can act on a process, in their order.
 func callSteps() []string {
 	return []string{"before-permission", "with-permission", "answered", "recorded"}
 }
 
-// atCallStep does something to nodes, each when it comes to a step.
+// atCallStep kills, stops or isolates each node of the fault when the node next reaches the step of a call.
 func (r *run) atCallStep(f *Fault, act, step string) {
 	for _, name := range f.Nodes {
 		n, l := r.target.Node(name), r.nodes[name]
@@ -136,7 +148,8 @@
 	}
 }
 
-// FirstFleetKind is the first kind of the script that needs processes which know of each other; empty: there is none.
+// FirstFleetKind returns the kind of the first fault that requires nodes which are processes of one fleet, or the empty
+// string if there is none.
 func (s *Script) FirstFleetKind() string {
 	for _, f := range s.Faults {
 		if isFleetKind(f.Kind) {
@@ -146,21 +159,21 @@
 	return ""
 }
 
-// isFleetKind reports whether a kind needs such processes.
+// isFleetKind reports whether a kind requires nodes which are processes of one fleet.
 func isFleetKind(kind string) bool { return strings.HasPrefix(kind, "fleet-") }
 
-// DrawFaults draws faults for a script that has its world: of some kinds, as the plan puts them together.
+// DrawFaults draws faults of the given kinds according to the plan and adds them to a script whose world is set.
 func (s *Script) DrawFaults(kinds []KindRanges, plan FaultPlan) {
 	d := &drawer{sc: &Scenario{Kinds: kinds, Faults: plan}, s: s}
 	d.faults()
 }
 
-// SecondsRange is a range of lengths of time, in seconds.
+// SecondsRange returns a range of durations whose ends are given in seconds.
 func SecondsRange(lo, hi float64) Spans {
 	return Spans{figure.Span(figure.Seconds(lo)), figure.Span(figure.Seconds(hi))}
 }
 
-// fleet is what the run's nodes are to each other; nil: they know of none.
+// fleet returns the fleet that the run's nodes form, or nil if they are independent.
 func (r *run) fleet() Fleet {
 	if c, ok := r.target.(fleetTarget); ok {
 		return c.Fleet()
@@ -199,7 +212,7 @@
 
 func (r *run) fleetApart(f *Fault) { r.after(f.For.D(), r.fleet().Cut(inSet(f.Nodes), inSet(f.Nodes))) }
 
-// impair lets all that goes between the nodes and others suffer, and between the nodes.
+// impair impairs the traffic of the fault's nodes among themselves and, in both directions, with all other nodes.
 func (r *run) impair(f *Fault, a Impairment) {
 	all := func(string) bool { return true }
 	r.after(f.For.D(), r.fleet().Impair(inSet(f.Nodes), all, a))
@@ -220,7 +233,8 @@
 	}
 }
 
-// fleetAmounts changes the amounts. Of two at one time the later counts, and both end with the end of either.
+// fleetAmounts scales the budget amounts. If two such faults overlap, the later one replaces the earlier one, and the
+// end of either restores the original amounts.
 func (r *run) fleetAmounts(f *Fault) {
 	r.fleet().Amounts(f.Share)
 	r.after(f.For.D(), func() { r.fleet().Amounts(1) })
@@ -235,10 +249,11 @@
 	r.nodeKill(f)
 }
 
-// clockOffset is by how much a wrong wall clock is ahead: into the next period of any count that the lab knows.
+// clockOffset is the duration by which a wrong wall clock is ahead. It moves the clock into the next period of every
+// budget that the lab uses.
 const clockOffset = time.Hour
 
-// clockSetDowntime is how long a node is away to have its clock set.
+// clockSetDowntime is the duration for which a node is down while its clock is set.
 const clockSetDowntime = 300 * time.Millisecond
 
 func (r *run) fleetClock(f *Fault) {
@@ -264,7 +279,9 @@
 	}
 }
 
-// damageDirectory kills the nodes, lets each try a start in vain half way where it is to, and starts them mended.
+// damageDirectory kills the nodes and damages their directories. Unless the damage is Emptied, each node attempts one
+// start after a quarter of the fault's duration, which must fail. At the end the directories are repaired and the
+// nodes started.
 func (r *run) damageDirectory(f *Fault, how DirectoryFault) {
 	for _, name := range f.Nodes {
 		n, l := r.target.Node(name), r.nodes[name]
@@ -277,7 +294,7 @@
 		if how != Emptied {
 			r.loop.After(f.For.D()/4, func() {
 				if !r.finished && n.Down() {
-					n.Start() // which must refuse
+					n.Start() // the node must refuse to start
 				}
 			})
 		}
--- a/internal/lab/fault/involve.go
+++ b/internal/lab/fault/involve.go
@@ -7,14 +7,14 @@
 	"olivebridge/internal/lab/world"
 )
 
-// HasParameter reports whether a fault of a kind states a key.
+// HasParameter reports whether faults of a kind have the parameter key.
 func HasParameter(kind, key string) bool {
 	table := kinds()
 	k := table[kind]
 	return k.hasParameter(key)
 }
 
-// MinDuration is the shortest that a fault of a kind may last in a world; 0 where it does not.
+// MinDuration returns the minimum duration of a fault of a kind in a world, or 0 if the kind has no duration.
 func MinDuration(kind string, w *world.Config) figure.Span {
 	table := kinds()
 	k := table[kind]
@@ -28,10 +28,9 @@
 	return figure.Span(figure.Seconds(t.Lo))
 }
 
-// AddFault adds a fault to a script. Whom it is about, if it does not say, is
-// drawn by the script's seed, as scenarios draw it: about part of the peers,
-// nodes or crowds there are, one at least; peers that take the places of others
-// join the world.
+// AddFault adds a fault to a script. If the fault names no targets, they are drawn from the script's seed in the same
+// way as in scenarios: the share part of the peers, nodes or crowds, at least one. Replacement peers are added to the
+// world.
 func (s *Script) AddFault(f Fault, part float64) error {
 	table := kinds()
 	k, ok := table[f.Kind]
@@ -49,7 +48,7 @@
 	}
 	if k.hasParameter("peers") && len(f.Peers) == 0 {
 		if f.Peers = d.pickPeers(g, &k, part, f.Zone); len(f.Peers) == 0 {
-			return &Error{Key: "peers", Reason: "there is no peer that it could be about"}
+			return &Error{Key: "peers", Reason: "no peer can be drawn for the fault"}
 		}
 	}
 	if k.hasParameter("nodes") && len(f.Nodes) == 0 {
--- a/internal/lab/fault/limits.go
+++ b/internal/lab/fault/limits.go
@@ -9,17 +9,16 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// limit is what a figure may be; of a length of time, in seconds.
+// limit is the inclusive range of a number; of a duration, in seconds.
 type limit struct {
 	lo, hi float64
-	orZero bool // 0 may stand too, for "not at all"
+	orZero bool // 0 is allowed as well and disables the feature
 }
 
 func (l limit) contains(v float64) bool { return v >= l.lo && v <= l.hi || l.orZero && v == 0 }
 
-// limits are those of every figure of a script but its faults', by key. They
-// guard against a run that never ends, or a world in which a part of the model
-// divides by nothing; within them, whatever is written is played.
+// limits returns the limits of every number in a script outside of its faults, by key. They prevent a run that never
+// ends and a division by zero in the model; a script within them can be played.
 func limits() map[string]limit {
 	const day = 24 * 3600
 	share := limit{0, 1, false}
@@ -83,8 +82,8 @@
 	}
 }
 
-// visitNumbers shows each figure under v, with its key, and that key without places
-// in lists, as the limits have it.
+// visitNumbers calls see for each number under v with its key and with its bare key, which has no list indexes and is
+// the key of its limit.
 func visitNumbers(key, bare string, v reflect.Value, see func(key, bare string, v reflect.Value)) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -101,7 +100,7 @@
 	}
 }
 
-// number is a figure as limits count it, and as a reader would write it.
+// number returns a number in the unit of its limit, and as text for error messages.
 func number(v reflect.Value) (float64, string) {
 	switch f := v.Interface().(type) {
 	case figure.Span:
@@ -116,7 +115,7 @@
 
 func formatFloat(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
-// violation says that a figure is not what its limit allows; empty: it is.
+// violation returns a description of a number that is outside of its limit, or the empty string.
 func (l limit) violation(v reflect.Value) string {
 	f, written := number(v)
 	if l.contains(f) {
@@ -133,5 +132,5 @@
 	return fmt.Sprintf("%s is not from %s to %s%s", written, lo, hi, or)
 }
 
-// minFaultDuration is the least length of time that a fault may last.
+// minFaultDuration is the minimum duration of a fault.
 const minFaultDuration = 50 * time.Millisecond
--- a/internal/lab/fault/pairs.go
+++ b/internal/lab/fault/pairs.go
@@ -7,7 +7,7 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// activePeriod is a kind's time in a run.
+// activePeriod is a period of a run in which a fault of a kind counts as active.
 type activePeriod struct {
 	kind     string
 	from, to figure.Span
@@ -25,7 +25,7 @@
 	return all
 }
 
-// Kinds lists the kinds of faults in the script, sorted.
+// Kinds returns the kinds of faults in the script, sorted.
 func (s *Script) Kinds() []string {
 	set := map[string]bool{}
 	for _, f := range s.activePeriods() {
@@ -34,8 +34,8 @@
 	return slices.Sorted(maps.Keys(set))
 }
 
-// Pairs lists the pairs of two kinds that are there at one time, sorted, the
-// lesser name first. One that is done in an instant counts as there for 3 s.
+// Pairs returns the pairs of different kinds that are active at the same time, sorted, the lesser name first. An
+// instantaneous fault counts as active for 3 s.
 func (s *Script) Pairs() [][2]string {
 	set := map[[2]string]bool{}
 	all := s.activePeriods()
--- a/internal/lab/fault/problem.go
+++ b/internal/lab/fault/problem.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// Error is what is wrong with a file: one line that says where, and why.
+// Error is a problem in a file: a line of text with its position and its reason.
 type Error struct {
-	File   string // empty: the script was not read from one
+	File   string // empty if the script was not read from a file
 	Line   int
-	Key    string // as "world.peer[2].speed"; empty: the file as a whole
+	Key    string // as "world.peer[2].speed"; empty if the problem concerns the whole file
 	Reason string
 }
 
@@ -27,14 +27,14 @@
 	return b.String()
 }
 
-// problems are what a check has found, in the order in which it looked.
+// problems are the problems that a check has found, in the order of the check.
 type problems []*Error
 
 func (p *problems) add(key, format string, args ...any) {
 	*p = append(*p, &Error{Key: key, Reason: fmt.Sprintf(format, args...)})
 }
 
-// first is the one to report; nil: there is none.
+// first returns the problem that was found first, or nil if there is none.
 func (p problems) first() error {
 	if len(p) == 0 {
 		return nil
@@ -42,7 +42,7 @@
 	return p[0]
 }
 
-// in is the one that stands first in a file.
+// in sets the file and line of each problem and returns the one with the lowest line, or nil if there is none.
 func (p problems) in(t *tree) error {
 	if len(p) == 0 {
 		return nil
--- a/internal/lab/fault/ranges.go
+++ b/internal/lab/fault/ranges.go
@@ -10,17 +10,16 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// Range is what a figure is drawn from, written [lo, hi]; a single number
-// stands for itself.
+// Range is a range from which a number is drawn, written [lo, hi]. A single number is a range of only that number.
 type Range struct{ Lo, Hi float64 }
 
-// Spans is a range of lengths of time, written ["5s", "24s"] or "5s".
+// Spans is a range of durations, written ["5s", "24s"] or "5s".
 type Spans struct{ Lo, Hi figure.Span }
 
-// Counts is a range of whole numbers, both ends among them.
+// Counts is a range of integers that includes both ends.
 type Counts struct{ Lo, Hi int }
 
-var errReversedRange = errors.New("range upside down")
+var errReversedRange = errors.New("range is reversed")
 
 func (r *Range) decodeItem(i *item) error { return decodeRange(i, &r.Lo, &r.Hi, float) }
 
@@ -40,7 +39,7 @@
 		return err
 	}
 	if len(i.items) != 2 {
-		return errors.New("a range has two ends")
+		return errors.New("a range must have two ends")
 	}
 	if *lo, err = read(i.items[0]); err != nil {
 		return err
@@ -65,10 +64,10 @@
 
 func (c Counts) draw(g *rand.Rand) int { return c.Lo + g.IntN(c.Hi-c.Lo+1) }
 
-// roundSeconds makes a length of time that reads well: three digits of it.
+// roundSeconds converts seconds to a duration and rounds it to three digits for readable scripts.
 func roundSeconds(s float64) figure.Span {
 	return figure.Span(math.Round(figure.Round(s, 3) * 1e9))
 }
 
-// chance draws whether something with that chance is so.
+// chance draws true with probability p.
 func chance(g *rand.Rand, p float64) bool { return g.Float64() < p }
--- a/internal/lab/fault/rogues.go
+++ b/internal/lab/fault/rogues.go
@@ -1,7 +1,6 @@
 package fault
 
-// rogueKinds are the kinds of rogues that scripts and scenarios may name, as
-// package client plays them.
+// rogueKinds returns the kinds of rogues that scripts and scenarios may name. Package client implements them.
 func rogueKinds() []string {
 	return []string{
 		"noise", "hello", "http2", "http10",
--- a/internal/lab/fault/scenario.go
+++ b/internal/lab/fault/scenario.go
@@ -6,8 +6,8 @@
 	"reflect"
 )
 
-// Scenario is what scripts are drawn from: every figure a range. A field's tag
-// "of" names the figure whose limits both its ends keep.
+// Scenario holds the ranges from which scripts are drawn. A field's tag "of" names the key in limits that applies to
+// both ends of its range.
 type Scenario struct {
 	Length    Spans           `toml:"length" of:"length"`
 	Zones     []string        `toml:"zones"`
@@ -29,22 +29,23 @@
 	Combos    []Combo         `toml:"combo"`
 }
 
-// Scale is how many there are.
+// Scale holds the ranges of the numbers of entities.
 type Scale struct {
 	Peers   Counts  `toml:"peers" of:"scenario.one_or_more"`
 	Nodes   Counts  `toml:"nodes" of:"scenario.one_or_more"`
 	OneZone float64 `toml:"one_zone" of:"scenario.chance"` // share of runs
 	OneNode float64 `toml:"one_node" of:"scenario.chance"`
-	Pushed  float64 `toml:"pushed" of:"scenario.chance"`    // share of runs in which all presses on the peers at once: many nodes, overload, no waiting rooms
-	Many    Counts  `toml:"many" of:"scenario.one_or_more"` // nodes then
+	// Pushed is the share of runs that stress the peers in several ways at once: many nodes, overload, short queues.
+	Pushed float64 `toml:"pushed" of:"scenario.chance"`
+	Many   Counts  `toml:"many" of:"scenario.one_or_more"` // number of nodes in the runs of Pushed
 }
 
-// LoadRanges is how much they are asked to do.
+// LoadRanges holds the ranges of the request rate.
 type LoadRanges struct {
-	Usual    Range   `toml:"usual" of:"scenario.load"` // of what the peers can do
+	Usual    Range   `toml:"usual" of:"scenario.load"` // of the capacity of the peers
 	Over     Range   `toml:"over" of:"scenario.load"`
 	Overload float64 `toml:"overload" of:"scenario.chance"` // share of runs that draw from Over
-	MostRate Range   `toml:"most_rate" of:"scenario.rate"`  // a second; a run that would have more has fewer peers
+	MostRate Range   `toml:"most_rate" of:"scenario.rate"`  // per second; a run that would exceed it has fewer peers
 	ZoneSkew Range   `toml:"zone_skew" of:"scenario.spread"`
 }
 
@@ -59,8 +60,7 @@
 	Pieces  Range   `toml:"pieces" of:"world.net.pieces"`
 }
 
-// ContractRanges draws world.Contract. Of what is allowed or not, it holds the
-// share of runs in which it is.
+// ContractRanges draws world.Contract. For a permission, it holds the share of runs in which it is granted.
 type ContractRanges struct {
 	DrainGrace     Spans   `toml:"drain_grace" of:"world.contract.drain_grace"`
 	ColdShare      Range   `toml:"cold_share" of:"world.contract.cold_share"`
@@ -105,26 +105,26 @@
 	Stale    float64 `toml:"stale" of:"scenario.chance"` // share of nodes
 }
 
-// PeerRanges draws what all peers of a run, or peers of any kind, have.
+// PeerRanges draws the properties that do not depend on a peer's kind.
 type PeerRanges struct {
-	CellSize  Counts  `toml:"cell_size" of:"scenario.one_or_more"` // once a run
+	CellSize  Counts  `toml:"cell_size" of:"scenario.one_or_more"` // drawn once per run
 	CacheGain Range   `toml:"cache_gain" of:"world.peer.cache_gain"`
 	CacheFor  Spans   `toml:"cache_for" of:"world.peer.cache_for"`
 	CacheKeys Counts  `toml:"cache_keys" of:"scenario.per_core"` // per core
-	ByCount   float64 `toml:"by_count" of:"scenario.chance"`     // share of peers that warm by requests
+	ByCount   float64 `toml:"by_count" of:"scenario.chance"`     // share of peers that warm up by requests served
 	ColdBy    Counts  `toml:"cold_by" of:"world.peer.cold_by"`
-	Falls     float64 `toml:"falls" of:"scenario.chance"` // share of runs in which pushed peers fall over
+	Falls     float64 `toml:"falls" of:"scenario.chance"` // share of runs in which overloaded peers crash
 	Crowds    float64 `toml:"crowds" of:"scenario.chance"`
 	CrowdAt   Range   `toml:"crowd_at" of:"world.peer.crowd_at"`
 	Crowded   Range   `toml:"crowded" of:"world.peer.crowded"`
 	Conns     Counts  `toml:"conns" of:"world.peer.conns"` // per core
 	Handshake Spans   `toml:"handshake" of:"world.peer.handshake"`
-	Tight     float64 `toml:"tight" of:"scenario.chance"`        // share of runs whose peers have hardly a waiting room
-	TightRoom Counts  `toml:"tight_room" of:"scenario.per_core"` // which is this for a core
+	Tight     float64 `toml:"tight" of:"scenario.chance"`        // share of runs whose peers have short queues
+	TightRoom Counts  `toml:"tight_room" of:"scenario.per_core"` // queue length per core in the runs of Tight
 	StopsWork float64 `toml:"stops_work" of:"scenario.chance"`
 }
 
-// PeerKind draws what peers of a kind have.
+// PeerKind draws the properties of peers of a kind.
 type PeerKind struct {
 	Name      string `toml:"name"`
 	Share     Range  `toml:"share" of:"scenario.weight"`
@@ -157,17 +157,17 @@
 type TenantRanges struct {
 	Name  string `toml:"name"`
 	Share Range  `toml:"share" of:"world.tenant.share"`
-	Usage Range  `toml:"usage" of:"scenario.usage"` // of its share
-	Quota Range  `toml:"quota" of:"scenario.load"`  // of what the peers can do, times its share
+	Usage Range  `toml:"usage" of:"scenario.usage"` // share of the tenant's share that it uses
+	Quota Range  `toml:"quota" of:"scenario.load"`  // of the capacity of the peers times the tenant's share
 }
 
 // ClientRanges draws a world.Clients for each zone and tenant.
 type ClientRanges struct {
-	MixSwing  Range   `toml:"mix_swing" of:"scenario.spread"` // by which a crowd's share of a class differs
-	Waves     float64 `toml:"waves" of:"scenario.chance"`     // share of runs
+	MixSwing  Range   `toml:"mix_swing" of:"scenario.spread"` // maximum relative deviation of a crowd's share of a class
+	Waves     float64 `toml:"waves" of:"scenario.chance"`     // share of runs with a varying request rate
 	Swing     Range   `toml:"swing" of:"world.clients.swing"`
 	Period    Spans   `toml:"period" of:"world.clients.period"`
-	Keyless   float64 `toml:"keyless" of:"scenario.chance"` // share of crowds
+	Keyless   float64 `toml:"keyless" of:"scenario.chance"` // share of crowds without keys
 	Keys      Counts  `toml:"keys" of:"world.clients.keys"`
 	Zipf      Range   `toml:"zipf" of:"world.clients.zipf"`
 	Retries   Counts  `toml:"retries" of:"world.clients.retries"`
@@ -177,7 +177,7 @@
 	Leave     Range   `toml:"leave" of:"world.clients.leave"`
 	Fresh     Range   `toml:"fresh" of:"world.clients.fresh"`
 	Keep      Range   `toml:"keep" of:"world.clients.keep"`
-	Pipelines float64 `toml:"pipelines" of:"scenario.chance"` // share of crowds
+	Pipelines float64 `toml:"pipelines" of:"scenario.chance"` // share of crowds that pipeline
 	Pipelined Range   `toml:"pipelined" of:"world.clients.pipelined"`
 	Conns     Counts  `toml:"conns" of:"world.clients.conns"`
 	Odd       Range   `toml:"odd" of:"world.clients.odd"`
@@ -186,23 +186,23 @@
 
 // RogueRanges draws the world.Rogues of one fault of the kind "rogues".
 type RogueRanges struct {
-	Kinds []string `toml:"kinds"` // of package client
+	Kinds []string `toml:"kinds"` // from rogueKinds
 	Crowd Counts   `toml:"crowd" of:"scenario.one_or_more"`
 	Rate  Range    `toml:"rate" of:"world.rogue.rate"`
 }
 
-// FaultPlan is how faults are put together.
+// FaultPlan holds the ranges that determine the number, kinds and times of a run's faults.
 type FaultPlan struct {
-	Calm    float64 `toml:"calm" of:"scenario.chance"` // share of runs without any
+	Calm    float64 `toml:"calm" of:"scenario.chance"` // share of runs without faults
 	Count   Counts  `toml:"count" of:"scenario.many"`
-	Lead    Spans   `toml:"lead" of:"scenario.lead"`      // calm time before the first
-	Tail    Spans   `toml:"tail" of:"scenario.lead"`      // time after a fault, to meet what comes back
-	Overlap float64 `toml:"overlap" of:"scenario.chance"` // share of faults that share one instant
-	Combos  float64 `toml:"combos" of:"scenario.chance"`  // share of runs that play a combination
+	Lead    Spans   `toml:"lead" of:"scenario.lead"`      // time before the first fault
+	Tail    Spans   `toml:"tail" of:"scenario.lead"`      // time after a fault in which the recovery is observed
+	Overlap float64 `toml:"overlap" of:"scenario.chance"` // share of single faults that are active at the common instant
+	Combos  float64 `toml:"combos" of:"scenario.chance"`  // share of runs with a combination
 }
 
-// KindRanges draws a Fault. It states what its kind takes; Part, of those there
-// are, is how many peers, nodes or crowds it is about.
+// KindRanges draws a Fault of a kind. It sets the parameters of the kind. Part is the share of the peers, nodes or
+// crowds that the fault affects.
 type KindRanges struct {
 	Name     string  `toml:"name"`
 	Weight   float64 `toml:"weight" of:"scenario.weight"`
@@ -215,7 +215,7 @@
 	Back     Spans   `toml:"back,omitempty"`
 }
 
-// Combo is some kinds that are to meet.
+// Combo is a combination of kinds that are active at the same time.
 type Combo struct {
 	Name   string   `toml:"name"`
 	Weight float64  `toml:"weight" of:"scenario.weight"`
@@ -225,11 +225,10 @@
 //go:embed scenario.toml
 var defaultScenario []byte
 
-// Default is the scenario that comes with the lab.
+// Default returns the scenario that is embedded in the lab.
 func Default() (*Scenario, error) { return parseScenario("scenario.toml", defaultScenario) }
 
-// LoadScenario reads a scenario from a file and checks it. A file states every
-// figure; none is taken from elsewhere.
+// LoadScenario reads a scenario from a file and checks it. The file must set every number; there are no defaults.
 func LoadScenario(path string) (*Scenario, error) {
 	data, err := read(path)
 	if err != nil {
@@ -259,9 +258,9 @@
 	if err := c.in(t); err != nil {
 		return nil, err
 	}
-	// Guards against names that meet only in a script, such as a crowd's.
+	// Detects names that collide only in a script, such as those of crowds.
 	if err := Draw(1, sc).Check(); err != nil {
-		return nil, &Error{File: name, Line: 1, Reason: "what is drawn from it does not do: " + err.Error()}
+		return nil, &Error{File: name, Line: 1, Reason: "script drawn from the scenario is invalid: " + err.Error()}
 	}
 	return sc, nil
 }
--- a/internal/lab/fault/scenariocheck.go
+++ b/internal/lab/fault/scenariocheck.go
@@ -8,15 +8,14 @@
 	"strings"
 )
 
-// scenarioChecker holds a scenario against the limits, so that whatever is
-// drawn from it passes Check.
+// scenarioChecker checks a scenario against the limits: every script drawn from a valid scenario must pass Check.
 type scenarioChecker struct {
 	problems
 	sc     *Scenario
 	limits map[string]limit
 }
 
-// ranges asks for every figure, and for both its ends within limits.
+// ranges requires every number to be set, with both ends of its range within the limits.
 func (c *scenarioChecker) ranges(key string, i *item, v reflect.Value, of string) {
 	if of != "" {
 		c.within(key, v, c.limits[of])
@@ -38,7 +37,7 @@
 		}
 	case reflect.Slice:
 		if v.Len() == 0 && key != "combo" && key != "kind" && key != "rogue.kinds" {
-			c.add(key, "there must be one at least")
+			c.add(key, "at least one entry is required")
 		}
 		for n := range v.Len() {
 			c.ranges(fmt.Sprintf("%s[%d]", key, n), i.items[n], v.Index(n), "")
@@ -46,7 +45,7 @@
 	}
 }
 
-// within holds a figure, or both ends of a range, against a limit.
+// within checks a number, or both ends of a range, against a limit.
 func (c *scenarioChecker) within(key string, v reflect.Value, l limit) {
 	if v.Kind() != reflect.Struct {
 		if why := l.violation(v); why != "" {
@@ -55,7 +54,7 @@
 		return
 	}
 	if !v.Field(0).Equal(v.Field(1)) {
-		l.orZero = false // what lies between the ends must do, too
+		l.orZero = false // the values between the ends must be allowed as well
 	}
 	for n := range v.NumField() {
 		if why := l.violation(v.Field(n)); why != "" {
@@ -75,7 +74,7 @@
 	}
 }
 
-// lists checks names, and that shares can be shares of something.
+// lists checks names, deadlines and addresses, and that the shares of a list cannot all be 0.
 func (c *scenarioChecker) lists() {
 	sc := c.sc
 	c.names("zones", sc.Zones, func(i int) string { return fmt.Sprintf("zones[%d]", i) })
@@ -115,7 +114,7 @@
 		}
 	}
 	if sc.Discovery.Addr == sc.Discovery.Spare {
-		c.add("discovery.spare", "is the first address too")
+		c.add("discovery.spare", "is equal to discovery.addr")
 	}
 }
 
@@ -126,13 +125,13 @@
 			c.add(key(i), invalidNameFormat, n)
 		}
 		if seen[n] {
-			c.add(key(i), "%q stands twice", n)
+			c.add(key(i), "%q is listed twice", n)
 		}
 		seen[n] = true
 	}
 }
 
-// kind checks that a kind states what it takes, and nothing else.
+// kind checks that a kind's ranges set all parameters of the kind, and no others.
 func (c *scenarioChecker) kind(at string, t *tree, n int, table map[string]Kind) {
 	r := &c.sc.Kinds[n]
 	k, ok := table[r.Name]
@@ -142,7 +141,7 @@
 	}
 	for i := range n {
 		if c.sc.Kinds[i].Name == r.Name {
-			c.add(at+".name", "%q stands twice", r.Name)
+			c.add(at+".name", "%q is listed twice", r.Name)
 		}
 	}
 	stated := t.root.child("kind").items[n]
@@ -157,7 +156,7 @@
 		switch {
 		case key == "name" || key == "weight":
 		case !takes && stated.child(key) != nil:
-			c.add(join(at, key), "%s takes none", r.Name)
+			c.add(join(at, key), "kind %s has no such parameter", r.Name)
 		case takes && stated.child(key) == nil:
 			c.add(join(at, key), "missing")
 		case takes:
@@ -165,11 +164,12 @@
 		}
 	}
 	if r.Name == Rogues && r.Weight > 0 && len(c.sc.Rogues.Kinds) == 0 {
-		c.add("rogue.kinds", "there must be one at least")
+		c.add("rogue.kinds", "at least one entry is required")
 	}
 }
 
-// combos checks that combinations are of kinds that are there to be drawn.
+// combos checks that combinations consist of known kinds with ranges, and that kinds and combinations have weights
+// where the plan draws them.
 func (c *scenarioChecker) combos(table map[string]Kind) {
 	stated := map[string]bool{}
 	weight := 0.0
@@ -188,7 +188,7 @@
 			if _, ok := table[k]; !ok {
 				c.add(key, "no such kind: %q", k)
 			} else if !stated[k] {
-				c.add(key, "%q has no ranges here", k)
+				c.add(key, "%q has no ranges in the scenario", k)
 			}
 		}
 	}
--- a/internal/lab/fault/schedule.go
+++ b/internal/lab/fault/schedule.go
@@ -7,8 +7,8 @@
 	"olivebridge/internal/lab/world"
 )
 
-// Schedule sets off each fault at its instant and undoes it when its time is
-// over; at the script's Length whatever is left is undone.
+// Schedule schedules the start of each fault on the loop and heals it when its duration has passed. At the script's
+// Length all faults that are still active are healed.
 func (s *Script) Schedule(l *loop.Loop, t Target) {
 	r := &run{script: s, loop: l, target: t, peers: map[string]*processState{}, nodes: map[string]*processState{}}
 	for _, p := range s.World.Peers {
@@ -30,7 +30,7 @@
 	}
 }
 
-// host is the machine of a peer.
+// host returns the host of a peer.
 func host(p world.Peer) string {
 	if p.Host != "" {
 		return p.Host
@@ -38,34 +38,34 @@
 	return p.Name
 }
 
-// run is a script being played.
+// run is the state of a script that is being played.
 type run struct {
 	script   *Script
 	loop     *loop.Loop
 	target   Target
 	peers    map[string]*processState
 	nodes    map[string]*processState
-	heals    []func() // in the order in which they were set off; harmless when done
+	heals    []func() // in the order in which the faults started; repeated calls have no effect
 	finished bool
 }
 
-// processState is what the faults together make of one process. Several may hold it
-// down at one time; it starts again when the last lets go.
+// processState is the combined effect of the faults on one process. Several faults may hold it down at once; it
+// restarts when the last one releases it.
 type processState struct {
-	host         string // its host
-	holds        int    // how many keep it from running
-	vanishCount  int    // how many keep its machine silent
-	outOfService bool   // it has been replaced, and stays held, or its time has not come
+	host         string // on which the process runs
+	holds        int    // number of faults that keep the process down
+	vanishCount  int    // number of faults that keep its host unreachable
+	outOfService bool   // the process has been replaced, and stays down, or has not been started yet
 }
 
-// process is what peers and nodes have in common.
+// process is the common interface of peers and nodes.
 type process interface {
 	Start()
 	Kill()
 	Down() bool
 }
 
-// after lets f run once d has passed, or at the script's end if that is earlier.
+// after runs f when d has passed, or at the script's end if that is earlier.
 func (r *run) after(d time.Duration, f func()) {
 	done := false
 	once := func() {
@@ -86,7 +86,7 @@
 	r.heals = nil
 }
 
-// hold kills a process and starts it again after d, if nothing else holds it.
+// hold kills a process and restarts it after d, unless another fault still holds it down.
 func (r *run) hold(l *processState, p process, d time.Duration) {
 	if l.outOfService {
 		return
--- a/internal/lab/fault/schedule_test.go
+++ b/internal/lab/fault/schedule_test.go
@@ -12,15 +12,15 @@
 	"olivebridge/internal/lab/world"
 )
 
-// fakeTarget stands in for a run: it keeps what is asked of it, and who is up.
+// fakeTarget is a Target that logs each call and tracks the state of the processes.
 type fakeTarget struct {
 	t            *testing.T
 	loop         *loop.Loop
 	log          []string
-	up           map[string]bool // processes, and machines that can be heard
+	up           map[string]bool // whether each process runs
 	hosts        map[string]string
-	peerAtHost   map[string]string // by host, the peer that is up there
-	activeFaults int               // faults that are not healed
+	peerAtHost   map[string]string // the last peer started on each host
+	activeFaults int               // number of effects that are not healed
 	conns        []string
 }
 
@@ -31,7 +31,7 @@
 	healed := false
 	return func() {
 		if healed {
-			s.t.Errorf("%s: healed twice", what)
+			s.t.Errorf("%s: heal called twice", what)
 		}
 		healed = true
 		s.activeFaults--
@@ -60,11 +60,11 @@
 
 func (e fakeProcess) Start() {
 	if e.up[e.name] {
-		e.t.Errorf("%s is started while up", e.name)
+		e.t.Errorf("%s is started while it runs", e.name)
 	}
 	if h := e.hosts[e.name]; h != "" {
 		if other := e.peerAtHost[h]; other != "" && e.up[other] {
-			e.t.Errorf("%s is started where %s is up", e.name, other)
+			e.t.Errorf("%s is started on a host on which %s runs", e.name, other)
 		}
 		e.peerAtHost[h] = e.name
 	}
@@ -75,7 +75,7 @@
 
 func (e fakeProcess) Kill() {
 	if !e.up[e.name] {
-		e.t.Errorf("%s is killed while down", e.name)
+		e.t.Errorf("%s is killed while it is down", e.name)
 	}
 	e.up[e.name] = false
 	e.record("%s kill", e.name)
@@ -85,7 +85,7 @@
 func (e fakeProcess) Drain(turnAway, exit time.Duration) {
 	e.record("%s drain %v %v", e.name, turnAway, exit)
 	e.activeFaults--
-	if e.name != "p09" { // which holds a request for ever
+	if e.name != "p09" { // p09 never finishes a request and therefore does not exit
 		e.loop.After(exit, func() { e.up[e.name] = false })
 	}
 }
@@ -156,7 +156,7 @@
 	n.activeFaults--
 }
 
-// play plays a script's faults and says what they did.
+// play plays a script's faults against a fakeTarget and returns it.
 func play(t *testing.T, s *Script, conns ...string) *fakeTarget {
 	var st *fakeTarget
 	synctest.Test(t, func(t *testing.T) {
@@ -176,15 +176,15 @@
 		s.Schedule(l, st)
 		l.Run(t.Context(), s.Length.D()+time.Microsecond, nil)
 		if st.activeFaults != 0 {
-			t.Errorf("%d faults are not healed at the end", st.activeFaults)
+			t.Errorf("%d effects are not healed at the end of the script, want 0", st.activeFaults)
 		}
 		l.Run(t.Context(), s.Length.D()+time.Minute, nil)
 	})
 	return st
 }
 
-// Whatever is drawn: no process is started twice or where another stands, and
-// at the end all that is still in service is up.
+// Verifies for drawn scripts that no process is started twice or on a host that another one uses, and that at the end
+// all processes that have not been replaced run.
 func TestScheduleOfDrawn(t *testing.T) {
 	sc := scenario(t)
 	for seed := range uint64(150) {
@@ -200,7 +200,7 @@
 		}
 		for _, p := range s.World.Peers {
 			if p.Name != "p09" && st.up[p.Name] == replaced[p.Name] {
-				t.Errorf("seed %d: %s is up: %v, replaced: %v\n%s", seed, p.Name, st.up[p.Name], replaced[p.Name],
+				t.Errorf("seed %d: peer %s runs: %v, is replaced: %v\n%s", seed, p.Name, st.up[p.Name], replaced[p.Name],
 					strings.Join(st.log, "\n"))
 			}
 		}
@@ -231,10 +231,10 @@
 			{Kind: "drain", At: sec(1), For: sec(2), TurnAway: sec(1), Back: sec(1), Pause: sec(0.5),
 				Peers: []string{"p01", "p02"}},
 		}, "1.0 p01 drain 1s 2s, 1.5 p02 drain 1s 2s, 4.0 p01 start, 4.5 p02 start"},
-		{"a drain that does not end", []Fault{
+		{"a drain that does not finish", []Fault{
 			{Kind: "drain", At: sec(1), For: sec(2), Back: sec(1), Peers: []string{"p09"}},
 		}, "1.0 p09 drain 0s 2s, 6.0 p09 kill, 7.0 p09 start"},
-		{"a death amid a release, and one after it", []Fault{
+		{"a death during a release, and one after it", []Fault{
 			{Kind: "release", At: sec(1), For: sec(2), Back: sec(1), Peers: p1, Replacements: []string{"p01r1"}},
 			{Kind: "death", At: sec(2), For: sec(5), Peers: p1},
 			{Kind: "death", At: sec(8), For: sec(1), Peers: p1},
@@ -249,7 +249,7 @@
 		}, "1.0 n2 kill, 2.0 discovery move, 2.5 n1 hup spare, 4.0 n2 start, 5.0 n1 hup , 5.0 n2 hup "},
 		{"restart", []Fault{{Kind: "node-restart", At: sec(1), For: sec(3), Nodes: []string{"n1"}}},
 			"1.0 n1 drain 0s 1s, 4.0 n1 start"},
-		{"vanish of one that dies", []Fault{
+		{"a vanished peer that dies", []Fault{
 			{Kind: "vanish", At: sec(1), For: sec(3), Peers: p2}, {Kind: "death", At: sec(2), For: sec(4), Peers: p2},
 		}, "1.0 vanish p02, 1.0 p02 unheard, 2.0 p02 kill, 4.0 return p02, 6.0 p02 start"},
 		{"hush and mute", []Fault{
@@ -262,7 +262,7 @@
 			{Kind: "slowlink", At: sec(5), For: sec(1), Factor: 4, Peers: p1},
 		}, "1.0 cut true false, 2.0 end of cut true false, 3.0 hushing 0.5 true false, " +
 			"4.0 end of hushing 0.5 true false, 5.0 slowlink 4 true false, 6.0 end of slowlink 4 true false"},
-		{"two that replace one", []Fault{
+		{"two replacements of one peer", []Fault{
 			{Kind: "release", At: sec(1), For: sec(2), Back: sec(1), Peers: p1, Replacements: []string{"p01r1"}},
 			{Kind: "replace", At: sec(2), For: sec(1), Peers: p1, Replacements: []string{"p01r2"}},
 		}, "1.0 p01 drain 0s 2s, 2.0 p01 kill, 3.0 p01r2 start"},
--- a/internal/lab/fault/smaller.go
+++ b/internal/lab/fault/smaller.go
@@ -11,7 +11,7 @@
 	"olivebridge/internal/lab/world"
 )
 
-// Clone copies a script so that nothing of it is shared.
+// Clone returns a deep copy of a script.
 func (s *Script) Clone() *Script {
 	c := *s
 	w := &c.World
@@ -34,10 +34,9 @@
 	return &c
 }
 
-// Smaller gives scripts with something taken away, the largest cuts first. Each
-// passes Check and differs from s; what a cut leaves without a meaning, such as
-// a fault of a peer that is gone, goes with it. Following it again and again
-// comes to an end.
+// Smaller yields reduced copies of a script, those of the largest reductions first. Each copy passes Check and differs
+// from s. Entries that a reduction makes invalid, such as a fault of a removed peer, are removed as well. Repeated
+// reduction terminates.
 func (s *Script) Smaller() iter.Seq[*Script] {
 	return func(yield func(*Script) bool) {
 		for cut := range s.reductions() {
@@ -51,7 +50,7 @@
 	}
 }
 
-// reductions are the ways to make s smaller; some lead nowhere.
+// reductions yields functions that reduce a copy of s; some of them yield an invalid or unchanged script.
 func (s *Script) reductions() iter.Seq[func(*Script)] {
 	w := &s.World
 	return func(yield func(func(*Script)) bool) {
@@ -82,8 +81,8 @@
 	}
 }
 
-// removals takes out of a list of n: all, each half, each quarter, and so on to
-// each one.
+// removals yields functions that remove from a list of n entries: all of them, each half, each quarter, and so on
+// down to each single entry.
 func removals(n int, out func(c *Script, from, to int)) iter.Seq[func(*Script)] {
 	return func(yield func(func(*Script)) bool) {
 		for size := n; size > 0; size /= 2 {
@@ -109,7 +108,7 @@
 	}
 }
 
-// halveLead takes away half of the time before the first fault.
+// halveLead removes half of the time before the first fault.
 func halveLead(c *Script) {
 	first := c.Length
 	for _, f := range c.activePeriods() {
@@ -129,7 +128,7 @@
 	}
 }
 
-// oneZone brings everybody to the first zone.
+// oneZone moves all nodes, peers, clients and rogues to the first zone.
 func oneZone(c *Script) {
 	w := &c.World
 	w.Zones = w.Zones[:1]
@@ -148,8 +147,8 @@
 	}
 }
 
-// faultReductions lets each fault be about fewer, and last shorter, and each crowd ask
-// less.
+// faultReductions yields functions that remove targets of each fault, halve its duration or share, and halve the
+// request rate of each crowd.
 func (s *Script) faultReductions() iter.Seq[func(*Script)] {
 	return func(yield func(func(*Script)) bool) {
 		for i, f := range s.Faults {
@@ -188,7 +187,7 @@
 	}
 }
 
-// simplifications takes away, everywhere at once, one thing that makes a world less plain.
+// simplifications returns functions that each disable one optional feature of the world for all entities.
 func simplifications() []func(*Script) {
 	return []func(*Script){
 		func(c *Script) { c.World.Net.Pieces = 0 },
@@ -232,7 +231,7 @@
 	}
 }
 
-// halveSpan halves a length of time, but not to less than a least one.
+// halveSpan returns half of a duration, or the duration itself if half of it is below least.
 func halveSpan(s figure.Span, least time.Duration) figure.Span {
 	if h := roundSeconds(s.D().Seconds() / 2); h.D() >= least {
 		return h
@@ -247,7 +246,8 @@
 	return v
 }
 
-// prune takes away what has lost its meaning.
+// prune removes rogues, faults and late peers that the reduced script no longer uses, and shortens what lasts beyond
+// its end.
 func (s *Script) prune() {
 	w := &s.World
 	w.Rogues = slices.DeleteFunc(w.Rogues, func(r world.Rogue) bool {
@@ -256,12 +256,12 @@
 	for i := range w.Rogues {
 		w.Rogues[i].For = min(w.Rogues[i].For, s.Length-w.Rogues[i].From)
 	}
-	for { // a late peer that nobody starts goes, and with it what is about it
-		zones := map[string]string{}
+	for { // removing a late peer that no fault starts may make further faults invalid
+		zoneByPeer := map[string]string{}
 		for _, p := range w.Peers {
-			zones[p.Name] = p.Zone
+			zoneByPeer[p.Name] = p.Zone
 		}
-		s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return !f.prune(s, zones) })
+		s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return !f.prune(s, zoneByPeer) })
 		started := map[string]bool{}
 		for _, f := range s.Faults {
 			for _, name := range f.Replacements {
@@ -277,28 +277,28 @@
 	w.Rogues, s.Faults = orNil(w.Rogues), orNil(s.Faults)
 }
 
-// prune takes the names out of a fault that mean nobody, and reports whether
-// there is still something to it. zones are those of the peers.
-func (f *Fault) prune(s *Script, zones map[string]string) bool {
+// prune removes unknown names from a fault and reports whether the fault is still valid. zoneByPeer maps the names of
+// peers to their zones.
+func (f *Fault) prune(s *Script, zoneByPeer map[string]string) bool {
 	w := &s.World
 	table := kinds()
 	k := table[f.Kind]
-	var peers, heirs []string
+	var peers, replacements []string
 	for i, name := range f.Peers {
-		zone, ok := zones[name]
+		zone, ok := zoneByPeer[name]
 		if len(f.Replacements) > 0 {
-			_, too := zones[f.Replacements[i]]
-			ok = ok && too
+			_, listed := zoneByPeer[f.Replacements[i]]
+			ok = ok && listed
 		}
 		if !ok || f.Zone != "" && zone != f.Zone {
 			continue
 		}
 		peers = append(peers, name)
 		if len(f.Replacements) > 0 {
-			heirs = append(heirs, f.Replacements[i])
+			replacements = append(replacements, f.Replacements[i])
 		}
 	}
-	f.Peers, f.Replacements = peers, heirs
+	f.Peers, f.Replacements = peers, replacements
 	f.Nodes = orNil(slices.DeleteFunc(f.Nodes, func(name string) bool {
 		return !slices.ContainsFunc(w.Nodes, func(n world.Node) bool { return n.Name == name })
 	}))
@@ -314,7 +314,7 @@
 	return f.fit(f.At, s.Length)
 }
 
-// orNil is what a file gives for an empty list.
+// orNil returns nil for an empty list, as decoding a file does.
 func orNil[T any](list []T) []T {
 	if len(list) == 0 {
 		return nil
--- a/internal/lab/fault/target.go
+++ b/internal/lab/fault/target.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Target is what faults act on: a run, as the stage builds it. All is called
-// on the loop. What returns a heal is undone by it; it is called once.
+// Target is the run on which faults act. Its methods and those of the types that it returns are called on the loop. A
+// heal function that a method returns undoes the effect of the method; it is called once.
 type Target interface {
 	Peer(name string) Peer
 	Node(name string) Node
 	Crowd(name string) Crowd
 	Discovery() Discovery
 	Network() Network
-	// Zone is where a machine stands; empty for those of clients.
+	// Zone returns the zone of a host; it is empty for hosts of clients.
 	Zone(host string) string
 }
 
-// Peer is one server's process, and what stands at its address for it.
+// Peer is the process of one server, including the network endpoint at its address.
 type Peer interface {
-	Start() // cold; a late peer for the first time
-	Kill()  // the process dies, and with it the connections of its host
+	Start() // starts the process cold; for a late peer this is the first start
+	Kill()  // the process dies and all connections of its host close
 	Down() bool
 	Drain(turnAwayAfter, exitAfter time.Duration)
 	Slow(factor float64) (heal func())
@@ -33,12 +33,12 @@
 
 // Node is one instance of the program under test.
 type Node interface {
-	Start() // with its first configuration, but discovery as it is now
+	Start() // with its initial configuration and the current address of discovery
 	Kill()
 	Down() bool
-	Term()                     // SIGTERM: it ends by itself, in its time
-	Hup(discovery string)      // SIGHUP; empty: nothing has changed
-	Operate(call, peer string) // an operator's call; the run fails if it gets no yes
+	Term()                     // SIGTERM: the node drains and exits
+	Hup(discovery string)      // SIGHUP; an empty address leaves the configuration unchanged
+	Operate(call, peer string) // an operator's call; the run fails if the node rejects it
 }
 
 // Crowd is one crowd of clients.
@@ -61,7 +61,7 @@
 	Returned(peer string)
 }
 
-// Network is the way between machines, known by their hosts.
+// Network is the network between machines, which are identified by their hosts.
 type Network interface {
 	Vanish(host string)
 	Return(host string)
--- a/internal/lab/fault/tree.go
+++ b/internal/lab/fault/tree.go
@@ -11,8 +11,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// tree is a TOML file with the line of everything in it, so that whatever is
-// found wrong later, of whatever kind, is reported where it stands.
+// tree is a parsed TOML file that keeps the line of every value: later checks report problems with the line.
 type tree struct {
 	file string
 	root *item
@@ -38,10 +37,9 @@
 	i.fields[key] = v
 }
 
-// readTree reads a file's bytes.
+// readTree parses a file's bytes.
 func readTree(file string, data []byte) (*tree, error) {
-	// The decoder sees to the rules that the bare parser does not know, such as
-	// keys and tables that stand twice.
+	// The decoder checks the rules that the low-level parser does not, such as that of duplicate keys and tables.
 	var all map[string]any
 	if err := toml.Unmarshal(data, &all); err != nil {
 		e := &Error{File: file, Line: 1, Reason: strings.TrimPrefix(err.Error(), "toml: ")}
@@ -75,7 +73,7 @@
 	return t, nil
 }
 
-// line is where a key stands, or, if it does not, what it would stand in.
+// line returns the line of a key or, if the file does not set it, that of its innermost enclosing value.
 func (t *tree) line(key string) int {
 	at := t.root
 	for part := range strings.SplitSeq(key, ".") {
@@ -95,7 +93,7 @@
 
 type reader struct {
 	p     unstable.Parser
-	lines []int // where each begins
+	lines []int // byte offset at which each line begins
 }
 
 func (r *reader) line(n *unstable.Node) int {
@@ -106,7 +104,7 @@
 	return i
 }
 
-// table enters a table by its header, and makes it.
+// table returns the table of a table header and creates it, and the tables around it, if needed.
 func (r *reader) table(at *item, e *unstable.Node) *item {
 	for k := e.Key(); k.Next(); {
 		key, line := string(k.Node().Data), r.line(k.Node())
@@ -129,7 +127,7 @@
 	return at
 }
 
-// assign puts a key's value into a table.
+// assign stores a key's value in a table and creates the tables of a dotted key.
 func (r *reader) assign(at *item, e *unstable.Node) {
 	for k := e.Key(); k.Next(); {
 		key, line := string(k.Node().Data), r.line(k.Node())
