--- a/internal/lab/stage/build.go
+++ b/internal/lab/stage/build.go
@@ -12,8 +12,8 @@
 	"olivebridge/internal/lab/world/registry"
 )
 
-// build makes everything of a run; nothing has begun yet but discovery, the
-// warm peers and the front.
+// build creates all parts of a run. Only discovery, the warm peers and the front are started; nodes and clients are
+// not.
 func (r *run) build() error {
 	s, c := r.script, &r.script.World
 	r.judge = rules.New(rules.Config{
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// placeHosts puts every machine where it stands.
+// placeHosts assigns every host to its zone.
 func (r *run) placeHosts() {
 	c := &r.script.World
 	put := func(host, zone string) {
@@ -99,12 +99,12 @@
 	return all
 }
 
-// observers passes every event on to the trace, the judge and, if there is one, the watch, in this order.
+// observers forwards every event to the trace, the judge and, if set, the sampler, in this order.
 type observers []event.Observer
 
-func (f observers) each(tell func(event.Observer)) {
-	for _, one := range f {
-		tell(one)
+func (f observers) each(notify func(event.Observer)) {
+	for _, observer := range f {
+		notify(observer)
 	}
 }
 
--- a/internal/lab/stage/faults_test.go
+++ b/internal/lab/stage/faults_test.go
@@ -11,24 +11,24 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// stageCase is a fault, and what shows at which stages that it has met them: words of the nodes' log, or of the tally.
+// stageCase is a fault with the signs, in the nodes' log or in the tally, that it affected the stages of a call.
 type stageCase struct {
 	name        string
 	fault       fault.Fault
-	signs       map[string]string // by stage
-	extraFaults []fault.Fault     // with it, for long
+	signs       map[string]string // sign by stage
+	extraFaults []fault.Fault     // played together with fault, for longFault
 }
 
-// all of the world's peers, and some that carry much of the work
+// allPeers are all of the world's peers; somePeers are some that serve much of the load.
 var (
 	allPeers  = []string{"p01", "p02", "p03", "p04", "p05", "p06", "p07"}
 	somePeers = []string{"p02", "p03", "p06"}
-	// and its clients
+	// clients are the world's clients.
 	clients = []string{"fernley-motors-tamworth", "fernley-motors-derby", "ashby-dental-tamworth", "ashby-dental-derby",
 		"trentside-models-tamworth", "trentside-models-derby"}
 )
 
-// longFault outlasts all the calls of one question to discovery.
+// longFault exceeds the total time of all attempts of one request to discovery.
 const longFault = figure.Span(12 * time.Second)
 
 const ended, left = "upstream group watch ended", "out of the table"
@@ -64,7 +64,8 @@
 	{"clients fall silent", fault.Fault{Kind: "mute", Share: 0.6}, map[string]string{"relay": "side=client"}, nil},
 }
 
-// nodeChanges are what the nodes go through under a fault, at the stage of that name.
+// nodeChanges are the lifecycle changes of nodes that are combined with each fault, by name. The empty name is no
+// change.
 var nodeChanges = map[string]fault.Fault{
 	"":       {},
 	"start":  {Kind: "node-kill", At: figure.Span(2500 * time.Millisecond), For: figure.Span(500 * time.Millisecond), Nodes: []string{"n1"}},
@@ -73,8 +74,9 @@
 	"pause":  {Kind: "pause", At: figure.Span(2500 * time.Millisecond), For: figure.Span(1500 * time.Millisecond), Nodes: []string{"n2"}},
 }
 
-// TestFaultsAgainstStages plays each fault against each stage that it can meet, and each change of a node's life. All
-// rules are judged at the end of each play, by the judge of the lab; docs/FAILURES.md has the table.
+// TestFaultsAgainstStages plays each fault alone and with each lifecycle change of a node. The judge of the lab checks
+// all rules at the end of each run. Without a lifecycle change, the fault must affect the listed stages of a call;
+// docs/FAILURES.md has the table.
 func TestFaultsAgainstStages(t *testing.T) {
 	if racing {
 		t.Skip("too many timers for the race detector; .ci/run plays them without it")
@@ -86,8 +88,8 @@
 	base.Length, base.Faults = figure.Span(15*time.Second), nil
 	calm := play(t, base.Clone(), Options{}).Tally
 	for _, c := range stageCases {
-		for life, change := range nodeChanges {
-			t.Run(c.name+"/"+life, func(t *testing.T) {
+		for changeName, change := range nodeChanges {
+			t.Run(c.name+"/"+changeName, func(t *testing.T) {
 				t.Parallel()
 				s := base.Clone()
 				f := c.fault
@@ -100,7 +102,7 @@
 					m.At, m.For = f.At, longFault
 					s.Faults = append(s.Faults, m)
 				}
-				if life != "" {
+				if changeName != "" {
 					s.Faults = append(s.Faults, change)
 				}
 				var log lockedBuffer
@@ -108,12 +110,12 @@
 				for _, v := range r.Violations {
 					t.Error(v)
 				}
-				if life != "" {
-					return // who meets the fault at which stage hangs on the change
+				if changeName != "" {
+					return // with a lifecycle change, the affected stages differ
 				}
 				for stage, sign := range c.signs {
 					if !signSeen(sign, log.String(), calm, r.Tally) {
-						t.Errorf("%s: no %q: %+v, and %+v without the fault", stage, sign, r.Tally, calm)
+						t.Errorf("stage %s: no sign %q of the fault: tally %+v, %+v without the fault", stage, sign, r.Tally, calm)
 					}
 				}
 			})
@@ -121,7 +123,7 @@
 	}
 }
 
-// lockedBuffer is the log of several nodes.
+// lockedBuffer is a buffer to which several nodes write their logs.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -135,7 +137,7 @@
 
 func (l *lockedBuffer) String() string { return l.text.String() }
 
-// signSeen reports whether a sign is there: of the tally where it begins with a plus, else of the log.
+// signSeen reports whether a sign is present: a sign that begins with a plus in the tally, any other in the log.
 func signSeen(sign, log string, calm, now Tally) bool {
 	switch sign {
 	case "+tries":
@@ -150,7 +152,8 @@
 	return strings.Contains(log, sign)
 }
 
-// TestPartitionsAreReported: the judge hears which nodes a partition keeps from discovery, and until when.
+// TestPartitionsAreReported verifies that the observers receive which nodes a partition separates from discovery, and
+// when it ends.
 func TestPartitionsAreReported(t *testing.T) {
 	s, err := fault.Load("../testdata/operators-maintenance.toml")
 	if err != nil {
@@ -160,14 +163,14 @@
 	s.Faults = []fault.Fault{{Kind: "cut", Zone: "derby", At: figure.Span(time.Second), For: figure.Span(time.Second)}}
 	var trace bytes.Buffer
 	play(t, s, Options{Trace: &trace})
-	var told []string
+	var reported []string
 	for line := range strings.Lines(trace.String()) {
 		if _, fact, ok := strings.Cut(line, " fact reach "); ok {
-			told = append(told, strings.TrimSpace(fact))
+			reported = append(reported, strings.TrimSpace(fact))
 		}
 	}
 	want := `"n1" to registry:8500: false "n1" to registry-spare:8500: false "n1" to registry:8500: true "n1" to registry-spare:8500: true`
-	if got := strings.Join(told, " "); got != want {
-		t.Errorf("told %s", got)
+	if got := strings.Join(reported, " "); got != want {
+		t.Errorf("reported reachability %s, want the partition and its end", got)
 	}
 }
--- a/internal/lab/stage/mutants_test.go
+++ b/internal/lab/stage/mutants_test.go
@@ -8,11 +8,12 @@
 	"olivebridge/internal/lab/mutant"
 )
 
-// TestTheTableFails: with a mutant of the node for each rule, plays of the table, or a kept script where the
-// table's world is too roomy, break that rule. One play is enough for each; which one, is where the fault shows.
+// TestTheTableFails verifies that TestFaultsAgainstStages detects a mutant of the node for each rule: one run of it,
+// or a recorded script where that test's world has too much spare capacity, must break the rule. Each row names the
+// run in which the mutant has an effect.
 func TestTheTableFails(t *testing.T) {
 	if racing || testing.Short() {
-		t.Skip("it builds itself five times")
+		t.Skip("builds the test binary five times")
 	}
 	mutants, err := mutant.All()
 	if err != nil {
@@ -46,11 +47,11 @@
 			cmd.Dir = root
 			out, err := cmd.CombinedOutput()
 			if err == nil || !strings.Contains(string(out), c.rule+" at ") {
-				t.Errorf("no broken rule %q: %v, %.500s", c.rule, err, out)
+				t.Errorf("run did not break rule %q: error %v, output %.500s", c.rule, err, out)
 			}
 		})
 	}
 	if len(rows) > 0 {
-		t.Errorf("no such mutants: %v", rows)
+		t.Errorf("unknown mutants in the table: %v", rows)
 	}
 }
--- a/internal/lab/stage/node.go
+++ b/internal/lab/stage/node.go
@@ -20,27 +20,27 @@
 	"olivebridge/internal/routing"
 )
 
-// nodePort is where every node of the lab listens.
+// nodePort is the port on which every node of the lab listens.
 const nodePort = "9000"
 
-// instance is one node of the run, through all its lives. Its fields belong to the loop.
+// instance is one node of the run across all of its restarts. Its fields may be accessed only on the loop.
 type instance struct {
 	run     *run
 	conf    world.Node
-	starts  int          // that it has begun
-	process *nodeProcess // nil: it does not run
+	starts  int          // number of processes started
+	process *nodeProcess // nil while the node does not run
 }
 
-// nodeProcess is what a node is from a start to its end.
+// nodeProcess is one process of a node, from its start to its exit.
 type nodeProcess struct {
 	number   int
 	node     *node.Node // nil until it listens
 	config   *protocol.Config
-	file     []byte // of its configuration; a reload reads it anew
-	draining bool   // it was told SIGTERM
+	file     []byte // contents of the configuration file, which a reload reads again
+	draining bool   // the process has received SIGTERM
 }
 
-// What a life's goroutines bring to the loop, each once.
+// The notifications that the goroutines of a process post to the loop, each at most once.
 const (
 	hasStarted = iota
 	hasFailed
@@ -48,12 +48,12 @@
 	notificationKinds
 )
 
-// post lets f run on the loop, in an order that does not hang on luck.
+// post runs f on the loop. Its key makes the order of notifications independent of the scheduling of goroutines.
 func (i *instance) post(l *nodeProcess, news int, f func()) {
 	i.run.loop.Post(loop.Key{Source: "node " + i.conf.Name, Sequence: uint64(l.number*notificationKinds + news)}, f)
 }
 
-// start begins a life. stale says that the list it had last is an old one.
+// start starts a process of the node, unless one runs. If stale is set, its initial endpoint list is out of date.
 func (i *instance) start(stale bool) {
 	if i.process != nil {
 		return
@@ -70,11 +70,11 @@
 	}
 	l := &nodeProcess{number: i.starts, file: file}
 	i.process = l
-	i.run.observer.NodeStarted(i.conf.Name, versionOf(known)) // ahead of its first call to discovery
+	i.run.observer.NodeStarted(i.conf.Name, versionOf(known)) // before the node's first call to discovery
 	host := i.run.net.Host(i.conf.Name)
 	log := i.run.logger(i.conf.Name)
 	go func() {
-		// its ticks fall on whole microseconds, where no event of the lab does
+		// aligns the node's ticks to whole microseconds, at which the lab has no events
 		now := i.run.loop.Now()
 		time.Sleep(now.Truncate(time.Microsecond) + time.Microsecond - now)
 		n, err := i.launch(l, host.Listen, host.Dial, log)
@@ -82,7 +82,7 @@
 			switch {
 			case err != nil:
 				i.run.addViolation("crash", "node %s did not start: %v", i.conf.Name, err)
-			case i.process != l: // killed before it was up
+			case i.process != l: // killed before it listened
 				n.Abort()
 			default:
 				l.node = n
@@ -110,7 +110,7 @@
 	})
 }
 
-// watchFailure hears of a node that fails by itself.
+// watchFailure reports a node that fails without having been stopped.
 func (i *instance) watchFailure(l *nodeProcess) {
 	failed := l.node.Failed()
 	go func() {
@@ -134,7 +134,8 @@
 	}[name]
 }
 
-// adminAddr is where operators call; empty where the script has none of their calls.
+// adminAddr returns the address of the node's admin server. It is empty if no fault of the script issues an operator's
+// call.
 func (i *instance) adminAddr() string {
 	for _, f := range i.run.script.Faults {
 		if f.Kind == "maintenance" || f.Kind == "pause" {
@@ -144,7 +145,7 @@
 	return ""
 }
 
-// kill ends a life at once: the process is gone, and its connections with it.
+// kill ends the process immediately and closes its connections.
 func (i *instance) kill() {
 	l := i.process
 	if l == nil {
@@ -159,7 +160,7 @@
 	}
 }
 
-// term is SIGTERM: a planned end.
+// term sends SIGTERM: the node drains and exits.
 func (i *instance) term() {
 	l := i.process
 	if l == nil || l.node == nil || l.draining {
@@ -172,23 +173,23 @@
 		l.node.Drain()
 		i.post(l, hasEnded, func() {
 			if i.process != l {
-				return // killed in between
+				return // killed in the meantime
 			}
 			i.process = nil
 			i.run.front.Died(i.conf.Name)
-			i.run.net.Kill(i.conf.Name) // nothing is open by now; whatever comes is refused
+			i.run.net.Kill(i.conf.Name) // no connection is open by now; new ones are refused
 		})
 	}()
 }
 
-// operate makes an operator's call. A node that runs says yes to each.
+// operate issues an operator's call. A node that runs must accept each call.
 func (i *instance) operate(call admin.Command) {
 	l := i.process
 	if l == nil || l.node == nil || l.draining {
 		return
 	}
-	back := call.Name == admin.Restore || call.Name == admin.Resume
-	if back { // it holds while it is being said
+	restores := call.Name == admin.Restore || call.Name == admin.Resume
+	if restores { // the command takes effect before the call returns
 		i.run.observer.NodeCommanded(i.conf.Name, call.Name, call.ServerID)
 	}
 	if _, err := l.node.Do(call); err != nil {
@@ -196,14 +197,14 @@
 		return
 	}
 	if call.Name == admin.Pause {
-		i.run.front.Leaving(i.conf.Name) // which finds that it is not ready any more
+		i.run.front.Leaving(i.conf.Name) // the front's checks find the node not ready from now on
 	}
-	if !back {
+	if !restores {
 		i.run.observer.NodeCommanded(i.conf.Name, call.Name, call.ServerID)
 	}
 }
 
-// reload is SIGHUP: the configuration file names discovery anew.
+// reload sends SIGHUP after it has written the address of discovery to the configuration file.
 func (i *instance) reload(discovery string) {
 	l := i.process
 	if l == nil || l.node == nil || l.draining {
@@ -222,7 +223,8 @@
 
 func quoted(name, value string) []byte { return fmt.Appendf(nil, "%q:%q", name, value) }
 
-// heldResources says what a node still holds though nothing is open any more; "": nothing.
+// heldResources describes the resources that a node holds beyond those allowed when it is idle. It is empty if there
+// are none. listed is the number of listed peers.
 func (i *instance) heldResources(listed int) (string, error) {
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
@@ -236,7 +238,7 @@
 		n, atMost int
 	}{
 		{"open calls", r.OpenCalls, 0}, {"names of calls", r.CallIDs, 0}, {"tries", r.Attempts, 0},
-		{"client connections", r.ClientConns, 0}, {"connections to peers", r.ServerConns, listed}, {"peers", r.Servers, listed}, // one each stays busy with probes
+		{"client connections", r.ClientConns, 0}, {"connections to peers", r.ServerConns, listed}, {"peers", r.Servers, listed}, // health checks keep one connection to each peer
 	} {
 		if h.n > h.atMost {
 			held = append(held, fmt.Errorf("%d %s", h.n, h.what))
@@ -248,7 +250,7 @@
 	return errors.Join(held...).Error(), nil
 }
 
-// logger writes a node's log lines to the run's log.
+// logger returns a logger that writes a node's log lines to the run's log.
 func (r *run) logger(name string) *slog.Logger {
 	w := r.options.Log
 	if w == nil {
--- a/internal/lab/stage/result.go
+++ b/internal/lab/stage/result.go
@@ -1,5 +1,5 @@
-// Package stage plays a script: it builds the world, the network and the nodes
-// inside a testing/synctest bubble, lets the faults happen, and judges.
+// Package stage plays a script in virtual time: it builds the world, the network and the nodes inside a
+// testing/synctest bubble, applies the faults, and checks the rules.
 package stage
 
 import (
@@ -9,39 +9,39 @@
 	"olivebridge/internal/lab/rules"
 )
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	Seed       uint64            `json:"seed"`
 	Violations []rules.Violation `json:"violations,omitempty"`
 	Hash       string            `json:"hash"` // SHA-256 of the trace, in hexadecimal
 	Kinds      []string          `json:"kinds"`
-	Pairs      [][2]string       `json:"pairs,omitempty"` // kinds of faults that overlapped
+	Pairs      [][2]string       `json:"pairs,omitempty"` // pairs of kinds of faults that overlapped
 	Virtual    time.Duration     `json:"virtual"`
 	Tally      Tally             `json:"tally"`
 }
 
-// Tally counts a run's requests, first tries but for Retries.
+// Tally counts the requests of a run. Except for Retries and Tries, it counts first requests and not their retries.
 type Tally struct {
 	Asked      int     `json:"asked"`
-	Served     int     `json:"served"` // within the aim
-	Late       int     `json:"late"`   // after it
+	Served     int     `json:"served"` // within the latency objective
+	Late       int     `json:"late"`   // after the latency objective
 	Refused    int     `json:"refused"`
 	Failed     int     `json:"failed"`
 	Unanswered int     `json:"unanswered"`
 	Left       int     `json:"left"`
 	Retries    int     `json:"retries"`
-	Tries      int     `json:"tries"` // that reached a peer
-	Worth      float64 `json:"worth"` // served, of Asked's
-	Whole      float64 `json:"whole"` // asked
+	Tries      int     `json:"tries"` // attempts that reached a peer
+	Worth      float64 `json:"worth"` // priority weight of the requests served
+	Whole      float64 `json:"whole"` // priority weight of all requests sent
 }
 
-// String is the tally in one line; worth is the share of what was asked.
+// String returns the tally in one line. Its worth is Worth divided by Whole.
 func (t Tally) String() string {
 	return fmt.Sprintf("asked %d served %d late %d refused %d failed %d unanswered %d left %d retries %d tries %d worth %.4f",
 		t.Asked, t.Served, t.Late, t.Refused, t.Failed, t.Unanswered, t.Left, t.Retries, t.Tries, t.Worth/max(t.Whole, 1e-9))
 }
 
-// Add adds another tally.
+// Add adds the counts of another tally.
 func (t *Tally) Add(o Tally) {
 	t.Asked += o.Asked
 	t.Served += o.Served
--- a/internal/lab/stage/run.go
+++ b/internal/lab/stage/run.go
@@ -29,26 +29,26 @@
 	dialer   = func(ctx context.Context, addr string) (net.Conn, error)
 )
 
-// Options say what a run shows.
+// Options selects the output of a run.
 type Options struct {
-	Trace io.Writer   // gets one line for each event; nil: nobody reads them
-	Log   io.Writer   // gets the nodes' logs
-	Watch sample.Sink // hears how the run goes until the clients have their outcomes; nil: nobody does
+	Trace io.Writer   // receives one line for each event; may be nil
+	Log   io.Writer   // receives the nodes' logs; may be nil
+	Watch sample.Sink // receives samples until all client requests have ended; may be nil
 }
 
 const (
-	// slack is what the operators' rules leave on every limit of time.
+	// slack is the tolerance that the rules add to every time limit.
 	slack = 50 * time.Millisecond
-	// drainTimeout is how long what is open at the end of a script may take to end.
+	// drainTimeout is the maximum time from the end of a script until the last open request ends.
 	drainTimeout = 8 * time.Second
-	// idleDuration is how long the world then stands idle: above the time for which a
-	// node remembers peers that are gone, and connections lie idle.
+	// idleDuration is the time for which the world is idle after that. It exceeds the time for which a node remembers
+	// removed peers, and the idle timeout of connections.
 	idleDuration = 75 * time.Second
-	// shutdownTimeout is how long a node may take over its planned end.
+	// shutdownTimeout is the maximum time from SIGTERM to the exit of a node.
 	shutdownTimeout = 12 * time.Second
 )
 
-// run is a script being played. Everything in it belongs to the loop.
+// run is the state of a script that is being played. Its fields may be accessed only on the loop.
 type run struct {
 	script      *fault.Script
 	options     Options
@@ -58,23 +58,23 @@
 	observer    event.Observer
 	net         *network.Net
 	registry    *registry.Registry
-	discovery   string // where it is
+	discovery   string // its current address
 	front       *client.Front
 	peers       map[string]*peer.Peer
-	peerIndex   map[string]int     // of the peers, by name
-	hosts       map[string]string  // their machines
-	zones       map[string]string  // of machines but clients'
-	partitioned map[[2]string]bool // nodes that are cut off from an address of discovery's
+	peerIndex   map[string]int     // index of each peer in the script, by name
+	hosts       map[string]string  // host of each peer, by name
+	zones       map[string]string  // zone of each host except those of clients
+	partitioned map[[2]string]bool // pairs of a node and an address of discovery that are partitioned
 	crowds      []*client.Crowd
 	rogues      []*client.Rogue
 	nodes       []*instance
-	violations  []rules.Violation // what the stage itself finds
-	done        chan struct{}     // closed at the end
-	watch       *sampler          // nil: nobody watches
+	violations  []rules.Violation // violations that the stage itself finds
+	done        chan struct{}     // closed at the end of the run
+	watch       *sampler          // nil unless Options.Watch is set
 }
 
-// Play plays a script. It must be called inside a bubble of testing/synctest,
-// and returns once nothing of the run is left in it.
+// Play plays a script. It must be called inside a testing/synctest bubble. It returns when the run is over, and reports
+// goroutines of the run that are left in the bubble as a violation.
 func Play(t *testing.T, s *fault.Script, o Options) Result {
 	r := &run{
 		script: s, options: o, loop: loop.New(synctest.Wait), done: make(chan struct{}), peers: map[string]*peer.Peer{},
@@ -110,12 +110,12 @@
 	return res
 }
 
-// addViolation notes what the stage itself finds.
+// addViolation records a violation that the stage itself finds.
 func (r *run) addViolation(rule, format string, args ...any) {
 	r.violations = append(r.violations, rules.Violation{Rule: rule, At: r.loop.Now(), What: fmt.Sprintf(format, args...)})
 }
 
-// play lets the script happen, and the world come to rest after it.
+// play runs the script, waits until the world is idle, checks that the nodes hold no resources, and stops them.
 func (r *run) play(ctx context.Context) {
 	length := r.script.Length.D()
 	for _, n := range r.nodes {
@@ -160,7 +160,7 @@
 	}
 }
 
-// step follows each event: the judge looks for what is overdue.
+// step runs after each event: it lets the judge check for missed deadlines and the sampler take a sample.
 func (r *run) step() bool {
 	r.judge.Tick(r.loop.Now())
 	r.watch.step()
@@ -190,7 +190,7 @@
 	return true
 }
 
-// checkResources asks the nodes what they still hold.
+// checkResources reports nodes that do not run or still hold resources while the world is idle.
 func (r *run) checkResources() {
 	listed := listedIn(r.registry.Known(false))
 	for _, n := range r.nodes {
@@ -207,7 +207,7 @@
 	}
 }
 
-// tally sums up what came of the clients' requests.
+// tally adds up the outcomes of all clients' requests.
 func (r *run) tally() Tally {
 	var all Tally
 	for _, c := range r.crowds {
@@ -217,17 +217,17 @@
 			Left: t.Left, Retries: t.Retries, Worth: t.Worth, Whole: t.Whole,
 		})
 	}
-	for _, p := range r.peers { // a sum: in any order
+	for _, p := range r.peers { // the order does not change the sum
 		all.Tries += p.Stats().Arrived
 	}
 	return all
 }
 
-// goroutines names the functions of this bubble's other goroutines.
+// goroutines returns the names of the functions that created this bubble's other goroutines.
 func goroutines() string {
 	buf := make([]byte, 1<<16)
 	n := runtime.Stack(buf, true)
-	for n == len(buf) { // it may have been cut: other bubbles of this process are in it too
+	for n == len(buf) { // may be truncated, since the stacks of other bubbles of this process are included
 		buf = make([]byte, 2*len(buf))
 		n = runtime.Stack(buf, true)
 	}
@@ -247,10 +247,10 @@
 	return strings.Join(left, ", ")
 }
 
-// versionOf and listedIn read a list as discovery writes it.
+// versionOf returns the version of an endpoint list in discovery's encoding.
 func versionOf(list []byte) int64 {
 	var l struct{ Version int64 }
-	json.Unmarshal(list, &l) // discovery's own
+	json.Unmarshal(list, &l) // discovery writes valid JSON
 	return l.Version
 }
 
@@ -260,7 +260,7 @@
 	return len(l.Servers)
 }
 
-// taps lets the trace and the judge both see what crosses the network.
+// taps forwards each network event to several taps.
 type taps []link.Tap
 
 func (t taps) Observe(c link.Event) {
--- a/internal/lab/stage/spread.go
+++ b/internal/lab/stage/spread.go
@@ -9,9 +9,9 @@
 	"olivebridge/internal/routing"
 )
 
-// pacedListener is a listener that gives out one connection after the other: once a
-// crowded node has made room, several that have sent their requests already
-// would be read at one instant.
+// pacedListener accepts connections at least acceptInterval apart. Otherwise a node that accepts again after it had
+// reached its connection limit would read, at one instant, several connections whose requests have already arrived, in
+// an order that is not deterministic.
 type pacedListener struct{ net.Listener }
 
 const acceptInterval = time.Microsecond + 3
@@ -23,32 +23,31 @@
 	return c, err
 }
 
-// delayedWatcher is a watch whose news comes some nanoseconds late: a call to discovery
-// that began with the node, and was never answered, ends at the very instant of
-// one of its ticks.
+// delayedWatcher delays the updates and the end of a watch by watchDelay. Otherwise a call to discovery that starts
+// with the node and is never answered would end at the same instant as one of the node's ticks.
 type delayedWatcher struct{ routing.Watcher }
 
 const watchDelay = 3*staggerSlots + 7
 
 // Watch implements routing.Watcher.
-func (w delayedWatcher) Watch(ctx context.Context, told func(routing.EndpointList)) error {
+func (w delayedWatcher) Watch(ctx context.Context, update func(routing.EndpointList)) error {
 	defer time.Sleep(watchDelay)
 	return w.Watcher.Watch(ctx, func(g routing.EndpointList) {
 		time.Sleep(watchDelay)
-		told(g)
+		update(g)
 	})
 }
 
-// staggeredTransport is a carrier that lets what one decision of a node sets off at one
-// instant begin, and end, some nanoseconds apart: which of two tries takes the
-// one idle connection is then no matter of luck. The nanoseconds are those of
-// the call's number, so that they differ within a node.
+// staggeredTransport delays the start and the end of each attempt by some nanoseconds that follow from the number of
+// its request, and so differ within a node. Attempts that one decision starts at the same instant are thereby ordered:
+// it is deterministic which of two attempts uses the only idle connection.
 type staggeredTransport struct {
 	routing.Transport
-	peers map[string]int // places by name
+	peers map[string]int // index of each peer by name
 }
 
-// staggerSlots is above the number of tries that one instant can set off, and prime.
+// staggerSlots is the number of different delays of attempts, in nanoseconds. It is prime and exceeds the number of
+// attempts that can start at one instant.
 const staggerSlots = 16381
 
 // RoundTrip implements routing.Transport.
--- a/internal/lab/stage/stage_test.go
+++ b/internal/lab/stage/stage_test.go
@@ -10,7 +10,7 @@
 	"olivebridge/internal/lab/fault"
 )
 
-// play plays a script in a bubble of its own.
+// play plays a script in its own bubble.
 func play(t *testing.T, s *fault.Script, o Options) (r Result) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { r = Play(t, s, o) })
@@ -26,14 +26,14 @@
 	return fault.Draw(seed, sc)
 }
 
-// Every script that ever failed, and those of the incidents, hold.
+// Verifies that the recorded scripts, each of which once failed or reproduces an incident, break no rule.
 func TestKept(t *testing.T) {
 	if racing {
 		t.Skip("too many timers for the race detector; .ci/run plays them without it")
 	}
 	files, err := filepath.Glob("../testdata/*.toml")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("%d kept scripts: %v", len(files), err)
+		t.Fatalf("found %d recorded scripts, want at least one; error: %v", len(files), err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -46,13 +46,13 @@
 				t.Error(v)
 			}
 			if r.Tally.Asked == 0 {
-				t.Errorf("nobody asked: %+v", r.Tally)
+				t.Errorf("clients sent no requests: %+v", r.Tally)
 			}
 		})
 	}
 }
 
-// Guards what all of the lab rests on: a seed is the same run each time, on one core and on many.
+// Verifies that a seed yields the same run each time, with one core and with many. All of the lab depends on this.
 func TestRunsAreDeterministic(t *testing.T) {
 	if racing {
 		t.Skip("too many timers for the race detector; .ci/run compares the hashes of whole replays")
@@ -66,12 +66,12 @@
 			hashes[play(t, draw(t, seed+1), Options{}).Hash]++
 		}
 		if len(hashes) != 1 {
-			t.Errorf("seed %d: %d different traces", seed+1, len(hashes))
+			t.Errorf("seed %d: %d different traces, want 1", seed+1, len(hashes))
 		}
 	}
 }
 
-// Guards replay: what is written is what is hashed, and a script that was written down and read again plays alike.
+// Verifies replay: a script that is written and read back yields the same trace and hash.
 func TestTrace(t *testing.T) {
 	if racing {
 		t.Skip("too many timers for the race detector")
@@ -89,27 +89,27 @@
 	}
 	b := play(t, again, Options{Trace: &two})
 	if a.Hash != b.Hash || !bytes.Equal(one.Bytes(), two.Bytes()) || one.Len() == 0 {
-		t.Errorf("%s and %s: %d and %d bytes", a.Hash, b.Hash, one.Len(), two.Len())
+		t.Errorf("runs differ or have no trace: hashes %s and %s, %d and %d bytes", a.Hash, b.Hash, one.Len(), two.Len())
 	}
 	if a.Tally.Served == 0 || a.Tally != b.Tally {
-		t.Errorf("%+v, then %+v", a.Tally, b.Tally)
+		t.Errorf("tallies differ or no request was served: %+v, then %+v", a.Tally, b.Tally)
 	}
 }
 
-// Guards the draws: a client that is taken out leaves what the others ask as it was.
+// Verifies that removing a client removes only that client's requests.
 func TestRemovedClientLeavesOtherDraws(t *testing.T) {
 	if racing {
 		t.Skip("too many timers for the race detector")
 	}
 	s := draw(t, 5)
 	if len(s.World.Clients) < 2 {
-		t.Skip("one crowd")
+		t.Skip("the script has only one crowd")
 	}
 	s.Faults = nil
 	less := s.Clone()
 	less.World.Clients = less.World.Clients[1:]
 	all, fewer := play(t, s, Options{}), play(t, less, Options{})
 	if all.Tally.Asked <= fewer.Tally.Asked || fewer.Tally.Asked == 0 {
-		t.Errorf("%d asked, and %d without one crowd", all.Tally.Asked, fewer.Tally.Asked)
+		t.Errorf("%d requests, and %d without one crowd; want fewer, but more than 0", all.Tally.Asked, fewer.Tally.Asked)
 	}
 }
--- a/internal/lab/stage/target.go
+++ b/internal/lab/stage/target.go
@@ -11,7 +11,7 @@
 	"olivebridge/internal/lab/world/registry"
 )
 
-// The run is what the faults of its script act on.
+// run implements fault.Target.
 
 // Peer implements fault.Target.
 func (r *run) Peer(name string) fault.Peer { return server{r.peers[name], r} }
@@ -45,20 +45,20 @@
 // Zone implements fault.Target.
 func (r *run) Zone(host string) string { return r.zones[host] }
 
-// server is a peer with its machine.
+// server is a peer and its host.
 type server struct {
 	*peer.Peer
 	run *run
 }
 
-// Start implements fault.Peer: the process starts, cold.
+// Start implements fault.Peer: it starts the process cold.
 func (s server) Start() {
 	if err := s.Peer.Start(false); err != nil {
 		s.run.addViolation("crash", "%v", err)
 	}
 }
 
-// Kill implements fault.Peer: the process dies, and its connections with it.
+// Kill implements fault.Peer: it kills the process and closes its connections.
 func (s server) Kill() {
 	if s.Down() {
 		return
@@ -67,7 +67,7 @@
 	s.run.net.Kill(s.run.hosts[s.Name()])
 }
 
-// movableDiscovery is discovery, whose place the nodes' configuration files name.
+// movableDiscovery records the address of discovery for the nodes' configuration files.
 type movableDiscovery struct {
 	*registry.Registry
 	run *run
@@ -79,8 +79,7 @@
 	return m.run.discovery
 }
 
-// observedNetwork is the network, whose partitions the judge hears of where they lie between
-// nodes and discovery.
+// observedNetwork reports partitions between nodes and discovery to the observers.
 type observedNetwork struct {
 	*network.Net
 	run *run
@@ -88,31 +87,31 @@
 
 // Cut implements fault.Network.
 func (w observedNetwork) Cut(a, b func(host string) bool) (heal func()) {
-	mend := w.Net.Cut(a, b)
+	healNetwork := w.Net.Cut(a, b)
 	w.run.updateReachable()
 	return func() {
-		mend()
+		healNetwork()
 		w.run.updateReachable()
 	}
 }
 
-// updateReachable tells which nodes are cut off from discovery, as far as that has changed.
+// updateReachable reports to the observers each node whose connectivity to an address of discovery has changed.
 func (r *run) updateReachable() {
 	d := r.script.World.Discovery
 	for _, n := range r.script.World.Nodes {
 		for _, addr := range []string{d.Addr, d.Spare} {
 			host, _, _ := strings.Cut(addr, ":")
-			way, cut := [2]string{n.Name, addr}, r.net.Parted(n.Name, host)
-			if cut != r.partitioned[way] {
-				r.partitioned[way] = cut
+			pair, cut := [2]string{n.Name, addr}, r.net.Parted(n.Name, host)
+			if cut != r.partitioned[pair] {
+				r.partitioned[pair] = cut
 				r.observer.DiscoveryReachable(n.Name, addr, !cut)
 			}
 		}
 	}
 }
 
-// Start implements fault.Node: a start with a list that is some changes old, as
-// a restarted process has it.
+// Start implements fault.Node: it starts the node with an endpoint list that is some versions old, as a restarted
+// process has it.
 func (i *instance) Start() { i.start(true) }
 
 // Kill implements fault.Node.
@@ -135,7 +134,7 @@
 	i.reload(discovery)
 }
 
-// startWarm starts the peers that are there when the run begins.
+// startWarm starts, warm, the peers that run from the beginning.
 func (r *run) startWarm() error {
 	for _, p := range r.script.World.Peers {
 		if !p.Late {
--- a/internal/lab/stage/trace.go
+++ b/internal/lab/stage/trace.go
@@ -13,12 +13,12 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// trace writes down all that crosses the network, and all events, one line each,
-// and sums them up in one hash. Two runs are the same if their hashes are.
+// trace writes one line for each network event and each event of the world, and hashes the lines. Two runs are equal if
+// their hashes are.
 type trace struct {
 	loop *loop.Loop
 	sum  hash.Hash
-	all  *bufio.Writer // to sum, and to whoever reads
+	all  *bufio.Writer // writes to sum and to Options.Trace
 	line []byte
 }
 
@@ -32,8 +32,7 @@
 	return t
 }
 
-// Observe implements link.Tap. What programs read is left out: it follows from what
-// arrived, and is most of the lines.
+// Observe implements link.Tap. It omits reads, which follow from the arrivals and would be most of the lines.
 func (t *trace) Observe(c link.Event) {
 	if c.Kind != link.Read {
 		t.line = append(c.Append(t.line[:0]), '\n')
@@ -41,14 +40,14 @@
 	}
 }
 
-// note adds a line of the world's own.
+// note writes a line with the virtual time that is not a network event.
 func (t *trace) note(format string, args ...any) {
 	fmt.Fprintf(t.all, "%.9f ", t.loop.Now().Seconds())
 	fmt.Fprintf(t.all, format, args...)
 	t.all.WriteByte('\n')
 }
 
-// end returns the hash of all lines.
+// end flushes the lines and returns the hash of all of them.
 func (t *trace) end() string {
 	t.all.Flush()
 	return hex.EncodeToString(t.sum.Sum(nil))
--- a/internal/lab/stage/watch.go
+++ b/internal/lab/stage/watch.go
@@ -7,19 +7,19 @@
 	"olivebridge/internal/lab/sample"
 )
 
-// readingInterval is how often the peers are read.
+// readingInterval is the interval at which the peers are sampled.
 const readingInterval = 250 * time.Millisecond
 
-// sampler tells whoever watches a run how it goes. It adds no event to the loop,
-// so that a run that is watched is the same as one that is not.
+// sampler sends samples and events of a run to a sink. It adds no events to the loop, so that a run with a sink is
+// equal to one without.
 type sampler struct {
 	run   *run
 	sink  sample.Sink
-	next  time.Duration // when the peers are read again
+	next  time.Duration // time of the next sample of the peers
 	ended bool
 }
 
-// step follows each event. It may be called on nil.
+// step runs after each event and samples the peers when a sample is due. It may be called on nil.
 func (w *sampler) step() {
 	if w == nil || w.ended || w.run.loop.Now() < w.next {
 		return
@@ -28,7 +28,7 @@
 	w.next = w.run.loop.Now().Truncate(readingInterval) + readingInterval
 }
 
-// end is the end of what is told: the clients have their outcomes.
+// end sends the last sample, when all client requests have ended. Later events are not sent. It may be called on nil.
 func (w *sampler) end() {
 	if w == nil || w.ended {
 		return
@@ -37,7 +37,7 @@
 	w.read(w.run.loop.Now())
 }
 
-// read tells how the peers stand.
+// read sends the state of the peers.
 func (w *sampler) read(at time.Duration) {
 	r := sample.Reading{At: at}
 	for _, c := range w.run.script.World.Peers {
@@ -54,8 +54,8 @@
 	}
 }
 
-// PeerStarted and the methods below implement event.Observer. Who was there from
-// the beginning is no event.
+// PeerStarted and the methods below implement event.Observer. Peers and nodes that run from the beginning yield no
+// events.
 func (w *sampler) PeerStarted(peer, _ string, cold bool) {
 	if cold {
 		w.emit(peer, "started cold")
--- a/internal/lab/stage/watch_test.go
+++ b/internal/lab/stage/watch_test.go
@@ -7,13 +7,13 @@
 	"olivebridge/internal/lab/sample"
 )
 
-// countingSink is a Sink that counts what it is told.
+// countingSink is a Sink that counts what it receives.
 type countingSink struct {
 	outcomes map[sample.Outcome]int
 	readings int
 	arrived  int
 	events   int
-	bad      int // requests whose times are not in their order
+	bad      int // requests with times out of order, and readings that are too far apart
 	last     time.Duration
 }
 
@@ -36,21 +36,21 @@
 
 func (c *countingSink) Event(sample.Event) { c.events++ }
 
-// To watch a run leaves it as it is, and each request is told once.
+// Verifies that a sink does not change a run, and that it receives each request once.
 func TestWatch(t *testing.T) {
 	s := draw(t, 3)
 	w := &countingSink{outcomes: map[sample.Outcome]int{}}
 	plain, watched := play(t, s, Options{}), play(t, s, Options{Watch: w})
 	if plain.Hash != watched.Hash {
-		t.Errorf("%s, and watched %s", plain.Hash, watched.Hash)
+		t.Errorf("hash %s without a sink, %s with one", plain.Hash, watched.Hash)
 	}
-	told, tally := w.outcomes, watched.Tally
-	failed := told[sample.Failed] + told[sample.Unreached]
-	if told[sample.Served] != tally.Served+tally.Late || told[sample.Refused] != tally.Refused ||
-		told[sample.Unanswered] != tally.Unanswered || told[sample.Left] != tally.Left || failed != tally.Failed {
-		t.Errorf("told %v of %+v", told, tally)
+	received, tally := w.outcomes, watched.Tally
+	failed := received[sample.Failed] + received[sample.Unreached]
+	if received[sample.Served] != tally.Served+tally.Late || received[sample.Refused] != tally.Refused ||
+		received[sample.Unanswered] != tally.Unanswered || received[sample.Left] != tally.Left || failed != tally.Failed {
+		t.Errorf("sink received outcomes %v, want those of the tally %+v", received, tally)
 	}
 	if w.bad > 0 || w.events == 0 || w.arrived == 0 || w.arrived > tally.Tries || w.readings < int(s.Length.D()/readingInterval) {
-		t.Errorf("%+v of %+v", w, tally)
+		t.Errorf("sink received %+v in a run with tally %+v", w, tally)
 	}
 }
