--- a/cmd/olivelab/main_test.go
+++ b/cmd/olivelab/main_test.go
@@ -85,7 +85,7 @@
 		{"seeds --from -1", 2, `^$`, `^olivelab: invalid argument "-1"`},
 		{"seeds --from 1 --count 0", 2, `^$`, `^olivelab: --count: at least 1\n$`},
 		{"seeds --from 18446744073709551615 --count 2", 2, `^$`, `beyond the last seed\n$`},
-		{"seeds --scenario s.toml", 2, `^$`, `^olivelab: s.toml:3: load: range is reversed\n$`},
+		{"seeds --scenario s.toml", 2, `^$`, `^olivelab: s.toml:3: load: range upside down\n$`},
 		{"seeds --json no/where.json", 2, `^$`, `^olivelab: no/where.json: no such file or directory\n$`},
 		{"seeds 5", 2, `^$`, `^olivelab: unknown command "5"`},
 		{"replay", 2, `^$`, `^olivelab: wanted: a SEED, or --script FILE\n$`},
