--- a/internal/lab/fault/acts.go
+++ b/internal/lab/fault/acts.go
@@ -152,8 +152,8 @@
 // hush selects the connections to silence with a random stream for each connection: the selection depends neither on
 // the other open connections nor on the other faults of the script.
 func (r *run) hush(f *Fault) {
-	these := r.hosts(f)
-	r.silenceConnections(f, func(from, to string) bool { return r.nodes[from] != nil && these(to) })
+	isPeerHost := r.hosts(f)
+	r.silenceConnections(f, func(from, to string) bool { return r.nodes[from] != nil && isPeerHost(to) })
 }
 
 func (r *run) mute(f *Fault) {
@@ -164,12 +164,12 @@
 	r.silenceConnections(f, func(from, host string) bool { return to[host] && r.target.Zone(from) == "" })
 }
 
-func (r *run) silenceConnections(f *Fault, among func(from, to string) bool) {
+func (r *run) silenceConnections(f *Fault, matches func(from, to string) bool) {
 	purpose := f.Kind + " at " + f.At.D().String() + " "
 	r.target.Network().Hush(func(conn string) bool {
 		from, to, _ := strings.Cut(conn, ">")
 		to, _, _ = strings.Cut(to, "#")
-		return among(from, to) && chance(figure.Stream(r.script.Seed, purpose+conn), f.Share)
+		return matches(from, to) && chance(figure.Stream(r.script.Seed, purpose+conn), f.Share)
 	})
 }
 
@@ -306,9 +306,9 @@
 }
 
 func (r *run) slowLink(f *Fault) {
-	these := r.hosts(f)
-	others := func(host string) bool { return !these(host) }
-	r.after(f.For.D(), r.target.Network().Slow(f.Factor, these, others))
+	isPeerHost := r.hosts(f)
+	others := func(host string) bool { return !isPeerHost(host) }
+	r.after(f.For.D(), r.target.Network().Slow(f.Factor, isPeerHost, others))
 }
 
 func (r *run) surge(f *Fault) {
--- a/internal/lab/fault/scenario.go
+++ b/internal/lab/fault/scenario.go
@@ -33,8 +33,8 @@
 type Scale struct {
 	Peers   Counts  `toml:"peers" of:"scenario.one_or_more"`
 	Nodes   Counts  `toml:"nodes" of:"scenario.one_or_more"`
-	OneZone float64 `toml:"one_zone" of:"scenario.chance"` // share of runs
-	OneNode float64 `toml:"one_node" of:"scenario.chance"`
+	OneZone float64 `toml:"one_zone" of:"scenario.chance"` // share of runs with a single zone
+	OneNode float64 `toml:"one_node" of:"scenario.chance"` // share of runs with a single node
 	// Pushed is the share of runs that stress the peers in several ways at once: many nodes, overload, short queues.
 	Pushed float64 `toml:"pushed" of:"scenario.chance"`
 	Many   Counts  `toml:"many" of:"scenario.one_or_more"` // number of nodes in the runs of Pushed
@@ -42,7 +42,7 @@
 
 // LoadRanges holds the ranges of the request rate.
 type LoadRanges struct {
-	Usual    Range   `toml:"usual" of:"scenario.load"` // of the capacity of the peers
+	Usual    Range   `toml:"usual" of:"scenario.load"` // share of the capacity of the peers
 	Over     Range   `toml:"over" of:"scenario.load"`
 	Overload float64 `toml:"overload" of:"scenario.chance"` // share of runs that draw from Over
 	MostRate Range   `toml:"most_rate" of:"scenario.rate"`  // per second; a run that would exceed it has fewer peers
@@ -55,7 +55,7 @@
 	Cross   Spans   `toml:"cross" of:"world.net.cross"`
 	Client  Spans   `toml:"client" of:"world.net.client"`
 	Jitter  Range   `toml:"jitter" of:"world.net.jitter"`
-	Bounded float64 `toml:"bounded" of:"scenario.chance"` // share of runs with a rate
+	Bounded float64 `toml:"bounded" of:"scenario.chance"` // share of runs with a limited transfer rate
 	Rate    Range   `toml:"rate" of:"world.net.rate"`
 	Pieces  Range   `toml:"pieces" of:"world.net.pieces"`
 }
@@ -102,7 +102,7 @@
 type NodeRanges struct {
 	MemoryMB Counts  `toml:"memory_mb" of:"world.node.memory_mb"`
 	Sockets  Counts  `toml:"sockets" of:"world.node.sockets"`
-	Stale    float64 `toml:"stale" of:"scenario.chance"` // share of nodes
+	Stale    float64 `toml:"stale" of:"scenario.chance"` // share of nodes that start with an outdated endpoint list
 }
 
 // PeerRanges draws the properties that do not depend on a peer's kind.
@@ -113,8 +113,8 @@
 	CacheKeys Counts  `toml:"cache_keys" of:"scenario.per_core"` // per core
 	ByCount   float64 `toml:"by_count" of:"scenario.chance"`     // share of peers that warm up by requests served
 	ColdBy    Counts  `toml:"cold_by" of:"world.peer.cold_by"`
-	Falls     float64 `toml:"falls" of:"scenario.chance"` // share of runs in which overloaded peers crash
-	Crowds    float64 `toml:"crowds" of:"scenario.chance"`
+	Falls     float64 `toml:"falls" of:"scenario.chance"`  // share of runs in which overloaded peers crash
+	Crowds    float64 `toml:"crowds" of:"scenario.chance"` // share of runs in which crowded peers slow down
 	CrowdAt   Range   `toml:"crowd_at" of:"world.peer.crowd_at"`
 	Crowded   Range   `toml:"crowded" of:"world.peer.crowded"`
 	Conns     Counts  `toml:"conns" of:"world.peer.conns"` // per core
@@ -143,7 +143,7 @@
 type ClassRanges struct {
 	Name     string `toml:"name"`
 	Safe     bool   `toml:"safe"`
-	Share    Range  `toml:"share" of:"scenario.weight"` // of requests
+	Share    Range  `toml:"share" of:"scenario.weight"` // share of requests, before all are scaled to a sum of 1
 	Work     Spans  `toml:"work" of:"world.class.work"`
 	Spread   Range  `toml:"spread" of:"world.class.spread"`
 	Aim      Spans  `toml:"aim" of:"world.class.aim"`
