--- a/internal/lab/fault/drawfaults.go
+++ b/internal/lab/fault/drawfaults.go
@@ -105,12 +105,12 @@
 	return true
 }
 
-// drawTime draws the start of a fault. If together is set, the fault is active at overlapTime, the instant that the
-// overlapping faults share.
-func drawTime(g *rand.Rand, busy, lead, overlapTime, length figure.Span, together bool) figure.Span {
+// drawTime draws the start of a fault. If together is set, the fault counts as active at overlapTime, the instant that
+// the overlapping faults share.
+func drawTime(g *rand.Rand, activeDuration, lead, overlapTime, length figure.Span, together bool) figure.Span {
 	u := g.Float64()
 	if together {
-		first := max(lead, overlapTime-max(busy, instantFaultDuration/2))
+		first := max(lead, overlapTime-max(activeDuration, instantFaultDuration/2))
 		return roundSeconds((first + figure.Span(u*float64(overlapTime-first))).D().Seconds())
 	}
 	return roundSeconds((lead + figure.Span(u*0.85*float64(length-lead))).D().Seconds())
