--- a/internal/lab/fault/acts.go
+++ b/internal/lab/fault/acts.go
@@ -7,11 +7,11 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// This file holds what the faults do, one method a kind or family of kinds.
+// This file implements the fault kinds, with one method for each kind or family of kinds.
 
-// killed is how long a peer may take beyond the end of its drain before it is
-// killed, as a platform does.
-const killed = 3 * time.Second
+// drainKillDelay is the duration after the end of a drain after which a peer that still runs is killed, as a
+// platform does.
+const drainKillDelay = 3 * time.Second
 
 func (r *run) death(f *Fault) {
 	for _, name := range f.Peers {
@@ -19,7 +19,7 @@
 	}
 }
 
-// eachPeer does something to each peer of a fault, for its time.
+// eachPeer applies do to each named peer and heals it after the fault's duration.
 func (r *run) eachPeer(f *Fault, names []string, do func(Peer) (heal func())) {
 	for _, name := range names {
 		r.after(f.For.D(), do(r.target.Peer(name)))
@@ -68,53 +68,53 @@
 	}
 }
 
-// drain lets the peers drain one after the other; with heirs, others take
-// their places.
+// drain drains the peers one after the other, Pause apart. If the fault lists replacements, each drained peer is
+// replaced by the one at its index; otherwise it restarts.
 func (r *run) drain(f *Fault) {
 	for i, name := range f.Peers {
-		heir := ""
-		if len(f.Heirs) > 0 {
-			heir = f.Heirs[i]
+		replacement := ""
+		if len(f.Replacements) > 0 {
+			replacement = f.Replacements[i]
 		}
 		r.loop.After(time.Duration(i)*f.Pause.D(), func() {
-			if !r.over {
-				r.drainOne(f, name, heir)
+			if !r.finished {
+				r.drainOne(f, name, replacement)
 			}
 		})
 	}
 }
 
-func (r *run) drainOne(f *Fault, name, heir string) {
+func (r *run) drainOne(f *Fault, name, replacement string) {
 	l, p := r.peers[name], r.target.Peer(name)
-	if l.out {
+	if l.outOfService {
 		return
 	}
-	l.held++
+	l.holds++
 	if !p.Down() {
 		p.Drain(f.TurnAway.D(), f.For.D())
 	}
 	next := func() {
-		if heir != "" {
-			r.succeed(name, heir)
+		if replacement != "" {
+			r.startReplacement(name, replacement)
 		} else {
 			l.release(p)
 		}
 	}
-	r.loop.After(f.For.D(), func() { r.ended(p, r.loop.Now()+killed, f.Back.D(), next) })
+	r.loop.After(f.For.D(), func() { r.awaitExit(p, r.loop.Now()+drainKillDelay, f.Back.D(), next) })
 }
 
-// ended waits until a peer that drains has ended, and lets next happen a while
-// after. A drain that the script's end meets goes on by itself: nobody needs
-// the peer any more.
-func (r *run) ended(p Peer, patience, back time.Duration, next func()) {
+// awaitExit polls until a draining peer has exited, or kills it at the time patience, and calls next after the delay
+// back. A drain that is in progress at the script's end continues without supervision, since the peer is no longer
+// needed.
+func (r *run) awaitExit(p Peer, patience, back time.Duration, next func()) {
 	switch {
-	case r.over && p.Down():
+	case r.finished && p.Down():
 		next()
 		return
-	case r.over:
+	case r.finished:
 		return
 	case !p.Down() && r.loop.Now() < patience:
-		r.loop.After(100*time.Millisecond, func() { r.ended(p, patience, back, next) })
+		r.loop.After(100*time.Millisecond, func() { r.awaitExit(p, patience, back, next) })
 		return
 	case !p.Down():
 		p.Kill()
@@ -125,35 +125,35 @@
 func (r *run) replace(f *Fault) {
 	for i, name := range f.Peers {
 		l, p := r.peers[name], r.target.Peer(name)
-		if l.out {
+		if l.outOfService {
 			continue
 		}
-		l.held++
+		l.holds++
 		if !p.Down() {
 			p.Kill()
 		}
-		r.after(f.For.D(), func() { r.succeed(name, f.Heirs[i]) })
+		r.after(f.For.D(), func() { r.startReplacement(name, f.Replacements[i]) })
 	}
 }
 
-// succeed starts the peer that takes another's place for good.
-func (r *run) succeed(name, heir string) {
-	if r.peers[name].out { // another fault was earlier
+// startReplacement starts the peer that permanently replaces another one.
+func (r *run) startReplacement(name, replacement string) {
+	if r.peers[name].outOfService { // another fault has replaced the peer already
 		return
 	}
-	r.peers[name].out = true
-	l, p := r.peers[heir], r.target.Peer(heir)
-	l.out = false
-	if l.held == 0 && p.Down() {
+	r.peers[name].outOfService = true
+	l, p := r.peers[replacement], r.target.Peer(replacement)
+	l.outOfService = false
+	if l.holds == 0 && p.Down() {
 		p.Start()
 	}
 }
 
-// hush picks connections by a draw of each one's own, so that it is the same
-// one whatever else is open, and whatever else the script holds.
+// hush selects the connections to silence with a random stream for each connection: the selection depends neither on
+// the other open connections nor on the other faults of the script.
 func (r *run) hush(f *Fault) {
-	these := r.hosts(f)
-	r.silence(f, func(from, to string) bool { return r.nodes[from] != nil && these(to) })
+	isPeerHost := r.hosts(f)
+	r.silenceConnections(f, func(from, to string) bool { return r.nodes[from] != nil && isPeerHost(to) })
 }
 
 func (r *run) mute(f *Fault) {
@@ -161,23 +161,23 @@
 	for _, n := range f.Nodes {
 		to[n] = true
 	}
-	r.silence(f, func(from, host string) bool { return to[host] && r.target.Zone(from) == "" })
+	r.silenceConnections(f, func(from, host string) bool { return to[host] && r.target.Zone(from) == "" })
 }
 
-func (r *run) silence(f *Fault, among func(from, to string) bool) {
+func (r *run) silenceConnections(f *Fault, matches func(from, to string) bool) {
 	purpose := f.Kind + " at " + f.At.D().String() + " "
 	r.target.Network().Hush(func(conn string) bool {
 		from, to, _ := strings.Cut(conn, ">")
 		to, _, _ = strings.Cut(to, "#")
-		return among(from, to) && chance(figure.Stream(r.script.Seed, purpose+conn), f.Share)
+		return matches(from, to) && chance(figure.Stream(r.script.Seed, purpose+conn), f.Share)
 	})
 }
 
-// hosts tells the machines of a fault's peers from others.
+// hosts returns a predicate that reports whether a host belongs to one of the fault's peers.
 func (r *run) hosts(f *Fault) func(host string) bool {
 	set := map[string]bool{}
 	for _, name := range f.Peers {
-		set[r.peers[name].at] = true
+		set[r.peers[name].host] = true
 	}
 	return func(host string) bool { return set[host] }
 }
@@ -190,22 +190,22 @@
 	net, discovery := r.target.Network(), r.target.Discovery()
 	for _, name := range f.Peers {
 		l := r.peers[name]
-		if l.out {
+		if l.outOfService {
 			continue
 		}
 		p := r.target.Peer(name)
-		if l.vanished++; l.vanished == 1 {
-			net.Vanish(l.at)
+		if l.vanishCount++; l.vanishCount == 1 {
+			net.Vanish(l.host)
 			if !p.Down() {
 				discovery.Vanished(name)
 			}
 		}
 		r.after(f.For.D(), func() {
-			if l.vanished--; l.vanished > 0 {
+			if l.vanishCount--; l.vanishCount > 0 {
 				return
 			}
-			net.Return(l.at)
-			if !p.Down() { // one that ended meanwhile is listed when it starts
+			net.Return(l.host)
+			if !p.Down() { // a peer that exited in the meantime is listed when it starts
 				discovery.Returned(name)
 			}
 		})
@@ -226,37 +226,37 @@
 
 func (r *run) discoveryBlind(f *Fault) { r.after(f.For.D(), r.target.Discovery().Blind()) }
 
-// move tells every node in time, the script's end or not: one that is not told
-// would go on asking where nobody answers.
+// move moves discovery to its other address and reloads every node, also if the script ends first: a node that is not
+// reloaded would keep calling an address that does not answer.
 func (r *run) move(f *Fault) {
 	addr := r.target.Discovery().Move()
 	for i, n := range r.script.World.Nodes {
-		r.after(time.Duration(i+1)*f.Pause.D(), func() { r.hup(n.Name, addr) })
+		r.after(time.Duration(i+1)*f.Pause.D(), func() { r.reload(n.Name, addr) })
 	}
 }
 
 func (r *run) nodeReload(f *Fault) {
 	for _, name := range f.Nodes {
-		r.hup(name, "")
+		r.reload(name, "")
 	}
 }
 
-func (r *run) hup(name, discovery string) {
-	if n := r.target.Node(name); r.nodes[name].held == 0 && !n.Down() {
+func (r *run) reload(name, discovery string) {
+	if n := r.target.Node(name); r.nodes[name].holds == 0 && !n.Down() {
 		n.Hup(discovery)
 	}
 }
 
-// operate makes an operator's call at each of some nodes that run.
+// operate issues an operator's call to each of the named nodes that runs.
 func (r *run) operate(nodes []string, call, peer string) {
 	for _, name := range nodes {
-		if n := r.target.Node(name); r.nodes[name].held == 0 && !n.Down() {
+		if n := r.target.Node(name); r.nodes[name].holds == 0 && !n.Down() {
 			n.Operate(call, peer)
 		}
 	}
 }
 
-// maintenance restarts each peer in the middle of its suspension, for half of it.
+// maintenance suspends each peer at every node, and keeps it down for the middle half of its suspension.
 func (r *run) maintenance(f *Fault) {
 	var nodes []string
 	for _, n := range r.script.World.Nodes {
@@ -265,7 +265,7 @@
 	for _, name := range f.Peers {
 		r.operate(nodes, "SUSPEND", name)
 		r.loop.After(f.For.D()/4, func() {
-			if !r.over {
+			if !r.finished {
 				r.hold(r.peers[name], r.target.Peer(name), f.For.D()/2)
 			}
 		})
@@ -287,11 +287,11 @@
 func (r *run) nodeRestart(f *Fault) {
 	for _, name := range f.Nodes {
 		l, n := r.nodes[name], r.target.Node(name)
-		if l.held++; l.held == 1 && !n.Down() {
+		if l.holds++; l.holds == 1 && !n.Down() {
 			n.Term()
 		}
 		r.after(f.For.D(), func() {
-			if l.held == 1 && !n.Down() {
+			if l.holds == 1 && !n.Down() {
 				n.Kill()
 			}
 			l.release(n)
@@ -306,9 +306,9 @@
 }
 
 func (r *run) slowLink(f *Fault) {
-	these := r.hosts(f)
-	others := func(host string) bool { return !these(host) }
-	r.after(f.For.D(), r.target.Network().Slow(f.Factor, these, others))
+	isPeerHost := r.hosts(f)
+	others := func(host string) bool { return !isPeerHost(host) }
+	r.after(f.For.D(), r.target.Network().Slow(f.Factor, isPeerHost, others))
 }
 
 func (r *run) surge(f *Fault) {
--- a/internal/lab/fault/draw.go
+++ b/internal/lab/fault/draw.go
@@ -9,19 +9,18 @@
 	"olivebridge/internal/lab/world"
 )
 
-// Draw makes the script of a seed. The same seed gives the same script; each
-// entity has a stream of its own, so that a range that is changed for one leaves
-// the others as they were. A file holds no seed above 2^63-1: the topmost bit is
-// not used.
+// Draw generates the script of a seed. The same seed yields the same script. Each entity has its own random stream: a
+// changed range of one entity does not change the draws of the others. The topmost bit of the seed is ignored, since
+// a file cannot hold a seed above 2^63-1.
 func Draw(seed uint64, sc *Scenario) *Script {
 	seed &= math.MaxInt64
 	d := &drawer{sc: sc, s: &Script{Seed: seed}}
 	d.s.Length = sc.Length.draw(d.stream("length"))
-	d.places()
+	d.topology()
 	d.contract()
 	d.classes()
 	d.peers()
-	d.demand()
+	d.clients()
 	d.faults()
 	return d.s
 }
@@ -29,17 +28,17 @@
 type drawer struct {
 	sc       *Scenario
 	s        *Script
-	mix      []float64 // share of each class, in all
-	work     float64   // mean of a request, in seconds on a core of speed 1
-	capacity float64   // requests a second that all peers can do
-	perCell  int
-	pushed   bool // see Scale
+	mix      []float64 // share of each class of all requests
+	meanWork float64   // mean work of a request, in seconds on a core of speed 1
+	capacity float64   // requests per second that all peers together can serve
+	cellSize int
+	pushed   bool // the run stresses the peers, see Scale.Pushed
 }
 
 func (d *drawer) stream(name string) *rand.Rand { return figure.Stream(d.s.Seed, name) }
 
-// places draws zones, nodes, the network and what is met there.
-func (d *drawer) places() {
+// topology draws zones, nodes, the network, discovery and the front.
+func (d *drawer) topology() {
 	sc, w := d.sc, &d.s.World
 	g := d.stream("zones")
 	w.Zones = append(w.Zones, sc.Zones...)
@@ -99,11 +98,11 @@
 	}
 	d.mix = shares(d.mix)
 	for i, k := range d.s.World.Classes {
-		d.work += d.mix[i] * k.Work.D().Seconds()
+		d.meanWork += d.mix[i] * k.Work.D().Seconds()
 	}
 }
 
-// shares makes numbers add up to 1, three digits each.
+// shares scales numbers so that they add up to 1, and rounds each to three digits.
 func shares(of []float64) []float64 {
 	sum := 0.0
 	for _, v := range of {
@@ -115,12 +114,12 @@
 	return of
 }
 
-// peers draws the peers, and as many as the demand needs.
+// peers draws the peers and adds up their capacity; clients removes peers that exceed the request rate.
 func (d *drawer) peers() {
 	sc, w := d.sc, &d.s.World
 	g := d.stream("peers")
 	n := sc.Scale.Peers.draw(g)
-	d.perCell = sc.Peer.CellSize.draw(g)
+	d.cellSize = sc.Peer.CellSize.draw(g)
 	falls, crowds := chance(g, sc.Peer.Falls), chance(g, sc.Peer.Crowds)
 	rooms := d.stream("waiting rooms")
 	tight, room := chance(rooms, sc.Peer.Tight) || d.pushed, sc.Peer.TightRoom.draw(rooms)
@@ -132,11 +131,11 @@
 		if !crowds {
 			p.CongestionAt, p.MaxSlowdown = 0, 0
 		}
-		if tight { // a peer that turns away at once is sent the next call at once
+		if tight { // a peer that rejects a call at once receives the next one at once
 			p.Queue = p.Cores * room
 		}
 		w.Peers = append(w.Peers, p)
-		d.capacity += float64(p.Cores) * p.Speed / d.work
+		d.capacity += float64(p.Cores) * p.Speed / d.meanWork
 	}
 }
 
@@ -151,12 +150,12 @@
 	k := &d.sc.PeerKinds[weighted(g, weights)]
 	zone := w.Zones[g.IntN(len(w.Zones))]
 	if i < len(w.Zones) {
-		zone = w.Zones[i] // none stays empty
+		zone = w.Zones[i] // each zone has at least one peer
 	}
 	cores := k.Cores.draw(g)
 	p := world.Peer{Name: name, Zone: zone, Kind: k.Name, Cores: cores, Speed: k.Speed.draw(g),
 		Weight: figure.Round(float64(cores)*(k.Speed.Lo+k.Speed.Hi)/2, 3),
-		Cell:   (i/len(w.Zones)/d.perCell)*len(w.Zones) + at(w.Zones, zone),
+		Cell:   (i/len(w.Zones)/d.cellSize)*len(w.Zones) + indexOf(w.Zones, zone),
 		Slots:  cores * k.Slots.draw(g), Queue: cores * k.Queue.draw(g),
 		CacheGain: sc.CacheGain.draw(g), CacheFor: sc.CacheFor.draw(g), CacheKeys: cores * sc.CacheKeys.draw(g),
 		PauseEach: k.PauseEach.draw(g), Pause: k.Pause.draw(g), Errors: k.Errors.draw(g),
@@ -170,9 +169,9 @@
 	return p
 }
 
-// demand draws the clients, and takes peers away while they would ask too much
-// for a short run.
-func (d *drawer) demand() {
+// clients draws the clients. While their request rate is too high for a short run, it first removes peers, on whose
+// capacity the rate depends.
+func (d *drawer) clients() {
 	sc, w := d.sc, &d.s.World
 	g := d.stream("load")
 	load, over, most := sc.Load.Usual.draw(g), sc.Load.Over.draw(g), sc.Load.MostRate.draw(g)
@@ -186,7 +185,7 @@
 	waves := chance(g, sc.Clients.Waves)
 	for load*d.capacity > most && len(w.Peers) > max(sc.Scale.Peers.Lo, len(w.Zones)) {
 		p := w.Peers[len(w.Peers)-1]
-		d.capacity -= float64(p.Cores) * p.Speed / d.work
+		d.capacity -= float64(p.Cores) * p.Speed / d.meanWork
 		w.Peers = w.Peers[:len(w.Peers)-1]
 	}
 	usage := make([]float64, len(sc.Tenants))
@@ -204,7 +203,7 @@
 		for n, zone := range w.Zones {
 			part := 1 / float64(len(w.Zones))
 			if len(w.Zones) > 1 {
-				part *= 1 + skew*float64(1-2*(n%2)) // evenly spread in all, if the zones are two
+				part *= 1 + skew*float64(1-2*(n%2)) // with two zones, the total rate stays the same
 			}
 			rate := load * d.capacity * usage[i] / total * part
 			w.Clients = append(w.Clients, d.crowd(t.Name, zone, rate, waves))
@@ -242,7 +241,7 @@
 	return c
 }
 
-// weighted draws a place in a list of weights.
+// weighted draws an index with a probability proportional to its weight.
 func weighted(g *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
@@ -262,7 +261,7 @@
 	return last
 }
 
-func at(list []string, what string) int {
+func indexOf(list []string, what string) int {
 	for i, v := range list {
 		if v == what {
 			return i
--- a/internal/lab/fault/limits.go
+++ b/internal/lab/fault/limits.go
@@ -9,17 +9,16 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// limit is what a figure may be; of a length of time, in seconds.
+// limit is the inclusive range of a number; of a duration, in seconds.
 type limit struct {
 	lo, hi float64
-	off    bool // 0 may stand too, for "not at all"
+	orZero bool // 0 is allowed as well and disables the feature
 }
 
-func (l limit) holds(v float64) bool { return v >= l.lo && v <= l.hi || l.off && v == 0 }
+func (l limit) contains(v float64) bool { return v >= l.lo && v <= l.hi || l.orZero && v == 0 }
 
-// limits are those of every figure of a script but its faults', by key. They
-// guard against a run that never ends, or a world in which a part of the model
-// divides by nothing; within them, whatever is written is played.
+// limits returns the limits of every number in a script outside of its faults, by key. They prevent a run that never
+// ends and a division by zero in the model; a script within them can be played.
 func limits() map[string]limit {
 	const day = 24 * 3600
 	share := limit{0, 1, false}
@@ -83,25 +82,25 @@
 	}
 }
 
-// figures shows each figure under v, with its key, and that key without places
-// in lists, as the limits have it.
-func figures(key, bare string, v reflect.Value, see func(key, bare string, v reflect.Value)) {
+// visitNumbers calls see for each number under v with its key and with its bare key, which has no list indexes and is
+// the key of its limit.
+func visitNumbers(key, bare string, v reflect.Value, see func(key, bare string, v reflect.Value)) {
 	switch v.Kind() {
 	case reflect.Struct:
 		for n := range v.NumField() {
-			k := name(v.Type().Field(n))
-			figures(join(key, k), join(bare, k), v.Field(n), see)
+			k := tomlKey(v.Type().Field(n))
+			visitNumbers(join(key, k), join(bare, k), v.Field(n), see)
 		}
 	case reflect.Slice:
 		for n := range v.Len() {
-			figures(fmt.Sprintf("%s[%d]", key, n), bare, v.Index(n), see)
+			visitNumbers(fmt.Sprintf("%s[%d]", key, n), bare, v.Index(n), see)
 		}
 	case reflect.Float64, reflect.Int, reflect.Int64:
 		see(key, bare, v)
 	}
 }
 
-// number is a figure as limits count it, and as a reader would write it.
+// number returns a number in the unit of its limit, and as text for error messages.
 func number(v reflect.Value) (float64, string) {
 	switch f := v.Interface().(type) {
 	case figure.Span:
@@ -109,29 +108,29 @@
 	case int:
 		return float64(f), strconv.Itoa(f)
 	case float64:
-		return f, text(f)
+		return f, formatFloat(f)
 	}
 	return 0, ""
 }
 
-func text(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
+func formatFloat(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
-// outside says that a figure is not what its limit allows; empty: it is.
-func (l limit) outside(v reflect.Value) string {
+// violation returns a description of a number that is outside of its limit, or the empty string.
+func (l limit) violation(v reflect.Value) string {
 	f, written := number(v)
-	if l.holds(f) {
+	if l.contains(f) {
 		return ""
 	}
-	lo, hi := text(l.lo), text(l.hi)
+	lo, hi := formatFloat(l.lo), formatFloat(l.hi)
 	if _, ok := v.Interface().(figure.Span); ok {
 		lo, hi = figure.Seconds(l.lo).String(), figure.Seconds(l.hi).String()
 	}
 	or := ""
-	if l.off {
+	if l.orZero {
 		or = ", nor 0"
 	}
 	return fmt.Sprintf("%s is not from %s to %s%s", written, lo, hi, or)
 }
 
-// shortest is the least length of time that a fault may last.
-const shortest = 50 * time.Millisecond
+// minFaultDuration is the minimum duration of a fault.
+const minFaultDuration = 50 * time.Millisecond
--- a/internal/lab/fault/pairs.go
+++ b/internal/lab/fault/pairs.go
@@ -7,38 +7,38 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// stay is a kind's time in a run.
-type stay struct {
+// activePeriod is a period of a run in which a fault of a kind counts as active.
+type activePeriod struct {
 	kind     string
 	from, to figure.Span
 }
 
-func (s *Script) stays() []stay {
-	var all []stay
+func (s *Script) activePeriods() []activePeriod {
+	var all []activePeriod
 	for i := range s.Faults {
 		f := &s.Faults[i]
-		all = append(all, stay{f.Kind, f.At, f.until()})
+		all = append(all, activePeriod{f.Kind, f.At, f.overlapEnd()})
 	}
 	for _, r := range s.World.Malformed {
-		all = append(all, stay{Rogues, r.From, r.From + r.For})
+		all = append(all, activePeriod{Rogues, r.From, r.From + r.For})
 	}
 	return all
 }
 
-// Kinds lists the kinds of faults in the script, sorted.
+// Kinds returns the kinds of faults in the script, sorted.
 func (s *Script) Kinds() []string {
 	set := map[string]bool{}
-	for _, f := range s.stays() {
+	for _, f := range s.activePeriods() {
 		set[f.kind] = true
 	}
 	return slices.Sorted(maps.Keys(set))
 }
 
-// Pairs lists the pairs of two kinds that are there at one time, sorted, the
-// lesser name first. One that is done in an instant counts as there for 3 s.
+// Pairs returns the pairs of different kinds that are active at the same time, sorted, the lesser name first. An
+// instantaneous fault counts as active for 3 s.
 func (s *Script) Pairs() [][2]string {
 	set := map[[2]string]bool{}
-	all := s.stays()
+	all := s.activePeriods()
 	for i, a := range all {
 		for _, b := range all[:i] {
 			if a.kind != b.kind && a.from < b.to && b.from < a.to {
--- a/internal/lab/fault/ranges.go
+++ b/internal/lab/fault/ranges.go
@@ -10,37 +10,36 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// Range is what a figure is drawn from, written [lo, hi]; a single number
-// stands for itself.
+// Range is a range from which a number is drawn, written [lo, hi]. A single number is a range of only that number.
 type Range struct{ Lo, Hi float64 }
 
-// Spans is a range of lengths of time, written ["5s", "24s"] or "5s".
+// Spans is a range of durations, written ["5s", "24s"] or "5s".
 type Spans struct{ Lo, Hi figure.Span }
 
-// Counts is a range of whole numbers, both ends among them.
+// Counts is a range of integers that includes both ends.
 type Counts struct{ Lo, Hi int }
 
-var errUpsideDown = errors.New("range upside down")
+var errReversedRange = errors.New("range is reversed")
 
-func (r *Range) from(i *item) error { return pair(i, &r.Lo, &r.Hi, float) }
+func (r *Range) decodeItem(i *item) error { return decodeRange(i, &r.Lo, &r.Hi, float) }
 
-func (s *Spans) from(i *item) error { return pair(i, &s.Lo, &s.Hi, span) }
+func (s *Spans) decodeItem(i *item) error { return decodeRange(i, &s.Lo, &s.Hi, span) }
 
-func (c *Counts) from(i *item) error {
-	return pair(i, &c.Lo, &c.Hi, func(i *item) (int, error) {
-		n, err := whole(i)
+func (c *Counts) decodeItem(i *item) error {
+	return decodeRange(i, &c.Lo, &c.Hi, func(i *item) (int, error) {
+		n, err := integer(i)
 		return int(n), err
 	})
 }
 
-func pair[T float64 | int | figure.Span](i *item, lo, hi *T, read func(*item) (T, error)) (err error) {
+func decodeRange[T float64 | int | figure.Span](i *item, lo, hi *T, read func(*item) (T, error)) (err error) {
 	if i.kind != unstable.Array {
 		*lo, err = read(i)
 		*hi = *lo
 		return err
 	}
 	if len(i.items) != 2 {
-		return errors.New("a range has two ends")
+		return errors.New("a range must have two ends")
 	}
 	if *lo, err = read(i.items[0]); err != nil {
 		return err
@@ -49,7 +48,7 @@
 		return err
 	}
 	if *lo > *hi {
-		return errUpsideDown
+		return errReversedRange
 	}
 	return nil
 }
@@ -60,15 +59,15 @@
 
 func (s Spans) draw(g *rand.Rand) figure.Span {
 	lo, hi := s.Lo.D().Seconds(), s.Hi.D().Seconds()
-	return min(max(seconds(figure.Uniform(g, lo, hi)), s.Lo), s.Hi)
+	return min(max(roundSeconds(figure.Uniform(g, lo, hi)), s.Lo), s.Hi)
 }
 
 func (c Counts) draw(g *rand.Rand) int { return c.Lo + g.IntN(c.Hi-c.Lo+1) }
 
-// seconds makes a length of time that reads well: three digits of it.
-func seconds(s float64) figure.Span {
+// roundSeconds converts seconds to a duration and rounds it to three digits for readable scripts.
+func roundSeconds(s float64) figure.Span {
 	return figure.Span(math.Round(figure.Round(s, 3) * 1e9))
 }
 
-// chance draws whether something with that chance is so.
+// chance draws true with probability p.
 func chance(g *rand.Rand, p float64) bool { return g.Float64() < p }
--- a/internal/lab/fault/smaller.go
+++ b/internal/lab/fault/smaller.go
@@ -11,7 +11,7 @@
 	"olivebridge/internal/lab/world"
 )
 
-// Clone copies a script so that nothing of it is shared.
+// Clone returns a deep copy of a script.
 func (s *Script) Clone() *Script {
 	c := *s
 	w := &c.World
@@ -28,19 +28,18 @@
 	c.Faults = slices.Clone(c.Faults)
 	for i := range c.Faults {
 		f := &c.Faults[i]
-		f.Peers, f.Heirs = slices.Clone(f.Peers), slices.Clone(f.Heirs)
+		f.Peers, f.Replacements = slices.Clone(f.Peers), slices.Clone(f.Replacements)
 		f.Nodes, f.Clients = slices.Clone(f.Nodes), slices.Clone(f.Clients)
 	}
 	return &c
 }
 
-// Smaller gives scripts with something taken away, the largest cuts first. Each
-// passes Check and differs from s; what a cut leaves without a meaning, such as
-// a fault of a peer that is gone, goes with it. Following it again and again
-// comes to an end.
+// Smaller yields reduced copies of a script, those of the largest reductions first. Each copy passes Check and differs
+// from s. Entries that a reduction makes invalid, such as a fault of a removed peer, are removed as well. Repeated
+// reduction terminates.
 func (s *Script) Smaller() iter.Seq[*Script] {
 	return func(yield func(*Script) bool) {
-		for cut := range s.cuts() {
+		for cut := range s.reductions() {
 			c := s.Clone()
 			cut(c)
 			c.prune()
@@ -51,27 +50,27 @@
 	}
 }
 
-// cuts are the ways to make s smaller; some lead nowhere.
-func (s *Script) cuts() iter.Seq[func(*Script)] {
+// reductions yields functions that reduce a copy of s; some of them yield an invalid or unchanged script.
+func (s *Script) reductions() iter.Seq[func(*Script)] {
 	w := &s.World
 	return func(yield func(func(*Script)) bool) {
 		for _, some := range []iter.Seq[func(*Script)]{
-			parts(len(s.Faults), func(c *Script, from, to int) { c.Faults = slices.Delete(c.Faults, from, to) }),
-			parts(len(w.Malformed), func(c *Script, from, to int) {
+			removals(len(s.Faults), func(c *Script, from, to int) { c.Faults = slices.Delete(c.Faults, from, to) }),
+			removals(len(w.Malformed), func(c *Script, from, to int) {
 				c.World.Malformed = slices.Delete(c.World.Malformed, from, to)
 			}),
-			slices.Values([]func(*Script){halfLength, endWithFaults, sooner, oneZone}),
-			parts(len(w.Clients), func(c *Script, from, to int) {
+			slices.Values([]func(*Script){halfLength, endWithFaults, halveLead, oneZone}),
+			removals(len(w.Clients), func(c *Script, from, to int) {
 				c.World.Clients = slices.Delete(c.World.Clients, from, to)
 			}),
-			parts(len(w.Nodes), func(c *Script, from, to int) {
+			removals(len(w.Nodes), func(c *Script, from, to int) {
 				c.World.Nodes = slices.Delete(c.World.Nodes, from, to)
 			}),
-			parts(len(w.Peers), func(c *Script, from, to int) {
+			removals(len(w.Peers), func(c *Script, from, to int) {
 				c.World.Peers = slices.Delete(c.World.Peers, from, to)
 			}),
-			s.narrower(),
-			slices.Values(plainer()),
+			s.faultReductions(),
+			slices.Values(simplifications()),
 		} {
 			for cut := range some {
 				if !yield(cut) {
@@ -82,9 +81,9 @@
 	}
 }
 
-// parts takes out of a list of n: all, each half, each quarter, and so on to
-// each one.
-func parts(n int, out func(c *Script, from, to int)) iter.Seq[func(*Script)] {
+// removals yields functions that remove from a list of n entries: all of them, each half, each quarter, and so on
+// down to each single entry.
+func removals(n int, out func(c *Script, from, to int)) iter.Seq[func(*Script)] {
 	return func(yield func(func(*Script)) bool) {
 		for size := n; size > 0; size /= 2 {
 			for from := 0; from < n; from += size {
@@ -96,12 +95,12 @@
 	}
 }
 
-func halfLength(c *Script) { c.Length = half(c.Length, time.Second) }
+func halfLength(c *Script) { c.Length = halveSpan(c.Length, time.Second) }
 
 // endWithFaults ends the script a little after its last fault.
 func endWithFaults(c *Script) {
 	var last figure.Span
-	for _, f := range c.stays() {
+	for _, f := range c.activePeriods() {
 		last = max(last, f.to)
 	}
 	if last += 2 * figure.Span(time.Second); last < c.Length {
@@ -109,13 +108,13 @@
 	}
 }
 
-// sooner takes away half of the time before the first fault.
-func sooner(c *Script) {
+// halveLead removes half of the time before the first fault.
+func halveLead(c *Script) {
 	first := c.Length
-	for _, f := range c.stays() {
+	for _, f := range c.activePeriods() {
 		first = min(first, f.from)
 	}
-	less := half(first, 100*time.Millisecond)
+	less := halveSpan(first, 100*time.Millisecond)
 	if first == c.Length || less == first {
 		return
 	}
@@ -129,7 +128,7 @@
 	}
 }
 
-// oneZone brings everybody to the first zone.
+// oneZone moves all nodes, peers, clients and rogues to the first zone.
 func oneZone(c *Script) {
 	w := &c.World
 	w.Zones = w.Zones[:1]
@@ -148,28 +147,28 @@
 	}
 }
 
-// narrower lets each fault be about fewer, and last shorter, and each crowd ask
-// less.
-func (s *Script) narrower() iter.Seq[func(*Script)] {
+// faultReductions yields functions that remove targets of each fault, halve its duration or share, and halve the
+// request rate of each crowd.
+func (s *Script) faultReductions() iter.Seq[func(*Script)] {
 	return func(yield func(func(*Script)) bool) {
 		for i, f := range s.Faults {
 			some := []iter.Seq[func(*Script)]{
-				parts(len(f.Peers), func(c *Script, from, to int) {
+				removals(len(f.Peers), func(c *Script, from, to int) {
 					f := &c.Faults[i]
 					f.Peers = slices.Delete(f.Peers, from, to)
-					if len(f.Heirs) > 0 {
-						f.Heirs = slices.Delete(f.Heirs, from, to)
+					if len(f.Replacements) > 0 {
+						f.Replacements = slices.Delete(f.Replacements, from, to)
 					}
 				}),
-				parts(len(f.Nodes), func(c *Script, from, to int) {
+				removals(len(f.Nodes), func(c *Script, from, to int) {
 					c.Faults[i].Nodes = slices.Delete(c.Faults[i].Nodes, from, to)
 				}),
-				parts(len(f.Clients), func(c *Script, from, to int) {
+				removals(len(f.Clients), func(c *Script, from, to int) {
 					c.Faults[i].Clients = slices.Delete(c.Faults[i].Clients, from, to)
 				}),
 				slices.Values([]func(*Script){
-					func(c *Script) { c.Faults[i].For = half(c.Faults[i].For, 100*time.Millisecond) },
-					func(c *Script) { c.Faults[i].Share = halfOf(c.Faults[i].Share, 0.01) },
+					func(c *Script) { c.Faults[i].For = halveSpan(c.Faults[i].For, 100*time.Millisecond) },
+					func(c *Script) { c.Faults[i].Share = halveFloat(c.Faults[i].Share, 0.01) },
 				}),
 			}
 			for _, cuts := range some {
@@ -181,15 +180,15 @@
 			}
 		}
 		for i := range s.World.Clients {
-			if !yield(func(c *Script) { c.World.Clients[i].Rate = halfOf(c.World.Clients[i].Rate, 1) }) {
+			if !yield(func(c *Script) { c.World.Clients[i].Rate = halveFloat(c.World.Clients[i].Rate, 1) }) {
 				return
 			}
 		}
 	}
 }
 
-// plainer takes away, everywhere at once, one thing that makes a world less plain.
-func plainer() []func(*Script) {
+// simplifications returns functions that each disable one optional feature of the world for all entities.
+func simplifications() []func(*Script) {
 	return []func(*Script){
 		func(c *Script) { c.World.Net.Pieces = 0 },
 		func(c *Script) { c.World.Net.Rate = 0 },
@@ -232,39 +231,40 @@
 	}
 }
 
-// half halves a length of time, but not to less than a least one.
-func half(s figure.Span, least time.Duration) figure.Span {
-	if h := seconds(s.D().Seconds() / 2); h.D() >= least {
+// halveSpan returns half of a duration, or the duration itself if half of it is below least.
+func halveSpan(s figure.Span, least time.Duration) figure.Span {
+	if h := roundSeconds(s.D().Seconds() / 2); h.D() >= least {
 		return h
 	}
 	return s
 }
 
-func halfOf(v, least float64) float64 {
+func halveFloat(v, least float64) float64 {
 	if h := figure.Round(v/2, 3); h >= least {
 		return h
 	}
 	return v
 }
 
-// prune takes away what has lost its meaning.
+// prune removes rogues, faults and late peers that the reduced script no longer uses, and shortens what lasts beyond
+// its end.
 func (s *Script) prune() {
 	w := &s.World
 	w.Malformed = slices.DeleteFunc(w.Malformed, func(r world.MalformedClient) bool {
-		return s.Length < r.From+figure.Span(shortest)
+		return s.Length < r.From+figure.Span(minFaultDuration)
 	})
 	for i := range w.Malformed {
 		w.Malformed[i].For = min(w.Malformed[i].For, s.Length-w.Malformed[i].From)
 	}
-	for { // a late peer that nobody starts goes, and with it what is about it
-		zones := map[string]string{}
+	for { // removing a late peer that no fault starts may make further faults invalid
+		zoneByPeer := map[string]string{}
 		for _, p := range w.Peers {
-			zones[p.Name] = p.Zone
+			zoneByPeer[p.Name] = p.Zone
 		}
-		s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return !f.prune(s, zones) })
+		s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return !f.prune(s, zoneByPeer) })
 		started := map[string]bool{}
 		for _, f := range s.Faults {
-			for _, name := range f.Heirs {
+			for _, name := range f.Replacements {
 				started[name] = true
 			}
 		}
@@ -277,28 +277,28 @@
 	w.Malformed, s.Faults = orNil(w.Malformed), orNil(s.Faults)
 }
 
-// prune takes the names out of a fault that mean nobody, and reports whether
-// there is still something to it. zones are those of the peers.
-func (f *Fault) prune(s *Script, zones map[string]string) bool {
+// prune removes unknown names from a fault and reports whether the fault is still valid. zoneByPeer maps the names of
+// peers to their zones.
+func (f *Fault) prune(s *Script, zoneByPeer map[string]string) bool {
 	w := &s.World
 	table := kinds()
 	k := table[f.Kind]
-	var peers, heirs []string
+	var peers, replacements []string
 	for i, name := range f.Peers {
-		zone, ok := zones[name]
-		if len(f.Heirs) > 0 {
-			_, too := zones[f.Heirs[i]]
-			ok = ok && too
+		zone, ok := zoneByPeer[name]
+		if len(f.Replacements) > 0 {
+			_, listed := zoneByPeer[f.Replacements[i]]
+			ok = ok && listed
 		}
 		if !ok || f.Zone != "" && zone != f.Zone {
 			continue
 		}
 		peers = append(peers, name)
-		if len(f.Heirs) > 0 {
-			heirs = append(heirs, f.Heirs[i])
+		if len(f.Replacements) > 0 {
+			replacements = append(replacements, f.Replacements[i])
 		}
 	}
-	f.Peers, f.Heirs = peers, heirs
+	f.Peers, f.Replacements = peers, replacements
 	f.Nodes = orNil(slices.DeleteFunc(f.Nodes, func(name string) bool {
 		return !slices.ContainsFunc(w.Nodes, func(n world.Node) bool { return n.Name == name })
 	}))
@@ -306,15 +306,15 @@
 		return !slices.ContainsFunc(w.Clients, func(c world.Clients) bool { return c.Name == name })
 	}))
 	switch {
-	case k.takes("peers") && len(f.Peers) == 0, k.takes("nodes") && len(f.Nodes) == 0,
-		k.takes("clients") && len(f.Clients) == 0, k.takes("zone") && !slices.Contains(w.Zones, f.Zone),
+	case k.hasParameter("peers") && len(f.Peers) == 0, k.hasParameter("nodes") && len(f.Nodes) == 0,
+		k.hasParameter("clients") && len(f.Clients) == 0, k.hasParameter("zone") && !slices.Contains(w.Zones, f.Zone),
 		f.Kind == "cut" && len(w.Zones) < 2:
 		return false
 	}
 	return f.fit(f.At, s.Length)
 }
 
-// orNil is what a file gives for an empty list.
+// orNil returns nil for an empty list, as decoding a file does.
 func orNil[T any](list []T) []T {
 	if len(list) == 0 {
 		return nil
--- a/internal/lab/fleet/account.go
+++ b/internal/lab/fleet/account.go
@@ -46,16 +46,16 @@
 
 // Event is one thing that the rig did to a process or to the network, or that it observed of a process.
 type Event struct {
-	At    time.Duration `json:"at"` // monotonic time
-	Node  string        `json:"node,omitempty"`
-	What  string        `json:"what"`
-	PID   int           `json:"pid,omitempty"`
-	From  []string      `json:"from,omitempty"` // senders that a cut or an impairment affects
-	To    []string      `json:"to,omitempty"`   // receivers that it affects
-	Ails  *fault.Ails   `json:"ails,omitempty"`
-	Ended bool          `json:"ended,omitempty"` // the cut or the impairment ends
-	Wrong time.Duration `json:"wrong,omitempty"` // offset of the node's wall clock from its next start on
-	Share float64       `json:"share,omitempty"` // fraction of the budget amounts that all fleet files set from now on
+	At    time.Duration     `json:"at"` // monotonic time
+	Node  string            `json:"node,omitempty"`
+	What  string            `json:"what"`
+	PID   int               `json:"pid,omitempty"`
+	From  []string          `json:"from,omitempty"` // senders that a cut or an impairment affects
+	To    []string          `json:"to,omitempty"`   // receivers that it affects
+	Ails  *fault.Impairment `json:"ails,omitempty"`
+	Ended bool              `json:"ended,omitempty"` // the cut or the impairment ends
+	Wrong time.Duration     `json:"wrong,omitempty"` // offset of the node's wall clock from its next start on
+	Share float64           `json:"share,omitempty"` // fraction of the budget amounts that all fleet files set from now on
 }
 
 // Account is everything that was observed of a run from outside, together with the records of its processes.
--- a/internal/lab/fleet/amounts.go
+++ b/internal/lab/fleet/amounts.go
@@ -53,7 +53,7 @@
 		s.Faults = append(s.Faults, drawn.Faults...)
 		for i := range s.Faults { // calls may take longer in s, which raises the minimum length of some faults
 			f := &s.Faults[i]
-			f.For = max(f.For, fault.Least(f.Kind, &s.World))
+			f.For = max(f.For, fault.MinDuration(f.Kind, &s.World))
 			if f.Ends() > s.Length {
 				f.At = s.Length - f.For
 			}
--- a/internal/lab/fleet/link.go
+++ b/internal/lab/fleet/link.go
@@ -27,8 +27,8 @@
 
 // link is the state of one direction between two nodes, with the faults in effect.
 type link struct {
-	cuts        int          // number of active cuts
-	impairments []fault.Ails // active impairments
+	cuts        int                // number of active cuts
+	impairments []fault.Impairment // active impairments
 	traffic     Traffic
 }
 
@@ -91,7 +91,7 @@
 }
 
 // Impair loses, delays, duplicates or resets part of the traffic from some nodes to others until heal is called.
-func (r *Relays) Impair(from, to func(name string) bool, impairment fault.Ails) (heal func()) {
+func (r *Relays) Impair(from, to func(name string) bool, impairment fault.Impairment) (heal func()) {
 	r.changeLinks(from, to, func(l *link) { l.impairments = append(l.impairments, impairment) })
 	return func() {
 		r.changeLinks(from, to, func(l *link) { l.remove(impairment) })
@@ -99,7 +99,7 @@
 }
 
 // remove removes one impairment that equals the given one.
-func (l *link) remove(impairment fault.Ails) {
+func (l *link) remove(impairment fault.Impairment) {
 	for i := range l.impairments {
 		if l.impairments[i] == impairment {
 			l.impairments = append(l.impairments[:i:i], l.impairments[i+1:]...)
--- a/internal/lab/fleet/rig_faults.go
+++ b/internal/lab/fleet/rig_faults.go
@@ -62,7 +62,7 @@
 }
 
 // Ail implements live.Fleet.
-func (g *rig) Ail(from, to func(string) bool, a fault.Ails) func() {
+func (g *rig) Ail(from, to func(string) bool, a fault.Impairment) func() {
 	heal := g.relays.Impair(from, to, a)
 	e := Event{What: eventImpaired, From: g.namesOf(from), To: g.namesOf(to), Ails: &a}
 	g.addEvent(e)
@@ -79,7 +79,7 @@
 
 // Spoil implements live.Fleet. A superuser may write to any file regardless of its mode, so the faults do not use file
 // modes.
-func (g *rig) Spoil(node string, how fault.Spoilt) (mend func(), err error) {
+func (g *rig) Spoil(node string, how fault.DirectoryFault) (mend func(), err error) {
 	file := filepath.Join(g.stateDirectory(node), incarnationFile)
 	next := file + ".new"
 	content, err := os.ReadFile(file)
--- a/internal/lab/stage/target.go
+++ b/internal/lab/stage/target.go
@@ -11,7 +11,7 @@
 	"olivebridge/internal/lab/world/registry"
 )
 
-// The run is what the faults of its script act on.
+// run implements fault.Target.
 
 // Peer implements fault.Target.
 func (r *run) Peer(name string) fault.Peer { return server{r.peers[name], r} }
@@ -19,7 +19,7 @@
 // Node implements fault.Target.
 func (r *run) Node(name string) fault.Node {
 	for _, n := range r.nodes {
-		if n.c.Name == name {
+		if n.conf.Name == name {
 			return n
 		}
 	}
@@ -37,28 +37,28 @@
 }
 
 // Discovery implements fault.Target.
-func (r *run) Discovery() fault.Discovery { return mover{r.registry, r} }
+func (r *run) Discovery() fault.Discovery { return movableDiscovery{r.registry, r} }
 
 // Network implements fault.Target.
-func (r *run) Network() fault.Network { return ways{r.net, r} }
+func (r *run) Network() fault.Network { return observedNetwork{r.net, r} }
 
 // Zone implements fault.Target.
 func (r *run) Zone(host string) string { return r.zones[host] }
 
-// server is a peer with its machine.
+// server is a peer and its host.
 type server struct {
 	*peer.Peer
 	run *run
 }
 
-// Start implements fault.Peer: the process starts, cold.
+// Start implements fault.Peer: it starts the process cold.
 func (s server) Start() {
 	if err := s.Peer.Start(false); err != nil {
-		s.run.fail("crash", "%v", err)
+		s.run.addViolation("crash", "%v", err)
 	}
 }
 
-// Kill implements fault.Peer: the process dies, and its connections with it.
+// Kill implements fault.Peer: it kills the process and closes its connections.
 func (s server) Kill() {
 	if s.Down() {
 		return
@@ -67,59 +67,58 @@
 	s.run.net.Kill(s.run.hosts[s.Name()])
 }
 
-// mover is discovery, whose place the nodes' configuration files name.
-type mover struct {
+// movableDiscovery records the address of discovery for the nodes' configuration files.
+type movableDiscovery struct {
 	*registry.Registry
 	run *run
 }
 
 // Move implements fault.Discovery.
-func (m mover) Move() string {
+func (m movableDiscovery) Move() string {
 	m.run.discovery = m.Registry.Move()
 	return m.run.discovery
 }
 
-// ways is the network, whose partitions the judge hears of where they lie between
-// nodes and discovery.
-type ways struct {
+// observedNetwork reports partitions between nodes and discovery to the observers.
+type observedNetwork struct {
 	*network.Net
 	run *run
 }
 
 // Cut implements fault.Network.
-func (w ways) Cut(a, b func(host string) bool) (heal func()) {
-	mend := w.Net.Cut(a, b)
-	w.run.reach()
+func (w observedNetwork) Cut(a, b func(host string) bool) (heal func()) {
+	healNetwork := w.Net.Cut(a, b)
+	w.run.updateReachable()
 	return func() {
-		mend()
-		w.run.reach()
+		healNetwork()
+		w.run.updateReachable()
 	}
 }
 
-// reach tells which nodes are cut off from discovery, as far as that has changed.
-func (r *run) reach() {
+// updateReachable reports to the observers each node whose connectivity to an address of discovery has changed.
+func (r *run) updateReachable() {
 	d := r.script.World.Discovery
 	for _, n := range r.script.World.Nodes {
 		for _, addr := range []string{d.Addr, d.Spare} {
 			host, _, _ := strings.Cut(addr, ":")
-			way, cut := [2]string{n.Name, addr}, r.net.Partitioned(n.Name, host)
-			if cut != r.parted[way] {
-				r.parted[way] = cut
+			pair, cut := [2]string{n.Name, addr}, r.net.Partitioned(n.Name, host)
+			if cut != r.partitioned[pair] {
+				r.partitioned[pair] = cut
 				r.observer.DiscoveryReachable(n.Name, addr, !cut)
 			}
 		}
 	}
 }
 
-// Start implements fault.Node: a start with a list that is some changes old, as
-// a restarted process has it.
+// Start implements fault.Node: it starts the node with an endpoint list that is some versions old, as a restarted
+// process has it.
 func (i *instance) Start() { i.start(true) }
 
 // Kill implements fault.Node.
 func (i *instance) Kill() { i.kill() }
 
 // Down implements fault.Node.
-func (i *instance) Down() bool { return i.live == nil }
+func (i *instance) Down() bool { return i.process == nil }
 
 // Term implements fault.Node.
 func (i *instance) Term() { i.term() }
@@ -135,7 +134,7 @@
 	i.reload(discovery)
 }
 
-// startWarm starts the peers that are there when the run begins.
+// startWarm starts, warm, the peers that run from the beginning.
 func (r *run) startWarm() error {
 	for _, p := range r.script.World.Peers {
 		if !p.Late {
--- a/internal/lab/stage/watch_test.go
+++ b/internal/lab/stage/watch_test.go
@@ -7,25 +7,25 @@
 	"olivebridge/internal/lab/sample"
 )
 
-// counted is a Sink that counts what it is told.
-type counted struct {
+// countingSink is a Sink that counts what it receives.
+type countingSink struct {
 	outcomes map[sample.Outcome]int
 	readings int
 	arrived  int
 	events   int
-	bad      int // requests whose times are not in their order
+	bad      int // requests with times out of order, and readings that are too far apart
 	last     time.Duration
 }
 
-func (c *counted) Request(r sample.Request) {
+func (c *countingSink) Request(r sample.Request) {
 	c.outcomes[r.Outcome]++
 	if r.ScheduledAt > r.SentAt || r.SentAt > r.EndedAt || r.SentAt-r.ScheduledAt > time.Microsecond {
 		c.bad++
 	}
 }
 
-func (c *counted) Reading(r sample.Reading) {
-	if r.At > c.last+readEach && r.At < 10*time.Second {
+func (c *countingSink) Reading(r sample.Reading) {
+	if r.At > c.last+readingInterval && r.At < 10*time.Second {
 		c.bad++
 	}
 	c.readings, c.last, c.arrived = c.readings+1, r.At, 0
@@ -34,23 +34,23 @@
 	}
 }
 
-func (c *counted) Event(sample.Event) { c.events++ }
+func (c *countingSink) Event(sample.Event) { c.events++ }
 
-// To watch a run leaves it as it is, and each request is told once.
+// Verifies that a sink does not change a run, and that it receives each request once.
 func TestWatch(t *testing.T) {
 	s := draw(t, 3)
-	w := &counted{outcomes: map[sample.Outcome]int{}}
+	w := &countingSink{outcomes: map[sample.Outcome]int{}}
 	plain, watched := play(t, s, Options{}), play(t, s, Options{Watch: w})
 	if plain.Hash != watched.Hash {
-		t.Errorf("%s, and watched %s", plain.Hash, watched.Hash)
+		t.Errorf("hash %s without a sink, %s with one", plain.Hash, watched.Hash)
 	}
-	told, tally := w.outcomes, watched.Tally
-	failed := told[sample.Failed] + told[sample.NotAccepted]
-	if told[sample.Served] != tally.Served+tally.Late || told[sample.Rejected] != tally.Refused ||
-		told[sample.Unanswered] != tally.Unanswered || told[sample.ClientLeft] != tally.Left || failed != tally.Failed {
-		t.Errorf("told %v of %+v", told, tally)
+	received, tally := w.outcomes, watched.Tally
+	failed := received[sample.Failed] + received[sample.NotAccepted]
+	if received[sample.Served] != tally.Served+tally.Late || received[sample.Rejected] != tally.Refused ||
+		received[sample.Unanswered] != tally.Unanswered || received[sample.ClientLeft] != tally.Left || failed != tally.Failed {
+		t.Errorf("sink received outcomes %v, want those of the tally %+v", received, tally)
 	}
-	if w.bad > 0 || w.events == 0 || w.arrived == 0 || w.arrived > tally.Tries || w.readings < int(s.Length.D()/readEach) {
-		t.Errorf("%+v of %+v", w, tally)
+	if w.bad > 0 || w.events == 0 || w.arrived == 0 || w.arrived > tally.Tries || w.readings < int(s.Length.D()/readingInterval) {
+		t.Errorf("sink received %+v in a run with tally %+v", w, tally)
 	}
 }
