--- a/internal/lab/experiment/about.go
+++ b/internal/lab/experiment/about.go
@@ -8,15 +8,15 @@
 	"olivebridge/internal/lab/fault"
 )
 
-// about says in a few words whom a fault is about, and how much.
-func about(f *fault.Fault) string {
+// faultSummary describes a fault's targets, share and factor for the report, such as "2 peers, zone east, x3".
+func faultSummary(f *fault.Fault) string {
 	var parts []string
-	for _, n := range []struct {
+	for _, target := range []struct {
 		names     []string
 		one, many string
 	}{{f.Peers, "peer", "peers"}, {f.Nodes, "node", "nodes"}, {f.Clients, "crowd", "crowds"}} {
-		if len(n.names) > 0 {
-			parts = append(parts, count(len(n.names), n.one, n.many))
+		if len(target.names) > 0 {
+			parts = append(parts, countNoun(len(target.names), target.one, target.many))
 		}
 	}
 	if f.Zone != "" {
@@ -34,7 +34,8 @@
 	return strings.Join(parts, ", ")
 }
 
-func count(n int, one, many string) string {
+// countNoun returns n followed by the noun in the singular or the plural.
+func countNoun(n int, one, many string) string {
 	if n == 1 {
 		return "1 " + one
 	}
--- a/internal/lab/experiment/assert.go
+++ b/internal/lab/experiment/assert.go
@@ -10,25 +10,25 @@
 	"olivebridge/internal/lab/report"
 )
 
-// Whole is the name of the phase that is the run as a whole.
+// Whole is the name of the phase that covers the entire run.
 const Whole = report.Whole
 
-// Assert is a bound on one figure.
+// Assert is a lower or upper bound, or both, on one figure of the report.
 type Assert struct {
-	What   string `toml:"what"`
-	Class  string `toml:"class"`  // or:
-	Tenant string `toml:"tenant"` // both empty: all requests
-	Phase  string `toml:"phase"`  // empty: the whole run
-	Least  Bound  `toml:"least"`
-	Most   Bound  `toml:"most"`
-	Full   bool   `toml:"full"` // it is judged in the full form only
+	What         string `toml:"what"`
+	Class        string `toml:"class"`  // at most one of Class and Tenant is set
+	Tenant       string `toml:"tenant"` // Class and Tenant empty: all requests
+	Phase        string `toml:"phase"`  // empty: the whole run
+	Least        Bound  `toml:"least"`
+	Most         Bound  `toml:"most"`
+	FullFormOnly bool   `toml:"full"` // evaluated only when the full form is played
 }
 
-// Bound is a number, or a length of time, written as such.
+// Bound is a limit on a figure: a number, or a duration written as a string such as "200ms".
 type Bound struct {
-	set   bool
-	time  bool
-	value float64 // of a length of time, in milliseconds
+	set        bool
+	isDuration bool
+	value      float64 // in milliseconds if isDuration
 }
 
 // FromFile implements fault.Scalar.
@@ -44,67 +44,69 @@
 		if err := s.UnmarshalText([]byte(v)); err != nil {
 			return err
 		}
-		b.time, b.value = true, milliseconds(s.D())
+		b.isDuration, b.value = true, milliseconds(s.D())
 	default:
-		return fmt.Errorf("want a number or a length of time, not %v", v)
+		return fmt.Errorf("want a number or a duration, not %v", v)
 	}
 	return nil
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// checkAsserts looks for figures, classes and phases that there are not, and
-// for bounds that could not be meant.
+// checkAsserts returns an error for an assertion that names an unknown figure,
+// class, tenant or phase, or whose bounds are missing, of the wrong type or
+// inverted. It sets an empty phase to Whole.
 func (e *Experiment) checkAsserts(d *fault.Document) error {
 	for i := range e.Asserts {
 		a := &e.Asserts[i]
 		at := func(key string) string { return fmt.Sprintf("assert[%d].%s", i, key) }
 		f, ok := report.FigureNamed(a.What)
 		if !ok {
-			return d.Error(at("what"), "no such figure: %q", a.What)
+			return d.Error(at("what"), "unknown figure %q", a.What)
 		}
-		classes, tenants := e.parts()
+		classes, tenants := e.classAndTenantNames()
 		switch {
 		case a.Class != "" && a.Tenant != "":
-			return d.Error(at("tenant"), "either a class or a tenant")
+			return d.Error(at("tenant"), "class and tenant are mutually exclusive")
 		case a.Class != "" && !slices.Contains(classes, a.Class):
-			return d.Error(at("class"), "no such class: %q", a.Class)
+			return d.Error(at("class"), "unknown class %q", a.Class)
 		case a.Tenant != "" && !slices.Contains(tenants, a.Tenant):
-			return d.Error(at("tenant"), "no such tenant: %q", a.Tenant)
+			return d.Error(at("tenant"), "unknown tenant %q", a.Tenant)
 		case a.Class+a.Tenant != "" && !f.OfPart:
-			return d.Error(at("what"), "%s is known of all requests together only", a.What)
+			return d.Error(at("what"), "%s is measured only over all requests, not by class or tenant", a.What)
 		}
 		if a.Phase == "" {
 			a.Phase = Whole
 		}
 		known := func(p Phase) bool { return p.Name == a.Phase }
 		if a.Phase != Whole && !slices.ContainsFunc(e.Phases, known) {
-			return d.Error(at("phase"), "no such phase: %q", a.Phase)
+			return d.Error(at("phase"), "unknown phase %q", a.Phase)
 		}
 		if !a.Least.set && !a.Most.set {
-			return d.Error(fmt.Sprintf("assert[%d]", i), "neither least nor most")
+			return d.Error(fmt.Sprintf("assert[%d]", i), "needs least, most or both")
 		}
 		for _, b := range []struct {
 			key string
 			Bound
 		}{{"least", a.Least}, {"most", a.Most}} {
-			if b.set && b.time != f.Time {
+			if b.set && b.isDuration != f.Time {
 				want := "a number"
 				if f.Time {
-					want = `a length of time such as "200ms"`
+					want = `a duration such as "200ms"`
 				}
-				return d.Error(at(b.key), "%s wants %s", a.What, want)
+				return d.Error(at(b.key), "%s needs %s", a.What, want)
 			}
 		}
 		if a.Least.set && a.Most.set && a.Least.value > a.Most.value {
-			return d.Error(at("most"), "bounds upside down")
+			return d.Error(at("most"), "most is below least")
 		}
 	}
 	return nil
 }
 
-// parts are the names of the classes and the tenants that there will be.
-func (e *Experiment) parts() (classes, tenants []string) {
+// classAndTenantNames returns the names of the classes and the tenants of the
+// experiment's world.
+func (e *Experiment) classAndTenantNames() (classes, tenants []string) {
 	if e.inline {
 		for _, c := range e.Script.World.Classes {
 			classes = append(classes, c.Name)
@@ -123,8 +125,9 @@
 	return classes, tenants
 }
 
-// judge holds the assertions against a report's figures.
-func (e *Experiment) judge(r *report.Report) {
+// evaluateAsserts compares the report's figures with the assertions and
+// appends one check for each of them to the report.
+func (e *Experiment) evaluateAsserts(r *report.Report) {
 	for _, a := range e.Asserts {
 		f, _ := report.FigureNamed(a.What)
 		c := report.Check{What: a.What, Class: a.Class, Tenant: a.Tenant, Phase: a.Phase, Unit: f.Unit}
@@ -137,7 +140,7 @@
 			c.Most = &a.Most.value
 		}
 		switch {
-		case r.Short && a.Full:
+		case r.Short && a.FullFormOnly:
 			c.Verdict, c.Note = report.None, "full form only"
 		case !measured:
 			c.Verdict, c.Note = report.None, "not measured"
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,12 +1,15 @@
-// Package experiment plays experiments: a world under a stated rate of
-// requests, some faults in stated phases, and assertions on what comes of it.
+// Package experiment plays experiments. An experiment file states a world, its
+// rate of requests, the faults and phases of the run, and assertions on the
+// resulting figures.
 //
-// Who plays is a Runner: on the virtual clock, or on sockets. What it tells as
-// it goes is the same, and all figures are made here from that alone.
+// A Runner plays the experiment, either on the virtual clock or on sockets. Both
+// runners report the same samples to a sample.Sink, and this package computes all
+// figures from those samples alone.
 //
-// Arrivals are open-loop: each request has an instant at which it is due, drawn
-// ahead, and no answer moves it. Its time counts from that instant on, so that
-// one slow answer, or a load tool that is late, hides nothing.
+// Arrivals are open-loop: the instant at which a request is due is drawn in
+// advance and does not depend on any response. Latency is measured from the due
+// instant, so neither one slow response nor a late load generator hides latency
+// (no coordinated omission).
 package experiment
 
 import (
@@ -19,84 +22,87 @@
 	"olivebridge/internal/lab/figure"
 )
 
-// Form is an experiment as a file states it.
+// Form holds the keys of an experiment file.
 type Form struct {
 	Name    string       `toml:"name"`
-	Shows   string       `toml:"shows"`  // what it shows, in a sentence
-	Seed    uint64       `toml:"seed"`   // of all that is drawn
-	Length  figure.Span  `toml:"length"` // requests arrive until then
-	Short   float64      `toml:"short"`  // the short form's length, as a share of Length
-	Slower  float64      `toml:"slower"` // the short form's rate of requests, as a share of the full one's; 0: all of it
-	World   World        `toml:"world"`  // drawn by the seed, or:
-	Script  fault.Script `toml:"script"` // stated whole, with seed, length and faults of its own
+	Shows   string       `toml:"shows"`  // one sentence on what the experiment demonstrates
+	Seed    uint64       `toml:"seed"`   // seed of every random draw
+	Length  figure.Span  `toml:"length"` // duration for which requests arrive
+	Short   float64      `toml:"short"`  // length of the short form as a share of Length; 0: 1
+	Slower  float64      `toml:"slower"` // short form's request rate as a share of the full form's; 0: 1
+	World   World        `toml:"world"`  // drawn from the seed; not allowed together with Script
+	Script  fault.Script `toml:"script"` // complete script with its own seed, length and faults
 	Phases  []Phase      `toml:"phase"`
 	Faults  []Fault      `toml:"fault"`
 	Rogues  []Rogues     `toml:"rogues"`
 	Asserts []Assert     `toml:"assert"`
 }
 
-// World says what the world is drawn from, and what is not left to the draw.
+// World names the scenario from which the world is drawn and the values that
+// are fixed instead of drawn. A value of 0 leaves the draw to the scenario.
 type World struct {
-	Scenario string  `toml:"scenario"` // file, seen from the experiment's; empty: the lab's own
-	Peers    int     `toml:"peers"`    // 0: as the scenario has it; and so below
-	Nodes    int     `toml:"nodes"`
-	Rate     float64 `toml:"rate"` // requests a second, all crowds together
-	Load     float64 `toml:"load"` // or that part of what the peers can do
+	Scenario string  `toml:"scenario"` // path relative to the experiment file; empty: the built-in scenario
+	Peers    int     `toml:"peers"`    // number of peers
+	Nodes    int     `toml:"nodes"`    // number of nodes
+	Rate     float64 `toml:"rate"`     // requests per second of all crowds together; excludes Load
+	Load     float64 `toml:"load"`     // request rate as a share of the peers' capacity; excludes Rate
 }
 
-// Phase is a time of the run that is judged by itself. Requests belong to it
-// that are due in it.
+// Phase is an interval of the run with figures of its own. A request belongs to
+// the phases in which it is due.
 type Phase struct {
 	Name string      `toml:"name"`
 	From figure.Span `toml:"from"`
 	For  figure.Span `toml:"for"`
 }
 
-// Fault is one of a script, which may leave it to the seed whom it is about.
+// Fault is a fault of the script. If Part is set, the seed selects its targets.
 type Fault struct {
 	fault.Fault
-	Part float64 `toml:"part"` // of the peers, nodes or crowds there are; one at least
+	Part float64 `toml:"part"` // share of the peers, nodes or crowds affected, at least one; 0: the fault names them
 }
 
-// Rogues are clients that send what cannot be served, one of each kind.
+// Rogues are clients that send requests which must not be served, one client for each kind.
 type Rogues struct {
-	Kinds []string    `toml:"kinds"` // empty: all that the scenario knows
-	Rate  float64     `toml:"rate"`  // a second, each
+	Kinds []string    `toml:"kinds"` // empty: all kinds of the scenario
+	Rate  float64     `toml:"rate"`  // requests per second of each client
 	From  figure.Span `toml:"from"`
 	For   figure.Span `toml:"for"`
 }
 
-// Experiment is one that has been read and checked.
+// Experiment is an experiment file that has been parsed and validated.
 type Experiment struct {
 	Form
-	inline   bool // its script is stated whole
+	inline   bool // the file has a [script] table instead of a [world]
 	scenario *fault.Scenario
 }
 
-// shortest is the least share of a length that a short form may be.
-const shortest = 0.05
+// minShortShare is the lower bound of Form.Short.
+const minShortShare = 0.05
 
-// slowest is the least share of a rate that a short form may have.
-const slowest = 0.001
+// minSlowerShare is the lower bound of Form.Slower.
+const minSlowerShare = 0.001
 
-// Load reads an experiment from a file and checks it. What is wrong is reported
-// in one line: file, line, key, reason.
+// Load reads an experiment file and validates it. An error is one line with
+// the file, the line, the key and the reason.
 func Load(path string) (*Experiment, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &fault.Error{File: path, Line: 1, Reason: "cannot be read: " + reason(err)}
+		return nil, &fault.Error{File: path, Line: 1, Reason: "cannot read the file: " + errorReason(err)}
 	}
 	return Parse(path, data)
 }
 
-func reason(err error) string {
+// errorReason returns the text of an error, without operation and path if it is an os.PathError.
+func errorReason(err error) string {
 	if e, ok := errors.AsType[*os.PathError](err); ok {
 		return e.Err.Error()
 	}
 	return err.Error()
 }
 
-// Parse reads an experiment from a file's bytes and checks it.
+// Parse parses the contents of an experiment file and validates it. The path
+// appears in errors and is the base of a relative scenario path.
 func Parse(path string, data []byte) (*Experiment, error) {
 	e := &Experiment{}
 	d, err := fault.ReadDocument(path, data, &e.Form)
@@ -110,18 +116,19 @@
 	return e, nil
 }
 
-// check finds what the form of a file does not.
+// check validates what decoding alone does not, and sets defaults. It builds
+// the script in both forms to report the errors of that step, too.
 func (e *Experiment) check(d *fault.Document) error {
 	if e.Name == "" {
-		return d.Error("name", "there is none")
+		return d.Error("name", "must not be empty")
 	}
 	if e.Shows == "" {
-		return d.Error("shows", "say what it shows")
+		return d.Error("shows", "must not be empty")
 	}
 	if e.inline {
 		for _, key := range []string{"seed", "length", "world"} {
 			if d.Has(key) {
-				return d.Error(key, "not beside a script, which states its own")
+				return d.Error(key, "not allowed together with a script, which has its own")
 			}
 		}
 		e.Seed, e.Length = e.Script.Seed, e.Script.Length
@@ -130,17 +137,17 @@
 	}
 	switch {
 	case e.Length <= 0:
-		return d.Error("length", "there is none")
+		return d.Error("length", "must be positive")
 	case e.Short == 0:
 		e.Short = 1
-	case !(e.Short >= shortest && e.Short <= 1):
-		return d.Error("short", "%v is not from %v to 1", e.Short, shortest)
+	case !(e.Short >= minShortShare && e.Short <= 1):
+		return d.Error("short", "%v is outside the range %v to 1", e.Short, minShortShare)
 	}
 	if e.Slower == 0 {
 		e.Slower = 1
 	}
-	if !(e.Slower >= slowest && e.Slower <= 1) {
-		return d.Error("slower", "%v is not from %v to 1", e.Slower, slowest)
+	if !(e.Slower >= minSlowerShare && e.Slower <= 1) {
+		return d.Error("slower", "%v is outside the range %v to 1", e.Slower, minSlowerShare)
 	}
 	if err := e.checkPhases(d); err != nil {
 		return err
@@ -149,27 +156,27 @@
 		return err
 	}
 	for _, short := range []bool{false, true} {
-		if _, err := e.script(e.Seed, short, d); err != nil {
+		if _, err := e.buildScript(e.Seed, short, d); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// readWorld checks the figures of a drawn world, and reads its scenario.
+// readWorld validates the values of the [world] table and loads its scenario.
 func (e *Experiment) readWorld(d *fault.Document) (err error) {
 	w := &e.World
 	switch {
 	case w.Peers < 0 || w.Peers > 1000:
-		return d.Error("world.peers", "%d is not from 1 to 1000", w.Peers)
+		return d.Error("world.peers", "%d is outside the range 1 to 1000", w.Peers)
 	case w.Nodes < 0 || w.Nodes > 1000:
-		return d.Error("world.nodes", "%d is not from 1 to 1000", w.Nodes)
+		return d.Error("world.nodes", "%d is outside the range 1 to 1000", w.Nodes)
 	case w.Rate != 0 && !(w.Rate >= 1 && w.Rate <= 1e5):
-		return d.Error("world.rate", "%v is not from 1 to 100000", w.Rate)
+		return d.Error("world.rate", "%v is outside the range 1 to 100000", w.Rate)
 	case w.Load != 0 && !(w.Load >= 0.01 && w.Load <= 10):
-		return d.Error("world.load", "%v is not from 0.01 to 10", w.Load)
+		return d.Error("world.load", "%v is outside the range 0.01 to 10", w.Load)
 	case w.Rate != 0 && w.Load != 0:
-		return d.Error("world.load", "either a rate or a load")
+		return d.Error("world.load", "rate and load are mutually exclusive")
 	}
 	if w.Scenario == "" {
 		e.scenario, err = fault.Default()
@@ -185,19 +192,21 @@
 	return nil
 }
 
+// checkPhases returns an error for a phase without a unique name or a positive
+// length, or that ends after the run.
 func (e *Experiment) checkPhases(d *fault.Document) error {
 	seen := map[string]bool{Whole: true}
 	for i, p := range e.Phases {
 		at := func(key string) string { return fmt.Sprintf("phase[%d].%s", i, key) }
 		switch {
 		case p.Name == "":
-			return d.Error(at("name"), "there is none")
+			return d.Error(at("name"), "must not be empty")
 		case seen[p.Name]:
-			return d.Error(at("name"), "%q stands twice, or is the whole run", p.Name)
+			return d.Error(at("name"), "%q is a duplicate or the reserved name of the whole run", p.Name)
 		case p.For <= 0:
-			return d.Error(at("for"), "it has no length")
+			return d.Error(at("for"), "must be positive")
 		case p.From+p.For > e.Length:
-			return d.Error(at("for"), "goes on until %v, the run until %v", (p.From + p.For).D(), e.Length.D())
+			return d.Error(at("for"), "phase ends at %v, after the end of the run at %v", (p.From + p.For).D(), e.Length.D())
 		}
 		seen[p.Name] = true
 	}
--- a/internal/lab/experiment/norace_test.go
+++ b/internal/lab/experiment/norace_test.go
@@ -2,4 +2,5 @@
 
 package experiment
 
-const racing = false
+// raceEnabled reports whether the race detector is on.
+const raceEnabled = false
--- a/internal/lab/experiment/race_test.go
+++ b/internal/lab/experiment/race_test.go
@@ -2,6 +2,6 @@
 
 package experiment
 
-// racing: see package stage. The detector's stack of a bubble's timers overflows in long plays, which shows as a segmentation
-// fault in the runtime's timers.
-const racing = true
+// raceEnabled reports whether the race detector is on (see package stage). In long runs the detector's stack for the
+// timers of a synctest bubble overflows, which shows as a segmentation fault in the runtime's timers.
+const raceEnabled = true
--- a/internal/lab/experiment/record.go
+++ b/internal/lab/experiment/record.go
@@ -14,47 +14,50 @@
 	"olivebridge/internal/lab/world"
 )
 
-// What histograms hold, in microseconds, and how finely.
+// Range of the latency histograms, in microseconds, and their precision in
+// significant decimal digits.
 const (
-	leastLatency = 1
-	mostLatency  = int64(60 * time.Second / time.Microsecond)
-	digits       = 3
+	minLatencyMicros  = 1
+	maxLatencyMicros  = int64(60 * time.Second / time.Microsecond)
+	significantDigits = 3
 )
 
-// recorder takes in what a run tells and makes its figures.
+// recorder is the sample.Sink of a run. It collects the samples and computes
+// the figures of the report.
 type recorder struct {
-	plan    *Plan
-	classes map[string]int // places in the script
-	tenants map[string]int
-	phases  []Phase // the whole run first
-	cells   []cells // of each
-	seconds []second
-	late    *hdrhistogram.Histogram // by how much requests began late
-	tardy   int                     // of them, how many by more than is allowed
-	events  []sample.Event
-	reads   []sample.Reading
+	plan      *Plan
+	classes   map[string]int // index in the script, by name
+	tenants   map[string]int // likewise
+	phases    []Phase        // the first is the whole run
+	tallies   []phaseTallies // of each phase, in the order of phases
+	seconds   []second
+	lateness  *hdrhistogram.Histogram // delay between due instant and start of each request
+	lateCount int                     // number of requests that started more than report.LateBy late
+	events    []sample.Event
+	readings  []sample.Reading
 }
 
-// cells count the requests of one phase, by class and by tenant.
-type cells struct{ classes, tenants []*tally }
+// phaseTallies counts the requests of one phase, by class and by tenant.
+type phaseTallies struct{ classes, tenants []*tally }
 
-// tally counts requests.
+// tally counts the requests of one class or tenant and their latencies.
 type tally struct {
 	report.Counts
-	earned, whole float64 // worth
-	times         *hdrhistogram.Histogram
+	earnedWorth, possibleWorth float64 // worth of served requests, and of all requests
+	latencies                  *hdrhistogram.Histogram
 }
 
-// second is what became of the requests that were due in one second.
+// second holds the results of the requests that were due in one second.
 type second struct {
 	report.Counts
-	earned, whole float64
-	times         []time.Duration
+	earnedWorth, possibleWorth float64
+	latencies                  []time.Duration
 }
 
+// newRecorder returns a recorder for one run of a plan.
 func newRecorder(p *Plan) *recorder {
 	r := &recorder{
-		plan: p, classes: map[string]int{}, tenants: map[string]int{}, late: newHistogram(),
+		plan: p, classes: map[string]int{}, tenants: map[string]int{}, lateness: newHistogram(),
 		phases: append([]Phase{{Name: Whole, For: p.Script.Length}}, p.Phases...),
 	}
 	for i, c := range p.Script.World.Classes {
@@ -64,30 +67,33 @@
 		r.tenants[t.Name] = i
 	}
 	for range r.phases {
-		r.cells = append(r.cells, cells{tallies(len(r.classes)), tallies(len(r.tenants))})
+		r.tallies = append(r.tallies, phaseTallies{newTallies(len(r.classes)), newTallies(len(r.tenants))})
 	}
 	r.seconds = make([]second, int((p.Script.Length.D()+time.Second-1)/time.Second))
 	return r
 }
 
-func tallies(n int) []*tally {
+// newTallies returns n empty tallies.
+func newTallies(n int) []*tally {
 	all := make([]*tally, n)
 	for i := range all {
-		all[i] = &tally{times: newHistogram()}
+		all[i] = &tally{latencies: newHistogram()}
 	}
 	return all
 }
 
+// newHistogram returns an empty latency histogram.
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(leastLatency, mostLatency, digits)
+	return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits)
 }
 
-// record keeps a time; one beyond the histogram's end is kept as its end.
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	h.RecordValue(min(max(d.Microseconds(), leastLatency), mostLatency)) // within: no error
+// recordLatency adds a duration to a histogram, clamped to the histogram's range.
+func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
+	h.RecordValue(min(max(d.Microseconds(), minLatencyMicros), maxLatencyMicros)) // fails only outside the range
 }
 
-// Request implements sample.Sink.
+// Request implements sample.Sink. It ignores requests of unknown classes or
+// tenants and requests that are not due within the script.
 func (r *recorder) Request(q sample.Request) {
 	place, ok := r.classes[q.Class]
 	owner, owned := r.tenants[q.Tenant]
@@ -96,182 +102,190 @@
 	}
 	class := &r.plan.Script.World.Classes[place]
 	lag := max(q.Begun-q.Due, 0)
-	record(r.late, lag)
+	recordLatency(r.lateness, lag)
 	if lag > report.LateBy {
-		r.tardy++
+		r.lateCount++
 	}
 	for i, p := range r.phases {
 		if q.Due >= p.From.D() && q.Due < (p.From+p.For).D() {
-			r.cells[i].classes[place].add(q, class)
-			r.cells[i].tenants[owner].add(q, class)
+			r.tallies[i].classes[place].add(q, class)
+			r.tallies[i].tenants[owner].add(q, class)
 		}
 	}
 	s := &r.seconds[q.Due/time.Second]
-	s.earned += s.Counts.Add(q, class)
-	s.whole += wanted(q, class)
-	if waited(q) {
-		s.times = append(s.times, q.Ended-q.Due)
+	s.earnedWorth += s.Counts.Add(q, class)
+	s.possibleWorth += requestWorth(q, class)
+	if hasLatency(q) {
+		s.latencies = append(s.latencies, q.Ended-q.Due)
 	}
 }
 
+// add counts one request of the given class.
 func (t *tally) add(q sample.Request, class *world.Class) {
-	t.earned += t.Counts.Add(q, class)
-	t.whole += wanted(q, class)
-	if waited(q) {
-		record(t.times, q.Ended-q.Due)
+	t.earnedWorth += t.Counts.Add(q, class)
+	t.possibleWorth += requestWorth(q, class)
+	if hasLatency(q) {
+		recordLatency(t.latencies, q.Ended-q.Due)
 	}
 }
 
-// wanted is the worth that a request asked for: none, if its client left.
-func wanted(q sample.Request, class *world.Class) float64 {
+// requestWorth returns the worth that a request could have earned: its class's
+// worth, or 0 if its client left.
+func requestWorth(q sample.Request, class *world.Class) float64 {
 	if q.Outcome == sample.Left {
 		return 0
 	}
 	return class.Worth
 }
 
-// waited reports whether a request's time counts. Of one that was refused, or
-// failed, no time says anything; one that was never answered took its client's
-// whole patience.
-func waited(q sample.Request) bool {
+// hasLatency reports whether a request's latency is recorded. The latency of a
+// refused or failed request means nothing; a request without a response counts
+// with the time after which its client gave up.
+func hasLatency(q sample.Request) bool {
 	return q.Outcome == sample.Served || q.Outcome == sample.Unanswered
 }
 
 // Reading implements sample.Sink.
-func (r *recorder) Reading(one sample.Reading) { r.reads = append(r.reads, one) }
+func (r *recorder) Reading(one sample.Reading) { r.readings = append(r.readings, one) }
 
 // Event implements sample.Sink.
 func (r *recorder) Event(e sample.Event) { r.events = append(r.events, e) }
 
-// progress is how far the run has come.
+// progress returns the progress of the run at an instant, in seconds.
 func (r *recorder) progress(at float64) Progress {
 	p := Progress{At: at, Length: r.plan.Script.Length.D().Seconds()}
 	earned, whole := 0.0, 0.0
-	for _, t := range r.cells[0].classes {
+	for _, t := range r.tallies[0].classes {
 		p.Asked += t.Asked
-		earned += t.earned
-		whole += t.whole
+		earned += t.earnedWorth
+		whole += t.possibleWorth
 	}
-	p.Worth = share(earned, whole)
+	p.Worth = shareOrOne(earned, whole)
 	return p
 }
 
-// share is a part of a whole; of nothing, all of it.
-func share(part, of float64) float64 {
+// shareOrOne returns part / of, or 1 if of is not positive.
+func shareOrOne(part, of float64) float64 {
 	if of <= 0 {
 		return 1
 	}
 	return part / of
 }
 
-// report makes up the figures; whether they are good enough is not said here.
+// report returns the report with all figures. Experiment.evaluateAsserts adds
+// the checks.
 func (r *recorder) report() *report.Report {
 	e, s := r.plan.Experiment, r.plan.Script
 	out := &report.Report{
 		Form: report.Form, Name: e.Name, Shows: e.Shows, Seed: s.Seed, Short: r.plan.Short,
-		Length: s.Length.D().Seconds(), Faults: bands(s),
+		Length: s.Length.D().Seconds(), Faults: faultBands(s),
 	}
 	for _, c := range s.World.Classes {
 		out.Classes = append(out.Classes, c.Name)
 	}
 	out.Lateness = report.Lateness{
-		P99: float64(r.late.ValueAtQuantile(99)) / 1e3, Max: float64(r.late.Max()) / 1e3,
-		Share: share(float64(r.tardy), float64(r.late.TotalCount())),
+		P99: float64(r.lateness.ValueAtQuantile(99)) / 1e3, Max: float64(r.lateness.Max()) / 1e3,
+		Share: shareOrOne(float64(r.lateCount), float64(r.lateness.TotalCount())),
 	}
-	if r.late.TotalCount() == 0 {
+	if r.lateness.TotalCount() == 0 {
 		out.Lateness = report.Lateness{}
 	}
 	for i, p := range r.phases {
-		out.Phases = append(out.Phases, r.phase(p, r.cells[i]))
+		out.Phases = append(out.Phases, r.phaseFigures(p, r.tallies[i]))
 	}
-	r.series(out)
+	r.addSeries(out)
 	for _, e := range r.events {
 		out.Events = append(out.Events, report.Event{At: e.At.Seconds(), Who: e.Who, What: e.What})
 	}
 	return out
 }
 
-// phase makes up one phase's figures.
-func (r *recorder) phase(p Phase, row cells) report.Phase {
+// phaseFigures computes the figures of one phase.
+func (r *recorder) phaseFigures(p Phase, tallies phaseTallies) report.Phase {
 	out := report.Phase{Name: p.Name, From: p.From.D().Seconds(), To: (p.From + p.For).D().Seconds()}
-	all := &tally{times: newHistogram()}
-	for i, t := range row.classes {
+	all := &tally{latencies: newHistogram()}
+	for i, t := range tallies.classes {
 		all.Counts.Merge(t.Counts)
-		all.earned += t.earned
-		all.whole += t.whole
-		all.times.Merge(t.times)
+		all.earnedWorth += t.earnedWorth
+		all.possibleWorth += t.possibleWorth
+		all.latencies.Merge(t.latencies)
 		f := t.figures()
 		f.Class = r.plan.Script.World.Classes[i].Name
 		out.Classes = append(out.Classes, f)
 	}
-	for i, t := range row.tenants {
+	for i, t := range tallies.tenants {
 		f := t.figures()
 		f.Tenant = r.plan.Script.World.Tenants[i].Name
 		out.Tenants = append(out.Tenants, f)
 	}
 	out.All = all.figures()
-	if asked := float64(all.Asked); asked > 0 && len(r.reads) > 0 {
+	if asked := float64(all.Asked); asked > 0 && len(r.readings) > 0 {
 		from, to := p.From.D(), (p.From + p.For).D()
-		tries := (r.at(to, arrived) - r.at(from, arrived)) / asked
+		tries := (r.interpolate(to, totalArrived) - r.interpolate(from, totalArrived)) / asked
 		out.All.Tries = &tries
-		if len(r.reads[len(r.reads)-1].Nodes) > 0 {
-			cpu := (r.at(to, spent) - r.at(from, spent)) / asked
+		if len(r.readings[len(r.readings)-1].Nodes) > 0 {
+			cpu := (r.interpolate(to, totalCPU) - r.interpolate(from, totalCPU)) / asked
 			out.All.CPU = &cpu
-			out.All.Resident, out.All.Growth = r.memory(from, to)
+			out.All.Resident, out.All.Growth = r.memoryUse(from, to)
 		}
 	}
 	return out
 }
 
+// figures computes the counts, worth share and latency quantiles of a tally;
+// latencies are in milliseconds.
 func (t *tally) figures() report.Figures {
-	f := report.Figures{Counts: t.Counts, Worth: share(t.earned, t.whole)}
-	if t.times.TotalCount() > 0 {
-		at := func(q float64) float64 { return float64(t.times.ValueAtQuantile(q)) / 1e3 }
+	f := report.Figures{Counts: t.Counts, Worth: shareOrOne(t.earnedWorth, t.possibleWorth)}
+	if t.latencies.TotalCount() > 0 {
+		at := func(q float64) float64 { return float64(t.latencies.ValueAtQuantile(q)) / 1e3 }
 		f.P50, f.P90, f.P99, f.P999 = at(50), at(90), at(99), at(99.9)
-		f.Max = float64(t.times.Max()) / 1e3
+		f.Max = float64(t.latencies.Max()) / 1e3
 	}
 	return f
 }
 
-// at is a sum that grows, at an instant between readings.
-func (r *recorder) at(t time.Duration, sum func(*sample.Reading) float64) float64 {
-	i, _ := slices.BinarySearchFunc(r.reads, t, func(one sample.Reading, t time.Duration) int {
+// interpolate returns the value of a growing sum at an instant, interpolated
+// linearly between the readings before and after it. It returns 0 up to the
+// first reading, and the last reading's value after that.
+func (r *recorder) interpolate(t time.Duration, sum func(*sample.Reading) float64) float64 {
+	i, _ := slices.BinarySearchFunc(r.readings, t, func(one sample.Reading, t time.Duration) int {
 		return cmp.Compare(one.At, t)
 	})
 	switch i {
 	case 0:
 		return 0
-	case len(r.reads):
-		return sum(&r.reads[i-1])
+	case len(r.readings):
+		return sum(&r.readings[i-1])
 	}
-	a, b := &r.reads[i-1], &r.reads[i]
+	a, b := &r.readings[i-1], &r.readings[i]
 	part := float64(t-a.At) / float64(b.At-a.At)
 	return sum(a) + part*(sum(b)-sum(a))
 }
 
-// arrived is how many tries have come to peers.
-func arrived(r *sample.Reading) (n float64) {
+// totalArrived returns the number of tries that have arrived at all peers.
+func totalArrived(r *sample.Reading) (n float64) {
 	for _, p := range r.Peers {
 		n += float64(p.Arrived)
 	}
 	return n
 }
 
-// spent is the processor time of the nodes, in milliseconds.
-func spent(r *sample.Reading) (ms float64) {
+// totalCPU returns the processor time of all nodes, in milliseconds.
+func totalCPU(r *sample.Reading) (ms float64) {
 	for _, n := range r.Nodes {
 		ms += milliseconds(n.CPU)
 	}
 	return ms
 }
 
-// memory is what the nodes' processes held in a phase, in the mean, and how many
-// times as much in its last third as in its first; nil where that was not read.
-func (r *recorder) memory(from, to time.Duration) (mean, growth *float64) {
+// memoryUse returns the mean resident memory of the nodes' processes in a phase,
+// in megabytes, and its growth: the mean of the last third divided by the mean of
+// the first. Either is nil if it was not measured.
+func (r *recorder) memoryUse(from, to time.Duration) (mean, growth *float64) {
 	third := (to - from) / 3
-	all, ok := r.resident(from, to)
-	first, begins := r.resident(from, from+third)
-	last, ends := r.resident(to-third, to)
+	all, ok := r.meanResident(from, to)
+	first, begins := r.meanResident(from, from+third)
+	last, ends := r.meanResident(to-third, to)
 	if ok {
 		mean = &all
 	}
@@ -282,15 +296,17 @@
 	return mean, growth
 }
 
-// resident is the mean of the readings in a time, in megabytes.
-func (r *recorder) resident(from, to time.Duration) (mb float64, ok bool) {
+// meanResident returns the resident memory of all nodes together, in megabytes,
+// as the mean of the readings from one instant until another. ok is false if none
+// of them has a value.
+func (r *recorder) meanResident(from, to time.Duration) (mb float64, ok bool) {
 	n := 0
-	for i := range r.reads {
-		if at := r.reads[i].At; at < from || at >= to {
+	for i := range r.readings {
+		if at := r.readings[i].At; at < from || at >= to {
 			continue
 		}
 		n++
-		for _, one := range r.reads[i].Nodes {
+		for _, one := range r.readings[i].Nodes {
 			mb += float64(one.Resident) / (1 << 20)
 		}
 	}
@@ -300,36 +316,37 @@
 	return mb / float64(n), true
 }
 
-// series makes up what is shown along the time axis.
-func (r *recorder) series(out *report.Report) {
+// addSeries adds the figures of each second and of each peer to the report.
+func (r *recorder) addSeries(out *report.Report) {
 	for i := range r.seconds {
 		s := &r.seconds[i]
 		at := time.Duration(i) * time.Second
-		one := report.Second{At: at.Seconds(), Counts: s.Counts, Worth: share(s.earned, s.whole)}
-		if len(s.times) > 0 {
-			slices.Sort(s.times)
-			one.P50, one.P99 = milliseconds(rank(s.times, 0.5)), milliseconds(rank(s.times, 0.99))
+		one := report.Second{At: at.Seconds(), Counts: s.Counts, Worth: shareOrOne(s.earnedWorth, s.possibleWorth)}
+		if len(s.latencies) > 0 {
+			slices.Sort(s.latencies)
+			one.P50, one.P99 = milliseconds(quantile(s.latencies, 0.5)), milliseconds(quantile(s.latencies, 0.99))
 		}
-		one.Tries = int(math.Round(r.at(at+time.Second, arrived) - r.at(at, arrived)))
-		one.CPU = r.at(at+time.Second, spent) - r.at(at, spent)
+		one.Tries = int(math.Round(r.interpolate(at+time.Second, totalArrived) - r.interpolate(at, totalArrived)))
+		one.CPU = r.interpolate(at+time.Second, totalCPU) - r.interpolate(at, totalCPU)
 		out.Seconds = append(out.Seconds, one)
 	}
 	for i, p := range r.plan.Script.World.Peers {
-		out.Peers = append(out.Peers, report.Peer{Name: p.Name, Zone: p.Zone, Cores: p.Cores, Held: r.held(i)})
+		out.Peers = append(out.Peers, report.Peer{Name: p.Name, Zone: p.Zone, Cores: p.Cores, Held: r.meanHeld(i)})
 	}
 }
 
-// rank is the value below which a share of sorted ones lies.
-func rank(sorted []time.Duration, q float64) time.Duration {
+// quantile returns the element below which the share q of the sorted durations lies.
+func quantile(sorted []time.Duration, q float64) time.Duration {
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// held is how much a peer held in each second, in the mean; report.Down where
-// it did not run at all.
-func (r *recorder) held(place int) []float64 {
+// meanHeld returns the mean number of requests that a peer held in each second:
+// report.Down if the peer was down for the whole second, report.Unknown if there
+// is no reading.
+func (r *recorder) meanHeld(place int) []float64 {
 	n := len(r.seconds)
 	sums, counts, ups := make([]float64, n), make([]int, n), make([]int, n)
-	for _, one := range r.reads {
+	for _, one := range r.readings {
 		i := int(one.At / time.Second)
 		if i >= len(r.seconds) || place >= len(one.Peers) {
 			continue
@@ -354,12 +371,13 @@
 	return sums
 }
 
-// bands are the script's faults as the report shows them.
-func bands(s *fault.Script) (all []report.Band) {
+// faultBands returns the script's faults as bands on the report's time axis,
+// sorted by start. All rogues together are one band.
+func faultBands(s *fault.Script) (all []report.Band) {
 	for i := range s.Faults {
 		f := &s.Faults[i]
 		from, to := f.At.D().Seconds(), f.Ends().D().Seconds()
-		all = append(all, report.Band{Kind: f.Kind, From: from, To: to, Note: about(f)})
+		all = append(all, report.Band{Kind: f.Kind, From: from, To: to, Note: faultSummary(f)})
 	}
 	kinds, from, to := 0, time.Duration(0), time.Duration(0)
 	for i, g := range s.World.Rogues {
@@ -371,7 +389,7 @@
 	}
 	if kinds > 0 {
 		all = append(all, report.Band{
-			Kind: fault.Rogues, From: from.Seconds(), To: to.Seconds(), Note: count(kinds, "kind", "kinds"),
+			Kind: fault.Rogues, From: from.Seconds(), To: to.Seconds(), Note: countNoun(kinds, "kind", "kinds"),
 		})
 	}
 	slices.SortStableFunc(all, func(a, b report.Band) int { return cmp.Compare(a.From, b.From) })
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -7,44 +7,44 @@
 	"olivebridge/internal/lab/sample"
 )
 
-// Progress is how far a run has come.
+// Progress is the progress of a run.
 type Progress struct {
 	At, Length float64 // seconds of the run
-	Asked      int
-	Worth      float64 // share, up to now
+	Asked      int     // number of requests so far
+	Worth      float64 // earned share of the possible worth so far
 }
 
-// Run plays a plan and makes its report. tell, which may be nil, hears how far
-// it has come, about once a second of the run.
-func (p *Plan) Run(ctx context.Context, with Runner, tell func(Progress)) (*report.Report, error) {
+// Run plays a plan on a runner and returns the report. onProgress is called about
+// once per second of the run's time; it may be nil.
+func (p *Plan) Run(ctx context.Context, runner Runner, onProgress func(Progress)) (*report.Report, error) {
 	rec := newRecorder(p)
 	var to sample.Sink = rec
-	if tell != nil {
-		to = &teller{recorder: rec, tell: tell}
+	if onProgress != nil {
+		to = &progressSink{recorder: rec, onProgress: onProgress}
 	}
-	played, err := with.Run(ctx, p.Script, to)
+	result, err := runner.Run(ctx, p.Script, to)
 	if err != nil {
 		return nil, err
 	}
 	r := rec.report()
-	r.Clock, r.Broken = played.Clock, played.Broken
-	p.Experiment.judge(r)
+	r.Clock, r.Broken = result.Clock, result.Broken
+	p.Experiment.evaluateAsserts(r)
 	r.Conclude()
 	return r, nil
 }
 
-// teller is a recorder that says how far it has come.
-type teller struct {
+// progressSink is a recorder that reports the progress of the run.
+type progressSink struct {
 	*recorder
-	tell func(Progress)
-	next float64
+	onProgress func(Progress)
+	nextAt     float64 // instant of the next call of onProgress, in seconds
 }
 
 // Reading implements sample.Sink.
-func (t *teller) Reading(r sample.Reading) {
+func (t *progressSink) Reading(r sample.Reading) {
 	t.recorder.Reading(r)
-	if at := r.At.Seconds(); at >= t.next {
-		t.next = at + 1
-		t.tell(t.progress(at))
+	if at := r.At.Seconds(); at >= t.nextAt {
+		t.nextAt = at + 1
+		t.onProgress(t.progress(at))
 	}
 }
--- a/internal/lab/experiment/run_test.go
+++ b/internal/lab/experiment/run_test.go
@@ -16,10 +16,10 @@
 	"olivebridge/internal/lab/stage"
 )
 
-// bubble is a Runner on the virtual clock, in this process.
-type bubble struct{ t *testing.T }
+// bubbleRunner is a Runner on the virtual clock, in a synctest bubble of this process.
+type bubbleRunner struct{ t *testing.T }
 
-func (b bubble) Run(_ context.Context, s *fault.Script, to sample.Sink) (p Played, err error) {
+func (b bubbleRunner) Run(_ context.Context, s *fault.Script, to sample.Sink) (p RunResult, err error) {
 	synctest.Test(b.t, func(t *testing.T) {
 		p.Clock = clockVirtual
 		for _, v := range stage.Play(t, s, stage.Options{Watch: to}).Violations {
@@ -29,14 +29,14 @@
 	return p, nil
 }
 
-// The short form of every experiment that comes with the lab holds.
+// The short form of each experiment of the repository passes its assertions.
 func TestShipped(t *testing.T) {
-	if racing {
-		t.Skip("too long for the race detector: .ci/run plays it without")
+	if raceEnabled {
+		t.Skip("too long under the race detector; .ci/run runs this test without it")
 	}
 	files, err := filepath.Glob("../../../experiments/*.toml")
 	if err != nil || len(files) < 12 {
-		t.Fatalf("%d experiments: %v", len(files), err)
+		t.Fatalf("%d experiments, want 12 or more; error %v", len(files), err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -49,7 +49,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, err := plan.Run(t.Context(), bubble{t}, nil)
+			r, err := plan.Run(t.Context(), bubbleRunner{t}, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -63,13 +63,13 @@
 	}
 }
 
-// told is a Runner that tells what it was given.
-type told []sample.Request
+// recordedRunner is a Runner that reports a fixed list of requests.
+type recordedRunner []sample.Request
 
-func (o told) Run(_ context.Context, s *fault.Script, to sample.Sink) (Played, error) {
+func (o recordedRunner) Run(_ context.Context, s *fault.Script, to sample.Sink) (RunResult, error) {
 	for at := time.Duration(0); at <= s.Length.D(); at += 250 * time.Millisecond {
 		r := sample.Reading{At: at}
-		for i, p := range s.World.Peers { // 8 tries a second come to each; the first is down at the beginning
+		for i, p := range s.World.Peers { // 8 tries per second arrive at each peer; the first peer is down at the beginning
 			down := i == 0 && at < 2*time.Second
 			r.Peers = append(r.Peers, sample.Peer{Name: p.Name, Held: i, Down: down, Arrived: int(8 * at / time.Second)})
 		}
@@ -82,13 +82,13 @@
 	for _, q := range o {
 		to.Request(q)
 	}
-	return Played{Clock: clockSockets}, nil
+	return RunResult{Clock: clockSockets}, nil
 }
 
-// Guards the figures: times count from when a request was due, those that left are of no account,
-// and whoever was never answered waited all that time.
-func TestFigures(t *testing.T) {
-	e, err := Parse("a.toml", []byte(good))
+// Checks the figures of known requests: latencies count from the due instant, requests whose client left are not
+// counted, and a request without a response counts with the whole time that its client waited.
+func TestFiguresOfRecordedRequests(t *testing.T) {
+	e, err := Parse("a.toml", []byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,22 +97,22 @@
 		t.Fatal(err)
 	}
 	ms := time.Millisecond
-	var all told
+	var all recordedRunner
 	add := func(due, begun, ended time.Duration, o sample.Outcome, class string) {
 		all = append(all, sample.Request{
 			Class: class, Tenant: "ashby-dental", Due: due, Begun: begun, Ended: ended, Outcome: o, Tries: 1,
 		})
 	}
-	for i := range time.Duration(96) { // quote is worth 1, within 200 ms
+	for i := range time.Duration(96) { // class quote is worth 1 if served within 200 ms
 		at := 3*time.Second + i*ms
 		add(at, at, at+50*ms, sample.Served, "quote")
 	}
-	add(4*time.Second, 4*time.Second, 4*time.Second+500*ms, sample.Served, "quote") // late
+	add(4*time.Second, 4*time.Second, 4*time.Second+500*ms, sample.Served, "quote") // after the 200 ms
 	add(4*time.Second, 4*time.Second, 4*time.Second+600*ms, sample.Unanswered, "quote")
 	add(4*time.Second, 4*time.Second, 4*time.Second+ms, sample.Refused, "quote")
 	add(4*time.Second, 4*time.Second, 4*time.Second+ms, sample.Unreached, "quote")
 	add(4*time.Second, 4*time.Second, 4*time.Second+ms, sample.Left, "quote")
-	add(11*time.Second, 11*time.Second, 12*time.Second, sample.Failed, "order-confirm") // in no phase; worth 10
+	add(11*time.Second, 11*time.Second, 12*time.Second, sample.Failed, "order-confirm") // outside of the phase calm; worth 10
 	r, err := plan.Run(t.Context(), all, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -135,20 +135,21 @@
 	} {
 		got, ok := r.Figure(c.what, c.phase, c.of)
 		if !ok || got < c.want*0.998 || got > c.want*1.002 {
-			t.Errorf("%s in %s of %+v: %v, %v; want %v", c.what, c.phase, c.of, got, ok, c.want)
+			t.Errorf("%s in phase %s of %+v: %v, measured %v; want %v", c.what, c.phase, c.of, got, ok, c.want)
 		}
 	}
 	if h := r.Peers[0].Held; h[0] != report.Down || h[2] != 0 || r.Peers[3].Held[5] != 3 || r.Seconds[3].Asked != 96 {
-		t.Errorf("held %v, %v; second 3: %+v", h, r.Peers[3].Held, r.Seconds[3])
+		t.Errorf("unexpected held %v of the first peer, %v of the fourth, or second 3: %+v", h, r.Peers[3].Held, r.Seconds[3])
 	}
 	if r.Verdict != report.Failed || r.Checks[0].Verdict != report.Passed || r.Checks[1].Verdict != report.Failed {
-		t.Errorf("%s: %+v", r.Verdict, r.Checks)
+		t.Errorf("unexpected verdict %s or checks %+v", r.Verdict, r.Checks)
 	}
 }
 
-// A load tool that is late hides nothing, and gets no verdict.
-func TestLateTool(t *testing.T) {
-	e, err := Parse("a.toml", []byte(good))
+// The latency of a request includes the lateness of the load generator. If too many requests start late, the report
+// has no verdict.
+func TestLateLoadTool(t *testing.T) {
+	e, err := Parse("a.toml", []byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -161,7 +162,7 @@
 		want report.Verdict
 		p99  float64
 	}{{1, report.Passed, 10}, {3, report.None, 130}} {
-		var all told
+		var all recordedRunner
 		for i := range 200 {
 			at, lag := 3*time.Second+time.Duration(i), time.Duration(0)
 			if i < c.late {
@@ -177,22 +178,22 @@
 			t.Fatal(err)
 		}
 		if p99, _ := r.Figure("p99", "calm", report.Part{}); r.Verdict != c.want || p99 < c.p99*0.99 || p99 > c.p99*1.01 {
-			t.Errorf("%d late: %s %s, p99 %v; want %s, %v", c.late, r.Verdict, r.Why, p99, c.want, c.p99)
+			t.Errorf("%d late requests: verdict %s %s, p99 %v; want %s, %v", c.late, r.Verdict, r.Why, p99, c.want, c.p99)
 		}
 	}
 }
 
-// A rule is broken however late the tool was.
-func TestLateAndBroken(t *testing.T) {
+// A rule violation fails the run however late the load generator was.
+func TestViolationFailsDespiteLateness(t *testing.T) {
 	r := report.Report{Lateness: report.Lateness{Share: 1}, Broken: []string{"wrong answer"}}
 	if r.Conclude(); r.Verdict != report.Failed {
 		t.Error(r.Verdict)
 	}
 }
 
-// The same plan gives the same report, byte for byte, and says how far it is.
+// Two runs of a plan give the same report, byte for byte, and the same number of progress calls.
 func TestSameReport(t *testing.T) {
-	e, err := Parse("a.toml", []byte(good))
+	e, err := Parse("a.toml", []byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -203,7 +204,7 @@
 			t.Fatal(err)
 		}
 		steps := 0
-		r, err := plan.Run(t.Context(), bubble{t}, func(p Progress) { steps++ })
+		r, err := plan.Run(t.Context(), bubbleRunner{t}, func(p Progress) { steps++ })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -214,10 +215,10 @@
 		if text := fmt.Sprint(steps, b.String()); first == "" {
 			first = text
 		} else if text != first {
-			t.Error("two reports of one plan")
+			t.Error("two runs of one plan gave different reports")
 		}
 		if steps < 8 || r.Phases[0].All.Asked < 300 {
-			t.Errorf("%d steps, %d asked", steps, r.Phases[0].All.Asked)
+			t.Errorf("%d progress calls, %d requests; want at least 8 and 300", steps, r.Phases[0].All.Asked)
 		}
 	}
 }
--- a/internal/lab/experiment/runner.go
+++ b/internal/lab/experiment/runner.go
@@ -7,32 +7,35 @@
 	"olivebridge/internal/lab/sample"
 )
 
-// Runner plays a script and tells how it goes.
+// Runner plays a script and reports samples of the run to a sample.Sink.
 //
-// What it owes, on whatever clock:
+// The contract holds for the virtual clock and for sockets:
 //
-//   - Requests arrive as the script's crowds draw them, each at its own instant,
-//     and none waits for another's answer. Of each first try whose instant came
-//     it tells one sample.Request, once its outcome is known and before Run
-//     returns: Due is the drawn instant, Begun when the tool got to it, Ended
-//     when the outcome was known. Package client gives all three (Env.Ended).
-//   - A sample.Reading of all peers at least every half second, from the start
-//     until the clients have their outcomes; on sockets with the processor time
-//     and the resident bytes of each node's process, over all its lives.
-//   - A sample.Event for each start and end of a peer's or node's process after
-//     the beginning, each signal to a node, and each change that discovery shows.
-//   - The script's faults at their instants. They need not be told: the report
-//     takes them from the script.
+//   - Requests arrive at the instants that the script's crowds draw, and no
+//     request waits for the response to another. For each first try that came
+//     due, the runner reports one sample.Request after its outcome is known and
+//     before Run returns: Due is the drawn instant, Begun the instant at which the
+//     runner sent the request, Ended the instant at which the outcome was known.
+//     Package client supplies all three (Env.Ended).
+//   - The runner reports a sample.Reading of all peers at least every half second,
+//     from the start until the outcome of every request is known; on sockets with
+//     the processor time and the resident bytes of each node, summed over the
+//     node's successive processes.
+//   - The runner reports a sample.Event for each start and end of a peer's or
+//     node's process after the beginning, each signal to a node, and each change
+//     of the endpoint list of discovery.
+//   - The runner injects the script's faults at their instants. It does not report
+//     them: the report takes them from the script.
 //
-// All times are since the instant from which the script's are counted. The Sink
-// is told from one goroutine at a time, and no more once Run has returned.
+// All times are relative to the start of the script. The Sink is called from one
+// goroutine at a time, and not after Run has returned.
 type Runner interface {
-	Run(ctx context.Context, s *fault.Script, to sample.Sink) (Played, error)
+	Run(ctx context.Context, s *fault.Script, to sample.Sink) (RunResult, error)
 }
 
-// Played is what a Runner says at the end. An error is for runs that did not
-// take place, or were cut short.
-type Played struct {
+// RunResult is the result of a completed run. A run that could not start or was
+// interrupted returns an error instead.
+type RunResult struct {
 	Clock  string   // "virtual" or "sockets"
-	Broken []string // rules that were broken, and crashes, one line each
+	Broken []string // rule violations and crashes, one line each
 }
--- a/internal/lab/experiment/script.go
+++ b/internal/lab/experiment/script.go
@@ -11,7 +11,7 @@
 	"olivebridge/internal/lab/world"
 )
 
-// Plan is what is played, and how it is cut up for the report.
+// Plan is the script to play and the phases of its report.
 type Plan struct {
 	Experiment *Experiment
 	Short      bool
@@ -19,31 +19,33 @@
 	Phases     []Phase
 }
 
-// Plan makes what a seed plays, in its short form or whole.
+// Plan returns the plan of a seed, in the short or the full form.
 func (e *Experiment) Plan(seed uint64, short bool) (*Plan, error) {
-	s, err := e.script(seed, short, nil)
+	s, err := e.buildScript(seed, short, nil)
 	if err != nil {
 		return nil, fmt.Errorf("%s, seed %d: %w", e.Name, seed, err)
 	}
 	p := &Plan{Experiment: e, Short: short, Script: s}
 	for _, one := range e.Phases {
-		one.From, one.For = e.scaled(one.From, short), e.scaled(one.For, short)
+		one.From, one.For = e.scale(one.From, short), e.scale(one.For, short)
 		p.Phases = append(p.Phases, one)
 	}
 	return p, nil
 }
 
-// scaled is a length of time in one of the forms.
-func (e *Experiment) scaled(s figure.Span, short bool) figure.Span {
+// scale returns a duration of the file as it is in the full form, or multiplied by
+// Form.Short in the short form.
+func (e *Experiment) scale(s figure.Span, short bool) figure.Span {
 	if !short {
 		return s
 	}
 	return figure.Span(time.Duration(float64(s) * e.Short).Round(time.Millisecond))
 }
 
-// script makes the script. Where d is given, what is wrong is placed in it.
-func (e *Experiment) script(seed uint64, short bool, d *fault.Document) (*fault.Script, error) {
-	placed := func(key, why string) error {
+// buildScript returns the script of a seed. If d is not nil, errors name the line
+// in that document.
+func (e *Experiment) buildScript(seed uint64, short bool, d *fault.Document) (*fault.Script, error) {
+	newError := func(key, why string) error {
 		if d == nil {
 			return &fault.Error{Key: key, Reason: why}
 		}
@@ -54,65 +56,67 @@
 		s = e.Script.Clone()
 		s.Seed = seed
 		for i := range s.Faults {
-			s.Faults[i] = e.timed(s.Faults[i], s, short)
+			s.Faults[i] = e.scaleTimes(s.Faults[i], s, short)
 		}
 		for i := range s.World.Rogues {
 			r := &s.World.Rogues[i]
-			r.From, r.For = e.scaled(r.From, short), e.scaled(r.For, short)
+			r.From, r.For = e.scale(r.From, short), e.scale(r.For, short)
 		}
 	} else {
-		s = e.draw(seed)
+		s = e.drawScript(seed)
 	}
-	s.Length = e.scaled(e.Length, short)
+	s.Length = e.scale(e.Length, short)
 	if short && e.Slower < 1 {
 		for i := range s.World.Clients {
 			c := &s.World.Clients[i]
-			c.Rate = max(figure.Round(c.Rate*e.Slower, 6), leastRate)
+			c.Rate = max(figure.Round(c.Rate*e.Slower, 6), minCrowdRate)
 		}
 	}
-	own := len(s.Faults)
+	scriptFaults := len(s.Faults)
 	for i, f := range e.Faults {
-		if err := e.involve(s, e.timed(f.Fault, s, short), f.Part); err != nil {
-			return nil, e.replace(err, func(key string) string { return fmt.Sprintf("fault[%d].%s", i, key) }, placed)
+		if err := e.addFault(s, e.scaleTimes(f.Fault, s, short), f.Part); err != nil {
+			return nil, e.relocateError(err, func(key string) string { return fmt.Sprintf("fault[%d].%s", i, key) }, newError)
 		}
 	}
 	if err := s.Check(); err != nil {
-		return nil, e.replace(err, func(key string) string { return e.key(key, own) }, placed)
+		return nil, e.relocateError(err, func(key string) string { return e.experimentKey(key, scriptFaults) }, newError)
 	}
 	for i, r := range e.Rogues {
-		if err := e.rogues(s, r, short); err != nil {
-			return nil, e.replace(err, func(string) string { return fmt.Sprintf("rogues[%d]", i) }, placed)
+		if err := e.addRogues(s, r, short); err != nil {
+			return nil, e.relocateError(err, func(string) string { return fmt.Sprintf("rogues[%d]", i) }, newError)
 		}
 	}
 	return s, nil
 }
 
-// involve adds a fault of the experiment's own to the script.
-func (e *Experiment) involve(s *fault.Script, f fault.Fault, part float64) error {
+// addFault adds a fault of the experiment file to the script. part is Fault.Part.
+func (e *Experiment) addFault(s *fault.Script, f fault.Fault, part float64) error {
 	if !(part >= 0 && part <= 1) {
-		return &fault.Error{Key: "part", Reason: fmt.Sprintf("%v is not from 0 to 1", part)}
+		return &fault.Error{Key: "part", Reason: fmt.Sprintf("%v is outside the range 0 to 1", part)}
 	}
 	if f.Kind == fault.Rogues {
-		return &fault.Error{Key: "kind", Reason: `"rogues" are stated as [[rogues]]`}
+		return &fault.Error{Key: "kind", Reason: `"rogues" is not a kind of [[fault]]; use [[rogues]]`}
 	}
 	return s.Involve(f, part)
 }
 
-// replace puts an error on a script where the experiment states what is wrong.
-func (e *Experiment) replace(err error, key func(string) string, placed func(key, why string) error) error {
+// relocateError replaces the script key of a fault.Error by the key of the
+// experiment file. It returns other errors unchanged.
+func (e *Experiment) relocateError(err error, key func(string) string, newError func(key, why string) error) error {
 	if at, ok := errors.AsType[*fault.Error](err); ok {
-		return placed(key(at.Key), at.Reason)
+		return newError(key(at.Key), at.Reason)
 	}
 	return err
 }
 
-// key is the experiment's key for one of its script, whose first own faults are
-// the script's.
-func (e *Experiment) key(key string, own int) string {
+// experimentKey returns the key in the experiment file for a key of the script.
+// The first scriptFaults faults of the script come from the [script] table, the
+// others from the file's [[fault]] tables.
+func (e *Experiment) experimentKey(key string, scriptFaults int) string {
 	var n int
-	if _, err := fmt.Sscanf(key, "fault[%d]", &n); err == nil && n >= own {
+	if _, err := fmt.Sscanf(key, "fault[%d]", &n); err == nil && n >= scriptFaults {
 		_, rest, _ := strings.Cut(key, "]")
-		return fmt.Sprintf("fault[%d]%s", n-own, rest)
+		return fmt.Sprintf("fault[%d]%s", n-scriptFaults, rest)
 	}
 	if e.inline {
 		return "script." + key
@@ -120,14 +124,17 @@
 	return key
 }
 
-// leastRate is the least that a crowd may have.
-const leastRate = 0.01
+// minCrowdRate is the lower bound of a crowd's request rate, in requests per second.
+const minCrowdRate = 0.01
 
-// mostRate leaves a world all its peers, whatever is asked of them.
-const mostRate = 1e9
+// maxRequestRate, in requests per second, replaces the scenario's limit on the
+// request rate when the experiment sets a rate or a load, so that the draw keeps
+// all peers at any rate.
+const maxRequestRate = 1e9
 
-// draw makes the world of a seed, without any fault.
-func (e *Experiment) draw(seed uint64) *fault.Script {
+// drawScript draws the script of a seed from the scenario, without faults, and
+// applies the values of the [world] table.
+func (e *Experiment) drawScript(seed uint64) *fault.Script {
 	sc, w := *e.scenario, &e.World
 	sc.Faults.Calm = 1
 	if w.Peers > 0 {
@@ -140,7 +147,7 @@
 		sc.Load.Usual, sc.Load.Overload = fault.Range{Lo: w.Load, Hi: w.Load}, 0
 	}
 	if w.Load > 0 || w.Rate > 0 {
-		sc.Load.MostRate = fault.Range{Lo: mostRate, Hi: mostRate}
+		sc.Load.MostRate = fault.Range{Lo: maxRequestRate, Hi: maxRequestRate}
 	}
 	s := fault.Draw(seed, &sc)
 	if w.Rate > 0 {
@@ -150,40 +157,41 @@
 		}
 		for i := range s.World.Clients {
 			c := &s.World.Clients[i]
-			c.Rate = max(figure.Round(c.Rate*w.Rate/sum, 6), leastRate)
+			c.Rate = max(figure.Round(c.Rate*w.Rate/sum, 6), minCrowdRate)
 		}
 	}
 	return s
 }
 
-// timed is a fault with its times in one of the forms. It lasts as long as its
-// kind must.
-func (e *Experiment) timed(f fault.Fault, s *fault.Script, short bool) fault.Fault {
+// scaleTimes returns a fault with its times scaled to the form. Its duration is
+// never below the minimum of its kind.
+func (e *Experiment) scaleTimes(f fault.Fault, s *fault.Script, short bool) fault.Fault {
 	if !short {
 		return f
 	}
-	f.At, f.Pause = e.scaled(f.At, short), e.scaled(f.Pause, short)
-	f.Back, f.TurnAway = e.scaled(f.Back, short), e.scaled(f.TurnAway, short)
+	f.At, f.Pause = e.scale(f.At, short), e.scale(f.Pause, short)
+	f.Back, f.TurnAway = e.scale(f.Back, short), e.scale(f.TurnAway, short)
 	if f.For > 0 {
-		f.For = max(e.scaled(f.For, short), fault.Least(f.Kind, &s.World))
+		f.For = max(e.scale(f.For, short), fault.Least(f.Kind, &s.World))
 	}
 	return f
 }
 
-// rogues adds some of the experiment's to the world, and checks them.
-func (e *Experiment) rogues(s *fault.Script, r Rogues, short bool) error {
+// addRogues adds one rogue client of each kind to the world and validates the
+// script.
+func (e *Experiment) addRogues(s *fault.Script, r Rogues, short bool) error {
 	w, kinds := &s.World, r.Kinds
 	if len(kinds) == 0 && !e.inline {
 		kinds = e.scenario.Rogues.Kinds
 	}
 	if len(kinds) == 0 {
-		return &fault.Error{Reason: "kinds: there must be one at least"}
+		return &fault.Error{Reason: "kinds: must not be empty"}
 	}
 	for _, kind := range kinds {
 		n := len(w.Rogues) + 1
 		w.Rogues = append(w.Rogues, world.Rogue{
 			Name: fmt.Sprintf("rogue-%d", n), Zone: w.Zones[n%len(w.Zones)], Kind: kind, Rate: r.Rate,
-			From: e.scaled(r.From, short), For: e.scaled(r.For, short),
+			From: e.scale(r.From, short), For: e.scale(r.For, short),
 		})
 	}
 	return s.Check()
--- a/internal/lab/experiment/sockets.go
+++ b/internal/lab/experiment/sockets.go
@@ -12,48 +12,48 @@
 	"olivebridge/internal/lab/sample"
 )
 
-// Sockets plays on loopback sockets and the machine's clock, with each node a
-// process of its own. Only those rules are judged that clients, peers and the
-// nodes' processes show for sure: see package live.
+// Sockets is the Runner on loopback sockets and the machine's clock. Each node is
+// a process. It checks only the rules that can be decided with certainty from
+// clients, peers and the nodes' processes: see package live.
 type Sockets struct {
-	Node string    // the nodes' program; empty: built from the source tree for each run
-	Log  io.Writer // hears at once what goes wrong with a run; nil: nobody
+	Node string    // path of the node's program; empty: built from the source tree for each run
+	Log  io.Writer // receives errors of the run as they occur; may be nil
 }
 
-// clockSockets is this runner's name in reports.
+// clockSockets is the name of this runner's clock in reports.
 const clockSockets = "sockets"
 
-// collectAt lets the collector, whose work holds requests up, come a sixteenth as
-// often as usual while a run is played.
-const collectAt = 1600
+// gcPercent is the garbage collector's target percentage during a run. It makes
+// collections, which delay requests, 16 times as rare as the default of 100.
+const gcPercent = 1600
 
 // Run implements Runner.
-func (k Sockets) Run(ctx context.Context, s *fault.Script, to sample.Sink) (p Played, err error) {
+func (k Sockets) Run(ctx context.Context, s *fault.Script, to sample.Sink) (p RunResult, err error) {
 	if err := live.Playable(s); err != nil {
-		return Played{}, err
+		return RunResult{}, err
 	}
 	dir, err := os.MkdirTemp("", "olivelab-run-")
 	if err != nil {
-		return Played{}, fmt.Errorf("playing on sockets: %w", err)
+		return RunResult{}, fmt.Errorf("playing on sockets: %w", err)
 	}
 	defer os.RemoveAll(dir)
 	node := k.Node
 	if node == "" {
 		if node, err = live.Build(ctx, dir); err != nil {
-			return Played{}, err
+			return RunResult{}, err
 		}
 	}
-	defer debug.SetGCPercent(debug.SetGCPercent(collectAt))
+	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	r, err := live.Start(ctx, s, live.Options{Node: node, Dir: dir, Log: k.Log, Watch: to})
 	if err != nil {
-		return Played{}, fmt.Errorf("playing on sockets: %w", err)
+		return RunResult{}, fmt.Errorf("playing on sockets: %w", err)
 	}
 	broken := r.Broken()
 	if ctx.Err() != nil {
-		return Played{}, ctx.Err()
+		return RunResult{}, ctx.Err()
 	}
 	if err := r.Machine(); err != nil {
-		return Played{}, fmt.Errorf("playing on sockets: %w", err)
+		return RunResult{}, fmt.Errorf("playing on sockets: %w", err)
 	}
-	return Played{Clock: clockSockets, Broken: broken}, nil
+	return RunResult{Clock: clockSockets, Broken: broken}, nil
 }
--- a/internal/lab/experiment/virtual.go
+++ b/internal/lab/experiment/virtual.go
@@ -12,34 +12,35 @@
 	"olivebridge/internal/lab/sample"
 )
 
-// Virtual plays on the virtual clock, in a worker process of its own: the same
-// script gives the same figures each time, whatever else the machine does.
+// Virtual is the Runner on the virtual clock. It plays each script in a worker
+// process; a script gives the same figures in every run, whatever the load of the
+// machine.
 type Virtual struct {
-	Command []string  // starts a worker; empty: this program, with the argument "worker"
-	Log     io.Writer // hears what the worker writes to standard error; nil: nobody
+	Command []string  // command line of a worker; empty: this program with the argument "worker"
+	Log     io.Writer // receives the worker's standard error; may be nil
 }
 
-// clockVirtual is this runner's name in reports.
+// clockVirtual is the name of this runner's clock in reports.
 const clockVirtual = "virtual"
 
 // Run implements Runner.
-func (v Virtual) Run(ctx context.Context, s *fault.Script, to sample.Sink) (Played, error) {
+func (v Virtual) Run(ctx context.Context, s *fault.Script, to sample.Sink) (RunResult, error) {
 	var text strings.Builder
 	if err := s.Write(&text); err != nil {
-		return Played{}, err
+		return RunResult{}, err
 	}
-	told := sample.NewReader(to)
-	pool := &campaign.Pool{Command: v.Command, Procs: 1, Trace: told, Log: v.Log}
+	reader := sample.NewReader(to)
+	pool := &campaign.Pool{Command: v.Command, Procs: 1, Trace: reader, Log: v.Log}
 	o, err := pool.One(ctx, campaign.Job{Seed: s.Seed, Script: text.String(), Watch: true})
 	switch {
 	case err != nil:
-		return Played{}, fmt.Errorf("playing on the virtual clock: %w", err)
-	case told.Err() != nil:
-		return Played{}, told.Err()
-	case told.Told() == 0 && !o.Failed():
-		return Played{}, errors.New("the worker tells nothing of its runs: it was built from an older revision")
+		return RunResult{}, fmt.Errorf("playing on the virtual clock: %w", err)
+	case reader.Err() != nil:
+		return RunResult{}, reader.Err()
+	case reader.Told() == 0 && !o.Failed():
+		return RunResult{}, errors.New("the worker reported no samples: it was built from an older revision")
 	}
-	p := Played{Clock: clockVirtual}
+	p := RunResult{Clock: clockVirtual}
 	for _, broken := range o.Result.Violations {
 		p.Broken = append(p.Broken, broken.String())
 	}
