--- a/cmd/olivelab/faults.go
+++ b/cmd/olivelab/faults.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			return err
 		}
-		var table campaign.Table
+		var table campaign.FaultTable
 		for i := range seeds.count {
 			if err := c.Context().Err(); err != nil {
 				return err
--- a/cmd/olivelab/main.go
+++ b/cmd/olivelab/main.go
@@ -68,6 +68,6 @@
 func workerCommand(s campaign.Sources) *cobra.Command {
 	return &cobra.Command{
 		Use: "worker", Hidden: true, Args: cobra.NoArgs,
-		Run: func(*cobra.Command, []string) { campaign.Work(s) },
+		Run: func(*cobra.Command, []string) { campaign.RunWorker(s) },
 	}
 }
--- a/cmd/olivelab/mutants.go
+++ b/cmd/olivelab/mutants.go
@@ -98,7 +98,7 @@
 }
 
 // hunt looks for the mutants one by one and writes a line of the table for each.
-func hunt(c *cobra.Command, with workers, seeds uint64, some []mutant.Mutant) ([]campaign.Find, error) {
+func hunt(c *cobra.Command, with workers, seeds uint64, some []mutant.Mutant) ([]campaign.HuntResult, error) {
 	root, err := mutant.Root()
 	if err != nil {
 		return nil, err
@@ -110,10 +110,10 @@
 	defer os.RemoveAll(dir)
 	hunter := &campaign.Hunter{
 		Root: root, Dir: dir, Tool: tool, Seeds: seeds, Scenario: with.scenario,
-		Pool: campaign.Pool{Procs: with.procs},
+		Pool: campaign.Pool{Workers: with.procs},
 	}
-	sound := &campaign.Pool{Procs: 1}
-	var finds []campaign.Find
+	sound := &campaign.Pool{Workers: 1}
+	var finds []campaign.HuntResult
 	fmt.Fprintf(c.OutOrStdout(), line+"\n", "mutant", "rule", "seeds", "seconds", "expected; others met")
 	for _, p := range some {
 		fmt.Fprintf(c.ErrOrStderr(), "building and playing: %s\n", p.Name)
@@ -131,7 +131,7 @@
 // line is the form of the table's.
 const line = "%-34s %-14s %6s %8s  %s"
 
-func findLine(f campaign.Find) string {
+func findLine(f campaign.HuntResult) string {
 	rule, seeds := f.Rule, fmt.Sprint(f.Seed)
 	if rule == "" {
 		rule, seeds = "NOT FOUND", "-"
@@ -140,5 +140,5 @@
 	if len(f.Others) > 0 {
 		notes += "; " + strings.Join(f.Others, ", ")
 	}
-	return fmt.Sprintf(line, f.Name, rule, seeds, fmt.Sprintf("%.1f", f.Real.Seconds()), notes)
+	return fmt.Sprintf(line, f.Name, rule, seeds, fmt.Sprintf("%.1f", f.RealTime.Seconds()), notes)
 }
--- a/cmd/olivelab/replay.go
+++ b/cmd/olivelab/replay.go
@@ -38,7 +38,7 @@
 		}
 		j.Trace, j.Log = true, log
 		trace := bufio.NewWriterSize(c.OutOrStdout(), 1<<16)
-		pool := &campaign.Pool{Procs: 1, Cores: procs, Trace: trace}
+		pool := &campaign.Pool{Workers: 1, Cores: procs, Trace: trace}
 		if log {
 			pool.Log = c.ErrOrStderr()
 		}
@@ -52,8 +52,8 @@
 		if err := trace.Flush(); err != nil {
 			return fmt.Errorf("writing the trace: %w", err)
 		}
-		if o.Said != "" && !log {
-			fmt.Fprintln(c.ErrOrStderr(), strings.TrimSpace(o.Said))
+		if o.Output != "" && !log {
+			fmt.Fprintln(c.ErrOrStderr(), strings.TrimSpace(o.Output))
 		}
 		for _, v := range o.Result.Violations {
 			fmt.Fprintln(c.ErrOrStderr(), v)
--- a/cmd/olivelab/seeds.go
+++ b/cmd/olivelab/seeds.go
@@ -39,7 +39,7 @@
 		}
 		defer sink.drop()
 		report := campaign.NewReport()
-		pool := &campaign.Pool{Procs: with.procs}
+		pool := &campaign.Pool{Workers: with.procs}
 		told := time.Now()
 		jobs := campaign.Seeds(seeds.from, seeds.count, with.scenario)
 		err = pool.Run(c.Context(), jobs, func(o campaign.Outcome) bool {
--- a/cmd/olivelab/shrink.go
+++ b/cmd/olivelab/shrink.go
@@ -43,8 +43,8 @@
 		}
 		defer out.drop()
 		told := time.Now()
-		shrinker := campaign.Shrinker{Sources: s, Rule: rule, Pool: &campaign.Pool{Procs: procs}}
-		shrinker.Tell = func(n campaign.Step) {
+		shrinker := campaign.Shrinker{Sources: s, Rule: rule, Pool: &campaign.Pool{Workers: procs}}
+		shrinker.OnStep = func(n campaign.Step) {
 			if time.Since(told) >= tellEach {
 				told = time.Now()
 				fmt.Fprintln(c.ErrOrStderr(), stepLine(n))
@@ -56,7 +56,7 @@
 		}
 		fmt.Fprintln(c.ErrOrStderr(), stepLine(found.Steps))
 		fill := func(w io.Writer) error {
-			fmt.Fprintf(w, "# seed %d, shrunk by %d cuts: %s\n", script.Seed, found.Steps.Taken, found.First)
+			fmt.Fprintf(w, "# seed %d, shrunk by %d cuts: %s\n", script.Seed, found.Steps.Accepted, found.First)
 			return s.Write(found.Script, w)
 		}
 		if file == "" {
@@ -76,6 +76,6 @@
 func stepLine(n campaign.Step) string {
 	w := &n.Script.World
 	return fmt.Sprintf("%s: %d runs, %d cuts; left: %v, %d faults, %d nodes, %d peers, %d clients, %d rogues",
-		n.Rule, n.Runs, n.Taken, n.Script.Length.D(), len(n.Script.Faults), len(w.Nodes), len(w.Peers),
+		n.Rule, n.Runs, n.Accepted, n.Script.Length.D(), len(n.Script.Faults), len(w.Nodes), len(w.Peers),
 		len(w.Clients), len(w.Rogues))
 }
--- a/internal/lab/campaign/campaign_test.go
+++ b/internal/lab/campaign/campaign_test.go
@@ -19,16 +19,16 @@
 	"olivebridge/internal/lab/stage"
 )
 
-// The test binary is its own worker.
+// TestMain runs the test binary as a worker if its argument is "worker".
 func TestMain(m *testing.M) {
 	if len(os.Args) == 2 && os.Args[1] == "worker" {
-		campaign.Work(campaigntest.Sources())
+		campaign.RunWorker(campaigntest.Sources())
 	}
-	os.Setenv("GORACE", "atexit_sleep_ms=0") // or the race detector adds a second to each worker's end
+	os.Setenv("GORACE", "atexit_sleep_ms=0") // otherwise the race detector delays each worker's exit by one second
 	os.Exit(m.Run())
 }
 
-// script is one of the toy's whose faults are of these kinds.
+// script returns a script for package campaigntest with one fault of each of the given kinds.
 func script(kinds ...string) *fault.Script {
 	s := &fault.Script{Seed: 7, Length: figure.Span(8 * time.Second)}
 	for _, k := range kinds {
@@ -37,6 +37,7 @@
 	return s
 }
 
+// text returns a script as Sources.Write writes it.
 func text(t *testing.T, s *fault.Script) string {
 	var b strings.Builder
 	if err := campaigntest.Sources().Write(s, &b); err != nil {
@@ -51,10 +52,10 @@
 	}
 	want := [][]string{
 		nil,
-		{"crash", "panic: a wrong turn", "campaigntest.act"},
+		{"crash", "panic: a wrong turn", "campaigntest.applyFault"},
 		{"lost", "a call was lost"},
-		{"crash", "panic: deadlock", "campaigntest.wait sources.go:"},
-		{"hang", "no end within 1s", "campaigntest.act sources.go:"},
+		{"crash", "panic: deadlock", "campaigntest.blockForever sources.go:"},
+		{"hang", "no end within 1s", "campaigntest.applyFault sources.go:"},
 		{"crash", "failed by package testing"},
 		nil,
 	}
@@ -62,23 +63,23 @@
 	for i, p := range plays {
 		jobs = append(jobs, campaign.Job{ID: i, Seed: 7, Script: text(t, script(p...))})
 	}
-	pool := campaign.Pool{Procs: 2, Patience: time.Second, Recycle: 2}
+	pool := campaign.Pool{Workers: 2, JobTimeout: time.Second, JobsPerWorker: 2}
 	next := 0
 	err := pool.Run(t.Context(), slices.Values(jobs), func(o campaign.Outcome) bool {
 		if o.Job.ID != next {
-			t.Fatalf("job %d came %d. in line", o.Job.ID, next)
+			t.Fatalf("got the outcome of job %d, want that of job %d", o.Job.ID, next)
 		}
 		v := o.Result.Violations
 		switch w := want[next]; {
 		case w == nil && len(v) > 0:
-			t.Errorf("job %d: %v", next, v)
+			t.Errorf("job %d: unexpected violations %v", next, v)
 		case w == nil:
 		case len(v) == 0 || v[0].Rule != w[0]:
-			t.Errorf("job %d: want %s: %v", next, w[0], v)
+			t.Errorf("job %d: want a violation of %s, got %v", next, w[0], v)
 		default:
 			for _, part := range w[1:] {
 				if !strings.Contains(v[0].What, part) || strings.Contains(v[0].What, "\n") {
-					t.Errorf("job %d: no %q in one line: %s", next, part, v[0].What)
+					t.Errorf("job %d: want one line with %q, got %s", next, part, v[0].What)
 				}
 			}
 		}
@@ -86,53 +87,53 @@
 		return true
 	})
 	if err != nil || next != len(jobs) {
-		t.Errorf("%d of %d jobs: %v", next, len(jobs), err)
+		t.Errorf("%d outcomes for %d jobs, error %v", next, len(jobs), err)
 	}
 }
 
-// A pool ends when its caller has enough, when its context does, and where a job or a
-// worker cannot be begun; nothing of it runs on.
-func TestPoolEnds(t *testing.T) {
+// Pool.Run returns when the callback returns false, when the context ends, and when a job or a
+// worker cannot start.
+func TestPoolStops(t *testing.T) {
 	all := func(campaign.Outcome) bool { return true }
 	seen := 0
-	pool := campaign.Pool{Procs: 2}
+	pool := campaign.Pool{Workers: 2}
 	err := pool.Run(t.Context(), campaign.Seeds(1, 1000, ""), func(campaign.Outcome) bool {
 		seen++
 		return seen < 3
 	})
 	if err != nil || seen != 3 {
-		t.Errorf("enough: %d seen, %v", seen, err)
+		t.Errorf("callback returned false: %d outcomes, error %v; want 3, nil", seen, err)
 	}
 	ctx, stop := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer stop()
 	if _, err := pool.One(ctx, campaign.Job{Script: text(t, script("spins"))}); err != context.DeadlineExceeded {
-		t.Errorf("ended context: %v", err)
+		t.Errorf("context ended: error %v, want deadline exceeded", err)
 	}
 	if err := pool.Run(t.Context(), campaign.Seeds(1, 3, "x.toml"), all); err == nil ||
 		err.Error() != "x.toml:3: load: range upside down" {
-		t.Errorf("bad scenario: %v", err)
+		t.Errorf("invalid scenario: unexpected error %v", err)
 	}
 	broken := campaign.Pool{Command: []string{"/nowhere/olivelab"}}
 	if err := broken.Run(t.Context(), campaign.Seeds(1, 3, ""), all); err == nil {
-		t.Error("no worker, and no error")
+		t.Error("want an error for a worker that cannot be started")
 	}
 }
 
-// The trace and the hash are the same in every worker, and the log is not in the trace.
+// A worker gives the same trace with any GOMAXPROCS, and the log does not appear in the trace.
 func TestTraceAndLog(t *testing.T) {
 	for _, cores := range []int{1, 8} {
 		var trace, log bytes.Buffer
-		pool := campaign.Pool{Procs: 1, Cores: cores, Trace: &trace, Log: &log}
+		pool := campaign.Pool{Workers: 1, Cores: cores, Trace: &trace, Log: &log}
 		j := campaign.Job{Script: text(t, script("dull", "breaks")), Trace: true, Log: true}
 		o, err := pool.One(t.Context(), j)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got := trace.String(); got != "1.000000000 dull\n2.000000000 breaks\n" {
-			t.Errorf("trace %q", got)
+			t.Errorf("unexpected trace %q", got)
 		}
 		if got := log.String(); got != "log of dull\nlog of breaks\n" {
-			t.Errorf("log %q", got)
+			t.Errorf("unexpected log %q", got)
 		}
 		if o.Result.Virtual != 8*time.Second || len(o.Result.Hash) != 64 {
 			t.Errorf("%+v", o.Result)
@@ -140,8 +141,8 @@
 	}
 }
 
-// Shrinking keeps the rule, whatever the number of workers, and nothing smaller than its
-// outcome breaks it.
+// The shrunk script still breaks the rule, with any number of workers, and no smaller script
+// breaks it.
 func TestShrink(t *testing.T) {
 	full := script("dull", "breaks", "dull", "breaks", "dull", "panics")
 	for _, c := range []struct {
@@ -153,18 +154,18 @@
 		} else if c.rule == "crash" {
 			full = script("dull", "breaks", "panics")
 		}
-		s := campaign.Shrinker{Sources: campaigntest.Sources(), Rule: c.rule, Pool: &campaign.Pool{Procs: c.procs}}
+		s := campaign.Shrinker{Sources: campaigntest.Sources(), Rule: c.rule, Pool: &campaign.Pool{Workers: c.procs}}
 		got, err := s.Shrink(t.Context(), full)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if f := got.Script.Faults; len(f) != 1 || f[0].Kind != c.left || got.Script.Length.D() != time.Second {
-			t.Errorf("%+v: left %v in %v", c, f, got.Script.Length.D())
+			t.Errorf("%+v: shrunk to faults %v with length %v", c, f, got.Script.Length.D())
 		}
 	}
 	s := campaign.Shrinker{Sources: campaigntest.Sources(), Rule: "late", Pool: &campaign.Pool{}}
 	if _, err := s.Shrink(t.Context(), full); err == nil || !strings.Contains(err.Error(), `the rule "late"`) {
-		t.Errorf("a rule that holds: %v", err)
+		t.Errorf("rule that is not broken: unexpected error %v", err)
 	}
 }
 
@@ -199,7 +200,7 @@
 }
 
 func TestTable(t *testing.T) {
-	var table campaign.Table
+	var table campaign.FaultTable
 	table.Add([]string{"cut", "death"}, [][2]string{{"death", "cut"}, {"cut", "death"}})
 	table.Add([]string{"slow"}, nil)
 	var b strings.Builder
--- a/internal/lab/campaign/campaigntest/sources.go
+++ b/internal/lab/campaign/campaigntest/sources.go
@@ -1,5 +1,5 @@
-// Package campaigntest has sources for tests of campaigns, with a toy for a run: its faults
-// say what becomes of it.
+// Package campaigntest provides campaign.Sources for tests. Its runs are simulated: the kind of
+// each fault selects the effect, such as a violation, a panic or a deadlock.
 package campaigntest
 
 import (
@@ -22,8 +22,8 @@
 	"olivebridge/internal/lab/stage"
 )
 
-// Sources draw from each seed one fault of kind "dull"; seeds divisible by five also draw
-// "breaks", which breaks the rule lost.
+// Sources returns sources that draw one fault of kind "dull" for each seed. Seeds divisible by
+// five also draw "breaks", which breaks the rule lost, and a second "dull".
 func Sources() campaign.Sources {
 	return campaign.Sources{
 		Play:   logged(io.Discard),
@@ -50,6 +50,7 @@
 	}
 }
 
+// draw returns the script of a seed.
 func draw(seed uint64) *fault.Script {
 	s := &fault.Script{Seed: seed, Length: figure.Span(8 * time.Second), Faults: []fault.Fault{{Kind: "dull"}}}
 	if seed%5 == 0 {
@@ -58,6 +59,7 @@
 	return s
 }
 
+// kinds returns the sorted kinds of fault in a script.
 func kinds(s *fault.Script) (some []string) {
 	for _, f := range s.Faults {
 		some = append(some, f.Kind)
@@ -65,6 +67,7 @@
 	return slices.Compact(slices.Sorted(slices.Values(some)))
 }
 
+// pairs returns all pairs of different kinds of fault in a script, as if all faults overlapped.
 func pairs(s *fault.Script) (some [][2]string) {
 	k := kinds(s)
 	for i := range k {
@@ -75,7 +78,7 @@
 	return some
 }
 
-// smaller halves the length, or takes one fault away.
+// smaller yields the script with half its length, then with each one of its faults removed.
 func smaller(s *fault.Script) iter.Seq[*fault.Script] {
 	return func(yield func(*fault.Script) bool) {
 		if c := *s; s.Length.D() > time.Second {
@@ -92,11 +95,12 @@
 	}
 }
 
+// logged returns a player that writes the log of its runs to log.
 func logged(log io.Writer) campaign.Player {
 	return func(t *testing.T, s *fault.Script, w io.Writer) stage.Result { return play(t, s, w, log) }
 }
 
-// play does what the faults say, each one virtual second after the other.
+// play applies the faults, one per virtual second.
 func play(t *testing.T, s *fault.Script, w, log io.Writer) stage.Result {
 	r := stage.Result{Seed: s.Seed, Kinds: kinds(s), Pairs: pairs(s), Tally: stage.Tally{Asked: 10, Served: 9}}
 	start, sum := time.Now(), sha256.New()
@@ -107,14 +111,15 @@
 		time.Sleep(time.Second)
 		fmt.Fprintf(io.MultiWriter(w, sum), "%.9f %s\n", time.Since(start).Seconds(), f.Kind)
 		fmt.Fprintln(log, "log of", f.Kind)
-		act(t, &r, f.Kind, time.Since(start))
+		applyFault(t, &r, f.Kind, time.Since(start))
 	}
 	time.Sleep(s.Length.D() - time.Since(start))
 	r.Virtual, r.Hash = time.Since(start), hex.EncodeToString(sum.Sum(nil))
 	return r
 }
 
-func act(t *testing.T, r *stage.Result, kind string, now time.Duration) {
+// applyFault applies the effect of one kind of fault to the run.
+func applyFault(t *testing.T, r *stage.Result, kind string, now time.Duration) {
 	switch kind {
 	case "breaks":
 		r.Violations = append(r.Violations, rules.Violation{Rule: "lost", At: now, What: "a call was lost"})
@@ -122,9 +127,9 @@
 		go panic(errors.New("a wrong turn"))
 		time.Sleep(time.Second)
 	case "deadlocks":
-		go wait(make(chan int))
+		go blockForever(make(chan int))
 	case "spins":
-		for { //nolint:staticcheck // it is to come to no end
+		for { //nolint:staticcheck // deliberate endless loop
 			_ = kind
 		}
 	case "gives up":
@@ -132,5 +137,5 @@
 	}
 }
 
-// wait waits for good.
-func wait(c chan int) { <-c }
+// blockForever blocks on a channel to which nothing is sent.
+func blockForever(c chan int) { <-c }
--- a/internal/lab/campaign/hunt.go
+++ b/internal/lab/campaign/hunt.go
@@ -10,49 +10,49 @@
 	"olivebridge/internal/lab/mutant"
 )
 
-// Hunter looks for mutants: it builds the tool as one, and plays seeds until a rule
-// that is to show it is broken.
+// Hunter checks that the rules detect a mutant: it builds the lab tool with the mutant
+// applied and plays seeds until one of the mutant's expected rules is broken.
 type Hunter struct {
-	Root     string // of the module's source tree
-	Dir      string // for what is built
-	Tool     string // the package of the tool, as the go command takes it at the root
-	Seeds    uint64 // at most, from 1 on
-	Scenario string
-	Pool     Pool // but for its command
+	Root     string // root of the module's source tree
+	Dir      string // directory for the built programs
+	Tool     string // package of the lab tool, as an argument of go build in Root
+	Seeds    uint64 // upper bound of seeds to play, starting at 1
+	Scenario string // path of the scenario file; empty: the built-in scenario
+	Pool     Pool   // runs the mutant; its Command is ignored
 }
 
-// Find is what became of one mutant.
-type Find struct {
+// HuntResult is the result of the hunt for one mutant.
+type HuntResult struct {
 	Name     string        `json:"name"`
 	Expected []string      `json:"expected"`
-	Rule     string        `json:"rule,omitempty"` // that showed it; "": not found
-	Seed     uint64        `json:"seed,omitempty"` // the seeds that it took, too: they begin at 1
+	Rule     string        `json:"rule,omitempty"` // expected rule that was broken; empty: mutant not detected
+	Seed     uint64        `json:"seed,omitempty"` // seed that broke Rule; also the number of seeds played (from 1)
 	What     string        `json:"what,omitempty"`
-	Others   []string      `json:"others,omitempty"` // further rules broken by then, and by the sound build not
-	Real     time.Duration `json:"real"`
+	Others   []string      `json:"others,omitempty"` // other rules broken up to that seed, but not by the unmodified build
+	RealTime time.Duration `json:"real"`
 }
 
-// Hunt plays one mutant. A seed at which the sound build, played by the pool sound, breaks the
-// same rule does not count.
-func (h *Hunter) Hunt(ctx context.Context, p mutant.Mutant, sound *Pool) (Find, error) {
-	f, start := Find{Name: p.Name, Expected: p.Rules}, time.Now()
+// Hunt hunts one mutant. The pool sound runs the unmodified build: a violation does not count
+// if the unmodified build breaks the same rule with the same seed.
+func (h *Hunter) Hunt(ctx context.Context, p mutant.Mutant, sound *Pool) (HuntResult, error) {
+	f, start := HuntResult{Name: p.Name, Expected: p.Rules}, time.Now()
 	program := filepath.Join(h.Dir, p.Name)
 	if err := p.Build(h.Root, h.Dir, h.Tool, program); err != nil {
 		return f, err
 	}
 	pool := h.Pool
 	pool.Command = []string{program, "worker"}
-	var failed error
+	var soundErr error
 	err := pool.Run(ctx, Seeds(1, h.Seeds, h.Scenario), func(o Outcome) bool {
 		if !o.Failed() {
 			return true
 		}
-		var usual Outcome
-		if usual, failed = sound.One(ctx, o.Job); failed != nil {
+		var soundOutcome Outcome
+		if soundOutcome, soundErr = sound.One(ctx, o.Job); soundErr != nil {
 			return false
 		}
 		for _, v := range o.Result.Violations {
-			if _, usually := usual.Broke(v.Rule); usually {
+			if _, alsoInSound := soundOutcome.Broke(v.Rule); alsoInSound {
 				continue
 			}
 			if slices.Contains(p.Rules, v.Rule) {
@@ -65,9 +65,9 @@
 		}
 		return true
 	})
-	f.Real = time.Since(start)
+	f.RealTime = time.Since(start)
 	if err == nil {
-		err = failed
+		err = soundErr
 	}
 	if err != nil {
 		return f, fmt.Errorf("mutant %s: %w", p.Name, err)
--- a/internal/lab/campaign/hunt_test.go
+++ b/internal/lab/campaign/hunt_test.go
@@ -11,9 +11,9 @@
 	"olivebridge/internal/lab/mutant"
 )
 
-// toyTool is a worker whose mutant breaks the rule effect from seed 3 on, and late at 2; it
-// breaks the rule lost at seed 4 in any case.
-const toyTool = `package main
+// workerSource is the source of a worker. With the mutant applied it breaks the rule late with
+// seed 2 and the rule effect from seed 3 on; with or without it, seed 4 breaks the rule lost.
+const workerSource = `package main
 
 import (
 	"encoding/json"
@@ -45,11 +45,11 @@
 }
 `
 
-// A mutant counts as found by a rule that is to show it, at a seed where the sound build does
-// not break the same rule.
+// A mutant is detected only by one of its expected rules, with a seed for which the unmodified
+// build does not break the same rule.
 func TestHunt(t *testing.T) {
 	root, dir := t.TempDir(), t.TempDir()
-	for name, text := range map[string]string{"go.mod": "module toy\n\ngo 1.26\n", "main.go": toyTool} {
+	for name, text := range map[string]string{"go.mod": "module toy\n\ngo 1.26\n", "main.go": workerSource} {
 		if err := os.WriteFile(filepath.Join(root, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -57,10 +57,10 @@
 	build := exec.Command("go", "build", "-o", filepath.Join(dir, "sound"), ".")
 	build.Dir = root
 	if said, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, said)
+		t.Fatalf("go build: %v: %s", err, said)
 	}
 	sound := &campaign.Pool{Command: []string{filepath.Join(dir, "sound")}}
-	h := campaign.Hunter{Root: root, Dir: dir, Tool: ".", Seeds: 6, Pool: campaign.Pool{Procs: 2}}
+	h := campaign.Hunter{Root: root, Dir: dir, Tool: ".", Seeds: 6, Pool: campaign.Pool{Workers: 2}}
 	for _, c := range []struct {
 		expected []string
 		rule     string
@@ -76,7 +76,7 @@
 			t.Fatal(err)
 		}
 		if f.Rule != c.rule || f.Seed != c.seed || !slices.Equal(f.Others, c.others) {
-			t.Errorf("expected %v: %+v", c.expected, f)
+			t.Errorf("expected rules %v: unexpected result %+v", c.expected, f)
 		}
 	}
 }
--- a/internal/lab/campaign/pairs.go
+++ b/internal/lab/campaign/pairs.go
@@ -10,15 +10,15 @@
 	"strings"
 )
 
-// Table counts which kinds of fault were met, and which of them at one time.
-type Table struct {
+// FaultTable counts the scripts in which each kind of fault, and each pair of overlapping kinds, occurred.
+type FaultTable struct {
 	scripts int
 	kinds   map[string]int
 	pairs   map[[2]string]int
 }
 
-// Add counts one script's kinds and pairs, each once.
-func (t *Table) Add(kinds []string, pairs [][2]string) {
+// Add counts the kinds and pairs of one script. Duplicates count once.
+func (t *FaultTable) Add(kinds []string, pairs [][2]string) {
 	if t.kinds == nil {
 		t.kinds, t.pairs = map[string]int{}, map[[2]string]int{}
 	}
@@ -28,22 +28,23 @@
 	}
 	seen := map[[2]string]bool{}
 	for _, p := range pairs {
-		if p = inOrder(p); !seen[p] {
+		if p = sortedPair(p); !seen[p] {
 			seen[p] = true
 			t.pairs[p]++
 		}
 	}
 }
 
-func inOrder(p [2]string) [2]string {
+// sortedPair returns the pair in alphabetical order.
+func sortedPair(p [2]string) [2]string {
 	if p[0] > p[1] {
 		p[0], p[1] = p[1], p[0]
 	}
 	return p
 }
 
-// counts gives both counts, the most frequent first.
-func (t *Table) counts() (kinds, pairs []Count) {
+// counts returns the counts of the kinds and of the pairs, in descending order of the count.
+func (t *FaultTable) counts() (kinds, pairs []Count) {
 	for k, n := range t.kinds {
 		kinds = append(kinds, Count{[]string{k}, n})
 	}
@@ -55,10 +56,10 @@
 	return kinds, pairs
 }
 
-// Write writes the table: a row and a column for each of all kinds that there are, the
-// number of scripts that had both at one time, on the diagonal the kind at all. Below it
-// stands what was never met.
-func (t *Table) Write(out io.Writer, all []string) error {
+// Write writes the table, with a row and a column for each kind in all and each kind that
+// occurred. A cell has the number of scripts in which both kinds overlapped, a cell on the diagonal
+// the number of scripts with that kind. The kinds and pairs that never occurred are listed below.
+func (t *FaultTable) Write(out io.Writer, all []string) error {
 	names := map[string]bool{}
 	for _, k := range all {
 		names[k] = true
@@ -72,7 +73,7 @@
 		wide = max(wide, len(k))
 	}
 	w := bufio.NewWriter(out)
-	fmt.Fprintf(w, "%d scripts, %d kinds, %d of %d pairs met\n", t.scripts, len(t.kinds), len(t.unequal()),
+	fmt.Fprintf(w, "%d scripts, %d kinds, %d of %d pairs met\n", t.scripts, len(t.kinds), len(t.pairsOfDifferentKinds()),
 		len(kinds)*(len(kinds)-1)/2)
 	fmt.Fprintf(w, "%*s", wide+4, "")
 	for i := range kinds {
@@ -82,7 +83,7 @@
 	for i, row := range kinds {
 		fmt.Fprintf(w, "%-*s %3d", wide, row, i+1)
 		for _, column := range kinds {
-			n := t.pairs[inOrder([2]string{row, column})]
+			n := t.pairs[sortedPair([2]string{row, column})]
 			if row == column {
 				n = t.kinds[row]
 			}
@@ -94,12 +95,12 @@
 		}
 		fmt.Fprintln(w)
 	}
-	t.missing(w, kinds)
+	t.writeMissing(w, kinds)
 	return w.Flush()
 }
 
-// unequal are the pairs of two different kinds.
-func (t *Table) unequal() (some [][2]string) {
+// pairsOfDifferentKinds returns the counted pairs of two different kinds.
+func (t *FaultTable) pairsOfDifferentKinds() (some [][2]string) {
 	for p := range t.pairs {
 		if p[0] != p[1] {
 			some = append(some, p)
@@ -108,22 +109,23 @@
 	return some
 }
 
-// missing lists what was never met: kinds, and for each other kind those it never met.
-func (t *Table) missing(w io.Writer, kinds []string) {
-	never := slices.DeleteFunc(slices.Clone(kinds), func(k string) bool { return t.kinds[k] > 0 })
-	if len(never) > 0 {
-		fmt.Fprintf(w, "never drawn: %s\n", strings.Join(never, ", "))
+// writeMissing lists the kinds that never occurred and, for each other kind, those with which it never
+// overlapped.
+func (t *FaultTable) writeMissing(w io.Writer, kinds []string) {
+	neverDrawn := slices.DeleteFunc(slices.Clone(kinds), func(k string) bool { return t.kinds[k] > 0 })
+	if len(neverDrawn) > 0 {
+		fmt.Fprintf(w, "never drawn: %s\n", strings.Join(neverDrawn, ", "))
 	}
 	drawn := slices.DeleteFunc(slices.Clone(kinds), func(k string) bool { return t.kinds[k] == 0 })
 	for i, k := range drawn {
-		var apart []string
+		var neverTogether []string
 		for _, other := range drawn[i+1:] {
-			if t.pairs[inOrder([2]string{k, other})] == 0 {
-				apart = append(apart, other)
+			if t.pairs[sortedPair([2]string{k, other})] == 0 {
+				neverTogether = append(neverTogether, other)
 			}
 		}
-		if len(apart) > 0 {
-			fmt.Fprintf(w, "never at one time with %s: %s\n", k, strings.Join(apart, ", "))
+		if len(neverTogether) > 0 {
+			fmt.Fprintf(w, "never at one time with %s: %s\n", k, strings.Join(neverTogether, ", "))
 		}
 	}
 }
--- a/internal/lab/campaign/pool.go
+++ b/internal/lab/campaign/pool.go
@@ -13,24 +13,25 @@
 	"time"
 )
 
-// Bounds of a Pool that names none.
+// Defaults of Pool.JobTimeout and Pool.JobsPerWorker.
 const (
-	defaultPatience = 60 * time.Second
-	defaultRecycle  = 200
+	defaultJobTimeout    = 60 * time.Second
+	defaultJobsPerWorker = 200
 )
 
-// Pool plays jobs in worker processes. Its fields stay as they are while it runs.
+// Pool plays jobs in worker processes. Its fields must not change while it runs.
 type Pool struct {
-	Command  []string      // starts a worker; empty: this program, with the argument "worker"
-	Procs    int           // workers at a time; 0: one a core
-	Cores    int           // GOMAXPROCS of a worker; 0: as the environment has it, else 1
-	Patience time.Duration // a run that takes longer is killed; 0: a minute
-	Recycle  int           // a worker is replaced after so many jobs, so that memory stays flat; 0: 200
-	Trace    io.Writer     // of the jobs that ask for one, or are watched
-	Log      io.Writer     // hears what workers write to standard error
+	Command       []string      // command line of a worker; empty: this program with the argument "worker"
+	Workers       int           // number of concurrent workers; 0: one per core
+	Cores         int           // GOMAXPROCS of a worker; 0: the environment's value, or 1 if unset
+	JobTimeout    time.Duration // a run that takes longer is killed; 0: 60 s
+	JobsPerWorker int           // jobs after which a worker is replaced, to bound its memory; 0: 200
+	Trace         io.Writer     // receives the traces and samples of jobs with Trace or Watch
+	Log           io.Writer     // receives the workers' standard error; may be nil
 }
 
-func (p *Pool) cores() string {
+// maxProcs returns the value of GOMAXPROCS for a worker.
+func (p *Pool) maxProcs() string {
 	if p.Cores > 0 {
 		return strconv.Itoa(p.Cores)
 	}
@@ -40,26 +41,27 @@
 	return "1"
 }
 
-func (p *Pool) procs() int {
-	if p.Procs > 0 {
-		return p.Procs
+// workerCount returns the number of concurrent workers.
+func (p *Pool) workerCount() int {
+	if p.Workers > 0 {
+		return p.Workers
 	}
 	return runtime.NumCPU()
 }
 
-// Run plays jobs and hands each one's outcome to each, in the order of the jobs, whichever
-// ends first. It ends early when each returns false, and with an error when ctx ends, when
-// no worker can be started, or when a job could not be begun.
+// Run plays jobs concurrently and calls each with every outcome, in the order of the jobs. It
+// stops early without an error when each returns false, and with an error when ctx ends, when
+// a worker cannot be started, or when a job could not start.
 func (p *Pool) Run(ctx context.Context, jobs iter.Seq[Job], each func(Outcome) bool) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
 	q := newQueue(jobs)
 	defer q.close()
-	done := make(chan placed)
+	done := make(chan indexedOutcome)
 	var workers sync.WaitGroup
-	for range p.procs() {
+	for range p.workerCount() {
 		workers.Go(func() {
-			if err := p.serve(ctx, q, done); err != nil {
+			if err := p.runWorker(ctx, q, done); err != nil {
 				stop(err)
 			}
 		})
@@ -70,7 +72,7 @@
 	}()
 	waiting, next, wanted := map[int]Outcome{}, 0, true
 	for o := range done {
-		waiting[o.place] = o.outcome
+		waiting[o.index] = o.outcome
 		for wanted {
 			o, ok := waiting[next]
 			if !ok {
@@ -82,34 +84,35 @@
 				stop(o.Err)
 				wanted = false
 			} else if !each(o) {
-				stop(errEnough)
+				stop(errStopped)
 				wanted = false
 			}
 		}
 	}
-	if err := context.Cause(ctx); err != nil && !errors.Is(err, errEnough) {
+	if err := context.Cause(ctx); err != nil && !errors.Is(err, errStopped) {
 		return err
 	}
 	return nil
 }
 
-// errEnough ends a Run whose caller wants no more.
-var errEnough = errors.New("enough")
+// errStopped cancels a Run whose callback returned false.
+var errStopped = errors.New("enough")
 
-// placed is an outcome, and where its job stood.
-type placed struct {
-	place   int
+// indexedOutcome is an outcome with the index of its job in the sequence.
+type indexedOutcome struct {
+	index   int
 	outcome Outcome
 }
 
-// serve plays jobs on a worker, and on another where that one ends.
-func (p *Pool) serve(ctx context.Context, q *queue, done chan<- placed) error {
-	patience, recycle := p.Patience, p.Recycle
-	if patience <= 0 {
-		patience = defaultPatience
+// runWorker plays jobs from the queue on one worker process at a time. It replaces a worker that
+// died or has played JobsPerWorker jobs.
+func (p *Pool) runWorker(ctx context.Context, q *jobQueue, done chan<- indexedOutcome) error {
+	jobTimeout, jobsPerWorker := p.JobTimeout, p.JobsPerWorker
+	if jobTimeout <= 0 {
+		jobTimeout = defaultJobTimeout
 	}
-	if recycle <= 0 {
-		recycle = defaultRecycle
+	if jobsPerWorker <= 0 {
+		jobsPerWorker = defaultJobsPerWorker
 	}
 	var w *process
 	defer func() {
@@ -118,7 +121,7 @@
 		}
 	}()
 	for ctx.Err() == nil {
-		place, j, ok := q.take()
+		place, j, ok := q.next()
 		if !ok {
 			return nil
 		}
@@ -128,49 +131,52 @@
 				return fmt.Errorf("job %d: %w", j.ID, err)
 			}
 		}
-		o, alive := w.play(ctx, j, patience)
+		o, alive := w.play(ctx, j, jobTimeout)
 		switch {
 		case !alive:
 			w = nil
-		case w.played >= recycle:
+		case w.jobCount >= jobsPerWorker:
 			w.stop()
 			w = nil
 		}
-		done <- placed{place, o}
+		done <- indexedOutcome{place, o}
 	}
 	return nil
 }
 
-// queue gives out jobs in their order.
-type queue struct {
+// jobQueue hands out the jobs of a sequence in order. It is safe for concurrent use.
+type jobQueue struct {
 	mu    sync.Mutex
-	next  func() (Job, bool)
+	pull  func() (Job, bool)
 	stop  func()
-	place int
+	index int
 }
 
-func newQueue(jobs iter.Seq[Job]) *queue {
+// newQueue returns a queue over a sequence of jobs.
+func newQueue(jobs iter.Seq[Job]) *jobQueue {
 	next, stop := iter.Pull(jobs)
-	return &queue{next: next, stop: stop}
+	return &jobQueue{pull: next, stop: stop}
 }
 
-func (q *queue) take() (place int, j Job, ok bool) {
+// next returns the next job and its index; ok is false at the end of the sequence.
+func (q *jobQueue) next() (place int, j Job, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if j, ok = q.next(); !ok {
+	if j, ok = q.pull(); !ok {
 		return 0, Job{}, false
 	}
-	q.place++
-	return q.place - 1, j, true
+	q.index++
+	return q.index - 1, j, true
 }
 
-func (q *queue) close() {
+// close releases the sequence. It must be called once no job is needed any more.
+func (q *jobQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.stop()
 }
 
-// Seeds are the jobs of a range of seeds.
+// Seeds returns the jobs of count seeds, beginning with from.
 func Seeds(from, count uint64, scenario string) iter.Seq[Job] {
 	return func(yield func(Job) bool) {
 		for i := range count {
@@ -181,7 +187,7 @@
 	}
 }
 
-// One plays a single job.
+// One plays a single job and returns its outcome.
 func (p *Pool) One(ctx context.Context, j Job) (o Outcome, err error) {
 	err = p.Run(ctx, func(yield func(Job) bool) { yield(j) }, func(got Outcome) bool {
 		o = got
--- a/internal/lab/campaign/report.go
+++ b/internal/lab/campaign/report.go
@@ -11,34 +11,34 @@
 	"olivebridge/internal/lab/stage"
 )
 
-// Report is what came of a campaign over seeds.
+// Report is the result of a campaign over seeds.
 type Report struct {
 	Seeds          int         `json:"seeds"`
 	Passed         int         `json:"passed"`
 	Failed         int         `json:"failed"`
-	Requests       int         `json:"requests"` // first tries and clients' own retries
+	Requests       int         `json:"requests"` // first tries and retries by clients
 	VirtualSeconds float64     `json:"virtual_seconds"`
 	RealSeconds    float64     `json:"real_seconds"`
-	Ratio          float64     `json:"ratio"` // virtual seconds a real second, of all workers together
+	Ratio          float64     `json:"ratio"` // virtual seconds per real second, over all workers
 	Tally          stage.Tally `json:"tally"`
-	Kinds          []Count     `json:"kinds"` // seeds in which a kind of fault was
-	Pairs          []Count     `json:"pairs"` // seeds in which two kinds overlapped
+	Kinds          []Count     `json:"kinds"` // number of seeds with each kind of fault
+	Pairs          []Count     `json:"pairs"` // number of seeds in which two kinds overlapped
 	Results        []Outcome   `json:"results"`
 
-	start time.Time
-	table Table
+	startTime time.Time
+	table     FaultTable
 }
 
-// Count is in how many seeds some kinds of fault were together.
+// Count is the number of seeds in which kinds of fault occurred together.
 type Count struct {
 	Kinds []string `json:"kinds"`
 	Seeds int      `json:"seeds"`
 }
 
-// NewReport begins a report now.
-func NewReport() *Report { return &Report{start: time.Now()} }
+// NewReport returns an empty report of a campaign that starts now.
+func NewReport() *Report { return &Report{startTime: time.Now()} }
 
-// Add takes in the outcome of one seed.
+// Add adds the outcome of one seed.
 func (r *Report) Add(o Outcome) {
 	r.Seeds++
 	if o.Failed() {
@@ -49,13 +49,13 @@
 	r.Requests += o.Result.Tally.Asked + o.Result.Tally.Retries
 	r.Tally.Add(o.Result.Tally)
 	r.VirtualSeconds += o.Result.Virtual.Seconds()
-	r.RealSeconds = time.Since(r.start).Seconds()
+	r.RealSeconds = time.Since(r.startTime).Seconds()
 	r.Ratio = r.VirtualSeconds / max(r.RealSeconds, 1e-3)
 	r.table.Add(o.Result.Kinds, o.Result.Pairs)
 	r.Results = append(r.Results, o)
 }
 
-// WriteJSON writes the report, its counts made up.
+// WriteJSON computes the counts of kinds and pairs and writes the report.
 func (r *Report) WriteJSON(w io.Writer) error {
 	r.Kinds, r.Pairs = r.table.counts()
 	e := json.NewEncoder(w)
@@ -66,9 +66,9 @@
 	return nil
 }
 
-// Progress is one line on how far a campaign over so many seeds has come.
+// Progress returns one line with the progress of a campaign over count seeds.
 func (r *Report) Progress(count uint64) string {
-	spent := time.Since(r.start)
+	spent := time.Since(r.startTime)
 	left := "unknown"
 	if r.Seeds > 0 {
 		each := spent / time.Duration(r.Seeds)
@@ -78,8 +78,8 @@
 		r.Seeds, count, r.Failed, r.VirtualSeconds/max(spent.Seconds(), 1e-3), left)
 }
 
-// FailureLine is the line of a seed that failed: its first broken rule, when, how, and the
-// call that plays it again.
+// FailureLine returns one line for a failed seed: its first violation, the number of further
+// violations, and the command again that replays it.
 func FailureLine(o *Outcome, again string) string {
 	first := o.Result.Violations[0]
 	more := ""
@@ -89,6 +89,7 @@
 	return fmt.Sprintf("seed %d: %s%s; replay: %s", o.Job.Seed, first, more, again)
 }
 
+// byCount orders counts by descending number of seeds, then by kinds.
 func byCount(a, b Count) int {
 	return cmp.Or(-cmp.Compare(a.Seeds, b.Seeds), slices.Compare(a.Kinds, b.Kinds))
 }
--- a/internal/lab/campaign/shrink.go
+++ b/internal/lab/campaign/shrink.go
@@ -13,37 +13,37 @@
 	"olivebridge/internal/lab/rules"
 )
 
-// Shrinker makes the smallest script that still breaks a rule.
+// Shrinker reduces a script as long as it still breaks a rule.
 type Shrinker struct {
 	Sources Sources
 	Pool    *Pool
-	Rule    string           // the rule that must still be broken; "": the first that is
-	Tell    func(state Step) // hears of each run that is over; may be nil
+	Rule    string           // rule that must stay broken; empty: the first rule that the script breaks
+	OnStep  func(state Step) // called after each run; may be nil
 }
 
-// Step is how far a shrinking has come.
+// Step is the progress of a shrink.
 type Step struct {
-	Rule   string
-	Runs   int // that were over
-	Taken  int // cuts that kept the failure
-	Script *fault.Script
+	Rule     string
+	Runs     int // number of finished runs
+	Accepted int // number of reductions that kept the failure
+	Script   *fault.Script
 }
 
-// Shrunk is what a shrinking came to.
-type Shrunk struct {
+// ShrinkResult is the result of a shrink.
+type ShrinkResult struct {
 	Script *fault.Script
-	First  rules.Violation // as it breaks the rule now
+	First  rules.Violation // first violation of the rule by Script
 	Steps  Step
 }
 
-// Shrink takes things away as long as the rule stays broken. Cuts are tried in parallel, but
-// the first in the order of Sources.Smaller that still fails is always taken, so that the
-// outcome is the same with any number of workers. If ctx ends, what was reached until then
-// comes with the error.
-func (s *Shrinker) Shrink(ctx context.Context, script *fault.Script) (*Shrunk, error) {
-	b := &Shrunk{Script: script, Steps: Step{Rule: s.Rule, Script: script}}
+// Shrink reduces a script as long as the rule stays broken. It plays the candidates in parallel,
+// but always accepts the first candidate in the order of Sources.Smaller that still fails: the
+// result does not depend on the number of workers. If ctx ends, Shrink returns the result so far
+// together with the error.
+func (s *Shrinker) Shrink(ctx context.Context, script *fault.Script) (*ShrinkResult, error) {
+	result := &ShrinkResult{Script: script, Steps: Step{Rule: s.Rule, Script: script}}
 	tried := map[string]bool{}
-	found, err := s.pass(ctx, b, tried, func(yield func(*fault.Script) bool) { yield(script) })
+	found, err := s.pass(ctx, result, tried, func(yield func(*fault.Script) bool) { yield(script) })
 	switch {
 	case err != nil:
 		return nil, err
@@ -52,67 +52,69 @@
 	case !found:
 		return nil, errors.New("nothing to shrink: the run breaks no rule")
 	}
-	b.Steps.Taken = 0 // the whole script is no cut
+	result.Steps.Accepted = 0 // the full script is not a reduction
 	for found {
-		if found, err = s.pass(ctx, b, tried, s.Sources.Smaller(b.Script)); err != nil {
-			return b, err
+		if found, err = s.pass(ctx, result, tried, s.Sources.Smaller(result.Script)); err != nil {
+			return result, err
 		}
 	}
-	return b, nil
+	return result, nil
 }
 
-// pass plays scripts that have not been tried until one breaks the rule, which b then holds.
-func (s *Shrinker) pass(ctx context.Context, b *Shrunk, tried map[string]bool,
-	some iter.Seq[*fault.Script]) (found bool, err error) {
-	var played []*fault.Script // by the number of the job
-	var unwritten error
+// pass plays those scripts that have not been tried until one breaks the rule, and stores that
+// script in result.
+func (s *Shrinker) pass(ctx context.Context, result *ShrinkResult, tried map[string]bool,
+	scripts iter.Seq[*fault.Script]) (found bool, err error) {
+	var played []*fault.Script // indexed by job ID
+	var writeErr error
 	jobs := func(yield func(Job) bool) {
-		here := map[string]bool{}
-		for script := range some {
+		seen := map[string]bool{}
+		for script := range scripts {
 			var text bytes.Buffer
-			if unwritten = s.Sources.Write(script, &text); unwritten != nil {
+			if writeErr = s.Sources.Write(script, &text); writeErr != nil {
 				return
 			}
-			sum := digestOf(text.String())
-			if tried[sum] || here[sum] {
+			sum := hashOf(text.String())
+			if tried[sum] || seen[sum] {
 				continue
 			}
-			here[sum] = true
+			seen[sum] = true
 			played = append(played, script)
 			if !yield(Job{ID: len(played) - 1, Seed: script.Seed, Script: text.String()}) {
 				return
 			}
 		}
 	}
-	taken := 0
-	// Those begun after the one that is taken may have ended or not, by luck: they count as not tried.
-	var over []string
+	acceptedJob := 0
+	// Whether jobs after the accepted one have finished depends on timing: they count as not tried.
+	var finished []string
 	err = s.Pool.Run(ctx, jobs, func(o Outcome) bool {
-		over = append(over, digestOf(o.Job.Script))
-		b.Steps.Runs++
-		if b.Steps.Rule == "" && o.Failed() {
-			b.Steps.Rule = o.Result.Violations[0].Rule
+		finished = append(finished, hashOf(o.Job.Script))
+		result.Steps.Runs++
+		if result.Steps.Rule == "" && o.Failed() {
+			result.Steps.Rule = o.Result.Violations[0].Rule
 		}
-		if v, broke := o.Broke(b.Steps.Rule); broke {
-			found, taken, b.First = true, o.Job.ID, v
-			b.Steps.Taken++
+		if v, broke := o.Broke(result.Steps.Rule); broke {
+			found, acceptedJob, result.First = true, o.Job.ID, v
+			result.Steps.Accepted++
 		}
-		if s.Tell != nil {
-			s.Tell(b.Steps)
+		if s.OnStep != nil {
+			s.OnStep(result.Steps)
 		}
 		return !found
 	})
-	for _, sum := range over {
+	for _, sum := range finished {
 		tried[sum] = true
 	}
 	if found {
-		b.Script = played[taken] // no worker takes jobs any more
-		b.Steps.Script = b.Script
+		result.Script = played[acceptedJob] // safe to read: the pool has stopped
+		result.Steps.Script = result.Script
 	}
-	return found, cmp.Or(err, unwritten)
+	return found, cmp.Or(err, writeErr)
 }
 
-func digestOf(text string) string {
+// hashOf returns the SHA-256 sum of a script's text.
+func hashOf(text string) string {
 	sum := sha256.Sum256([]byte(text))
 	return string(sum[:])
 }
--- a/internal/lab/campaign/sources.go
+++ b/internal/lab/campaign/sources.go
@@ -1,9 +1,9 @@
-// Package campaign plays many seeds in many processes, and does what takes many runs: it
-// shrinks a script that fails, counts which faults met, and hunts for mutants.
+// Package campaign plays many seeds in parallel worker processes. It also shrinks a failing
+// script, counts overlapping faults, and hunts mutants.
 //
-// Runs happen in worker processes, since a bubble that deadlocks, or a panic in a goroutine
-// of a node, ends the process that it is in. A worker is the same program, started with one
-// more argument: whoever uses this package calls Work there.
+// Runs are isolated in worker processes because a deadlocked synctest bubble, or a panic in a
+// goroutine of a node, ends the whole process. A worker is the same program, started with an
+// additional argument; a program that uses this package calls RunWorker for that argument.
 package campaign
 
 import (
@@ -15,32 +15,32 @@
 	"olivebridge/internal/lab/stage"
 )
 
-// Player plays one script inside a bubble that the worker has made, and writes its trace to w (nil: none).
+// Player plays one script inside the worker's synctest bubble and writes its trace to w; w may be nil.
 type Player func(t *testing.T, s *fault.Script, w io.Writer) stage.Result
 
-// Draw makes the script of a seed.
+// Draw returns the script of a seed.
 type Draw func(seed uint64) *fault.Script
 
-// Sources are what a campaign needs of scripts and runs. They stand here alone, so that
-// the package can be tested without a world, and used with another.
+// Sources holds the functions with which a campaign draws, parses, plays and reduces scripts.
+// Passing them in allows tests without a world, and use with another world.
 type Sources struct {
-	// Play plays a script. Logged is the same with the nodes' logs written to log.
+	// Play plays a script. Logged returns a Player that also writes the nodes' logs to log.
 	Play   Player
 	Logged func(log io.Writer) Player
-	// Watched plays a script and tells to how it goes, in the place of a trace.
+	// Watched plays a script and writes the samples of the run in place of a trace.
 	Watched Player
-	// Scenario reads the file that seeds draw from; "" is the one that is built in.
+	// Scenario loads a scenario file; an empty path is the built-in scenario.
 	Scenario func(path string) (Draw, error)
-	// Parse reads a script; its errors name the file, the line and the reason, in one line.
+	// Parse parses a script; its errors are one line with the file, the line and the reason.
 	Parse func(name string, text []byte) (*fault.Script, error)
-	// Write writes a script as Parse reads it.
+	// Write writes a script in the format that Parse reads.
 	Write func(s *fault.Script, w io.Writer) error
-	// Smaller gives scripts each with something taken away, the largest cuts first.
+	// Smaller yields reductions of a script, the largest reductions first.
 	Smaller func(s *fault.Script) iter.Seq[*fault.Script]
-	// Kinds and Pairs are the kinds of fault in a script, and which of them overlap.
+	// Kinds returns the kinds of fault in a script, Pairs the pairs of kinds that overlap.
 	Kinds func(s *fault.Script) []string
 	Pairs func(s *fault.Script) [][2]string
-	// AllKinds are the kinds that there are, Rules the names of the rules.
+	// AllKinds lists all kinds of fault, Rules the names of all rules.
 	AllKinds []string
 	Rules    []string
 }
--- a/internal/lab/campaign/worker.go
+++ b/internal/lab/campaign/worker.go
@@ -19,39 +19,40 @@
 	"olivebridge/internal/lab/stage"
 )
 
-// What a worker finds open beside the usual three: where its replies go, alone, and where
-// traces go. Package testing writes to standard output as it likes.
+// Additional file descriptors of a worker: one for its replies, one for traces. Replies do not
+// go to standard output because package testing writes there.
 const (
-	replyFile = 3
-	traceFile = 4
+	replyFD = 3
+	traceFD = 4
 )
 
-// Work is the life of a worker process: it plays the jobs that come on standard input, one
-// at a time, until that ends. It does not return.
+// RunWorker is the main function of a worker process: it plays the jobs from standard input, one
+// at a time, until the end of the input. It does not return.
 //
-// testing/synctest wants a *testing.T, so the life goes on inside testing.Main, which the
-// standard library keeps for programs that bring their own tests.
-func Work(s Sources) {
-	debug.SetGCPercent(400) // a worker is small, and eight of them are not much
+// testing/synctest needs a *testing.T, so the jobs run inside testing.Main, which the standard
+// library provides for programs with their own tests.
+func RunWorker(s Sources) {
+	debug.SetGCPercent(400) // trades memory for speed: a worker's heap is small, even times eight workers
 	testing.Init()
-	// The real line is not for package testing.
+	// Keep package testing from parsing the program's own command line.
 	if err := flag.CommandLine.Parse([]string{"-test.timeout=0"}); err != nil {
 		fmt.Fprintln(os.Stderr, "worker:", err)
 		os.Exit(2)
 	}
 	all := func(string, string) (bool, error) { return true, nil }
-	go writeGoroutines()
-	life := func(t *testing.T) {
-		replies := os.NewFile(replyFile, "replies")
+	go dumpGoroutinesOnQuit()
+	serveJobs := func(t *testing.T) {
+		replies := os.NewFile(replyFD, "replies")
 		w := worker{sources: s, scenarios: map[string]Draw{}, out: json.NewEncoder(replies)}
-		w.live(t, os.Stdin)
+		w.serve(t, os.Stdin)
 	}
-	testing.Main(all, []testing.InternalTest{{Name: "lab", F: life}}, nil, nil)
+	testing.Main(all, []testing.InternalTest{{Name: "lab", F: serveJobs}}, nil, nil)
 }
 
-// writeGoroutines ends the process at SIGQUIT, as the runtime would, but with the stack of
-// the goroutine that runs, too: in a run that comes to no end it is the one that matters.
-func writeGoroutines() {
+// dumpGoroutinesOnQuit exits on SIGQUIT with the stacks of all goroutines, as the runtime does.
+// Unlike the runtime it includes the running goroutine, which is the relevant one if a run does
+// not end.
+func dumpGoroutinesOnQuit() {
 	quit := make(chan os.Signal, 1)
 	signal.Notify(quit, syscall.SIGQUIT)
 	<-quit
@@ -60,15 +61,16 @@
 	os.Exit(2)
 }
 
+// worker is the state of a worker process.
 type worker struct {
 	sources   Sources
 	scenarios map[string]Draw
 	out       *json.Encoder
 }
 
-// live plays jobs until in ends. Jobs are read outside of all bubbles, so that the end of
-// the parent ends a worker in the middle of a run, too.
-func (w *worker) live(t *testing.T, in io.Reader) {
+// serve plays jobs until the end of in. It reads jobs outside of any bubble, so that the worker
+// exits when the parent does, even in the middle of a run.
+func (w *worker) serve(t *testing.T, in io.Reader) {
 	jobs := make(chan Job)
 	go func() {
 		for decoder := json.NewDecoder(in); ; {
@@ -90,7 +92,7 @@
 	}
 }
 
-// play plays one job in a bubble of its own.
+// play plays one job in a new bubble.
 func (w *worker) play(t *testing.T, j Job) reply {
 	script, err := w.script(j)
 	if err != nil {
@@ -98,7 +100,7 @@
 	}
 	var trace io.Writer
 	if j.Trace || j.Watch {
-		trace = os.NewFile(traceFile, "trace")
+		trace = os.NewFile(traceFD, "trace")
 	}
 	player := w.sources.Play
 	if j.Log {
@@ -106,11 +108,11 @@
 	}
 	if j.Watch {
 		if player = w.sources.Watched; player == nil {
-			return reply{ID: j.ID, Error: "this worker tells nothing of its runs"}
+			return reply{ID: j.ID, Error: "this worker does not report samples"}
 		}
 	}
 	var result *stage.Result
-	whole := t.Run("run", func(t *testing.T) {
+	passed := t.Run("run", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			r := player(t, script, trace)
 			result = &r
@@ -119,14 +121,14 @@
 	if result == nil {
 		result = &stage.Result{Seed: script.Seed}
 	}
-	if !whole { // so the race detector tells, where the worker was built with it
+	if !passed { // for example by the race detector, in a worker built with it
 		v := rules.Violation{Rule: RuleCrash, At: result.Virtual, What: "the run was failed by package testing"}
 		result.Violations = append(result.Violations, v)
 	}
 	return reply{ID: j.ID, Result: result}
 }
 
-// script reads or draws what a job is to play.
+// script parses or draws the script of a job.
 func (w *worker) script(j Job) (*fault.Script, error) {
 	if j.Script != "" {
 		return w.sources.Parse("script", []byte(j.Script))
--- a/internal/lab/experiment/virtual.go
+++ b/internal/lab/experiment/virtual.go
@@ -30,7 +30,7 @@
 		return RunResult{}, err
 	}
 	reader := sample.NewReader(to)
-	pool := &campaign.Pool{Command: v.Command, Procs: 1, Trace: reader, Log: v.Log}
+	pool := &campaign.Pool{Command: v.Command, Workers: 1, Trace: reader, Log: v.Log}
 	o, err := pool.One(ctx, campaign.Job{Seed: s.Seed, Script: text.String(), Watch: true})
 	switch {
 	case err != nil:
