--- a/cmd/olivelab/fleet.go
+++ b/cmd/olivelab/fleet.go
@@ -208,7 +208,7 @@
 		return live.BuildFleet(ctx, dir, r.mutant != "" || slices.ContainsFunc(scripts, fleet.ForMutants))
 	}
 	for _, path := range []string{r.node, filepath.Join(filepath.Dir(r.node), "olivefleet")} {
-		if err := live.Program(path); err != nil {
+		if err := live.CheckProgram(path); err != nil {
 			return "", fmt.Errorf("--node: %w", unreadable(err))
 		}
 	}
--- a/cmd/olivelab/run.go
+++ b/cmd/olivelab/run.go
@@ -38,7 +38,7 @@
 		return experiment.Virtual{}, nil
 	}
 	if build = cmp.Or(build, k.node); build != "" {
-		if err := live.Program(build); err != nil {
+		if err := live.CheckProgram(build); err != nil {
 			return nil, unreadable(err)
 		}
 		path, err := filepath.Abs(build)
--- a/cmd/olivelab/screen.go
+++ b/cmd/olivelab/screen.go
@@ -122,7 +122,7 @@
 	rows = append(rows, "", "node   state     tries  clients  cpu")
 	for _, n := range t.Nodes {
 		rows = append(rows, fmt.Sprintf("%-6s %-8s %6d %8d  %.2fs",
-			n.Name, n.State, n.Tries, n.Clients, n.Used.Seconds()))
+			n.Name, n.State, n.Tries, n.Clients, n.CPUTime.Seconds()))
 	}
 	rows = append(rows, "", "peer   state     listed       in flight  served")
 	for i, p := range t.Peers {
@@ -131,7 +131,7 @@
 			break
 		}
 		rows = append(rows, fmt.Sprintf("%-6s %-8s  %-11s %10d %7d  %s",
-			p.Name, p.State, p.Listed, p.InFlight, p.Served, p.Ails))
+			p.Name, p.State, p.Listed, p.InFlight, p.Served, p.Effects))
 	}
 	return append(rows, strings.Repeat("-", 72)+behind(t))
 }
@@ -147,13 +147,13 @@
 	in, flying, other := 0, 0, ""
 	for _, p := range t.Peers {
 		flying += p.InFlight
-		if p.State == live.Up && p.Ails == "" {
+		if p.State == live.Up && p.Effects == "" {
 			in++
 			continue
 		}
 		other += ", " + p.Name + " " + p.State
-		if p.Ails != "" && p.State == live.Up {
-			other += " (" + p.Ails + ")"
+		if p.Effects != "" && p.State == live.Up {
+			other += " (" + p.Effects + ")"
 		}
 	}
 	return line + fmt.Sprintf(" | peers: %d up, %d in flight%s%s", in, flying, other, behind(t))
@@ -164,10 +164,10 @@
 
 // behind says that the load itself was late, if it was.
 func behind(t live.Snapshot) string {
-	if t.Behind < muchBehind {
+	if t.MaxLag < muchBehind {
 		return ""
 	}
-	return fmt.Sprintf(" | the load ran %v late", t.Behind.Round(time.Millisecond))
+	return fmt.Sprintf(" | the load ran %v late", t.MaxLag.Round(time.Millisecond))
 }
 
 // total is all of a run in a line.
--- a/cmd/olivelab/up.go
+++ b/cmd/olivelab/up.go
@@ -75,7 +75,7 @@
 	if u.node == "" {
 		return nil
 	}
-	if err := live.Program(u.node); err != nil {
+	if err := live.CheckProgram(u.node); err != nil {
 		return fmt.Errorf("--node: %w", unreadable(err))
 	}
 	return nil
--- a/internal/lab/experiment/sockets.go
+++ b/internal/lab/experiment/sockets.go
@@ -52,7 +52,7 @@
 	if ctx.Err() != nil {
 		return RunResult{}, ctx.Err()
 	}
-	if err := r.Machine(); err != nil {
+	if err := r.MachineErr(); err != nil {
 		return RunResult{}, fmt.Errorf("playing on sockets: %w", err)
 	}
 	return RunResult{Clock: clockSockets, Broken: broken}, nil
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -134,10 +134,10 @@
 		Log:   g.options.Log,
 		Watch: g,
 		Fleet: g,
-		Came: func(peer, call string) {
+		AttemptArrived: func(peer, call string) {
 			g.came = append(g.came, Arrival{At: record.Now(), Peer: peer, Call: call})
 		},
-		Done: func(peer, call string) {
+		AttemptEnded: func(peer, call string) {
 			g.came = append(g.came, Arrival{At: record.Now(), Peer: peer, Call: call, Done: true})
 		},
 		Spared: func(_, call string) { g.spared = append(g.spared, call) },
@@ -170,7 +170,7 @@
 // fillAccount adds what the run and the rig saw, once all processes have ended.
 func (g *rig) fillAccount(a *Account, run *live.Run) {
 	a.Broken = run.Broken()
-	a.RunError = run.Machine()
+	a.RunError = run.MachineErr()
 	a.Tally = run.Table().Total
 	a.Events = g.events
 	a.CPU = g.cpu
--- a/internal/lab/live/build.go
+++ b/internal/lab/live/build.go
@@ -13,11 +13,11 @@
 // returns its path, in dir.
 func Build(ctx context.Context, dir string) (string, error) {
 	path := filepath.Join(dir, "olivebridge")
-	return built(ctx, path, []string{"build", "-o", path, "olivebridge/cmd/olivebridge"})
+	return runGoBuild(ctx, path, []string{"build", "-o", path, "olivebridge/cmd/olivebridge"})
 }
 
-// built calls the go command, and returns the path of what it was to build.
-func built(ctx context.Context, path string, args []string) (string, error) {
+// runGoBuild calls the go command, and returns the path of what it was to build.
+func runGoBuild(ctx context.Context, path string, args []string) (string, error) {
 	out, err := exec.CommandContext(ctx, "go", args...).CombinedOutput()
 	if err == nil {
 		return path, nil
@@ -39,11 +39,11 @@
 		args = append(args, "-tags", "mutant")
 	}
 	args = append(args, "olivebridge/cmd/olivebridge", "olivebridge/cmd/olivefleet")
-	return built(ctx, filepath.Join(dir, "olivebridge"), args)
+	return runGoBuild(ctx, filepath.Join(dir, "olivebridge"), args)
 }
 
-// Program checks that a path is one of a program that can be run.
-func Program(path string) error {
+// CheckProgram checks that a path is one of a program that can be run.
+func CheckProgram(path string) error {
 	info, err := os.Stat(path)
 	switch {
 	case err != nil:
--- a/internal/lab/live/child.go
+++ b/internal/lab/live/child.go
@@ -16,22 +16,22 @@
 	env     []string
 	log     *os.File
 	line    func(line string) (keep bool) // hears each line of its log, on a goroutine of the process's
-	gone    chan struct{}                 // closed once nothing of it is left
+	exited  chan struct{}                 // closed once nothing of it is left
 
 	// The loop's.
-	leaving bool // it was told to end
-	listens bool // it has started, and hears signals: before that they would end it
-	told    bool // its file has changed
-	refuses bool // it must not start
-	amounts int  // how often those of budgets had changed when it read its fleet file last
+	terminating       bool // it was told to end
+	serving           bool // it has started, and hears signals: before that they would end it
+	configChanged     bool // its file has changed
+	mustRefuseStart   bool // it must not start
+	fleetFileRevision int  // how often those of budgets had changed when it read its fleet file last
 
-	last string        // line that it wrote; once gone
-	used time.Duration // of processor; once gone
-	left bool          // it has left children behind, which were killed; once gone
+	lastLine     string        // line that it wrote; once gone
+	cpuTime      time.Duration // of processor; once gone
+	leftChildren bool          // it has left children behind, which were killed; once gone
 
-	mu      sync.Mutex
-	process *os.Process
-	early   syscall.Signal // that came before the process was there
+	mu          sync.Mutex
+	process     *os.Process
+	earlySignal syscall.Signal // that came before the process was there
 }
 
 // run runs the process to its end. The thread that starts it stays with it: the
@@ -40,22 +40,22 @@
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	defer c.log.Close()
-	out := &lines{child: c}
+	out := &logWriter{child: c}
 	cmd := exec.Command(c.program)
-	cmd.Env, cmd.Stderr, cmd.SysProcAttr, cmd.WaitDelay = c.env, out, apart(), time.Second
+	cmd.Env, cmd.Stderr, cmd.SysProcAttr, cmd.WaitDelay = c.env, out, processAttributes(), time.Second
 	if err := cmd.Start(); err != nil {
 		return err
 	}
 	c.mu.Lock()
 	c.process = cmd.Process
-	if c.early != 0 {
-		c.process.Signal(c.early)
+	if c.earlySignal != 0 {
+		c.process.Signal(c.earlySignal)
 	}
 	c.mu.Unlock()
 	err := cmd.Wait()
-	c.last = out.last
-	c.used = cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
-	c.left = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) == nil // the group is its own
+	c.lastLine = out.lastLine
+	c.cpuTime = cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
+	c.leftChildren = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) == nil // the group is its own
 	return err
 }
 
@@ -67,7 +67,7 @@
 	case c.process != nil:
 		c.process.Signal(s) // one that has ended needs none
 	case s == syscall.SIGKILL || s == syscall.SIGTERM:
-		c.early = syscall.SIGKILL
+		c.earlySignal = syscall.SIGKILL
 	}
 }
 
@@ -84,25 +84,25 @@
 	return c.process.Pid
 }
 
-// lines writes a process's log, line by line.
-type lines struct {
-	child *child
-	part  []byte
-	last  string
+// logWriter writes a process's log, line by line.
+type logWriter struct {
+	child    *child
+	partial  []byte
+	lastLine string
 }
 
 // Write implements io.Writer.
-func (l *lines) Write(b []byte) (int, error) {
-	l.part = append(l.part, b...)
+func (l *logWriter) Write(b []byte) (int, error) {
+	l.partial = append(l.partial, b...)
 	for {
-		i := bytes.IndexByte(l.part, '\n')
+		i := bytes.IndexByte(l.partial, '\n')
 		if i < 0 {
 			return len(b), nil
 		}
-		line := string(l.part[:i])
-		l.part = l.part[i+1:]
+		line := string(l.partial[:i])
+		l.partial = l.partial[i+1:]
 		if l.child.line(line) {
-			l.last = line
+			l.lastLine = line
 			l.child.log.WriteString(line + "\n") // nobody could be told of an error
 		}
 	}
--- a/internal/lab/live/child_linux.go
+++ b/internal/lab/live/child_linux.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// apart keeps a terminal's signals from a child, and lets it die with its parent.
-func apart() *syscall.SysProcAttr {
+// processAttributes keeps a terminal's signals from a child, and lets it die with its parent.
+func processAttributes() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 }
 
-// usedBy is the processor time that a running process has used; 0 if that cannot be told.
-func usedBy(pid int) time.Duration {
+// cpuTimeOf is the processor time that a running process has used; 0 if that cannot be told.
+func cpuTimeOf(pid int) time.Duration {
 	data, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, text, _ := strings.Cut(string(data), ") ") // behind the name, which may hold anything
 	fields := strings.Fields(text)
--- a/internal/lab/live/do.go
+++ b/internal/lab/live/do.go
@@ -16,8 +16,8 @@
 
 // How a drain that was asked for goes.
 const (
-	turnsAwayAfter = 1500 * time.Millisecond
-	exitsAfter     = 4 * time.Second
+	drainRejectAfter = 1500 * time.Millisecond
+	drainExitAfter   = 4 * time.Second
 )
 
 // Help says what Do takes.
@@ -31,8 +31,8 @@
 
 // Do does something to a peer or a node, as Help has it, and says what it did.
 func (r *Run) Do(command string) (did string, err error) {
-	if !r.on(func() { did, err = r.do(strings.Fields(command)) }) {
-		return "", errOver
+	if !r.runOnLoop(func() { did, err = r.do(strings.Fields(command)) }) {
+		return "", errRunOver
 	}
 	return did, err
 }
@@ -54,7 +54,7 @@
 		return "", fmt.Errorf("%s: takes %s", verb, [...]string{"at most a name", "a name", "a peer and a figure"}[wants])
 	}
 	n, p := r.node(args[0]), r.peer(args[0])
-	if p != nil && !p.begun {
+	if p != nil && !p.started {
 		p = nil
 	}
 	switch {
@@ -77,17 +77,17 @@
 			n.Start()
 			return name + " starts", nil
 		}
-		n.again = true
+		n.restart = true
 		n.Term()
 		return name + " drains, and starts again", nil
 	}
-	n.again = false
+	n.restart = false
 	n.Kill()
 	r.undo = append(r.undo, undo{name, "killed", func() { n.Start() }})
 	return name + " is killed", nil
 }
 
-func (r *Run) doPeer(verb string, p *server, figures []string) (string, error) {
+func (r *Run) doPeer(verb string, p *peerHost, figures []string) (string, error) {
 	name := p.c.Name
 	note := func(what string, heal func()) (string, error) {
 		r.undo = append(r.undo, undo{name, what, heal})
@@ -101,7 +101,7 @@
 		p.Kill()
 		return note("killed", p.startAgain)
 	case "drain":
-		p.Drain(turnsAwayAfter, exitsAfter)
+		p.Drain(drainRejectAfter, drainExitAfter)
 		return note("draining", p.startAgain)
 	case "vanish":
 		r.net.Vanish(hostOf(p.c))
@@ -124,7 +124,7 @@
 }
 
 // startAgain starts a peer's process once the one before it has ended.
-func (s *server) startAgain() {
+func (s *peerHost) startAgain() {
 	switch {
 	case s.Down():
 		s.Start()
@@ -149,7 +149,7 @@
 		u.heal()
 	}
 	for _, p := range r.peers {
-		if p.begun && p.Down() && (name == "" || name == p.c.Name) {
+		if p.started && p.Down() && (name == "" || name == p.c.Name) {
 			p.Start()
 		}
 	}
@@ -164,8 +164,8 @@
 	return name + " healed", nil
 }
 
-// ails is what was done to one and not undone.
-func (r *Run) ails(name string) string {
+// effects is what was done to one and not undone.
+func (r *Run) effects(name string) string {
 	var all []string
 	for _, u := range r.undo {
 		if u.name == name {
--- a/internal/lab/live/fleet.go
+++ b/internal/lab/live/fleet.go
@@ -54,62 +54,62 @@
 func (c company) Clock(node string, by time.Duration) { c.r.options.Fleet.Clock(node, by) }
 
 const (
-	// meetWithin is how long a process may take to come to a step, meetEach how often the rig looks.
-	meetWithin = 4 * time.Second
-	meetEach   = 2 * time.Millisecond
+	// stepTimeout is how long a process may take to come to a step, meetEach how often the rig looks.
+	stepTimeout      = 4 * time.Second
+	stepPollInterval = 2 * time.Millisecond
 )
 
-func (c company) At(node, step string, at func(goOn func())) {
-	met, goOn, err := c.r.options.Fleet.Arm(node, step)
+func (c company) At(node, step string, at func(resume func())) {
+	reached, resume, err := c.r.options.Fleet.Arm(node, step)
 	if err != nil {
 		c.r.fail("%s cannot be met %s: %v", node, step, err)
 		return
 	}
-	end := c.r.loop.Now() + meetWithin
-	var look func()
-	look = func() {
+	end := c.r.loop.Now() + stepTimeout
+	var poll func()
+	poll = func() {
 		switch {
-		case met():
+		case reached():
 			c.r.options.Fleet.Tell(node, "met "+step, 0)
-			at(goOn)
+			at(resume)
 		case c.r.loop.Now() >= end:
-			goOn()
+			resume()
 			c.r.options.Fleet.Tell(node, "not met "+step, 0)
 		default:
-			c.r.loop.After(meetEach, look)
+			c.r.loop.After(stepPollInterval, poll)
 		}
 	}
-	look()
+	poll()
 }
 
 func (c company) Amounts(share float64) {
 	times, err := c.r.options.Fleet.Amounts(share)
-	c.rewritten(times, err)
+	c.fleetFilesWritten(times, err)
 }
 
 func (c company) Voters(names []string) {
 	times, err := c.r.options.Fleet.Voters(names)
-	c.rewritten(times, err)
+	c.fleetFilesWritten(times, err)
 }
 
-// rewritten has all processes read their fleet files again.
-func (c company) rewritten(times int, err error) {
+// fleetFilesWritten has all processes read their fleet files again.
+func (c company) fleetFilesWritten(times int, err error) {
 	if err != nil {
 		c.r.fail("fleet files: %v", err)
 		return
 	}
-	c.r.amounts = times
+	c.r.fleetFileRevision = times
 	for _, i := range c.r.nodes {
-		for _, p := range []*child{i.live, i.next, i.twin} {
-			i.readAgain(p)
+		for _, p := range []*child{i.current, i.next, i.twin} {
+			i.reloadFleetFile(p)
 		}
 	}
 }
 
-// readAgain has a process read its fleet file again, if that has changed since and it serves by now.
-func (i *instance) readAgain(c *child) {
-	if c != nil && c.listens && c.amounts != i.run.amounts {
-		c.amounts = i.run.amounts
+// reloadFleetFile has a process read its fleet file again, if that has changed since and it serves by now.
+func (i *instance) reloadFleetFile(c *child) {
+	if c != nil && c.serving && c.fleetFileRevision != i.run.fleetFileRevision {
+		c.fleetFileRevision = i.run.fleetFileRevision
 		c.signal(syscall.SIGHUP)
 	}
 }
@@ -121,18 +121,18 @@
 		c.r.fail("the directory of %s cannot be made %s: %v", node, how, err)
 		return func() {}
 	}
-	i.spoilt = how != fault.Emptied
-	i.tell("directory "+string(how), nil)
+	i.directoryDamaged = how != fault.Emptied
+	i.report("directory "+string(how), nil)
 	return func() {
 		mend()
-		i.spoilt = false
+		i.directoryDamaged = false
 	}
 }
 
 func (c company) Stop(node string) func() {
 	i := c.r.node(node)
 	i.stop()
-	return i.goOn
+	return i.resume
 }
 
 func (c company) Upgrade(node string) { c.r.node(node).upgrade() }
@@ -143,28 +143,28 @@
 	return i.endTwin
 }
 
-// stops is how long the kernel may take over a SIGSTOP.
-const stops = 2 * time.Second
+// stopTimeout is how long the kernel may take over a SIGSTOP.
+const stopTimeout = 2 * time.Second
 
 // stop stops the process, and looks that it stands still: a rig that only believes so proves nothing.
 func (i *instance) stop() {
-	c := i.live
+	c := i.current
 	if c == nil || c.pid() == 0 || i.stopped != nil {
 		return
 	}
 	i.stopped = c
 	c.signal(syscall.SIGSTOP)
-	for began := time.Now(); !standsStill(c.pid()); time.Sleep(time.Millisecond) {
-		if time.Since(began) > stops {
-			i.run.fail("node %s does not stand still %v after SIGSTOP", i.c.Name, stops)
+	for began := time.Now(); !isStopped(c.pid()); time.Sleep(time.Millisecond) {
+		if time.Since(began) > stopTimeout {
+			i.run.fail("node %s does not stand still %v after SIGSTOP", i.c.Name, stopTimeout)
 			break
 		}
 	}
-	i.tell("stopped", c)
+	i.report("stopped", c)
 }
 
-// standsStill reports whether a process is stopped, or gone.
-func standsStill(pid int) bool {
+// isStopped reports whether a process is stopped, or gone.
+func isStopped(pid int) bool {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return true
@@ -173,26 +173,26 @@
 	return strings.HasPrefix(text, "T") || strings.HasPrefix(text, "Z")
 }
 
-func (i *instance) goOn() {
+func (i *instance) resume() {
 	if c := i.stopped; c != nil {
 		i.stopped = nil
-		i.tell("goes on", c)
+		i.report("goes on", c)
 		c.signal(syscall.SIGCONT)
 	}
 }
 
 // upgrade starts the next process beside the one in service.
 func (i *instance) upgrade() {
-	if i.live == nil || i.live.leaving || !i.live.listens || i.next != nil || i.stopped != nil {
+	if i.current == nil || i.current.terminating || !i.current.serving || i.next != nil || i.stopped != nil {
 		return
 	}
 	prior := i.prior
-	c := i.spawn(false, false)
+	c := i.newProcess(false, false)
 	if c == nil {
 		return
 	}
 	i.next = c
-	i.tell("upgrade", c)
+	i.report("upgrade", c)
 	i.launch(c, nil)
 	own, both := i.prior, make(chan struct{})
 	i.prior = both
@@ -203,25 +203,25 @@
 	})
 }
 
-// listens hears that a process serves. In an upgrade the one before it is told to end.
-func (i *instance) listens(c *child) {
+// onServing hears that a process serves. In an upgrade the one before it is told to end.
+func (i *instance) onServing(c *child) {
 	switch {
-	case c.refuses:
-		i.run.breaks("refusal", "node %s started in a directory in which it must not", i.c.Name)
+	case c.mustRefuseStart:
+		i.run.addViolation("refusal", "node %s started in a directory in which it must not", i.c.Name)
 	case c == i.next:
-		predecessor := i.live
-		i.live, i.next = c, nil
-		i.tell("upgraded", c)
+		predecessor := i.current
+		i.current, i.next = c, nil
+		i.report("upgraded", c)
 		if predecessor != nil {
-			predecessor.leaving = true
+			predecessor.terminating = true
 			predecessor.signal(syscall.SIGTERM)
 		}
-	case c == i.live:
-		i.tell("serves", c)
+	case c == i.current:
+		i.report("serves", c)
 	case c == i.twin:
-		i.tell("twin serves", c)
+		i.report("twin serves", c)
 	}
-	i.readAgain(c)
+	i.reloadFleetFile(c)
 }
 
 // killNext ends an upgrade that has not come to its end.
@@ -232,34 +232,34 @@
 	}
 }
 
-// other takes the end of a process that is not the one in service, and reports whether it was one.
-func (i *instance) other(c *child, err error) bool {
+// handleOtherExit takes the end of a process that is not the one in service, and reports whether it was one.
+func (i *instance) handleOtherExit(c *child, err error) bool {
 	if c == i.stopped {
 		i.stopped = nil
 	}
 	switch c {
-	case i.live:
+	case i.current:
 		return false
 	case i.next:
 		i.next = nil
-		i.run.breaks("crash", "node %s: the next process ended: %v; it wrote: %s", i.c.Name, err, c.last)
+		i.run.addViolation("crash", "node %s: the next process ended: %v; it wrote: %s", i.c.Name, err, c.lastLine)
 	case i.twin:
 		i.twin = nil
-		i.run.breaks("crash", "node %s: the stranger ended: %v; it wrote: %s", i.c.Name, err, c.last)
+		i.run.addViolation("crash", "node %s: the stranger ended: %v; it wrote: %s", i.c.Name, err, c.lastLine)
 	}
 	return true
 }
 
-// refused takes the end of a process that was to refuse its start.
-func (i *instance) refused(c *child, err error) bool {
-	if !c.refuses {
+// handleRefusedStart takes the end of a process that was to refuse its start.
+func (i *instance) handleRefusedStart(c *child, err error) bool {
+	if !c.mustRefuseStart {
 		return false
 	}
-	if err == nil || !strings.Contains(c.last, "directory:") {
-		i.run.breaks("refusal", "node %s: ended with %v in a directory in which it must not start; it wrote: %s", i.c.Name,
-			err, c.last)
+	if err == nil || !strings.Contains(c.lastLine, "directory:") {
+		i.run.addViolation("refusal", "node %s: ended with %v in a directory in which it must not start; it wrote: %s", i.c.Name,
+			err, c.lastLine)
 	}
-	i.tell("refused", c)
+	i.report("refused", c)
 	return true
 }
 
@@ -268,12 +268,12 @@
 	if i.twin != nil {
 		return
 	}
-	c := i.spawn(false, true)
+	c := i.newProcess(false, true)
 	if c == nil {
 		return
 	}
 	i.twin = c
-	i.tell("twin", c)
+	i.report("twin", c)
 	prior := i.prior
 	i.launch(c, nil)
 	i.prior = prior
@@ -282,7 +282,7 @@
 func (i *instance) endTwin() {
 	if c := i.twin; c != nil {
 		i.twin = nil
-		i.tell("twin killed", c)
+		i.report("twin killed", c)
 		c.signal(syscall.SIGKILL)
 	}
 }
--- a/internal/lab/live/judge.go
+++ b/internal/lab/live/judge.go
@@ -10,7 +10,7 @@
 	"olivebridge/internal/lab/world/client"
 )
 
-// judge holds nodes to those rules of package rules that can be told for sure
+// checker holds nodes to those rules of package rules that can be told for sure
 // from the ends of clients and peers, whatever the way between them does and
 // however late this machine runs:
 //
@@ -21,108 +21,108 @@
 //   - bad: what must not be served is not (see Run.misled).
 //
 // It belongs to the loop.
-type judge struct {
-	hears  func(peer, call string) // of each try; nil: nobody
-	ends   func(peer, call string) // of the end of each; nil: nobody
-	spares func(peer, call string) // hears of those that will not run; nil: nobody
-	most   int                     // tries of a call
-	keeps  time.Duration           // how long a call is remembered
-	now    func() time.Duration
-	calls  map[string]*met
-	order  []*met // the first first
-	found  []string
-	more   int
+type checker struct {
+	onAttempt       func(peer, call string) // of each try; nil: nobody
+	onAttemptEnd    func(peer, call string) // of the end of each; nil: nobody
+	onAttemptSpared func(peer, call string) // hears of those that will not run; nil: nobody
+	maxTries        int                     // tries of a call
+	retention       time.Duration           // how long a call is remembered
+	now             func() time.Duration
+	calls           map[string]*callRecord
+	order           []*callRecord // the first first
+	violations      []string
+	omitted         int
 }
 
-// met is a call that has come to a peer.
-type met struct {
-	call   string
-	at     time.Duration // the first time
-	safe   bool
-	came   int
-	may    int      // of them, how many may run, or have
-	bodies []uint64 // of the 200s that peers made for it
+// callRecord is a call that has come to a peer.
+type callRecord struct {
+	call       string
+	firstSeen  time.Duration // the first time
+	safe       bool
+	attempts   int
+	mayHaveRun int      // of them, how many may run, or have
+	bodies     []uint64 // of the 200s that peers made for it
 }
 
-// mostFound bounds the breaks that are kept.
-const mostFound = 20
+// maxViolations bounds the breaks that are kept.
+const maxViolations = 20
 
-func newJudge(tryLimit int, keeps time.Duration, now func() time.Duration) *judge {
-	return &judge{most: tryLimit, keeps: keeps, now: now, calls: map[string]*met{}}
+func newChecker(tryLimit int, retention time.Duration, now func() time.Duration) *checker {
+	return &checker{maxTries: tryLimit, retention: retention, now: now, calls: map[string]*callRecord{}}
 }
 
-// breaks notes that a rule is broken.
-func (j *judge) breaks(rule, format string, args ...any) {
-	if len(j.found) == mostFound {
-		j.more++
+// addViolation notes that a rule is broken.
+func (j *checker) addViolation(rule, format string, args ...any) {
+	if len(j.violations) == maxViolations {
+		j.omitted++
 		return
 	}
-	j.found = append(j.found, fmt.Sprintf("%s at %.6fs: %s", rule, j.now().Seconds(), fmt.Sprintf(format, args...)))
+	j.violations = append(j.violations, fmt.Sprintf("%s at %.6fs: %s", rule, j.now().Seconds(), fmt.Sprintf(format, args...)))
 }
 
-// all is what was found.
-func (j *judge) all() []string {
-	if j.more == 0 {
-		return j.found
+// violationLines is what was found.
+func (j *checker) violationLines() []string {
+	if j.omitted == 0 {
+		return j.violations
 	}
-	return append(j.found[:len(j.found):len(j.found)], fmt.Sprintf("and %d more", j.more))
+	return append(j.violations[:len(j.violations):len(j.violations)], fmt.Sprintf("and %d more", j.omitted))
 }
 
 // AttemptReceived implements event.AttemptObserver.
-func (j *judge) AttemptReceived(peer, call string, safe bool) {
+func (j *checker) AttemptReceived(peer, call string, safe bool) {
 	now := j.now()
-	if j.hears != nil {
-		j.hears(peer, call)
+	if j.onAttempt != nil {
+		j.onAttempt(peer, call)
 	}
 	m := j.calls[call]
 	if m == nil {
-		j.forget(now)
-		m = &met{call: call, at: now, safe: safe}
+		j.expire(now)
+		m = &callRecord{call: call, firstSeen: now, safe: safe}
 		j.calls[call] = m
 		j.order = append(j.order, m)
 	}
-	m.came++
+	m.attempts++
 	switch {
-	case !m.safe && m.may > 0:
-		j.breaks("effect", "call %s comes to peer %s, though an earlier try may have run", call, peer)
-	case j.most > 0 && m.came > j.most:
-		j.breaks("effect", "call %s comes to peer %s as try %d of %d", call, peer, m.came, j.most)
+	case !m.safe && m.mayHaveRun > 0:
+		j.addViolation("effect", "call %s comes to peer %s, though an earlier try may have run", call, peer)
+	case j.maxTries > 0 && m.attempts > j.maxTries:
+		j.addViolation("effect", "call %s comes to peer %s as try %d of %d", call, peer, m.attempts, j.maxTries)
 	}
-	m.may++
+	m.mayHaveRun++
 }
 
 // AttemptRejected implements event.AttemptObserver.
-func (j *judge) AttemptRejected(peer, call string) {
-	j.done(peer, call)
-	if j.spares != nil {
-		j.spares(peer, call)
+func (j *checker) AttemptRejected(peer, call string) {
+	j.attemptEnded(peer, call)
+	if j.onAttemptSpared != nil {
+		j.onAttemptSpared(peer, call)
 	}
 	if m := j.calls[call]; m != nil {
-		m.may--
+		m.mayHaveRun--
 	}
 }
 
 // AttemptAnswered implements event.AttemptObserver.
-func (j *judge) AttemptAnswered(peer, call string, body []byte) {
-	j.done(peer, call)
+func (j *checker) AttemptAnswered(peer, call string, body []byte) {
+	j.attemptEnded(peer, call)
 	if m := j.calls[call]; m != nil {
 		m.bodies = append(m.bodies, xxhash.Sum64(body))
 	}
 }
 
-func (j *judge) done(peer, call string) {
-	if j.ends != nil {
-		j.ends(peer, call)
+func (j *checker) attemptEnded(peer, call string) {
+	if j.onAttemptEnd != nil {
+		j.onAttemptEnd(peer, call)
 	}
 }
 
-// heard takes in an answer that a client got.
-func (j *judge) heard(a client.Answer) {
+// checkResponse takes in an answer that a client got.
+func (j *checker) checkResponse(a client.Answer) {
 	m := j.calls[a.Call]
 	switch a.Status {
 	case 200:
 		if !bytes.Contains(a.Body, []byte("call="+a.Call+" ")) {
-			j.breaks("wrong answer", "call %s gets what names another call: %.60q", a.Call, a.Body)
+			j.addViolation("wrong answer", "call %s gets what names another call: %.60q", a.Call, a.Body)
 			return
 		}
 		sum := xxhash.Sum64(a.Body)
@@ -133,17 +133,17 @@
 				}
 			}
 		}
-		j.breaks("wrong answer", "call %s gets a body that no peer made for it: %.60q", a.Call, a.Body)
+		j.addViolation("wrong answer", "call %s gets a body that no peer made for it: %.60q", a.Call, a.Body)
 	case 429, 503:
-		if m != nil && !m.safe && m.may > 0 {
-			j.breaks("effect", "call %s is refused, though a try may have run", a.Call)
+		if m != nil && !m.safe && m.mayHaveRun > 0 {
+			j.addViolation("effect", "call %s is refused, though a try may have run", a.Call)
 		}
 	}
 }
 
-// forget forgets calls whose clients have long gone.
-func (j *judge) forget(now time.Duration) {
-	for len(j.order) > 0 && j.order[0].at < now-j.keeps {
+// expire forgets calls whose clients have long gone.
+func (j *checker) expire(now time.Duration) {
+	for len(j.order) > 0 && j.order[0].firstSeen < now-j.retention {
 		delete(j.calls, j.order[0].call)
 		j.order[0] = nil
 		j.order = j.order[1:]
--- a/internal/lab/live/judge_test.go
+++ b/internal/lab/live/judge_test.go
@@ -9,68 +9,68 @@
 )
 
 // Each rule is broken by just what breaks it, and by nothing that a node may do.
-func TestJudge(t *testing.T) {
-	answer := func(j *judge, status int, body string) {
-		j.heard(client.Answer{Call: "a", Status: status, Body: []byte(body)})
+func TestCheckerRules(t *testing.T) {
+	answer := func(j *checker, status int, body string) {
+		j.checkResponse(client.Answer{Call: "a", Status: status, Body: []byte(body)})
 	}
 	for _, c := range []struct {
 		name  string
-		do    func(j *judge)
+		do    func(j *checker)
 		wants []string // in order
 	}{
-		{"served", func(j *judge) {
+		{"served", func(j *checker) {
 			j.AttemptReceived("p1", "a", false)
 			j.AttemptAnswered("p1", "a", []byte("call=a 1"))
 			answer(j, 200, "call=a 1")
 		}, nil},
-		{"tried again after a proof", func(j *judge) {
+		{"tried again after a proof", func(j *checker) {
 			j.AttemptReceived("p1", "a", false)
 			j.AttemptRejected("p1", "a")
 			j.AttemptReceived("p2", "a", false)
 		}, nil},
-		{"refused after a proof", func(j *judge) {
+		{"refused after a proof", func(j *checker) {
 			j.AttemptReceived("p1", "a", false)
 			j.AttemptRejected("p1", "a")
 			answer(j, 503, "")
 		}, nil},
-		{"a second copy of a safe call", func(j *judge) {
+		{"a second copy of a safe call", func(j *checker) {
 			j.AttemptReceived("p1", "a", true)
 			j.AttemptReceived("p2", "a", true)
 			j.AttemptAnswered("p1", "a", []byte("call=a 1"))
 			j.AttemptAnswered("p2", "a", []byte("call=a 2"))
 			answer(j, 200, "call=a 2")
 		}, nil},
-		{"failed", func(j *judge) {
+		{"failed", func(j *checker) {
 			j.AttemptReceived("p1", "a", false)
 			answer(j, 502, "")
 		}, nil},
-		{"an unsafe call twice", func(j *judge) {
+		{"an unsafe call twice", func(j *checker) {
 			j.AttemptReceived("p1", "a", false)
 			j.AttemptReceived("p2", "a", false)
 		}, []string{"effect at 1.000000s: call a comes to peer p2, though"}},
-		{"refused without a proof", func(j *judge) {
+		{"refused without a proof", func(j *checker) {
 			j.AttemptReceived("p1", "a", false)
 			answer(j, 503, "")
 		}, []string{"effect at 1.000000s: call a is refused"}},
-		{"too many tries", func(j *judge) {
+		{"too many tries", func(j *checker) {
 			for range 4 {
 				j.AttemptReceived("p1", "a", true)
 			}
 		}, []string{"effect at 1.000000s: call a comes to peer p1 as try 4 of 3"}},
-		{"another call's body", func(j *judge) {
+		{"another call's body", func(j *checker) {
 			j.AttemptReceived("p1", "a", true)
 			answer(j, 200, "call=b 1")
 		}, []string{"wrong answer at 1.000000s: call a gets what names another call"}},
-		{"a body that was cut", func(j *judge) {
+		{"a body that was cut", func(j *checker) {
 			j.AttemptReceived("p1", "a", true)
 			j.AttemptAnswered("p1", "a", []byte("call=a 1"))
 			answer(j, 200, "call=a ")
 		}, []string{"wrong answer at 1.000000s: call a gets a body that no peer made"}},
-		{"a body of nobody's", func(j *judge) { answer(j, 200, "call=a 1") }, []string{"wrong answer"}},
+		{"a body of nobody's", func(j *checker) { answer(j, 200, "call=a 1") }, []string{"wrong answer"}},
 	} {
-		j := newJudge(3, time.Minute, func() time.Duration { return time.Second })
+		j := newChecker(3, time.Minute, func() time.Duration { return time.Second })
 		c.do(j)
-		got := j.all()
+		got := j.violationLines()
 		ok := len(got) == len(c.wants)
 		for i := range c.wants {
 			ok = ok && strings.HasPrefix(got[i], c.wants[i])
@@ -82,9 +82,9 @@
 }
 
 // A long run must not be remembered whole.
-func TestJudgeForgets(t *testing.T) {
+func TestCheckerExpiresCalls(t *testing.T) {
 	now := time.Duration(0)
-	j := newJudge(3, time.Second, func() time.Duration { return now })
+	j := newChecker(3, time.Second, func() time.Duration { return now })
 	for _, call := range []string{"a", "b", "c"} {
 		j.AttemptReceived("p1", call, true)
 		now += 2 * time.Second
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -48,15 +48,15 @@
 	return r
 }
 
-// until looks at the run until it is such.
-func until(t *testing.T, r *Run, such func(s Snapshot) bool) Snapshot {
+// waitFor looks at the run until it is such.
+func waitFor(t *testing.T, r *Run, condition func(s Snapshot) bool) Snapshot {
 	t.Helper()
-	each := time.NewTicker(20 * time.Millisecond)
-	defer each.Stop()
+	ticker := time.NewTicker(20 * time.Millisecond)
+	defer ticker.Stop()
 	for deadline := time.After(30 * time.Second); ; {
 		select {
-		case <-each.C:
-			if s := r.Table(); such(s) {
+		case <-ticker.C:
+			if s := r.Table(); condition(s) {
 				return s
 			}
 		case <-deadline:
@@ -67,14 +67,14 @@
 
 func span(d time.Duration) figure.Span { return figure.Span(d) }
 
-// scripted is how long TestScript's script is. A planned end may take 2.2 s and more on a busy machine, a start too, and
+// scriptLength is how long TestScript's script is. A planned end may take 2.2 s and more on a busy machine, a start too, and
 // a peer that has started cold has its first requests by chance: there is time for each, many times over.
-const scripted = 10 * time.Second
+const scriptLength = 10 * time.Second
 
 // Guards the play of scripts: faults of every family happen, what they undo is undone, and nothing is left.
 func TestScript(t *testing.T) {
 	s := Sample(4, 2, 100)
-	s.Length = span(scripted)
+	s.Length = span(scriptLength)
 	for i := range s.World.Classes { // how fast a busy machine is, is not what this shows
 		s.World.Classes[i].Aim, s.World.Classes[i].Deadline = span(750*time.Millisecond), span(1500*time.Millisecond)
 	}
@@ -90,7 +90,7 @@
 	var log bytes.Buffer
 	var seen seen
 	r := start(t, s, Options{Log: &log, Watch: &seen})
-	r.on(func() { seen.run = r })
+	r.runOnLoop(func() { seen.run = r })
 	before := r.Table()
 	if err := r.Wait(); err != nil || log.Len() > 0 {
 		t.Errorf("%v: %s", err, &log)
@@ -139,9 +139,9 @@
 	if s.overdue.Stop(); s.run == nil {
 		return
 	}
-	s.overdue = s.run.loop.After(readEach, func() {
-		s.overdue = s.run.loop.After(looks, func() {
-			if s.run.watch.on { // until the script's end
+	s.overdue = s.run.loop.After(readingInterval, func() {
+		s.overdue = s.run.loop.After(lagInterval, func() {
+			if s.run.reporter.active { // until the script's end
 				s.missed++
 			}
 		})
@@ -155,7 +155,7 @@
 	t.Helper()
 	served := 0
 	for _, q := range s.requests {
-		if q.Due < 0 || q.Due > scripted || q.Begun < q.Due || q.Ended < q.Begun {
+		if q.Due < 0 || q.Due > scriptLength || q.Begun < q.Due || q.Ended < q.Begun {
 			t.Errorf("%+v", q)
 		}
 		if q.Outcome == sample.Served {
@@ -187,17 +187,17 @@
 	}
 }
 
-// stuck lets the loop stand still once, as a machine that is short of processors does.
-type stuck struct {
+// stallingSink lets the loop stand still once, as a machine that is short of processors does.
+type stallingSink struct {
 	sample.Sink
 	once sync.Once
 }
 
-func (s *stuck) Request(sample.Request) {}
-func (s *stuck) Event(sample.Event)     {}
-func (s *stuck) Reading(r sample.Reading) {
-	if r.At >= readEach { // not before the clients have begun
-		s.once.Do(func() { time.Sleep(ending + time.Second) })
+func (s *stallingSink) Request(sample.Request) {}
+func (s *stallingSink) Event(sample.Event)     {}
+func (s *stallingSink) Reading(r sample.Reading) {
+	if r.At >= readingInterval { // not before the clients have begun
+		s.once.Do(func() { time.Sleep(endTimeout + time.Second) })
 	}
 }
 
@@ -205,7 +205,7 @@
 func TestLateMachine(t *testing.T) {
 	s := Sample(2, 1, 400)
 	s.Length = span(time.Second)
-	r := start(t, s, Options{Watch: &stuck{}})
+	r := start(t, s, Options{Watch: &stallingSink{}})
 	if err := r.Wait(); err != nil || r.Table().Total.Asked < 300 {
 		t.Errorf("%v: %+v", err, r.Table().Total)
 	}
@@ -229,22 +229,22 @@
 			t.Errorf("%s: %q, %v", c.command, did, err)
 		}
 	}
-	s := until(t, r, func(s Snapshot) bool { return s.Peers[0].Listed == "Gone" && s.Nodes[0].Tries > 0 })
-	if p := s.Peers; p[0].State != Down || p[1].Ails != "slow x4, failing 0.5" || s.Nodes[1].State != Down {
+	s := waitFor(t, r, func(s Snapshot) bool { return s.Peers[0].Listed == "Gone" && s.Nodes[0].Tries > 0 })
+	if p := s.Peers; p[0].State != Down || p[1].Effects != "slow x4, failing 0.5" || s.Nodes[1].State != Down {
 		t.Errorf("%+v", s)
 	}
-	until(t, r, func(s Snapshot) bool { return s.Peers[2].State == Down }) // the drain comes to its end
+	waitFor(t, r, func(s Snapshot) bool { return s.Peers[2].State == Down }) // the drain comes to its end
 	if _, err := r.Do("heal"); err != nil {
 		t.Fatal(err)
 	}
-	until(t, r, func(s Snapshot) bool {
-		return s.Peers[0].Listed == "Ready" && s.Peers[2].State == Up && s.Peers[1].Ails == "" && s.Nodes[1].State == Up
+	waitFor(t, r, func(s Snapshot) bool {
+		return s.Peers[0].Listed == "Ready" && s.Peers[2].State == Up && s.Peers[1].Effects == "" && s.Nodes[1].State == Up
 	})
 	old := r.Table().Nodes[0].PID
 	if _, err := r.Do("restart n1"); err != nil {
 		t.Fatal(err)
 	}
-	until(t, r, func(s Snapshot) bool { return s.Nodes[0].State == Up && s.Nodes[0].PID != old })
+	waitFor(t, r, func(s Snapshot) bool { return s.Nodes[0].State == Up && s.Nodes[0].PID != old })
 	if err := r.Stop(); err != nil {
 		t.Error(err)
 	}
@@ -254,7 +254,7 @@
 }
 
 // A call of anybody's is answered through a node, and the list that anybody gets names peers that anybody reaches.
-func TestAnybody(t *testing.T) {
+func TestExternalClient(t *testing.T) {
 	r := start(t, Sample(2, 1, 1), Options{})
 	get := func(url string, fields ...string) string {
 		t.Helper()
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -22,23 +22,23 @@
 
 // instance is one node of the run, through all its lives. Its fields belong to the loop.
 type instance struct {
-	run   *Run
-	c     world.Node
-	at    string // where it listens
-	lives int
-	seed  uint64
-	live  *child          // nil: none runs
-	prior <-chan struct{} // closed once the process before the next is gone
-	again bool            // it is to start again when it ends
-
-	next    *child // takes over in an upgrade; nil: none
-	twin    *child // a stranger under its name; nil: none
-	stopped *child // stands still; nil: none
-	spoilt  bool   // its directory is such that it must not start
-
-	tries, earlier int // as its counters have them; of the lives before
-	open           int // client connections
-	used           time.Duration
+	run        *Run
+	c          world.Node
+	listenAddr string // where it listens
+	starts     int
+	seed       uint64
+	current    *child          // nil: none runs
+	prior      <-chan struct{} // closed once the process before the next is gone
+	restart    bool            // it is to start again when it ends
+
+	next             *child // takes over in an upgrade; nil: none
+	twin             *child // a stranger under its name; nil: none
+	stopped          *child // stands still; nil: none
+	directoryDamaged bool   // its directory is such that it must not start
+
+	tries, earlierTries int // as its counters have them; of the lives before
+	open                int // client connections
+	cpuTime             time.Duration
 }
 
 // Start implements fault.Node: a start with a list that is some changes old, as
@@ -46,27 +46,27 @@
 func (i *instance) Start() { i.start(true) }
 
 func (i *instance) start(stale bool) {
-	if i.live != nil {
+	if i.current != nil {
 		return
 	}
 	prior := i.prior
-	c := i.spawn(stale, false)
+	c := i.newProcess(stale, false)
 	if c == nil {
 		return
 	}
-	i.live = c
-	if c.refuses = i.spoilt; !c.refuses {
-		i.tell("started", c)
+	i.current = c
+	if c.mustRefuseStart = i.directoryDamaged; !c.mustRefuseStart {
+		i.report("started", c)
 		i.run.front.Born(i.c.Name)
 	}
 	i.launch(c, prior)
 }
 
-// spawn makes the next process of the node; nil: it cannot be. A twin is no process of the node, but a stranger's.
-func (i *instance) spawn(stale, twin bool) *child {
-	i.lives++
-	i.seed = figure.Stream(i.run.script.Seed, fmt.Sprintf("node %s %d", i.c.Name, i.lives)).Uint64()
-	if err := i.write(stale); err != nil {
+// newProcess makes the next process of the node; nil: it cannot be. A twin is no process of the node, but a stranger's.
+func (i *instance) newProcess(stale, twin bool) *child {
+	i.starts++
+	i.seed = figure.Stream(i.run.script.Seed, fmt.Sprintf("node %s %d", i.c.Name, i.starts)).Uint64()
+	if err := i.writeConfig(stale); err != nil {
 		i.run.fail("node %s: %v", i.c.Name, err)
 		return nil
 	}
@@ -75,11 +75,11 @@
 		i.run.fail("node %s: %v", i.c.Name, err)
 		return nil
 	}
-	listen := i.at
+	listen := i.listenAddr
 	if twin {
 		listen = "127.0.0.1:0"
 	}
-	c := &child{program: i.run.options.Node, log: log, gone: make(chan struct{}), env: append(os.Environ(),
+	c := &child{program: i.run.options.Node, log: log, exited: make(chan struct{}), env: append(os.Environ(),
 		protocol.EnvName+"="+i.c.Name, protocol.EnvListen+"="+listen,
 		protocol.EnvDiscovery+"="+i.run.net.MapAddress(i.c.Name, i.run.discovery), protocol.EnvConfig+"="+i.path(".json"))}
 	if f := i.run.options.Fleet; f != nil {
@@ -91,36 +91,36 @@
 		}
 		c.env = append(c.env, env...)
 	}
-	c.amounts = i.run.amounts
+	c.fleetFileRevision = i.run.fleetFileRevision
 	c.line = func(line string) bool { return i.line(c, line) }
 	return c
 }
 
 // launch starts a process once the ones before it are gone: they may hold the address still.
 func (i *instance) launch(c *child, prior <-chan struct{}) {
-	i.prior = c.gone
+	i.prior = c.exited
 	i.run.children.Go(func() {
-		defer close(c.gone)
+		defer close(c.exited)
 		if prior != nil {
 			<-prior
 		}
 		err := c.run()
-		i.run.post(func() { i.ended(c, err) })
+		i.run.post(func() { i.onExit(c, err) })
 	})
 }
 
-// tell lets whoever watches know what became of the node.
-func (i *instance) tell(what string, c *child) {
-	i.run.watch.tell(i.c.Name, what)
+// report lets whoever watches know what became of the node.
+func (i *instance) report(what string, c *child) {
+	i.run.reporter.report(i.c.Name, what)
 	if f := i.run.options.Fleet; f != nil {
 		f.Tell(i.c.Name, what, c.pid())
 	}
 }
 
-// write writes the configuration file, whole or not at all: a running node may read it.
-func (i *instance) write(stale bool) error {
+// writeConfig writes the configuration file, whole or not at all: a running node may read it.
+func (i *instance) writeConfig(stale bool) error {
 	data, err := nodefile.Write(&i.run.script.World, i.c, nodefile.Start{
-		Listen: i.at, Discovery: i.run.net.MapAddress(i.c.Name, i.run.discovery),
+		Listen: i.listenAddr, Discovery: i.run.net.MapAddress(i.c.Name, i.run.discovery),
 		Known: i.run.registry.KnownBy(i.c.Name, stale), Seed: i.seed,
 	})
 	if err != nil {
@@ -134,67 +134,67 @@
 
 // pid is the number of its process; 0: there is none.
 func (i *instance) pid() int {
-	if i.live == nil {
+	if i.current == nil {
 		return 0
 	}
-	return i.live.pid()
+	return i.current.pid()
 }
 
 func (i *instance) path(kind string) string { return filepath.Join(i.run.options.Dir, i.c.Name+kind) }
 
-// ended hears that a process is gone.
-func (i *instance) ended(c *child, err error) {
-	i.used += c.used
-	if c.left {
-		i.run.breaks("rest", "node %s left processes of its own behind", i.c.Name)
+// onExit hears that a process is gone.
+func (i *instance) onExit(c *child, err error) {
+	i.cpuTime += c.cpuTime
+	if c.leftChildren {
+		i.run.addViolation("rest", "node %s left processes of its own behind", i.c.Name)
 	}
-	if i.other(c, err) {
+	if i.handleOtherExit(c, err) {
 		return
 	}
-	i.live = nil
-	i.earlier, i.tries, i.open = i.earlier+i.tries, 0, 0
-	if i.refused(c, err) {
+	i.current = nil
+	i.earlierTries, i.tries, i.open = i.earlierTries+i.tries, 0, 0
+	if i.handleRefusedStart(c, err) {
 		return
 	}
 	i.run.front.Died(i.c.Name)
-	i.tell("ended", c)
-	if !c.leaving {
+	i.report("ended", c)
+	if !c.terminating {
 		wrote := ""
-		if c.last != "" {
-			wrote = "; it wrote: " + c.last
+		if c.lastLine != "" {
+			wrote = "; it wrote: " + c.lastLine
 		}
-		i.run.breaks("crash", "node %s ended: %v%s", i.c.Name, err, wrote)
+		i.run.addViolation("crash", "node %s ended: %v%s", i.c.Name, err, wrote)
 	}
-	if i.again {
-		i.again = false
+	if i.restart {
+		i.restart = false
 		i.Start()
 	}
 }
 
 // Kill implements fault.Node.
 func (i *instance) Kill() {
-	c := i.live
+	c := i.current
 	if c == nil {
 		return
 	}
-	i.live = nil
-	i.earlier, i.tries, i.open = i.earlier+i.tries, 0, 0
+	i.current = nil
+	i.earlierTries, i.tries, i.open = i.earlierTries+i.tries, 0, 0
 	i.run.front.Died(i.c.Name)
-	i.tell("killed", c)
+	i.report("killed", c)
 	c.signal(syscall.SIGKILL)
 	i.killNext()
 }
 
 // Down implements fault.Node.
-func (i *instance) Down() bool { return i.live == nil }
+func (i *instance) Down() bool { return i.current == nil }
 
 // Term implements fault.Node.
 func (i *instance) Term() {
-	if c := i.live; c != nil && !c.leaving {
+	if c := i.current; c != nil && !c.terminating {
 		i.killNext()
-		c.leaving = true
+		c.terminating = true
 		i.run.front.Leaving(i.c.Name)
-		i.tell("told SIGTERM", c)
+		i.report("told SIGTERM", c)
 		c.signal(syscall.SIGTERM)
 	}
 }
@@ -206,18 +206,18 @@
 
 // Hup implements fault.Node. The file names discovery as it is now.
 func (i *instance) Hup(string) {
-	c := i.live
-	if c == nil || c.leaving {
+	c := i.current
+	if c == nil || c.terminating {
 		return
 	}
-	if err := i.write(false); err != nil {
+	if err := i.writeConfig(false); err != nil {
 		i.run.fail("node %s: %v", i.c.Name, err)
 		return
 	}
-	if c.told = true; c.listens {
+	if c.configChanged = true; c.serving {
 		c.signal(syscall.SIGHUP)
 	}
-	i.run.watch.tell(i.c.Name, "told SIGHUP")
+	i.run.reporter.report(i.c.Name, "told SIGHUP")
 }
 
 // line looks at a line of a node's log, and reports whether it is to be kept.
@@ -225,10 +225,10 @@
 func (i *instance) line(c *child, line string) bool {
 	if strings.Contains(line, "msg=started ") {
 		i.run.post(func() {
-			if c.listens = true; c.told { // it may have read the file before that was written anew
+			if c.serving = true; c.configChanged { // it may have read the file before that was written anew
 				c.signal(syscall.SIGHUP)
 			}
-			i.listens(c)
+			i.onServing(c)
 		})
 	}
 	if !strings.Contains(line, "msg=counters when=asked ") {
@@ -236,7 +236,7 @@
 	}
 	tries, open := counter(line, "tries"), counter(line, "open")
 	i.run.post(func() {
-		if i.live == c {
+		if i.current == c {
 			i.tries, i.open = tries, open
 		}
 	})
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -39,58 +39,58 @@
 	Log    io.Writer     // gets a line for what goes wrong with the run itself; may be nil
 	Watch  sample.Sink   // hears how the run goes; may be nil. It is told on the loop, and no more once the run is over
 	Fleet  Fleet         // lets the nodes know of each other; may be nil
-	// Came hears of each try that comes to a peer; may be nil. It is called on the loop.
-	Came func(peer, call string)
-	// Done hears of each that a peer is done with; may be nil.
-	Done func(peer, call string)
+	// AttemptArrived hears of each try that comes to a peer; may be nil. It is called on the loop.
+	AttemptArrived func(peer, call string)
+	// AttemptEnded hears of each that a peer is done with; may be nil.
+	AttemptEnded func(peer, call string)
 	// Spared hears of each of them that will not run; may be nil.
 	Spared func(peer, call string)
 }
 
 const (
-	// starting is how long the nodes may take until clients can be sent to them.
-	starting = 20 * time.Second
-	// ending is how long what is open at the end of a script may take to end.
-	ending = 8 * time.Second
-	// dumping is how long one that does not end may take to write where it stands.
-	dumping = 500 * time.Millisecond
-	// leaving is how long a node may take over its planned end.
-	leaving = 12 * time.Second
+	// startTimeout is how long the nodes may take until clients can be sent to them.
+	startTimeout = 20 * time.Second
+	// endTimeout is how long what is open at the end of a script may take to end.
+	endTimeout = 8 * time.Second
+	// dumpTimeout is how long one that does not end may take to write where it stands.
+	dumpTimeout = 500 * time.Millisecond
+	// exitTimeout is how long a node may take over its planned end.
+	exitTimeout = 12 * time.Second
 )
 
 // Run is a script being played. Its methods are safe for concurrent use.
 type Run struct {
-	script    *fault.Script // its times begin at zero
-	options   Options
-	loop      *loop.Loop
-	posts     atomic.Uint64
-	net       *sockets.Net
-	registry  *registry.Registry
-	discovery string // where it is
-	front     *client.Front
-	peers     []*server
-	crowds    []*client.Crowd
-	rogues    []*client.Rogue
-	nodes     []*instance
-	zones     map[string]string // of machines but clients'
-	listed    map[string]string // peers' states, as discovery has them
-	zero      time.Duration     // when the nodes were ready, and the script began
-	undo      []undo            // what Do has done
-	before    watched           // of the last Table
-	behind    time.Duration     // since then
-	watch     watch
-	amounts   int // how often those of budgets have changed
-	judge     *judge
-
-	halt     chan struct{} // closed by Stop
-	halts    sync.Once
-	over     chan struct{}  // closed once nothing is left
-	children sync.WaitGroup // processes of nodes
-	last     Snapshot       // once over
-	mu       sync.Mutex
-	trouble  error    // the first there was
-	machine  error    // the first that is not a node's
-	broken   []string // rules, by nodes' processes
+	script            *fault.Script // its times begin at zero
+	options           Options
+	loop              *loop.Loop
+	posts             atomic.Uint64
+	net               *sockets.Net
+	registry          *registry.Registry
+	discovery         string // where it is
+	front             *client.Front
+	peers             []*peerHost
+	crowds            []*client.Crowd
+	rogues            []*client.Rogue
+	nodes             []*instance
+	zones             map[string]string // of machines but clients'
+	listed            map[string]string // peers' states, as discovery has them
+	scriptStart       time.Duration     // when the nodes were ready, and the script began
+	undo              []undo            // what Do has done
+	lastTable         tableState        // of the last Table
+	maxLag            time.Duration     // since then
+	reporter          reporter
+	fleetFileRevision int // how often those of budgets have changed
+	checker           *checker
+
+	stopRequested chan struct{} // closed by Stop
+	stopOnce      sync.Once
+	finished      chan struct{}  // closed once nothing is left
+	children      sync.WaitGroup // processes of nodes
+	finalSnapshot Snapshot       // once over
+	mu            sync.Mutex
+	firstErr      error    // the first there was
+	machineErr    error    // the first that is not a node's
+	violations    []string // rules, by nodes' processes
 }
 
 // Start starts the world and its nodes, and returns once clients can be sent to
@@ -105,15 +105,15 @@
 	}
 	r := &Run{
 		script: s.Clone(), options: o, loop: loop.New(nil), zones: map[string]string{}, listed: map[string]string{},
-		halt: make(chan struct{}), over: make(chan struct{}),
+		stopRequested: make(chan struct{}), finished: make(chan struct{}),
 	}
 	if r.options.Length <= 0 {
 		r.options.Length = s.Length.D()
 	}
 	r.net = sockets.New(r.loop, o.Tap)
-	r.watch = watch{run: r, to: o.Watch}
-	r.judge = newJudge(s.World.Contract.TryLimit, remembered(s), r.watch.now)
-	r.judge.hears, r.judge.ends, r.judge.spares = o.Came, o.Done, o.Spared
+	r.reporter = reporter{run: r, to: o.Watch}
+	r.checker = newChecker(s.World.Contract.TryLimit, callRetention(s), r.reporter.now)
+	r.checker.onAttempt, r.checker.onAttemptEnd, r.checker.onAttemptSpared = o.AttemptArrived, o.AttemptEnded, o.Spared
 	if err := r.build(); err != nil {
 		r.net.Close()
 		return nil, err
@@ -121,7 +121,7 @@
 	ready := make(chan error, 1)
 	go r.play(ctx, ready)
 	if err := <-ready; err != nil {
-		<-r.over
+		<-r.finished
 		return nil, err
 	}
 	return r, nil
@@ -148,7 +148,7 @@
 	for _, n := range c.Nodes {
 		r.net.Guest(n.Name)
 	}
-	r.place()
+	r.placeHosts()
 	observer := worldObserver{run: r}
 	var err error
 	if r.registry, err = registry.New(c.Discovery, c.Peers, registry.Env{
@@ -158,33 +158,33 @@
 	}
 	r.discovery = c.Discovery.Addr
 	for _, p := range c.Peers {
-		one := &server{run: r, c: p, Peer: peer.New(p, peer.Env{
-			Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: observer, Classes: c.Classes, Listed: r.registry, Attempts: r.judge,
+		one := &peerHost{run: r, c: p, Peer: peer.New(p, peer.Env{
+			Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: observer, Classes: c.Classes, Listed: r.registry, Attempts: r.checker,
 		})}
 		r.peers = append(r.peers, one)
 		if p.Late {
 			continue
 		}
-		if one.begun = true; one.Peer.Start(true) != nil {
+		if one.started = true; one.Peer.Start(true) != nil {
 			return fmt.Errorf("peer %s did not start", p.Name)
 		}
 	}
 	r.front = client.NewFront(c.Front, c.Nodes, client.FrontEnv{Loop: r.loop, Fabric: r.net, Seed: s.Seed})
 	env := client.Env{
 		Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: observer, Classes: c.Classes, Tenants: c.Tenants,
-		Front: r.front, Contract: c.Contract, Ended: r.watch.request, Heard: r.judge.heard,
+		Front: r.front, Contract: c.Contract, Ended: r.reporter.request, Heard: r.checker.checkResponse,
 	}
 	for _, one := range c.Clients {
 		r.crowds = append(r.crowds, client.New(one, env))
 	}
 	for _, n := range c.Nodes {
-		r.nodes = append(r.nodes, &instance{run: r, c: n, at: r.net.Resolve(n.Name + nodePort)})
+		r.nodes = append(r.nodes, &instance{run: r, c: n, listenAddr: r.net.Resolve(n.Name + nodePort)})
 	}
 	return nil
 }
 
-// place gives every machine its address, and notes where it stands.
-func (r *Run) place() {
+// placeHosts gives every machine its address, and notes where it stands.
+func (r *Run) placeHosts() {
 	c := &r.script.World
 	put := func(host, zone string) {
 		r.zones[host] = zone
@@ -203,13 +203,13 @@
 
 // play is the run's loop, from the start of the nodes to the end of everything.
 func (r *Run) play(ctx context.Context, ready chan<- error) {
-	defer close(r.over)
+	defer close(r.finished)
 	defer r.net.Close()
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	go func() {
 		select {
-		case <-r.halt:
+		case <-r.stopRequested:
 			stop()
 		case <-ctx.Done():
 		}
@@ -217,55 +217,55 @@
 	for _, n := range r.nodes {
 		n.start(n.c.Stale)
 	}
-	if err := r.warm(ctx); err != nil {
+	if err := r.waitUntilReady(ctx); err != nil {
 		r.end()
 		ready <- err
 		return
 	}
 	r.begin()
-	r.measure()
+	r.measureLag()
 	ready <- nil
-	if r.toEnd(ctx); ctx.Err() == nil {
-		if !r.loop.Run(ctx, r.loop.Now()+ending, r.quiet) && ctx.Err() == nil {
-			r.breaks("rest", "clients still wait %v after the end", ending)
+	if r.playToEnd(ctx); ctx.Err() == nil {
+		if !r.loop.Run(ctx, r.loop.Now()+endTimeout, r.clientsIdle) && ctx.Err() == nil {
+			r.addViolation("rest", "clients still wait %v after the end", endTimeout)
 		}
 	}
 	r.end()
 }
 
-// toEnd plays the script to its end, which has come when all that was due before it
+// playToEnd plays the script to its end, which has come when all that was due before it
 // has happened, however late the machine is: what clients have to do then is theirs.
-func (r *Run) toEnd(ctx context.Context) {
+func (r *Run) playToEnd(ctx context.Context) {
 	over := false
-	r.loop.At(r.zero+r.options.Length, func() { over = true })
+	r.loop.At(r.scriptStart+r.options.Length, func() { over = true })
 	for !over && ctx.Err() == nil {
 		r.loop.Run(ctx, r.loop.Now()+time.Second, func() bool { return over })
 	}
 }
 
-// warm waits until the front sends clients to all nodes.
-func (r *Run) warm(ctx context.Context) error {
+// waitUntilReady waits until the front sends clients to all nodes.
+func (r *Run) waitUntilReady(ctx context.Context) error {
 	waits := func(n *instance) bool { return !r.front.Admitted(n.c.Name) }
-	up := r.loop.Run(ctx, starting, func() bool { return r.Err() != nil || !slices.ContainsFunc(r.nodes, waits) })
+	up := r.loop.Run(ctx, startTimeout, func() bool { return r.Err() != nil || !slices.ContainsFunc(r.nodes, waits) })
 	switch {
 	case r.Err() != nil:
 		return r.Err()
 	case ctx.Err() != nil:
 		return ctx.Err()
 	case !up:
-		return fmt.Errorf("the nodes were not ready within %v; their logs are in %s", starting, r.options.Dir)
+		return fmt.Errorf("the nodes were not ready within %v; their logs are in %s", startTimeout, r.options.Dir)
 	}
 	return nil
 }
 
 // begin lets the script's time begin.
 func (r *Run) begin() {
-	r.zero = r.loop.Now()
-	r.watch.begin()
+	r.scriptStart = r.loop.Now()
+	r.reporter.begin()
 	s, c := r.script, &r.script.World
-	s.Length = figure.Span(r.zero + r.options.Length)
+	s.Length = figure.Span(r.scriptStart + r.options.Length)
 	for i := range s.Faults {
-		s.Faults[i].At += figure.Span(r.zero)
+		s.Faults[i].At += figure.Span(r.scriptStart)
 	}
 	s.Schedule(r.loop, r)
 	for _, crowd := range r.crowds {
@@ -276,7 +276,7 @@
 		Front: r.front, Contract: c.Contract,
 	}
 	for _, one := range c.Rogues {
-		one.From += figure.Span(r.zero)
+		one.From += figure.Span(r.scriptStart)
 		g := client.NewRogue(one, env)
 		g.Start()
 		r.rogues = append(r.rogues, g)
@@ -291,26 +291,26 @@
 	for _, g := range r.rogues {
 		g.Stop()
 	}
-	r.watch.end()
-	r.misled()
+	r.reporter.end()
+	r.checkRogues()
 	r.front.Stop()
-	r.last = r.table()
+	r.finalSnapshot = r.table()
 	for _, n := range r.nodes {
-		n.again = false
+		n.restart = false
 		n.endTwin()
 		n.killNext() // nobody would wait for its end
-		n.goOn()
+		n.resume()
 		n.Term()
 	}
 	all := context.Background()
-	r.loop.Run(all, r.loop.Now()+leaving, func() bool {
-		return !slices.ContainsFunc(r.nodes, func(n *instance) bool { return n.live != nil })
+	r.loop.Run(all, r.loop.Now()+exitTimeout, func() bool {
+		return !slices.ContainsFunc(r.nodes, func(n *instance) bool { return n.current != nil })
 	})
 	for _, n := range r.nodes {
-		if n.live != nil {
-			r.breaks("rest", "node %s had not ended %v after SIGTERM", n.c.Name, leaving)
-			n.live.signal(syscall.SIGQUIT) // its log then has where it stands
-			r.loop.Run(all, r.loop.Now()+dumping, func() bool { return n.live == nil })
+		if n.current != nil {
+			r.addViolation("rest", "node %s had not ended %v after SIGTERM", n.c.Name, exitTimeout)
+			n.current.signal(syscall.SIGQUIT) // its log then has where it stands
+			r.loop.Run(all, r.loop.Now()+dumpTimeout, func() bool { return n.current == nil })
 			n.Kill()
 		}
 	}
@@ -320,8 +320,8 @@
 	}
 }
 
-// remembered is how long a call may still be of account after it came to a peer.
-func remembered(s *fault.Script) time.Duration {
+// callRetention is how long a call may still be of account after it came to a peer.
+func callRetention(s *fault.Script) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.World.Classes {
 		longest = max(longest, c.Deadline.D())
@@ -329,17 +329,17 @@
 	return longest + 10*time.Second
 }
 
-// misled finds rogues that were served what must not be.
-func (r *Run) misled() {
+// checkRogues finds rogues that were served what must not be.
+func (r *Run) checkRogues() {
 	for i, g := range r.rogues {
 		kind := r.script.World.Rogues[i].Kind
 		if n := g.Results().Served; n > 0 && !client.Lawful(kind) {
-			r.judge.breaks("bad", "%d requests of the kind %s were served", n, kind)
+			r.checker.addViolation("bad", "%d requests of the kind %s were served", n, kind)
 		}
 	}
 }
 
-func (r *Run) quiet() bool {
+func (r *Run) clientsIdle() bool {
 	return !slices.ContainsFunc(r.crowds, func(c *client.Crowd) bool { return !c.Quiet() }) &&
 		!slices.ContainsFunc(r.rogues, func(g *client.Rogue) bool { return !g.Quiet() })
 }
@@ -347,8 +347,8 @@
 // post lets f run on the loop.
 func (r *Run) post(f func()) { r.loop.Post(loop.Key{Source: "live", Sequence: r.posts.Add(1)}, f) }
 
-// on lets f run on the loop and waits until it has; false: the run is over.
-func (r *Run) on(f func()) bool {
+// runOnLoop lets f run on the loop and waits until it has; false: the run is over.
+func (r *Run) runOnLoop(f func()) bool {
 	done := make(chan struct{})
 	r.post(func() {
 		f()
@@ -357,7 +357,7 @@
 	select {
 	case <-done:
 		return true
-	case <-r.over:
+	case <-r.finished:
 		return false
 	}
 }
@@ -367,41 +367,41 @@
 	err := fmt.Errorf(format, args...)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.machine = cmp.Or(r.machine, err)
-	r.note(err)
+	r.machineErr = cmp.Or(r.machineErr, err)
+	r.recordError(err)
 }
 
-// note keeps the first trouble, and tells of it. It is called with the lock held.
-func (r *Run) note(err error) {
-	r.trouble = cmp.Or(r.trouble, err)
+// recordError keeps the first trouble, and tells of it. It is called with the lock held.
+func (r *Run) recordError(err error) {
+	r.firstErr = cmp.Or(r.firstErr, err)
 	if r.options.Log != nil {
 		fmt.Fprintln(r.options.Log, err)
 	}
 }
 
-// breaks notes that a node breaks a rule by what becomes of its process.
-func (r *Run) breaks(rule, format string, args ...any) {
+// addViolation notes that a node breaks a rule by what becomes of its process.
+func (r *Run) addViolation(rule, format string, args ...any) {
 	err := fmt.Errorf(format, args...)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.note(err)
-	r.broken = append(r.broken, fmt.Sprintf("%s at %.6fs: %v", rule, r.watch.now().Seconds(), err))
+	r.recordError(err)
+	r.violations = append(r.violations, fmt.Sprintf("%s at %.6fs: %v", rule, r.reporter.now().Seconds(), err))
 }
 
-// Machine is the first thing that went wrong for which no node is to blame.
-func (r *Run) Machine() error {
+// MachineErr is the first thing that went wrong for which no node is to blame.
+func (r *Run) MachineErr() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.machine
+	return r.machineErr
 }
 
 // Broken are the rules that nodes broke, one line each: those of their processes
 // first. It is known once the run is over.
 func (r *Run) Broken() []string {
-	<-r.over
+	<-r.finished
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append(r.broken[:len(r.broken):len(r.broken)], r.judge.all()...)
+	return append(r.violations[:len(r.violations):len(r.violations)], r.checker.violationLines()...)
 }
 
 // Err is the first thing that went wrong with the run itself: a node that ended
@@ -409,22 +409,22 @@
 func (r *Run) Err() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.trouble
+	return r.firstErr
 }
 
 // Done is closed once the run has ended and nothing of it is left.
-func (r *Run) Done() <-chan struct{} { return r.over }
+func (r *Run) Done() <-chan struct{} { return r.finished }
 
 // Wait waits for that, and returns Err.
 func (r *Run) Wait() error {
-	<-r.over
+	<-r.finished
 	return r.Err()
 }
 
 // Stop ends the run before its time: clients leave, nodes get SIGTERM. It
 // returns as Wait does.
 func (r *Run) Stop() error {
-	r.halts.Do(func() { close(r.halt) })
+	r.stopOnce.Do(func() { close(r.stopRequested) })
 	return r.Wait()
 }
 
@@ -440,8 +440,8 @@
 // Resolve is the real address of one of the world's: of "n1:9000", say.
 func (r *Run) Resolve(addr string) string { return r.net.Resolve(addr) }
 
-// errOver answers whoever comes too late.
-var errOver = errors.New("the run is over")
+// errRunOver answers whoever comes too late.
+var errRunOver = errors.New("the run is over")
 
 func hostOf(p world.Peer) string {
 	if p.Host != "" {
--- a/internal/lab/live/table.go
+++ b/internal/lab/live/table.go
@@ -9,13 +9,13 @@
 
 // Snapshot is a run as it stands.
 type Snapshot struct {
-	At    time.Duration // since the script's time began
-	Over  time.Duration // since the snapshot before this one
-	Now   Tally         // in that time
-	Total Tally
-	// Behind is by how much the run's own loop was late in that time, at most: what
+	At       time.Duration // since the script's time began
+	Interval time.Duration // since the snapshot before this one
+	Now      Tally         // in that time
+	Total    Tally
+	// MaxLag is by how much the run's own loop was late in that time, at most: what
 	// clients and peers did was late by as much, and no node is to blame for it.
-	Behind time.Duration
+	MaxLag time.Duration
 	Nodes  []NodeRow
 	Peers  []PeerRow
 }
@@ -39,7 +39,7 @@
 	State      string
 	Tries      int           // it has sent, up to the snapshot before this one
 	Clients    int           // connections from clients then
-	Used       time.Duration // of processor, in all its lives
+	CPUTime    time.Duration // of processor, in all its lives
 }
 
 // PeerRow is a peer.
@@ -49,7 +49,7 @@
 	Listed     string // at discovery
 	InFlight   int    // calls that wait there, or are in work
 	Served     int
-	Ails       string // what Do has done to it
+	Effects    string // what Do has done to it
 }
 
 // States of nodes and peers.
@@ -61,8 +61,8 @@
 	Down     = "down"
 )
 
-// watched is what the next snapshot is compared with.
-type watched struct {
+// tableState is what the next snapshot is compared with.
+type tableState struct {
 	at    time.Duration
 	tally Tally
 }
@@ -71,43 +71,43 @@
 // the time since the last call it says what happened in it: one caller looks.
 func (r *Run) Table() Snapshot {
 	var s Snapshot
-	if !r.on(func() { s = r.table() }) {
-		return r.last
+	if !r.runOnLoop(func() { s = r.table() }) {
+		return r.finalSnapshot
 	}
 	return s
 }
 
 func (r *Run) table() Snapshot {
-	s := Snapshot{At: r.loop.Now() - r.zero, Total: r.tally()}
-	s.Over, s.Now = s.At-r.before.at, s.Total.less(r.before.tally)
-	r.before = watched{s.At, s.Total}
-	s.Behind, r.behind = r.behind, 0
+	s := Snapshot{At: r.loop.Now() - r.scriptStart, Total: r.tally()}
+	s.Interval, s.Now = s.At-r.lastTable.at, s.Total.minus(r.lastTable.tally)
+	r.lastTable = tableState{s.At, s.Total}
+	s.MaxLag, r.maxLag = r.maxLag, 0
 	for _, n := range r.nodes {
-		row := NodeRow{Name: n.c.Name, Addr: n.at, State: Down, Tries: n.earlier + n.tries, Clients: n.open, Used: n.used}
-		if c := n.live; c != nil {
+		row := NodeRow{Name: n.c.Name, Addr: n.listenAddr, State: Down, Tries: n.earlierTries + n.tries, Clients: n.open, CPUTime: n.cpuTime}
+		if c := n.current; c != nil {
 			row.PID = c.pid()
-			row.Used += usedBy(row.PID)
+			row.CPUTime += cpuTimeOf(row.PID)
 			switch {
-			case c.leaving:
+			case c.terminating:
 				row.State = Leaving
 			case r.front.Admitted(n.c.Name):
 				row.State = Up
 			default:
 				row.State = Starting
 			}
-			if c.listens {
+			if c.serving {
 				c.signal(syscall.SIGUSR1)
 			}
 		}
 		s.Nodes = append(s.Nodes, row)
 	}
 	for _, p := range r.peers {
-		if !p.begun {
+		if !p.started {
 			continue
 		}
 		stats := p.Stats()
 		row := PeerRow{Name: p.c.Name, Addr: r.net.Resolve(p.Addr()), State: Up, Listed: r.listed[p.c.Name],
-			InFlight: stats.Held, Served: stats.Served, Ails: r.ails(p.c.Name)}
+			InFlight: stats.Held, Served: stats.Served, Effects: r.effects(p.c.Name)}
 		switch {
 		case p.Down():
 			row.State = Down
@@ -119,15 +119,15 @@
 	return s
 }
 
-// looks is how often a run looks how late it is.
-const looks = 10 * time.Millisecond
+// lagInterval is how often a run looks how late it is.
+const lagInterval = 10 * time.Millisecond
 
-// measure notes by how much the loop runs behind.
-func (r *Run) measure() {
-	due := r.loop.Now() + looks
+// measureLag notes by how much the loop runs behind.
+func (r *Run) measureLag() {
+	due := r.loop.Now() + lagInterval
 	r.loop.At(due, func() {
-		r.behind = max(r.behind, r.loop.Now()-due)
-		r.measure()
+		r.maxLag = max(r.maxLag, r.loop.Now()-due)
+		r.measureLag()
 	})
 }
 
@@ -145,8 +145,8 @@
 	return all
 }
 
-// less is what came since another tally.
-func (t Tally) less(o Tally) Tally {
+// minus is what came since another tally.
+func (t Tally) minus(o Tally) Tally {
 	t.Asked -= o.Asked
 	t.Served -= o.Served
 	t.Late -= o.Late
--- a/internal/lab/live/target.go
+++ b/internal/lab/live/target.go
@@ -15,7 +15,7 @@
 // Peer implements fault.Target.
 func (r *Run) Peer(name string) fault.Peer { return r.peer(name) }
 
-func (r *Run) peer(name string) *server {
+func (r *Run) peer(name string) *peerHost {
 	for _, p := range r.peers {
 		if p.c.Name == name {
 			return p
@@ -47,7 +47,7 @@
 }
 
 // Discovery implements fault.Target.
-func (r *Run) Discovery() fault.Discovery { return mover{r.registry, r} }
+func (r *Run) Discovery() fault.Discovery { return movableDiscovery{r.registry, r} }
 
 // Network implements fault.Target.
 func (r *Run) Network() fault.Network { return r.net }
@@ -55,37 +55,37 @@
 // Zone implements fault.Target.
 func (r *Run) Zone(host string) string { return r.zones[host] }
 
-// mover is discovery, whose place the nodes' configuration files name.
-type mover struct {
+// movableDiscovery is discovery, whose place the nodes' configuration files name.
+type movableDiscovery struct {
 	*registry.Registry
 	run *Run
 }
 
 // Move implements fault.Discovery.
-func (m mover) Move() string {
+func (m movableDiscovery) Move() string {
 	m.run.discovery = m.Registry.Move()
 	return m.run.discovery
 }
 
-// server is a peer with its machine.
-type server struct {
+// peerHost is a peer with its machine.
+type peerHost struct {
 	*peer.Peer
 	run      *Run
 	c        world.Peer
-	begun    bool // it has run
+	started  bool // it has run
 	draining bool
 }
 
 // Start implements fault.Peer: the process starts, cold.
-func (s *server) Start() {
-	s.begun, s.draining = true, false
+func (s *peerHost) Start() {
+	s.started, s.draining = true, false
 	if err := s.Peer.Start(false); err != nil {
 		s.run.fail("%v", err)
 	}
 }
 
 // Kill implements fault.Peer: the process dies, and its connections with it.
-func (s *server) Kill() {
+func (s *peerHost) Kill() {
 	if !s.Down() {
 		s.Peer.Kill()
 		s.run.net.Kill(hostOf(s.c))
@@ -93,7 +93,7 @@
 }
 
 // Drain implements fault.Peer.
-func (s *server) Drain(turnAwayAfter, exitAfter time.Duration) {
+func (s *peerHost) Drain(turnAwayAfter, exitAfter time.Duration) {
 	s.draining = !s.Down()
 	s.Peer.Drain(turnAwayAfter, exitAfter)
 }
--- a/internal/lab/live/watch.go
+++ b/internal/lab/live/watch.go
@@ -7,56 +7,56 @@
 	"olivebridge/internal/lab/sample"
 )
 
-// readEach is how often peers and processes are read.
-const readEach = 250 * time.Millisecond
+// readingInterval is how often peers and processes are read.
+const readingInterval = 250 * time.Millisecond
 
-// watch tells whoever watches a run how it goes, from the beginning of the
+// reporter tells whoever watches a run how it goes, from the beginning of the
 // script's time until the clients have their outcomes. It belongs to the loop.
-type watch struct {
-	run  *Run
-	to   sample.Sink // nil: nobody watches
-	on   bool
-	base []time.Duration // processor time of each node at the beginning
-	used []time.Duration // the most that was read of it: a process that is gone is counted late
+type reporter struct {
+	run         *Run
+	to          sample.Sink // nil: nobody watches
+	active      bool
+	baseCPUTime []time.Duration // processor time of each node at the beginning
+	cpuTime     []time.Duration // the most that was read of it: a process that is gone is counted late
 }
 
 // begin begins the telling.
-func (w *watch) begin() {
+func (w *reporter) begin() {
 	if w.to == nil {
 		return
 	}
-	w.on = true
-	w.used = make([]time.Duration, len(w.run.nodes))
+	w.active = true
+	w.cpuTime = make([]time.Duration, len(w.run.nodes))
 	for _, n := range w.run.nodes {
-		w.base = append(w.base, n.used+usedBy(n.pid()))
+		w.baseCPUTime = append(w.baseCPUTime, n.cpuTime+cpuTimeOf(n.pid()))
 	}
 	w.read()
-	w.next(w.run.zero + readEach)
+	w.scheduleReading(w.run.scriptStart + readingInterval)
 }
 
-// next reads at an instant, and so on.
-func (w *watch) next(at time.Duration) {
+// scheduleReading reads at an instant, and so on.
+func (w *reporter) scheduleReading(at time.Duration) {
 	w.run.loop.At(at, func() {
-		if w.on {
+		if w.active {
 			w.read()
-			w.next(max(at+readEach, w.run.loop.Now()))
+			w.scheduleReading(max(at+readingInterval, w.run.loop.Now()))
 		}
 	})
 }
 
 // end ends it.
-func (w *watch) end() {
-	if w.on {
+func (w *reporter) end() {
+	if w.active {
 		w.read()
-		w.on = false
+		w.active = false
 	}
 }
 
 // now is the script's time.
-func (w *watch) now() time.Duration { return w.run.loop.Now() - w.run.zero }
+func (w *reporter) now() time.Duration { return w.run.loop.Now() - w.run.scriptStart }
 
 // read tells how peers and nodes stand.
-func (w *watch) read() {
+func (w *reporter) read() {
 	r := sample.Reading{At: w.now()}
 	for _, p := range w.run.peers {
 		s := p.Stats()
@@ -64,24 +64,24 @@
 	}
 	for i, n := range w.run.nodes {
 		pid := n.pid()
-		w.used[i] = max(w.used[i], n.used+usedBy(pid)-w.base[i])
-		r.Nodes = append(r.Nodes, sample.Node{Name: n.c.Name, CPU: w.used[i], Resident: residentOf(pid)})
+		w.cpuTime[i] = max(w.cpuTime[i], n.cpuTime+cpuTimeOf(pid)-w.baseCPUTime[i])
+		r.Nodes = append(r.Nodes, sample.Node{Name: n.c.Name, CPU: w.cpuTime[i], Resident: residentOf(pid)})
 	}
 	w.to.Reading(r)
 }
 
 // request tells what came of one. Its times are the loop's.
-func (w *watch) request(q sample.Request) {
-	if w.on {
-		zero := w.run.zero
-		q.Due, q.Begun, q.Ended = q.Due-zero, q.Begun-zero, q.Ended-zero
+func (w *reporter) request(q sample.Request) {
+	if w.active {
+		scriptStart := w.run.scriptStart
+		q.Due, q.Begun, q.Ended = q.Due-scriptStart, q.Begun-scriptStart, q.Ended-scriptStart
 		w.to.Request(q)
 	}
 }
 
-// tell tells of something that happened.
-func (w *watch) tell(who, what string) {
-	if w.on {
+// report tells of something that happened.
+func (w *reporter) report(who, what string) {
+	if w.active {
 		w.to.Event(sample.Event{At: w.now(), Who: who, What: what})
 	}
 }
@@ -95,15 +95,15 @@
 // PeerStarted implements event.Observer, as do the methods below.
 func (w worldObserver) PeerStarted(peer, _ string, cold bool) {
 	if cold {
-		w.run.watch.tell(peer, "started cold")
+		w.run.reporter.report(peer, "started cold")
 	}
 }
 
 // PeerStopped implements event.Observer.
-func (w worldObserver) PeerStopped(peer string) { w.run.watch.tell(peer, "ended") }
+func (w worldObserver) PeerStopped(peer string) { w.run.reporter.report(peer, "ended") }
 
 // PeerListed implements event.Observer.
 func (w worldObserver) PeerListed(_ int64, peer, _, state string, _ time.Duration) {
 	w.run.listed[peer] = state
-	w.run.watch.tell(peer, "listed "+state)
+	w.run.reporter.report(peer, "listed "+state)
 }
