--- a/internal/lab/experiment/assert.go
+++ b/internal/lab/experiment/assert.go
@@ -67,7 +67,7 @@
 		classes, tenants := e.classAndTenantNames()
 		switch {
 		case a.Class != "" && a.Tenant != "":
-			return d.Error(at("tenant"), "class and tenant are mutually exclusive")
+			return d.Error(at("tenant"), "class and tenant are both set")
 		case a.Class != "" && !slices.Contains(classes, a.Class):
 			return d.Error(at("class"), "unknown class %q", a.Class)
 		case a.Tenant != "" && !slices.Contains(tenants, a.Tenant):
--- a/internal/lab/experiment/file_test.go
+++ b/internal/lab/experiment/file_test.go
@@ -88,7 +88,7 @@
 		{`least = 0.9`, "least = 0.9\nmost = 0.8", "assert[0].most: most is below least"},
 		{`least = 0.9`, ``, ""},
 		{`class = "quote"`, `class = "quota"`, `assert[1].class: unknown class "quota"`},
-		{`class = "quote"`, "class = 'quote'\ntenant = 'ashby-dental'", "assert[1].tenant: class and tenant are mutually exclusive"},
+		{`class = "quote"`, "class = 'quote'\ntenant = 'ashby-dental'", "assert[1].tenant: class and tenant are both set"},
 		{`class = "quote"`, `tenant = "nobody"`, `assert[1].tenant: unknown tenant "nobody"`},
 		{`most = "200ms"`, `most = 200`, `assert[1].most: p99 needs a duration such as "200ms"`},
 		{`[world]`, "[script]\nseed = 1\n[world]", ""},
--- a/internal/lab/experiment/run_test.go
+++ b/internal/lab/experiment/run_test.go
@@ -112,7 +112,7 @@
 	add(4*time.Second, 4*time.Second, 4*time.Second+ms, sample.Refused, "quote")
 	add(4*time.Second, 4*time.Second, 4*time.Second+ms, sample.Unreached, "quote")
 	add(4*time.Second, 4*time.Second, 4*time.Second+ms, sample.Left, "quote")
-	add(11*time.Second, 11*time.Second, 12*time.Second, sample.Failed, "order-confirm") // outside of the phase calm; worth 10
+	add(11*time.Second, 11*time.Second, 12*time.Second, sample.Failed, "order-confirm") // not in phase calm; worth 10
 	r, err := plan.Run(t.Context(), all, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/live/build.go
+++ b/internal/lab/live/build.go
@@ -9,14 +9,15 @@
 	"strings"
 )
 
-// Build builds the node's program, from the source tree in which this runs, and
-// returns its path, in dir.
+// Build builds the node's program in dir and returns its path. The working
+// directory must be in the source tree.
 func Build(ctx context.Context, dir string) (string, error) {
 	path := filepath.Join(dir, "olivebridge")
 	return runGoBuild(ctx, path, []string{"build", "-o", path, "olivebridge/cmd/olivebridge"})
 }
 
-// runGoBuild calls the go command, and returns the path of what it was to build.
+// runGoBuild runs the go command with args and returns path, or an error of one
+// line with the command's output.
 func runGoBuild(ctx context.Context, path string, args []string) (string, error) {
 	out, err := exec.CommandContext(ctx, "go", args...).CombinedOutput()
 	if err == nil {
@@ -31,8 +32,9 @@
 	return "", fmt.Errorf("building the node: %w (run in the source tree, or name a program)", err)
 }
 
-// BuildFleet builds the node's program, and beside it the one that it becomes where it knows of a fleet. With mutants they
-// can be told which mutant to be.
+// BuildFleet builds the node's program and the fleet member's program, into which the node turns when a fleet is
+// configured, and returns the path of the former. With mutants, it sets the build tag mutant, so that the programs can
+// be told which mutant to run as.
 func BuildFleet(ctx context.Context, dir string, mutants bool) (string, error) {
 	args := []string{"build", "-o", dir + string(filepath.Separator)}
 	if mutants {
@@ -42,7 +44,7 @@
 	return runGoBuild(ctx, filepath.Join(dir, "olivebridge"), args)
 }
 
-// CheckProgram checks that a path is one of a program that can be run.
+// CheckProgram returns an error if path is not an executable file.
 func CheckProgram(path string) error {
 	info, err := os.Stat(path)
 	switch {
--- a/internal/lab/live/judge.go
+++ b/internal/lab/live/checker.go
@@ -10,57 +10,61 @@
 	"olivebridge/internal/lab/world/client"
 )
 
-// checker holds nodes to those rules of package rules that can be told for sure
-// from the ends of clients and peers, whatever the way between them does and
+// checker checks those rules of package rules that can be decided with certainty
+// from what clients and peers observe, whatever the network does between them and
 // however late this machine runs:
 //
-//   - effect: an unsafe call that has come to a peer, and may run there, comes to
-//     none again, and is not refused; no call comes more often than the contract allows;
-//   - wrong answer: a 200 names its client's call, and has the body of a 200 that
-//     a peer made for it;
-//   - bad: what must not be served is not (see Run.misled).
+//   - effect: an unsafe call that has reached a peer and may have run there does not
+//     reach a peer again and is not refused; no call has more tries than the
+//     contract allows;
+//   - wrong answer: a 200 names its client's call, and its body is that of a 200 that
+//     a peer sent for the call;
+//   - bad: a request that must not be served is not served (see Run.checkRogues).
 //
-// It belongs to the loop.
+// All methods must be called on the loop.
 type checker struct {
-	onAttempt       func(peer, call string) // of each try; nil: nobody
-	onAttemptEnd    func(peer, call string) // of the end of each; nil: nobody
-	onAttemptSpared func(peer, call string) // hears of those that will not run; nil: nobody
-	maxTries        int                     // tries of a call
-	retention       time.Duration           // how long a call is remembered
+	onAttempt       func(peer, call string) // called for each try that reaches a peer; may be nil
+	onAttemptEnd    func(peer, call string) // called when a peer is done with a try; may be nil
+	onAttemptSpared func(peer, call string) // called for each try that a peer rejects without running it; may be nil
+	maxTries        int                     // limit of tries of one call; 0: none
+	retention       time.Duration           // duration for which a call is kept after its first try
 	now             func() time.Duration
 	calls           map[string]*callRecord
-	order           []*callRecord // the first first
+	order           []*callRecord // calls by firstSeen, ascending
 	violations      []string
-	omitted         int
+	omitted         int // number of violations beyond maxViolations
 }
 
-// callRecord is a call that has come to a peer.
+// callRecord is a call that has reached a peer.
 type callRecord struct {
 	call       string
-	firstSeen  time.Duration // the first time
+	firstSeen  time.Duration // instant of the first try
 	safe       bool
 	attempts   int
-	mayHaveRun int      // of them, how many may run, or have
-	bodies     []uint64 // of the 200s that peers made for it
+	mayHaveRun int      // number of attempts that may have run
+	bodies     []uint64 // hashes of the bodies of the 200s that peers sent for it
 }
 
-// maxViolations bounds the breaks that are kept.
+// maxViolations is the largest number of violations kept; later ones are only counted.
 const maxViolations = 20
 
+// newChecker returns a checker for a limit of tries per call (0: none). now is the
+// script's clock.
 func newChecker(tryLimit int, retention time.Duration, now func() time.Duration) *checker {
 	return &checker{maxTries: tryLimit, retention: retention, now: now, calls: map[string]*callRecord{}}
 }
 
-// addViolation notes that a rule is broken.
+// addViolation records a violation of a rule with the current instant.
 func (j *checker) addViolation(rule, format string, args ...any) {
 	if len(j.violations) == maxViolations {
 		j.omitted++
 		return
 	}
-	j.violations = append(j.violations, fmt.Sprintf("%s at %.6fs: %s", rule, j.now().Seconds(), fmt.Sprintf(format, args...)))
+	j.violations = append(j.violations,
+		fmt.Sprintf("%s at %.6fs: %s", rule, j.now().Seconds(), fmt.Sprintf(format, args...)))
 }
 
-// violationLines is what was found.
+// violationLines returns the violations, one line each.
 func (j *checker) violationLines() []string {
 	if j.omitted == 0 {
 		return j.violations
@@ -110,13 +114,14 @@
 	}
 }
 
+// attemptEnded notifies onAttemptEnd.
 func (j *checker) attemptEnded(peer, call string) {
 	if j.onAttemptEnd != nil {
 		j.onAttemptEnd(peer, call)
 	}
 }
 
-// checkResponse takes in an answer that a client got.
+// checkResponse checks a response that a client received.
 func (j *checker) checkResponse(a client.Answer) {
 	m := j.calls[a.Call]
 	switch a.Status {
@@ -141,7 +146,7 @@
 	}
 }
 
-// expire forgets calls whose clients have long gone.
+// expire drops calls older than retention, whose clients no longer wait.
 func (j *checker) expire(now time.Duration) {
 	for len(j.order) > 0 && j.order[0].firstSeen < now-j.retention {
 		delete(j.calls, j.order[0].call)
--- a/internal/lab/live/judge_test.go
+++ b/internal/lab/live/checker_test.go
@@ -8,7 +8,7 @@
 	"olivebridge/internal/lab/world/client"
 )
 
-// Each rule is broken by just what breaks it, and by nothing that a node may do.
+// Each rule violation is found, and nothing that a node may do counts as a violation.
 func TestCheckerRules(t *testing.T) {
 	answer := func(j *checker, status int, body string) {
 		j.checkResponse(client.Answer{Call: "a", Status: status, Body: []byte(body)})
@@ -23,12 +23,12 @@
 			j.AttemptAnswered("p1", "a", []byte("call=a 1"))
 			answer(j, 200, "call=a 1")
 		}, nil},
-		{"tried again after a proof", func(j *checker) {
+		{"retried after a rejection", func(j *checker) {
 			j.AttemptReceived("p1", "a", false)
 			j.AttemptRejected("p1", "a")
 			j.AttemptReceived("p2", "a", false)
 		}, nil},
-		{"refused after a proof", func(j *checker) {
+		{"refused after a rejection", func(j *checker) {
 			j.AttemptReceived("p1", "a", false)
 			j.AttemptRejected("p1", "a")
 			answer(j, 503, "")
@@ -44,11 +44,11 @@
 			j.AttemptReceived("p1", "a", false)
 			answer(j, 502, "")
 		}, nil},
-		{"an unsafe call twice", func(j *checker) {
+		{"unsafe call sent twice", func(j *checker) {
 			j.AttemptReceived("p1", "a", false)
 			j.AttemptReceived("p2", "a", false)
 		}, []string{"effect at 1.000000s: call a comes to peer p2, though"}},
-		{"refused without a proof", func(j *checker) {
+		{"refused without a rejection", func(j *checker) {
 			j.AttemptReceived("p1", "a", false)
 			answer(j, 503, "")
 		}, []string{"effect at 1.000000s: call a is refused"}},
@@ -61,12 +61,12 @@
 			j.AttemptReceived("p1", "a", true)
 			answer(j, 200, "call=b 1")
 		}, []string{"wrong answer at 1.000000s: call a gets what names another call"}},
-		{"a body that was cut", func(j *checker) {
+		{"a truncated body", func(j *checker) {
 			j.AttemptReceived("p1", "a", true)
 			j.AttemptAnswered("p1", "a", []byte("call=a 1"))
 			answer(j, 200, "call=a ")
 		}, []string{"wrong answer at 1.000000s: call a gets a body that no peer made"}},
-		{"a body of nobody's", func(j *checker) { answer(j, 200, "call=a 1") }, []string{"wrong answer"}},
+		{"a body that no peer sent", func(j *checker) { answer(j, 200, "call=a 1") }, []string{"wrong answer"}},
 	} {
 		j := newChecker(3, time.Minute, func() time.Duration { return time.Second })
 		c.do(j)
@@ -76,12 +76,12 @@
 			ok = ok && strings.HasPrefix(got[i], c.wants[i])
 		}
 		if !ok {
-			t.Errorf("%s: %q, want %q", c.name, got, c.wants)
+			t.Errorf("%s: violations %q, want %q", c.name, got, c.wants)
 		}
 	}
 }
 
-// A long run must not be remembered whole.
+// The checker drops old calls; otherwise its memory would grow with the length of the run.
 func TestCheckerExpiresCalls(t *testing.T) {
 	now := time.Duration(0)
 	j := newChecker(3, time.Second, func() time.Duration { return now })
@@ -90,6 +90,6 @@
 		now += 2 * time.Second
 	}
 	if len(j.calls) != 1 || len(j.order) != 1 {
-		t.Errorf("%d calls, %d in order", len(j.calls), len(j.order))
+		t.Errorf("%d calls kept, %d in order; want 1 and 1", len(j.calls), len(j.order))
 	}
 }
--- a/internal/lab/live/child.go
+++ b/internal/lab/live/child.go
@@ -11,31 +11,35 @@
 )
 
 // child is one process of a node.
+//
+// The fields of the second group belong to the run's loop. Those of the third are
+// valid once exited is closed, and mu guards those of the fourth.
 type child struct {
 	program string
 	env     []string
 	log     *os.File
-	line    func(line string) (keep bool) // hears each line of its log, on a goroutine of the process's
-	exited  chan struct{}                 // closed once nothing of it is left
+	line    func(line string) (keep bool) // called for each log line, on a goroutine of the process
+	exited  chan struct{}                 // closed when the process has exited or could not start
 
-	// The loop's.
-	terminating       bool // it was told to end
-	serving           bool // it has started, and hears signals: before that they would end it
-	configChanged     bool // its file has changed
-	mustRefuseStart   bool // it must not start
-	fleetFileRevision int  // how often those of budgets had changed when it read its fleet file last
+	// Owned by the loop.
+	terminating       bool // SIGTERM was sent
+	serving           bool // the process has started and handles signals; earlier signals would end it
+	configChanged     bool // the configuration file has been rewritten since the process started
+	mustRefuseStart   bool // the process must refuse to start
+	fleetFileRevision int  // value of Run.fleetFileRevision when it last read its fleet file
 
-	lastLine     string        // line that it wrote; once gone
-	cpuTime      time.Duration // of processor; once gone
-	leftChildren bool          // it has left children behind, which were killed; once gone
+	lastLine     string        // last kept line of the log
+	cpuTime      time.Duration // processor time, user and system
+	leftChildren bool          // the process left child processes behind, which were killed
 
 	mu          sync.Mutex
 	process     *os.Process
-	earlySignal syscall.Signal // that came before the process was there
+	earlySignal syscall.Signal // SIGKILL if a signal was requested before the process existed; otherwise 0
 }
 
-// run runs the process to its end. The thread that starts it stays with it: the
-// kernel ends a child when the thread that is its parent ends.
+// run runs the process until it exits. The goroutine is locked to its thread
+// because the kernel kills the child (Pdeathsig) when the thread that started it
+// exits.
 func (c *child) run() error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -55,23 +59,24 @@
 	err := cmd.Wait()
 	c.lastLine = out.lastLine
 	c.cpuTime = cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
-	c.leftChildren = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) == nil // the group is its own
+	c.leftChildren = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) == nil // the process has its own process group
 	return err
 }
 
-// signal sends the process a signal, or kills it if it has not yet begun.
+// signal sends a signal to the process. If the process does not exist yet, SIGTERM
+// and SIGKILL kill it once it does, and other signals are dropped.
 func (c *child) signal(s syscall.Signal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case c.process != nil:
-		c.process.Signal(s) // one that has ended needs none
+		c.process.Signal(s) // an error means that the process has exited
 	case s == syscall.SIGKILL || s == syscall.SIGTERM:
 		c.earlySignal = syscall.SIGKILL
 	}
 }
 
-// pid is the process's number; 0: it has none yet.
+// pid returns the process ID, or 0 if there is no process yet.
 func (c *child) pid() int {
 	if c == nil {
 		return 0
@@ -84,7 +89,8 @@
 	return c.process.Pid
 }
 
-// logWriter writes a process's log, line by line.
+// logWriter splits the output of a process into lines and writes those that
+// child.line keeps to the log file.
 type logWriter struct {
 	child    *child
 	partial  []byte
@@ -103,7 +109,7 @@
 		l.partial = l.partial[i+1:]
 		if l.child.line(line) {
 			l.lastLine = line
-			l.child.log.WriteString(line + "\n") // nobody could be told of an error
+			l.child.log.WriteString(line + "\n") // there is no place to report an error
 		}
 	}
 }
--- a/internal/lab/live/child_linux.go
+++ b/internal/lab/live/child_linux.go
@@ -9,15 +9,16 @@
 	"time"
 )
 
-// processAttributes keeps a terminal's signals from a child, and lets it die with its parent.
+// processAttributes puts a child into its own process group, so that signals of the
+// terminal do not reach it, and lets the kernel kill it when its parent exits.
 func processAttributes() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 }
 
-// cpuTimeOf is the processor time that a running process has used; 0 if that cannot be told.
+// cpuTimeOf returns the processor time of a running process, or 0 if it is unknown.
 func cpuTimeOf(pid int) time.Duration {
 	data, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
-	_, text, _ := strings.Cut(string(data), ") ") // behind the name, which may hold anything
+	_, text, _ := strings.Cut(string(data), ") ") // skip the name, which may contain any character
 	fields := strings.Fields(text)
 	if len(fields) < 13 {
 		return 0
@@ -27,7 +28,7 @@
 	return time.Duration(user+system) * (time.Second / 100)
 }
 
-// residentOf is how many bytes of memory a process holds; 0 if that cannot be told.
+// residentOf returns the resident memory of a process in bytes, or 0 if it is unknown.
 func residentOf(pid int) int64 {
 	data, _ := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	fields := strings.Fields(string(data))
--- a/internal/lab/live/do.go
+++ b/internal/lab/live/do.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// undo is one thing that Do has done, and that heal takes back.
+// undo is an effect of Do that the heal command reverts.
 type undo struct {
 	name, what string
 	heal       func()
 }
 
-// How a drain that was asked for goes.
+// Timing of a peer's drain by the drain command: the delay until the peer rejects
+// new requests, and until it exits.
 const (
 	drainRejectAfter = 1500 * time.Millisecond
 	drainExitAfter   = 4 * time.Second
 )
 
-// Help says what Do takes.
+// Help lists the commands of Do.
 const Help = `kill NAME          kill a peer or a node
 slow PEER TIMES    let a peer take so many times longer
 fail PEER SHARE    let a share of a peer's calls end in a 500
@@ -29,7 +30,8 @@
 restart NODE       SIGTERM, and a new process
 heal [NAME]        undo all of that, or what was done to one`
 
-// Do does something to a peer or a node, as Help has it, and says what it did.
+// Do executes a command of Help on a peer or a node and returns a description of
+// the effect. It returns errRunOver once the run has finished.
 func (r *Run) Do(command string) (did string, err error) {
 	if !r.runOnLoop(func() { did, err = r.do(strings.Fields(command)) }) {
 		return "", errRunOver
@@ -37,6 +39,8 @@
 	return did, err
 }
 
+// do parses and executes a command. It must be called on the loop, as must doNode,
+// doPeer and heal.
 func (r *Run) do(words []string) (string, error) {
 	if len(words) == 0 {
 		return "", errors.New("do what?")
@@ -70,6 +74,7 @@
 	return r.doPeer(verb, p, args[1:])
 }
 
+// doNode executes restart or kill on a node.
 func (r *Run) doNode(verb string, n *instance) (string, error) {
 	name := n.c.Name
 	if verb == "restart" {
@@ -87,6 +92,8 @@
 	return name + " is killed", nil
 }
 
+// doPeer executes a command on a peer. figures has the factor of slow or the share
+// of fail.
 func (r *Run) doPeer(verb string, p *peerHost, figures []string) (string, error) {
 	name := p.c.Name
 	note := func(what string, heal func()) (string, error) {
@@ -123,7 +130,8 @@
 	return "", fmt.Errorf("fail: not a share above 0 and up to 1: %q", figures[0])
 }
 
-// startAgain starts a peer's process once the one before it has ended.
+// startAgain starts the peer's process. While the previous one drains, it polls
+// every 100 ms until that has exited.
 func (s *peerHost) startAgain() {
 	switch {
 	case s.Down():
@@ -133,8 +141,8 @@
 	}
 }
 
-// heal undoes what was done to one, or to all; then whatever is down starts
-// again, those that went down by themselves, too.
+// heal reverts the effects of Do on the named peer or node, or on all if name is
+// empty. It then starts every one of them that is down, whatever the cause.
 func (r *Run) heal(name string) (string, error) {
 	if name != "" && r.node(name) == nil && r.peer(name) == nil {
 		return "", fmt.Errorf("heal: no peer or node named %q", name)
@@ -164,7 +172,8 @@
 	return name + " healed", nil
 }
 
-// effects is what was done to one and not undone.
+// effects returns the effects of Do on a peer or node that are still in force,
+// separated by commas.
 func (r *Run) effects(name string) string {
 	var all []string
 	for _, u := range r.undo {
--- a/internal/lab/live/fleet.go
+++ b/internal/lab/live/fleet.go
@@ -10,29 +10,35 @@
 	"olivebridge/internal/lab/fault"
 )
 
-// Fleet is what stands around the processes of a run whose nodes know of each other. All is called on the loop.
+// Fleet supplies the environment of a run whose nodes are members of one fleet, and injects the faults between and
+// around their processes. All methods are called on the loop.
 type Fleet interface {
-	// Env is what a node's next process is told besides; of a twin, what a stranger under its name is told.
+	// Env returns additional environment variables for a node's next process, or for a twin: an unrelated process that
+	// runs under the node's name.
 	Env(node string, twin bool) ([]string, error)
-	// Tell hears what becomes of a node's processes.
+	// Tell is notified of each event of a node's processes; pid is 0 if no process is involved.
 	Tell(node, what string, pid int)
+	// Cut blocks the traffic from some nodes to others until heal is called.
 	Cut(from, to func(node string) bool) (heal func())
+	// Ail disturbs the traffic from some nodes to others as a says, until heal is called.
 	Ail(from, to func(node string) bool, a fault.Ails) (heal func())
+	// Move gives a node's future processes another address in the fleet.
 	Move(node string)
-	// Amounts writes a share of the amounts into all fleet files, also those of processes to come, and returns how often
-	// that was done. It is 0 until it is done.
+	// Amounts writes a share of the budget amounts into all fleet files, including those of future processes, and
+	// returns the number of rewrites of the fleet files so far.
 	Amounts(share float64) (int, error)
-	// Voters writes other voters into them, likewise.
+	// Voters writes another list of voters into all fleet files and returns the number of rewrites likewise.
 	Voters(names []string) (int, error)
-	// Clock sets the wall clock of a node's next processes wrong.
+	// Clock sets the wall clock of a node's future processes wrong by the given duration.
 	Clock(node string, by time.Duration)
-	// Arm has a node's process wait at its next such step. Met reports whether it does, GoOn lets it.
+	// Arm makes a node's process block when it next reaches a step. met reports whether it is blocked there, goOn
+	// resumes it.
 	Arm(node, step string) (met func() bool, goOn func(), err error)
-	// Spoil makes a directory unfit, and returns how that is mended.
+	// Spoil damages a node's directory; mend repairs it.
 	Spoil(node string, how fault.Spoilt) (mend func(), err error)
 }
 
-// Company is what the nodes are to each other; nil: they know of none.
+// Company implements fault.Target. It returns nil if the nodes are not members of a fleet.
 func (r *Run) Company() fault.Company {
 	if r.options.Fleet == nil {
 		return nil
@@ -40,7 +46,8 @@
 	return company{r}
 }
 
-// company carries faults out on processes, and hands on what lies between them.
+// company implements fault.Company: it injects faults into processes itself and passes faults between them to
+// Options.Fleet.
 type company struct{ r *Run }
 
 func (c company) Cut(from, to func(string) bool) func() { return c.r.options.Fleet.Cut(from, to) }
@@ -54,11 +61,14 @@
 func (c company) Clock(node string, by time.Duration) { c.r.options.Fleet.Clock(node, by) }
 
 const (
-	// stepTimeout is how long a process may take to come to a step, meetEach how often the rig looks.
+	// stepTimeout is the duration for which At waits for a process to reach a step, stepPollInterval the interval at
+	// which it checks.
 	stepTimeout      = 4 * time.Second
 	stepPollInterval = 2 * time.Millisecond
 )
 
+// At calls at when the node's process is blocked at a step; goOn resumes the process. If the process does not reach
+// the step within stepTimeout, at is not called.
 func (c company) At(node, step string, at func(resume func())) {
 	reached, resume, err := c.r.options.Fleet.Arm(node, step)
 	if err != nil {
@@ -92,7 +102,7 @@
 	c.fleetFilesWritten(times, err)
 }
 
-// fleetFilesWritten has all processes read their fleet files again.
+// fleetFilesWritten makes all processes reload their fleet files after a rewrite, or records the error of the rewrite.
 func (c company) fleetFilesWritten(times int, err error) {
 	if err != nil {
 		c.r.fail("fleet files: %v", err)
@@ -106,7 +116,7 @@
 	}
 }
 
-// reloadFleetFile has a process read its fleet file again, if that has changed since and it serves by now.
+// reloadFleetFile sends SIGHUP to a process that handles signals if its fleet file has changed since it read it.
 func (i *instance) reloadFleetFile(c *child) {
 	if c != nil && c.serving && c.fleetFileRevision != i.run.fleetFileRevision {
 		c.fleetFileRevision = i.run.fleetFileRevision
@@ -143,10 +153,11 @@
 	return i.endTwin
 }
 
-// stopTimeout is how long the kernel may take over a SIGSTOP.
+// stopTimeout is the duration within which a process must be stopped after SIGSTOP.
 const stopTimeout = 2 * time.Second
 
-// stop stops the process, and looks that it stands still: a rig that only believes so proves nothing.
+// stop sends SIGSTOP to the current process and waits until the kernel reports it as stopped. Without that check, a
+// test with a process that still runs would prove nothing.
 func (i *instance) stop() {
 	c := i.current
 	if c == nil || c.pid() == 0 || i.stopped != nil {
@@ -163,7 +174,7 @@
 	i.report("stopped", c)
 }
 
-// isStopped reports whether a process is stopped, or gone.
+// isStopped reports whether a process is stopped or has exited.
 func isStopped(pid int) bool {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -173,6 +184,7 @@
 	return strings.HasPrefix(text, "T") || strings.HasPrefix(text, "Z")
 }
 
+// resume sends SIGCONT to the stopped process, if there is one.
 func (i *instance) resume() {
 	if c := i.stopped; c != nil {
 		i.stopped = nil
@@ -181,7 +193,8 @@
 	}
 }
 
-// upgrade starts the next process beside the one in service.
+// upgrade starts a successor of the current process while that keeps serving. It does nothing if the current process
+// is not serving, is exiting or stopped, or if an upgrade is in progress.
 func (i *instance) upgrade() {
 	if i.current == nil || i.current.terminating || !i.current.serving || i.next != nil || i.stopped != nil {
 		return
@@ -203,7 +216,7 @@
 	})
 }
 
-// onServing hears that a process serves. In an upgrade the one before it is told to end.
+// onServing is called when a process has started to serve. In an upgrade it sends SIGTERM to the predecessor.
 func (i *instance) onServing(c *child) {
 	switch {
 	case c.mustRefuseStart:
@@ -224,7 +237,7 @@
 	i.reloadFleetFile(c)
 }
 
-// killNext ends an upgrade that has not come to its end.
+// killNext aborts an upgrade in progress.
 func (i *instance) killNext() {
 	if i.next != nil {
 		i.next.signal(syscall.SIGKILL)
@@ -232,7 +245,7 @@
 	}
 }
 
-// handleOtherExit takes the end of a process that is not the one in service, and reports whether it was one.
+// handleOtherExit handles the exit of a process other than the current one, and reports whether c is such a process.
 func (i *instance) handleOtherExit(c *child, err error) bool {
 	if c == i.stopped {
 		i.stopped = nil
@@ -250,20 +263,20 @@
 	return true
 }
 
-// handleRefusedStart takes the end of a process that was to refuse its start.
+// handleRefusedStart checks the exit of a process that must refuse to start, and reports whether c is such a process.
 func (i *instance) handleRefusedStart(c *child, err error) bool {
 	if !c.mustRefuseStart {
 		return false
 	}
 	if err == nil || !strings.Contains(c.lastLine, "directory:") {
-		i.run.addViolation("refusal", "node %s: ended with %v in a directory in which it must not start; it wrote: %s", i.c.Name,
-			err, c.lastLine)
+		i.run.addViolation("refusal", "node %s: ended with %v in a directory in which it must not start; it wrote: %s",
+			i.c.Name, err, c.lastLine)
 	}
 	i.report("refused", c)
 	return true
 }
 
-// startTwin starts a stranger under the node's name.
+// startTwin starts a twin: an unrelated process under the node's name.
 func (i *instance) startTwin() {
 	if i.twin != nil {
 		return
@@ -279,6 +292,7 @@
 	i.prior = prior
 }
 
+// endTwin kills the twin, if there is one.
 func (i *instance) endTwin() {
 	if c := i.twin; c != nil {
 		i.twin = nil
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -20,8 +20,9 @@
 	"olivebridge/internal/lab/sample"
 )
 
-var program string // the node's
+var program string // path of the node's program
 
+// TestMain builds the node's program once for all tests.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "live-")
 	if err == nil {
@@ -37,6 +38,7 @@
 	os.Exit(code)
 }
 
+// start starts a run that is stopped at the end of the test.
 func start(t *testing.T, s *fault.Script, o Options) *Run {
 	t.Helper()
 	o.Node, o.Dir = program, t.TempDir()
@@ -48,7 +50,7 @@
 	return r
 }
 
-// waitFor looks at the run until it is such.
+// waitFor polls the run's state until it meets the condition and returns that state. The test fails after 30 s.
 func waitFor(t *testing.T, r *Run, condition func(s Snapshot) bool) Snapshot {
 	t.Helper()
 	ticker := time.NewTicker(20 * time.Millisecond)
@@ -60,22 +62,22 @@
 				return s
 			}
 		case <-deadline:
-			t.Fatalf("it never became so: %+v", r.Table())
+			t.Fatalf("condition not met within 30 s: %+v", r.Table())
 		}
 	}
 }
 
 func span(d time.Duration) figure.Span { return figure.Span(d) }
 
-// scriptLength is how long TestScript's script is. A planned end may take 2.2 s and more on a busy machine, a start too, and
-// a peer that has started cold has its first requests by chance: there is time for each, many times over.
+// scriptLength is the length of TestScript's script. On a busy machine a planned exit may take 2.2 s and more, and so
+// may a start; a cold peer gets its first requests at random. The length leaves time for each of them many times over.
 const scriptLength = 10 * time.Second
 
-// Guards the play of scripts: faults of every family happen, what they undo is undone, and nothing is left.
+// A run injects faults of every family, reverts them at their end, and leaves no process behind.
 func TestScript(t *testing.T) {
 	s := Sample(4, 2, 100)
 	s.Length = span(scriptLength)
-	for i := range s.World.Classes { // how fast a busy machine is, is not what this shows
+	for i := range s.World.Classes { // latency on a busy machine is not under test
 		s.World.Classes[i].Aim, s.World.Classes[i].Deadline = span(750*time.Millisecond), span(1500*time.Millisecond)
 	}
 	s.World.Contract.ConnectTimeout = span(time.Second)
@@ -120,20 +122,21 @@
 	}
 }
 
-// seen is what a run has told.
+// seen is a sample.Sink that keeps the samples of a run.
 type seen struct {
 	requests []sample.Request
 	readings []sample.Reading
 	events   []string
-	run      *Run        // nil until it has started
-	overdue  *loop.Timer // happens unless the next reading goes before
-	missed   int         // readings that did not
+	run      *Run        // nil until the run has started
+	overdue  *loop.Timer // fires if the next reading does not come first
+	missed   int         // number of readings that came too late
 }
 
 func (s *seen) Request(q sample.Request) { s.requests = append(s.requests, q) }
 
-// Reading expects the next one when it is due. The loop lets events happen in the order in which they are due, however
-// late the machine is; a reading that is late may be due at once.
+// Reading starts a timer for the next reading. The loop runs events in the order of their due instants, however late
+// the machine is, so the timer detects a missing reading, not a slow machine. A reading after a late one may be due at
+// once.
 func (s *seen) Reading(r sample.Reading) {
 	s.readings = append(s.readings, r)
 	if s.overdue.Stop(); s.run == nil {
@@ -141,7 +144,7 @@
 	}
 	s.overdue = s.run.loop.After(readingInterval, func() {
 		s.overdue = s.run.loop.After(lagInterval, func() {
-			if s.run.reporter.active { // until the script's end
+			if s.run.reporter.active { // false after the end of the script
 				s.missed++
 			}
 		})
@@ -149,8 +152,9 @@
 }
 func (s *seen) Event(e sample.Event) { s.events = append(s.events, e.Who+" "+e.What) }
 
-// check holds what TestScript's run has told against how it ended: each request once, with times of the script's;
-// readings close to each other, in which nothing runs backwards though processes come and go; what happened.
+// check compares the samples of TestScript's run with its final state: each request is reported once, with times of the
+// script; readings come in time and their totals never decrease, although processes exit and start; all expected events
+// are reported.
 func (s *seen) check(t *testing.T, end Snapshot) {
 	t.Helper()
 	served := 0
@@ -163,7 +167,7 @@
 		}
 	}
 	if n := end.Total; len(s.requests) != n.Asked || served != n.Served+n.Late {
-		t.Errorf("%d requests, %d served, but %+v", len(s.requests), served, n)
+		t.Errorf("samples have %d requests, %d served; final state %+v", len(s.requests), served, n)
 	}
 	if s.missed > 0 || s.overdue == nil {
 		t.Errorf("%d readings came too late", s.missed)
@@ -187,7 +191,7 @@
 	}
 }
 
-// stallingSink lets the loop stand still once, as a machine that is short of processors does.
+// stallingSink blocks the loop once, as a machine without free processors does.
 type stallingSink struct {
 	sample.Sink
 	once sync.Once
@@ -196,12 +200,12 @@
 func (s *stallingSink) Request(sample.Request) {}
 func (s *stallingSink) Event(sample.Event)     {}
 func (s *stallingSink) Reading(r sample.Reading) {
-	if r.At >= readingInterval { // not before the clients have begun
+	if r.At >= readingInterval { // after the clients have started
 		s.once.Do(func() { time.Sleep(endTimeout + time.Second) })
 	}
 }
 
-// Guards the end of a script: a machine that was late plays it to there.
+// A run on a machine that is late still plays its script to the end.
 func TestLateMachine(t *testing.T) {
 	s := Sample(2, 1, 400)
 	s.Length = span(time.Second)
@@ -233,7 +237,7 @@
 	if p := s.Peers; p[0].State != Down || p[1].Effects != "slow x4, failing 0.5" || s.Nodes[1].State != Down {
 		t.Errorf("%+v", s)
 	}
-	waitFor(t, r, func(s Snapshot) bool { return s.Peers[2].State == Down }) // the drain comes to its end
+	waitFor(t, r, func(s Snapshot) bool { return s.Peers[2].State == Down }) // the drain ends
 	if _, err := r.Do("heal"); err != nil {
 		t.Fatal(err)
 	}
@@ -249,11 +253,12 @@
 		t.Error(err)
 	}
 	if _, err := r.Do("heal"); err == nil {
-		t.Error("something was done to a run that is over")
+		t.Error("Do succeeded on a finished run, want an error")
 	}
 }
 
-// A call of anybody's is answered through a node, and the list that anybody gets names peers that anybody reaches.
+// A client outside of the lab gets a response through a node, and the endpoint list that it reads has addresses that it
+// can reach.
 func TestExternalClient(t *testing.T) {
 	r := start(t, Sample(2, 1, 1), Options{})
 	get := func(url string, fields ...string) string {
@@ -283,7 +288,7 @@
 	}
 	list := get("http://" + r.Resolve("registry:8500") + "/registry/instances")
 	if at := r.Resolve("p01:9000"); !strings.Contains(list, at) || strings.Contains(list, "p01:9000") {
-		t.Errorf("%s is not in %s", at, list)
+		t.Errorf("%s is not in the endpoint list %s", at, list)
 	}
 	get("http://" + r.Resolve("p01:9000") + "/health/live")
 }
@@ -299,8 +304,8 @@
 	}{
 		{"no such program", "/no/where", "no such file", Sample(1, 1, 1)},
 		{"a program that ends", "/bin/false", "node n1 ended: exit status 1", Sample(1, 1, 1)},
-		{"a script that cannot be", program, "world.peer[0].cores: 0 is not from 1", broken},
-		{"a fault that cannot be", program, "slowlink: not on sockets", slow},
+		{"an invalid script", program, "world.peer[0].cores: 0 is not from 1", broken},
+		{"an unsupported fault", program, "slowlink: not on sockets", slow},
 	} {
 		_, err := Start(t.Context(), c.script, Options{Node: c.node, Dir: t.TempDir()})
 		if err == nil || !strings.Contains(err.Error(), c.err) || strings.Contains(err.Error(), "\n") {
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -15,36 +15,39 @@
 	"olivebridge/internal/protocol"
 )
 
-// nodePort is where every node of the world listens.
+// nodePort is the port of every node's address in the world.
 const nodePort = ":9000"
 
+// portOf returns the port of an address, with the colon.
 func portOf(addr string) string { return addr[strings.LastIndexByte(addr, ':'):] }
 
-// instance is one node of the run, through all its lives. Its fields belong to the loop.
+// instance is one node of the run with its successive processes. Its fields belong to the loop.
 type instance struct {
 	run        *Run
 	c          world.Node
-	listenAddr string // where it listens
-	starts     int
-	seed       uint64
-	current    *child          // nil: none runs
-	prior      <-chan struct{} // closed once the process before the next is gone
-	restart    bool            // it is to start again when it ends
-
-	next             *child // takes over in an upgrade; nil: none
-	twin             *child // a stranger under its name; nil: none
-	stopped          *child // stands still; nil: none
-	directoryDamaged bool   // its directory is such that it must not start
-
-	tries, earlierTries int // as its counters have them; of the lives before
-	open                int // client connections
-	cpuTime             time.Duration
+	listenAddr string          // real address at which it listens
+	starts     int             // number of processes so far, twins included
+	seed       uint64          // of the newest process
+	current    *child          // process in service; nil: none
+	prior      <-chan struct{} // closed when the previous process has exited
+	restart    bool            // start a new process when the current one exits
+
+	next             *child // successor in an upgrade; nil: none
+	twin             *child // unrelated process under the node's name; nil: none
+	stopped          *child // process stopped by SIGSTOP; nil: none
+	directoryDamaged bool   // the directory is damaged: processes must refuse to start
+
+	tries, earlierTries int           // tries sent, from the counters of the current process; sum over earlier ones
+	open                int           // client connections
+	cpuTime             time.Duration // of exited processes
 }
 
-// Start implements fault.Node: a start with a list that is some changes old, as
-// a restarted process has it.
+// Start implements fault.Node. The configuration has an endpoint list that misses
+// the latest changes, as after a real restart.
 func (i *instance) Start() { i.start(true) }
 
+// start starts a process unless one is in service. If stale, its configuration has
+// an outdated endpoint list.
 func (i *instance) start(stale bool) {
 	if i.current != nil {
 		return
@@ -62,7 +65,8 @@
 	i.launch(c, prior)
 }
 
-// newProcess makes the next process of the node; nil: it cannot be. A twin is no process of the node, but a stranger's.
+// newProcess prepares the node's next process, or a twin, and returns nil if that fails. A twin is an unrelated process
+// under the node's name and listens on another port.
 func (i *instance) newProcess(stale, twin bool) *child {
 	i.starts++
 	i.seed = figure.Stream(i.run.script.Seed, fmt.Sprintf("node %s %d", i.c.Name, i.starts)).Uint64()
@@ -96,7 +100,7 @@
 	return c
 }
 
-// launch starts a process once the ones before it are gone: they may hold the address still.
+// launch starts a process after prior is closed: earlier processes may still hold the address.
 func (i *instance) launch(c *child, prior <-chan struct{}) {
 	i.prior = c.exited
 	i.run.children.Go(func() {
@@ -109,7 +113,7 @@
 	})
 }
 
-// report lets whoever watches know what became of the node.
+// report reports an event of the node to the run's sample sink and to the fleet.
 func (i *instance) report(what string, c *child) {
 	i.run.reporter.report(i.c.Name, what)
 	if f := i.run.options.Fleet; f != nil {
@@ -117,7 +121,7 @@
 	}
 }
 
-// writeConfig writes the configuration file, whole or not at all: a running node may read it.
+// writeConfig replaces the configuration file atomically, because a running node may read it.
 func (i *instance) writeConfig(stale bool) error {
 	data, err := nodefile.Write(&i.run.script.World, i.c, nodefile.Start{
 		Listen: i.listenAddr, Discovery: i.run.net.MapAddress(i.c.Name, i.run.discovery),
@@ -132,7 +136,7 @@
 	return os.Rename(i.path(".new"), i.path(".json"))
 }
 
-// pid is the number of its process; 0: there is none.
+// pid returns the process ID of the process in service, or 0 if there is none.
 func (i *instance) pid() int {
 	if i.current == nil {
 		return 0
@@ -140,9 +144,10 @@
 	return i.current.pid()
 }
 
+// path returns the path of a file of the node with the given extension.
 func (i *instance) path(kind string) string { return filepath.Join(i.run.options.Dir, i.c.Name+kind) }
 
-// onExit hears that a process is gone.
+// onExit handles the exit of a process.
 func (i *instance) onExit(c *child, err error) {
 	i.cpuTime += c.cpuTime
 	if c.leftChildren {
@@ -199,12 +204,13 @@
 	}
 }
 
-// Operate implements fault.Node. Nodes on sockets have no door here yet.
+// Operate implements fault.Node. Operators' calls are not supported on sockets.
 func (i *instance) Operate(call, peer string) {
 	i.run.fail("node %s: %s %s: operators' calls are played on the virtual clock alone", i.c.Name, call, peer)
 }
 
-// Hup implements fault.Node. The file names discovery as it is now.
+// Hup implements fault.Node. It rewrites the configuration file with discovery's
+// current address.
 func (i *instance) Hup(string) {
 	c := i.current
 	if c == nil || c.terminating {
@@ -220,12 +226,12 @@
 	i.run.reporter.report(i.c.Name, "told SIGHUP")
 }
 
-// line looks at a line of a node's log, and reports whether it is to be kept.
-// The counters that the run itself asks for are not.
+// line evaluates a line of a node's log and reports whether to keep it. It drops
+// the counters that the run itself requests.
 func (i *instance) line(c *child, line string) bool {
 	if strings.Contains(line, "msg=started ") {
 		i.run.post(func() {
-			if c.serving = true; c.configChanged { // it may have read the file before that was written anew
+			if c.serving = true; c.configChanged { // it may have read the file before the rewrite
 				c.signal(syscall.SIGHUP)
 			}
 			i.onServing(c)
@@ -243,7 +249,7 @@
 	return false
 }
 
-// counter reads one of a node's counters from its line of log.
+// counter returns the value of a counter in a log line, or 0 if it is missing.
 func counter(line, name string) int {
 	for _, word := range strings.FieldsFunc(line, func(r rune) bool { return r == ' ' || r == '"' }) {
 		if value, ok := strings.CutPrefix(word, name+"="); ok {
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -1,8 +1,8 @@
-// Package live plays a script in real time: the world of the lab on loopback
-// sockets, and each node as a process of its own, of the program that runs in
-// service. What package stage plays on a virtual clock and judges step by step,
-// this one plays as it would be met; it is watched, and judged by little more
-// than what clients and peers see.
+// Package live plays a script in real time: the world of the lab runs on loopback
+// sockets, and each node is a process of the production program. Package stage plays
+// the same scripts on a virtual clock and checks every step; this package shows the
+// behavior under real conditions and checks little more than what clients and peers
+// observe.
 package live
 
 import (
@@ -30,72 +30,72 @@
 	"olivebridge/internal/lab/world/registry"
 )
 
-// Options say how a script is played.
+// Options configure a run.
 type Options struct {
-	Node   string        // the node's program
-	Dir    string        // where the nodes' configurations and logs go
-	Length time.Duration // in place of the script's own; 0: that
-	Tap    link.Tap      // sees what crosses the world's ends of connections; may be nil. It is called on the loop
-	Log    io.Writer     // gets a line for what goes wrong with the run itself; may be nil
-	Watch  sample.Sink   // hears how the run goes; may be nil. It is told on the loop, and no more once the run is over
-	Fleet  Fleet         // lets the nodes know of each other; may be nil
-	// AttemptArrived hears of each try that comes to a peer; may be nil. It is called on the loop.
+	Node   string        // path of the node's program
+	Dir    string        // directory for the nodes' configurations and logs
+	Length time.Duration // replaces the script's length; 0: the script's length
+	Tap    link.Tap      // observes the world's ends of connections, on the loop; may be nil
+	Log    io.Writer     // receives one line for each error of the run itself; may be nil
+	Watch  sample.Sink   // receives samples, on the loop and not after the run has finished; may be nil
+	Fleet  Fleet         // makes the nodes members of one fleet; may be nil
+	// AttemptArrived is called on the loop for each try that reaches a peer; may be nil.
 	AttemptArrived func(peer, call string)
-	// AttemptEnded hears of each that a peer is done with; may be nil.
+	// AttemptEnded is called on the loop when a peer is done with a try; may be nil.
 	AttemptEnded func(peer, call string)
-	// Spared hears of each of them that will not run; may be nil.
+	// Spared is called on the loop for each try that a peer rejects without running it; may be nil.
 	Spared func(peer, call string)
 }
 
 const (
-	// startTimeout is how long the nodes may take until clients can be sent to them.
+	// startTimeout is the duration within which all nodes must be ready for clients.
 	startTimeout = 20 * time.Second
-	// endTimeout is how long what is open at the end of a script may take to end.
+	// endTimeout is the duration within which open requests must end after the end of the script.
 	endTimeout = 8 * time.Second
-	// dumpTimeout is how long one that does not end may take to write where it stands.
+	// dumpTimeout is the duration for which a node that does not exit may write its stacks after SIGQUIT.
 	dumpTimeout = 500 * time.Millisecond
-	// exitTimeout is how long a node may take over its planned end.
+	// exitTimeout is the duration within which a node must exit after SIGTERM.
 	exitTimeout = 12 * time.Second
 )
 
 // Run is a script being played. Its methods are safe for concurrent use.
 type Run struct {
-	script            *fault.Script // its times begin at zero
+	script            *fault.Script // its times are shifted by scriptStart when the script begins
 	options           Options
 	loop              *loop.Loop
 	posts             atomic.Uint64
 	net               *sockets.Net
 	registry          *registry.Registry
-	discovery         string // where it is
+	discovery         string // its current address
 	front             *client.Front
 	peers             []*peerHost
 	crowds            []*client.Crowd
 	rogues            []*client.Rogue
 	nodes             []*instance
-	zones             map[string]string // of machines but clients'
-	listed            map[string]string // peers' states, as discovery has them
-	scriptStart       time.Duration     // when the nodes were ready, and the script began
-	undo              []undo            // what Do has done
-	lastTable         tableState        // of the last Table
-	maxLag            time.Duration     // since then
+	zones             map[string]string // zone of each host other than clients' hosts
+	listed            map[string]string // state of each peer in discovery's endpoint list
+	scriptStart       time.Duration     // instant at which the nodes were ready and the script began
+	undo              []undo            // effects of Do in force
+	lastTable         tableState        // state at the last call of Table
+	maxLag            time.Duration     // largest delay of the loop since then
 	reporter          reporter
-	fleetFileRevision int // how often those of budgets have changed
+	fleetFileRevision int // number of rewrites of the fleet files
 	checker           *checker
 
 	stopRequested chan struct{} // closed by Stop
 	stopOnce      sync.Once
-	finished      chan struct{}  // closed once nothing is left
-	children      sync.WaitGroup // processes of nodes
-	finalSnapshot Snapshot       // once over
+	finished      chan struct{}  // closed when the run has finished and no process is left
+	children      sync.WaitGroup // goroutines that run the nodes' processes
+	finalSnapshot Snapshot       // valid once finished is closed
 	mu            sync.Mutex
-	firstErr      error    // the first there was
-	machineErr    error    // the first that is not a node's
-	violations    []string // rules, by nodes' processes
+	firstErr      error    // first error of any kind
+	machineErr    error    // first error that no node caused
+	violations    []string // rule violations by the nodes' processes
 }
 
-// Start starts the world and its nodes, and returns once clients can be sent to
-// all of them; the script's time begins then. The run ends at the script's end,
-// by Stop, or with ctx.
+// Start starts the world and its nodes and returns once all nodes are ready for
+// clients; the script's time begins then. The run ends at the end of the script, by
+// Stop, or when ctx ends.
 func Start(ctx context.Context, s *fault.Script, o Options) (*Run, error) {
 	if err := Playable(s); err != nil {
 		return nil, err
@@ -127,7 +127,7 @@
 	return r, nil
 }
 
-// Playable reports what keeps a script from being played on sockets.
+// Playable returns an error if a script is invalid or cannot be played on sockets.
 func Playable(s *fault.Script) error {
 	if err := s.Check(); err != nil {
 		return err
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// build makes everything of a run; nothing has begun yet but discovery, the
-// warm peers and the front.
+// build creates all parts of a run. Only discovery, the peers without Late and the
+// front are running afterwards.
 func (r *Run) build() error {
 	s, c := r.script, &r.script.World
 	r.net.Seed = s.Seed
@@ -159,7 +159,8 @@
 	r.discovery = c.Discovery.Addr
 	for _, p := range c.Peers {
 		one := &peerHost{run: r, c: p, Peer: peer.New(p, peer.Env{
-			Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: observer, Classes: c.Classes, Listed: r.registry, Attempts: r.checker,
+			Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: observer, Classes: c.Classes, Listed: r.registry,
+			Attempts: r.checker,
 		})}
 		r.peers = append(r.peers, one)
 		if p.Late {
@@ -183,7 +184,7 @@
 	return nil
 }
 
-// placeHosts gives every machine its address, and notes where it stands.
+// placeHosts assigns an address to each host and records its zone.
 func (r *Run) placeHosts() {
 	c := &r.script.World
 	put := func(host, zone string) {
@@ -201,7 +202,8 @@
 	}
 }
 
-// play is the run's loop, from the start of the nodes to the end of everything.
+// play runs the loop from the start of the nodes until no process is left. It sends
+// the result of the start to ready.
 func (r *Run) play(ctx context.Context, ready chan<- error) {
 	defer close(r.finished)
 	defer r.net.Close()
@@ -233,8 +235,8 @@
 	r.end()
 }
 
-// playToEnd plays the script to its end, which has come when all that was due before it
-// has happened, however late the machine is: what clients have to do then is theirs.
+// playToEnd runs the loop until every event due before the end of the script has
+// happened, however late the machine is. It does not wait for open requests.
 func (r *Run) playToEnd(ctx context.Context) {
 	over := false
 	r.loop.At(r.scriptStart+r.options.Length, func() { over = true })
@@ -243,7 +245,8 @@
 	}
 }
 
-// waitUntilReady waits until the front sends clients to all nodes.
+// waitUntilReady runs the loop until the front admits clients to all nodes. It
+// returns an error if that takes longer than startTimeout.
 func (r *Run) waitUntilReady(ctx context.Context) error {
 	waits := func(n *instance) bool { return !r.front.Admitted(n.c.Name) }
 	up := r.loop.Run(ctx, startTimeout, func() bool { return r.Err() != nil || !slices.ContainsFunc(r.nodes, waits) })
@@ -258,7 +261,7 @@
 	return nil
 }
 
-// begin lets the script's time begin.
+// begin starts the script's time, the faults and the clients.
 func (r *Run) begin() {
 	r.scriptStart = r.loop.Now()
 	r.reporter.begin()
@@ -283,7 +286,7 @@
 	}
 }
 
-// end ends clients and nodes, and returns once no process is left.
+// end stops clients and nodes and returns when no process is left.
 func (r *Run) end() {
 	for _, c := range r.crowds {
 		c.Stop()
@@ -298,7 +301,7 @@
 	for _, n := range r.nodes {
 		n.restart = false
 		n.endTwin()
-		n.killNext() // nobody would wait for its end
+		n.killNext() // the wait below covers only the current process
 		n.resume()
 		n.Term()
 	}
@@ -309,7 +312,7 @@
 	for _, n := range r.nodes {
 		if n.current != nil {
 			r.addViolation("rest", "node %s had not ended %v after SIGTERM", n.c.Name, exitTimeout)
-			n.current.signal(syscall.SIGQUIT) // its log then has where it stands
+			n.current.signal(syscall.SIGQUIT) // makes it write the stacks of its goroutines to its log
 			r.loop.Run(all, r.loop.Now()+dumpTimeout, func() bool { return n.current == nil })
 			n.Kill()
 		}
@@ -320,7 +323,8 @@
 	}
 }
 
-// callRetention is how long a call may still be of account after it came to a peer.
+// callRetention returns the duration for which the checker keeps a call: the longest
+// deadline of any class plus 10 s.
 func callRetention(s *fault.Script) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.World.Classes {
@@ -329,7 +333,7 @@
 	return longest + 10*time.Second
 }
 
-// checkRogues finds rogues that were served what must not be.
+// checkRogues adds a violation for each rogue whose invalid requests were served.
 func (r *Run) checkRogues() {
 	for i, g := range r.rogues {
 		kind := r.script.World.Rogues[i].Kind
@@ -339,15 +343,17 @@
 	}
 }
 
+// clientsIdle reports whether no client waits for a response.
 func (r *Run) clientsIdle() bool {
 	return !slices.ContainsFunc(r.crowds, func(c *client.Crowd) bool { return !c.Quiet() }) &&
 		!slices.ContainsFunc(r.rogues, func(g *client.Rogue) bool { return !g.Quiet() })
 }
 
-// post lets f run on the loop.
+// post schedules f on the loop.
 func (r *Run) post(f func()) { r.loop.Post(loop.Key{Source: "live", Sequence: r.posts.Add(1)}, f) }
 
-// runOnLoop lets f run on the loop and waits until it has; false: the run is over.
+// runOnLoop runs f on the loop and waits for it. It returns false if the run has
+// finished.
 func (r *Run) runOnLoop(f func()) bool {
 	done := make(chan struct{})
 	r.post(func() {
@@ -362,7 +368,7 @@
 	}
 }
 
-// fail notes what goes wrong with the run itself.
+// fail records an error of the run itself, which no node caused.
 func (r *Run) fail(format string, args ...any) {
 	err := fmt.Errorf(format, args...)
 	r.mu.Lock()
@@ -371,7 +377,8 @@
 	r.recordError(err)
 }
 
-// recordError keeps the first trouble, and tells of it. It is called with the lock held.
+// recordError keeps the first error and writes err to Options.Log. The caller must
+// hold r.mu.
 func (r *Run) recordError(err error) {
 	r.firstErr = cmp.Or(r.firstErr, err)
 	if r.options.Log != nil {
@@ -379,7 +386,7 @@
 	}
 }
 
-// addViolation notes that a node breaks a rule by what becomes of its process.
+// addViolation records a rule violation by a node's process.
 func (r *Run) addViolation(rule, format string, args ...any) {
 	err := fmt.Errorf(format, args...)
 	r.mu.Lock()
@@ -388,15 +395,15 @@
 	r.violations = append(r.violations, fmt.Sprintf("%s at %.6fs: %v", rule, r.reporter.now().Seconds(), err))
 }
 
-// MachineErr is the first thing that went wrong for which no node is to blame.
+// MachineErr returns the first error that no node caused.
 func (r *Run) MachineErr() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.machineErr
 }
 
-// Broken are the rules that nodes broke, one line each: those of their processes
-// first. It is known once the run is over.
+// Broken waits until the run has finished and returns the rule violations, one line
+// each: those of the nodes' processes first.
 func (r *Run) Broken() []string {
 	<-r.finished
 	r.mu.Lock()
@@ -404,31 +411,32 @@
 	return append(r.violations[:len(r.violations):len(r.violations)], r.checker.violationLines()...)
 }
 
-// Err is the first thing that went wrong with the run itself: a node that ended
-// unasked, descriptors used up.
+// Err returns the first error of the run or of a node's process, for example an
+// unexpected exit or a lack of file descriptors.
 func (r *Run) Err() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.firstErr
 }
 
-// Done is closed once the run has ended and nothing of it is left.
+// Done returns a channel that is closed when the run has finished and no process is
+// left.
 func (r *Run) Done() <-chan struct{} { return r.finished }
 
-// Wait waits for that, and returns Err.
+// Wait waits until the run has finished and returns Err.
 func (r *Run) Wait() error {
 	<-r.finished
 	return r.Err()
 }
 
-// Stop ends the run before its time: clients leave, nodes get SIGTERM. It
-// returns as Wait does.
+// Stop ends the run early: clients leave and nodes get SIGTERM. It returns the
+// result of Wait.
 func (r *Run) Stop() error {
 	r.stopOnce.Do(func() { close(r.stopRequested) })
 	return r.Wait()
 }
 
-// Nodes are the addresses at which nodes listen, by name.
+// Nodes returns the real addresses of the nodes, by name.
 func (r *Run) Nodes() map[string]string {
 	all := map[string]string{}
 	for _, n := range r.script.World.Nodes {
@@ -437,12 +445,13 @@
 	return all
 }
 
-// Resolve is the real address of one of the world's: of "n1:9000", say.
+// Resolve returns the real address for an address of the world such as "n1:9000".
 func (r *Run) Resolve(addr string) string { return r.net.Resolve(addr) }
 
-// errRunOver answers whoever comes too late.
+// errRunOver is returned by Do once the run has finished.
 var errRunOver = errors.New("the run is over")
 
+// hostOf returns the host on which a peer runs.
 func hostOf(p world.Peer) string {
 	if p.Host != "" {
 		return p.Host
--- a/internal/lab/live/sample.go
+++ b/internal/lab/live/sample.go
@@ -9,8 +9,8 @@
 	"olivebridge/internal/lab/world"
 )
 
-// Sample is a script without faults: a small service in two zones, asked so
-// many times a second by all clients together.
+// Sample returns a script without faults: a small service in two zones. rate is the
+// number of requests per second of all clients together.
 func Sample(peers, nodes int, rate float64) *fault.Script {
 	ms := func(n int) figure.Span { return figure.Span(time.Duration(n) * time.Millisecond) }
 	zones := []string{"east", "west"}
--- a/internal/lab/live/table.go
+++ b/internal/lab/live/table.go
@@ -7,24 +7,24 @@
 	"olivebridge/internal/lab/world/client"
 )
 
-// Snapshot is a run as it stands.
+// Snapshot is the state of a run at one instant.
 type Snapshot struct {
-	At       time.Duration // since the script's time began
-	Interval time.Duration // since the snapshot before this one
-	Now      Tally         // in that time
+	At       time.Duration // since the start of the script
+	Interval time.Duration // since the previous snapshot
+	Now      Tally         // during Interval
 	Total    Tally
-	// MaxLag is by how much the run's own loop was late in that time, at most: what
-	// clients and peers did was late by as much, and no node is to blame for it.
+	// MaxLag is the largest delay of the run's own loop during Interval. Clients and
+	// peers were late by the same amount, which no node caused.
 	MaxLag time.Duration
 	Nodes  []NodeRow
 	Peers  []PeerRow
 }
 
-// Tally is what came of requests. Whole is the worth of those that have come to
-// an end otherwise than by the client's leaving: all that could have been earned.
+// Tally counts requests by outcome. Whole is the total worth of the finished
+// requests whose client did not leave: the worth that could have been earned.
 type Tally struct{ client.Tally }
 
-// Share is the share that was earned of what could have been; 1 if that is nothing.
+// Share returns the earned share of the possible worth, or 1 if that is 0.
 func (t Tally) Share() float64 {
 	if t.Whole <= 0 {
 		return 1
@@ -32,24 +32,24 @@
 	return t.Worth / t.Whole
 }
 
-// NodeRow is a node.
+// NodeRow is the state of a node.
 type NodeRow struct {
 	Name, Addr string
-	PID        int // 0: it does not run
+	PID        int // 0: no process
 	State      string
-	Tries      int           // it has sent, up to the snapshot before this one
-	Clients    int           // connections from clients then
-	CPUTime    time.Duration // of processor, in all its lives
+	Tries      int           // tries sent, up to the previous snapshot
+	Clients    int           // client connections at the previous snapshot
+	CPUTime    time.Duration // processor time of all its processes
 }
 
-// PeerRow is a peer.
+// PeerRow is the state of a peer.
 type PeerRow struct {
 	Name, Addr string
-	State      string // of its process
-	Listed     string // at discovery
-	InFlight   int    // calls that wait there, or are in work
+	State      string // state of its process
+	Listed     string // state in discovery's endpoint list
+	InFlight   int    // calls queued or in progress
 	Served     int
-	Effects    string // what Do has done to it
+	Effects    string // effects of Do in force, separated by commas
 }
 
 // States of nodes and peers.
@@ -61,14 +61,15 @@
 	Down     = "down"
 )
 
-// tableState is what the next snapshot is compared with.
+// tableState is the part of a snapshot from which the next one computes differences.
 type tableState struct {
 	at    time.Duration
 	tally Tally
 }
 
-// Table is the run as it stands; once it is over, as it stood at its end. Of
-// the time since the last call it says what happened in it: one caller looks.
+// Table returns the current state of the run, or the final state once the run has
+// finished. Interval, Now and MaxLag refer to the time since the last call, so only
+// one caller may use it.
 func (r *Run) Table() Snapshot {
 	var s Snapshot
 	if !r.runOnLoop(func() { s = r.table() }) {
@@ -77,13 +78,18 @@
 	return s
 }
 
+// table returns the current state. It must be called on the loop. It also requests
+// the nodes' counters (SIGUSR1) for the next snapshot.
 func (r *Run) table() Snapshot {
 	s := Snapshot{At: r.loop.Now() - r.scriptStart, Total: r.tally()}
 	s.Interval, s.Now = s.At-r.lastTable.at, s.Total.minus(r.lastTable.tally)
 	r.lastTable = tableState{s.At, s.Total}
 	s.MaxLag, r.maxLag = r.maxLag, 0
 	for _, n := range r.nodes {
-		row := NodeRow{Name: n.c.Name, Addr: n.listenAddr, State: Down, Tries: n.earlierTries + n.tries, Clients: n.open, CPUTime: n.cpuTime}
+		row := NodeRow{
+			Name: n.c.Name, Addr: n.listenAddr, State: Down, Tries: n.earlierTries + n.tries, Clients: n.open,
+			CPUTime: n.cpuTime,
+		}
 		if c := n.current; c != nil {
 			row.PID = c.pid()
 			row.CPUTime += cpuTimeOf(row.PID)
@@ -119,10 +125,10 @@
 	return s
 }
 
-// lagInterval is how often a run looks how late it is.
+// lagInterval is the interval at which the lag of the loop is measured.
 const lagInterval = 10 * time.Millisecond
 
-// measureLag notes by how much the loop runs behind.
+// measureLag updates maxLag every lagInterval.
 func (r *Run) measureLag() {
 	due := r.loop.Now() + lagInterval
 	r.loop.At(due, func() {
@@ -131,6 +137,7 @@
 	})
 }
 
+// tally returns the tally of all clients, with the tries that reached the peers.
 func (r *Run) tally() Tally {
 	var all Tally
 	for _, c := range r.crowds {
@@ -145,7 +152,7 @@
 	return all
 }
 
-// minus is what came since another tally.
+// minus returns the difference to an earlier tally.
 func (t Tally) minus(o Tally) Tally {
 	t.Asked -= o.Asked
 	t.Served -= o.Served
--- a/internal/lab/live/target.go
+++ b/internal/lab/live/target.go
@@ -9,12 +9,13 @@
 	"olivebridge/internal/lab/world/registry"
 )
 
-// The run is what the faults of its script act on.
+// A Run is the target of its script's faults.
 var _ fault.Target = (*Run)(nil)
 
 // Peer implements fault.Target.
 func (r *Run) Peer(name string) fault.Peer { return r.peer(name) }
 
+// peer returns the named peer, or nil.
 func (r *Run) peer(name string) *peerHost {
 	for _, p := range r.peers {
 		if p.c.Name == name {
@@ -27,6 +28,7 @@
 // Node implements fault.Target.
 func (r *Run) Node(name string) fault.Node { return r.node(name) }
 
+// node returns the named node, or nil.
 func (r *Run) node(name string) *instance {
 	for _, n := range r.nodes {
 		if n.c.Name == name {
@@ -55,7 +57,8 @@
 // Zone implements fault.Target.
 func (r *Run) Zone(host string) string { return r.zones[host] }
 
-// movableDiscovery is discovery, whose place the nodes' configuration files name.
+// movableDiscovery is the registry as a fault target. Its Move updates Run.discovery,
+// the address in the nodes' configuration files.
 type movableDiscovery struct {
 	*registry.Registry
 	run *Run
@@ -67,16 +70,16 @@
 	return m.run.discovery
 }
 
-// peerHost is a peer with its machine.
+// peerHost is a peer together with its host.
 type peerHost struct {
 	*peer.Peer
 	run      *Run
 	c        world.Peer
-	started  bool // it has run
+	started  bool // its process has run at least once
 	draining bool
 }
 
-// Start implements fault.Peer: the process starts, cold.
+// Start implements fault.Peer. The process starts cold.
 func (s *peerHost) Start() {
 	s.started, s.draining = true, false
 	if err := s.Peer.Start(false); err != nil {
@@ -84,7 +87,7 @@
 	}
 }
 
-// Kill implements fault.Peer: the process dies, and its connections with it.
+// Kill implements fault.Peer. It also cuts the connections of the process.
 func (s *peerHost) Kill() {
 	if !s.Down() {
 		s.Peer.Kill()
--- a/internal/lab/live/watch.go
+++ b/internal/lab/live/watch.go
@@ -7,20 +7,20 @@
 	"olivebridge/internal/lab/sample"
 )
 
-// readingInterval is how often peers and processes are read.
+// readingInterval is the interval between two readings of peers and processes.
 const readingInterval = 250 * time.Millisecond
 
-// reporter tells whoever watches a run how it goes, from the beginning of the
-// script's time until the clients have their outcomes. It belongs to the loop.
+// reporter reports samples of a run to a sample.Sink, from the start of the script
+// until the outcomes of all requests are known. It belongs to the loop.
 type reporter struct {
 	run         *Run
-	to          sample.Sink // nil: nobody watches
+	to          sample.Sink // nil: nothing is reported
 	active      bool
-	baseCPUTime []time.Duration // processor time of each node at the beginning
-	cpuTime     []time.Duration // the most that was read of it: a process that is gone is counted late
+	baseCPUTime []time.Duration // processor time of each node at the start of the script
+	cpuTime     []time.Duration // largest reading of each node since then; an exited process is counted late
 }
 
-// begin begins the telling.
+// begin starts the reports.
 func (w *reporter) begin() {
 	if w.to == nil {
 		return
@@ -34,7 +34,7 @@
 	w.scheduleReading(w.run.scriptStart + readingInterval)
 }
 
-// scheduleReading reads at an instant, and so on.
+// scheduleReading schedules a reading at an instant, and all that follow it.
 func (w *reporter) scheduleReading(at time.Duration) {
 	w.run.loop.At(at, func() {
 		if w.active {
@@ -44,7 +44,7 @@
 	})
 }
 
-// end ends it.
+// end sends a last reading and stops the reports.
 func (w *reporter) end() {
 	if w.active {
 		w.read()
@@ -52,15 +52,17 @@
 	}
 }
 
-// now is the script's time.
+// now returns the time since the start of the script.
 func (w *reporter) now() time.Duration { return w.run.loop.Now() - w.run.scriptStart }
 
-// read tells how peers and nodes stand.
+// read reports the state of peers and nodes.
 func (w *reporter) read() {
 	r := sample.Reading{At: w.now()}
 	for _, p := range w.run.peers {
 		s := p.Stats()
-		r.Peers = append(r.Peers, sample.Peer{Name: p.c.Name, Down: p.Down(), Held: s.Held, Arrived: s.Arrived, Probes: s.Probes, Falls: s.Falls})
+		r.Peers = append(r.Peers, sample.Peer{
+			Name: p.c.Name, Down: p.Down(), Held: s.Held, Arrived: s.Arrived, Probes: s.Probes, Falls: s.Falls,
+		})
 	}
 	for i, n := range w.run.nodes {
 		pid := n.pid()
@@ -70,7 +72,7 @@
 	w.to.Reading(r)
 }
 
-// request tells what came of one. Its times are the loop's.
+// request reports a request after converting its times from the loop's to the script's.
 func (w *reporter) request(q sample.Request) {
 	if w.active {
 		scriptStart := w.run.scriptStart
@@ -79,14 +81,14 @@
 	}
 }
 
-// report tells of something that happened.
+// report reports an event of a peer or node.
 func (w *reporter) report(who, what string) {
 	if w.active {
 		w.to.Event(sample.Event{At: w.now(), Who: who, What: what})
 	}
 }
 
-// worldObserver passes the events of peers and discovery on to the watch.
+// worldObserver passes the events of peers and discovery on to the reporter.
 type worldObserver struct {
 	event.NopObserver
 	run *Run
