--- a/cmd/olivelab/run_test.go
+++ b/cmd/olivelab/run_test.go
@@ -65,7 +65,7 @@
 		{"run good.toml --node no/where", 2, `^$`, `^olivelab: no/where: no such file or directory\n$`},
 		{"run good.toml --node /bin/false", 2, `^$`, `(?m)^olivelab: playing on sockets: node n1 ended: exit status 1$`},
 		{"run good.toml --virtual --node " + self, 2, `^$`, `^olivelab: --node: not with --virtual`},
-		{"run --virtual bad.toml", 2, `^$`, `^olivelab: bad.toml:13: assert\[0\].least: worth wants a number\n$`},
+		{"run --virtual bad.toml", 2, `^$`, `^olivelab: bad.toml:13: assert\[0\].least: worth needs a number\n$`},
 		{"run --virtual none.toml", 2, `^$`, `^olivelab: none.toml:1: cannot be read: no such file or directory\n$`},
 		{"run --virtual good.toml --json no/where", 2, `^$`, `^olivelab: no/where: no such file or directory\n$`},
 		{"run", 2, `^$`, `^olivelab: accepts 1 arg`},
@@ -99,7 +99,7 @@
 	experiments(t)
 	t.Setenv(worldEnv, "")
 	code, _, errs := call(t, "run", "--virtual", "good.toml")
-	if code != 2 || !strings.Contains(errs, "tells nothing of its runs") {
+	if code != 2 || !strings.Contains(errs, "does not report samples") {
 		t.Error(code, errs)
 	}
 }
--- a/internal/lab/campaign/hunt.go
+++ b/internal/lab/campaign/hunt.go
@@ -34,10 +34,10 @@
 
 // Hunt hunts one mutant. The pool sound runs the unmodified build: a violation does not count
 // if the unmodified build breaks the same rule with the same seed.
-func (h *Hunter) Hunt(ctx context.Context, p mutant.Mutant, sound *Pool) (HuntResult, error) {
-	f, start := HuntResult{Name: p.Name, Expected: p.Rules}, time.Now()
-	program := filepath.Join(h.Dir, p.Name)
-	if err := p.Build(h.Root, h.Dir, h.Tool, program); err != nil {
+func (h *Hunter) Hunt(ctx context.Context, m mutant.Mutant, sound *Pool) (HuntResult, error) {
+	f, start := HuntResult{Name: m.Name, Expected: m.Rules}, time.Now()
+	program := filepath.Join(h.Dir, m.Name)
+	if err := m.Build(h.Root, h.Dir, h.Tool, program); err != nil {
 		return f, err
 	}
 	pool := h.Pool
@@ -55,7 +55,7 @@
 			if _, alsoInSound := soundOutcome.Broke(v.Rule); alsoInSound {
 				continue
 			}
-			if slices.Contains(p.Rules, v.Rule) {
+			if slices.Contains(m.Rules, v.Rule) {
 				f.Rule, f.Seed, f.What = v.Rule, o.Job.Seed, v.What
 				return false
 			}
@@ -70,7 +70,7 @@
 		err = soundErr
 	}
 	if err != nil {
-		return f, fmt.Errorf("mutant %s: %w", p.Name, err)
+		return f, fmt.Errorf("mutant %s: %w", m.Name, err)
 	}
 	return f, nil
 }
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -88,7 +88,7 @@
 func Load(path string) (*Experiment, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &fault.Error{File: path, Line: 1, Reason: "cannot read the file: " + errorReason(err)}
+		return nil, &fault.Error{File: path, Line: 1, Reason: "cannot be read: " + errorReason(err)}
 	}
 	return Parse(path, data)
 }
--- a/internal/lab/live/checker.go
+++ b/internal/lab/live/checker.go
@@ -55,79 +55,79 @@
 }
 
 // addViolation records a violation of a rule with the current instant.
-func (j *checker) addViolation(rule, format string, args ...any) {
-	if len(j.violations) == maxViolations {
-		j.omitted++
+func (c *checker) addViolation(rule, format string, args ...any) {
+	if len(c.violations) == maxViolations {
+		c.omitted++
 		return
 	}
-	j.violations = append(j.violations,
-		fmt.Sprintf("%s at %.6fs: %s", rule, j.now().Seconds(), fmt.Sprintf(format, args...)))
+	c.violations = append(c.violations,
+		fmt.Sprintf("%s at %.6fs: %s", rule, c.now().Seconds(), fmt.Sprintf(format, args...)))
 }
 
 // violationLines returns the violations, one line each.
-func (j *checker) violationLines() []string {
-	if j.omitted == 0 {
-		return j.violations
+func (c *checker) violationLines() []string {
+	if c.omitted == 0 {
+		return c.violations
 	}
-	return append(j.violations[:len(j.violations):len(j.violations)], fmt.Sprintf("and %d more", j.omitted))
+	return append(c.violations[:len(c.violations):len(c.violations)], fmt.Sprintf("and %d more", c.omitted))
 }
 
 // AttemptReceived implements event.AttemptObserver.
-func (j *checker) AttemptReceived(peer, call string, safe bool) {
-	now := j.now()
-	if j.onAttempt != nil {
-		j.onAttempt(peer, call)
+func (c *checker) AttemptReceived(peer, call string, safe bool) {
+	now := c.now()
+	if c.onAttempt != nil {
+		c.onAttempt(peer, call)
 	}
-	m := j.calls[call]
+	m := c.calls[call]
 	if m == nil {
-		j.expire(now)
+		c.expire(now)
 		m = &callRecord{call: call, firstSeen: now, safe: safe}
-		j.calls[call] = m
-		j.order = append(j.order, m)
+		c.calls[call] = m
+		c.order = append(c.order, m)
 	}
 	m.attempts++
 	switch {
 	case !m.safe && m.mayHaveRun > 0:
-		j.addViolation("effect", "call %s comes to peer %s, though an earlier try may have run", call, peer)
-	case j.maxTries > 0 && m.attempts > j.maxTries:
-		j.addViolation("effect", "call %s comes to peer %s as try %d of %d", call, peer, m.attempts, j.maxTries)
+		c.addViolation("effect", "call %s comes to peer %s, though an earlier try may have run", call, peer)
+	case c.maxTries > 0 && m.attempts > c.maxTries:
+		c.addViolation("effect", "call %s comes to peer %s as try %d of %d", call, peer, m.attempts, c.maxTries)
 	}
 	m.mayHaveRun++
 }
 
 // AttemptRejected implements event.AttemptObserver.
-func (j *checker) AttemptRejected(peer, call string) {
-	j.attemptEnded(peer, call)
-	if j.onAttemptSpared != nil {
-		j.onAttemptSpared(peer, call)
+func (c *checker) AttemptRejected(peer, call string) {
+	c.attemptEnded(peer, call)
+	if c.onAttemptSpared != nil {
+		c.onAttemptSpared(peer, call)
 	}
-	if m := j.calls[call]; m != nil {
+	if m := c.calls[call]; m != nil {
 		m.mayHaveRun--
 	}
 }
 
 // AttemptAnswered implements event.AttemptObserver.
-func (j *checker) AttemptAnswered(peer, call string, body []byte) {
-	j.attemptEnded(peer, call)
-	if m := j.calls[call]; m != nil {
+func (c *checker) AttemptAnswered(peer, call string, body []byte) {
+	c.attemptEnded(peer, call)
+	if m := c.calls[call]; m != nil {
 		m.bodies = append(m.bodies, xxhash.Sum64(body))
 	}
 }
 
 // attemptEnded notifies onAttemptEnd.
-func (j *checker) attemptEnded(peer, call string) {
-	if j.onAttemptEnd != nil {
-		j.onAttemptEnd(peer, call)
+func (c *checker) attemptEnded(peer, call string) {
+	if c.onAttemptEnd != nil {
+		c.onAttemptEnd(peer, call)
 	}
 }
 
 // checkResponse checks a response that a client received.
-func (j *checker) checkResponse(a client.Answer) {
-	m := j.calls[a.Call]
+func (c *checker) checkResponse(a client.Answer) {
+	m := c.calls[a.Call]
 	switch a.Status {
 	case 200:
 		if !bytes.Contains(a.Body, []byte("call="+a.Call+" ")) {
-			j.addViolation("wrong answer", "call %s gets what names another call: %.60q", a.Call, a.Body)
+			c.addViolation("wrong answer", "call %s gets what names another call: %.60q", a.Call, a.Body)
 			return
 		}
 		sum := xxhash.Sum64(a.Body)
@@ -138,19 +138,19 @@
 				}
 			}
 		}
-		j.addViolation("wrong answer", "call %s gets a body that no peer made for it: %.60q", a.Call, a.Body)
+		c.addViolation("wrong answer", "call %s gets a body that no peer made for it: %.60q", a.Call, a.Body)
 	case 429, 503:
 		if m != nil && !m.safe && m.mayHaveRun > 0 {
-			j.addViolation("effect", "call %s is refused, though a try may have run", a.Call)
+			c.addViolation("effect", "call %s is refused, though a try may have run", a.Call)
 		}
 	}
 }
 
 // expire drops calls older than retention, whose clients no longer wait.
-func (j *checker) expire(now time.Duration) {
-	for len(j.order) > 0 && j.order[0].firstSeen < now-j.retention {
-		delete(j.calls, j.order[0].call)
-		j.order[0] = nil
-		j.order = j.order[1:]
+func (c *checker) expire(now time.Duration) {
+	for len(c.order) > 0 && c.order[0].firstSeen < now-c.retention {
+		delete(c.calls, c.order[0].call)
+		c.order[0] = nil
+		c.order = c.order[1:]
 	}
 }
