--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -134,10 +134,10 @@
 		Log:   g.options.Log,
 		Watch: g,
 		Fleet: g,
-		Came: func(peer, call string) {
+		AttemptArrived: func(peer, call string) {
 			g.arrivals = append(g.arrivals, Arrival{At: record.Now(), Peer: peer, Call: call})
 		},
-		Done: func(peer, call string) {
+		AttemptEnded: func(peer, call string) {
 			g.arrivals = append(g.arrivals, Arrival{At: record.Now(), Peer: peer, Call: call, Done: true})
 		},
 		Spared: func(_, call string) { g.notRun = append(g.notRun, call) },
@@ -170,7 +170,7 @@
 // fillAccount adds the observations of the run and of the rig to the account, once all processes have ended.
 func (g *rig) fillAccount(a *Account, run *live.Run) {
 	a.Broken = run.Broken()
-	a.RunError = run.Machine()
+	a.RunError = run.MachineErr()
 	a.Tally = run.Table().Total
 	a.Events = g.events
 	a.CPU = g.cpu
--- a/internal/lab/live/fleet.go
+++ b/internal/lab/live/fleet.go
@@ -10,29 +10,35 @@
 	"olivebridge/internal/lab/fault"
 )
 
-// Fleet is what stands around the processes of a run whose nodes know of each other. All is called on the loop.
+// Fleet supplies the environment of a run whose nodes are members of one fleet, and injects the faults between and
+// around their processes. All methods are called on the loop.
 type Fleet interface {
-	// Env is what a node's next process is told besides; of a twin, what a stranger under its name is told.
+	// Env returns additional environment variables for a node's next process, or for a twin: an unrelated process that
+	// runs under the node's name.
 	Env(node string, twin bool) ([]string, error)
-	// Tell hears what becomes of a node's processes.
+	// Tell is notified of each event of a node's processes; pid is 0 if no process is involved.
 	Tell(node, what string, pid int)
+	// Cut blocks the traffic from some nodes to others until heal is called.
 	Cut(from, to func(node string) bool) (heal func())
+	// Ail disturbs the traffic from some nodes to others as a says, until heal is called.
 	Ail(from, to func(node string) bool, a fault.Impairment) (heal func())
+	// Move gives a node's future processes another address in the fleet.
 	Move(node string)
-	// Amounts writes a share of the amounts into all fleet files, also those of processes to come, and returns how often
-	// that was done. It is 0 until it is done.
+	// Amounts writes a share of the budget amounts into all fleet files, including those of future processes, and
+	// returns the number of rewrites of the fleet files so far.
 	Amounts(share float64) (int, error)
-	// Voters writes other voters into them, likewise.
+	// Voters writes another list of voters into all fleet files and returns the number of rewrites likewise.
 	Voters(names []string) (int, error)
-	// Clock sets the wall clock of a node's next processes wrong.
+	// Clock sets the wall clock of a node's future processes wrong by the given duration.
 	Clock(node string, by time.Duration)
-	// Arm has a node's process wait at its next such step. Met reports whether it does, GoOn lets it.
+	// Arm makes a node's process block when it next reaches a step. met reports whether it is blocked there, goOn
+	// resumes it.
 	Arm(node, step string) (met func() bool, goOn func(), err error)
-	// Spoil makes a directory unfit, and returns how that is mended.
+	// Spoil damages a node's directory; mend repairs it.
 	Spoil(node string, how fault.DirectoryFault) (mend func(), err error)
 }
 
-// Fleet is what the nodes are to each other; nil: they know of none.
+// Company implements fault.Target. It returns nil if the nodes are not members of a fleet.
 func (r *Run) Fleet() fault.Fleet {
 	if r.options.Fleet == nil {
 		return nil
@@ -40,7 +46,8 @@
 	return company{r}
 }
 
-// company carries faults out on processes, and hands on what lies between them.
+// company implements fault.Company: it injects faults into processes itself and passes faults between them to
+// Options.Fleet.
 type company struct{ r *Run }
 
 func (c company) Cut(from, to func(string) bool) func() { return c.r.options.Fleet.Cut(from, to) }
@@ -54,62 +61,65 @@
 func (c company) Clock(node string, by time.Duration) { c.r.options.Fleet.Clock(node, by) }
 
 const (
-	// meetWithin is how long a process may take to come to a step, meetEach how often the rig looks.
-	meetWithin = 4 * time.Second
-	meetEach   = 2 * time.Millisecond
+	// stepTimeout is the duration for which At waits for a process to reach a step, stepPollInterval the interval at
+	// which it checks.
+	stepTimeout      = 4 * time.Second
+	stepPollInterval = 2 * time.Millisecond
 )
 
-func (c company) At(node, step string, at func(goOn func())) {
-	met, goOn, err := c.r.options.Fleet.Arm(node, step)
+// At calls at when the node's process is blocked at a step; goOn resumes the process. If the process does not reach
+// the step within stepTimeout, at is not called.
+func (c company) At(node, step string, at func(resume func())) {
+	reached, resume, err := c.r.options.Fleet.Arm(node, step)
 	if err != nil {
 		c.r.fail("%s cannot be met %s: %v", node, step, err)
 		return
 	}
-	end := c.r.loop.Now() + meetWithin
-	var look func()
-	look = func() {
+	end := c.r.loop.Now() + stepTimeout
+	var poll func()
+	poll = func() {
 		switch {
-		case met():
+		case reached():
 			c.r.options.Fleet.Tell(node, "met "+step, 0)
-			at(goOn)
+			at(resume)
 		case c.r.loop.Now() >= end:
-			goOn()
+			resume()
 			c.r.options.Fleet.Tell(node, "not met "+step, 0)
 		default:
-			c.r.loop.After(meetEach, look)
+			c.r.loop.After(stepPollInterval, poll)
 		}
 	}
-	look()
+	poll()
 }
 
 func (c company) Amounts(share float64) {
 	times, err := c.r.options.Fleet.Amounts(share)
-	c.rewritten(times, err)
+	c.fleetFilesWritten(times, err)
 }
 
 func (c company) Voters(names []string) {
 	times, err := c.r.options.Fleet.Voters(names)
-	c.rewritten(times, err)
+	c.fleetFilesWritten(times, err)
 }
 
-// rewritten has all processes read their fleet files again.
-func (c company) rewritten(times int, err error) {
+// fleetFilesWritten makes all processes reload their fleet files after a rewrite, or records the error of the rewrite.
+func (c company) fleetFilesWritten(times int, err error) {
 	if err != nil {
 		c.r.fail("fleet files: %v", err)
 		return
 	}
-	c.r.amounts = times
+	c.r.fleetFileRevision = times
 	for _, i := range c.r.nodes {
-		for _, p := range []*child{i.live, i.next, i.twin} {
-			i.readAgain(p)
+		for _, p := range []*child{i.current, i.next, i.twin} {
+			i.reloadFleetFile(p)
 		}
 	}
 }
 
-// readAgain has a process read its fleet file again, if that has changed since and it serves by now.
-func (i *instance) readAgain(c *child) {
-	if c != nil && c.listens && c.amounts != i.run.amounts {
-		c.amounts = i.run.amounts
+// reloadFleetFile sends SIGHUP to a process that handles signals if its fleet file has changed since it read it.
+func (i *instance) reloadFleetFile(c *child) {
+	if c != nil && c.serving && c.fleetFileRevision != i.run.fleetFileRevision {
+		c.fleetFileRevision = i.run.fleetFileRevision
 		c.signal(syscall.SIGHUP)
 	}
 }
@@ -121,18 +131,18 @@
 		c.r.fail("the directory of %s cannot be made %s: %v", node, how, err)
 		return func() {}
 	}
-	i.spoilt = how != fault.Emptied
-	i.tell("directory "+string(how), nil)
+	i.directoryDamaged = how != fault.Emptied
+	i.report("directory "+string(how), nil)
 	return func() {
 		mend()
-		i.spoilt = false
+		i.directoryDamaged = false
 	}
 }
 
 func (c company) Stop(node string) func() {
 	i := c.r.node(node)
 	i.stop()
-	return i.goOn
+	return i.resume
 }
 
 func (c company) Upgrade(node string) { c.r.node(node).upgrade() }
@@ -143,28 +153,29 @@
 	return i.endTwin
 }
 
-// stops is how long the kernel may take over a SIGSTOP.
-const stops = 2 * time.Second
+// stopTimeout is the duration within which a process must be stopped after SIGSTOP.
+const stopTimeout = 2 * time.Second
 
-// stop stops the process, and looks that it stands still: a rig that only believes so proves nothing.
+// stop sends SIGSTOP to the current process and waits until the kernel reports it as stopped. Without that check, a
+// test with a process that still runs would prove nothing.
 func (i *instance) stop() {
-	c := i.live
+	c := i.current
 	if c == nil || c.pid() == 0 || i.stopped != nil {
 		return
 	}
 	i.stopped = c
 	c.signal(syscall.SIGSTOP)
-	for began := time.Now(); !standsStill(c.pid()); time.Sleep(time.Millisecond) {
-		if time.Since(began) > stops {
-			i.run.fail("node %s does not stand still %v after SIGSTOP", i.c.Name, stops)
+	for began := time.Now(); !isStopped(c.pid()); time.Sleep(time.Millisecond) {
+		if time.Since(began) > stopTimeout {
+			i.run.fail("node %s does not stand still %v after SIGSTOP", i.c.Name, stopTimeout)
 			break
 		}
 	}
-	i.tell("stopped", c)
+	i.report("stopped", c)
 }
 
-// standsStill reports whether a process is stopped, or gone.
-func standsStill(pid int) bool {
+// isStopped reports whether a process is stopped or has exited.
+func isStopped(pid int) bool {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return true
@@ -173,26 +184,28 @@
 	return strings.HasPrefix(text, "T") || strings.HasPrefix(text, "Z")
 }
 
-func (i *instance) goOn() {
+// resume sends SIGCONT to the stopped process, if there is one.
+func (i *instance) resume() {
 	if c := i.stopped; c != nil {
 		i.stopped = nil
-		i.tell("goes on", c)
+		i.report("goes on", c)
 		c.signal(syscall.SIGCONT)
 	}
 }
 
-// upgrade starts the next process beside the one in service.
+// upgrade starts a successor of the current process while that keeps serving. It does nothing if the current process
+// is not serving, is exiting or stopped, or if an upgrade is in progress.
 func (i *instance) upgrade() {
-	if i.live == nil || i.live.leaving || !i.live.listens || i.next != nil || i.stopped != nil {
+	if i.current == nil || i.current.terminating || !i.current.serving || i.next != nil || i.stopped != nil {
 		return
 	}
 	prior := i.prior
-	c := i.spawn(false, false)
+	c := i.newProcess(false, false)
 	if c == nil {
 		return
 	}
 	i.next = c
-	i.tell("upgrade", c)
+	i.report("upgrade", c)
 	i.launch(c, nil)
 	own, both := i.prior, make(chan struct{})
 	i.prior = both
@@ -203,28 +216,28 @@
 	})
 }
 
-// listens hears that a process serves. In an upgrade the one before it is told to end.
-func (i *instance) listens(c *child) {
+// onServing is called when a process has started to serve. In an upgrade it sends SIGTERM to the predecessor.
+func (i *instance) onServing(c *child) {
 	switch {
-	case c.refuses:
-		i.run.breaks("refusal", "node %s started in a directory in which it must not", i.c.Name)
+	case c.mustRefuseStart:
+		i.run.addViolation("refusal", "node %s started in a directory in which it must not", i.c.Name)
 	case c == i.next:
-		predecessor := i.live
-		i.live, i.next = c, nil
-		i.tell("upgraded", c)
+		predecessor := i.current
+		i.current, i.next = c, nil
+		i.report("upgraded", c)
 		if predecessor != nil {
-			predecessor.leaving = true
+			predecessor.terminating = true
 			predecessor.signal(syscall.SIGTERM)
 		}
-	case c == i.live:
-		i.tell("serves", c)
+	case c == i.current:
+		i.report("serves", c)
 	case c == i.twin:
-		i.tell("twin serves", c)
+		i.report("twin serves", c)
 	}
-	i.readAgain(c)
+	i.reloadFleetFile(c)
 }
 
-// killNext ends an upgrade that has not come to its end.
+// killNext aborts an upgrade in progress.
 func (i *instance) killNext() {
 	if i.next != nil {
 		i.next.signal(syscall.SIGKILL)
@@ -232,57 +245,58 @@
 	}
 }
 
-// other takes the end of a process that is not the one in service, and reports whether it was one.
-func (i *instance) other(c *child, err error) bool {
+// handleOtherExit handles the exit of a process other than the current one, and reports whether c is such a process.
+func (i *instance) handleOtherExit(c *child, err error) bool {
 	if c == i.stopped {
 		i.stopped = nil
 	}
 	switch c {
-	case i.live:
+	case i.current:
 		return false
 	case i.next:
 		i.next = nil
-		i.run.breaks("crash", "node %s: the next process ended: %v; it wrote: %s", i.c.Name, err, c.last)
+		i.run.addViolation("crash", "node %s: the next process ended: %v; it wrote: %s", i.c.Name, err, c.lastLine)
 	case i.twin:
 		i.twin = nil
-		i.run.breaks("crash", "node %s: the stranger ended: %v; it wrote: %s", i.c.Name, err, c.last)
+		i.run.addViolation("crash", "node %s: the stranger ended: %v; it wrote: %s", i.c.Name, err, c.lastLine)
 	}
 	return true
 }
 
-// refused takes the end of a process that was to refuse its start.
-func (i *instance) refused(c *child, err error) bool {
-	if !c.refuses {
+// handleRefusedStart checks the exit of a process that must refuse to start, and reports whether c is such a process.
+func (i *instance) handleRefusedStart(c *child, err error) bool {
+	if !c.mustRefuseStart {
 		return false
 	}
-	if err == nil || !strings.Contains(c.last, "directory:") {
-		i.run.breaks("refusal", "node %s: ended with %v in a directory in which it must not start; it wrote: %s", i.c.Name,
-			err, c.last)
+	if err == nil || !strings.Contains(c.lastLine, "directory:") {
+		i.run.addViolation("refusal", "node %s: ended with %v in a directory in which it must not start; it wrote: %s",
+			i.c.Name, err, c.lastLine)
 	}
-	i.tell("refused", c)
+	i.report("refused", c)
 	return true
 }
 
-// startTwin starts a stranger under the node's name.
+// startTwin starts a twin: an unrelated process under the node's name.
 func (i *instance) startTwin() {
 	if i.twin != nil {
 		return
 	}
-	c := i.spawn(false, true)
+	c := i.newProcess(false, true)
 	if c == nil {
 		return
 	}
 	i.twin = c
-	i.tell("twin", c)
+	i.report("twin", c)
 	prior := i.prior
 	i.launch(c, nil)
 	i.prior = prior
 }
 
+// endTwin kills the twin, if there is one.
 func (i *instance) endTwin() {
 	if c := i.twin; c != nil {
 		i.twin = nil
-		i.tell("twin killed", c)
+		i.report("twin killed", c)
 		c.signal(syscall.SIGKILL)
 	}
 }
--- a/internal/lab/live/target.go
+++ b/internal/lab/live/target.go
@@ -9,13 +9,14 @@
 	"olivebridge/internal/lab/world/registry"
 )
 
-// The run is what the faults of its script act on.
+// A Run is the target of its script's faults.
 var _ fault.Target = (*Run)(nil)
 
 // Peer implements fault.Target.
 func (r *Run) Peer(name string) fault.Peer { return r.peer(name) }
 
-func (r *Run) peer(name string) *server {
+// peer returns the named peer, or nil.
+func (r *Run) peer(name string) *peerHost {
 	for _, p := range r.peers {
 		if p.c.Name == name {
 			return p
@@ -27,6 +28,7 @@
 // Node implements fault.Target.
 func (r *Run) Node(name string) fault.Node { return r.node(name) }
 
+// node returns the named node, or nil.
 func (r *Run) node(name string) *instance {
 	for _, n := range r.nodes {
 		if n.c.Name == name {
@@ -47,7 +49,7 @@
 }
 
 // Discovery implements fault.Target.
-func (r *Run) Discovery() fault.Discovery { return mover{r.registry, r} }
+func (r *Run) Discovery() fault.Discovery { return movableDiscovery{r.registry, r} }
 
 // Network implements fault.Target.
 func (r *Run) Network() fault.Network { return r.net }
@@ -55,37 +57,38 @@
 // Zone implements fault.Target.
 func (r *Run) Zone(host string) string { return r.zones[host] }
 
-// mover is discovery, whose place the nodes' configuration files name.
-type mover struct {
+// movableDiscovery is the registry as a fault target. Its Move updates Run.discovery,
+// the address in the nodes' configuration files.
+type movableDiscovery struct {
 	*registry.Registry
 	run *Run
 }
 
 // Move implements fault.Discovery.
-func (m mover) Move() string {
+func (m movableDiscovery) Move() string {
 	m.run.discovery = m.Registry.Move()
 	return m.run.discovery
 }
 
-// server is a peer with its machine.
-type server struct {
+// peerHost is a peer together with its host.
+type peerHost struct {
 	*peer.Peer
 	run      *Run
 	c        world.Peer
-	begun    bool // it has run
+	started  bool // its process has run at least once
 	draining bool
 }
 
-// Start implements fault.Peer: the process starts, cold.
-func (s *server) Start() {
-	s.begun, s.draining = true, false
+// Start implements fault.Peer. The process starts cold.
+func (s *peerHost) Start() {
+	s.started, s.draining = true, false
 	if err := s.Peer.Start(false); err != nil {
 		s.run.fail("%v", err)
 	}
 }
 
-// Kill implements fault.Peer: the process dies, and its connections with it.
-func (s *server) Kill() {
+// Kill implements fault.Peer. It also cuts the connections of the process.
+func (s *peerHost) Kill() {
 	if !s.Down() {
 		s.Peer.Kill()
 		s.run.net.Kill(hostOf(s.c))
@@ -93,7 +96,7 @@
 }
 
 // Drain implements fault.Peer.
-func (s *server) Drain(turnAwayAfter, exitAfter time.Duration) {
+func (s *peerHost) Drain(turnAwayAfter, exitAfter time.Duration) {
 	s.draining = !s.Down()
 	s.Peer.Drain(turnAwayAfter, exitAfter)
 }
--- a/internal/lab/live/watch.go
+++ b/internal/lab/live/watch.go
@@ -7,87 +7,88 @@
 	"olivebridge/internal/lab/sample"
 )
 
-// readEach is how often peers and processes are read.
-const readEach = 250 * time.Millisecond
+// readingInterval is the interval between two readings of peers and processes.
+const readingInterval = 250 * time.Millisecond
 
-// watch tells whoever watches a run how it goes, from the beginning of the
-// script's time until the clients have their outcomes. It belongs to the loop.
-type watch struct {
-	run  *Run
-	to   sample.Sink // nil: nobody watches
-	on   bool
-	base []time.Duration // processor time of each node at the beginning
-	used []time.Duration // the most that was read of it: a process that is gone is counted late
+// reporter reports samples of a run to a sample.Sink, from the start of the script
+// until the outcomes of all requests are known. It belongs to the loop.
+type reporter struct {
+	run         *Run
+	to          sample.Sink // nil: nothing is reported
+	active      bool
+	baseCPUTime []time.Duration // processor time of each node at the start of the script
+	cpuTime     []time.Duration // largest reading of each node since then; an exited process is counted late
 }
 
-// begin begins the telling.
-func (w *watch) begin() {
+// begin starts the reports.
+func (w *reporter) begin() {
 	if w.to == nil {
 		return
 	}
-	w.on = true
-	w.used = make([]time.Duration, len(w.run.nodes))
+	w.active = true
+	w.cpuTime = make([]time.Duration, len(w.run.nodes))
 	for _, n := range w.run.nodes {
-		w.base = append(w.base, n.used+usedBy(n.pid()))
+		w.baseCPUTime = append(w.baseCPUTime, n.cpuTime+cpuTimeOf(n.pid()))
 	}
 	w.read()
-	w.next(w.run.zero + readEach)
+	w.scheduleReading(w.run.scriptStart + readingInterval)
 }
 
-// next reads at an instant, and so on.
-func (w *watch) next(at time.Duration) {
+// scheduleReading schedules a reading at an instant, and all that follow it.
+func (w *reporter) scheduleReading(at time.Duration) {
 	w.run.loop.At(at, func() {
-		if w.on {
+		if w.active {
 			w.read()
-			w.next(max(at+readEach, w.run.loop.Now()))
+			w.scheduleReading(max(at+readingInterval, w.run.loop.Now()))
 		}
 	})
 }
 
-// end ends it.
-func (w *watch) end() {
-	if w.on {
+// end sends a last reading and stops the reports.
+func (w *reporter) end() {
+	if w.active {
 		w.read()
-		w.on = false
+		w.active = false
 	}
 }
 
-// now is the script's time.
-func (w *watch) now() time.Duration { return w.run.loop.Now() - w.run.zero }
+// now returns the time since the start of the script.
+func (w *reporter) now() time.Duration { return w.run.loop.Now() - w.run.scriptStart }
 
-// read tells how peers and nodes stand.
-func (w *watch) read() {
+// read reports the state of peers and nodes.
+func (w *reporter) read() {
 	r := sample.Reading{At: w.now()}
 	for _, p := range w.run.peers {
 		s := p.Stats()
-		r.Peers = append(r.Peers, sample.Peer{Name: p.c.Name, Down: p.Down(), OpenRequests: s.Held,
-			AttemptsReceived: s.Arrived, HealthChecks: s.Probes, OverloadCrashes: s.OverloadCrashes})
+		r.Peers = append(r.Peers, sample.Peer{
+			Name: p.c.Name, Down: p.Down(), OpenRequests: s.Held, AttemptsReceived: s.Arrived, HealthChecks: s.Probes, OverloadCrashes: s.OverloadCrashes,
+		})
 	}
 	for i, n := range w.run.nodes {
 		pid := n.pid()
-		w.used[i] = max(w.used[i], n.used+usedBy(pid)-w.base[i])
-		r.Nodes = append(r.Nodes, sample.Node{Name: n.c.Name, CPU: w.used[i], ResidentBytes: residentOf(pid)})
+		w.cpuTime[i] = max(w.cpuTime[i], n.cpuTime+cpuTimeOf(pid)-w.baseCPUTime[i])
+		r.Nodes = append(r.Nodes, sample.Node{Name: n.c.Name, CPU: w.cpuTime[i], ResidentBytes: residentOf(pid)})
 	}
 	w.to.Reading(r)
 }
 
-// request tells what came of one. Its times are the loop's.
-func (w *watch) request(q sample.Request) {
-	if w.on {
-		zero := w.run.zero
-		q.ScheduledAt, q.SentAt, q.EndedAt = q.ScheduledAt-zero, q.SentAt-zero, q.EndedAt-zero
+// request reports a request after converting its times from the loop's to the script's.
+func (w *reporter) request(q sample.Request) {
+	if w.active {
+		scriptStart := w.run.scriptStart
+		q.ScheduledAt, q.SentAt, q.EndedAt = q.ScheduledAt-scriptStart, q.SentAt-scriptStart, q.EndedAt-scriptStart
 		w.to.Request(q)
 	}
 }
 
-// tell tells of something that happened.
-func (w *watch) tell(who, what string) {
-	if w.on {
+// report reports an event of a peer or node.
+func (w *reporter) report(who, what string) {
+	if w.active {
 		w.to.Event(sample.Event{At: w.now(), Name: who, Change: what})
 	}
 }
 
-// worldObserver passes the events of peers and discovery on to the watch.
+// worldObserver passes the events of peers and discovery on to the reporter.
 type worldObserver struct {
 	event.NopObserver
 	run *Run
@@ -96,15 +97,15 @@
 // PeerStarted implements event.Observer, as do the methods below.
 func (w worldObserver) PeerStarted(peer, _ string, cold bool) {
 	if cold {
-		w.run.watch.tell(peer, "started cold")
+		w.run.reporter.report(peer, "started cold")
 	}
 }
 
 // PeerStopped implements event.Observer.
-func (w worldObserver) PeerStopped(peer string) { w.run.watch.tell(peer, "ended") }
+func (w worldObserver) PeerStopped(peer string) { w.run.reporter.report(peer, "ended") }
 
 // PeerListed implements event.Observer.
 func (w worldObserver) PeerListed(_ int64, peer, _, state string, _ time.Duration) {
 	w.run.listed[peer] = state
-	w.run.watch.tell(peer, "listed "+state)
+	w.run.reporter.report(peer, "listed "+state)
 }
