--- a/internal/lab/fleet/choices.go
+++ b/internal/lab/fleet/choices.go
@@ -82,7 +82,8 @@
 	return func(seed uint64, nodes int, length time.Duration) (*fault.Script, error) {
 		s := choicesQuietScript(peers)(seed, nodes, length)
 		kind := func(name string, weight, lo, hi float64) fault.KindRanges {
-			return fault.KindRanges{Name: name, Weight: weight, Part: fault.Range{Lo: 0.05, Hi: 0.3}, For: fault.SecondsRange(lo, hi)}
+			return fault.KindRanges{Name: name, Weight: weight, Part: fault.Range{Lo: 0.05, Hi: 0.3},
+				For: fault.SecondsRange(lo, hi)}
 		}
 		slow := kind("slow", 3, 2, 8)
 		slow.Factor = fault.Range{Lo: 2, Hi: 6}
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -56,7 +56,8 @@
 // faultRanges returns the kinds of faults, and the ranges of their parameters, from which RandomScript draws.
 func faultRanges() []fault.KindRanges {
 	kind := func(name string, weight, lo, hi float64) fault.KindRanges {
-		return fault.KindRanges{Name: name, Weight: weight, Part: fault.Range{Lo: 0.2, Hi: 0.45}, For: fault.SecondsRange(lo, hi)}
+		return fault.KindRanges{Name: name, Weight: weight, Part: fault.Range{Lo: 0.2, Hi: 0.45},
+			For: fault.SecondsRange(lo, hi)}
 	}
 	share := func(k fault.KindRanges, lo, hi float64) fault.KindRanges {
 		k.Share = fault.Range{Lo: lo, Hi: hi}
