--- a/internal/lab/mutant/mutant.go
+++ b/internal/lab/mutant/mutant.go
@@ -1,6 +1,6 @@
-// Package mutant holds mutants of the node: small wrong changes of its code, kept as data,
-// each of which the lab must find. They are never applied to the tree: a build reads a
-// changed copy of one file through the overlay of the go command.
+// Package mutant lists mutants of the node: small faulty changes of its source code, stored as data, each of which the
+// lab must detect. A mutant never modifies the source tree: the build reads a changed copy of one file through the
+// -overlay flag of the go command.
 package mutant
 
 import (
@@ -18,29 +18,29 @@
 )
 
 //go:embed mutants.toml
-var list []byte
+var embeddedMutants []byte
 
-// Mutant is the program with one small wrong change.
+// Mutant is one small faulty change of the program's source code.
 type Mutant struct {
 	Name   string   `toml:"name"`
-	Breaks string   `toml:"breaks"` // what goes wrong by it, in a sentence
-	Rules  []string `toml:"rules"`  // those that show it; one of them has to
-	File   string   `toml:"file"`   // from the root of the module
-	Old    string   `toml:"old"`    // stands in the file exactly once
-	New    string   `toml:"new"`
+	Breaks string   `toml:"breaks"` // the misbehaviour that the change causes, in one sentence
+	Rules  []string `toml:"rules"`  // the rules that can detect the mutant; at least one must be broken
+	File   string   `toml:"file"`   // path relative to the root of the module
+	Old    string   `toml:"old"`    // the text to replace; must occur exactly once in File
+	New    string   `toml:"new"`    // the replacement; may be empty
 }
 
-// All reads the mutants.
-func All() ([]Mutant, error) { return Parse("mutants.toml", list) }
+// All returns the mutants of the embedded file mutants.toml.
+func All() ([]Mutant, error) { return Parse("mutants.toml", embeddedMutants) }
 
-// Parse reads a list of mutants; name is that of its file.
+// Parse decodes and validates a list of mutants. Errors begin with name, the name of the file that data comes from.
 func Parse(name string, data []byte) ([]Mutant, error) {
 	var in struct {
 		Mutants []Mutant `toml:"mutant"`
 	}
 	d := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields()
 	if err := d.Decode(&in); err != nil {
-		return nil, fmt.Errorf("%s:%w", name, located(err))
+		return nil, fmt.Errorf("%s:%w", name, withLineNumber(err))
 	}
 	seen := map[string]bool{}
 	for i, m := range in.Mutants {
@@ -58,36 +58,37 @@
 	return in.Mutants, nil
 }
 
-// located puts the line first, as a compiler does, where the reader of TOML knows it.
-func located(err error) error {
+// withLineNumber prefixes a decoding error with its line number, as a compiler does, if the TOML decoder reports one.
+func withLineNumber(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		first := strict.Errors[0]
 		line, _ := first.Position()
 		return fmt.Errorf("%d: %s: unknown key", line, strings.Join(first.Key(), "."))
 	}
-	var broken *toml.DecodeError
-	if errors.As(err, &broken) {
-		line, _ := broken.Position()
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		line, _ := decodeErr.Position()
 		return fmt.Errorf("%d: %w", line, err)
 	}
 	return fmt.Errorf(" %w", err)
 }
 
-// Root finds the root of the module's source tree from the directory that the program runs in.
+// Root returns the root directory of the module that contains the working directory. It returns an error if that is
+// not the module olivebridge or if the go command is missing.
 func Root() (string, error) {
 	out, err := exec.Command("go", "list", "-m", "-f", "{{.Path}} {{.Dir}}").Output()
 	path, dir, ok := strings.Cut(strings.TrimSpace(string(out)), " ")
-	if err != nil || !ok || path != module {
-		return "", fmt.Errorf("the node is built from its sources: run in the tree of %s, with go", module)
+	if err != nil || !ok || path != modulePath {
+		return "", fmt.Errorf("the node is built from its sources: run in the tree of %s, with go", modulePath)
 	}
 	return dir, nil
 }
 
-const module = "olivebridge"
+const modulePath = "olivebridge"
 
-// Overlay writes the changed file and the overlay that puts it in the place of the tree's
-// into dir, and returns the overlay's path.
+// Overlay writes the changed source file and an overlay file that substitutes it for the original to dir, and returns
+// the path of the overlay file. It returns an error unless Old occurs exactly once in the original.
 func (m *Mutant) Overlay(root, dir string) (string, error) {
 	source := filepath.Join(root, filepath.FromSlash(m.File))
 	text, err := os.ReadFile(source)
@@ -112,11 +113,11 @@
 	return path, nil
 }
 
-// Package is the package that the mutant changes, as the go command takes it at the root.
+// Package returns the package that the mutant changes, as a path for the go command relative to the module root.
 func (m *Mutant) Package() string { return "./" + filepath.ToSlash(filepath.Dir(m.File)) }
 
-// Build builds a package of the tree as the mutant has it; its program, if it is one, goes
-// to out, unless that is empty. Work files go to dir.
+// Build builds package pkg of the source tree at root with the mutant applied. If out is not empty, the program is
+// written there. The changed source file and the overlay file are written to dir.
 func (m *Mutant) Build(root, dir, pkg, out string) error {
 	overlay, err := m.Overlay(root, dir)
 	if err != nil {
@@ -128,16 +129,16 @@
 	}
 	cmd := exec.Command("go", append(args, pkg)...)
 	cmd.Dir = root
-	if said, err := cmd.CombinedOutput(); err != nil {
-		return fmt.Errorf("mutant %s: building %s: %w: %s", m.Name, pkg, err, oneLine(said))
+	if output, err := cmd.CombinedOutput(); err != nil {
+		return fmt.Errorf("mutant %s: building %s: %w: %s", m.Name, pkg, err, joinCompilerErrors(output))
 	}
 	return nil
 }
 
-// oneLine is what a compiler said, without its headings.
-func oneLine(said []byte) string {
+// joinCompilerErrors joins the lines of a compiler's output with semicolons, without the lines that name a package.
+func joinCompilerErrors(output []byte) string {
 	var lines []string
-	for l := range strings.Lines(string(said)) {
+	for l := range strings.Lines(string(output)) {
 		if l = strings.TrimSpace(l); l != "" && !strings.HasPrefix(l, "#") {
 			lines = append(lines, l)
 		}
--- a/internal/lab/mutant/mutant_test.go
+++ b/internal/lab/mutant/mutant_test.go
@@ -7,31 +7,31 @@
 	"testing"
 )
 
-// Each mutant must still apply to the sources as they are, and make a tree that compiles:
-// one that does neither finds nothing.
+// TestMutantsApply checks that each mutant applies to the current sources and compiles: a mutant that does not cannot
+// test the lab.
 func TestMutantsApply(t *testing.T) {
 	all, err := All()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(all) < 16 {
-		t.Errorf("%d mutants", len(all))
+		t.Errorf("got %d mutants, want at least 16", len(all))
 	}
 	root, err := Root()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range all {
-		t.Run(p.Name, func(t *testing.T) {
+	for _, mutant := range all {
+		t.Run(mutant.Name, func(t *testing.T) {
 			t.Parallel()
-			if err := p.Build(root, t.TempDir(), p.Package(), ""); err != nil {
+			if err := mutant.Build(root, t.TempDir(), mutant.Package(), ""); err != nil {
 				t.Error(err)
 			}
 		})
 	}
 }
 
-func TestOverlayNeedsItsPlace(t *testing.T) {
+func TestOverlayRequiresOldTextOnce(t *testing.T) {
 	root := t.TempDir()
 	if err := os.WriteFile(filepath.Join(root, "a.go"), []byte("x = 1\nx = 1\ny = 2\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -45,10 +45,10 @@
 		_, err := p.Overlay(root, t.TempDir())
 		if got := ""; err != nil {
 			if got = err.Error(); got != want {
-				t.Errorf("%q: %s", old, got)
+				t.Errorf("old text %q: unexpected error %s", old, got)
 			}
 		} else if want != "" {
-			t.Errorf("%q: no error", old)
+			t.Errorf("old text %q: no error", old)
 		}
 	}
 }
@@ -67,10 +67,10 @@
 		_, err := Parse("f", []byte(c.text))
 		if got := ""; err != nil {
 			if got = err.Error(); c.want == "" || !strings.HasPrefix(got, c.want) || strings.Contains(got, "\n") {
-				t.Errorf("%q: %s", c.text, got)
+				t.Errorf("file %q: unexpected error %s", c.text, got)
 			}
 		} else if c.want != "" {
-			t.Errorf("%q: no error", c.text)
+			t.Errorf("file %q: no error", c.text)
 		}
 	}
 }
