--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -119,9 +119,9 @@
 
 // write writes the configuration file, whole or not at all: a running node may read it.
 func (i *instance) write(stale bool) error {
-	data, err := nodefile.Write(&i.run.script.World, i.c, nodefile.Start{
+	data, err := nodefile.Write(&i.run.script.World, i.c, nodefile.NodeStart{
 		Listen: i.at, Discovery: i.run.net.MapAddress(i.c.Name, i.run.discovery),
-		Known: i.run.registry.KnownBy(i.c.Name, stale), Seed: i.seed,
+		LastEndpoints: i.run.registry.KnownBy(i.c.Name, stale), Seed: i.seed,
 	})
 	if err != nil {
 		return err
--- a/internal/lab/nodefile/nodefile.go
+++ b/internal/lab/nodefile/nodefile.go
@@ -1,4 +1,4 @@
-// Package nodefile writes the configuration files of nodes, as the platform would.
+// Package nodefile writes the configuration files of nodes in the platform's format.
 package nodefile
 
 import (
@@ -10,72 +10,72 @@
 	"olivebridge/internal/lab/world"
 )
 
-// object is a JSON object with the platform's names.
+// object is a JSON object with the platform's keys.
 type object = map[string]any
 
-// Start is what a node's file holds beside its world.
-type Start struct {
-	Listen    string // where it listens
-	Discovery string // where it looks for its upstream group
-	Known     []byte // the list that it had last, as discovery writes it
-	Seed      uint64 // of this start
+// NodeStart holds the part of a node's configuration that does not come from the world: it differs with each start.
+type NodeStart struct {
+	Listen        string // address that the node listens on
+	Discovery     string // address of discovery, which serves the endpoint list
+	LastEndpoints []byte // the last known endpoint list, in the format of discovery
+	Seed          uint64 // seed of the node's random choices for this start
 }
 
-// Write writes the configuration file of a node of a world.
-func Write(c *world.Config, n world.Node, s Start) ([]byte, error) {
+// Write returns the content of the configuration file of a node of a world.
+func Write(config *world.Config, node world.Node, start NodeStart) ([]byte, error) {
 	var quotas []object
-	for _, t := range c.Tenants {
+	for _, t := range config.Tenants {
 		quota := object{"name": t.Name, "share": t.Share}
-		if t.Quota > 0 { // to a node a quota of nothing is one too
+		if t.Quota > 0 { // 0 means no quota; the node would enforce a quota of 0
 			quota["quota_per_s"] = t.Quota
 		}
 		quotas = append(quotas, quota)
 	}
 	var classes []object
-	for _, k := range c.Classes {
-		classes = append(classes, class(k))
+	for _, k := range config.Classes {
+		classes = append(classes, classSettings(k))
 	}
 	var kinds []string
-	for _, p := range c.Peers {
+	for _, p := range config.Peers {
 		if !slices.Contains(kinds, p.Kind) {
 			kinds = append(kinds, p.Kind)
 		}
 	}
 	slices.Sort(kinds)
-	k := c.Contract
+	contract := config.Contract
 	file := object{
-		"name": n.Name, "listen": s.Listen, "discovery": s.Discovery,
-		"seed":   fmt.Sprintf("%016x", s.Seed),
-		"limits": object{"cores": 1.0, "memory_mb": n.MemoryMB, "sockets": n.Sockets},
-		"known":  json.RawMessage(s.Known),
+		"name": node.Name, "listen": start.Listen, "discovery": start.Discovery,
+		"seed":   fmt.Sprintf("%016x", start.Seed),
+		"limits": object{"cores": 1.0, "memory_mb": node.MemoryMB, "sockets": node.Sockets},
+		"known":  json.RawMessage(start.LastEndpoints),
 		"settings": object{
-			"n_instances": len(c.Nodes), "worth_by": "request", "over_share_worth": k.OverShareWorth,
+			"n_instances": len(config.Nodes), "worth_by": "request", "over_share_worth": contract.OverShareWorth,
 			"weights": "nominal", "discovery": "subscribe",
-			"zones": c.Zones, "zone": max(slices.Index(c.Zones, n.Zone), 0), "kinds": kinds,
+			"zones": config.Zones, "zone": max(slices.Index(config.Zones, node.Zone), 0), "kinds": kinds,
 			"classes": classes, "tenants": quotas,
 			"contract": object{
-				"ask_every": ns(k.AskEvery), "cold": ns(k.Cold), "cold_share": k.ColdShare,
-				"drain_grace": ns(k.DrainGrace), "fall": ns(k.Fall), "overload_factor": k.Overload,
-				"dropped_stay_open": k.DroppedStay,
+				"ask_every": nanoseconds(contract.AskEvery), "cold": nanoseconds(contract.Cold), "cold_share": contract.ColdShare,
+				"drain_grace": nanoseconds(contract.DrainGrace), "fall": nanoseconds(contract.Fall),
+				"overload_factor": contract.Overload, "dropped_stay_open": contract.DroppedStay,
 			},
 			"limits": object{
-				"try_limit": k.TryLimit, "probes": k.Probes, "cancel": true, "second_copies": k.SecondCopies,
-				"retry_after": k.RetryAfter, "max_retry_after": ns(k.MaxRetryAfter),
-				"connect_timeout": ns(k.ConnectTimeout), "idle_close": ns(k.IdleClose),
+				"try_limit": contract.TryLimit, "probes": contract.Probes, "cancel": true, "second_copies": contract.SecondCopies,
+				"retry_after": contract.RetryAfter, "max_retry_after": nanoseconds(contract.MaxRetryAfter),
+				"connect_timeout": nanoseconds(contract.ConnectTimeout), "idle_close": nanoseconds(contract.IdleClose),
 			},
-			"prices": object{"cross_zone": k.CrossPrice, "probe": k.ProbePrice},
+			"prices": object{"cross_zone": contract.CrossPrice, "probe": contract.ProbePrice},
 		},
 	}
 	data, err := json.Marshal(file)
 	if err != nil {
-		return nil, fmt.Errorf("configuration of %s: %w", n.Name, err)
+		return nil, fmt.Errorf("configuration of %s: %w", node.Name, err)
 	}
 	return data, nil
 }
 
-func class(k world.Class) object {
+func classSettings(k world.Class) object {
 	o := object{
-		"name": k.Name, "aim": ns(k.Aim), "deadline": ns(k.Deadline), "gain": k.Worth, "late_worth": 0.0,
+		"name": k.Name, "aim": nanoseconds(k.Aim), "deadline": nanoseconds(k.Deadline), "gain": k.Worth, "late_worth": 0.0,
 		"idempotency": "side_effect", "stream": false,
 	}
 	if k.Safe {
@@ -84,5 +84,5 @@
 	return o
 }
 
-// ns is a span as the settings write it.
-func ns(s figure.Span) int64 { return int64(s) }
+// nanoseconds converts a span to the unit of the settings.
+func nanoseconds(s figure.Span) int64 { return int64(s) }
--- a/internal/lab/stage/node.go
+++ b/internal/lab/stage/node.go
@@ -61,8 +61,8 @@
 	i.lives++
 	known := i.run.registry.Known(stale)
 	seed := figure.Stream(i.run.script.Seed, fmt.Sprintf("node %s %d", i.c.Name, i.lives)).Uint64()
-	file, err := nodefile.Write(&i.run.script.World, i.c, nodefile.Start{
-		Listen: i.c.Name + ":" + nodePort, Discovery: i.run.discovery, Known: known, Seed: seed,
+	file, err := nodefile.Write(&i.run.script.World, i.c, nodefile.NodeStart{
+		Listen: i.c.Name + ":" + nodePort, Discovery: i.run.discovery, LastEndpoints: known, Seed: seed,
 	})
 	if err != nil {
 		i.run.fail("crash", "%v", err)
