--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -1,6 +1,5 @@
-// Package compare sets the reports of two builds, or of two settings, side by
-// side: several pairs, each of one seed, and what the figures of all pairs say
-// together.
+// Package compare compares the reports of two builds or of two settings. It takes several pairs of runs, each pair with
+// one seed, and tests for each figure whether the two sides differ.
 package compare
 
 import (
@@ -16,47 +15,47 @@
 	"olivebridge/internal/lab/report"
 )
 
-// Pair is two runs of one seed.
+// Pair holds the reports of two runs with the same seed.
 type Pair struct{ A, B *report.Report }
 
-// What is seen of a figure.
-type Seen string
+// Verdict is the result of comparing one figure.
+type Verdict string
 
-// What there is to see. A difference is said to be there if its sign is the same
-// in so many pairs that chance would rarely do it, and its spread leaves none out.
+// The verdicts. A difference is reported if the p-value of the sign test is at most significanceLevel and the
+// confidence interval excludes the value for no difference.
 const (
-	Same    Seen = "the same in every pair"
-	No      Seen = "no difference seen"
-	TooFew  Seen = "too few pairs to tell"
-	Better  Seen = "B is better"
-	Worse   Seen = "B is worse"
-	Nothing Seen = "not measured"
+	Same         Verdict = "the same in every pair"
+	NoDifference Verdict = "no difference seen"
+	TooFewPairs  Verdict = "too few pairs to tell"
+	Better       Verdict = "B is better"
+	Worse        Verdict = "B is worse"
+	NotMeasured  Verdict = "not measured"
 )
 
 const (
-	rarely   = 0.05 // chance of a sign test's outcome where there is no difference
-	spread   = 0.95 // of the resampled ratios
-	resample = 2000
+	significanceLevel = 0.05 // largest p-value of the sign test that counts as a difference
+	confidenceLevel   = 0.95 // share of the resampled ratios within the confidence interval
+	resampleCount     = 2000 // bootstrap samples per figure
 )
 
-// Row is one figure of one phase.
+// Row is the comparison of one figure in one phase.
 type Row struct {
-	What  string  `json:"what"`
-	Up    bool    `json:"up"` // more of it is better
-	Phase string  `json:"phase"`
-	Unit  string  `json:"unit,omitempty"`
-	A     float64 `json:"a"` // median of the pairs
-	B     float64 `json:"b"`
-	Ratio float64 `json:"ratio"` // of the medians, B to A; 0: A is 0
-	Lo    float64 `json:"lo"`    // spread of the ratio; of the difference, where A is 0
-	Hi    float64 `json:"hi"`
-	More  int     `json:"more"` // pairs in which B is more, and less
-	Less  int     `json:"less"`
-	P     float64 `json:"p"` // of the sign test
-	Seen  Seen    `json:"seen"`
+	Figure       string  `json:"what"`
+	MoreIsBetter bool    `json:"up"` // a higher value is better
+	Phase        string  `json:"phase"`
+	Unit         string  `json:"unit,omitempty"`
+	A            float64 `json:"a"` // median over the pairs
+	B            float64 `json:"b"`
+	Ratio        float64 `json:"ratio"` // median of B divided by median of A; 0 if A is 0
+	Lo           float64 `json:"lo"`    // bounds of the confidence interval of Ratio, or of B-A if A is 0
+	Hi           float64 `json:"hi"`
+	More         int     `json:"more"` // number of pairs in which B is higher; Less: lower
+	Less         int     `json:"less"`
+	PValue       float64 `json:"p"` // p-value of the sign test
+	Verdict      Verdict `json:"seen"`
 }
 
-// Rows compares all figures in all phases that both sides have.
+// Rows compares all figures in all phases of the first pair. A figure that a report lacks gets the verdict NotMeasured.
 func Rows(pairs []Pair) []Row {
 	if len(pairs) == 0 {
 		return nil
@@ -64,7 +63,7 @@
 	var rows []Row
 	for _, p := range pairs[0].A.Phases {
 		for _, k := range report.FigureKinds() {
-			r := Row{What: k.Name, Up: k.More, Phase: p.Name, Unit: k.Unit}
+			r := Row{Figure: k.Name, MoreIsBetter: k.More, Phase: p.Name, Unit: k.Unit}
 			var a, b []float64
 			for _, one := range pairs {
 				x, ok := one.A.Figure(k.Name, p.Name, report.Part{})
@@ -74,9 +73,9 @@
 				}
 			}
 			if len(a) < len(pairs) {
-				r.Seen = Nothing
+				r.Verdict = NotMeasured
 			} else {
-				r.weigh(a, b)
+				r.evaluate(a, b)
 			}
 			rows = append(rows, r)
 		}
@@ -84,8 +83,8 @@
 	return rows
 }
 
-// weigh looks at one figure's values, pair by pair.
-func (r *Row) weigh(a, b []float64) {
+// evaluate compares the values of one figure, a[i] and b[i] being those of pair i, and sets the results of the row.
+func (r *Row) evaluate(a, b []float64) {
 	r.A, r.B = median(a), median(b)
 	if r.A != 0 {
 		r.Ratio = r.B / r.A
@@ -98,7 +97,7 @@
 			r.Less++
 		}
 	}
-	r.P = signTest(r.More, r.Less)
+	r.PValue = signTest(r.More, r.Less)
 	r.Lo, r.Hi = r.bootstrap(a, b)
 	nothing := 1.0
 	if r.A == 0 {
@@ -106,25 +105,25 @@
 	}
 	switch {
 	case r.More+r.Less == 0:
-		r.Seen = Same
-	case signTest(len(a), 0) > rarely:
-		r.Seen = TooFew
-	case r.P > rarely || r.Lo <= nothing && r.Hi >= nothing:
-		r.Seen = No
-	case r.More > r.Less == r.Up:
-		r.Seen = Better
+		r.Verdict = Same
+	case signTest(len(a), 0) > significanceLevel:
+		r.Verdict = TooFewPairs
+	case r.PValue > significanceLevel || r.Lo <= nothing && r.Hi >= nothing:
+		r.Verdict = NoDifference
+	case r.More > r.Less == r.MoreIsBetter:
+		r.Verdict = Better
 	default:
-		r.Seen = Worse
+		r.Verdict = Worse
 	}
 }
 
-// bootstrap is between what the ratio of the medians lies (the difference, where
-// A's is 0) when pairs are drawn again and again from those there are.
+// bootstrap returns the bounds of the confidence interval of the ratio of the medians (or of their difference, if A's
+// median is 0). It resamples the pairs with replacement.
 func (r *Row) bootstrap(a, b []float64) (lo, hi float64) {
-	draws := figure.Stream(1, r.What+" in "+r.Phase)
-	all := make([]float64, 0, resample)
+	draws := figure.Stream(1, r.Figure+" in "+r.Phase)
+	all := make([]float64, 0, resampleCount)
 	x, y := make([]float64, len(a)), make([]float64, len(a))
-	for range resample {
+	for range resampleCount {
 		drawPairs(draws, a, b, x, y)
 		switch ma, mb := sortedMedian(x), sortedMedian(y); {
 		case r.A == 0:
@@ -136,10 +135,11 @@
 		}
 	}
 	slices.Sort(all)
-	tail := int((1 - spread) / 2 * resample)
+	tail := int((1 - confidenceLevel) / 2 * resampleCount)
 	return all[tail], all[len(all)-1-tail]
 }
 
+// drawPairs fills x and y with pairs drawn from a and b with replacement.
 func drawPairs(g *rand.Rand, a, b, x, y []float64) {
 	for i := range x {
 		n := g.IntN(len(a))
@@ -147,8 +147,8 @@
 	}
 }
 
-// signTest is how probable it is that so uneven a split of signs, or a more
-// uneven one, comes of chance alone.
+// signTest returns the two-sided p-value of the sign test: the probability that chance alone splits the signs at least
+// as unevenly.
 func signTest(more, less int) float64 {
 	n, k := more+less, min(more, less)
 	if n == 0 {
@@ -164,7 +164,7 @@
 
 func median(of []float64) float64 { return sortedMedian(slices.Clone(of)) }
 
-// sortedMedian sorts what it is given.
+// sortedMedian sorts s in place and returns its median.
 func sortedMedian(s []float64) float64 {
 	slices.Sort(s)
 	n := len(s)
@@ -174,16 +174,17 @@
 	return (s[n/2-1] + s[n/2]) / 2
 }
 
-// Write writes the rows as a table, by phase, and what is seen in all.
+// Write writes the rows as a table grouped by phase, followed by the overall result and the number of runs that broke
+// rules. a and b name the two sides.
 func Write(out io.Writer, a, b string, pairs []Pair, rows []Row) error {
 	t := [][]string{{"phase", "figure", "A", "B", "B/A", "spread", "pairs +/-", ""}}
 	seen := 0
 	last := ""
 	for _, r := range rows {
-		if r.Seen == Nothing {
+		if r.Verdict == NotMeasured {
 			continue
 		}
-		if r.Seen == Better || r.Seen == Worse {
+		if r.Verdict == Better || r.Verdict == Worse {
 			seen++
 		}
 		phase := r.Phase
@@ -191,12 +192,12 @@
 			phase = ""
 		}
 		last = r.Phase
-		ratio, spread := "-", fmt.Sprintf("%s to %s", signed(r.Lo), signed(r.Hi))
+		ratio, spread := "-", fmt.Sprintf("%s to %s", formatSigned(r.Lo), formatSigned(r.Hi))
 		if r.A != 0 {
-			ratio, spread = short(r.Ratio), fmt.Sprintf("%s to %s", short(r.Lo), short(r.Hi))
+			ratio, spread = formatFigure(r.Ratio), fmt.Sprintf("%s to %s", formatFigure(r.Lo), formatFigure(r.Hi))
 		}
-		t = append(t, []string{phase, r.What, short(r.A) + r.Unit, short(r.B) + r.Unit, ratio, spread,
-			fmt.Sprintf("%d/%d", r.More, r.Less), string(r.Seen)})
+		t = append(t, []string{phase, r.Figure, formatFigure(r.A) + r.Unit, formatFigure(r.B) + r.Unit, ratio, spread,
+			fmt.Sprintf("%d/%d", r.More, r.Less), string(r.Verdict)})
 	}
 	var text strings.Builder
 	fmt.Fprintf(&text, "A: %s\nB: %s\n%d pairs, one seed each; medians\n\n", a, b, len(pairs))
@@ -204,15 +205,15 @@
 	switch {
 	case len(rows) == 0:
 		fmt.Fprintln(&text, "\nnothing to compare")
-	case seen == 0 && slices.ContainsFunc(rows, func(r Row) bool { return r.Seen == TooFew }):
-		fmt.Fprintf(&text, "\ntoo few pairs to tell: %d at least\n", leastPairs())
+	case seen == 0 && slices.ContainsFunc(rows, func(r Row) bool { return r.Verdict == TooFewPairs }):
+		fmt.Fprintf(&text, "\ntoo few pairs to tell: %d at least\n", minPairs())
 	case seen == 0:
 		fmt.Fprintln(&text, "\nno difference seen")
 	default:
 		fmt.Fprintf(&text, "\n%d figures differ; of those that do not, about one in twenty would be said to\n", seen)
 	}
 	for i, name := range []string{"A", "B"} {
-		if n, first := broken(pairs, i); n > 0 {
+		if n, first := countRunsWithBrokenRules(pairs, i); n > 0 {
 			fmt.Fprintf(&text, "%s broke rules in %d of its runs, which count for nothing: %s\n", name, n, first)
 		}
 	}
@@ -222,8 +223,9 @@
 	return nil
 }
 
-// broken is in how many of one side's runs a rule was broken, and the first of them.
-func broken(pairs []Pair, side int) (n int, first string) {
+// countRunsWithBrokenRules returns the number of runs of one side (0: A, 1: B) that broke a rule, and the first broken rule of
+// the first such run.
+func countRunsWithBrokenRules(pairs []Pair, side int) (n int, first string) {
 	for _, p := range pairs {
 		if r := [...]*report.Report{p.A, p.B}[side]; len(r.Broken) > 0 {
 			if n++; n == 1 {
@@ -234,25 +236,25 @@
 	return n, first
 }
 
-// leastPairs is how many must agree before a difference is believed.
-func leastPairs() int {
+// minPairs returns the smallest number of pairs with the same sign that is significant.
+func minPairs() int {
 	n := 1
-	for signTest(n, 0) > rarely {
+	for signTest(n, 0) > significanceLevel {
 		n++
 	}
 	return n
 }
 
-func short(v float64) string {
+func formatFigure(v float64) string {
 	if v == math.MaxFloat64 {
 		return "inf"
 	}
 	return strconv.FormatFloat(v, 'g', 4, 64)
 }
 
-func signed(v float64) string {
+func formatSigned(v float64) string {
 	if v > 0 {
-		return "+" + short(v)
+		return "+" + formatFigure(v)
 	}
-	return short(v)
+	return formatFigure(v)
 }
