--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -40,7 +40,7 @@
 
 // Row is the comparison of one figure in one phase.
 type Row struct {
-	Figure       string  `json:"what"`
+	FigureName   string  `json:"what"`
 	MoreIsBetter bool    `json:"up"` // a higher value is better
 	Phase        string  `json:"phase"`
 	Unit         string  `json:"unit,omitempty"`
@@ -63,7 +63,7 @@
 	var rows []Row
 	for _, p := range pairs[0].A.Phases {
 		for _, k := range report.FigureKinds() {
-			r := Row{Figure: k.Name, MoreIsBetter: k.More, Phase: p.Name, Unit: k.Unit}
+			r := Row{FigureName: k.Name, MoreIsBetter: k.More, Phase: p.Name, Unit: k.Unit}
 			var a, b []float64
 			for _, one := range pairs {
 				x, ok := one.A.Figure(k.Name, p.Name, report.Part{})
@@ -120,7 +120,7 @@
 // bootstrap returns the bounds of the confidence interval of the ratio of the medians (or of their difference, if A's
 // median is 0). It resamples the pairs with replacement.
 func (r *Row) bootstrap(a, b []float64) (lo, hi float64) {
-	draws := figure.Stream(1, r.Figure+" in "+r.Phase)
+	draws := figure.Stream(1, r.FigureName+" in "+r.Phase)
 	all := make([]float64, 0, resampleCount)
 	x, y := make([]float64, len(a)), make([]float64, len(a))
 	for range resampleCount {
@@ -196,7 +196,7 @@
 		if r.A != 0 {
 			ratio, spread = formatFigure(r.Ratio), fmt.Sprintf("%s to %s", formatFigure(r.Lo), formatFigure(r.Hi))
 		}
-		t = append(t, []string{phase, r.Figure, formatFigure(r.A) + r.Unit, formatFigure(r.B) + r.Unit, ratio, spread,
+		t = append(t, []string{phase, r.FigureName, formatFigure(r.A) + r.Unit, formatFigure(r.B) + r.Unit, ratio, spread,
 			fmt.Sprintf("%d/%d", r.More, r.Less), string(r.Verdict)})
 	}
 	var text strings.Builder
@@ -213,7 +213,7 @@
 		fmt.Fprintf(&text, "\n%d figures differ; of those that do not, about one in twenty would be said to\n", seen)
 	}
 	for i, name := range []string{"A", "B"} {
-		if n, first := countRunsWithBrokenRules(pairs, i); n > 0 {
+		if n, first := countFailedRuns(pairs, i); n > 0 {
 			fmt.Fprintf(&text, "%s broke rules in %d of its runs, which count for nothing: %s\n", name, n, first)
 		}
 	}
@@ -223,9 +223,9 @@
 	return nil
 }
 
-// countRunsWithBrokenRules returns the number of runs of one side (0: A, 1: B) that broke a rule, and the first broken rule of
+// countFailedRuns returns the number of runs of one side (0: A, 1: B) that broke a rule, and the first broken rule of
 // the first such run.
-func countRunsWithBrokenRules(pairs []Pair, side int) (n int, first string) {
+func countFailedRuns(pairs []Pair, side int) (n int, first string) {
 	for _, p := range pairs {
 		if r := [...]*report.Report{p.A, p.B}[side]; len(r.Broken) > 0 {
 			if n++; n == 1 {
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -24,7 +24,7 @@
 
 func findRow(rows []Row, what string) Row {
 	for _, r := range rows {
-		if r.Figure == what {
+		if r.FigureName == what {
 			return r
 		}
 	}
--- a/internal/lab/subsets/compare.go
+++ b/internal/lab/subsets/compare.go
@@ -14,42 +14,43 @@
 	"olivebridge/internal/fleet/subset"
 )
 
-// Case is a fleet and a group that the ways are compared on.
+// Case describes a fleet of nodes and a group of servers on which the strategies are compared.
 type Case struct {
 	Nodes  int     `json:"nodes"`
-	Peers  int     `json:"peers"`
-	Copies int     `json:"copies"`
-	Spread float64 `json:"spread"` // weights go from 1 to this, evenly on a logarithmic scale; 1: all are alike
+	Peers  int     `json:"peers"`  // servers of the group
+	Copies int     `json:"copies"` // nodes to which each server is assigned
+	Spread float64 `json:"spread"` // largest weight: weights range from 1 to Spread, evenly on a logarithmic scale
 }
 
-// Figures are what is to be known of a way, over all nodes that send equally much.
+// Figures are the measurements of a strategy over all nodes. Every node sends the same load.
 type Figures struct {
 	Way         string  `json:"way"`
-	Size        float64 `json:"size"`              // peers of a node, in the mean
-	Busiest     float64 `json:"busiest_over_mean"` // by weight
-	Idlest      float64 `json:"idlest_over_mean"`
-	Starved     int     `json:"starved"`
-	NodeMoved   float64 `json:"node_moved_over_least"` // pairs of node and peer, for one node more or less
-	PeerMoved   float64 `json:"peer_moved_over_least"` // the same, for one peer more
-	KeysMoved   float64 `json:"keys_moved"`            // part of the keys that go to another peer at a node, for one peer less
-	KeyPeers    float64 `json:"key_peers"`             // peers that serve a key, over all nodes
-	ZoneKept    float64 `json:"zone_kept"`             // least part of a node's peers that is left when a zone is lost
-	KindMissing int     `json:"kind_missing"`          // nodes that lack some kind of machine
+	Size        float64 `json:"size"`              // mean number of servers per node
+	Busiest     float64 `json:"busiest_over_mean"` // highest load of a server divided by the mean, both per weight
+	Idlest      float64 `json:"idlest_over_mean"`      // lowest load of a server divided by the mean, both per weight
+	Starved     int     `json:"starved"`               // servers without load
+	NodeMoved   float64 `json:"node_moved_over_least"` // new pairs after adding or removing a node, over the minimum
+	PeerMoved   float64 `json:"peer_moved_over_least"` // the same after adding a server
+	KeysMoved   float64 `json:"keys_moved"`            // share of keys that change server after a server is removed
+	KeyPeers    float64 `json:"key_peers"`             // mean number of servers that receive a key from any node
+	ZoneKept    float64 `json:"zone_kept"`             // smallest share of a node's servers left after a zone is lost
+	KindMissing int     `json:"kind_missing"`          // nodes without a server of some machine kind
 	Loads       []load  `json:"-"`
 }
 
+// load is the load of one server as a point of the chart: X is its rank from 0 to 1, H its load divided by the mean.
 type load struct{ X, H float64 }
 
-// names are nodes' names, in order.
-func names(n int) (all []string) {
+// nodeNames returns the names of n nodes in order.
+func nodeNames(n int) (all []string) {
 	for i := range n {
 		all = append(all, fmt.Sprintf("n%04d", i+1))
 	}
 	return all
 }
 
-// group is a group of peers in two zones, of three kinds.
-func (c Case) group(peers int) (all []subset.Server) {
+// servers returns a group of servers in two zones and of three machine kinds, ordered by id.
+func (c Case) servers(peers int) (all []subset.Server) {
 	for i := range peers {
 		w := math.Pow(max(c.Spread, 1), float64(i*7%peers)/float64(max(peers-1, 1)))
 		all = append(all, subset.Server{ID: xxhash.Sum64String(fmt.Sprintf("peer %d", i)), Zone: uint8(i % 2), Kind: uint8(i / 2 % 3), Weight: w})
@@ -58,45 +59,45 @@
 	return all
 }
 
-// Compare measures every way on a case.
+// Compare measures every strategy on a case.
 func Compare(c Case) (rows []Figures) {
-	for _, w := range Ways() {
+	for _, w := range Strategies() {
 		rows = append(rows, measure(w, c))
 	}
 	return rows
 }
 
-func measure(w Way, c Case) Figures {
-	nodes, peers := names(c.Nodes), c.group(c.Peers)
-	got := w.Assign(nodes, peers, c.Copies)
-	f := Figures{Way: w.Name, ZoneKept: 1}
-	f.loads(got, peers)
-	f.represent(got, peers)
-	least := f.Size
-	f.NodeMoved = (moved(got, w.Assign(names(c.Nodes+1), peers, c.Copies))/least + moved(got, w.Assign(nodes[:len(nodes)-1], peers, c.Copies))/least) / 2
-	each := f.Size * float64(c.Nodes) / float64(c.Peers) // nodes of a peer
-	gone := len(peers) / 3
-	fewer := w.Assign(nodes, slices.Delete(slices.Clone(peers), gone, gone+1), c.Copies)
-	f.PeerMoved = moved(fewer, got) / each
-	f.keys(got, fewer, nodes)
+func measure(strategy Strategy, c Case) Figures {
+	nodes, peers := nodeNames(c.Nodes), c.servers(c.Peers)
+	assignment := strategy.Assign(nodes, peers, c.Copies)
+	f := Figures{Way: strategy.Name, ZoneKept: 1}
+	f.measureLoads(assignment, peers)
+	f.measureZonesAndKinds(assignment, peers)
+	nodeLeast := f.Size
+	f.NodeMoved = (countAddedPairs(assignment, strategy.Assign(nodeNames(c.Nodes+1), peers, c.Copies))/nodeLeast + countAddedPairs(assignment, strategy.Assign(nodes[:len(nodes)-1], peers, c.Copies))/nodeLeast) / 2
+	nodesPerServer := f.Size * float64(c.Nodes) / float64(c.Peers) // mean number of nodes per server
+	removed := len(peers) / 3
+	withoutOne := strategy.Assign(nodes, slices.Delete(slices.Clone(peers), removed, removed+1), c.Copies)
+	f.PeerMoved = countAddedPairs(withoutOne, assignment) / nodesPerServer
+	f.measureKeys(assignment, withoutOne, nodes)
 	return f
 }
 
-// loads sums what comes to each peer.
-func (f *Figures) loads(got map[string][]Part, peers []subset.Server) {
-	come, weight := map[uint64]float64{}, 0.0
+// measureLoads sums the load that each server receives, in a group in which every node sends a load of 1.
+func (f *Figures) measureLoads(assignment map[string][]ServerShare, peers []subset.Server) {
+	loadByServer, weight := map[uint64]float64{}, 0.0
 	for _, p := range peers {
 		weight += p.Weight
 	}
-	for _, parts := range got {
-		f.Size += float64(len(parts)) / float64(len(got))
+	for _, parts := range assignment {
+		f.Size += float64(len(parts)) / float64(len(assignment))
 		for _, p := range parts {
-			come[p.ID] += p.Part
+			loadByServer[p.ID] += p.Share
 		}
 	}
 	f.Idlest = math.Inf(1)
 	for i, p := range peers {
-		r := come[p.ID] / p.Weight / (float64(len(got)) / weight)
+		r := loadByServer[p.ID] / p.Weight / (float64(len(assignment)) / weight)
 		f.Busiest, f.Idlest = max(f.Busiest, r), min(f.Idlest, r)
 		if r == 0 {
 			f.Starved++
@@ -109,18 +110,19 @@
 	}
 }
 
-// represent looks at what each node has of every zone and kind.
-func (f *Figures) represent(got map[string][]Part, peers []subset.Server) {
-	of, kinds := map[uint64]subset.Server{}, map[uint8]bool{}
+// measureZonesAndKinds measures which share of each node's servers is in one zone, and which machine kinds each
+// node lacks.
+func (f *Figures) measureZonesAndKinds(assignment map[string][]ServerShare, peers []subset.Server) {
+	serverByID, kinds := map[uint64]subset.Server{}, map[uint8]bool{}
 	for _, p := range peers {
-		of[p.ID] = p
+		serverByID[p.ID] = p
 		kinds[p.Kind] = true
 	}
-	for _, parts := range got {
+	for _, parts := range assignment {
 		zones, has := map[uint8]float64{}, map[uint8]bool{}
 		for _, p := range parts {
-			zones[of[p.ID].Zone]++
-			has[of[p.ID].Kind] = true
+			zones[serverByID[p.ID].Zone]++
+			has[serverByID[p.ID].Kind] = true
 		}
 		for _, n := range zones {
 			f.ZoneKept = min(f.ZoneKept, 1-n/float64(len(parts)))
@@ -131,8 +133,8 @@
 	}
 }
 
-// moved is how many pairs of node and peer of two assignments differ, of nodes and peers that are in both or have come.
-func moved(before, after map[string][]Part) float64 {
+// countAddedPairs returns the number of pairs of node and server that are in the assignment after but not in before.
+func countAddedPairs(before, after map[string][]ServerShare) float64 {
 	n := 0
 	for node, parts := range after {
 		had := map[uint64]bool{}
@@ -148,26 +150,28 @@
 	return float64(n)
 }
 
-// keyed is how many keys are looked at.
-const keyed = 500
+// sampledKeys is the number of keys for which servers are chosen.
+const sampledKeys = 500
 
-// keys looks at where keys go: at each node to the peer of its own that scores highest with the key.
-func (f *Figures) keys(got, fewer map[string][]Part, nodes []string) {
-	for k := range uint64(keyed) {
-		at := map[uint64]bool{}
+// measureKeys measures to which servers keys are sent: each node sends a key to the one of its servers with the highest
+// score for the key. withoutOne is the assignment after one server was removed.
+func (f *Figures) measureKeys(assignment, withoutOne map[string][]ServerShare, nodes []string) {
+	for k := range uint64(sampledKeys) {
+		serversOfKey := map[uint64]bool{}
 		for _, n := range nodes {
-			home := best(k, got[n])
-			at[home] = true
-			if best(k, fewer[n]) != home {
+			server := highestScore(k, assignment[n])
+			serversOfKey[server] = true
+			if highestScore(k, withoutOne[n]) != server {
 				f.KeysMoved++
 			}
 		}
-		f.KeyPeers += float64(len(at)) / keyed
+		f.KeyPeers += float64(len(serversOfKey)) / sampledKeys
 	}
-	f.KeysMoved /= float64(keyed * len(nodes))
+	f.KeysMoved /= float64(sampledKeys * len(nodes))
 }
 
-func best(key uint64, parts []Part) (id uint64) {
+// highestScore returns the id of the server with the highest hash score for the key.
+func highestScore(key uint64, parts []ServerShare) (id uint64) {
 	most := uint64(0)
 	for _, p := range parts {
 		x := (p.ID ^ key*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
@@ -178,7 +182,7 @@
 	return id
 }
 
-// WriteTable writes the figures of a case for people.
+// WriteTable writes the figures of a case as an aligned text table.
 func WriteTable(w io.Writer, c Case, rows []Figures) error {
 	fmt.Fprintf(w, "%d nodes, %d peers, %d nodes to a peer, weights from 1 to %g\n", c.Nodes, c.Peers, c.Copies, max(c.Spread, 1))
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
@@ -190,12 +194,12 @@
 	return t.Flush()
 }
 
-// WriteHTML draws for each way how much comes to each peer, the least first.
+// WriteHTML writes an HTML page with one chart per strategy: the load of each server in ascending order.
 func WriteHTML(w io.Writer, c Case, rows []Figures) error {
-	return picture.Execute(w, map[string]any{"Case": c, "Rows": rows})
+	return pageTemplate.Execute(w, map[string]any{"Case": c, "Rows": rows})
 }
 
-var picture = template.Must(template.New("picture").Funcs(template.FuncMap{
+var pageTemplate = template.Must(template.New("picture").Funcs(template.FuncMap{
 	"x": func(v float64) float64 { return 10 + 560*v },
 	"y": func(v float64) float64 { return 110 - 50*min(v, 2) },
 }).Parse(`<!doctype html><meta charset="utf-8"><title>Ways to choose peers</title>
--- a/internal/lab/subsets/subsets_test.go
+++ b/internal/lab/subsets/subsets_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestCompare: the figures are those of the ways, where those are known: what is even is even, what is drawn is not, and each
-// way gives all of a node's work to somebody.
+// TestCompare checks the figures of the strategies against their known properties: strategies with even loads have even
+// loads, random choice has not, and every strategy assigns the whole load of each node.
 func TestCompare(t *testing.T) {
 	c := Case{Nodes: 20, Peers: 200, Copies: 8, Spread: 1}
 	rows := Compare(c)
@@ -20,7 +20,7 @@
 			sum += l.H
 		}
 		if math.Abs(sum-float64(c.Peers)) > 1e-6 {
-			t.Errorf("%s: %.3f times the mean comes to %d peers", f.Way, sum, c.Peers)
+			t.Errorf("%s: the loads sum to %.3f times the mean, want %d (one per server)", f.Way, sum, c.Peers)
 		}
 	}
 	for way, ok := range map[string]func(f Figures) bool{
@@ -36,12 +36,12 @@
 	} {
 		f := by[way]
 		if f.Loads = nil; !ok(f) {
-			t.Errorf("%s: %+v", way, f)
+			t.Errorf("%s: unexpected figures %+v", way, f)
 		}
 	}
 	var table, page bytes.Buffer
 	if err := WriteTable(&table, c, rows); err != nil || strings.Count(table.String(), "\n") != len(rows)+2 {
-		t.Errorf("%v\n%s", err, table.String())
+		t.Errorf("WriteTable: error %v, output\n%s", err, table.String())
 	}
 	if err := WriteHTML(&page, c, rows); err != nil || strings.Count(page.String(), "<svg") != len(rows) {
 		t.Error(err)
