--- a/cmd/olivelab/compare.go
+++ b/cmd/olivelab/compare.go
@@ -113,12 +113,12 @@
 		switch {
 		case err != nil:
 			return nil, fmt.Errorf("%s: %w", s.name, err)
-		case r.Verdict != report.None:
+		case r.Verdict != report.NoVerdict:
 			return r, nil
 		case n == again:
-			return nil, fmt.Errorf("%s, seed %d: no verdict: %s", s.name, seed, r.Why)
+			return nil, fmt.Errorf("%s, seed %d: no verdict: %s", s.name, seed, r.Reason)
 		}
-		fmt.Fprintf(errs, "%s, seed %d: once more: %s\n", s.name, seed, r.Why)
+		fmt.Fprintf(errs, "%s, seed %d: once more: %s\n", s.name, seed, r.Reason)
 	}
 }
 
--- a/cmd/olivelab/run.go
+++ b/cmd/olivelab/run.go
@@ -101,8 +101,8 @@
 		switch r.Verdict {
 		case report.Failed:
 			return errFailed
-		case report.None:
-			return errors.New("no verdict: " + r.Why)
+		case report.NoVerdict:
+			return errors.New("no verdict: " + r.Reason)
 		}
 		return nil
 	}
--- a/cmd/olivelab/sockets_test.go
+++ b/cmd/olivelab/sockets_test.go
@@ -56,7 +56,7 @@
 				code, text, errs := call(t, "run", "--short", "--node", node, "--json", out,
 					filepath.Join("../../experiments", name+".toml"))
 				r := reported(t, out)
-				late := r.Lateness.Share > report.LateShare
+				late := r.Lateness.Share > report.MaxLateShare
 				if code == exitFailed && len(r.Broken) == 0 && again {
 					continue // the machine may have been busy, and the tool in time all the same
 				}
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -63,11 +63,11 @@
 	var rows []Row
 	for _, p := range pairs[0].A.Phases {
 		for _, k := range report.FigureKinds() {
-			r := Row{FigureName: k.Name, MoreIsBetter: k.More, Phase: p.Name, Unit: k.Unit}
+			r := Row{FigureName: k.Name, MoreIsBetter: k.MoreIsBetter, Phase: p.Name, Unit: k.Unit}
 			var a, b []float64
 			for _, one := range pairs {
-				x, ok := one.A.Figure(k.Name, p.Name, report.Part{})
-				y, too := one.B.Figure(k.Name, p.Name, report.Part{})
+				x, ok := one.A.Figure(k.Name, p.Name, report.Scope{})
+				y, too := one.B.Figure(k.Name, p.Name, report.Scope{})
 				if ok && too {
 					a, b = append(a, x), append(b, y)
 				}
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -14,7 +14,7 @@
 	one := func(p99 float64, failed int) *report.Report {
 		counts := report.Counts{Asked: 100, Served: 100 - failed, Failed: failed}
 		f := report.Figures{Counts: counts, Worth: 1, P50: 10, P90: 20, P99: p99, P999: 99}
-		return &report.Report{Phases: []report.Phase{{Name: report.Whole, All: f}}}
+		return &report.Report{Phases: []report.Phase{{Name: report.WholeRun, All: f}}}
 	}
 	for i := range a {
 		all = append(all, Pair{one(a[i], failedA), one(b[i], failedB)})
--- a/internal/lab/experiment/assert.go
+++ b/internal/lab/experiment/assert.go
@@ -11,7 +11,7 @@
 )
 
 // Whole is the name of the phase that is the run as a whole.
-const Whole = report.Whole
+const Whole = report.WholeRun
 
 // Assert is a bound on one figure.
 type Assert struct {
@@ -59,7 +59,7 @@
 	for i := range e.Asserts {
 		a := &e.Asserts[i]
 		at := func(key string) string { return fmt.Sprintf("assert[%d].%s", i, key) }
-		f, ok := report.FigureNamed(a.What)
+		f, ok := report.FindFigureKind(a.What)
 		if !ok {
 			return d.Error(at("what"), "no such figure: %q", a.What)
 		}
@@ -71,7 +71,7 @@
 			return d.Error(at("class"), "no such class: %q", a.Class)
 		case a.Tenant != "" && !slices.Contains(tenants, a.Tenant):
 			return d.Error(at("tenant"), "no such tenant: %q", a.Tenant)
-		case a.Class+a.Tenant != "" && !f.OfPart:
+		case a.Class+a.Tenant != "" && !f.PerScope:
 			return d.Error(at("what"), "%s is known of all requests together only", a.What)
 		}
 		if a.Phase == "" {
@@ -88,9 +88,9 @@
 			key string
 			Bound
 		}{{"least", a.Least}, {"most", a.Most}} {
-			if b.set && b.time != f.Time {
+			if b.set && b.time != f.IsDuration {
 				want := "a number"
-				if f.Time {
+				if f.IsDuration {
 					want = `a length of time such as "200ms"`
 				}
 				return d.Error(at(b.key), "%s wants %s", a.What, want)
@@ -126,9 +126,9 @@
 // judge holds the assertions against a report's figures.
 func (e *Experiment) judge(r *report.Report) {
 	for _, a := range e.Asserts {
-		f, _ := report.FigureNamed(a.What)
-		c := report.Check{What: a.What, Class: a.Class, Tenant: a.Tenant, Phase: a.Phase, Unit: f.Unit}
-		value, measured := r.Figure(a.What, a.Phase, report.Part{Class: a.Class, Tenant: a.Tenant})
+		f, _ := report.FindFigureKind(a.What)
+		c := report.Check{Figure: a.What, Class: a.Class, Tenant: a.Tenant, Phase: a.Phase, Unit: f.Unit}
+		value, measured := r.Figure(a.What, a.Phase, report.Scope{Class: a.Class, Tenant: a.Tenant})
 		c.Value, c.Verdict = value, report.Passed
 		if a.Least.set {
 			c.Least = &a.Least.value
@@ -138,9 +138,9 @@
 		}
 		switch {
 		case r.Short && a.Full:
-			c.Verdict, c.Note = report.None, "full form only"
+			c.Verdict, c.Note = report.NoVerdict, "full form only"
 		case !measured:
-			c.Verdict, c.Note = report.None, "not measured"
+			c.Verdict, c.Note = report.NoVerdict, "not measured"
 		case a.Least.set && value < a.Least.value, a.Most.set && value > a.Most.value:
 			c.Verdict = report.Failed
 		}
--- a/internal/lab/experiment/record.go
+++ b/internal/lab/experiment/record.go
@@ -97,7 +97,7 @@
 	class := &r.plan.Script.World.Classes[place]
 	lag := max(q.Begun-q.Due, 0)
 	record(r.late, lag)
-	if lag > report.LateBy {
+	if lag > report.MaxLateness {
 		r.tardy++
 	}
 	for i, p := range r.phases {
@@ -168,7 +168,7 @@
 func (r *recorder) report() *report.Report {
 	e, s := r.plan.Experiment, r.plan.Script
 	out := &report.Report{
-		Form: report.Form, Name: e.Name, Shows: e.Shows, Seed: s.Seed, Short: r.plan.Short,
+		FormatVersion: report.FormatVersion, Name: e.Name, Shows: e.Shows, Seed: s.Seed, Short: r.plan.Short,
 		Length: s.Length.D().Seconds(), Faults: bands(s),
 	}
 	for _, c := range s.World.Classes {
@@ -315,7 +315,7 @@
 		out.Seconds = append(out.Seconds, one)
 	}
 	for i, p := range r.plan.Script.World.Peers {
-		out.Peers = append(out.Peers, report.Peer{Name: p.Name, Zone: p.Zone, Cores: p.Cores, Held: r.held(i)})
+		out.Peers = append(out.Peers, report.Peer{Name: p.Name, Zone: p.Zone, Cores: p.Cores, InFlight: r.held(i)})
 	}
 }
 
@@ -355,11 +355,11 @@
 }
 
 // bands are the script's faults as the report shows them.
-func bands(s *fault.Script) (all []report.Band) {
+func bands(s *fault.Script) (all []report.FaultInterval) {
 	for i := range s.Faults {
 		f := &s.Faults[i]
 		from, to := f.At.D().Seconds(), f.Ends().D().Seconds()
-		all = append(all, report.Band{Kind: f.Kind, From: from, To: to, Note: about(f)})
+		all = append(all, report.FaultInterval{Kind: f.Kind, From: from, To: to, Note: about(f)})
 	}
 	kinds, from, to := 0, time.Duration(0), time.Duration(0)
 	for i, g := range s.World.Rogues {
@@ -370,10 +370,10 @@
 		to = max(to, (g.From + g.For).D())
 	}
 	if kinds > 0 {
-		all = append(all, report.Band{
+		all = append(all, report.FaultInterval{
 			Kind: fault.Rogues, From: from.Seconds(), To: to.Seconds(), Note: count(kinds, "kind", "kinds"),
 		})
 	}
-	slices.SortStableFunc(all, func(a, b report.Band) int { return cmp.Compare(a.From, b.From) })
+	slices.SortStableFunc(all, func(a, b report.FaultInterval) int { return cmp.Compare(a.From, b.From) })
 	return all
 }
--- a/internal/lab/experiment/run_test.go
+++ b/internal/lab/experiment/run_test.go
@@ -119,27 +119,27 @@
 	}
 	for _, c := range []struct {
 		what, phase string
-		of          report.Part
+		of          report.Scope
 		want        float64
 	}{
-		{"worth", "calm", report.Part{}, 0.96}, {"worth", Whole, report.Part{}, 96.0 / 110},
-		{"served", "calm", report.Part{Class: "quote"}, 0.96}, {"late", "calm", report.Part{}, 0.01},
-		{"refused", "calm", report.Part{}, 0.01}, {"failed", "calm", report.Part{}, 0.01},
-		{"failed", Whole, report.Part{Class: "order-confirm"}, 1},
-		{"worth", "calm", report.Part{Tenant: "ashby-dental"}, 0.96},
-		{"unanswered", "calm", report.Part{}, 0.01},
-		{"p50", "calm", report.Part{}, 50}, {"p999", "calm", report.Part{}, 600},
-		{"tries", "calm", report.Part{}, 8 * 8 * float64(len(plan.Script.World.Peers)) / 101},
-		{"cpu", "calm", report.Part{}, 80.0 / 101},
-		{"resident", "calm", report.Part{}, 80}, {"growth", "calm", report.Part{}, 1.8},
+		{"worth", "calm", report.Scope{}, 0.96}, {"worth", Whole, report.Scope{}, 96.0 / 110},
+		{"served", "calm", report.Scope{Class: "quote"}, 0.96}, {"late", "calm", report.Scope{}, 0.01},
+		{"refused", "calm", report.Scope{}, 0.01}, {"failed", "calm", report.Scope{}, 0.01},
+		{"failed", Whole, report.Scope{Class: "order-confirm"}, 1},
+		{"worth", "calm", report.Scope{Tenant: "ashby-dental"}, 0.96},
+		{"unanswered", "calm", report.Scope{}, 0.01},
+		{"p50", "calm", report.Scope{}, 50}, {"p999", "calm", report.Scope{}, 600},
+		{"tries", "calm", report.Scope{}, 8 * 8 * float64(len(plan.Script.World.Peers)) / 101},
+		{"cpu", "calm", report.Scope{}, 80.0 / 101},
+		{"resident", "calm", report.Scope{}, 80}, {"growth", "calm", report.Scope{}, 1.8},
 	} {
 		got, ok := r.Figure(c.what, c.phase, c.of)
 		if !ok || got < c.want*0.998 || got > c.want*1.002 {
 			t.Errorf("%s in %s of %+v: %v, %v; want %v", c.what, c.phase, c.of, got, ok, c.want)
 		}
 	}
-	if h := r.Peers[0].Held; h[0] != report.Down || h[2] != 0 || r.Peers[3].Held[5] != 3 || r.Seconds[3].Asked != 96 {
-		t.Errorf("held %v, %v; second 3: %+v", h, r.Peers[3].Held, r.Seconds[3])
+	if h := r.Peers[0].InFlight; h[0] != report.Down || h[2] != 0 || r.Peers[3].InFlight[5] != 3 || r.Seconds[3].Asked != 96 {
+		t.Errorf("held %v, %v; second 3: %+v", h, r.Peers[3].InFlight, r.Seconds[3])
 	}
 	if r.Verdict != report.Failed || r.Checks[0].Verdict != report.Passed || r.Checks[1].Verdict != report.Failed {
 		t.Errorf("%s: %+v", r.Verdict, r.Checks)
@@ -160,7 +160,7 @@
 		late int
 		want report.Verdict
 		p99  float64
-	}{{1, report.Passed, 10}, {3, report.None, 130}} {
+	}{{1, report.Passed, 10}, {3, report.NoVerdict, 130}} {
 		var all told
 		for i := range 200 {
 			at, lag := 3*time.Second+time.Duration(i), time.Duration(0)
@@ -176,8 +176,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if p99, _ := r.Figure("p99", "calm", report.Part{}); r.Verdict != c.want || p99 < c.p99*0.99 || p99 > c.p99*1.01 {
-			t.Errorf("%d late: %s %s, p99 %v; want %s, %v", c.late, r.Verdict, r.Why, p99, c.want, c.p99)
+		if p99, _ := r.Figure("p99", "calm", report.Scope{}); r.Verdict != c.want || p99 < c.p99*0.99 || p99 > c.p99*1.01 {
+			t.Errorf("%d late: %s %s, p99 %v; want %s, %v", c.late, r.Verdict, r.Reason, p99, c.want, c.p99)
 		}
 	}
 }
--- a/internal/lab/report/figure.go
+++ b/internal/lab/report/figure.go
@@ -2,25 +2,25 @@
 
 import "slices"
 
-// FigureKind is a figure that may be asserted, or compared.
+// FigureKind is a kind of figure that experiments can assert and comparisons can compare.
 type FigureKind struct {
-	Name   string
-	Unit   string // of times; empty: a share, or a number
-	Time   bool   // bounds are lengths of time
-	OfPart bool   // it is known of each class and tenant
-	More   bool   // more of it is better
-	of     func(f *Figures) (float64, bool)
+	Name         string
+	Unit         string                           // empty for shares and plain numbers
+	IsDuration   bool                             // the bounds of an assertion are durations
+	PerScope     bool                             // it is measured per class and tenant, not only over all requests
+	MoreIsBetter bool                             // a higher value is better
+	value        func(f *Figures) (float64, bool) // reports false if it was not measured
 }
 
-// FigureKinds are all there are, in the order in which they are shown.
+// FigureKinds returns all kinds of figures in the order in which they are displayed.
 func FigureKinds() []FigureKind {
 	share := func(name string, n func(*Figures) int) FigureKind {
-		return FigureKind{Name: name, OfPart: true, of: func(f *Figures) (float64, bool) {
+		return FigureKind{Name: name, PerScope: true, value: func(f *Figures) (float64, bool) {
 			return f.Share(n(f)), f.Asked > f.Left
 		}}
 	}
 	latency := func(name string, v func(*Figures) float64) FigureKind {
-		return FigureKind{Name: name, Unit: "ms", Time: true, OfPart: true, of: func(f *Figures) (float64, bool) {
+		return FigureKind{Name: name, Unit: "ms", IsDuration: true, PerScope: true, value: func(f *Figures) (float64, bool) {
 			return v(f), v(f) > 0
 		}}
 	}
@@ -30,11 +30,11 @@
 		}
 		return *v, true
 	}
-	worth := FigureKind{Name: "worth", OfPart: true, More: true, of: func(f *Figures) (float64, bool) {
+	worth := FigureKind{Name: "worth", PerScope: true, MoreIsBetter: true, value: func(f *Figures) (float64, bool) {
 		return f.Worth, f.Asked > f.Left
 	}}
 	served := share("served", func(f *Figures) int { return f.Served })
-	served.More = true
+	served.MoreIsBetter = true
 	return []FigureKind{
 		worth, served,
 		share("late", func(f *Figures) int { return f.Late }),
@@ -45,15 +45,15 @@
 		latency("p90", func(f *Figures) float64 { return f.P90 }),
 		latency("p99", func(f *Figures) float64 { return f.P99 }),
 		latency("p999", func(f *Figures) float64 { return f.P999 }),
-		{Name: "tries", of: func(f *Figures) (float64, bool) { return optional(f.Tries) }},
-		{Name: "cpu", Unit: "ms", Time: true, of: func(f *Figures) (float64, bool) { return optional(f.CPU) }},
-		{Name: "resident", Unit: "MB", of: func(f *Figures) (float64, bool) { return optional(f.Resident) }},
-		{Name: "growth", of: func(f *Figures) (float64, bool) { return optional(f.Growth) }},
+		{Name: "tries", value: func(f *Figures) (float64, bool) { return optional(f.Tries) }},
+		{Name: "cpu", Unit: "ms", IsDuration: true, value: func(f *Figures) (float64, bool) { return optional(f.CPU) }},
+		{Name: "resident", Unit: "MB", value: func(f *Figures) (float64, bool) { return optional(f.Resident) }},
+		{Name: "growth", value: func(f *Figures) (float64, bool) { return optional(f.Growth) }},
 	}
 }
 
-// FigureNamed is the one of a name.
-func FigureNamed(name string) (FigureKind, bool) {
+// FindFigureKind returns the kind of figure with the given name and whether there is one.
+func FindFigureKind(name string) (FigureKind, bool) {
 	all := FigureKinds()
 	i := slices.IndexFunc(all, func(k FigureKind) bool { return k.Name == name })
 	if i < 0 {
@@ -62,13 +62,12 @@
 	return all[i], true
 }
 
-// Part is the requests that a figure is of: those of a class, or of a tenant, or,
-// if both are empty, all.
-type Part struct{ Class, Tenant string }
+// Scope selects the requests that a figure covers: those of a class, those of a tenant or, if both are empty, all.
+type Scope struct{ Class, Tenant string }
 
-// Figure is a figure of a phase and a part; it reports false where there is none.
-func (r *Report) Figure(what, phase string, of Part) (float64, bool) {
-	k, ok := FigureNamed(what)
+// Figure returns the figure with the given name of a phase and a scope. It reports false if there is none.
+func (r *Report) Figure(what, phase string, of Scope) (float64, bool) {
+	k, ok := FindFigureKind(what)
 	if !ok {
 		return 0, false
 	}
@@ -77,17 +76,17 @@
 		if p.Name != phase {
 			continue
 		}
-		for _, f := range p.parts() {
-			if (Part{f.Class, f.Tenant}) == of {
-				return k.of(f)
+		for _, f := range p.scopes() {
+			if (Scope{f.Class, f.Tenant}) == of {
+				return k.value(f)
 			}
 		}
 	}
 	return 0, false
 }
 
-// parts are the figures of all, then of each class and each tenant.
-func (p *Phase) parts() []*Figures {
+// scopes returns the figures of all requests, followed by those of each class and of each tenant.
+func (p *Phase) scopes() []*Figures {
 	all := []*Figures{&p.All}
 	for _, list := range [][]Figures{p.Classes, p.Tenants} {
 		for i := range list {
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -8,11 +8,11 @@
 )
 
 //go:embed page.html
-var page string
+var pageTemplate string
 
-// WriteHTML writes one page that needs nothing beside it.
+// WriteHTML writes the report as a single self-contained HTML page.
 func (r *Report) WriteHTML(w io.Writer) error {
-	t, err := template.New("report").Parse(page)
+	t, err := template.New("report").Parse(pageTemplate)
 	if err != nil {
 		return fmt.Errorf("reading the page's form: %w", err)
 	}
@@ -21,7 +21,7 @@
 		Picture    template.HTML
 		Figures    table
 		Assertions table
-	}{r, template.HTML(r.picture(true)), r.figureTable(true), r.checkTable()} //nolint:gosec // the SVG escapes its texts
+	}{r, template.HTML(r.renderSVG(true)), r.figureTable(true), r.checkTable()} //nolint:gosec // the SVG escapes its texts
 	if err := t.Execute(w, data); err != nil {
 		return fmt.Errorf("writing the page: %w", err)
 	}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report holds what came of an experiment, and shows it: as text, as
-// JSON, and as pictures along one time axis, alone or in a page.
+// Package report holds the results of an experiment and writes them as text, as JSON, as an SVG chart over time and as
+// an HTML page.
 package report
 
 import (
@@ -12,61 +12,60 @@
 	"olivebridge/internal/lab/world"
 )
 
-// Form is the number of the JSON's form: it changes when a key changes its meaning.
-const Form = 1
+// FormatVersion is the version of the JSON format. It changes when a key changes its meaning.
+const FormatVersion = 1
 
-// Whole is the name of the phase that is the run as a whole.
-const Whole = "whole"
+// WholeRun is the name of the phase that covers the whole run.
+const WholeRun = "whole"
 
-// How late a load tool may begin its requests: LateShare of them by more than
-// LateBy. Beyond that the figures are the tool's own, and there is no verdict.
+// Limits for the lateness of the load tool: at most MaxLateShare of the requests may start more than MaxLateness after
+// they were due. Beyond that the figures measure the load tool itself, and there is no verdict.
 const (
-	LateBy    = 5 * time.Millisecond
-	LateShare = 0.01
+	MaxLateness  = 5 * time.Millisecond
+	MaxLateShare = 0.01
 )
 
-// What a Peer holds where that is no number.
+// Values of Peer.InFlight that are not a number of requests.
 const (
-	Down    = -1 // it did not run in that second
-	Unknown = -2 // nobody looked
+	Down    = -1 // the server did not run in that second
+	Unknown = -2 // the value was not sampled in that second
 )
 
-// Verdict is what is made of an assertion, or of the whole.
+// Verdict is the result of one assertion or of the whole run.
 type Verdict string
 
 // The verdicts.
 const (
-	Passed Verdict = "passed"
-	Failed Verdict = "failed"
-	None   Verdict = "none" // there is no saying, for a reason that stands beside it
+	Passed    Verdict = "passed"
+	Failed    Verdict = "failed"
+	NoVerdict Verdict = "none" // undecided; the reason is in Check.Note or Report.Reason
 )
 
-// Report is what came of one run. Times are in seconds, latencies in
-// milliseconds, shares are parts of 1.
+// Report holds the results of one run. Times are in seconds, latencies in milliseconds, shares are between 0 and 1.
 type Report struct {
-	Form     int      `json:"form"`
-	Name     string   `json:"name"`
-	Shows    string   `json:"shows"`
-	Clock    string   `json:"clock"`
-	Seed     uint64   `json:"seed"`
-	Short    bool     `json:"short"`
-	Length   float64  `json:"length"`
-	Verdict  Verdict  `json:"verdict"`
-	Why      string   `json:"why,omitempty"` // there is none
-	Checks   []Check  `json:"checks"`
-	Broken   []string `json:"broken"` // rules, and crashes
-	Lateness Lateness `json:"lateness"`
-	Classes  []string `json:"classes"`
-	Phases   []Phase  `json:"phases"` // the whole run first
-	Seconds  []Second `json:"seconds"`
-	Peers    []Peer   `json:"peers"`
-	Faults   []Band   `json:"faults"`
-	Events   []Event  `json:"events"`
-}
-
-// Check is an assertion with its figure.
+	FormatVersion int             `json:"form"`
+	Name          string          `json:"name"`
+	Shows         string          `json:"shows"`
+	Clock         string          `json:"clock"`
+	Seed          uint64          `json:"seed"`
+	Short         bool            `json:"short"`
+	Length        float64         `json:"length"`
+	Verdict       Verdict         `json:"verdict"`
+	Reason        string          `json:"why,omitempty"` // why there is no verdict
+	Checks        []Check         `json:"checks"`
+	Broken        []string        `json:"broken"` // broken rules and crashes
+	Lateness      Lateness        `json:"lateness"`
+	Classes       []string        `json:"classes"`
+	Phases        []Phase         `json:"phases"` // the whole run first
+	Seconds       []Second        `json:"seconds"`
+	Peers         []Peer          `json:"peers"`
+	Faults        []FaultInterval `json:"faults"`
+	Events        []Event         `json:"events"`
+}
+
+// Check is an assertion with the measured value and the verdict. Nil bounds are not checked.
 type Check struct {
-	What    string   `json:"what"`
+	Figure  string   `json:"what"`
 	Class   string   `json:"class,omitempty"`
 	Tenant  string   `json:"tenant,omitempty"`
 	Phase   string   `json:"phase"`
@@ -78,26 +77,26 @@
 	Note    string   `json:"note,omitempty"`
 }
 
-// Lateness is by how much the load tool began requests after they were due.
+// Lateness is the delay with which the load tool started requests after they were due.
 type Lateness struct {
 	P99   float64 `json:"p99_ms"`
 	Max   float64 `json:"max_ms"`
-	Share float64 `json:"share"` // by more than LateBy
+	Share float64 `json:"share"` // of the requests that started more than MaxLateness late
 }
 
-// Counts are requests by what came of them. Those that left are of no further
-// account: shares are of the others.
+// Counts are the numbers of requests by outcome. Requests whose client left count only in Asked and Left; shares are
+// relative to the other requests.
 type Counts struct {
 	Asked      int `json:"asked"`
-	Served     int `json:"served"` // within the aim of their class, counted from when they were due
-	Late       int `json:"late"`   // after it
+	Served     int `json:"served"` // within the latency objective of their class, measured from the due time
+	Late       int `json:"late"`   // served after the latency objective
 	Refused    int `json:"refused"`
 	Failed     int `json:"failed"` // errors, broken connections, no node reached
 	Unanswered int `json:"unanswered"`
-	Left       int `json:"left"`
+	Left       int `json:"left"` // the client disconnected before the response
 }
 
-// Add takes in a request and returns the worth that it earned.
+// Add counts a request of a class and returns the worth that it earned.
 func (c *Counts) Add(q sample.Request, class *world.Class) float64 {
 	c.Asked++
 	switch q.Outcome {
@@ -119,7 +118,7 @@
 	return 0
 }
 
-// Merge adds other counts.
+// Merge adds the counts o.
 func (c *Counts) Merge(o Counts) {
 	c.Asked += o.Asked
 	c.Served += o.Served
@@ -130,7 +129,7 @@
 	c.Left += o.Left
 }
 
-// Share is a part of the requests that did not leave; 0 if there are none.
+// Share returns n as a share of the requests whose client did not leave; 0 if there are none.
 func (c *Counts) Share(n int) float64 {
 	if stayed := c.Asked - c.Left; stayed > 0 {
 		return float64(n) / float64(stayed)
@@ -138,28 +137,28 @@
 	return 0
 }
 
-// Figures are those of a phase, for one class, one tenant or all. Latencies are of requests
-// that were served or never answered, and count from when they were due.
+// Figures are the figures of a phase for one class, one tenant or all requests. Latencies cover the requests that were
+// served or never answered, and are measured from the time when they were due.
 type Figures struct {
 	Class  string `json:"class,omitempty"`
 	Tenant string `json:"tenant,omitempty"`
 	Counts
-	Worth float64  `json:"worth"` // share of what was asked for
+	Worth float64  `json:"worth"` // earned share of the requested worth
 	P50   float64  `json:"p50_ms"`
 	P90   float64  `json:"p90_ms"`
 	P99   float64  `json:"p99_ms"`
 	P999  float64  `json:"p999_ms"`
 	Max   float64  `json:"max_ms"`
-	Tries *float64 `json:"tries,omitempty"`  // that came to peers, per request; of all only
-	CPU   *float64 `json:"cpu_ms,omitempty"` // of the nodes, per request; where the clock can tell
+	Tries *float64 `json:"tries,omitempty"`  // attempts that reached servers, per request; only over all requests
+	CPU   *float64 `json:"cpu_ms,omitempty"` // of the nodes, per request; nil if the clock cannot measure it
 
-	// Memory of all nodes' processes, where the clock can tell: in the mean, and how many
-	// times as much it was in the last third of the phase as in its first.
+	// Mean memory of all node processes, and the memory in the last third of the phase divided by the memory in the
+	// first third. Both are nil if the clock cannot measure them.
 	Resident *float64 `json:"resident_mb,omitempty"`
 	Growth   *float64 `json:"growth,omitempty"`
 }
 
-// Phase is the figures of one.
+// Phase holds the figures of one phase of the run.
 type Phase struct {
 	Name    string    `json:"name"`
 	From    float64   `json:"from"`
@@ -169,44 +168,44 @@
 	Tenants []Figures `json:"tenants"`
 }
 
-// Second is what became of the requests that were due in one second.
+// Second holds the figures of the requests that were due in one second.
 type Second struct {
 	At float64 `json:"at"`
 	Counts
 	Worth float64 `json:"worth"`
-	P50   float64 `json:"p50_ms"` // 0: no request has a time
+	P50   float64 `json:"p50_ms"` // 0 if no request has a latency
 	P99   float64 `json:"p99_ms"`
 	Tries int     `json:"tries"`
 	CPU   float64 `json:"cpu_ms"`
 }
 
-// Peer is how much one held, second by second, in the mean.
+// Peer holds the mean number of requests in flight at one server for each second.
 type Peer struct {
-	Name  string    `json:"name"`
-	Zone  string    `json:"zone"`
-	Cores int       `json:"cores"`
-	Held  []float64 `json:"held"`
+	Name     string    `json:"name"`
+	Zone     string    `json:"zone"`
+	Cores    int       `json:"cores"`
+	InFlight []float64 `json:"held"`
 }
 
-// Band is a fault, from when to when.
-type Band struct {
+// FaultInterval is the period during which a fault was active.
+type FaultInterval struct {
 	Kind string  `json:"kind"`
 	From float64 `json:"from"`
 	To   float64 `json:"to"`
 	Note string  `json:"note,omitempty"`
 }
 
-// Event is something that happened to a peer or a node.
+// Event is an event of a server or a node.
 type Event struct {
 	At   float64 `json:"at"`
 	Who  string  `json:"who"`
 	What string  `json:"what"`
 }
 
-// Conclude makes the verdict on the whole: none where the load tool was late,
-// since the figures are then its own. A broken rule is one all the same.
+// Conclude sets the verdict of the whole run from the checks and the broken rules. There is no verdict if the load tool
+// was late, since the figures then measure the tool itself, unless a rule was broken: the run then failed.
 func (r *Report) Conclude() {
-	r.Verdict, r.Why = Passed, ""
+	r.Verdict, r.Reason = Passed, ""
 	for _, c := range r.Checks {
 		if c.Verdict == Failed {
 			r.Verdict = Failed
@@ -215,18 +214,18 @@
 	if len(r.Broken) > 0 {
 		r.Verdict = Failed
 	}
-	if r.Lateness.Share > LateShare && len(r.Broken) == 0 {
-		r.Verdict = None
-		r.Why = fmt.Sprintf("the load tool was late: %s of the requests began more than %v after they were due, "+
-			"%s at most may", percent(r.Lateness.Share), LateBy, percent(LateShare))
+	if r.Lateness.Share > MaxLateShare && len(r.Broken) == 0 {
+		r.Verdict = NoVerdict
+		r.Reason = fmt.Sprintf("the load tool was late: %s of the requests began more than %v after they were due, "+
+			"%s at most may", formatPercent(r.Lateness.Share), MaxLateness, formatPercent(MaxLateShare))
 	}
 }
 
-// WriteJSON writes the report as JSON. A list without anything in it is one all the same.
+// WriteJSON writes the report as JSON. Empty lists are written as [], not as null.
 func (r *Report) WriteJSON(w io.Writer) error {
 	full := *r
-	full.Checks, full.Broken = list(r.Checks), list(r.Broken)
-	full.Faults, full.Events = list(r.Faults), list(r.Events)
+	full.Checks, full.Broken = nonNil(r.Checks), nonNil(r.Broken)
+	full.Faults, full.Events = nonNil(r.Faults), nonNil(r.Events)
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
 	if err := e.Encode(full); err != nil {
@@ -235,7 +234,8 @@
 	return nil
 }
 
-func list[T any](some []T) []T {
+// nonNil returns an empty slice for nil, so that JSON has a list.
+func nonNil[T any](some []T) []T {
 	if some == nil {
 		return []T{}
 	}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -10,26 +10,26 @@
 	"testing"
 )
 
-// some is a report with something of everything, and names that must be escaped.
-func some() *Report {
+// newReport returns a report with every kind of content and with names that must be escaped.
+func newReport() *Report {
 	least, most, tries := 0.9, 200.0, 1.5
 	r := &Report{
-		Form: Form, Name: "a <b> & c", Shows: "something", Clock: "virtual", Seed: 7, Length: 3,
+		FormatVersion: FormatVersion, Name: "a <b> & c", Shows: "something", Clock: "virtual", Seed: 7, Length: 3,
 		Classes: []string{"quote"}, Broken: []string{"late at 1s: call <x>"},
 		Checks: []Check{
-			{What: "worth", Phase: Whole, Value: 0.95, Least: &least, Verdict: Passed},
-			{What: "p99", Class: "quote", Phase: "calm", Unit: "ms", Value: 250, Most: &most, Verdict: Failed},
-			{What: "cpu", Phase: Whole, Unit: "ms", Most: &most, Verdict: None, Note: "not measured"},
+			{Figure: "worth", Phase: WholeRun, Value: 0.95, Least: &least, Verdict: Passed},
+			{Figure: "p99", Class: "quote", Phase: "calm", Unit: "ms", Value: 250, Most: &most, Verdict: Failed},
+			{Figure: "cpu", Phase: WholeRun, Unit: "ms", Most: &most, Verdict: NoVerdict, Note: "not measured"},
 		},
-		Peers:  []Peer{{Name: "p01", Held: []float64{0, 2.5, Down}}, {Name: "p02", Held: []float64{Unknown, 1, 1}}},
-		Faults: []Band{{Kind: "death", From: 1, To: 2, Note: "1 peer"}, {Kind: "hush", From: 2, To: 2}},
+		Peers:  []Peer{{Name: "p01", InFlight: []float64{0, 2.5, Down}}, {Name: "p02", InFlight: []float64{Unknown, 1, 1}}},
+		Faults: []FaultInterval{{Kind: "death", From: 1, To: 2, Note: "1 peer"}, {Kind: "hush", From: 2, To: 2}},
 		Events: []Event{{At: 1, Who: "p01", What: "ended"}},
 	}
 	counts := Counts{Asked: 11, Served: 6, Late: 1, Refused: 1, Failed: 1, Unanswered: 1, Left: 1}
 	f := Figures{Counts: counts, Worth: 0.95, P50: 20, P90: 30, P99: 250, P999: 300, Max: 301}
 	all, of := f, f
 	all.Tries, of.Class = &tries, "quote"
-	for _, name := range []string{Whole, "calm"} {
+	for _, name := range []string{WholeRun, "calm"} {
 		r.Phases = append(r.Phases, Phase{Name: name, To: 3, All: all, Classes: []Figures{of}})
 	}
 	for i := range 3 {
@@ -41,7 +41,7 @@
 
 func TestText(t *testing.T) {
 	var b strings.Builder
-	if err := some().WriteText(&b); err != nil {
+	if err := newReport().WriteText(&b); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{
@@ -53,14 +53,15 @@
 		`(?m)^failed: 1 of 2 assertions hold, 1 not judged, 1 rules broken$`,
 	} {
 		if !regexp.MustCompile(want).MatchString(b.String()) {
-			t.Errorf("no %s in\n%s", want, b.String())
+			t.Errorf("no match for %s in\n%s", want, b.String())
 		}
 	}
 }
 
-// What reads the JSON finds lists where there may be none, and each key as it was.
+// TestJSON checks that lists without elements are written as lists, not as null, because readers of the JSON expect
+// them.
 func TestJSON(t *testing.T) {
-	for _, r := range []*Report{some(), {}} {
+	for _, r := range []*Report{newReport(), {}} {
 		var b strings.Builder
 		if err := r.WriteJSON(&b); err != nil {
 			t.Fatal(err)
@@ -71,17 +72,17 @@
 		}
 		for _, key := range []string{"checks", "broken", "faults", "events"} {
 			if _, ok := got[key].([]any); !ok {
-				t.Errorf("%s is %v", key, got[key])
+				t.Errorf("key %s is %v, want a list", key, got[key])
 			}
 		}
 	}
 }
 
-// The picture is well formed whatever the names, and the page needs nothing beside it.
+// TestPage checks that the SVG is well-formed XML for all names and that the page refers to no other resource.
 func TestPage(t *testing.T) {
 	empty := &Report{Name: "nothing", Length: 1}
-	for _, r := range []*Report{some(), empty} {
-		for _, picture := range []string{r.picture(false), r.picture(true)} {
+	for _, r := range []*Report{newReport(), empty} {
+		for _, picture := range []string{r.renderSVG(false), r.renderSVG(true)} {
 			d := xml.NewDecoder(strings.NewReader(picture))
 			for {
 				if _, err := d.Token(); errors.Is(err, io.EOF) {
@@ -91,7 +92,7 @@
 				}
 			}
 			if bad := regexp.MustCompile(`NaN|Inf|="-\d+"`).FindString(picture); bad != "" {
-				t.Errorf("%s: %s in the picture", r.Name, bad)
+				t.Errorf("%s: invalid number %s in the SVG", r.Name, bad)
 			}
 		}
 		var page strings.Builder
@@ -100,10 +101,10 @@
 		}
 		elsewhere := regexp.MustCompile(`(?i)<script|<link|src=|url\(|@import|href=`)
 		if bad := elsewhere.FindString(page.String()); bad != "" || strings.Contains(page.String(), "a <b>") {
-			t.Errorf("%s: %q in the page", r.Name, bad)
+			t.Errorf("%s: external reference %q or unescaped name in the page", r.Name, bad)
 		}
 		if r != empty && (!strings.Contains(page.String(), "<svg") || !strings.Contains(page.String(), "call &lt;x&gt;")) {
-			t.Error("the page holds no picture, or no broken rule")
+			t.Error("the page lacks the chart or the broken rule")
 		}
 	}
 }
@@ -115,9 +116,9 @@
 		last float64
 		many int
 	}{{1, 4, 1, 3}, {30, 8, 30, 7}, {247, 4, 300, 4}, {0.5, 4, 0.6, 4}} {
-		got := ticks(c.most, c.n)
+		got := tickValues(c.most, c.n)
 		if len(got) != c.many || got[len(got)-1] < c.last*0.999 || got[len(got)-1] > c.last*1.001 {
-			t.Errorf("%v: %v", c, got)
+			t.Errorf("case %v: unexpected ticks %v", c, got)
 		}
 	}
 }
--- a/internal/lab/report/svg.go
+++ b/internal/lab/report/svg.go
@@ -7,26 +7,27 @@
 	"strings"
 )
 
-// svg is a picture being drawn: the few shapes that the charts need.
-type svg struct{ b strings.Builder }
+// svg builds an SVG image. It has only the shapes that the charts need.
+type svg struct{ out strings.Builder }
 
-// point is a place in a picture; y grows downwards.
+// point is a position in the image; y grows downwards.
 type point struct{ x, y float64 }
 
-// place writes a coordinate as short as it may be: pictures hold thousands.
-func place(v float64) string {
+// formatCoordinate formats a coordinate with at most one decimal: an image contains thousands of them.
+func formatCoordinate(v float64) string {
 	s := strconv.FormatFloat(v, 'f', 1, 64)
 	return strings.TrimSuffix(s, ".0")
 }
 
 func escape(s string) string {
 	var b strings.Builder
-	xml.EscapeText(&b, []byte(s)) // to a Builder: no error
+	xml.EscapeText(&b, []byte(s)) // writing to a Builder returns no error
 	return b.String()
 }
 
-// title is what a reader is shown who points at a shape; empty: nothing.
-func title(s string) string {
+// titleElement returns the rest of an opening tag with a title element, which browsers display as a tooltip. With an
+// empty s it closes the tag without a title.
+func titleElement(s string) string {
 	if s == "" {
 		return "/>"
 	}
@@ -34,39 +35,39 @@
 }
 
 func (s *svg) rect(x, y, w, h float64, fill, style, tip string) {
-	fmt.Fprintf(&s.b, `<rect x="%s" y="%s" width="%s" height="%s" fill="%s"%s%s`,
-		place(x), place(y), place(w), place(h), fill, pad(style), title(tip))
+	fmt.Fprintf(&s.out, `<rect x="%s" y="%s" width="%s" height="%s" fill="%s"%s%s`,
+		formatCoordinate(x), formatCoordinate(y), formatCoordinate(w), formatCoordinate(h), fill, withLeadingSpace(style), titleElement(tip))
 	if tip != "" {
-		s.b.WriteString("</rect>")
+		s.out.WriteString("</rect>")
 	}
-	s.b.WriteByte('\n')
+	s.out.WriteByte('\n')
 }
 
 func (s *svg) line(a, b point, stroke, style string) {
-	fmt.Fprintf(&s.b, `<line x1="%s" y1="%s" x2="%s" y2="%s" stroke="%s"%s/>`+"\n",
-		place(a.x), place(a.y), place(b.x), place(b.y), stroke, pad(style))
+	fmt.Fprintf(&s.out, `<line x1="%s" y1="%s" x2="%s" y2="%s" stroke="%s"%s/>`+"\n",
+		formatCoordinate(a.x), formatCoordinate(a.y), formatCoordinate(b.x), formatCoordinate(b.y), stroke, withLeadingSpace(style))
 }
 
 func (s *svg) path(points []point, stroke, style string) {
 	if len(points) == 0 {
 		return
 	}
-	s.b.WriteString(`<polyline fill="none" points="`)
+	s.out.WriteString(`<polyline fill="none" points="`)
 	for i, p := range points {
 		if i > 0 {
-			s.b.WriteByte(' ')
+			s.out.WriteByte(' ')
 		}
-		s.b.WriteString(place(p.x) + "," + place(p.y))
+		s.out.WriteString(formatCoordinate(p.x) + "," + formatCoordinate(p.y))
 	}
-	fmt.Fprintf(&s.b, `" stroke="%s"%s/>`+"\n", stroke, pad(style))
+	fmt.Fprintf(&s.out, `" stroke="%s"%s/>`+"\n", stroke, withLeadingSpace(style))
 }
 
 func (s *svg) text(at point, anchor, style, what string) {
-	fmt.Fprintf(&s.b, `<text x="%s" y="%s" text-anchor="%s"%s>%s</text>`+"\n",
-		place(at.x), place(at.y), anchor, pad(style), escape(what))
+	fmt.Fprintf(&s.out, `<text x="%s" y="%s" text-anchor="%s"%s>%s</text>`+"\n",
+		formatCoordinate(at.x), formatCoordinate(at.y), anchor, withLeadingSpace(style), escape(what))
 }
 
-func pad(style string) string {
+func withLeadingSpace(style string) string {
 	if style == "" {
 		return ""
 	}
--- a/internal/lab/subsets/compare.go
+++ b/internal/lab/subsets/compare.go
@@ -25,8 +25,8 @@
 // Figures are the measurements of a strategy over all nodes. Every node sends the same load.
 type Figures struct {
 	Way         string  `json:"way"`
-	Size        float64 `json:"size"`              // mean number of servers per node
-	Busiest     float64 `json:"busiest_over_mean"` // highest load of a server divided by the mean, both per weight
+	Size        float64 `json:"size"`                  // mean number of servers per node
+	Busiest     float64 `json:"busiest_over_mean"`     // highest load of a server divided by the mean, both per weight
 	Idlest      float64 `json:"idlest_over_mean"`      // lowest load of a server divided by the mean, both per weight
 	Starved     int     `json:"starved"`               // servers without load
 	NodeMoved   float64 `json:"node_moved_over_least"` // new pairs after adding or removing a node, over the minimum
--- a/internal/lab/subsets/ways.go
+++ b/internal/lab/subsets/ways.go
@@ -20,7 +20,8 @@
 }
 
 // Strategy assigns to every node its subset of the servers such that each server has about copies nodes. Assign takes
-// nodes and servers (peers) in the order that all nodes agree on. Source describes the strategy and where it is published.
+// nodes and servers (peers) in the order that all nodes agree on. Source describes the strategy and where it is
+// published.
 type Strategy struct {
 	Name, Source string
 	Assign       func(nodes []string, peers []subset.Server, copies int) map[string][]ServerShare
@@ -31,11 +32,11 @@
 	return []Strategy{
 		{"all", "every node sends to every server", assignAll},
 		{"random", "each node chooses its servers at random, independently of the others", assignRandom},
-		{"deterministic", "rounds of shuffled servers, assigned by the node's number (Site Reliability Engineering, chapter 20)",
+		{"deterministic", "rounds of shuffled servers, by the node's number (Site Reliability Engineering, chapter 20)",
 			assignDeterministic},
 		{"steady", "rounds with low-discrepancy positions on a ring, to move few pairs (after Rocksteadier, ACM Queue 20/5)",
 			assignLowDiscrepancy},
-		{"aperture", "a ring of nodes over a ring of servers, with shares at the edges (deterministic aperture, Twitter 2019)",
+		{"aperture", "a ring of nodes over a ring of servers, shares at the edges (deterministic aperture, Twitter 2019)",
 			assignAperture},
 		{"rendezvous", "highest scores with bounded loads, by similar servers (package subset)", assignRendezvous},
 	}
@@ -119,8 +120,9 @@
 }
 
 // assignLowDiscrepancy places the nodes of a round and the servers on a ring, each at the next position of a
-// low-discrepancy sequence. A node is assigned the servers that follow its position. Each round rotates the ring by its own random
-// angle and permutes the servers. Adding or removing an element at the end of the lists moves few assignments.
+// low-discrepancy sequence. A node is assigned the servers that follow its position. Each round rotates the ring by
+// its own random angle and permutes the servers. Adding or removing an element at the end of the lists moves few
+// assignments.
 func assignLowDiscrepancy(nodes []string, peers []subset.Server, copies int) map[string][]ServerShare {
 	type at struct {
 		place float64
@@ -149,7 +151,8 @@
 }
 
 // assignAperture places the nodes evenly on a ring on which each server covers an arc by weight. Each node covers an
-// arc of copies/nodes of the ring and is assigned the servers that the arc overlaps, each with the share of the overlap.
+// arc of copies/nodes of the ring and is assigned the servers that the arc overlaps, each with the share of the
+// overlap.
 func assignAperture(nodes []string, peers []subset.Server, copies int) map[string][]ServerShare {
 	out, sum := map[string][]ServerShare{}, 0.0
 	ring := slices.Clone(peers)
