--- a/cmd/olivelab/path.go
+++ b/cmd/olivelab/path.go
@@ -97,7 +97,7 @@
 
 // checkPath writes what the check of a report found.
 func checkPath(w io.Writer, r *path.Report, t *path.Tolerances) error {
-	found := r.Against(t)
+	found := r.CheckAgainst(t)
 	for _, line := range found.Risen {
 		fmt.Fprintln(w, "risen: "+line)
 	}
--- a/internal/lab/path/check.go
+++ b/internal/lab/path/check.go
@@ -26,20 +26,20 @@
 
 // Tolerances say what the counts of each load were when they were last accepted, and how far they may rise.
 type Tolerances struct {
-	Go    string            `toml:"go"`
-	Rise  map[string]Rise   `toml:"rise"` // by count
-	Loads map[string]Counts `toml:"load"`
+	Go    string                 `toml:"go"`
+	Rise  map[string]AllowedRise `toml:"rise"` // by count
+	Loads map[string]Counts      `toml:"load"`
 
-	places map[string]byPlace // by load
+	places map[string]countsByFunction // by load
 }
 
-// byPlace is where the counts of a load fell: by count and function.
-type byPlace map[string]map[string]float64
+// countsByFunction is where the counts of a load fell: by count and function.
+type countsByFunction map[string]map[string]float64
 
-// Rise is how much a count may rise: by a part of it or by a number, whichever is more.
-type Rise struct {
-	Part float64 `toml:"part"`
-	Plus float64 `toml:"plus"`
+// AllowedRise is how much a count may rise: by a part of it or by a number, whichever is more.
+type AllowedRise struct {
+	Fraction float64 `toml:"part"`
+	Absolute float64 `toml:"plus"`
 }
 
 // ReadTolerances reads them from a directory.
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	for _, name := range countNames {
-		if r, ok := t.Rise[name]; !ok || r.Part < 0 || r.Plus < 0 {
+		if r, ok := t.Rise[name]; !ok || r.Fraction < 0 || r.Absolute < 0 {
 			return nil, fmt.Errorf("%s: rise.%s: missing or below 0", file, name)
 		}
 	}
@@ -88,23 +88,23 @@
 	Held       int
 }
 
-// Against compares the counts with what they were.
-func (r *Report) Against(t *Tolerances) Check {
+// CheckAgainst compares the counts with what they were.
+func (r *Report) CheckAgainst(t *Tolerances) Check {
 	var c Check
 	for _, f := range r.Loads {
 		for _, name := range countNames {
-			was, known := t.Loads[f.Load][name]
-			is, counted := f.Counts[name]
-			room := max(t.Rise[name].Part*was, t.Rise[name].Plus)
-			line := fmt.Sprintf("%s: %s: %.2f a request, and %.2f before", f.Load, name, is, was)
+			accepted, known := t.Loads[f.Load][name]
+			measured, counted := f.Counts[name]
+			allowed := max(t.Rise[name].Fraction*accepted, t.Rise[name].Absolute)
+			line := fmt.Sprintf("%s: %s: %.2f a request, and %.2f before", f.Load, name, measured, accepted)
 			switch {
 			case !known || !counted:
 				c.NotChecked = append(c.NotChecked, fmt.Sprintf("%s: %s", f.Load, name))
-			case is > was+room:
-				brought := risen(f.of(name), t.places[f.Load][name], is-was)
-				line = fmt.Sprintf("%s; %.2f more are allowed%s", line, room, brought)
+			case measured > accepted+allowed:
+				causes := describeRise(f.perFunction(name), t.places[f.Load][name], measured-accepted)
+				line = fmt.Sprintf("%s; %.2f more are allowed%s", line, allowed, causes)
 				c.Risen = append(c.Risen, line)
-			case is < was-room:
+			case measured < accepted-allowed:
 				c.Fallen = append(c.Fallen, line)
 			default:
 				c.Held++
@@ -114,31 +114,31 @@
 	return c
 }
 
-// named is how many functions a line names, and namedPart what part of the whole rise each has at least.
+// maxNamedFunctions is how many functions a line names, and namedPart what part of the whole rise each has at least.
 const (
-	named     = 3
-	namedPart = 0.1
+	maxNamedFunctions = 3
+	minNamedFraction  = 0.1
 )
 
-// risen names the functions that brought a rise, those with the most first.
-func risen(now, before map[string]float64, rise float64) string {
+// describeRise names the functions that brought a rise, those with the most first.
+func describeRise(now, before map[string]float64, rise float64) string {
 	type change struct {
 		name string
 		by   float64
 		old  bool
 	}
-	var some []change
+	var changes []change
 	for name, is := range now {
 		was, old := before[name]
-		if by := is - was; by > rise*namedPart {
-			some = append(some, change{name, by, old})
+		if by := is - was; by > rise*minNamedFraction {
+			changes = append(changes, change{name, by, old})
 		}
 	}
-	slices.SortFunc(some, func(a, b change) int {
+	slices.SortFunc(changes, func(a, b change) int {
 		return cmp.Or(cmp.Compare(b.by, a.by), cmp.Compare(a.name, b.name))
 	})
 	var words strings.Builder
-	for i, s := range some[:min(len(some), named)] {
+	for i, s := range changes[:min(len(changes), maxNamedFunctions)] {
 		words.WriteString([]string{"; brought by ", ", "}[min(i, 1)])
 		fmt.Fprintf(&words, "%s (%+.2f", s.name, s.by)
 		if !s.old {
@@ -161,8 +161,8 @@
 `
 )
 
-// smallest is what a place must have to be kept, by count.
-var smallest = map[string]float64{
+// minKeptCounts is what a place must have to be kept, by count.
+var minKeptCounts = map[string]float64{
 	CountAllocations: 0.2, CountBytes: 64, CountWrites: 0.02, CountCalls: 0.02, CountCopied: 24,
 }
 
@@ -173,20 +173,20 @@
 	for _, l := range r.Loads {
 		counts, by := maps.Clone(t.Loads[l.Load]), maps.Clone(t.places[l.Load])
 		if counts == nil || by == nil {
-			counts, by = Counts{}, byPlace{}
+			counts, by = Counts{}, countsByFunction{}
 		}
 		for name, v := range l.Counts {
-			counts[name] = hundredths(v)
+			counts[name] = roundToHundredths(v)
 			kept := map[string]float64{}
-			for f, v := range l.of(name) {
-				if v >= smallest[name] {
-					kept[f] = hundredths(v)
+			for f, v := range l.perFunction(name) {
+				if v >= minKeptCounts[name] {
+					kept[f] = roundToHundredths(v)
 				}
 			}
 			by[name] = kept
 		}
 		if n.Loads == nil || n.places == nil {
-			n.Loads, n.places = map[string]Counts{}, map[string]byPlace{}
+			n.Loads, n.places = map[string]Counts{}, map[string]countsByFunction{}
 		}
 		n.Loads[l.Load], n.places[l.Load] = counts, by
 	}
@@ -205,4 +205,4 @@
 	return nil
 }
 
-func hundredths(v float64) float64 { return math.Round(v*100) / 100 }
+func roundToHundredths(v float64) float64 { return math.Round(v*100) / 100 }
--- a/internal/lab/path/child.go
+++ b/internal/lab/path/child.go
@@ -22,8 +22,8 @@
 // memoryMB is the memory of the machine that a node is told of.
 const memoryMB = 192
 
-// configuration is a node's. Aims are so long that a machine busy with other things changes no decision.
-const configuration = `{"name":"n0","seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":%d,"sockets":2048},
+// nodeConfiguration is a node's. Aims are so long that a machine busy with other things changes no decision.
+const nodeConfiguration = `{"name":"n0","seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":%d,"sockets":2048},
 "known":%s,
 "settings":{"classes":[{"name":"read","aim":5000000000,"deadline":9000000000,"gain":2,"idempotency":"pure"},
 {"name":"write","aim":5000000000,"deadline":9000000000,"gain":2,"idempotency":"side_effect"}],
@@ -36,28 +36,28 @@
 
 // child is a process under the meter: a node, or what stands next to it.
 type child struct {
-	cmd    *exec.Cmd
-	addr   string
-	lines  chan string // of its log; closed at its end
-	extras []string    // what it wrote besides, for the error of an early end
-	ended  sync.Once
+	cmd        *exec.Cmd
+	addr       string
+	lines      chan string // of its log; closed at its end
+	otherLines []string    // what it wrote besides, for the error of an early end
+	endOnce    sync.Once
 }
 
-// startup is how long a child may take to start or to answer a signal.
-const startup = 20 * time.Second
+// startupTimeout is how long a child may take to start or to answer a signal.
+const startupTimeout = 20 * time.Second
 
 // startNode starts a node in front of peers. Its configuration goes to dir.
 func startNode(ctx context.Context, program, dir string, peers []string, discovery string,
 	env ...string) (*child, error) {
 	file := filepath.Join(dir, "node.json")
-	if err := os.WriteFile(file, fmt.Appendf(nil, configuration, memoryMB, group(peers)), 0o600); err != nil {
+	if err := os.WriteFile(file, fmt.Appendf(nil, nodeConfiguration, memoryMB, endpointList(peers)), 0o600); err != nil {
 		return nil, fmt.Errorf("the node's configuration: %w", err)
 	}
 	cmd := exec.CommandContext(ctx, program)
 	cmd.Env = append(os.Environ(), protocol.EnvName+"=n0", protocol.EnvListen+"=127.0.0.1:0",
 		protocol.EnvDiscovery+"="+discovery, protocol.EnvConfig+"="+file)
 	cmd.Env = append(cmd.Env, env...)
-	return start(cmd)
+	return startChild(cmd)
 }
 
 // startProxy starts what the node stands next to: a program that calls ServeProxy.
@@ -66,13 +66,13 @@
 	if cmd.Env = os.Environ(); gc > 0 {
 		cmd.Env = append(cmd.Env, fmt.Sprintf("GOGC=%d", gc))
 	}
-	return start(cmd)
+	return startChild(cmd)
 }
 
-var listening = regexp.MustCompile(`msg=started .*listen=(\S+)|msg=started listen=(\S+)`)
+var startedPattern = regexp.MustCompile(`msg=started .*listen=(\S+)|msg=started listen=(\S+)`)
 
-// start runs a child on one Go processor and waits until it listens.
-func start(cmd *exec.Cmd) (*child, error) {
+// startChild runs a child on one Go processor and waits until it listens.
+func startChild(cmd *exec.Cmd) (*child, error) {
 	cmd.Env = append(cmd.Env, "GOMAXPROCS=1", "GOTRACEBACK=single")
 	out, err := cmd.StderrPipe()
 	if err != nil {
@@ -82,18 +82,18 @@
 		return nil, fmt.Errorf("starting %s: %w", cmd.Path, err)
 	}
 	c := &child{cmd: cmd, lines: make(chan string, 64)}
-	go c.read(out)
-	m, err := c.until(listening)
+	go c.readLog(out)
+	m, err := c.waitForLine(startedPattern)
 	if err != nil {
-		c.end()
+		c.kill()
 		return nil, err
 	}
 	c.addr = m[1] + m[2]
 	return c, nil
 }
 
-// read passes on the lines that the meter may wait for. Others would fill the channel.
-func (c *child) read(out io.Reader) {
+// readLog passes on the lines that the meter may wait for. Others would fill the channel.
+func (c *child) readLog(out io.Reader) {
 	defer close(c.lines)
 	in := bufio.NewScanner(out)
 	in.Buffer(nil, 1<<20)
@@ -105,36 +105,36 @@
 	io.Copy(io.Discard, out)
 }
 
-// until waits for a line of the child's log.
-func (c *child) until(form *regexp.Regexp) ([]string, error) {
-	late := time.After(startup)
+// waitForLine waits for a line of the child's log.
+func (c *child) waitForLine(pattern *regexp.Regexp) ([]string, error) {
+	timeout := time.After(startupTimeout)
 	for {
 		select {
 		case line, ok := <-c.lines:
 			if !ok {
 				return nil, fmt.Errorf("%s ended early: %s", filepath.Base(c.cmd.Path),
-					strings.Join(c.extras, "; "))
+					strings.Join(c.otherLines, "; "))
 			}
-			if m := form.FindStringSubmatch(line); m != nil {
+			if m := pattern.FindStringSubmatch(line); m != nil {
 				return m, nil
 			}
-			if len(c.extras) < 5 {
-				c.extras = append(c.extras, line)
+			if len(c.otherLines) < 5 {
+				c.otherLines = append(c.otherLines, line)
 			}
-		case <-late:
-			return nil, fmt.Errorf("%s: no line %q within %v", filepath.Base(c.cmd.Path), form, startup)
+		case <-timeout:
+			return nil, fmt.Errorf("%s: no line %q within %v", filepath.Base(c.cmd.Path), pattern, startupTimeout)
 		}
 	}
 }
 
-var counted = regexp.MustCompile(`msg=counters when=asked process="([^"]*)"`)
+var countersPattern = regexp.MustCompile(`msg=counters when=asked process="([^"]*)"`)
 
-// cost asks the child what it has used up.
-func (c *child) cost() (cost.Usage, error) {
+// usage asks the child what it has used up.
+func (c *child) usage() (cost.Usage, error) {
 	if err := c.cmd.Process.Signal(syscall.SIGUSR1); err != nil {
 		return cost.Usage{}, fmt.Errorf("asking %s for its counters: %w", filepath.Base(c.cmd.Path), err)
 	}
-	m, err := c.until(counted)
+	m, err := c.waitForLine(countersPattern)
 	if err != nil {
 		return cost.Usage{}, err
 	}
@@ -143,9 +143,9 @@
 
 func (c *child) pid() int { return c.cmd.Process.Pid }
 
-// end kills the child, which has nothing to lose, and waits for its end.
-func (c *child) end() {
-	c.ended.Do(func() {
+// kill kills the child, which has nothing to lose, and waits for its end.
+func (c *child) kill() {
+	c.endOnce.Do(func() {
 		c.cmd.Process.Kill()
 		for range c.lines { // to its end
 		}
--- a/internal/lab/path/count_allocations.go
+++ b/internal/lab/path/count_allocations.go
@@ -17,43 +17,43 @@
 const (
 	profileTag      = "meter"
 	profileVariable = "OLIVEBRIDGE_ALLOCATIONS"
-	profileWriter   = module + "internal/program.writeAllocationProfile"
+	profileWriter   = modulePrefix + "internal/program.writeAllocationProfile"
 )
 
 // errNoProfile says that a node does not write its allocations.
 var errNoProfile = errors.New("the node was built without the tag " + profileTag)
 
-// allocators counts, per request, what is allocated for which function.
-func (m *meter) allocators(ctx context.Context, l Load, program string) ([]Place, error) {
+// countAllocations counts, per request, what is allocated for which function.
+func (m *meter) countAllocations(ctx context.Context, l Load, program string) ([]Entry, error) {
 	file := filepath.Join(m.dir, "allocations")
-	c, err := m.node(ctx, program, "GODEBUG=memprofilerate=1", profileVariable+"="+file)
+	c, err := m.startNode(ctx, program, "GODEBUG=memprofilerate=1", profileVariable+"="+file)
 	if err != nil {
 		return nil, err
 	}
-	defer c.end()
-	d := newDriver(l, c.addr, &m.ids)
+	defer c.kill()
+	d := newLoadGenerator(l, c.addr, &m.ids)
 	defer d.close()
 	s := m.sizes()
-	if err := d.serve(ctx, s.warm); err != nil {
+	if err := d.runServed(ctx, s.warm); err != nil {
 		return nil, err
 	}
 	before, err := readAllocations(c, file)
 	if err != nil {
 		return nil, err
 	}
-	if err := d.serve(ctx, s.profiled); err != nil {
+	if err := d.runServed(ctx, s.profiled); err != nil {
 		return nil, err
 	}
 	after, err := readAllocations(c, file)
 	if err != nil {
 		return nil, err
 	}
-	return places(after, before, s.profiled), nil
+	return perRequestEntries(after, before, s.profiled), nil
 }
 
 // readAllocations asks a node for the allocations since its start, by function.
 func readAllocations(c *child, file string) (map[string]count, error) {
-	if _, err := c.cost(); err != nil { // the file is whole by then
+	if _, err := c.usage(); err != nil { // the file is whole by then
 		return nil, err
 	}
 	text, err := os.ReadFile(file)
@@ -74,11 +74,11 @@
 		if err := errors.Join(err1, err2); err != nil {
 			return nil, fmt.Errorf("allocations: not a line: %.80q", line)
 		}
-		stack := without("runtime", strings.Split(strings.Trim(words[2], ";"), ";"))
+		stack := trimPackage("runtime", strings.Split(strings.Trim(words[2], ";"), ";"))
 		if len(stack) == 0 || slices.Contains(stack, profileWriter) {
 			continue // the runtime's own, or this profile's
 		}
-		f := blame(stack)
+		f := attribute(stack)
 		sum[f] = count{sum[f].n + objects, sum[f].sum + size}
 	}
 	return sum, nil
--- a/internal/lab/path/count_calls_linux.go
+++ b/internal/lab/path/count_calls_linux.go
@@ -19,37 +19,37 @@
 	ptraceSeize       = 0x4206
 	ptraceInterrupt   = 0x4207
 	ptraceSyscallInfo = 0x420e
-	noThread          = 0x20000000 // wait4: for what this thread traces, not for other children
+	waitOwnTracees    = 0x20000000 // wait4: for what this thread traces, not for other children
 	syscallStop       = syscall.SIGTRAP | 0x80
-	killAtExit        = 0x100000 // option: nothing traced is left behind
+	optionKillAtExit  = 0x100000 // option: nothing traced is left behind
 )
 
 // tracer counts what the threads of a child do: system calls, or copies between buffers. It stops the
 // threads at each, which makes them slow and changes no count but those that hang on time. Linux allows it
 // an ordinary user towards his own children.
 type tracer struct {
-	pid    int
-	mem    *os.File // of the child
-	stacks *stacks  // nil: functions are not known
-	copies bool     // rather than system calls
-	done   chan struct{}
+	pid         int
+	memory      *os.File     // of the child
+	stacks      *stackReader // nil: functions are not known
+	countCopies bool         // rather than system calls
+	done        chan struct{}
 
-	mu      sync.Mutex
-	counted tally
-	calls   map[int]callInfo // the call that a thread is in; of the tracing thread alone
+	mu           sync.Mutex
+	tally        tally
+	pendingCalls map[int]callInfo // the call that a thread is in; of the tracing thread alone
 }
 
 type callInfo struct{ name, function string }
 
-// trace begins to count in all threads of a child, which must end before long: the tracer ends with it.
-func trace(pid int, s *stacks, copies bool) (*tracer, error) {
-	t := &tracer{pid: pid, stacks: s, copies: copies, done: make(chan struct{}), counted: newTally(),
-		calls: map[int]callInfo{}}
+// startTracer begins to count in all threads of a child, which must end before long: the tracer ends with it.
+func startTracer(pid int, s *stackReader, copies bool) (*tracer, error) {
+	t := &tracer{pid: pid, stacks: s, countCopies: copies, done: make(chan struct{}), tally: newTally(),
+		pendingCalls: map[int]callInfo{}}
 	mem, err := os.OpenFile(fmt.Sprintf("/proc/%d/mem", pid), os.O_RDWR, 0)
 	if err != nil {
 		return nil, fmt.Errorf("tracing: %w", err)
 	}
-	t.mem = mem
+	t.memory = mem
 	ready := make(chan error, 1)
 	go func() {
 		defer mem.Close()
@@ -72,9 +72,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := newTally()
-	maps.Copy(s.calls, t.counted.calls)
-	maps.Copy(s.writers, t.counted.writers)
-	maps.Copy(s.copiers, t.counted.copiers)
+	maps.Copy(s.calls, t.tally.calls)
+	maps.Copy(s.writers, t.tally.writers)
+	maps.Copy(s.copiers, t.tally.copiers)
 	return s
 }
 
@@ -93,7 +93,7 @@
 				continue
 			}
 			held[tid], more = true, true
-			const options = syscall.PTRACE_O_TRACESYSGOOD | syscall.PTRACE_O_TRACECLONE | killAtExit
+			const options = syscall.PTRACE_O_TRACESYSGOOD | syscall.PTRACE_O_TRACECLONE | optionKillAtExit
 			err = ptrace(ptraceSeize, tid, 0, options)
 			switch {
 			case errors.Is(err, syscall.ESRCH): // it has ended
@@ -105,8 +105,8 @@
 			}
 		}
 	}
-	if t.copies {
-		return t.breakAtCopies()
+	if t.countCopies {
+		return t.setCopyBreakpoint()
 	}
 	return nil
 }
@@ -114,12 +114,12 @@
 // run serves the stops of the threads until none is left.
 func (t *tracer) run() {
 	resume := syscall.PTRACE_SYSCALL
-	if t.copies {
+	if t.countCopies {
 		resume = syscall.PTRACE_CONT
 	}
 	for {
 		var status syscall.WaitStatus
-		tid, err := syscall.Wait4(-1, &status, syscall.WALL|noThread, nil)
+		tid, err := syscall.Wait4(-1, &status, syscall.WALL|waitOwnTracees, nil)
 		switch {
 		case err == syscall.EINTR:
 			continue
@@ -131,9 +131,9 @@
 		deliver := 0
 		switch signal, event := status.StopSignal(), int(status)>>16; {
 		case signal == syscallStop:
-			t.call(tid)
+			t.handleSyscallStop(tid)
 		case event != 0: // interrupted, or a new thread
-		case signal == syscall.SIGTRAP && t.copies && t.copied(tid):
+		case signal == syscall.SIGTRAP && t.countCopies && t.handleCopy(tid):
 		default:
 			deliver = int(signal)
 		}
@@ -141,55 +141,55 @@
 	}
 }
 
-// callState is the kernel's struct ptrace_syscall_info.
-type callState struct {
-	op     uint8 // 1: a call begins, 2: it has ended
-	_      [3]uint8
-	_      uint32
-	ip, sp uint64
-	first  uint64 // the call's number, or its result
-	args   [8]uint64
+// syscallInfo is the kernel's struct ptrace_syscall_info.
+type syscallInfo struct {
+	op             uint8 // 1: a call begins, 2: it has ended
+	_              [3]uint8
+	_              uint32
+	ip, sp         uint64
+	numberOrResult uint64 // the call's number, or its result
+	args           [8]uint64
 }
 
-// call notes that a thread enters or leaves a system call.
-func (t *tracer) call(tid int) {
-	var s callState
+// handleSyscallStop notes that a thread enters or leaves a system call.
+func (t *tracer) handleSyscallStop(tid int) {
+	var s syscallInfo
 	err := ptrace(ptraceSyscallInfo, tid, unsafe.Sizeof(s), uintptr(unsafe.Pointer(&s)))
 	switch {
 	case err != nil:
 	case s.op == 1:
-		t.calls[tid] = t.enter(tid, s)
+		t.pendingCalls[tid] = t.describeCall(tid, s)
 	case s.op == 2:
-		in, ok := t.calls[tid]
+		in, ok := t.pendingCalls[tid]
 		if !ok { // it was in the call when the tracing began
 			return
 		}
-		delete(t.calls, tid)
+		delete(t.pendingCalls, tid)
 		empty := 0.0
-		if syscall.Errno(-int64(s.first)) == syscall.EAGAIN {
+		if syscall.Errno(-int64(s.numberOrResult)) == syscall.EAGAIN {
 			empty = 1
 		}
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		add(t.counted.calls, in.name, empty)
+		addCount(t.tally.calls, in.name, empty)
 		if in.function != "" {
-			add(t.counted.writers, in.function, empty)
+			addCount(t.tally.writers, in.function, empty)
 		}
 	}
 }
 
-func add(to map[string]count, name string, sum float64) {
+func addCount(to map[string]count, name string, sum float64) {
 	c := to[name]
 	to[name] = count{c.n + 1, c.sum + sum}
 }
 
-// enter names a call by its number and, where it matters, by the kind of its file.
-func (t *tracer) enter(tid int, s callState) callInfo {
-	name, ok := callNames[s.first]
+// describeCall names a call by its number and, where it matters, by the kind of its file.
+func (t *tracer) describeCall(tid int, s syscallInfo) callInfo {
+	name, ok := syscallNames[s.numberOrResult]
 	if !ok {
-		name = fmt.Sprintf("call %d", s.first)
+		name = fmt.Sprintf("call %d", s.numberOrResult)
 	}
-	switch s.first {
+	switch s.numberOrResult {
 	case syscall.SYS_READ, syscall.SYS_WRITE, syscall.SYS_WRITEV, syscall.SYS_READV:
 		file, _ := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", t.pid, s.args[0]))
 		kind, _, _ := strings.Cut(file, ":[")
@@ -197,7 +197,7 @@
 	}
 	function := ""
 	if isSocketWrite(name) {
-		function = t.caller(tid)
+		function = t.callerOf(tid)
 	}
 	return callInfo{name, function}
 }
@@ -210,8 +210,8 @@
 	return nil
 }
 
-// callNames are those that a node is known to make.
-var callNames = map[uint64]string{
+// syscallNames are those that a node is known to make.
+var syscallNames = map[uint64]string{
 	syscall.SYS_READ: "read", syscall.SYS_WRITE: "write", syscall.SYS_READV: "readv", syscall.SYS_WRITEV: "writev",
 	syscall.SYS_RECVFROM: "recvfrom", syscall.SYS_SENDTO: "sendto", syscall.SYS_RECVMSG: "recvmsg",
 	syscall.SYS_SENDMSG: "sendmsg", syscall.SYS_SENDFILE: "sendfile", syscall.SYS_SPLICE: "splice",
--- a/internal/lab/path/count_calls_other.go
+++ b/internal/lab/path/count_calls_other.go
@@ -4,14 +4,14 @@
 
 import "errors"
 
-var errLinux = errors.New("system calls and copies are counted on Linux only")
+var errLinuxOnly = errors.New("system calls and copies are counted on Linux only")
 
 type tracer struct{ done chan struct{} }
 
-type stacks struct{}
+type stackReader struct{}
 
-func trace(int, *stacks, bool) (*tracer, error) { return nil, errLinux }
+func startTracer(int, *stackReader, bool) (*tracer, error) { return nil, errLinuxOnly }
 
 func (t *tracer) snapshot() tally { return newTally() }
 
-func readSymbols(string) (*stacks, error) { return nil, errLinux }
+func readSymbols(string) (*stackReader, error) { return nil, errLinuxOnly }
--- a/internal/lab/path/count_process.go
+++ b/internal/lab/path/count_process.go
@@ -7,17 +7,17 @@
 	"strconv"
 )
 
-// procFigures are what Linux lets any user read of his own process.
-type procFigures struct {
-	Reads, Writes         float64 // calls of the read and write families, all files
-	ReadBytes, WriteBytes float64 // by them
-	Waited, Preempted     float64 // context switches of all threads: it had nothing to do; its time was up
+// procCounters are what Linux lets any user read of his own process.
+type procCounters struct {
+	Reads, Writes                          float64 // calls of the read and write families, all files
+	ReadBytes, WriteBytes                  float64 // by them
+	VoluntarySwitches, InvoluntarySwitches float64 // context switches of all threads: it had nothing to do; its time was up
 }
 
-// readProc reads them from /proc; threads that have ended take their switches with them.
-func readProc(pid int) (f procFigures, err error) {
+// readProcCounters reads them from /proc; threads that have ended take their switches with them.
+func readProcCounters(pid int) (f procCounters, err error) {
 	dir := fmt.Sprintf("/proc/%d/", pid)
-	err = fields(dir+"io", map[string]*float64{"syscr": &f.Reads, "syscw": &f.Writes, "rchar": &f.ReadBytes,
+	err = readNumbers(dir+"io", map[string]*float64{"syscr": &f.Reads, "syscw": &f.Writes, "rchar": &f.ReadBytes,
 		"wchar": &f.WriteBytes})
 	if err != nil {
 		return f, err
@@ -28,16 +28,16 @@
 	}
 	for _, t := range threads {
 		var waited, preempted float64
-		fields(dir+"task/"+t.Name()+"/status", map[string]*float64{"voluntary_ctxt_switches": &waited,
+		readNumbers(dir+"task/"+t.Name()+"/status", map[string]*float64{"voluntary_ctxt_switches": &waited,
 			"nonvoluntary_ctxt_switches": &preempted}) // one that has just ended has none
-		f.Waited += waited
-		f.Preempted += preempted
+		f.VoluntarySwitches += waited
+		f.InvoluntarySwitches += preempted
 	}
 	return f, nil
 }
 
-// fields reads numbers from a file of lines "name: number".
-func fields(file string, to map[string]*float64) error {
+// readNumbers reads numbers from a file of lines "name: number".
+func readNumbers(file string, to map[string]*float64) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return fmt.Errorf("counting: %w", err)
@@ -53,11 +53,11 @@
 	return nil
 }
 
-// and adds what came between two times.
-func (f procFigures) and(now, before procFigures) procFigures {
-	return procFigures{
+// addDifference adds what came between two times.
+func (f procCounters) addDifference(now, before procCounters) procCounters {
+	return procCounters{
 		f.Reads + now.Reads - before.Reads, f.Writes + now.Writes - before.Writes,
 		f.ReadBytes + now.ReadBytes - before.ReadBytes, f.WriteBytes + now.WriteBytes - before.WriteBytes,
-		f.Waited + now.Waited - before.Waited, f.Preempted + now.Preempted - before.Preempted,
+		f.VoluntarySwitches + now.VoluntarySwitches - before.VoluntarySwitches, f.InvoluntarySwitches + now.InvoluntarySwitches - before.InvoluntarySwitches,
 	}
 }
--- a/internal/lab/path/counts.go
+++ b/internal/lab/path/counts.go
@@ -16,54 +16,54 @@
 // countNames is their order in what is written.
 var countNames = []string{CountAllocations, CountBytes, CountWrites, CountCalls, CountCopied}
 
-// schedulers are system calls that the Go runtime makes to share out time and memory: how many they are
+// schedulerCalls are system calls that the Go runtime makes to share out time and memory: how many they are
 // hangs on the machine. Those on an event counter wake its poller, and the log goes through a pipe.
-var schedulers = map[string]bool{
+var schedulerCalls = map[string]bool{
 	"futex": true, "epoll_pwait": true, "nanosleep": true, "sched_yield": true, "tgkill": true, "getpid": true,
 	"rt_sigreturn": true, "rt_sigprocmask": true, "sigaltstack": true, "clone": true, "mmap": true,
 	"madvise": true, "timer_settime": true, "getrusage": true, "read [eventfd]": true,
 	"write [eventfd]": true, "write pipe": true,
 }
 
-// count takes the counts out of a load's figures.
-func (f *Figures) count() Counts {
+// computeCounts takes the counts out of a load's figures.
+func (f *Figures) computeCounts() Counts {
 	c := Counts{
 		CountAllocations: f.Node.Allocations, CountBytes: f.Node.AllocatedBytes, CountWrites: f.Node.Writes,
 	}
 	if len(f.Calls) > 0 {
-		c[CountWrites], _ = sums(f.Calls, isSocketWrite)
-		n, _ := sums(f.Calls, func(name string) bool { return !schedulers[name] })
-		_, empty := sums(f.Calls, isSocketRead) // these come too early by chance
+		c[CountWrites], _ = sumEntries(f.Calls, isSocketWrite)
+		n, _ := sumEntries(f.Calls, func(name string) bool { return !schedulerCalls[name] })
+		_, empty := sumEntries(f.Calls, isSocketRead) // these come too early by chance
 		c[CountCalls] = n - empty
 	}
 	if len(f.Copiers) > 0 {
-		_, c[CountCopied] = sums(f.Copiers, nil)
+		_, c[CountCopied] = sumEntries(f.Copiers, nil)
 	}
 	return c
 }
 
-// of is where a count falls, by function; nil where that is not known.
-func (f *Figures) of(count string) map[string]float64 {
-	some, sum := []Place(nil), false
+// perFunction is where a count falls, by function; nil where that is not known.
+func (f *Figures) perFunction(count string) map[string]float64 {
+	entries, bySum := []Entry(nil), false
 	switch count {
 	case CountAllocations:
-		some = f.Allocators
+		entries = f.Allocators
 	case CountBytes:
-		some, sum = f.Allocators, true
+		entries, bySum = f.Allocators, true
 	case CountWrites:
-		some = f.Writers
+		entries = f.Writers
 	case CountCalls:
-		some = f.Calls
+		entries = f.Calls
 	case CountCopied:
-		some, sum = f.Copiers, true
+		entries, bySum = f.Copiers, true
 	}
 	by := map[string]float64{}
-	for _, p := range some {
+	for _, p := range entries {
 		switch {
-		case count == CountCalls && schedulers[p.Name]:
+		case count == CountCalls && schedulerCalls[p.Name]:
 		case count == CountCalls && isSocketRead(p.Name):
 			by[p.Name] = p.Count - p.Sum
-		case sum:
+		case bySum:
 			by[p.Name] = p.Sum
 		default:
 			by[p.Name] = p.Count
--- a/internal/lab/path/discovery.go
+++ b/internal/lab/path/discovery.go
@@ -20,8 +20,8 @@
 	stop   context.CancelFunc
 }
 
-// group is the list of the peers, as discovery has it.
-func group(addresses []string) string {
+// endpointList is the list of the peers, as discovery has it.
+func endpointList(addresses []string) string {
 	var entries []string
 	for i, addr := range addresses {
 		entries = append(entries, fmt.Sprintf(
@@ -36,7 +36,7 @@
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	life, stop := context.WithCancel(context.Background())
-	list := group(addresses)
+	list := endpointList(addresses)
 	mux := http.NewServeMux()
 	mux.HandleFunc(protocol.PathEndpoints, func(w http.ResponseWriter, r *http.Request) {
 		if r.FormValue("after") == "" {
--- a/internal/lab/path/lane.go
+++ b/internal/lab/path/lane.go
@@ -7,118 +7,118 @@
 	"olivebridge/internal/cost"
 )
 
-// lane is one child under a load, and what it has taken so far.
-type lane struct {
-	name   string
-	child  *child
-	driver *driver
-	peers  *peers
-	asking cost.Usage // what it costs to ask for the cost
+// measuredChild is one child under a load, and what it has taken so far.
+type measuredChild struct {
+	name        string
+	child       *child
+	driver      *loadGenerator
+	peers       *stubServers
+	readingCost cost.Usage // what it costs to ask for the cost
 
 	slices []slice
 }
 
-// sliceTries is how often a slice is sent, at most, until none of its requests needs a new connection to a peer: of ten slices
+// maxSliceAttempts is how often a slice is sent, at most, until none of its requests needs a new connection to a peer: of ten slices
 // half and more need none by the first time. One that always does has the connections among its costs.
-const sliceTries = 8
+const maxSliceAttempts = 8
 
 // slice is what some requests took.
 type slice struct {
 	requests int
-	took     time.Duration
-	used     cost.Usage
-	proc     procFigures
+	duration time.Duration
+	usage    cost.Usage
+	proc     procCounters
 }
 
-// warm brings the child to where further requests cost what the ones before did.
-func (a *lane) warm(ctx context.Context, count int) error {
-	if err := a.driver.serve(ctx, count); err != nil {
+// warmUp brings the child to where further requests cost what the ones before did.
+func (a *measuredChild) warmUp(ctx context.Context, count int) error {
+	if err := a.driver.runServed(ctx, count); err != nil {
 		return err
 	}
-	first, err := a.child.cost()
+	first, err := a.child.usage()
 	if err != nil {
 		return err
 	}
-	second, err := a.child.cost()
+	second, err := a.child.usage()
 	if err != nil {
 		return err
 	}
 	asking := second.Sub(first)
-	a.asking = cost.Usage{Allocations: asking.Allocations, AllocatedBytes: asking.AllocatedBytes}
+	a.readingCost = cost.Usage{Allocations: asking.Allocations, AllocatedBytes: asking.AllocatedBytes}
 	return nil
 }
 
-// slice sends some requests and keeps what they took. How many connections lie ready hangs on how fast the machine has been so
+// measureSlice sends some requests and keeps what they took. How many connections lie ready hangs on how fast the machine has been so
 // far, and a new one costs as many allocations as a request: a slice that opened one is sent again.
-func (a *lane) slice(ctx context.Context, count int) error {
+func (a *measuredChild) measureSlice(ctx context.Context, count int) error {
 	for n := 1; ; n++ {
 		opened := a.peers.accepted.Load()
-		s, err := a.measure(ctx, count)
+		s, err := a.measureOnce(ctx, count)
 		if err != nil {
 			return err
 		}
-		if a.peers.accepted.Load() == opened || n == sliceTries {
+		if a.peers.accepted.Load() == opened || n == maxSliceAttempts {
 			a.slices = append(a.slices, s)
 			return nil
 		}
 	}
 }
 
-func (a *lane) measure(ctx context.Context, count int) (slice, error) {
+func (a *measuredChild) measureOnce(ctx context.Context, count int) (slice, error) {
 	s := slice{requests: count}
-	used, err := a.child.cost()
+	used, err := a.child.usage()
 	if err != nil {
 		return s, err
 	}
-	proc, err := readProc(a.child.pid())
+	proc, err := readProcCounters(a.child.pid())
 	if err != nil {
 		return s, err
 	}
 	begun := time.Now()
-	if err := a.driver.serve(ctx, count); err != nil {
+	if err := a.driver.runServed(ctx, count); err != nil {
 		return s, err
 	}
-	s.took = time.Since(begun)
-	procNow, err := readProc(a.child.pid())
+	s.duration = time.Since(begun)
+	procNow, err := readProcCounters(a.child.pid())
 	if err != nil {
 		return s, err
 	}
-	usedNow, err := a.child.cost()
+	usedNow, err := a.child.usage()
 	if err != nil {
 		return s, err
 	}
-	s.used = usedNow.Sub(used).Sub(a.asking)
-	s.proc = s.proc.and(procNow, proc)
+	s.usage = usedNow.Sub(used).Sub(a.readingCost)
+	s.proc = s.proc.addDifference(procNow, proc)
 	return s, nil
 }
 
-// process is what a request took. Of what is allocated it is the slices' median: more calls in hand at once than ever before, as
+// perRequest is what a request took. Of what is allocated it is the slices' median: more calls in hand at once than ever before, as
 // when the machine was busy elsewhere, fill pools for good, which is nothing that a request costs.
-func (a *lane) process() Process {
+func (a *measuredChild) perRequest() Process {
 	var n, micros float64
 	var took time.Duration
 	var used cost.Usage
-	var proc procFigures
+	var proc procCounters
 	for _, s := range a.slices {
 		n += float64(s.requests)
-		took += s.took
-		used = used.Add(s.used)
-		proc = proc.and(s.proc, procFigures{})
+		took += s.duration
+		used = used.Add(s.usage)
+		proc = proc.addDifference(s.proc, procCounters{})
 	}
 	micros = float64(used.UserMicros + used.SystemMicros)
 	return Process{
-		Allocations:    median(a.slices, func(s slice) float64 { return float64(s.used.Allocations) / float64(s.requests) }),
-		AllocatedBytes: median(a.slices, func(s slice) float64 { return float64(s.used.AllocatedBytes) / float64(s.requests) }),
+		Allocations:    median(a.slices, func(s slice) float64 { return float64(s.usage.Allocations) / float64(s.requests) }),
+		AllocatedBytes: median(a.slices, func(s slice) float64 { return float64(s.usage.AllocatedBytes) / float64(s.requests) }),
 		Collections:    float64(used.Collections) / n * 1000,
 		Reads:          proc.Reads / n, Writes: proc.Writes / n,
 		ReadBytes: proc.ReadBytes / n, WrittenBytes: proc.WriteBytes / n,
-		Waited: proc.Waited / n, Preempted: proc.Preempted / n,
+		VoluntarySwitches: proc.VoluntarySwitches / n, InvoluntarySwitches: proc.InvoluntarySwitches / n,
 		UserMicros: float64(used.UserMicros) / n, SystemMicros: float64(used.SystemMicros) / n, Micros: micros / n,
 		Busy: micros / float64(took.Microseconds()),
 	}
 }
 
-func (a *lane) close() {
+func (a *measuredChild) close() {
 	a.driver.close()
-	a.child.end()
+	a.child.kill()
 }
--- a/internal/lab/path/meter.go
+++ b/internal/lab/path/meter.go
@@ -28,8 +28,8 @@
 	Progress io.Writer
 }
 
-// peerCount is how many peers there are.
-const peerCount = 12
+// stubServerCount is how many peers there are.
+const stubServerCount = 12
 
 // sizes are how many requests a load has in each pass.
 type sizes struct{ warm, timed, slices, traced, profiled int }
@@ -45,11 +45,11 @@
 type meter struct {
 	Options
 	dir       string
-	profiled  string  // a node that writes its allocations, if it is built for that
-	stacks    *stacks // nil: there are no symbols
-	peers     *peers
+	profiled  string       // a node that writes its allocations, if it is built for that
+	stacks    *stackReader // nil: there are no symbols
+	peers     *stubServers
 	discovery *discovery
-	ids       ids
+	ids       callIDs
 }
 
 // Measure meters the path.
@@ -77,7 +77,7 @@
 	if m.stacks, err = readSymbols(m.Node); err != nil {
 		r.NotCounted = append(r.NotCounted, err.Error())
 	}
-	if m.peers, err = startPeers(peerCount); err != nil {
+	if m.peers, err = startStubServers(stubServerCount); err != nil {
 		return nil, err
 	}
 	defer m.peers.close()
@@ -89,11 +89,11 @@
 		if len(o.Loads) > 0 && !slices.Contains(o.Loads, l.Name) {
 			continue
 		}
-		f, err := m.pairs(ctx, l)
+		f, err := m.measurePairs(ctx, l)
 		if err != nil {
 			return nil, err
 		}
-		missing, err := m.places(ctx, l, &f)
+		missing, err := m.countByFunction(ctx, l, &f)
 		if err != nil {
 			return nil, err
 		}
@@ -109,7 +109,7 @@
 
 // build builds the node from the tree, by the go command's flags.
 func (m *meter) build(ctx context.Context, name string, flags ...string) (string, error) {
-	m.say("building the %s", name)
+	m.logProgress("building the %s", name)
 	program := filepath.Join(m.dir, name)
 	args := append([]string{"build", "-o", program}, flags...)
 	if m.Overlay != "" {
@@ -124,23 +124,23 @@
 	return program, nil
 }
 
-func (m *meter) say(form string, args ...any) {
+func (m *meter) logProgress(form string, args ...any) {
 	if m.Progress != nil {
 		fmt.Fprintf(m.Progress, form+"\n", args...)
 	}
 }
 
-func (m *meter) node(ctx context.Context, program string, env ...string) (*child, error) {
+func (m *meter) startNode(ctx context.Context, program string, env ...string) (*child, error) {
 	return startNode(ctx, program, m.dir, m.peers.addresses(), m.discovery.addr, env...)
 }
 
-// pairs measures a load on node and proxy, pair by pair.
-func (m *meter) pairs(ctx context.Context, l Load) (Figures, error) {
+// measurePairs measures a load on node and proxy, pair by pair.
+func (m *meter) measurePairs(ctx context.Context, l Load) (Figures, error) {
 	f := Figures{Load: l.Name, About: l.About, Requests: m.sizes().timed}
 	var nodes, proxies []Process
 	for i := range max(m.Pairs, 1) {
-		m.say("%s: pair %d", l.Name, i+1)
-		some, err := m.pair(ctx, l)
+		m.logProgress("%s: pair %d", l.Name, i+1)
+		some, err := m.measurePair(ctx, l)
 		if err != nil {
 			return f, err
 		}
@@ -150,21 +150,21 @@
 			f.Ratios = append(f.Ratios, some[0].Micros/some[1].Micros)
 		}
 	}
-	f.Node, f.Proxy = medians(nodes), medians(proxies)
+	f.Node, f.Proxy = medianProcess(nodes), medianProcess(proxies)
 	f.Ratio = median(f.Ratios, func(v float64) float64 { return v })
 	return f, nil
 }
 
-// pair measures a load on a new node and, if it is wanted, on a new proxy. They are loaded in turn, slice by
+// measurePair measures a load on a new node and, if it is wanted, on a new proxy. They are loaded in turn, slice by
 // slice, so that what else the machine does strikes both alike.
-func (m *meter) pair(ctx context.Context, l Load) ([]Process, error) {
-	starts := []func() (*child, error){func() (*child, error) { return m.node(ctx, m.Node) }}
+func (m *meter) measurePair(ctx context.Context, l Load) ([]Process, error) {
+	starts := []func() (*child, error){func() (*child, error) { return m.startNode(ctx, m.Node) }}
 	if len(m.Proxy) > 0 {
 		starts = append(starts, func() (*child, error) {
 			return startProxy(ctx, m.Proxy, m.peers.addresses(), m.ProxyGC)
 		})
 	}
-	var lanes []*lane
+	var lanes []*measuredChild
 	defer func() {
 		for _, a := range lanes {
 			a.close()
@@ -176,32 +176,32 @@
 		if err != nil {
 			return nil, err
 		}
-		a := &lane{child: c, driver: newDriver(l, c.addr, &m.ids), peers: m.peers, name: []string{"node", "ReverseProxy"}[i]}
+		a := &measuredChild{child: c, driver: newLoadGenerator(l, c.addr, &m.ids), peers: m.peers, name: []string{"node", "ReverseProxy"}[i]}
 		lanes = append(lanes, a)
-		if err := a.warm(ctx, s.warm); err != nil {
+		if err := a.warmUp(ctx, s.warm); err != nil {
 			return nil, fmt.Errorf("%s: %w", a.name, err)
 		}
 	}
 	for range s.slices {
 		for _, a := range lanes {
-			if err := a.slice(ctx, s.timed/s.slices); err != nil {
+			if err := a.measureSlice(ctx, s.timed/s.slices); err != nil {
 				return nil, fmt.Errorf("%s: %w", a.name, err)
 			}
 		}
 	}
 	var some []Process
 	for _, a := range lanes {
-		some = append(some, a.process())
+		some = append(some, a.perRequest())
 	}
 	return some, nil
 }
 
-// places counts what needs a slower node: system calls, copies, and which functions they and the
+// countByFunction counts what needs a slower node: system calls, copies, and which functions they and the
 // allocations fall to. What the machine does not let it count is missing, for a reason each.
-func (m *meter) places(ctx context.Context, l Load, f *Figures) (missing []error, err error) {
-	m.say("%s: system calls, copies, functions", l.Name)
+func (m *meter) countByFunction(ctx context.Context, l Load, f *Figures) (missing []error, err error) {
+	m.logProgress("%s: system calls, copies, functions", l.Name)
 	miss := func(err error) error {
-		if ctx.Err() != nil || errors.Is(err, errRefused) {
+		if ctx.Err() != nil || errors.Is(err, errNotServed) {
 			return fmt.Errorf("node: %w", err)
 		}
 		if err != nil {
@@ -209,18 +209,18 @@
 		}
 		return nil
 	}
-	f.Calls, f.Writers, _, err = m.traced(ctx, l, false)
+	f.Calls, f.Writers, _, err = m.countTraced(ctx, l, false)
 	if err := miss(err); err != nil {
 		return nil, err
 	}
-	_, _, f.Copiers, err = m.traced(ctx, l, true)
+	_, _, f.Copiers, err = m.countTraced(ctx, l, true)
 	if err := miss(err); err != nil {
 		return nil, err
 	}
-	f.Allocators, err = m.allocators(ctx, l, m.profiled)
+	f.Allocators, err = m.countAllocations(ctx, l, m.profiled)
 	if err := miss(err); err != nil {
 		return nil, err
 	}
-	f.Counts = f.count()
+	f.Counts = f.computeCounts()
 	return missing, nil
 }
--- a/internal/lab/path/path_test.go
+++ b/internal/lab/path/path_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-func TestBlame(t *testing.T) {
+func TestAttribute(t *testing.T) {
 	for want, stack := range map[string]string{
 		"transport.readHead": "olivebridge/internal/transport.readHead olivebridge/internal/transport.readAnswer",
 		"transport.(*message).bytes by bytes.(*Buffer).Write": "bytes.(*Buffer).Write fmt.Fprintf " +
@@ -23,12 +23,12 @@
 		"runtime.main":                   "runtime.main runtime.goexit",
 		"":                               "",
 	} {
-		if got := blame(strings.Fields(stack)); got != want {
+		if got := attribute(strings.Fields(stack)); got != want {
 			t.Errorf("%s: %q, want %q", stack, got, want)
 		}
 	}
 	stack := []string{"internal/runtime/syscall/linux.Syscall6", "syscall.write", "internal/poll.(*FD).Write", "net.f"}
-	if got := without("syscall", stack); !reflect.DeepEqual(got, stack[3:]) {
+	if got := trimPackage("syscall", stack); !reflect.DeepEqual(got, stack[3:]) {
 		t.Errorf("without syscall: %q", got)
 	}
 	if got := packageOf("a/b.F[c/d.T]"); got != "a/b" {
@@ -59,9 +59,9 @@
 	return dir
 }
 
-func TestAgainst(t *testing.T) {
+func TestCheckAgainst(t *testing.T) {
 	const places = "[get.allocations]\n'f' = 40\n'g' = 10\n"
-	allocators := []Place{{"f", 40.05, 0}, {"g", 11, 0}, {"h", 1.5, 0}}
+	allocators := []Entry{{"f", 40.05, 0}, {"g", 11, 0}, {"h", 1.5, 0}}
 	for _, c := range []struct {
 		allocations, bytes float64
 		risen, fallen      string
@@ -80,7 +80,7 @@
 		f := Figures{Load: "get", Allocators: allocators,
 			Counts: Counts{CountAllocations: c.allocations, CountBytes: c.bytes, CountWrites: 2}}
 		r := &Report{Loads: []Figures{f}}
-		got := r.Against(tol)
+		got := r.CheckAgainst(tol)
 		if strings.Join(got.Risen, "|") != c.risen || strings.Join(got.Fallen, "|") != c.fallen ||
 			len(got.NotChecked) != 3 {
 			t.Errorf("%+v: %+v", c, got)
@@ -91,7 +91,7 @@
 		if tol, err = ReadTolerances(dir); err != nil {
 			t.Fatal(err)
 		}
-		if got := r.Against(tol); got.Held != 3 || len(got.NotChecked) != 2 || tol.Rise[CountAllocations].Plus != 1 {
+		if got := r.CheckAgainst(tol); got.Held != 3 || len(got.NotChecked) != 2 || tol.Rise[CountAllocations].Absolute != 1 {
 			t.Errorf("%+v, accepted: %+v", c, got)
 		}
 	}
@@ -113,9 +113,9 @@
 	}
 }
 
-// TestDriver: what is not served is counted, a connection closed between requests costs one more, and an
+// TestLoadGenerator: what is not served is counted, a connection closed between requests costs one more, and an
 // answer that cannot be read is an error.
-func TestDriver(t *testing.T) {
+func TestLoadGenerator(t *testing.T) {
 	const fine = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 	const refused = "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"
 	for _, c := range []struct {
@@ -150,14 +150,14 @@
 				conn.Close()
 			}
 		}()
-		d := newDriver(Load{Name: "x", Conns: 1, class: "read"}, l.Addr().String(), &ids{})
+		d := newLoadGenerator(Load{Name: "x", Conns: 1, class: "read"}, l.Addr().String(), &callIDs{})
 		o, err := d.run(t.Context(), c.count)
 		if (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) ||
 			o.refused != c.refused {
 			t.Errorf("%q: %d refused, %v", c.answers, o.refused, err)
 		}
 		if c.refused > 0 {
-			if err := d.serve(t.Context(), c.count); !errors.Is(err, errRefused) {
+			if err := d.runServed(t.Context(), c.count); !errors.Is(err, errNotServed) {
 				t.Errorf("%q: %v", c.answers, err)
 			}
 		}
--- a/internal/lab/path/peers.go
+++ b/internal/lab/path/peers.go
@@ -11,9 +11,9 @@
 	"sync/atomic"
 )
 
-// peers are stand-ins for what a node passes requests to: each answers at once, and with the least work
+// stubServers are stand-ins for what a node passes requests to: each answers at once, and with the least work
 // that HTTP/1.1 allows, so that they slow nothing down.
-type peers struct {
+type stubServers struct {
 	listeners []net.Listener
 	serving   sync.WaitGroup
 	accepted  atomic.Int64 // connections, ever
@@ -29,18 +29,18 @@
 )
 
 var (
-	smallAnswer = answerOf(64)
-	largeAnswer = answerOf(64 << 10)
+	smallResponse = newResponse(64)
+	largeResponse = newResponse(64 << 10)
 )
 
-func answerOf(size int) []byte {
+func newResponse(size int) []byte {
 	const head = "HTTP/1.1 200 OK\r\nContent-Type: application/octet-stream\r\nContent-Length: %d\r\n\r\n"
 	return append(fmt.Appendf(nil, head, size), bytes.Repeat([]byte("0123456789abcdef"), size/16)...)
 }
 
-// startPeers listens on loopback.
-func startPeers(count int) (*peers, error) {
-	p := &peers{open: map[net.Conn]bool{}}
+// startStubServers listens on loopback.
+func startStubServers(count int) (*stubServers, error) {
+	p := &stubServers{open: map[net.Conn]bool{}}
 	for range count {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -53,14 +53,14 @@
 	return p, nil
 }
 
-func (p *peers) addresses() (some []string) {
+func (p *stubServers) addresses() (some []string) {
 	for _, l := range p.listeners {
 		some = append(some, l.Addr().String())
 	}
 	return some
 }
 
-func (p *peers) accept(l net.Listener) {
+func (p *stubServers) accept(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -76,7 +76,7 @@
 		p.accepted.Add(1)
 		p.mu.Unlock()
 		p.serving.Go(func() {
-			serve(conn)
+			serveConn(conn)
 			conn.Close()
 			p.mu.Lock()
 			defer p.mu.Unlock()
@@ -85,18 +85,18 @@
 	}
 }
 
-// serve answers the requests of one connection to its end.
-func serve(conn net.Conn) {
+// serveConn answers the requests of one connection to its end.
+func serveConn(conn net.Conn) {
 	in := bufio.NewReaderSize(conn, 16<<10)
 	for {
-		answer, length := smallAnswer, 0
+		answer, length := smallResponse, 0
 		for first := true; ; first = false {
 			line, err := in.ReadSlice('\n')
 			if err != nil {
 				return
 			}
 			if first && bytes.Contains(line, []byte(targetLarge)) {
-				answer = largeAnswer
+				answer = largeResponse
 			}
 			if name, value, ok := bytes.Cut(line, []byte(":")); ok && len(name) == len("Content-Length") &&
 				strings.EqualFold(string(name), "Content-Length") {
@@ -116,7 +116,7 @@
 }
 
 // close ends the peers and waits until nothing is left of them.
-func (p *peers) close() {
+func (p *stubServers) close() {
 	for _, l := range p.listeners {
 		l.Close()
 	}
--- a/internal/lab/path/report.go
+++ b/internal/lab/path/report.go
@@ -26,27 +26,27 @@
 	Ratio      float64   `json:"ratio,omitzero"` // of processor time: the median of the pairs'
 	Ratios     []float64 `json:"ratios,omitempty"`
 	Counts     Counts    `json:"counts"`     // what the check goes by
-	Calls      []Place   `json:"calls"`      // system calls; sum: those that found nothing
-	Writers    []Place   `json:"writers"`    // calls that write to sockets, by function
-	Copiers    []Place   `json:"copiers"`    // copies between buffers, by function; sum: bytes
-	Allocators []Place   `json:"allocators"` // allocations, by function; sum: bytes
+	Calls      []Entry   `json:"calls"`      // system calls; sum: those that found nothing
+	Writers    []Entry   `json:"writers"`    // calls that write to sockets, by function
+	Copiers    []Entry   `json:"copiers"`    // copies between buffers, by function; sum: bytes
+	Allocators []Entry   `json:"allocators"` // allocations, by function; sum: bytes
 }
 
 // Process are the figures of one process, per request: each the median of the pairs.
 type Process struct {
-	Allocations    float64 `json:"allocations"`
-	AllocatedBytes float64 `json:"allocated_bytes"`
-	Collections    float64 `json:"collections_per_1000"`
-	Reads          float64 `json:"reads"`  // calls of the read family
-	Writes         float64 `json:"writes"` // calls of the write family
-	ReadBytes      float64 `json:"read_bytes"`
-	WrittenBytes   float64 `json:"written_bytes"`
-	Waited         float64 `json:"switches_waiting"`
-	Preempted      float64 `json:"switches_preempted"`
-	UserMicros     float64 `json:"user_us"`
-	SystemMicros   float64 `json:"system_us"`
-	Micros         float64 `json:"processor_us"`
-	Busy           float64 `json:"busy"` // the part of the time that it had a processor
+	Allocations         float64 `json:"allocations"`
+	AllocatedBytes      float64 `json:"allocated_bytes"`
+	Collections         float64 `json:"collections_per_1000"`
+	Reads               float64 `json:"reads"`  // calls of the read family
+	Writes              float64 `json:"writes"` // calls of the write family
+	ReadBytes           float64 `json:"read_bytes"`
+	WrittenBytes        float64 `json:"written_bytes"`
+	VoluntarySwitches   float64 `json:"switches_waiting"`
+	InvoluntarySwitches float64 `json:"switches_preempted"`
+	UserMicros          float64 `json:"user_us"`
+	SystemMicros        float64 `json:"system_us"`
+	Micros              float64 `json:"processor_us"`
+	Busy                float64 `json:"busy"` // the part of the time that it had a processor
 }
 
 // median takes the middle of some values, by a field of theirs.
@@ -66,22 +66,22 @@
 	}
 }
 
-func medians(some []Process) Process {
+func medianProcess(some []Process) Process {
 	m := func(of func(Process) float64) float64 { return median(some, of) }
 	return Process{
-		Allocations:    m(func(p Process) float64 { return p.Allocations }),
-		AllocatedBytes: m(func(p Process) float64 { return p.AllocatedBytes }),
-		Collections:    m(func(p Process) float64 { return p.Collections }),
-		Reads:          m(func(p Process) float64 { return p.Reads }),
-		Writes:         m(func(p Process) float64 { return p.Writes }),
-		ReadBytes:      m(func(p Process) float64 { return p.ReadBytes }),
-		WrittenBytes:   m(func(p Process) float64 { return p.WrittenBytes }),
-		Waited:         m(func(p Process) float64 { return p.Waited }),
-		Preempted:      m(func(p Process) float64 { return p.Preempted }),
-		UserMicros:     m(func(p Process) float64 { return p.UserMicros }),
-		SystemMicros:   m(func(p Process) float64 { return p.SystemMicros }),
-		Micros:         m(func(p Process) float64 { return p.Micros }),
-		Busy:           m(func(p Process) float64 { return p.Busy }),
+		Allocations:         m(func(p Process) float64 { return p.Allocations }),
+		AllocatedBytes:      m(func(p Process) float64 { return p.AllocatedBytes }),
+		Collections:         m(func(p Process) float64 { return p.Collections }),
+		Reads:               m(func(p Process) float64 { return p.Reads }),
+		Writes:              m(func(p Process) float64 { return p.Writes }),
+		ReadBytes:           m(func(p Process) float64 { return p.ReadBytes }),
+		WrittenBytes:        m(func(p Process) float64 { return p.WrittenBytes }),
+		VoluntarySwitches:   m(func(p Process) float64 { return p.VoluntarySwitches }),
+		InvoluntarySwitches: m(func(p Process) float64 { return p.InvoluntarySwitches }),
+		UserMicros:          m(func(p Process) float64 { return p.UserMicros }),
+		SystemMicros:        m(func(p Process) float64 { return p.SystemMicros }),
+		Micros:              m(func(p Process) float64 { return p.Micros }),
+		Busy:                m(func(p Process) float64 { return p.Busy }),
 	}
 }
 
@@ -108,27 +108,27 @@
 		row("write calls", "%.2f", n.Writes, p.Writes)
 		row("bytes read", "%.0f", n.ReadBytes, p.ReadBytes)
 		row("bytes written", "%.0f", n.WrittenBytes, p.WrittenBytes)
-		row("waits", "%.2f", n.Waited, p.Waited)
+		row("waits", "%.2f", n.VoluntarySwitches, p.VoluntarySwitches)
 		row("processor us, user", "%.1f", n.UserMicros, p.UserMicros)
 		row("processor us, system", "%.1f", n.SystemMicros, p.SystemMicros)
 		row("processor us", "%.1f", n.Micros, p.Micros)
 		row("busy, part of the time", "%.2f", n.Busy, p.Busy)
 		fmt.Fprintf(w, "  processor time, of ReverseProxy's: %.3f (pairs: %.3f)\n", f.Ratio, f.Ratios)
-		f.text(w)
+		f.writeFunctionCounts(w)
 	}
 	for _, why := range r.NotCounted {
 		fmt.Fprintf(w, "not counted: %s\n", why)
 	}
 }
 
-// shown is how many places of a kind a reader gets to see.
-const shown = 12
+// maxShownEntries is how many places of a kind a reader gets to see.
+const maxShownEntries = 12
 
-// text writes where the counts fall.
-func (f *Figures) text(w io.Writer) {
+// writeFunctionCounts writes where the counts fall.
+func (f *Figures) writeFunctionCounts(w io.Writer) {
 	for _, part := range []struct {
 		what, sum string
-		places    []Place
+		places    []Entry
 	}{
 		{"system calls under the tracer", "found nothing", f.Calls},
 		{"writes to sockets, by function", "found no room", f.Writers},
@@ -138,11 +138,11 @@
 		if len(part.places) == 0 {
 			continue
 		}
-		n, sum := sums(part.places, nil)
+		n, sum := sumEntries(part.places, nil)
 		fmt.Fprintf(w, "  %s: %.2f; %s: %.2f\n", part.what, n, part.sum, sum)
 		for i, p := range part.places {
-			if i == shown {
-				fmt.Fprintf(w, "    and %d more\n", len(part.places)-shown)
+			if i == maxShownEntries {
+				fmt.Fprintf(w, "    and %d more\n", len(part.places)-maxShownEntries)
 				break
 			}
 			fmt.Fprintf(w, "    %8.2f %10.2f  %s\n", p.Count, p.Sum, p.Name)
--- a/internal/lab/path/stacks_linux.go
+++ b/internal/lab/path/stacks_linux.go
@@ -10,18 +10,18 @@
 	"sort"
 )
 
-// stacks names the functions on the stacks of a child, by the frame pointers that Go keeps and the symbols
+// stackReader names the functions on the stacks of a child, by the frame pointers that Go keeps and the symbols
 // of its program.
-type stacks struct {
-	functions []elf.Symbol // by address
-	copier    uint64       // where the function that makes all copies begins; 0: not there
+type stackReader struct {
+	functions    []elf.Symbol // by address
+	copyFunction uint64       // where the function that makes all copies begins; 0: not there
 }
 
-// deepest is how many frames are looked at.
-const deepest = 24
+// maxFrames is how many frames are looked at.
+const maxFrames = 24
 
 // readSymbols reads a program's.
-func readSymbols(program string) (*stacks, error) {
+func readSymbols(program string) (*stackReader, error) {
 	f, err := elf.Open(program)
 	if err != nil {
 		return nil, fmt.Errorf("symbols: %s: %w", program, err)
@@ -34,22 +34,22 @@
 	if err != nil {
 		return nil, fmt.Errorf("symbols: %s: %w", program, err)
 	}
-	s := &stacks{}
+	s := &stackReader{}
 	for _, sym := range all {
 		if elf.ST_TYPE(sym.Info) != elf.STT_FUNC {
 			continue
 		}
 		s.functions = append(s.functions, sym)
-		if sym.Name == copier {
-			s.copier = sym.Value
+		if sym.Name == copyFunction {
+			s.copyFunction = sym.Value
 		}
 	}
 	slices.SortFunc(s.functions, func(a, b elf.Symbol) int { return cmp.Compare(a.Value, b.Value) })
 	return s, nil
 }
 
-// function names what holds an address; "" is none.
-func (s *stacks) function(pc uint64) string {
+// functionAt names what holds an address; "" is none.
+func (s *stackReader) functionAt(pc uint64) string {
 	i := sort.Search(len(s.functions), func(i int) bool { return s.functions[i].Value > pc }) - 1
 	if i < 0 || pc >= s.functions[i].Value+max(s.functions[i].Size, 1) {
 		return ""
@@ -58,14 +58,14 @@
 }
 
 // walk names the functions on a stack in a process's memory: the one that holds pc, and on from a frame.
-func (s *stacks) walk(mem io.ReaderAt, pc, frame uint64) (names []string) {
-	for len(names) < deepest {
-		f := s.function(pc)
+func (s *stackReader) walk(mem io.ReaderAt, pc, frame uint64) (names []string) {
+	for len(names) < maxFrames {
+		f := s.functionAt(pc)
 		if f == "" {
 			return names
 		}
 		names = append(names, f)
-		above, back := word(mem, frame), word(mem, frame+8)
+		above, back := readWord(mem, frame), readWord(mem, frame+8)
 		if above <= frame {
 			return names
 		}
@@ -74,8 +74,8 @@
 	return names
 }
 
-// word reads one word of a process's memory; 0 if there is none.
-func word(mem io.ReaderAt, at uint64) uint64 {
+// readWord reads one word of a process's memory; 0 if there is none.
+func readWord(mem io.ReaderAt, at uint64) uint64 {
 	var w [8]byte
 	if _, err := mem.ReadAt(w[:], int64(at)); err != nil {
 		return 0
--- a/internal/lab/path/traced.go
+++ b/internal/lab/path/traced.go
@@ -23,31 +23,31 @@
 	return tally{map[string]count{}, map[string]count{}, map[string]count{}}
 }
 
-// Place is a function, or a system call, and what falls to it per request.
-type Place struct {
+// Entry is a function, or a system call, and what falls to it per request.
+type Entry struct {
 	Name  string  `json:"name"`
 	Count float64 `json:"count"`
 	Sum   float64 `json:"sum"` // of bytes; of system calls: those that found nothing
 }
 
-// least is what falls to a place at least, or it is left out.
-const least = 0.005
+// minEntryCount is what falls to a place at least, or it is left out.
+const minEntryCount = 0.005
 
-// places are what has been counted since an earlier time, per request, the most first.
-func places(now, old map[string]count, requests int) (some []Place) {
+// perRequestEntries are what has been counted since an earlier time, per request, the most first.
+func perRequestEntries(now, old map[string]count, requests int) (some []Entry) {
 	n := float64(requests)
 	for _, name := range slices.Sorted(maps.Keys(now)) {
-		p := Place{name, (now[name].n - old[name].n) / n, (now[name].sum - old[name].sum) / n}
-		if p.Count >= least {
+		p := Entry{name, (now[name].n - old[name].n) / n, (now[name].sum - old[name].sum) / n}
+		if p.Count >= minEntryCount {
 			some = append(some, p)
 		}
 	}
-	slices.SortStableFunc(some, func(a, b Place) int { return cmp.Compare(b.Count, a.Count) })
+	slices.SortStableFunc(some, func(a, b Entry) int { return cmp.Compare(b.Count, a.Count) })
 	return some
 }
 
-// sums adds up those places whose name is wanted; all, by nil.
-func sums(some []Place, wanted func(string) bool) (n, sum float64) {
+// sumEntries adds up those places whose name is wanted; all, by nil.
+func sumEntries(some []Entry, wanted func(string) bool) (n, sum float64) {
 	for _, p := range some {
 		if wanted == nil || wanted(p.Name) {
 			n, sum = n+p.Count, sum+p.Sum
@@ -64,25 +64,25 @@
 // isSocketRead reports whether a call by its name takes bytes.
 func isSocketRead(name string) bool { return name == "read socket" || name == "readv socket" }
 
-// tracedConns is the part of a load's connections that a traced node is given. It takes some ten times as long for a request, and
+// tracedConnsDivisor is the part of a load's connections that a traced node is given. It takes some ten times as long for a request, and
 // calls that wait for each other would be so old that their clients are looked at, as at full speed they are not.
-const tracedConns = 4
+const tracedConnsDivisor = 4
 
-// traced is what a load does by the tracer's count, per request.
-func (m *meter) traced(ctx context.Context, l Load, copies bool) (calls, writers, copiers []Place, err error) {
-	c, err := m.node(ctx, m.Node)
+// countTraced is what a load does by the tracer's count, per request.
+func (m *meter) countTraced(ctx context.Context, l Load, copies bool) (calls, writers, copiers []Entry, err error) {
+	c, err := m.startNode(ctx, m.Node)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	defer c.end()
-	l.Conns = max(l.Conns/tracedConns, 1)
-	d := newDriver(l, c.addr, &m.ids)
+	defer c.kill()
+	l.Conns = max(l.Conns/tracedConnsDivisor, 1)
+	d := newLoadGenerator(l, c.addr, &m.ids)
 	defer d.close()
 	s := m.sizes()
-	if err := d.serve(ctx, s.warm); err != nil { // at full speed
+	if err := d.runServed(ctx, s.warm); err != nil { // at full speed
 		return nil, nil, nil, err
 	}
-	t, err := trace(c.pid(), m.stacks, copies)
+	t, err := startTracer(c.pid(), m.stacks, copies)
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -91,17 +91,17 @@
 		c.cmd.Process.Kill()
 		select {
 		case <-t.done:
-		case <-time.After(patience):
+		case <-time.After(responseTimeout):
 		}
 	}()
-	if err := d.serve(ctx, s.traced/3); err != nil { // and at the tracer's
+	if err := d.runServed(ctx, s.traced/3); err != nil { // and at the tracer's
 		return nil, nil, nil, err
 	}
 	before := t.snapshot()
-	if err := d.serve(ctx, s.traced); err != nil {
+	if err := d.runServed(ctx, s.traced); err != nil {
 		return nil, nil, nil, err
 	}
 	after := t.snapshot()
-	return places(after.calls, before.calls, s.traced), places(after.writers, before.writers, s.traced),
-		places(after.copiers, before.copiers, s.traced), nil
+	return perRequestEntries(after.calls, before.calls, s.traced), perRequestEntries(after.writers, before.writers, s.traced),
+		perRequestEntries(after.copiers, before.copiers, s.traced), nil
 }
