--- a/internal/lab/path/blame.go
+++ b/internal/lab/path/blame.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// modulePrefix is the path of what is metered.
+// modulePrefix is the prefix of the paths of the measured module's packages.
 const modulePrefix = "olivebridge/"
 
-// helperPackages tells the packages that do what others tell them to, so that nothing is laid to their charge.
+// helperPackages are the packages that only do work for their callers. Costs are attributed to the callers instead.
 var helperPackages = map[string]bool{
 	"bufio": true, "bytes": true, "errors": true, "fmt": true, "io": true, "maps": true, "net/textproto": true,
 	"reflect": true, "slices": true, "strconv": true, "strings": true, "sync": true, "syscall": true,
@@ -13,8 +13,9 @@
 	"sort": true, "net": true, "os": true, "unicode/utf8": true,
 }
 
-// attribute names the function that something is done for, from a stack with the innermost function first: the
-// innermost of the node's own, or else the innermost that is no mere helper; and, behind it, what does it.
+// attribute returns the name of the function to which a cost is attributed, given a stack with the innermost function
+// first: the innermost function of the module or, if there is none, the innermost one outside helperPackages. If that
+// is not the innermost function of the stack, the name of the latter is appended.
 func attribute(stack []string) string {
 	if len(stack) == 0 {
 		return ""
@@ -32,7 +33,8 @@
 	return shortName(stack[0])
 }
 
-// trimPackage leaves out the innermost functions of a package and those that it is made of.
+// trimPackage removes the innermost functions of a stack that belong to the named package or to an internal/ package of
+// the standard library.
 func trimPackage(name string, stack []string) []string {
 	for len(stack) > 0 {
 		if p := packageOf(stack[0]); p != name && !strings.HasPrefix(p, "internal/") {
@@ -43,6 +45,7 @@
 	return stack
 }
 
+// formatAttribution names the function f and, if it differs, the innermost function that it calls.
 func formatAttribution(f, leaf string) string {
 	if f == leaf {
 		return shortName(f)
@@ -50,10 +53,10 @@
 	return shortName(f) + " by " + shortName(leaf)
 }
 
-// packageOf is the path of a function's package.
+// packageOf returns the path of a function's package.
 func packageOf(f string) string {
 	slash := strings.LastIndexByte(f, '/') + 1
-	if bracket := strings.IndexByte(f, '['); bracket >= 0 && bracket < slash { // of a type parameter
+	if bracket := strings.IndexByte(f, '['); bracket >= 0 && bracket < slash { // the slash belongs to a type parameter
 		slash = strings.LastIndexByte(f[:bracket], '/') + 1
 	}
 	if dot := strings.IndexByte(f[slash:], '.'); dot >= 0 {
@@ -62,7 +65,7 @@
 	return f
 }
 
-// shortName is a function's name without what all of the node's have in common.
+// shortName returns a function's name without the prefix that all functions of the node share.
 func shortName(f string) string {
 	f = strings.ReplaceAll(f, modulePrefix+"internal/", "")
 	return strings.ReplaceAll(f, modulePrefix, "")
--- a/internal/lab/path/check.go
+++ b/internal/lab/path/check.go
@@ -15,16 +15,17 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// TolerancesDir is where the tolerances stand, from the root of the source tree.
+// TolerancesDir is the directory of the tolerance files, relative to the root of the source tree.
 const TolerancesDir = "internal/lab/path"
 
-// The files there: what people set and read, and what goes with it.
+// Files in TolerancesDir. People edit the allowed rises in tolerancesFile; placesFile is generated with it and
+// attributes the accepted counts to functions.
 const (
 	tolerancesFile = "tolerances.toml"
 	placesFile     = "places.toml"
 )
 
-// Tolerances say what the counts of each load were when they were last accepted, and how far they may rise.
+// Tolerances are the last accepted counts of each load and the amounts by which the counts may rise.
 type Tolerances struct {
 	Go    string                 `toml:"go"`
 	Rise  map[string]AllowedRise `toml:"rise"` // by count
@@ -33,16 +34,18 @@
 	places map[string]countsByFunction // by load
 }
 
-// countsByFunction is where the counts of a load fell: by count and function.
+// countsByFunction holds the counts of a load by count name and function.
 type countsByFunction map[string]map[string]float64
 
-// AllowedRise is how much a count may rise: by a part of it or by a number, whichever is more.
+// AllowedRise is the amount by which a count may rise: a fraction of the accepted count or an absolute number per
+// request, whichever is larger.
 type AllowedRise struct {
 	Fraction float64 `toml:"part"`
 	Absolute float64 `toml:"plus"`
 }
 
-// ReadTolerances reads them from a directory.
+// ReadTolerances reads the tolerance files of a directory. It returns an error if the rise of a count is missing or
+// negative.
 func ReadTolerances(dir string) (*Tolerances, error) {
 	file := filepath.Join(dir, tolerancesFile)
 	t := &Tolerances{}
@@ -57,7 +60,7 @@
 	return t, readTOML(filepath.Join(dir, placesFile), &t.places)
 }
 
-// readTOML reads a file with no key that it should not have. An error names file and line.
+// readTOML decodes a TOML file and rejects unknown keys. Errors name the file and, where known, the line.
 func readTOML(file string, to any) error {
 	text, err := os.ReadFile(file)
 	if e, ok := errors.AsType[*os.PathError](err); ok {
@@ -80,15 +83,15 @@
 	return nil
 }
 
-// Check is what comparing a report with the tolerances gave: a line for each count of each load.
+// Check is the result of comparing a report with the tolerances: each count of each load is in one of the fields.
 type Check struct {
-	Risen      []string // beyond what is allowed, and for which functions
-	Fallen     []string // by as much: the tolerances are no longer tight
-	NotChecked []string
-	Held       int
+	Risen      []string // counts that rose more than allowed, with the functions that caused it
+	Fallen     []string // counts that fell by more than the allowed rise: the tolerances are no longer tight
+	NotChecked []string // counts that were not measured or have no accepted value
+	Held       int      // number of counts within the tolerances
 }
 
-// CheckAgainst compares the counts with what they were.
+// CheckAgainst compares the counts with the accepted ones.
 func (r *Report) CheckAgainst(t *Tolerances) Check {
 	var c Check
 	for _, f := range r.Loads {
@@ -114,13 +117,14 @@
 	return c
 }
 
-// maxNamedFunctions is how many functions a line names, and namedPart what part of the whole rise each has at least.
+// maxNamedFunctions is the number of functions that a line names at most, and minNamedFraction the smallest fraction
+// of the whole rise that a named function has.
 const (
 	maxNamedFunctions = 3
 	minNamedFraction  = 0.1
 )
 
-// describeRise names the functions that brought a rise, those with the most first.
+// describeRise names the functions that caused a rise, in descending order of their part of it.
 func describeRise(now, before map[string]float64, rise float64) string {
 	type change struct {
 		name string
@@ -149,7 +153,7 @@
 	return words.String()
 }
 
-// The heads of the two files.
+// Comments at the head of the two generated files.
 const (
 	tolerancesHead = `# What a request on the plain path cost when it was last accepted, by load, and how far each count may rise:
 # by a part of it or by a number, whichever is more. "olivelab path --check" fails beyond that; "olivelab path
@@ -161,13 +165,14 @@
 `
 )
 
-// minKeptCounts is what a place must have to be kept, by count.
+// minKeptCounts are the smallest counts per request that a function must have to be written to placesFile, by count
+// name.
 var minKeptCounts = map[string]float64{
 	CountAllocations: 0.2, CountBytes: 64, CountWrites: 0.02, CountCalls: 0.02, CountCopied: 24,
 }
 
-// Accept writes a report's counts into the tolerances' directory, in the place of the old; the rises stay, and
-// so does what was not counted.
+// Accept writes the counts of a report to the tolerance files in dir. It keeps the allowed rises and the accepted
+// values of counts that the report does not have.
 func (t *Tolerances) Accept(r *Report, dir string) error {
 	n := Tolerances{Go: r.Go, Rise: t.Rise, Loads: maps.Clone(t.Loads), places: maps.Clone(t.places)}
 	for _, l := range r.Loads {
--- a/internal/lab/path/child.go
+++ b/internal/lab/path/child.go
@@ -19,10 +19,11 @@
 	"olivebridge/internal/protocol"
 )
 
-// memoryMB is the memory of the machine that a node is told of.
+// memoryMB is the memory of the machine, in MB, in the node's configuration.
 const memoryMB = 192
 
-// nodeConfiguration is a node's. Aims are so long that a machine busy with other things changes no decision.
+// nodeConfiguration is the configuration of the measured node. The latency objectives are so long that load on the
+// machine changes no decision.
 const nodeConfiguration = `{"name":"n0","seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":%d,"sockets":2048},
 "known":%s,
 "settings":{"classes":[{"name":"read","aim":5000000000,"deadline":9000000000,"gain":2,"idempotency":"pure"},
@@ -34,19 +35,19 @@
 "n_instances":1,"kinds":["m1"],"tenants":[{"name":"acme","share":1}],"weights":"nominal",
 "worth_by":"request","zone":0,"zones":["a"]}}`
 
-// child is a process under the meter: a node, or what stands next to it.
+// child is a measured child process: a node, or the proxy that it is compared with.
 type child struct {
 	cmd        *exec.Cmd
 	addr       string
-	lines      chan string // of its log; closed at its end
-	otherLines []string    // what it wrote besides, for the error of an early end
+	lines      chan string // lines of its log; closed when it ends
+	otherLines []string    // first log lines that nobody waited for, for the error if it exits early
 	endOnce    sync.Once
 }
 
-// startupTimeout is how long a child may take to start or to answer a signal.
+// startupTimeout is the time within which a child must start or answer a signal.
 const startupTimeout = 20 * time.Second
 
-// startNode starts a node in front of peers. Its configuration goes to dir.
+// startNode starts a node in front of the servers with the given addresses. It writes the node's configuration to dir.
 func startNode(ctx context.Context, program, dir string, peers []string, discovery string,
 	env ...string) (*child, error) {
 	file := filepath.Join(dir, "node.json")
@@ -60,7 +61,8 @@
 	return startChild(cmd)
 }
 
-// startProxy starts what the node stands next to: a program that calls ServeProxy.
+// startProxy starts the proxy that the node is compared with: a command that calls ServeProxy. gc is its GOGC; 0 means
+// the default of Go.
 func startProxy(ctx context.Context, command, peers []string, gc int) (*child, error) {
 	cmd := exec.CommandContext(ctx, command[0], slices.Concat(command[1:], peers)...)
 	if cmd.Env = os.Environ(); gc > 0 {
@@ -71,7 +73,7 @@
 
 var startedPattern = regexp.MustCompile(`msg=started .*listen=(\S+)|msg=started listen=(\S+)`)
 
-// startChild runs a child on one Go processor and waits until it listens.
+// startChild starts a child with GOMAXPROCS=1 and waits until it listens.
 func startChild(cmd *exec.Cmd) (*child, error) {
 	cmd.Env = append(cmd.Env, "GOMAXPROCS=1", "GOTRACEBACK=single")
 	out, err := cmd.StderrPipe()
@@ -92,7 +94,8 @@
 	return c, nil
 }
 
-// readLog passes on the lines that the meter may wait for. Others would fill the channel.
+// readLog sends the lines of the child's log to c.lines, except those of ended connections, which would fill the
+// channel.
 func (c *child) readLog(out io.Reader) {
 	defer close(c.lines)
 	in := bufio.NewScanner(out)
@@ -105,7 +108,7 @@
 	io.Copy(io.Discard, out)
 }
 
-// waitForLine waits for a line of the child's log.
+// waitForLine waits for a log line of the child that matches pattern and returns its submatches.
 func (c *child) waitForLine(pattern *regexp.Regexp) ([]string, error) {
 	timeout := time.After(startupTimeout)
 	for {
@@ -129,7 +132,7 @@
 
 var countersPattern = regexp.MustCompile(`msg=counters when=asked process="([^"]*)"`)
 
-// usage asks the child what it has used up.
+// usage requests the child's counters and returns the resources that it has used since its start.
 func (c *child) usage() (cost.Usage, error) {
 	if err := c.cmd.Process.Signal(syscall.SIGUSR1); err != nil {
 		return cost.Usage{}, fmt.Errorf("asking %s for its counters: %w", filepath.Base(c.cmd.Path), err)
@@ -143,12 +146,12 @@
 
 func (c *child) pid() int { return c.cmd.Process.Pid }
 
-// kill kills the child, which has nothing to lose, and waits for its end.
+// kill kills the child, which has no state to save, and waits until it has ended.
 func (c *child) kill() {
 	c.endOnce.Do(func() {
 		c.cmd.Process.Kill()
-		for range c.lines { // to its end
+		for range c.lines { // until the channel is closed
 		}
-		c.cmd.Wait() // by a signal, and a tracer may have heard of it first
+		c.cmd.Wait() // fails: the child was ended by a signal, or the tracer reaped it first
 	})
 }
--- a/internal/lab/path/count_allocations.go
+++ b/internal/lab/path/count_allocations.go
@@ -12,18 +12,18 @@
 	"strings"
 )
 
-// profileTag is the build tag of a node that writes its allocations, profileVariable names the file, and profileWriter is the
-// function that writes it.
+// profileTag is the build tag of a node that writes a profile of its allocations, profileVariable is the environment
+// variable with the name of the profile file, and profileWriter is the function that writes it.
 const (
 	profileTag      = "meter"
 	profileVariable = "OLIVEBRIDGE_ALLOCATIONS"
 	profileWriter   = modulePrefix + "internal/program.writeAllocationProfile"
 )
 
-// errNoProfile says that a node does not write its allocations.
+// errNoProfile reports that a node does not write a profile of its allocations.
 var errNoProfile = errors.New("the node was built without the tag " + profileTag)
 
-// countAllocations counts, per request, what is allocated for which function.
+// countAllocations measures the allocations per request by function.
 func (m *meter) countAllocations(ctx context.Context, l Load, program string) ([]Entry, error) {
 	file := filepath.Join(m.dir, "allocations")
 	c, err := m.startNode(ctx, program, "GODEBUG=memprofilerate=1", profileVariable+"="+file)
@@ -51,9 +51,9 @@
 	return perRequestEntries(after, before, s.profiled), nil
 }
 
-// readAllocations asks a node for the allocations since its start, by function.
+// readAllocations requests a node's profile and returns the allocations since its start by function.
 func readAllocations(c *child, file string) (map[string]count, error) {
-	if _, err := c.usage(); err != nil { // the file is whole by then
+	if _, err := c.usage(); err != nil { // the profile file is complete once the counters are logged
 		return nil, err
 	}
 	text, err := os.ReadFile(file)
@@ -76,7 +76,7 @@
 		}
 		stack := trimPackage("runtime", strings.Split(strings.Trim(words[2], ";"), ";"))
 		if len(stack) == 0 || slices.Contains(stack, profileWriter) {
-			continue // the runtime's own, or this profile's
+			continue // allocated by the runtime itself or by the writer of the profile
 		}
 		f := attribute(stack)
 		sum[f] = count{sum[f].n + objects, sum[f].sum + size}
--- a/internal/lab/path/count_calls_linux.go
+++ b/internal/lab/path/count_calls_linux.go
@@ -14,34 +14,35 @@
 	"unsafe"
 )
 
-// Parts of ptrace(2) that package syscall does not name.
+// Constants of ptrace(2) and wait4(2) that package syscall lacks.
 const (
 	ptraceSeize       = 0x4206
 	ptraceInterrupt   = 0x4207
 	ptraceSyscallInfo = 0x420e
-	waitOwnTracees    = 0x20000000 // wait4: for what this thread traces, not for other children
+	waitOwnTracees    = 0x20000000 // __WNOTHREAD: wait only for tracees of this thread, not for other children
 	syscallStop       = syscall.SIGTRAP | 0x80
-	optionKillAtExit  = 0x100000 // option: nothing traced is left behind
+	optionKillAtExit  = 0x100000 // PTRACE_O_EXITKILL: the tracees are killed if the tracer exits
 )
 
-// tracer counts what the threads of a child do: system calls, or copies between buffers. It stops the
-// threads at each, which makes them slow and changes no count but those that hang on time. Linux allows it
-// an ordinary user towards his own children.
+// tracer counts the system calls of a child's threads or their copies between buffers. It stops the thread at each of
+// them, which slows the child down and changes only the counts that depend on time. On Linux, an ordinary user may
+// trace his own child processes.
 type tracer struct {
 	pid         int
-	memory      *os.File     // of the child
-	stacks      *stackReader // nil: functions are not known
-	countCopies bool         // rather than system calls
+	memory      *os.File     // memory of the child
+	stacks      *stackReader // nil if functions cannot be determined
+	countCopies bool         // count copies instead of system calls
 	done        chan struct{}
 
 	mu           sync.Mutex
 	tally        tally
-	pendingCalls map[int]callInfo // the call that a thread is in; of the tracing thread alone
+	pendingCalls map[int]callInfo // the system call that each thread is in; used only by the tracing goroutine
 }
 
+// callInfo is the name of a system call and the function that it is attributed to, if that is known.
 type callInfo struct{ name, function string }
 
-// startTracer begins to count in all threads of a child, which must end before long: the tracer ends with it.
+// startTracer starts counting in all threads of a child. The tracer ends when the child ends.
 func startTracer(pid int, s *stackReader, copies bool) (*tracer, error) {
 	t := &tracer{pid: pid, stacks: s, countCopies: copies, done: make(chan struct{}), tally: newTally(),
 		pendingCalls: map[int]callInfo{}}
@@ -53,7 +54,7 @@
 	ready := make(chan error, 1)
 	go func() {
 		defer mem.Close()
-		runtime.LockOSThread() // ptrace belongs to a thread; this one ends with the goroutine
+		runtime.LockOSThread() // ptrace is tied to a thread; the locked thread exits with the goroutine
 		defer close(t.done)
 		err := t.attach()
 		ready <- err
@@ -67,7 +68,7 @@
 	return t, nil
 }
 
-// snapshot is what was counted so far.
+// snapshot returns a copy of the counts so far.
 func (t *tracer) snapshot() tally {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -78,7 +79,7 @@
 	return s
 }
 
-// attach takes hold of all threads there are; those to come are held as they are made.
+// attach attaches to all threads of the child. Threads created later are attached automatically (PTRACE_O_TRACECLONE).
 func (t *tracer) attach() error {
 	held := map[int]bool{}
 	for more := true; more; {
@@ -96,12 +97,12 @@
 			const options = syscall.PTRACE_O_TRACESYSGOOD | syscall.PTRACE_O_TRACECLONE | optionKillAtExit
 			err = ptrace(ptraceSeize, tid, 0, options)
 			switch {
-			case errors.Is(err, syscall.ESRCH): // it has ended
-			case errors.Is(err, syscall.EPERM) && len(held) > 1: // held since it was made
+			case errors.Is(err, syscall.ESRCH): // the thread has ended
+			case errors.Is(err, syscall.EPERM) && len(held) > 1: // attached when it was created
 			case err != nil:
 				return err
 			default:
-				ptrace(ptraceInterrupt, tid, 0, 0) // fails only if it has ended
+				ptrace(ptraceInterrupt, tid, 0, 0) // fails only if the thread has ended
 			}
 		}
 	}
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// run serves the stops of the threads until none is left.
+// run handles the stops of the threads until all have ended.
 func (t *tracer) run() {
 	resume := syscall.PTRACE_SYSCALL
 	if t.countCopies {
@@ -132,26 +133,26 @@
 		switch signal, event := status.StopSignal(), int(status)>>16; {
 		case signal == syscallStop:
 			t.handleSyscallStop(tid)
-		case event != 0: // interrupted, or a new thread
+		case event != 0: // stopped by attach, or a new thread
 		case signal == syscall.SIGTRAP && t.countCopies && t.handleCopy(tid):
 		default:
 			deliver = int(signal)
 		}
-		ptrace(resume, tid, 0, uintptr(deliver)) // fails only if it has been killed
+		ptrace(resume, tid, 0, uintptr(deliver)) // fails only if the thread was killed
 	}
 }
 
-// syscallInfo is the kernel's struct ptrace_syscall_info.
+// syscallInfo is struct ptrace_syscall_info of the kernel.
 type syscallInfo struct {
-	op             uint8 // 1: a call begins, 2: it has ended
+	op             uint8 // 1: entry of a system call, 2: exit
 	_              [3]uint8
 	_              uint32
 	ip, sp         uint64
-	numberOrResult uint64 // the call's number, or its result
+	numberOrResult uint64 // number of the call on entry, its result on exit
 	args           [8]uint64
 }
 
-// handleSyscallStop notes that a thread enters or leaves a system call.
+// handleSyscallStop handles a stop of a thread at the entry or exit of a system call. Calls are counted on exit.
 func (t *tracer) handleSyscallStop(tid int) {
 	var s syscallInfo
 	err := ptrace(ptraceSyscallInfo, tid, unsafe.Sizeof(s), uintptr(unsafe.Pointer(&s)))
@@ -161,7 +162,7 @@
 		t.pendingCalls[tid] = t.describeCall(tid, s)
 	case s.op == 2:
 		in, ok := t.pendingCalls[tid]
-		if !ok { // it was in the call when the tracing began
+		if !ok { // the thread was in the call when tracing started
 			return
 		}
 		delete(t.pendingCalls, tid)
@@ -178,12 +179,13 @@
 	}
 }
 
+// addCount adds one event with the given sum to the count of name.
 func addCount(to map[string]count, name string, sum float64) {
 	c := to[name]
 	to[name] = count{c.n + 1, c.sum + sum}
 }
 
-// describeCall names a call by its number and, where it matters, by the kind of its file.
+// describeCall names a system call by its number and, for reads and writes, by the kind of its file.
 func (t *tracer) describeCall(tid int, s syscallInfo) callInfo {
 	name, ok := syscallNames[s.numberOrResult]
 	if !ok {
@@ -210,7 +212,7 @@
 	return nil
 }
 
-// syscallNames are those that a node is known to make.
+// syscallNames are the names of the system calls that a node makes.
 var syscallNames = map[uint64]string{
 	syscall.SYS_READ: "read", syscall.SYS_WRITE: "write", syscall.SYS_READV: "readv", syscall.SYS_WRITEV: "writev",
 	syscall.SYS_RECVFROM: "recvfrom", syscall.SYS_SENDTO: "sendto", syscall.SYS_RECVMSG: "recvmsg",
--- a/internal/lab/path/count_copies_linux_amd64.go
+++ b/internal/lab/path/count_copies_linux_amd64.go
@@ -7,18 +7,18 @@
 	"syscall"
 )
 
-// Copies between buffers are counted where all of them pass: at the entry of runtime.memmove, where a
-// breakpoint stands in the child's memory. Copies of a few bytes, whose number the compiler knows, are made
-// in place and not seen.
+// copyFunction is the function through which all copies between buffers pass. They are counted by a breakpoint at its
+// entry in the child's memory. Copies of a few bytes of constant size are inlined by the compiler and not counted.
 const copyFunction = "runtime.memmove"
 
-// copyFunctionPrologue is the copier's first instruction, MOVQ AX, DI: what the breakpoint takes the place of, and
-// what copied does in its stead.
+// copyFunctionPrologue is the first instruction of copyFunction, MOVQ AX, DI. The breakpoint replaces it, and
+// handleCopy emulates it.
 var copyFunctionPrologue = []byte{0x48, 0x89, 0xc7}
 
-const breakpointInstruction = 0xcc // INT 3, of one byte
+const breakpointInstruction = 0xcc // INT 3, one byte
 
-// setCopyBreakpoint sets the breakpoint.
+// setCopyBreakpoint writes the breakpoint to the entry of copyFunction. It fails if the function begins with another
+// instruction than copyFunctionPrologue, as it may with another version of Go.
 func (t *tracer) setCopyBreakpoint() error {
 	if t.stacks == nil || t.stacks.copyFunction == 0 {
 		return errors.New("the program has no symbols")
@@ -34,15 +34,16 @@
 	return err
 }
 
-// handleCopy notes the copy that a thread is about to make, if it stands at the breakpoint, and lets it go on
-// behind the instruction that was there. Go passes memmove's target, source and length in AX, BX and CX.
+// handleCopy counts the copy that a thread is about to make if it is stopped at the breakpoint, and continues the
+// thread after the replaced instruction. It reports whether the thread was at the breakpoint. Go passes the target,
+// source and length of memmove in AX, BX and CX.
 func (t *tracer) handleCopy(tid int) bool {
 	var r syscall.PtraceRegs
 	if syscall.PtraceGetRegs(tid, &r) != nil || r.Rip != t.stacks.copyFunction+1 {
 		return false
 	}
 	stack := t.stacks.walk(t.memory, readWord(t.memory, r.Rsp)-1, r.Rbp)
-	if length := r.Rcx; length > 0 && len(stack) > 0 && stack[0] != "runtime.copystack" { // which is no buffer
+	if length := r.Rcx; length > 0 && len(stack) > 0 && stack[0] != "runtime.copystack" { // stacks are not buffers
 		t.mu.Lock()
 		addCount(t.tally.copiers, attribute(stack), float64(length))
 		t.mu.Unlock()
@@ -52,7 +53,7 @@
 	return syscall.PtraceSetRegs(tid, &r) == nil
 }
 
-// callerOf is the function that a thread's system call is made for.
+// callerOf returns the function to which the system call of a thread is attributed; "" if it cannot be determined.
 func (t *tracer) callerOf(tid int) string {
 	var r syscall.PtraceRegs
 	if t.stacks == nil || syscall.PtraceGetRegs(tid, &r) != nil {
--- a/internal/lab/path/count_copies_other.go
+++ b/internal/lab/path/count_copies_other.go
@@ -6,7 +6,7 @@
 
 const copyFunction = "runtime.memmove"
 
-// setCopyBreakpoint is not known here: each processor has its own instructions and registers.
+// setCopyBreakpoint fails: instructions and registers differ between processors, and only amd64 is supported.
 func (t *tracer) setCopyBreakpoint() error { return errors.New("copies are counted on amd64 only") }
 
 func (t *tracer) handleCopy(int) bool { return false }
--- a/internal/lab/path/count_process.go
+++ b/internal/lab/path/count_process.go
@@ -7,14 +7,14 @@
 	"strconv"
 )
 
-// procCounters are what Linux lets any user read of his own process.
+// procCounters are counters of a process that Linux lets its owner read from /proc.
 type procCounters struct {
-	Reads, Writes                          float64 // calls of the read and write families, all files
-	ReadBytes, WriteBytes                  float64 // by them
-	VoluntarySwitches, InvoluntarySwitches float64 // context switches of all threads: it had nothing to do; its time was up
+	Reads, Writes                          float64 // system calls of the read and write families, on all files
+	ReadBytes, WriteBytes                  float64 // bytes moved by these calls
+	VoluntarySwitches, InvoluntarySwitches float64 // context switches of all threads
 }
 
-// readProcCounters reads them from /proc; threads that have ended take their switches with them.
+// readProcCounters reads the counters of a process from /proc. The context switches of ended threads are not included.
 func readProcCounters(pid int) (f procCounters, err error) {
 	dir := fmt.Sprintf("/proc/%d/", pid)
 	err = readNumbers(dir+"io", map[string]*float64{"syscr": &f.Reads, "syscw": &f.Writes, "rchar": &f.ReadBytes,
@@ -29,14 +29,14 @@
 	for _, t := range threads {
 		var waited, preempted float64
 		readNumbers(dir+"task/"+t.Name()+"/status", map[string]*float64{"voluntary_ctxt_switches": &waited,
-			"nonvoluntary_ctxt_switches": &preempted}) // one that has just ended has none
+			"nonvoluntary_ctxt_switches": &preempted}) // fails if the thread has just ended
 		f.VoluntarySwitches += waited
 		f.InvoluntarySwitches += preempted
 	}
 	return f, nil
 }
 
-// readNumbers reads numbers from a file of lines "name: number".
+// readNumbers reads numbers from a file with lines of the form "name: number" into the variables of the map.
 func readNumbers(file string, to map[string]*float64) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// addDifference adds what came between two times.
+// addDifference returns f plus the difference of the counters between two times.
 func (f procCounters) addDifference(now, before procCounters) procCounters {
 	return procCounters{
 		f.Reads + now.Reads - before.Reads, f.Writes + now.Writes - before.Writes,
--- a/internal/lab/path/counts.go
+++ b/internal/lab/path/counts.go
@@ -1,23 +1,24 @@
 package path
 
-// Counts are what the check of the path goes by, by name: numbers of things per request, which hardly hang
-// on time or on what else the machine does. One that could not be counted is missing.
+// Counts are the numbers that the check compares, per request and by name. They hardly depend on time or on other load
+// of the machine. A count that could not be measured is missing.
 type Counts map[string]float64
 
 // The names of the counts.
 const (
 	CountAllocations = "allocations"
 	CountBytes       = "allocated_bytes"
-	CountWrites      = "write_calls"  // to sockets
-	CountCalls       = "system_calls" // that carry bytes or look for them, without the scheduler's
-	CountCopied      = "copied_bytes" // between buffers
+	CountWrites      = "write_calls"  // system calls that write to sockets
+	CountCalls       = "system_calls" // without schedulerCalls and without reads of sockets that found no data
+	CountCopied      = "copied_bytes" // bytes copied between buffers
 )
 
-// countNames is their order in what is written.
+// countNames lists the counts in the order in which they are written.
 var countNames = []string{CountAllocations, CountBytes, CountWrites, CountCalls, CountCopied}
 
-// schedulerCalls are system calls that the Go runtime makes to share out time and memory: how many they are
-// hangs on the machine. Those on an event counter wake its poller, and the log goes through a pipe.
+// schedulerCalls are the system calls by which the Go runtime schedules goroutines and manages memory. Their number
+// depends on the machine. Reads and writes of an eventfd wake the runtime's poller, and writes to a pipe carry the
+// log.
 var schedulerCalls = map[string]bool{
 	"futex": true, "epoll_pwait": true, "nanosleep": true, "sched_yield": true, "tgkill": true, "getpid": true,
 	"rt_sigreturn": true, "rt_sigprocmask": true, "sigaltstack": true, "clone": true, "mmap": true,
@@ -25,7 +26,7 @@
 	"write [eventfd]": true, "write pipe": true,
 }
 
-// computeCounts takes the counts out of a load's figures.
+// computeCounts returns the counts of a load's figures.
 func (f *Figures) computeCounts() Counts {
 	c := Counts{
 		CountAllocations: f.Node.Allocations, CountBytes: f.Node.AllocatedBytes, CountWrites: f.Node.Writes,
@@ -33,7 +34,7 @@
 	if len(f.Calls) > 0 {
 		c[CountWrites], _ = sumEntries(f.Calls, isSocketWrite)
 		n, _ := sumEntries(f.Calls, func(name string) bool { return !schedulerCalls[name] })
-		_, empty := sumEntries(f.Calls, isSocketRead) // these come too early by chance
+		_, empty := sumEntries(f.Calls, isSocketRead) // the number of reads that are too early varies by chance
 		c[CountCalls] = n - empty
 	}
 	if len(f.Copiers) > 0 {
@@ -42,7 +43,8 @@
 	return c
 }
 
-// perFunction is where a count falls, by function; nil where that is not known.
+// perFunction returns a count by function (or by system call for CountCalls). It is empty if the functions are not
+// known.
 func (f *Figures) perFunction(count string) map[string]float64 {
 	entries, bySum := []Entry(nil), false
 	switch count {
--- a/internal/lab/path/discovery.go
+++ b/internal/lab/path/discovery.go
@@ -13,14 +13,14 @@
 	"olivebridge/internal/protocol"
 )
 
-// discovery lists the peers and never has anything new.
+// discovery is a stub of the discovery service. It lists the stub servers and never reports a change.
 type discovery struct {
 	addr   string
 	server *http.Server
 	stop   context.CancelFunc
 }
 
-// endpointList is the list of the peers, as discovery has it.
+// endpointList returns the endpoint list of the servers with the given addresses, in the format of discovery.
 func endpointList(addresses []string) string {
 	var entries []string
 	for i, addr := range addresses {
@@ -43,7 +43,7 @@
 			io.WriteString(w, list)
 			return
 		}
-		wait, _ := strconv.Atoi(r.FormValue("wait_ms")) // 0 answers at once
+		wait, _ := strconv.Atoi(r.FormValue("wait_ms")) // an invalid value becomes 0: respond at once
 		select {
 		case <-time.After(time.Duration(wait) * time.Millisecond):
 		case <-life.Done():
--- a/internal/lab/path/lane.go
+++ b/internal/lab/path/lane.go
@@ -7,22 +7,23 @@
 	"olivebridge/internal/cost"
 )
 
-// measuredChild is one child under a load, and what it has taken so far.
+// measuredChild is a child under load with the measurements taken so far.
 type measuredChild struct {
 	name        string
 	child       *child
 	driver      *loadGenerator
 	peers       *stubServers
-	readingCost cost.Usage // what it costs to ask for the cost
+	readingCost cost.Usage // the allocations caused by reading the child's counters
 
 	slices []slice
 }
 
-// maxSliceAttempts is how often a slice is sent, at most, until none of its requests needs a new connection to a peer: of ten slices
-// half and more need none by the first time. One that always does has the connections among its costs.
+// maxSliceAttempts is the maximum number of times that a slice is measured until none of its requests opens a new
+// connection to a server: at least half of ten slices open none at the first attempt. If every attempt opens one, the
+// last is kept with the cost of the connections.
 const maxSliceAttempts = 8
 
-// slice is what some requests took.
+// slice holds the time and resources that a number of requests took.
 type slice struct {
 	requests int
 	duration time.Duration
@@ -30,7 +31,7 @@
 	proc     procCounters
 }
 
-// warmUp brings the child to where further requests cost what the ones before did.
+// warmUp sends requests until the child's cost per request is steady, and measures the cost of reading its counters.
 func (a *measuredChild) warmUp(ctx context.Context, count int) error {
 	if err := a.driver.runServed(ctx, count); err != nil {
 		return err
@@ -48,8 +49,8 @@
 	return nil
 }
 
-// measureSlice sends some requests and keeps what they took. How many connections lie ready hangs on how fast the machine has been so
-// far, and a new one costs as many allocations as a request: a slice that opened one is sent again.
+// measureSlice sends count requests and stores their cost. The number of idle connections depends on the speed of the
+// machine so far, and a new connection costs as many allocations as a request: a slice that opened one is repeated.
 func (a *measuredChild) measureSlice(ctx context.Context, count int) error {
 	for n := 1; ; n++ {
 		opened := a.peers.accepted.Load()
@@ -64,6 +65,7 @@
 	}
 }
 
+// measureOnce sends count requests and returns their cost.
 func (a *measuredChild) measureOnce(ctx context.Context, count int) (slice, error) {
 	s := slice{requests: count}
 	used, err := a.child.usage()
@@ -92,8 +94,9 @@
 	return s, nil
 }
 
-// perRequest is what a request took. Of what is allocated it is the slices' median: more calls in hand at once than ever before, as
-// when the machine was busy elsewhere, fill pools for good, which is nothing that a request costs.
+// perRequest returns the cost per request. For allocations it is the median of the slices: when the number of
+// concurrent calls reaches a new maximum, for example because the machine was busy, pools grow permanently, which is
+// no cost of a request.
 func (a *measuredChild) perRequest() Process {
 	var n, micros float64
 	var took time.Duration
--- a/internal/lab/path/load.go
+++ b/internal/lab/path/load.go
@@ -17,17 +17,17 @@
 	"olivebridge/internal/protocol"
 )
 
-// Load is one kind of request, and over how many connections it is sent.
+// Load is a kind of request and the number of connections over which it is sent.
 type Load struct {
 	Name          string
 	About         string
 	Conns         int
 	class         string
-	bodySize      int // bytes of a request's
+	bodySize      int // bytes of a request body
 	largeResponse bool
 }
 
-// Loads are the four that the meter knows.
+// Loads returns the four loads that can be measured.
 func Loads() []Load {
 	return []Load{
 		{Name: "get", About: "small GETs on 16 kept connections", Conns: 16, class: "read"},
@@ -37,10 +37,10 @@
 	}
 }
 
-// idDigits is how long the id of a call is.
+// idDigits is the length of a call id in digits.
 const idDigits = 16
 
-// request is the bytes of a request, and where in them its call's id stands.
+// request returns the bytes of a request and the offset of the call id in them.
 func (l Load) request() (raw []byte, idOffset int) {
 	method, target := "GET", targetSmall
 	if l.bodySize > 0 {
@@ -62,20 +62,20 @@
 	return b.Bytes(), idOffset
 }
 
-// loadGenerator sends the requests of a load over kept connections, on each one after the other.
+// loadGenerator sends the requests of a load over kept-alive connections, one at a time on each.
 type loadGenerator struct {
 	load  Load
 	addr  string
 	conns []*connection
 }
 
-// loadResult is what became of some requests.
+// loadResult counts requests by result.
 type loadResult struct {
 	sent    int
-	refused int // answered otherwise than by 200
+	refused int // answered with another status than 200
 }
 
-// callIDs numbers the calls of one meter: no two of them may have the same id.
+// callIDs numbers the calls of one meter, so that each call has a unique id.
 type callIDs struct{ last atomic.Uint64 }
 
 func newLoadGenerator(l Load, addr string, ids *callIDs) *loadGenerator {
@@ -88,7 +88,7 @@
 	return d
 }
 
-// run sends count requests, shared out evenly, and waits for their answers.
+// run sends count requests, distributed evenly over the connections, and waits for their responses.
 func (d *loadGenerator) run(ctx context.Context, count int) (loadResult, error) {
 	var wait sync.WaitGroup
 	errs := make([]error, len(d.conns))
@@ -123,10 +123,11 @@
 	return o, errors.Join(errs...)
 }
 
-// errNotServed is a load that the child did not serve as it should.
+// errNotServed reports that the child refused more than 1 % of the requests of a load.
 var errNotServed = errors.New("not served")
 
-// runServed sends requests, of which hardly any may be refused: what is not served does not pass the path.
+// runServed sends count requests and returns errNotServed if more than 1 % of them are refused: refused requests do not
+// pass through the measured path.
 func (d *loadGenerator) runServed(ctx context.Context, count int) error {
 	o, err := d.run(ctx, count)
 	if err != nil {
@@ -146,21 +147,21 @@
 	}
 }
 
-// connection sends over one connection.
+// connection sends requests over one connection, which it opens again when it was closed.
 type connection struct {
 	addr     string
 	ids      *callIDs
 	raw      []byte
-	idOffset int // where the id stands
+	idOffset int // offset of the call id in raw
 	conn     net.Conn
 	in       *bufio.Reader
 }
 
-// responseTimeout is how long an answer may take.
+// responseTimeout is the time within which a response must arrive.
 const responseTimeout = 15 * time.Second
 
-// roundTrip sends one request, and says whether it was served. What carried it may have been closed while it
-// was idle: then it is sent once more on a new connection.
+// roundTrip sends one request and reports whether it was answered with 200. If an idle connection turns out to be
+// closed, the request is sent once more over a new connection.
 func (s *connection) roundTrip() (served bool, err error) {
 	for attempt := 0; ; attempt++ {
 		fresh := s.conn == nil
@@ -170,7 +171,7 @@
 			}
 			s.in.Reset(s.conn)
 		}
-		digits := strconv.AppendUint(s.raw[s.idOffset:s.idOffset], s.ids.last.Add(1)+1e15, 10) // idDigits of them
+		digits := strconv.AppendUint(s.raw[s.idOffset:s.idOffset], s.ids.last.Add(1)+1e15, 10) // 1e15 makes it idDigits long
 		if len(digits) != idDigits {
 			return false, errors.New("too many calls")
 		}
@@ -195,7 +196,8 @@
 	}
 }
 
-// readResponse reads one: whether it is a 200, and whether the connection ends with it.
+// readResponse reads one response and reports whether its status is 200 and whether the server closes the connection
+// after it.
 func (s *connection) readResponse() (served, last bool, err error) {
 	length := -1
 	for first := true; ; first = false {
--- a/internal/lab/path/meter.go
+++ b/internal/lab/path/meter.go
@@ -1,5 +1,6 @@
-// Package path meters what a request on the plain path costs a node: a real one, as a child process on
-// loopback, between stand-in peers and a lean load, next to httputil.ReverseProxy in the same place.
+// Package path measures the cost of a request on the plain path through a node. It runs a real node as a child
+// process on loopback between a lightweight load generator and stub servers, and compares it with
+// httputil.ReverseProxy in its place.
 package path
 
 import (
@@ -15,23 +16,23 @@
 	"strings"
 )
 
-// Options say what is metered, and how long.
+// Options select what is measured and with how many requests.
 type Options struct {
-	Root     string   // of the source tree; the node is built there
-	Node     string   // a node built already; "": one is built
-	Overlay  string   // of the go command, for the build of a mutant
-	Proxy    []string // the command that calls ServeProxy; none: the node alone
-	Loads    []string // their names; none: all
-	ProxyGC  int      // the proxy's GOGC; 0: Go's own
-	Pairs    int      // how often node and proxy are measured in turn
-	Short    bool     // fewer requests: for the counts, not for the times
-	Progress io.Writer
+	Root     string    // root of the source tree in which the node is built
+	Node     string    // path of a built node; empty: build one
+	Overlay  string    // overlay file of the go command, to build a mutant
+	Proxy    []string  // command that calls ServeProxy; empty: measure only the node
+	Loads    []string  // names of the loads; empty: all
+	ProxyGC  int       // GOGC of the proxy; 0: the default of Go
+	Pairs    int       // number of measurements, each with a new node and a new proxy; at least 1
+	Short    bool      // send fewer requests: enough for the counts, not for the times
+	Progress io.Writer // receives progress messages; may be nil
 }
 
-// stubServerCount is how many peers there are.
+// stubServerCount is the number of stub servers.
 const stubServerCount = 12
 
-// sizes are how many requests a load has in each pass.
+// sizes are the numbers of requests of a load in each pass; slices is the number of slices of the timed pass.
 type sizes struct{ warm, timed, slices, traced, profiled int }
 
 func (o Options) sizes() sizes {
@@ -41,18 +42,19 @@
 	return sizes{warm: 3000, timed: 20000, slices: 10, traced: 1000, profiled: 5000}
 }
 
-// Meter is one measurement: its stand-ins, and where its files are.
+// meter is one measurement with its stubs and the directory of its files.
 type meter struct {
 	Options
 	dir       string
-	profiled  string       // a node that writes its allocations, if it is built for that
-	stacks    *stackReader // nil: there are no symbols
+	profiled  string       // path of a node that writes a profile of its allocations, if it was built with profileTag
+	stacks    *stackReader // nil if the node has no symbols
 	peers     *stubServers
 	discovery *discovery
 	ids       callIDs
 }
 
-// Measure meters the path.
+// Measure runs all loads of o and reports their cost. Counts that the machine does not allow to be measured are
+// listed in Report.NotCounted.
 func Measure(ctx context.Context, o Options) (*Report, error) {
 	for _, name := range o.Loads {
 		if !slices.ContainsFunc(Loads(), func(l Load) bool { return l.Name == name }) {
@@ -107,7 +109,7 @@
 	return r, nil
 }
 
-// build builds the node from the tree, by the go command's flags.
+// build builds the node from the source tree with the given flags of the go command and returns its path.
 func (m *meter) build(ctx context.Context, name string, flags ...string) (string, error) {
 	m.logProgress("building the %s", name)
 	program := filepath.Join(m.dir, name)
@@ -134,7 +136,7 @@
 	return startNode(ctx, program, m.dir, m.peers.addresses(), m.discovery.addr, env...)
 }
 
-// measurePairs measures a load on node and proxy, pair by pair.
+// measurePairs measures a load on pairs of a node and a proxy and returns the medians over the pairs.
 func (m *meter) measurePairs(ctx context.Context, l Load) (Figures, error) {
 	f := Figures{Load: l.Name, About: l.About, Requests: m.sizes().timed}
 	var nodes, proxies []Process
@@ -155,8 +157,8 @@
 	return f, nil
 }
 
-// measurePair measures a load on a new node and, if it is wanted, on a new proxy. They are loaded in turn, slice by
-// slice, so that what else the machine does strikes both alike.
+// measurePair measures a load on a new node and, if Options.Proxy is set, on a new proxy. They are loaded
+// alternately, slice by slice, so that other load of the machine affects both alike.
 func (m *meter) measurePair(ctx context.Context, l Load) ([]Process, error) {
 	starts := []func() (*child, error){func() (*child, error) { return m.startNode(ctx, m.Node) }}
 	if len(m.Proxy) > 0 {
@@ -196,8 +198,8 @@
 	return some, nil
 }
 
-// countByFunction counts what needs a slower node: system calls, copies, and which functions they and the
-// allocations fall to. What the machine does not let it count is missing, for a reason each.
+// countByFunction takes the counts that need a slower node: system calls, copies, and allocations, each by function.
+// missing has an error for each count that the machine does not allow to be taken.
 func (m *meter) countByFunction(ctx context.Context, l Load, f *Figures) (missing []error, err error) {
 	m.logProgress("%s: system calls, copies, functions", l.Name)
 	miss := func(err error) error {
--- a/internal/lab/path/path_test.go
+++ b/internal/lab/path/path_test.go
@@ -24,15 +24,15 @@
 		"":                               "",
 	} {
 		if got := attribute(strings.Fields(stack)); got != want {
-			t.Errorf("%s: %q, want %q", stack, got, want)
+			t.Errorf("stack %s is attributed to %q, want %q", stack, got, want)
 		}
 	}
 	stack := []string{"internal/runtime/syscall/linux.Syscall6", "syscall.write", "internal/poll.(*FD).Write", "net.f"}
 	if got := trimPackage("syscall", stack); !reflect.DeepEqual(got, stack[3:]) {
-		t.Errorf("without syscall: %q", got)
+		t.Errorf("stack without package syscall: got %q", got)
 	}
 	if got := packageOf("a/b.F[c/d.T]"); got != "a/b" {
-		t.Errorf("package of a generic function: %q", got)
+		t.Errorf("package of a generic function: got %q, want a/b", got)
 	}
 }
 
@@ -83,7 +83,7 @@
 		got := r.CheckAgainst(tol)
 		if strings.Join(got.Risen, "|") != c.risen || strings.Join(got.Fallen, "|") != c.fallen ||
 			len(got.NotChecked) != 3 {
-			t.Errorf("%+v: %+v", c, got)
+			t.Errorf("case %+v: unexpected check %+v", c, got)
 		}
 		if err := tol.Accept(r, dir); err != nil {
 			t.Fatal(err)
@@ -92,7 +92,7 @@
 			t.Fatal(err)
 		}
 		if got := r.CheckAgainst(tol); got.Held != 3 || len(got.NotChecked) != 2 || tol.Rise[CountAllocations].Absolute != 1 {
-			t.Errorf("%+v, accepted: %+v", c, got)
+			t.Errorf("case %+v: unexpected check after Accept: %+v", c, got)
 		}
 	}
 }
@@ -108,25 +108,25 @@
 	} {
 		_, err := ReadTolerances(writeTolerances(t, c.text, c.places))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v, want %q", c.text, err, c.want)
+			t.Errorf("file %q: got error %v, want %q", c.text, err, c.want)
 		}
 	}
 }
 
-// TestLoadGenerator: what is not served is counted, a connection closed between requests costs one more, and an
-// answer that cannot be read is an error.
+// TestLoadGenerator checks that refused requests are counted, that a request on a closed connection is repeated on a
+// new one, and that an unreadable response is an error.
 func TestLoadGenerator(t *testing.T) {
 	const fine = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 	const refused = "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"
 	for _, c := range []struct {
-		answers []string // of one connection, which ends with the last
+		answers []string // the responses on each connection, which is closed after the last
 		count   int
 		refused int
 		err     string
 	}{
 		{[]string{fine, fine, fine}, 3, 0, ""},
 		{[]string{fine, refused, fine}, 3, 1, ""},
-		{[]string{fine, fine}, 3, 0, ""}, // the third goes over another
+		{[]string{fine, fine}, 3, 0, ""}, // the third request uses a new connection
 		{[]string{""}, 1, 0, "EOF"},
 		{[]string{"HTTP/1.1 200 OK\r\n\r\n"}, 1, 0, "without a length"},
 	} {
@@ -154,11 +154,11 @@
 		o, err := d.run(t.Context(), c.count)
 		if (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) ||
 			o.refused != c.refused {
-			t.Errorf("%q: %d refused, %v", c.answers, o.refused, err)
+			t.Errorf("responses %q: %d refused, error %v", c.answers, o.refused, err)
 		}
 		if c.refused > 0 {
 			if err := d.runServed(t.Context(), c.count); !errors.Is(err, errNotServed) {
-				t.Errorf("%q: %v", c.answers, err)
+				t.Errorf("responses %q: got error %v, want errNotServed", c.answers, err)
 			}
 		}
 		d.close()
--- a/internal/lab/path/peers.go
+++ b/internal/lab/path/peers.go
@@ -11,18 +11,18 @@
 	"sync/atomic"
 )
 
-// stubServers are stand-ins for what a node passes requests to: each answers at once, and with the least work
-// that HTTP/1.1 allows, so that they slow nothing down.
+// stubServers are stubs of the servers to which a node sends requests. Each answers immediately and with the least
+// work that HTTP/1.1 allows, so that the servers do not limit the measurement.
 type stubServers struct {
 	listeners []net.Listener
 	serving   sync.WaitGroup
-	accepted  atomic.Int64 // connections, ever
+	accepted  atomic.Int64 // connections accepted since the start
 	mu        sync.Mutex
 	open      map[net.Conn]bool
 	closed    bool
 }
 
-// Targets that the peers answer: how many bytes they send back.
+// Request targets of the stub servers, with the size of the response body.
 const (
 	targetSmall = "/small" // 64 bytes
 	targetLarge = "/large" // 64 KiB
@@ -33,19 +33,20 @@
 	largeResponse = newResponse(64 << 10)
 )
 
+// newResponse returns the bytes of a response with a body of size bytes.
 func newResponse(size int) []byte {
 	const head = "HTTP/1.1 200 OK\r\nContent-Type: application/octet-stream\r\nContent-Length: %d\r\n\r\n"
 	return append(fmt.Appendf(nil, head, size), bytes.Repeat([]byte("0123456789abcdef"), size/16)...)
 }
 
-// startStubServers listens on loopback.
+// startStubServers starts count servers on loopback.
 func startStubServers(count int) (*stubServers, error) {
 	p := &stubServers{open: map[net.Conn]bool{}}
 	for range count {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			p.close()
-			return nil, fmt.Errorf("a peer: %w", err)
+			return nil, fmt.Errorf("starting a stub server: %w", err)
 		}
 		p.listeners = append(p.listeners, l)
 		p.serving.Go(func() { p.accept(l) })
@@ -64,7 +65,7 @@
 	for {
 		conn, err := l.Accept()
 		if err != nil {
-			return // closed
+			return // the listener is closed
 		}
 		p.mu.Lock()
 		if p.closed {
@@ -85,7 +86,7 @@
 	}
 }
 
-// serveConn answers the requests of one connection to its end.
+// serveConn answers the requests of one connection until it is closed.
 func serveConn(conn net.Conn) {
 	in := bufio.NewReaderSize(conn, 16<<10)
 	for {
@@ -100,7 +101,7 @@
 			}
 			if name, value, ok := bytes.Cut(line, []byte(":")); ok && len(name) == len("Content-Length") &&
 				strings.EqualFold(string(name), "Content-Length") {
-				length, _ = strconv.Atoi(string(bytes.TrimSpace(value))) // the sender is under test elsewhere
+				length, _ = strconv.Atoi(string(bytes.TrimSpace(value))) // 0 if malformed: other tests check the requests that a node sends
 			}
 			if len(line) <= 2 {
 				break
@@ -115,7 +116,7 @@
 	}
 }
 
-// close ends the peers and waits until nothing is left of them.
+// close closes the listeners and all connections and waits until their goroutines have ended.
 func (p *stubServers) close() {
 	for _, l := range p.listeners {
 		l.Close()
--- a/internal/lab/path/proxy.go
+++ b/internal/lab/path/proxy.go
@@ -17,9 +17,10 @@
 	"olivebridge/internal/cost"
 )
 
-// ServeProxy is what a node's processor time stands next to: httputil.ReverseProxy on http.Transport, which
-// decides nothing but sends to one peer after the other. It stands as it comes, but that it keeps as many
-// connections as it wants. At SIGUSR1 it writes what a node writes. It serves until ctx ends.
+// ServeProxy runs the proxy with which a node's processor time is compared: httputil.ReverseProxy with http.Transport,
+// which sends requests to the peers in turn. Its settings are the defaults, except that it keeps up to 256 idle
+// connections per peer, does not request compression and has server timeouts. On SIGUSR1 it logs its counters in the
+// format of a node. It serves until ctx ends.
 func ServeProxy(ctx context.Context, peers []string, out io.Writer) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/lab/path/report.go
+++ b/internal/lab/path/report.go
@@ -8,37 +8,37 @@
 	"slices"
 )
 
-// Report is what the meter found.
+// Report holds the results of a measurement.
 type Report struct {
 	Go         string    `json:"go"`
 	Short      bool      `json:"short"`
 	Loads      []Figures `json:"loads"`
-	NotCounted []string  `json:"not_counted,omitempty"` // why some figures are missing
+	NotCounted []string  `json:"not_counted,omitempty"` // the reason for each kind of count that is missing
 }
 
-// Figures are what one load costs, per request.
+// Figures hold the cost of one load per request.
 type Figures struct {
 	Load       string    `json:"load"`
 	About      string    `json:"about"`
-	Requests   int       `json:"requests"` // counted, per pair
+	Requests   int       `json:"requests"` // measured requests per pair
 	Node       Process   `json:"node"`
 	Proxy      Process   `json:"reverse_proxy,omitzero"`
-	Ratio      float64   `json:"ratio,omitzero"` // of processor time: the median of the pairs'
+	Ratio      float64   `json:"ratio,omitzero"` // processor time of the node divided by that of the proxy: median of Ratios
 	Ratios     []float64 `json:"ratios,omitempty"`
-	Counts     Counts    `json:"counts"`     // what the check goes by
-	Calls      []Entry   `json:"calls"`      // system calls; sum: those that found nothing
-	Writers    []Entry   `json:"writers"`    // calls that write to sockets, by function
-	Copiers    []Entry   `json:"copiers"`    // copies between buffers, by function; sum: bytes
-	Allocators []Entry   `json:"allocators"` // allocations, by function; sum: bytes
+	Counts     Counts    `json:"counts"`     // the counts that the check compares
+	Calls      []Entry   `json:"calls"`      // system calls by name; Sum: calls that failed with EAGAIN
+	Writers    []Entry   `json:"writers"`    // system calls that write to sockets, by function
+	Copiers    []Entry   `json:"copiers"`    // copies between buffers, by function; Sum: bytes
+	Allocators []Entry   `json:"allocators"` // allocations, by function; Sum: bytes
 }
 
-// Process are the figures of one process, per request: each the median of the pairs.
+// Process holds the figures of one process per request, each as the median over the pairs.
 type Process struct {
 	Allocations         float64 `json:"allocations"`
 	AllocatedBytes      float64 `json:"allocated_bytes"`
 	Collections         float64 `json:"collections_per_1000"`
-	Reads               float64 `json:"reads"`  // calls of the read family
-	Writes              float64 `json:"writes"` // calls of the write family
+	Reads               float64 `json:"reads"`  // system calls of the read family
+	Writes              float64 `json:"writes"` // system calls of the write family
 	ReadBytes           float64 `json:"read_bytes"`
 	WrittenBytes        float64 `json:"written_bytes"`
 	VoluntarySwitches   float64 `json:"switches_waiting"`
@@ -46,10 +46,10 @@
 	UserMicros          float64 `json:"user_us"`
 	SystemMicros        float64 `json:"system_us"`
 	Micros              float64 `json:"processor_us"`
-	Busy                float64 `json:"busy"` // the part of the time that it had a processor
+	Busy                float64 `json:"busy"` // processor time divided by elapsed time
 }
 
-// median takes the middle of some values, by a field of theirs.
+// median returns the median of the values that of returns for the elements; 0 if there are none.
 func median[T any](some []T, of func(T) float64) float64 {
 	values := make([]float64, len(some))
 	for i, s := range some {
@@ -66,6 +66,7 @@
 	}
 }
 
+// medianProcess returns the median of each figure over the processes.
 func medianProcess(some []Process) Process {
 	m := func(of func(Process) float64) float64 { return median(some, of) }
 	return Process{
@@ -85,14 +86,14 @@
 	}
 }
 
-// JSON writes the report for programs.
+// JSON writes the report as indented JSON.
 func (r *Report) JSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(r)
 }
 
-// Text writes the report for readers.
+// Text writes the report as plain text.
 func (r *Report) Text(w io.Writer) {
 	for _, f := range r.Loads {
 		fmt.Fprintf(w, "%s: %s, %d requests\n", f.Load, f.About, f.Requests)
@@ -121,10 +122,10 @@
 	}
 }
 
-// maxShownEntries is how many places of a kind a reader gets to see.
+// maxShownEntries is the maximum number of entries that the text report lists per count.
 const maxShownEntries = 12
 
-// writeFunctionCounts writes where the counts fall.
+// writeFunctionCounts writes the entries of each count.
 func (f *Figures) writeFunctionCounts(w io.Writer) {
 	for _, part := range []struct {
 		what, sum string
--- a/internal/lab/path/stacks_linux.go
+++ b/internal/lab/path/stacks_linux.go
@@ -10,17 +10,18 @@
 	"sort"
 )
 
-// stackReader names the functions on the stacks of a child, by the frame pointers that Go keeps and the symbols
-// of its program.
+// stackReader finds the functions on the stacks of a child from the frame pointers that Go maintains and the symbols of
+// the program.
 type stackReader struct {
-	functions    []elf.Symbol // by address
-	copyFunction uint64       // where the function that makes all copies begins; 0: not there
+	functions    []elf.Symbol // ordered by address
+	copyFunction uint64       // address of the function of that name; 0 if the program lacks it
 }
 
-// maxFrames is how many frames are looked at.
+// maxFrames is the number of frames that are read of a stack.
 const maxFrames = 24
 
-// readSymbols reads a program's.
+// readSymbols reads the symbols of a program. It returns an error unless the program is an ELF file with fixed
+// addresses and a symbol table.
 func readSymbols(program string) (*stackReader, error) {
 	f, err := elf.Open(program)
 	if err != nil {
@@ -48,7 +49,7 @@
 	return s, nil
 }
 
-// functionAt names what holds an address; "" is none.
+// functionAt returns the name of the function that contains an address; "" if there is none.
 func (s *stackReader) functionAt(pc uint64) string {
 	i := sort.Search(len(s.functions), func(i int) bool { return s.functions[i].Value > pc }) - 1
 	if i < 0 || pc >= s.functions[i].Value+max(s.functions[i].Size, 1) {
@@ -57,7 +58,8 @@
 	return s.functions[i].Name
 }
 
-// walk names the functions on a stack in a process's memory: the one that holds pc, and on from a frame.
+// walk returns the functions on a stack in a process's memory, innermost first: the one that contains pc and the
+// callers found from the frame pointer frame.
 func (s *stackReader) walk(mem io.ReaderAt, pc, frame uint64) (names []string) {
 	for len(names) < maxFrames {
 		f := s.functionAt(pc)
@@ -69,12 +71,12 @@
 		if above <= frame {
 			return names
 		}
-		frame, pc = above, back-1 // inside the call
+		frame, pc = above, back-1 // the return address minus 1 is within the call instruction
 	}
 	return names
 }
 
-// readWord reads one word of a process's memory; 0 if there is none.
+// readWord reads a 64-bit word of a process's memory; 0 if it cannot be read.
 func readWord(mem io.ReaderAt, at uint64) uint64 {
 	var w [8]byte
 	if _, err := mem.ReadAt(w[:], int64(at)); err != nil {
--- a/internal/lab/path/traced.go
+++ b/internal/lab/path/traced.go
@@ -9,31 +9,32 @@
 	"time"
 )
 
-// tally is what was counted.
+// tally holds the counts of a tracer.
 type tally struct {
-	calls   map[string]count // by name
-	writers map[string]count // calls that wrote to sockets, by function
-	copiers map[string]count // copies, by function
+	calls   map[string]count // system calls by name
+	writers map[string]count // system calls that wrote to sockets, by function
+	copiers map[string]count // copies by function
 }
 
-// count is a number of things, and a sum over them: of empty calls, or of bytes.
+// count is a number of events and a sum over them: system calls with the number of those that failed with EAGAIN, or
+// copies or allocations with their bytes.
 type count struct{ n, sum float64 }
 
 func newTally() tally {
 	return tally{map[string]count{}, map[string]count{}, map[string]count{}}
 }
 
-// Entry is a function, or a system call, and what falls to it per request.
+// Entry is the count of one function or system call per request.
 type Entry struct {
 	Name  string  `json:"name"`
 	Count float64 `json:"count"`
-	Sum   float64 `json:"sum"` // of bytes; of system calls: those that found nothing
+	Sum   float64 `json:"sum"` // bytes; for system calls the number of those that failed with EAGAIN
 }
 
-// minEntryCount is what falls to a place at least, or it is left out.
+// minEntryCount is the smallest count per request of an entry; entries below it are omitted.
 const minEntryCount = 0.005
 
-// perRequestEntries are what has been counted since an earlier time, per request, the most first.
+// perRequestEntries returns the differences of the counts between two times per request, in descending order.
 func perRequestEntries(now, old map[string]count, requests int) (some []Entry) {
 	n := float64(requests)
 	for _, name := range slices.Sorted(maps.Keys(now)) {
@@ -46,7 +47,7 @@
 	return some
 }
 
-// sumEntries adds up those places whose name is wanted; all, by nil.
+// sumEntries adds up the entries whose name is wanted; a nil wanted selects all.
 func sumEntries(some []Entry, wanted func(string) bool) (n, sum float64) {
 	for _, p := range some {
 		if wanted == nil || wanted(p.Name) {
@@ -56,19 +57,21 @@
 	return n, sum
 }
 
-// isSocketWrite reports whether a call by its name sends bytes.
+// isSocketWrite reports whether a system call with this name writes to a socket.
 func isSocketWrite(name string) bool {
 	return name == "write socket" || name == "writev socket" || strings.HasPrefix(name, "send")
 }
 
-// isSocketRead reports whether a call by its name takes bytes.
+// isSocketRead reports whether a system call with this name reads from a socket.
 func isSocketRead(name string) bool { return name == "read socket" || name == "readv socket" }
 
-// tracedConnsDivisor is the part of a load's connections that a traced node is given. It takes some ten times as long for a request, and
-// calls that wait for each other would be so old that their clients are looked at, as at full speed they are not.
+// tracedConnsDivisor is the divisor of the number of a load's connections for a traced node. A traced node takes
+// about ten times as long for a request. With all connections, calls would queue for so long that the node checks
+// whether their clients have disconnected, which it does not do at full speed.
 const tracedConnsDivisor = 4
 
-// countTraced is what a load does by the tracer's count, per request.
+// countTraced runs a load on a new node under the tracer and returns the counts per request: of copies if copies is
+// true, or else of system calls.
 func (m *meter) countTraced(ctx context.Context, l Load, copies bool) (calls, writers, copiers []Entry, err error) {
 	c, err := m.startNode(ctx, m.Node)
 	if err != nil {
@@ -79,14 +82,15 @@
 	d := newLoadGenerator(l, c.addr, &m.ids)
 	defer d.close()
 	s := m.sizes()
-	if err := d.runServed(ctx, s.warm); err != nil { // at full speed
+	if err := d.runServed(ctx, s.warm); err != nil { // without the tracer, at full speed
 		return nil, nil, nil, err
 	}
 	t, err := startTracer(c.pid(), m.stacks, copies)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	// The tracer hears of all ends first: of two that wait for one process at a time, Linux may leave one asleep.
+	// Let the tracer reap the child before anything else waits for it: of two waiters for one process, Linux may leave
+	// one blocked.
 	defer func() {
 		c.cmd.Process.Kill()
 		select {
@@ -94,7 +98,7 @@
 		case <-time.After(responseTimeout):
 		}
 	}()
-	if err := d.runServed(ctx, s.traced/3); err != nil { // and at the tracer's
+	if err := d.runServed(ctx, s.traced/3); err != nil { // warm up at the tracer's speed
 		return nil, nil, nil, err
 	}
 	before := t.snapshot()
