--- a/internal/lab/path/check.go
+++ b/internal/lab/path/check.go
@@ -174,11 +174,11 @@
 // Accept writes the counts of a report to the tolerance files in dir. It keeps the allowed rises and the accepted
 // values of counts that the report does not have.
 func (t *Tolerances) Accept(r *Report, dir string) error {
-	n := Tolerances{Go: r.Go, Rise: t.Rise, Loads: maps.Clone(t.Loads), places: maps.Clone(t.places)}
+	accepted := Tolerances{Go: r.Go, Rise: t.Rise, Loads: maps.Clone(t.Loads), places: maps.Clone(t.places)}
 	for _, l := range r.Loads {
-		counts, by := maps.Clone(t.Loads[l.Load]), maps.Clone(t.places[l.Load])
-		if counts == nil || by == nil {
-			counts, by = Counts{}, countsByFunction{}
+		counts, functions := maps.Clone(t.Loads[l.Load]), maps.Clone(t.places[l.Load])
+		if counts == nil || functions == nil {
+			counts, functions = Counts{}, countsByFunction{}
 		}
 		for name, v := range l.Counts {
 			counts[name] = roundToHundredths(v)
@@ -188,17 +188,17 @@
 					kept[f] = roundToHundredths(v)
 				}
 			}
-			by[name] = kept
+			functions[name] = kept
 		}
-		if n.Loads == nil || n.places == nil {
-			n.Loads, n.places = map[string]Counts{}, map[string]countsByFunction{}
+		if accepted.Loads == nil || accepted.places == nil {
+			accepted.Loads, accepted.places = map[string]Counts{}, map[string]countsByFunction{}
 		}
-		n.Loads[l.Load], n.places[l.Load] = counts, by
+		accepted.Loads[l.Load], accepted.places[l.Load] = counts, functions
 	}
 	for _, f := range []struct {
 		name, head string
 		what       any
-	}{{tolerancesFile, tolerancesHead, n}, {placesFile, placesHead, n.places}} {
+	}{{tolerancesFile, tolerancesHead, accepted}, {placesFile, placesHead, accepted.places}} {
 		text, err := toml.Marshal(f.what)
 		if err != nil {
 			return fmt.Errorf("%s: %w", f.name, err)
--- a/internal/lab/path/count_allocations.go
+++ b/internal/lab/path/count_allocations.go
@@ -31,7 +31,7 @@
 		return nil, err
 	}
 	defer c.kill()
-	d := newLoadGenerator(l, c.addr, &m.ids)
+	d := newLoadGenerator(l, c.addr, &m.callIDs)
 	defer d.close()
 	s := m.sizes()
 	if err := d.runServed(ctx, s.warm); err != nil {
--- a/internal/lab/path/count_calls_linux.go
+++ b/internal/lab/path/count_calls_linux.go
@@ -30,7 +30,7 @@
 type tracer struct {
 	pid         int
 	memory      *os.File     // memory of the child
-	stacks      *stackReader // nil if functions cannot be determined
+	stackReader *stackReader // nil if functions cannot be determined
 	countCopies bool         // count copies instead of system calls
 	done        chan struct{}
 
@@ -44,7 +44,7 @@
 
 // startTracer starts counting in all threads of a child. The tracer ends when the child ends.
 func startTracer(pid int, s *stackReader, copies bool) (*tracer, error) {
-	t := &tracer{pid: pid, stacks: s, countCopies: copies, done: make(chan struct{}), tally: newTally(),
+	t := &tracer{pid: pid, stackReader: s, countCopies: copies, done: make(chan struct{}), tally: newTally(),
 		pendingCalls: map[int]callInfo{}}
 	mem, err := os.OpenFile(fmt.Sprintf("/proc/%d/mem", pid), os.O_RDWR, 0)
 	if err != nil {
@@ -81,7 +81,7 @@
 
 // attach attaches to all threads of the child. Threads created later are attached automatically (PTRACE_O_TRACECLONE).
 func (t *tracer) attach() error {
-	held := map[int]bool{}
+	attached := map[int]bool{}
 	for more := true; more; {
 		more = false
 		threads, err := os.ReadDir(fmt.Sprintf("/proc/%d/task", t.pid))
@@ -90,15 +90,15 @@
 		}
 		for _, entry := range threads {
 			tid, err := strconv.Atoi(entry.Name())
-			if err != nil || held[tid] {
+			if err != nil || attached[tid] {
 				continue
 			}
-			held[tid], more = true, true
+			attached[tid], more = true, true
 			const options = syscall.PTRACE_O_TRACESYSGOOD | syscall.PTRACE_O_TRACECLONE | optionKillAtExit
 			err = ptrace(ptraceSeize, tid, 0, options)
 			switch {
 			case errors.Is(err, syscall.ESRCH): // the thread has ended
-			case errors.Is(err, syscall.EPERM) && len(held) > 1: // attached when it was created
+			case errors.Is(err, syscall.EPERM) && len(attached) > 1: // attached when it was created
 			case err != nil:
 				return err
 			default:
--- a/internal/lab/path/count_copies_linux_amd64.go
+++ b/internal/lab/path/count_copies_linux_amd64.go
@@ -20,17 +20,17 @@
 // setCopyBreakpoint writes the breakpoint to the entry of copyFunction. It fails if the function begins with another
 // instruction than copyFunctionPrologue, as it may with another version of Go.
 func (t *tracer) setCopyBreakpoint() error {
-	if t.stacks == nil || t.stacks.copyFunction == 0 {
+	if t.stackReader == nil || t.stackReader.copyFunction == 0 {
 		return errors.New("the program has no symbols")
 	}
 	begins := make([]byte, len(copyFunctionPrologue))
-	if _, err := t.memory.ReadAt(begins, int64(t.stacks.copyFunction)); err != nil {
+	if _, err := t.memory.ReadAt(begins, int64(t.stackReader.copyFunction)); err != nil {
 		return err
 	}
 	if !bytes.Equal(begins, copyFunctionPrologue) {
 		return fmt.Errorf("%s begins with % x: another Go than this knows", copyFunction, begins)
 	}
-	_, err := t.memory.WriteAt([]byte{breakpointInstruction}, int64(t.stacks.copyFunction))
+	_, err := t.memory.WriteAt([]byte{breakpointInstruction}, int64(t.stackReader.copyFunction))
 	return err
 }
 
@@ -38,26 +38,26 @@
 // thread after the replaced instruction. It reports whether the thread was at the breakpoint. Go passes the target,
 // source and length of memmove in AX, BX and CX.
 func (t *tracer) handleCopy(tid int) bool {
-	var r syscall.PtraceRegs
-	if syscall.PtraceGetRegs(tid, &r) != nil || r.Rip != t.stacks.copyFunction+1 {
+	var registers syscall.PtraceRegs
+	if syscall.PtraceGetRegs(tid, &registers) != nil || registers.Rip != t.stackReader.copyFunction+1 {
 		return false
 	}
-	stack := t.stacks.walk(t.memory, readWord(t.memory, r.Rsp)-1, r.Rbp)
-	if length := r.Rcx; length > 0 && len(stack) > 0 && stack[0] != "runtime.copystack" { // stacks are not buffers
+	stack := t.stackReader.walk(t.memory, readWord(t.memory, registers.Rsp)-1, registers.Rbp)
+	if length := registers.Rcx; length > 0 && len(stack) > 0 && stack[0] != "runtime.copystack" { // stacks are not buffers
 		t.mu.Lock()
 		addCount(t.tally.copiers, attribute(stack), float64(length))
 		t.mu.Unlock()
 	}
-	r.Rdi = r.Rax
-	r.Rip = t.stacks.copyFunction + uint64(len(copyFunctionPrologue))
-	return syscall.PtraceSetRegs(tid, &r) == nil
+	registers.Rdi = registers.Rax
+	registers.Rip = t.stackReader.copyFunction + uint64(len(copyFunctionPrologue))
+	return syscall.PtraceSetRegs(tid, &registers) == nil
 }
 
 // callerOf returns the function to which the system call of a thread is attributed; "" if it cannot be determined.
 func (t *tracer) callerOf(tid int) string {
-	var r syscall.PtraceRegs
-	if t.stacks == nil || syscall.PtraceGetRegs(tid, &r) != nil {
+	var registers syscall.PtraceRegs
+	if t.stackReader == nil || syscall.PtraceGetRegs(tid, &registers) != nil {
 		return ""
 	}
-	return attribute(trimPackage("syscall", t.stacks.walk(t.memory, r.Rip, r.Rbp)))
+	return attribute(trimPackage("syscall", t.stackReader.walk(t.memory, registers.Rip, registers.Rbp)))
 }
--- a/internal/lab/path/count_process.go
+++ b/internal/lab/path/count_process.go
@@ -58,6 +58,7 @@
 	return procCounters{
 		f.Reads + now.Reads - before.Reads, f.Writes + now.Writes - before.Writes,
 		f.ReadBytes + now.ReadBytes - before.ReadBytes, f.WriteBytes + now.WriteBytes - before.WriteBytes,
-		f.VoluntarySwitches + now.VoluntarySwitches - before.VoluntarySwitches, f.InvoluntarySwitches + now.InvoluntarySwitches - before.InvoluntarySwitches,
+		f.VoluntarySwitches + now.VoluntarySwitches - before.VoluntarySwitches,
+		f.InvoluntarySwitches + now.InvoluntarySwitches - before.InvoluntarySwitches,
 	}
 }
--- a/internal/lab/path/lane.go
+++ b/internal/lab/path/lane.go
@@ -9,11 +9,11 @@
 
 // measuredChild is a child under load with the measurements taken so far.
 type measuredChild struct {
-	name        string
-	child       *child
-	driver      *loadGenerator
-	peers       *stubServers
-	readingCost cost.Usage // the allocations caused by reading the child's counters
+	name          string
+	child         *child
+	loadGenerator *loadGenerator
+	stubServers   *stubServers
+	readingCost   cost.Usage // the allocations caused by reading the child's counters
 
 	slices []slice
 }
@@ -33,7 +33,7 @@
 
 // warmUp sends requests until the child's cost per request is steady, and measures the cost of reading its counters.
 func (a *measuredChild) warmUp(ctx context.Context, count int) error {
-	if err := a.driver.runServed(ctx, count); err != nil {
+	if err := a.loadGenerator.runServed(ctx, count); err != nil {
 		return err
 	}
 	first, err := a.child.usage()
@@ -53,12 +53,12 @@
 // machine so far, and a new connection costs as many allocations as a request: a slice that opened one is repeated.
 func (a *measuredChild) measureSlice(ctx context.Context, count int) error {
 	for n := 1; ; n++ {
-		opened := a.peers.accepted.Load()
+		opened := a.stubServers.accepted.Load()
 		s, err := a.measureOnce(ctx, count)
 		if err != nil {
 			return err
 		}
-		if a.peers.accepted.Load() == opened || n == maxSliceAttempts {
+		if a.stubServers.accepted.Load() == opened || n == maxSliceAttempts {
 			a.slices = append(a.slices, s)
 			return nil
 		}
@@ -77,7 +77,7 @@
 		return s, err
 	}
 	begun := time.Now()
-	if err := a.driver.runServed(ctx, count); err != nil {
+	if err := a.loadGenerator.runServed(ctx, count); err != nil {
 		return s, err
 	}
 	s.duration = time.Since(begun)
@@ -122,6 +122,6 @@
 }
 
 func (a *measuredChild) close() {
-	a.driver.close()
+	a.loadGenerator.close()
 	a.child.kill()
 }
--- a/internal/lab/path/load.go
+++ b/internal/lab/path/load.go
@@ -78,10 +78,10 @@
 // callIDs numbers the calls of one meter, so that each call has a unique id.
 type callIDs struct{ last atomic.Uint64 }
 
-func newLoadGenerator(l Load, addr string, ids *callIDs) *loadGenerator {
+func newLoadGenerator(l Load, addr string, callIDs *callIDs) *loadGenerator {
 	d := &loadGenerator{load: l, addr: addr}
 	for range l.Conns {
-		s := &connection{addr: addr, ids: ids, in: bufio.NewReaderSize(nil, 64<<10)}
+		s := &connection{addr: addr, callIDs: callIDs, in: bufio.NewReaderSize(nil, 64<<10)}
 		s.raw, s.idOffset = l.request()
 		d.conns = append(d.conns, s)
 	}
@@ -150,7 +150,7 @@
 // connection sends requests over one connection, which it opens again when it was closed.
 type connection struct {
 	addr     string
-	ids      *callIDs
+	callIDs  *callIDs
 	raw      []byte
 	idOffset int // offset of the call id in raw
 	conn     net.Conn
@@ -171,7 +171,7 @@
 			}
 			s.in.Reset(s.conn)
 		}
-		digits := strconv.AppendUint(s.raw[s.idOffset:s.idOffset], s.ids.last.Add(1)+1e15, 10) // 1e15 makes it idDigits long
+		digits := strconv.AppendUint(s.raw[s.idOffset:s.idOffset], s.callIDs.last.Add(1)+1e15, 10) // 1e15 makes it idDigits long
 		if len(digits) != idDigits {
 			return false, errors.New("too many calls")
 		}
--- a/internal/lab/path/meter.go
+++ b/internal/lab/path/meter.go
@@ -45,12 +45,12 @@
 // meter is one measurement with its stubs and the directory of its files.
 type meter struct {
 	Options
-	dir       string
-	profiled  string       // path of a node that writes a profile of its allocations, if it was built with profileTag
-	stacks    *stackReader // nil if the node has no symbols
-	peers     *stubServers
-	discovery *discovery
-	ids       callIDs
+	dir         string
+	profiled    string       // path of a node that writes a profile of its allocations, if it was built with profileTag
+	stackReader *stackReader // nil if the node has no symbols
+	stubServers *stubServers
+	discovery   *discovery
+	callIDs     callIDs
 }
 
 // Measure runs all loads of o and reports their cost. Counts that the machine does not allow to be measured are
@@ -76,14 +76,14 @@
 		}
 	}
 	r := &Report{Go: runtime.Version(), Short: o.Short}
-	if m.stacks, err = readSymbols(m.Node); err != nil {
+	if m.stackReader, err = readSymbols(m.Node); err != nil {
 		r.NotCounted = append(r.NotCounted, err.Error())
 	}
-	if m.peers, err = startStubServers(stubServerCount); err != nil {
+	if m.stubServers, err = startStubServers(stubServerCount); err != nil {
 		return nil, err
 	}
-	defer m.peers.close()
-	if m.discovery, err = startDiscovery(m.peers.addresses()); err != nil {
+	defer m.stubServers.close()
+	if m.discovery, err = startDiscovery(m.stubServers.addresses()); err != nil {
 		return nil, err
 	}
 	defer m.discovery.close()
@@ -133,7 +133,7 @@
 }
 
 func (m *meter) startNode(ctx context.Context, program string, env ...string) (*child, error) {
-	return startNode(ctx, program, m.dir, m.peers.addresses(), m.discovery.addr, env...)
+	return startNode(ctx, program, m.dir, m.stubServers.addresses(), m.discovery.addr, env...)
 }
 
 // measurePairs measures a load on pairs of a node and a proxy and returns the medians over the pairs.
@@ -142,14 +142,14 @@
 	var nodes, proxies []Process
 	for i := range max(m.Pairs, 1) {
 		m.logProgress("%s: pair %d", l.Name, i+1)
-		some, err := m.measurePair(ctx, l)
+		pair, err := m.measurePair(ctx, l)
 		if err != nil {
 			return f, err
 		}
-		nodes = append(nodes, some[0])
-		if len(some) > 1 {
-			proxies = append(proxies, some[1])
-			f.Ratios = append(f.Ratios, some[0].Micros/some[1].Micros)
+		nodes = append(nodes, pair[0])
+		if len(pair) > 1 {
+			proxies = append(proxies, pair[1])
+			f.Ratios = append(f.Ratios, pair[0].Micros/pair[1].Micros)
 		}
 	}
 	f.Node, f.Proxy = medianProcess(nodes), medianProcess(proxies)
@@ -163,13 +163,13 @@
 	starts := []func() (*child, error){func() (*child, error) { return m.startNode(ctx, m.Node) }}
 	if len(m.Proxy) > 0 {
 		starts = append(starts, func() (*child, error) {
-			return startProxy(ctx, m.Proxy, m.peers.addresses(), m.ProxyGC)
+			return startProxy(ctx, m.Proxy, m.stubServers.addresses(), m.ProxyGC)
 		})
 	}
 	var lanes []*measuredChild
 	defer func() {
-		for _, a := range lanes {
-			a.close()
+		for _, subject := range lanes {
+			subject.close()
 		}
 	}()
 	s := m.sizes()
@@ -178,31 +178,32 @@
 		if err != nil {
 			return nil, err
 		}
-		a := &measuredChild{child: c, driver: newLoadGenerator(l, c.addr, &m.ids), peers: m.peers, name: []string{"node", "ReverseProxy"}[i]}
-		lanes = append(lanes, a)
-		if err := a.warmUp(ctx, s.warm); err != nil {
-			return nil, fmt.Errorf("%s: %w", a.name, err)
+		subject := &measuredChild{child: c, loadGenerator: newLoadGenerator(l, c.addr, &m.callIDs), stubServers: m.stubServers,
+			name: []string{"node", "ReverseProxy"}[i]}
+		lanes = append(lanes, subject)
+		if err := subject.warmUp(ctx, s.warm); err != nil {
+			return nil, fmt.Errorf("%s: %w", subject.name, err)
 		}
 	}
 	for range s.slices {
-		for _, a := range lanes {
-			if err := a.measureSlice(ctx, s.timed/s.slices); err != nil {
-				return nil, fmt.Errorf("%s: %w", a.name, err)
+		for _, subject := range lanes {
+			if err := subject.measureSlice(ctx, s.timed/s.slices); err != nil {
+				return nil, fmt.Errorf("%s: %w", subject.name, err)
 			}
 		}
 	}
-	var some []Process
-	for _, a := range lanes {
-		some = append(some, a.perRequest())
+	var processes []Process
+	for _, subject := range lanes {
+		processes = append(processes, subject.perRequest())
 	}
-	return some, nil
+	return processes, nil
 }
 
 // countByFunction takes the counts that need a slower node: system calls, copies, and allocations, each by function.
 // missing has an error for each count that the machine does not allow to be taken.
 func (m *meter) countByFunction(ctx context.Context, l Load, f *Figures) (missing []error, err error) {
 	m.logProgress("%s: system calls, copies, functions", l.Name)
-	miss := func(err error) error {
+	recordMissing := func(err error) error {
 		if ctx.Err() != nil || errors.Is(err, errNotServed) {
 			return fmt.Errorf("node: %w", err)
 		}
@@ -212,15 +213,15 @@
 		return nil
 	}
 	f.Calls, f.Writers, _, err = m.countTraced(ctx, l, false)
-	if err := miss(err); err != nil {
+	if err := recordMissing(err); err != nil {
 		return nil, err
 	}
 	_, _, f.Copiers, err = m.countTraced(ctx, l, true)
-	if err := miss(err); err != nil {
+	if err := recordMissing(err); err != nil {
 		return nil, err
 	}
 	f.Allocators, err = m.countAllocations(ctx, l, m.profiled)
-	if err := miss(err); err != nil {
+	if err := recordMissing(err); err != nil {
 		return nil, err
 	}
 	f.Counts = f.computeCounts()
--- a/internal/lab/path/peers.go
+++ b/internal/lab/path/peers.go
@@ -46,7 +46,7 @@
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			p.close()
-			return nil, fmt.Errorf("starting a stub server: %w", err)
+			return nil, fmt.Errorf("a peer: %w", err)
 		}
 		p.listeners = append(p.listeners, l)
 		p.serving.Go(func() { p.accept(l) })
@@ -54,11 +54,11 @@
 	return p, nil
 }
 
-func (p *stubServers) addresses() (some []string) {
+func (p *stubServers) addresses() (addresses []string) {
 	for _, l := range p.listeners {
-		some = append(some, l.Addr().String())
+		addresses = append(addresses, l.Addr().String())
 	}
-	return some
+	return addresses
 }
 
 func (p *stubServers) accept(l net.Listener) {
@@ -101,7 +101,7 @@
 			}
 			if name, value, ok := bytes.Cut(line, []byte(":")); ok && len(name) == len("Content-Length") &&
 				strings.EqualFold(string(name), "Content-Length") {
-				length, _ = strconv.Atoi(string(bytes.TrimSpace(value))) // 0 if malformed: other tests check the requests that a node sends
+				length, _ = strconv.Atoi(string(bytes.TrimSpace(value))) // 0 if malformed: tested elsewhere
 			}
 			if len(line) <= 2 {
 				break
--- a/internal/lab/path/report.go
+++ b/internal/lab/path/report.go
@@ -23,7 +23,7 @@
 	Requests   int       `json:"requests"` // measured requests per pair
 	Node       Process   `json:"node"`
 	Proxy      Process   `json:"reverse_proxy,omitzero"`
-	Ratio      float64   `json:"ratio,omitzero"` // processor time of the node divided by that of the proxy: median of Ratios
+	Ratio      float64   `json:"ratio,omitzero"` // processor time, node to proxy: median of Ratios
 	Ratios     []float64 `json:"ratios,omitempty"`
 	Counts     Counts    `json:"counts"`     // the counts that the check compares
 	Calls      []Entry   `json:"calls"`      // system calls by name; Sum: calls that failed with EAGAIN
@@ -50,9 +50,9 @@
 }
 
 // median returns the median of the values that of returns for the elements; 0 if there are none.
-func median[T any](some []T, of func(T) float64) float64 {
-	values := make([]float64, len(some))
-	for i, s := range some {
+func median[T any](elements []T, of func(T) float64) float64 {
+	values := make([]float64, len(elements))
+	for i, s := range elements {
 		values[i] = of(s)
 	}
 	slices.SortFunc(values, cmp.Compare)
@@ -67,8 +67,8 @@
 }
 
 // medianProcess returns the median of each figure over the processes.
-func medianProcess(some []Process) Process {
-	m := func(of func(Process) float64) float64 { return median(some, of) }
+func medianProcess(processes []Process) Process {
+	m := func(of func(Process) float64) float64 { return median(processes, of) }
 	return Process{
 		Allocations:         m(func(p Process) float64 { return p.Allocations }),
 		AllocatedBytes:      m(func(p Process) float64 { return p.AllocatedBytes }),
--- a/internal/lab/path/traced.go
+++ b/internal/lab/path/traced.go
@@ -35,22 +35,22 @@
 const minEntryCount = 0.005
 
 // perRequestEntries returns the differences of the counts between two times per request, in descending order.
-func perRequestEntries(now, old map[string]count, requests int) (some []Entry) {
+func perRequestEntries(now, old map[string]count, requests int) (entries []Entry) {
 	n := float64(requests)
 	for _, name := range slices.Sorted(maps.Keys(now)) {
 		p := Entry{name, (now[name].n - old[name].n) / n, (now[name].sum - old[name].sum) / n}
 		if p.Count >= minEntryCount {
-			some = append(some, p)
+			entries = append(entries, p)
 		}
 	}
-	slices.SortStableFunc(some, func(a, b Entry) int { return cmp.Compare(b.Count, a.Count) })
-	return some
+	slices.SortStableFunc(entries, func(a, b Entry) int { return cmp.Compare(b.Count, a.Count) })
+	return entries
 }
 
 // sumEntries adds up the entries whose name is wanted; a nil wanted selects all.
-func sumEntries(some []Entry, wanted func(string) bool) (n, sum float64) {
-	for _, p := range some {
-		if wanted == nil || wanted(p.Name) {
+func sumEntries(entries []Entry, include func(string) bool) (n, sum float64) {
+	for _, p := range entries {
+		if include == nil || include(p.Name) {
 			n, sum = n+p.Count, sum+p.Sum
 		}
 	}
@@ -79,13 +79,13 @@
 	}
 	defer c.kill()
 	l.Conns = max(l.Conns/tracedConnsDivisor, 1)
-	d := newLoadGenerator(l, c.addr, &m.ids)
+	d := newLoadGenerator(l, c.addr, &m.callIDs)
 	defer d.close()
 	s := m.sizes()
 	if err := d.runServed(ctx, s.warm); err != nil { // without the tracer, at full speed
 		return nil, nil, nil, err
 	}
-	t, err := startTracer(c.pid(), m.stacks, copies)
+	t, err := startTracer(c.pid(), m.stackReader, copies)
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -106,6 +106,7 @@
 		return nil, nil, nil, err
 	}
 	after := t.snapshot()
-	return perRequestEntries(after.calls, before.calls, s.traced), perRequestEntries(after.writers, before.writers, s.traced),
+	return perRequestEntries(after.calls, before.calls, s.traced),
+		perRequestEntries(after.writers, before.writers, s.traced),
 		perRequestEntries(after.copiers, before.copiers, s.traced), nil
 }
--- a/internal/lab/report/chart.go
+++ b/internal/lab/report/chart.go
@@ -17,8 +17,8 @@
 	plotRight   = 790.0 // the legends are to the right of it
 	laneHeight  = 15.0  // of a fault
 	panelGap    = 34.0  // vertical space between panels
-	panelHeight = 112.0 // high
-	cellHeight  = 12.0  // of the row of one server
+	panelHeight = 112.0
+	cellHeight  = 12.0 // of the row of one server
 )
 
 // Colours that most people with colour vision deficiency can distinguish.
@@ -217,7 +217,8 @@
 			}
 			height := s.top + s.height - s.y(float64(n))
 			base -= height
-			c.rect(at+0.5, base, max(width-1, 1), height, colours[i], "", c.tooltip("%s: %d %s", formatSeconds(one.At), n, names[i]))
+			c.rect(at+0.5, base, max(width-1, 1), height, colours[i], "",
+				c.tooltip("%s: %d %s", formatSeconds(one.At), n, names[i]))
 		}
 	}
 	c.drawSeries(s, green, lineStyle, func(one Second) (float64, bool) { return float64(one.Tries), true })
@@ -268,7 +269,8 @@
 	}
 	c.flushCells()
 	height := cellHeight * float64(len(c.report.Peers))
-	c.drawLegend(top, []string{"down", "0", formatNumber(math.Round(maxInFlight/2*10) / 10), formatNumber(math.Round(maxInFlight*10) / 10)},
+	c.drawLegend(top, []string{"down", "0", formatNumber(math.Round(maxInFlight/2*10) / 10),
+		formatNumber(math.Round(maxInFlight*10) / 10)},
 		[]string{downColour, loadColour(0, maxInFlight), loadColour(maxInFlight/2, maxInFlight), loadColour(maxInFlight, maxInFlight)})
 	c.nextTop += max(height, 64) + panelGap
 }
@@ -286,7 +288,8 @@
 			what = "down"
 		}
 		if p.InFlight[from] != Unknown {
-			c.drawCells(y, from, to, loadColour(p.InFlight[from], maxInFlight), c.tooltip("%s, %ds to %ds: %s", p.Name, from, to, what))
+			c.drawCells(y, from, to, loadColour(p.InFlight[from], maxInFlight),
+				c.tooltip("%s, %ds to %ds: %s", p.Name, from, to, what))
 		}
 		from = to
 	}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -235,9 +235,9 @@
 }
 
 // nonNil returns an empty slice for nil, so that JSON has a list.
-func nonNil[T any](some []T) []T {
-	if some == nil {
+func nonNil[T any](elements []T) []T {
+	if elements == nil {
 		return []T{}
 	}
-	return some
+	return elements
 }
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -12,12 +12,12 @@
 
 // newReport returns a report with every kind of content and with names that must be escaped.
 func newReport() *Report {
-	least, most, tries := 0.9, 200.0, 1.5
+	minWorth, most, tries := 0.9, 200.0, 1.5
 	r := &Report{
 		FormatVersion: FormatVersion, Name: "a <b> & c", Shows: "something", Clock: "virtual", Seed: 7, Length: 3,
 		Classes: []string{"quote"}, Broken: []string{"late at 1s: call <x>"},
 		Checks: []Check{
-			{Figure: "worth", Phase: WholeRun, Value: 0.95, Least: &least, Verdict: Passed},
+			{Figure: "worth", Phase: WholeRun, Value: 0.95, Least: &minWorth, Verdict: Passed},
 			{Figure: "p99", Class: "quote", Phase: "calm", Unit: "ms", Value: 250, Most: &most, Verdict: Failed},
 			{Figure: "cpu", Phase: WholeRun, Unit: "ms", Most: &most, Verdict: NoVerdict, Note: "not measured"},
 		},
--- a/internal/lab/subsets/compare.go
+++ b/internal/lab/subsets/compare.go
@@ -25,7 +25,7 @@
 // Figures are the measurements of a strategy over all nodes. Every node sends the same load.
 type Figures struct {
 	Way         string  `json:"way"`
-	Size        float64 `json:"size"`                  // mean number of servers per node
+	SubsetSize  float64 `json:"size"`                  // mean number of servers per node
 	Busiest     float64 `json:"busiest_over_mean"`     // highest load of a server divided by the mean, both per weight
 	Idlest      float64 `json:"idlest_over_mean"`      // lowest load of a server divided by the mean, both per weight
 	Starved     int     `json:"starved"`               // servers without load
@@ -73,9 +73,9 @@
 	f := Figures{Way: strategy.Name, ZoneKept: 1}
 	f.measureLoads(assignment, peers)
 	f.measureZonesAndKinds(assignment, peers)
-	nodeLeast := f.Size
+	nodeLeast := f.SubsetSize
 	f.NodeMoved = (countAddedPairs(assignment, strategy.Assign(nodeNames(c.Nodes+1), peers, c.Copies))/nodeLeast + countAddedPairs(assignment, strategy.Assign(nodes[:len(nodes)-1], peers, c.Copies))/nodeLeast) / 2
-	nodesPerServer := f.Size * float64(c.Nodes) / float64(c.Peers) // mean number of nodes per server
+	nodesPerServer := f.SubsetSize * float64(c.Nodes) / float64(c.Peers) // mean number of nodes per server
 	removed := len(peers) / 3
 	withoutOne := strategy.Assign(nodes, slices.Delete(slices.Clone(peers), removed, removed+1), c.Copies)
 	f.PeerMoved = countAddedPairs(withoutOne, assignment) / nodesPerServer
@@ -90,7 +90,7 @@
 		weight += p.Weight
 	}
 	for _, parts := range assignment {
-		f.Size += float64(len(parts)) / float64(len(assignment))
+		f.SubsetSize += float64(len(parts)) / float64(len(assignment))
 		for _, p := range parts {
 			loadByServer[p.ID] += p.Share
 		}
@@ -188,7 +188,7 @@
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "way\tpeers of a node\tbusiest\tidlest\tstarved\tnode +-1\tpeer +1\tkeys moved\tpeers of a key\tzone lost leaves\tlack a kind")
 	for _, f := range rows {
-		fmt.Fprintf(t, "%s\t%.1f\t%.3f\t%.3f\t%d\t%.2f\t%.2f\t%.4f\t%.2f\t%.2f\t%d\n", f.Way, f.Size, f.Busiest, f.Idlest, f.Starved,
+		fmt.Fprintf(t, "%s\t%.1f\t%.3f\t%.3f\t%d\t%.2f\t%.2f\t%.4f\t%.2f\t%.2f\t%d\n", f.Way, f.SubsetSize, f.Busiest, f.Idlest, f.Starved,
 			f.NodeMoved, f.PeerMoved, f.KeysMoved, f.KeyPeers, f.ZoneKept, f.KindMissing)
 	}
 	return t.Flush()
--- a/internal/lab/subsets/subsets_test.go
+++ b/internal/lab/subsets/subsets_test.go
@@ -25,7 +25,7 @@
 	}
 	for way, ok := range map[string]func(f Figures) bool{
 		"all": func(f Figures) bool {
-			return f.Busiest < 1.0001 && math.Abs(f.KeyPeers-1) < 1e-6 && f.PeerMoved == 1 && f.Size == 200
+			return f.Busiest < 1.0001 && math.Abs(f.KeyPeers-1) < 1e-6 && f.PeerMoved == 1 && f.SubsetSize == 200
 		},
 		"random":        func(f Figures) bool { return f.Busiest > 1.5 && f.Idlest < 0.6 },
 		"deterministic": func(f Figures) bool { return f.Busiest < 1.3 && f.PeerMoved > 10 },
