--- a/internal/lab/path/load.go
+++ b/internal/lab/path/load.go
@@ -171,7 +171,8 @@
 			}
 			s.in.Reset(s.conn)
 		}
-		digits := strconv.AppendUint(s.raw[s.idOffset:s.idOffset], s.callIDs.last.Add(1)+1e15, 10) // 1e15 makes it idDigits long
+		// Adding 1e15 makes the number idDigits long.
+		digits := strconv.AppendUint(s.raw[s.idOffset:s.idOffset], s.callIDs.last.Add(1)+1e15, 10)
 		if len(digits) != idDigits {
 			return false, errors.New("too many calls")
 		}
--- a/internal/lab/path/lane.go
+++ b/internal/lab/path/measured_child.go
@@ -110,10 +110,12 @@
 	}
 	micros = float64(used.UserMicros + used.SystemMicros)
 	return Process{
-		Allocations:    median(a.slices, func(s slice) float64 { return float64(s.usage.Allocations) / float64(s.requests) }),
-		AllocatedBytes: median(a.slices, func(s slice) float64 { return float64(s.usage.AllocatedBytes) / float64(s.requests) }),
-		Collections:    float64(used.Collections) / n * 1000,
-		Reads:          proc.Reads / n, Writes: proc.Writes / n,
+		Allocations: median(a.slices, func(s slice) float64 { return float64(s.usage.Allocations) / float64(s.requests) }),
+		AllocatedBytes: median(a.slices, func(s slice) float64 {
+			return float64(s.usage.AllocatedBytes) / float64(s.requests)
+		}),
+		Collections: float64(used.Collections) / n * 1000,
+		Reads:       proc.Reads / n, Writes: proc.Writes / n,
 		ReadBytes: proc.ReadBytes / n, WrittenBytes: proc.WriteBytes / n,
 		VoluntarySwitches: proc.VoluntarySwitches / n, InvoluntarySwitches: proc.InvoluntarySwitches / n,
 		UserMicros: float64(used.UserMicros) / n, SystemMicros: float64(used.SystemMicros) / n, Micros: micros / n,
--- a/internal/lab/path/meter.go
+++ b/internal/lab/path/meter.go
@@ -178,8 +178,9 @@
 		if err != nil {
 			return nil, err
 		}
-		subject := &measuredChild{child: c, loadGenerator: newLoadGenerator(l, c.addr, &m.callIDs), stubServers: m.stubServers,
-			name: []string{"node", "ReverseProxy"}[i]}
+		subject := &measuredChild{child: c, loadGenerator: newLoadGenerator(l, c.addr, &m.callIDs),
+			stubServers: m.stubServers,
+			name:        []string{"node", "ReverseProxy"}[i]}
 		lanes = append(lanes, subject)
 		if err := subject.warmUp(ctx, s.warm); err != nil {
 			return nil, fmt.Errorf("%s: %w", subject.name, err)
--- a/internal/lab/report/chart.go
+++ b/internal/lab/report/chart.go
@@ -75,7 +75,8 @@
 	label := escape(r.Name + ": worth, requests, latency and peers over time")
 	fmt.Fprintf(&c.out, `<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 %s %s" width="%s" height="%s" `+
 		`font-family="system-ui, Helvetica, Arial, sans-serif" font-size="11" fill="%s" role="img" aria-label="%s">`+"\n",
-		formatCoordinate(imageWidth), formatCoordinate(height), formatCoordinate(imageWidth), formatCoordinate(height), textColour, label)
+		formatCoordinate(imageWidth), formatCoordinate(height), formatCoordinate(imageWidth), formatCoordinate(height),
+		textColour, label)
 	c.rect(0, 0, imageWidth, height, backgroundColour, "", "")
 	c.drawFaults(laneTop, panelsTop, panelsBottom)
 	c.drawPhases(namesY, panelsTop, panelsBottom)
@@ -246,7 +247,8 @@
 	for v := s.low; v <= s.high*1.001; v *= 10 {
 		marks = append(marks, v)
 	}
-	c.drawFrame("time to the answer, from when it was due", s, marks, func(v float64) string { return formatNumber(v) + " ms" })
+	c.drawFrame("time to the answer, from when it was due", s, marks,
+		func(v float64) string { return formatNumber(v) + " ms" })
 	show := func(v func(Second) float64) func(Second) (float64, bool) {
 		return func(one Second) (float64, bool) { return v(one), v(one) > 0 }
 	}
@@ -271,7 +273,8 @@
 	height := cellHeight * float64(len(c.report.Peers))
 	c.drawLegend(top, []string{"down", "0", formatNumber(math.Round(maxInFlight/2*10) / 10),
 		formatNumber(math.Round(maxInFlight*10) / 10)},
-		[]string{downColour, loadColour(0, maxInFlight), loadColour(maxInFlight/2, maxInFlight), loadColour(maxInFlight, maxInFlight)})
+		[]string{downColour, loadColour(0, maxInFlight), loadColour(maxInFlight/2, maxInFlight),
+			loadColour(maxInFlight, maxInFlight)})
 	c.nextTop += max(height, 64) + panelGap
 }
 
@@ -305,7 +308,8 @@
 	if c.cells[colour] == nil {
 		c.cells[colour] = &strings.Builder{}
 	}
-	fmt.Fprintf(c.cells[colour], "M%s %sh%sv%sh-%sz", formatCoordinate(x), formatCoordinate(y), formatCoordinate(width), formatCoordinate(cellHeight-1), formatCoordinate(width))
+	fmt.Fprintf(c.cells[colour], "M%s %sh%sv%sh-%sz", formatCoordinate(x), formatCoordinate(y),
+		formatCoordinate(width), formatCoordinate(cellHeight-1), formatCoordinate(width))
 }
 
 // flushCells writes the paths that drawCells collected.
--- a/internal/lab/report/svg.go
+++ b/internal/lab/report/svg.go
@@ -36,7 +36,8 @@
 
 func (s *svg) rect(x, y, w, h float64, fill, style, tip string) {
 	fmt.Fprintf(&s.out, `<rect x="%s" y="%s" width="%s" height="%s" fill="%s"%s%s`,
-		formatCoordinate(x), formatCoordinate(y), formatCoordinate(w), formatCoordinate(h), fill, withLeadingSpace(style), titleElement(tip))
+		formatCoordinate(x), formatCoordinate(y), formatCoordinate(w), formatCoordinate(h), fill,
+		withLeadingSpace(style), titleElement(tip))
 	if tip != "" {
 		s.out.WriteString("</rect>")
 	}
@@ -45,7 +46,8 @@
 
 func (s *svg) line(a, b point, stroke, style string) {
 	fmt.Fprintf(&s.out, `<line x1="%s" y1="%s" x2="%s" y2="%s" stroke="%s"%s/>`+"\n",
-		formatCoordinate(a.x), formatCoordinate(a.y), formatCoordinate(b.x), formatCoordinate(b.y), stroke, withLeadingSpace(style))
+		formatCoordinate(a.x), formatCoordinate(a.y), formatCoordinate(b.x), formatCoordinate(b.y), stroke,
+		withLeadingSpace(style))
 }
 
 func (s *svg) path(points []point, stroke, style string) {
--- a/internal/lab/report/text.go
+++ b/internal/lab/report/text.go
@@ -84,7 +84,8 @@
 			t = append(t, []string{name, cmp.Or(f.Class, f.Tenant, "all"),
 				strconv.Itoa(f.Asked), fmt.Sprintf("%.3f", f.Worth),
 				formatPercent(f.Share(f.Late)), formatPercent(f.Share(f.Refused)), formatPercent(f.Share(f.Failed)),
-				formatPercent(f.Share(f.Unanswered)), formatMillis(f.P50), formatMillis(f.P90), formatMillis(f.P99), formatMillis(f.P999),
+				formatPercent(f.Share(f.Unanswered)), formatMillis(f.P50), formatMillis(f.P90), formatMillis(f.P99),
+				formatMillis(f.P999),
 				formatOptional(f.Tries, "%.2f"), formatOptional(f.CPU, "%.3fms")})
 		}
 	}
