--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -65,10 +65,10 @@
 		for _, k := range report.FigureKinds() {
 			r := Row{FigureName: k.Name, MoreIsBetter: k.MoreIsBetter, Phase: p.Name, Unit: k.Unit}
 			var a, b []float64
-			for _, one := range pairs {
-				x, ok := one.A.Figure(k.Name, p.Name, report.Scope{})
-				y, too := one.B.Figure(k.Name, p.Name, report.Scope{})
-				if ok && too {
+			for _, pair := range pairs {
+				x, okA := pair.A.Figure(k.Name, p.Name, report.Scope{})
+				y, okB := pair.B.Figure(k.Name, p.Name, report.Scope{})
+				if okA && okB {
 					a, b = append(a, x), append(b, y)
 				}
 			}
@@ -99,16 +99,16 @@
 	}
 	r.PValue = signTest(r.More, r.Less)
 	r.Lo, r.Hi = r.bootstrap(a, b)
-	nothing := 1.0
+	noDifference := 1.0
 	if r.A == 0 {
-		nothing = 0
+		noDifference = 0
 	}
 	switch {
 	case r.More+r.Less == 0:
 		r.Verdict = Same
 	case signTest(len(a), 0) > significanceLevel:
 		r.Verdict = TooFewPairs
-	case r.PValue > significanceLevel || r.Lo <= nothing && r.Hi >= nothing:
+	case r.PValue > significanceLevel || r.Lo <= noDifference && r.Hi >= noDifference:
 		r.Verdict = NoDifference
 	case r.More > r.Less == r.MoreIsBetter:
 		r.Verdict = Better
@@ -121,28 +121,28 @@
 // median is 0). It resamples the pairs with replacement.
 func (r *Row) bootstrap(a, b []float64) (lo, hi float64) {
 	draws := figure.Stream(1, r.FigureName+" in "+r.Phase)
-	all := make([]float64, 0, resampleCount)
+	ratios := make([]float64, 0, resampleCount)
 	x, y := make([]float64, len(a)), make([]float64, len(a))
 	for range resampleCount {
 		drawPairs(draws, a, b, x, y)
 		switch ma, mb := sortedMedian(x), sortedMedian(y); {
 		case r.A == 0:
-			all = append(all, mb-ma)
+			ratios = append(ratios, mb-ma)
 		case ma == 0:
-			all = append(all, math.MaxFloat64)
+			ratios = append(ratios, math.MaxFloat64)
 		default:
-			all = append(all, mb/ma)
+			ratios = append(ratios, mb/ma)
 		}
 	}
-	slices.Sort(all)
+	slices.Sort(ratios)
 	tail := int((1 - confidenceLevel) / 2 * resampleCount)
-	return all[tail], all[len(all)-1-tail]
+	return ratios[tail], ratios[len(ratios)-1-tail]
 }
 
 // drawPairs fills x and y with pairs drawn from a and b with replacement.
-func drawPairs(g *rand.Rand, a, b, x, y []float64) {
+func drawPairs(random *rand.Rand, a, b, x, y []float64) {
 	for i := range x {
-		n := g.IntN(len(a))
+		n := random.IntN(len(a))
 		x[i], y[i] = a[n], b[n]
 	}
 }
@@ -154,10 +154,10 @@
 	if n == 0 {
 		return 1
 	}
-	sum, ways := 0.0, 1.0
+	sum, combinations := 0.0, 1.0
 	for i := 0; i <= k; i++ {
-		sum += ways
-		ways = ways * float64(n-i) / float64(i+1)
+		sum += combinations
+		combinations = combinations * float64(n-i) / float64(i+1)
 	}
 	return min(2*sum/math.Pow(2, float64(n)), 1)
 }
@@ -177,7 +177,7 @@
 // Write writes the rows as a table grouped by phase, followed by the overall result and the number of runs that broke
 // rules. a and b name the two sides.
 func Write(out io.Writer, a, b string, pairs []Pair, rows []Row) error {
-	t := [][]string{{"phase", "figure", "A", "B", "B/A", "spread", "pairs +/-", ""}}
+	table := [][]string{{"phase", "figure", "A", "B", "B/A", "spread", "pairs +/-", ""}}
 	seen := 0
 	last := ""
 	for _, r := range rows {
@@ -196,12 +196,12 @@
 		if r.A != 0 {
 			ratio, spread = formatFigure(r.Ratio), fmt.Sprintf("%s to %s", formatFigure(r.Lo), formatFigure(r.Hi))
 		}
-		t = append(t, []string{phase, r.FigureName, formatFigure(r.A) + r.Unit, formatFigure(r.B) + r.Unit, ratio, spread,
-			fmt.Sprintf("%d/%d", r.More, r.Less), string(r.Verdict)})
+		table = append(table, []string{phase, r.FigureName, formatFigure(r.A) + r.Unit, formatFigure(r.B) + r.Unit,
+			ratio, spread, fmt.Sprintf("%d/%d", r.More, r.Less), string(r.Verdict)})
 	}
 	var text strings.Builder
 	fmt.Fprintf(&text, "A: %s\nB: %s\n%d pairs, one seed each; medians\n\n", a, b, len(pairs))
-	report.WriteTable(&text, t)
+	report.WriteTable(&text, table)
 	switch {
 	case len(rows) == 0:
 		fmt.Fprintln(&text, "\nnothing to compare")
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -40,10 +40,10 @@
 		return all
 	}
 	for _, c := range []struct {
-		name  string
-		a, b  []float64
-		seen  Verdict
-		ratio float64
+		name    string
+		a, b    []float64
+		verdict Verdict
+		ratio   float64
 	}{
 		{"same values", six, six, Same, 1},
 		{"20 percent higher", six, times(1.2, six), Worse, 1.2},
@@ -53,7 +53,7 @@
 		{"only five pairs", six[:5], times(2, six[:5]), TooFewPairs, 2},
 	} {
 		r := findRow(Rows(newPairs(c.a, c.b, 0, 0)), "p99")
-		if r.Verdict != c.seen || c.ratio > 0 && math.Abs(r.Ratio-c.ratio) > 0.05 || r.Lo > r.Ratio || r.Hi < r.Ratio {
+		if r.Verdict != c.verdict || c.ratio > 0 && math.Abs(r.Ratio-c.ratio) > 0.05 || r.Lo > r.Ratio || r.Hi < r.Ratio {
 			t.Errorf("%s: unexpected row %+v", c.name, r)
 		}
 	}
--- a/internal/lab/nodefile/nodefile.go
+++ b/internal/lab/nodefile/nodefile.go
@@ -73,15 +73,17 @@
 	return data, nil
 }
 
-func classSettings(k world.Class) object {
-	o := object{
-		"name": k.Name, "aim": nanoseconds(k.Aim), "deadline": nanoseconds(k.Deadline), "gain": k.Worth, "late_worth": 0.0,
+// classSettings returns the settings of a class.
+func classSettings(class world.Class) object {
+	settings := object{
+		"name": class.Name, "aim": nanoseconds(class.Aim), "deadline": nanoseconds(class.Deadline),
+		"gain": class.Worth, "late_worth": 0.0,
 		"idempotency": "side_effect", "stream": false,
 	}
-	if k.Safe {
-		o["idempotency"] = "pure"
+	if class.Safe {
+		settings["idempotency"] = "pure"
 	}
-	return o
+	return settings
 }
 
 // nanoseconds converts a span to the unit of the settings.
--- a/internal/lab/path/check.go
+++ b/internal/lab/path/check.go
@@ -141,16 +141,16 @@
 	slices.SortFunc(changes, func(a, b change) int {
 		return cmp.Or(cmp.Compare(b.by, a.by), cmp.Compare(a.name, b.name))
 	})
-	var words strings.Builder
+	var text strings.Builder
 	for i, s := range changes[:min(len(changes), maxNamedFunctions)] {
-		words.WriteString([]string{"; brought by ", ", "}[min(i, 1)])
-		fmt.Fprintf(&words, "%s (%+.2f", s.name, s.by)
+		text.WriteString([]string{"; brought by ", ", "}[min(i, 1)])
+		fmt.Fprintf(&text, "%s (%+.2f", s.name, s.by)
 		if !s.old {
-			words.WriteString(", new")
+			text.WriteString(", new")
 		}
-		words.WriteString(")")
+		text.WriteString(")")
 	}
-	return words.String()
+	return text.String()
 }
 
 // Comments at the head of the two generated files.
--- a/internal/lab/path/count_allocations.go
+++ b/internal/lab/path/count_allocations.go
@@ -31,17 +31,17 @@
 		return nil, err
 	}
 	defer c.kill()
-	d := newLoadGenerator(l, c.addr, &m.callIDs)
-	defer d.close()
+	generator := newLoadGenerator(l, c.addr, &m.callIDs)
+	defer generator.close()
 	s := m.sizes()
-	if err := d.runServed(ctx, s.warm); err != nil {
+	if err := generator.runServed(ctx, s.warm); err != nil {
 		return nil, err
 	}
 	before, err := readAllocations(c, file)
 	if err != nil {
 		return nil, err
 	}
-	if err := d.runServed(ctx, s.profiled); err != nil {
+	if err := generator.runServed(ctx, s.profiled); err != nil {
 		return nil, err
 	}
 	after, err := readAllocations(c, file)
--- a/internal/lab/path/load.go
+++ b/internal/lab/path/load.go
@@ -79,13 +79,13 @@
 type callIDs struct{ last atomic.Uint64 }
 
 func newLoadGenerator(l Load, addr string, callIDs *callIDs) *loadGenerator {
-	d := &loadGenerator{load: l, addr: addr}
+	generator := &loadGenerator{load: l, addr: addr}
 	for range l.Conns {
-		s := &connection{addr: addr, callIDs: callIDs, in: bufio.NewReaderSize(nil, 64<<10)}
-		s.raw, s.idOffset = l.request()
-		d.conns = append(d.conns, s)
+		conn := &connection{addr: addr, callIDs: callIDs, in: bufio.NewReaderSize(nil, 64<<10)}
+		conn.raw, conn.idOffset = l.request()
+		generator.conns = append(generator.conns, conn)
 	}
-	return d
+	return generator
 }
 
 // run sends count requests, distributed evenly over the connections, and waits for their responses.
--- a/internal/lab/path/measured_child.go
+++ b/internal/lab/path/measured_child.go
@@ -44,8 +44,8 @@
 	if err != nil {
 		return err
 	}
-	asking := second.Sub(first)
-	a.readingCost = cost.Usage{Allocations: asking.Allocations, AllocatedBytes: asking.AllocatedBytes}
+	difference := second.Sub(first)
+	a.readingCost = cost.Usage{Allocations: difference.Allocations, AllocatedBytes: difference.AllocatedBytes}
 	return nil
 }
 
@@ -68,11 +68,11 @@
 // measureOnce sends count requests and returns their cost.
 func (a *measuredChild) measureOnce(ctx context.Context, count int) (slice, error) {
 	s := slice{requests: count}
-	used, err := a.child.usage()
+	usageBefore, err := a.child.usage()
 	if err != nil {
 		return s, err
 	}
-	proc, err := readProcCounters(a.child.pid())
+	procBefore, err := readProcCounters(a.child.pid())
 	if err != nil {
 		return s, err
 	}
@@ -81,16 +81,16 @@
 		return s, err
 	}
 	s.duration = time.Since(begun)
-	procNow, err := readProcCounters(a.child.pid())
+	procAfter, err := readProcCounters(a.child.pid())
 	if err != nil {
 		return s, err
 	}
-	usedNow, err := a.child.usage()
+	usageAfter, err := a.child.usage()
 	if err != nil {
 		return s, err
 	}
-	s.usage = usedNow.Sub(used).Sub(a.readingCost)
-	s.proc = s.proc.addDifference(procNow, proc)
+	s.usage = usageAfter.Sub(usageBefore).Sub(a.readingCost)
+	s.proc = s.proc.addDifference(procAfter, procBefore)
 	return s, nil
 }
 
@@ -99,27 +99,27 @@
 // no cost of a request.
 func (a *measuredChild) perRequest() Process {
 	var n, micros float64
-	var took time.Duration
-	var used cost.Usage
+	var duration time.Duration
+	var usage cost.Usage
 	var proc procCounters
 	for _, s := range a.slices {
 		n += float64(s.requests)
-		took += s.duration
-		used = used.Add(s.usage)
+		duration += s.duration
+		usage = usage.Add(s.usage)
 		proc = proc.addDifference(s.proc, procCounters{})
 	}
-	micros = float64(used.UserMicros + used.SystemMicros)
+	micros = float64(usage.UserMicros + usage.SystemMicros)
 	return Process{
 		Allocations: median(a.slices, func(s slice) float64 { return float64(s.usage.Allocations) / float64(s.requests) }),
 		AllocatedBytes: median(a.slices, func(s slice) float64 {
 			return float64(s.usage.AllocatedBytes) / float64(s.requests)
 		}),
-		Collections: float64(used.Collections) / n * 1000,
+		Collections: float64(usage.Collections) / n * 1000,
 		Reads:       proc.Reads / n, Writes: proc.Writes / n,
 		ReadBytes: proc.ReadBytes / n, WrittenBytes: proc.WriteBytes / n,
 		VoluntarySwitches: proc.VoluntarySwitches / n, InvoluntarySwitches: proc.InvoluntarySwitches / n,
-		UserMicros: float64(used.UserMicros) / n, SystemMicros: float64(used.SystemMicros) / n, Micros: micros / n,
-		Busy: micros / float64(took.Microseconds()),
+		UserMicros: float64(usage.UserMicros) / n, SystemMicros: float64(usage.SystemMicros) / n, Micros: micros / n,
+		BusyFraction: micros / float64(duration.Microseconds()),
 	}
 }
 
--- a/internal/lab/path/meter.go
+++ b/internal/lab/path/meter.go
@@ -126,12 +126,14 @@
 	return program, nil
 }
 
-func (m *meter) logProgress(form string, args ...any) {
+// logProgress writes a line to Options.Progress.
+func (m *meter) logProgress(format string, args ...any) {
 	if m.Progress != nil {
-		fmt.Fprintf(m.Progress, form+"\n", args...)
+		fmt.Fprintf(m.Progress, format+"\n", args...)
 	}
 }
 
+// startNode starts a node between the stub servers and the stub of discovery.
 func (m *meter) startNode(ctx context.Context, program string, env ...string) (*child, error) {
 	return startNode(ctx, program, m.dir, m.stubServers.addresses(), m.discovery.addr, env...)
 }
@@ -166,9 +168,9 @@
 			return startProxy(ctx, m.Proxy, m.stubServers.addresses(), m.ProxyGC)
 		})
 	}
-	var lanes []*measuredChild
+	var subjects []*measuredChild
 	defer func() {
-		for _, subject := range lanes {
+		for _, subject := range subjects {
 			subject.close()
 		}
 	}()
@@ -181,20 +183,20 @@
 		subject := &measuredChild{child: c, loadGenerator: newLoadGenerator(l, c.addr, &m.callIDs),
 			stubServers: m.stubServers,
 			name:        []string{"node", "ReverseProxy"}[i]}
-		lanes = append(lanes, subject)
+		subjects = append(subjects, subject)
 		if err := subject.warmUp(ctx, s.warm); err != nil {
 			return nil, fmt.Errorf("%s: %w", subject.name, err)
 		}
 	}
 	for range s.slices {
-		for _, subject := range lanes {
+		for _, subject := range subjects {
 			if err := subject.measureSlice(ctx, s.timed/s.slices); err != nil {
 				return nil, fmt.Errorf("%s: %w", subject.name, err)
 			}
 		}
 	}
 	var processes []Process
-	for _, subject := range lanes {
+	for _, subject := range subjects {
 		processes = append(processes, subject.perRequest())
 	}
 	return processes, nil
--- a/internal/lab/path/peers.go
+++ b/internal/lab/path/peers.go
@@ -54,11 +54,11 @@
 	return p, nil
 }
 
-func (p *stubServers) addresses() (addresses []string) {
+func (p *stubServers) addresses() (addrs []string) {
 	for _, l := range p.listeners {
-		addresses = append(addresses, l.Addr().String())
+		addrs = append(addrs, l.Addr().String())
 	}
-	return addresses
+	return addrs
 }
 
 func (p *stubServers) accept(l net.Listener) {
--- a/internal/lab/path/report.go
+++ b/internal/lab/path/report.go
@@ -46,7 +46,7 @@
 	UserMicros          float64 `json:"user_us"`
 	SystemMicros        float64 `json:"system_us"`
 	Micros              float64 `json:"processor_us"`
-	Busy                float64 `json:"busy"` // processor time divided by elapsed time
+	BusyFraction        float64 `json:"busy"` // processor time divided by elapsed time
 }
 
 // median returns the median of the values that of returns for the elements; 0 if there are none.
@@ -82,7 +82,7 @@
 		UserMicros:          m(func(p Process) float64 { return p.UserMicros }),
 		SystemMicros:        m(func(p Process) float64 { return p.SystemMicros }),
 		Micros:              m(func(p Process) float64 { return p.Micros }),
-		Busy:                m(func(p Process) float64 { return p.Busy }),
+		BusyFraction:        m(func(p Process) float64 { return p.BusyFraction }),
 	}
 }
 
@@ -98,22 +98,22 @@
 	for _, f := range r.Loads {
 		fmt.Fprintf(w, "%s: %s, %d requests\n", f.Load, f.About, f.Requests)
 		fmt.Fprintf(w, "  %-24s %12s %14s\n", "per request", "olivebridge", "ReverseProxy")
-		row := func(name, form string, a, b float64) {
+		writeRow := func(name, form string, a, b float64) {
 			fmt.Fprintf(w, "  %-24s %12s %14s\n", name, fmt.Sprintf(form, a), fmt.Sprintf(form, b))
 		}
 		n, p := f.Node, f.Proxy
-		row("allocations", "%.1f", n.Allocations, p.Allocations)
-		row("bytes allocated", "%.0f", n.AllocatedBytes, p.AllocatedBytes)
-		row("collections, per 1000", "%.2f", n.Collections, p.Collections)
-		row("read calls", "%.2f", n.Reads, p.Reads)
-		row("write calls", "%.2f", n.Writes, p.Writes)
-		row("bytes read", "%.0f", n.ReadBytes, p.ReadBytes)
-		row("bytes written", "%.0f", n.WrittenBytes, p.WrittenBytes)
-		row("waits", "%.2f", n.VoluntarySwitches, p.VoluntarySwitches)
-		row("processor us, user", "%.1f", n.UserMicros, p.UserMicros)
-		row("processor us, system", "%.1f", n.SystemMicros, p.SystemMicros)
-		row("processor us", "%.1f", n.Micros, p.Micros)
-		row("busy, part of the time", "%.2f", n.Busy, p.Busy)
+		writeRow("allocations", "%.1f", n.Allocations, p.Allocations)
+		writeRow("bytes allocated", "%.0f", n.AllocatedBytes, p.AllocatedBytes)
+		writeRow("collections, per 1000", "%.2f", n.Collections, p.Collections)
+		writeRow("read calls", "%.2f", n.Reads, p.Reads)
+		writeRow("write calls", "%.2f", n.Writes, p.Writes)
+		writeRow("bytes read", "%.0f", n.ReadBytes, p.ReadBytes)
+		writeRow("bytes written", "%.0f", n.WrittenBytes, p.WrittenBytes)
+		writeRow("waits", "%.2f", n.VoluntarySwitches, p.VoluntarySwitches)
+		writeRow("processor us, user", "%.1f", n.UserMicros, p.UserMicros)
+		writeRow("processor us, system", "%.1f", n.SystemMicros, p.SystemMicros)
+		writeRow("processor us", "%.1f", n.Micros, p.Micros)
+		writeRow("busy, part of the time", "%.2f", n.BusyFraction, p.BusyFraction)
 		fmt.Fprintf(w, "  processor time, of ReverseProxy's: %.3f (pairs: %.3f)\n", f.Ratio, f.Ratios)
 		f.writeFunctionCounts(w)
 	}
--- a/internal/lab/path/traced.go
+++ b/internal/lab/path/traced.go
@@ -79,10 +79,10 @@
 	}
 	defer c.kill()
 	l.Conns = max(l.Conns/tracedConnsDivisor, 1)
-	d := newLoadGenerator(l, c.addr, &m.callIDs)
-	defer d.close()
+	generator := newLoadGenerator(l, c.addr, &m.callIDs)
+	defer generator.close()
 	s := m.sizes()
-	if err := d.runServed(ctx, s.warm); err != nil { // without the tracer, at full speed
+	if err := generator.runServed(ctx, s.warm); err != nil { // without the tracer, at full speed
 		return nil, nil, nil, err
 	}
 	t, err := startTracer(c.pid(), m.stackReader, copies)
@@ -98,11 +98,11 @@
 		case <-time.After(responseTimeout):
 		}
 	}()
-	if err := d.runServed(ctx, s.traced/3); err != nil { // warm up at the tracer's speed
+	if err := generator.runServed(ctx, s.traced/3); err != nil { // warm up at the tracer's speed
 		return nil, nil, nil, err
 	}
 	before := t.snapshot()
-	if err := d.runServed(ctx, s.traced); err != nil {
+	if err := generator.runServed(ctx, s.traced); err != nil {
 		return nil, nil, nil, err
 	}
 	after := t.snapshot()
--- a/internal/lab/subsets/compare.go
+++ b/internal/lab/subsets/compare.go
@@ -53,7 +53,8 @@
 func (c Case) servers(peers int) (all []subset.Server) {
 	for i := range peers {
 		w := math.Pow(max(c.Spread, 1), float64(i*7%peers)/float64(max(peers-1, 1)))
-		all = append(all, subset.Server{ID: xxhash.Sum64String(fmt.Sprintf("peer %d", i)), Zone: uint8(i % 2), Kind: uint8(i / 2 % 3), Weight: w})
+		all = append(all, subset.Server{ID: xxhash.Sum64String(fmt.Sprintf("peer %d", i)),
+			Zone: uint8(i % 2), Kind: uint8(i / 2 % 3), Weight: w})
 	}
 	slices.SortFunc(all, func(a, b subset.Server) int { return cmp.Compare(a.ID, b.ID) })
 	return all
@@ -74,7 +75,8 @@
 	f.measureLoads(assignment, peers)
 	f.measureZonesAndKinds(assignment, peers)
 	nodeLeast := f.SubsetSize
-	f.NodeMoved = (countAddedPairs(assignment, strategy.Assign(nodeNames(c.Nodes+1), peers, c.Copies))/nodeLeast + countAddedPairs(assignment, strategy.Assign(nodes[:len(nodes)-1], peers, c.Copies))/nodeLeast) / 2
+	f.NodeMoved = (countAddedPairs(assignment, strategy.Assign(nodeNames(c.Nodes+1), peers, c.Copies))/nodeLeast +
+		countAddedPairs(assignment, strategy.Assign(nodes[:len(nodes)-1], peers, c.Copies))/nodeLeast) / 2
 	nodesPerServer := f.SubsetSize * float64(c.Nodes) / float64(c.Peers) // mean number of nodes per server
 	removed := len(peers) / 3
 	withoutOne := strategy.Assign(nodes, slices.Delete(slices.Clone(peers), removed, removed+1), c.Copies)
@@ -172,11 +174,11 @@
 
 // highestScore returns the id of the server with the highest hash score for the key.
 func highestScore(key uint64, parts []ServerShare) (id uint64) {
-	most := uint64(0)
+	highest := uint64(0)
 	for _, p := range parts {
 		x := (p.ID ^ key*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
-		if x = (x ^ x>>29) * 0x94d049bb133111eb; x^x>>32 >= most {
-			most, id = x^x>>32, p.ID
+		if x = (x ^ x>>29) * 0x94d049bb133111eb; x^x>>32 >= highest {
+			highest, id = x^x>>32, p.ID
 		}
 	}
 	return id
--- a/internal/lab/subsets/strategies.go
+++ b/internal/lab/subsets/strategies.go
@@ -70,7 +70,9 @@
 }
 
 // subsetSize returns the number of servers per node such that each server has at least copies nodes, up to all servers.
-func subsetSize(nodes, peers, copies int) int { return min((peers*copies+nodes-1)/nodes, peers) }
+func subsetSize(nodes, peers, nodesPerServer int) int {
+	return min((peers*nodesPerServer+nodes-1)/nodes, peers)
+}
 
 func assignAll(nodes []string, peers []subset.Server, _ int) map[string][]ServerShare {
 	out := map[string][]ServerShare{}
@@ -140,10 +142,11 @@
 		slices.SortFunc(ring, func(a, b at) int { return cmp.Compare(a.place, b.place) })
 		nodePosition := vanDerCorput(i%nodesPerRound) + rotation
 		nodePosition -= float64(int(nodePosition))
-		from, _ := slices.BinarySearchFunc(ring, nodePosition, func(a at, place float64) int { return cmp.Compare(a.place, place) })
+		first, _ := slices.BinarySearchFunc(ring, nodePosition,
+			func(a at, place float64) int { return cmp.Compare(a.place, place) })
 		var ids []uint64
 		for k := range count {
-			ids = append(ids, ring[(from+k)%len(ring)].id)
+			ids = append(ids, ring[(first+k)%len(ring)].id)
 		}
 		out[n] = weightedShares(ids, weightsOf(peers))
 	}
