--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -28,7 +28,7 @@
 	meanLatency float64 // seconds
 	meanWork    float64 // seconds: mean of the expected work, or of the latency if the client expects none
 	// baseLatency is the latency that nine out of ten answers exceed, as a share of the latency
-	// objective. Only a small part of it is waiting.
+	// objective. Only a small part of this latency is time spent waiting.
 	baseLatency float64
 	// limitShare is the share of a server's concurrency limit that requests of the class may use.
 	limitShare float64
@@ -46,7 +46,8 @@
 	}
 }
 
-// latencyObjective returns the time limit for an answer to this request to earn its full weight.
+// latencyObjective returns the latency objective of the request: that of its class, extended by the
+// expected work, but at most the class's deadline. A later answer does not earn its full weight.
 func (r *request) latencyObjective() time.Duration {
 	perWork := time.Duration(r.class.ObjectivePerWork * r.expectedWork * float64(time.Second))
 	return min(r.class.LatencyObjective+perWork, r.class.Deadline)
@@ -73,15 +74,15 @@
 	b.meanLatency += nodeLatencySmoothing * (latency.Seconds() - b.meanLatency)
 }
 
-// waitComparisonSmoothing is the weight of one outcome in the mean wait of its own class or tenant.
-// Its weight in the mean of all others is half of that.
+// waitComparisonSmoothing is the weight of a new outcome in ownWait. The weight of a new outcome in
+// othersWait is half of it.
 const waitComparisonSmoothing = 0.1
 
 // waitComparison compares the mean wait of one class or tenant with that of all others. A wait
 // ranges from 0 (answered at once) to 1 (late or failed).
 type waitComparison struct {
-	ownWait    float64
-	othersWait float64
+	ownWait    float64 // mean wait of the class or tenant
+	othersWait float64 // mean wait of all other classes or tenants
 }
 
 // newWaitComparison starts with the highest wait for all others, so that no class or tenant has an
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -69,8 +69,8 @@
 	discovery string // where it is
 	front     *client.Front
 	peers     []*server
-	crowds    []*client.Crowd
-	rogues    []*client.Rogue
+	crowds    []*client.Group
+	rogues    []*client.MalformedClient
 	nodes     []*instance
 	zones     map[string]string // of machines but clients'
 	listed    map[string]string // peers' states, as discovery has them
@@ -146,7 +146,7 @@
 	s, c := r.script, &r.script.World
 	r.net.Seed = s.Seed
 	for _, n := range c.Nodes {
-		r.net.Guest(n.Name)
+		r.net.AddNode(n.Name)
 	}
 	r.place()
 	observer := worldObserver{run: r}
@@ -159,7 +159,8 @@
 	r.discovery = c.Discovery.Addr
 	for _, p := range c.Peers {
 		one := &server{run: r, c: p, Peer: peer.New(p, peer.Env{
-			Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: observer, Classes: c.Classes, Listed: r.registry, Attempts: r.judge,
+			Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: observer, Classes: c.Classes,
+			Registrar: r.registry, Attempts: r.judge,
 		})}
 		r.peers = append(r.peers, one)
 		if p.Late {
@@ -172,7 +173,7 @@
 	r.front = client.NewFront(c.Front, c.Nodes, client.FrontEnv{Loop: r.loop, Fabric: r.net, Seed: s.Seed})
 	env := client.Env{
 		Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: observer, Classes: c.Classes, Tenants: c.Tenants,
-		Front: r.front, Contract: c.Contract, Ended: r.watch.request, Heard: r.judge.heard,
+		Front: r.front, Contract: c.Contract, OnRequestEnd: r.watch.request, OnResponse: r.judge.heard,
 	}
 	for _, one := range c.Clients {
 		r.crowds = append(r.crowds, client.New(one, env))
@@ -275,9 +276,9 @@
 		Loop: r.loop, Fabric: r.net, Seed: s.Seed, Observer: event.NopObserver{}, Classes: c.Classes, Tenants: c.Tenants,
 		Front: r.front, Contract: c.Contract,
 	}
-	for _, one := range c.Rogues {
+	for _, one := range c.Malformed {
 		one.From += figure.Span(r.zero)
-		g := client.NewRogue(one, env)
+		g := client.NewMalformedClient(one, env)
 		g.Start()
 		r.rogues = append(r.rogues, g)
 	}
@@ -315,7 +316,7 @@
 		}
 	}
 	r.children.Wait()
-	if err := r.net.Trouble(); err != nil {
+	if err := r.net.FirstError(); err != nil {
 		r.fail("%v", err)
 	}
 }
@@ -332,16 +333,16 @@
 // misled finds rogues that were served what must not be.
 func (r *Run) misled() {
 	for i, g := range r.rogues {
-		kind := r.script.World.Rogues[i].Kind
-		if n := g.Results().Served; n > 0 && !client.Lawful(kind) {
+		kind := r.script.World.Malformed[i].Kind
+		if n := g.Results().Served; n > 0 && !client.ValidByItself(kind) {
 			r.judge.breaks("bad", "%d requests of the kind %s were served", n, kind)
 		}
 	}
 }
 
 func (r *Run) quiet() bool {
-	return !slices.ContainsFunc(r.crowds, func(c *client.Crowd) bool { return !c.Quiet() }) &&
-		!slices.ContainsFunc(r.rogues, func(g *client.Rogue) bool { return !g.Quiet() })
+	return !slices.ContainsFunc(r.crowds, func(c *client.Group) bool { return !c.Idle() }) &&
+		!slices.ContainsFunc(r.rogues, func(g *client.MalformedClient) bool { return !g.Idle() })
 }
 
 // post lets f run on the loop.
--- a/internal/lab/live/watch.go
+++ b/internal/lab/live/watch.go
@@ -60,12 +60,13 @@
 	r := sample.Reading{At: w.now()}
 	for _, p := range w.run.peers {
 		s := p.Stats()
-		r.Peers = append(r.Peers, sample.Peer{Name: p.c.Name, Down: p.Down(), Held: s.Held, Arrived: s.Arrived, Probes: s.Probes, Falls: s.Falls})
+		r.Peers = append(r.Peers, sample.Peer{Name: p.c.Name, Down: p.Down(), OpenRequests: s.Held,
+			AttemptsReceived: s.Arrived, HealthChecks: s.Probes, OverloadCrashes: s.OverloadCrashes})
 	}
 	for i, n := range w.run.nodes {
 		pid := n.pid()
 		w.used[i] = max(w.used[i], n.used+usedBy(pid)-w.base[i])
-		r.Nodes = append(r.Nodes, sample.Node{Name: n.c.Name, CPU: w.used[i], Resident: residentOf(pid)})
+		r.Nodes = append(r.Nodes, sample.Node{Name: n.c.Name, CPU: w.used[i], ResidentBytes: residentOf(pid)})
 	}
 	w.to.Reading(r)
 }
@@ -74,7 +75,7 @@
 func (w *watch) request(q sample.Request) {
 	if w.on {
 		zero := w.run.zero
-		q.Due, q.Begun, q.Ended = q.Due-zero, q.Begun-zero, q.Ended-zero
+		q.ScheduledAt, q.SentAt, q.EndedAt = q.ScheduledAt-zero, q.SentAt-zero, q.EndedAt-zero
 		w.to.Request(q)
 	}
 }
@@ -82,7 +83,7 @@
 // tell tells of something that happened.
 func (w *watch) tell(who, what string) {
 	if w.on {
-		w.to.Event(sample.Event{At: w.now(), Who: who, What: what})
+		w.to.Event(sample.Event{At: w.now(), Name: who, Change: what})
 	}
 }
 
--- a/internal/lab/network/conn.go
+++ b/internal/lab/network/conn.go
@@ -8,234 +8,232 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// conn is a connection, or the attempt at one. It belongs to the loop.
+// conn is a connection, or a dial in progress. It belongs to the loop.
 type conn struct {
-	n        *Net
-	id       string
-	from, to string // machine that dialed, address dialed
-	host     string // of to
-	nth      uint64 // of those from there to there
-	distance time.Duration
-	ends     [2]end  // the one that dialed; the other
-	pipes    [2]pipe // from each of them
-	patience *loop.Timer
-
-	silent bool // nothing that is sent arrives any more
-	stale  bool // the machine at one end was away and knows it no more
-	hush   *hush
-}
-
-// end is one end of a connection; the world's hold it as a link.Conn.
+	net        *Net
+	id         string
+	from, to   string // host that dialed; address that it dialed
+	host       string // host part of to
+	dialNumber uint64 // number of this connection among those from the host from to the host
+	pathDelay  time.Duration
+	ends       [2]end  // the end that dialed; the end that accepted
+	pipes      [2]pipe // indexed by the sending end
+	dialTimer  *loop.Timer
+
+	silent      bool // every packet sent from now on is dropped
+	stale       bool // the machine at one end has vanished, and does not know the connection after its return
+	silencePlan *silencePlan
+}
+
+// end is one end of a connection. A modelled service holds it as a link.Conn.
 type end struct {
-	c       *conn
-	side    int          // 0: it dialed
-	handler link.Handler // of the world's
-	port    *port        // of the nodes'
-
-	held  bool // a program holds it: it counts as open
-	up    bool
-	gone  bool // nothing is sent or heard here any more
-	over  bool // the sending has ended
-	wrote bool // bytes were sent
-	cut   bool // a reset was
-
-	// Of the world's, see world.go.
-	paused  bool
-	waiting []byte // they came meanwhile
-	ended   bool   // and behind them the end
-	heard   bool   // the handler has heard the end, which it does once
-	outbox  [][]byte
-	closing bool // the end of the sending stands behind the outbox
-	used    int  // of the window
+	conn    *conn
+	side    int          // 0: the end that dialed; 1: the end that accepted
+	handler link.Handler // of a modelled service
+	port    *port        // of a node
+
+	held      bool // a program holds this end, which makes the connection count as open
+	up        bool
+	closed    bool // this end neither sends nor receives any more
+	finSent   bool // a FIN was sent
+	wroteData bool // at least one byte was sent
+	resetSent bool // a reset was sent
+
+	// Used for the ends of modelled services only; see link_conn.go.
+	paused      bool
+	unreadData  []byte // bytes that arrived while reading was paused
+	finPending  bool   // a FIN arrived behind unreadData
+	endNotified bool   // Handler.End was called, which happens at most once
+	sendQueue   [][]byte
+	closing     bool // CloseWrite was called: a FIN follows the last write of sendQueue
+	windowUsed  int  // bytes of the window in use
 }
 
 func (n *Net) newConn(from, to string) *conn {
 	host := hostOf(to)
-	way := from + ">" + host
-	n.dials[way]++
-	c := &conn{n: n, from: from, to: to, host: host, nth: n.dials[way], distance: n.distance(from, host)}
-	c.id = way + "#" + strconv.FormatUint(c.nth, 10)
+	route := from + ">" + host
+	n.dialCounts[route]++
+	c := &conn{net: n, from: from, to: to, host: host, dialNumber: n.dialCounts[route], pathDelay: n.pathDelay(from, host)}
+	c.id = route + "#" + strconv.FormatUint(c.dialNumber, 10)
 	for i := range 2 {
-		c.ends[i] = end{c: c, side: i}
-		c.pipes[i] = pipe{c: c, side: i}
+		c.ends[i] = end{conn: c, side: i}
+		c.pipes[i] = pipe{conn: c, side: i}
 	}
 	c.ends[0].held = true
 	n.conns[c.id] = c
-	n.drawHush(c)
+	n.drawSilencePlan(c)
 	return c
 }
 
-func (e *end) other() *end { return &e.c.ends[1-e.side] }
+func (e *end) other() *end { return &e.conn.ends[1-e.side] }
 
 func (e *end) back() bool { return e.side == 1 }
 
-// send sends a parcel.
-func (e *end) send(k kind, b []byte, err error) { e.c.pipes[e.side].put(k, b, err) }
+// send passes a packet to the pipe of this end.
+func (e *end) send(k packetKind, b []byte, err error) { e.conn.pipes[e.side].enqueue(k, b, err) }
 
 // write sends bytes that the program has written.
 func (e *end) write(b []byte) {
-	if e.gone || e.over {
+	if e.closed || e.finSent {
 		return
 	}
-	e.wrote = true
-	e.c.n.see(link.Sent, e.c, e.back(), b, "")
-	e.c.answered(e.side)
+	e.wroteData = true
+	e.conn.net.observe(link.Sent, e.conn, e.back(), b, "")
+	e.conn.responseSent(e.side)
 	e.send(data, b, nil)
 }
 
-// endWriting ends the sending.
+// endWriting sends a FIN, once.
 func (e *end) endWriting() {
-	if !e.gone && !e.over {
-		e.over = true
-		e.c.n.see(link.Finished, e.c, e.back(), nil, "")
+	if !e.closed && !e.finSent {
+		e.finSent = true
+		e.conn.net.observe(link.Finished, e.conn, e.back(), nil, "")
 		e.send(fin, nil, nil)
 	}
 }
 
-// shut ends both ways, as the program wants it. Bytes that it has not read make
-// it a reset, as in a kernel.
-func (e *end) shut(unread bool) {
+// closeBoth closes both directions when the program asks for it. If the program has left bytes unread, the other side
+// receives a reset, as from a kernel.
+func (e *end) closeBoth(unread bool) {
 	switch {
-	case e.gone:
+	case e.closed:
 	case !e.up:
-		e.leave()
+		e.discard()
 	case unread:
-		e.c.n.see(link.Closed, e.c, e.back(), nil, "unread")
+		e.conn.net.observe(link.Closed, e.conn, e.back(), nil, "unread")
 		e.reset(link.ErrUnread)
 	default:
-		e.gone = true
-		e.c.n.see(link.Closed, e.c, e.back(), nil, "")
-		if !e.over {
-			e.over = true
+		e.closed = true
+		e.conn.net.observe(link.Closed, e.conn, e.back(), nil, "")
+		if !e.finSent {
+			e.finSent = true
 			e.send(fin, nil, nil)
 		}
 	}
 	e.release()
 }
 
-// turnAway ends a connection that no program has taken: none of it was read.
-func (e *end) turnAway(unread bool) {
-	if !e.gone {
+// closeUnaccepted resets a connection that no program has accepted, so that nothing was read from it.
+func (e *end) closeUnaccepted(unread bool) {
+	if !e.closed {
 		note := ""
 		if unread {
 			note = "unread"
 		}
-		e.c.n.see(link.Closed, e.c, e.back(), nil, note)
+		e.conn.net.observe(link.Closed, e.conn, e.back(), nil, note)
 		e.reset(link.ErrUnread)
 	}
 	e.release()
 }
 
-// abort breaks the connection from here, and says why in the trace.
+// abort resets the connection from this end. note is the reason in the trace.
 func (e *end) abort(note string) {
-	if !e.gone && e.up {
-		e.c.n.see(link.Reset, e.c, e.back(), nil, note)
+	if !e.closed && e.up {
+		e.conn.net.observe(link.Reset, e.conn, e.back(), nil, note)
 		e.reset(link.ErrReset)
 	}
-	e.leave()
+	e.discard()
 	e.release()
 }
 
-// leave forgets the connection without a word.
-func (e *end) leave() {
-	if !e.gone && !e.up {
-		e.c.patience.Stop()
-		e.c.n.see(link.Fail, e.c, e.back(), nil, "called off")
+// discard drops the state of this end without sending anything.
+func (e *end) discard() {
+	if !e.closed && !e.up {
+		e.conn.dialTimer.Stop()
+		e.conn.net.observe(link.Fail, e.conn, e.back(), nil, "called off")
 	}
-	e.gone, e.waiting, e.outbox, e.closing = true, nil, nil, false
+	e.closed, e.unreadData, e.sendQueue, e.closing = true, nil, nil, false
 }
 
-// reset tells the other side that the connection is no more, once.
+// reset closes this end and sends a reset, at most once.
 func (e *end) reset(err error) {
-	e.leave()
-	if !e.cut {
-		e.cut = true
+	e.discard()
+	if !e.resetSent {
+		e.resetSent = true
 		e.send(rst, nil, err)
 	}
 }
 
-// release notes that no program holds this end any more.
+// release records that no program holds this end any more, and forgets the connection once neither end is held.
 func (e *end) release() {
 	e.held = false
 	if !e.other().held {
-		delete(e.c.n.conns, e.c.id)
+		delete(e.conn.net.conns, e.conn.id)
 	}
 }
 
-// take hands bytes that came to the program. Where it has closed, its kernel
-// answers with a reset.
-func (e *end) take(b []byte) {
+// deliver passes received bytes to the program. If the program has closed this end, the kernel answers with a reset.
+func (e *end) deliver(b []byte) {
 	switch {
-	case e.gone:
-		e.c.pipes[1-e.side].refused = true
+	case e.closed:
+		e.conn.pipes[1-e.side].dataAfterClose = true
 		e.reset(link.ErrUnread)
 	case e.port != nil:
-		e.port.arrived(b)
-	case e.paused || len(e.waiting) > 0:
-		e.waiting = append(e.waiting, b...)
+		e.port.receiveData(b)
+	case e.paused || len(e.unreadData) > 0:
+		e.unreadData = append(e.unreadData, b...)
 	default:
 		e.handler.Data(e, b)
-		e.other().credit(len(b))
+		e.other().releaseWindow(len(b))
 	}
 }
 
-// credit gives room back in the window: the other side has read.
-func (e *end) credit(n int) {
+// releaseWindow frees n bytes of the window after the other side has read them.
+func (e *end) releaseWindow(n int) {
 	if e.port != nil {
-		e.port.credit(n)
+		e.port.releaseWindow(n)
 		return
 	}
-	e.used -= n
+	e.windowUsed -= n
 	e.flush()
 }
 
-// heardEnd takes in that the other side has ended its sending.
-func (e *end) heardEnd() {
+// receiveFin processes a FIN from the other side.
+func (e *end) receiveFin() {
 	switch {
-	case e.gone:
+	case e.closed:
 	case e.port != nil:
-		e.port.arrivedEnd()
-	case len(e.waiting) > 0:
-		e.ended = true
-	case e.crossed():
-		e.broken(link.ErrUnread)
+		e.port.receiveFin()
+	case len(e.unreadData) > 0:
+		e.finPending = true
+	case e.peerClosedUnread():
+		e.receiveReset(link.ErrUnread)
 	default:
-		e.heard = true
+		e.endNotified = true
 		e.handler.End(e, link.ErrEOF)
 	}
 }
 
-// crossed reports whether the other side has closed both ways while bytes from
-// here were still on their way. A kernel would tell by a reset, a moment after
-// the end; the world hears it in place of the end.
-func (e *end) crossed() bool {
-	p := &e.c.pipes[e.side]
-	return e.other().gone && (p.flying > 0 || p.refused || len(e.outbox) > 0)
+// peerClosedUnread reports whether the other side has closed both directions while bytes sent from here were still in
+// flight. A kernel would send a reset shortly after the FIN; the handler gets that reset in place of the FIN.
+func (e *end) peerClosedUnread() bool {
+	p := &e.conn.pipes[e.side]
+	return e.other().closed && (p.bytesInFlight > 0 || p.dataAfterClose || len(e.sendQueue) > 0)
 }
 
-// broken takes in a reset.
-func (e *end) broken(err error) {
+// receiveReset processes a reset from the other side.
+func (e *end) receiveReset(err error) {
 	switch {
-	case e.gone:
+	case e.closed:
 		return
-	case !e.up: // its granting was lost
-		e.failed(link.ErrRefused)
+	case !e.up: // the packet that accepts the connection was lost
+		e.dialFailed(link.ErrRefused)
 		return
-	case err == link.ErrUnread && !e.wrote:
-		err = link.ErrReset // it sent nothing that could be unread
+	case err == link.ErrUnread && !e.wroteData:
+		err = link.ErrReset // this end sent nothing that could be unread
 	}
 	note := "reset"
 	if err == link.ErrUnread {
 		note = "unread"
 	}
-	e.c.n.see(link.Reset, e.c, e.back(), nil, note)
-	e.leave()
+	e.conn.net.observe(link.Reset, e.conn, e.back(), nil, note)
+	e.discard()
 	if e.port != nil {
-		e.port.broke() // it is held until the program closes it
+		e.port.receiveReset() // the node holds this end until it closes it
 		return
 	}
 	e.release()
-	if !e.heard {
+	if !e.endNotified {
 		e.handler.End(e, err)
 	}
 }
--- a/internal/lab/network/host.go
+++ b/internal/lab/network/host.go
@@ -11,36 +11,35 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// Host is a process on a machine, from which a node listens and dials. Its
-// methods are safe for concurrent use.
+// Host is a process on a machine; a node listens and dials through it. Its methods are safe for concurrent use.
 type Host struct {
-	n    *Net
+	net  *Net
 	name string
 
-	mu    sync.Mutex
-	dead  bool
-	dials map[string]uint64
+	mu         sync.Mutex
+	killed     bool
+	dialCounts map[string]uint64
 }
 
-// Host gives the process on a machine: after Kill a new one.
+// Host returns the process on a machine, which it creates if there is none. After Kill it returns a new one.
 func (n *Net) Host(name string) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	h := n.hosts[name]
 	if h == nil {
-		h = &Host{n: n, name: name, dials: map[string]uint64{}}
+		h = &Host{net: n, name: name, dialCounts: map[string]uint64{}}
 		n.hosts[name] = h
 	}
 	return h
 }
 
-// netAddr is an address as the node sees it.
+// netAddr is an address as a net.Addr.
 type netAddr string
 
 func (netAddr) Network() string  { return "tcp" }
 func (a netAddr) String() string { return string(a) }
 
-// Listen listens at an address of this machine; it may leave the host out.
+// Listen listens at an address of this machine, whose host part may be empty.
 func (h *Host) Listen(addr string) (net.Listener, error) {
 	if host := hostOf(addr); host == "" || host == "0.0.0.0" || host == "[::]" {
 		addr = h.name + addr[len(host):]
@@ -53,40 +52,40 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.dead {
+	if h.killed {
 		return fail(net.ErrClosed)
 	}
-	l := &hostListener{n: h.n, addr: netAddr(addr)}
-	l.came.L = &l.mu
-	if !h.n.listen(addr, l) {
+	l := &hostListener{net: h.net, addr: netAddr(addr)}
+	l.nonEmpty.L = &l.mu
+	if !h.net.listen(addr, l) {
 		return fail(os.NewSyscallError("bind", syscall.EADDRINUSE))
 	}
 	return l, nil
 }
 
-// Dial opens a connection. It fails as a net.Dialer does.
+// Dial opens a connection. It returns the errors that a net.Dialer would return.
 func (h *Host) Dial(ctx context.Context, addr string) (net.Conn, error) {
-	p := newPort(h.n)
-	p.done = make(chan struct{})
+	p := newPort(h.net)
+	p.dialDone = make(chan struct{})
 	h.mu.Lock()
-	dead := h.dead
-	h.dials[addr]++
-	key := loop.Key{Source: h.name + " dial " + addr, Sequence: h.dials[addr] * 2}
+	killed := h.killed
+	h.dialCounts[addr]++
+	key := loop.Key{Source: h.name + " dial " + addr, Sequence: h.dialCounts[addr] * 2}
 	h.mu.Unlock()
 	err := ctx.Err()
 	switch {
-	case dead:
+	case killed:
 		err = net.ErrClosed
 	case err == nil:
-		h.n.loop.Post(key, func() { h.open(addr, p) })
+		h.net.loop.Post(key, func() { h.dialOnLoop(addr, p) })
 		select {
-		case <-p.done:
+		case <-p.dialDone:
 		case <-ctx.Done():
 			select {
-			case <-p.done: // it came up first
+			case <-p.dialDone: // the dial was completed before ctx ended
 			default:
 				key.Sequence++
-				h.n.loop.Post(key, p.callOff)
+				h.net.loop.Post(key, p.cancelDial)
 				err = ctx.Err()
 			}
 		}
@@ -100,39 +99,38 @@
 	return p, nil
 }
 
-// open dials, on the loop.
-func (h *Host) open(addr string, p *port) {
+// dialOnLoop dials. It runs on the loop.
+func (h *Host) dialOnLoop(addr string, p *port) {
 	h.mu.Lock()
-	dead := h.dead
+	killed := h.killed
 	h.mu.Unlock()
-	if dead {
+	if killed {
 		p.kill()
 		return
 	}
-	c := h.n.newConn(h.name, addr)
-	p.bind(&c.ends[0])
+	c := h.net.newConn(h.name, addr)
+	p.attach(&c.ends[0])
 	c.dial(0)
 }
 
-// hostListener is a node's listener, with its queue of connections that no
-// goroutine has taken yet.
+// hostListener is the listener of a node, with the queue of connections that Accept has not yet returned.
 type hostListener struct {
-	n    *Net
+	net  *Net
 	addr netAddr
 
-	mu     sync.Mutex
-	came   sync.Cond
-	queue  []*port
-	closed bool
+	mu       sync.Mutex
+	nonEmpty sync.Cond
+	queue    []*port
+	closed   bool
 }
 
-func (l *hostListener) take(e *end) {
-	p := newPort(l.n)
-	p.bind(e)
+func (l *hostListener) handleConn(e *end) {
+	p := newPort(l.net)
+	p.attach(e)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.queue = append(l.queue, p)
-	l.came.Signal()
+	l.nonEmpty.Signal()
 }
 
 // Accept implements net.Listener.
@@ -140,7 +138,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.queue) == 0 && !l.closed {
-		l.came.Wait()
+		l.nonEmpty.Wait()
 	}
 	if l.closed {
 		return nil, l.errClosed("accept")
@@ -150,28 +148,28 @@
 	return p, nil
 }
 
-// Close implements net.Listener. Those in the queue are reset.
+// Close implements net.Listener. It resets the connections in the queue.
 func (l *hostListener) Close() error {
-	queue, ok := l.end()
+	queue, ok := l.closeQueue()
 	if !ok {
 		return l.errClosed("close")
 	}
-	l.n.unlisten(string(l.addr), l)
+	l.net.unlisten(string(l.addr), l)
 	for _, p := range queue {
-		p.turnAway()
+		p.closeUnaccepted()
 	}
 	return nil
 }
 
-// die: the connections of a killed process are seen to by Kill.
-func (l *hostListener) die() { l.end() }
+// processKilled implements listener. Net.Kill resets the connections of the process.
+func (l *hostListener) processKilled() { l.closeQueue() }
 
-func (l *hostListener) end() (queue []*port, ok bool) {
+func (l *hostListener) closeQueue() (queue []*port, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	queue, ok = l.queue, !l.closed
 	l.queue, l.closed = nil, true
-	l.came.Broadcast()
+	l.nonEmpty.Broadcast()
 	return queue, ok
 }
 
@@ -182,9 +180,9 @@
 // Addr implements net.Listener.
 func (l *hostListener) Addr() net.Addr { return l.addr }
 
-// dialError is what a node is told of a connection that did not come up.
-func dialError(why error) error {
-	if why == link.ErrTimedOut {
+// dialError returns the error of a net.Dialer for a connection that could not be established.
+func dialError(err error) error {
+	if err == link.ErrTimedOut {
 		return os.NewSyscallError("connect", syscall.ETIMEDOUT)
 	}
 	return os.NewSyscallError("connect", syscall.ECONNREFUSED)
--- a/internal/lab/network/portloop.go
+++ b/internal/lab/network/portloop.go
@@ -6,76 +6,75 @@
 	"olivebridge/internal/lab/link"
 )
 
-// This file is the loop's side of a port.
+// This file holds the methods of a port that run on the loop.
 
-// granted: the connection that the node dialed is up.
-func (p *port) granted() { close(p.done) }
+// connected reports that the connection that the node dialed is up.
+func (p *port) connected() { close(p.dialDone) }
 
-// failed: it does not come up.
-func (p *port) failed(why error) {
-	p.err = dialError(why)
-	close(p.done)
+// dialFailed reports that the connection that the node dialed could not be established.
+func (p *port) dialFailed(err error) {
+	p.err = dialError(err)
+	close(p.dialDone)
 }
 
-// callOff: the node does not wait any longer for what it dialed. If it has come
-// up after all, it is closed as it is.
-func (p *port) callOff() {
-	if p.e != nil {
-		p.e.shut(p.unread())
+// cancelDial abandons a dial whose context has ended. A connection that was established nevertheless is closed.
+func (p *port) cancelDial() {
+	if p.end != nil {
+		p.end.closeBoth(p.dropUnread())
 	}
 }
 
-// arrived takes in bytes, which are nobody else's.
-func (p *port) arrived(b []byte) {
+// receiveData stores received bytes. The port takes ownership of b.
+func (p *port) receiveData(b []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.in) == 0 {
-		p.in = b[:len(b):len(b)]
+	if len(p.received) == 0 {
+		p.received = b[:len(b):len(b)]
 	} else {
-		p.in = append(p.in, b...)
+		p.received = append(p.received, b...)
 	}
-	p.readable.Broadcast()
+	p.readCond.Broadcast()
 }
 
-// arrivedEnd: the other side has ended its sending.
-func (p *port) arrivedEnd() {
+// receiveFin records that the other side has ended its sending.
+func (p *port) receiveFin() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ended = true
-	p.readable.Broadcast()
+	p.finReceived = true
+	p.readCond.Broadcast()
 }
 
-// broke: the connection was reset.
-func (p *port) broke() {
+// receiveReset records that the connection was reset.
+func (p *port) receiveReset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.reset = true
-	p.readable.Broadcast()
-	p.writable.Broadcast()
+	p.resetReceived = true
+	p.readCond.Broadcast()
+	p.writeCond.Broadcast()
 }
 
-// credit: the other side has read n bytes.
-func (p *port) credit(n int) {
+// releaseWindow frees n bytes of the window after the other side has read them.
+func (p *port) releaseWindow(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.used -= n
-	p.writable.Broadcast()
+	p.windowUsed -= n
+	p.writeCond.Broadcast()
 }
 
-// kill: the process is no more.
+// kill makes all calls fail, since the process was killed.
 func (p *port) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.killed, p.in = true, nil
+	p.killed, p.received = true, nil
 	p.stop()
-	if p.done != nil && (p.e == nil || !p.e.up) {
+	if p.dialDone != nil && (p.end == nil || !p.end.up) {
 		p.err = net.ErrClosed
-		close(p.done)
+		close(p.dialDone)
 	}
 }
 
-// read: the node has taken bytes.
-func (e *end) read(b []byte) {
-	e.c.n.see(link.Read, e.c, e.side == 0, b, "")
-	e.other().credit(len(b))
+// dataRead records that the node has read b.
+func (e *end) dataRead(b []byte) {
+	e.conn.net.observe(link.Read, e.conn, e.side == 0, b, "")
+	e.other().releaseWindow(len(b))
 }
--- a/internal/lab/nodefile/nodefile.go
+++ b/internal/lab/nodefile/nodefile.go
@@ -55,7 +55,7 @@
 			"classes": classes, "tenants": quotas,
 			"contract": object{
 				"ask_every": nanoseconds(contract.AskEvery), "cold": nanoseconds(contract.Cold), "cold_share": contract.ColdShare,
-				"drain_grace": nanoseconds(contract.DrainGrace), "fall": nanoseconds(contract.Fall),
+				"drain_grace": nanoseconds(contract.DrainGrace), "fall": nanoseconds(contract.OverloadWindow),
 				"overload_factor": contract.Overload, "dropped_stay_open": contract.DroppedStay,
 			},
 			"limits": object{
@@ -76,8 +76,8 @@
 // classSettings returns the settings of a class.
 func classSettings(class world.Class) object {
 	settings := object{
-		"name": class.Name, "aim": nanoseconds(class.Aim), "deadline": nanoseconds(class.Deadline),
-		"gain": class.Worth, "late_worth": 0.0,
+		"name": class.Name, "aim": nanoseconds(class.Objective), "deadline": nanoseconds(class.Deadline),
+		"gain": class.Weight, "late_worth": 0.0,
 		"idempotency": "side_effect", "stream": false,
 	}
 	if class.Safe {
--- a/internal/lab/rules/commands.go
+++ b/internal/lab/rules/commands.go
@@ -6,35 +6,38 @@
 	"time"
 )
 
-// Time limits and amounts of the rules on operators' commands.
+// Limits of the rules on operators' commands.
 const (
-	// pausedIdleLimit is how long after PAUSE client connections may be idle.
+	// pausedIdleLimit is the duration after PAUSE in which a node may keep idle
+	// client connections.
 	pausedIdleLimit = 4 * time.Second
-	// reuseLimit is how long after RESTORE a peer may be unused.
+	// reuseLimit is the duration after RESTORE within which a peer must receive an
+	// attempt.
 	reuseLimit = 5 * time.Second
-	// recentUse is how long before its suspension a peer that counts as in use
-	// received an attempt.
-	recentUse = time.Second
-	// minAttempts must go to any peers before a cold peer is owed one.
-	minAttempts = 200
-	// maxNamed bounds the connections that a violation names.
-	maxNamed = 3
+	// recentUseWindow is the maximum time from the last attempt of a peer to its
+	// suspension for which the peer counts as in use.
+	recentUseWindow = time.Second
+	// minAttemptsForReuse is the number of attempts to any peers after RESTORE from which
+	// a restored peer must have received one: it may be cold, and gets few.
+	minAttemptsForReuse = 200
+	// maxListedConns is the maximum number of connections that a violation lists.
+	maxListedConns = 3
 )
 
-// suspension keeps a peer out of use at a node, by an operator's command.
+// suspension is the state of a peer that an operator has suspended at a node.
 type suspension struct {
 	since time.Duration
-	inUse bool // it received an attempt shortly before
+	inUse bool // the peer received an attempt within recentUseWindow before
 }
 
 // NodeCommanded implements event.Observer.
-func (j *Judge) NodeCommanded(name, call, peer string) {
+func (j *Judge) NodeCommanded(name, command, peer string) {
 	now := j.clock()
 	n := j.nodes[name]
 	if n == nil || !n.alive {
 		return
 	}
-	switch call {
+	switch command {
 	case "SUSPEND":
 		j.suspend(n, peer)
 	case "RESTORE":
@@ -46,17 +49,19 @@
 	}
 }
 
+// suspend records that a node has suspended a peer.
 func (j *Judge) suspend(n *node, peer string) {
-	if _, again := n.suspended[peer]; again {
+	if _, suspended := n.suspended[peer]; suspended {
 		return
 	}
 	last, used := j.lastUsed[peer]
-	n.suspended[peer] = suspension{since: j.now, inUse: used && j.now-last <= recentUse}
+	n.suspended[peer] = suspension{since: j.now, inUse: used && j.now-last <= recentUseWindow}
 }
 
+// restore ends the suspension of a peer at a node.
 func (j *Judge) restore(n *node, peer string) {
-	s, was := n.suspended[peer]
-	if !was {
+	s, suspended := n.suspended[peer]
+	if !suspended {
 		return
 	}
 	delete(n.suspended, peer)
@@ -66,11 +71,12 @@
 		view.started = max(view.started, start.at)
 	}
 	if s.inUse {
-		j.expectUse(peer)
+		j.scheduleUseCheck(peer)
 	}
 }
 
-// pause follows a node's PAUSE. since is not 0, which stands for no pause.
+// pause records that a node is paused and schedules the check of its idle
+// connections. since must not be 0, which means that the node is not paused.
 func (j *Judge) pause(n *node, since time.Duration) {
 	n.pausedSince = since
 	incarnation := n.incarnation
@@ -81,7 +87,8 @@
 	})
 }
 
-// checkSuspended checks a send of any kind to a peer.
+// checkSuspended checks that an attempt or health check is not sent to a peer
+// that the node has suspended.
 func (j *Judge) checkSuspended(c *peerConn, a *attempt) {
 	s, suspended := c.node.suspended[c.name]
 	if suspended && a.begunAt > s.since+j.config.Slack {
@@ -90,22 +97,23 @@
 	}
 }
 
-// expectUse checks later that a peer which is restored, and was in use, is
-// used again.
-func (j *Judge) expectUse(peer string) {
-	restored := j.now
-	attempts := j.attempts
-	j.schedule(restored+reuseLimit+j.config.Slack, func() {
-		if j.attempts-attempts < minAttempts || j.lastUsed[peer] > restored || !j.available(peer, restored) {
+// scheduleUseCheck schedules the check that a restored peer which was in use before its
+// suspension is used again.
+func (j *Judge) scheduleUseCheck(peer string) {
+	restoredAt := j.now
+	attemptsBefore := j.attempts
+	j.schedule(restoredAt+reuseLimit+j.config.Slack, func() {
+		if j.attempts-attemptsBefore < minAttemptsForReuse || j.lastUsed[peer] > restoredAt ||
+			!j.available(peer, restoredAt) {
 			return
 		}
-		j.report(Unused, j.now, "peer %s is unused %v after it was put back", peer, j.now-restored)
+		j.report(Unused, j.now, "peer %s is unused %v after it was put back", peer, j.now-restoredAt)
 	})
 }
 
-// available reports whether some node could have used a peer since a time: the
-// peer has run since then, and the node lists it as ready and has not
-// suspended it again.
+// available reports whether at least one node could have used a peer since an
+// instant: the peer has run since then, and that node regards it as ready and
+// has not suspended it again.
 func (j *Judge) available(peer string, since time.Duration) bool {
 	if start := j.coldStarts[peer]; start == nil || start.at > since {
 		return false
@@ -135,10 +143,11 @@
 	}
 	slices.Sort(idle)
 	j.report(Paused, j.now, "%s holds %d client connections idle %v after PAUSE: %v",
-		n.name, len(idle), j.now-n.pausedSince, idle[:min(len(idle), maxNamed)])
+		n.name, len(idle), j.now-n.pausedSince, idle[:min(len(idle), maxListedConns)])
 }
 
-// checkReadiness checks an answer to a readiness check of a node.
+// checkReadiness checks that a paused node does not answer a readiness check
+// with status 200.
 func (c *clientConn) checkReadiness(r *request, m *message) {
 	n := c.node
 	if m.status != http.StatusOK || n.pausedSince == 0 || r.acceptedAt <= n.pausedSince+c.judge.config.Slack {
--- a/internal/lab/rules/observer.go
+++ b/internal/lab/rules/observer.go
@@ -36,7 +36,7 @@
 	})
 	for _, name := range j.config.Nodes {
 		if n := j.nodes[name]; n.view.reachable {
-			j.assumeKnownWhenReachable(n)
+			j.assumeNotifiedWhenReachable(n)
 		}
 	}
 }
@@ -44,16 +44,16 @@
 // DiscoveryReachable implements event.Observer.
 func (j *Judge) DiscoveryReachable(node, addr string, served bool) {
 	j.clock()
-	j.unreachable[route{node: node, addr: addr}] = !served
+	j.unreachable[discoveryRoute{node: node, addr: addr}] = !served
 	for _, name := range j.config.Nodes {
 		j.updateReachability(j.nodes[name])
 	}
 }
 
 // MalformedInput implements event.Observer.
-func (j *Judge) MalformedInput(id, why string, within time.Duration) {
+func (j *Judge) MalformedInput(id, reason string, timeLimit time.Duration) {
 	j.clock()
-	input := malformedInput{reason: why, within: within}
+	input := malformedInput{reason: reason, timeLimit: timeLimit}
 	k := j.conns[id]
 	switch {
 	case k == nil:
@@ -74,7 +74,7 @@
 		j.endNode(n)
 	}
 	n.alive = true
-	j.nodeBegan(n, version)
+	j.initializeView(n, version)
 }
 
 // NodeKilled implements event.Observer.
--- a/internal/lab/rules/scanner_test.go
+++ b/internal/lab/rules/scanner_test.go
@@ -9,10 +9,10 @@
 	"olivebridge/internal/lab/link"
 )
 
-// read is all that a scanner meets in some bytes, cut into pieces of n.
-func read(answers bool, text string, n int) string {
+// scanInPieces passes text to a scanner in pieces of n bytes and returns a description of all events.
+func scanInPieces(answers bool, text string, n int) string {
 	s := scanner{answers: answers, storeBody: true}
-	var met strings.Builder
+	var found strings.Builder
 	for len(text) > 0 {
 		piece := []byte(text[:min(n, len(text))])
 		text = text[len(piece):]
@@ -22,10 +22,10 @@
 			switch e {
 			case messageComplete:
 				m := s.message
-				fmt.Fprintf(&met, "%s%s%d id=%s %v ", m.method, m.target, m.status, m.id, m.budget)
-				fmt.Fprintf(&met, "%q %t;", m.storedBody, m.close)
+				fmt.Fprintf(&found, "%s%s%d id=%s %v ", m.method, m.target, m.status, m.id, m.budget)
+				fmt.Fprintf(&found, "%q %t;", m.storedBody, m.close)
 			case malformedMessage:
-				return met.String() + "spoilt"
+				return found.String() + "spoilt"
 			case needMore:
 				if n == 0 {
 					goto next
@@ -35,11 +35,11 @@
 	next:
 	}
 	if s.end() {
-		fmt.Fprintf(&met, "end %q", s.message.storedBody)
+		fmt.Fprintf(&found, "end %q", s.message.storedBody)
 	} else if s.step != nil {
-		met.WriteString("open")
+		found.WriteString("open")
 	}
-	return met.String()
+	return found.String()
 }
 
 func TestScanner(t *testing.T) {
@@ -47,48 +47,48 @@
 	for _, c := range []struct {
 		name, text, want string
 	}{
-		{"request", "GET /a HTTP/1.1\r\nx-call-ID: 7\r\nX-Budget: 0.5\r\n\r\n", `GET/a0 id=7 500ms "" false;`},
-		{"two", "POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nhiGET /b HTTP/1.1\r\n\r\n",
+		{"one request", "GET /a HTTP/1.1\r\nx-call-ID: 7\r\nX-Budget: 0.5\r\n\r\n", `GET/a0 id=7 500ms "" false;`},
+		{"two requests", "POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nhiGET /b HTTP/1.1\r\n\r\n",
 			`POST/a0 id= 0s "hi" false;GET/b0 id= 0s "" false;`},
-		{"answer", ok + "Connection: x, Close\r\nContent-Length: 2\r\n\r\nhi", `200 id= 0s "hi" true;`},
-		{"chunks", ok + "Transfer-Encoding: chunked\r\n\r\n1\r\nh\r\n01 ;x\r\ni\r\n0\r\nA: b\r\n\r\n",
+		{"one answer", ok + "Connection: x, Close\r\nContent-Length: 2\r\n\r\nhi", `200 id= 0s "hi" true;`},
+		{"chunked answer", ok + "Transfer-Encoding: chunked\r\n\r\n1\r\nh\r\n01 ;x\r\ni\r\n0\r\nA: b\r\n\r\n",
 			`200 id= 0s "hi" false;`},
-		{"no body", "HTTP/1.1 304 N\r\nContent-Length: 9\r\n\r\nHTTP/1.1 204 N\r\n\r\n",
+		{"answers without a body", "HTTP/1.1 304 N\r\nContent-Length: 9\r\n\r\nHTTP/1.1 204 N\r\n\r\n",
 			`304 id= 0s "" false;204 id= 0s "" false;`},
-		{"until the end", ok + "\r\nhi", `end "hi"`},
-		{"short", ok + "Content-Length: 3\r\n\r\nhi", "open"},
-		{"short chunk", ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nhi", "open"},
+		{"body until the end of the connection", ok + "\r\nhi", `end "hi"`},
+		{"truncated body", ok + "Content-Length: 3\r\n\r\nhi", "open"},
+		{"truncated chunk", ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nhi", "open"},
 		{"two lengths", ok + "Content-Length: 2\r\nContent-Length: 2\r\n\r\nhi", "spoilt"},
 		{"length and coding", ok + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\nhi", "spoilt"},
 		{"other coding", ok + "Transfer-Encoding: gzip\r\n\r\nhi", "spoilt"},
-		{"length", ok + "Content-Length: -2\r\n\r\nhi", "spoilt"},
-		{"chunk", ok + "Transfer-Encoding: chunked\r\n\r\nx\r\nhi", "spoilt"},
-		{"chunk's end", ok + "Transfer-Encoding: chunked\r\n\r\n1\r\nhi\r\n", "spoilt"},
-		{"no colon", ok + "Content\r\n\r\n", "spoilt"},
-		{"space ahead of the colon", ok + "A : b\r\n\r\n", "spoilt"},
+		{"negative length", ok + "Content-Length: -2\r\n\r\nhi", "spoilt"},
+		{"invalid chunk size", ok + "Transfer-Encoding: chunked\r\n\r\nx\r\nhi", "spoilt"},
+		{"chunk longer than its size", ok + "Transfer-Encoding: chunked\r\n\r\n1\r\nhi\r\n", "spoilt"},
+		{"field without a colon", ok + "Content\r\n\r\n", "spoilt"},
+		{"space before the colon", ok + "A : b\r\n\r\n", "spoilt"},
 		{"bare line feed", "HTTP/1.1 200 OK\nContent-Length: 0\r\n\r\n", "spoilt"},
-		{"status", "HTTP/1.1 2x0 OK\r\n\r\n", "spoilt"},
-		{"version", "HTTP/9 200\r\n\r\n", "spoilt"},
-		{"noise", "\x16\x03\x01\r\n", "spoilt"},
-		{"head without end", ok + strings.Repeat("A: b\r\n", 20000), "spoilt"},
+		{"invalid status", "HTTP/1.1 2x0 OK\r\n\r\n", "spoilt"},
+		{"unknown version", "HTTP/9 200\r\n\r\n", "spoilt"},
+		{"binary data", "\x16\x03\x01\r\n", "spoilt"},
+		{"head over the size limit", ok + strings.Repeat("A: b\r\n", 20000), "spoilt"},
 	} {
 		answers := !strings.Contains(c.text[:min(12, len(c.text))], " /")
 		for _, n := range []int{1, 2, 3, 7, 64, len(c.text)} {
-			if got := read(answers, c.text, n); got != c.want {
+			if got := scanInPieces(answers, c.text, n); got != c.want {
 				t.Errorf("%s, pieces of %d: got %s, want %s", c.name, n, got, c.want)
 			}
 		}
 	}
 }
 
-// Whatever crosses, the judge goes on.
+// FuzzJudge checks that the judge survives any sequence of events and bytes.
 func FuzzJudge(f *testing.F) {
 	pieces := []string{
-		wire("a", "quote"), wire("a", "book"), wire("b", "book")[:70], wire("b", "book")[70:],
-		answer("200 a"), answer("503! "), answer("200 a")[:30], answer("200 a")[30:],
+		requestBytes("a", "quote"), requestBytes("a", "book"), requestBytes("b", "book")[:70], requestBytes("b", "book")[70:],
+		answerBytes("200 a"), answerBytes("503! "), answerBytes("200 a")[:30], answerBytes("200 a")[30:],
 		"HTTP/1.1 200 OK\r\n\r\nx", "HTTP/1.1 100 C\r\n\r\n", "HEAD / HTTP/1.1\r\n\r\n", "\x00\r\n\r\n",
 		"GET /registry/instances?after=1&wait_ms=99 HTTP/1.1\r\n\r\n",
-		listed(7, true, "p1=Gone"), listed(1, false),
+		listAnswer(7, true, "p1=Gone"), listAnswer(1, false),
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n", "",
 	}
 	conns := [][3]string{
@@ -97,7 +97,7 @@
 	}
 	f.Add([]byte("\x01\x00\x00\x03\x00\x00\x01\x02\x00\x03\x02\x00"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		s := newTimeline(noCopies)
+		s := newTimeline(withoutHedging)
 		for ; len(in) >= 3; in = in[3:] {
 			k, data := conns[int(in[1])%len(conns)], []byte(nil)
 			if in[2]%32 < byte(len(pieces)) {
@@ -106,10 +106,10 @@
 				data = in[:min(len(in), int(in[2]))]
 			}
 			s.now += time.Duration(in[2]) * ms
-			switch what := link.EventKind(in[0] % 16); what {
+			switch kind := link.EventKind(in[0] % 16); kind {
 			default:
 				s.j.Observe(link.Event{
-					At: s.now, Kind: what % 9, Conn: k[0], From: k[1], To: k[2], Back: in[0] >= 128, Data: data,
+					At: s.now, Kind: kind % 9, Conn: k[0], From: k[1], To: k[2], Back: in[0] >= 128, Data: data,
 				})
 			case 9:
 				s.j.NodeKilled("n1")
@@ -133,33 +133,33 @@
 	})
 }
 
-// One run: 5,000 calls, 60,000 events.
+// BenchmarkRun measures the judge on a run of 5,000 calls and 60,000 events.
 func BenchmarkRun(b *testing.B) {
 	var all []link.Event
-	cross := func(what link.EventKind, conn, from, to string, back bool, text string) {
+	addEvent := func(kind link.EventKind, conn, from, to string, back bool, text string) {
 		at := time.Duration(len(all)) * 100 * time.Microsecond
 		all = append(all, link.Event{
-			At: at, Kind: what, Conn: conn, From: from, To: to, Back: back, Data: []byte(text),
+			At: at, Kind: kind, Conn: conn, From: from, To: to, Back: back, Data: []byte(text),
 		})
 	}
-	made := answer("200 " + strings.Repeat("x", 2000))
+	response := answerBytes("200 " + strings.Repeat("x", 2000))
 	for i := range 5000 {
 		c, p := fmt.Sprint("c", i%50), fmt.Sprint("p", i%50)
 		if i < 50 {
-			cross(link.Open, c, "c1", "n1:9000", false, "")
-			cross(link.Open, p, "n1", "p1:9", false, "")
+			addEvent(link.Open, c, "c1", "n1:9000", false, "")
+			addEvent(link.Open, p, "n1", "p1:9", false, "")
 		}
-		asked := wire(fmt.Sprint(i), "quote")
-		for _, what := range []link.EventKind{link.Sent, link.Arrived, link.Read} {
-			cross(what, c, "c1", "n1:9000", false, asked)
+		request := requestBytes(fmt.Sprint(i), "quote")
+		for _, kind := range []link.EventKind{link.Sent, link.Arrived, link.Read} {
+			addEvent(kind, c, "c1", "n1:9000", false, request)
 		}
 		for _, back := range []bool{false, true} {
-			for _, what := range []link.EventKind{link.Sent, link.Arrived, link.Read} {
-				cross(what, p, "n1", "p1:9", back, map[bool]string{false: asked, true: made}[back])
+			for _, kind := range []link.EventKind{link.Sent, link.Arrived, link.Read} {
+				addEvent(kind, p, "n1", "p1:9", back, map[bool]string{false: request, true: response}[back])
 			}
 		}
-		for _, what := range []link.EventKind{link.Sent, link.Arrived, link.Read} {
-			cross(what, c, "c1", "n1:9000", true, made)
+		for _, kind := range []link.EventKind{link.Sent, link.Arrived, link.Read} {
+			addEvent(kind, c, "c1", "n1:9000", true, response)
 		}
 	}
 	for b.Loop() {
--- a/internal/lab/sockets/listen.go
+++ b/internal/lab/sockets/listen.go
@@ -12,9 +12,9 @@
 	"olivebridge/internal/lab/link"
 )
 
-// listener is one of the world's. It stands at one entrance for each view.
+// listener is the listener of a modelled service. It has one listening socket per viewer.
 type listener struct {
-	n      *Net
+	net    *Net
 	addr   string
 	accept func(link.Conn) link.Handler
 }
@@ -25,21 +25,21 @@
 		return nil, fmt.Errorf("listen %s: %w", addr, syscall.EADDRINUSE)
 	}
 	l := &listener{n, addr, accept}
-	for _, by := range n.book.views() {
-		d := door{by, addr}
-		if e := n.doors[d]; e != nil { // of a process that ended while its machine was not heard
-			e.of = l
+	for _, viewer := range n.book.viewers() {
+		view := addressView{viewer, addr}
+		if s := n.listenSockets[view]; s != nil { // of a process that ended while its machine was unreachable
+			s.listener = l
 			continue
 		}
-		tcp, err := n.book.listen(d)
+		tcp, err := n.book.listen(view)
 		if err != nil {
-			l.leave()
+			l.releaseSockets()
 			return nil, fmt.Errorf("listen %s: %w", addr, err)
 		}
-		e := &entrance{n: n, door: d, tcp: tcp, of: l}
-		n.doors[d] = e
-		e.deafen(n.unheard(by, hostOf(addr)))
-		n.tasks.Go(e.run)
+		s := &listenSocket{net: n, view: view, tcp: tcp, listener: l}
+		n.listenSockets[view] = s
+		s.setBlocked(n.unreachable(viewer, hostOf(addr)))
+		n.tasks.Go(s.acceptLoop)
 	}
 	n.listeners[addr] = l
 	return l, nil
@@ -47,157 +47,156 @@
 
 // Close implements link.Listener.
 func (l *listener) Close() {
-	if l.n.listeners[l.addr] == l {
-		delete(l.n.listeners, l.addr)
-		l.leave()
+	if l.net.listeners[l.addr] == l {
+		delete(l.net.listeners, l.addr)
+		l.releaseSockets()
 	}
 }
 
-func (l *listener) leave() {
-	for _, by := range l.n.book.views() {
-		if e := l.n.doors[door{by, l.addr}]; e != nil && e.of == l {
-			e.of = nil
-			if e.deaf == nil {
-				e.close()
+func (l *listener) releaseSockets() {
+	for _, viewer := range l.net.book.viewers() {
+		if s := l.net.listenSockets[addressView{viewer, l.addr}]; s != nil && s.listener == l {
+			s.listener = nil
+			if s.blocked == nil {
+				s.close()
 			}
 		}
 	}
 }
 
-// entrance is a listening socket. While its machine is not heard, connections
-// to it time out, and it stays even though whoever listened has gone: a close
-// would let the kernel refuse them.
-type entrance struct {
-	n    *Net
-	door door
-	tcp  *net.TCPListener
-	of   *listener // nil: nobody listens any more
-
-	deaf   chan struct{} // not nil: it takes no connections until this is closed
-	stop   context.CancelFunc
-	filler string // the address of the connection that fills its queue
+// listenSocket is a listening socket. While its machine is unreachable, connections to it time out. It then stays
+// open even after its listener was closed, since the kernel would refuse connections to a closed socket.
+type listenSocket struct {
+	net      *Net
+	view     addressView
+	tcp      *net.TCPListener
+	listener *listener // nil: the listener was closed
+
+	blocked     chan struct{} // not nil: no connection is accepted until the channel is closed
+	stopFilling context.CancelFunc
+	fillerAddr  string // local address of the connection that fills the backlog
 }
 
-func (e *entrance) close() {
-	delete(e.n.doors, e.door)
-	e.tcp.Close()
+func (s *listenSocket) close() {
+	delete(s.net.listenSockets, s.view)
+	s.tcp.Close()
 }
 
-// Lengths of a queue: the usual, and the shortest there is, which one connection
-// fills. The kernel then drops what asks for another, as if nobody was there.
+// Lengths of the accept backlog: the default, and the minimum, which one connection fills. The kernel then drops
+// further SYNs, as if the machine did not exist.
 const (
-	usualQueue = 4096
-	leastQueue = 0
+	defaultBacklog = 4096
+	minBacklog     = 0
 )
 
-// deafen takes an entrance off the network, or brings it back.
-func (e *entrance) deafen(deaf bool) {
+// setBlocked takes a listening socket off the network, or brings it back.
+func (s *listenSocket) setBlocked(blocked bool) {
 	switch {
-	case deaf && e.deaf == nil:
-		e.deaf = make(chan struct{})
-		e.tcp.SetDeadline(time.Unix(1, 0)) // accepting ends
-		e.queue(leastQueue)
-		ctx, stop := context.WithCancel(e.n.life)
-		e.stop = stop
-		e.n.tasks.Go(func() { e.fill(ctx) })
-	case !deaf && e.deaf != nil:
-		e.stop()
-		e.queue(usualQueue)
-		e.tcp.SetDeadline(time.Time{})
-		close(e.deaf)
-		e.deaf = nil
-		if e.of == nil {
-			e.close()
+	case blocked && s.blocked == nil:
+		s.blocked = make(chan struct{})
+		s.tcp.SetDeadline(time.Unix(1, 0)) // interrupts Accept
+		s.setBacklog(minBacklog)
+		ctx, stop := context.WithCancel(s.net.ctx)
+		s.stopFilling = stop
+		s.net.tasks.Go(func() { s.fillBacklog(ctx) })
+	case !blocked && s.blocked != nil:
+		s.stopFilling()
+		s.setBacklog(defaultBacklog)
+		s.tcp.SetDeadline(time.Time{})
+		close(s.blocked)
+		s.blocked = nil
+		if s.listener == nil {
+			s.close()
 		}
 	}
 }
 
-func (e *entrance) queue(length int) {
-	raw, err := e.tcp.SyscallConn()
+func (s *listenSocket) setBacklog(length int) {
+	raw, err := s.tcp.SyscallConn()
 	if err == nil {
 		raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), length) })
 	}
 	if err != nil {
-		e.n.note(err)
+		s.net.recordError(err)
 	}
 }
 
-// fill holds a connection to the entrance, the one that its queue has room for.
-func (e *entrance) fill(ctx context.Context) {
+// fillBacklog keeps a connection open that fills the backlog, until ctx ends.
+func (s *listenSocket) fillBacklog(ctx context.Context) {
 	var d net.Dialer
-	c, err := d.DialContext(ctx, "tcp", e.tcp.Addr().String())
+	c, err := d.DialContext(ctx, "tcp", s.tcp.Addr().String())
 	if err != nil {
-		return // somebody else's connection is there
+		return // another program's connection fills the backlog
 	}
 	defer c.Close()
-	e.n.do(func() { e.filler = c.LocalAddr().String() })
+	s.net.runOnLoop(func() { s.fillerAddr = c.LocalAddr().String() })
 	<-ctx.Done()
 }
 
-// again is when to accept again after this machine could not.
-const again = 10 * time.Millisecond
+// acceptRetryDelay is the pause before the next accept after the operating system failed one.
+const acceptRetryDelay = 10 * time.Millisecond
 
-// run brings connections to the loop, one at a time.
-func (e *entrance) run() {
-	for e.n.life.Err() == nil {
-		c, err := e.tcp.AcceptTCP()
+// acceptLoop accepts connections and passes them to the loop, one at a time.
+func (s *listenSocket) acceptLoop() {
+	for s.net.ctx.Err() == nil {
+		c, err := s.tcp.AcceptTCP()
 		switch {
 		case err == nil:
-			if !e.n.do(func() { e.take(c) }) {
+			if !s.net.runOnLoop(func() { s.accept(c) }) {
 				c.Close()
 			}
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			var heard chan struct{}
-			if e.n.do(func() { heard = e.deaf }) && heard != nil {
+			var unblocked chan struct{}
+			if s.net.runOnLoop(func() { unblocked = s.blocked }) && unblocked != nil {
 				select {
-				case <-heard:
-				case <-e.n.life.Done():
+				case <-unblocked:
+				case <-s.net.ctx.Done():
 				}
 			}
 		case errors.Is(err, net.ErrClosed):
 			return
 		default:
-			e.n.note(err)
+			s.net.recordError(err)
 			select {
-			case <-time.After(again):
-			case <-e.n.life.Done():
+			case <-time.After(acceptRetryDelay):
+			case <-s.net.ctx.Done():
 			}
 		}
 	}
 }
 
-// take gives a connection to whoever listens.
-func (e *entrance) take(tcp *net.TCPConn) {
-	if e.n.life.Err() != nil {
+// accept passes a connection to the listener, if there is one.
+func (s *listenSocket) accept(tcp *net.TCPConn) {
+	if s.net.ctx.Err() != nil {
 		tcp.Close()
 		return
 	}
-	if tcp.RemoteAddr().String() == e.filler {
-		e.filler = ""
+	if tcp.RemoteAddr().String() == s.fillerAddr {
+		s.fillerAddr = ""
 		tcp.Close()
 		return
 	}
-	from := e.door.by
+	from := s.view.viewer
 	if from == "" {
-		from = Anyone
+		from = AnonymousHost
 	}
-	c := e.n.newConn(from, e.door.addr, nil)
-	c.taken = true
-	c.up(tcp)
-	c.see(link.Open, true, nil, "")
-	c.frozen = e.n.parted(from, c.host)
-	if e.deaf != nil && !c.frozen { // it came just before its machine vanished
-		c.silent, c.lost = true, true
+	c := s.net.newConn(from, s.view.addr, nil)
+	c.accepted = true
+	c.attach(tcp)
+	c.observe(link.Open, true, nil, "")
+	c.frozen = s.net.partitioned(from, c.host)
+	if s.blocked != nil && !c.frozen { // it was accepted just before its machine vanished
+		c.silent, c.machineVanished = true, true
 	}
-	if e.of != nil {
-		c.drawHush()
-		c.h = e.of.accept(c)
+	if s.listener != nil {
+		c.drawSilencePlan()
+		c.handler = s.listener.accept(c)
 	}
-	if c.h == nil {
-		c.leave()
-		c.see(link.Reset, true, nil, "not taken")
+	if c.handler == nil {
+		c.markClosed()
+		c.observe(link.Reset, true, nil, "not taken")
 		c.abort()
 		return
 	}
-	e.n.tasks.Go(c.readAll)
+	s.net.tasks.Go(c.readLoop)
 }
--- a/internal/lab/sockets/sockets_test.go
+++ b/internal/lab/sockets/sockets_test.go
@@ -14,113 +14,118 @@
 	"olivebridge/internal/lab/loop"
 )
 
-// rig is a network whose loop runs. Its fields are the loop's.
-type rig struct {
+// testNetwork is a network whose loop is running. Its fields belong to the loop.
+type testNetwork struct {
 	t    *testing.T
-	n    *Net
+	net  *Net
 	loop *loop.Loop
 	tap  tap
 }
 
-func newRig(t *testing.T) *rig {
-	r := &rig{t: t, loop: loop.New(nil)}
-	r.n = New(r.loop, &r.tap)
-	r.n.Guest("n1")
+func newTestNetwork(t *testing.T) *testNetwork {
+	r := &testNetwork{t: t, loop: loop.New(nil)}
+	r.net = New(r.loop, &r.tap)
+	r.net.AddNode("n1")
 	ctx, stop := context.WithCancel(context.Background())
-	over := make(chan struct{})
+	ended := make(chan struct{})
 	go func() {
 		r.loop.Run(ctx, time.Hour, nil)
-		close(over)
+		close(ended)
 	}()
 	t.Cleanup(func() {
 		stop()
-		<-over
-		r.n.Close() // hangs if a goroutine does
+		<-ended
+		r.net.Close() // blocks if a goroutine does not end
 	})
 	return r
 }
 
-// on runs f on the loop.
-func (r *rig) on(f func()) {
+// onLoop runs f on the loop.
+func (r *testNetwork) onLoop(f func()) {
 	r.t.Helper()
-	if !r.n.do(f) {
+	if !r.net.runOnLoop(f) {
 		r.t.Fatal("the network is closed")
 	}
 }
 
 type tap struct{ lines []string }
 
-func (t *tap) Observe(c link.Event) { t.lines = append(t.lines, c.Kind.String()+" "+c.Note) }
+func (t *tap) Observe(event link.Event) {
+	t.lines = append(t.lines, event.Kind.String()+" "+event.Note)
+}
 
-// end is one end's Handler, which tells what it hears: up, =bytes, or the end's error.
-type end struct {
-	conn  link.Conn
-	heard chan string
-	echo  bool
+// recordingHandler is a link.Handler that sends each notification to events: "up", "=" and the bytes, or the text of
+// the error.
+type recordingHandler struct {
+	conn   link.Conn
+	events chan string
+	echo   bool
 }
 
-func newEnd() *end { return &end{heard: make(chan string, 1000)} }
+func newRecordingHandler() *recordingHandler {
+	return &recordingHandler{events: make(chan string, 1000)}
+}
 
-func (e *end) Up(link.Conn) { e.heard <- "up" }
+func (e *recordingHandler) Up(link.Conn) { e.events <- "up" }
 
-func (e *end) Data(c link.Conn, b []byte) {
+func (e *recordingHandler) Data(c link.Conn, b []byte) {
 	if e.echo {
 		c.Write(b)
 	}
-	e.heard <- "=" + string(b)
+	e.events <- "=" + string(b)
 }
 
-func (e *end) End(_ link.Conn, err error) { e.heard <- err.Error() }
+func (e *recordingHandler) End(_ link.Conn, err error) { e.events <- err.Error() }
 
-func wait[T any](t *testing.T, c <-chan T) (v T) {
+func receive[T any](t *testing.T, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(20 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("nothing was received within 20s")
 	}
 	return v
 }
 
-func (e *end) hears(t *testing.T, want ...string) {
+func (e *recordingHandler) expect(t *testing.T, want ...string) {
 	t.Helper()
 	for _, w := range want {
-		if got := wait(t, e.heard); got != w {
-			t.Fatalf("heard %q, not %q", got, w)
+		if got := receive(t, e.events); got != w {
+			t.Fatalf("received notification %q, want %q", got, w)
 		}
 	}
 }
 
-// listens takes connections at an address and gives out their ends.
-func (r *rig) listens(addr string) chan *end {
-	ends := make(chan *end, 100)
-	r.on(func() {
-		_, err := r.n.Listen(addr, func(c link.Conn) link.Handler {
-			e := newEnd()
+// listen accepts connections at an address and sends their handlers to the channel that it returns.
+func (r *testNetwork) listen(addr string) chan *recordingHandler {
+	handlers := make(chan *recordingHandler, 100)
+	r.onLoop(func() {
+		_, err := r.net.Listen(addr, func(c link.Conn) link.Handler {
+			e := newRecordingHandler()
 			e.conn = c
-			ends <- e
+			handlers <- e
 			return e
 		})
 		if err != nil {
 			r.t.Error(err)
 		}
 	})
-	return ends
+	return handlers
 }
 
-// pair is a connection between two of the world's.
-func (r *rig) pair() (a, b *end) {
-	ends := r.listens("p1:9000")
-	a = newEnd()
-	r.on(func() { a.conn = r.n.Dial("c1", "p1:9000", time.Minute, a) })
-	a.hears(r.t, "up")
-	return a, wait(r.t, ends)
+// connect returns both ends of a connection between two modelled machines.
+func (r *testNetwork) connect() (a, b *recordingHandler) {
+	handlers := r.listen("p1:9000")
+	a = newRecordingHandler()
+	r.onLoop(func() { a.conn = r.net.Dial("c1", "p1:9000", time.Minute, a) })
+	a.expect(r.t, "up")
+	return a, receive(r.t, handlers)
 }
 
-// guest is a plain connection of the node's to an address of the world's.
-func (r *rig) guest(addr string) net.Conn {
+// dialFromNode returns a TCP connection of node n1 to a modelled address.
+func (r *testNetwork) dialFromNode(addr string) net.Conn {
 	r.t.Helper()
-	c, err := net.Dial("tcp", r.n.MapAddress("n1", addr))
+	c, err := net.Dial("tcp", r.net.MapAddress("n1", addr))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -128,160 +133,163 @@
 	return c
 }
 
-func read(t *testing.T, c net.Conn, want string) {
+func expectBytes(t *testing.T, c net.Conn, want string) {
 	t.Helper()
 	b := make([]byte, len(want))
 	if _, err := io.ReadFull(c, b); err != nil || string(b) != want {
-		t.Fatalf("read %q, not %q: %v", b, want, err)
+		t.Fatalf("read %q, want %q: %v", b, want, err)
 	}
 }
 
 func TestBytesAndEnds(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(a, b *end)
-		b    []string // what b hears
+		do   func(a, b *recordingHandler)
+		b    []string // notifications that b receives
 		a    []string
 	}{
-		{"bytes, then a half close", func(a, _ *end) { a.conn.Write([]byte("one")); a.conn.CloseWrite() },
+		{"bytes, then a half close", func(a, _ *recordingHandler) { a.conn.Write([]byte("one")); a.conn.CloseWrite() },
 			[]string{"=one", link.ErrEOF.Error()}, nil},
-		{"close", func(a, b *end) { b.conn.Write([]byte("two")); b.conn.Close() }, nil,
+		{"close", func(a, b *recordingHandler) { b.conn.Write([]byte("two")); b.conn.Close() }, nil,
 			[]string{"=two", link.ErrEOF.Error()}},
-		{"reset", func(a, _ *end) { a.conn.Reset() }, []string{link.ErrReset.Error()}, nil},
-		{"kill", func(a, _ *end) { a.conn.(*conn).n.Kill("p1") }, nil, []string{link.ErrReset.Error()}},
-		{"kill of the one that dialed", func(a, _ *end) { a.conn.(*conn).n.Kill("c1") },
+		{"reset", func(a, _ *recordingHandler) { a.conn.Reset() }, []string{link.ErrReset.Error()}, nil},
+		{"kill", func(a, _ *recordingHandler) { a.conn.(*conn).net.Kill("p1") }, nil, []string{link.ErrReset.Error()}},
+		{"kill of the dialing machine", func(a, _ *recordingHandler) { a.conn.(*conn).net.Kill("c1") },
 			[]string{link.ErrReset.Error()}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t)
-			a, b := r.pair()
-			r.on(func() { c.do(a, b) })
-			b.hears(t, c.b...)
-			a.hears(t, c.a...)
+			r := newTestNetwork(t)
+			a, b := r.connect()
+			r.onLoop(func() { c.do(a, b) })
+			b.expect(t, c.b...)
+			a.expect(t, c.a...)
 		})
 	}
 }
 
-// Half a connection still carries bytes the other way.
+// TestHalfClose checks that a connection that is closed in one direction still carries bytes in the other.
 func TestHalfClose(t *testing.T) {
-	r := newRig(t)
-	a, b := r.pair()
-	r.on(func() { a.conn.CloseWrite() })
-	b.hears(t, link.ErrEOF.Error())
-	r.on(func() { b.conn.Write([]byte("late")); b.conn.Close() })
-	a.hears(t, "=late", link.ErrEOF.Error())
-	r.on(func() {
+	r := newTestNetwork(t)
+	a, b := r.connect()
+	r.onLoop(func() { a.conn.CloseWrite() })
+	b.expect(t, link.ErrEOF.Error())
+	r.onLoop(func() { b.conn.Write([]byte("late")); b.conn.Close() })
+	a.expect(t, "=late", link.ErrEOF.Error())
+	r.onLoop(func() {
 		a.conn.Close()
-		if n := len(r.n.conns); n != 0 {
-			t.Errorf("%d connections are left", n)
+		if n := len(r.net.conns); n != 0 {
+			t.Errorf("%d connections are left, want 0", n)
 		}
 		lines := strings.Join(r.tap.lines, "\n")
 		if !strings.Contains(lines, "sent") || !strings.Contains(lines, "arrived") {
-			t.Errorf("the tap saw %s", lines)
+			t.Errorf("the tap observed %s, want sent and arrived", lines)
 		}
 	})
 }
 
-// Guards the address of a process that starts again, and what is heard while there is none.
+// TestListenAgain checks that a process that starts again listens at the same real address, and that dials are
+// refused while there is none.
 func TestListenAgain(t *testing.T) {
-	r := newRig(t)
-	at := r.n.Resolve("p1:9000")
-	dials := func(want string) {
+	r := newTestNetwork(t)
+	at := r.net.Resolve("p1:9000")
+	expectDial := func(want string) {
 		t.Helper()
-		a := newEnd()
-		r.on(func() { r.n.Dial("c1", "p1:9000", time.Minute, a) })
-		a.hears(t, want)
+		a := newRecordingHandler()
+		r.onLoop(func() { r.net.Dial("c1", "p1:9000", time.Minute, a) })
+		a.expect(t, want)
 	}
-	dials(link.ErrRefused.Error())
-	r.listens("p1:9000")
-	r.on(func() {
-		if _, err := r.n.Listen("p1:9000", nil); err == nil {
-			t.Error("two listen at one address")
+	expectDial(link.ErrRefused.Error())
+	r.listen("p1:9000")
+	r.onLoop(func() {
+		if _, err := r.net.Listen("p1:9000", nil); err == nil {
+			t.Error("a second listener at the address was accepted")
 		}
 	})
-	dials("up")
-	r.on(func() { r.n.Kill("p1") })
-	dials(link.ErrRefused.Error())
-	r.listens("p1:9000")
-	dials("up")
-	if now := r.n.Resolve("p1:9000"); now != at {
-		t.Errorf("at %s, and then at %s", at, now)
+	expectDial("up")
+	r.onLoop(func() { r.net.Kill("p1") })
+	expectDial(link.ErrRefused.Error())
+	r.listen("p1:9000")
+	expectDial("up")
+	if now := r.net.Resolve("p1:9000"); now != at {
+		t.Errorf("real address %s before the restart and %s after it, want the same", at, now)
 	}
-	if other := r.n.MapAddress("n1", "p1:9000"); other == at {
-		t.Error("a guest is not told from others")
+	if other := r.net.MapAddress("n1", "p1:9000"); other == at {
+		t.Error("the node reaches the address at the same port as other programs")
 	}
 }
 
-// Guards backpressure: an end that is held reads nothing, and loses nothing; large writes arrive whole.
-func TestHold(t *testing.T) {
-	r := newRig(t)
-	ends := r.listens("p1:9000")
-	c := r.guest("p1:9000")
-	b := wait(t, ends)
+// TestPauseReading guards backpressure: a paused end reads nothing and loses nothing, and large writes arrive
+// completely.
+func TestPauseReading(t *testing.T) {
+	r := newTestNetwork(t)
+	ends := r.listen("p1:9000")
+	c := r.dialFromNode("p1:9000")
+	b := receive(t, ends)
 	big := bytes.Repeat([]byte("0123456789abcdef"), 1<<20)
-	r.on(func() { b.conn.PauseReading(true) })
+	r.onLoop(func() { b.conn.PauseReading(true) })
 	c.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
 	sent, err := c.Write(big)
 	if err == nil {
-		t.Fatal("a held end took 16 MiB")
+		t.Fatal("16 MiB were written to a paused end, want a timeout")
 	}
-	r.on(func() {
-		if len(b.heard) > 0 {
-			t.Error("a held end heard something")
+	r.onLoop(func() {
+		if len(b.events) > 0 {
+			t.Error("a paused end was notified")
 		}
 		b.conn.PauseReading(false)
 	})
 	for got := 0; got < sent; {
-		got += len(wait(t, b.heard)) - 1
+		got += len(receive(t, b.events)) - 1
 	}
-	r.on(func() { b.conn.Write(big); b.conn.Close() })
+	r.onLoop(func() { b.conn.Write(big); b.conn.Close() })
 	if back, err := io.ReadAll(c); err != nil || !bytes.Equal(back, big) {
-		t.Errorf("%d bytes came back: %v", len(back), err)
+		t.Errorf("the node read %d bytes, want those written: %v", len(back), err)
 	}
 }
 
-// A connection says which node it is of; one that falls silent stays open, and is given back at its end.
+// TestHush checks that the connection's ID names the node, and that a connection that fell silent stays open and is
+// forgotten when the other side closes it.
 func TestHush(t *testing.T) {
-	r := newRig(t)
-	ends := r.listens("p1:9000")
-	one, two := r.guest("p1:9000"), r.guest("p1:9000")
-	a, b := wait(t, ends), wait(t, ends)
+	r := newTestNetwork(t)
+	ends := r.listen("p1:9000")
+	one, two := r.dialFromNode("p1:9000"), r.dialFromNode("p1:9000")
+	a, b := receive(t, ends), receive(t, ends)
 	if a.conn.ID() != "n1>p1#1" || b.conn.ID() != "n1>p1#2" {
-		t.Fatalf("%s and %s", a.conn.ID(), b.conn.ID())
+		t.Fatalf("connection IDs %s and %s, want n1>p1#1 and n1>p1#2", a.conn.ID(), b.conn.ID())
 	}
-	r.on(func() {
-		r.n.Hush(func(id string) bool { return id == "n1>p1#1" })
+	r.onLoop(func() {
+		r.net.Hush(func(id string) bool { return id == "n1>p1#1" })
 		a.conn.Write([]byte("lost"))
 		a.conn.Close()
 		b.conn.Write([]byte("kept"))
 	})
-	read(t, two, "kept")
+	expectBytes(t, two, "kept")
 	one.Write([]byte("hello"))
 	one.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if k, err := one.Read(make([]byte, 9)); k > 0 || !isTimeout(err) {
-		t.Errorf("a silent connection gave %d bytes, %v", k, err)
+		t.Errorf("read of a silent connection: %d bytes, %v; want a timeout", k, err)
 	}
 	one.Close()
-	for gone := false; !gone; { // its end is read by and by
-		r.on(func() { gone = r.n.conns["n1>p1#1"] == nil })
+	for forgotten := false; !forgotten; { // the close is read at some later time
+		r.onLoop(func() { forgotten = r.net.conns["n1>p1#1"] == nil })
 	}
 }
 
 func isTimeout(err error) bool {
-	var late net.Error
-	return errors.As(err, &late) && late.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
 func TestHushNew(t *testing.T) {
-	r := newRig(t)
-	ends := r.listens("p1:9000")
-	r.on(func() { r.n.HushNew(1, func(host string) bool { return host == "p1" }) })
-	c := r.guest("p1:9000")
-	b := wait(t, ends)
-	for range mostTurns {
+	r := newTestNetwork(t)
+	ends := r.listen("p1:9000")
+	r.onLoop(func() { r.net.HushNew(1, func(host string) bool { return host == "p1" }) })
+	c := r.dialFromNode("p1:9000")
+	b := receive(t, ends)
+	for range maxRequestsUntilSilent {
 		c.Write([]byte("ask"))
-		b.hears(t, "=ask") // the request always comes
-		r.on(func() { b.conn.Write([]byte("answer")) })
+		b.expect(t, "=ask") // the request always arrives
+		r.onLoop(func() { b.conn.Write([]byte("answer")) })
 		c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		if k, err := c.Read(make([]byte, 99)); k == 0 {
 			if !isTimeout(err) {
@@ -290,83 +298,85 @@
 			return
 		}
 	}
-	t.Error("it never fell silent")
+	t.Error("the connection did not fall silent")
 }
 
-// A machine that vanishes says nothing, not even that nobody listens; back again, it knows its connections no more.
+// TestVanish checks that dials to a vanished machine time out even if nobody listens there, and that its earlier
+// connections are reset after its return.
 func TestVanish(t *testing.T) {
-	r := newRig(t)
-	ends := r.listens("p1:9000")
-	old := r.guest("p1:9000")
-	a := wait(t, ends)
-	r.on(func() { r.n.Vanish("p1") })
+	r := newTestNetwork(t)
+	ends := r.listen("p1:9000")
+	old := r.dialFromNode("p1:9000")
+	a := receive(t, ends)
+	r.onLoop(func() { r.net.Vanish("p1") })
 	dial := func() error {
-		c, err := net.DialTimeout("tcp", r.n.MapAddress("n1", "p1:9000"), 100*time.Millisecond)
+		c, err := net.DialTimeout("tcp", r.net.MapAddress("n1", "p1:9000"), 100*time.Millisecond)
 		if err == nil {
 			c.Close()
 		}
 		return err
 	}
-	for range 5 { // one may stand in the queue of what is not accepted
+	for range 5 { // one connection may be in the backlog
 		if dial(); isTimeout(dial()) {
 			break
 		}
 	}
 	if err := dial(); !isTimeout(err) {
-		t.Errorf("a vanished machine was reached: %v", err)
+		t.Errorf("dial to a vanished machine: %v, want a timeout", err)
 	}
-	r.on(func() { r.n.Kill("p1") })
+	r.onLoop(func() { r.net.Kill("p1") })
 	if err := dial(); !isTimeout(err) {
-		t.Errorf("a vanished machine without a process answered: %v", err)
+		t.Errorf("dial to a vanished machine without a process: %v, want a timeout", err)
 	}
-	ends = r.listens("p1:9000") // the process starts again, unheard
-	r.on(func() { r.n.Return("p1") })
+	ends = r.listen("p1:9000") // the process starts again while its machine is unreachable
+	r.onLoop(func() { r.net.Return("p1") })
 	if _, err := old.Read(make([]byte, 9)); err == nil || isTimeout(err) {
-		t.Errorf("an old connection: %v", err)
+		t.Errorf("read of a connection from before the return: %v, want a reset", err)
 	}
-	a.hears(t)
-	c := r.guest("p1:9000")
+	a.expect(t)
+	c := r.dialFromNode("p1:9000")
 	c.Write([]byte("hello"))
-	for b := wait(t, ends); ; b = wait(t, ends) { // whoever came meanwhile stands before it
-		if wait(t, b.heard) == "=hello" {
+	for b := receive(t, ends); ; b = receive(t, ends) { // the dials made meanwhile precede it
+		if receive(t, b.events) == "=hello" {
 			return
 		}
 	}
 }
 
-// A short cut delays; a connection that lost something for longer stays silent.
-func TestCut(t *testing.T) {
-	is := func(one string) func(string) bool { return func(host string) bool { return host == one } }
+// TestPartition checks that a short partition delays data, and that a connection on which data was blocked for longer
+// stays silent.
+func TestPartition(t *testing.T) {
+	hostIs := func(one string) func(string) bool { return func(host string) bool { return host == one } }
 	for _, long := range []bool{false, true} {
-		r := newRig(t)
-		ends := r.listens("p1:9000")
-		c := r.guest("p1:9000")
-		b := wait(t, ends)
+		r := newTestNetwork(t)
+		ends := r.listen("p1:9000")
+		c := r.dialFromNode("p1:9000")
+		b := receive(t, ends)
 		var heal func()
-		r.on(func() {
-			heal = r.n.Cut(is("n1"), is("p1"))
+		r.onLoop(func() {
+			heal = r.net.Cut(hostIs("n1"), hostIs("p1"))
 			b.conn.Write([]byte("late"))
 			if long {
-				b.conn.(*conn).waiting -= 2 * resends // as if it had been written then
+				b.conn.(*conn).blockedSince -= 2 * retransmitLimit // as if it had been written that much earlier
 			}
 		})
-		if _, err := net.DialTimeout("tcp", r.n.Resolve("p1:9000"), time.Minute); err != nil {
-			t.Errorf("others are cut off: %v", err)
+		if _, err := net.DialTimeout("tcp", r.net.Resolve("p1:9000"), time.Minute); err != nil {
+			t.Errorf("dial from a machine outside the partition: %v", err)
 		}
 		c.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
 		if k, err := c.Read(make([]byte, 9)); k > 0 || !isTimeout(err) {
-			t.Errorf("through the cut: %d bytes, %v", k, err)
+			t.Errorf("read during the partition: %d bytes, %v; want a timeout", k, err)
 		}
-		r.on(heal)
+		r.onLoop(heal)
 		c.SetReadDeadline(time.Now().Add(20 * time.Second))
 		if long {
-			r.on(func() {
+			r.onLoop(func() {
 				if !b.conn.(*conn).silent {
-					t.Error("what was lost for long came all the same")
+					t.Error("the connection is not silent though data was blocked for longer than retransmitLimit")
 				}
 			})
 			continue
 		}
-		read(t, c, "late")
+		expectBytes(t, c, "late")
 	}
 }
--- a/internal/lab/stage/run.go
+++ b/internal/lab/stage/run.go
@@ -65,8 +65,8 @@
 	hosts     map[string]string  // their machines
 	zones     map[string]string  // of machines but clients'
 	parted    map[[2]string]bool // nodes that are cut off from an address of discovery's
-	crowds    []*client.Crowd
-	rogues    []*client.Rogue
+	crowds    []*client.Group
+	rogues    []*client.MalformedClient
 	nodes     []*instance
 	faults    []rules.Violation // what the stage itself finds
 	over      chan struct{}     // closed at the end
@@ -112,7 +112,7 @@
 
 // fail notes what the stage itself finds.
 func (r *run) fail(rule, format string, args ...any) {
-	r.faults = append(r.faults, rules.Violation{Rule: rule, At: r.loop.Now(), What: fmt.Sprintf(format, args...)})
+	r.faults = append(r.faults, rules.Violation{Rule: rule, At: r.loop.Now(), Detail: fmt.Sprintf(format, args...)})
 }
 
 // play lets the script happen, and the world come to rest after it.
@@ -154,7 +154,7 @@
 	}
 	r.loop.Run(ctx, r.loop.Now()+time.Second, r.step)
 	for _, n := range r.nodes {
-		if held := r.net.Held(n.c.Name); len(held) > 0 {
+		if held := r.net.HeldBy(n.c.Name); len(held) > 0 {
 			r.fail("rest", "node %s has ended and holds %d connections: %.200s", n.c.Name, len(held), strings.Join(held, " "))
 		}
 	}
@@ -169,12 +169,12 @@
 
 func (r *run) quiet() bool {
 	for _, c := range r.crowds {
-		if !c.Quiet() {
+		if !c.Idle() {
 			return false
 		}
 	}
 	for _, g := range r.rogues {
-		if !g.Quiet() {
+		if !g.Idle() {
 			return false
 		}
 	}
@@ -192,7 +192,7 @@
 
 // atRest asks the nodes what they still hold.
 func (r *run) atRest() {
-	listed := listedIn(r.registry.Known(false))
+	listed := listedIn(r.registry.ConfiguredList(false))
 	for _, n := range r.nodes {
 		if n.live == nil || n.live.node == nil {
 			r.fail("rest", "node %s does not run at the end", n.c.Name)
@@ -214,7 +214,7 @@
 		t := c.Tally()
 		all.Add(Tally{
 			Asked: t.Asked, Served: t.Served, Late: t.Late, Refused: t.Refused, Failed: t.Failed, Unanswered: t.Unanswered,
-			Left: t.Left, Retries: t.Retries, Worth: t.Worth, Whole: t.Whole,
+			Left: t.Left, Retries: t.Retries, Worth: t.ServedWorth, Whole: t.OfferedWorth,
 		})
 	}
 	for _, p := range r.peers { // a sum: in any order
--- a/internal/node/memory_network_test.go
+++ b/internal/node/memory_network_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// memoryNetwork is a network without sockets, for synctest: real I/O would stop its virtual clock.
+// memoryNetwork is an in-memory network without sockets. Tests with synctest need it, since the virtual clock does not
+// advance while a goroutine waits for real I/O.
 type memoryNetwork struct {
 	mu       sync.Mutex
 	incoming map[string]chan net.Conn // by listening address
@@ -37,16 +38,16 @@
 	if conns == nil {
 		return nil, syscall.ECONNREFUSED
 	}
-	p := &connState{}
-	p.changed.L = &p.mu
-	near := &memoryConn{connState: p, addr: memoryAddr(addr)}
-	far := &memoryConn{connState: p, side: 1, addr: memoryAddr(addr)}
-	m.conns = append(m.conns, near, far)
-	conns <- far
-	return near, nil
+	shared := &connState{}
+	shared.changed.L = &shared.mu
+	local := &memoryConn{connState: shared, addr: memoryAddr(addr)}
+	remote := &memoryConn{connState: shared, side: 1, addr: memoryAddr(addr)}
+	m.conns = append(m.conns, local, remote)
+	conns <- remote
+	return local, nil
 }
 
-// openConns counts the ends of connections that nobody has closed.
+// openConns returns the number of connection ends that are not closed.
 func (m *memoryNetwork) openConns() (n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,17 +95,17 @@
 	return nil
 }
 
-// connState is the state of a connection; each array has an element for each side.
+// connState is the state of a connection that its two ends share. Each array has one element per side.
 type connState struct {
 	mu         sync.Mutex
 	changed    sync.Cond
 	unread     [2][]byte
 	sendClosed [2]bool
 	closed     [2]bool
-	deadline   [2]time.Time // of reads
+	deadline   [2]time.Time // read deadlines
 }
 
-// memoryConn is one side of a connection. It implements transport.Conn.
+// memoryConn is one end of a connection. It implements transport.Conn.
 type memoryConn struct {
 	*connState
 	side int
@@ -117,7 +118,7 @@
 func (c *memoryConn) SetDeadline(t time.Time) error    { return c.SetReadDeadline(t) }
 
 func (c *memoryConn) SetReadDeadline(t time.Time) error {
-	return c.set(func() {
+	return c.update(func() {
 		c.deadline[c.side] = t
 		if !t.IsZero() {
 			time.AfterFunc(time.Until(t), c.changed.Broadcast)
@@ -125,16 +126,16 @@
 	})
 }
 
-func (c *memoryConn) CloseWrite() error { return c.set(func() { c.sendClosed[c.side] = true }) }
+func (c *memoryConn) CloseWrite() error { return c.update(func() { c.sendClosed[c.side] = true }) }
 
 func (c *memoryConn) Close() error {
-	return c.set(func() {
+	return c.update(func() {
 		c.sendClosed[c.side] = true
 		c.closed[c.side] = true
 	})
 }
 
-func (c *memoryConn) set(f func()) error {
+func (c *memoryConn) update(f func()) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f()
@@ -153,8 +154,9 @@
 	return len(b), nil
 }
 
-// state returns how much a read finds, or its error. The lock is held.
-func (c *memoryConn) state() (int, error) {
+// readable returns the number of bytes that can be read, or the error that a read returns: EAGAIN if it would block.
+// The caller holds the lock. 0 bytes without an error mean the end of the stream.
+func (c *memoryConn) readable() (int, error) {
 	deadline := c.deadline[c.side]
 	switch {
 	case c.closed[c.side]:
@@ -172,7 +174,7 @@
 func (c *memoryConn) Peek() (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.state()
+	return c.readable()
 }
 
 func (c *memoryConn) HasEnded() bool {
@@ -187,18 +189,18 @@
 
 func (c *memoryConn) ReadUnderLock(b []byte, mu sync.Locker, open func() error, took func(int)) (int, error) {
 	for {
-		if n, err := c.take(b, mu, open, took); !errors.Is(err, syscall.EAGAIN) {
+		if n, err := c.readAvailable(b, mu, open, took); !errors.Is(err, syscall.EAGAIN) {
 			return n, err
 		}
 		c.mu.Lock()
-		for _, err := c.state(); errors.Is(err, syscall.EAGAIN); _, err = c.state() {
+		for _, err := c.readable(); errors.Is(err, syscall.EAGAIN); _, err = c.readable() {
 			c.changed.Wait()
 		}
 		c.mu.Unlock()
 	}
 }
 
-func (c *memoryConn) take(b []byte, mu sync.Locker, open func() error, took func(int)) (int, error) {
+func (c *memoryConn) readAvailable(b []byte, mu sync.Locker, open func() error, took func(int)) (int, error) {
 	mu.Lock()
 	defer mu.Unlock()
 	if err := open(); err != nil {
@@ -206,7 +208,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n, err := c.state()
+	n, err := c.readable()
 	if err == nil && n == 0 {
 		return 0, io.EOF
 	} else if n == 0 {
--- a/internal/protocol/name_index.go
+++ b/internal/protocol/name_index.go
@@ -7,14 +7,14 @@
 	"olivebridge/internal/settings"
 )
 
-// NameIndex has the positions of names in the lists of the settings.
+// NameIndex maps the names in the lists of the settings to their positions.
 type NameIndex struct {
 	Classes map[string]int
-	// Tenants is empty where there are none.
+	// Tenants is empty if the settings have no tenants.
 	Tenants map[string]int
 	Zones   map[string]int
 	Kinds   map[string]int
-	// Methods are those of the classes, by position.
+	// Methods has the request method of each class, by the position of the class.
 	Methods []string
 }
 
@@ -26,14 +26,14 @@
 		Kinds:   s.Kinds,
 	}
 	for _, class := range s.Balancer.Classes {
-		index.Methods = append(index.Methods, methodOf(class.Idempotency))
+		index.Methods = append(index.Methods, requestMethod(class.Idempotency))
 	}
 	return index
 }
 
-// methodOf returns the one method of a class's requests. Repeats of a request with an idempotency key are dropped by
-// whoever keeps the key; the first run has an effect all the same.
-func methodOf(idempotency balancer.Idempotency) string {
+// requestMethod returns the method that all requests of a class must have. A class with idempotency keys has POST: the
+// store of the keys drops duplicates of a request, but the first execution has side effects.
+func requestMethod(idempotency balancer.Idempotency) string {
 	if idempotency == balancer.Idempotent {
 		return http.MethodGet
 	}
