--- a/internal/lab/experiment/assert.go
+++ b/internal/lab/experiment/assert.go
@@ -11,7 +11,7 @@
 )
 
 // Whole is the name of the phase that covers the entire run.
-const Whole = report.Whole
+const Whole = report.WholeRun
 
 // Assert is a lower or upper bound, or both, on one figure of the report.
 type Assert struct {
@@ -60,7 +60,7 @@
 	for i := range e.Asserts {
 		a := &e.Asserts[i]
 		at := func(key string) string { return fmt.Sprintf("assert[%d].%s", i, key) }
-		f, ok := report.FigureNamed(a.What)
+		f, ok := report.FindFigureKind(a.What)
 		if !ok {
 			return d.Error(at("what"), "unknown figure %q", a.What)
 		}
@@ -72,7 +72,7 @@
 			return d.Error(at("class"), "unknown class %q", a.Class)
 		case a.Tenant != "" && !slices.Contains(tenants, a.Tenant):
 			return d.Error(at("tenant"), "unknown tenant %q", a.Tenant)
-		case a.Class+a.Tenant != "" && !f.OfPart:
+		case a.Class+a.Tenant != "" && !f.PerScope:
 			return d.Error(at("what"), "%s is measured only over all requests, not by class or tenant", a.What)
 		}
 		if a.Phase == "" {
@@ -89,9 +89,9 @@
 			key string
 			Bound
 		}{{"least", a.Least}, {"most", a.Most}} {
-			if b.set && b.isDuration != f.Time {
+			if b.set && b.isDuration != f.IsDuration {
 				want := "a number"
-				if f.Time {
+				if f.IsDuration {
 					want = `a duration such as "200ms"`
 				}
 				return d.Error(at(b.key), "%s needs %s", a.What, want)
@@ -129,9 +129,9 @@
 // appends one check for each of them to the report.
 func (e *Experiment) evaluateAsserts(r *report.Report) {
 	for _, a := range e.Asserts {
-		f, _ := report.FigureNamed(a.What)
-		c := report.Check{What: a.What, Class: a.Class, Tenant: a.Tenant, Phase: a.Phase, Unit: f.Unit}
-		value, measured := r.Figure(a.What, a.Phase, report.Part{Class: a.Class, Tenant: a.Tenant})
+		f, _ := report.FindFigureKind(a.What)
+		c := report.Check{Figure: a.What, Class: a.Class, Tenant: a.Tenant, Phase: a.Phase, Unit: f.Unit}
+		value, measured := r.Figure(a.What, a.Phase, report.Scope{Class: a.Class, Tenant: a.Tenant})
 		c.Value, c.Verdict = value, report.Passed
 		if a.Least.set {
 			c.Least = &a.Least.value
@@ -141,9 +141,9 @@
 		}
 		switch {
 		case r.Short && a.FullFormOnly:
-			c.Verdict, c.Note = report.None, "full form only"
+			c.Verdict, c.Note = report.NoVerdict, "full form only"
 		case !measured:
-			c.Verdict, c.Note = report.None, "not measured"
+			c.Verdict, c.Note = report.NoVerdict, "not measured"
 		case a.Least.set && value < a.Least.value, a.Most.set && value > a.Most.value:
 			c.Verdict = report.Failed
 		}
--- a/internal/lab/experiment/record.go
+++ b/internal/lab/experiment/record.go
@@ -103,7 +103,7 @@
 	class := &r.plan.Script.World.Classes[place]
 	lag := max(q.SentAt-q.ScheduledAt, 0)
 	recordLatency(r.lateness, lag)
-	if lag > report.LateBy {
+	if lag > report.MaxLateness {
 		r.lateCount++
 	}
 	for i, p := range r.phases {
@@ -177,7 +177,7 @@
 func (r *recorder) report() *report.Report {
 	e, s := r.plan.Experiment, r.plan.Script
 	out := &report.Report{
-		Form: report.Form, Name: e.Name, Shows: e.Shows, Seed: s.Seed, Short: r.plan.Short,
+		FormatVersion: report.FormatVersion, Name: e.Name, Shows: e.Shows, Seed: s.Seed, Short: r.plan.Short,
 		Length: s.Length.D().Seconds(), Faults: faultBands(s),
 	}
 	for _, c := range s.World.Classes {
@@ -331,7 +331,7 @@
 		out.Seconds = append(out.Seconds, one)
 	}
 	for i, p := range r.plan.Script.World.Peers {
-		out.Peers = append(out.Peers, report.Peer{Name: p.Name, Zone: p.Zone, Cores: p.Cores, Held: r.meanHeld(i)})
+		out.Peers = append(out.Peers, report.Peer{Name: p.Name, Zone: p.Zone, Cores: p.Cores, InFlight: r.meanHeld(i)})
 	}
 }
 
@@ -373,11 +373,11 @@
 
 // faultBands returns the script's faults as bands on the report's time axis,
 // sorted by start. All rogues together are one band.
-func faultBands(s *fault.Script) (all []report.Band) {
+func faultBands(s *fault.Script) (all []report.FaultInterval) {
 	for i := range s.Faults {
 		f := &s.Faults[i]
 		from, to := f.At.D().Seconds(), f.Ends().D().Seconds()
-		all = append(all, report.Band{Kind: f.Kind, From: from, To: to, Note: faultSummary(f)})
+		all = append(all, report.FaultInterval{Kind: f.Kind, From: from, To: to, Note: faultSummary(f)})
 	}
 	kinds, from, to := 0, time.Duration(0), time.Duration(0)
 	for i, g := range s.World.Malformed {
@@ -388,10 +388,10 @@
 		to = max(to, (g.From + g.For).D())
 	}
 	if kinds > 0 {
-		all = append(all, report.Band{
+		all = append(all, report.FaultInterval{
 			Kind: fault.Rogues, From: from.Seconds(), To: to.Seconds(), Note: countNoun(kinds, "kind", "kinds"),
 		})
 	}
-	slices.SortStableFunc(all, func(a, b report.Band) int { return cmp.Compare(a.From, b.From) })
+	slices.SortStableFunc(all, func(a, b report.FaultInterval) int { return cmp.Compare(a.From, b.From) })
 	return all
 }
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -123,9 +123,9 @@
 
 // writeConfig replaces the configuration file atomically, because a running node may read it.
 func (i *instance) writeConfig(stale bool) error {
-	data, err := nodefile.Write(&i.run.script.World, i.c, nodefile.Start{
+	data, err := nodefile.Write(&i.run.script.World, i.c, nodefile.NodeStart{
 		Listen: i.listenAddr, Discovery: i.run.net.MapAddress(i.c.Name, i.run.discovery),
-		Known: i.run.registry.ConfiguredListFor(i.c.Name, stale), Seed: i.seed,
+		LastEndpoints: i.run.registry.ConfiguredListFor(i.c.Name, stale), Seed: i.seed,
 	})
 	if err != nil {
 		return err
--- a/internal/lab/path/check.go
+++ b/internal/lab/path/check.go
@@ -15,34 +15,37 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// TolerancesDir is where the tolerances stand, from the root of the source tree.
+// TolerancesDir is the directory of the tolerance files, relative to the root of the source tree.
 const TolerancesDir = "internal/lab/path"
 
-// The files there: what people set and read, and what goes with it.
+// Files in TolerancesDir. People edit the allowed rises in tolerancesFile; placesFile is generated with it and
+// attributes the accepted counts to functions.
 const (
 	tolerancesFile = "tolerances.toml"
 	placesFile     = "places.toml"
 )
 
-// Tolerances say what the counts of each load were when they were last accepted, and how far they may rise.
+// Tolerances are the last accepted counts of each load and the amounts by which the counts may rise.
 type Tolerances struct {
-	Go    string            `toml:"go"`
-	Rise  map[string]Rise   `toml:"rise"` // by count
-	Loads map[string]Counts `toml:"load"`
+	Go    string                 `toml:"go"`
+	Rise  map[string]AllowedRise `toml:"rise"` // by count
+	Loads map[string]Counts      `toml:"load"`
 
-	places map[string]byPlace // by load
+	places map[string]countsByFunction // by load
 }
 
-// byPlace is where the counts of a load fell: by count and function.
-type byPlace map[string]map[string]float64
+// countsByFunction holds the counts of a load by count name and function.
+type countsByFunction map[string]map[string]float64
 
-// Rise is how much a count may rise: by a part of it or by a number, whichever is more.
-type Rise struct {
-	Part float64 `toml:"part"`
-	Plus float64 `toml:"plus"`
+// AllowedRise is the amount by which a count may rise: a fraction of the accepted count or an absolute number per
+// request, whichever is larger.
+type AllowedRise struct {
+	Fraction float64 `toml:"part"`
+	Absolute float64 `toml:"plus"`
 }
 
-// ReadTolerances reads them from a directory.
+// ReadTolerances reads the tolerance files of a directory. It returns an error if the rise of a count is missing or
+// negative.
 func ReadTolerances(dir string) (*Tolerances, error) {
 	file := filepath.Join(dir, tolerancesFile)
 	t := &Tolerances{}
@@ -50,14 +53,14 @@
 		return nil, err
 	}
 	for _, name := range countNames {
-		if r, ok := t.Rise[name]; !ok || r.Part < 0 || r.Plus < 0 {
+		if r, ok := t.Rise[name]; !ok || r.Fraction < 0 || r.Absolute < 0 {
 			return nil, fmt.Errorf("%s: rise.%s: missing or below 0", file, name)
 		}
 	}
 	return t, readTOML(filepath.Join(dir, placesFile), &t.places)
 }
 
-// readTOML reads a file with no key that it should not have. An error names file and line.
+// readTOML decodes a TOML file and rejects unknown keys. Errors name the file and, where known, the line.
 func readTOML(file string, to any) error {
 	text, err := os.ReadFile(file)
 	if e, ok := errors.AsType[*os.PathError](err); ok {
@@ -80,31 +83,31 @@
 	return nil
 }
 
-// Check is what comparing a report with the tolerances gave: a line for each count of each load.
+// Check is the result of comparing a report with the tolerances: each count of each load is in one of the fields.
 type Check struct {
-	Risen      []string // beyond what is allowed, and for which functions
-	Fallen     []string // by as much: the tolerances are no longer tight
-	NotChecked []string
-	Held       int
+	Risen      []string // counts that rose more than allowed, with the functions that caused it
+	Fallen     []string // counts that fell by more than the allowed rise: the tolerances are no longer tight
+	NotChecked []string // counts that were not measured or have no accepted value
+	Held       int      // number of counts within the tolerances
 }
 
-// Against compares the counts with what they were.
-func (r *Report) Against(t *Tolerances) Check {
+// CheckAgainst compares the counts with the accepted ones.
+func (r *Report) CheckAgainst(t *Tolerances) Check {
 	var c Check
 	for _, f := range r.Loads {
 		for _, name := range countNames {
-			was, known := t.Loads[f.Load][name]
-			is, counted := f.Counts[name]
-			room := max(t.Rise[name].Part*was, t.Rise[name].Plus)
-			line := fmt.Sprintf("%s: %s: %.2f a request, and %.2f before", f.Load, name, is, was)
+			accepted, known := t.Loads[f.Load][name]
+			measured, counted := f.Counts[name]
+			allowed := max(t.Rise[name].Fraction*accepted, t.Rise[name].Absolute)
+			line := fmt.Sprintf("%s: %s: %.2f a request, and %.2f before", f.Load, name, measured, accepted)
 			switch {
 			case !known || !counted:
 				c.NotChecked = append(c.NotChecked, fmt.Sprintf("%s: %s", f.Load, name))
-			case is > was+room:
-				brought := risen(f.of(name), t.places[f.Load][name], is-was)
-				line = fmt.Sprintf("%s; %.2f more are allowed%s", line, room, brought)
+			case measured > accepted+allowed:
+				causes := describeRise(f.perFunction(name), t.places[f.Load][name], measured-accepted)
+				line = fmt.Sprintf("%s; %.2f more are allowed%s", line, allowed, causes)
 				c.Risen = append(c.Risen, line)
-			case is < was-room:
+			case measured < accepted-allowed:
 				c.Fallen = append(c.Fallen, line)
 			default:
 				c.Held++
@@ -114,42 +117,43 @@
 	return c
 }
 
-// named is how many functions a line names, and namedPart what part of the whole rise each has at least.
+// maxNamedFunctions is the number of functions that a line names at most, and minNamedFraction the smallest fraction
+// of the whole rise that a named function has.
 const (
-	named     = 3
-	namedPart = 0.1
+	maxNamedFunctions = 3
+	minNamedFraction  = 0.1
 )
 
-// risen names the functions that brought a rise, those with the most first.
-func risen(now, before map[string]float64, rise float64) string {
+// describeRise names the functions that caused a rise, in descending order of their part of it.
+func describeRise(now, before map[string]float64, rise float64) string {
 	type change struct {
 		name string
 		by   float64
 		old  bool
 	}
-	var some []change
+	var changes []change
 	for name, is := range now {
 		was, old := before[name]
-		if by := is - was; by > rise*namedPart {
-			some = append(some, change{name, by, old})
+		if by := is - was; by > rise*minNamedFraction {
+			changes = append(changes, change{name, by, old})
 		}
 	}
-	slices.SortFunc(some, func(a, b change) int {
+	slices.SortFunc(changes, func(a, b change) int {
 		return cmp.Or(cmp.Compare(b.by, a.by), cmp.Compare(a.name, b.name))
 	})
-	var words strings.Builder
-	for i, s := range some[:min(len(some), named)] {
-		words.WriteString([]string{"; brought by ", ", "}[min(i, 1)])
-		fmt.Fprintf(&words, "%s (%+.2f", s.name, s.by)
+	var text strings.Builder
+	for i, s := range changes[:min(len(changes), maxNamedFunctions)] {
+		text.WriteString([]string{"; brought by ", ", "}[min(i, 1)])
+		fmt.Fprintf(&text, "%s (%+.2f", s.name, s.by)
 		if !s.old {
-			words.WriteString(", new")
+			text.WriteString(", new")
 		}
-		words.WriteString(")")
+		text.WriteString(")")
 	}
-	return words.String()
+	return text.String()
 }
 
-// The heads of the two files.
+// Comments at the head of the two generated files.
 const (
 	tolerancesHead = `# What a request on the plain path cost when it was last accepted, by load, and how far each count may rise:
 # by a part of it or by a number, whichever is more. "olivelab path --check" fails beyond that; "olivelab path
@@ -161,39 +165,40 @@
 `
 )
 
-// smallest is what a place must have to be kept, by count.
-var smallest = map[string]float64{
+// minKeptCounts are the smallest counts per request that a function must have to be written to placesFile, by count
+// name.
+var minKeptCounts = map[string]float64{
 	CountAllocations: 0.2, CountBytes: 64, CountWrites: 0.02, CountCalls: 0.02, CountCopied: 24,
 }
 
-// Accept writes a report's counts into the tolerances' directory, in the place of the old; the rises stay, and
-// so does what was not counted.
+// Accept writes the counts of a report to the tolerance files in dir. It keeps the allowed rises and the accepted
+// values of counts that the report does not have.
 func (t *Tolerances) Accept(r *Report, dir string) error {
-	n := Tolerances{Go: r.Go, Rise: t.Rise, Loads: maps.Clone(t.Loads), places: maps.Clone(t.places)}
+	accepted := Tolerances{Go: r.Go, Rise: t.Rise, Loads: maps.Clone(t.Loads), places: maps.Clone(t.places)}
 	for _, l := range r.Loads {
-		counts, by := maps.Clone(t.Loads[l.Load]), maps.Clone(t.places[l.Load])
-		if counts == nil || by == nil {
-			counts, by = Counts{}, byPlace{}
+		counts, functions := maps.Clone(t.Loads[l.Load]), maps.Clone(t.places[l.Load])
+		if counts == nil || functions == nil {
+			counts, functions = Counts{}, countsByFunction{}
 		}
 		for name, v := range l.Counts {
-			counts[name] = hundredths(v)
+			counts[name] = roundToHundredths(v)
 			kept := map[string]float64{}
-			for f, v := range l.of(name) {
-				if v >= smallest[name] {
-					kept[f] = hundredths(v)
+			for f, v := range l.perFunction(name) {
+				if v >= minKeptCounts[name] {
+					kept[f] = roundToHundredths(v)
 				}
 			}
-			by[name] = kept
+			functions[name] = kept
 		}
-		if n.Loads == nil || n.places == nil {
-			n.Loads, n.places = map[string]Counts{}, map[string]byPlace{}
+		if accepted.Loads == nil || accepted.places == nil {
+			accepted.Loads, accepted.places = map[string]Counts{}, map[string]countsByFunction{}
 		}
-		n.Loads[l.Load], n.places[l.Load] = counts, by
+		accepted.Loads[l.Load], accepted.places[l.Load] = counts, functions
 	}
 	for _, f := range []struct {
 		name, head string
 		what       any
-	}{{tolerancesFile, tolerancesHead, n}, {placesFile, placesHead, n.places}} {
+	}{{tolerancesFile, tolerancesHead, accepted}, {placesFile, placesHead, accepted.places}} {
 		text, err := toml.Marshal(f.what)
 		if err != nil {
 			return fmt.Errorf("%s: %w", f.name, err)
@@ -205,4 +210,4 @@
 	return nil
 }
 
-func hundredths(v float64) float64 { return math.Round(v*100) / 100 }
+func roundToHundredths(v float64) float64 { return math.Round(v*100) / 100 }
--- a/internal/lab/path/count_calls_linux.go
+++ b/internal/lab/path/count_calls_linux.go
@@ -14,46 +14,47 @@
 	"unsafe"
 )
 
-// Parts of ptrace(2) that package syscall does not name.
+// Constants of ptrace(2) and wait4(2) that package syscall lacks.
 const (
 	ptraceSeize       = 0x4206
 	ptraceInterrupt   = 0x4207
 	ptraceSyscallInfo = 0x420e
-	noThread          = 0x20000000 // wait4: for what this thread traces, not for other children
+	waitOwnTracees    = 0x20000000 // __WNOTHREAD: wait only for tracees of this thread, not for other children
 	syscallStop       = syscall.SIGTRAP | 0x80
-	killAtExit        = 0x100000 // option: nothing traced is left behind
+	optionKillAtExit  = 0x100000 // PTRACE_O_EXITKILL: the tracees are killed if the tracer exits
 )
 
-// tracer counts what the threads of a child do: system calls, or copies between buffers. It stops the
-// threads at each, which makes them slow and changes no count but those that hang on time. Linux allows it
-// an ordinary user towards his own children.
+// tracer counts the system calls of a child's threads or their copies between buffers. It stops the thread at each of
+// them, which slows the child down and changes only the counts that depend on time. On Linux, an ordinary user may
+// trace his own child processes.
 type tracer struct {
-	pid    int
-	mem    *os.File // of the child
-	stacks *stacks  // nil: functions are not known
-	copies bool     // rather than system calls
-	done   chan struct{}
+	pid         int
+	memory      *os.File     // memory of the child
+	stackReader *stackReader // nil if functions cannot be determined
+	countCopies bool         // count copies instead of system calls
+	done        chan struct{}
 
-	mu      sync.Mutex
-	counted tally
-	calls   map[int]callInfo // the call that a thread is in; of the tracing thread alone
+	mu           sync.Mutex
+	tally        tally
+	pendingCalls map[int]callInfo // the system call that each thread is in; used only by the tracing goroutine
 }
 
+// callInfo is the name of a system call and the function that it is attributed to, if that is known.
 type callInfo struct{ name, function string }
 
-// trace begins to count in all threads of a child, which must end before long: the tracer ends with it.
-func trace(pid int, s *stacks, copies bool) (*tracer, error) {
-	t := &tracer{pid: pid, stacks: s, copies: copies, done: make(chan struct{}), counted: newTally(),
-		calls: map[int]callInfo{}}
+// startTracer starts counting in all threads of a child. The tracer ends when the child ends.
+func startTracer(pid int, s *stackReader, copies bool) (*tracer, error) {
+	t := &tracer{pid: pid, stackReader: s, countCopies: copies, done: make(chan struct{}), tally: newTally(),
+		pendingCalls: map[int]callInfo{}}
 	mem, err := os.OpenFile(fmt.Sprintf("/proc/%d/mem", pid), os.O_RDWR, 0)
 	if err != nil {
 		return nil, fmt.Errorf("tracing: %w", err)
 	}
-	t.mem = mem
+	t.memory = mem
 	ready := make(chan error, 1)
 	go func() {
 		defer mem.Close()
-		runtime.LockOSThread() // ptrace belongs to a thread; this one ends with the goroutine
+		runtime.LockOSThread() // ptrace is tied to a thread; the locked thread exits with the goroutine
 		defer close(t.done)
 		err := t.attach()
 		ready <- err
@@ -67,20 +68,20 @@
 	return t, nil
 }
 
-// snapshot is what was counted so far.
+// snapshot returns a copy of the counts so far.
 func (t *tracer) snapshot() tally {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := newTally()
-	maps.Copy(s.calls, t.counted.calls)
-	maps.Copy(s.writers, t.counted.writers)
-	maps.Copy(s.copiers, t.counted.copiers)
+	maps.Copy(s.calls, t.tally.calls)
+	maps.Copy(s.writers, t.tally.writers)
+	maps.Copy(s.copiers, t.tally.copiers)
 	return s
 }
 
-// attach takes hold of all threads there are; those to come are held as they are made.
+// attach attaches to all threads of the child. Threads created later are attached automatically (PTRACE_O_TRACECLONE).
 func (t *tracer) attach() error {
-	held := map[int]bool{}
+	attached := map[int]bool{}
 	for more := true; more; {
 		more = false
 		threads, err := os.ReadDir(fmt.Sprintf("/proc/%d/task", t.pid))
@@ -89,37 +90,37 @@
 		}
 		for _, entry := range threads {
 			tid, err := strconv.Atoi(entry.Name())
-			if err != nil || held[tid] {
+			if err != nil || attached[tid] {
 				continue
 			}
-			held[tid], more = true, true
-			const options = syscall.PTRACE_O_TRACESYSGOOD | syscall.PTRACE_O_TRACECLONE | killAtExit
+			attached[tid], more = true, true
+			const options = syscall.PTRACE_O_TRACESYSGOOD | syscall.PTRACE_O_TRACECLONE | optionKillAtExit
 			err = ptrace(ptraceSeize, tid, 0, options)
 			switch {
-			case errors.Is(err, syscall.ESRCH): // it has ended
-			case errors.Is(err, syscall.EPERM) && len(held) > 1: // held since it was made
+			case errors.Is(err, syscall.ESRCH): // the thread has ended
+			case errors.Is(err, syscall.EPERM) && len(attached) > 1: // attached when it was created
 			case err != nil:
 				return err
 			default:
-				ptrace(ptraceInterrupt, tid, 0, 0) // fails only if it has ended
+				ptrace(ptraceInterrupt, tid, 0, 0) // fails only if the thread has ended
 			}
 		}
 	}
-	if t.copies {
-		return t.breakAtCopies()
+	if t.countCopies {
+		return t.setCopyBreakpoint()
 	}
 	return nil
 }
 
-// run serves the stops of the threads until none is left.
+// run handles the stops of the threads until all have ended.
 func (t *tracer) run() {
 	resume := syscall.PTRACE_SYSCALL
-	if t.copies {
+	if t.countCopies {
 		resume = syscall.PTRACE_CONT
 	}
 	for {
 		var status syscall.WaitStatus
-		tid, err := syscall.Wait4(-1, &status, syscall.WALL|noThread, nil)
+		tid, err := syscall.Wait4(-1, &status, syscall.WALL|waitOwnTracees, nil)
 		switch {
 		case err == syscall.EINTR:
 			continue
@@ -131,65 +132,66 @@
 		deliver := 0
 		switch signal, event := status.StopSignal(), int(status)>>16; {
 		case signal == syscallStop:
-			t.call(tid)
-		case event != 0: // interrupted, or a new thread
-		case signal == syscall.SIGTRAP && t.copies && t.copied(tid):
+			t.handleSyscallStop(tid)
+		case event != 0: // stopped by attach, or a new thread
+		case signal == syscall.SIGTRAP && t.countCopies && t.handleCopy(tid):
 		default:
 			deliver = int(signal)
 		}
-		ptrace(resume, tid, 0, uintptr(deliver)) // fails only if it has been killed
+		ptrace(resume, tid, 0, uintptr(deliver)) // fails only if the thread was killed
 	}
 }
 
-// callState is the kernel's struct ptrace_syscall_info.
-type callState struct {
-	op     uint8 // 1: a call begins, 2: it has ended
-	_      [3]uint8
-	_      uint32
-	ip, sp uint64
-	first  uint64 // the call's number, or its result
-	args   [8]uint64
+// syscallInfo is struct ptrace_syscall_info of the kernel.
+type syscallInfo struct {
+	op             uint8 // 1: entry of a system call, 2: exit
+	_              [3]uint8
+	_              uint32
+	ip, sp         uint64
+	numberOrResult uint64 // number of the call on entry, its result on exit
+	args           [8]uint64
 }
 
-// call notes that a thread enters or leaves a system call.
-func (t *tracer) call(tid int) {
-	var s callState
+// handleSyscallStop handles a stop of a thread at the entry or exit of a system call. Calls are counted on exit.
+func (t *tracer) handleSyscallStop(tid int) {
+	var s syscallInfo
 	err := ptrace(ptraceSyscallInfo, tid, unsafe.Sizeof(s), uintptr(unsafe.Pointer(&s)))
 	switch {
 	case err != nil:
 	case s.op == 1:
-		t.calls[tid] = t.enter(tid, s)
+		t.pendingCalls[tid] = t.describeCall(tid, s)
 	case s.op == 2:
-		in, ok := t.calls[tid]
-		if !ok { // it was in the call when the tracing began
+		in, ok := t.pendingCalls[tid]
+		if !ok { // the thread was in the call when tracing started
 			return
 		}
-		delete(t.calls, tid)
+		delete(t.pendingCalls, tid)
 		empty := 0.0
-		if syscall.Errno(-int64(s.first)) == syscall.EAGAIN {
+		if syscall.Errno(-int64(s.numberOrResult)) == syscall.EAGAIN {
 			empty = 1
 		}
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		add(t.counted.calls, in.name, empty)
+		addCount(t.tally.calls, in.name, empty)
 		if in.function != "" {
-			add(t.counted.writers, in.function, empty)
+			addCount(t.tally.writers, in.function, empty)
 		}
 	}
 }
 
-func add(to map[string]count, name string, sum float64) {
+// addCount adds one event with the given sum to the count of name.
+func addCount(to map[string]count, name string, sum float64) {
 	c := to[name]
 	to[name] = count{c.n + 1, c.sum + sum}
 }
 
-// enter names a call by its number and, where it matters, by the kind of its file.
-func (t *tracer) enter(tid int, s callState) callInfo {
-	name, ok := callNames[s.first]
+// describeCall names a system call by its number and, for reads and writes, by the kind of its file.
+func (t *tracer) describeCall(tid int, s syscallInfo) callInfo {
+	name, ok := syscallNames[s.numberOrResult]
 	if !ok {
-		name = fmt.Sprintf("call %d", s.first)
+		name = fmt.Sprintf("call %d", s.numberOrResult)
 	}
-	switch s.first {
+	switch s.numberOrResult {
 	case syscall.SYS_READ, syscall.SYS_WRITE, syscall.SYS_WRITEV, syscall.SYS_READV:
 		file, _ := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", t.pid, s.args[0]))
 		kind, _, _ := strings.Cut(file, ":[")
@@ -197,7 +199,7 @@
 	}
 	function := ""
 	if isSocketWrite(name) {
-		function = t.caller(tid)
+		function = t.callerOf(tid)
 	}
 	return callInfo{name, function}
 }
@@ -210,8 +212,8 @@
 	return nil
 }
 
-// callNames are those that a node is known to make.
-var callNames = map[uint64]string{
+// syscallNames are the names of the system calls that a node makes.
+var syscallNames = map[uint64]string{
 	syscall.SYS_READ: "read", syscall.SYS_WRITE: "write", syscall.SYS_READV: "readv", syscall.SYS_WRITEV: "writev",
 	syscall.SYS_RECVFROM: "recvfrom", syscall.SYS_SENDTO: "sendto", syscall.SYS_RECVMSG: "recvmsg",
 	syscall.SYS_SENDMSG: "sendmsg", syscall.SYS_SENDFILE: "sendfile", syscall.SYS_SPLICE: "splice",
--- a/internal/lab/path/count_copies_linux_amd64.go
+++ b/internal/lab/path/count_copies_linux_amd64.go
@@ -7,56 +7,57 @@
 	"syscall"
 )
 
-// Copies between buffers are counted where all of them pass: at the entry of runtime.memmove, where a
-// breakpoint stands in the child's memory. Copies of a few bytes, whose number the compiler knows, are made
-// in place and not seen.
-const copier = "runtime.memmove"
+// copyFunction is the function through which all copies between buffers pass. They are counted by a breakpoint at its
+// entry in the child's memory. Copies of a few bytes of constant size are inlined by the compiler and not counted.
+const copyFunction = "runtime.memmove"
 
-// copierBegins is the copier's first instruction, MOVQ AX, DI: what the breakpoint takes the place of, and
-// what copied does in its stead.
-var copierBegins = []byte{0x48, 0x89, 0xc7}
+// copyFunctionPrologue is the first instruction of copyFunction, MOVQ AX, DI. The breakpoint replaces it, and
+// handleCopy emulates it.
+var copyFunctionPrologue = []byte{0x48, 0x89, 0xc7}
 
-const breakpoint = 0xcc // INT 3, of one byte
+const breakpointInstruction = 0xcc // INT 3, one byte
 
-// breakAtCopies sets the breakpoint.
-func (t *tracer) breakAtCopies() error {
-	if t.stacks == nil || t.stacks.copier == 0 {
+// setCopyBreakpoint writes the breakpoint to the entry of copyFunction. It fails if the function begins with another
+// instruction than copyFunctionPrologue, as it may with another version of Go.
+func (t *tracer) setCopyBreakpoint() error {
+	if t.stackReader == nil || t.stackReader.copyFunction == 0 {
 		return errors.New("the program has no symbols")
 	}
-	begins := make([]byte, len(copierBegins))
-	if _, err := t.mem.ReadAt(begins, int64(t.stacks.copier)); err != nil {
+	begins := make([]byte, len(copyFunctionPrologue))
+	if _, err := t.memory.ReadAt(begins, int64(t.stackReader.copyFunction)); err != nil {
 		return err
 	}
-	if !bytes.Equal(begins, copierBegins) {
-		return fmt.Errorf("%s begins with % x: another Go than this knows", copier, begins)
+	if !bytes.Equal(begins, copyFunctionPrologue) {
+		return fmt.Errorf("%s begins with % x: another Go than this knows", copyFunction, begins)
 	}
-	_, err := t.mem.WriteAt([]byte{breakpoint}, int64(t.stacks.copier))
+	_, err := t.memory.WriteAt([]byte{breakpointInstruction}, int64(t.stackReader.copyFunction))
 	return err
 }
 
-// copied notes the copy that a thread is about to make, if it stands at the breakpoint, and lets it go on
-// behind the instruction that was there. Go passes memmove's target, source and length in AX, BX and CX.
-func (t *tracer) copied(tid int) bool {
-	var r syscall.PtraceRegs
-	if syscall.PtraceGetRegs(tid, &r) != nil || r.Rip != t.stacks.copier+1 {
+// handleCopy counts the copy that a thread is about to make if it is stopped at the breakpoint, and continues the
+// thread after the replaced instruction. It reports whether the thread was at the breakpoint. Go passes the target,
+// source and length of memmove in AX, BX and CX.
+func (t *tracer) handleCopy(tid int) bool {
+	var registers syscall.PtraceRegs
+	if syscall.PtraceGetRegs(tid, &registers) != nil || registers.Rip != t.stackReader.copyFunction+1 {
 		return false
 	}
-	stack := t.stacks.walk(t.mem, word(t.mem, r.Rsp)-1, r.Rbp)
-	if length := r.Rcx; length > 0 && len(stack) > 0 && stack[0] != "runtime.copystack" { // which is no buffer
+	stack := t.stackReader.walk(t.memory, readWord(t.memory, registers.Rsp)-1, registers.Rbp)
+	if length := registers.Rcx; length > 0 && len(stack) > 0 && stack[0] != "runtime.copystack" { // stacks are not buffers
 		t.mu.Lock()
-		add(t.counted.copiers, blame(stack), float64(length))
+		addCount(t.tally.copiers, attribute(stack), float64(length))
 		t.mu.Unlock()
 	}
-	r.Rdi = r.Rax
-	r.Rip = t.stacks.copier + uint64(len(copierBegins))
-	return syscall.PtraceSetRegs(tid, &r) == nil
+	registers.Rdi = registers.Rax
+	registers.Rip = t.stackReader.copyFunction + uint64(len(copyFunctionPrologue))
+	return syscall.PtraceSetRegs(tid, &registers) == nil
 }
 
-// caller is the function that a thread's system call is made for.
-func (t *tracer) caller(tid int) string {
-	var r syscall.PtraceRegs
-	if t.stacks == nil || syscall.PtraceGetRegs(tid, &r) != nil {
+// callerOf returns the function to which the system call of a thread is attributed; "" if it cannot be determined.
+func (t *tracer) callerOf(tid int) string {
+	var registers syscall.PtraceRegs
+	if t.stackReader == nil || syscall.PtraceGetRegs(tid, &registers) != nil {
 		return ""
 	}
-	return blame(without("syscall", t.stacks.walk(t.mem, r.Rip, r.Rbp)))
+	return attribute(trimPackage("syscall", t.stackReader.walk(t.memory, registers.Rip, registers.Rbp)))
 }
--- a/internal/lab/path/discovery.go
+++ b/internal/lab/path/discovery.go
@@ -13,15 +13,15 @@
 	"olivebridge/internal/protocol"
 )
 
-// discovery lists the peers and never has anything new.
+// discovery is a stub of the discovery service. It lists the stub servers and never reports a change.
 type discovery struct {
 	addr   string
 	server *http.Server
 	stop   context.CancelFunc
 }
 
-// group is the list of the peers, as discovery has it.
-func group(addresses []string) string {
+// endpointList returns the endpoint list of the servers with the given addresses, in the format of discovery.
+func endpointList(addresses []string) string {
 	var entries []string
 	for i, addr := range addresses {
 		entries = append(entries, fmt.Sprintf(
@@ -36,14 +36,14 @@
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	life, stop := context.WithCancel(context.Background())
-	list := group(addresses)
+	list := endpointList(addresses)
 	mux := http.NewServeMux()
 	mux.HandleFunc(protocol.PathEndpoints, func(w http.ResponseWriter, r *http.Request) {
 		if r.FormValue("after") == "" {
 			io.WriteString(w, list)
 			return
 		}
-		wait, _ := strconv.Atoi(r.FormValue("wait_ms")) // 0 answers at once
+		wait, _ := strconv.Atoi(r.FormValue("wait_ms")) // an invalid value becomes 0: respond at once
 		select {
 		case <-time.After(time.Duration(wait) * time.Millisecond):
 		case <-life.Done():
--- a/internal/lab/path/meter.go
+++ b/internal/lab/path/meter.go
@@ -1,5 +1,6 @@
-// Package path meters what a request on the plain path costs a node: a real one, as a child process on
-// loopback, between stand-in peers and a lean load, next to httputil.ReverseProxy in the same place.
+// Package path measures the cost of a request on the plain path through a node. It runs a real node as a child
+// process on loopback between a lightweight load generator and stub servers, and compares it with
+// httputil.ReverseProxy in its place.
 package path
 
 import (
@@ -15,23 +16,23 @@
 	"strings"
 )
 
-// Options say what is metered, and how long.
+// Options select what is measured and with how many requests.
 type Options struct {
-	Root     string   // of the source tree; the node is built there
-	Node     string   // a node built already; "": one is built
-	Overlay  string   // of the go command, for the build of a mutant
-	Proxy    []string // the command that calls ServeProxy; none: the node alone
-	Loads    []string // their names; none: all
-	ProxyGC  int      // the proxy's GOGC; 0: Go's own
-	Pairs    int      // how often node and proxy are measured in turn
-	Short    bool     // fewer requests: for the counts, not for the times
-	Progress io.Writer
+	Root     string    // root of the source tree in which the node is built
+	Node     string    // path of a built node; empty: build one
+	Overlay  string    // overlay file of the go command, to build a mutant
+	Proxy    []string  // command that calls ServeProxy; empty: measure only the node
+	Loads    []string  // names of the loads; empty: all
+	ProxyGC  int       // GOGC of the proxy; 0: the default of Go
+	Pairs    int       // number of measurements, each with a new node and a new proxy; at least 1
+	Short    bool      // send fewer requests: enough for the counts, not for the times
+	Progress io.Writer // receives progress messages; may be nil
 }
 
-// peerCount is how many peers there are.
-const peerCount = 12
+// stubServerCount is the number of stub servers.
+const stubServerCount = 12
 
-// sizes are how many requests a load has in each pass.
+// sizes are the numbers of requests of a load in each pass; slices is the number of slices of the timed pass.
 type sizes struct{ warm, timed, slices, traced, profiled int }
 
 func (o Options) sizes() sizes {
@@ -41,18 +42,19 @@
 	return sizes{warm: 3000, timed: 20000, slices: 10, traced: 1000, profiled: 5000}
 }
 
-// Meter is one measurement: its stand-ins, and where its files are.
+// meter is one measurement with its stubs and the directory of its files.
 type meter struct {
 	Options
-	dir       string
-	profiled  string  // a node that writes its allocations, if it is built for that
-	stacks    *stacks // nil: there are no symbols
-	peers     *peers
-	discovery *discovery
-	ids       ids
+	dir         string
+	profiled    string       // path of a node that writes a profile of its allocations, if it was built with profileTag
+	stackReader *stackReader // nil if the node has no symbols
+	stubServers *stubServers
+	discovery   *discovery
+	callIDs     callIDs
 }
 
-// Measure meters the path.
+// Measure runs all loads of o and reports their cost. Counts that the machine does not allow to be measured are
+// listed in Report.NotCounted.
 func Measure(ctx context.Context, o Options) (*Report, error) {
 	for _, name := range o.Loads {
 		if !slices.ContainsFunc(Loads(), func(l Load) bool { return l.Name == name }) {
@@ -74,14 +76,14 @@
 		}
 	}
 	r := &Report{Go: runtime.Version(), Short: o.Short}
-	if m.stacks, err = readSymbols(m.Node); err != nil {
+	if m.stackReader, err = readSymbols(m.Node); err != nil {
 		r.NotCounted = append(r.NotCounted, err.Error())
 	}
-	if m.peers, err = startPeers(peerCount); err != nil {
+	if m.stubServers, err = startStubServers(stubServerCount); err != nil {
 		return nil, err
 	}
-	defer m.peers.close()
-	if m.discovery, err = startDiscovery(m.peers.addresses()); err != nil {
+	defer m.stubServers.close()
+	if m.discovery, err = startDiscovery(m.stubServers.addresses()); err != nil {
 		return nil, err
 	}
 	defer m.discovery.close()
@@ -89,11 +91,11 @@
 		if len(o.Loads) > 0 && !slices.Contains(o.Loads, l.Name) {
 			continue
 		}
-		f, err := m.pairs(ctx, l)
+		f, err := m.measurePairs(ctx, l)
 		if err != nil {
 			return nil, err
 		}
-		missing, err := m.places(ctx, l, &f)
+		missing, err := m.countByFunction(ctx, l, &f)
 		if err != nil {
 			return nil, err
 		}
@@ -107,9 +109,9 @@
 	return r, nil
 }
 
-// build builds the node from the tree, by the go command's flags.
+// build builds the node from the source tree with the given flags of the go command and returns its path.
 func (m *meter) build(ctx context.Context, name string, flags ...string) (string, error) {
-	m.say("building the %s", name)
+	m.logProgress("building the %s", name)
 	program := filepath.Join(m.dir, name)
 	args := append([]string{"build", "-o", program}, flags...)
 	if m.Overlay != "" {
@@ -124,50 +126,52 @@
 	return program, nil
 }
 
-func (m *meter) say(form string, args ...any) {
+// logProgress writes a line to Options.Progress.
+func (m *meter) logProgress(format string, args ...any) {
 	if m.Progress != nil {
-		fmt.Fprintf(m.Progress, form+"\n", args...)
+		fmt.Fprintf(m.Progress, format+"\n", args...)
 	}
 }
 
-func (m *meter) node(ctx context.Context, program string, env ...string) (*child, error) {
-	return startNode(ctx, program, m.dir, m.peers.addresses(), m.discovery.addr, env...)
+// startNode starts a node between the stub servers and the stub of discovery.
+func (m *meter) startNode(ctx context.Context, program string, env ...string) (*child, error) {
+	return startNode(ctx, program, m.dir, m.stubServers.addresses(), m.discovery.addr, env...)
 }
 
-// pairs measures a load on node and proxy, pair by pair.
-func (m *meter) pairs(ctx context.Context, l Load) (Figures, error) {
+// measurePairs measures a load on pairs of a node and a proxy and returns the medians over the pairs.
+func (m *meter) measurePairs(ctx context.Context, l Load) (Figures, error) {
 	f := Figures{Load: l.Name, About: l.About, Requests: m.sizes().timed}
 	var nodes, proxies []Process
 	for i := range max(m.Pairs, 1) {
-		m.say("%s: pair %d", l.Name, i+1)
-		some, err := m.pair(ctx, l)
+		m.logProgress("%s: pair %d", l.Name, i+1)
+		pair, err := m.measurePair(ctx, l)
 		if err != nil {
 			return f, err
 		}
-		nodes = append(nodes, some[0])
-		if len(some) > 1 {
-			proxies = append(proxies, some[1])
-			f.Ratios = append(f.Ratios, some[0].Micros/some[1].Micros)
+		nodes = append(nodes, pair[0])
+		if len(pair) > 1 {
+			proxies = append(proxies, pair[1])
+			f.Ratios = append(f.Ratios, pair[0].Micros/pair[1].Micros)
 		}
 	}
-	f.Node, f.Proxy = medians(nodes), medians(proxies)
+	f.Node, f.Proxy = medianProcess(nodes), medianProcess(proxies)
 	f.Ratio = median(f.Ratios, func(v float64) float64 { return v })
 	return f, nil
 }
 
-// pair measures a load on a new node and, if it is wanted, on a new proxy. They are loaded in turn, slice by
-// slice, so that what else the machine does strikes both alike.
-func (m *meter) pair(ctx context.Context, l Load) ([]Process, error) {
-	starts := []func() (*child, error){func() (*child, error) { return m.node(ctx, m.Node) }}
+// measurePair measures a load on a new node and, if Options.Proxy is set, on a new proxy. They are loaded
+// alternately, slice by slice, so that other load of the machine affects both alike.
+func (m *meter) measurePair(ctx context.Context, l Load) ([]Process, error) {
+	starts := []func() (*child, error){func() (*child, error) { return m.startNode(ctx, m.Node) }}
 	if len(m.Proxy) > 0 {
 		starts = append(starts, func() (*child, error) {
-			return startProxy(ctx, m.Proxy, m.peers.addresses(), m.ProxyGC)
+			return startProxy(ctx, m.Proxy, m.stubServers.addresses(), m.ProxyGC)
 		})
 	}
-	var lanes []*lane
+	var subjects []*measuredChild
 	defer func() {
-		for _, a := range lanes {
-			a.close()
+		for _, subject := range subjects {
+			subject.close()
 		}
 	}()
 	s := m.sizes()
@@ -176,32 +180,34 @@
 		if err != nil {
 			return nil, err
 		}
-		a := &lane{child: c, driver: newDriver(l, c.addr, &m.ids), peers: m.peers, name: []string{"node", "ReverseProxy"}[i]}
-		lanes = append(lanes, a)
-		if err := a.warm(ctx, s.warm); err != nil {
-			return nil, fmt.Errorf("%s: %w", a.name, err)
+		subject := &measuredChild{child: c, loadGenerator: newLoadGenerator(l, c.addr, &m.callIDs),
+			stubServers: m.stubServers,
+			name:        []string{"node", "ReverseProxy"}[i]}
+		subjects = append(subjects, subject)
+		if err := subject.warmUp(ctx, s.warm); err != nil {
+			return nil, fmt.Errorf("%s: %w", subject.name, err)
 		}
 	}
 	for range s.slices {
-		for _, a := range lanes {
-			if err := a.slice(ctx, s.timed/s.slices); err != nil {
-				return nil, fmt.Errorf("%s: %w", a.name, err)
+		for _, subject := range subjects {
+			if err := subject.measureSlice(ctx, s.timed/s.slices); err != nil {
+				return nil, fmt.Errorf("%s: %w", subject.name, err)
 			}
 		}
 	}
-	var some []Process
-	for _, a := range lanes {
-		some = append(some, a.process())
+	var processes []Process
+	for _, subject := range subjects {
+		processes = append(processes, subject.perRequest())
 	}
-	return some, nil
+	return processes, nil
 }
 
-// places counts what needs a slower node: system calls, copies, and which functions they and the
-// allocations fall to. What the machine does not let it count is missing, for a reason each.
-func (m *meter) places(ctx context.Context, l Load, f *Figures) (missing []error, err error) {
-	m.say("%s: system calls, copies, functions", l.Name)
-	miss := func(err error) error {
-		if ctx.Err() != nil || errors.Is(err, errRefused) {
+// countByFunction takes the counts that need a slower node: system calls, copies, and allocations, each by function.
+// missing has an error for each count that the machine does not allow to be taken.
+func (m *meter) countByFunction(ctx context.Context, l Load, f *Figures) (missing []error, err error) {
+	m.logProgress("%s: system calls, copies, functions", l.Name)
+	recordMissing := func(err error) error {
+		if ctx.Err() != nil || errors.Is(err, errNotServed) {
 			return fmt.Errorf("node: %w", err)
 		}
 		if err != nil {
@@ -209,18 +215,18 @@
 		}
 		return nil
 	}
-	f.Calls, f.Writers, _, err = m.traced(ctx, l, false)
-	if err := miss(err); err != nil {
+	f.Calls, f.Writers, _, err = m.countTraced(ctx, l, false)
+	if err := recordMissing(err); err != nil {
 		return nil, err
 	}
-	_, _, f.Copiers, err = m.traced(ctx, l, true)
-	if err := miss(err); err != nil {
+	_, _, f.Copiers, err = m.countTraced(ctx, l, true)
+	if err := recordMissing(err); err != nil {
 		return nil, err
 	}
-	f.Allocators, err = m.allocators(ctx, l, m.profiled)
-	if err := miss(err); err != nil {
+	f.Allocators, err = m.countAllocations(ctx, l, m.profiled)
+	if err := recordMissing(err); err != nil {
 		return nil, err
 	}
-	f.Counts = f.count()
+	f.Counts = f.computeCounts()
 	return missing, nil
 }
--- a/internal/lab/path/report.go
+++ b/internal/lab/path/report.go
@@ -8,51 +8,51 @@
 	"slices"
 )
 
-// Report is what the meter found.
+// Report holds the results of a measurement.
 type Report struct {
 	Go         string    `json:"go"`
 	Short      bool      `json:"short"`
 	Loads      []Figures `json:"loads"`
-	NotCounted []string  `json:"not_counted,omitempty"` // why some figures are missing
+	NotCounted []string  `json:"not_counted,omitempty"` // the reason for each kind of count that is missing
 }
 
-// Figures are what one load costs, per request.
+// Figures hold the cost of one load per request.
 type Figures struct {
 	Load       string    `json:"load"`
 	About      string    `json:"about"`
-	Requests   int       `json:"requests"` // counted, per pair
+	Requests   int       `json:"requests"` // measured requests per pair
 	Node       Process   `json:"node"`
 	Proxy      Process   `json:"reverse_proxy,omitzero"`
-	Ratio      float64   `json:"ratio,omitzero"` // of processor time: the median of the pairs'
+	Ratio      float64   `json:"ratio,omitzero"` // processor time, node to proxy: median of Ratios
 	Ratios     []float64 `json:"ratios,omitempty"`
-	Counts     Counts    `json:"counts"`     // what the check goes by
-	Calls      []Place   `json:"calls"`      // system calls; sum: those that found nothing
-	Writers    []Place   `json:"writers"`    // calls that write to sockets, by function
-	Copiers    []Place   `json:"copiers"`    // copies between buffers, by function; sum: bytes
-	Allocators []Place   `json:"allocators"` // allocations, by function; sum: bytes
+	Counts     Counts    `json:"counts"`     // the counts that the check compares
+	Calls      []Entry   `json:"calls"`      // system calls by name; Sum: calls that failed with EAGAIN
+	Writers    []Entry   `json:"writers"`    // system calls that write to sockets, by function
+	Copiers    []Entry   `json:"copiers"`    // copies between buffers, by function; Sum: bytes
+	Allocators []Entry   `json:"allocators"` // allocations, by function; Sum: bytes
 }
 
-// Process are the figures of one process, per request: each the median of the pairs.
+// Process holds the figures of one process per request, each as the median over the pairs.
 type Process struct {
-	Allocations    float64 `json:"allocations"`
-	AllocatedBytes float64 `json:"allocated_bytes"`
-	Collections    float64 `json:"collections_per_1000"`
-	Reads          float64 `json:"reads"`  // calls of the read family
-	Writes         float64 `json:"writes"` // calls of the write family
-	ReadBytes      float64 `json:"read_bytes"`
-	WrittenBytes   float64 `json:"written_bytes"`
-	Waited         float64 `json:"switches_waiting"`
-	Preempted      float64 `json:"switches_preempted"`
-	UserMicros     float64 `json:"user_us"`
-	SystemMicros   float64 `json:"system_us"`
-	Micros         float64 `json:"processor_us"`
-	Busy           float64 `json:"busy"` // the part of the time that it had a processor
+	Allocations         float64 `json:"allocations"`
+	AllocatedBytes      float64 `json:"allocated_bytes"`
+	Collections         float64 `json:"collections_per_1000"`
+	Reads               float64 `json:"reads"`  // system calls of the read family
+	Writes              float64 `json:"writes"` // system calls of the write family
+	ReadBytes           float64 `json:"read_bytes"`
+	WrittenBytes        float64 `json:"written_bytes"`
+	VoluntarySwitches   float64 `json:"switches_waiting"`
+	InvoluntarySwitches float64 `json:"switches_preempted"`
+	UserMicros          float64 `json:"user_us"`
+	SystemMicros        float64 `json:"system_us"`
+	Micros              float64 `json:"processor_us"`
+	BusyFraction        float64 `json:"busy"` // processor time divided by elapsed time
 }
 
-// median takes the middle of some values, by a field of theirs.
-func median[T any](some []T, of func(T) float64) float64 {
-	values := make([]float64, len(some))
-	for i, s := range some {
+// median returns the median of the values that of returns for the elements; 0 if there are none.
+func median[T any](elements []T, of func(T) float64) float64 {
+	values := make([]float64, len(elements))
+	for i, s := range elements {
 		values[i] = of(s)
 	}
 	slices.SortFunc(values, cmp.Compare)
@@ -66,69 +66,70 @@
 	}
 }
 
-func medians(some []Process) Process {
-	m := func(of func(Process) float64) float64 { return median(some, of) }
+// medianProcess returns the median of each figure over the processes.
+func medianProcess(processes []Process) Process {
+	m := func(of func(Process) float64) float64 { return median(processes, of) }
 	return Process{
-		Allocations:    m(func(p Process) float64 { return p.Allocations }),
-		AllocatedBytes: m(func(p Process) float64 { return p.AllocatedBytes }),
-		Collections:    m(func(p Process) float64 { return p.Collections }),
-		Reads:          m(func(p Process) float64 { return p.Reads }),
-		Writes:         m(func(p Process) float64 { return p.Writes }),
-		ReadBytes:      m(func(p Process) float64 { return p.ReadBytes }),
-		WrittenBytes:   m(func(p Process) float64 { return p.WrittenBytes }),
-		Waited:         m(func(p Process) float64 { return p.Waited }),
-		Preempted:      m(func(p Process) float64 { return p.Preempted }),
-		UserMicros:     m(func(p Process) float64 { return p.UserMicros }),
-		SystemMicros:   m(func(p Process) float64 { return p.SystemMicros }),
-		Micros:         m(func(p Process) float64 { return p.Micros }),
-		Busy:           m(func(p Process) float64 { return p.Busy }),
+		Allocations:         m(func(p Process) float64 { return p.Allocations }),
+		AllocatedBytes:      m(func(p Process) float64 { return p.AllocatedBytes }),
+		Collections:         m(func(p Process) float64 { return p.Collections }),
+		Reads:               m(func(p Process) float64 { return p.Reads }),
+		Writes:              m(func(p Process) float64 { return p.Writes }),
+		ReadBytes:           m(func(p Process) float64 { return p.ReadBytes }),
+		WrittenBytes:        m(func(p Process) float64 { return p.WrittenBytes }),
+		VoluntarySwitches:   m(func(p Process) float64 { return p.VoluntarySwitches }),
+		InvoluntarySwitches: m(func(p Process) float64 { return p.InvoluntarySwitches }),
+		UserMicros:          m(func(p Process) float64 { return p.UserMicros }),
+		SystemMicros:        m(func(p Process) float64 { return p.SystemMicros }),
+		Micros:              m(func(p Process) float64 { return p.Micros }),
+		BusyFraction:        m(func(p Process) float64 { return p.BusyFraction }),
 	}
 }
 
-// JSON writes the report for programs.
+// JSON writes the report as indented JSON.
 func (r *Report) JSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(r)
 }
 
-// Text writes the report for readers.
+// Text writes the report as plain text.
 func (r *Report) Text(w io.Writer) {
 	for _, f := range r.Loads {
 		fmt.Fprintf(w, "%s: %s, %d requests\n", f.Load, f.About, f.Requests)
 		fmt.Fprintf(w, "  %-24s %12s %14s\n", "per request", "olivebridge", "ReverseProxy")
-		row := func(name, form string, a, b float64) {
+		writeRow := func(name, form string, a, b float64) {
 			fmt.Fprintf(w, "  %-24s %12s %14s\n", name, fmt.Sprintf(form, a), fmt.Sprintf(form, b))
 		}
 		n, p := f.Node, f.Proxy
-		row("allocations", "%.1f", n.Allocations, p.Allocations)
-		row("bytes allocated", "%.0f", n.AllocatedBytes, p.AllocatedBytes)
-		row("collections, per 1000", "%.2f", n.Collections, p.Collections)
-		row("read calls", "%.2f", n.Reads, p.Reads)
-		row("write calls", "%.2f", n.Writes, p.Writes)
-		row("bytes read", "%.0f", n.ReadBytes, p.ReadBytes)
-		row("bytes written", "%.0f", n.WrittenBytes, p.WrittenBytes)
-		row("waits", "%.2f", n.Waited, p.Waited)
-		row("processor us, user", "%.1f", n.UserMicros, p.UserMicros)
-		row("processor us, system", "%.1f", n.SystemMicros, p.SystemMicros)
-		row("processor us", "%.1f", n.Micros, p.Micros)
-		row("busy, part of the time", "%.2f", n.Busy, p.Busy)
+		writeRow("allocations", "%.1f", n.Allocations, p.Allocations)
+		writeRow("bytes allocated", "%.0f", n.AllocatedBytes, p.AllocatedBytes)
+		writeRow("collections, per 1000", "%.2f", n.Collections, p.Collections)
+		writeRow("read calls", "%.2f", n.Reads, p.Reads)
+		writeRow("write calls", "%.2f", n.Writes, p.Writes)
+		writeRow("bytes read", "%.0f", n.ReadBytes, p.ReadBytes)
+		writeRow("bytes written", "%.0f", n.WrittenBytes, p.WrittenBytes)
+		writeRow("waits", "%.2f", n.VoluntarySwitches, p.VoluntarySwitches)
+		writeRow("processor us, user", "%.1f", n.UserMicros, p.UserMicros)
+		writeRow("processor us, system", "%.1f", n.SystemMicros, p.SystemMicros)
+		writeRow("processor us", "%.1f", n.Micros, p.Micros)
+		writeRow("busy, part of the time", "%.2f", n.BusyFraction, p.BusyFraction)
 		fmt.Fprintf(w, "  processor time, of ReverseProxy's: %.3f (pairs: %.3f)\n", f.Ratio, f.Ratios)
-		f.text(w)
+		f.writeFunctionCounts(w)
 	}
 	for _, why := range r.NotCounted {
 		fmt.Fprintf(w, "not counted: %s\n", why)
 	}
 }
 
-// shown is how many places of a kind a reader gets to see.
-const shown = 12
+// maxShownEntries is the maximum number of entries that the text report lists per count.
+const maxShownEntries = 12
 
-// text writes where the counts fall.
-func (f *Figures) text(w io.Writer) {
+// writeFunctionCounts writes the entries of each count.
+func (f *Figures) writeFunctionCounts(w io.Writer) {
 	for _, part := range []struct {
 		what, sum string
-		places    []Place
+		places    []Entry
 	}{
 		{"system calls under the tracer", "found nothing", f.Calls},
 		{"writes to sockets, by function", "found no room", f.Writers},
@@ -138,11 +139,11 @@
 		if len(part.places) == 0 {
 			continue
 		}
-		n, sum := sums(part.places, nil)
+		n, sum := sumEntries(part.places, nil)
 		fmt.Fprintf(w, "  %s: %.2f; %s: %.2f\n", part.what, n, part.sum, sum)
 		for i, p := range part.places {
-			if i == shown {
-				fmt.Fprintf(w, "    and %d more\n", len(part.places)-shown)
+			if i == maxShownEntries {
+				fmt.Fprintf(w, "    and %d more\n", len(part.places)-maxShownEntries)
 				break
 			}
 			fmt.Fprintf(w, "    %8.2f %10.2f  %s\n", p.Count, p.Sum, p.Name)
--- a/internal/lab/stage/node.go
+++ b/internal/lab/stage/node.go
@@ -61,8 +61,8 @@
 	i.starts++
 	known := i.run.registry.ConfiguredList(stale)
 	seed := figure.Stream(i.run.script.Seed, fmt.Sprintf("node %s %d", i.conf.Name, i.starts)).Uint64()
-	file, err := nodefile.Write(&i.run.script.World, i.conf, nodefile.Start{
-		Listen: i.conf.Name + ":" + nodePort, Discovery: i.run.discovery, Known: known, Seed: seed,
+	file, err := nodefile.Write(&i.run.script.World, i.conf, nodefile.NodeStart{
+		Listen: i.conf.Name + ":" + nodePort, Discovery: i.run.discovery, LastEndpoints: known, Seed: seed,
 	})
 	if err != nil {
 		i.run.addViolation("crash", "%v", err)
