--- a/cmd/olivelab/common.go
+++ b/cmd/olivelab/common.go
@@ -13,15 +13,15 @@
 	"olivebridge/internal/lab/fault"
 )
 
-// span is a range of seeds.
-type span struct{ from, count uint64 }
+// seedRange is a range of seeds.
+type seedRange struct{ from, count uint64 }
 
-func (r *span) flags(c *cobra.Command) {
+func (r *seedRange) addFlags(c *cobra.Command) {
 	c.Flags().Uint64Var(&r.from, "from", 1, "the first seed")
 	c.Flags().Uint64Var(&r.count, "count", 100, "how many seeds")
 }
 
-func (r *span) check() error {
+func (r *seedRange) validate() error {
 	if r.count == 0 {
 		return errors.New("--count: at least 1")
 	}
@@ -35,26 +35,26 @@
 	c.Flags().StringVar(file, "scenario", "", "the scenario `file` that seeds draw from; \"\": the built-in one")
 }
 
-// workers are the flags of commands that play runs.
-type workers struct {
+// workerFlags are the flags of commands that play runs.
+type workerFlags struct {
 	procs    int
 	scenario string
 }
 
-func (w *workers) flags(c *cobra.Command) {
+func (w *workerFlags) addFlags(c *cobra.Command) {
 	c.Flags().IntVar(&w.procs, "procs", 0, "worker processes; 0: one a core")
 	scenarioFlag(c, &w.scenario)
 }
 
-func (w *workers) check(s campaign.Sources) (campaign.Draw, error) {
+func (w *workerFlags) validate(s campaign.Sources) (campaign.Draw, error) {
 	if w.procs < 0 {
 		return nil, fmt.Errorf("--procs %d: below 0", w.procs)
 	}
 	return s.Scenario(w.scenario)
 }
 
-// again is the call that plays a seed again.
-func (w *workers) again(seed uint64) string {
+// replayCall is the call that plays a seed again.
+func (w *workerFlags) replayCall(seed uint64) string {
 	call := "olivelab replay " + strconv.FormatUint(seed, 10)
 	if w.scenario != "" {
 		call += " --scenario " + w.scenario
@@ -62,19 +62,19 @@
 	return call
 }
 
-// target is the one run that a command is about: a seed, or a script.
-type target struct {
+// scriptFlags is the one run that a command is about: a seed, or a script.
+type scriptFlags struct {
 	script   string
 	scenario string
 }
 
-func (t *target) flags(c *cobra.Command) {
+func (t *scriptFlags) addFlags(c *cobra.Command) {
 	c.Flags().StringVar(&t.script, "script", "", "the script `file` to play instead of a seed")
 	scenarioFlag(c, &t.scenario)
 }
 
 // read reads the script, or draws the seed's.
-func (t *target) read(s campaign.Sources, args []string) (*fault.Script, error) {
+func (t *scriptFlags) read(s campaign.Sources, args []string) (*fault.Script, error) {
 	switch {
 	case (len(args) == 1) == (t.script != ""):
 		return nil, errors.New("wanted: a SEED, or --script FILE")
@@ -83,7 +83,7 @@
 	case t.script != "":
 		text, err := os.ReadFile(t.script)
 		if err != nil {
-			return nil, unreadable(err)
+			return nil, shortPathError(err)
 		}
 		return s.Parse(t.script, text)
 	}
@@ -98,8 +98,8 @@
 	return draw(seed), nil
 }
 
-// job is the run of a script.
-func job(s campaign.Sources, script *fault.Script) (campaign.Job, error) {
+// newJob is the run of a script.
+func newJob(s campaign.Sources, script *fault.Script) (campaign.Job, error) {
 	var text strings.Builder
 	if err := s.Write(script, &text); err != nil {
 		return campaign.Job{}, fmt.Errorf("writing the script: %w", err)
@@ -107,8 +107,8 @@
 	return campaign.Job{Seed: script.Seed, Script: text.String()}, nil
 }
 
-// unreadable says what file cannot be read or written, and why.
-func unreadable(err error) error {
+// shortPathError says what file cannot be read or written, and why.
+func shortPathError(err error) error {
 	if e, ok := errors.AsType[*os.PathError](err); ok {
 		return fmt.Errorf("%s: %w", e.Path, e.Err)
 	}
--- a/cmd/olivelab/compare.go
+++ b/cmd/olivelab/compare.go
@@ -15,16 +15,16 @@
 	"olivebridge/internal/lab/report"
 )
 
-// side is one of the two that are compared.
-type side struct {
-	name string
-	e    *experiment.Experiment
-	with experiment.Runner
+// compareSide is one of the two that are compared.
+type compareSide struct {
+	name       string
+	experiment *experiment.Experiment
+	runner     experiment.Runner
 }
 
 // compareCommand compares two builds, or two experiments.
 func compareCommand() *cobra.Command {
-	var on clock
+	var on clockFlags
 	var file, out string
 	var pairs uint64
 	var short bool
@@ -36,7 +36,7 @@
 			"each figure the table has the medians, their ratio with its spread, and whether a difference is seen.",
 		Args: cobra.ExactArgs(2),
 	}
-	on.flags(c)
+	on.addFlags(c)
 	c.Flags().StringVar(&file, "experiment", "", "the experiment `file` that two builds play")
 	c.Flags().StringVar(&out, "json", "", "where the table goes as JSON")
 	c.Flags().Uint64Var(&pairs, "pairs", 6, "how many pairs")
@@ -45,15 +45,15 @@
 		if pairs == 0 {
 			return errors.New("--pairs: at least 1")
 		}
-		sides, err := on.sides(args, file, c.ErrOrStderr())
+		sides, err := on.readSides(args, file, c.ErrOrStderr())
 		if err != nil {
 			return err
 		}
-		sink, err := create(out)
+		sink, err := createOutput(out)
 		if err != nil {
 			return err
 		}
-		defer sink.drop()
+		defer sink.discard()
 		all, err := playPairs(c.Context(), sides, pairs, short, c.ErrOrStderr())
 		if err != nil {
 			return err
@@ -67,8 +67,8 @@
 	return c
 }
 
-// sides reads what is to be compared.
-func (k *clock) sides(args []string, file string, errs io.Writer) (sides [2]side, err error) {
+// readSides reads what is to be compared.
+func (k *clockFlags) readSides(args []string, file string, errs io.Writer) (sides [2]compareSide, err error) {
 	files := 0
 	for _, a := range args {
 		if strings.HasSuffix(a, ".toml") {
@@ -89,33 +89,33 @@
 			path, build = file, a
 		}
 		sides[i].name = a
-		if sides[i].e, err = experiment.Load(path); err != nil {
+		if sides[i].experiment, err = experiment.Load(path); err != nil {
 			return sides, err
 		}
-		if sides[i].with, err = k.runner(build, errs); err != nil {
+		if sides[i].runner, err = k.runner(build, errs); err != nil {
 			return sides, err
 		}
 	}
 	return sides, nil
 }
 
-// again is how often a run is played whose load tool was late.
-const again = 3
+// maxRunAttempts is how often a run is played whose load tool was late.
+const maxRunAttempts = 3
 
 // playSide plays one side's run of a pair.
-func playSide(ctx context.Context, s side, seed uint64, short bool, errs io.Writer) (*report.Report, error) {
+func playSide(ctx context.Context, s compareSide, seed uint64, short bool, errs io.Writer) (*report.Report, error) {
 	for n := 1; ; n++ {
-		plan, err := s.e.Plan(seed, short)
+		plan, err := s.experiment.Plan(seed, short)
 		if err != nil {
 			return nil, err
 		}
-		r, err := plan.Run(ctx, s.with, nil)
+		r, err := plan.Run(ctx, s.runner, nil)
 		switch {
 		case err != nil:
 			return nil, fmt.Errorf("%s: %w", s.name, err)
 		case r.Verdict != report.None:
 			return r, nil
-		case n == again:
+		case n == maxRunAttempts:
 			return nil, fmt.Errorf("%s, seed %d: no verdict: %s", s.name, seed, r.Why)
 		}
 		fmt.Fprintf(errs, "%s, seed %d: once more: %s\n", s.name, seed, r.Why)
@@ -124,14 +124,14 @@
 
 // playPairs plays all pairs, in turn A B, B A.
 func playPairs(
-	ctx context.Context, sides [2]side, pairs uint64, short bool, errs io.Writer,
+	ctx context.Context, sides [2]compareSide, pairs uint64, short bool, errs io.Writer,
 ) (all []compare.Pair, err error) {
 	for n := range pairs {
 		var got [2]*report.Report
 		for turn := range 2 {
 			i := (turn + int(n%2)) % 2
 			s := sides[i]
-			if got[i], err = playSide(ctx, s, s.e.Seed+n, short, errs); err != nil {
+			if got[i], err = playSide(ctx, s, s.experiment.Seed+n, short, errs); err != nil {
 				return nil, err
 			}
 		}
--- a/cmd/olivelab/faults.go
+++ b/cmd/olivelab/faults.go
@@ -7,7 +7,7 @@
 )
 
 func faultsCommand(s campaign.Sources) *cobra.Command {
-	var seeds span
+	var seeds seedRange
 	var scenario string
 	c := &cobra.Command{
 		Use:   "faults --from N --count M",
@@ -16,10 +16,10 @@
 			"of fault were at work at one time; below stands what was never met.",
 		Args: cobra.NoArgs,
 	}
-	seeds.flags(c)
+	seeds.addFlags(c)
 	scenarioFlag(c, &scenario)
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		if err := seeds.check(); err != nil {
+		if err := seeds.validate(); err != nil {
 			return err
 		}
 		draw, err := s.Scenario(scenario)
--- a/cmd/olivelab/fleet.go
+++ b/cmd/olivelab/fleet.go
@@ -22,9 +22,9 @@
 	"olivebridge/internal/lab/live"
 )
 
-// rig is a call of one of the commands that play a fleet of processes.
-type rig struct {
-	subject     fleet.Scenario
+// fleetOptions is a call of one of the commands that play a fleet of processes.
+type fleetOptions struct {
+	scenario    fleet.Scenario
 	nodes       int
 	seed        uint64
 	seeds       string
@@ -32,14 +32,14 @@
 	script      string
 	json, html  string
 	node        string
-	keep        string
+	keepDir     string
 	keepAll     bool
-	hard        string
+	caseName    string
 	mutant      string
-	atOnce      int
+	concurrency int
 	peers       int // of choices
 	copies      int
-	least       int
+	minPeers    int
 	plain, once bool // of takeover; plain also of cold
 	first, last uint64
 }
@@ -89,32 +89,32 @@
 	return c
 }
 
-func (r *rig) flags(c *cobra.Command) {
+func (r *fleetOptions) addFlags(c *cobra.Command) {
 	c.Flags().IntVar(&r.nodes, "nodes", 5, "how many processes")
 	c.Flags().Uint64Var(&r.seed, "seed", 1, "of what is drawn")
 	c.Flags().StringVar(&r.seeds, "seeds", "", "play a range of seeds, `A..B`, with faults of all kinds")
 	c.Flags().DurationVar(&r.length, "for", 30*time.Second, "for how long")
-	c.Flags().IntVar(&r.atOnce, "at-once", 4, "how many seeds of a range are played at one time")
+	c.Flags().IntVar(&r.concurrency, "at-once", 4, "how many seeds of a range are played at one time")
 	c.Flags().StringVar(&r.script, "script", "", "the script `file` to play")
 	c.Flags().StringVar(&r.json, "json", "", "where the figures go")
 	c.Flags().StringVar(&r.html, "html", "", "where a page with a lane for each process goes")
 	c.Flags().StringVar(&r.node, "node", "", "the node's `program`, with olivefleet beside it; \"\": built from the source tree")
-	c.Flags().StringVar(&r.keep, "keep", "found", "folder for the script, records and page of a run that fails")
-	c.Flags().StringVar(&r.hard, "case", "", "play a hard `case` by its name, or list them: list")
+	c.Flags().StringVar(&r.keepDir, "keep", "found", "folder for the script, records and page of a run that fails")
+	c.Flags().StringVar(&r.caseName, "case", "", "play a hard `case` by its name, or list them: list")
 	c.Flags().BoolVar(&r.keepAll, "keep-all", false, "keep those of runs that hold, too")
-	if r.subject.Name == "choices" {
+	if r.scenario.Name == "choices" {
 		c.Flags().IntVar(&r.peers, "peers", 40, "how many stand-in peers")
 		c.Flags().IntVar(&r.copies, "copies", 0, "how many processes work with each peer, by the fleet file; 0: all")
-		c.Flags().IntVar(&r.least, "least", 64, "with --copies: the least number of peers that a process works with")
+		c.Flags().IntVar(&r.minPeers, "least", 64, "with --copies: the least number of peers that a process works with")
 	}
-	if r.subject.Name == "signals" {
+	if r.scenario.Name == "signals" {
 		c.Flags().IntVar(&r.peers, "peers", 40, "how many stand-in peers")
 		c.Flags().BoolVar(&r.plain, "plain", false, "the processes tell each other nothing, for comparison")
 	}
-	if r.subject.Name == "cold" {
+	if r.scenario.Name == "cold" {
 		c.Flags().BoolVar(&r.plain, "plain", false, "the processes share nothing, for comparison: each guesses its part")
 	}
-	if r.subject.Name == "takeover" {
+	if r.scenario.Name == "takeover" {
 		c.Flags().BoolVar(&r.plain, "plain", false, "the processes keep nothing, for comparison")
 		c.Flags().BoolVar(&r.once, "once", false, "clients do not ask again, for comparison")
 	}
@@ -123,7 +123,7 @@
 	c.MarkFlagsMutuallyExclusive("mutant", "plant")
 }
 
-func (r *rig) check() error {
+func (r *fleetOptions) validate() error {
 	switch {
 	case r.nodes < 1 || r.nodes > fleet.MaxNodes:
 		return fmt.Errorf("--nodes %d: not from 1 to %d", r.nodes, fleet.MaxNodes)
@@ -131,9 +131,9 @@
 		return fmt.Errorf("--peers %d: not from 2 to %d", r.peers, fleet.MaxPeers)
 	case r.length < time.Second || r.length > 10*time.Minute:
 		return fmt.Errorf("--for %v: not from 1s to 10m", r.length)
-	case r.atOnce < 1 || r.atOnce > 64:
-		return fmt.Errorf("--at-once %d: not from 1 to 64", r.atOnce)
-	case r.script != "" && r.hard != "":
+	case r.concurrency < 1 || r.concurrency > 64:
+		return fmt.Errorf("--at-once %d: not from 1 to 64", r.concurrency)
+	case r.script != "" && r.caseName != "":
 		return errors.New("--case: not with --script")
 	case r.script != "" && r.seeds != "":
 		return errors.New("--seeds: not with --script")
@@ -156,23 +156,23 @@
 }
 
 // scripts are those to be played, and what each is called.
-func (r *rig) scripts() (all []*fault.Script, err error) {
+func (r *fleetOptions) scripts() (all []*fault.Script, err error) {
 	switch {
 	case r.script != "":
 		text, err := os.ReadFile(r.script)
 		if err != nil {
-			return nil, unreadable(err)
+			return nil, shortPathError(err)
 		}
 		s, err := fault.Parse(r.script, text)
 		return []*fault.Script{s}, err
-	case r.hard != "":
-		return r.cases()
+	case r.caseName != "":
+		return r.caseScripts()
 	case r.seeds == "":
-		s, err := r.subject.DemoScript(r.seed, r.nodes, r.length)
+		s, err := r.scenario.DemoScript(r.seed, r.nodes, r.length)
 		return []*fault.Script{s}, err
 	}
 	for seed := r.first; seed <= r.last; seed++ {
-		s, err := r.subject.RandomScript(seed, r.nodes, r.length)
+		s, err := r.scenario.RandomScript(seed, r.nodes, r.length)
 		if err != nil {
 			return nil, err
 		}
@@ -181,9 +181,9 @@
 	return all, nil
 }
 
-// cases are the scripts of a hard case, one for each seed.
-func (r *rig) cases() (all []*fault.Script, err error) {
-	hard, err := fleet.CaseNamed(r.subject.Cases, r.hard)
+// caseScripts are the scripts of a hard case, one for each seed.
+func (r *fleetOptions) caseScripts() (all []*fault.Script, err error) {
+	hard, err := fleet.CaseNamed(r.scenario.Cases, r.caseName)
 	if err != nil {
 		return nil, fmt.Errorf("--case: %w", err)
 	}
@@ -192,7 +192,7 @@
 		first, last = r.first, r.last
 	}
 	for seed := first; seed <= last; seed++ {
-		s, err := hard.Script(seed, r.subject.QuietScript)
+		s, err := hard.Script(seed, r.scenario.QuietScript)
 		if err != nil {
 			return nil, err
 		}
@@ -201,41 +201,41 @@
 	return all, nil
 }
 
-// program is the path of the node's program.
-func (r *rig) program(ctx context.Context, scripts []*fault.Script, dir string, errs io.Writer) (string, error) {
+// nodeProgram is the path of the node's program.
+func (r *fleetOptions) nodeProgram(ctx context.Context, scripts []*fault.Script, dir string, errs io.Writer) (string, error) {
 	if r.node == "" {
 		fmt.Fprintln(errs, "building the node")
 		return live.BuildFleet(ctx, dir, r.mutant != "" || slices.ContainsFunc(scripts, fleet.ForMutants))
 	}
 	for _, path := range []string{r.node, filepath.Join(filepath.Dir(r.node), "olivefleet")} {
 		if err := live.Program(path); err != nil {
-			return "", fmt.Errorf("--node: %w", unreadable(err))
+			return "", fmt.Errorf("--node: %w", shortPathError(err))
 		}
 	}
 	return filepath.Abs(r.node)
 }
 
 func subjectCommand(name, short, long string) *cobra.Command {
-	r := rig{subject: fleet.Scenarios()[name]}
+	r := fleetOptions{scenario: fleet.Scenarios()[name]}
 	c := &cobra.Command{Use: name, Short: short, Long: long, Args: cobra.NoArgs}
-	r.flags(c)
+	r.addFlags(c)
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		if err := r.check(); err != nil {
+		if err := r.validate(); err != nil {
 			return err
 		}
 		switch {
-		case r.subject.Name == "signals":
-			r.subject = fleet.SignalsScenario(r.peers, fleet.SignalWitnesses(!r.plain))
-		case r.plain && r.subject.Name == "cold":
-			r.subject = fleet.ColdScenario(false)
+		case r.scenario.Name == "signals":
+			r.scenario = fleet.SignalsScenario(r.peers, fleet.SignalWitnesses(!r.plain))
+		case r.plain && r.scenario.Name == "cold":
+			r.scenario = fleet.ColdScenario(false)
 		case r.plain || r.once:
-			r.subject = fleet.TakeoverScenario(!r.plain, !r.once)
+			r.scenario = fleet.TakeoverScenario(!r.plain, !r.once)
 		}
-		if r.subject.Name == "choices" {
-			r.subject = fleet.ChoicesScenario(r.peers, r.copies, r.least)
+		if r.scenario.Name == "choices" {
+			r.scenario = fleet.ChoicesScenario(r.peers, r.copies, r.minPeers)
 		}
-		if r.hard == "list" {
-			for _, one := range r.subject.Cases {
+		if r.caseName == "list" {
+			for _, one := range r.scenario.Cases {
 				fmt.Fprintf(c.OutOrStdout(), "%-12s %d processes, %v: %s\n", one.Name, one.Nodes, one.Length, one.Description)
 			}
 			return nil
@@ -246,28 +246,28 @@
 }
 
 // run plays the scripts, one after the other, and tells what came of each.
-func (r *rig) run(c *cobra.Command) error {
+func (r *fleetOptions) run(c *cobra.Command) error {
 	ctx, out, errs := c.Context(), c.OutOrStdout(), c.ErrOrStderr()
 	scripts, err := r.scripts()
 	if err != nil {
 		return err
 	}
-	jsons, err := create(r.json)
+	jsonFile, err := createOutput(r.json)
 	if err != nil {
 		return err
 	}
-	defer jsons.drop()
-	htmls, err := create(r.html)
+	defer jsonFile.discard()
+	htmlFile, err := createOutput(r.html)
 	if err != nil {
 		return err
 	}
-	defer htmls.drop()
+	defer htmlFile.discard()
 	tools, err := os.MkdirTemp("", "olivelab-fleet-")
 	if err != nil {
-		return unreadable(err)
+		return shortPathError(err)
 	}
 	defer os.RemoveAll(tools)
-	node, err := r.program(ctx, scripts, tools, errs)
+	node, err := r.nodeProgram(ctx, scripts, tools, errs)
 	if err != nil {
 		return err
 	}
@@ -279,10 +279,10 @@
 	for _, res := range results {
 		broken = append(broken, res.Outcome.Verdict()...)
 	}
-	if err := jsons.write(func(w io.Writer) error { return writeResults(w, results, r.seeds == "") }); err != nil {
+	if err := jsonFile.write(func(w io.Writer) error { return writeResults(w, results, r.seeds == "") }); err != nil {
 		return err
 	}
-	if err := htmls.write(func(w io.Writer) error { return results[len(results)-1].WriteHTML(w) }); err != nil {
+	if err := htmlFile.write(func(w io.Writer) error { return results[len(results)-1].WriteHTML(w) }); err != nil {
 		return err
 	}
 	if len(broken) > 0 {
@@ -294,19 +294,19 @@
 }
 
 // playAll plays the scripts, some at one time, and returns what came of them in their order.
-func (r *rig) playAll(ctx context.Context, scripts []*fault.Script, node string, out, errs io.Writer) ([]*fleet.Result, error) {
+func (r *fleetOptions) playAll(ctx context.Context, scripts []*fault.Script, node string, out, errs io.Writer) ([]*fleet.Result, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	results := make([]*fleet.Result, len(scripts))
 	var mu sync.Mutex // of what follows, and of the output
 	var first error
-	errs = &locked{w: errs}
-	places := make(chan struct{}, r.atOnce)
+	errs = &lockedWriter{w: errs}
+	slots := make(chan struct{}, r.concurrency)
 	var all sync.WaitGroup
 	for i, s := range scripts {
-		places <- struct{}{}
+		slots <- struct{}{}
 		all.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			if ctx.Err() != nil {
 				return
 			}
@@ -330,23 +330,23 @@
 	return results, first
 }
 
-// locked lets one write at a time.
-type locked struct {
+// lockedWriter lets one write at a time.
+type lockedWriter struct {
 	mu sync.Mutex
 	w  io.Writer
 }
 
-func (l *locked) Write(b []byte) (int, error) {
+func (l *lockedWriter) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.w.Write(b)
 }
 
 // play plays one script, and keeps what it left if it failed.
-func (r *rig) play(ctx context.Context, s *fault.Script, node string, errs io.Writer) (*fleet.Result, error) {
+func (r *fleetOptions) play(ctx context.Context, s *fault.Script, node string, errs io.Writer) (*fleet.Result, error) {
 	dir, err := os.MkdirTemp("", "olivelab-fleet-")
 	if err != nil {
-		return nil, unreadable(err)
+		return nil, shortPathError(err)
 	}
 	defer os.RemoveAll(dir)
 	o := fleet.Options{Node: node, Dir: dir, Log: errs}
@@ -354,18 +354,18 @@
 		o.Progress = func(line string) { fmt.Fprintln(errs, line) }
 	}
 	fleet.Mutate(&o, r.mutant)
-	res, err := r.subject.Play(ctx, s, o)
+	res, err := r.scenario.Play(ctx, s, o)
 	if err != nil {
 		return nil, err
 	}
-	if len(res.Outcome.Verdict()) == 0 && !r.keepAll || r.keep == "" {
+	if len(res.Outcome.Verdict()) == 0 && !r.keepAll || r.keepDir == "" {
 		return res, nil
 	}
-	to := filepath.Join(r.keep, fmt.Sprintf("%s-%d-%d", r.subject.Name, s.Seed, len(res.Account.Names)))
+	to := filepath.Join(r.keepDir, fmt.Sprintf("%s-%d-%d", r.scenario.Name, s.Seed, len(res.Account.Names)))
 	if err := res.Keep(to, dir); err != nil {
-		return nil, fmt.Errorf("keeping the run: %w", unreadable(err))
+		return nil, fmt.Errorf("keeping the run: %w", shortPathError(err))
 	}
-	fmt.Fprintf(errs, "seed %d: kept in %s; again: olivelab fleet %s --script %s\n", s.Seed, to, r.subject.Name, filepath.Join(to, "script.toml"))
+	fmt.Fprintf(errs, "seed %d: kept in %s; again: olivelab fleet %s --script %s\n", s.Seed, to, r.scenario.Name, filepath.Join(to, "script.toml"))
 	return res, nil
 }
 
--- a/cmd/olivelab/fleet_test.go
+++ b/cmd/olivelab/fleet_test.go
@@ -6,7 +6,7 @@
 )
 
 // What cannot be played is told in one line, and nothing is started.
-func TestFleetRefuses(t *testing.T) {
+func TestFleetRejectsBadFlags(t *testing.T) {
 	for args, want := range map[string]string{
 		"":                             "fleet of what? see --help",
 		"members --nodes 0":            "--nodes 0: not from 1 to 83",
@@ -25,13 +25,13 @@
 		"members --node no/where":      "--node: no/where: no such file or directory",
 		"budget --nodes 1":             "1 nodes and 30s: at least 2 and 20s are wanted",
 	} {
-		code, _, errs := call(t, append([]string{"fleet"}, strings.Fields(args)...)...)
+		code, _, errs := runTool(t, append([]string{"fleet"}, strings.Fields(args)...)...)
 		if code != exitUsage || !strings.HasPrefix(errs, "olivelab: "+want) {
 			t.Errorf("%s: exit %d, %s", args, code, errs)
 		}
 	}
 	for _, subject := range []string{"members", "budget", "in-use", "count", "retries"} {
-		if code, out, _ := call(t, "fleet", subject, "--case", "list"); code != exitOK || strings.Count(out, "processes, ") < 6 {
+		if code, out, _ := runTool(t, "fleet", subject, "--case", "list"); code != exitOK || strings.Count(out, "processes, ") < 6 {
 			t.Errorf("%s: exit %d, %s", subject, code, out)
 		}
 	}
--- a/cmd/olivelab/main_test.go
+++ b/cmd/olivelab/main_test.go
@@ -22,7 +22,7 @@
 func TestMain(m *testing.M) {
 	switch {
 	case os.Getenv(protocol.EnvName) != "":
-		os.Exit(mixedUp())
+		os.Exit(serveWrongAnswers())
 	case len(os.Args) > 1 && os.Args[1] == proxyCommand:
 		os.Exit(run(context.Background(), os.Args[1:], os.Stdout, os.Stderr, campaigntest.Sources()))
 	case len(os.Args) == 2 && os.Args[1] == "worker":
@@ -38,8 +38,8 @@
 	os.Exit(m.Run())
 }
 
-// call is one call of the program on the toy: seeds divisible by five break the rule lost.
-func call(t *testing.T, args ...string) (code int, out, errs string) {
+// runTool is one call of the program on the toy: seeds divisible by five break the rule lost.
+func runTool(t *testing.T, args ...string) (code int, out, errs string) {
 	t.Helper()
 	var o, e bytes.Buffer
 	code = run(t.Context(), args, &o, &e, campaigntest.Sources())
@@ -106,7 +106,7 @@
 		{"path --node n --load gets", 2, `^$`, `^olivelab: load "gets": there is none of that name\n$`},
 		{"path --node n --check --tolerances t", 2, `^$`, `^olivelab: t/tolerances.toml: no such file or directory\n$`},
 	} {
-		code, out, errs := call(t, strings.Fields(c.args)...)
+		code, out, errs := runTool(t, strings.Fields(c.args)...)
 		said := regexp.MustCompile(c.out).MatchString(out) && regexp.MustCompile(c.errs).MatchString(errs)
 		if code != c.code || !said {
 			t.Errorf("olivelab %s: exit %d, want %d\nout: %s\nerr: %s", c.args, code, c.code, out, errs)
@@ -116,7 +116,7 @@
 
 func TestFiles(t *testing.T) {
 	t.Chdir(t.TempDir())
-	if code, _, errs := call(t, "seeds", "--count", "10", "--json", "r.json"); code != 1 {
+	if code, _, errs := runTool(t, "seeds", "--count", "10", "--json", "r.json"); code != 1 {
 		t.Fatal(code, errs)
 	}
 	var report struct{ Seeds, Passed, Failed, Requests int }
@@ -127,14 +127,14 @@
 	if err != nil || report != struct{ Seeds, Passed, Failed, Requests int }{10, 8, 2, 100} {
 		t.Errorf("report %+v: %v", report, err)
 	}
-	if code, out, errs := call(t, "shrink", "5", "--out", "s.toml"); code != 0 || out != "" {
+	if code, out, errs := runTool(t, "shrink", "5", "--out", "s.toml"); code != 0 || out != "" {
 		t.Error(code, out, errs)
 	}
-	code, _, errs := call(t, "replay", "--script", "s.toml")
+	code, _, errs := runTool(t, "replay", "--script", "s.toml")
 	if code != 1 || !strings.HasPrefix(errs, "lost at 1.0") {
 		t.Error(code, errs)
 	}
-	if code, _, _ := call(t, "shrink", "1", "--out", "none.toml"); code != 2 {
+	if code, _, _ := runTool(t, "shrink", "1", "--out", "none.toml"); code != 2 {
 		t.Error(code)
 	}
 	if _, err := os.Stat("none.toml"); err == nil {
--- a/cmd/olivelab/mutants.go
+++ b/cmd/olivelab/mutants.go
@@ -16,11 +16,11 @@
 	"olivebridge/internal/lab/mutant"
 )
 
-// tool is this program's package.
-const tool = "./cmd/olivelab"
+// toolPackage is this program's package.
+const toolPackage = "./cmd/olivelab"
 
 func mutantsCommand(s campaign.Sources) *cobra.Command {
-	var with workers
+	var with workerFlags
 	var seeds uint64
 	var only, file string
 	c := &cobra.Command{
@@ -32,7 +32,7 @@
 			"Exit 1 if one is not found.",
 		Args: cobra.NoArgs,
 	}
-	with.flags(c)
+	with.addFlags(c)
 	c.Flags().Uint64Var(&seeds, "seeds", 200, "how many seeds a mutant is looked for in")
 	c.Flags().StringVar(&only, "only", "", "the `name` of the one mutant to look for")
 	c.Flags().StringVar(&file, "json", "", "where the table goes as JSON")
@@ -40,19 +40,19 @@
 		if seeds == 0 {
 			return errors.New("--seeds: at least 1")
 		}
-		if _, err := with.check(s); err != nil {
+		if _, err := with.validate(s); err != nil {
 			return err
 		}
-		some, err := chosen(s, only)
+		some, err := selectMutants(s, only)
 		if err != nil {
 			return err
 		}
-		out, err := create(file)
+		out, err := createOutput(file)
 		if err != nil {
 			return err
 		}
-		defer out.drop()
-		finds, err := hunt(c, with, seeds, some)
+		defer out.discard()
+		finds, err := huntMutants(c, with, seeds, some)
 		if err != nil {
 			return err
 		}
@@ -74,8 +74,8 @@
 	return c
 }
 
-// chosen are the mutants to look for. A rule that does not exist would never show one.
-func chosen(s campaign.Sources, only string) ([]mutant.Mutant, error) {
+// selectMutants are the mutants to look for. A rule that does not exist would never show one.
+func selectMutants(s campaign.Sources, only string) ([]mutant.Mutant, error) {
 	all, err := mutant.All()
 	if err != nil {
 		return nil, err
@@ -97,8 +97,8 @@
 	return all[i : i+1], nil
 }
 
-// hunt looks for the mutants one by one and writes a line of the table for each.
-func hunt(c *cobra.Command, with workers, seeds uint64, some []mutant.Mutant) ([]campaign.Find, error) {
+// huntMutants looks for the mutants one by one and writes a line of the table for each.
+func huntMutants(c *cobra.Command, with workerFlags, seeds uint64, some []mutant.Mutant) ([]campaign.Find, error) {
 	root, err := mutant.Root()
 	if err != nil {
 		return nil, err
@@ -109,12 +109,12 @@
 	}
 	defer os.RemoveAll(dir)
 	hunter := &campaign.Hunter{
-		Root: root, Dir: dir, Tool: tool, Seeds: seeds, Scenario: with.scenario,
+		Root: root, Dir: dir, Tool: toolPackage, Seeds: seeds, Scenario: with.scenario,
 		Pool: campaign.Pool{Procs: with.procs},
 	}
 	sound := &campaign.Pool{Procs: 1}
 	var finds []campaign.Find
-	fmt.Fprintf(c.OutOrStdout(), line+"\n", "mutant", "rule", "seeds", "seconds", "expected; others met")
+	fmt.Fprintf(c.OutOrStdout(), tableFormat+"\n", "mutant", "rule", "seeds", "seconds", "expected; others met")
 	for _, p := range some {
 		fmt.Fprintf(c.ErrOrStderr(), "building and playing: %s\n", p.Name)
 		f, err := hunter.Hunt(c.Context(), p, sound)
@@ -122,16 +122,16 @@
 			return nil, err
 		}
 		finds = append(finds, f)
-		fmt.Fprintln(c.OutOrStdout(), findLine(f))
+		fmt.Fprintln(c.OutOrStdout(), formatFind(f))
 		os.Remove(filepath.Join(dir, p.Name)) // programs are large
 	}
 	return finds, nil
 }
 
-// line is the form of the table's.
-const line = "%-34s %-14s %6s %8s  %s"
+// tableFormat is the form of the table's.
+const tableFormat = "%-34s %-14s %6s %8s  %s"
 
-func findLine(f campaign.Find) string {
+func formatFind(f campaign.Find) string {
 	rule, seeds := f.Rule, fmt.Sprint(f.Seed)
 	if rule == "" {
 		rule, seeds = "NOT FOUND", "-"
@@ -140,5 +140,5 @@
 	if len(f.Others) > 0 {
 		notes += "; " + strings.Join(f.Others, ", ")
 	}
-	return fmt.Sprintf(line, f.Name, rule, seeds, fmt.Sprintf("%.1f", f.Real.Seconds()), notes)
+	return fmt.Sprintf(tableFormat, f.Name, rule, seeds, fmt.Sprintf("%.1f", f.Real.Seconds()), notes)
 }
--- a/cmd/olivelab/path.go
+++ b/cmd/olivelab/path.go
@@ -65,11 +65,11 @@
 		if err != nil {
 			return fmt.Errorf("this program: %w", err)
 		}
-		out, err := create(file)
+		out, err := createOutput(file)
 		if err != nil {
 			return err
 		}
-		defer out.drop()
+		defer out.discard()
 		if o.Progress = c.ErrOrStderr(); file != "" || !check && !accept { // the check asks for no times
 			o.Proxy = []string{self, proxyCommand}
 		}
--- a/cmd/olivelab/path_test.go
+++ b/cmd/olivelab/path_test.go
@@ -39,10 +39,10 @@
 		}
 	}
 	args := []string{"path", "--short", "--load", "get", "--tolerances", accepted}
-	if code, out, errs := call(t, append(args, "--accept")...); code != exitOK {
+	if code, out, errs := runTool(t, append(args, "--accept")...); code != exitOK {
 		t.Fatalf("accept: exit %d\n%s%s", code, out, errs)
 	}
-	code, sound, errs := call(t, append(args, "--check")...)
+	code, sound, errs := runTool(t, append(args, "--check")...)
 	if code != exitOK {
 		t.Errorf("the sound node: exit %d\n%s%s", code, sound, errs)
 	}
@@ -61,7 +61,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			code, out, errs := call(t, append(args, "--check", "--overlay", overlay)...)
+			code, out, errs := runTool(t, append(args, "--check", "--overlay", overlay)...)
 			want := `(?m)^risen: get: ` + p.Rules[0] + `: .*` + brought[p.Name]
 			if code != exitFailed || !regexp.MustCompile(want).MatchString(out) {
 				t.Errorf("exit %d, want %d and %s\n%s%s", code, exitFailed, want, out, errs)
@@ -73,7 +73,7 @@
 // TestPathReport: node and proxy serve the same load, and the report has what both of them took.
 func TestPathReport(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "r.json")
-	code, out, errs := call(t, "path", "--short", "--load", "upload", "--json", file)
+	code, out, errs := runTool(t, "path", "--short", "--load", "upload", "--json", file)
 	if code != exitOK || !strings.Contains(out, "processor time, of ReverseProxy's: ") {
 		t.Fatalf("exit %d\n%s%s", code, out, errs)
 	}
--- a/cmd/olivelab/replay.go
+++ b/cmd/olivelab/replay.go
@@ -11,7 +11,7 @@
 )
 
 func replayCommand(s campaign.Sources) *cobra.Command {
-	var what target
+	var what scriptFlags
 	var log bool
 	var procs int
 	c := &cobra.Command{
@@ -21,7 +21,7 @@
 			"each time. Broken rules go to standard error, one line each. Exit 1 if there are any.",
 		Args: cobra.MaximumNArgs(1),
 	}
-	what.flags(c)
+	what.addFlags(c)
 	c.Flags().BoolVar(&log, "log", false, "the nodes' logs go to standard error")
 	c.Flags().IntVar(&procs, "procs", 0, "GOMAXPROCS of the run; 0: as the environment has it, else 1")
 	c.RunE = func(c *cobra.Command, args []string) error {
@@ -32,7 +32,7 @@
 		if err != nil {
 			return err
 		}
-		j, err := job(s, script)
+		j, err := newJob(s, script)
 		if err != nil {
 			return err
 		}
--- a/cmd/olivelab/run.go
+++ b/cmd/olivelab/run.go
@@ -15,20 +15,20 @@
 	"olivebridge/internal/lab/report"
 )
 
-// clock is the flags that say on what experiments are played.
-type clock struct {
+// clockFlags is the flags that say on what experiments are played.
+type clockFlags struct {
 	virtual bool
 	node    string // the nodes' program, on sockets
 }
 
-func (k *clock) flags(c *cobra.Command) {
+func (k *clockFlags) addFlags(c *cobra.Command) {
 	c.Flags().BoolVar(&k.virtual, "virtual", false,
 		"play on the virtual clock: fast, and the same each time; else on loopback sockets, in real time")
 }
 
 // runner is who plays; build is the program: on the virtual clock one of
 // olivelab, on sockets a node; "": this one, or one built from the source tree.
-func (k *clock) runner(build string, errs io.Writer) (experiment.Runner, error) {
+func (k *clockFlags) runner(build string, errs io.Writer) (experiment.Runner, error) {
 	switch {
 	case k.virtual && k.node != "":
 		return nil, errors.New("--node: not with --virtual, where nodes run inside of olivelab")
@@ -39,7 +39,7 @@
 	}
 	if build = cmp.Or(build, k.node); build != "" {
 		if err := live.Program(build); err != nil {
-			return nil, unreadable(err)
+			return nil, shortPathError(err)
 		}
 		path, err := filepath.Abs(build)
 		return experiment.Sockets{Node: path, Log: errs}, err
@@ -49,7 +49,7 @@
 
 // runCommand plays one experiment.
 func runCommand() *cobra.Command {
-	var on clock
+	var on clockFlags
 	var files struct{ json, html, svg string }
 	var seed uint64
 	var short bool
@@ -61,7 +61,7 @@
 			"file is bad, or if the load tool ran too late for a verdict.",
 		Args: cobra.ExactArgs(1),
 	}
-	on.flags(c)
+	on.addFlags(c)
 	c.Flags().StringVar(&on.node, "node", "", "the nodes' `program`, on sockets; \"\": built from the source tree")
 	c.Flags().StringVar(&files.json, "json", "", "where the report goes as JSON")
 	c.Flags().StringVar(&files.html, "html", "", "where it goes as one page with pictures")
@@ -69,7 +69,7 @@
 	c.Flags().Uint64Var(&seed, "seed", 0, "the seed; 0: the one that the file states")
 	c.Flags().BoolVar(&short, "short", false, "the short form")
 	c.RunE = func(c *cobra.Command, args []string) error {
-		plan, err := planned(args[0], seed, short)
+		plan, err := loadPlan(args[0], seed, short)
 		if err != nil {
 			return err
 		}
@@ -77,16 +77,16 @@
 		if err != nil {
 			return err
 		}
-		var sinks []*sink
+		var sinks []*outputFile
 		for _, path := range []string{files.json, files.html, files.svg} {
-			s, err := create(path)
+			s, err := createOutput(path)
 			if err != nil {
 				return err
 			}
-			defer s.drop()
+			defer s.discard()
 			sinks = append(sinks, s)
 		}
-		r, err := plan.Run(c.Context(), with, progress(c.ErrOrStderr()))
+		r, err := plan.Run(c.Context(), with, progressPrinter(c.ErrOrStderr()))
 		if err != nil {
 			return err
 		}
@@ -109,8 +109,8 @@
 	return c
 }
 
-// planned reads an experiment and makes what is to be played of it.
-func planned(path string, seed uint64, short bool) (*experiment.Plan, error) {
+// loadPlan reads an experiment and makes what is to be played of it.
+func loadPlan(path string, seed uint64, short bool) (*experiment.Plan, error) {
 	e, err := experiment.Load(path)
 	if err != nil {
 		return nil, err
@@ -121,11 +121,11 @@
 	return e.Plan(seed, short)
 }
 
-// progress tells how far a run has come, every two seconds of real time.
-func progress(w io.Writer) func(experiment.Progress) {
+// progressPrinter tells how far a run has come, every two seconds of real time.
+func progressPrinter(w io.Writer) func(experiment.Progress) {
 	told := time.Now()
 	return func(p experiment.Progress) {
-		if time.Since(told) >= tellEach {
+		if time.Since(told) >= progressInterval {
 			told = time.Now()
 			fmt.Fprintf(w, "%.0f of %.0f seconds, %d asked, worth %.3f\n", p.At, p.Length, p.Asked, p.Worth)
 		}
--- a/cmd/olivelab/run_test.go
+++ b/cmd/olivelab/run_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// small is an experiment of three seconds; what of its figures is asserted is left open.
-const small = `name = "small"
+// smallExperiment is an experiment of three seconds; what of its figures is asserted is left open.
+const smallExperiment = `name = "small"
 shows = "that it runs"
 seed = 1
 length = "3s"
@@ -24,19 +24,19 @@
 %s
 `
 
-// experiments writes files into the current folder: one that holds, one that fails, one that is
+// writeExperiments writes files into the current folder: one that holds, one that fails, one that is
 // bad, and one that asks more.
-func experiments(t *testing.T) {
+func writeExperiments(t *testing.T) {
 	t.Helper()
 	t.Chdir(t.TempDir())
 	t.Setenv(worldEnv, "yes")
 	for name, text := range map[string]string{
-		"good.toml":  fmt.Sprintf(small, 20, "least = 0.01"),
-		"fails.toml": fmt.Sprintf(small, 20, "most = 0.01"),
-		"bad.toml":   fmt.Sprintf(small, 20, "least = '1s'"),
-		"tiny.toml":  strings.Replace(fmt.Sprintf(small, 50, "least = 0.01"), `"3s"`, `"1s"`, 1),
-		"more.toml":  fmt.Sprintf(small, 40, "least = 0.01"),
-		"slowlink.toml": fmt.Sprintf(small, 20, "least = 0.01") +
+		"good.toml":  fmt.Sprintf(smallExperiment, 20, "least = 0.01"),
+		"fails.toml": fmt.Sprintf(smallExperiment, 20, "most = 0.01"),
+		"bad.toml":   fmt.Sprintf(smallExperiment, 20, "least = '1s'"),
+		"tiny.toml":  strings.Replace(fmt.Sprintf(smallExperiment, 50, "least = 0.01"), `"3s"`, `"1s"`, 1),
+		"more.toml":  fmt.Sprintf(smallExperiment, 40, "least = 0.01"),
+		"slowlink.toml": fmt.Sprintf(smallExperiment, 20, "least = 0.01") +
 			"[[fault]]\nkind = 'slowlink'\nat = '1s'\nfor = '1s'\nfactor = 3\npeers = ['p01']\n",
 	} {
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
@@ -46,7 +46,7 @@
 }
 
 func TestRunCalls(t *testing.T) {
-	experiments(t)
+	writeExperiments(t)
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 		{"compare --virtual good.toml good.toml --pairs 0", 2, `^$`, `^olivelab: --pairs: at least 1\n$`},
 		{"compare --virtual --experiment good.toml /none /none", 2, `^$`, `^olivelab: /none: .*no such file`},
 	} {
-		code, out, errs := call(t, strings.Fields(c.args)...)
+		code, out, errs := runTool(t, strings.Fields(c.args)...)
 		said := regexp.MustCompile(c.out).MatchString(out) && regexp.MustCompile(c.errs).MatchString(errs)
 		if code != c.code || !said {
 			t.Errorf("olivelab %s: exit %d, want %d\nout: %s\nerr: %s", c.args, code, c.code, out, errs)
@@ -96,9 +96,9 @@
 
 // A worker of a build that tells nothing of its runs is not taken for one in which nothing happened.
 func TestRunOldBuild(t *testing.T) {
-	experiments(t)
+	writeExperiments(t)
 	t.Setenv(worldEnv, "")
-	code, _, errs := call(t, "run", "--virtual", "good.toml")
+	code, _, errs := runTool(t, "run", "--virtual", "good.toml")
 	if code != 2 || !strings.Contains(errs, "tells nothing of its runs") {
 		t.Error(code, errs)
 	}
--- a/cmd/olivelab/screen.go
+++ b/cmd/olivelab/screen.go
@@ -35,10 +35,10 @@
 
 // Sequences of a terminal.
 const (
-	clearAll  = "\x1b[2J\x1b[H"
-	clearLine = "\x1b[K"
-	saved     = "\x1b7\x1b[H"
-	restored  = "\x1b8"
+	clearAll      = "\x1b[2J\x1b[H"
+	clearLine     = "\x1b[K"
+	saveCursor    = "\x1b7\x1b[H"
+	restoreCursor = "\x1b8"
 )
 
 // begin writes what stays to be read, and then the first table.
@@ -46,7 +46,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.table {
-		rows := tableOf(t)
+		rows := tableRows(t)
 		s.rows = len(rows)
 		// what is written below the table scrolls there
 		fmt.Fprintf(s.out, "%s\x1b[%dr\x1b[%d;1H", clearAll, s.rows+1, s.rows+1)
@@ -55,15 +55,15 @@
 	s.draw(t)
 }
 
-// show shows how it goes now.
-func (s *screen) show(t live.Snapshot) {
+// update shows how it goes now.
+func (s *screen) update(t live.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.table {
 		s.draw(t)
 		return
 	}
-	fmt.Fprintln(s.out, lineOf(t))
+	fmt.Fprintln(s.out, summaryLine(t))
 }
 
 func (s *screen) draw(t live.Snapshot) {
@@ -71,18 +71,18 @@
 		return
 	}
 	var b strings.Builder
-	b.WriteString(saved)
-	for i, row := range tableOf(t) {
+	b.WriteString(saveCursor)
+	for i, row := range tableRows(t) {
 		if i < s.rows {
 			b.WriteString(row + clearLine + "\r\n")
 		}
 	}
-	b.WriteString(restored)
+	b.WriteString(restoreCursor)
 	io.WriteString(s.out, b.String())
 }
 
-// say answers a command.
-func (s *screen) say(text string) {
+// printLine answers a command.
+func (s *screen) printLine(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fmt.Fprintln(s.out, text)
@@ -105,11 +105,11 @@
 	s.table = false
 }
 
-// mostPeers is how many peers the table has rows for.
-const mostPeers = 12
+// maxPeerRows is how many peers the table has rows for.
+const maxPeerRows = 12
 
-// tableOf is a run as a table.
-func tableOf(t live.Snapshot) []string {
+// tableRows is a run as a table.
+func tableRows(t live.Snapshot) []string {
 	rows := []string{fmt.Sprintf("%-6s %9s %7s %6s %8s %7s %7s %8s", t.At.Round(time.Second),
 		"asked/s", "served", "late", "refused", "failed", "worth", "tries/s")}
 	for _, one := range []struct {
@@ -126,18 +126,18 @@
 	}
 	rows = append(rows, "", "peer   state     listed       in flight  served")
 	for i, p := range t.Peers {
-		if i == mostPeers {
-			rows = append(rows, fmt.Sprintf("and %d more", len(t.Peers)-mostPeers))
+		if i == maxPeerRows {
+			rows = append(rows, fmt.Sprintf("and %d more", len(t.Peers)-maxPeerRows))
 			break
 		}
 		rows = append(rows, fmt.Sprintf("%-6s %-8s  %-11s %10d %7d  %s",
 			p.Name, p.State, p.Listed, p.InFlight, p.Served, p.Ails))
 	}
-	return append(rows, strings.Repeat("-", 72)+behind(t))
+	return append(rows, strings.Repeat("-", 72)+latenessNote(t))
 }
 
-// lineOf is the last second in a line.
-func lineOf(t live.Snapshot) string {
+// summaryLine is the last second in a line.
+func summaryLine(t live.Snapshot) string {
 	n := t.Now
 	line := fmt.Sprintf("%4s  asked %d served %d late %d refused %d failed %d worth %.1f%% tries %d",
 		t.At.Round(time.Second), n.Asked, n.Served, n.Late, n.Refused, n.Failed+n.Unanswered, 100*n.Share(), n.Tries)
@@ -156,22 +156,22 @@
 			other += " (" + p.Ails + ")"
 		}
 	}
-	return line + fmt.Sprintf(" | peers: %d up, %d in flight%s%s", in, flying, other, behind(t))
+	return line + fmt.Sprintf(" | peers: %d up, %d in flight%s%s", in, flying, other, latenessNote(t))
 }
 
-// muchBehind is from when on it is told how late the load was.
-const muchBehind = 20 * time.Millisecond
+// minReportedLateness is from when on it is told how late the load was.
+const minReportedLateness = 20 * time.Millisecond
 
-// behind says that the load itself was late, if it was.
-func behind(t live.Snapshot) string {
-	if t.Behind < muchBehind {
+// latenessNote says that the load itself was late, if it was.
+func latenessNote(t live.Snapshot) string {
+	if t.Behind < minReportedLateness {
 		return ""
 	}
 	return fmt.Sprintf(" | the load ran %v late", t.Behind.Round(time.Millisecond))
 }
 
-// total is all of a run in a line.
-func total(t live.Snapshot) string {
+// totalLine is all of a run in a line.
+func totalLine(t live.Snapshot) string {
 	n := t.Total
 	line := fmt.Sprintf("in %v: asked %d, served %d in time, %d late, refused %d, failed %d, worth %.1f%%",
 		t.At.Round(time.Second), n.Asked, n.Served, n.Late, n.Refused, n.Failed+n.Unanswered, 100*n.Share())
--- a/cmd/olivelab/seeds.go
+++ b/cmd/olivelab/seeds.go
@@ -9,12 +9,12 @@
 	"olivebridge/internal/lab/campaign"
 )
 
-// tellEach is how often the progress is told.
-const tellEach = 2 * time.Second
+// progressInterval is how often the progress is told.
+const progressInterval = 2 * time.Second
 
 func seedsCommand(s campaign.Sources) *cobra.Command {
-	var seeds span
-	var with workers
+	var seeds seedRange
+	var with workerFlags
 	var file string
 	c := &cobra.Command{
 		Use:   "seeds --from N --count M",
@@ -23,21 +23,21 @@
 			"is `M passed, K failed`. Exit 1 if any failed.",
 		Args: cobra.NoArgs,
 	}
-	seeds.flags(c)
-	with.flags(c)
+	seeds.addFlags(c)
+	with.addFlags(c)
 	c.Flags().StringVar(&file, "json", "", "where all results go, with totals")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		if err := seeds.check(); err != nil {
+		if err := seeds.validate(); err != nil {
 			return err
 		}
-		if _, err := with.check(s); err != nil {
+		if _, err := with.validate(s); err != nil {
 			return err
 		}
-		sink, err := create(file)
+		sink, err := createOutput(file)
 		if err != nil {
 			return err
 		}
-		defer sink.drop()
+		defer sink.discard()
 		report := campaign.NewReport()
 		pool := &campaign.Pool{Procs: with.procs}
 		told := time.Now()
@@ -45,9 +45,9 @@
 		err = pool.Run(c.Context(), jobs, func(o campaign.Outcome) bool {
 			report.Add(o)
 			if o.Failed() {
-				fmt.Fprintln(c.OutOrStdout(), campaign.FailureLine(&o, with.again(o.Job.Seed)))
+				fmt.Fprintln(c.OutOrStdout(), campaign.FailureLine(&o, with.replayCall(o.Job.Seed)))
 			}
-			if time.Since(told) >= tellEach || uint64(report.Seeds) == seeds.count {
+			if time.Since(told) >= progressInterval || uint64(report.Seeds) == seeds.count {
 				told = time.Now()
 				fmt.Fprintln(c.ErrOrStderr(), report.Progress(seeds.count))
 			}
--- a/cmd/olivelab/shrink.go
+++ b/cmd/olivelab/shrink.go
@@ -12,7 +12,7 @@
 )
 
 func shrinkCommand(s campaign.Sources) *cobra.Command {
-	var what target
+	var what scriptFlags
 	var file, rule string
 	var procs int
 	c := &cobra.Command{
@@ -22,7 +22,7 @@
 			"writes the smallest script. The outcome does not hang on the number of workers.",
 		Args: cobra.MaximumNArgs(1),
 	}
-	what.flags(c)
+	what.addFlags(c)
 	c.Flags().StringVar(&file, "out", "", "where the script goes; by default to standard output")
 	c.Flags().StringVar(&rule, "rule", "", "the rule that must stay broken; by default the first that is")
 	c.Flags().IntVar(&procs, "procs", 0, "worker processes; 0: one a core")
@@ -37,15 +37,15 @@
 		if err != nil {
 			return err
 		}
-		out, err := create(file)
+		out, err := createOutput(file)
 		if err != nil {
 			return err
 		}
-		defer out.drop()
+		defer out.discard()
 		told := time.Now()
 		shrinker := campaign.Shrinker{Sources: s, Rule: rule, Pool: &campaign.Pool{Procs: procs}}
 		shrinker.Tell = func(n campaign.Step) {
-			if time.Since(told) >= tellEach {
+			if time.Since(told) >= progressInterval {
 				told = time.Now()
 				fmt.Fprintln(c.ErrOrStderr(), stepLine(n))
 			}
--- a/cmd/olivelab/sockets_test.go
+++ b/cmd/olivelab/sockets_test.go
@@ -16,8 +16,8 @@
 	"olivebridge/internal/protocol"
 )
 
-// mixedUp is a node that answers every call with the body of one and the same, until it is told to end.
-func mixedUp() int {
+// serveWrongAnswers is a node that answers every call with the body of one and the same, until it is told to end.
+func serveWrongAnswers() int {
 	told := make(chan os.Signal, 1)
 	signal.Notify(told, syscall.SIGTERM)
 	signal.Ignore(syscall.SIGUSR1)
@@ -28,8 +28,8 @@
 	return exitOK
 }
 
-// reported reads a report that a run has left.
-func reported(t *testing.T, path string) (r report.Report) {
+// readReport reads a report that a run has left.
+func readReport(t *testing.T, path string) (r report.Report) {
 	t.Helper()
 	data, err := os.ReadFile(path)
 	if err == nil {
@@ -53,9 +53,9 @@
 			t.Parallel()
 			out := filepath.Join(t.TempDir(), "report.json")
 			for again := true; ; again = false {
-				code, text, errs := call(t, "run", "--short", "--node", node, "--json", out,
+				code, text, errs := runTool(t, "run", "--short", "--node", node, "--json", out,
 					filepath.Join("../../experiments", name+".toml"))
-				r := reported(t, out)
+				r := readReport(t, out)
 				late := r.Lateness.Share > report.LateShare
 				if code == exitFailed && len(r.Broken) == 0 && again {
 					continue // the machine may have been busy, and the tool in time all the same
@@ -76,11 +76,11 @@
 	t.Run("compare", func(t *testing.T) {
 		t.Parallel()
 		file := filepath.Join(t.TempDir(), "tiny.toml")
-		text := strings.Replace(fmt.Sprintf(small, 50, "least = 0.01"), `"3s"`, `"1s"`, 1)
+		text := strings.Replace(fmt.Sprintf(smallExperiment, 50, "least = 0.01"), `"3s"`, `"1s"`, 1)
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		code, out, errs := call(t, "compare", "--pairs", "1", "--experiment", file, node, node)
+		code, out, errs := runTool(t, "compare", "--pairs", "1", "--experiment", file, node, node)
 		late := code == exitUsage && strings.Contains(errs, "no verdict")
 		if !late && (code != exitOK || !strings.Contains(out, "\nA: "+node) && !strings.HasPrefix(out, "A: "+node) ||
 			!strings.Contains(out, "cpu")) {
@@ -90,14 +90,14 @@
 }
 
 // A body of another call's is a broken rule, whatever the assertions say, and however late the tool.
-func TestRunMixedUp(t *testing.T) {
-	experiments(t)
+func TestRunDetectsWrongAnswers(t *testing.T) {
+	writeExperiments(t)
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	code, text, errs := call(t, "run", "--node", self, "--json", "r.json", "tiny.toml")
-	r := reported(t, "r.json")
+	code, text, errs := runTool(t, "run", "--node", self, "--json", "r.json", "tiny.toml")
+	r := readReport(t, "r.json")
 	if code != exitFailed || r.Verdict != report.Failed || len(r.Broken) < 10 ||
 		!strings.Contains(r.Broken[0], "gets what names another call") || !strings.Contains(text, "\nbroken: wrong answer at ") {
 		t.Errorf("exit %d, %s: %v\n%s%s", code, r.Verdict, r.Broken, text, errs)
--- a/cmd/olivelab/subsets.go
+++ b/cmd/olivelab/subsets.go
@@ -39,21 +39,21 @@
 		case !(c.Spread >= 1 && c.Spread <= 1000):
 			return errors.New("--spread: not from 1 to 1000")
 		}
-		jsons, err := create(jsonTo)
+		jsonFile, err := createOutput(jsonTo)
 		if err != nil {
 			return err
 		}
-		defer jsons.drop()
-		htmls, err := create(htmlTo)
+		defer jsonFile.discard()
+		htmlFile, err := createOutput(htmlTo)
 		if err != nil {
 			return err
 		}
-		defer htmls.drop()
+		defer htmlFile.discard()
 		rows := subsets.Compare(c)
-		if err := jsons.write(func(w io.Writer) error { return json.NewEncoder(w).Encode(rows) }); err != nil {
+		if err := jsonFile.write(func(w io.Writer) error { return json.NewEncoder(w).Encode(rows) }); err != nil {
 			return err
 		}
-		if err := htmls.write(func(w io.Writer) error { return subsets.WriteHTML(w, c, rows) }); err != nil {
+		if err := htmlFile.write(func(w io.Writer) error { return subsets.WriteHTML(w, c, rows) }); err != nil {
 			return err
 		}
 		return subsets.WriteTable(cmd.OutOrStdout(), c, rows)
--- a/cmd/olivelab/up.go
+++ b/cmd/olivelab/up.go
@@ -16,8 +16,8 @@
 	"olivebridge/internal/lab/live"
 )
 
-// up is a call of the command.
-type up struct {
+// upOptions is a call of the command.
+type upOptions struct {
 	peers, nodes int
 	rate         float64
 	length       time.Duration
@@ -25,16 +25,16 @@
 	plain        bool
 }
 
-// endless is longer than anybody waits.
-const endless = 1000000 * time.Hour
+// unlimited is longer than anybody waits.
+const unlimited = 1000000 * time.Hour
 
 func upCommand() *cobra.Command {
-	var u up
+	var u upOptions
 	c := &cobra.Command{
 		Use:   "up",
 		Short: "starts peers, discovery, nodes and a little load on loopback, in real time",
 		Long: "Starts stand-in peers, discovery, nodes and a little load on loopback, in real time, and shows once a " +
-			"second how it goes. Standard input takes commands: " + strings.Join(verbs(), ", ") + ". It ends with " +
+			"second how it goes. Standard input takes commands: " + strings.Join(commandNames(), ", ") + ". It ends with " +
 			"quit, Ctrl-C or SIGTERM, or after --for. The end of standard input cuts nothing short.",
 		Args: cobra.NoArgs,
 	}
@@ -45,7 +45,7 @@
 	c.Flags().StringVar(&u.node, "node", "", "the node's `program`; \"\": built from the source tree")
 	c.Flags().BoolVar(&u.plain, "plain", false, "one line a second, on a terminal too")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		if err := u.check(); err != nil {
+		if err := u.validate(); err != nil {
 			return err
 		}
 		err := u.run(c)
@@ -57,7 +57,7 @@
 	return c
 }
 
-func (u *up) check() error {
+func (u *upOptions) validate() error {
 	for _, f := range []struct {
 		name     string
 		n, least int
@@ -76,16 +76,16 @@
 		return nil
 	}
 	if err := live.Program(u.node); err != nil {
-		return fmt.Errorf("--node: %w", unreadable(err))
+		return fmt.Errorf("--node: %w", shortPathError(err))
 	}
 	return nil
 }
 
-func (u *up) run(c *cobra.Command) error {
+func (u *upOptions) run(c *cobra.Command) error {
 	ctx, out, errs := c.Context(), c.OutOrStdout(), c.ErrOrStderr()
 	dir, err := os.MkdirTemp("", "olivelab-up-")
 	if err != nil {
-		return unreadable(err)
+		return shortPathError(err)
 	}
 	defer os.RemoveAll(dir)
 	node := u.node
@@ -100,12 +100,12 @@
 	}
 	s := newScreen(out, u.plain)
 	r, err := live.Start(ctx, live.Sample(u.peers, u.nodes, u.rate), live.Options{
-		Node: node, Dir: dir, Length: cmp.Or(u.length, endless), Log: s,
+		Node: node, Dir: dir, Length: cmp.Or(u.length, unlimited), Log: s,
 	})
 	if err != nil {
 		return err
 	}
-	s.begin(welcome(r, dir), r.Table())
+	s.begin(introLines(r, dir), r.Table())
 	told := u.watch(ctx, r, s, c.InOrStdin())
 	s.end()
 	fmt.Fprintln(out, "ending: clients leave, the nodes drain")
@@ -114,13 +114,13 @@
 	} else {
 		r.Wait() // what is open gets its answer; what went wrong has been shown
 	}
-	fmt.Fprintln(out, total(r.Table()))
+	fmt.Fprintln(out, totalLine(r.Table()))
 	return nil
 }
 
 // watch shows how it goes, and does what it is told, until the end; told: that
 // it was told to end.
-func (u *up) watch(ctx context.Context, r *live.Run, s *screen, in io.Reader) (told bool) {
+func (u *upOptions) watch(ctx context.Context, r *live.Run, s *screen, in io.Reader) (told bool) {
 	commands := make(chan string)
 	go func() { // it ends with the program: a read of a terminal cannot be broken off
 		lines := bufio.NewScanner(in)
@@ -135,7 +135,7 @@
 		select {
 		case <-each.C:
 			t := r.Table()
-			s.show(t)
+			s.update(t)
 			if u.length > 0 && t.At >= u.length {
 				return false
 			}
@@ -150,20 +150,20 @@
 			case command == "quit", command == "exit":
 				return true
 			case command == "help":
-				s.say(live.Help + "\nquit               end")
+				s.printLine(live.Help + "\nquit               end")
 			case command != "":
 				did, err := r.Do(command)
 				if err != nil {
 					did = err.Error()
 				}
-				s.say(did)
+				s.printLine(did)
 			}
 		}
 	}
 }
 
-// verbs are the commands that standard input takes.
-func verbs() []string {
+// commandNames are the commands that standard input takes.
+func commandNames() []string {
 	var all []string
 	for line := range strings.SplitSeq(live.Help, "\n") {
 		verb, _, _ := strings.Cut(line, " ")
@@ -172,8 +172,8 @@
 	return append(all, "help", "quit")
 }
 
-// welcome says where everything is, and how to try it.
-func welcome(r *live.Run, dir string) []string {
+// introLines says where everything is, and how to try it.
+func introLines(r *live.Run, dir string) []string {
 	t := r.Table()
 	lines := []string{"discovery   http://" + r.Resolve("registry:8500") + "/registry/instances"}
 	for _, n := range t.Nodes {
@@ -191,5 +191,5 @@
 	}
 	return append(lines, "", fmt.Sprintf("curl -i -H 'X-Call-Id: try-1' -H 'X-Call-Class: quote' -H 'X-Caller: acme' "+
 		"-H 'X-Budget: 0.600' 'http://%s/api?user=me'", t.Nodes[0].Addr), "",
-		"commands: "+strings.Join(verbs(), ", "))
+		"commands: "+strings.Join(commandNames(), ", "))
 }
--- a/cmd/olivelab/up_test.go
+++ b/cmd/olivelab/up_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// started is a call of up, as a process.
-type started struct {
+// upProcess is a call of up, as a process.
+type upProcess struct {
 	cmd  *exec.Cmd
 	in   io.WriteCloser
 	out  *bufio.Reader
@@ -26,9 +26,9 @@
 }
 
 // startUp starts it and reads up to the line that tells how to try it.
-func startUp(t *testing.T, args ...string) *started {
+func startUp(t *testing.T, args ...string) *upProcess {
 	t.Helper()
-	u := &started{cmd: exec.CommandContext(t.Context(), os.Args[0], append([]string{"up"}, args...)...)}
+	u := &upProcess{cmd: exec.CommandContext(t.Context(), os.Args[0], append([]string{"up"}, args...)...)}
 	out, err := u.cmd.StdoutPipe()
 	if err == nil {
 		u.in, err = u.cmd.StdinPipe()
@@ -49,7 +49,7 @@
 		}
 		if m := node.FindStringSubmatch(line); m != nil {
 			u.node = m[1]
-			u.pids = append(u.pids, number(m[2]))
+			u.pids = append(u.pids, parsePID(m[2]))
 		}
 		if strings.HasPrefix(line, "curl ") {
 			u.curl = line
@@ -58,15 +58,15 @@
 	return u
 }
 
-func number(s string) (n int) {
+func parsePID(s string) (n int) {
 	for _, c := range s {
 		n = 10*n + int(c-'0')
 	}
 	return n
 }
 
-// rest reads to the end, and returns the exit code and all that was said.
-func (u *started) rest(t *testing.T) (code int, said string) {
+// wait reads to the end, and returns the exit code and all that was said.
+func (u *upProcess) wait(t *testing.T) (code int, said string) {
 	t.Helper()
 	io.Copy(io.Discard, u.out)
 	u.cmd.Wait()
@@ -104,7 +104,7 @@
 	if err != nil || a.StatusCode != 200 || !strings.Contains(string(body), "call=try-1 ") {
 		t.Errorf("%s gave %d %.80q: %v", u.curl, a.StatusCode, body, err)
 	}
-	code, said := u.rest(t)
+	code, said := u.wait(t)
 	table := regexp.MustCompile(`(?m)^ +1s  asked \d+ served \d+ .* worth [\d.]+% .*n1 up.*peers: 6 up`)
 	total := regexp.MustCompile(`\nin [23]s: asked \d\d+, served \d\d+ in time[^;\n]*\n$`)
 	if code != 0 || !table.MatchString(said) || !total.MatchString(said) {
@@ -112,15 +112,15 @@
 	}
 }
 
-func TestUpIsToldToEnd(t *testing.T) {
+func TestUpEndsOnRequest(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(u *started)
+		do   func(u *upProcess)
 		said string
 	}{
-		{"quit", func(u *started) { io.WriteString(u.in, "help\nkill p01\nkill p9\nquit\n") },
+		{"quit", func(u *upProcess) { io.WriteString(u.in, "help\nkill p01\nkill p9\nquit\n") },
 			`(?s)heal \[NAME\].*p01 is killed\nkill: no peer or node named "p9"\nending`},
-		{"a signal after the end of its input", func(u *started) {
+		{"a signal after the end of its input", func(u *upProcess) {
 			u.in.Close()
 			for lines := 0; lines < 2; { // of the table: it goes on
 				line, err := u.out.ReadString('\n')
@@ -133,12 +133,12 @@
 			}
 			u.cmd.Process.Signal(syscall.SIGTERM)
 		}, `(?s)asked.*\n.*ending`},
-		{"an interrupt", func(u *started) { u.cmd.Process.Signal(os.Interrupt) }, `ending`},
+		{"an interrupt", func(u *upProcess) { u.cmd.Process.Signal(os.Interrupt) }, `ending`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			u := startUp(t, "--peers", "2", "--nodes", "1")
 			c.do(u)
-			if code, said := u.rest(t); code != 0 || !regexp.MustCompile(c.said).MatchString(said) {
+			if code, said := u.wait(t); code != 0 || !regexp.MustCompile(c.said).MatchString(said) {
 				t.Errorf("exit %d after %s", code, said)
 			}
 		})
@@ -146,7 +146,7 @@
 }
 
 // A node must not outlive whoever started it, whatever becomes of that.
-func TestUpIsKilled(t *testing.T) {
+func TestNodesEndWhenUpIsKilled(t *testing.T) {
 	u := startUp(t, "--nodes", "1")
 	u.cmd.Process.Kill()
 	u.cmd.Wait()
@@ -164,14 +164,14 @@
 	}
 }
 
-func TestUpRefuses(t *testing.T) {
+func TestUpRejectsBadFlags(t *testing.T) {
 	for args, want := range map[string]string{
 		"--peers 0": "--peers 0: not from 1 to 200", "--nodes 999": "--nodes 999: not from 1 to 200",
 		"--rate 0": "--rate 0: not from 1 to 20000", "--for -1s": "--for -1s: below 0",
 		"--node no/where": "--node: no/where: no such file or directory", "--node .": "--node: .: not a program",
 		"--nodes 1 --node /bin/false": "node n1 ended: exit status 1\n",
 	} {
-		code, _, errs := call(t, append([]string{"up"}, strings.Fields(args)...)...)
+		code, _, errs := runTool(t, append([]string{"up"}, strings.Fields(args)...)...)
 		if code != exitUsage || !strings.HasPrefix(errs, "olivelab: "+want) || strings.Count(errs, "\n") != 1 {
 			t.Errorf("%s: exit %d, %s", args, code, errs)
 		}
