--- a/cmd/olivelab/common.go
+++ b/cmd/olivelab/common.go
@@ -13,7 +13,7 @@
 	"olivebridge/internal/lab/fault"
 )
 
-// seedRange is a range of seeds.
+// seedRange holds the flags --from and --count, which select a range of seeds.
 type seedRange struct{ from, count uint64 }
 
 func (r *seedRange) addFlags(c *cobra.Command) {
@@ -35,7 +35,7 @@
 	c.Flags().StringVar(file, "scenario", "", "the scenario `file` that seeds draw from; \"\": the built-in one")
 }
 
-// workerFlags are the flags of commands that play runs.
+// workerFlags holds the flags of commands that play runs in worker processes.
 type workerFlags struct {
 	procs    int
 	scenario string
@@ -53,7 +53,7 @@
 	return s.Scenario(w.scenario)
 }
 
-// replayCall is the call that plays a seed again.
+// replayCall returns the command line that replays a seed.
 func (w *workerFlags) replayCall(seed uint64) string {
 	call := "olivelab replay " + strconv.FormatUint(seed, 10)
 	if w.scenario != "" {
@@ -62,7 +62,7 @@
 	return call
 }
 
-// scriptFlags is the one run that a command is about: a seed, or a script.
+// scriptFlags holds the flags of commands that play a single run, given by a seed or by a script file.
 type scriptFlags struct {
 	script   string
 	scenario string
@@ -73,7 +73,7 @@
 	scenarioFlag(c, &t.scenario)
 }
 
-// read reads the script, or draws the seed's.
+// read returns the script read from --script, or the script drawn from the seed in args.
 func (t *scriptFlags) read(s campaign.Sources, args []string) (*fault.Script, error) {
 	switch {
 	case (len(args) == 1) == (t.script != ""):
@@ -98,7 +98,7 @@
 	return draw(seed), nil
 }
 
-// newJob is the run of a script.
+// newJob returns the campaign job that plays a script.
 func newJob(s campaign.Sources, script *fault.Script) (campaign.Job, error) {
 	var text strings.Builder
 	if err := s.Write(script, &text); err != nil {
@@ -107,7 +107,8 @@
 	return campaign.Job{Seed: script.Seed, Script: text.String()}, nil
 }
 
-// shortPathError says what file cannot be read or written, and why.
+// shortPathError reduces an os.PathError to the path and the cause, without the operation. It returns other errors
+// unchanged.
 func shortPathError(err error) error {
 	if e, ok := errors.AsType[*os.PathError](err); ok {
 		return fmt.Errorf("%s: %w", e.Path, e.Err)
--- a/cmd/olivelab/compare.go
+++ b/cmd/olivelab/compare.go
@@ -15,14 +15,14 @@
 	"olivebridge/internal/lab/report"
 )
 
-// compareSide is one of the two that are compared.
+// compareSide is one of the two builds or experiments under comparison.
 type compareSide struct {
 	name       string
 	experiment *experiment.Experiment
 	runner     experiment.Runner
 }
 
-// compareCommand compares two builds, or two experiments.
+// compareCommand returns the command that compares two builds or two experiments.
 func compareCommand() *cobra.Command {
 	var on clockFlags
 	var file, out string
@@ -67,7 +67,8 @@
 	return c
 }
 
-// readSides reads what is to be compared.
+// readSides loads the experiment and selects the runner of each side. The two args are experiment files, or builds
+// that play the experiment in file.
 func (k *clockFlags) readSides(args []string, file string, errs io.Writer) (sides [2]compareSide, err error) {
 	files := 0
 	for _, a := range args {
@@ -99,10 +100,11 @@
 	return sides, nil
 }
 
-// maxRunAttempts is how often a run is played whose load tool was late.
+// maxRunAttempts is the number of times that a run is played before it fails for lack of a verdict, because the load
+// tool was late each time.
 const maxRunAttempts = 3
 
-// playSide plays one side's run of a pair.
+// playSide plays one side's run of a pair and repeats it while it has no verdict, up to maxRunAttempts times in all.
 func playSide(ctx context.Context, s compareSide, seed uint64, short bool, errs io.Writer) (*report.Report, error) {
 	for n := 1; ; n++ {
 		plan, err := s.experiment.Plan(seed, short)
@@ -122,7 +124,7 @@
 	}
 }
 
-// playPairs plays all pairs, in turn A B, B A.
+// playPairs plays all pairs, in the alternating order A B, B A. Both runs of a pair use the same seed.
 func playPairs(
 	ctx context.Context, sides [2]compareSide, pairs uint64, short bool, errs io.Writer,
 ) (all []compare.Pair, err error) {
--- a/cmd/olivelab/fleet.go
+++ b/cmd/olivelab/fleet.go
@@ -22,7 +22,7 @@
 	"olivebridge/internal/lab/live"
 )
 
-// fleetOptions is a call of one of the commands that play a fleet of processes.
+// fleetOptions holds the flags of one invocation of a command that plays a fleet of processes.
 type fleetOptions struct {
 	scenario    fleet.Scenario
 	nodes       int
@@ -37,10 +37,10 @@
 	caseName    string
 	mutant      string
 	concurrency int
-	peers       int // of choices
+	peers       int // of choices and signals; 0: the command has no such flag
 	copies      int
 	minPeers    int
-	plain, once bool // of takeover; plain also of cold
+	plain, once bool // once: of takeover; plain: of takeover, cold and signals
 	first, last uint64
 }
 
@@ -155,7 +155,8 @@
 	return nil
 }
 
-// scripts are those to be played, and what each is called.
+// scripts returns the scripts to play: the script file, the scripts of a hard case, the demonstration script of the
+// seed, or a random script for each seed of the range.
 func (r *fleetOptions) scripts() (all []*fault.Script, err error) {
 	switch {
 	case r.script != "":
@@ -181,7 +182,7 @@
 	return all, nil
 }
 
-// caseScripts are the scripts of a hard case, one for each seed.
+// caseScripts returns the scripts of the hard case that --case names, one for each seed.
 func (r *fleetOptions) caseScripts() (all []*fault.Script, err error) {
 	hard, err := fleet.CaseNamed(r.scenario.Cases, r.caseName)
 	if err != nil {
@@ -201,7 +202,8 @@
 	return all, nil
 }
 
-// nodeProgram is the path of the node's program.
+// nodeProgram returns the path of the node's program. It builds the program in dir, with support for mutants if the
+// call or a script uses them, unless --node names a program.
 func (r *fleetOptions) nodeProgram(ctx context.Context, scripts []*fault.Script, dir string, errs io.Writer) (string, error) {
 	if r.node == "" {
 		fmt.Fprintln(errs, "building the node")
@@ -245,7 +247,8 @@
 	return c
 }
 
-// run plays the scripts, one after the other, and tells what came of each.
+// run plays the scripts, prints the outcome of each, and writes the requested files. It returns errFailed if a run broke
+// a rule.
 func (r *fleetOptions) run(c *cobra.Command) error {
 	ctx, out, errs := c.Context(), c.OutOrStdout(), c.ErrOrStderr()
 	scripts, err := r.scripts()
@@ -293,19 +296,20 @@
 	return nil
 }
 
-// playAll plays the scripts, some at one time, and returns what came of them in their order.
+// playAll plays the scripts, up to --at-once of them concurrently, and returns the results in the order of the scripts.
+// The first error stops the remaining runs.
 func (r *fleetOptions) playAll(ctx context.Context, scripts []*fault.Script, node string, out, errs io.Writer) ([]*fleet.Result, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	results := make([]*fleet.Result, len(scripts))
-	var mu sync.Mutex // of what follows, and of the output
-	var first error
+	var mu sync.Mutex // guards firstErr, results and writes to out
+	var firstErr error
 	errs = &lockedWriter{w: errs}
 	slots := make(chan struct{}, r.concurrency)
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for i, s := range scripts {
 		slots <- struct{}{}
-		all.Go(func() {
+		running.Go(func() {
 			defer func() { <-slots }()
 			if ctx.Err() != nil {
 				return
@@ -315,7 +319,7 @@
 			defer mu.Unlock()
 			switch {
 			case err != nil:
-				first = cmp.Or(first, err)
+				firstErr = cmp.Or(firstErr, err)
 				stop()
 				return
 			case len(scripts) > 1:
@@ -326,11 +330,11 @@
 			results[i] = res
 		})
 	}
-	all.Wait()
-	return results, first
+	running.Wait()
+	return results, firstErr
 }
 
-// lockedWriter lets one write at a time.
+// lockedWriter is an io.Writer that serializes concurrent writes.
 type lockedWriter struct {
 	mu sync.Mutex
 	w  io.Writer
@@ -342,7 +346,8 @@
 	return l.w.Write(b)
 }
 
-// play plays one script, and keeps what it left if it failed.
+// play plays one script in a temporary directory. It copies the script, records and page of a failed run to --keep; with
+// --keep-all, those of any run.
 func (r *fleetOptions) play(ctx context.Context, s *fault.Script, node string, errs io.Writer) (*fleet.Result, error) {
 	dir, err := os.MkdirTemp("", "olivelab-fleet-")
 	if err != nil {
@@ -369,7 +374,7 @@
 	return res, nil
 }
 
-// writeResults writes one run's figures, or those of all.
+// writeResults writes the outcome of the first run as JSON, or, if one is false, the seed and outcome of every run.
 func writeResults(w io.Writer, results []*fleet.Result, one bool) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
--- a/cmd/olivelab/fleet_test.go
+++ b/cmd/olivelab/fleet_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What cannot be played is told in one line, and nothing is started.
+// Guards the validation of flags: a call that cannot be played exits with one line of error and starts no process.
 func TestFleetRejectsBadFlags(t *testing.T) {
 	for args, want := range map[string]string{
 		"":                             "fleet of what? see --help",
@@ -27,12 +27,12 @@
 	} {
 		code, _, errs := runTool(t, append([]string{"fleet"}, strings.Fields(args)...)...)
 		if code != exitUsage || !strings.HasPrefix(errs, "olivelab: "+want) {
-			t.Errorf("%s: exit %d, %s", args, code, errs)
+			t.Errorf("fleet %s: exit %d with unexpected stderr %s", args, code, errs)
 		}
 	}
 	for _, subject := range []string{"members", "budget", "in-use", "count", "retries"} {
 		if code, out, _ := runTool(t, "fleet", subject, "--case", "list"); code != exitOK || strings.Count(out, "processes, ") < 6 {
-			t.Errorf("%s: exit %d, %s", subject, code, out)
+			t.Errorf("list of hard cases of %s: exit %d, fewer than 6 cases or a failure: %s", subject, code, out)
 		}
 	}
 }
--- a/cmd/olivelab/main.go
+++ b/cmd/olivelab/main.go
@@ -1,5 +1,5 @@
-// Command olivelab plays nodes against a modelled world on a virtual clock, under faults
-// drawn from seeds; docs/LAB.md is for whoever uses it.
+// Command olivelab runs nodes against a simulated environment on a virtual clock, under faults drawn from seeds.
+// docs/LAB.md is its user guide.
 package main
 
 import (
@@ -17,11 +17,11 @@
 	"olivebridge/internal/lab/campaign"
 )
 
-// How the program ends: scripts rely on it.
+// Exit codes. Scripts rely on them.
 const (
 	exitOK     = 0
-	exitFailed = 1 // a rule was broken, a mutant not found, or a count has risen
-	exitUsage  = 2 // the call, a file or the machine was at fault, and what was asked for was not done
+	exitFailed = 1 // a run broke a rule or failed an assertion, a mutant was not found, or a count rose beyond its tolerance
+	exitUsage  = 2 // bad arguments, a bad file or an error of the machine prevented the command from completing
 )
 
 func main() {
@@ -31,10 +31,11 @@
 	os.Exit(code)
 }
 
-// errFailed ends a command whose runs failed: it has told all there is to tell.
+// errFailed makes the program exit with exitFailed and print no error, because the command has already printed its
+// findings.
 var errFailed = errors.New("failed")
 
-// run is one call of the program; it returns the exit code.
+// run executes the command line in args and returns the exit code.
 func run(ctx context.Context, args []string, out, errs io.Writer, s campaign.Sources) int {
 	root := &cobra.Command{
 		Use:               "olivelab",
@@ -59,12 +60,12 @@
 	case errors.Is(err, context.Canceled):
 		err = errors.New("interrupted")
 	}
-	line, _, _ := strings.Cut(err.Error(), "\n") // one line, whatever a library says
+	line, _, _ := strings.Cut(err.Error(), "\n") // errors of libraries may have several lines
 	fmt.Fprintln(errs, "olivelab: "+line)
 	return exitUsage
 }
 
-// workerCommand is how campaigns start this program to play runs.
+// workerCommand returns the hidden command with which campaigns start this program as a worker process.
 func workerCommand(s campaign.Sources) *cobra.Command {
 	return &cobra.Command{
 		Use: "worker", Hidden: true, Args: cobra.NoArgs,
--- a/cmd/olivelab/main_test.go
+++ b/cmd/olivelab/main_test.go
@@ -14,11 +14,12 @@
 	"olivebridge/internal/protocol"
 )
 
-// worldEnv makes workers play the lab's own world in place of the toy.
+// worldEnv is the environment variable that makes workers play the lab's real sources instead of the toy sources of
+// campaigntest.
 const worldEnv = "OLIVELAB_TEST_WORLD"
 
-// The test binary is its own worker, on the toy's sources, the program that up runs in, its own proxy, and a node that
-// is mixed up.
+// TestMain makes the test binary stand in for the programs that the tests start: a worker on the toy sources, the
+// program with the command up, the reference proxy, and a node that returns wrong answers.
 func TestMain(m *testing.M) {
 	switch {
 	case os.Getenv(protocol.EnvName) != "":
@@ -34,11 +35,11 @@
 	case len(os.Args) > 1 && os.Args[1] == "up":
 		main()
 	}
-	os.Setenv("GORACE", "atexit_sleep_ms=0") // or the race detector adds a second to each worker's end
+	os.Setenv("GORACE", "atexit_sleep_ms=0") // otherwise the race detector delays the exit of each worker by one second
 	os.Exit(m.Run())
 }
 
-// runTool is one call of the program on the toy: seeds divisible by five break the rule lost.
+// runTool runs the program on the toy sources, in which seeds divisible by five break the rule lost.
 func runTool(t *testing.T, args ...string) (code int, out, errs string) {
 	t.Helper()
 	var o, e bytes.Buffer
@@ -107,9 +108,9 @@
 		{"path --node n --check --tolerances t", 2, `^$`, `^olivelab: t/tolerances.toml: no such file or directory\n$`},
 	} {
 		code, out, errs := runTool(t, strings.Fields(c.args)...)
-		said := regexp.MustCompile(c.out).MatchString(out) && regexp.MustCompile(c.errs).MatchString(errs)
-		if code != c.code || !said {
-			t.Errorf("olivelab %s: exit %d, want %d\nout: %s\nerr: %s", c.args, code, c.code, out, errs)
+		matched := regexp.MustCompile(c.out).MatchString(out) && regexp.MustCompile(c.errs).MatchString(errs)
+		if code != c.code || !matched {
+			t.Errorf("olivelab %s: exit %d, want %d, or output does not match\nstdout: %s\nstderr: %s", c.args, code, c.code, out, errs)
 		}
 	}
 }
@@ -125,7 +126,7 @@
 		err = json.Unmarshal(data, &report)
 	}
 	if err != nil || report != struct{ Seeds, Passed, Failed, Requests int }{10, 8, 2, 100} {
-		t.Errorf("report %+v: %v", report, err)
+		t.Errorf("report has totals %+v, want 10 seeds, 8 passed, 2 failed, 100 requests; error %v", report, err)
 	}
 	if code, out, errs := runTool(t, "shrink", "5", "--out", "s.toml"); code != 0 || out != "" {
 		t.Error(code, out, errs)
@@ -138,6 +139,6 @@
 		t.Error(code)
 	}
 	if _, err := os.Stat("none.toml"); err == nil {
-		t.Error("a file with nothing in it was left")
+		t.Error("shrink left an empty output file behind after it failed")
 	}
 }
--- a/cmd/olivelab/mutants.go
+++ b/cmd/olivelab/mutants.go
@@ -16,7 +16,7 @@
 	"olivebridge/internal/lab/mutant"
 )
 
-// toolPackage is this program's package.
+// toolPackage is the path of this program's package, relative to the root of the source tree.
 const toolPackage = "./cmd/olivelab"
 
 func mutantsCommand(s campaign.Sources) *cobra.Command {
@@ -74,7 +74,8 @@
 	return c
 }
 
-// selectMutants are the mutants to look for. A rule that does not exist would never show one.
+// selectMutants returns the mutant named only, or all mutants if only is empty. It returns an error if any mutant names
+// a rule that does not exist, because no run could detect that mutant.
 func selectMutants(s campaign.Sources, only string) ([]mutant.Mutant, error) {
 	all, err := mutant.All()
 	if err != nil {
@@ -97,7 +98,7 @@
 	return all[i : i+1], nil
 }
 
-// huntMutants looks for the mutants one by one and writes a line of the table for each.
+// huntMutants builds and plays the mutants one after the other and prints a table row for each.
 func huntMutants(c *cobra.Command, with workerFlags, seeds uint64, some []mutant.Mutant) ([]campaign.Find, error) {
 	root, err := mutant.Root()
 	if err != nil {
@@ -105,7 +106,7 @@
 	}
 	dir, err := os.MkdirTemp("", "olivelab-mutants")
 	if err != nil {
-		return nil, fmt.Errorf("a place for what is built: %w", err)
+		return nil, fmt.Errorf("creating the build directory: %w", err)
 	}
 	defer os.RemoveAll(dir)
 	hunter := &campaign.Hunter{
@@ -123,12 +124,12 @@
 		}
 		finds = append(finds, f)
 		fmt.Fprintln(c.OutOrStdout(), formatFind(f))
-		os.Remove(filepath.Join(dir, p.Name)) // programs are large
+		os.Remove(filepath.Join(dir, p.Name)) // built programs are large
 	}
 	return finds, nil
 }
 
-// tableFormat is the form of the table's.
+// tableFormat is the format of a table row: mutant, rule, seeds, seconds and notes.
 const tableFormat = "%-34s %-14s %6s %8s  %s"
 
 func formatFind(f campaign.Find) string {
--- a/cmd/olivelab/path.go
+++ b/cmd/olivelab/path.go
@@ -13,7 +13,7 @@
 	"olivebridge/internal/lab/path"
 )
 
-// proxyCommand is the hidden command that path starts as a child.
+// proxyCommand is the name of the hidden command that path starts as a child process to serve the reference proxy.
 const proxyCommand = "path-proxy"
 
 func pathCommand() *cobra.Command {
@@ -63,14 +63,14 @@
 		}
 		self, err := os.Executable()
 		if err != nil {
-			return fmt.Errorf("this program: %w", err)
+			return fmt.Errorf("path of the running program: %w", err)
 		}
 		out, err := createOutput(file)
 		if err != nil {
 			return err
 		}
 		defer out.discard()
-		if o.Progress = c.ErrOrStderr(); file != "" || !check && !accept { // the check asks for no times
+		if o.Progress = c.ErrOrStderr(); file != "" || !check && !accept { // --check and --accept need no times unless a report is written
 			o.Proxy = []string{self, proxyCommand}
 		}
 		r, err := path.Measure(c.Context(), o)
@@ -95,7 +95,8 @@
 	return c
 }
 
-// checkPath writes what the check of a report found.
+// checkPath compares a report with the tolerances and prints the differences. It returns errFailed if a count has risen
+// beyond its tolerance.
 func checkPath(w io.Writer, r *path.Report, t *path.Tolerances) error {
 	found := r.Against(t)
 	for _, line := range found.Risen {
@@ -121,7 +122,7 @@
 	return errFailed
 }
 
-// pathProxyCommand is how path starts this program to be measured against.
+// pathProxyCommand returns the hidden command that serves the httputil.ReverseProxy with which path compares the node.
 func pathProxyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: proxyCommand, Hidden: true, Args: cobra.MinimumNArgs(1),
--- a/cmd/olivelab/replay.go
+++ b/cmd/olivelab/replay.go
@@ -46,7 +46,7 @@
 		if err != nil {
 			return err
 		}
-		if o.Result.Hash != "" { // a run that died has none
+		if o.Result.Hash != "" { // a run whose worker crashed has no hash
 			fmt.Fprintf(trace, "trace sha256 %s\n", o.Result.Hash)
 		}
 		if err := trace.Flush(); err != nil {
--- a/cmd/olivelab/run.go
+++ b/cmd/olivelab/run.go
@@ -15,10 +15,10 @@
 	"olivebridge/internal/lab/report"
 )
 
-// clockFlags is the flags that say on what experiments are played.
+// clockFlags holds the flags that select the virtual clock or loopback sockets for experiments.
 type clockFlags struct {
 	virtual bool
-	node    string // the nodes' program, on sockets
+	node    string // path of the nodes' program, on sockets; empty: built from the source tree
 }
 
 func (k *clockFlags) addFlags(c *cobra.Command) {
@@ -26,8 +26,9 @@
 		"play on the virtual clock: fast, and the same each time; else on loopback sockets, in real time")
 }
 
-// runner is who plays; build is the program: on the virtual clock one of
-// olivelab, on sockets a node; "": this one, or one built from the source tree.
+// runner returns the runner that plays experiments. The path in build is that of an olivelab program on the virtual
+// clock, and of a node's program on sockets. If build is empty, the virtual clock runs in this program, and sockets use
+// the program from --node, or else one built from the source tree.
 func (k *clockFlags) runner(build string, errs io.Writer) (experiment.Runner, error) {
 	switch {
 	case k.virtual && k.node != "":
@@ -47,7 +48,7 @@
 	return experiment.Sockets{Log: errs}, nil
 }
 
-// runCommand plays one experiment.
+// runCommand returns the command that plays one experiment.
 func runCommand() *cobra.Command {
 	var on clockFlags
 	var files struct{ json, html, svg string }
@@ -109,7 +110,7 @@
 	return c
 }
 
-// loadPlan reads an experiment and makes what is to be played of it.
+// loadPlan reads the experiment file at path and returns its plan. Seed 0 stands for the seed in the file.
 func loadPlan(path string, seed uint64, short bool) (*experiment.Plan, error) {
 	e, err := experiment.Load(path)
 	if err != nil {
@@ -121,12 +122,12 @@
 	return e.Plan(seed, short)
 }
 
-// progressPrinter tells how far a run has come, every two seconds of real time.
+// progressPrinter returns a callback that prints the progress of a run, at most once per progressInterval of real time.
 func progressPrinter(w io.Writer) func(experiment.Progress) {
-	told := time.Now()
+	lastPrinted := time.Now()
 	return func(p experiment.Progress) {
-		if time.Since(told) >= progressInterval {
-			told = time.Now()
+		if time.Since(lastPrinted) >= progressInterval {
+			lastPrinted = time.Now()
 			fmt.Fprintf(w, "%.0f of %.0f seconds, %d asked, worth %.3f\n", p.At, p.Length, p.Asked, p.Worth)
 		}
 	}
--- a/cmd/olivelab/run_test.go
+++ b/cmd/olivelab/run_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// smallExperiment is an experiment of three seconds; what of its figures is asserted is left open.
+// smallExperiment is the format of an experiment of three seconds. Its arguments are the request rate and the bound of
+// the assertion.
 const smallExperiment = `name = "small"
 shows = "that it runs"
 seed = 1
@@ -24,8 +25,8 @@
 %s
 `
 
-// writeExperiments writes files into the current folder: one that holds, one that fails, one that is
-// bad, and one that asks more.
+// writeExperiments changes to a temporary directory and writes experiment files there: among them one whose assertion
+// holds, one whose assertion fails, one that is invalid, and one with a higher request rate.
 func writeExperiments(t *testing.T) {
 	t.Helper()
 	t.Chdir(t.TempDir())
@@ -81,20 +82,21 @@
 		{"compare --virtual --experiment good.toml /none /none", 2, `^$`, `^olivelab: /none: .*no such file`},
 	} {
 		code, out, errs := runTool(t, strings.Fields(c.args)...)
-		said := regexp.MustCompile(c.out).MatchString(out) && regexp.MustCompile(c.errs).MatchString(errs)
-		if code != c.code || !said {
-			t.Errorf("olivelab %s: exit %d, want %d\nout: %s\nerr: %s", c.args, code, c.code, out, errs)
+		matched := regexp.MustCompile(c.out).MatchString(out) && regexp.MustCompile(c.errs).MatchString(errs)
+		if code != c.code || !matched {
+			t.Errorf("olivelab %s: exit %d, want %d, or output does not match\nstdout: %s\nstderr: %s", c.args, code, c.code, out, errs)
 		}
 	}
 	begins := map[string]string{"r.json": "{\n \"form\": 1,", "r.html": "<!doctype html>", "r.svg": "<svg "}
 	for name, begin := range begins {
 		if data, err := os.ReadFile(name); err != nil || !strings.HasPrefix(string(data), begin) {
-			t.Errorf("%s: %v: %.40q", name, err, data)
+			t.Errorf("%s has an unexpected beginning, or error %v: %.40q", name, err, data)
 		}
 	}
 }
 
-// A worker of a build that tells nothing of its runs is not taken for one in which nothing happened.
+// Guards against taking a build whose workers report no samples of their runs for a run without any requests: run exits
+// with an error.
 func TestRunOldBuild(t *testing.T) {
 	writeExperiments(t)
 	t.Setenv(worldEnv, "")
--- a/cmd/olivelab/screen.go
+++ b/cmd/olivelab/screen.go
@@ -11,13 +11,13 @@
 	"olivebridge/internal/lab/live"
 )
 
-// screen shows a run: on a terminal a table that stays in place above what is
-// typed, elsewhere one line a second.
+// screen displays a run. On a terminal it keeps a table at the top, above the scrolling input and output; elsewhere it
+// prints one line for each update. Its methods may be called concurrently.
 type screen struct {
 	out   io.Writer
 	table bool
 	mu    sync.Mutex
-	rows  int // of the table; 0: it is not there
+	rows  int // number of rows of the table; 0: no table has been drawn
 }
 
 func newScreen(out io.Writer, plain bool) *screen {
@@ -33,7 +33,7 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// Sequences of a terminal.
+// Escape sequences of terminals. saveCursor also moves the cursor to the top left corner.
 const (
 	clearAll      = "\x1b[2J\x1b[H"
 	clearLine     = "\x1b[K"
@@ -41,21 +41,21 @@
 	restoreCursor = "\x1b8"
 )
 
-// begin writes what stays to be read, and then the first table.
+// begin prints the introductory lines and draws the first table.
 func (s *screen) begin(lines []string, t live.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.table {
 		rows := tableRows(t)
 		s.rows = len(rows)
-		// what is written below the table scrolls there
+		// limit scrolling to the rows below the table
 		fmt.Fprintf(s.out, "%s\x1b[%dr\x1b[%d;1H", clearAll, s.rows+1, s.rows+1)
 	}
 	fmt.Fprintln(s.out, strings.Join(lines, "\n"))
 	s.draw(t)
 }
 
-// update shows how it goes now.
+// update redraws the table, or prints a summary line where there is no table.
 func (s *screen) update(t live.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,21 +81,21 @@
 	io.WriteString(s.out, b.String())
 }
 
-// printLine answers a command.
+// printLine prints the answer to a command.
 func (s *screen) printLine(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fmt.Fprintln(s.out, text)
 }
 
-// Write implements io.Writer, for what goes wrong.
+// Write implements io.Writer. The run writes its log of errors here.
 func (s *screen) Write(b []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.out.Write(b)
 }
 
-// end gives the whole terminal back.
+// end restores scrolling on the whole terminal.
 func (s *screen) end() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,10 +105,10 @@
 	s.table = false
 }
 
-// maxPeerRows is how many peers the table has rows for.
+// maxPeerRows is the maximum number of peers that the table lists.
 const maxPeerRows = 12
 
-// tableRows is a run as a table.
+// tableRows formats a snapshot as the rows of the table.
 func tableRows(t live.Snapshot) []string {
 	rows := []string{fmt.Sprintf("%-6s %9s %7s %6s %8s %7s %7s %8s", t.At.Round(time.Second),
 		"asked/s", "served", "late", "refused", "failed", "worth", "tries/s")}
@@ -136,7 +136,7 @@
 	return append(rows, strings.Repeat("-", 72)+latenessNote(t))
 }
 
-// summaryLine is the last second in a line.
+// summaryLine formats the last second of a run as one line.
 func summaryLine(t live.Snapshot) string {
 	n := t.Now
 	line := fmt.Sprintf("%4s  asked %d served %d late %d refused %d failed %d worth %.1f%% tries %d",
@@ -159,10 +159,10 @@
 	return line + fmt.Sprintf(" | peers: %d up, %d in flight%s%s", in, flying, other, latenessNote(t))
 }
 
-// minReportedLateness is from when on it is told how late the load was.
+// minReportedLateness is the lateness of the load generator from which the display reports it.
 const minReportedLateness = 20 * time.Millisecond
 
-// latenessNote says that the load itself was late, if it was.
+// latenessNote returns a note on the lateness of the load generator, or "" below minReportedLateness.
 func latenessNote(t live.Snapshot) string {
 	if t.Behind < minReportedLateness {
 		return ""
@@ -170,7 +170,7 @@
 	return fmt.Sprintf(" | the load ran %v late", t.Behind.Round(time.Millisecond))
 }
 
-// totalLine is all of a run in a line.
+// totalLine formats the totals of a run as one line.
 func totalLine(t live.Snapshot) string {
 	n := t.Total
 	line := fmt.Sprintf("in %v: asked %d, served %d in time, %d late, refused %d, failed %d, worth %.1f%%",
--- a/cmd/olivelab/seeds.go
+++ b/cmd/olivelab/seeds.go
@@ -9,7 +9,7 @@
 	"olivebridge/internal/lab/campaign"
 )
 
-// progressInterval is how often the progress is told.
+// progressInterval is the minimum interval of real time between two progress lines.
 const progressInterval = 2 * time.Second
 
 func seedsCommand(s campaign.Sources) *cobra.Command {
@@ -40,15 +40,15 @@
 		defer sink.discard()
 		report := campaign.NewReport()
 		pool := &campaign.Pool{Procs: with.procs}
-		told := time.Now()
+		lastPrinted := time.Now()
 		jobs := campaign.Seeds(seeds.from, seeds.count, with.scenario)
 		err = pool.Run(c.Context(), jobs, func(o campaign.Outcome) bool {
 			report.Add(o)
 			if o.Failed() {
 				fmt.Fprintln(c.OutOrStdout(), campaign.FailureLine(&o, with.replayCall(o.Job.Seed)))
 			}
-			if time.Since(told) >= progressInterval || uint64(report.Seeds) == seeds.count {
-				told = time.Now()
+			if time.Since(lastPrinted) >= progressInterval || uint64(report.Seeds) == seeds.count {
+				lastPrinted = time.Now()
 				fmt.Fprintln(c.ErrOrStderr(), report.Progress(seeds.count))
 			}
 			return true
--- a/cmd/olivelab/shrink.go
+++ b/cmd/olivelab/shrink.go
@@ -42,11 +42,11 @@
 			return err
 		}
 		defer out.discard()
-		told := time.Now()
+		lastPrinted := time.Now()
 		shrinker := campaign.Shrinker{Sources: s, Rule: rule, Pool: &campaign.Pool{Procs: procs}}
 		shrinker.Tell = func(n campaign.Step) {
-			if time.Since(told) >= progressInterval {
-				told = time.Now()
+			if time.Since(lastPrinted) >= progressInterval {
+				lastPrinted = time.Now()
 				fmt.Fprintln(c.ErrOrStderr(), stepLine(n))
 			}
 		}
@@ -67,12 +67,12 @@
 		if err != nil {
 			return err
 		}
-		return failed // interrupted: what was reached is written all the same
+		return failed // if shrinking was interrupted, the smallest script so far has been written above
 	}
 	return c
 }
 
-// stepLine is how far a shrinking has come.
+// stepLine formats the progress of shrinking as one line.
 func stepLine(n campaign.Step) string {
 	w := &n.Script.World
 	return fmt.Sprintf("%s: %d runs, %d cuts; left: %v, %d faults, %d nodes, %d peers, %d clients, %d rogues",
--- a/cmd/olivelab/sink.go
+++ b/cmd/olivelab/sink.go
@@ -6,14 +6,14 @@
 	"os"
 )
 
-// outputFile is a file that a command writes at its end. It is opened at the beginning, so that
-// nothing is run for a report that cannot be kept, and what it held stays until then.
+// outputFile is a file that a command writes when it completes. It is opened before the command runs anything, so that a
+// path that cannot be written fails early. Its previous content remains until write is called.
 type outputFile struct {
 	file    *os.File
-	created bool // by this call: gone again if nothing is written
+	created bool // createOutput created the file, so discard removes it
 }
 
-// createOutput opens a sink; "" is one that keeps nothing.
+// createOutput opens the file at path, or creates it. For the path "" it returns an outputFile that writes nothing.
 func createOutput(path string) (*outputFile, error) {
 	if path == "" {
 		return &outputFile{}, nil
@@ -27,13 +27,13 @@
 	return &outputFile{f, made}, nil
 }
 
-// write fills and closes the file.
+// write replaces the content of the file by the output of fill and closes the file.
 func (s *outputFile) write(fill func(io.Writer) error) error {
 	if s.file == nil {
 		return nil
 	}
 	f := s.file
-	if at, err := f.Stat(); err == nil && at.Mode().IsRegular() { // a pipe or a device needs no emptying
+	if at, err := f.Stat(); err == nil && at.Mode().IsRegular() { // pipes and devices cannot be truncated
 		if err := f.Truncate(0); err != nil {
 			return shortPathError(err)
 		}
@@ -45,7 +45,8 @@
 	return shortPathError(f.Close())
 }
 
-// discard ends a sink that nothing was written to.
+// discard closes the file if write has not completed, and removes it if createOutput created it. After write it does
+// nothing, so it can be deferred.
 func (s *outputFile) discard() {
 	if s.file == nil {
 		return
--- a/cmd/olivelab/sockets_test.go
+++ b/cmd/olivelab/sockets_test.go
@@ -16,19 +16,20 @@
 	"olivebridge/internal/protocol"
 )
 
-// serveWrongAnswers is a node that answers every call with the body of one and the same, until it is told to end.
+// serveWrongAnswers runs a node that answers every call with the body of one other call, until SIGTERM. It returns the
+// exit code.
 func serveWrongAnswers() int {
-	told := make(chan os.Signal, 1)
-	signal.Notify(told, syscall.SIGTERM)
+	terminated := make(chan os.Signal, 1)
+	signal.Notify(terminated, syscall.SIGTERM)
 	signal.Ignore(syscall.SIGUSR1)
 	go http.ListenAndServe(os.Getenv(protocol.EnvListen), http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, "peer=p01 call=another run=1 ")
 	}))
-	<-told
+	<-terminated
 	return exitOK
 }
 
-// readReport reads a report that a run has left.
+// readReport reads the JSON report of a run.
 func readReport(t *testing.T, path string) (r report.Report) {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -41,8 +42,8 @@
 	return r
 }
 
-// Guards experiments on sockets: those that come with the lab are played as they stand, their figures hold there
-// too, and there is no verdict where the load tool was late. Two builds of the node are compared in the same way.
+// Guards experiments on sockets: the lab's own experiments run there unchanged, their assertions hold, and a run has no
+// verdict if the load tool was late. Two builds of the node are compared in the same way.
 func TestRunOnSockets(t *testing.T) {
 	node, err := live.Build(t.Context(), t.TempDir())
 	if err != nil {
@@ -58,16 +59,16 @@
 				r := readReport(t, out)
 				late := r.Lateness.Share > report.LateShare
 				if code == exitFailed && len(r.Broken) == 0 && again {
-					continue // the machine may have been busy, and the tool in time all the same
+					continue // a busy machine can fail an assertion even though the load tool was in time
 				}
 				if want := map[bool]int{false: exitOK, true: exitUsage}[late]; code != want {
-					t.Errorf("exit %d, want %d: %s%s", code, want, text, errs)
+					t.Errorf("run: exit %d, want %d: %s%s", code, want, text, errs)
 				}
-				said := strings.Contains(errs, "olivelab: no verdict: the load tool was late")
+				lateReported := strings.Contains(errs, "olivelab: no verdict: the load tool was late")
 				whole := r.Phases[0].All
-				if said != late || r.Clock != "sockets" || !r.Short || whole.Asked < 1000 || whole.Served == 0 ||
+				if lateReported != late || r.Clock != "sockets" || !r.Short || whole.Asked < 1000 || whole.Served == 0 ||
 					whole.CPU == nil || *whole.CPU <= 0 || whole.Resident == nil || *whole.Resident < 2 || *whole.Tries <= 0 {
-					t.Errorf("%+v, %+v: %s", r.Lateness, whole, errs)
+					t.Errorf("report has lateness %+v and implausible figures %+v: %s", r.Lateness, whole, errs)
 				}
 				return
 			}
@@ -84,12 +85,13 @@
 		late := code == exitUsage && strings.Contains(errs, "no verdict")
 		if !late && (code != exitOK || !strings.Contains(out, "\nA: "+node) && !strings.HasPrefix(out, "A: "+node) ||
 			!strings.Contains(out, "cpu")) {
-			t.Errorf("exit %d: %s%s", code, out, errs)
+			t.Errorf("compare: exit %d, or incomplete output: %s%s", code, out, errs)
 		}
 	})
 }
 
-// A body of another call's is a broken rule, whatever the assertions say, and however late the tool.
+// Guards the detection of wrong answers: a response with the body of another call is a broken rule, regardless of the
+// assertions and of the lateness of the load tool.
 func TestRunDetectsWrongAnswers(t *testing.T) {
 	writeExperiments(t)
 	self, err := os.Executable()
@@ -100,6 +102,6 @@
 	r := readReport(t, "r.json")
 	if code != exitFailed || r.Verdict != report.Failed || len(r.Broken) < 10 ||
 		!strings.Contains(r.Broken[0], "gets what names another call") || !strings.Contains(text, "\nbroken: wrong answer at ") {
-		t.Errorf("exit %d, %s: %v\n%s%s", code, r.Verdict, r.Broken, text, errs)
+		t.Errorf("exit %d, verdict %s, broken rules %v; want a failure for wrong answers\n%s%s", code, r.Verdict, r.Broken, text, errs)
 	}
 }
--- a/cmd/olivelab/sources.go
+++ b/cmd/olivelab/sources.go
@@ -11,7 +11,7 @@
 	"olivebridge/internal/lab/stage"
 )
 
-// sources wires the campaigns to the scripts and the stage.
+// sources connects campaigns to the fault scripts and to the stage that plays them.
 func sources() campaign.Sources {
 	logged := func(log io.Writer) campaign.Player {
 		return func(t *testing.T, s *fault.Script, w io.Writer) stage.Result {
@@ -33,7 +33,8 @@
 	}
 }
 
-// scenario reads what seeds draw from.
+// scenario returns the function that draws scripts from the scenario file at path, or from the built-in scenario if path
+// is empty.
 func scenario(path string) (campaign.Draw, error) {
 	read := fault.Default
 	if path != "" {
--- a/cmd/olivelab/subsets.go
+++ b/cmd/olivelab/subsets.go
@@ -11,7 +11,7 @@
 	"olivebridge/internal/lab/subsets"
 )
 
-// subsetsCommand compares ways to choose peers, without any process.
+// subsetsCommand returns the command that compares methods of choosing peers by calculation, without starting processes.
 func subsetsCommand() *cobra.Command {
 	var c subsets.Case
 	var jsonTo, htmlTo string
--- a/cmd/olivelab/up.go
+++ b/cmd/olivelab/up.go
@@ -16,7 +16,7 @@
 	"olivebridge/internal/lab/live"
 )
 
-// upOptions is a call of the command.
+// upOptions holds the flags of the command up.
 type upOptions struct {
 	peers, nodes int
 	rate         float64
@@ -25,7 +25,7 @@
 	plain        bool
 }
 
-// unlimited is longer than anybody waits.
+// unlimited is the duration of a run without --for, longer than any real run.
 const unlimited = 1000000 * time.Hour
 
 func upCommand() *cobra.Command {
@@ -49,7 +49,7 @@
 			return err
 		}
 		err := u.run(c)
-		if c.Context().Err() != nil { // Ctrl-C is how it is ended
+		if c.Context().Err() != nil { // an interrupt is the regular way to end the command
 			return nil
 		}
 		return err
@@ -106,23 +106,23 @@
 		return err
 	}
 	s.begin(introLines(r, dir), r.Table())
-	told := u.watch(ctx, r, s, c.InOrStdin())
+	stopRequested := u.watch(ctx, r, s, c.InOrStdin())
 	s.end()
 	fmt.Fprintln(out, "ending: clients leave, the nodes drain")
-	if told {
+	if stopRequested {
 		r.Stop()
 	} else {
-		r.Wait() // what is open gets its answer; what went wrong has been shown
+		r.Wait() // open requests are answered; errors have already been displayed
 	}
 	fmt.Fprintln(out, totalLine(r.Table()))
 	return nil
 }
 
-// watch shows how it goes, and does what it is told, until the end; told: that
-// it was told to end.
-func (u *upOptions) watch(ctx context.Context, r *live.Run, s *screen, in io.Reader) (told bool) {
+// watch displays the run each second and executes the commands from in until the run ends. It returns true if a command
+// or the cancellation of ctx requested the end, and false if the duration has elapsed or the run ended by itself.
+func (u *upOptions) watch(ctx context.Context, r *live.Run, s *screen, in io.Reader) (stopRequested bool) {
 	commands := make(chan string)
-	go func() { // it ends with the program: a read of a terminal cannot be broken off
+	go func() { // this goroutine lasts until the program exits, because a read from a terminal cannot be canceled
 		lines := bufio.NewScanner(in)
 		for lines.Scan() {
 			commands <- strings.TrimSpace(lines.Text())
@@ -145,24 +145,24 @@
 			return true
 		case command, ok := <-commands:
 			switch {
-			case !ok: // nobody is there to tell it anything more
+			case !ok: // end of standard input: no more commands, and the run continues
 				commands = nil
 			case command == "quit", command == "exit":
 				return true
 			case command == "help":
 				s.printLine(live.Help + "\nquit               end")
 			case command != "":
-				did, err := r.Do(command)
+				answer, err := r.Do(command)
 				if err != nil {
-					did = err.Error()
+					answer = err.Error()
 				}
-				s.printLine(did)
+				s.printLine(answer)
 			}
 		}
 	}
 }
 
-// commandNames are the commands that standard input takes.
+// commandNames returns the names of the commands accepted on standard input.
 func commandNames() []string {
 	var all []string
 	for line := range strings.SplitSeq(live.Help, "\n") {
@@ -172,7 +172,8 @@
 	return append(all, "help", "quit")
 }
 
-// introLines says where everything is, and how to try it.
+// introLines returns the addresses of discovery, nodes and peers, a curl command for a first request, and the names of
+// the commands.
 func introLines(r *live.Run, dir string) []string {
 	t := r.Table()
 	lines := []string{"discovery   http://" + r.Resolve("registry:8500") + "/registry/instances"}
