--- a/cmd/olivelab/compare.go
+++ b/cmd/olivelab/compare.go
@@ -18,8 +18,8 @@
 // compareSide is one of the two builds or experiments under comparison.
 type compareSide struct {
 	name       string
-	experiment *experiment.Experiment
-	runner     experiment.Runner
+	definition *experiment.Experiment
+	backend    experiment.Runner
 }
 
 // compareCommand returns the command that compares two builds or two experiments.
@@ -90,10 +90,10 @@
 			path, build = file, a
 		}
 		sides[i].name = a
-		if sides[i].experiment, err = experiment.Load(path); err != nil {
+		if sides[i].definition, err = experiment.Load(path); err != nil {
 			return sides, err
 		}
-		if sides[i].runner, err = k.runner(build, errs); err != nil {
+		if sides[i].backend, err = k.runner(build, errs); err != nil {
 			return sides, err
 		}
 	}
@@ -107,11 +107,11 @@
 // playSide plays one side's run of a pair and repeats it while it has no verdict, up to maxRunAttempts times in all.
 func playSide(ctx context.Context, s compareSide, seed uint64, short bool, errs io.Writer) (*report.Report, error) {
 	for n := 1; ; n++ {
-		plan, err := s.experiment.Plan(seed, short)
+		plan, err := s.definition.Plan(seed, short)
 		if err != nil {
 			return nil, err
 		}
-		r, err := plan.Run(ctx, s.runner, nil)
+		r, err := plan.Run(ctx, s.backend, nil)
 		switch {
 		case err != nil:
 			return nil, fmt.Errorf("%s: %w", s.name, err)
@@ -133,7 +133,7 @@
 		for turn := range 2 {
 			i := (turn + int(n%2)) % 2
 			s := sides[i]
-			if got[i], err = playSide(ctx, s, s.experiment.Seed+n, short, errs); err != nil {
+			if got[i], err = playSide(ctx, s, s.definition.Seed+n, short, errs); err != nil {
 				return nil, err
 			}
 		}
--- a/cmd/olivelab/fleet.go
+++ b/cmd/olivelab/fleet.go
@@ -204,7 +204,9 @@
 
 // nodeProgram returns the path of the node's program. It builds the program in dir, with support for mutants if the
 // call or a script uses them, unless --node names a program.
-func (r *fleetOptions) nodeProgram(ctx context.Context, scripts []*fault.Script, dir string, errs io.Writer) (string, error) {
+func (r *fleetOptions) nodeProgram(
+	ctx context.Context, scripts []*fault.Script, dir string, errs io.Writer,
+) (string, error) {
 	if r.node == "" {
 		fmt.Fprintln(errs, "building the node")
 		return live.BuildFleet(ctx, dir, r.mutant != "" || slices.ContainsFunc(scripts, fleet.ForMutants))
@@ -247,8 +249,8 @@
 	return c
 }
 
-// run plays the scripts, prints the outcome of each, and writes the requested files. It returns errFailed if a run broke
-// a rule.
+// run plays the scripts, prints the outcome of each, and writes the requested files. It returns errFailed if a run
+// broke a rule.
 func (r *fleetOptions) run(c *cobra.Command) error {
 	ctx, out, errs := c.Context(), c.OutOrStdout(), c.ErrOrStderr()
 	scripts, err := r.scripts()
@@ -298,7 +300,9 @@
 
 // playAll plays the scripts, up to --at-once of them concurrently, and returns the results in the order of the scripts.
 // The first error stops the remaining runs.
-func (r *fleetOptions) playAll(ctx context.Context, scripts []*fault.Script, node string, out, errs io.Writer) ([]*fleet.Result, error) {
+func (r *fleetOptions) playAll(
+	ctx context.Context, scripts []*fault.Script, node string, out, errs io.Writer,
+) ([]*fleet.Result, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	results := make([]*fleet.Result, len(scripts))
@@ -346,8 +350,8 @@
 	return l.w.Write(b)
 }
 
-// play plays one script in a temporary directory. It copies the script, records and page of a failed run to --keep; with
-// --keep-all, those of any run.
+// play plays one script in a temporary directory. It copies the script, records and page of a failed run to the
+// directory --keep; with --keep-all, those of any run.
 func (r *fleetOptions) play(ctx context.Context, s *fault.Script, node string, errs io.Writer) (*fleet.Result, error) {
 	dir, err := os.MkdirTemp("", "olivelab-fleet-")
 	if err != nil {
@@ -368,7 +372,7 @@
 	}
 	to := filepath.Join(r.keepDir, fmt.Sprintf("%s-%d-%d", r.scenario.Name, s.Seed, len(res.Account.Names)))
 	if err := res.Keep(to, dir); err != nil {
-		return nil, fmt.Errorf("keeping the run: %w", shortPathError(err))
+		return nil, fmt.Errorf("copying the files of the run: %w", shortPathError(err))
 	}
 	fmt.Fprintf(errs, "seed %d: kept in %s; again: olivelab fleet %s --script %s\n", s.Seed, to, r.scenario.Name, filepath.Join(to, "script.toml"))
 	return res, nil
--- a/cmd/olivelab/fleet_test.go
+++ b/cmd/olivelab/fleet_test.go
@@ -30,9 +30,9 @@
 			t.Errorf("fleet %s: exit %d with unexpected stderr %s", args, code, errs)
 		}
 	}
-	for _, subject := range []string{"members", "budget", "in-use", "count", "retries"} {
-		if code, out, _ := runTool(t, "fleet", subject, "--case", "list"); code != exitOK || strings.Count(out, "processes, ") < 6 {
-			t.Errorf("list of hard cases of %s: exit %d, fewer than 6 cases or a failure: %s", subject, code, out)
+	for _, name := range []string{"members", "budget", "in-use", "count", "retries"} {
+		if code, out, _ := runTool(t, "fleet", name, "--case", "list"); code != exitOK || strings.Count(out, "processes, ") < 6 {
+			t.Errorf("list of hard cases of %s: exit %d, fewer than 6 cases or a failure: %s", name, code, out)
 		}
 	}
 }
--- a/cmd/olivelab/main.go
+++ b/cmd/olivelab/main.go
@@ -20,8 +20,8 @@
 // Exit codes. Scripts rely on them.
 const (
 	exitOK     = 0
-	exitFailed = 1 // a run broke a rule or failed an assertion, a mutant was not found, or a count rose beyond its tolerance
-	exitUsage  = 2 // bad arguments, a bad file or an error of the machine prevented the command from completing
+	exitFailed = 1 // a broken rule, a failed assertion, a mutant not found, or a count beyond its tolerance
+	exitUsage  = 2 // bad arguments, a bad file or a system error kept the command from completing
 )
 
 func main() {
--- a/cmd/olivelab/path.go
+++ b/cmd/olivelab/path.go
@@ -70,7 +70,7 @@
 			return err
 		}
 		defer out.discard()
-		if o.Progress = c.ErrOrStderr(); file != "" || !check && !accept { // --check and --accept need no times unless a report is written
+		if o.Progress = c.ErrOrStderr(); file != "" || !check && !accept { // without a report, the check needs no times
 			o.Proxy = []string{self, proxyCommand}
 		}
 		r, err := path.Measure(c.Context(), o)
--- a/cmd/olivelab/path_test.go
+++ b/cmd/olivelab/path_test.go
@@ -12,8 +12,8 @@
 	"olivebridge/internal/lab/path"
 )
 
-// TestPathCheckFails guards path --check: it passes with the tolerances accepted on this machine, and for each mutant it
-// reports the count that has risen and the function that caused the increase.
+// TestPathCheckFails guards path --check: it passes with the tolerances accepted on this machine, and for each mutant
+// it reports the count that has risen and the function that caused the increase.
 func TestPathCheckFails(t *testing.T) {
 	root, err := mutant.Root()
 	if err != nil {
--- a/cmd/olivelab/run_test.go
+++ b/cmd/olivelab/run_test.go
@@ -84,7 +84,8 @@
 		code, out, errs := runTool(t, strings.Fields(c.args)...)
 		matched := regexp.MustCompile(c.out).MatchString(out) && regexp.MustCompile(c.errs).MatchString(errs)
 		if code != c.code || !matched {
-			t.Errorf("olivelab %s: exit %d, want %d, or output does not match\nstdout: %s\nstderr: %s", c.args, code, c.code, out, errs)
+			t.Errorf("olivelab %s: exit %d, want %d, or output does not match\nstdout: %s\nstderr: %s",
+				c.args, code, c.code, out, errs)
 		}
 	}
 	begins := map[string]string{"r.json": "{\n \"form\": 1,", "r.html": "<!doctype html>", "r.svg": "<svg "}
--- a/cmd/olivelab/sink.go
+++ b/cmd/olivelab/sink.go
@@ -6,8 +6,8 @@
 	"os"
 )
 
-// outputFile is a file that a command writes when it completes. It is opened before the command runs anything, so that a
-// path that cannot be written fails early. Its previous content remains until write is called.
+// outputFile is a file that a command writes when it completes. It is opened before the command runs anything, so that
+// a path that cannot be written fails early. Its previous content remains until write is called.
 type outputFile struct {
 	file    *os.File
 	created bool // createOutput created the file, so discard removes it
--- a/cmd/olivelab/sockets_test.go
+++ b/cmd/olivelab/sockets_test.go
@@ -102,6 +102,7 @@
 	r := readReport(t, "r.json")
 	if code != exitFailed || r.Verdict != report.Failed || len(r.Broken) < 10 ||
 		!strings.Contains(r.Broken[0], "gets what names another call") || !strings.Contains(text, "\nbroken: wrong answer at ") {
-		t.Errorf("exit %d, verdict %s, broken rules %v; want a failure for wrong answers\n%s%s", code, r.Verdict, r.Broken, text, errs)
+		t.Errorf("exit %d, verdict %s, broken rules %v; want a failure for wrong answers\n%s%s",
+			code, r.Verdict, r.Broken, text, errs)
 	}
 }
--- a/cmd/olivelab/sources.go
+++ b/cmd/olivelab/sources.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// scenario returns the function that draws scripts from the scenario file at path, or from the built-in scenario if path
-// is empty.
+// scenario returns the function that draws scripts from the scenario file at path, or from the built-in scenario if
+// path is empty.
 func scenario(path string) (campaign.Draw, error) {
 	read := fault.Default
 	if path != "" {
--- a/cmd/olivelab/subsets.go
+++ b/cmd/olivelab/subsets.go
@@ -11,7 +11,7 @@
 	"olivebridge/internal/lab/subsets"
 )
 
-// subsetsCommand returns the command that compares methods of choosing peers by calculation, without starting processes.
+// subsetsCommand returns the command that compares methods of choosing peers by calculation; it starts no processes.
 func subsetsCommand() *cobra.Command {
 	var c subsets.Case
 	var jsonTo, htmlTo string
--- a/cmd/olivelab/up_test.go
+++ b/cmd/olivelab/up_test.go
@@ -65,8 +65,8 @@
 	return n
 }
 
-// wait reads the output to its end and waits for the process. It returns the exit code and the whole output, and reports
-// nodes that still run.
+// wait reads the output to its end and waits for the process. It returns the exit code and the whole output, and
+// reports nodes that still run.
 func (u *upProcess) wait(t *testing.T) (code int, output string) {
 	t.Helper()
 	io.Copy(io.Discard, u.out)
