--- a/cmd/olivelab/compare.go
+++ b/cmd/olivelab/compare.go
@@ -124,7 +124,8 @@
 	}
 }
 
-// playPairs plays all pairs, in the alternating order A B, B A. Both runs of a pair use the same seed.
+// playPairs plays all pairs, in the alternating order A B, B A. The run of pair n,
+// counted from 0, uses the seed of the side's experiment plus n.
 func playPairs(
 	ctx context.Context, sides [2]compareSide, pairs uint64, short bool, errs io.Writer,
 ) (all []compare.Pair, err error) {
--- a/cmd/olivelab/fleet.go
+++ b/cmd/olivelab/fleet.go
@@ -378,11 +378,12 @@
 	return res, nil
 }
 
-// writeResults writes the outcome of the first run as JSON, or, if one is false, the seed and outcome of every run.
-func writeResults(w io.Writer, results []*fleet.Result, one bool) error {
+// writeResults writes the outcome of the first run as JSON, or, if firstOnly is false, the seed and outcome of every
+// run.
+func writeResults(w io.Writer, results []*fleet.Result, firstOnly bool) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
-	if one {
+	if firstOnly {
 		return e.Encode(results[0].Outcome)
 	}
 	type row struct {
