--- a/cmd/olivelab/run_test.go
+++ b/cmd/olivelab/run_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// small is an experiment of three seconds; what of its figures is asserted is left open.
-const small = `name = "small"
+// smallExperiment is the format of an experiment of three seconds. Its arguments are the request rate and the bound of
+// the assertion.
+const smallExperiment = `name = "small"
 shows = "that it runs"
 seed = 1
 length = "3s"
@@ -24,19 +25,19 @@
 %s
 `
 
-// experiments writes files into the current folder: one that holds, one that fails, one that is
-// bad, and one that asks more.
-func experiments(t *testing.T) {
+// writeExperiments changes to a temporary directory and writes experiment files there: among them one whose assertion
+// holds, one whose assertion fails, one that is invalid, and one with a higher request rate.
+func writeExperiments(t *testing.T) {
 	t.Helper()
 	t.Chdir(t.TempDir())
 	t.Setenv(worldEnv, "yes")
 	for name, text := range map[string]string{
-		"good.toml":  fmt.Sprintf(small, 20, "least = 0.01"),
-		"fails.toml": fmt.Sprintf(small, 20, "most = 0.01"),
-		"bad.toml":   fmt.Sprintf(small, 20, "least = '1s'"),
-		"tiny.toml":  strings.Replace(fmt.Sprintf(small, 50, "least = 0.01"), `"3s"`, `"1s"`, 1),
-		"more.toml":  fmt.Sprintf(small, 40, "least = 0.01"),
-		"slowlink.toml": fmt.Sprintf(small, 20, "least = 0.01") +
+		"good.toml":  fmt.Sprintf(smallExperiment, 20, "least = 0.01"),
+		"fails.toml": fmt.Sprintf(smallExperiment, 20, "most = 0.01"),
+		"bad.toml":   fmt.Sprintf(smallExperiment, 20, "least = '1s'"),
+		"tiny.toml":  strings.Replace(fmt.Sprintf(smallExperiment, 50, "least = 0.01"), `"3s"`, `"1s"`, 1),
+		"more.toml":  fmt.Sprintf(smallExperiment, 40, "least = 0.01"),
+		"slowlink.toml": fmt.Sprintf(smallExperiment, 20, "least = 0.01") +
 			"[[fault]]\nkind = 'slowlink'\nat = '1s'\nfor = '1s'\nfactor = 3\npeers = ['p01']\n",
 	} {
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
@@ -46,7 +47,7 @@
 }
 
 func TestRunCalls(t *testing.T) {
-	experiments(t)
+	writeExperiments(t)
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -80,25 +81,27 @@
 		{"compare --virtual good.toml good.toml --pairs 0", 2, `^$`, `^olivelab: --pairs: at least 1\n$`},
 		{"compare --virtual --experiment good.toml /none /none", 2, `^$`, `^olivelab: /none: .*no such file`},
 	} {
-		code, out, errs := call(t, strings.Fields(c.args)...)
-		said := regexp.MustCompile(c.out).MatchString(out) && regexp.MustCompile(c.errs).MatchString(errs)
-		if code != c.code || !said {
-			t.Errorf("olivelab %s: exit %d, want %d\nout: %s\nerr: %s", c.args, code, c.code, out, errs)
+		code, out, errs := runTool(t, strings.Fields(c.args)...)
+		matched := regexp.MustCompile(c.out).MatchString(out) && regexp.MustCompile(c.errs).MatchString(errs)
+		if code != c.code || !matched {
+			t.Errorf("olivelab %s: exit %d, want %d, or output does not match\nstdout: %s\nstderr: %s",
+				c.args, code, c.code, out, errs)
 		}
 	}
 	begins := map[string]string{"r.json": "{\n \"form\": 1,", "r.html": "<!doctype html>", "r.svg": "<svg "}
 	for name, begin := range begins {
 		if data, err := os.ReadFile(name); err != nil || !strings.HasPrefix(string(data), begin) {
-			t.Errorf("%s: %v: %.40q", name, err, data)
+			t.Errorf("%s has an unexpected beginning, or error %v: %.40q", name, err, data)
 		}
 	}
 }
 
-// A worker of a build that tells nothing of its runs is not taken for one in which nothing happened.
+// Guards against taking a build whose workers report no samples of their runs for a run without any requests: run exits
+// with an error.
 func TestRunOldBuild(t *testing.T) {
-	experiments(t)
+	writeExperiments(t)
 	t.Setenv(worldEnv, "")
-	code, _, errs := call(t, "run", "--virtual", "good.toml")
+	code, _, errs := runTool(t, "run", "--virtual", "good.toml")
 	if code != 2 || !strings.Contains(errs, "does not report samples") {
 		t.Error(code, errs)
 	}
--- a/cmd/olivelab/shrink.go
+++ b/cmd/olivelab/shrink.go
@@ -12,7 +12,7 @@
 )
 
 func shrinkCommand(s campaign.Sources) *cobra.Command {
-	var what target
+	var what scriptFlags
 	var file, rule string
 	var procs int
 	c := &cobra.Command{
@@ -22,7 +22,7 @@
 			"writes the smallest script. The outcome does not hang on the number of workers.",
 		Args: cobra.MaximumNArgs(1),
 	}
-	what.flags(c)
+	what.addFlags(c)
 	c.Flags().StringVar(&file, "out", "", "where the script goes; by default to standard output")
 	c.Flags().StringVar(&rule, "rule", "", "the rule that must stay broken; by default the first that is")
 	c.Flags().IntVar(&procs, "procs", 0, "worker processes; 0: one a core")
@@ -37,16 +37,16 @@
 		if err != nil {
 			return err
 		}
-		out, err := create(file)
+		out, err := createOutput(file)
 		if err != nil {
 			return err
 		}
-		defer out.drop()
-		told := time.Now()
+		defer out.discard()
+		lastPrinted := time.Now()
 		shrinker := campaign.Shrinker{Sources: s, Rule: rule, Pool: &campaign.Pool{Workers: procs}}
 		shrinker.OnStep = func(n campaign.Step) {
-			if time.Since(told) >= tellEach {
-				told = time.Now()
+			if time.Since(lastPrinted) >= progressInterval {
+				lastPrinted = time.Now()
 				fmt.Fprintln(c.ErrOrStderr(), stepLine(n))
 			}
 		}
@@ -67,12 +67,12 @@
 		if err != nil {
 			return err
 		}
-		return failed // interrupted: what was reached is written all the same
+		return failed // if shrinking was interrupted, the smallest script so far has been written above
 	}
 	return c
 }
 
-// stepLine is how far a shrinking has come.
+// stepLine formats the progress of shrinking as one line.
 func stepLine(n campaign.Step) string {
 	w := &n.Script.World
 	return fmt.Sprintf("%s: %d runs, %d cuts; left: %v, %d faults, %d nodes, %d peers, %d clients, %d rogues",
