--- a/balancer/documentation_test.go
+++ b/balancer/documentation_test.go
@@ -108,6 +108,6 @@
 // type that the same file declares.
 func isEnumeration(group *ast.GenDecl) bool {
 	spec := group.Specs[0].(*ast.ValueSpec)
-	name, ok := spec.Type.(*ast.Ident)
-	return ok && name.Obj != nil && name.Obj.Kind == ast.Typ
+	typeName, ok := spec.Type.(*ast.Ident)
+	return ok && typeName.Obj != nil && typeName.Obj.Kind == ast.Typ
 }
--- a/cmd/olivelab/common.go
+++ b/cmd/olivelab/common.go
@@ -53,8 +53,8 @@
 	return s.Scenario(w.scenario)
 }
 
-// replayCall returns the command line that replays a seed.
-func (w *workerFlags) replayCall(seed uint64) string {
+// replayCommand returns the command line that replays a seed.
+func (w *workerFlags) replayCommand(seed uint64) string {
 	call := "olivelab replay " + strconv.FormatUint(seed, 10)
 	if w.scenario != "" {
 		call += " --scenario " + w.scenario
--- a/cmd/olivelab/fleet_test.go
+++ b/cmd/olivelab/fleet_test.go
@@ -20,7 +20,7 @@
 		"members --script a --case b":  "--case: not with --script",
 		"members --script no/where":    "no/where: no such file or directory",
 		"members --mutant none":        `--mutant "none": there are dead-kept`,
-		"members --plant none":         `--mutant "none": there are dead-kept`, // the earlier name
+		"members --plant none":         `--mutant "none": there are dead-kept`, // --plant is the earlier name of --mutant
 		"members --plant a --mutant a": "if any flags in the group [mutant plant] are set none of the others can be",
 		"members --node no/where":      "--node: no/where: no such file or directory",
 		"budget --nodes 1":             "1 nodes and 30s: at least 2 and 20s are wanted",
--- a/cmd/olivelab/path.go
+++ b/cmd/olivelab/path.go
@@ -98,22 +98,22 @@
 // checkPath compares a report with the tolerances and prints the differences. It returns errFailed if a count has risen
 // beyond its tolerance.
 func checkPath(w io.Writer, r *path.Report, t *path.Tolerances) error {
-	found := r.CheckAgainst(t)
-	for _, line := range found.Risen {
+	result := r.CheckAgainst(t)
+	for _, line := range result.Risen {
 		fmt.Fprintln(w, "risen: "+line)
 	}
-	for _, line := range found.Fallen {
+	for _, line := range result.Fallen {
 		fmt.Fprintln(w, "fallen, accept it: "+line)
 	}
-	for _, line := range found.NotChecked {
+	for _, line := range result.NotChecked {
 		fmt.Fprintln(w, "not checked: "+line)
 	}
 	for _, why := range r.NotCounted {
 		fmt.Fprintln(w, "not counted: "+why)
 	}
 	fmt.Fprintf(w, "%d counts hold, %d have risen, %d have fallen, %d were not checked\n",
-		found.Held, len(found.Risen), len(found.Fallen), len(found.NotChecked))
-	if len(found.Risen) == 0 {
+		result.Held, len(result.Risen), len(result.Fallen), len(result.NotChecked))
+	if len(result.Risen) == 0 {
 		return nil
 	}
 	if t.Go != r.Go {
--- a/cmd/olivelab/run.go
+++ b/cmd/olivelab/run.go
@@ -43,9 +43,9 @@
 			return nil, shortPathError(err)
 		}
 		path, err := filepath.Abs(build)
-		return experiment.Sockets{Node: path, Log: errs}, err
+		return experiment.SocketRunner{Node: path, Log: errs}, err
 	}
-	return experiment.Sockets{Log: errs}, nil
+	return experiment.SocketRunner{Log: errs}, nil
 }
 
 // runCommand returns the command that plays one experiment.
--- a/cmd/olivelab/seeds.go
+++ b/cmd/olivelab/seeds.go
@@ -45,7 +45,7 @@
 		err = pool.Run(c.Context(), jobs, func(o campaign.Outcome) bool {
 			report.Add(o)
 			if o.Failed() {
-				fmt.Fprintln(c.OutOrStdout(), campaign.FailureLine(&o, with.replayCall(o.Job.Seed)))
+				fmt.Fprintln(c.OutOrStdout(), campaign.FailureLine(&o, with.replayCommand(o.Job.Seed)))
 			}
 			if time.Since(lastPrinted) >= progressInterval || uint64(report.Seeds) == seeds.count {
 				lastPrinted = time.Now()
--- a/cmd/olivelab/sources.go
+++ b/cmd/olivelab/sources.go
@@ -13,7 +13,7 @@
 
 // sources connects campaigns to the fault scripts and to the stage that plays them.
 func sources() campaign.Sources {
-	logged := func(log io.Writer) campaign.Player {
+	newPlayer := func(log io.Writer) campaign.Player {
 		return func(t *testing.T, s *fault.Script, w io.Writer) stage.Result {
 			return stage.Play(t, s, stage.Options{Trace: w, Log: log})
 		}
@@ -26,7 +26,7 @@
 		kinds = append(kinds, k.Name)
 	}
 	return campaign.Sources{
-		Play: logged(nil), Logged: logged, Watched: watched, Scenario: scenario, Parse: fault.Parse,
+		Play: newPlayer(nil), Logged: newPlayer, Watched: watched, Scenario: scenario, Parse: fault.Parse,
 		Write: (*fault.Script).Write, Smaller: (*fault.Script).Smaller,
 		Kinds: (*fault.Script).Kinds, Pairs: (*fault.Script).Pairs, AllKinds: kinds,
 		Rules: append(rules.Names(), campaign.RuleHang),
--- a/internal/fleet/fleetfile/check_budgets.go
+++ b/internal/fleet/fleetfile/check_budgets.go
@@ -16,7 +16,7 @@
 	minPeriod  = time.Minute
 )
 
-// checkBudgets checks the budgets, and the terms in table book that budgets need.
+// checkBudgets checks the budgets. If there are any, it also checks the terms in the [book] table of the fleet file.
 func (c *checker) checkBudgets(f *File) {
 	if len(f.Budgets) == 0 {
 		return
@@ -40,7 +40,7 @@
 	}
 }
 
-// checkBudgetTerms checks table book and parses its lease.
+// checkBudgetTerms checks the [book] table of the fleet file and parses its lease.
 func (c *checker) checkBudgetTerms(book *Book) {
 	book.Edition = c.checkVoters("book", book.Voters, book.Edition)
 	book.LeaseTime = c.checkDuration("book.lease", book.Lease, minLease, maxLease)
--- a/internal/fleet/member/service.go
+++ b/internal/fleet/member/service.go
@@ -11,7 +11,7 @@
 // by the node's other process, or by neither. Its methods are safe for concurrent use.
 type Service struct {
 	config   Config
-	start    time.Time // origin of the table's clock
+	start    time.Time // time 0 of the member table's clock
 	traffic  traffic
 	counters counters
 
--- a/internal/lab/experiment/record.go
+++ b/internal/lab/experiment/record.go
@@ -32,7 +32,7 @@
 	tallies   []phaseTallies // of each phase, in the order of phases
 	seconds   []second
 	lateness  *hdrhistogram.Histogram // delay between due instant and start of each request
-	lateCount int                     // number of requests that started more than report.LateBy late
+	lateCount int                     // number of requests that started more than report.MaxLateness late
 	events    []sample.Event
 	readings  []sample.Reading
 }
--- a/internal/lab/experiment/runner.go
+++ b/internal/lab/experiment/runner.go
@@ -14,9 +14,9 @@
 //   - Requests arrive at the instants that the script's crowds draw, and no
 //     request waits for the response to another. For each first try that came
 //     due, the runner reports one sample.Request after its outcome is known and
-//     before Run returns: Due is the drawn instant, Begun the instant at which the
-//     runner sent the request, Ended the instant at which the outcome was known.
-//     Package client supplies all three (Env.Ended).
+//     before Run returns: ScheduledAt is the drawn instant, SentAt the instant at
+//     which the runner sent the request, EndedAt the instant at which the outcome
+//     was known. Package client supplies all three (Env.OnRequestEnd).
 //   - The runner reports a sample.Reading of all peers at least every half second,
 //     from the start until the outcome of every request is known; on sockets with
 //     the processor time and the resident bytes of each node, summed over the
--- a/internal/lab/experiment/sockets.go
+++ b/internal/lab/experiment/sockets.go
@@ -12,10 +12,10 @@
 	"olivebridge/internal/lab/sample"
 )
 
-// Sockets is the Runner on loopback sockets and the machine's clock. Each node is
+// SocketRunner runs scripts on loopback sockets and the machine's clock. Each node is
 // a process. It checks only the rules that can be decided with certainty from
 // clients, peers and the nodes' processes: see package live.
-type Sockets struct {
+type SocketRunner struct {
 	Node string    // path of the node's program; empty: built from the source tree for each run
 	Log  io.Writer // receives errors of the run as they occur; may be nil
 }
@@ -28,7 +28,7 @@
 const gcPercent = 1600
 
 // Run implements Runner.
-func (k Sockets) Run(ctx context.Context, s *fault.Script, to sample.Sink) (p RunResult, err error) {
+func (k SocketRunner) Run(ctx context.Context, s *fault.Script, to sample.Sink) (p RunResult, err error) {
 	if err := live.Playable(s); err != nil {
 		return RunResult{}, err
 	}
--- a/internal/lab/fault/acts.go
+++ b/internal/lab/fault/acts.go
@@ -54,8 +54,8 @@
 	r.eachPeer(f, f.Peers, func(p Peer) func() { return p.Silent(f.Share) })
 }
 
-func (r *run) turnAway(f *Fault) {
-	r.eachPeer(f, f.Peers, func(p Peer) func() { return p.TurnAway(f.Share) })
+func (r *run) rejectRequests(f *Fault) {
+	r.eachPeer(f, f.Peers, func(p Peer) func() { return p.RejectRequests(f.Share) })
 }
 
 func (r *run) breaks(f *Fault) {
--- a/internal/lab/fault/fleet.go
+++ b/internal/lab/fault/fleet.go
@@ -123,7 +123,8 @@
 	return all
 }
 
-// callSteps returns the steps of a recorded call at which a fault can act on a process, in their order.
+// callSteps returns the steps of a recorded call at which a fault can act on a process, in the order in which
+// a call reaches them.
 func callSteps() []string {
 	return []string{"before-permission", "with-permission", "answered", "recorded"}
 }
--- a/internal/lab/fault/schedule_test.go
+++ b/internal/lab/fault/schedule_test.go
@@ -82,8 +82,8 @@
 	e.activeFaults--
 }
 
-func (e fakeProcess) Drain(turnAway, exit time.Duration) {
-	e.record("%s drain %v %v", e.name, turnAway, exit)
+func (e fakeProcess) Drain(reject, exit time.Duration) {
+	e.record("%s drain %v %v", e.name, reject, exit)
 	e.activeFaults--
 	if e.name != "p09" { // p09 never finishes a request and therefore does not exit
 		e.loop.After(exit, func() { e.up[e.name] = false })
@@ -107,15 +107,15 @@
 	e.activeFaults--
 }
 
-func (e fakeProcess) Slow(f float64) func()      { return e.record("%s slow %v", e.name, f) }
-func (e fakeProcess) Fail(f float64) func()      { return e.record("%s fail %v", e.name, f) }
-func (e fakeProcess) Spoil(f float64) func()     { return e.record("%s spoil %v", e.name, f) }
-func (e fakeProcess) Surplus(f float64) func()   { return e.record("%s surplus %v", e.name, f) }
-func (e fakeProcess) Silent(f float64) func()    { return e.record("%s silent %v", e.name, f) }
-func (e fakeProcess) TurnAway(f float64) func()  { return e.record("%s turnaway %v", e.name, f) }
-func (e fakeProcess) Break(f float64) func()     { return e.record("%s break %v", e.name, f) }
-func (e fakeProcess) Surge(f float64) func()     { return e.record("%s surge %v", e.name, f) }
-func (e fakeProcess) LeaveMore(f float64) func() { return e.record("%s leave %v", e.name, f) }
+func (e fakeProcess) Slow(f float64) func()           { return e.record("%s slow %v", e.name, f) }
+func (e fakeProcess) Fail(f float64) func()           { return e.record("%s fail %v", e.name, f) }
+func (e fakeProcess) Spoil(f float64) func()          { return e.record("%s spoil %v", e.name, f) }
+func (e fakeProcess) Surplus(f float64) func()        { return e.record("%s surplus %v", e.name, f) }
+func (e fakeProcess) Silent(f float64) func()         { return e.record("%s silent %v", e.name, f) }
+func (e fakeProcess) RejectRequests(f float64) func() { return e.record("%s turnaway %v", e.name, f) }
+func (e fakeProcess) Break(f float64) func()          { return e.record("%s break %v", e.name, f) }
+func (e fakeProcess) Surge(f float64) func()          { return e.record("%s surge %v", e.name, f) }
+func (e fakeProcess) LeaveMore(f float64) func()      { return e.record("%s leave %v", e.name, f) }
 func (e fakeProcess) Costly(c string, s, f float64) func() {
 	return e.record("%s costly %s %v %v", e.name, c, s, f)
 }
--- a/internal/lab/fault/target.go
+++ b/internal/lab/fault/target.go
@@ -19,14 +19,14 @@
 	Start() // starts the process cold; for a late peer this is the first start
 	Kill()  // the process dies and all connections of its host close
 	Down() bool
-	Drain(turnAwayAfter, exitAfter time.Duration)
+	Drain(rejectAfter, exitAfter time.Duration)
 	Slow(factor float64) (heal func())
 	Fail(share float64) (heal func())
 	Costly(class string, share, factor float64) (heal func())
 	Spoil(share float64) (heal func())
 	Surplus(share float64) (heal func())
 	Silent(share float64) (heal func())
-	TurnAway(share float64) (heal func())
+	RejectRequests(share float64) (heal func())
 	Break(share float64) (heal func())
 	Stall(d time.Duration)
 }
--- a/internal/lab/live/child.go
+++ b/internal/lab/live/child.go
@@ -21,7 +21,7 @@
 	line    func(line string) (keep bool) // called for each log line, on a goroutine of the process
 	exited  chan struct{}                 // closed when the process has exited or could not start
 
-	// Owned by the loop.
+	// The fields below are accessed only on the loop.
 	terminating       bool // SIGTERM was sent
 	serving           bool // the process has started and handles signals; earlier signals would end it
 	configChanged     bool // the configuration file has been rewritten since the process started
--- a/internal/lab/live/fleet.go
+++ b/internal/lab/live/fleet.go
@@ -43,22 +43,22 @@
 	if r.options.Fleet == nil {
 		return nil
 	}
-	return company{r}
+	return fleetTarget{r}
 }
 
-// company implements fault.Company: it injects faults into processes itself and passes faults between them to
-// Options.Fleet.
-type company struct{ r *Run }
+// fleetTarget implements fault.Fleet. It injects the faults of processes itself and passes the faults of the network
+// between them to Options.Fleet.
+type fleetTarget struct{ r *Run }
 
-func (c company) Cut(from, to func(string) bool) func() { return c.r.options.Fleet.Cut(from, to) }
+func (c fleetTarget) Cut(from, to func(string) bool) func() { return c.r.options.Fleet.Cut(from, to) }
 
-func (c company) Impair(from, to func(string) bool, a fault.Impairment) func() {
+func (c fleetTarget) Impair(from, to func(string) bool, a fault.Impairment) func() {
 	return c.r.options.Fleet.Ail(from, to, a)
 }
 
-func (c company) Move(node string) { c.r.options.Fleet.Move(node) }
+func (c fleetTarget) Move(node string) { c.r.options.Fleet.Move(node) }
 
-func (c company) Clock(node string, by time.Duration) { c.r.options.Fleet.Clock(node, by) }
+func (c fleetTarget) Clock(node string, by time.Duration) { c.r.options.Fleet.Clock(node, by) }
 
 const (
 	// stepTimeout is the duration for which At waits for a process to reach a step, stepPollInterval the interval at
@@ -69,7 +69,7 @@
 
 // At calls at when the node's process is blocked at a step; goOn resumes the process. If the process does not reach
 // the step within stepTimeout, at is not called.
-func (c company) At(node, step string, at func(resume func())) {
+func (c fleetTarget) At(node, step string, at func(resume func())) {
 	reached, resume, err := c.r.options.Fleet.Arm(node, step)
 	if err != nil {
 		c.r.fail("%s cannot be met %s: %v", node, step, err)
@@ -92,18 +92,18 @@
 	poll()
 }
 
-func (c company) Amounts(share float64) {
+func (c fleetTarget) Amounts(share float64) {
 	times, err := c.r.options.Fleet.Amounts(share)
 	c.fleetFilesWritten(times, err)
 }
 
-func (c company) Voters(names []string) {
+func (c fleetTarget) Voters(names []string) {
 	times, err := c.r.options.Fleet.Voters(names)
 	c.fleetFilesWritten(times, err)
 }
 
 // fleetFilesWritten makes all processes reload their fleet files after a rewrite, or records the error of the rewrite.
-func (c company) fleetFilesWritten(times int, err error) {
+func (c fleetTarget) fleetFilesWritten(times int, err error) {
 	if err != nil {
 		c.r.fail("fleet files: %v", err)
 		return
@@ -124,7 +124,7 @@
 	}
 }
 
-func (c company) DamageDirectory(node string, how fault.DirectoryFault) func() {
+func (c fleetTarget) DamageDirectory(node string, how fault.DirectoryFault) func() {
 	i := c.r.node(node)
 	mend, err := c.r.options.Fleet.Spoil(node, how)
 	if err != nil {
@@ -139,15 +139,15 @@
 	}
 }
 
-func (c company) Stop(node string) func() {
+func (c fleetTarget) Stop(node string) func() {
 	i := c.r.node(node)
 	i.stop()
 	return i.resume
 }
 
-func (c company) Upgrade(node string) { c.r.node(node).upgrade() }
+func (c fleetTarget) Upgrade(node string) { c.r.node(node).upgrade() }
 
-func (c company) StartDuplicate(node string) func() {
+func (c fleetTarget) StartDuplicate(node string) func() {
 	i := c.r.node(node)
 	i.startTwin()
 	return i.endTwin
@@ -199,7 +199,7 @@
 	if i.current == nil || i.current.terminating || !i.current.serving || i.next != nil || i.stopped != nil {
 		return
 	}
-	prior := i.prior
+	previousExited := i.previousExited
 	c := i.newProcess(false, false)
 	if c == nil {
 		return
@@ -207,11 +207,11 @@
 	i.next = c
 	i.report("upgrade", c)
 	i.launch(c, nil)
-	own, both := i.prior, make(chan struct{})
-	i.prior = both
+	own, both := i.previousExited, make(chan struct{})
+	i.previousExited = both
 	i.run.children.Go(func() {
 		<-own
-		<-prior
+		<-previousExited
 		close(both)
 	})
 }
@@ -287,9 +287,9 @@
 	}
 	i.twin = c
 	i.report("twin", c)
-	prior := i.prior
+	previousExited := i.previousExited
 	i.launch(c, nil)
-	i.prior = prior
+	i.previousExited = previousExited
 }
 
 // endTwin kills the twin, if there is one.
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -23,23 +23,23 @@
 
 // instance is one node of the run with its successive processes. Its fields belong to the loop.
 type instance struct {
-	run        *Run
-	c          world.Node
-	listenAddr string          // real address at which it listens
-	starts     int             // number of processes so far, twins included
-	seed       uint64          // of the newest process
-	current    *child          // process in service; nil: none
-	prior      <-chan struct{} // closed when the previous process has exited
-	restart    bool            // start a new process when the current one exits
+	run            *Run
+	c              world.Node
+	listenAddr     string          // real address at which it listens
+	starts         int             // number of processes so far, including unrelated ones under the node's name
+	seed           uint64          // of the newest process
+	current        *child          // process in service; nil: none
+	previousExited <-chan struct{} // closed when the previous process has exited
+	restart        bool            // start a new process when the current one exits
 
 	next             *child // successor in an upgrade; nil: none
 	twin             *child // unrelated process under the node's name; nil: none
 	stopped          *child // process stopped by SIGSTOP; nil: none
 	directoryDamaged bool   // the directory is damaged: processes must refuse to start
 
-	tries, earlierTries int           // tries sent, from the counters of the current process; sum over earlier ones
-	open                int           // client connections
-	cpuTime             time.Duration // of exited processes
+	tries, earlierProcessTries int           // attempts sent, from the processes' counters
+	open                       int           // open client connections
+	cpuTime                    time.Duration // processor time of the exited processes
 }
 
 // Start implements fault.Node. The configuration has an endpoint list that misses
@@ -52,7 +52,7 @@
 	if i.current != nil {
 		return
 	}
-	prior := i.prior
+	previousExited := i.previousExited
 	c := i.newProcess(stale, false)
 	if c == nil {
 		return
@@ -62,7 +62,7 @@
 		i.report("started", c)
 		i.run.front.NodeStarted(i.c.Name)
 	}
-	i.launch(c, prior)
+	i.launch(c, previousExited)
 }
 
 // newProcess prepares the node's next process, or a twin, and returns nil if that fails. A twin is an unrelated process
@@ -100,13 +100,13 @@
 	return c
 }
 
-// launch starts a process after prior is closed: earlier processes may still hold the address.
-func (i *instance) launch(c *child, prior <-chan struct{}) {
-	i.prior = c.exited
+// launch starts a process after previousExited is closed: earlier processes may still hold the address.
+func (i *instance) launch(c *child, previousExited <-chan struct{}) {
+	i.previousExited = c.exited
 	i.run.children.Go(func() {
 		defer close(c.exited)
-		if prior != nil {
-			<-prior
+		if previousExited != nil {
+			<-previousExited
 		}
 		err := c.run()
 		i.run.post(func() { i.onExit(c, err) })
@@ -157,7 +157,7 @@
 		return
 	}
 	i.current = nil
-	i.earlierTries, i.tries, i.open = i.earlierTries+i.tries, 0, 0
+	i.earlierProcessTries, i.tries, i.open = i.earlierProcessTries+i.tries, 0, 0
 	if i.handleRefusedStart(c, err) {
 		return
 	}
@@ -183,7 +183,7 @@
 		return
 	}
 	i.current = nil
-	i.earlierTries, i.tries, i.open = i.earlierTries+i.tries, 0, 0
+	i.earlierProcessTries, i.tries, i.open = i.earlierProcessTries+i.tries, 0, 0
 	i.run.front.NodeDied(i.c.Name)
 	i.report("killed", c)
 	c.signal(syscall.SIGKILL)
--- a/internal/lab/live/sample.go
+++ b/internal/lab/live/sample.go
@@ -28,11 +28,11 @@
 		Front: world.Front{Check: ms(100), Notice: ms(2000)},
 		Classes: []world.Class{
 			{Name: "status", Safe: true, Work: ms(15), Spread: 0.5, Objective: ms(150), Deadline: ms(300),
-				Weight: 2, Answer: 400},
+				Weight: 2, ResponseBody: 400},
 			{Name: "quote", Safe: true, Work: ms(20), Spread: 0.5, Objective: ms(200), Deadline: ms(600),
-				Weight: 1, Answer: 2000},
+				Weight: 1, ResponseBody: 2000},
 			{Name: "order", Work: ms(25), Spread: 0.3, Objective: ms(300), Deadline: ms(1500),
-				Weight: 10, Body: 2000, Answer: 300},
+				Weight: 10, Body: 2000, ResponseBody: 300},
 		},
 		Tenants: []world.Tenant{
 			{Name: "acme", Share: 0.6, Quota: max(rate*2, 100)}, {Name: "umbra", Share: 0.4, Quota: max(rate*2, 100)},
--- a/internal/lab/live/table.go
+++ b/internal/lab/live/table.go
@@ -87,7 +87,7 @@
 	s.MaxLag, r.maxLag = r.maxLag, 0
 	for _, n := range r.nodes {
 		row := NodeRow{
-			Name: n.c.Name, Addr: n.listenAddr, State: Down, Tries: n.earlierTries + n.tries, Clients: n.open,
+			Name: n.c.Name, Addr: n.listenAddr, State: Down, Tries: n.earlierProcessTries + n.tries, Clients: n.open,
 			CPUTime: n.cpuTime,
 		}
 		if c := n.current; c != nil {
--- a/internal/lab/live/target.go
+++ b/internal/lab/live/target.go
@@ -96,7 +96,7 @@
 }
 
 // Drain implements fault.Peer.
-func (s *peerHost) Drain(turnAwayAfter, exitAfter time.Duration) {
+func (s *peerHost) Drain(rejectAfter, exitAfter time.Duration) {
 	s.draining = !s.Down()
-	s.Peer.Drain(turnAwayAfter, exitAfter)
+	s.Peer.Drain(rejectAfter, exitAfter)
 }
--- a/internal/lab/loop/loop_test.go
+++ b/internal/lab/loop/loop_test.go
@@ -20,7 +20,7 @@
 	})
 }
 
-// TestInstantsAreDistinct guards the first condition of determinism: no two timers share an instant, and none falls
+// TestInstantsAreDistinct guards a condition of deterministic runs: no two timers share an instant, and none falls
 // on a whole microsecond, where the nodes' ticks are.
 func TestInstantsAreDistinct(t *testing.T) {
 	runLoop(t, func(l *Loop) {
@@ -57,7 +57,7 @@
 	})
 }
 
-// TestPostsAreSorted guards the second condition of determinism: the order of functions that goroutines post at one
+// TestPostsAreSorted guards a condition of deterministic runs: the order of functions that goroutines post at one
 // instant does not depend on the scheduling of the goroutines.
 func TestPostsAreSorted(t *testing.T) {
 	var first []string
@@ -81,7 +81,7 @@
 	}
 }
 
-// TestNodeTimersRunFirst guards the third condition of determinism: a function posted by a node's timer runs before
+// TestNodeTimersRunFirst guards a condition of deterministic runs: a function posted by a node's timer runs before
 // the loop's own timer of that instant.
 func TestNodeTimersRunFirst(t *testing.T) {
 	runLoop(t, func(l *Loop) {
--- a/internal/lab/network/conn.go
+++ b/internal/lab/network/conn.go
@@ -29,8 +29,8 @@
 type end struct {
 	conn    *conn
 	side    int          // 0: the end that dialed; 1: the end that accepted
-	handler link.Handler // of a modelled service
-	port    *port        // of a node
+	handler link.Handler // receives the events of the end if it belongs to a modelled service, else nil
+	port    *port        // the connection of a node if the end belongs to one, else nil
 
 	held      bool // a program holds this end, which makes the connection count as open
 	up        bool
--- a/internal/lab/network/network_test.go
+++ b/internal/lab/network/network_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestClientSeesEnd checks the error with which a modelled client's connection to a node ends: it tells the client
+// TestClientConnError checks the error with which a modelled client's connection to a node ends: it tells the client
 // whether its request was read.
-func TestClientSeesEnd(t *testing.T) {
+func TestClientConnError(t *testing.T) {
 	read := func(p *port) { p.Read(make([]byte, 9)) }
 	wait := func() { time.Sleep(5 * ms) }
 	kill := func(l *testNetwork) func() { return func() { l.Kill("n1") } }
--- a/internal/lab/path/child.go
+++ b/internal/lab/path/child.go
@@ -44,7 +44,7 @@
 	endOnce    sync.Once
 }
 
-// startupTimeout is the time within which a child must start or answer a signal.
+// startupTimeout is the time within which a child must write an expected log line, after its start or after a signal.
 const startupTimeout = 20 * time.Second
 
 // startNode starts a node in front of the servers with the given addresses. It writes the node's configuration to dir.
--- a/internal/lab/path/meter.go
+++ b/internal/lab/path/meter.go
@@ -45,12 +45,12 @@
 // meter is one measurement with its stubs and the directory of its files.
 type meter struct {
 	Options
-	dir         string
-	profiled    string       // path of a node that writes a profile of its allocations, if it was built with profileTag
-	stackReader *stackReader // nil if the node has no symbols
-	stubServers *stubServers
-	discovery   *discovery
-	callIDs     callIDs
+	dir          string
+	profiledNode string       // path of the node for allocation profiles: Options.Node or a build with profileTag
+	stackReader  *stackReader // nil if the node has no symbols
+	stubServers  *stubServers
+	discovery    *discovery
+	callIDs      callIDs
 }
 
 // Measure runs all loads of o and reports their cost. Counts that the machine does not allow to be measured are
@@ -67,11 +67,11 @@
 	}
 	defer os.RemoveAll(dir)
 	m := &meter{Options: o, dir: dir}
-	if m.profiled = m.Node; m.Node == "" {
+	if m.profiledNode = m.Node; m.Node == "" {
 		if m.Node, err = m.build(ctx, "node"); err != nil {
 			return nil, err
 		}
-		if m.profiled, err = m.build(ctx, "profiled-node", "-tags", profileTag); err != nil {
+		if m.profiledNode, err = m.build(ctx, "profiled-node", "-tags", profileTag); err != nil {
 			return nil, err
 		}
 	}
@@ -223,7 +223,7 @@
 	if err := recordMissing(err); err != nil {
 		return nil, err
 	}
-	f.Allocators, err = m.countAllocations(ctx, l, m.profiled)
+	f.Allocators, err = m.countAllocations(ctx, l, m.profiledNode)
 	if err := recordMissing(err); err != nil {
 		return nil, err
 	}
--- a/internal/lab/path/report.go
+++ b/internal/lab/path/report.go
@@ -128,8 +128,8 @@
 // writeFunctionCounts writes the entries of each count.
 func (f *Figures) writeFunctionCounts(w io.Writer) {
 	for _, part := range []struct {
-		what, sum string
-		places    []Entry
+		title, sumLabel string
+		places          []Entry
 	}{
 		{"system calls under the tracer", "found nothing", f.Calls},
 		{"writes to sockets, by function", "found no room", f.Writers},
@@ -140,7 +140,7 @@
 			continue
 		}
 		n, sum := sumEntries(part.places, nil)
-		fmt.Fprintf(w, "  %s: %.2f; %s: %.2f\n", part.what, n, part.sum, sum)
+		fmt.Fprintf(w, "  %s: %.2f; %s: %.2f\n", part.title, n, part.sumLabel, sum)
 		for i, p := range part.places {
 			if i == maxShownEntries {
 				fmt.Fprintf(w, "    and %d more\n", len(part.places)-maxShownEntries)
--- a/internal/lab/report/figure.go
+++ b/internal/lab/report/figure.go
@@ -66,8 +66,8 @@
 type Scope struct{ Class, Tenant string }
 
 // Figure returns the figure with the given name of a phase and a scope. It reports false if there is none.
-func (r *Report) Figure(what, phase string, of Scope) (float64, bool) {
-	k, ok := FindFigureKind(what)
+func (r *Report) Figure(name, phase string, of Scope) (float64, bool) {
+	k, ok := FindFigureKind(name)
 	if !ok {
 		return 0, false
 	}
--- a/internal/lab/world/client/group_test.go
+++ b/internal/lab/world/client/group_test.go
@@ -134,18 +134,18 @@
 func TestRetriesOnlyWhereHarmless(t *testing.T) {
 	served, refused := func(t Tally) int { return t.Served }, func(t Tally) int { return t.Refused }
 	failed := func(t Tally) int { return t.Failed }
-	status := func(n int, fields string) func(k *nodeConn) { return func(k *nodeConn) { k.respond(n, fields) } }
+	respondWith := func(n int, fields string) func(k *nodeConn) { return func(k *nodeConn) { k.respond(n, fields) } }
 	for _, c := range []struct {
 		name         string
 		end          func(k *nodeConn)
 		safe, unsafe int // number of requests that reach the node for each request, with at most one retry
 		outcome      func(Tally) int
 	}{
-		{"served", status(200, ""), 1, 1, served},
-		{"refused 503", status(503, ""), 2, 2, refused},
-		{"refused 429", status(429, "Retry-After: 0.1\r\n"), 2, 2, refused},
-		{"error 502", status(502, ""), 2, 1, failed},
-		{"error 409", status(409, ""), 2, 1, failed},
+		{"served", respondWith(200, ""), 1, 1, served},
+		{"refused 503", respondWith(503, ""), 2, 2, refused},
+		{"refused 429", respondWith(429, "Retry-After: 0.1\r\n"), 2, 2, refused},
+		{"error 502", respondWith(502, ""), 2, 1, failed},
+		{"error 409", respondWith(409, ""), 2, 1, failed},
 		{"connection reset", func(k *nodeConn) { k.Reset() }, 2, 1, failed},
 		{"connection closed", func(k *nodeConn) { k.Close() }, 2, 1, failed},
 		{"incomplete response", func(k *nodeConn) {
--- a/internal/lab/world/client/kinds.go
+++ b/internal/lab/world/client/kinds.go
@@ -25,13 +25,13 @@
 	Reason string        // reported to the judge
 	Within time.Duration // time limit for the error or the close
 	Conns  int           // number of connections of one attack; 0: one
-	// Twin makes all connections send the same valid request. The node must answer
+	// SameRequest makes all connections send the same valid request. The node must answer
 	// the one that it reads first and send an error to the other while the first is
 	// in progress. No single connection is malformed, so nothing is reported to the
 	// judge. The class is unsafe, so the judge sees a second side effect if the
 	// node attempts both.
-	Twin  bool
-	steps func(d *builder) []step
+	SameRequest bool
+	steps       func(d *builder) []step
 }
 
 // Time limits for a node to reject malformed input: the longer one is for input that
@@ -196,7 +196,7 @@
 		}
 		return []step{{bytes: all}}
 	}},
-	{Name: "twin", Within: rejectLimit, Conns: 2, Twin: true, steps: func(d *builder) []step {
+	{Name: "twin", Within: rejectLimit, Conns: 2, SameRequest: true, steps: func(d *builder) []step {
 		c := d.pickClass(isUnsafe)
 		d.deadline = c.Deadline.D()
 		return []step{{bytes: encode(d.validMessageOf(c))}}
@@ -227,5 +227,5 @@
 // ValidByItself reports whether each request sent by malformed clients of the kind is valid by itself.
 func ValidByItself(kind string) bool {
 	k, ok := findKind(kind)
-	return ok && k.Twin
+	return ok && k.SameRequest
 }
--- a/internal/lab/world/client/malformed_client.go
+++ b/internal/lab/world/client/malformed_client.go
@@ -33,7 +33,7 @@
 	Answered  int // the node sent an error
 	Closed    int // the node closed or reset the connection without a response
 	Ignored   int // the node did neither in time
-	Served    int // the node sent a 2xx, which only one of two twins may get
+	Served    int // the node sent a 2xx, which only one of two connections with the same request may get
 	Left      int // the client ended the connection and expects nothing
 }
 
@@ -98,7 +98,7 @@
 	var conns []*attackConn
 	for range max(r.kind.Conns, 1) {
 		s := &attackConn{client: r, reason: d.reason, deadline: deadline, steps: steps}
-		if r.kind.Twin {
+		if r.kind.SameRequest {
 			s.reason, s.twins = "", &conns
 		}
 		conns = append(conns, s)
--- a/internal/lab/world/client/malformed_client_test.go
+++ b/internal/lab/world/client/malformed_client_test.go
@@ -36,7 +36,7 @@
 				withHarness(t, func(l *harness) {
 					l.nodes[0].raw = func(k *nodeConn, b []byte) {
 						this := func(s string) bool { return strings.HasPrefix(s, k.ID()+" ") }
-						if reported := slices.ContainsFunc(l.malformed, this); reported == kind.Twin {
+						if reported := slices.ContainsFunc(l.malformed, this); reported == kind.SameRequest {
 							t.Errorf("connection %s reported as malformed: %t", k.ID(), reported)
 						}
 						received[k.ID()] = append(received[k.ID()], b...)
@@ -70,7 +70,7 @@
 				return
 			}
 			for id, b := range received {
-				if why := invalidReason(b); (why == "") != kind.Twin {
+				if why := invalidReason(b); (why == "") != kind.SameRequest {
 					t.Errorf("connection %s: input has invalid reason %q, want one except for twins: %.300q", id, why, b)
 				}
 			}
--- a/internal/lab/world/config.go
+++ b/internal/lab/world/config.go
@@ -56,15 +56,15 @@
 
 // Class is a class of requests.
 type Class struct {
-	Name      string      `toml:"name"`
-	Safe      bool        `toml:"safe"`             // GET, may be repeated; otherwise POST, must not run twice
-	Work      figure.Span `toml:"work"`             // mean work, in time on a core of speed 1
-	Spread    float64     `toml:"spread"`           // coefficient of variation of the work
-	Objective figure.Span `toml:"aim"`              // latency objective: a response within this time earns the full weight
-	Deadline  figure.Span `toml:"deadline"`         // time for which the client waits
-	Weight    float64     `toml:"worth"`            // priority weight
-	Body      int         `toml:"body,omitempty"`   // mean size of a POST body, in bytes
-	Answer    int         `toml:"answer,omitempty"` // mean size of a response body, in bytes
+	Name         string      `toml:"name"`
+	Safe         bool        `toml:"safe"`             // GET, may be repeated; otherwise POST, must not run twice
+	Work         figure.Span `toml:"work"`             // mean work, in time on a core of speed 1
+	Spread       float64     `toml:"spread"`           // coefficient of variation of the work
+	Objective    figure.Span `toml:"aim"`              // latency objective: a response within this time earns the full weight
+	Deadline     figure.Span `toml:"deadline"`         // time for which the client waits
+	Weight       float64     `toml:"worth"`            // priority weight
+	Body         int         `toml:"body,omitempty"`   // mean size of a POST body, in bytes
+	ResponseBody int         `toml:"answer,omitempty"` // mean size of a response body, in bytes
 }
 
 // Tenant is a customer of the platform.
@@ -153,7 +153,7 @@
 	Keep      float64            `toml:"keep"`          // share of connections that stay open unused after one request
 	Pipelined float64            `toml:"pipelined"`     // share of requests on a connection with one in flight
 	Conns     int                `toml:"conns"`         // maximum number of connections to one node; 0: unlimited
-	Unusual   float64            `toml:"odd,omitempty"` // share of requests with unusual but valid headers and forms
+	Unusual   float64            `toml:"odd,omitempty"` // share of requests in valid but rare forms of HTTP/1.1
 }
 
 // MalformedClient describes a client that sends input which must not be served. The
--- a/internal/lab/world/peer/answer.go
+++ b/internal/lab/world/peer/answer.go
@@ -56,7 +56,7 @@
 // get the same body.
 func (p *Peer) responseBody(a *attempt) []byte {
 	r := p.responseDraws("answer", a)
-	size := min(int(float64(a.class.Answer)*figure.Uniform(r, 0.5, 1.5)), maxBodyBytes)
+	size := min(int(float64(a.class.ResponseBody)*figure.Uniform(r, 0.5, 1.5)), maxBodyBytes)
 	if a.longResponse {
 		size = max(size, longBodyBytes)
 	}
--- a/internal/lab/world/peer/harness_test.go
+++ b/internal/lab/world/peer/harness_test.go
@@ -135,7 +135,7 @@
 		r.Peer = New(c, Env{
 			Loop: l, Fabric: r.network, Seed: 7, Observer: r.events, Registrar: r.events,
 			Classes: []world.Class{
-				{Name: "quote", Safe: true, Work: figure.Span(20 * time.Millisecond), Answer: 100},
+				{Name: "quote", Safe: true, Work: figure.Span(20 * time.Millisecond), ResponseBody: 100},
 				{Name: "book", Work: figure.Span(40 * time.Millisecond), Spread: 1},
 			},
 		})
--- a/internal/lab/world/peer/peer.go
+++ b/internal/lab/world/peer/peer.go
@@ -105,12 +105,12 @@
 	for _, c := range classes {
 		if c.Safe == safe {
 			total.Work += c.Work
-			total.Answer += c.Answer
+			total.ResponseBody += c.ResponseBody
 			count++
 		}
 	}
 	if count > 0 {
-		total.Work, total.Answer = total.Work/figure.Span(count), total.Answer/count
+		total.Work, total.ResponseBody = total.Work/figure.Span(count), total.ResponseBody/count
 	}
 	return total
 }
@@ -157,11 +157,11 @@
 }
 
 // Drain makes the process exit gracefully. It continues to serve calls, rejects new
-// ones after turnAwayAfter, and exits once no call is left, but not before
+// ones after rejectAfter, and exits once no call is left, but not before
 // exitAfter.
-func (p *Peer) Drain(turnAwayAfter, exitAfter time.Duration) {
+func (p *Peer) Drain(rejectAfter, exitAfter time.Duration) {
 	if q := p.process; q != nil && !q.draining {
-		q.drain(turnAwayAfter, exitAfter)
+		q.drain(rejectAfter, exitAfter)
 		p.env.Registrar.Draining(p.config.Name)
 	}
 }
--- a/internal/lab/world/peer/peer_test.go
+++ b/internal/lab/world/peer/peer_test.go
@@ -137,7 +137,7 @@
 		ran   int // expected number of calls that ran, of 40
 	}{
 		"fail":      {(*Peer).Fail, func(s seen) bool { return s.status() >= 500 && s.took < 6*ms }, 40},
-		"turn away": {(*Peer).TurnAway, func(s seen) bool { return s.status() == 503 && s.took < 6*ms }, 0},
+		"turn away": {(*Peer).RejectRequests, func(s seen) bool { return s.status() == 503 && s.took < 6*ms }, 0},
 		"silent":    {(*Peer).Silent, func(s seen) bool { return len(s.raw) == 0 && s.err == nil }, 40},
 		"break":     {(*Peer).Break, func(s seen) bool { return len(s.raw) == 0 && s.err == link.ErrReset }, 25},
 		"spoil": {(*Peer).Spoil, func(s seen) bool {
@@ -238,7 +238,7 @@
 		r.Slow(100)
 		r.sendQuotes(1, 500*ms, 0)
 		r.at(sec, func() { r.Drain(9*sec, sec) })
-		r.sendQuotes(1, 2100*ms, 0) // rejected: exitAfter has passed, though turnAwayAfter has not
+		r.sendQuotes(1, 2100*ms, 0) // rejected: exitAfter has passed, though rejectAfter has not
 	})
 	r.expect("statuses of the held and the new call", r.statuses(), "map[200:1 503:1]")
 	r.expectNear("time of the exit", r.conns[0].endedAt, 2503*ms, 0.06)
@@ -367,9 +367,9 @@
 		}
 		return ids
 	}
-	one := rejected(func(p *Peer) { p.TurnAway(0.3) })
-	withOthers := rejected(func(p *Peer) { p.Fail(0.5); p.TurnAway(0.3); p.Spoil(0.5); p.Slow(3) })
-	two := rejected(func(p *Peer) { p.TurnAway(0.3); p.TurnAway(0.3) })
+	one := rejected(func(p *Peer) { p.RejectRequests(0.3) })
+	withOthers := rejected(func(p *Peer) { p.Fail(0.5); p.RejectRequests(0.3); p.Spoil(0.5); p.Slow(3) })
+	two := rejected(func(p *Peer) { p.RejectRequests(0.3); p.RejectRequests(0.3) })
 	if !slices.Equal(one, withOthers) {
 		t.Errorf("rejected calls %v without other faults, %v with other faults; want the same", one, withOthers)
 	}
--- a/internal/lab/world/peer/process.go
+++ b/internal/lab/world/peer/process.go
@@ -68,10 +68,10 @@
 	q.peer.env.Registrar.Stopped(q.peer.config.Name)
 }
 
-func (q *process) drain(turnAwayAfter, exitAfter time.Duration) {
+func (q *process) drain(rejectAfter, exitAfter time.Duration) {
 	q.draining = true
 	q.drainTimers = []*loop.Timer{
-		q.after(turnAwayAfter, func() { q.rejecting = true }),
+		q.after(rejectAfter, func() { q.rejecting = true }),
 		q.after(exitAfter, func() {
 			q.rejecting, q.exiting = true, true
 			q.exitIfIdle()
@@ -79,7 +79,7 @@
 	}
 }
 
-// exitIfIdle ends a draining process whose exit is due and that holds no call.
+// exitIfIdle ends a draining process if the time of its exit has passed and it has no unfinished calls.
 func (q *process) exitIfIdle() {
 	if q.exiting && !q.ended && q.cores.held() == 0 {
 		q.terminate(link.Conn.Close)
--- a/internal/lab/world/peer/request.go
+++ b/internal/lab/world/peer/request.go
@@ -118,7 +118,7 @@
 		return
 	}
 	switch {
-	case q.rejecting || a.draws.turnAway < p.faults.turnAway.probability():
+	case q.rejecting || a.draws.reject < p.faults.reject.probability():
 		c.reject(a)
 	case a.draws.breakConn < p.faults.breakConn.probability() && a.draws.breakEarly < 0.5:
 		p.stats.Broken++
--- a/internal/transport/upstream_pool_test.go
+++ b/internal/transport/upstream_pool_test.go
@@ -171,7 +171,7 @@
 	if r.Result != balancer.NotSent || transport.pool.open != 10 {
 		t.Errorf("result %d with %d connections open", r.Result, transport.pool.open)
 	}
-	transport.pool.open = 9 // the next one is the last; it is evicted for another server once it is idle
+	transport.pool.open = 9 // one connection is left; once it is idle, it is evicted for a connection to the other server
 	other, _ := startScriptedServer(t, okResponse)
 	for _, server := range []*routing.Upstream{p, other} {
 		r := transport.RoundTrip(t.Context(), newAttempt(server, "GET", ""))
