--- a/internal/lab/fault/draw.go
+++ b/internal/lab/fault/draw.go
@@ -94,7 +94,7 @@
 		d.mix = append(d.mix, k.Share.draw(g))
 		d.s.World.Classes = append(d.s.World.Classes, world.Class{Name: k.Name, Safe: k.Safe, Work: k.Work.draw(g),
 			Spread: k.Spread.draw(g), Objective: k.Aim.draw(g), Deadline: k.Deadline.draw(g), Weight: k.Worth.draw(g),
-			Body: k.Body.draw(g), ResponseBody: k.Answer.draw(g)})
+			Body: k.Body.draw(g), ResponseBody: k.ResponseBody.draw(g)})
 	}
 	d.mix = shares(d.mix)
 	for i, k := range d.s.World.Classes {
--- a/internal/lab/fault/scenario.go
+++ b/internal/lab/fault/scenario.go
@@ -141,16 +141,16 @@
 
 // ClassRanges draws a world.Class.
 type ClassRanges struct {
-	Name     string `toml:"name"`
-	Safe     bool   `toml:"safe"`
-	Share    Range  `toml:"share" of:"scenario.weight"` // share of requests, before all are scaled to a sum of 1
-	Work     Spans  `toml:"work" of:"world.class.work"`
-	Spread   Range  `toml:"spread" of:"world.class.spread"`
-	Aim      Spans  `toml:"aim" of:"world.class.aim"`
-	Deadline Spans  `toml:"deadline" of:"world.class.deadline"`
-	Worth    Range  `toml:"worth" of:"world.class.worth"`
-	Body     Counts `toml:"body" of:"world.class.body"`
-	Answer   Counts `toml:"answer" of:"world.class.answer"`
+	Name         string `toml:"name"`
+	Safe         bool   `toml:"safe"`
+	Share        Range  `toml:"share" of:"scenario.weight"` // share of requests, before all are scaled to a sum of 1
+	Work         Spans  `toml:"work" of:"world.class.work"`
+	Spread       Range  `toml:"spread" of:"world.class.spread"`
+	Aim          Spans  `toml:"aim" of:"world.class.aim"`
+	Deadline     Spans  `toml:"deadline" of:"world.class.deadline"`
+	Worth        Range  `toml:"worth" of:"world.class.worth"`
+	Body         Counts `toml:"body" of:"world.class.body"`
+	ResponseBody Counts `toml:"answer" of:"world.class.answer"`
 }
 
 // TenantRanges draws a world.Tenant.
--- a/internal/lab/live/fleet.go
+++ b/internal/lab/live/fleet.go
@@ -13,9 +13,9 @@
 // Fleet supplies the environment of a run whose nodes are members of one fleet, and injects the faults between and
 // around their processes. All methods are called on the loop.
 type Fleet interface {
-	// Env returns additional environment variables for a node's next process, or for a twin: an unrelated process that
+	// Env returns additional environment variables for a node's next process, or for a duplicate: an unrelated process that
 	// runs under the node's name.
-	Env(node string, twin bool) ([]string, error)
+	Env(node string, duplicate bool) ([]string, error)
 	// Tell is notified of each event of a node's processes; pid is 0 if no process is involved.
 	Tell(node, what string, pid int)
 	// Cut blocks the traffic from some nodes to others until heal is called.
@@ -110,7 +110,7 @@
 	}
 	c.r.fleetFileRevision = times
 	for _, i := range c.r.nodes {
-		for _, p := range []*child{i.current, i.next, i.twin} {
+		for _, p := range []*child{i.current, i.next, i.duplicate} {
 			i.reloadFleetFile(p)
 		}
 	}
@@ -149,8 +149,8 @@
 
 func (c fleetTarget) StartDuplicate(node string) func() {
 	i := c.r.node(node)
-	i.startTwin()
-	return i.endTwin
+	i.startDuplicate()
+	return i.endDuplicate
 }
 
 // stopTimeout is the duration within which a process must be stopped after SIGSTOP.
@@ -231,7 +231,7 @@
 		}
 	case c == i.current:
 		i.report("serves", c)
-	case c == i.twin:
+	case c == i.duplicate:
 		i.report("twin serves", c)
 	}
 	i.reloadFleetFile(c)
@@ -256,8 +256,8 @@
 	case i.next:
 		i.next = nil
 		i.run.addViolation("crash", "node %s: the next process ended: %v; it wrote: %s", i.c.Name, err, c.lastLine)
-	case i.twin:
-		i.twin = nil
+	case i.duplicate:
+		i.duplicate = nil
 		i.run.addViolation("crash", "node %s: the stranger ended: %v; it wrote: %s", i.c.Name, err, c.lastLine)
 	}
 	return true
@@ -276,26 +276,26 @@
 	return true
 }
 
-// startTwin starts a twin: an unrelated process under the node's name.
-func (i *instance) startTwin() {
-	if i.twin != nil {
+// startDuplicate starts a duplicate: an unrelated process under the node's name.
+func (i *instance) startDuplicate() {
+	if i.duplicate != nil {
 		return
 	}
 	c := i.newProcess(false, true)
 	if c == nil {
 		return
 	}
-	i.twin = c
+	i.duplicate = c
 	i.report("twin", c)
 	previousExited := i.previousExited
 	i.launch(c, nil)
 	i.previousExited = previousExited
 }
 
-// endTwin kills the twin, if there is one.
-func (i *instance) endTwin() {
-	if c := i.twin; c != nil {
-		i.twin = nil
+// endDuplicate kills the duplicate, if there is one.
+func (i *instance) endDuplicate() {
+	if c := i.duplicate; c != nil {
+		i.duplicate = nil
 		i.report("twin killed", c)
 		c.signal(syscall.SIGKILL)
 	}
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -33,11 +33,13 @@
 	restart        bool            // start a new process when the current one exits
 
 	next             *child // successor in an upgrade; nil: none
-	twin             *child // unrelated process under the node's name; nil: none
+	duplicate        *child // unrelated process under the node's name; nil: none
 	stopped          *child // process stopped by SIGSTOP; nil: none
 	directoryDamaged bool   // the directory is damaged: processes must refuse to start
 
-	tries, earlierProcessTries int           // attempts sent, from the processes' counters
+	// tries is the number of attempts sent by the current process, from its counters; earlierProcessTries is the sum
+	// over the earlier processes.
+	tries, earlierProcessTries int
 	open                       int           // open client connections
 	cpuTime                    time.Duration // processor time of the exited processes
 }
@@ -65,9 +67,9 @@
 	i.launch(c, previousExited)
 }
 
-// newProcess prepares the node's next process, or a twin, and returns nil if that fails. A twin is an unrelated process
+// newProcess prepares the node's next process, or a duplicate, and returns nil if that fails. A duplicate is an unrelated process
 // under the node's name and listens on another port.
-func (i *instance) newProcess(stale, twin bool) *child {
+func (i *instance) newProcess(stale, duplicate bool) *child {
 	i.starts++
 	i.seed = figure.Stream(i.run.script.Seed, fmt.Sprintf("node %s %d", i.c.Name, i.starts)).Uint64()
 	if err := i.writeConfig(stale); err != nil {
@@ -80,14 +82,14 @@
 		return nil
 	}
 	listen := i.listenAddr
-	if twin {
+	if duplicate {
 		listen = "127.0.0.1:0"
 	}
 	c := &child{program: i.run.options.Node, log: log, exited: make(chan struct{}), env: append(os.Environ(),
 		protocol.EnvName+"="+i.c.Name, protocol.EnvListen+"="+listen,
 		protocol.EnvDiscovery+"="+i.run.net.MapAddress(i.c.Name, i.run.discovery), protocol.EnvConfig+"="+i.path(".json"))}
 	if f := i.run.options.Fleet; f != nil {
-		env, err := f.Env(i.c.Name, twin)
+		env, err := f.Env(i.c.Name, duplicate)
 		if err != nil {
 			log.Close()
 			i.run.fail("node %s: %v", i.c.Name, err)
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -300,7 +300,7 @@
 	r.finalSnapshot = r.table()
 	for _, n := range r.nodes {
 		n.restart = false
-		n.endTwin()
+		n.endDuplicate()
 		n.killNext() // the wait below covers only the current process
 		n.resume()
 		n.Term()
--- a/internal/lab/world/client/kinds.go
+++ b/internal/lab/world/client/kinds.go
@@ -41,8 +41,8 @@
 	longRejectLimit = 6 * time.Second
 )
 
-// twinGap is the time between the requests of twins, shorter than any request takes.
-const twinGap = 300 * time.Microsecond
+// sameRequestGap is the time between the two requests of kinds with SameRequest, shorter than any request takes.
+const sameRequestGap = 300 * time.Microsecond
 
 // floodBytes is the number of bytes that a flooding client sends; maxNodeBodyBytes
 // is the largest request body that a node accepts.
--- a/internal/lab/world/client/malformed_client.go
+++ b/internal/lab/world/client/malformed_client.go
@@ -99,7 +99,7 @@
 	for range max(r.kind.Conns, 1) {
 		s := &attackConn{client: r, reason: d.reason, deadline: deadline, steps: steps}
 		if r.kind.SameRequest {
-			s.reason, s.twins = "", &conns
+			s.reason, s.sameRequestConns = "", &conns
 		}
 		conns = append(conns, s)
 		r.conns = append(r.conns, s)
@@ -129,11 +129,11 @@
 
 // attackConn is one connection of an attack.
 type attackConn struct {
-	client   *MalformedClient
-	reason   string // why the input must not be served; empty: it is valid by itself
-	deadline time.Duration
-	steps    []step
-	twins    *[]*attackConn // connections that send the same request, including this one, once all are established
+	client           *MalformedClient
+	reason           string // why the input must not be served; empty: it is valid by itself
+	deadline         time.Duration
+	steps            []step
+	sameRequestConns *[]*attackConn // connections that send the same request, including this one, once all are established
 
 	conn          link.Conn
 	connected     bool
@@ -154,17 +154,17 @@
 	s.deadlineTimer = s.client.env.Loop.After(s.deadline+responseGrace, func() {
 		s.finish(&s.client.results.Ignored)
 	})
-	if s.twins == nil {
+	if s.sameRequestConns == nil {
 		s.nextStep()
 		return
 	}
-	for _, t := range *s.twins {
+	for _, t := range *s.sameRequestConns {
 		if !t.connected {
 			return
 		}
 	}
-	for i, t := range *s.twins { // close enough that the first request is in progress when the next one arrives
-		t.stepTimer = s.client.env.Loop.After(time.Duration(i)*twinGap, t.nextStep)
+	for i, t := range *s.sameRequestConns { // close enough that the first request is in progress when the next one arrives
+		t.stepTimer = s.client.env.Loop.After(time.Duration(i)*sameRequestGap, t.nextStep)
 	}
 }
 
@@ -211,8 +211,8 @@
 func (s *attackConn) End(_ link.Conn, err error) {
 	if !s.connected {
 		s.finish(&s.client.results.Unreached)
-		if s.twins != nil { // the other twins wait for this one and will never send
-			for _, t := range *s.twins {
+		if s.sameRequestConns != nil { // the other connections wait for this one and will never send
+			for _, t := range *s.sameRequestConns {
 				t.finish(&s.client.results.Left)
 			}
 		}
--- a/internal/lab/world/client/malformed_client_test.go
+++ b/internal/lab/world/client/malformed_client_test.go
@@ -27,7 +27,7 @@
 }
 
 // Each kind must report its input to the judge before it sends it, send input that
-// is invalid (valid for twins), and count the outcome of each connection.
+// is invalid (valid if SameRequest is set), and count the outcome of each connection.
 func TestMalformedKinds(t *testing.T) {
 	for _, kind := range kinds {
 		t.Run(kind.Name, func(t *testing.T) {
@@ -71,7 +71,7 @@
 			}
 			for id, b := range received {
 				if why := invalidReason(b); (why == "") != kind.SameRequest {
-					t.Errorf("connection %s: input has invalid reason %q, want one except for twins: %.300q", id, why, b)
+					t.Errorf("connection %s: input has invalid reason %q, want one unless SameRequest is set: %.300q", id, why, b)
 				}
 			}
 			if leaves {
@@ -185,7 +185,7 @@
 	NewMalformedClient(world.MalformedClient{Name: "r1", Kind: "nice"}, Env{})
 }
 
-// Twins must send the same id so close together that the first request is in progress when the second arrives.
+// Kinds with SameRequest must send the same id so close together that the first request is in progress when the second arrives.
 func TestTwins(t *testing.T) {
 	withHarness(t, func(l *harness) {
 		at := map[string][]time.Duration{}
--- a/internal/lab/world/config.go
+++ b/internal/lab/world/config.go
@@ -60,7 +60,7 @@
 	Safe         bool        `toml:"safe"`             // GET, may be repeated; otherwise POST, must not run twice
 	Work         figure.Span `toml:"work"`             // mean work, in time on a core of speed 1
 	Spread       float64     `toml:"spread"`           // coefficient of variation of the work
-	Objective    figure.Span `toml:"aim"`              // latency objective: a response within this time earns the full weight
+	Objective    figure.Span `toml:"aim"`              // latency objective: a response within it earns the full weight
 	Deadline     figure.Span `toml:"deadline"`         // time for which the client waits
 	Weight       float64     `toml:"worth"`            // priority weight
 	Body         int         `toml:"body,omitempty"`   // mean size of a POST body, in bytes
