--- a/cmd/olivelab/fleet_test.go
+++ b/cmd/olivelab/fleet_test.go
@@ -31,7 +31,8 @@
 		}
 	}
 	for _, name := range []string{"members", "budget", "in-use", "count", "retries"} {
-		if code, out, _ := runTool(t, "fleet", name, "--case", "list"); code != exitOK || strings.Count(out, "processes, ") < 6 {
+		if code, out, _ := runTool(t, "fleet", name, "--case", "list"); code != exitOK ||
+			strings.Count(out, "processes, ") < 6 {
 			t.Errorf("list of hard cases of %s: exit %d, fewer than 6 cases or a failure: %s", name, code, out)
 		}
 	}
--- a/internal/lab/live/fleet.go
+++ b/internal/lab/live/fleet.go
@@ -13,8 +13,8 @@
 // Fleet supplies the environment of a run whose nodes are members of one fleet, and injects the faults between and
 // around their processes. All methods are called on the loop.
 type Fleet interface {
-	// Env returns additional environment variables for a node's next process, or for a duplicate: an unrelated process that
-	// runs under the node's name.
+	// Env returns additional environment variables for a node's next process, or for a duplicate: an unrelated
+	// process that runs under the node's name.
 	Env(node string, duplicate bool) ([]string, error)
 	// Tell is notified of each event of a node's processes; pid is 0 if no process is involved.
 	Tell(node, what string, pid int)
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -67,8 +67,8 @@
 	i.launch(c, previousExited)
 }
 
-// newProcess prepares the node's next process, or a duplicate, and returns nil if that fails. A duplicate is an unrelated process
-// under the node's name and listens on another port.
+// newProcess prepares the node's next process, or a duplicate, and returns nil if that fails. A duplicate is an
+// unrelated process under the node's name and listens on another port.
 func (i *instance) newProcess(stale, duplicate bool) *child {
 	i.starts++
 	i.seed = figure.Stream(i.run.script.Seed, fmt.Sprintf("node %s %d", i.c.Name, i.starts)).Uint64()
--- a/internal/lab/world/client/malformed_client_test.go
+++ b/internal/lab/world/client/malformed_client_test.go
@@ -185,7 +185,8 @@
 	NewMalformedClient(world.MalformedClient{Name: "r1", Kind: "nice"}, Env{})
 }
 
-// Kinds with SameRequest must send the same id so close together that the first request is in progress when the second arrives.
+// Kinds with SameRequest must send the same id so close together that the first request is in progress when the
+// second arrives.
 func TestTwins(t *testing.T) {
 	withHarness(t, func(l *harness) {
 		at := map[string][]time.Duration{}
--- a/internal/lab/world/peer/faults.go
+++ b/internal/lab/world/peer/faults.go
@@ -12,8 +12,8 @@
 
 // faults holds the active faults of a peer. Several faults of one kind can be active.
 type faults struct {
-	slow, fail, spoil, surplus, silent, rejectShares, breakConn faultValues
-	costly                                                      []*costlySlice
+	slow, fail, spoil, surplus, silent, rejection, breakConn faultValues
+	costly                                                   []*costlySlice
 }
 
 // faultValues holds the value (share or factor) of each active fault of one kind.
@@ -105,7 +105,7 @@
 func (p *Peer) Silent(share float64) (heal func()) { return p.faults.silent.add(share) }
 
 // RejectRequests rejects a share of calls before they run.
-func (p *Peer) RejectRequests(share float64) (heal func()) { return p.faults.rejectShares.add(share) }
+func (p *Peer) RejectRequests(share float64) (heal func()) { return p.faults.rejection.add(share) }
 
 // Break resets the connections of a share of calls, for half of them before the
 // call runs, for the others in place of the response.
@@ -115,18 +115,18 @@
 // are active, so that no fault shifts the draws of another. New draws are added at
 // the end.
 type attemptDraws struct {
-	workFactor                                      float64 // factor on the usual work, 0.95 to 1.05
-	rejectDraw, breakConn, breakEarly, fail, errors float64
-	silent, spoil, spoilKind, surplus, surplusKind  float64
-	framing, closeConn                              float64
-	errorKind                                       float64 // selects the response to a failed call
+	workFactor                                     float64 // factor on the usual work, 0.95 to 1.05
+	rejection, breakConn, breakEarly, fail, errors float64
+	silent, spoil, spoilKind, surplus, surplusKind float64
+	framing, closeConn                             float64
+	errorKind                                      float64 // selects the response to a failed call
 }
 
 func drawAttempt(seed uint64, peer, id string, run int) (f attemptDraws) {
 	r := figure.Stream(seed, fmt.Sprintf("fate of call %s at %s, run %d", id, peer, run))
 	f.workFactor = figure.Uniform(r, 0.95, 1.05)
 	for _, u := range []*float64{
-		&f.rejectDraw, &f.breakConn, &f.breakEarly, &f.fail, &f.errors,
+		&f.rejection, &f.breakConn, &f.breakEarly, &f.fail, &f.errors,
 		&f.silent, &f.spoil, &f.spoilKind, &f.surplus, &f.surplusKind, &f.framing, &f.closeConn, &f.errorKind,
 	} {
 		*u = r.Float64()
--- a/internal/lab/world/peer/request.go
+++ b/internal/lab/world/peer/request.go
@@ -118,7 +118,7 @@
 		return
 	}
 	switch {
-	case q.rejecting || a.draws.rejectDraw < p.faults.rejectShares.probability():
+	case q.rejecting || a.draws.rejection < p.faults.rejection.probability():
 		c.reject(a)
 	case a.draws.breakConn < p.faults.breakConn.probability() && a.draws.breakEarly < 0.5:
 		p.stats.Broken++
