--- a/cmd/olivelab/compare.go
+++ b/cmd/olivelab/compare.go
@@ -54,11 +54,11 @@
 			return err
 		}
 		defer sink.discard()
-		all, err := playPairs(c.Context(), sides, pairs, short, c.ErrOrStderr())
+		pairResults, err := playPairs(c.Context(), sides, pairs, short, c.ErrOrStderr())
 		if err != nil {
 			return err
 		}
-		rows := compare.Rows(all)
+		rows := compare.Rows(pairResults)
 		if err := sink.write(func(w io.Writer) error { return json.NewEncoder(w).Encode(rows) }); err != nil {
 			return err
 		}
--- a/cmd/olivelab/fleet.go
+++ b/cmd/olivelab/fleet.go
@@ -219,6 +219,7 @@
 	return filepath.Abs(r.node)
 }
 
+// subjectCommand returns the subcommand of fleet that plays the scenario with the given name.
 func subjectCommand(name, short, long string) *cobra.Command {
 	r := fleetOptions{scenario: fleet.Scenarios()[name]}
 	c := &cobra.Command{Use: name, Short: short, Long: long, Args: cobra.NoArgs}
--- a/cmd/olivelab/main_test.go
+++ b/cmd/olivelab/main_test.go
@@ -64,7 +64,7 @@
 	for _, c := range []struct {
 		args      string
 		code      int
-		out, errs string // patterns
+		out, errs string // regular expressions
 	}{
 		{"seeds --from 1 --count 4", 0, `^4 passed, 0 failed\n$`, `4 of 4 seeds, 0 failed`},
 		{"seeds --from 1 --count 6 --procs 3", 1, `^seed 5: lost at 2.000000s: a call was lost; ` +
--- a/cmd/olivelab/mutants.go
+++ b/cmd/olivelab/mutants.go
@@ -99,7 +99,7 @@
 }
 
 // huntMutants builds and plays the mutants one after the other and prints a table row for each.
-func huntMutants(c *cobra.Command, with workerFlags, seeds uint64, some []mutant.Mutant) ([]campaign.HuntResult, error) {
+func huntMutants(c *cobra.Command, with workerFlags, seeds uint64, selected []mutant.Mutant) ([]campaign.HuntResult, error) {
 	root, err := mutant.Root()
 	if err != nil {
 		return nil, err
@@ -116,7 +116,7 @@
 	sound := &campaign.Pool{Workers: 1}
 	var finds []campaign.HuntResult
 	fmt.Fprintf(c.OutOrStdout(), tableFormat+"\n", "mutant", "rule", "seeds", "seconds", "expected; others met")
-	for _, p := range some {
+	for _, p := range selected {
 		fmt.Fprintf(c.ErrOrStderr(), "building and playing: %s\n", p.Name)
 		f, err := hunter.Hunt(c.Context(), p, sound)
 		if err != nil {
