--- a/cmd/olivelab/compare.go
+++ b/cmd/olivelab/compare.go
@@ -62,7 +62,7 @@
 		if err := sink.write(func(w io.Writer) error { return json.NewEncoder(w).Encode(rows) }); err != nil {
 			return err
 		}
-		return compare.Write(c.OutOrStdout(), sides[0].name, sides[1].name, all, rows)
+		return compare.Write(c.OutOrStdout(), sides[0].name, sides[1].name, pairResults, rows)
 	}
 	return c
 }
