--- a/cmd/olivelab/compare.go
+++ b/cmd/olivelab/compare.go
@@ -54,15 +54,15 @@
 			return err
 		}
 		defer sink.discard()
-		all, err := playPairs(c.Context(), sides, pairs, short, c.ErrOrStderr())
+		pairResults, err := playPairs(c.Context(), sides, pairs, short, c.ErrOrStderr())
 		if err != nil {
 			return err
 		}
-		rows := compare.Rows(all)
+		rows := compare.Rows(pairResults)
 		if err := sink.write(func(w io.Writer) error { return json.NewEncoder(w).Encode(rows) }); err != nil {
 			return err
 		}
-		return compare.Write(c.OutOrStdout(), sides[0].name, sides[1].name, all, rows)
+		return compare.Write(c.OutOrStdout(), sides[0].name, sides[1].name, pairResults, rows)
 	}
 	return c
 }
